--- a/internal/coordination/cluster_test.go
+++ b/internal/coordination/cluster_test.go
@@ -281,7 +281,7 @@
 		n := c.nodes[name]
 		n.life++
 		env := &simEnv{n: n, life: n.life, rnd: rand.New(rand.NewPCG(uint64(n.life), c.sim.Rand.Uint64()))}
-		var out io.Writer = io.Discard
+		out := io.Discard
 		if os.Getenv("PIPITGAP_TEST_LOG") != "" {
 			out = os.Stderr
 		}
