--- /dev/null
+++ b/internal/architecture/layers_test.go
@@ -0,0 +1,300 @@
+package architecture
+
+import (
+	"fmt"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// The module's path as go.mod has it, and its root seen from this package.
+const (
+	modulePath = "pipitgap"
+	moduleRoot = "../.."
+)
+
+// kind tells what a package is for, beyond its layer.
+type kind int
+
+const (
+	// Code with no further bound than its layer.
+	plain kind = iota
+	// Decisions on a snapshot or on state of their own: no input or output, no goroutines' tools, no logger.
+	decision
+	// Fakes and harnesses: any test may import them, and no code outside of fakes and tests.
+	fake
+)
+
+// row is one package of the tree.
+type row struct {
+	path string // below the module's root
+	kind kind
+	// A planned package needn't exist yet; the mark is taken off once it does.
+	planned bool
+}
+
+// layers has every package of the tree, the lowest layer first. A package imports packages of lower layers only:
+// neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above all it imports.
+var layers = [][]row{
+	{{path: "internal/micros"}, {path: "internal/architecture"}},
+	{{path: "internal/resources", planned: true}},
+	{{path: "internal/config"}, {path: "internal/transport"}},
+	{{path: "internal/protocol"}},
+	{{path: "internal/ratelimit", planned: true}, {path: "internal/standin", kind: fake},
+		{path: "internal/fake", kind: fake, planned: true}},
+	{{path: "internal/bookkeeping"}, {path: "internal/storage", planned: true}},
+	{{path: "internal/cancellation", kind: decision}, {path: "internal/drain", kind: decision},
+		{path: "internal/quota", kind: decision, planned: true}},
+	{{path: "internal/scheduling", kind: decision, planned: true}},
+	{{path: "internal/autoscaling", kind: decision, planned: true}},
+	{{path: "internal/mirror", planned: true}},
+	{{path: "internal/membership", planned: true}},
+	{{path: "internal/agents", planned: true}},
+	{{path: "internal/shards", planned: true}},
+	{{path: "internal/api", planned: true}},
+	{{path: "internal/coordination"}}, // the actor
+	{{path: "internal/daemon"}, {path: "internal/operator"}},
+	{{path: "internal/standin/loopback", kind: fake}, {path: "internal/fake/loopback", kind: fake, planned: true}},
+	{{path: "cmd/pipitgap"}},
+}
+
+// The actor, which decisions must never import, in tests neither.
+const actorPath = "internal/coordination"
+
+// What a decision package doesn't import from the standard library; packages below these neither.
+var outsideDecisions = []string{
+	"bufio", "context", "database", "io", "log", "math/rand", "net", "os", "runtime", "sync", "syscall", "time",
+}
+
+// place is a row together with the number of its layer.
+type place struct {
+	row
+	layer int
+}
+
+// placesByPath indexes a table; a path that stands in it twice is an error.
+func placesByPath(table [][]row) (map[string]place, error) {
+	places := map[string]place{}
+	for layer, rows := range table {
+		for _, r := range rows {
+			if _, ok := places[r.path]; ok {
+				return nil, fmt.Errorf("%s has two rows", r.path)
+			}
+			places[r.path] = place{r, layer}
+		}
+	}
+	return places, nil
+}
+
+// source is what the check reads of a Go file.
+type source struct {
+	pkg     string // the package's path below the module's root
+	file    string
+	test    bool
+	imports []string
+}
+
+// readSources parses the imports of every Go file below cmd and internal, whatever its build tags.
+func readSources(t *testing.T) []source {
+	t.Helper()
+	var sources []source
+	for _, top := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(moduleRoot, top), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil {
+				return err
+			}
+			if entry.IsDir() && entry.Name() == "testdata" {
+				return fs.SkipDir
+			}
+			if entry.IsDir() || !strings.HasSuffix(path, ".go") {
+				return nil
+			}
+			s, err := readSource(path)
+			sources = append(sources, s)
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return sources
+}
+
+func readSource(path string) (source, error) {
+	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+	if err != nil {
+		return source{}, err
+	}
+	relative, err := filepath.Rel(moduleRoot, path)
+	if err != nil {
+		return source{}, err
+	}
+	s := source{
+		pkg:  filepath.ToSlash(filepath.Dir(relative)),
+		file: filepath.ToSlash(relative),
+		test: strings.HasSuffix(path, "_test.go"),
+	}
+	for _, spec := range parsed.Imports {
+		imported, err := strconv.Unquote(spec.Path.Value)
+		if err != nil {
+			return source{}, err
+		}
+		s.imports = append(s.imports, imported)
+	}
+	return s, nil
+}
+
+// violations lists what a file imports against the table.
+func violations(places map[string]place, s source) []string {
+	from, ok := places[s.pkg]
+	if !ok {
+		return []string{s.file + ": " + s.pkg + " has no row in layers: add it to the lowest layer above all it imports"}
+	}
+	var found []string
+	for _, imported := range s.imports {
+		if fault := violation(places, from, s.test, imported); fault != "" {
+			found = append(found, s.file+": "+fault)
+		}
+	}
+	return found
+}
+
+// violation says what is wrong with one import, and is empty where nothing is.
+func violation(places map[string]place, from place, test bool, imported string) string {
+	path, own := strings.CutPrefix(imported, modulePath+"/")
+	if !own {
+		if from.kind == decision && !test && outOfBounds(imported) {
+			return fmt.Sprintf("%s decides, and must not import %s", from.path, imported)
+		}
+		return ""
+	}
+	to, ok := places[path]
+	switch {
+	case path == from.path && test: // a test of the exported surface
+		return ""
+	case !ok:
+		return fmt.Sprintf("%s is imported and has no row in layers", path)
+	case from.kind == decision && path == actorPath:
+		return fmt.Sprintf("%s decides, and must not import the actor", from.path)
+	case to.kind == fake && !test && from.kind != fake:
+		return fmt.Sprintf("%s is for tests, and %s is not", path, from.path)
+	case to.kind == fake && test:
+		return ""
+	case to.layer >= from.layer:
+		return fmt.Sprintf("%s is not in a layer below %s", path, from.path)
+	}
+	return ""
+}
+
+func outOfBounds(imported string) bool {
+	return slices.ContainsFunc(outsideDecisions, func(bound string) bool {
+		return imported == bound || strings.HasPrefix(imported, bound+"/")
+	})
+}
+
+// Every import of the tree, tests included, goes down the table of layers.
+func TestImportsGoDownTheLayers(t *testing.T) {
+	places, err := placesByPath(layers)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sources := readSources(t)
+	if len(sources) == 0 {
+		t.Fatal("no sources found")
+	}
+	for _, s := range sources {
+		for _, fault := range violations(places, s) {
+			t.Error(fault)
+		}
+	}
+}
+
+// The table has no row of a package that is gone, and no planned one that has come.
+func TestRowsMatchTheTree(t *testing.T) {
+	for _, rows := range layers {
+		for _, r := range rows {
+			files, err := filepath.Glob(filepath.Join(moduleRoot, r.path, "*.go"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			exists := len(files) > 0
+			switch {
+			case !exists && !r.planned:
+				t.Errorf("%s has a row in layers and no Go file: take the row out", r.path)
+			case exists && r.planned:
+				t.Errorf("%s exists: take the mark planned off its row in layers", r.path)
+			}
+		}
+	}
+}
+
+// The module's name is the one that the check looks for.
+func TestModulePath(t *testing.T) {
+	mod, err := os.ReadFile(filepath.Join(moduleRoot, "go.mod"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if first, _, _ := strings.Cut(string(mod), "\n"); first != "module "+modulePath {
+		t.Errorf("go.mod begins with %q, modulePath is %q", first, modulePath)
+	}
+}
+
+// The check itself, on a table of its own: what it lets pass and what it reports.
+func TestViolations(t *testing.T) {
+	places, err := placesByPath([][]row{
+		{{path: "internal/low"}},
+		{{path: "internal/one", kind: decision}, {path: "internal/two"}, {path: "internal/doubles", kind: fake}},
+		{{path: actorPath}},
+		{{path: "internal/harness", kind: fake}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	cases := []struct {
+		name     string
+		pkg      string
+		test     bool
+		imported string
+		want     string // part of the report; empty where the import is allowed
+	}{
+		{"down", "internal/one", false, "pipitgap/internal/low", ""},
+		{"down over a layer", actorPath, false, "pipitgap/internal/low", ""},
+		{"up", "internal/low", false, "pipitgap/internal/two", "not in a layer below"},
+		{"sideways", "internal/two", false, "pipitgap/internal/one", "not in a layer below"},
+		{"up in a test", "internal/low", true, "pipitgap/internal/two", "not in a layer below"},
+		{"own package in a test", "internal/low", true, "pipitgap/internal/low", ""},
+		{"decision imports the actor", "internal/one", false, "pipitgap/" + actorPath, "must not import the actor"},
+		{"decision's test imports the actor", "internal/one", true, "pipitgap/" + actorPath, "must not import the actor"},
+		{"decision imports the network", "internal/one", false, "net/http", "must not import net/http"},
+		{"decision imports the clock", "internal/one", false, "time", "must not import time"},
+		{"decision imports a package of like name", "internal/one", false, "iter", ""},
+		{"decision's test imports files", "internal/one", true, "os", ""},
+		{"others import the network", "internal/two", false, "net/http", ""},
+		{"code imports a fake", actorPath, false, "pipitgap/internal/doubles", "is for tests"},
+		{"test imports a fake", "internal/low", true, "pipitgap/internal/harness", ""},
+		{"fake imports a lower fake", "internal/harness", false, "pipitgap/internal/doubles", ""},
+		{"fake imports a higher fake", "internal/doubles", false, "pipitgap/internal/harness", "not in a layer below"},
+		{"unknown package is imported", actorPath, false, "pipitgap/internal/new", "has no row in layers"},
+		{"unknown package imports", "internal/new", false, "fmt", "add it to the lowest layer"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			found := violations(places, source{pkg: c.pkg, file: "f.go", test: c.test, imports: []string{c.imported}})
+			switch {
+			case c.want == "" && len(found) > 0:
+				t.Errorf("reported: %v", found)
+			case c.want != "" && (len(found) != 1 || !strings.Contains(found[0], c.want)):
+				t.Errorf("got %v, want one report with %q", found, c.want)
+			}
+		})
+	}
+	if _, err := placesByPath([][]row{{{path: "internal/low"}}, {{path: "internal/low"}}}); err == nil {
+		t.Error("a package with two rows is no error")
+	}
+}
