--- /dev/null
+++ b/cmd/pipitgap/json_test.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/drain"
+	"pipitgap/internal/fixtures"
+	"pipitgap/internal/operator"
+)
+
+// printed returns what a function writes to the standard output.
+func printed(t *testing.T, write func() error) string {
+	t.Helper()
+	reader, writer, err := os.Pipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	usual := os.Stdout
+	defer func() { os.Stdout = usual }()
+	os.Stdout = writer
+	out := make(chan []byte)
+	go func() {
+		text, _ := io.ReadAll(reader)
+		out <- text
+	}()
+	err = write()
+	_ = writer.Close()
+	text := string(<-out)
+	if err != nil {
+		t.Fatalf("%v; printed %q", err, text)
+	}
+	return text
+}
+
+// answers are what the commands print, with every field set.
+func answers() map[string]any {
+	const at = 1_764_687_600_123_456
+	blocked := []drain.Blockage{{Drain: "rack-a-out", Machine: "i-000231", Task: "j-000017/5", Kind: drain.BlockedByBudget,
+		Reason: "team wren: 3 of 4 replicas are available, 3 must stay"}}
+	machines := []string{"i-000231", "i-000232"}
+	plan := &drain.Plan{Machines: machines, Blocked: blocked, Steps: []drain.Step{{
+		Rent: []string{"m8 in rack-b"}, Moves: []drain.Move{{Task: "j-000017/5", Team: "wren", From: "i-000231", To: "i-000240"}},
+		Stopped: 4, Emptied: []string{"i-000231"}}}}
+	kinds := []drain.BlockKind{drain.BlockedByBudget, drain.BlockedByRoom, drain.BlockedByStart, drain.BlockedByCordon,
+		drain.BlockedByPermits, drain.BlockedByOwner, drain.BlockedByDeadline}
+	waiting := make([]drain.Blockage, 0, len(kinds))
+	for _, kind := range kinds {
+		waiting = append(waiting, drain.Blockage{Drain: "d-2", Machine: "i-000231", Kind: kind, Reason: "waits"})
+	}
+	teams := []drain.TeamStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5, Floor: 4, Reserve: 1, WorstLoss: 2}}
+	return map[string]any{
+		"start":         operator.Started{Name: "rack-a-out", Repeated: true, Machines: machines, Plan: plan},
+		"start-no-plan": operator.Started{Name: "rack-a-out", Machines: machines},
+		"status": statusAnswer{Drain: &drain.Progress{Name: "rack-a-out", State: bookkeeping.DrainActive, Reason: "resumed", Revision: 40_001,
+			Machines: []drain.MachineProgress{{ID: "i-000231", State: "cordoned", Replicas: 2, Arrays: 3, Step: true}},
+			Permits:  1, Blocked: blocked, StartedAt: at, EndedAt: at + 1}, Teams: teams},
+		"status-ended": statusAnswer{Drain: &drain.Progress{Name: "d-1", State: bookkeeping.DrainDone, Revision: 40_002,
+			Machines: []drain.MachineProgress{}, StartedAt: at}},
+		"status-blocked": statusAnswer{Drain: &drain.Progress{Name: "d-2", State: bookkeeping.DrainActive, Revision: 40_003,
+			Machines: []drain.MachineProgress{}, Blocked: waiting, StartedAt: at}, Teams: teams},
+		"list": []operator.Listed{{Name: "rack-a-out", State: bookkeeping.DrainPaused, Reason: "paused by an operator",
+			Selects: "zone rack-a", Machines: 3}},
+		"list-no-reason": []operator.Listed{{Name: "d-1", State: bookkeeping.DrainDrained, Selects: "2 machines by name"}},
+		"list-empty":     []operator.Listed{},
+		"budgets":        teams,
+		"budgets-empty":  []drain.TeamStatus(nil),
+		"moved":          moved{Name: "rack-a-out", State: "paused", Changed: true},
+	}
+}
+
+// TestJSONAnswers: the JSON form of all answers is as it was, and reads as the same values.
+func TestJSONAnswers(t *testing.T) {
+	for file, answer := range answers() {
+		t.Run(file, func(t *testing.T) {
+			flags := &operatorFlags{JSON: true}
+			got := printed(t, func() error { return flags.print(answer, nil) })
+			want := fixtures.Text(t, "json/"+file+".json", got)
+			fixtures.Equal(t, file, []byte(want), []byte(got))
+			decoded := reflect.New(reflect.TypeOf(answer))
+			decoder := json.NewDecoder(strings.NewReader(want))
+			decoder.DisallowUnknownFields()
+			if err := decoder.Decode(decoded.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(decoded.Elem().Interface(), answer) {
+				t.Errorf("reads as %+v, want %+v", decoded.Elem(), answer)
+			}
+			if !strings.Contains(file, "-") { // the others have fields that are left out
+				fixtures.AllSet(t, file, answer)
+			}
+			again := printed(t, func() error { return flags.print(decoded.Elem().Interface(), nil) })
+			fixtures.Equal(t, file, []byte(want), []byte(again))
+		})
+	}
+}
+
+// TestJSONIsOneValue: scripts read one value, with a line feed after it.
+func TestJSONIsOneValue(t *testing.T) {
+	for file, answer := range answers() {
+		got := printed(t, func() error { return (&operatorFlags{JSON: true}).print(answer, nil) })
+		var compact bytes.Buffer
+		if err := json.Compact(&compact, []byte(got)); err != nil || !strings.HasSuffix(got, "\n") {
+			t.Errorf("%s: %v in %q", file, err, got)
+		}
+	}
+}
