--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -19,14 +19,12 @@
 	moduleRoot = "../.."
 )
 
-// kind tells what a package is for, beyond its layer.
+// kind tells what a package is for, beyond its layer; the zero kind has no further bound.
 type kind int
 
 const (
-	// Code with no further bound than its layer.
-	plain kind = iota
 	// Decisions on a snapshot or on state of their own: no input or output, no goroutines' tools, no logger.
-	decision
+	decision kind = iota + 1
 	// Fakes and harnesses: any test may import them, and no code outside of fakes and tests.
 	fake
 )
