--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -25,7 +25,7 @@
 const (
 	// Decisions on a snapshot or on state of their own: no input or output, no goroutines' tools, no logger.
 	decision kind = iota + 1
-	// Fakes and harnesses: any test may import them, and no code outside of fakes and tests.
+	// Fakes, fixtures and harnesses: any test may import them, and no code outside of fakes and tests.
 	fake
 )
 
