--- a/cmd/pipitgap/main.go
+++ b/cmd/pipitgap/main.go
@@ -100,7 +100,7 @@
 	slog.SetDefault(log)
 	if err := k.Run(log); err != nil {
 		if k.Selected().Name == serveCommand {
-			log.Error("pipitgap ends", "err", err.Error())
+			log.Error("controller exited", "error", err.Error())
 		} else {
 			fmt.Fprintln(os.Stderr, "pipitgap:", err)
 		}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -267,13 +267,14 @@
 		if !heard[zone].cut() {
 			delete(c.leader.cut, zone)
 			c.leader.recover++
-			c.log.Info("zone is heard again", "zone", zone)
+			c.log.Info("zone unreachable", "state", conditionEnd, "zone", zone)
 		}
 	}
 	for _, zone := range sortedKeys(heard) {
 		if z := heard[zone]; z.cut() && !c.leader.cut[zone] {
 			c.leader.cut[zone] = true
-			c.log.Info("zone has fallen silent, nothing is rented there", "zone", zone, "machines", z.machines, "silent", z.silent)
+			c.log.Info("zone unreachable", "state", conditionBegin, "zone", zone,
+				"machines", z.machines, "machines_unreachable", z.silent)
 		}
 	}
 }
@@ -439,7 +440,7 @@
 	}
 	if u.step >= c.set.BackoffMost.T() {
 		u.out, u.recover = true, l.recover
-		c.log.Info("job leaves the demand until an offer recovers", "job", d.job, "tasks", d.count)
+		c.log.Info("job removed from demand, insufficient capacity", "job", d.job, "tasks", d.count)
 		return
 	}
 	u.until = now + u.step
--- a/internal/coordination/cancellations.go
+++ b/internal/coordination/cancellations.go
@@ -14,7 +14,7 @@
 	expire := now-c.cancellations.KnownUntil(c.freshAt, now) >= c.timing.renewal
 	if expire != c.expiring {
 		c.expiring = expire
-		c.log.Info("leases of workers", "renewed", !expire)
+		c.log.Info("worker lease renewal suspended", "state", conditionState(expire))
 	}
 	return expire
 }
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -74,7 +74,7 @@
 			}
 		}
 		if r.Outcome == protocol.OK {
-			c.log.Info("shards taken over", "from", owner, "shards", len(ps), "machines", machines)
+			c.log.Info("shards claimed", "from_node", owner, "shards", len(ps), "machines", machines)
 		}
 	})
 	return n
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -183,7 +183,7 @@
 func (c *Core) Start() {
 	c.log.Info("controller starting", "node", c.node, "incarnation", c.inc)
 	for _, w := range c.timing.warnings() {
-		c.log.Warn("the platform's durations are not covered", "field", w.field, "consequence", w.consequence)
+		c.log.Warn("platform durations not covered", "field", w.field, "consequence", w.consequence)
 	}
 	c.grant()
 	c.load()
@@ -276,9 +276,9 @@
 	case bookkeeping.KindMember:
 		if c.isLive(name) {
 			delete(c.deadSince, name)
-			c.log.Info("controller is a member", "member", name)
+			c.log.Info("controller membership", "state", conditionBegin, "node", name)
 		} else {
-			c.log.Info("controller is no member any more", "member", name)
+			c.log.Info("controller membership", "state", conditionEnd, "node", name)
 		}
 	}
 }
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -12,9 +12,9 @@
 
 // Causes of such ends.
 const (
-	lossReclaimed lossCause = "taken by the cloud"
-	lossMachine   lossCause = "machine lost or given up"
-	lossExit      lossCause = "failed or stopped by its worker"
+	lossReclaimed lossCause = "spot interruption"
+	lossMachine   lossCause = "machine lost"
+	lossExit      lossCause = "task exit"
 )
 
 // replicaLoss is a replica that ended outside of a permit.
@@ -66,7 +66,8 @@
 	if now := d.core.now(); now-d.lossNoted >= lossesNotedEvery {
 		d.lossNoted = now
 		for _, cause := range sortedKeys(d.outside) {
-			d.core.log.Info("replicas ended outside of permits, since the start", "cause", string(cause), "replicas", d.outside[cause])
+			d.core.log.Info("replicas lost outside of permits",
+				"reason", string(cause), "replicas_total", d.outside[cause])
 		}
 	}
 }
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -159,7 +159,8 @@
 		return
 	}
 	m.w.stopping[key] = true
-	d.core.log.Info("replica stopped for a drain", "drain", p.Drain, "task", key.ref.String(), "from", p.From, "to", p.To)
+	d.core.log.Info("replica evicted for drain", "drain", p.Drain, "task", key.ref.String(),
+		"from_machine", p.From, "to_machine", p.To)
 	d.core.sync(m)
 }
 
@@ -243,9 +244,9 @@
 		switch r.Outcome {
 		case protocol.OK:
 			c.stats.permitWrites++
-			c.log.Debug("permits written", "team", team, "granted", len(granted), "ended", len(ended))
+			c.log.Debug("eviction permits committed", "team", team, "granted", len(granted), "ended", len(ended))
 		case protocol.Rejected:
-			c.log.Error("state service rejects permits", "team", team)
+			c.log.Error("eviction permits rejected by state service", "team", team)
 		}
 	})
 }
@@ -283,7 +284,7 @@
 		stopped++
 	}
 	if stopped > 0 {
-		d.core.log.Info("tasks stopped for a drain", "machine", m.id, "tasks", stopped)
+		d.core.log.Info("tasks evicted for drain", "machine", m.id, "tasks", stopped)
 		d.core.sync(m)
 	}
 }
@@ -359,7 +360,8 @@
 			Then: []protocol.Op{op},
 		}, func(r protocol.StoreResult) {
 			if r.Outcome == protocol.OK && next != nil {
-				d.core.log.Info("drain changes its state", "drain", record.Name, "state", string(next.State), "reason", next.Reason)
+				d.core.log.Info("drain state changed", "drain", record.Name, "drain_state", string(next.State),
+					"reason", next.Reason)
 			}
 		})
 	}
--- a/internal/coordination/idle.go
+++ b/internal/coordination/idle.go
@@ -99,7 +99,8 @@
 		for _, v := range vs[:taken] {
 			m.w.stopping[v.key] = true
 			save = max(save, v.loss)
-			c.log.Debug("task gives way", "task", v.key.ref.String(), "attempt", v.key.attempt, "machine", m.id, "for", j.id)
+			c.log.Debug("scavenger task preempted", "task", v.key.ref.String(), "attempt", v.key.attempt,
+				"machine", m.id, "for_job", j.id)
 		}
 		cd.keep, on[m.id] = j.id, true
 		c.sync(m)
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -33,7 +33,7 @@
 		delete(c.jobBusy, id)
 		if r.Outcome == protocol.OK {
 			c.stats.done++
-			c.log.Debug("job done", "job", id)
+			c.log.Debug("job completed", "job", id)
 		}
 	})
 }
--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -219,7 +219,8 @@
 			if rec.Tries >= c.set.RemovalTries {
 				rec.Failed = true
 				c.leader.deleteAt[name] = c.now() + c.set.RemovalPause.T()
-				c.log.Error("machines can't be removed", "removal", name, "machines", len(rec.Machines), "tries", rec.Tries, "outcome", res.Outcome.String())
+				c.log.Error("machine deletion failed", "scale_in", name, "machines", len(rec.Machines),
+					"tries", rec.Tries, "outcome", res.Outcome.String())
 			}
 		}
 		c.leaderCommit(bookkeeping.RankShard, key, protocol.Txn{
@@ -227,7 +228,7 @@
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
 		}, func(cr protocol.StoreResult) {
 			if cr.Outcome == protocol.OK && rec.Gone {
-				c.log.Info("machines deleted", "removal", name, "machines", len(rec.Machines))
+				c.log.Info("machines deleted", "scale_in", name, "machines", len(rec.Machines))
 			}
 		})
 	})
@@ -257,9 +258,9 @@
 	if bad != c.leader.trouble && o != protocol.Throttled {
 		c.leader.trouble = bad
 		if bad {
-			c.log.Info("cloud trouble begins", "outcome", o.String())
+			c.log.Info("cloud unavailable", "state", conditionBegin, "outcome", o.String())
 		} else {
-			c.log.Info("cloud trouble ends")
+			c.log.Info("cloud unavailable", "state", conditionEnd)
 		}
 	}
 }
@@ -312,7 +313,8 @@
 			c.takeFound()
 			if !c.leader.rebuilt {
 				c.leader.rebuilt = true
-				c.log.Info("picture rebuilt, renting from here on", "machines", len(c.view.machines), "rentals", len(c.view.rentals))
+				c.log.Info("inventory rebuilt, scale-out enabled", "machines", len(c.view.machines),
+					"scale_outs", len(c.view.rentals))
 			}
 		})
 	}
@@ -355,7 +357,7 @@
 		key := bookkeeping.Key(bookkeeping.KindRental, name)
 		rec := bookkeeping.Rental{Phase: bookkeeping.RentalProvisioning, Type: e.Type, Zone: e.Zone, Spot: e.Spot, Count: 1,
 			Machines: []string{id}, Live: c.able(), At: c.env.Wall()}
-		c.log.Info("machine that nobody asked for", "machine", id, "type", e.Type, "zone", e.Zone)
+		c.log.Info("unrequested machine found", "machine", id, "machine_type", e.Type, "zone", e.Zone)
 		c.leaderCommit(bookkeeping.RankRest, key, protocol.Txn{
 			If:   []protocol.Cond{{Key: key, Version: 0}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
@@ -405,7 +407,8 @@
 					Value: protocol.MustMarshal(&bookkeeping.Removal{Machines: missing, At: wall})})
 				c.leaderCommit(bookkeeping.RankRest, key, drop, func(r protocol.StoreResult) {
 					if r.Outcome == protocol.OK {
-						c.log.Info("machines not ready in time, given back", "rental", name, "machines", len(missing), "type", a.rec.Type, "zone", a.rec.Zone)
+						c.log.Info("machines not ready in time, scale-in requested", "scale_out", name,
+							"machines", len(missing), "machine_type", a.rec.Type, "zone", a.rec.Zone)
 					}
 				})
 			case orphans && len(able) > 0:
@@ -452,12 +455,14 @@
 		switch {
 		case r.Outcome == protocol.OK && len(r.Rented) > 0:
 			rec.Phase, rec.Machines, rec.Live = bookkeeping.RentalProvisioning, r.Rented, c.able()
-			c.log.Info("machines rented", "rental", name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "asked", rec.Count, "got", len(r.Rented))
+			c.log.Info("scale-out completed", "scale_out", name, "machine_type", rec.Type, "zone", rec.Zone,
+				"spot", rec.Spot, "requested", rec.Count, "machines", len(r.Rented))
 		case r.Outcome == protocol.OK, r.Outcome == protocol.NoCapacity:
 			rec.Phase = bookkeeping.RentalUnmet
-			c.log.Info("no capacity, offer sidelined", "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot)
+			c.log.Info("insufficient capacity, offer quarantined", "machine_type", rec.Type,
+				"zone", rec.Zone, "spot", rec.Spot)
 		case r.Outcome == protocol.Rejected:
-			c.log.Error("cloud rejects a request", "rental", name, "type", rec.Type)
+			c.log.Error("scale-out request rejected", "scale_out", name, "machine_type", rec.Type)
 			rec.Phase = bookkeeping.RentalUnmet
 		default:
 			// Throttled, troubled or unknown: says nothing about the offer. The
--- a/internal/coordination/learning.go
+++ b/internal/coordination/learning.go
@@ -33,7 +33,8 @@
 	case protocol.CauseUnknown, protocol.CauseFull, protocol.CauseBusy:
 		js := c.jobNotes(j.id)
 		js.until = max(js.until, c.now()+500*micros.Millisecond)
-		c.log.Debug("start refused", "task", ref.String(), "attempt", t.Attempt, "machine", m.id, "cause", t.Cause)
+		c.log.Debug("task start refused", "task", ref.String(), "attempt", t.Attempt,
+			"machine", m.id, "reason", t.Cause)
 	}
 }
 
--- a/internal/coordination/limits.go
+++ b/internal/coordination/limits.go
@@ -309,7 +309,7 @@
 			delete(c.jobBusy, key)
 			c.dirty = true
 			if r.Outcome == protocol.OK {
-				c.log.Info("shares of the teams' limits given back", "of", n)
+				c.log.Info("quota shares released", "node", n)
 			}
 		})
 	}
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -142,16 +142,16 @@
 	}
 	switch {
 	case silent > giveUp:
-		return "silent"
+		return "unreachable"
 	case silent > c.timing.patience && c.holdsCancelled(m, overdue):
 		// Its cancelled tasks must be gone in time, whoever is to blame.
-		return "cancelled tasks out of reach"
+		return "cancelled tasks unreachable"
 	case w.noticed && silent > c.timing.alive:
-		return "taken"
+		return "spot interruption"
 	case silent > c.timing.patience && 3*check.quiet <= check.ours && w.acked && !cut:
 		// Deleting it proves its tasks gone long before its lease would. Not
 		// when many are silent: then it is we who are cut off.
-		return "silent"
+		return "unreachable"
 	}
 	return ""
 }
@@ -159,10 +159,10 @@
 // logCheck writes one line for each trouble, however many machines share it.
 func (c *Core) logCheck(check *machineCheck) {
 	if check.lost > 0 {
-		c.log.Info("machines lost: their leases have ended unanswered", "machines", check.lost, "tasks", check.lostTasks)
+		c.log.Info("machines lost", "state", conditionBegin, "machines", check.lost, "tasks", check.lostTasks)
 	}
 	if check.noticed > 0 {
-		c.log.Info("machines will be taken back", "machines", check.noticed)
+		c.log.Info("spot interruption notice", "machines", check.noticed)
 	}
 	many := check.quiet >= 3
 	if many == c.quietSaid {
@@ -170,9 +170,10 @@
 	}
 	c.quietSaid = many
 	if many {
-		c.log.Info("machines have fallen silent", "machines", check.quiet+1, "of", check.ours)
+		c.log.Info("machines unreachable", "state", conditionBegin,
+			"machines", check.quiet+1, "machines_owned", check.ours)
 	} else {
-		c.log.Info("machines are heard again or replaced", "of", check.ours)
+		c.log.Info("machines unreachable", "state", conditionEnd, "machines_owned", check.ours)
 	}
 }
 
@@ -218,7 +219,8 @@
 				tasks += len(m.tasks)
 			}
 		}
-		c.log.Info("machines to be removed", "reason", reason, "machines", len(ids), "tasks", tasks, "first", ids[0])
+		c.log.Info("machines marked for scale-in", "reason", reason, "machines", len(ids),
+			"tasks", tasks, "first_machine", ids[0])
 	}
 	clear(c.givenBack)
 }
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -56,7 +56,7 @@
 		case protocol.OK:
 			c.leaseSent, c.touchAt = sent, sent+c.timing.membership/4
 		case protocol.NotFound:
-			c.log.Info("own lease has ended, taking a new one")
+			c.log.Info("controller lease expired")
 			c.lease = 0
 			c.grant()
 		default:
@@ -154,7 +154,7 @@
 	c.commit(bookkeeping.RankLease, t, func(r protocol.StoreResult) {
 		c.leadBusy = false
 		if r.Outcome == protocol.OK {
-			c.log.Info("leading", "term", r.Revision)
+			c.log.Info("leader elected", "term", r.Revision)
 		}
 	})
 }
--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -121,7 +121,8 @@
 		c.shardTouched(name)
 	}
 	c.watchAt = 0
-	c.log.Info("records read", "jobs", len(view.jobs), "machines", len(view.machines), "shards", len(view.shards), "revision", last)
+	c.log.Info("mirror loaded", "jobs", len(view.jobs), "machines", len(view.machines),
+		"shards", len(view.shards), "revision", last)
 	if first >= last {
 		c.becomeReady()
 	}
@@ -134,7 +135,7 @@
 		c.types = c.view.catalog()
 	}
 	c.ready, c.dirty = true, true
-	c.log.Info("mirror complete", "revision", c.view.watched)
+	c.log.Info("mirror ready", "revision", c.view.watched)
 	c.slowAt = 0
 }
 
@@ -216,7 +217,7 @@
 			c.watchAt = c.now() + 300*micros.Millisecond + micros.T(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
 			c.answerReaders(now, false)
 		case r.Revision > view.watched+uint64(c.mostChanges()):
-			c.log.Info("watch fell too far behind, reading all records again", "changes", r.Revision-view.watched)
+			c.log.Info("watch too far behind, mirror reload", "revisions", r.Revision-view.watched)
 			c.load()
 			c.answerReaders(now, false)
 		default:
@@ -267,7 +268,7 @@
 				c.fast(c.now())
 			}
 		case protocol.TooOld:
-			c.log.Info("watch fell behind, reading all records again")
+			c.log.Info("watch compacted, mirror reload")
 			c.load()
 			c.answerReaders(now, false)
 		case protocol.Throttled:
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -74,7 +74,8 @@
 		}
 		for _, v := range bestVictims {
 			best.m.w.stopping[v.key] = true
-			c.log.Debug("task preempted", "task", v.key.ref.String(), "attempt", v.key.attempt, "machine", best.m.id, "for", j.id)
+			c.log.Debug("task preempted", "task", v.key.ref.String(), "attempt", v.key.attempt,
+				"machine", best.m.id, "for_job", j.id)
 		}
 		best.keep, on[best.m.id] = j.id, true
 		c.sync(best.m)
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -34,7 +34,7 @@
 func (c *Core) noteStill(now micros.T) {
 	if c.tickAt != 0 && now-c.tickAt > stillFor {
 		c.resumedAt = now
-		c.log.Info("controller stood still", "ms", (now - c.tickAt).Millis())
+		c.log.Info("process pause detected", "duration_ms", (now - c.tickAt).Millis())
 	}
 	c.tickAt = now
 }
@@ -101,7 +101,7 @@
 			}
 			if c.probing == 0 && !answered && c.lostAt == 0 {
 				c.lostAt = c.now()
-				c.log.Info("own workers out of reach", "machines", len(ms))
+				c.log.Info("workers unreachable", "state", conditionBegin, "machines", len(ms))
 				c.handOverShards(c.now())
 			}
 		})
@@ -111,7 +111,7 @@
 func (c *Core) found(now micros.T) {
 	c.lostAt = 0
 	c.dirty = true
-	c.log.Info("workers are in reach again")
+	c.log.Info("workers unreachable", "state", conditionEnd)
 }
 
 // probe asks some machine, whosever it is, whether we reach workers again. A report
@@ -215,7 +215,7 @@
 		c.partitionBusy = false
 		c.dirty = true
 		if r.Outcome == protocol.OK {
-			c.log.Info("shards handed over", "to", successor, "shards", taken)
+			c.log.Info("shards transferred", "to_node", successor, "shards", taken)
 			c.handOverShards(c.now())
 		}
 	})
--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -52,7 +52,9 @@
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
 		reply := answer
 		answer = func(r Reply) {
-			c.log.Debug("check-in", "machine", rep.Machine, "session", rep.Session, "seq", rep.Seq, "token", rep.Token, "tasks", len(rep.Tasks), "answer", r.Status, "waited_ms", (c.now() - now).Millis())
+			c.log.Debug("heartbeat", "machine", rep.Machine, "agent_incarnation", rep.Session, "seq", rep.Seq,
+				"fencing_token", rep.Token, "tasks", len(rep.Tasks), "status", r.Status,
+				"waited_ms", (c.now() - now).Millis())
 			reply(r)
 		}
 	}
@@ -357,7 +359,7 @@
 		w.aliveAt = now
 		if w.lost {
 			w.lost = false
-			c.log.Info("machine is back", "machine", m.id)
+			c.log.Info("machines lost", "state", conditionEnd, "machine", m.id)
 		}
 	}
 	// With a new session all that was there before is gone. That it has one though
--- a/internal/coordination/shards.go
+++ b/internal/coordination/shards.go
@@ -324,7 +324,7 @@
 		raw, size := d.next.Encode()
 		if size > c.valueBytes() {
 			// The bound on what is assigned keeps this from happening.
-			c.log.Error("shard too large for the state service", "shard", d.name, "bytes", size)
+			c.log.Error("shard exceeds value size limit", "shard", d.name, "bytes", size)
 		}
 		t.Then = append(t.Then, protocol.Op{Put: key, Value: raw})
 	}
@@ -354,12 +354,14 @@
 				}
 			}
 			if c.log.Enabled(context.Background(), slog.LevelDebug) {
-				c.log.Debug("shard written", "shard", d.name, "assigned", d.list(d.tasks), "released", d.list(d.gone), "arrived", len(d.arrived), "bound", d.bound)
+				c.log.Debug("shard committed", "shard", d.name,
+					"assigned", d.list(d.tasks), "released", d.list(d.gone),
+					"machines_claimed", len(d.arrived), "max_bytes", d.bound)
 			}
 		case protocol.Unknown:
 			s.settle(c.view.versionOf(key))
 		case protocol.Conflict:
-			c.log.Debug("shard not written", "shard", d.name, "failed", r.Failed)
+			c.log.Debug("shard compare-and-swap conflict", "shard", d.name, "failed_keys", r.Failed)
 			for _, k := range r.Failed {
 				// The next pass would decide on the same outdated record.
 				if kind, name, _ := bookkeeping.SplitKey(k); kind == bookkeeping.KindOpen {
@@ -368,7 +370,7 @@
 			}
 			c.passAt = max(c.passAt, c.now()+c.watchGap/2)
 		case protocol.Rejected:
-			c.log.Error("state service rejects a shard", "shard", d.name)
+			c.log.Error("shard rejected by state service", "shard", d.name)
 			c.passAt = max(c.passAt, c.now()+micros.Second)
 		default:
 			c.passAt = max(c.passAt, c.now()+300*micros.Millisecond)
--- a/internal/coordination/shares.go
+++ b/internal/coordination/shares.go
@@ -117,7 +117,7 @@
 		delete(c.jobBusy, j.id)
 		c.dirty = true
 		if r.Outcome == protocol.OK {
-			c.log.Debug("tasks change their part", "job", j.id, "shares", fmt.Sprint(shares))
+			c.log.Debug("task ranges reassigned", "job", j.id, "ranges", fmt.Sprint(shares))
 		}
 	})
 	return true
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -112,9 +112,10 @@
 	}
 	c.storeDown = down
 	if down {
-		c.log.Info("state service trouble begins", "silent_ms", (now - c.storeOKAt).Millis())
+		c.log.Info("state service unavailable", "state", conditionBegin,
+			"duration_ms", (now - c.storeOKAt).Millis())
 	} else {
-		c.log.Info("state service trouble ends")
+		c.log.Info("state service unavailable", "state", conditionEnd)
 	}
 }
 
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -25,7 +25,10 @@
 			break
 		}
 		slack, missed := c.slack(j, c.env.Wall())
-		s += fmt.Sprintf(" %s(%s %s age %.0f slack %.0f missed %d hungry %v owed %v waits %d ours %d paused_ms %d busy %v behind %v)", j.id, j.rec.Spec.Class, j.rec.Spec.Team,
+		s += fmt.Sprintf(" %s(%s %s age %.0f slack %.0f missed %d"+
+			" starved %v within_guarantee %v waiting %d pending_here %d"+
+			" backoff_ms %d update_in_flight %v mirror_stale %v)",
+			j.id, j.rec.Spec.Class, j.rec.Spec.Team,
 			micros.T(c.env.Wall()-j.rec.At).Seconds(), slack, missed, c.starved(j, c.now()), c.owed(j), j.waiting(), j.pendingOf(c.node),
 			max(0, c.jobNotes(j.id).until-c.now()).Millis(), c.jobBusy[j.id], c.view.watched < j.version)
 	}
@@ -33,10 +36,11 @@
 	for i := range c.cfg.Facts.Teams {
 		team := c.cfg.Facts.Teams[i].Name
 		if limit, _ := c.team(team); limit.limited() {
-			shares += fmt.Sprintf(" %s share %.0f left %.0f pool %.0f", team, c.partitionShare(c.node, team).cpus, c.shareLeft(team).cpus, c.pool(team).cpus)
+			shares += fmt.Sprintf(" %s share %.0f unused %.0f unassigned %.0f", team,
+				c.partitionShare(c.node, team).cpus, c.shareLeft(team).cpus, c.pool(team).cpus)
 		}
 	}
-	c.log.Debug("waiting", "jobs", s, "shares", shares)
+	c.log.Debug("queue head", "queue", s, "quota_shares", shares)
 }
 
 // Summary is one line about the node, for the log.
@@ -59,7 +63,8 @@
 			all += c.types[m.rec.Type].CPUs
 		}
 	}
-	s := fmt.Sprintf("jobs %d waiting %d running %d machines %d cpus %.0f/%.0f members %d shards %d accepted %d later %d placed %d done %d conflicts %d throttled %d",
+	s := fmt.Sprintf("jobs %d waiting %d running %d machines %d cpus %.0f/%.0f members %d shards %d"+
+		" accepted %d deferred %d placed %d done %d conflicts %d throttled %d",
 		len(c.view.jobs), waiting, running, len(c.view.machines), used, all, len(c.view.members), shards,
 		c.stats.accepted, c.stats.later, c.stats.placed, c.stats.done, c.stats.conflicts, c.stats.throttled)
 	if c.drains != nil {
--- a/internal/coordination/timing.go
+++ b/internal/coordination/timing.go
@@ -64,15 +64,16 @@
 	var out []timingWarning
 	if t.membership+takeoverTime > t.lease {
 		out = append(out, timingWarning{"facts.workers.lease_s",
-			"leases end before a crashed controller's machines have a successor: their tasks are lost"})
+			"worker leases expire before the failover of a crashed controller ends: tasks are lost"})
 	}
 	if t.lease < t.report+workerWaits+workerPause {
 		out = append(out, timingWarning{"facts.workers.lease_s",
-			"a worker whose controller says nothing reaches no other before its lease ends: its tasks are lost"})
+			"a worker whose controller doesn't answer reaches no other before lease expiry: its tasks are lost"})
 	}
 	if t.cancel < t.lease+expiryMargin+leastRenewal {
 		out = append(out, timingWarning{"facts.workers.cancel_s",
-			"leases outlast cancellations: in an outage of the state service only kills and deletions end cancelled tasks in time"})
+			"leases outlast cancellations: while the state service is unavailable only kills and " +
+				"machine deletions end cancelled tasks in time"})
 	}
 	return out
 }
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -31,7 +31,10 @@
 func (c *Core) later(status int, text string) Reply {
 	c.stats.later++
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
-		c.log.Debug("asked to come back", "status", status, "reason", text, "users", c.queue.Waiting(bookkeeping.RankUser), "shards", c.queue.Waiting(bookkeeping.RankShard), "askers", len(c.waitingReaders))
+		c.log.Debug("request deferred", "status", status, "reason", text,
+			"user_calls", c.queue.Waiting(bookkeeping.RankUser),
+			"shard_calls", c.queue.Waiting(bookkeeping.RankShard),
+			"waiting_readers", len(c.waitingReaders))
 	}
 	r := errorReply(status, text)
 	r.RetryAfter = 1
@@ -288,13 +291,14 @@
 			c.stats.accepted++
 			// Nobody can have placed any of it yet.
 			c.accepted[id] = r.Revision
-			c.log.Debug("job accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks, "estimate_s", spec.EstimateS, "shares", len(rec.Shares))
+			c.log.Debug("job accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks,
+				"estimate_s", spec.EstimateS, "ranges", len(rec.Shares))
 			answer(Reply{Status: 201, Body: protocol.MustMarshal(&protocol.Accepted{ID: id, Status: protocol.JobPending})})
 			c.fast(c.now())
 		case protocol.Conflict:
 			c.lookUp(id, answer)
 		case protocol.Rejected:
-			c.log.Error("state service rejects an acceptance", "job", id)
+			c.log.Error("job acceptance rejected by state service", "job", id)
 			answer(c.later(503, "not kept"))
 		default:
 			// Unknown: perhaps accepted, perhaps not. The user asks again.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -143,7 +143,7 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(cfg.PublicAddr, cfg.PeerBind) }()
-	log.Info("listening", "public", cfg.PublicAddr, "peer", cfg.PeerBind, "sockets", srv.MaxConns)
+	log.Info("listening", "public_addr", cfg.PublicAddr, "peer_addr", cfg.PeerBind, "max_connections", srv.MaxConns)
 	core.Start()
 	summary := clock()
 	timer := time.NewTimer(time.Hour)
@@ -159,7 +159,7 @@
 		w.timers.run(clock())
 		if now := clock(); now-summary > 30*micros.Second {
 			summary = now
-			log.Info("summary", "state", core.Summary())
+			log.Info("summary", "counts", core.Summary())
 			core.LogWaiting()
 		}
 	}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -161,7 +161,7 @@
 	sc.parser.Feed(in)
 	msg, err := sc.parser.Next()
 	if err != nil {
-		slog.Debug("malformed request", "peer", sc.evc.RemoteAddr().String(), "err", err)
+		slog.Debug("malformed request", "remote_addr", sc.evc.RemoteAddr().String(), "error", err)
 		sc.closing = true
 		return AppendResponse(nil, StatusOf(err), 0, true, nil), evio.Close
 	}
