--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -35,7 +35,9 @@
 	}{
 		{exitBadRequest, []error{operator.ErrBadRequest}},
 		{exitNotFound, []error{operator.ErrUnknown, operator.ErrNothingSelected}},
-		{exitRefused, []error{operator.ErrNameInUse, operator.ErrOverlap, operator.ErrFinished, operator.ErrContention}},
+		{exitRefused, []error{
+			operator.ErrNameInUse, operator.ErrOverlap, operator.ErrFinished, operator.ErrContention,
+		}},
 		{exitUnreachable, []error{coordination.ErrNoAnswer}},
 	}
 	for _, kind := range kinds {
@@ -65,7 +67,8 @@
 }
 
 // errDrainsOff says that the settings have no section for drains.
-var errDrainsOff = errors.New("drains are off: none of the --settings files has a section drains, see deploy/drains.yaml")
+var errDrainsOff = errors.New(
+	"drains are off: none of the --settings files has a section drains, see deploy/drains.yaml")
 
 // Sizes of the command's connection to the state service.
 const (
@@ -91,7 +94,8 @@
 		ValueBytes: int(cfg.Facts.State.ValueKB * 1024),
 		Zones:      cfg.Facts.Zones,
 	}
-	return &operator.Drains{Operator: op, Policy: drain.NewPolicy(set.Drains)}, &drainDefaults{set.Drains.MaxParallel}, nil
+	return &operator.Drains{Operator: op, Policy: drain.NewPolicy(set.Drains)},
+		&drainDefaults{set.Drains.MaxParallel}, nil
 }
 
 // drainDefaults is what the settings say where a command doesn't.
@@ -130,9 +134,11 @@
 		return err
 	}
 	request := operator.StartRequest{
-		Name:     c.Name,
-		Selector: bookkeeping.Selector{Machines: c.Machine, Zone: c.Zone, Type: c.Type, Kind: bookkeeping.Kind(c.Kind)},
-		Replace:  c.Replace, AllowSame: c.AllowSame, AtOnce: c.AtOnce, MaxParallel: c.MaxParallel,
+		Name: c.Name,
+		Selector: bookkeeping.Selector{
+			Machines: c.Machine, Zone: c.Zone, Type: c.Type, Kind: bookkeeping.Kind(c.Kind),
+		},
+		Replace: c.Replace, AllowSame: c.AllowSame, AtOnce: c.AtOnce, MaxParallel: c.MaxParallel,
 		Deadline: micros.FromDuration(c.Deadline), DryRun: c.DryRun,
 	}
 	if c.MaxParallel == 0 {
@@ -150,14 +156,16 @@
 	case s.Plan != nil:
 		printPlan(w, s)
 	case s.Repeated:
-		fmt.Fprintf(w, "drain %s was started before by the same request; %d machines are left\n", s.Name, len(s.Machines))
+		fmt.Fprintf(w, "drain %s was started before by the same request; %d machines are left\n",
+			s.Name, len(s.Machines))
 	default:
 		fmt.Fprintf(w, "drain %s of %d machines is started\n", s.Name, len(s.Machines))
 	}
 }
 
 func printPlan(w io.Writer, s *operator.Started) {
-	fmt.Fprintf(w, "drain %s would take %d machines out of service in %d steps; nothing is changed\n", s.Name, len(s.Machines), len(s.Plan.Steps))
+	fmt.Fprintf(w, "drain %s would take %d machines out of service in %d steps; nothing is changed\n",
+		s.Name, len(s.Machines), len(s.Plan.Steps))
 	for i, step := range s.Plan.Steps {
 		fmt.Fprintf(w, "step %d:\n", i+1)
 		for _, rent := range step.Rent {
@@ -207,9 +215,11 @@
 		if progress.Reason != "" {
 			fmt.Fprintf(w, " (%s)", progress.Reason)
 		}
-		fmt.Fprintf(w, "; %d machines left, %d moves under way, at revision %d\n", len(progress.Machines), progress.Permits, progress.Revision)
+		fmt.Fprintf(w, "; %d machines left, %d moves under way, at revision %d\n",
+			len(progress.Machines), progress.Permits, progress.Revision)
 		for _, m := range progress.Machines {
-			fmt.Fprintf(w, "%s\t%s\t%d replicas\t%d array tasks\t%s\n", m.ID, m.State, m.Replicas, m.Arrays, stepWord(m.Step))
+			fmt.Fprintf(w, "%s\t%s\t%d replicas\t%d array tasks\t%s\n",
+				m.ID, m.State, m.Replicas, m.Arrays, stepWord(m.Step))
 		}
 		printBlocked(w, progress.Blocked)
 		printTeams(w, teams)
--- a/cmd/pipitgap/main.go
+++ b/cmd/pipitgap/main.go
@@ -89,7 +89,9 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Name("pipitgap"), kong.Description("A controller of the pipitgap cluster scheduler."), kong.UsageOnError(),
+	k := kong.Parse(&c, kong.Name("pipitgap"),
+		kong.Description("A controller of the pipitgap cluster scheduler."),
+		kong.UsageOnError(),
 		kong.Exit(func(status int) {
 			if status == kongUsageStatus {
 				status = exitBadRequest
--- a/internal/bookkeeping/queue.go
+++ b/internal/bookkeeping/queue.go
@@ -126,7 +126,8 @@
 // debt rather than wait: the service must not lose its membership to its load.
 func (q *Queue) Next(now micros.T) (c Call, ok bool, wait micros.T) {
 	for r := range q.waiting {
-		if w := q.work(); Rank(r) == RankUser && q.Age(w, now) > pageWaits && (q.userTurn || len(q.waiting[RankUser]) == 0) {
+		if w := q.work(); Rank(r) == RankUser && q.Age(w, now) > pageWaits &&
+			(q.userTurn || len(q.waiting[RankUser]) == 0) {
 			r = int(w)
 		}
 		if Rank(r) == RankShard {
--- a/internal/bookkeeping/shard.go
+++ b/internal/bookkeeping/shard.go
@@ -361,7 +361,9 @@
 		}
 		lastID, lastEnd = id, end
 		k := rec.Kinds[kind]
-		m := &ShardMachine{Num: int(num), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Endpoint: end, State: MachineState(f[4])}
+		m := &ShardMachine{
+			Num: int(num), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Endpoint: end, State: MachineState(f[4]),
+		}
 		if len(f) > 5 {
 			c, err := strconv.ParseUint(f[5], 36, 64)
 			if err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -125,12 +125,14 @@
 	for _, team := range teams {
 		known[team.Name] = true
 		if strings.ContainsFunc(team.Name, unicode.IsSpace) || len(team.Name) > longestTeamName {
-			return fmt.Errorf("facts.teams: drains need names without spaces, of %d characters at most: %q", longestTeamName, team.Name)
+			return fmt.Errorf("facts.teams: drains need names without spaces, of %d characters at most: %q",
+				longestTeamName, team.Name)
 		}
 	}
 	for i, budget := range s.Drains.Budgets {
 		if !known[budget.Team] {
-			return fmt.Errorf("operator settings: drains.budgets[%d].team: %w: %q", i, ErrUnknownTeam, budget.Team)
+			return fmt.Errorf("operator settings: drains.budgets[%d].team: %w: %q",
+				i, ErrUnknownTeam, budget.Team)
 		}
 	}
 	return nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,7 +60,9 @@
 	}()
 }
 
-func (w *world) Command(endpoint string, req *protocol.DoRequest, within micros.T, back func(protocol.DoResult)) {
+func (w *world) Command(
+	endpoint string, req *protocol.DoRequest, within micros.T, back func(protocol.DoResult),
+) {
 	if w.flying >= w.mostFlying {
 		// Guards the socket limit; the worker's next report brings the commands.
 		w.After(micros.Millisecond, func() { back(protocol.DoResult{}) })
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -169,13 +169,15 @@
 // permits tells whether a further replica on a machine may be stopped, and if not, why.
 func (a *Availability) permits(machine string) (reason string, ok bool) {
 	if a.Available <= a.Floor {
-		return fmt.Sprintf("%s: %d of %d replicas are available, %d must stay", a.Scope, a.Available, a.Desired, a.Floor), false
+		return fmt.Sprintf("%s: %d of %d replicas are available, %d must stay",
+			a.Scope, a.Available, a.Desired, a.Floor), false
 	}
 	a.stop(machine)
 	defer a.restore(machine)
 	if a.kept() {
 		return "", true
 	}
-	return fmt.Sprintf("%s: %d of %d replicas would be available, and %d without the %d fullest of its machines (reserve); %d must stay",
+	return fmt.Sprintf("%s: %d of %d replicas would be available, "+
+		"and %d without the %d fullest of its machines (reserve); %d must stay",
 		a.Scope, a.Available, a.Desired, a.Available-a.worstLoss(), a.Reserve, a.Floor), false
 }
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -85,7 +85,9 @@
 // Decide works out what a controller is to do for all drains.
 func (p *Policy) Decide(s *Snapshot, c *Controller) *Decision {
 	d := &decider{policy: p, snapshot: s, controller: c, availability: p.availabilities(s), full: map[needOf]bool{},
-		bytes: map[string]int{}, decision: &Decision{Grant: map[string][]bookkeeping.Permit{}, Over: map[string][]bookkeeping.Permit{}}}
+		bytes: map[string]int{}, decision: &Decision{
+			Grant: map[string][]bookkeeping.Permit{}, Over: map[string][]bookkeeping.Permit{},
+		}}
 	for _, team := range sortedKeys(s.permits) {
 		for i := range s.permits[team].Permits {
 			d.standing(team, &s.permits[team].Permits[i])
@@ -242,7 +244,8 @@
 	}
 	mine := m.Owner == d.controller.Node
 	if !mine && !d.controller.Live(m.Owner) {
-		d.block(record, m, nil, BlockedByOwner, fmt.Sprintf("controller %s is gone, its successor isn't there yet", m.Owner))
+		d.block(record, m, nil, BlockedByOwner,
+			fmt.Sprintf("controller %s is gone, its successor isn't there yet", m.Owner))
 	}
 	staying := 0
 	for i := range m.Replicas {
@@ -278,7 +281,9 @@
 
 // consider tells whether a replica may be stopped now, with the permit that would allow it,
 // or what it waits for.
-func (d *decider) consider(record *DrainRecord, m *Machine, r *Replica, job *Job) (bookkeeping.Permit, BlockKind, string) {
+func (d *decider) consider(
+	record *DrainRecord, m *Machine, r *Replica, job *Job,
+) (bookkeeping.Permit, BlockKind, string) {
 	if r.Starting {
 		return bookkeeping.Permit{}, BlockedByStart, "it is still starting"
 	}
@@ -289,12 +294,17 @@
 	}
 	to, ok := d.roomFor(job, m)
 	if !ok {
-		return bookkeeping.Permit{}, BlockedByRoom, fmt.Sprintf("no machine outside the drain has room for %g CPUs, %g accelerators, %g GB",
-			job.Need.CPUs, job.Need.GPUs, job.Need.MemoryGB)
+		return bookkeeping.Permit{}, BlockedByRoom,
+			fmt.Sprintf("no machine outside the drain has room for %g CPUs, %g accelerators, %g GB",
+				job.Need.CPUs, job.Need.GPUs, job.Need.MemoryGB)
+	}
+	permit := bookkeeping.Permit{
+		Drain: record.Name, Job: r.Job, Task: r.Task, Attempt: r.Attempt,
+		From: m.ID, To: to.ID, At: d.snapshot.Wall,
 	}
-	permit := bookkeeping.Permit{Drain: record.Name, Job: r.Job, Task: r.Task, Attempt: r.Attempt, From: m.ID, To: to.ID, At: d.snapshot.Wall}
 	if d.bytes[job.Team]+permitBytes(&permit) > d.controller.RecordBytes {
-		return bookkeeping.Permit{}, BlockedByPermits, fmt.Sprintf("team %s has as many permits as its record holds", job.Team)
+		return bookkeeping.Permit{}, BlockedByPermits,
+			fmt.Sprintf("team %s has as many permits as its record holds", job.Team)
 	}
 	return permit, "", ""
 }
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -141,7 +141,8 @@
 	p.snapshot = p.snapshot.with(&emptier)
 	to, _ := p.snapshot.Machine(permit.To)
 	fuller := *to
-	fuller.Replicas = append(slices.Clone(to.Replicas), Replica{Job: permit.Job, Task: permit.Task, Attempt: permit.Attempt + 1})
+	fuller.Replicas = append(slices.Clone(to.Replicas),
+		Replica{Job: permit.Job, Task: permit.Task, Attempt: permit.Attempt + 1})
 	fuller.Free = to.Free.Minus(job.Need)
 	p.snapshot = p.snapshot.with(&fuller)
 	return Move{Task: fmt.Sprintf("%s/%d", permit.Job, permit.Task), Team: team, From: permit.From, To: permit.To}
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -26,7 +26,9 @@
 
 // FitsInto tells whether so much finds room in what is free.
 func (r Resources) FitsInto(free Resources) bool {
-	return r.CPUs <= free.CPUs+roundingSlack && r.GPUs <= free.GPUs+roundingSlack && r.MemoryGB <= free.MemoryGB+roundingSlack
+	return r.CPUs <= free.CPUs+roundingSlack &&
+		r.GPUs <= free.GPUs+roundingSlack &&
+		r.MemoryGB <= free.MemoryGB+roundingSlack
 }
 
 // Replica is an attempt of a service's task on a machine.
@@ -225,7 +227,9 @@
 // NewBuilder begins a snapshot of a revision.
 func NewBuilder(revision uint64, wall int64) *Builder {
 	return &Builder{
-		snapshot: Snapshot{Revision: revision, Wall: wall, jobs: map[string]*Job{}, types: map[string]MachineType{},
+		snapshot: Snapshot{
+			Revision: revision, Wall: wall, jobs: map[string]*Job{},
+			types:   map[string]MachineType{},
 			permits: map[string]TeamPermits{}, holders: map[replicaKey]string{}},
 		machines: immutable.NewSortedMapBuilder[string, *Machine](nil),
 	}
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -101,7 +101,8 @@
 	var out []TeamStatus
 	for _, name := range sortedKeys(byName) {
 		a := byName[name]
-		out = append(out, TeamStatus{Team: a.Scope.Team, Class: a.Scope.Class, Budgeted: a.Budgeted, Desired: a.Desired,
+		out = append(out, TeamStatus{
+			Team: a.Scope.Team, Class: a.Scope.Class, Budgeted: a.Budgeted, Desired: a.Desired,
 			Available: a.Available, Floor: a.Floor, Reserve: a.Reserve, WorstLoss: a.worstLoss()})
 	}
 	return out
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -95,10 +95,12 @@
 func (r *StartRequest) check() error {
 	switch {
 	case !protocol.ValidKeyPart(r.Name):
-		return fmt.Errorf("%w: a drain's name has 1 to 100 letters, digits, dots, dashes and underscores", ErrBadRequest)
+		return fmt.Errorf("%w: a drain's name has 1 to 100 letters, digits, dots, dashes and underscores",
+			ErrBadRequest)
 	case drain.Empty(&r.Selector):
 		return fmt.Errorf("%w: select machines by name, zone, type or kind", ErrBadRequest)
-	case len(r.Selector.Machines) > 0 && (r.Selector.Zone != "" || r.Selector.Type != "" || r.Selector.Kind != bookkeeping.KindAny):
+	case len(r.Selector.Machines) > 0 &&
+		(r.Selector.Zone != "" || r.Selector.Type != "" || r.Selector.Kind != bookkeeping.KindAny):
 		return fmt.Errorf("%w: select machines either by name or by zone, type and kind", ErrBadRequest)
 	case r.MaxParallel < 1:
 		return fmt.Errorf("%w: at least one machine must be emptied at a time", ErrBadRequest)
@@ -109,7 +111,9 @@
 }
 
 // checkSelector looks for names that nobody knows.
-func (d *Drains) checkSelector(s *bookkeeping.Selector, reading *coordination.Reading, fleet *drain.Snapshot) error {
+func (d *Drains) checkSelector(
+	s *bookkeeping.Selector, reading *coordination.Reading, fleet *drain.Snapshot,
+) error {
 	if s.Zone != "" && !slices.Contains(d.Zones, s.Zone) {
 		return fmt.Errorf("%w: zone %q", ErrUnknown, s.Zone)
 	}
@@ -154,17 +158,21 @@
 func overlapping(fleet *drain.Snapshot, name string, record *bookkeeping.Drain) error {
 	for _, other := range fleet.Drains() {
 		if other.Name != name && other.State.Unfinished() && fleet.Overlaps(record, &other.Drain) {
-			return fmt.Errorf("%w: drain %q (%s) of %s", ErrOverlap, other.Name, other.State, describe(&other.Selector))
+			return fmt.Errorf("%w: drain %q (%s) of %s",
+				ErrOverlap, other.Name, other.State, describe(&other.Selector))
 		}
 	}
 	return nil
 }
 
 // startTxn writes a drain, on the condition that no other was started since the reading.
-func (d *Drains) startTxn(reading *coordination.Reading, name string, existing *drain.DrainRecord, record *bookkeeping.Drain) (*protocol.Txn, error) {
+func (d *Drains) startTxn(
+	reading *coordination.Reading, name string, existing *drain.DrainRecord, record *bookkeeping.Drain,
+) (*protocol.Txn, error) {
 	value := protocol.MustMarshal(record)
 	if 2*len(value) > d.ValueBytes { // it is counted in its JSON form
-		return nil, fmt.Errorf("%w: so many machines don't fit into a record; drain them in parts, or by zone and type", ErrBadRequest)
+		return nil, fmt.Errorf("%w: so many machines don't fit into a record; drain them in parts, or by zone and type",
+			ErrBadRequest)
 	}
 	version := uint64(0)
 	if existing != nil {
@@ -221,7 +229,9 @@
 	fleet := reading.Fleet(d.Wall())
 	drains := []Listed{}
 	for _, record := range fleet.Drains() {
-		listed := Listed{Name: record.Name, State: record.State, Reason: record.Reason, Selects: describe(&record.Selector)}
+		listed := Listed{
+			Name: record.Name, State: record.State, Reason: record.Reason, Selects: describe(&record.Selector),
+		}
 		if record.State.Unfinished() {
 			listed.Machines = len(fleet.Selected(&record.Drain))
 		}
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -84,7 +84,8 @@
 	if last == protocol.Conflict {
 		return ErrContention
 	}
-	return fmt.Errorf("%w: the change may or may not have been made (%v); repeating the command is safe", coordination.ErrNoAnswer, last)
+	return fmt.Errorf("%w: the change may or may not have been made (%v); repeating the command is safe",
+		coordination.ErrNoAnswer, last)
 }
 
 const commitTimeout = 5 * micros.Second
--- a/internal/protocol/clients.go
+++ b/internal/protocol/clients.go
@@ -26,7 +26,9 @@
 )
 
 func (o Outcome) String() string {
-	return [...]string{"unknown", "ok", "conflict", "not found", "too old", "rejected", "no capacity", "throttled", "unavailable"}[o]
+	return [...]string{
+		"unknown", "ok", "conflict", "not found", "too old", "rejected", "no capacity", "throttled", "unavailable",
+	}[o]
 }
 
 // StoreOp names a call of the state service.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -17,7 +17,9 @@
 	Prod
 )
 
-var priorities = map[string]Priority{"prod": Prod, "high": High, "standard": Standard, "best_effort": BestEffort}
+var priorities = map[string]Priority{
+	"prod": Prod, "high": High, "standard": Standard, "best_effort": BestEffort,
+}
 
 // MaxTasks is the most tasks that one job may have.
 const MaxTasks = 100_000
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -25,7 +25,9 @@
 
 // NewClient keeps up to idle connections open.
 func NewClient(addr string, idle, maxBody int) *Client {
-	return &Client{addr: addr, idle: make(chan *clientConn, idle), closed: make(chan struct{}), maxBody: maxBody}
+	return &Client{
+		addr: addr, idle: make(chan *clientConn, idle), closed: make(chan struct{}), maxBody: maxBody,
+	}
 }
 
 // ErrNotSent marks failures that happened before any byte went out.
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -149,7 +149,8 @@
 		m.Status = status
 	} else {
 		parts := strings.Split(line, " ")
-		if len(parts) != 3 || !isToken(parts[0]) || parts[1] == "" || parts[1][0] != '/' || !printable(parts[1]) {
+		if len(parts) != 3 || !isToken(parts[0]) ||
+			parts[1] == "" || parts[1][0] != '/' || !printable(parts[1]) {
 			return nil, 0, ErrBad
 		}
 		m.Method, m.Target, version = parts[0], parts[1], parts[2]
