--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -40,8 +40,9 @@
 // layers has every package of the tree, the lowest layer first. A package imports packages of lower layers only:
 // neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above all it imports.
 var layers = [][]row{
-	{{path: "internal/micros"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake}},
-	{{path: "internal/resources", planned: true}},
+	{{path: "internal/micros"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
+		{path: "internal/peerwire/cancellation"}},
+	{{path: "internal/resources", planned: true}, {path: "internal/peerwire"}},
 	{{path: "internal/config"}, {path: "internal/transport"}},
 	{{path: "internal/protocol"}},
 	{{path: "internal/ratelimit", planned: true}, {path: "internal/standin", kind: fake},
--- a/internal/coordination/cluster_test.go
+++ b/internal/coordination/cluster_test.go
@@ -163,11 +163,12 @@
 	if c.cut[e.n.name+"-"+node] || c.cut[node+"-"+e.n.name] || c.split && areaOf(e.n.name) != areaOf(node) {
 		return
 	}
+	frame := PeerFrame(&h)
 	c.sim.After(2*micros.Millisecond, func() {
 		if n := c.nodes[node]; n.core != nil {
 			c.awake(node, func() {
 				if n.core != nil {
-					n.core.OnHint(h)
+					n.core.OnHint(FromPeerFrame(&frame))
 				}
 			})
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 	if l == nil {
 		return
 	}
-	if frame, err := transport.EncodeFrame(&h); err == nil {
+	if frame, err := encodePeerFrame(&h); err == nil {
 		l.Send(frame)
 	}
 }
@@ -133,8 +133,8 @@
 			}
 		},
 		OnPeer: func(frame []byte) {
-			var h coordination.Hint
-			if transport.DecodeFrame(frame, &h) != nil {
+			h, err := decodePeerFrame(frame)
+			if err != nil {
 				return
 			}
 			select {
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/frames_test.go
@@ -7,7 +7,6 @@
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/coordination"
 	"pipitgap/internal/fixtures"
-	"pipitgap/internal/transport"
 )
 
 // frameHead is the length that stands before a frame's gob stream.
@@ -32,13 +31,13 @@
 	}
 	for file, hint := range hints {
 		t.Run(file, func(t *testing.T) {
-			encoded, err := transport.EncodeFrame(&hint)
+			encoded, err := encodePeerFrame(&hint)
 			if err != nil {
 				t.Fatal(err)
 			}
 			sent := fixtures.Bytes(t, "frames/"+file+".hex", encoded)
-			var decoded coordination.Hint
-			if err := transport.DecodeFrame(sent[frameHead:], &decoded); err != nil {
+			decoded, err := decodePeerFrame(sent[frameHead:])
+			if err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded, hint) {
@@ -47,7 +46,7 @@
 			if file == "hint" {
 				fixtures.AllSet(t, file, decoded)
 			}
-			again, err := transport.EncodeFrame(&decoded)
+			again, err := encodePeerFrame(&decoded)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -8,7 +8,6 @@
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/coordination"
 	"pipitgap/internal/micros"
-	"pipitgap/internal/transport"
 )
 
 // TestHintFitsFrame: whatever has been cancelled, each hint fits into a frame between
@@ -30,12 +29,12 @@
 	total := 0
 	for _, m := range messages {
 		hint := coordination.Hint{Node: "n-0", Incarnation: 1, Failing: failing, LackLimit: []string{"a", "b"}, Cancellations: m}
-		frame, err := transport.EncodeFrame(&hint)
+		frame, err := encodePeerFrame(&hint)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back coordination.Hint
-		if err := transport.DecodeFrame(frame[4:], &back); err != nil {
+		back, err := decodePeerFrame(frame[frameHead:])
+		if err != nil {
 			t.Fatal(err)
 		}
 		total += len(back.Cancellations.Committed)
