--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -19,6 +19,7 @@
 	Class string // "": all classes
 }
 
+// String names the team, and the class if the scope is of one, as refusals and the drain commands show it.
 func (s Scope) String() string {
 	if s.Class == "" {
 		return "team " + s.Team
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -84,10 +84,11 @@
 
 // Decide works out what a controller is to do for all drains.
 func (p *Policy) Decide(s *Snapshot, c *Controller) *Decision {
-	d := &decider{policy: p, snapshot: s, controller: c, availability: p.availabilities(s), full: map[needOf]bool{},
-		bytes: map[string]int{}, decision: &Decision{
-			Grant: map[string][]bookkeeping.Permit{}, Over: map[string][]bookkeeping.Permit{},
-		}}
+	d := &decider{
+		policy: p, snapshot: s, controller: c, availability: p.availabilities(s),
+		full: map[needOf]bool{}, bytes: map[string]int{},
+		decision: &Decision{Grant: map[string][]bookkeeping.Permit{}, Over: map[string][]bookkeeping.Permit{}},
+	}
 	for _, team := range sortedKeys(s.permits) {
 		for i := range s.permits[team].Permits {
 			d.standing(team, &s.permits[team].Permits[i])
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -145,7 +145,10 @@
 		Replica{Job: permit.Job, Task: permit.Task, Attempt: permit.Attempt + 1})
 	fuller.Free = to.Free.Minus(job.Need)
 	p.snapshot = p.snapshot.with(&fuller)
-	return Move{Task: fmt.Sprintf("%s/%d", permit.Job, permit.Task), Team: team, From: permit.From, To: permit.To}
+	return Move{
+		Task: fmt.Sprintf("%s/%d", permit.Job, permit.Task),
+		Team: team, From: permit.From, To: permit.To,
+	}
 }
 
 // rentFor rents a machine of the same type for the first replica that finds no room.
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -136,8 +136,10 @@
 func (r *StartRequest) record(reading *coordination.Reading, wall int64) bookkeeping.Drain {
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
-	record := bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: selector, Replace: r.Replace, AtOnce: r.AtOnce,
-		MaxParallel: r.MaxParallel, StartedAt: wall}
+	record := bookkeeping.Drain{
+		State: bookkeeping.DrainActive, Selector: selector, Replace: r.Replace, AtOnce: r.AtOnce,
+		MaxParallel: r.MaxParallel, StartedAt: wall,
+	}
 	if r.AllowSame && len(selector.Machines) == 0 {
 		record.Through = reading.NewestMachine()
 	}
@@ -180,7 +182,10 @@
 	}
 	key := bookkeeping.Key(bookkeeping.KindDrain, name)
 	return &protocol.Txn{
-		If: []protocol.Cond{{Key: key, Version: version}, {Key: bookkeeping.RegistryKey, Version: reading.Registry}},
+		If: []protocol.Cond{
+			{Key: key, Version: version},
+			{Key: bookkeeping.RegistryKey, Version: reading.Registry},
+		},
 		Then: []protocol.Op{
 			{Put: key, Value: value},
 			{Put: bookkeeping.RegistryKey, Value: protocol.MustMarshal(name)},
@@ -326,7 +331,11 @@
 		return fmt.Sprintf("%d machines by name", n)
 	}
 	var parts []string
-	for _, part := range []struct{ name, value string }{{"zone", s.Zone}, {"type", s.Type}, {"kind", string(s.Kind)}} {
+	for _, part := range []struct{ name, value string }{
+		{"zone", s.Zone},
+		{"type", s.Type},
+		{"kind", string(s.Kind)},
+	} {
 		if part.value != "" {
 			parts = append(parts, part.name+" "+part.value)
 		}
--- a/internal/protocol/clients.go
+++ b/internal/protocol/clients.go
@@ -25,6 +25,7 @@
 	Unavailable         // 503, or never sent: not executed
 )
 
+// String names the outcome for log lines and errors.
 func (o Outcome) String() string {
 	return [...]string{
 		"unknown", "ok", "conflict", "not found", "too old", "rejected", "no capacity", "throttled", "unavailable",
--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -33,6 +33,7 @@
 	What string
 }
 
+// String gives the time in seconds, the rule and what broke it.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3f: %s: %s", v.At.Seconds(), v.Rule, v.What)
 }
