--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,3 +1,3 @@
-// Package architecture has no code of its own: its tests check how the tree is built, first of all which package
-// may import which.
+// Package architecture has no code of its own: its tests check how the tree is built, first of all which
+// package may import which.
 package architecture
--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -99,54 +99,59 @@
 	imports []string
 }
 
-// readSources parses the imports of every Go file below cmd and internal, whatever its build tags.
-func readSources(t *testing.T) []source {
+// goFiles lists every Go file below cmd and internal, whatever its build tags.
+func goFiles(t *testing.T) []string {
 	t.Helper()
-	var sources []source
+	var files []string
 	for _, top := range []string{"cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(moduleRoot, top), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil {
+			switch {
+			case err != nil:
 				return err
-			}
-			if entry.IsDir() && entry.Name() == "testdata" {
+			case entry.IsDir() && entry.Name() == "testdata":
 				return fs.SkipDir
+			case !entry.IsDir() && strings.HasSuffix(path, ".go"):
+				files = append(files, path)
 			}
-			if entry.IsDir() || !strings.HasSuffix(path, ".go") {
-				return nil
-			}
-			s, err := readSource(path)
-			sources = append(sources, s)
-			return err
+			return nil
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	return sources
+	if len(files) == 0 {
+		t.Fatal("no sources found")
+	}
+	return files
 }
 
-func readSource(path string) (source, error) {
-	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
-	if err != nil {
-		return source{}, err
-	}
+// belowRoot gives a file's path below the module's root.
+func belowRoot(t *testing.T, path string) string {
+	t.Helper()
 	relative, err := filepath.Rel(moduleRoot, path)
 	if err != nil {
-		return source{}, err
+		t.Fatal(err)
 	}
-	s := source{
-		pkg:  filepath.ToSlash(filepath.Dir(relative)),
-		file: filepath.ToSlash(relative),
-		test: strings.HasSuffix(path, "_test.go"),
+	return filepath.ToSlash(relative)
+}
+
+// readSource parses the imports of a Go file.
+func readSource(t *testing.T, path string) source {
+	t.Helper()
+	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+	if err != nil {
+		t.Fatal(err)
 	}
+	file := belowRoot(t, path)
+	s := source{pkg: filepath.ToSlash(filepath.Dir(file)), file: file, test: strings.HasSuffix(file, "_test.go")}
 	for _, spec := range parsed.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
-			return source{}, err
+			t.Fatal(err)
 		}
 		s.imports = append(s.imports, imported)
 	}
-	return s, nil
+	return s
 }
 
 // violations lists what a file imports against the table.
@@ -203,12 +208,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sources := readSources(t)
-	if len(sources) == 0 {
-		t.Fatal("no sources found")
-	}
-	for _, s := range sources {
-		for _, fault := range violations(places, s) {
+	for _, file := range goFiles(t) {
+		for _, fault := range violations(places, readSource(t, file)) {
 			t.Error(fault)
 		}
 	}
