--- a/internal/standin/loopback/deployment.go
+++ b/internal/standin/loopback/deployment.go
@@ -143,7 +143,10 @@
 		}
 	}
 	d.Cloud.OnGone = d.Fleet.Down
-	reports := &reporter{clock: d.Clock, clients: map[string]*transport.Client{}, addr: func(node string) string { return d.public[node] }}
+	reports := &reporter{
+		clock: d.Clock, clients: map[string]*transport.Client{},
+		addr: func(node string) string { return d.public[node] },
+	}
 	d.Fleet.Send = reports.send
 }
 
@@ -222,14 +225,21 @@
 	}
 	for i, node := range d.Nodes {
 		if node != caller {
-			cfg.Known = append(cfg.Known, config.Peer{Node: node, Area: d.options.Zones[i%len(d.options.Zones)], Addr: d.peer[node]})
+			cfg.Known = append(cfg.Known, config.Peer{
+				Node: node, Area: d.options.Zones[i%len(d.options.Zones)], Addr: d.peer[node],
+			})
 		}
 	}
 	cfg.External.Cloud, cfg.External.State = d.cloud.Addr, d.state[caller].Addr
 	f := &cfg.Facts
 	f.Zones, f.Teams = d.options.Zones, d.options.Teams
-	f.Workers = config.Workers{ReportS: d.options.Report.Seconds(), LeaseS: d.options.Lease.Seconds(), CancelS: d.options.Cancel.Seconds()}
-	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = d.options.StateRPS, d.options.StateWPS, valueKB, txnOps
+	f.Workers = config.Workers{
+		ReportS: d.options.Report.Seconds(),
+		LeaseS:  d.options.Lease.Seconds(),
+		CancelS: d.options.Cancel.Seconds(),
+	}
+	f.State.RPS, f.State.WriteRPS = d.options.StateRPS, d.options.StateWPS
+	f.State.ValueKB, f.State.TxnOps = valueKB, txnOps
 	f.Cloud.RPS, f.Cloud.ListLagS = cloudRPS, listLagS
 	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 1, memoryMB, mostSocket
 	var text bytes.Buffer
--- a/internal/standin/loopback/server.go
+++ b/internal/standin/loopback/server.go
@@ -127,7 +127,10 @@
 type call[Result any] func(back func(Result))
 
 // perform has a call made on the simulation and writes its answer, unless whoever asked has gone.
-func perform[Result any](clock *Clock, w http.ResponseWriter, r *http.Request, begin call[Result], answer func(*Result) (status int, body any)) {
+func perform[Result any](
+	clock *Clock, w http.ResponseWriter, r *http.Request,
+	begin call[Result], answer func(*Result) (status int, body any),
+) {
 	answered := newAnswer[Result]()
 	clock.Do(func() { begin(answered.put) })
 	select {
--- a/internal/standin/loopback/state.go
+++ b/internal/standin/loopback/state.go
@@ -60,7 +60,8 @@
 	case r.Method == "GET" && path == "/watch":
 		from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 		block, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
-		call.Op, call.Key, call.From, call.Block = protocol.StoreWatch, query.Get("under"), from, micros.T(block)*micros.Millisecond
+		call.Op, call.Key, call.From = protocol.StoreWatch, query.Get("under"), from
+		call.Block = micros.T(block) * micros.Millisecond
 		return call, err == nil
 	}
 	return nil, false
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -63,8 +63,11 @@
 
 // NewStore starts an empty store with the given limits.
 func NewStore(sim *Sim, rps, wps float64, txnOps int) *Store {
-	s := &Store{Sim: sim, RPS: rps, WPS: wps, TxnOps: txnOps, ChangesKept: changesKept, items: map[string]protocol.Item{},
-		leases: map[uint64]*lease{}, Refused: map[string]bool{}, reads: rps, writes: wps, Calls: map[protocol.StoreOp]int{}, ByKind: map[string]int{}}
+	s := &Store{
+		Sim: sim, RPS: rps, WPS: wps, TxnOps: txnOps, ChangesKept: changesKept,
+		items: map[string]protocol.Item{}, leases: map[uint64]*lease{}, Refused: map[string]bool{},
+		reads: rps, writes: wps, Calls: map[protocol.StoreOp]int{}, ByKind: map[string]int{},
+	}
 	s.expire()
 	return s
 }
