--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -17,28 +17,28 @@
 	Revision uint64
 }
 
-// Message is one of the messages of a round: together they carry every committed
+// RoundMessage is one of the messages of a round: together they carry every committed
 // cancellation that the sender knows and the receiver's mirror had not reached.
-type Message struct {
-	Incarnation     uint64   // of the sender
-	Clock           micros.T // the sender's clock when the round was made
-	EchoIncarnation uint64   // the latest incarnation and clock that the sender has
-	EchoClock       micros.T // received from the receiver
-	Watched         uint64   // the revision that the sender's mirror has reached
-	Complete        bool     // the sender knows what its earlier lives had committed
-	Round           uint64
-	Parts           int // messages of this round
-	Committed       []Committed
+type RoundMessage struct {
+	Incarnation       uint64   // of the sender
+	Clock             micros.T // the sender's clock when the round was made
+	EchoedIncarnation uint64   // the latest incarnation and clock that the sender has
+	EchoedClock       micros.T // received from the receiver
+	MirrorRevision    uint64   // the revision that the sender's mirror has reached
+	RecordsLoaded     bool     // the sender knows what its earlier incarnations had committed
+	Round             uint64
+	MessagesInRound   int
+	Committed         []Committed
 }
 
-// peer is what is known of another controller.
-type peer struct {
-	incarnation uint64
-	clock       micros.T // the latest clock reading of that incarnation
-	watched     uint64
-	round       uint64
-	received    int      // messages of that round
-	knownUntil  micros.T // by our clock
+// peerState is what is known of another controller.
+type peerState struct {
+	incarnation    uint64
+	clock          micros.T // the latest clock reading of that incarnation
+	mirrorRevision uint64
+	round          uint64
+	received       int      // messages of that round
+	knownUntil     micros.T // by our clock
 }
 
 // Relay is one controller's side of the exchange.
@@ -46,14 +46,14 @@
 	incarnation uint64
 	round       uint64
 	committed   map[string]uint64
-	peers       map[string]*peer
+	peers       map[string]*peerState
 }
 
-// NewRelay begins the exchange of a controller's present life with the named peers.
+// NewRelay begins the exchange of a controller's present incarnation with the named peers.
 func NewRelay(incarnation uint64, peers []string) *Relay {
-	r := &Relay{incarnation: incarnation, committed: map[string]uint64{}, peers: map[string]*peer{}}
+	r := &Relay{incarnation: incarnation, committed: map[string]uint64{}, peers: map[string]*peerState{}}
 	for _, name := range peers {
-		r.peers[name] = &peer{}
+		r.peers[name] = &peerState{}
 	}
 	return r
 }
@@ -89,24 +89,26 @@
 	}
 }
 
-// Messages makes a round for a peer. watched is the revision that our mirror has
-// reached; complete tells whether all records have been read in this life.
-func (r *Relay) Messages(name string, now micros.T, watched uint64, complete bool) []Message {
+// Messages makes a round for a peer. mirrorRevision is the revision that our mirror has
+// reached; recordsLoaded tells whether all records have been read by this incarnation.
+func (r *Relay) Messages(
+	name string, now micros.T, mirrorRevision uint64, recordsLoaded bool,
+) []RoundMessage {
 	p := r.peers[name]
 	if p == nil {
 		return nil
 	}
 	r.round++
-	list := r.Since(p.watched)
+	list := r.Since(p.mirrorRevision)
 	parts := max(1, (len(list)+maxPerMessage-1)/maxPerMessage)
-	out := make([]Message, 0, parts)
+	out := make([]RoundMessage, 0, parts)
 	for i := range parts {
 		begin, end := i*maxPerMessage, min(len(list), (i+1)*maxPerMessage)
-		out = append(out, Message{
+		out = append(out, RoundMessage{
 			Incarnation: r.incarnation, Clock: now,
-			EchoIncarnation: p.incarnation, EchoClock: p.clock,
-			Watched: watched, Complete: complete,
-			Round: r.round, Parts: parts, Committed: list[begin:end],
+			EchoedIncarnation: p.incarnation, EchoedClock: p.clock,
+			MirrorRevision: mirrorRevision, RecordsLoaded: recordsLoaded,
+			Round: r.round, MessagesInRound: parts, Committed: list[begin:end],
 		})
 	}
 	return out
@@ -114,7 +116,7 @@
 
 // Receive takes a peer's message and returns the cancellations in it that were not
 // known yet. The caller must act on them before it asks for KnownUntil again.
-func (r *Relay) Receive(name string, m Message) []Committed {
+func (r *Relay) Receive(name string, m RoundMessage) []Committed {
 	p := r.peers[name]
 	if p == nil {
 		return nil
@@ -127,31 +129,31 @@
 			fresh = append(fresh, c)
 		}
 	}
-	if p.roundComplete(m) && m.Complete && m.EchoIncarnation == r.incarnation {
-		p.knownUntil = max(p.knownUntil, m.EchoClock)
+	if p.roundComplete(m) && m.RecordsLoaded && m.EchoedIncarnation == r.incarnation {
+		p.knownUntil = max(p.knownUntil, m.EchoedClock)
 	}
 	return fresh
 }
 
 // noteSender keeps the newest of what a peer says of itself. A message of an earlier
-// life may come late; what is echoed of it moves nothing in the peer's present life.
-func (p *peer) noteSender(m Message) {
+// incarnation may come late; what is echoed of it moves nothing in the present one.
+func (p *peerState) noteSender(m RoundMessage) {
 	if m.Incarnation != p.incarnation {
-		p.incarnation, p.clock, p.watched = m.Incarnation, m.Clock, m.Watched
+		p.incarnation, p.clock, p.mirrorRevision = m.Incarnation, m.Clock, m.MirrorRevision
 		return
 	}
 	p.clock = max(p.clock, m.Clock)
-	p.watched = max(p.watched, m.Watched)
+	p.mirrorRevision = max(p.mirrorRevision, m.MirrorRevision)
 }
 
 // roundComplete counts a round's messages and tells whether all have come. Messages on
 // one connection keep their order; a lost one leaves its round incomplete.
-func (p *peer) roundComplete(m Message) bool {
+func (p *peerState) roundComplete(m RoundMessage) bool {
 	if m.Round != p.round {
 		p.round, p.received = m.Round, 0
 	}
 	p.received++
-	return p.received == m.Parts
+	return p.received == m.MessagesInRound
 }
 
 // KnownUntil tells the moment, by our clock, up to which every cancellation that any
--- a/internal/cancellation/relay_test.go
+++ b/internal/cancellation/relay_test.go
@@ -115,7 +115,7 @@
 	if got := holder.KnownUntil(0, 900); got != 500 {
 		t.Errorf("known until %d", got)
 	}
-	if holder.Receive("stranger", Message{Complete: true, Parts: 1, EchoIncarnation: 1, EchoClock: 800}) != nil {
+	if holder.Receive("stranger", RoundMessage{RecordsLoaded: true, MessagesInRound: 1, EchoedIncarnation: 1, EchoedClock: 800}) != nil {
 		t.Error("a stranger is listened to")
 	}
 }
@@ -124,7 +124,7 @@
 // confirmer is gone; what is over everywhere is forgotten.
 func TestPassedOn(t *testing.T) {
 	third := NewRelay(3, []string{"confirmer", "holder"})
-	third.Receive("confirmer", Message{Parts: 1, Committed: []Committed{{"j-1", 60}, {"j-2", 61}}})
+	third.Receive("confirmer", RoundMessage{MessagesInRound: 1, Committed: []Committed{{"j-1", 60}, {"j-2", 61}}})
 	third.Forget("j-2")
 	ms := third.Messages("holder", 5, 0, true)
 	if len(ms) != 1 || !slices.Equal(ms[0].Committed, []Committed{{"j-1", 60}}) {
--- a/internal/coordination/cluster_test.go
+++ b/internal/coordination/cluster_test.go
@@ -158,17 +158,17 @@
 	}
 }
 
-func (e *simEnv) Peer(node string, h Hint) {
+func (e *simEnv) Peer(node string, status PeerStatus) {
 	c := e.n.c
 	if c.cut[e.n.name+"-"+node] || c.cut[node+"-"+e.n.name] || c.split && areaOf(e.n.name) != areaOf(node) {
 		return
 	}
-	frame := PeerFrame(&h)
+	frame := PeerFrame(&status)
 	c.sim.After(2*micros.Millisecond, func() {
 		if n := c.nodes[node]; n.core != nil {
 			c.awake(node, func() {
 				if n.core != nil {
-					n.core.OnHint(FromPeerFrame(&frame))
+					n.core.OnPeerStatus(FromPeerFrame(&frame))
 				}
 			})
 		}
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -23,7 +23,7 @@
 	Store(*protocol.StoreCall, func(protocol.StoreResult))
 	Cloud(*protocol.CloudCall, func(protocol.CloudResult))
 	Command(endpoint string, req *protocol.DoRequest, within micros.T, back func(protocol.DoResult))
-	Peer(node string, hint Hint)
+	Peer(node string, status PeerStatus)
 }
 
 // Reply is the answer to a user or a worker.
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -29,11 +29,11 @@
 	c := newCluster(t, 8).steady()
 	core := c.nodes["n-0"].core
 	usual := core.shardRate()
-	core.OnHint(Hint{Node: "n-1", StoreOK: true, Users: manyUsers})
+	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: manyUsers})
 	if got := core.shardRate(); got != usual {
 		t.Errorf("a few users at a peer: %v, usually %v", got, usual)
 	}
-	core.OnHint(Hint{Node: "n-1", StoreOK: true, Users: manyUsers + 1})
+	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: manyUsers + 1})
 	if got := core.shardRate(); got >= usual/2 {
 		t.Errorf("many users at a peer: %v, usually %v", got, usual)
 	}
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -7,18 +7,22 @@
 	"pipitgap/internal/protocol"
 )
 
-// Hint is what controllers tell each other. Hints only make things faster or
-// tell a common outage from one's own; the store decides.
-type Hint struct {
+// PeerStatus is what a controller sends to the others about itself. Nothing is decided by it: it
+// speeds things up, and tells a common outage from the sender's own. See PeerFrame for its wire form.
+type PeerStatus struct {
 	Node        string
 	Incarnation uint64
-	StoreOK     bool // the sender reached the store lately
-	Users       int  // calls of users that wait there for the store
-	Reach       Reach
-	Failing     map[string]int // jobs that fail there: on how many machines
-	LackLimit   []string       // teams of which neither its share nor what is unallocated takes a task
+	// StateServiceReachable says that the sender has lately had an answer from the state service.
+	StateServiceReachable bool
+	// WaitingUserRequests is the number of users' requests that wait there for the state service.
+	WaitingUserRequests int
+	WorkerReach         WorkerReach
+	FailingJobs         map[string]int // by job that fails there: on how many machines
+	// TeamsShortOfQuota are the teams with a pending task that fits neither into the sender's share
+	// of the team's quota nor into what is unallocated.
+	TeamsShortOfQuota []string
 
-	Cancellations cancellation.Message
+	Cancellations cancellation.RoundMessage
 }
 
 func (c *Core) grant() {
@@ -159,24 +163,31 @@
 	})
 }
 
-// gossip tells the peers that we live and whether we reach the store.
+// gossip sends our status to the peers.
 func (c *Core) gossip(now micros.T) {
 	ok := !c.storeDown && now-c.storeOKAt < 1500*micros.Millisecond
 	failing := c.failing()
 	for _, p := range c.cfg.Known {
-		hint := Hint{Node: c.node, Incarnation: c.inc, StoreOK: ok, Users: c.queue.Waiting(bookkeeping.RankUser),
-			Reach: c.reach(), Failing: failing, LackLimit: c.limitLacking(now)}
+		status := PeerStatus{
+			Node:                  c.node,
+			Incarnation:           c.inc,
+			StateServiceReachable: ok,
+			WaitingUserRequests:   c.queue.Waiting(bookkeeping.RankUser),
+			WorkerReach:           c.workerReach(),
+			FailingJobs:           failing,
+			TeamsShortOfQuota:     c.limitLacking(now),
+		}
 		for _, m := range c.cancellations.Messages(p.Node, now, c.view.watched, c.loaded) {
-			hint.Cancellations = m
-			c.env.Peer(p.Node, hint)
+			status.Cancellations = m
+			c.env.Peer(p.Node, status)
 		}
 	}
 }
 
-// OnHint takes a peer's word.
-func (c *Core) OnHint(h Hint) {
+// OnPeerStatus handles the status that a peer has sent.
+func (c *Core) OnPeerStatus(status PeerStatus) {
 	now := c.now()
 	c.noteStill(now)
-	c.peers.note(&h, now)
-	c.learnCancellations(c.cancellations.Receive(h.Node, h.Cancellations))
+	c.peers.note(&status, now)
+	c.learnCancellations(c.cancellations.Receive(status.Node, status.Cancellations))
 }
--- a/internal/coordination/peer_frames.go
+++ b/internal/coordination/peer_frames.go
@@ -8,43 +8,43 @@
 )
 
 // PeerFrame converts a status to the form in which controllers send it. Its map is shared.
-func PeerFrame(status *Hint) peerwire.Hint {
+func PeerFrame(status *PeerStatus) peerwire.Hint {
 	return peerwire.Hint{
 		Node:          status.Node,
 		Incarnation:   status.Incarnation,
-		StoreOK:       status.StoreOK,
-		Users:         status.Users,
-		Reach:         int(status.Reach),
-		Failing:       status.Failing,
-		LackLimit:     status.LackLimit,
+		StoreOK:       status.StateServiceReachable,
+		Users:         status.WaitingUserRequests,
+		Reach:         int(status.WorkerReach),
+		Failing:       status.FailingJobs,
+		LackLimit:     status.TeamsShortOfQuota,
 		Cancellations: cancellationFrame(&status.Cancellations),
 	}
 }
 
 // FromPeerFrame converts a received frame to a status, see PeerFrame.
-func FromPeerFrame(frame *peerwire.Hint) Hint {
-	return Hint{
-		Node:          frame.Node,
-		Incarnation:   frame.Incarnation,
-		StoreOK:       frame.StoreOK,
-		Users:         frame.Users,
-		Reach:         Reach(frame.Reach),
-		Failing:       frame.Failing,
-		LackLimit:     frame.LackLimit,
-		Cancellations: fromCancellationFrame(&frame.Cancellations),
+func FromPeerFrame(frame *peerwire.Hint) PeerStatus {
+	return PeerStatus{
+		Node:                  frame.Node,
+		Incarnation:           frame.Incarnation,
+		StateServiceReachable: frame.StoreOK,
+		WaitingUserRequests:   frame.Users,
+		WorkerReach:           WorkerReach(frame.Reach),
+		FailingJobs:           frame.Failing,
+		TeamsShortOfQuota:     frame.LackLimit,
+		Cancellations:         fromCancellationFrame(&frame.Cancellations),
 	}
 }
 
-func cancellationFrame(message *cancellation.Message) peerwire.Message {
+func cancellationFrame(message *cancellation.RoundMessage) peerwire.Message {
 	frame := peerwire.Message{
 		Incarnation:     message.Incarnation,
 		Clock:           int64(message.Clock),
-		EchoIncarnation: message.EchoIncarnation,
-		EchoClock:       int64(message.EchoClock),
-		Watched:         message.Watched,
-		Complete:        message.Complete,
+		EchoIncarnation: message.EchoedIncarnation,
+		EchoClock:       int64(message.EchoedClock),
+		Watched:         message.MirrorRevision,
+		Complete:        message.RecordsLoaded,
 		Round:           message.Round,
-		Parts:           message.Parts,
+		Parts:           message.MessagesInRound,
 	}
 	for _, committed := range message.Committed {
 		frame.Committed = append(frame.Committed,
@@ -53,16 +53,16 @@
 	return frame
 }
 
-func fromCancellationFrame(frame *peerwire.Message) cancellation.Message {
-	message := cancellation.Message{
-		Incarnation:     frame.Incarnation,
-		Clock:           micros.T(frame.Clock),
-		EchoIncarnation: frame.EchoIncarnation,
-		EchoClock:       micros.T(frame.EchoClock),
-		Watched:         frame.Watched,
-		Complete:        frame.Complete,
-		Round:           frame.Round,
-		Parts:           frame.Parts,
+func fromCancellationFrame(frame *peerwire.Message) cancellation.RoundMessage {
+	message := cancellation.RoundMessage{
+		Incarnation:       frame.Incarnation,
+		Clock:             micros.T(frame.Clock),
+		EchoedIncarnation: frame.EchoIncarnation,
+		EchoedClock:       micros.T(frame.EchoClock),
+		MirrorRevision:    frame.Watched,
+		RecordsLoaded:     frame.Complete,
+		Round:             frame.Round,
+		MessagesInRound:   frame.Parts,
 	}
 	for _, committed := range frame.Committed {
 		message.Committed = append(message.Committed,
--- a/internal/coordination/peer_frames_test.go
+++ b/internal/coordination/peer_frames_test.go
@@ -11,7 +11,7 @@
 // TestPeerFrameKeepsAllFields: every field of a status is sent, and every field of a frame is
 // received. That each goes into the right field is shown by the frames' fixtures in package daemon.
 func TestPeerFrameKeepsAllFields(t *testing.T) {
-	var status Hint
+	var status PeerStatus
 	fixtures.Fill(&status)
 	fixtures.AllSet(t, "status", status)
 	frame := PeerFrame(&status)
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -16,7 +16,7 @@
 	heardAt   micros.T       // when it last spoke
 	storeAt   micros.T       // when it last said that it reaches the store; 0: never
 	usersAt   micros.T       // when it last said that many users wait there; 0: never
-	reach     Reach          // what it last said of its workers
+	reach     WorkerReach    // what it last said of its workers
 	failing   map[string]int // the jobs that fail there, on so many machines
 	hasSpoken bool
 }
@@ -31,18 +31,18 @@
 	return p.of[node]
 }
 
-// note takes a peer's word.
-func (p *peers) note(h *Hint, now micros.T) {
-	peer := p.get(h.Node)
+// note keeps the status that a peer has sent.
+func (p *peers) note(status *PeerStatus, now micros.T) {
+	peer := p.get(status.Node)
 	peer.heardAt, peer.hasSpoken = now, true
-	if h.StoreOK {
+	if status.StateServiceReachable {
 		peer.storeAt = now
 	}
-	if h.Users > manyUsers {
+	if status.WaitingUserRequests > manyUsers {
 		peer.usersAt = now
 	}
-	peer.failing, peer.reach = h.Failing, h.Reach
-	for _, team := range h.LackLimit {
+	peer.failing, peer.reach = status.FailingJobs, status.WorkerReach
+	for _, team := range status.TeamsShortOfQuota {
 		p.lacks[team] = now
 	}
 }
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -11,14 +11,14 @@
 // have all fallen silent, while others hear theirs, hands its machines over and takes no
 // new ones; one that stood still believes nothing until it has asked again.
 
-// Reach is what a controller says of its workers.
-type Reach int
+// WorkerReach is whether a controller reaches its workers. Its numbers are sent to peers and frozen.
+type WorkerReach int
 
-// Degrees of it.
+// Values of WorkerReach.
 const (
-	ReachUnknown Reach = iota // it has none that could tell
-	ReachHeard                // it hears most of its workers
-	ReachLost                 // they have all fallen silent, or nearly so
+	WorkersUnknown     WorkerReach = iota // it has none that could tell
+	WorkersReachable                      // it hears most of its workers
+	WorkersUnreachable                    // they have all fallen silent, or nearly so
 )
 
 const (
@@ -46,15 +46,15 @@
 	return c.resumedAt > c.freshAt && now-c.resumedAt < stillTrust
 }
 
-// reach tells what we say of our workers.
-func (c *Core) reach() Reach {
+// workerReach tells whether we reach our workers.
+func (c *Core) workerReach() WorkerReach {
 	switch {
 	case c.lostAt != 0:
-		return ReachLost
+		return WorkersUnreachable
 	case c.heardMost:
-		return ReachHeard
+		return WorkersReachable
 	}
-	return ReachUnknown
+	return WorkersUnknown
 }
 
 // noteReach judges from the silence of our machines whether it is we who are cut off
@@ -144,7 +144,7 @@
 	if node == c.node {
 		return c.lostAt != 0
 	}
-	return c.heard(node, now) && c.peers.get(node).reach == ReachLost
+	return c.heard(node, now) && c.peers.get(node).reach == WorkersUnreachable
 }
 
 // able lists the live controllers that are good for machines and waiting tasks.
@@ -178,7 +178,7 @@
 		others = append(others, n)
 		if c.heard(n, now) {
 			alone = false
-			if c.peers.get(n).reach == ReachHeard {
+			if c.peers.get(n).reach == WorkersReachable {
 				to = append(to, n)
 			}
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -76,12 +76,12 @@
 	}()
 }
 
-func (w *world) Peer(node string, h coordination.Hint) {
+func (w *world) Peer(node string, status coordination.PeerStatus) {
 	l := w.peers[node]
 	if l == nil {
 		return
 	}
-	if frame, err := encodePeerFrame(&h); err == nil {
+	if frame, err := encodePeerFrame(&status); err == nil {
 		l.Send(frame)
 	}
 }
@@ -133,13 +133,13 @@
 			}
 		},
 		OnPeer: func(frame []byte) {
-			h, err := decodePeerFrame(frame)
+			status, err := decodePeerFrame(frame)
 			if err != nil {
 				return
 			}
 			select {
-			case w.box <- func() { core.OnHint(h) }:
-			default: // a hint may be lost
+			case w.box <- func() { core.OnPeerStatus(status) }:
+			default: // a status may be lost: the next one follows soon
 			}
 		},
 	}
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -10,9 +10,9 @@
 	"pipitgap/internal/micros"
 )
 
-// TestHintFitsFrame: whatever has been cancelled, each hint fits into a frame between
+// TestPeerStatusFitsFrame: whatever has been cancelled, each status fits into a frame between
 // controllers. One that doesn't is dropped, and the receiver's leases would end for it.
-func TestHintFitsFrame(t *testing.T) {
+func TestPeerStatusFitsFrame(t *testing.T) {
 	relay := cancellation.NewRelay(1, []string{"n-1"})
 	failing := map[string]int{}
 	for i := range 5000 {
@@ -28,8 +28,9 @@
 	}
 	total := 0
 	for _, m := range messages {
-		hint := coordination.Hint{Node: "n-0", Incarnation: 1, Failing: failing, LackLimit: []string{"a", "b"}, Cancellations: m}
-		frame, err := encodePeerFrame(&hint)
+		status := coordination.PeerStatus{Node: "n-0", Incarnation: 1, FailingJobs: failing,
+			TeamsShortOfQuota: []string{"a", "b"}, Cancellations: m}
+		frame, err := encodePeerFrame(&status)
 		if err != nil {
 			t.Fatal(err)
 		}
