--- a/cmd/pipitgap/json_test.go
+++ b/cmd/pipitgap/json_test.go
@@ -42,36 +42,42 @@
 // answers are what the commands print, with every field set.
 func answers() map[string]any {
 	const at = 1_764_687_600_123_456
-	blocked := []drain.Blockage{{Drain: "rack-a-out", Machine: "i-000231", Task: "j-000017/5", Kind: drain.BlockedByBudget,
-		Reason: "team wren: 3 of 4 replicas are available, 3 must stay"}}
+	blocked := []drain.Blockage{{Drain: "rack-a-out", Machine: "i-000231", Task: "j-000017/5",
+		Kind: drain.BlockedByBudget, Reason: "team wren: 3 of 4 replicas are available, 3 must stay"}}
 	machines := []string{"i-000231", "i-000232"}
 	plan := &drain.Plan{Machines: machines, Blocked: blocked, Steps: []drain.Step{{
-		Rent: []string{"m8 in rack-b"}, Moves: []drain.Move{{Task: "j-000017/5", Team: "wren", From: "i-000231", To: "i-000240"}},
+		Rent:    []string{"m8 in rack-b"},
+		Moves:   []drain.Move{{Task: "j-000017/5", Team: "wren", From: "i-000231", To: "i-000240"}},
 		Stopped: 4, Emptied: []string{"i-000231"}}}}
-	kinds := []drain.BlockKind{drain.BlockedByBudget, drain.BlockedByRoom, drain.BlockedByStart, drain.BlockedByCordon,
-		drain.BlockedByPermits, drain.BlockedByOwner, drain.BlockedByDeadline}
+	kinds := []drain.BlockKind{drain.BlockedByBudget, drain.BlockedByRoom, drain.BlockedByStart,
+		drain.BlockedByCordon, drain.BlockedByPermits, drain.BlockedByOwner, drain.BlockedByDeadline}
 	waiting := make([]drain.Blockage, 0, len(kinds))
 	for _, kind := range kinds {
-		waiting = append(waiting, drain.Blockage{Drain: "d-2", Machine: "i-000231", Kind: kind, Reason: "waits"})
+		waiting = append(waiting, drain.Blockage{Drain: "d-2", Machine: "i-000231", Kind: kind,
+			Reason: "waits"})
 	}
-	teams := []drain.TeamStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5, Floor: 4, Reserve: 1, WorstLoss: 2}}
+	teams := []drain.TeamStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5,
+		Floor: 4, Reserve: 1, WorstLoss: 2}}
 	return map[string]any{
 		"start":         operator.Started{Name: "rack-a-out", Repeated: true, Machines: machines, Plan: plan},
 		"start-no-plan": operator.Started{Name: "rack-a-out", Machines: machines},
-		"status": statusAnswer{Drain: &drain.Progress{Name: "rack-a-out", State: bookkeeping.DrainActive, Reason: "resumed", Revision: 40_001,
-			Machines: []drain.MachineProgress{{ID: "i-000231", State: "cordoned", Replicas: 2, Arrays: 3, Step: true}},
-			Permits:  1, Blocked: blocked, StartedAt: at, EndedAt: at + 1}, Teams: teams},
-		"status-ended": statusAnswer{Drain: &drain.Progress{Name: "d-1", State: bookkeeping.DrainDone, Revision: 40_002,
-			Machines: []drain.MachineProgress{}, StartedAt: at}},
-		"status-blocked": statusAnswer{Drain: &drain.Progress{Name: "d-2", State: bookkeeping.DrainActive, Revision: 40_003,
-			Machines: []drain.MachineProgress{}, Blocked: waiting, StartedAt: at}, Teams: teams},
-		"list": []operator.Listed{{Name: "rack-a-out", State: bookkeeping.DrainPaused, Reason: "paused by an operator",
-			Selects: "zone rack-a", Machines: 3}},
-		"list-no-reason": []operator.Listed{{Name: "d-1", State: bookkeeping.DrainDrained, Selects: "2 machines by name"}},
-		"list-empty":     []operator.Listed{},
-		"budgets":        teams,
-		"budgets-empty":  []drain.TeamStatus(nil),
-		"moved":          moved{Name: "rack-a-out", State: "paused", Changed: true},
+		"status": statusAnswer{Drain: &drain.Progress{Name: "rack-a-out", State: bookkeeping.DrainActive,
+			Reason: "resumed", Revision: 40_001,
+			Machines: []drain.MachineProgress{{ID: "i-000231", State: "cordoned", Replicas: 2, Arrays: 3,
+				Step: true}},
+			Permits: 1, Blocked: blocked, StartedAt: at, EndedAt: at + 1}, Teams: teams},
+		"status-ended": statusAnswer{Drain: &drain.Progress{Name: "d-1", State: bookkeeping.DrainDone,
+			Revision: 40_002, Machines: []drain.MachineProgress{}, StartedAt: at}},
+		"status-blocked": statusAnswer{Drain: &drain.Progress{Name: "d-2", State: bookkeeping.DrainActive,
+			Revision: 40_003, Machines: []drain.MachineProgress{}, Blocked: waiting, StartedAt: at}, Teams: teams},
+		"list": []operator.Listed{{Name: "rack-a-out", State: bookkeeping.DrainPaused,
+			Reason: "paused by an operator", Selects: "zone rack-a", Machines: 3}},
+		"list-no-reason": []operator.Listed{{Name: "d-1", State: bookkeeping.DrainDrained,
+			Selects: "2 machines by name"}},
+		"list-empty":    []operator.Listed{},
+		"budgets":       teams,
+		"budgets-empty": []drain.TeamStatus(nil),
+		"moved":         moved{Name: "rack-a-out", State: "paused", Changed: true},
 	}
 }
 
--- a/internal/standin/loopback/state.go
+++ b/internal/standin/loopback/state.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"strconv"
 	"strings"
+	"testing"
 
 	"pipitgap/internal/micros"
 	"pipitgap/internal/protocol"
@@ -17,6 +18,20 @@
 	caller string
 }
 
+// ServeState serves a store on loopback until the test ends, and returns its address.
+func ServeState(t testing.TB, sim *standin.Sim, store *standin.Store) string {
+	t.Helper()
+	const caller = "operator"
+	clock := NewClock(sim)
+	server, err := newServer(caller, &stateHandler{clock, store, caller}, &faults{})
+	if err != nil {
+		clock.Stop()
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { server.Close(); clock.Stop() })
+	return server.Addr
+}
+
 // unbounded is the time that a call may take: its caller's own deadline ends it sooner.
 const unbounded = 10 * micros.Minute
 
