--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -17,7 +17,7 @@
 	answers := map[int]int{}
 	late := 0
 	for i := 0; i < 3000; i++ {
-		id, j := c.spec(nil)
+		id, j := c.spec()
 		begun := c.sim.Now()
 		back := func(r Reply) {
 			answers[r.Status]++
@@ -28,8 +28,8 @@
 				late++
 			}
 		}
-		c.request("n-0", "POST", "/v2/runs", protocol.MustMarshal(j), back)
-		c.request("n-0", "GET", "/v2/runs/"+id, nil, back)
+		c.request("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
+		c.request("n-0", "GET", protocol.JobPath(id), nil, back)
 		if n := core.queue.Waiting(bookkeeping.RankUser); n > core.mostUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
@@ -51,12 +51,12 @@
 // outage leaves every node healthy, one that is refused alone says so.
 func TestOutageAnswers(t *testing.T) {
 	c := newCluster(t, 14).steady()
-	_, j := c.spec(nil)
+	_, j := c.spec()
 	body := protocol.MustMarshal(j)
 	c.store.Outage(20 * sec)
 	c.sim.Run(5 * sec)
 	for _, n := range c.names {
-		if r := c.ask(n, "POST", "/v2/runs", body); r.Status != 503 || r.RetryAfter < 1 {
+		if r := c.ask(n, "POST", protocol.JobsPath, body); r.Status != 503 || r.RetryAfter < 1 {
 			t.Errorf("submission to %s in an outage: %+v", n, r)
 		}
 		if r := c.ask(n, "GET", "/healthz", nil); r.Status != 200 {
@@ -77,7 +77,7 @@
 // commit is applied late is one job.
 func TestLateAcceptance(t *testing.T) {
 	c := newCluster(t, 15).steady()
-	id, j := c.spec(nil)
+	id, j := c.spec()
 	c.fleet.Jobs[id] = standin.JobInfo{Team: "free", CPUs: 2, Run: 2 * sec}
 	body := protocol.MustMarshal(j)
 	first := true
@@ -90,10 +90,10 @@
 		}
 		return 0
 	}
-	if r := c.ask("n-0", "POST", "/v2/runs", body); r.Status != 503 {
+	if r := c.ask("n-0", "POST", protocol.JobsPath, body); r.Status != 503 {
 		t.Errorf("a commit without an answer is told as %d", r.Status)
 	}
-	if r := c.ask("n-1", "POST", "/v2/runs", body); r.Status != 201 {
+	if r := c.ask("n-1", "POST", protocol.JobsPath, body); r.Status != 201 {
 		t.Errorf("the retry: %d", r.Status)
 	}
 	c.sim.Run(8 * sec)
--- a/internal/coordination/cloud_test.go
+++ b/internal/coordination/cloud_test.go
@@ -12,7 +12,7 @@
 func TestRepeatedAsk(t *testing.T) {
 	c := newCluster(t, 8).steady()
 	c.cloud.LoseRent = true
-	c.submit(0, jobOf{"shape": "daemon", "pips": 4, "cores": 8.0})
+	c.submit(0, withService(true), withTasks(4), withCPUs(8))
 	if !c.sim.RunUntil(10*sec, func() bool { return len(c.cloud.Names) > 0 }) {
 		t.Fatal("nothing was rented")
 	}
@@ -44,7 +44,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 9).steady()
 			tc.do(c)
-			c.submit(0, jobOf{"pips": 4})
+			c.submit(0, withTasks(4))
 			c.sim.Run(10 * sec)
 			core := c.leader().core
 			if got := len(core.unmet()) > 0; got != tc.want {
@@ -59,7 +59,7 @@
 func TestNamesOfRequests(t *testing.T) {
 	c := newCluster(t, 16).steady()
 	for i := 0; i < 3; i++ {
-		id := c.submit(0, jobOf{"shape": "daemon", "cores": 16.0})
+		id := c.submit(0, withService(true), withCPUs(16))
 		if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(id) == 1 }) {
 			t.Fatalf("after %d changes of leader a service finds no machine", i)
 		}
@@ -81,7 +81,7 @@
 	c := newCluster(t, 19)
 	c.set.ScaleDownDelay = 0
 	c.steady()
-	id := c.submit(sec, jobOf{})
+	id := c.submit(sec)
 	c.sim.Run(20 * sec)
 	c.finished(id, 60*sec)
 	w := c.fleet.Workers[sortedKeys(c.fleet.Workers)[0]]
@@ -91,7 +91,7 @@
 	}
 	c.sim.Run(5 * sec)
 	for _, n := range c.names {
-		if r := c.ask(n, "POST", "/checkin", late); r.Status == 200 {
+		if r := c.ask(n, "POST", protocol.HeartbeatPath, late); r.Status == 200 {
 			t.Errorf("%s answers %d", n, r.Status)
 		}
 	}
@@ -104,7 +104,7 @@
 // machine types from the store; they accept, and place on what is there.
 func TestStartInCloudOutage(t *testing.T) {
 	c := newCluster(t, 11).steady()
-	first := c.submit(0, jobOf{"shape": "daemon"})
+	first := c.submit(0, withService(true))
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(first) == 1 }) {
 		t.Fatal("no machine is up")
 	}
@@ -113,7 +113,7 @@
 	c.sim.Run(3 * sec)
 	c.start(c.names...)
 	c.sim.Run(3 * sec)
-	id := c.submit(2*sec, jobOf{"pips": 2})
+	id := c.submit(2*sec, withTasks(2))
 	c.finished(id, 30*sec)
 	c.rules()
 }
@@ -122,10 +122,10 @@
 // memory knows it any more.
 func TestRetired(t *testing.T) {
 	c := newCluster(t, 12).steady()
-	done := c.submit(sec, jobOf{})
-	gone := c.submit(0, jobOf{"shape": "daemon"})
+	done := c.submit(sec)
+	gone := c.submit(0, withService(true))
 	c.finished(done, 60*sec)
-	c.ask("n-0", "POST", "/v2/runs/"+gone+"/abort", nil)
+	c.ask("n-0", "POST", protocol.CancelPath(gone), nil)
 	c.sim.Run(10 * sec)
 	for round := 0; round < 3; round++ {
 		c.kill(c.names...)
@@ -139,7 +139,7 @@
 			if code, st := c.status(n, gone); code != 200 || st.Status != protocol.JobCancelled {
 				t.Errorf("cancelled job: %d %+v", code, st)
 			}
-			r := c.ask(n, "POST", "/v2/runs/"+done+"/abort", nil)
+			r := c.ask(n, "POST", protocol.CancelPath(done), nil)
 			var a protocol.Accepted
 			_ = protocol.Unmarshal(r.Body, &a)
 			if r.Status != 200 || a.Status != protocol.JobDone {
--- a/internal/coordination/cluster_test.go
+++ b/internal/coordination/cluster_test.go
@@ -241,7 +241,7 @@
 			return
 		}
 		c.sim.After(2*micros.Millisecond, func() {
-			c.request(node, "POST", "/checkin", body, func(r Reply) {
+			c.request(node, "POST", protocol.HeartbeatPath, body, func(r Reply) {
 				if c.deaf[w.Machine.ID] {
 					return
 				}
@@ -345,30 +345,22 @@
 	return rep
 }
 
-// jobOf is a submission in the users' form.
-type jobOf map[string]any
-
-func (c *cluster) spec(more jobOf) (string, jobOf) {
+// spec is a submission of the cluster's next job.
+func (c *cluster) spec(options ...jobOption) (string, *protocol.Submission) {
 	c.next++
-	id := fmt.Sprintf("j-%06d", c.next)
-	j := jobOf{"id": id, "lane": "batch", "crew": "free", "shape": "sweep", "rank": "standard", "pips": 1,
-		"cores": 2.0, "accelerators": 0.0, "memory_gb": 4.0, "plumage": "img", "pull_gb": 0.5, "breeds": nil,
-		"grove": nil, "one_zone": false, "apart": false, "borrowed": false, "guess_s": 5.0, "perch_s": 0.0,
-		"stash_s": 0.0, "due_s": nil}
-	for k, v := range more {
-		j[k] = v
-	}
-	return id, j
+	submission := newSubmission(options...)
+	submission.ID = fmt.Sprintf("j-%06d", c.next)
+	return submission.ID, submission
 }
 
 // submit has a job accepted, retrying like a user.
-func (c *cluster) submit(run micros.T, more jobOf) string {
+func (c *cluster) submit(run micros.T, options ...jobOption) string {
 	c.t.Helper()
-	id, j := c.spec(more)
-	c.fleet.Jobs[id] = standin.JobInfo{Team: j["crew"].(string), CPUs: j["cores"].(float64), Run: run}
+	id, j := c.spec(options...)
+	c.fleet.Jobs[id] = standin.JobInfo{Team: j.Team, CPUs: j.CPUs, Run: run}
 	body := protocol.MustMarshal(j)
 	for i := 0; i < 30; i++ {
-		r := c.ask(c.names[i%len(c.names)], "POST", "/v2/runs", body)
+		r := c.ask(c.names[i%len(c.names)], "POST", protocol.JobsPath, body)
 		if r.Status == 201 || r.Status == 200 {
 			return id
 		}
@@ -379,7 +371,7 @@
 }
 
 func (c *cluster) status(node, id string) (int, protocol.JobStatus) {
-	r := c.ask(node, "GET", "/v2/runs/"+id, nil)
+	r := c.ask(node, "GET", protocol.JobPath(id), nil)
 	var st protocol.JobStatus
 	_ = protocol.Unmarshal(r.Body, &st)
 	return r.Status, st
--- a/internal/coordination/combined_failures_test.go
+++ b/internal/coordination/combined_failures_test.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/micros"
+	"pipitgap/internal/protocol"
 )
 
 // leaseSettings are how long leases and cancellations last on a platform.
@@ -99,7 +100,7 @@
 }
 
 func oneTask(s *scenario) {
-	u := s.add(3*sec+s.jitter(6*sec), jobOf{"cores": 1.0, "borrowed": true, "guess_s": 4.0})
+	u := s.add(3*sec+s.jitter(6*sec), withCPUs(1), withSpot(true), withEstimateS(4))
 	if s.sim.Rand.IntN(4) == 0 {
 		s.sim.After(s.jitter(8*sec), u.cancel)
 	}
@@ -108,7 +109,7 @@
 // fullTeams fills every team up to its limit.
 func fullTeams(s *scenario) {
 	for range 10 {
-		s.add(150*sec, jobOf{"pips": 4, "cores": 1.0, "crew": "tight"})
+		s.add(150*sec, withTasks(4), withCPUs(1), withTeam("tight"))
 	}
 }
 
@@ -135,7 +136,8 @@
 			lateWrites(100*sec, 0.3, 40*sec), cancelTeam(105*sec, "tight", 2, 15*sec), crash(106*sec, leader, sec)}},
 		{name: "full teams, their shares are written late", prepare: fullTeams, faults: []fault{
 			lateShares(45*sec, 100*sec), submissions(45*sec, sec, 90*sec, func(s *scenario) {
-				s.add(2*sec+s.jitter(8*sec), jobOf{"pips": 1 + s.sim.Rand.IntN(3), "cores": 1.0, "crew": "tight", "borrowed": true})
+				s.add(2*sec+s.jitter(8*sec), withTasks(1+s.sim.Rand.IntN(3)), withCPUs(1), withTeam("tight"),
+					withSpot(true))
 			}), cancelTeam(60*sec, "tight", 4, 0), cancelTeam(90*sec, "tight", 4, 0)}},
 		{name: "cancellations while work changes hands", faults: []fault{
 			crash(60*sec, following(1), 20*sec), cancelNow(66*sec, 3, 0), cancelNow(68*sec, 3, 0), cancelNow(69*sec, 3, 0), cancelNow(82*sec, 3, 0)}},
@@ -166,19 +168,19 @@
 			deaf(58*sec, 6, 30*sec), crash(60*sec, leader, 12*sec), cancelNow(64*sec, 5, 0)}},
 		{name: "machines are mute", faults: []fault{mute(60*sec, 6, 25*sec), cancelNow(62*sec, 5, 0), crash(70*sec, leader, 3*sec)}},
 		{name: "cancelled at the end of the last task", closeLook: true, faults: []fault{submissions(50*sec, sec/2, 40*sec, func(s *scenario) {
-			u := s.add(4*sec, jobOf{"cores": 1.0, "borrowed": true})
+			u := s.add(4*sec, withCPUs(1), withSpot(true))
 			s.waitFor(60*sec, func() bool { return s.fleet.Finished[u.id+"/0"] }, func() { s.sim.After(s.jitter(sec/2), u.cancel) })
 		})}},
 		{name: "small jobs end far apart across a change of leader", prepare: func(s *scenario) {
 			for i := range 4 {
-				u := s.add(25*sec, jobOf{"pips": 2 + i%2, "cores": 1.0})
+				u := s.add(25*sec, withTasks(2+i%2), withCPUs(1))
 				s.fleet.RunOf[u.id+"/0"] = 5 * sec
 				s.fleet.RunOf[u.id+"/1"] = 60 * sec
 			}
 		}, faults: []fault{crash(45*sec, leader, 4*sec), crash(58*sec, leader, 4*sec), crash(70*sec, leader, sec)}},
 		{name: "jobs bound to a zone lose machines", prepare: func(s *scenario) {
 			for i := range 4 {
-				s.add(60*sec, jobOf{"pips": 3, "grove": []string{"a", "b"}[i%2], "one_zone": i > 1})
+				s.add(60*sec, withTasks(3), withZone([]string{"a", "b"}[i%2]), withOneZone(i > 1))
 			}
 		}, faults: []fault{machinesDie(50*sec, 4), zoneCut(60*sec, 20*sec), cancelNow(62*sec, 4, 0), machinesDie(90*sec, 4)}},
 		{name: "a zone is cut off for longer than a lease", faults: []fault{
@@ -187,7 +189,8 @@
 			zoneCut(60*sec, 60*sec), cancelNow(60*sec, 4, 0), cancelNow(65*sec, 4, 0), outage(66*sec, 45*sec)}},
 		{name: "more work than room, answers are slow", prepare: func(s *scenario) {
 			for i := range 8 {
-				s.add(20*sec, jobOf{"pips": 30, "cores": 2.0, "rank": []string{"standard", "high", "best_effort", "prod"}[i%4], "borrowed": i%2 == 0})
+				priorities := []protocol.Priority{protocol.Standard, protocol.High, protocol.BestEffort, protocol.Prod}
+				s.add(20*sec, withTasks(30), withCPUs(2), withPriority(priorities[i%4]), withSpot(i%2 == 0))
 			}
 		}, faults: []fault{slowStore(45*sec, sec, 60*sec), cancelNow(60*sec, 4, 0), crash(70*sec, leader, 3*sec)}},
 		{name: "the store is slow to answer and refuses the leader", closeLook: true, faults: []fault{
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -350,7 +350,7 @@
 		switch s {
 		case 8:
 			c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].Sick = true
-			c.request("n-0", "POST", "/v2/runs/"+arrays[2]+"/abort", nil, func(Reply) {})
+			c.request("n-0", "POST", protocol.CancelPath(arrays[2]), nil, func(Reply) {})
 		case 12:
 			c.kill("n-1")
 		case 14:
@@ -508,13 +508,13 @@
 	for _, node := range s.names {
 		send := func(method, target string, body []byte) { s.request(node, method, target, body, func(Reply) {}) }
 		send("GET", "/healthz", nil)
-		send("GET", "/v2/runs", nil)
-		send("GET", "/v2/runs/j-unknown", nil)
-		send("POST", "/v2/runs/j-unknown/abort", nil)
-		send("POST", "/v2/runs", []byte{0xc1})
-		send("POST", "/checkin", []byte{0xc1})
+		send("GET", protocol.JobsPath, nil)
+		send("GET", protocol.JobPath("j-unknown"), nil)
+		send("POST", protocol.CancelPath("j-unknown"), nil)
+		send("POST", protocol.JobsPath, []byte{0xc1})
+		send("POST", protocol.HeartbeatPath, []byte{0xc1})
 		send("GET", "/nowhere", nil)
-		send("GET", "/v2/runs/j-unknown?x=y", nil)
+		send("GET", protocol.JobPath("j-unknown?x=y"), nil)
 	}
 }
 
@@ -554,56 +554,59 @@
 
 func (c *cluster) sendSmallJobs(n int) {
 	for range n {
-		c.send(2*sec, jobOf{"crew": "guest", "rank": "best_effort", "cores": 0.3, "memory_gb": 0.7, "borrowed": true, "guess_s": 2.0})
+		c.send(2*sec, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
+			withMemoryGB(0.7), withSpot(true), withEstimateS(2))
 	}
 }
 
 func (c *cluster) sendArray(spot bool) string {
-	return c.send(20*sec, jobOf{"crew": "home", "pips": 9, "cores": 1.1, "borrowed": spot, "guess_s": 30.0, "perch_s": 3.0})
+	return c.send(20*sec, withTeam("home"), withTasks(9), withCPUs(1.1), withSpot(spot), withEstimateS(30),
+		withCheckpointS(3))
 }
 
 func (c *cluster) sendService() {
-	c.send(0, jobOf{"crew": "home", "shape": "daemon", "rank": "high", "cores": 1.3})
+	c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
 }
 
 func (c *cluster) sendLargeArrays() {
-	c.send(25*sec, jobOf{"pips": 60, "cores": 2.0, "borrowed": true, "guess_s": 20.0})
-	c.send(8*sec, jobOf{"crew": "tight", "pips": 40, "cores": 1.0, "guess_s": 10.0, "due_s": 60.0})
+	c.send(25*sec, withTasks(60), withCPUs(2), withSpot(true), withEstimateS(20))
+	c.send(8*sec, withTeam("tight"), withTasks(40), withCPUs(1), withEstimateS(10), withDeadlineS(60))
 }
 
 func (s *scenario) addBorrowers() {
-	s.add(300*sec, jobOf{"pips": 16, "cores": 2.0, "rank": "best_effort"})
-	s.add(250*sec, jobOf{"pips": 6, "cores": 1.0})
+	s.add(300*sec, withTasks(16), withCPUs(2), withPriority(protocol.BestEffort))
+	s.add(250*sec, withTasks(6), withCPUs(1))
 }
 
 func (s *scenario) addOwners() {
 	for range 4 {
-		s.add(60*sec, jobOf{"crew": "tight", "pips": 6, "cores": 2.0})
+		s.add(60*sec, withTeam("tight"), withTasks(6), withCPUs(2))
 	}
 }
 
 func (s *scenario) addUrgentServices() {
 	for range 3 {
-		s.add(0, jobOf{"pips": 2, "cores": 3.0, "rank": "prod"})
+		s.add(0, withTasks(2), withCPUs(3), withPriority(protocol.Prod))
 	}
 }
 
 func (s *scenario) addSpotJobs() {
 	for i := range 3 {
-		s.add(60*sec, jobOf{"pips": 12, "cores": 4.0, "borrowed": true, "guess_s": 50.0, "perch_s": 10.0, "stash_s": 2.0})
-		s.add(0, jobOf{"pips": 2 + i, "cores": 2.0, "rank": "high", "borrowed": i == 1})
+		s.add(60*sec, withTasks(12), withCPUs(4), withSpot(true), withEstimateS(50),
+			withCheckpointS(10), withSaveS(2))
+		s.add(0, withTasks(2+i), withCPUs(2), withPriority(protocol.High), withSpot(i == 1))
 	}
 }
 
 func (s *scenario) addVariedJobs() {
-	s.add(0, jobOf{"pips": 4, "apart": true, "rank": "prod"})
-	s.add(0, jobOf{"pips": 3, "apart": true, "one_zone": true, "cores": 3.0})
-	s.add(60*sec, jobOf{"pips": 8, "one_zone": true, "cores": 2.0, "guess_s": 60.0})
-	s.add(60*sec, jobOf{"pips": 5, "grove": "b", "cores": 2.0, "perch_s": 10.0, "stash_s": 3.0})
-	s.add(40*sec, jobOf{"pips": 5, "breeds": []string{"m16"}, "cores": 9.0, "guess_s": 30.0})
-	s.add(15*sec, jobOf{"pips": 30, "due_s": 40.0, "cores": 0.5, "guess_s": 15.0, "borrowed": true})
-	s.add(30*sec, jobOf{"pips": 6, "memory_gb": 30.0, "cores": 1.0, "pull_gb": 6.0, "plumage": "large"})
-	failing := s.add(5*sec, jobOf{"pips": 2})
+	s.add(0, withTasks(4), withSpread(true), withPriority(protocol.Prod))
+	s.add(0, withTasks(3), withSpread(true), withOneZone(true), withCPUs(3))
+	s.add(60*sec, withTasks(8), withOneZone(true), withCPUs(2), withEstimateS(60))
+	s.add(60*sec, withTasks(5), withZone("b"), withCPUs(2), withCheckpointS(10), withSaveS(3))
+	s.add(40*sec, withTasks(5), withTypes("m16"), withCPUs(9), withEstimateS(30))
+	s.add(15*sec, withTasks(30), withDeadlineS(40), withCPUs(0.5), withEstimateS(15), withSpot(true))
+	s.add(30*sec, withTasks(6), withMemoryGB(30), withCPUs(1), withImageGB(6), withImage("large"))
+	failing := s.add(5*sec, withTasks(2))
 	info := s.fleet.Jobs[failing.id]
 	info.Fails = true
 	s.fleet.Jobs[failing.id] = info
--- a/internal/coordination/cuts_test.go
+++ b/internal/coordination/cuts_test.go
@@ -17,8 +17,8 @@
 	for i, nodes := range [][]string{{"n-0"}, {"n-1"}, {"n-2"}, {"n-0", "n-1"}, {"n-1", "n-2"}} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			c := newCluster(t, uint64(800+i)).steady()
-			service := c.submit(0, jobOf{"shape": "daemon", "pips": 6, "rank": "prod", "cores": 4.0})
-			array := c.submit(10*sec, jobOf{"pips": 40, "borrowed": true})
+			service := c.submit(0, withService(true), withTasks(6), withPriority(protocol.Prod), withCPUs(4))
+			array := c.submit(10*sec, withTasks(40), withSpot(true))
 			if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(service) == 6 }) {
 				t.Fatal("not started")
 			}
@@ -33,11 +33,15 @@
 				if r := c.ask(n, "GET", "/healthz", nil); r.Status != 503 {
 					t.Errorf("%s says %d to health checks", n, r.Status)
 				}
-				_, j := c.spec(nil)
+				_, j := c.spec()
 				for _, q := range []struct {
 					method, target string
 					body           []byte
-				}{{"POST", "/v2/runs", protocol.MustMarshal(j)}, {"GET", "/v2/runs/" + service, nil}, {"POST", "/v2/runs/" + service + "/abort", nil}} {
+				}{
+					{"POST", protocol.JobsPath, protocol.MustMarshal(j)},
+					{"GET", protocol.JobPath(service), nil},
+					{"POST", protocol.CancelPath(service), nil},
+				} {
 					begun := c.sim.Now()
 					if r := c.ask(n, q.method, q.target, q.body); r.Status != 503 || r.RetryAfter < 1 || c.sim.Now()-begun > sec/2 {
 						t.Errorf("%s answers %s %s with %d after %d us", n, q.method, q.target, r.Status, c.sim.Now()-begun)
@@ -71,8 +75,8 @@
 			c.steady()
 			c.store.Refused["n-2"] = true
 			for i := 0; i < tc.jobs; i++ {
-				_, j := c.spec(jobOf{"cores": 0.1})
-				c.ask("n-0", "POST", "/v2/runs", protocol.MustMarshal(j))
+				_, j := c.spec(withCPUs(0.1))
+				c.ask("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j))
 			}
 			c.sim.Run(15 * sec)
 			lists := c.store.Calls[protocol.StoreList]
@@ -117,7 +121,8 @@
 			c.steady()
 			there := map[string]bool{}
 			for i := 0; i < 8; i++ {
-				id := c.send(600*sec, jobOf{"pips": 8, "cores": 4.0, "memory_gb": 8.0, "grove": []string{"a", "b"}[i%2]})
+				id := c.send(600*sec, withTasks(8), withCPUs(4), withMemoryGB(8),
+					withZone([]string{"a", "b"}[i%2]))
 				there[id] = i%2 == 0
 			}
 			c.sim.Run(40 * sec)
@@ -137,7 +142,7 @@
 			}
 			c.sim.Run(16 * sec)
 			for i := 0; i < 4; i++ {
-				c.send(5*sec, jobOf{"pips": 20, "cores": 4.0, "memory_gb": 8.0})
+				c.send(5*sec, withTasks(20), withCPUs(4), withMemoryGB(8))
 			}
 			c.sim.Run(14 * sec)
 			gone, inA := 0, 0
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -85,7 +85,7 @@
 	s := newDrainScenario(t, 31)
 	s.set.Drains.Budgets = []config.Budget{{Team: "intake", MinAvailable: &config.Amount{Value: 1}}}
 	s.steady()
-	id := s.service("intake", 1, nil)
+	id := s.service("intake", 1)
 	s.sim.RunUntil(60*sec, s.allRun)
 	s.sim.Run(10 * sec)
 	s.floors["intake"] = 1
@@ -111,7 +111,7 @@
 	for _, id := range s.inZone("b") { // what is free there is taken by a service of another team
 		w := s.fleet.Workers[id]
 		if free := int(w.CPUs) - 2*len(w.Tasks); free > 0 {
-			s.service("other", free, jobOf{"cores": 1.0, "grove": "b"})
+			s.service("other", free, withCPUs(1), withZone("b"))
 		}
 	}
 	s.sim.RunUntil(30*sec, s.allRun)
@@ -182,8 +182,8 @@
 func TestDrainArrays(t *testing.T) {
 	s := newDrainScenario(t, 35)
 	s.steady()
-	short := s.submit(25*sec, jobOf{"pips": 16, "crew": "other", "cores": 1.0, "guess_s": 25.0})
-	long := s.submit(400*sec, jobOf{"pips": 16, "crew": "other", "cores": 1.0, "guess_s": 400.0})
+	short := s.submit(25*sec, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(25))
+	long := s.submit(400*sec, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(400))
 	s.sim.RunUntil(60*sec, func() bool { return s.fleet.Running(short) == 16 && s.fleet.Running(long) == 16 })
 	s.sim.Run(17 * sec) // less is left of the short ones than they are waited for
 	s.floors["other"] = 0
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -176,9 +176,10 @@
 			Selector: bookkeeping.Selector{Zone: "b", Type: "m16"}, StartedAt: int64(s.sim.Now())})
 	}, noPart},
 	{"a service of a higher priority comes", func(s *drainScenario) {
-		id, body := s.spec(jobOf{"shape": "daemon", "pips": 6, "crew": "other", "rank": "prod", "cores": 6.0})
+		id, body := s.spec(withService(true), withTasks(6), withTeam("other"), withPriority(protocol.Prod),
+			withCPUs(6))
 		s.fleet.Jobs[id] = serviceInfo("other", 6)
-		s.request(s.names[0], "POST", "/v2/runs", protocol.MustMarshal(body), func(Reply) {})
+		s.request(s.names[0], "POST", protocol.JobsPath, protocol.MustMarshal(body), func(Reply) {})
 	}, noPart},
 }
 
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -28,7 +28,7 @@
 
 // cancel has a job cancelled.
 func (s *drainScenario) cancel(id string) {
-	s.request(s.names[0], "POST", "/v2/runs/"+id+"/abort", nil, func(Reply) {})
+	s.request(s.names[0], "POST", protocol.CancelPath(id), nil, func(Reply) {})
 	delete(s.services, id)
 }
 
@@ -36,7 +36,7 @@
 // machines of several controllers.
 func (s *drainScenario) apartService(team string, replicas int) {
 	s.t.Helper()
-	s.service(team, replicas, jobOf{"cores": 6.0, "breeds": []string{"m8"}})
+	s.service(team, replicas, withCPUs(6), withTypes("m8"))
 	if !s.sim.RunUntil(90*sec, s.allRun) {
 		s.t.Fatalf("running %v", s.running())
 	}
@@ -80,7 +80,7 @@
 			s.intakeMayLack(2)
 			s.steady()
 			s.apartService("intake", 8)
-			spare := s.service("other", 4, jobOf{"cores": 6.0, "breeds": []string{"m8"}, "grove": "b"})
+			spare := s.service("other", 4, withCPUs(6), withTypes("m8"), withZone("b"))
 			s.sim.RunUntil(60*sec, s.allRun)
 			s.sim.Run(5 * sec)
 			s.noCapacity()
@@ -134,13 +134,13 @@
 			s.intakeMayLack(1)
 			s.steady()
 			for _, zone := range []string{"a", "b"} {
-				s.service("intake", 4, jobOf{"cores": 6.0, "breeds": []string{"m8"}, "grove": zone})
+				s.service("intake", 4, withCPUs(6), withTypes("m8"), withZone(zone))
 			}
 			s.sim.RunUntil(60*sec, s.allRun)
 			covered := s.newestMachine()
 			var spares []string
 			for _, zone := range []string{"a", "b"} {
-				spares = append(spares, s.service("other", 2, jobOf{"cores": 6.0, "breeds": []string{"m8"}, "grove": zone}))
+				spares = append(spares, s.service("other", 2, withCPUs(6), withTypes("m8"), withZone(zone)))
 			}
 			s.sim.RunUntil(60*sec, s.allRun)
 			s.sim.Run(10 * sec)
@@ -189,10 +189,10 @@
 			s.steady()
 			offerB := standin.Offer("m8", "b", false)
 			s.cloud.Capacity[offerB] = 0
-			s.service("intake", 3, jobOf{"cores": 6.0, "breeds": []string{"m8"}})
+			s.service("intake", 3, withCPUs(6), withTypes("m8"))
 			s.sim.RunUntil(60*sec, s.allRun)
 			s.cloud.Capacity[offerB] = 5
-			spare := s.service("other", 1, jobOf{"cores": 6.0, "breeds": []string{"m8"}, "grove": "b"})
+			spare := s.service("other", 1, withCPUs(6), withTypes("m8"), withZone("b"))
 			s.sim.RunUntil(90*sec, s.allRun)
 			s.sim.Run(10 * sec)
 			s.noCapacity()
@@ -200,10 +200,11 @@
 			s.sim.Run(3 * sec)
 			s.put("rack", bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}, MaxParallel: 20})
 			s.sim.RunUntil(20*sec, func() bool { return s.permits() > 0 })
-			_, body := s.spec(jobOf{"shape": "daemon", "pips": 1, "crew": "other", "rank": "prod", "cores": 6.0, "grove": "b"})
-			id := body["id"].(string)
+			_, body := s.spec(withService(true), withTasks(1), withTeam("other"), withPriority(protocol.Prod),
+				withCPUs(6), withZone("b"))
+			id := body.ID
 			s.fleet.Jobs[id] = serviceInfo("other", 6)
-			s.request(s.names[1], "POST", "/v2/runs", protocol.MustMarshal(body), func(Reply) {})
+			s.request(s.names[1], "POST", protocol.JobsPath, protocol.MustMarshal(body), func(Reply) {})
 			if s.permits() == 0 {
 				t.Fatal("no permit")
 			}
@@ -220,14 +221,15 @@
 func TestBudgetedServiceStays(t *testing.T) {
 	s := newDrainScenario(t, 40)
 	s.steady()
-	s.service("intake", 6, jobOf{"cores": 6.0, "rank": "standard"})
-	s.service("other", 2, jobOf{"cores": 6.0, "rank": "standard"})
+	s.service("intake", 6, withCPUs(6), withPriority(protocol.Standard))
+	s.service("other", 2, withCPUs(6), withPriority(protocol.Standard))
 	s.sim.RunUntil(60*sec, s.allRun)
 	s.sim.Run(10 * sec)
 	s.noCapacity()
-	id, body := s.spec(jobOf{"shape": "daemon", "pips": 8, "crew": "payout", "rank": "prod", "cores": 6.0})
+	id, body := s.spec(withService(true), withTasks(8), withTeam("payout"), withPriority(protocol.Prod),
+		withCPUs(6))
 	s.fleet.Jobs[id] = serviceInfo("payout", 6)
-	s.request(s.names[1], "POST", "/v2/runs", protocol.MustMarshal(body), func(Reply) {})
+	s.request(s.names[1], "POST", protocol.JobsPath, protocol.MustMarshal(body), func(Reply) {})
 	s.sim.Run(30 * sec)
 	if n := s.fleet.RunningOf("intake"); n != 6 {
 		t.Errorf("%d of 6 replicas with a budget run", n)
--- a/internal/coordination/drain_size_test.go
+++ b/internal/coordination/drain_size_test.go
@@ -56,7 +56,7 @@
 	}
 	var submit func()
 	submit = func() {
-		id := c.send(10*sec, jobOf{"crew": fmt.Sprint("team", len(sentAt)%6), "cores": 1.0, "guess_s": 10.0})
+		id := c.send(10*sec, withTeam(fmt.Sprint("team", len(sentAt)%6)), withCPUs(1), withEstimateS(10))
 		sentAt[id] = c.sim.Now()
 		c.sim.After(submissionSpacing*sec/micros.T(machines), submit)
 	}
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -58,16 +58,13 @@
 }
 
 // service has a service accepted and waits until all of its replicas run.
-func (s *drainScenario) service(team string, replicas int, more jobOf) string {
+func (s *drainScenario) service(team string, replicas int, options ...jobOption) string {
 	s.t.Helper()
-	spec := jobOf{"shape": "daemon", "pips": replicas, "crew": team, "rank": "prod", "cores": 2.0}
-	for k, v := range more {
-		spec[k] = v
-	}
-	id, body := s.spec(spec)
-	s.fleet.Jobs[id] = serviceInfo(team, body["cores"].(float64))
+	usual := jobWith(withService(true), withTasks(replicas), withTeam(team), withPriority(protocol.Prod), withCPUs(2))
+	id, body := s.spec(usual, jobWith(options...))
+	s.fleet.Jobs[id] = serviceInfo(team, body.CPUs)
 	s.services[id] = replicas
-	r := s.ask(s.names[0], "POST", "/v2/runs", protocol.MustMarshal(body))
+	r := s.ask(s.names[0], "POST", protocol.JobsPath, protocol.MustMarshal(body))
 	if r.Status != 201 {
 		s.t.Fatalf("service of %s: %d", team, r.Status)
 	}
@@ -84,11 +81,12 @@
 	s.t.Helper()
 	s.steady()
 	for i := range 3 {
-		s.service("intake", 6+i, nil)
-		s.service("payout", 5, nil)
+		s.service("intake", 6+i)
+		s.service("payout", 5)
 	}
-	s.service("other", 4, nil)
-	s.submit(40*sec, jobOf{"pips": 30, "crew": "other", "cores": 1.0, "guess_s": 40.0, "rank": "best_effort"})
+	s.service("other", 4)
+	s.submit(40*sec, withTasks(30), withTeam("other"), withCPUs(1), withEstimateS(40),
+		withPriority(protocol.BestEffort))
 	if !s.sim.RunUntil(120*sec, s.allRun) {
 		s.t.Fatalf("only %v of the services run", s.running())
 	}
--- a/internal/coordination/faults_test.go
+++ b/internal/coordination/faults_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
+	"pipitgap/internal/protocol"
 )
 
 // TestBlame: a machine is faulty when jobs that run elsewhere fail on it, not when
@@ -65,13 +66,13 @@
 			c := newCluster(t, uint64(900+tc.mistakes+tc.sick))
 			c.set.ScaleDownDelay = config.Span(8 * sec)
 			c.steady()
-			keep := c.submit(0, jobOf{"shape": "daemon", "pips": 6, "cores": 1.0}) // keeps machines up
+			keep := c.submit(0, withService(true), withTasks(6), withCPUs(1)) // keeps machines up
 			if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(keep) == 6 }) {
 				t.Fatal("the service isn't up")
 			}
 			var good, bad []string
 			for i := 0; i < 2; i++ {
-				good = append(good, c.submit(4*sec, jobOf{"pips": 12, "cores": 1.0}))
+				good = append(good, c.submit(4*sec, withTasks(12), withCPUs(1)))
 			}
 			c.sim.Run(2 * sec)
 			sick, moved := map[string]bool{}, 0
@@ -86,14 +87,14 @@
 				}
 			}
 			for i := 0; i < tc.mistakes; i++ {
-				id := c.submit(4*sec, jobOf{"pips": 30, "cores": 4.0})
+				id := c.submit(4*sec, withTasks(30), withCPUs(4))
 				j := c.fleet.Jobs[id]
 				j.Fails = true
 				c.fleet.Jobs[id] = j
 				bad = append(bad, id)
 			}
 			for i := 0; i < 4; i++ {
-				good = append(good, c.submit(4*sec, jobOf{"pips": 12, "cores": 1.0}))
+				good = append(good, c.submit(4*sec, withTasks(12), withCPUs(1)))
 				c.sim.Run(3 * sec)
 			}
 			for _, id := range good {
@@ -129,7 +130,7 @@
 				t.Errorf("%d starts of %d mistaken tasks", starts, tasks)
 			}
 			for i, id := range bad {
-				r := c.ask(c.names[i%3], "POST", "/v2/runs/"+id+"/abort", nil)
+				r := c.ask(c.names[i%3], "POST", protocol.CancelPath(id), nil)
 				if r.Status != 200 {
 					t.Errorf("cancelling %s: %d", id, r.Status)
 				}
@@ -153,7 +154,7 @@
 // when something of it completes, and soon when its machines turn out faulty.
 func TestMistakeIsForgiven(t *testing.T) {
 	c := newCluster(t, 950).steady()
-	keep := c.submit(0, jobOf{"shape": "daemon", "pips": 24, "cores": 2.0})
+	keep := c.submit(0, withService(true), withTasks(24), withCPUs(2))
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(keep) == 24 }) {
 		t.Fatal("the service isn't up")
 	}
@@ -164,7 +165,10 @@
 			n++
 		}
 	}
-	ids := []string{c.submit(3*sec, jobOf{"pips": 40, "cores": 0.5}), c.submit(3*sec, jobOf{"pips": 1, "cores": 0.5})}
+	ids := []string{
+		c.submit(3*sec, withTasks(40), withCPUs(0.5)),
+		c.submit(3*sec, withTasks(1), withCPUs(0.5)),
+	}
 	for _, id := range ids {
 		c.finished(id, 45*sec)
 	}
@@ -177,7 +181,7 @@
 	c := newCluster(t, 960)
 	c.set.ScaleDownDelay, c.set.ServiceHeadroom = config.Span(5*sec), 0.3
 	c.steady()
-	id := c.submit(2*sec, jobOf{"pips": 40, "cores": 4.0})
+	id := c.submit(2*sec, withTasks(40), withCPUs(4))
 	c.sim.RunUntil(60*sec, func() bool {
 		for _, w := range c.fleet.Workers {
 			w.Sick = true
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/fleet_test.go
@@ -45,13 +45,16 @@
 // much as comes in a second of it.
 func (c *cluster) opening(services, deep, wide int) {
 	for i := 0; i < services; i++ {
-		c.send(0, jobOf{"lane": "svc", "crew": fmt.Sprint("team", i%6), "shape": "daemon", "rank": "high", "cores": 1.0, "memory_gb": 6.3,
-			"plumage": fmt.Sprint("svc", i%16), "pull_gb": 1.8, "guess_s": 0.0})
+		c.send(0, withClass("svc"), withTeam(fmt.Sprint("team", i%6)), withService(true),
+			withPriority(protocol.High), withCPUs(1), withMemoryGB(6.3),
+			withImage(fmt.Sprint("svc", i%16)), withImageGB(1.8), withEstimateS(0))
 	}
 	array := func(class string, team, tasks int, cores, mem, guess, due float64) {
 		run := micros.T(guess * float64(sec) * (0.5 + c.sim.Rand.Float64()))
-		c.send(run, jobOf{"lane": class, "crew": fmt.Sprint("team", team), "pips": tasks, "cores": cores, "memory_gb": mem,
-			"plumage": fmt.Sprint(class, c.sim.Rand.IntN(12)), "pull_gb": 0.7, "guess_s": guess, "borrowed": true, "due_s": due})
+		c.send(run, withClass(class), withTeam(fmt.Sprint("team", team)), withTasks(tasks), withCPUs(cores),
+			withMemoryGB(mem),
+			withImage(fmt.Sprint(class, c.sim.Rand.IntN(12))), withImageGB(0.7), withEstimateS(guess),
+			withSpot(true), withDeadlineS(due))
 	}
 	for i := 0; i < deep; i++ {
 		array("deep", 1, 5+c.sim.Rand.IntN(60), 4, 23, 20, 50)
@@ -69,7 +72,7 @@
 		if c.nodes[node].core == nil {
 			node = c.names[0]
 		}
-		c.request(node, "GET", "/v2/runs/"+id, nil, func(r Reply) {
+		c.request(node, "GET", protocol.JobPath(id), nil, func(r Reply) {
 			answered[r.Status]++
 			var st protocol.JobStatus
 			over = protocol.Unmarshal(r.Body, &st) == nil && st.Status == protocol.JobDone
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -33,14 +33,14 @@
 }
 
 // send submits a job at some controller, asking again like a user.
-func (c *cluster) send(run micros.T, more jobOf) string {
-	id, j := c.spec(more)
-	c.fleet.Jobs[id] = standin.JobInfo{Team: j["crew"].(string), CPUs: j["cores"].(float64), Run: run}
+func (c *cluster) send(run micros.T, options ...jobOption) string {
+	id, j := c.spec(options...)
+	c.fleet.Jobs[id] = standin.JobInfo{Team: j.Team, CPUs: j.CPUs, Run: run}
 	body := protocol.MustMarshal(j)
 	var try func()
 	try = func() {
 		settled := false
-		c.request(c.names[c.sim.Rand.IntN(len(c.names))], "POST", "/v2/runs", body, func(r Reply) {
+		c.request(c.names[c.sim.Rand.IntN(len(c.names))], "POST", protocol.JobsPath, body, func(r Reply) {
 			if settled {
 				return
 			}
@@ -73,14 +73,17 @@
 	c.sim.Run(3 * sec)
 	teams := []string{"free", "tight", "third"}
 	for i := 0; i < 400; i++ {
-		c.send(0, jobOf{"crew": teams[i%3], "shape": "daemon", "rank": "high", "cores": 1.0, "memory_gb": 6.0,
-			"plumage": fmt.Sprint("svc", i%16), "pull_gb": 1.8, "guess_s": 0.0})
+		c.send(0, withTeam(teams[i%3]), withService(true), withPriority(protocol.High), withCPUs(1),
+			withMemoryGB(6),
+			withImage(fmt.Sprint("svc", i%16)), withImageGB(1.8), withEstimateS(0))
 	}
 	arrays := func(n int) {
 		for i := 0; i < n; i++ {
 			run := micros.T(float64(12*sec) * (0.5 + 1.2*c.sim.Rand.Float64()))
-			c.send(run, jobOf{"crew": teams[c.sim.Rand.IntN(3)], "pips": 20 + c.sim.Rand.IntN(260), "memory_gb": 10.0,
-				"plumage": fmt.Sprint("tr", c.sim.Rand.IntN(18)), "pull_gb": 0.7, "guess_s": 12.0, "borrowed": true, "due_s": 46.0})
+			c.send(run, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
+				withMemoryGB(10),
+				withImage(fmt.Sprint("tr", c.sim.Rand.IntN(18))), withImageGB(0.7), withEstimateS(12),
+				withSpot(true), withDeadlineS(46))
 		}
 	}
 	arrays(23)
--- a/internal/coordination/idle_test.go
+++ b/internal/coordination/idle_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
+	"pipitgap/internal/protocol"
 	"pipitgap/internal/standin"
 )
 
@@ -45,7 +46,7 @@
 	c := newCluster(t, 790)
 	c.teams = []config.Team{{Name: "free", CPUs: 4, CPUsMax: 200}, {Name: "other", CPUs: 100, CPUsMax: 200}}
 	c.facts = func(cfg *config.Config) {
-		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "sweep", WithinS: 50, Share: 0.9}}
+		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "survey", WithinS: 50, Share: 0.9}}
 	}
 	core := c.steady().nodes["n-0"].core
 	core.view.teamUse["free"] = amount{cpus: 32}
@@ -62,7 +63,7 @@
 		want   bool
 	}{
 		{"nobody has an aim for it", func(*bookkeeping.Spec) {}, true},
-		{"an aim of its class", func(s *bookkeeping.Spec) { s.Class = "sweep" }, false},
+		{"an aim of its class", func(s *bookkeeping.Spec) { s.Class = "survey" }, false},
 		{"a deadline", func(s *bookkeeping.Spec) { s.DeadlineS = 100 }, false},
 		{"it saves nothing", func(s *bookkeeping.Spec) { s.CheckpointS = 0 }, false},
 		{"a service", func(s *bookkeeping.Spec) { s.Service = true }, false},
@@ -93,7 +94,8 @@
 				}
 			}
 			c.steady()
-			swarms := c.submit(600*sec, jobOf{"crew": "guest", "rank": "best_effort", "pips": 60, "cores": 4.0, "borrowed": true, "guess_s": 300.0, "perch_s": 30.0, "stash_s": 1.0})
+			swarms := c.submit(600*sec, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(60),
+				withCPUs(4), withSpot(true), withEstimateS(300), withCheckpointS(30), withSaveS(1))
 			c.sim.Run(100 * sec)
 			ordinary := 0
 			for _, m := range c.cloud.Machines {
@@ -108,7 +110,8 @@
 			if tc.spot == 0 {
 				return
 			}
-			id := c.submit(3*sec, jobOf{"pips": 20, "cores": 4.0, "borrowed": true, "guess_s": 3.0, "due_s": 20.0})
+			id := c.submit(3*sec, withTasks(20), withCPUs(4), withSpot(true), withEstimateS(3),
+				withDeadlineS(20))
 			c.finished(id, 25*sec)
 			for _, m := range c.cloud.Machines {
 				if !m.Spot {
--- a/internal/coordination/jobs_test.go
+++ b/internal/coordination/jobs_test.go
@@ -14,16 +14,17 @@
 func TestJobsRunThrough(t *testing.T) {
 	cases := []struct {
 		name string
-		job  jobOf
+		job  jobOption
 		run  micros.T
 	}{
-		{"one task", jobOf{}, 3 * sec},
-		{"more tasks than a row", jobOf{"pips": 70, "cores": 1.0}, 3 * sec},
-		{"more rows than a commit drops", jobOf{"pips": 420, "cores": 1.0, "memory_gb": 1.0, "borrowed": true}, sec},
-		{"one zone", jobOf{"pips": 12, "one_zone": true}, 5 * sec},
-		{"apart", jobOf{"pips": 9, "apart": true}, 5 * sec},
-		{"a team's limit", jobOf{"pips": 20, "crew": "tight"}, 2 * sec},
-		{"a type", jobOf{"pips": 3, "breeds": []any{"m16"}, "grove": "b"}, 2 * sec},
+		{"one task", jobWith(), 3 * sec},
+		{"more tasks than a row", jobWith(withTasks(70), withCPUs(1)), 3 * sec},
+		{"more rows than a commit drops", jobWith(withTasks(420), withCPUs(1), withMemoryGB(1),
+			withSpot(true)), sec},
+		{"one zone", jobWith(withTasks(12), withOneZone(true)), 5 * sec},
+		{"spread", jobWith(withTasks(9), withSpread(true)), 5 * sec},
+		{"a team's limit", jobWith(withTasks(20), withTeam("tight")), 2 * sec},
+		{"a type", jobWith(withTasks(3), withTypes("m16"), withZone("b")), 2 * sec},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -61,10 +62,10 @@
 	}
 	cases := []struct {
 		name  string
-		job   jobOf
+		job   jobOption
 		check func(c *cluster, id string) string
 	}{
-		{"spot only by permission", jobOf{"pips": 6}, func(c *cluster, id string) string {
+		{"spot only by permission", jobWith(withTasks(6)), func(c *cluster, id string) string {
 			for _, w := range c.fleet.Workers {
 				if w.Machine.Spot && len(w.Tasks) > 0 {
 					return "a task runs on a spot machine"
@@ -72,19 +73,20 @@
 			}
 			return ""
 		}},
-		{"one zone", jobOf{"pips": 30, "one_zone": true}, func(c *cluster, id string) string {
+		{"one zone", jobWith(withTasks(30), withOneZone(true)), func(c *cluster, id string) string {
 			if z := zonesOf(c, id); len(z) != 1 {
 				return fmt.Sprint(z)
 			}
 			return ""
 		}},
-		{"apart", jobOf{"pips": 9, "apart": true}, func(c *cluster, id string) string {
+		{"spread", jobWith(withTasks(9), withSpread(true)), func(c *cluster, id string) string {
 			if z := zonesOf(c, id); z["a"] > 5 || z["b"] > 5 || z["a"]+z["b"] != 9 {
 				return fmt.Sprint(z)
 			}
 			return ""
 		}},
-		{"zone and type", jobOf{"pips": 4, "grove": "b", "breeds": []any{"m16"}}, func(c *cluster, id string) string {
+		{"zone and type", jobWith(withTasks(4), withZone("b"),
+			withTypes("m16")), func(c *cluster, id string) string {
 			for _, w := range c.fleet.Workers {
 				if len(w.Tasks) > 0 && (w.Machine.Zone != "b" || w.Machine.Type != "m16") {
 					return "on " + w.Machine.Type + " in " + w.Machine.Zone
@@ -101,7 +103,7 @@
 			}
 			c.sim.Run(15 * sec)
 			id := c.submit(0, tc.job)
-			want := tc.job["pips"].(int)
+			want := newSubmission(tc.job).Tasks
 			if !c.sim.RunUntil(120*sec, func() bool { return c.fleet.Running(id) == want }) {
 				t.Fatalf("%d of %d run", c.fleet.Running(id), want)
 			}
@@ -116,15 +118,12 @@
 // TestVerdicts: the answers of the users' interface.
 func TestVerdicts(t *testing.T) {
 	c := newCluster(t, 5).steady()
-	known := c.submit(0, jobOf{"shape": "daemon"})
-	_, good := c.spec(nil)
-	with := func(k string, v any) []byte {
-		j := jobOf{}
-		for a, b := range good {
-			j[a] = b
-		}
-		j[k] = v
-		return protocol.MustMarshal(j)
+	known := c.submit(0, withService(true))
+	_, good := c.spec()
+	with := func(field string, value any) []byte {
+		fields := good.Fields()
+		fields[field] = value
+		return protocol.MustMarshal(fields)
 	}
 	cases := []struct {
 		name, method, target string
@@ -133,25 +132,25 @@
 	}{
 		{"healthy", "GET", "/healthz", nil, 200},
 		{"no such path", "GET", "/v3", nil, 404},
-		{"wrong method", "GET", "/v2/runs", nil, 405},
-		{"wrong method on a job", "POST", "/v2/runs/j-1", nil, 405},
-		{"unknown job", "GET", "/v2/runs/j-none", nil, 404},
-		{"abort of an unknown job", "POST", "/v2/runs/j-none/abort", nil, 404},
-		{"not MessagePack", "POST", "/v2/runs", []byte{0xc1}, 400},
-		{"not a map", "POST", "/v2/runs", protocol.MustMarshal([]int{1}), 400},
-		{"bad id", "POST", "/v2/runs", with("id", "x 1"), 400},
-		{"no tasks", "POST", "/v2/runs", with("pips", 0), 400},
-		{"too many tasks", "POST", "/v2/runs", with("pips", 100001), 400},
-		{"tasks not whole", "POST", "/v2/runs", with("pips", 1.5), 400},
-		{"negative amount", "POST", "/v2/runs", with("cores", -1.0), 400},
-		{"unknown shape", "POST", "/v2/runs", with("shape", "ring"), 400},
-		{"unknown rank", "POST", "/v2/runs", with("rank", "top"), 400},
-		{"unknown team", "POST", "/v2/runs", with("crew", "nobody"), 422},
-		{"fits no machine", "POST", "/v2/runs", with("cores", 17.0), 422},
-		{"type that isn't", "POST", "/v2/runs", with("breeds", []any{"m99"}), 422},
-		{"zone that isn't", "POST", "/v2/runs", with("grove", "z"), 422},
-		{"known id, invalid now", "POST", "/v2/runs", with("id", known)[:0], 400},
-		{"malformed check-in", "POST", "/checkin", []byte{0x80}, 400},
+		{"wrong method", "GET", protocol.JobsPath, nil, 405},
+		{"wrong method on a job", "POST", protocol.JobPath("j-1"), nil, 405},
+		{"unknown job", "GET", protocol.JobPath("j-none"), nil, 404},
+		{"abort of an unknown job", "POST", protocol.CancelPath("j-none"), nil, 404},
+		{"not MessagePack", "POST", protocol.JobsPath, []byte{0xc1}, 400},
+		{"not a map", "POST", protocol.JobsPath, protocol.MustMarshal([]int{1}), 400},
+		{"bad id", "POST", protocol.JobsPath, with(protocol.FieldID, "x 1"), 400},
+		{"no tasks", "POST", protocol.JobsPath, with(protocol.FieldTasks, 0), 400},
+		{"too many tasks", "POST", protocol.JobsPath, with(protocol.FieldTasks, 100001), 400},
+		{"tasks not whole", "POST", protocol.JobsPath, with(protocol.FieldTasks, 1.5), 400},
+		{"negative amount", "POST", protocol.JobsPath, with(protocol.FieldCPUs, -1.0), 400},
+		{"unknown shape", "POST", protocol.JobsPath, with(protocol.FieldShape, "ring"), 400},
+		{"unknown rank", "POST", protocol.JobsPath, with(protocol.FieldPriority, "top"), 400},
+		{"unknown team", "POST", protocol.JobsPath, with(protocol.FieldTeam, "nobody"), 422},
+		{"fits no machine", "POST", protocol.JobsPath, with(protocol.FieldCPUs, 17.0), 422},
+		{"type that isn't", "POST", protocol.JobsPath, with(protocol.FieldTypes, []any{"m99"}), 422},
+		{"zone that isn't", "POST", protocol.JobsPath, with(protocol.FieldZone, "z"), 422},
+		{"known id, invalid now", "POST", protocol.JobsPath, with(protocol.FieldID, known)[:0], 400},
+		{"malformed check-in", "POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
 		if r := c.ask("n-1", tc.method, tc.target, tc.body); r.Status != tc.want {
@@ -160,24 +159,21 @@
 	}
 	// A known job is known whatever its repeated submission looks like, on any node.
 	for _, n := range c.names {
-		again := jobOf{}
-		for k, v := range good {
-			again[k] = v
-		}
-		again["id"], again["crew"] = known, "nobody"
-		if r := c.ask(n, "POST", "/v2/runs", protocol.MustMarshal(again)); r.Status != 200 {
+		again := *good
+		again.ID, again.Team = known, "nobody"
+		if r := c.ask(n, "POST", protocol.JobsPath, protocol.MustMarshal(&again)); r.Status != 200 {
 			t.Errorf("repeated submission on %s: %d", n, r.Status)
 		}
 	}
 	// A team's limit: all replicas of a service, one task of an array.
 	for _, tc := range []struct {
-		shape string
-		pips  int
-		want  int
-	}{{"daemon", 7, 422}, {"daemon", 6, 201}, {"sweep", 7, 201}} {
-		_, j := c.spec(jobOf{"crew": "tight", "shape": tc.shape, "pips": tc.pips})
-		if r := c.ask("n-0", "POST", "/v2/runs", protocol.MustMarshal(j)); r.Status != tc.want {
-			t.Errorf("%s of %d: %d, want %d", tc.shape, tc.pips, r.Status, tc.want)
+		service bool
+		tasks   int
+		want    int
+	}{{true, 7, 422}, {true, 6, 201}, {false, 7, 201}} {
+		_, j := c.spec(withTeam("tight"), withService(tc.service), withTasks(tc.tasks))
+		if r := c.ask("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j)); r.Status != tc.want {
+			t.Errorf("service %v of %d: %d, want %d", tc.service, tc.tasks, r.Status, tc.want)
 		}
 	}
 }
@@ -194,9 +190,9 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(200+i)).steady()
-			id := c.submit(tc.run, jobOf{"pips": 8})
+			id := c.submit(tc.run, withTasks(8))
 			c.sim.Run(tc.wait)
-			r := c.ask("n-2", "POST", "/v2/runs/"+id+"/abort", nil)
+			r := c.ask("n-2", "POST", protocol.CancelPath(id), nil)
 			var a protocol.Accepted
 			_ = protocol.Unmarshal(r.Body, &a)
 			if r.Status != 200 || a.Status != protocol.JobCancelled && a.Status != protocol.JobDone {
@@ -226,7 +222,7 @@
 // that has been called done.
 func TestAbortOfDone(t *testing.T) {
 	c := newCluster(t, 18).steady()
-	id := c.submit(sec, jobOf{})
+	id := c.submit(sec)
 	core := c.nodes["n-0"].core
 	c.finished(id, 60*sec)
 	core.cancel(id, func(r Reply) {
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/micros"
+	"pipitgap/internal/protocol"
 	"pipitgap/internal/standin"
 )
 
@@ -13,13 +14,13 @@
 func TestPreemption(t *testing.T) {
 	cases := []struct {
 		name        string
-		array, serv string // ranks
+		array, serv protocol.Priority
 		want        bool
 	}{
-		{"prod over standard", "standard", "prod", true},
-		{"standard over best effort", "best_effort", "standard", true},
-		{"not over its like", "high", "high", false},
-		{"not over higher", "prod", "high", false},
+		{"prod over standard", protocol.Standard, protocol.Prod, true},
+		{"standard over best effort", protocol.BestEffort, protocol.Standard, true},
+		{"not over its like", protocol.High, protocol.High, false},
+		{"not over higher", protocol.Prod, protocol.High, false},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -27,11 +28,11 @@
 			clear(c.cloud.Capacity)
 			c.cloud.Capacity[standin.Offer("m8", "a", false)] = 2
 			c.steady()
-			array := c.submit(200*sec, jobOf{"pips": 8, "rank": tc.array})
+			array := c.submit(200*sec, withTasks(8), withPriority(tc.array))
 			if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(array) == 8 }) {
 				t.Fatalf("array: %d run", c.fleet.Running(array))
 			}
-			serv := c.submit(0, jobOf{"shape": "daemon", "cores": 4.0, "rank": tc.serv})
+			serv := c.submit(0, withService(true), withCPUs(4), withPriority(tc.serv))
 			if got := c.sim.RunUntil(5*sec, func() bool { return c.fleet.Running(serv) == 1 }); got != tc.want {
 				t.Errorf("service runs: %v", got)
 			}
@@ -52,11 +53,11 @@
 	clear(c.cloud.Capacity)
 	c.cloud.Capacity[standin.Offer("m8", "a", false)] = 2
 	c.steady()
-	borrower := c.submit(300*sec, jobOf{"pips": 8})
+	borrower := c.submit(300*sec, withTasks(8))
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(borrower) == 8 }) {
 		t.Fatalf("borrower: %d run", c.fleet.Running(borrower))
 	}
-	owner := c.submit(300*sec, jobOf{"pips": 8, "crew": "tight"})
+	owner := c.submit(300*sec, withTasks(8), withTeam("tight"))
 	if !c.sim.RunUntil(30*sec, func() bool { return c.fleet.Running(owner) == 4 }) {
 		t.Errorf("%d tasks run within the guarantee", c.fleet.Running(owner))
 	}
@@ -72,11 +73,13 @@
 func TestNobodyStarves(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
-		large, rest jobOf
+		large, rest jobOption
 	}{
-		{"of lower priority", jobOf{"rank": "best_effort", "pips": 60}, jobOf{"rank": "standard"}},
-		{"late before the others came", jobOf{"pips": 60, "due_s": 20.0}, jobOf{"due_s": 60.0}},
-		{"tasks larger than the gaps", jobOf{"pips": 20, "cores": 8.0}, jobOf{"cores": 1.0}},
+		{"of lower priority", jobWith(withPriority(protocol.BestEffort), withTasks(60)),
+			jobWith(withPriority(protocol.Standard))},
+		{"late before the others came", jobWith(withTasks(60), withDeadlineS(20)),
+			jobWith(withDeadlineS(60))},
+		{"tasks larger than the gaps", jobWith(withTasks(20), withCPUs(8)), jobWith(withCPUs(1))},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 36)
@@ -101,11 +104,7 @@
 			for c.sim.Now()-begun < 480*sec {
 				// Twice what there is room for, all the time.
 				for i := 0; i < 4; i++ {
-					more := jobOf{"pips": 8}
-					for k, v := range tc.rest {
-						more[k] = v
-					}
-					c.send(8*sec, more)
+					c.send(8*sec, withTasks(8), tc.rest)
 				}
 				c.sim.Run(4 * sec)
 				if first == 0 && started() > 0 {
@@ -115,7 +114,7 @@
 			if first == 0 || first > 240*sec {
 				t.Errorf("began after %v s", first.Seconds())
 			}
-			if n := started(); n < tc.large["pips"].(int)/2 {
+			if n := started(); n < newSubmission(tc.large).Tasks/2 {
 				t.Errorf("%d of its tasks begun in eight minutes", n)
 			}
 			c.rules()
--- a/internal/coordination/proof_test.go
+++ b/internal/coordination/proof_test.go
@@ -23,7 +23,7 @@
 		late = append(late, func() { w.Do(&copied) })
 		return 0
 	}
-	id := c.submit(2*sec, jobOf{"pips": 6})
+	id := c.submit(2*sec, withTasks(6))
 	c.finished(id, 60*sec)
 	c.sim.Run(5 * sec)
 	if len(late) == 0 {
@@ -44,7 +44,7 @@
 // TestOldReport: a report older than one already applied proves nothing.
 func TestOldReport(t *testing.T) {
 	c := newCluster(t, 10).steady()
-	id := c.submit(0, jobOf{"shape": "daemon"})
+	id := c.submit(0, withService(true))
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(id) == 1 }) {
 		t.Fatal("not started")
 	}
@@ -59,7 +59,7 @@
 		old.Tasks = []protocol.TaskReport{{Task: id + "/0", Attempt: w.Tasks[id+"/0"].Attempt, State: protocol.StateExited, Cause: protocol.CauseError}}
 		for _, n := range c.names {
 			if m := c.nodes[n].core.view.machines[wid]; m != nil && m.w != nil {
-				c.ask(n, "POST", "/checkin", protocol.MustMarshal(&old))
+				c.ask(n, "POST", protocol.HeartbeatPath, protocol.MustMarshal(&old))
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 func TestCutOffTogether(t *testing.T) {
 	for _, cloudToo := range []bool{false, true} {
 		c := newCluster(t, 20).steady()
-		id := c.submit(0, jobOf{"shape": "daemon", "pips": 4})
+		id := c.submit(0, withService(true), withTasks(4))
 		if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(id) == 4 }) {
 			t.Fatal("not started")
 		}
@@ -156,7 +156,7 @@
 		c.store.Refused["n-0"] = true
 		c.cloud.Trouble = cloudToo
 		c.sim.Run(sec)
-		if r := c.ask("n-1", "POST", "/v2/runs/"+id+"/abort", nil); r.Status != 200 {
+		if r := c.ask("n-1", "POST", protocol.CancelPath(id), nil); r.Status != 200 {
 			t.Fatalf("abort: %d", r.Status)
 		}
 		c.check.Cancelled(id)
@@ -167,7 +167,7 @@
 		c.rules()
 	}
 	c := newCluster(t, 21).steady()
-	id := c.submit(0, jobOf{"shape": "daemon", "pips": 4})
+	id := c.submit(0, withService(true), withTasks(4))
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(id) == 4 }) {
 		t.Fatal("not started")
 	}
@@ -235,7 +235,7 @@
 			if tc.name == "after the machine was deleted" {
 				run = 3 * sec
 			}
-			id := c.submit(run, jobOf{"shape": map[bool]string{true: "daemon", false: "sweep"}[run == 0]})
+			id := c.submit(run, withService(run == 0))
 			if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(id) == 1 }) {
 				t.Fatal("not started")
 			}
@@ -268,7 +268,7 @@
 				if protocol.Unmarshal(r.body, &rep) != nil || rep.Machine != machine {
 					continue
 				}
-				c.request(r.node, "POST", "/checkin", r.body, func(r Reply) {
+				c.request(r.node, "POST", protocol.HeartbeatPath, r.body, func(r Reply) {
 					if r.Status == 200 {
 						answered++
 					}
--- a/internal/coordination/reach_test.go
+++ b/internal/coordination/reach_test.go
@@ -20,7 +20,7 @@
 		c.cloud.Capacity[standin.Offer("m8", z, false)] = 12
 	}
 	c.steady()
-	service = c.submit(0, jobOf{"shape": "daemon", "rank": "high", "pips": 24, "cores": 6.0})
+	service = c.submit(0, withService(true), withPriority(protocol.High), withTasks(24), withCPUs(6))
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(service) == 24 }) {
 		t.Fatal("the service isn't up")
 	}
@@ -139,7 +139,7 @@
 					}
 				}
 			}
-			array := c.submit(3*sec, jobOf{"pips": 30, "cores": 2.0})
+			array := c.submit(3*sec, withTasks(30), withCPUs(2))
 			c.finished(array, 60*sec)
 			if n := c.again(service); n > 0 {
 				t.Errorf("%d replicas started anew", n)
@@ -178,9 +178,9 @@
 			c.teams = []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 90}}
 			c.check.Limits["tight"] = 90
 			c.steady()
-			c.submit(0, jobOf{"shape": "daemon", "rank": "high", "pips": 24, "cores": 2.0})
+			c.submit(0, withService(true), withPriority(protocol.High), withTasks(24), withCPUs(2))
 			c.sim.Run(40 * sec)
-			first := c.submit(15*sec, jobOf{"crew": "tight", "pips": 60, "cores": 1.0})
+			first := c.submit(15*sec, withTeam("tight"), withTasks(60), withCPUs(1))
 			c.sim.Run(5 * sec)
 			node, most := "", 0.0
 			for _, n := range c.names {
@@ -206,7 +206,7 @@
 				t.Errorf("it still has %v CPUs", a)
 			}
 			c.finished(first, 60*sec)
-			all := c.submit(20*sec, jobOf{"crew": "tight", "pips": 90, "cores": 1.0})
+			all := c.submit(20*sec, withTeam("tight"), withTasks(90), withCPUs(1))
 			at := 0
 			c.sim.RunUntil(40*sec, func() bool { at = max(at, c.fleet.Running(all)); return at >= 86 })
 			if at < 86 {
@@ -291,7 +291,7 @@
 			c, service := busy(t, uint64(1200+i))
 			node := c.withMachines(tc.lead)
 			machines := c.cloud.Count()
-			array := c.submit(6*sec, jobOf{"pips": 24, "cores": 1.0})
+			array := c.submit(6*sec, withTasks(24), withCPUs(1))
 			c.sim.Run(2 * sec)
 			c.standStill(node, tc.d)
 			c.sim.Run(tc.d + 30*sec)
@@ -326,7 +326,7 @@
 	alive := m.w.aliveAt
 	got := 0
 	c.standStill(core.node, 5*sec)
-	c.request(core.node, "POST", "/checkin", body, func(r Reply) { got = r.Status })
+	c.request(core.node, "POST", protocol.HeartbeatPath, body, func(r Reply) { got = r.Status })
 	c.sim.Run(5 * sec)
 	core.tick() // the first thing that it does
 	c.sim.Run(micros.Millisecond)
@@ -374,7 +374,7 @@
 // were refused for seconds, as each of a few took what was left before.
 func TestClaimsWhileChangesAreShort(t *testing.T) {
 	c := swarmed(t, 1500, func(cfg *config.Config) { cfg.Facts.State.ValueKB = 0.5 })
-	c.submit(0, jobOf{"crew": "home", "shape": "daemon", "rank": "high", "pips": 50, "cores": 3.0})
+	c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(50), withCPUs(3))
 	c.sim.Run(20 * sec)
 	node, most := "", 0
 	count := func(n string) (shards, mine int) {
--- a/internal/coordination/restarts_test.go
+++ b/internal/coordination/restarts_test.go
@@ -18,9 +18,9 @@
 			c := newCluster(t, 300+seed).steady()
 			var ids []string
 			for i := 0; i < 6; i++ {
-				ids = append(ids, c.submit(6*sec, jobOf{"pips": 12, "borrowed": i%2 == 0}))
+				ids = append(ids, c.submit(6*sec, withTasks(12), withSpot(i%2 == 0)))
 			}
-			service := c.submit(0, jobOf{"shape": "daemon", "pips": 3, "rank": "prod"})
+			service := c.submit(0, withService(true), withTasks(3), withPriority(protocol.Prod))
 			for i := 0; i < 5; i++ {
 				c.sim.Run(micros.T(c.sim.Rand.Int64N(int64(8 * sec))))
 				down := c.names[:1+c.sim.Rand.IntN(3)]
@@ -157,10 +157,11 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(400+i)).steady()
-			service := c.submit(0, jobOf{"shape": "daemon", "pips": 4, "rank": "prod"})
+			service := c.submit(0, withService(true), withTasks(4), withPriority(protocol.Prod))
 			var ids []string
 			for k := 0; k < 4; k++ {
-				ids = append(ids, c.submit(8*sec, jobOf{"pips": 20, "cores": 1.0, "borrowed": true, "crew": []string{"free", "tight"}[k%2]}))
+				ids = append(ids, c.submit(8*sec, withTasks(20), withCPUs(1), withSpot(true),
+					withTeam([]string{"free", "tight"}[k%2])))
 			}
 			c.sim.Run(18 * sec)
 			tc.do(c)
@@ -181,10 +182,11 @@
 func TestBackAtOnce(t *testing.T) {
 	for seed := uint64(0); seed < 8; seed++ {
 		c := newCluster(t, 900+seed).steady()
-		service := c.submit(0, jobOf{"shape": "daemon", "pips": 4, "rank": "prod"})
+		service := c.submit(0, withService(true), withTasks(4), withPriority(protocol.Prod))
 		var ids []string
 		for i := 0; i < 5; i++ {
-			ids = append(ids, c.submit(5*sec, jobOf{"pips": 16, "cores": 1.0, "borrowed": true, "crew": []string{"free", "tight"}[i%2]}))
+			ids = append(ids, c.submit(5*sec, withTasks(16), withCPUs(1), withSpot(true),
+				withTeam([]string{"free", "tight"}[i%2])))
 		}
 		c.store.Delay = func(*protocol.Txn) micros.T {
 			if c.sim.Rand.IntN(12) == 0 {
@@ -224,7 +226,7 @@
 	c := newCluster(t, 35).steady()
 	var ids []string
 	for i := 0; i < 30; i++ {
-		ids = append(ids, c.submit(micros.T(1+i%3)*40*sec, jobOf{"pips": 1 + i%5}))
+		ids = append(ids, c.submit(micros.T(1+i%3)*40*sec, withTasks(1+i%5)))
 	}
 	odd := "j-odd"
 	c.store.Outage(12 * sec)
@@ -257,7 +259,7 @@
 		c := newCluster(t, 61).steady()
 		c.refuse = true
 		for i := 0; i < 6; i++ {
-			c.send(0, jobOf{"shape": "daemon", "pips": 4, "cores": 4.0, "crew": []string{"free", "tight"}[i%2]})
+			c.send(0, withService(true), withTasks(4), withCPUs(4), withTeam([]string{"free", "tight"}[i%2]))
 		}
 		c.sim.Run(45 * sec)
 		owners := func() map[string]string {
--- a/internal/coordination/scenario_test.go
+++ b/internal/coordination/scenario_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"pipitgap/internal/micros"
+	"pipitgap/internal/protocol"
 	"pipitgap/internal/standin"
 )
 
@@ -36,8 +37,8 @@
 }
 
 // add has a new user submit a job.
-func (s *scenario) add(run micros.T, more jobOf) *user {
-	u := s.newUser(run, more)
+func (s *scenario) add(run micros.T, options ...jobOption) *user {
+	u := s.newUser(run, options...)
 	u.closeLooks = s.closeLook
 	s.users = append(s.users, u)
 	return u
@@ -46,12 +47,12 @@
 // usualJobs are services and arrays, long and short, of both teams.
 func (s *scenario) usualJobs() {
 	for i := range 3 {
-		s.add(0, jobOf{"pips": 2 + i, "rank": "prod", "cores": 2.0})
-		s.add(200*sec, jobOf{"pips": 4, "cores": 2.0, "borrowed": i == 0})
-		s.add(300*sec, jobOf{"pips": 2, "cores": 1.0, "crew": "tight"})
-		s.add(20*sec, jobOf{"pips": 6, "cores": 1.0, "borrowed": true})
+		s.add(0, withTasks(2+i), withPriority(protocol.Prod), withCPUs(2))
+		s.add(200*sec, withTasks(4), withCPUs(2), withSpot(i == 0))
+		s.add(300*sec, withTasks(2), withCPUs(1), withTeam("tight"))
+		s.add(20*sec, withTasks(6), withCPUs(1), withSpot(true))
 	}
-	s.add(250*sec, jobOf{"pips": 3, "cores": 2.0, "one_zone": true})
+	s.add(250*sec, withTasks(3), withCPUs(2), withOneZone(true))
 }
 
 // waitFor looks every few milliseconds for a condition, for a time at most.
@@ -72,7 +73,7 @@
 // deliverCopy brings a copy of an old report to every controller.
 func (s *scenario) deliverCopy(body []byte) {
 	for _, node := range s.names {
-		s.request(node, "POST", "/checkin", body, func(Reply) {})
+		s.request(node, "POST", protocol.HeartbeatPath, body, func(Reply) {})
 	}
 }
 
--- a/internal/coordination/seed_test.go
+++ b/internal/coordination/seed_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"pipitgap/internal/protocol"
 )
 
 // TestSameCourse: the same seed plays the same day, call by call. Decisions that hung on
@@ -17,14 +19,16 @@
 		var last []string
 		for s := 0; s < 40; s++ {
 			for i := 0; i < 10; i++ {
-				c.send(2*sec, jobOf{"crew": "guest", "rank": "best_effort", "cores": 0.3, "memory_gb": 0.7, "borrowed": true, "guess_s": 2.0})
+				c.send(2*sec, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
+					withMemoryGB(0.7), withSpot(true), withEstimateS(2))
 			}
-			last = append(last, c.send(20*sec, jobOf{"crew": "home", "pips": 9, "cores": 1.1, "borrowed": s%2 == 0, "guess_s": 30.0, "perch_s": 3.0}))
-			c.send(0, jobOf{"crew": "home", "shape": "daemon", "rank": "high", "cores": 1.3})
+			last = append(last, c.send(20*sec, withTeam("home"), withTasks(9), withCPUs(1.1),
+				withSpot(s%2 == 0), withEstimateS(30), withCheckpointS(3)))
+			c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
 			switch s {
 			case 8:
 				c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].Sick = true
-				c.request("n-0", "POST", "/v2/runs/"+last[2]+"/abort", nil, func(Reply) {})
+				c.request("n-0", "POST", protocol.CancelPath(last[2]), nil, func(Reply) {})
 			case 12:
 				c.kill("n-1")
 			case 14:
--- a/internal/coordination/shares_test.go
+++ b/internal/coordination/shares_test.go
@@ -66,7 +66,7 @@
 		c := newCluster(t, 600+seed).steady()
 		var ids []string
 		for i := 0; i < 8; i++ {
-			ids = append(ids, c.submit(4*sec, jobOf{"pips": 14, "cores": 1.0, "crew": "tight", "borrowed": true}))
+			ids = append(ids, c.submit(4*sec, withTasks(14), withCPUs(1), withTeam("tight"), withSpot(true)))
 		}
 		for i := 0; i < 6; i++ {
 			c.sim.Run(2*sec + c.jitter(6*sec))
@@ -89,13 +89,13 @@
 	clear(c.cloud.Capacity)
 	c.cloud.Capacity[standin.Offer("m8", "a", false)] = 6
 	c.steady()
-	array := c.submit(400*sec, jobOf{"pips": 90}) // more than fits: no room stays free
+	array := c.submit(400*sec, withTasks(90)) // more than fits: no room stays free
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(array) == 24 }) {
 		t.Fatalf("array: %d run", c.fleet.Running(array))
 	}
 	var services []string
 	for i := 0; i < 3; i++ {
-		services = append(services, c.submit(0, jobOf{"shape": "daemon", "rank": "prod", "cores": 4.0}))
+		services = append(services, c.submit(0, withService(true), withPriority(protocol.Prod), withCPUs(4)))
 	}
 	all := func() bool {
 		for _, id := range services {
@@ -193,10 +193,10 @@
 		}
 		c.sim.Run(sec / 10)
 	}
-	give(c.submit(400*sec, jobOf{"pips": 4, "due_s": 500.0, "guess_s": 400.0}), "n-2")
-	give(c.submit(6*sec, jobOf{"pips": 300, "due_s": 600.0}), "n-0", "n-1")
+	give(c.submit(400*sec, withTasks(4), withDeadlineS(500), withEstimateS(400)), "n-2")
+	give(c.submit(6*sec, withTasks(300), withDeadlineS(600)), "n-0", "n-1")
 	c.sim.Run(40 * sec)
-	id := c.submit(6*sec, jobOf{"pips": 3, "cores": 4.0, "due_s": 30.0})
+	id := c.submit(6*sec, withTasks(3), withCPUs(4), withDeadlineS(30))
 	give(id, "n-2")
 	at := c.sim.Now()
 	begun := func() bool {
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -39,14 +39,16 @@
 // wholeMachineJobs are arrays of tasks that fill a machine each, beside many small ones.
 func (s *scenario) wholeMachineJobs() {
 	for range 4 {
-		s.add(300*sec, jobOf{"pips": 8, "cores": 16.0, "memory_gb": 53.0, "borrowed": true, "guess_s": 300.0, "perch_s": 15.0, "stash_s": 4.0})
+		s.add(300*sec, withTasks(8), withCPUs(16), withMemoryGB(53), withSpot(true), withEstimateS(300),
+			withCheckpointS(15), withSaveS(4))
 	}
 }
 
 // smallJob is an urgent array of small tasks: with a few of them a second every shard is
 // written in every pass.
 func smallJob(s *scenario) {
-	s.add(4*sec+s.jitter(8*sec), jobOf{"pips": 12, "cores": 2.0, "borrowed": true, "rank": "high", "guess_s": 8.0, "due_s": 40.0})
+	s.add(4*sec+s.jitter(8*sec), withTasks(12), withCPUs(2), withSpot(true), withPriority(protocol.High),
+		withEstimateS(8), withDeadlineS(40))
 }
 
 // endedLeases counts how often a lease has ended on machines that are up.
--- a/internal/coordination/size_test.go
+++ b/internal/coordination/size_test.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
+	"pipitgap/internal/protocol"
 	"pipitgap/internal/standin"
 )
 
@@ -59,8 +60,9 @@
 // longArrays submits long arrays of as many CPUs as the machines have.
 func (c *cluster) longArrays(machines int) {
 	for i := range machines / 10 {
-		c.send(300*sec, jobOf{"lane": "long", "crew": fmt.Sprint("team", i%6), "pips": 40, "cores": 4.0, "memory_gb": 8.0,
-			"guess_s": 300.0, "borrowed": true})
+		c.send(300*sec, withClass("long"), withTeam(fmt.Sprint("team", i%6)), withTasks(40), withCPUs(4),
+			withMemoryGB(8),
+			withEstimateS(300), withSpot(true))
 	}
 }
 
@@ -127,7 +129,7 @@
 			continue
 		}
 		node := c.names[c.sim.Rand.IntN(len(c.names))]
-		if r := c.ask(node, "GET", "/v2/runs/"+id, nil); r.Status != 200 {
+		if r := c.ask(node, "GET", protocol.JobPath(id), nil); r.Status != 200 {
 			unknown++
 		}
 	}
--- a/internal/coordination/swarms_test.go
+++ b/internal/coordination/swarms_test.go
@@ -59,7 +59,8 @@
 		c.cloud.Capacity[standin.Offer("m16", z, true)] = 10
 	}
 	c.steady()
-	keep := c.submit(0, jobOf{"crew": "home", "shape": "daemon", "rank": "high", "pips": 60, "cores": 3.0})
+	keep := c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(60),
+		withCPUs(3))
 	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(keep) == 60 }) {
 		c.t.Fatal("the service isn't up")
 	}
@@ -100,14 +101,15 @@
 	const seconds = 40
 	for s := 0; s < seconds; s++ {
 		for i := 0; i < 30; i++ {
-			id := c.send(2*sec, jobOf{"crew": "guest", "rank": "best_effort", "cores": 0.25, "memory_gb": 0.5, "borrowed": true, "guess_s": 2.0})
+			id := c.send(2*sec, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25),
+				withMemoryGB(0.5), withSpot(true), withEstimateS(2))
 			swarming = append(swarming, id)
 		}
-		id := c.send(0, jobOf{"crew": "home", "shape": "daemon", "rank": "high", "cores": 1.0})
+		id := c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
 		services, sentAt[id] = append(services, id), c.sim.Now()
-		_, j := c.spec(jobOf{"crew": "guest", "rank": "best_effort", "cores": 0.25})
+		_, j := c.spec(withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25))
 		begun := c.sim.Now()
-		c.request(c.names[s%3], "POST", "/v2/runs", protocol.MustMarshal(j), func(r Reply) {
+		c.request(c.names[s%3], "POST", protocol.JobsPath, protocol.MustMarshal(j), func(r Reply) {
 			if r.Status == 429 {
 				refused++
 				if r.RetryAfter == 0 || c.sim.Now() != begun {
@@ -170,7 +172,8 @@
 	c := swarmed(t, 2100, func(cfg *config.Config) { cfg.Facts.State.ValueKB = kb })
 	largest := 0
 	c.copies = func(_ *standin.Worker, _ string, body []byte) { largest = max(largest, len(body)) }
-	sweep := c.submit(4*sec, jobOf{"crew": "guest", "rank": "best_effort", "pips": 25000, "cores": 0.25, "memory_gb": 0.45, "borrowed": true, "guess_s": 4.0})
+	sweep := c.submit(4*sec, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(25000),
+		withCPUs(0.25), withMemoryGB(0.45), withSpot(true), withEstimateS(4))
 	changes, requests := c.store.Changes, 0
 	for _, n := range c.store.Calls {
 		requests -= n
@@ -178,7 +181,7 @@
 	value, waits := 0, 0
 	for s := 0; s < 100; s++ {
 		if s%5 == 0 {
-			id := c.send(0, jobOf{"crew": "home", "shape": "daemon", "rank": "high", "cores": 1.0})
+			id := c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
 			c.sim.After(4*sec, func() {
 				if c.fleet.Running(id) == 0 {
 					waits++
@@ -217,7 +220,7 @@
 			t.Errorf("%s: %d, want %d to %d", tc.what, tc.n, tc.least, tc.most)
 		}
 	}
-	r := c.ask("n-0", "POST", "/v2/runs/"+sweep+"/abort", nil)
+	r := c.ask("n-0", "POST", protocol.CancelPath(sweep), nil)
 	if r.Status != 200 {
 		t.Errorf("cancelling it: %d", r.Status)
 	}
@@ -236,8 +239,8 @@
 	c := swarmed(t, 2200, nil)
 	var open, over []string
 	for i := 0; i < 10; i++ {
-		over = append(over, c.submit(sec, jobOf{"crew": "home", "cores": 0.5}))
-		open = append(open, c.submit(300*sec, jobOf{"crew": "home", "cores": 0.5}))
+		over = append(over, c.submit(sec, withTeam("home"), withCPUs(0.5)))
+		open = append(open, c.submit(300*sec, withTeam("home"), withCPUs(0.5)))
 	}
 	for _, id := range over {
 		c.finished(id, 30*sec)
@@ -256,7 +259,7 @@
 		for s := 0; s < 100; s++ {
 			for i := 0; i < 80; i++ {
 				begun := c.sim.Now()
-				c.request(c.names[i%2], "GET", "/v2/runs/"+ids[i%len(ids)], nil, func(r Reply) {
+				c.request(c.names[i%2], "GET", protocol.JobPath(ids[i%len(ids)]), nil, func(r Reply) {
 					switch {
 					case r.Status == 200 || r.Status == 429 && r.RetryAfter > 0:
 						answered++
@@ -277,7 +280,7 @@
 		return requests, answered, late
 	}
 	calm, _, _ := storm(over)
-	id := c.send(sec, jobOf{"crew": "home", "cores": 0.5})
+	id := c.send(sec, withTeam("home"), withCPUs(0.5))
 	taken := micros.T(0)
 	c.accepted = func(got string) {
 		if got == id {
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -65,17 +65,17 @@
 		if only("GET") {
 			answer(c.health())
 		}
-	case path == "/checkin":
+	case path == protocol.HeartbeatPath:
 		if only("POST") {
 			c.onCheckin(body, answer)
 		}
-	case path == "/v2/runs":
+	case path == protocol.JobsPath:
 		if only("POST") {
 			c.onSubmit(body, answer)
 		}
-	case strings.HasPrefix(path, "/v2/runs/"):
-		id := strings.TrimPrefix(path, "/v2/runs/")
-		if id, ok := strings.CutSuffix(id, "/abort"); ok {
+	case strings.HasPrefix(path, protocol.JobsPath+"/"):
+		id, cancel, _ := protocol.ParseJobPath(path)
+		if cancel {
 			if only("POST") {
 				c.onAbort(id, answer)
 			}
--- a/internal/coordination/users_standin_test.go
+++ b/internal/coordination/users_standin_test.go
@@ -28,12 +28,12 @@
 }
 
 // newUser begins with the submission of a job whose tasks run for a time; 0: a service.
-func (c *cluster) newUser(run micros.T, more jobOf) *user {
-	id, j := c.spec(more)
+func (c *cluster) newUser(run micros.T, options ...jobOption) *user {
+	id, j := c.spec(options...)
 	if run == 0 {
-		j["shape"] = "daemon"
+		j.Service = true
 	}
-	c.fleet.Jobs[id] = standin.JobInfo{Team: j["crew"].(string), CPUs: j["cores"].(float64), Memory: j["memory_gb"].(float64), Run: run}
+	c.fleet.Jobs[id] = standin.JobInfo{Team: j.Team, CPUs: j.CPUs, Memory: j.MemoryGB, Run: run}
 	u := &user{c: c, id: id, body: protocol.MustMarshal(j)}
 	u.submit()
 	return u
@@ -58,10 +58,10 @@
 
 func (u *user) anyNode() string { return u.c.names[u.c.sim.Rand.IntN(len(u.c.names))] }
 
-func (u *user) target() string { return "/v2/runs/" + u.id }
+func (u *user) target() string { return protocol.JobPath(u.id) }
 
 func (u *user) submit() {
-	u.send(u.anyNode(), "POST", "/v2/runs", u.body, submitWithin, func(status int, _ string) {
+	u.send(u.anyNode(), "POST", protocol.JobsPath, u.body, submitWithin, func(status int, _ string) {
 		if status != 200 && status != 201 {
 			u.c.sim.After(retryAfter, u.submit)
 			return
@@ -88,7 +88,7 @@
 		return
 	}
 	u.cancelling = true
-	u.send(u.anyNode(), "POST", u.target()+"/abort", nil, submitWithin, func(status int, state string) {
+	u.send(u.anyNode(), "POST", protocol.CancelPath(u.id), nil, submitWithin, func(status int, state string) {
 		u.note(status, state)
 		if status != 200 {
 			u.c.sim.After(retryAfter, u.cancel)
@@ -118,9 +118,9 @@
 		u.c.sim.After(micros.T(1+3*i)*micros.Millisecond, func() {
 			for _, node := range u.c.names {
 				u.send(node, "GET", u.target(), nil, pollWithin, u.note)
-				u.send(node, "POST", "/v2/runs", u.body, submitWithin, u.note)
+				u.send(node, "POST", protocol.JobsPath, u.body, submitWithin, u.note)
 				if u.over {
-					u.send(node, "POST", u.target()+"/abort", nil, submitWithin, u.note)
+					u.send(node, "POST", protocol.CancelPath(u.id), nil, submitWithin, u.note)
 				}
 			}
 		})
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -10,6 +10,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/micros"
+	"pipitgap/internal/protocol"
 	"pipitgap/internal/transport"
 )
 
@@ -53,10 +54,10 @@
 	}{
 		{"GET", "/healthz", nil, 503},
 		{"GET", "/nothing", nil, 404},
-		{"POST", "/v2/runs", []byte{0xc1}, 400},
-		{"GET", "/v2/runs/j-1", nil, 503},
-		{"POST", "/v2/runs/j-1/abort", nil, 503},
-		{"POST", "/checkin", []byte{0x80}, 400},
+		{"POST", protocol.JobsPath, []byte{0xc1}, 400},
+		{"GET", protocol.JobPath("j-1"), nil, 503},
+		{"POST", protocol.CancelPath("j-1"), nil, 503},
+		{"POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
 		m, err := cl.Do(tc.method, tc.target, tc.body, 10*micros.Second)
@@ -78,7 +79,7 @@
 		}
 		defer c.Close()
 		_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-		fmt.Fprintf(c, "GET /v2/runs/j-%d HTTP/1.1\r\n\r\n", i)
+		fmt.Fprintf(c, "GET %s HTTP/1.1\r\n\r\n", protocol.JobPath(fmt.Sprint("j-", i)))
 		if n, _ := c.Read(make([]byte, 512)); n > 0 {
 			answered++
 		}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"reflect"
 	"strings"
 	"testing"
 )
@@ -108,3 +109,52 @@
 		}
 	})
 }
+
+// TestSubmissionEncoding: a submission is read back as it was written, with every field set and with none of the
+// optional ones, and its fields are just those that are documented.
+func TestSubmissionEncoding(t *testing.T) {
+	full := Submission{
+		ID: "j-000412", Class: "train", Team: "vision", Service: true, Priority: High, Tasks: 16, CPUs: 8, GPUs: 1,
+		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spread: true,
+		Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900,
+	}
+	least := Submission{ID: "j-1", Class: "train", Team: "vision", Tasks: 1, Image: "img-07"}
+	documented := valid()
+	delete(documented, "new_field")
+	for _, want := range []Submission{full, least} {
+		got, err := ParseSubmission(MustMarshal(&want))
+		if err != nil || !reflect.DeepEqual(*got, want) {
+			t.Errorf("%+v is read back as %+v, %v", want, got, err)
+		}
+		fields := want.Fields()
+		for name := range documented {
+			if _, ok := fields[name]; !ok {
+				t.Errorf("no field %s", name)
+			}
+		}
+		if len(fields) != len(documented) {
+			t.Errorf("%d fields, want %d", len(fields), len(documented))
+		}
+	}
+}
+
+func TestJobPaths(t *testing.T) {
+	cases := []struct {
+		path, id   string
+		cancel, ok bool
+	}{
+		{JobPath("j-1"), "j-1", false, true},
+		{CancelPath("j-1"), "j-1", true, true},
+		{"/v2/runs/j-1", "j-1", false, true},
+		{"/v2/runs/j-1/abort", "j-1", true, true},
+		{"/v2/runs/j-1/x", "j-1/x", false, true},
+		{"/v2/runs", "", false, false},
+		{"/checkin", "", false, false},
+	}
+	for _, tc := range cases {
+		id, cancel, ok := ParseJobPath(tc.path)
+		if id != tc.id || cancel != tc.cancel || ok != tc.ok {
+			t.Errorf("%s: %q %v %v", tc.path, id, cancel, ok)
+		}
+	}
+}
--- /dev/null
+++ b/internal/protocol/requests.go
@@ -0,0 +1,111 @@
+package protocol
+
+import (
+	"strings"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// Request paths of the service.
+const (
+	JobsPath      = "/v2/runs" // submissions
+	HeartbeatPath = "/checkin" // workers' reports
+
+	cancelSuffix = "/abort"
+)
+
+// JobPath is the path of a job's status.
+func JobPath(id string) string { return JobsPath + "/" + id }
+
+// CancelPath is the path of a job's cancellation.
+func CancelPath(id string) string { return JobPath(id) + cancelSuffix }
+
+// ParseJobPath takes a path of JobPath or CancelPath apart; ok is false for any other path.
+func ParseJobPath(path string) (id string, cancel, ok bool) {
+	rest, ok := strings.CutPrefix(path, JobsPath+"/")
+	if !ok {
+		return "", false, false
+	}
+	id, cancel = strings.CutSuffix(rest, cancelSuffix)
+	return id, cancel, true
+}
+
+// Fields of a submission, for requests that Submission itself can't express.
+const (
+	FieldID          = "id"
+	FieldClass       = "lane"
+	FieldTeam        = "crew"
+	FieldShape       = "shape"
+	FieldPriority    = "rank"
+	FieldTasks       = "pips"
+	FieldCPUs        = "cores"
+	FieldGPUs        = "accelerators"
+	FieldMemoryGB    = "memory_gb"
+	FieldImage       = "plumage"
+	FieldImageGB     = "pull_gb"
+	FieldTypes       = "breeds"
+	FieldZone        = "grove"
+	FieldOneZone     = "one_zone"
+	FieldSpread      = "apart"
+	FieldSpot        = "borrowed"
+	FieldEstimateS   = "guess_s"
+	FieldCheckpointS = "perch_s"
+	FieldSaveS       = "stash_s"
+	FieldDeadlineS   = "due_s"
+)
+
+// Shapes of a job.
+const (
+	ShapeArray   = "sweep"
+	ShapeService = "daemon"
+)
+
+// Fields is the submission as a map of the wire's names and values. ParseSubmission reads it back from
+// its encoding.
+func (s *Submission) Fields() map[string]any {
+	shape := ShapeArray
+	if s.Service {
+		shape = ShapeService
+	}
+	priority := ""
+	for name, p := range priorities {
+		if p == s.Priority {
+			priority = name
+		}
+	}
+	m := map[string]any{
+		FieldID:          s.ID,
+		FieldClass:       s.Class,
+		FieldTeam:        s.Team,
+		FieldShape:       shape,
+		FieldPriority:    priority,
+		FieldTasks:       s.Tasks,
+		FieldCPUs:        s.CPUs,
+		FieldGPUs:        s.GPUs,
+		FieldMemoryGB:    s.MemoryGB,
+		FieldImage:       s.Image,
+		FieldImageGB:     s.ImageGB,
+		FieldTypes:       nil,
+		FieldZone:        nil,
+		FieldOneZone:     s.OneZone,
+		FieldSpread:      s.Spread,
+		FieldSpot:        s.Spot,
+		FieldEstimateS:   s.EstimateS,
+		FieldCheckpointS: s.CheckpointS,
+		FieldSaveS:       s.SaveS,
+		FieldDeadlineS:   nil,
+	}
+	if s.Types != nil {
+		m[FieldTypes] = s.Types
+	}
+	if s.Zone != "" {
+		m[FieldZone] = s.Zone
+	}
+	if s.DeadlineS != 0 {
+		m[FieldDeadlineS] = s.DeadlineS
+	}
+	return m
+}
+
+// EncodeMsgpack writes the submission in the form that users send.
+func (s *Submission) EncodeMsgpack(enc *msgpack.Encoder) error { return enc.Encode(s.Fields()) }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -181,53 +181,53 @@
 		return &Submission{}, fmt.Errorf("%w: not a map", ErrMalformed)
 	}
 	f := &fields{m: m}
-	s := &Submission{ID: f.text("id", false)}
+	s := &Submission{ID: f.text(FieldID, false)}
 	if !ValidJobID(s.ID) {
 		s.ID = ""
-		f.fail("id", "must be j- followed by letters, digits, '-', '_' or '.'")
+		f.fail(FieldID, "must be j- followed by letters, digits, '-', '_' or '.'")
 		return s, f.err
 	}
-	s.Class = f.text("lane", false)
-	s.Team = f.text("crew", false)
-	switch f.text("shape", false) {
-	case "sweep":
-	case "daemon":
+	s.Class = f.text(FieldClass, false)
+	s.Team = f.text(FieldTeam, false)
+	switch f.text(FieldShape, false) {
+	case ShapeArray:
+	case ShapeService:
 		s.Service = true
 	default:
-		f.fail("shape", "must be sweep or daemon")
+		f.fail(FieldShape, "must be "+ShapeArray+" or "+ShapeService)
 	}
-	pr, ok := priorities[f.text("rank", false)]
+	pr, ok := priorities[f.text(FieldPriority, false)]
 	if !ok {
-		f.fail("rank", "must be prod, high, standard or best_effort")
+		f.fail(FieldPriority, "must be prod, high, standard or best_effort")
 	}
 	s.Priority = pr
-	s.Tasks = f.count("pips", 1, MaxTasks)
-	s.CPUs = f.amount("cores", false)
-	s.GPUs = f.amount("accelerators", false)
-	s.MemoryGB = f.amount("memory_gb", false)
-	s.Image = f.text("plumage", false)
-	s.ImageGB = f.amount("pull_gb", false)
-	s.Zone = f.text("grove", true)
-	s.OneZone = f.flag("one_zone")
-	s.Spread = f.flag("apart")
-	s.Spot = f.flag("borrowed")
-	s.EstimateS = f.amount("guess_s", false)
-	s.CheckpointS = f.amount("perch_s", false)
-	s.SaveS = f.amount("stash_s", false)
-	s.DeadlineS = f.amount("due_s", true)
-	switch list := m["breeds"].(type) {
+	s.Tasks = f.count(FieldTasks, 1, MaxTasks)
+	s.CPUs = f.amount(FieldCPUs, false)
+	s.GPUs = f.amount(FieldGPUs, false)
+	s.MemoryGB = f.amount(FieldMemoryGB, false)
+	s.Image = f.text(FieldImage, false)
+	s.ImageGB = f.amount(FieldImageGB, false)
+	s.Zone = f.text(FieldZone, true)
+	s.OneZone = f.flag(FieldOneZone)
+	s.Spread = f.flag(FieldSpread)
+	s.Spot = f.flag(FieldSpot)
+	s.EstimateS = f.amount(FieldEstimateS, false)
+	s.CheckpointS = f.amount(FieldCheckpointS, false)
+	s.SaveS = f.amount(FieldSaveS, false)
+	s.DeadlineS = f.amount(FieldDeadlineS, true)
+	switch list := m[FieldTypes].(type) {
 	case nil:
 	case []any:
 		s.Types = []string{}
 		for _, v := range list {
 			name, ok := v.(string)
 			if !ok || name == "" {
-				f.fail("breeds", "must be a list of names or null")
+				f.fail(FieldTypes, "must be a list of names or null")
 			}
 			s.Types = append(s.Types, name)
 		}
 	default:
-		f.fail("breeds", "must be a list of names or null")
+		f.fail(FieldTypes, "must be a list of names or null")
 	}
 	return s, f.err
 }
--- /dev/null
+++ b/internal/protocol/wire_names_test.go
@@ -0,0 +1,193 @@
+package protocol
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// ordinary are the names of the protocol that are the field's own terms or everyday words. Other code uses them
+// in its own right, also as whole literals: in stored keys, settings, commands and their output, names of test
+// cases. A literal alone can't tell which is meant.
+var ordinary = wordSet("ask busy cancelled cause done error exited failed full id kill log name number path " +
+	"pending rate run running status stopped unknown value")
+
+// inSentences are the names that other code uses as words of its messages and of its settings, never as a literal
+// of their own: these are refused only as a whole literal.
+var inSentences = wordSet("accelerators apart calls cores kept rank shape write")
+
+func wordSet(words string) map[string]bool {
+	set := map[string]bool{}
+	for _, word := range strings.Fields(words) {
+		set[word] = true
+	}
+	return set
+}
+
+var wireWord = regexp.MustCompile(`[A-Za-z0-9_]+`)
+
+// wireNames collects, from the sources of this package, the names in msgpack tags and the string constants:
+// words, and paths (which begin with a slash).
+func wireNames(t *testing.T) (words map[string]bool, paths []string) {
+	t.Helper()
+	words = map[string]bool{}
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		parsed := parse(t, token.NewFileSet(), file)
+		ast.Inspect(parsed, func(node ast.Node) bool {
+			switch node := node.(type) {
+			case *ast.Field:
+				if node.Tag != nil {
+					tag := reflect.StructTag(literal(t, node.Tag)).Get("msgpack")
+					name, _, _ := strings.Cut(tag, ",")
+					words[name] = true
+				}
+			case *ast.GenDecl:
+				if node.Tok == token.CONST {
+					for _, value := range stringLiterals(node) {
+						if text := literal(t, value); strings.HasPrefix(text, "/") {
+							paths = append(paths, text)
+						} else {
+							words[text] = true
+						}
+					}
+				}
+			}
+			return true
+		})
+	}
+	delete(words, "")
+	return words, paths
+}
+
+// TestWireNames: the themed names of the protocol stand in string literals of this package only, so that other
+// code and its tests speak the terms of the field.
+func TestWireNames(t *testing.T) {
+	words, paths := wireNames(t)
+	for _, known := range []string{"crew", "pips", "plumage", "perch_s", "breeds", "grove", "borrowed", "lane", "sweep", "daemon"} {
+		if !words[known] {
+			t.Errorf("%q isn't found among the names of the protocol", known)
+		}
+	}
+	if len(paths) < 3 {
+		t.Errorf("paths found: %q", paths)
+	}
+	for _, exceptions := range []map[string]bool{ordinary, inSentences} {
+		for word := range exceptions {
+			if !words[word] {
+				t.Errorf("%q is excepted but is no name of the protocol", word)
+			}
+		}
+	}
+	for word := range ordinary {
+		delete(words, word)
+	}
+	read := 0
+	for _, root := range []string{"../../internal", "../../cmd"} {
+		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+			if err != nil {
+				return err
+			}
+			if entry.IsDir() && path == filepath.Join(root, "protocol") {
+				return fs.SkipDir
+			}
+			if entry.IsDir() || !strings.HasSuffix(path, ".go") {
+				return nil
+			}
+			read++
+			checkLiterals(t, path, words, paths)
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	if read < 50 {
+		t.Errorf("only %d files read", read)
+	}
+}
+
+// checkLiterals reports each string literal of a file with a name of the protocol in it.
+func checkLiterals(t *testing.T, path string, words map[string]bool, paths []string) {
+	t.Helper()
+	files := token.NewFileSet()
+	for _, value := range stringLiterals(parse(t, files, path)) {
+		text := literal(t, value)
+		if isPackagePath(text) {
+			continue
+		}
+		for _, word := range wireWord.FindAllString(text, -1) {
+			if words[word] && (word == text || !inSentences[word]) {
+				t.Errorf("%s: wire name %q in %s", files.Position(value.Pos()), word, value.Value)
+			}
+		}
+		for _, wirePath := range paths {
+			if strings.Contains(text, wirePath) {
+				t.Errorf("%s: wire path %q in %s", files.Position(value.Pos()), wirePath, value.Value)
+			}
+		}
+	}
+}
+
+// isPackagePath tells whether a text is the path of a package of this module, such as internal/daemon.
+func isPackagePath(text string) bool {
+	if !strings.HasPrefix(text, "internal/") {
+		return false
+	}
+	info, err := os.Stat(filepath.Join("../..", text))
+	return err == nil && info.IsDir()
+}
+
+func parse(t *testing.T, files *token.FileSet, path string) *ast.File {
+	t.Helper()
+	parsed, err := parser.ParseFile(files, path, nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return parsed
+}
+
+// stringLiterals finds the string literals under a node, but for imports and struct tags: the tags of stored
+// records are names of their own.
+func stringLiterals(root ast.Node) []*ast.BasicLit {
+	var found []*ast.BasicLit
+	ast.Inspect(root, func(node ast.Node) bool {
+		switch node := node.(type) {
+		case *ast.ImportSpec:
+			return false
+		case *ast.Field:
+			if node.Tag != nil {
+				return false
+			}
+		case *ast.BasicLit:
+			if node.Kind == token.STRING {
+				found = append(found, node)
+			}
+		}
+		return true
+	})
+	return found
+}
+
+func literal(t *testing.T, value *ast.BasicLit) string {
+	t.Helper()
+	text, err := strconv.Unquote(value.Value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -219,13 +219,16 @@
 
 // Observe notes that a user sends a request; nil for a request that is no user's.
 func (k *Checker) Observe(method, target string, body []byte) *Question {
-	const root = "/v2/runs"
-	if !strings.HasPrefix(target, root) {
+	if !strings.HasPrefix(target, protocol.JobsPath) {
 		return nil
 	}
 	q := &Question{k: k, method: method, sentAt: k.Sim.Now()}
-	q.job, q.abort = strings.CutSuffix(strings.TrimPrefix(target, root+"/"), "/abort")
-	if method == "POST" && target == root {
+	id, cancel, ok := protocol.ParseJobPath(target)
+	if !ok {
+		id = target
+	}
+	q.job, q.abort = id, cancel
+	if method == "POST" && target == protocol.JobsPath {
 		q.job = k.noteSubmission(body)
 	}
 	if q.abort {
--- a/internal/standin/checker_test.go
+++ b/internal/standin/checker_test.go
@@ -16,24 +16,29 @@
 	machine, twin *Rented
 }
 
-func submission(id string, more map[string]any) []byte {
-	j := map[string]any{"id": id, "lane": "batch", "crew": "tight", "shape": "sweep", "rank": "standard", "pips": 2,
-		"cores": 4.0, "accelerators": 0.0, "memory_gb": 8.0, "plumage": "img", "pull_gb": 0.5, "breeds": nil,
-		"grove": nil, "one_zone": false, "apart": false, "borrowed": false, "guess_s": 5.0, "perch_s": 0.0,
-		"stash_s": 0.0, "due_s": nil}
-	for k, v := range more {
-		j[k] = v
+// submission is a job of two tasks; more, if any, changes it.
+func submission(id string, more func(*protocol.Submission)) []byte {
+	s := &protocol.Submission{ID: id, Class: "batch", Team: "tight", Priority: protocol.Standard, Tasks: 2,
+		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 0.5, EstimateS: 5}
+	if more != nil {
+		more(s)
 	}
-	return protocol.MustMarshal(j)
+	return protocol.MustMarshal(s)
 }
 
-func newWatchedDay(more map[string]any) *watchedDay {
+func inZoneB(s *protocol.Submission) { s.Zone = "b" }
+
+func onlyM16(s *protocol.Submission) { s.Types = []string{"m16"} }
+
+func withoutTasks(s *protocol.Submission) { s.Tasks = 0 }
+
+func newWatchedDay(more func(*protocol.Submission)) *watchedDay {
 	sim := NewSim(1)
 	d := &watchedDay{Checker: NewChecker(sim, 30*second), sim: sim,
 		machine: &Rented{ID: "i-1", Type: "m8", Zone: "a"}, twin: &Rented{ID: "i-2", Type: "m8", Zone: "b"}}
 	d.Limits["tight"] = 8
 	sim.Run(second)
-	d.tell("POST", "/v2/runs", submission("j-1", more), 201, protocol.JobPending)
+	d.tell("POST", protocol.JobsPath, submission("j-1", more), 201, protocol.JobPending)
 	return d
 }
 
@@ -45,17 +50,19 @@
 	d.sim.Run(second / 10)
 }
 
-func (d *watchedDay) poll(state string) { d.tell("GET", "/v2/runs/j-1", nil, 200, state) }
+func (d *watchedDay) poll(state string) { d.tell("GET", protocol.JobPath("j-1"), nil, 200, state) }
 
 func (d *watchedDay) begin(task string, m *Rented) { d.Begin(task, m, "tight", 4) }
 
-func (d *watchedDay) cancel() { d.tell("POST", "/v2/runs/j-1/abort", nil, 200, protocol.JobCancelled) }
+func (d *watchedDay) cancel() {
+	d.tell("POST", protocol.CancelPath("j-1"), nil, 200, protocol.JobCancelled)
+}
 
 // TestChecker: each kind of violation is caught, and what is allowed isn't taken for one.
 func TestChecker(t *testing.T) {
 	cases := []struct {
 		name string
-		more map[string]any
+		more func(*protocol.Submission)
 		do   func(d *watchedDay)
 		want Rule // "": none
 	}{
@@ -81,14 +88,14 @@
 			d.begin("j-1/1", d.machine)
 			d.begin("j-2/0", d.machine)
 		}, OverLimit},
-		{"another zone", map[string]any{"grove": "b"}, func(d *watchedDay) { d.begin("j-1/0", d.machine) }, WrongPlace},
-		{"another type", map[string]any{"breeds": []any{"m16"}}, func(d *watchedDay) { d.begin("j-1/0", d.machine) }, WrongPlace},
+		{"another zone", inZoneB, func(d *watchedDay) { d.begin("j-1/0", d.machine) }, WrongPlace},
+		{"another type", onlyM16, func(d *watchedDay) { d.begin("j-1/0", d.machine) }, WrongPlace},
 		{"a spot machine", nil, func(d *watchedDay) { d.machine.Spot = true; d.begin("j-1/0", d.machine) }, WrongPlace},
-		{"two zones", map[string]any{"one_zone": true}, func(d *watchedDay) {
+		{"two zones", func(s *protocol.Submission) { s.OneZone = true }, func(d *watchedDay) {
 			d.begin("j-1/0", d.machine)
 			d.begin("j-1/1", d.twin)
 		}, WrongPlace},
-		{"not apart", map[string]any{"apart": true}, func(d *watchedDay) {
+		{"not apart", func(s *protocol.Submission) { s.Spread = true }, func(d *watchedDay) {
 			d.begin("j-1/0", d.machine)
 			d.begin("j-1/1", d.machine)
 		}, WrongPlace},
@@ -110,37 +117,45 @@
 		}, RanCancelled},
 		{"running after cancelled", nil, func(d *watchedDay) { d.cancel(); d.poll(protocol.JobRunning) }, WentBack},
 		{"an answer that was on its way", nil, func(d *watchedDay) {
-			q := d.Observe("GET", "/v2/runs/j-1", nil)
+			q := d.Observe("GET", protocol.JobPath("j-1"), nil)
 			d.cancel()
 			q.Answer(200, protocol.MustMarshal(&protocol.JobStatus{Status: protocol.JobRunning}))
 		}, ""},
 		{"done after cancelled", nil, func(d *watchedDay) { d.cancel(); d.poll(protocol.JobDone) }, WentBack},
 		{"cancelled by nobody", nil, func(d *watchedDay) { d.poll(protocol.JobCancelled) }, WentBack},
 		{"cancelled on the way", nil, func(d *watchedDay) {
-			q := d.Observe("POST", "/v2/runs/j-2/abort", nil)
-			d.tell("POST", "/v2/runs", submission("j-2", nil), 201, protocol.JobPending)
+			q := d.Observe("POST", protocol.CancelPath("j-2"), nil)
+			d.tell("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
 			q.Answer(200, protocol.MustMarshal(&protocol.JobStatus{Status: protocol.JobCancelled}))
 		}, ""},
 		{"done too early", nil, func(d *watchedDay) { d.Finish("j-1/0"); d.poll(protocol.JobDone) }, NotDone},
-		{"unknown after accepted", nil, func(d *watchedDay) { d.tell("GET", "/v2/runs/j-1", nil, 404, "") }, Forgotten},
-		{"refused after accepted", nil, func(d *watchedDay) { d.tell("POST", "/v2/runs", submission("j-1", nil), 422, "") }, Forgotten},
-		{"asked to come back", nil, func(d *watchedDay) { d.tell("GET", "/v2/runs/j-1", nil, 503, "") }, ""},
+		{"unknown after accepted", nil, func(d *watchedDay) {
+			d.tell("GET", protocol.JobPath("j-1"), nil, 404, "")
+		}, Forgotten},
+		{"refused after accepted", nil, func(d *watchedDay) {
+			d.tell("POST", protocol.JobsPath, submission("j-1", nil), 422, "")
+		}, Forgotten},
+		{"asked to come back", nil, func(d *watchedDay) {
+			d.tell("GET", protocol.JobPath("j-1"), nil, 503, "")
+		}, ""},
 		{"never answered", nil, func(d *watchedDay) { d.Unanswered("j-1") }, Forgotten},
-		{"known by nobody", nil, func(d *watchedDay) { d.tell("GET", "/v2/runs/j-9", nil, 200, protocol.JobPending) }, Invented},
+		{"known by nobody", nil, func(d *watchedDay) {
+			d.tell("GET", protocol.JobPath("j-9"), nil, 200, protocol.JobPending)
+		}, Invented},
 		{"malformed", nil, func(d *watchedDay) {
-			d.tell("POST", "/v2/runs", submission("j-2", map[string]any{"pips": 0}), 201, protocol.JobPending)
+			d.tell("POST", protocol.JobsPath, submission("j-2", withoutTasks), 201, protocol.JobPending)
 		}, Unfit},
 		{"can never run", nil, func(d *watchedDay) {
 			d.NeverRuns("j-2")
-			d.tell("POST", "/v2/runs", submission("j-2", nil), 201, protocol.JobPending)
+			d.tell("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
 		}, Unfit},
 		{"malformed, once it is known", nil, func(d *watchedDay) {
-			d.tell("POST", "/v2/runs", submission("j-1", map[string]any{"pips": 0}), 200, protocol.JobPending)
+			d.tell("POST", protocol.JobsPath, submission("j-1", withoutTasks), 200, protocol.JobPending)
 		}, ""},
 		{"left beside room", nil, func(d *watchedDay) { d.wait(Room{d.machine, 8, 64}) }, LeftWaiting},
 		{"no room", nil, func(d *watchedDay) { d.wait(Room{d.machine, 3, 64}) }, ""},
 		{"no memory", nil, func(d *watchedDay) { d.wait(Room{d.machine, 8, 7}) }, ""},
-		{"room elsewhere", map[string]any{"grove": "b"}, func(d *watchedDay) { d.wait(Room{d.machine, 8, 64}) }, ""},
+		{"room elsewhere", inZoneB, func(d *watchedDay) { d.wait(Room{d.machine, 8, 64}) }, ""},
 		{"room, the team at its limit", nil, func(d *watchedDay) {
 			d.Begin("j-3/0", d.twin, "tight", 8)
 			d.wait(Room{d.machine, 8, 64})
--- a/internal/standin/loopback/services.go
+++ b/internal/standin/loopback/services.go
@@ -86,9 +86,10 @@
 			d.Clock.Do(func() {
 				d.Fleet.Jobs[id] = standin.JobInfo{Team: team.Team, CPUs: 2, Service: true, Fetch: micros.Second, Save: micros.Second / 2}
 			})
-			body := protocol.MustMarshal(map[string]any{"id": id, "lane": "web", "crew": team.Team, "shape": "daemon", "rank": "prod",
-				"pips": team.Replicas, "cores": 2.0, "accelerators": 0.0, "memory_gb": 4.0, "plumage": "img", "pull_gb": 0.5, "breeds": nil,
-				"grove": nil, "one_zone": false, "apart": false, "borrowed": false, "guess_s": 0.0, "perch_s": 0.0, "stash_s": 0.5, "due_s": nil})
+			body := protocol.MustMarshal(&protocol.Submission{
+				ID: id, Class: "web", Team: team.Team, Service: true, Priority: protocol.Prod, Tasks: team.Replicas,
+				CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 0.5, SaveS: 0.5,
+			})
 			d.submit(id, body)
 		}
 	}
@@ -99,7 +100,7 @@
 	d.t.Helper()
 	accepted := false
 	for try := 0; try < mostSubmits && !accepted; try++ {
-		status, _ := d.Request(d.Nodes[try%len(d.Nodes)], "POST", "/v2/runs", body)
+		status, _ := d.Request(d.Nodes[try%len(d.Nodes)], "POST", protocol.JobsPath, body)
 		accepted = status == http.StatusCreated || status == http.StatusOK
 		if !accepted {
 			time.Sleep(lookEvery)
--- a/internal/standin/loopback/workers.go
+++ b/internal/standin/loopback/workers.go
@@ -87,7 +87,7 @@
 func (p *reporter) send(_ *standin.Worker, node string, body []byte, back func(status int, reply []byte)) {
 	client := p.client(node)
 	go func() {
-		message, err := client.Do("POST", "/checkin", body, reportTimeout)
+		message, err := client.Do("POST", protocol.HeartbeatPath, body, reportTimeout)
 		p.clock.Do(func() {
 			if err != nil {
 				back(0, nil)
