--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -65,40 +65,40 @@
 	machine := func(
 		num int, zone string, state bookkeeping.MachineState, spot bool,
 	) *bookkeeping.ShardMachine {
-		return &bookkeeping.ShardMachine{Num: num, Type: "m8", Zone: zone, Spot: spot,
+		return &bookkeeping.ShardMachine{Number: num, Type: "m8", Zone: zone, Spot: spot,
 			Endpoint: "10.0.0.1:9000", State: state}
 	}
 	service := func(team string, tasks int, cpus float64) *bookkeeping.OpenJob {
-		return &bookkeeping.OpenJob{At: at, Spec: bookkeeping.Spec{Class: "high", Team: team, Service: true,
+		return &bookkeeping.OpenJob{AcceptedAt: at, Spec: bookkeeping.JobSpec{Class: "high", Team: team, Service: true,
 			Priority: 3, Tasks: tasks, CPUs: cpus, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 60}}
 	}
-	array := &bookkeeping.OpenJob{At: at, Spec: bookkeeping.Spec{Class: "low", Team: "pipit", Priority: 1,
+	array := &bookkeeping.OpenJob{AcceptedAt: at, Spec: bookkeeping.JobSpec{Class: "low", Team: "pipit", Priority: 1,
 		Tasks: 2, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 60}}
 	own := &bookkeeping.Shard{Owner: "n-0", Incarnation: 7, Claim: 1,
 		Machines: map[string]*bookkeeping.ShardMachine{
 			"i-01": machine(0, "rack-a", bookkeeping.MachineCordoned, false),
 			"i-02": machine(1, "rack-a", bookkeeping.MachineCordoned, false),
 			"i-03": machine(2, "rack-b", bookkeeping.MachineOpen, false),
-			"i-04": machine(3, "rack-b", bookkeeping.MachineQuiet, true),
+			"i-04": machine(3, "rack-b", bookkeeping.MachineUnreachable, true),
 			"i-05": machine(4, "rack-b", bookkeeping.MachineDraining, true),
 			"i-06": machine(5, "rack-b", bookkeeping.MachineRemoving, false),
 			"i-07": machine(6, "rack-c", bookkeeping.MachineOpen, false),
 			"i-08": machine(7, "rack-c", bookkeeping.MachineOpen, false),
 			"i-10": machine(8, "rack-a", bookkeeping.MachineOpen, false),
 		}, Jobs: map[string]*bookkeeping.ShardJob{
-			"web": {Held: []bookkeeping.Held{
-				{Task: 0, Machine: "i-01", Attempt: 11}, {Task: 1, Machine: "i-01", Attempt: 11},
-				{Task: 2, Machine: "i-02", Attempt: 12, Starting: true},
-				{Task: 3, Machine: "i-03", Attempt: 13},
-				{Task: 4, Machine: "i-07", Attempt: 14}, {Task: 5, Machine: "i-07", Attempt: 15}}},
-			"array": {Held: []bookkeeping.Held{{Task: 0, Machine: "i-02", Attempt: 16},
-				{Task: 1, Machine: "i-08", Attempt: 17}}},
+			"web": {Attempts: []bookkeeping.Attempt{
+				{Task: 0, Machine: "i-01", Number: 11}, {Task: 1, Machine: "i-01", Number: 11},
+				{Task: 2, Machine: "i-02", Number: 12, Starting: true},
+				{Task: 3, Machine: "i-03", Number: 13},
+				{Task: 4, Machine: "i-07", Number: 14}, {Task: 5, Machine: "i-07", Number: 15}}},
+			"array": {Attempts: []bookkeeping.Attempt{{Task: 0, Machine: "i-02", Number: 16},
+				{Task: 1, Machine: "i-08", Number: 17}}},
 		}}
 	orphaned := &bookkeeping.Shard{Owner: "n-1", Incarnation: 8, Claim: 1,
 		Machines: map[string]*bookkeeping.ShardMachine{
 			"i-09": machine(0, "rack-a", bookkeeping.MachineCordoned, false),
 		}, Jobs: map[string]*bookkeeping.ShardJob{
-			"large": {Held: []bookkeeping.Held{{Task: 0, Machine: "i-09", Attempt: 18}}},
+			"large": {Attempts: []bookkeeping.Attempt{{Task: 0, Machine: "i-09", Number: 18}}},
 		}}
 	shard := func(name string, s *bookkeeping.Shard) protocol.Op {
 		raw, _ := s.Encode()
@@ -112,20 +112,20 @@
 	}
 	return []protocol.Op{
 		put(bookkeeping.KindMember, "n-0", &bookkeeping.Member{Incarnation: 7, Zone: "rack-a"}),
-		put(bookkeeping.KindType, "m8", &bookkeeping.Type{CPUs: 8, MemoryGB: 64,
+		put(bookkeeping.KindMachineType, "m8", &bookkeeping.MachineType{CPUs: 8, MemoryGB: 64,
 			Zones: []string{"rack-a", "rack-b", "rack-c"}}),
-		put(bookkeeping.KindOpen, "web", service("wren", 6, 3)),
-		put(bookkeeping.KindOpen, "large", service("pipit", 2, 8)),
-		put(bookkeeping.KindOpen, "array", array),
+		put(bookkeeping.KindOpenJob, "web", service("wren", 6, 3)),
+		put(bookkeeping.KindOpenJob, "large", service("pipit", 2, 8)),
+		put(bookkeeping.KindOpenJob, "array", array),
 		shard("own", own), shard("orphaned", orphaned),
 		put(bookkeeping.KindPermits, "wren", &bookkeeping.Permits{Permits: []bookkeeping.Permit{
-			{Drain: "emptying", Job: "web", Task: 0, Attempt: 11, From: "i-01", To: "i-03", At: at}}}),
+			{Drain: "emptying", Job: "web", Task: 0, Attempt: 11, From: "i-01", To: "i-03", GrantedAt: at}}}),
 		put(bookkeeping.KindDrain, "emptying", drainOf(bookkeeping.DrainActive, "",
 			bookkeeping.Selector{Zone: "rack-a"}, 0)),
 		put(bookkeeping.KindDrain, "by-name", drainOf(bookkeeping.DrainPaused, "paused by an operator",
 			bookkeeping.Selector{Machines: []string{"i-04", "i-05", "i-06"}}, 0)),
 		put(bookkeeping.KindDrain, "nothing-left", drainOf(bookkeeping.DrainDrained, "nothing is left",
-			bookkeeping.Selector{Zone: "rack-b", Type: "m9", Kind: bookkeeping.KindSpot}, at+5)),
+			bookkeeping.Selector{Zone: "rack-b", Type: "m9", CapacityType: bookkeeping.SpotCapacity}, at+5)),
 		put(bookkeeping.KindDrain, "over", drainOf(bookkeeping.DrainDone, "",
 			bookkeeping.Selector{Zone: "rack-b"}, at+6)),
 	}
@@ -147,7 +147,7 @@
 // run carries out one command line as main does, and returns what it prints and its exit status.
 func run(t *testing.T, words []string) (output string, status int) {
 	t.Helper()
-	var c cli
+	var c commandLine
 	parser, err := kong.New(&c, kong.Name("pipitgap"))
 	if err != nil {
 		t.Fatal(err)
@@ -169,11 +169,11 @@
 // same status, on the same records.
 func TestJSONOfCommands(t *testing.T) {
 	const perSecond, txnOps = 1000, 50
-	sim := standin.NewSim(1)
-	store := standin.NewStore(sim, perSecond, perSecond, txnOps)
+	sim := standin.NewSimClock(1)
+	store := standin.NewStateStore(sim, perSecond, perSecond, txnOps)
 	written := protocol.Outcome(0)
-	txn := protocol.Txn{Then: commandRecords()}
-	store.Call("setup", &protocol.StoreCall{Op: protocol.StoreCommit, Within: micros.Second, Txn: txn},
+	txn := protocol.Transaction{Then: commandRecords()}
+	store.Call("setup", &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: micros.Second, Transaction: txn},
 		func(r protocol.StoreResult) { written = r.Outcome })
 	if sim.Run(micros.Second); written != protocol.OK {
 		t.Fatal(written)
--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -34,11 +34,11 @@
 		of     []error
 	}{
 		{exitBadRequest, []error{operator.ErrBadRequest}},
-		{exitNotFound, []error{operator.ErrUnknown, operator.ErrNothingSelected}},
+		{exitNotFound, []error{operator.ErrNotFound, operator.ErrNothingSelected}},
 		{exitRefused, []error{
-			operator.ErrNameInUse, operator.ErrOverlap, operator.ErrFinished, operator.ErrContention,
+			operator.ErrNameInUse, operator.ErrDrainsOverlap, operator.ErrDrainEnded, operator.ErrContention,
 		}},
-		{exitUnreachable, []error{coordination.ErrNoAnswer}},
+		{exitUnreachable, []error{coordination.ErrStoreUnavailable}},
 	}
 	for _, kind := range kinds {
 		for _, of := range kind.of {
@@ -62,8 +62,8 @@
 
 // operatorFlags are common to all commands.
 type operatorFlags struct {
-	files `embed:""`
-	JSON  bool `help:"Print JSON." name:"json"`
+	settingsFiles `embed:""`
+	JSON          bool `help:"Print JSON." name:"json"`
 }
 
 // errDrainsOff says that the settings have no section for drains.
@@ -76,26 +76,26 @@
 	operatorBody        = 8 << 20
 )
 
-// drains opens the commands about drains.
-func (f *operatorFlags) drains() (*operator.Drains, *drainDefaults, error) {
-	cfg, set, err := f.load()
+// drainOperator opens the commands about drains.
+func (f *operatorFlags) drainOperator() (*operator.DrainOperator, *drainDefaults, error) {
+	cfg, settings, err := f.load()
 	if err != nil {
 		return nil, nil, err
 	}
-	if set.Drains == nil {
+	if settings.Drains == nil {
 		return nil, nil, errDrainsOff
 	}
 	store := transport.NewClient(cfg.External.State, operatorConnections, operatorBody)
 	op := &operator.Operator{
-		Call:       func(c *protocol.StoreCall) protocol.StoreResult { return protocol.CallStore(store, c) },
-		Wait:       func(d micros.T) { time.Sleep(d.Duration()) },
-		Wall:       func() int64 { return time.Now().UnixMicro() },
-		TxnOps:     cfg.Facts.State.TxnOps,
-		ValueBytes: int(cfg.Facts.State.ValueKB * 1024),
-		Zones:      cfg.Facts.Zones,
+		Call:              func(c *protocol.StoreCall) protocol.StoreResult { return protocol.CallStore(store, c) },
+		Sleep:             func(d micros.Micros) { time.Sleep(d.Duration()) },
+		WallClock:         func() int64 { return time.Now().UnixMicro() },
+		MaxTransactionOps: cfg.Facts.State.TxnOps,
+		MaxValueBytes:     int(cfg.Facts.State.ValueKB * 1024),
+		Zones:             cfg.Facts.Zones,
 	}
-	return &operator.Drains{Operator: op, Policy: drain.NewPolicy(set.Drains)},
-		&drainDefaults{set.Drains.MaxParallel}, nil
+	return &operator.DrainOperator{Operator: op, Policy: drain.NewPolicy(settings.Drains)},
+		&drainDefaults{settings.Drains.MaxParallel}, nil
 }
 
 // drainDefaults is what the settings say where a command doesn't.
@@ -129,16 +129,16 @@
 }
 
 func (c *drainStartCmd) Run() error {
-	drains, defaults, err := c.drains()
+	drains, defaults, err := c.drainOperator()
 	if err != nil {
 		return err
 	}
 	request := operator.StartRequest{
 		Name: c.Name,
 		Selector: bookkeeping.Selector{
-			Machines: c.Machine, Zone: c.Zone, Type: c.Type, Kind: bookkeeping.Kind(c.Kind),
+			Machines: c.Machine, Zone: c.Zone, Type: c.Type, CapacityType: bookkeeping.CapacityType(c.Kind),
 		},
-		Replace: c.Replace, AllowSame: c.AllowSame, AtOnce: c.AtOnce, MaxParallel: c.MaxParallel,
+		Replace: c.Replace, AllowSimilar: c.AllowSame, RemoveAtOnce: c.AtOnce, MaxParallel: c.MaxParallel,
 		Deadline: micros.FromDuration(c.Deadline), DryRun: c.DryRun,
 	}
 	if c.MaxParallel == 0 {
@@ -151,24 +151,24 @@
 	return c.print(started, func(w io.Writer) { printStarted(w, started) })
 }
 
-func printStarted(w io.Writer, s *operator.Started) {
+func printStarted(w io.Writer, started *operator.StartResult) {
 	switch {
-	case s.Plan != nil:
-		printPlan(w, s)
-	case s.Repeated:
+	case started.Plan != nil:
+		printPlan(w, started)
+	case started.AlreadyStarted:
 		fmt.Fprintf(w, "drain %s was started before by the same request; %d machines are left\n",
-			s.Name, len(s.Machines))
+			started.Name, len(started.Machines))
 	default:
-		fmt.Fprintf(w, "drain %s of %d machines is started\n", s.Name, len(s.Machines))
+		fmt.Fprintf(w, "drain %s of %d machines is started\n", started.Name, len(started.Machines))
 	}
 }
 
-func printPlan(w io.Writer, s *operator.Started) {
+func printPlan(w io.Writer, started *operator.StartResult) {
 	fmt.Fprintf(w, "drain %s would take %d machines out of service in %d steps; nothing is changed\n",
-		s.Name, len(s.Machines), len(s.Plan.Steps))
-	for i, step := range s.Plan.Steps {
+		started.Name, len(started.Machines), len(started.Plan.Steps))
+	for i, step := range started.Plan.Steps {
 		fmt.Fprintf(w, "step %d:\n", i+1)
-		for _, rent := range step.Rent {
+		for _, rent := range step.ScaleOut {
 			fmt.Fprintf(w, "  rent\t%s\n", rent)
 		}
 		for _, move := range step.Moves {
@@ -181,7 +181,7 @@
 			fmt.Fprintf(w, "  stop\t%d array tasks that haven't ended by then\n", step.Stopped)
 		}
 	}
-	printBlocked(w, s.Plan.Blocked)
+	printBlocked(w, started.Plan.Blocked)
 }
 
 func printBlocked(w io.Writer, blocked []drain.Blockage) {
@@ -195,14 +195,14 @@
 	Name          string `arg:"" help:"The drain's name."`
 }
 
-// statusAnswer is what status prints.
-type statusAnswer struct {
+// statusOutput is what status prints.
+type statusOutput struct {
 	Drain *drain.Progress    `json:"drain"`
 	Teams []drain.TeamStatus `json:"teams"`
 }
 
 func (c *drainStatusCmd) Run() error {
-	drains, _, err := c.drains()
+	drains, _, err := c.drainOperator()
 	if err != nil {
 		return err
 	}
@@ -210,7 +210,7 @@
 	if err != nil {
 		return err
 	}
-	return c.print(statusAnswer{progress, teams}, func(w io.Writer) {
+	return c.print(statusOutput{progress, teams}, func(w io.Writer) {
 		fmt.Fprintf(w, "drain %s is %s", progress.Name, progress.State)
 		if progress.Reason != "" {
 			fmt.Fprintf(w, " (%s)", progress.Reason)
@@ -219,7 +219,7 @@
 			len(progress.Machines), progress.Permits, progress.Revision)
 		for _, m := range progress.Machines {
 			fmt.Fprintf(w, "%s\t%s\t%d replicas\t%d array tasks\t%s\n",
-				m.ID, m.State, m.Replicas, m.Arrays, stepWord(m.Step))
+				m.ID, m.State, m.Replicas, m.ArrayTasks, stepLabel(m.BeingEmptied))
 		}
 		printBlocked(w, progress.Blocked)
 		printTeams(w, teams)
@@ -229,7 +229,7 @@
 func printTeams(w io.Writer, teams []drain.TeamStatus) {
 	for _, t := range teams {
 		fmt.Fprintf(w, "team %s\t%s\t%d of %d available\t%d must stay\t%d on its %d fullest machines (reserve)\n",
-			t.Team, t.Class, t.Available, t.Desired, t.Floor, t.WorstLoss, t.Reserve)
+			t.Team, t.Class, t.Available, t.Desired, t.MinAvailable, t.WorstLoss, t.ReserveMachines)
 	}
 }
 
@@ -238,7 +238,7 @@
 }
 
 func (c *drainBudgetsCmd) Run() error {
-	drains, _, err := c.drains()
+	drains, _, err := c.drainOperator()
 	if err != nil {
 		return err
 	}
@@ -249,7 +249,7 @@
 	return c.print(teams, func(w io.Writer) { printTeams(w, teams) })
 }
 
-func stepWord(step bool) string {
+func stepLabel(step bool) string {
 	if step {
 		return "being emptied"
 	}
@@ -261,7 +261,7 @@
 }
 
 func (c *drainListCmd) Run() error {
-	drains, _, err := c.drains()
+	drains, _, err := c.drainOperator()
 	if err != nil {
 		return err
 	}
@@ -271,20 +271,20 @@
 	}
 	return c.print(list, func(w io.Writer) {
 		for _, d := range list {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d machines left\t%s\n", d.Name, d.State, d.Selects, d.Machines, d.Reason)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d machines left\t%s\n", d.Name, d.State, d.Selection, d.MachinesLeft, d.Reason)
 		}
 	})
 }
 
-// moved answers a command that changes a drain's state.
-type moved struct {
+// stateChange answers a command that changes a drain's state.
+type stateChange struct {
 	Name    string `json:"name"`
 	State   string `json:"state"`
 	Changed bool   `json:"changed"`
 }
 
-// printMoved says what a command has changed.
-func (f *operatorFlags) printMoved(m moved) error {
+// printStateChange says what a command has changed.
+func (f *operatorFlags) printStateChange(m stateChange) error {
 	return f.print(m, func(w io.Writer) {
 		if m.Changed {
 			fmt.Fprintf(w, "drain %s is %s\n", m.Name, m.State)
@@ -300,7 +300,7 @@
 }
 
 func (c *drainPauseCmd) Run() error {
-	drains, _, err := c.drains()
+	drains, _, err := c.drainOperator()
 	if err != nil {
 		return err
 	}
@@ -308,7 +308,7 @@
 	if err != nil {
 		return err
 	}
-	return c.printMoved(moved{c.Name, "paused", changed})
+	return c.printStateChange(stateChange{c.Name, "paused", changed})
 }
 
 type drainResumeCmd struct {
@@ -318,7 +318,7 @@
 }
 
 func (c *drainResumeCmd) Run() error {
-	drains, _, err := c.drains()
+	drains, _, err := c.drainOperator()
 	if err != nil {
 		return err
 	}
@@ -326,7 +326,7 @@
 	if err != nil {
 		return err
 	}
-	return c.printMoved(moved{c.Name, "active", changed})
+	return c.printStateChange(stateChange{c.Name, "active", changed})
 }
 
 type drainAbortCmd struct {
@@ -335,7 +335,7 @@
 }
 
 func (c *drainAbortCmd) Run() error {
-	drains, _, err := c.drains()
+	drains, _, err := c.drainOperator()
 	if err != nil {
 		return err
 	}
@@ -343,5 +343,5 @@
 	if err != nil {
 		return err
 	}
-	return c.printMoved(moved{c.Name, "ended", changed})
+	return c.printStateChange(stateChange{c.Name, "ended", changed})
 }
--- a/cmd/pipitgap/json_test.go
+++ b/cmd/pipitgap/json_test.go
@@ -46,38 +46,38 @@
 		Kind: drain.BlockedByBudget, Reason: "team wren: 3 of 4 replicas are available, 3 must stay"}}
 	machines := []string{"i-000231", "i-000232"}
 	plan := &drain.Plan{Machines: machines, Blocked: blocked, Steps: []drain.Step{{
-		Rent:    []string{"m8 in rack-b"},
-		Moves:   []drain.Move{{Task: "j-000017/5", Team: "wren", From: "i-000231", To: "i-000240"}},
-		Stopped: 4, Emptied: []string{"i-000231"}}}}
-	kinds := []drain.BlockKind{drain.BlockedByBudget, drain.BlockedByRoom, drain.BlockedByStart,
-		drain.BlockedByCordon, drain.BlockedByPermits, drain.BlockedByOwner, drain.BlockedByDeadline}
+		ScaleOut: []string{"m8 in rack-b"},
+		Moves:    []drain.Move{{Task: "j-000017/5", Team: "wren", From: "i-000231", To: "i-000240"}},
+		Stopped:  4, Emptied: []string{"i-000231"}}}}
+	kinds := []drain.BlockKind{drain.BlockedByBudget, drain.BlockedByCapacity, drain.BlockedByStarting,
+		drain.BlockedByCordon, drain.BlockedByPermits, drain.BlockedByController, drain.BlockedByDeadline}
 	waiting := make([]drain.Blockage, 0, len(kinds))
 	for _, kind := range kinds {
 		waiting = append(waiting, drain.Blockage{Drain: "d-2", Machine: "i-000231", Kind: kind,
 			Reason: "waits"})
 	}
 	teams := []drain.TeamStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5,
-		Floor: 4, Reserve: 1, WorstLoss: 2}}
+		MinAvailable: 4, ReserveMachines: 1, WorstLoss: 2}}
 	return map[string]any{
-		"start":         operator.Started{Name: "rack-a-out", Repeated: true, Machines: machines, Plan: plan},
-		"start-no-plan": operator.Started{Name: "rack-a-out", Machines: machines},
-		"status": statusAnswer{Drain: &drain.Progress{Name: "rack-a-out", State: bookkeeping.DrainActive,
+		"start":         operator.StartResult{Name: "rack-a-out", AlreadyStarted: true, Machines: machines, Plan: plan},
+		"start-no-plan": operator.StartResult{Name: "rack-a-out", Machines: machines},
+		"status": statusOutput{Drain: &drain.Progress{Name: "rack-a-out", State: bookkeeping.DrainActive,
 			Reason: "resumed", Revision: 40_001,
-			Machines: []drain.MachineProgress{{ID: "i-000231", State: "cordoned", Replicas: 2, Arrays: 3,
-				Step: true}},
+			Machines: []drain.MachineProgress{{ID: "i-000231", State: "cordoned", Replicas: 2, ArrayTasks: 3,
+				BeingEmptied: true}},
 			Permits: 1, Blocked: blocked, StartedAt: at, EndedAt: at + 1}, Teams: teams},
-		"status-ended": statusAnswer{Drain: &drain.Progress{Name: "d-1", State: bookkeeping.DrainDone,
+		"status-ended": statusOutput{Drain: &drain.Progress{Name: "d-1", State: bookkeeping.DrainDone,
 			Revision: 40_002, Machines: []drain.MachineProgress{}, StartedAt: at}},
-		"status-blocked": statusAnswer{Drain: &drain.Progress{Name: "d-2", State: bookkeeping.DrainActive,
+		"status-blocked": statusOutput{Drain: &drain.Progress{Name: "d-2", State: bookkeeping.DrainActive,
 			Revision: 40_003, Machines: []drain.MachineProgress{}, Blocked: waiting, StartedAt: at}, Teams: teams},
-		"list": []operator.Listed{{Name: "rack-a-out", State: bookkeeping.DrainPaused,
-			Reason: "paused by an operator", Selects: "zone rack-a", Machines: 3}},
-		"list-no-reason": []operator.Listed{{Name: "d-1", State: bookkeeping.DrainDrained,
-			Selects: "2 machines by name"}},
-		"list-empty":    []operator.Listed{},
+		"list": []operator.DrainSummary{{Name: "rack-a-out", State: bookkeeping.DrainPaused,
+			Reason: "paused by an operator", Selection: "zone rack-a", MachinesLeft: 3}},
+		"list-no-reason": []operator.DrainSummary{{Name: "d-1", State: bookkeeping.DrainDrained,
+			Selection: "2 machines by name"}},
+		"list-empty":    []operator.DrainSummary{},
 		"budgets":       teams,
 		"budgets-empty": []drain.TeamStatus(nil),
-		"moved":         moved{Name: "rack-a-out", State: "paused", Changed: true},
+		"moved":         stateChange{Name: "rack-a-out", State: "paused", Changed: true},
 	}
 }
 
--- a/cmd/pipitgap/main.go
+++ b/cmd/pipitgap/main.go
@@ -15,44 +15,44 @@
 // version is the product's version.
 const version = "0.2.0"
 
-type cli struct {
+type commandLine struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve as a controller (the default command)."`
 	Check   checkCmd   `cmd:"" help:"Check the settings and say what is wrong, without serving."`
 	Drain   drainCmd   `cmd:"" help:"Take machines out of service step by step."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
-type files struct {
+type settingsFiles struct {
 	Config   string   `help:"The platform's settings (TOML)." type:"path" required:""`
 	Settings []string `help:"The operators' own settings (YAML); may be given several times, later files over earlier ones." type:"path" optional:"" sep:"none"`
 }
 
-func (f *files) load() (*config.Config, config.Settings, error) {
+func (f *settingsFiles) load() (*config.Config, config.Settings, error) {
 	cfg, err := config.Load(f.Config)
 	if err != nil {
 		return nil, config.Settings{}, err
 	}
-	set, err := config.LoadSettings(f.Settings...)
+	settings, err := config.LoadSettings(f.Settings...)
 	if err != nil {
-		return nil, set, err
+		return nil, settings, err
 	}
-	return cfg, set, set.CheckTeams(cfg.Facts.Teams)
+	return cfg, settings, settings.CheckTeams(cfg.Facts.Teams)
 }
 
 type serveCmd struct {
-	files `embed:""`
+	settingsFiles `embed:""`
 }
 
 func (s *serveCmd) Run(log *slog.Logger) error {
-	cfg, set, err := s.load()
+	cfg, settings, err := s.load()
 	if err != nil {
 		return err
 	}
-	return daemon.Run(cfg, set, log)
+	return daemon.Run(cfg, settings, log)
 }
 
 type checkCmd struct {
-	files `embed:""`
+	settingsFiles `embed:""`
 }
 
 func (s *checkCmd) Run() error {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// level reads LOG_LEVEL; anything unknown is info.
-func level(name string) slog.Level {
+// logLevel reads LOG_LEVEL; anything unknown is info.
+func logLevel(name string) slog.Level {
 	switch name {
 	case "error":
 		return slog.LevelError
@@ -88,8 +88,8 @@
 const serveCommand = "serve"
 
 func main() {
-	var c cli
-	k := kong.Parse(&c, kong.Name("pipitgap"),
+	var c commandLine
+	parsed := kong.Parse(&c, kong.Name("pipitgap"),
 		kong.Description("A controller of the pipitgap cluster scheduler."),
 		kong.UsageOnError(),
 		kong.Exit(func(status int) {
@@ -98,10 +98,10 @@
 			}
 			os.Exit(status)
 		}))
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level(os.Getenv("LOG_LEVEL"))}))
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))}))
 	slog.SetDefault(log)
-	if err := k.Run(log); err != nil {
-		if k.Selected().Name == serveCommand {
+	if err := parsed.Run(log); err != nil {
+		if parsed.Selected().Name == serveCommand {
 			log.Error("controller exited", "error", err.Error())
 		} else {
 			fmt.Fprintln(os.Stderr, "pipitgap:", err)
--- a/internal/bookkeeping/drains.go
+++ b/internal/bookkeeping/drains.go
@@ -24,45 +24,45 @@
 	State    DrainState `msgpack:"s"`
 	Reason   string     `msgpack:"r,omitempty"` // why it stands there, in words
 	Selector Selector   `msgpack:"w"`
-	// Through, if set, is the newest machine that belongs to the drain: machines rented later may
+	// LastMachine, if set, is the newest machine that belongs to the drain: machines rented later may
 	// be like those that are drained. Without it, what is selected as a whole isn't rented.
-	Through     string `msgpack:"t,omitempty"`
-	Replace     bool   `msgpack:"p,omitempty"` // room is rented before it is needed
-	AtOnce      bool   `msgpack:"o,omitempty"` // empty machines are given back without a delay
-	MaxParallel int    `msgpack:"n"`           // machines being emptied at a time
-	StartedAt   int64  `msgpack:"b"`           // time of day, microseconds
-	DeadlineAt  int64  `msgpack:"d,omitempty"` // no step begins after it; 0: none
-	EndedAt     int64  `msgpack:"e,omitempty"`
+	LastMachine  string `msgpack:"t,omitempty"`
+	Replace      bool   `msgpack:"p,omitempty"` // room is rented before it is needed
+	RemoveAtOnce bool   `msgpack:"o,omitempty"` // empty machines are given back without a delay
+	MaxParallel  int    `msgpack:"n"`           // machines being emptied at a time
+	StartedAt    int64  `msgpack:"b"`           // time of day, microseconds
+	DeadlineAt   int64  `msgpack:"d,omitempty"` // no step begins after it; 0: none
+	EndedAt      int64  `msgpack:"e,omitempty"`
 }
 
-// Closes tells whether what a drain selects isn't rented while it lasts.
-func (d *Drain) Closes() bool { return d.Through == "" && len(d.Selector.Machines) == 0 }
+// ClosesOffers tells whether what a drain selects isn't rented while it lasts.
+func (d *Drain) ClosesOffers() bool { return d.LastMachine == "" && len(d.Selector.Machines) == 0 }
 
 // Selector says which machines a drain is about: those named, or those of a zone, a type and
 // a kind, as far as they are given.
 type Selector struct {
-	Machines []string `msgpack:"m,omitempty"`
-	Zone     string   `msgpack:"z,omitempty"`
-	Type     string   `msgpack:"y,omitempty"`
-	Kind     Kind     `msgpack:"k,omitempty"`
+	Machines     []string     `msgpack:"m,omitempty"`
+	Zone         string       `msgpack:"z,omitempty"`
+	Type         string       `msgpack:"y,omitempty"`
+	CapacityType CapacityType `msgpack:"k,omitempty"`
 }
 
-// Kind is how a machine is rented.
-type Kind string
+// CapacityType is how a machine is rented.
+type CapacityType string
 
 // Kinds of machines.
 const (
-	KindAny      Kind = ""
-	KindSpot     Kind = "spot"
-	KindOrdinary Kind = "ordinary"
+	AnyCapacity      CapacityType = ""
+	SpotCapacity     CapacityType = "spot"
+	OnDemandCapacity CapacityType = "ordinary"
 )
 
-// KindOf names the kind of a machine.
-func KindOf(spot bool) Kind {
+// CapacityTypeOf names the kind of a machine.
+func CapacityTypeOf(spot bool) CapacityType {
 	if spot {
-		return KindSpot
+		return SpotCapacity
 	}
-	return KindOrdinary
+	return OnDemandCapacity
 }
 
 // Permits is the record of KindPermits: all planned stops of a team's replicas whose
@@ -74,14 +74,14 @@
 // Permit is the right to stop one attempt for a drain.
 type Permit struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
-	_msgpack struct{} `msgpack:",as_array"`
-	Drain    string
-	Job      string
-	Task     int
-	Attempt  uint64
-	From     string // the machine that it is stopped on
-	To       string // the machine on which room is held for the next attempt
-	At       int64  // time of day, microseconds
+	_msgpack  struct{} `msgpack:",as_array"`
+	Drain     string
+	Job       string
+	Task      int
+	Attempt   uint64
+	From      string // the machine that it is stopped on
+	To        string // the machine on which room is held for the next attempt
+	GrantedAt int64  // time of day, microseconds
 }
 
 // PermitBytes is what a permit takes in a record at most, beside the names that it holds.
--- a/internal/bookkeeping/records.go
+++ b/internal/bookkeeping/records.go
@@ -9,85 +9,85 @@
 	"pipitgap/internal/protocol"
 )
 
-// Root is the prefix of every key of the service. Its number grows when records
+// KeyPrefix is the prefix of every key of the service. Its number grows when records
 // are laid out anew: a version never misreads another's.
-const Root = "gap2/"
+const KeyPrefix = "gap2/"
 
 // Kinds of records, as they stand in the keys.
 const (
-	KindJob       = "job"     // the final answer for a job, kept for ever
-	KindOpen      = "open"    // an unfinished job: its description and shares
-	KindShard     = "page"    // some machines of a partition with all that is on them
-	KindPartition = "part"    // what a partition may use of the teams' limits
-	KindType      = "type"    // a machine type, for starts during the cloud's outages
-	KindRental    = "ask"     // a rental request
-	KindRemoval   = "removal" // machines being given back, or proven gone
-	KindMember    = "member"  // a live controller
-	KindLead      = "lead"    // the leading controller
-	KindDrain     = "drain"   // machines to be taken out of service
-	KindPermits   = "permit"  // a team's planned stops
-	KindRegistry  = "drains"  // changes with every new drain
+	KindJobResult     = "job"     // the final answer for a job, kept for ever
+	KindOpenJob       = "open"    // an unfinished job: its description and shares
+	KindShard         = "page"    // some machines of a partition with all that is on them
+	KindPartition     = "part"    // what a partition may use of the teams' limits
+	KindMachineType   = "type"    // a machine type, for starts during the cloud's outages
+	KindScaleOut      = "ask"     // a rental request
+	KindScaleIn       = "removal" // machines being given back, or proven gone
+	KindMember        = "member"  // a live controller
+	KindLeader        = "lead"    // the leading controller
+	KindDrain         = "drain"   // machines to be taken out of service
+	KindPermits       = "permit"  // a team's planned stops
+	KindDrainRegistry = "drains"  // changes with every new drain
 )
 
 // Key builds a key.
-func Key(kind, name string) string { return Root + kind + "/" + name }
+func Key(kind, name string) string { return KeyPrefix + kind + "/" + name }
 
-// LeadKey is the one key of its kind.
-const LeadKey = Root + KindLead + "/er"
+// LeaderKey is the one key of its kind.
+const LeaderKey = KeyPrefix + KindLeader + "/er"
 
-// RegistryKey is the one key of its kind. Whoever starts a drain writes it, on its version: so
+// DrainRegistryKey is the one key of its kind. Whoever starts a drain writes it, on its version: so
 // two drains that are started at one moment can't overlook each other.
-const RegistryKey = Root + KindRegistry + "/all"
+const DrainRegistryKey = KeyPrefix + KindDrainRegistry + "/all"
 
 // SplitKey takes a key apart; ok is false for keys that aren't the service's.
 func SplitKey(key string) (kind, name string, ok bool) {
-	rest, ok := strings.CutPrefix(key, Root)
+	rest, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
 		return "", "", false
 	}
 	return strings.Cut(rest, "/")
 }
 
-// JobStatus is where a job stands.
-type JobStatus string
+// JobState is where a job stands.
+type JobState string
 
 // Statuses of a job.
 const (
-	Open      JobStatus = "open"
-	Done      JobStatus = "done"
-	Cancelled JobStatus = "cancelled"
+	JobOpen      JobState = "open"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "cancelled"
 )
 
-// Answer is the record of KindJob. It is written, once, when the job is over.
-type Answer struct {
-	Status JobStatus `msgpack:"s"`
+// JobResult is the record of KindJobResult. It is written, once, when the job is over.
+type JobResult struct {
+	State JobState `msgpack:"s"`
 }
 
-// OpenJob is the record of KindOpen. Which of the job's tasks run or are
+// OpenJob is the record of KindOpenJob. Which of the job's tasks run or are
 // completed stands in the shards; a task that no shard names is pending. A cancelled
 // job has an Answer and keeps this record until all of its attempts are gone.
 type OpenJob struct {
-	Spec   Spec    `msgpack:"j"`
-	At     int64   `msgpack:"t"` // time of day of the acceptance, microseconds
-	Shares []Share `msgpack:"p"`
+	Spec       JobSpec     `msgpack:"j"`
+	AcceptedAt int64       `msgpack:"t"` // time of day of the acceptance, microseconds
+	TaskRanges []TaskRange `msgpack:"p"`
 }
 
-// Share says which partition gives the pending tasks of a range to its machines.
+// TaskRange says which partition gives the pending tasks of a range to its machines.
 // Every assignment is conditional on the version of the record that says so.
-type Share struct {
+type TaskRange struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
 	_msgpack   struct{} `msgpack:",as_array"`
 	First, End int
 	Partition  string
 }
 
-// ShareBytes is what one share takes in a record, beside the partition's name.
-const ShareBytes = 20
+// TaskRangeBytes is what one share takes in a record, beside the partition's name.
+const TaskRangeBytes = 20
 
-// Reshare gives a range to a partition and joins what then belongs together.
-func Reshare(shares []Share, first, end int, part string) []Share {
-	var out []Share
-	add := func(s Share) {
+// AssignRange gives a range to a partition and joins what then belongs together.
+func AssignRange(ranges []TaskRange, first, end int, part string) []TaskRange {
+	var out []TaskRange
+	add := func(s TaskRange) {
 		if s.First >= s.End {
 			return
 		}
@@ -97,47 +97,47 @@
 		}
 		out = append(out, s)
 	}
-	given := false
-	for _, s := range shares {
-		add(Share{First: s.First, End: min(s.End, first), Partition: s.Partition})
-		if !given && s.End > first {
-			given = true
-			add(Share{First: first, End: end, Partition: part})
+	inserted := false
+	for _, s := range ranges {
+		add(TaskRange{First: s.First, End: min(s.End, first), Partition: s.Partition})
+		if !inserted && s.End > first {
+			inserted = true
+			add(TaskRange{First: first, End: end, Partition: part})
 		}
-		add(Share{First: max(s.First, end), End: s.End, Partition: s.Partition})
+		add(TaskRange{First: max(s.First, end), End: s.End, Partition: s.Partition})
 	}
 	return out
 }
 
-// Spec is a submission in short.
-type Spec struct {
-	Class       string   `msgpack:"l"`
-	Team        string   `msgpack:"t"`
-	Service     bool     `msgpack:"s,omitempty"`
-	Priority    int      `msgpack:"r"`
-	Tasks       int      `msgpack:"n"`
-	CPUs        float64  `msgpack:"c"`
-	GPUs        float64  `msgpack:"g,omitempty"`
-	MemoryGB    float64  `msgpack:"m"`
-	Image       string   `msgpack:"i"`
-	ImageGB     float64  `msgpack:"ig"`
-	Types       []string `msgpack:"y,omitempty"`
-	Zone        string   `msgpack:"z,omitempty"`
-	OneZone     bool     `msgpack:"oz,omitempty"`
-	Spread      bool     `msgpack:"sp,omitempty"`
-	Spot        bool     `msgpack:"b,omitempty"`
-	EstimateS   float64  `msgpack:"e"`
-	CheckpointS float64  `msgpack:"k,omitempty"`
-	SaveS       float64  `msgpack:"v,omitempty"`
-	DeadlineS   float64  `msgpack:"d,omitempty"`
+// JobSpec is a submission in short.
+type JobSpec struct {
+	Class        string   `msgpack:"l"`
+	Team         string   `msgpack:"t"`
+	Service      bool     `msgpack:"s,omitempty"`
+	Priority     int      `msgpack:"r"`
+	Tasks        int      `msgpack:"n"`
+	CPUs         float64  `msgpack:"c"`
+	GPUs         float64  `msgpack:"g,omitempty"`
+	MemoryGB     float64  `msgpack:"m"`
+	Image        string   `msgpack:"i"`
+	ImageGB      float64  `msgpack:"ig"`
+	MachineTypes []string `msgpack:"y,omitempty"`
+	Zone         string   `msgpack:"z,omitempty"`
+	OneZone      bool     `msgpack:"oz,omitempty"`
+	Spread       bool     `msgpack:"sp,omitempty"`
+	Spot         bool     `msgpack:"b,omitempty"`
+	EstimateS    float64  `msgpack:"e"`
+	CheckpointS  float64  `msgpack:"k,omitempty"`
+	SaveS        float64  `msgpack:"v,omitempty"`
+	DeadlineS    float64  `msgpack:"d,omitempty"`
 }
 
-// SpecOf shortens a submission.
-func SpecOf(s *protocol.Submission) Spec {
-	return Spec{
+// JobSpecOf shortens a submission.
+func JobSpecOf(s *protocol.Submission) JobSpec {
+	return JobSpec{
 		Class: s.Class, Team: s.Team, Service: s.Service, Priority: int(s.Priority), Tasks: s.Tasks,
 		CPUs: s.CPUs, GPUs: s.GPUs, MemoryGB: s.MemoryGB, Image: s.Image, ImageGB: s.ImageGB,
-		Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot,
+		MachineTypes: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot,
 		EstimateS: s.EstimateS, CheckpointS: s.CheckpointS, SaveS: s.SaveS, DeadlineS: s.DeadlineS,
 	}
 }
@@ -147,64 +147,64 @@
 // is at most the team's limit. A share is raised on the condition that no part's
 // record has changed, so assignments need no common record.
 type Partition struct {
-	Shares map[string]Amount `msgpack:"s"`
+	QuotaShares map[string]Resources `msgpack:"s"`
 }
 
-// Amount is a share of a team's limit.
-type Amount struct {
+// Resources is a share of a team's limit.
+type Resources struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
 	_msgpack   struct{} `msgpack:",as_array"`
 	CPUs, GPUs float64
 }
 
-// RentalPhase is where a rental request stands.
-type RentalPhase string
+// ScaleOutPhase is where a rental request stands.
+type ScaleOutPhase string
 
 // Phases of a rental request. Ready and refused requests are dropped.
 const (
-	RentalPending      RentalPhase = "pending"
-	RentalProvisioning RentalPhase = "provisioning"
-	RentalUnmet        RentalPhase = "unmet"
+	ScaleOutPending      ScaleOutPhase = "pending"
+	ScaleOutProvisioning ScaleOutPhase = "provisioning"
+	ScaleOutNoCapacity   ScaleOutPhase = "unmet"
 )
 
-// Rental is the record of KindRental. While its machines come up it says who may claim
+// ScaleOutRequest is the record of KindScaleOut. While its machines come up it says who may claim
 // them: their home among the controllers that lived when it was written, or the
 // one named in Own. A claim is conditional on the record's version.
-type Rental struct {
-	Phase    RentalPhase       `msgpack:"p"`
-	Type     string            `msgpack:"y"`
-	Zone     string            `msgpack:"z"`
-	Spot     bool              `msgpack:"b,omitempty"`
-	Count    int               `msgpack:"n"`
-	Machines []string          `msgpack:"m,omitempty"`
-	Live     []string          `msgpack:"l,omitempty"`
-	Own      map[string]string `msgpack:"w,omitempty"`
-	At       int64             `msgpack:"t"` // time of day, microseconds
+type ScaleOutRequest struct {
+	Phase       ScaleOutPhase     `msgpack:"p"`
+	MachineType string            `msgpack:"y"`
+	Zone        string            `msgpack:"z"`
+	Spot        bool              `msgpack:"b,omitempty"`
+	Count       int               `msgpack:"n"`
+	Machines    []string          `msgpack:"m,omitempty"`
+	Live        []string          `msgpack:"l,omitempty"`
+	Own         map[string]string `msgpack:"w,omitempty"`
+	PhaseSince  int64             `msgpack:"t"` // time of day, microseconds
 }
 
-// Removal is the record of KindRemoval: machines that are deleted together. It
+// ScaleInRequest is the record of KindScaleIn: machines that are deleted together. It
 // is written before the call. Once the cloud has answered, Gone says that they
 // and all that was on them are gone; it is kept for a while, so that no late
 // report of theirs finds anybody who believes it.
-type Removal struct {
-	Machines []string `msgpack:"m"`
-	At       int64    `msgpack:"t"`
-	Tries    int      `msgpack:"n,omitempty"`
-	Failed   bool     `msgpack:"f,omitempty"`
-	Gone     bool     `msgpack:"g,omitempty"`
+type ScaleInRequest struct {
+	Machines   []string `msgpack:"m"`
+	StateSince int64    `msgpack:"t"`
+	Attempts   int      `msgpack:"n,omitempty"`
+	Failed     bool     `msgpack:"f,omitempty"`
+	Gone       bool     `msgpack:"g,omitempty"`
 }
 
-// Type is the record of KindType.
-type Type struct {
-	CPUs        float64  `msgpack:"c"`
-	GPUs        float64  `msgpack:"g"`
-	MemoryGB    float64  `msgpack:"m"`
-	CacheGB     float64  `msgpack:"k"`
-	FetchGBPerS float64  `msgpack:"f"`
-	Price       float64  `msgpack:"p"`
-	SpotPrice   float64  `msgpack:"s"`
-	BootS       float64  `msgpack:"b"`
-	Zones       []string `msgpack:"z"`
+// MachineType is the record of KindMachineType.
+type MachineType struct {
+	CPUs          float64  `msgpack:"c"`
+	GPUs          float64  `msgpack:"g"`
+	MemoryGB      float64  `msgpack:"m"`
+	CacheGB       float64  `msgpack:"k"`
+	FetchGBPerS   float64  `msgpack:"f"`
+	OnDemandPrice float64  `msgpack:"p"`
+	SpotPrice     float64  `msgpack:"s"`
+	BootS         float64  `msgpack:"b"`
+	Zones         []string `msgpack:"z"`
 }
 
 // Member is the record of KindMember.
@@ -213,8 +213,8 @@
 	Zone        string `msgpack:"z"`
 }
 
-// Lead is the record of KindLead.
-type Lead struct {
+// Leader is the record of KindLeader.
+type Leader struct {
 	Node        string `msgpack:"o"`
 	Incarnation uint64 `msgpack:"i"`
 }
--- a/internal/bookkeeping/shard.go
+++ b/internal/bookkeeping/shard.go
@@ -14,11 +14,11 @@
 
 // States of a machine. A closing machine is the part's own affair and not kept.
 const (
-	MachineOpen     MachineState = "o"
-	MachineQuiet    MachineState = "q" // out of reach just now: no room, no supply
-	MachineCordoned MachineState = "c" // selected by a drain: no new tasks as long as the drain lasts
-	MachineDraining MachineState = "d" // no new tasks ever again
-	MachineRemoving MachineState = "r" // for the leader to give back
+	MachineOpen        MachineState = "o"
+	MachineUnreachable MachineState = "q" // out of reach just now: no room, no supply
+	MachineCordoned    MachineState = "c" // selected by a drain: no new tasks as long as the drain lasts
+	MachineDraining    MachineState = "d" // no new tasks ever again
+	MachineRemoving    MachineState = "r" // for the leader to give back
 )
 
 // Shard is the record of KindShard: some of a partition's machines, the attempts on
@@ -35,7 +35,7 @@
 
 // ShardMachine is a machine in a shard.
 type ShardMachine struct {
-	Num      int // its short name within the shard
+	Number   int // its short name within the shard
 	Type     string
 	Zone     string
 	Spot     bool
@@ -46,24 +46,24 @@
 
 // ShardJob is what a shard holds of a job.
 type ShardJob struct {
-	Done Tasks
-	Held []Held // ordered by task
-	text string // its stored form but for the id, to tell what changed
+	Completed TaskSet
+	Attempts  []Attempt // ordered by task
+	encoded   string    // its stored form but for the id, to tell what changed
 }
 
-// Held is an attempt on a machine.
-type Held struct {
+// Attempt is an attempt on a machine.
+type Attempt struct {
 	Task    int
 	Machine string
-	Attempt uint64
+	Number  uint64
 	// Starting says that the attempt isn't known to be running yet. It is kept only for
 	// replicas whose availability is watched, see package drain.
 	Starting bool
 }
 
-// SameAttempt tells whether two entries are of one attempt on one machine.
-func (h Held) SameAttempt(o Held) bool {
-	return h.Task == o.Task && h.Machine == o.Machine && h.Attempt == o.Attempt
+// SameAs tells whether two entries are of one attempt on one machine.
+func (h Attempt) SameAs(o Attempt) bool {
+	return h.Task == o.Task && h.Machine == o.Machine && h.Number == o.Number
 }
 
 // ClaimOf gives the claim number under which a machine of the shard is held.
@@ -72,48 +72,48 @@
 // Clone copies a shard so that a change can be prepared; the entries are shared
 // and must be replaced rather than changed.
 func (p *Shard) Clone() *Shard {
-	q := *p
-	q.Machines = make(map[string]*ShardMachine, len(p.Machines)+1)
+	clone := *p
+	clone.Machines = make(map[string]*ShardMachine, len(p.Machines)+1)
 	for k, v := range p.Machines {
-		q.Machines[k] = v
+		clone.Machines[k] = v
 	}
-	q.Jobs = make(map[string]*ShardJob, len(p.Jobs)+1)
+	clone.Jobs = make(map[string]*ShardJob, len(p.Jobs)+1)
 	for k, v := range p.Jobs {
-		q.Jobs[k] = v
+		clone.Jobs[k] = v
 	}
-	return &q
+	return &clone
 }
 
-// Add puts a machine into the shard under the lowest free number.
-func (p *Shard) Add(id string, m ShardMachine) {
+// AddMachine puts a machine into the shard under the lowest free number.
+func (p *Shard) AddMachine(id string, m ShardMachine) {
 	used := make(map[int]bool, len(p.Machines))
 	for _, o := range p.Machines {
-		used[o.Num] = true
+		used[o.Number] = true
 	}
-	m.Num = 0
-	for used[m.Num] {
-		m.Num++
+	m.Number = 0
+	for used[m.Number] {
+		m.Number++
 	}
 	p.Machines[id] = &m
 }
 
-// SetState replaces a machine's state.
-func (p *Shard) SetState(id string, s MachineState) {
+// SetMachineState replaces a machine's state.
+func (p *Shard) SetMachineState(id string, state MachineState) {
 	m := *p.Machines[id]
-	m.State = s
+	m.State = state
 	p.Machines[id] = &m
 }
 
 // Assign gives a task to a machine.
-func (p *Shard) Assign(job string, h Held) {
+func (p *Shard) Assign(job string, a Attempt) {
 	old := p.Jobs[job]
 	if old == nil {
 		old = &ShardJob{}
 	}
-	k := sort.Search(len(old.Held), func(i int) bool { return old.Held[i].Task >= h.Task })
-	held := make([]Held, 0, len(old.Held)+1)
-	held = append(append(append(held, old.Held[:k]...), h), old.Held[k:]...)
-	p.Jobs[job] = &ShardJob{Done: old.Done, Held: held}
+	k := sort.Search(len(old.Attempts), func(i int) bool { return old.Attempts[i].Task >= a.Task })
+	held := make([]Attempt, 0, len(old.Attempts)+1)
+	held = append(append(append(held, old.Attempts[:k]...), a), old.Attempts[k:]...)
+	p.Jobs[job] = &ShardJob{Completed: old.Completed, Attempts: held}
 }
 
 // Release takes an attempt off; done: the task is completed.
@@ -122,33 +122,33 @@
 	if old == nil {
 		return
 	}
-	next := &ShardJob{Done: old.Done, Held: make([]Held, 0, len(old.Held))}
-	for _, h := range old.Held {
-		if h.Task != task {
-			next.Held = append(next.Held, h)
+	next := &ShardJob{Completed: old.Completed, Attempts: make([]Attempt, 0, len(old.Attempts))}
+	for _, a := range old.Attempts {
+		if a.Task != task {
+			next.Attempts = append(next.Attempts, a)
 		}
 	}
 	if done {
-		next.Done = next.Done.With(task)
+		next.Completed = next.Completed.With(task)
 	}
-	if len(next.Held) == 0 && len(next.Done) == 0 {
+	if len(next.Attempts) == 0 && len(next.Completed) == 0 {
 		delete(p.Jobs, job)
 		return
 	}
 	p.Jobs[job] = next
 }
 
-// Find gives the entry of a task that the shard holds.
-func (p *Shard) Find(job string, task int) (Held, bool) {
+// FindAttempt gives the entry of a task that the shard holds.
+func (p *Shard) FindAttempt(job string, task int) (Attempt, bool) {
 	entry := p.Jobs[job]
 	if entry == nil {
-		return Held{}, false
+		return Attempt{}, false
 	}
-	k := sort.Search(len(entry.Held), func(i int) bool { return entry.Held[i].Task >= task })
-	if k == len(entry.Held) || entry.Held[k].Task != task {
-		return Held{}, false
+	k := sort.Search(len(entry.Attempts), func(i int) bool { return entry.Attempts[i].Task >= task })
+	if k == len(entry.Attempts) || entry.Attempts[k].Task != task {
+		return Attempt{}, false
 	}
-	return entry.Held[k], true
+	return entry.Attempts[k], true
 }
 
 // MarkStarting sets whether a held attempt is known to be running.
@@ -157,16 +157,16 @@
 	if old == nil {
 		return
 	}
-	next := &ShardJob{Done: old.Done, Held: append([]Held(nil), old.Held...)}
-	for i := range next.Held {
-		if next.Held[i].Task == task {
-			next.Held[i].Starting = starting
+	next := &ShardJob{Completed: old.Completed, Attempts: append([]Attempt(nil), old.Attempts...)}
+	for i := range next.Attempts {
+		if next.Attempts[i].Task == task {
+			next.Attempts[i].Starting = starting
 		}
 	}
 	p.Jobs[job] = next
 }
 
-// pageRecord is a shard as stored. What is counted is its JSON form, and every
+// shardRecord is a shard as stored. What is counted is its JSON form, and every
 // change of a task is a change of a shard: so machines and jobs are packed text.
 //
 //	machines: "num id endpoint kind state [claim]" joined by ";"
@@ -175,16 +175,16 @@
 //
 // Ids and endpoints are written as how many characters they share with the one
 // before, and the rest: see front.
-type pageRecord struct {
-	Owner       string    `msgpack:"o"`
-	Incarnation uint64    `msgpack:"i"`
-	Claim       uint64    `msgpack:"c"`
-	Kinds       []kindRec `msgpack:"k"`
-	Machines    string    `msgpack:"m"`
-	Jobs        string    `msgpack:"j"`
+type shardRecord struct {
+	Owner        string        `msgpack:"o"`
+	Incarnation  uint64        `msgpack:"i"`
+	Claim        uint64        `msgpack:"c"`
+	MachineKinds []machineKind `msgpack:"k"`
+	Machines     string        `msgpack:"m"`
+	Jobs         string        `msgpack:"j"`
 }
 
-type kindRec struct {
+type machineKind struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Type     string
@@ -195,65 +195,65 @@
 // Encode gives the stored form and its size as the state service counts it (an
 // upper bound).
 func (p *Shard) Encode() (protocol.Raw, int) {
-	rec := pageRecord{Owner: p.Owner, Incarnation: p.Incarnation, Claim: p.Claim}
-	kinds := map[kindRec]int{}
-	var b []byte
-	lastID, lastEnd := "", ""
-	for _, id := range sortedNames(p.Machines) {
+	record := shardRecord{Owner: p.Owner, Incarnation: p.Incarnation, Claim: p.Claim}
+	kinds := map[machineKind]int{}
+	var text []byte
+	lastID, lastEndpoint := "", ""
+	for _, id := range sortedKeys(p.Machines) {
 		m := p.Machines[id]
-		k := kindRec{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		k := machineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		n, ok := kinds[k]
 		if !ok {
-			n = len(rec.Kinds)
+			n = len(record.MachineKinds)
 			kinds[k] = n
-			rec.Kinds = append(rec.Kinds, k)
+			record.MachineKinds = append(record.MachineKinds, k)
 		}
-		if len(b) > 0 {
-			b = append(b, ';')
+		if len(text) > 0 {
+			text = append(text, ';')
 		}
-		b = strconv.AppendInt(b, int64(m.Num), 36)
-		b = front(append(b, ' '), lastID, id)
-		b = front(append(b, ' '), lastEnd, m.Endpoint)
-		lastID, lastEnd = id, m.Endpoint
-		b = strconv.AppendInt(append(b, ' '), int64(n), 36)
-		b = append(append(b, ' '), m.State...)
+		text = strconv.AppendInt(text, int64(m.Number), 36)
+		text = appendPrefixCompressed(append(text, ' '), lastID, id)
+		text = appendPrefixCompressed(append(text, ' '), lastEndpoint, m.Endpoint)
+		lastID, lastEndpoint = id, m.Endpoint
+		text = strconv.AppendInt(append(text, ' '), int64(n), 36)
+		text = append(append(text, ' '), m.State...)
 		if m.Claim > p.Claim {
-			b = strconv.AppendUint(append(b, ' '), m.Claim, 36)
+			text = strconv.AppendUint(append(text, ' '), m.Claim, 36)
 		}
 	}
-	rec.Machines = string(b)
-	b, lastID = b[:0:0], ""
-	for _, id := range sortedNames(p.Jobs) {
-		if len(b) > 0 {
-			b = append(b, ';')
+	record.Machines = string(text)
+	text, lastID = text[:0:0], ""
+	for _, id := range sortedKeys(p.Jobs) {
+		if len(text) > 0 {
+			text = append(text, ';')
 		}
 		e := p.Jobs[id]
-		if e.text == "" {
-			e.text = e.encode(p.Machines)
+		if e.encoded == "" {
+			e.encoded = e.encode(p.Machines)
 		}
-		b = append(front(b, lastID, id), e.text...)
+		text = append(appendPrefixCompressed(text, lastID, id), e.encoded...)
 		lastID = id
 	}
-	rec.Jobs = string(b)
-	size := 120 + len(p.Owner) + len(rec.Machines) + len(rec.Jobs)
-	for _, k := range rec.Kinds {
+	record.Jobs = string(text)
+	size := 120 + len(p.Owner) + len(record.Machines) + len(record.Jobs)
+	for _, k := range record.MachineKinds {
 		size += len(k.Type) + len(k.Zone) + 14
 	}
-	return protocol.MustMarshal(&rec), size
+	return protocol.MustMarshal(&record), size
 }
 
-// front appends s as the number of characters that it shares with last, one digit
+// appendPrefixCompressed appends s as the number of characters that it shares with last, one digit
 // of base 36, and the rest.
-func front(b []byte, last, s string) []byte {
+func appendPrefixCompressed(text []byte, last, s string) []byte {
 	n := 0
 	for n < 35 && n < len(last) && n < len(s) && last[n] == s[n] {
 		n++
 	}
-	return append(strconv.AppendInt(b, int64(n), 36), s[n:]...)
+	return append(strconv.AppendInt(text, int64(n), 36), s[n:]...)
 }
 
-// unfront reads what front has written.
-func unfront(last, s string) (string, bool) {
+// expandPrefix reads what front has written.
+func expandPrefix(last, s string) (string, bool) {
 	if s == "" {
 		return "", false
 	}
@@ -265,9 +265,9 @@
 }
 
 func (e *ShardJob) encode(machines map[string]*ShardMachine) string {
-	b := make([]byte, 0, 64)
-	if len(e.Done) > 0 {
-		b = e.Done.append(append(b, " d"...))
+	text := make([]byte, 0, 64)
+	if len(e.Completed) > 0 {
+		text = e.Completed.appendText(append(text, " d"...))
 	}
 	// Attempts on one machine that began together share their head.
 	type head struct {
@@ -276,58 +276,58 @@
 		starting bool
 	}
 	var order []head
-	groups := map[head]Tasks{}
-	for _, h := range e.Held {
-		k := head{machines[h.Machine].Num, h.Attempt, h.Starting}
+	groups := map[head]TaskSet{}
+	for _, a := range e.Attempts {
+		k := head{machines[a.Machine].Number, a.Number, a.Starting}
 		g, ok := groups[k]
 		if !ok {
 			order = append(order, k)
 		}
-		groups[k] = g.With(h.Task)
+		groups[k] = g.With(a.Task)
 	}
 	for _, k := range order {
-		b = strconv.AppendInt(append(b, ' '), int64(k.num), 36)
-		b = strconv.AppendUint(append(b, separator(k.starting)), k.attempt, 36)
-		if g := groups[k]; len(g) != 1 || g[0] != (Span{0, 1}) {
-			b = g.append(append(b, ':'))
+		text = strconv.AppendInt(append(text, ' '), int64(k.num), 36)
+		text = strconv.AppendUint(append(text, attemptSeparator(k.starting)), k.attempt, 36)
+		if g := groups[k]; len(g) != 1 || g[0] != (Interval{0, 1}) {
+			text = g.appendText(append(text, ':'))
 		}
 	}
-	return string(b)
+	return string(text)
 }
 
-// separator stands between a machine's number and the attempt's.
-func separator(starting bool) byte {
+// attemptSeparator stands between a machine's number and the attempt's.
+func attemptSeparator(starting bool) byte {
 	if starting {
 		return '!'
 	}
 	return '@'
 }
 
-// StartingBound is what an attempt takes at most by being marked apart from others that began
+// MaxStartingBytes is what an attempt takes at most by being marked apart from others that began
 // together with it: a head of its own.
-const StartingBound = 14
+const MaxStartingBytes = 14
 
-// Bound tells how large the shard can get without another assignment: as its
+// MaxEncodedSize tells how large the shard can get without another assignment: as its
 // attempts end in any order, ranges of them fall apart. Whatever becomes of what
 // is assigned must always find room in the record.
-func (p *Shard) Bound() int {
+func (p *Shard) MaxEncodedSize() int {
 	_, size := p.Encode()
 	for _, e := range p.Jobs {
-		if len(e.Held) > 0 {
+		if len(e.Attempts) > 0 {
 			size += 2
 		}
-		for _, h := range e.Held {
-			size += TaskBound(h.Task)
-			if h.Starting {
-				size += StartingBound
+		for _, a := range e.Attempts {
+			size += MaxTaskBytes(a.Task)
+			if a.Starting {
+				size += MaxStartingBytes
 			}
 		}
 	}
 	return size
 }
 
-// TaskBound is what one task's number takes at most.
-func TaskBound(task int) int {
+// MaxTaskBytes is what one task's number takes at most.
+func MaxTaskBytes(task int) int {
 	n := 2
 	for ; task >= 10; task /= 10 {
 		n++
@@ -338,47 +338,47 @@
 // DecodeShard reads a stored shard; entries that stand in old unchanged are shared
 // with it.
 func DecodeShard(raw protocol.Raw, old *Shard) (*Shard, error) {
-	var rec pageRecord
-	if err := protocol.Unmarshal(raw, &rec); err != nil {
+	var record shardRecord
+	if err := protocol.Unmarshal(raw, &record); err != nil {
 		return nil, err
 	}
-	p := &Shard{Owner: rec.Owner, Incarnation: rec.Incarnation, Claim: rec.Claim,
+	s := &Shard{Owner: record.Owner, Incarnation: record.Incarnation, Claim: record.Claim,
 		Machines: map[string]*ShardMachine{}, Jobs: map[string]*ShardJob{}}
-	bad := func(what string) error { return fmt.Errorf("page with a bad entry %q", what) }
-	byNum := map[int]string{}
-	lastID, lastEnd := "", ""
-	for _, entry := range split(rec.Machines) {
-		f := strings.Split(entry, " ")
-		if len(f) < 5 {
-			return nil, bad(entry)
+	malformed := func(what string) error { return fmt.Errorf("page with a bad entry %q", what) }
+	byNumber := map[int]string{}
+	lastID, lastEndpoint := "", ""
+	for _, entry := range splitEntries(record.Machines) {
+		columns := strings.Split(entry, " ")
+		if len(columns) < 5 {
+			return nil, malformed(entry)
 		}
-		num, err1 := strconv.ParseInt(f[0], 36, 32)
-		kind, err2 := strconv.ParseInt(f[3], 36, 32)
-		id, ok1 := unfront(lastID, f[1])
-		end, ok2 := unfront(lastEnd, f[2])
-		if err1 != nil || err2 != nil || kind < 0 || int(kind) >= len(rec.Kinds) || !ok1 || !ok2 || id == "" {
-			return nil, bad(entry)
+		num, err1 := strconv.ParseInt(columns[0], 36, 32)
+		kind, err2 := strconv.ParseInt(columns[3], 36, 32)
+		id, ok1 := expandPrefix(lastID, columns[1])
+		endpoint, ok2 := expandPrefix(lastEndpoint, columns[2])
+		if err1 != nil || err2 != nil || kind < 0 || int(kind) >= len(record.MachineKinds) || !ok1 || !ok2 || id == "" {
+			return nil, malformed(entry)
 		}
-		lastID, lastEnd = id, end
-		k := rec.Kinds[kind]
+		lastID, lastEndpoint = id, endpoint
+		k := record.MachineKinds[kind]
 		m := &ShardMachine{
-			Num: int(num), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Endpoint: end, State: MachineState(f[4]),
+			Number: int(num), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Endpoint: endpoint, State: MachineState(columns[4]),
 		}
-		if len(f) > 5 {
-			c, err := strconv.ParseUint(f[5], 36, 64)
+		if len(columns) > 5 {
+			c, err := strconv.ParseUint(columns[5], 36, 64)
 			if err != nil {
-				return nil, bad(entry)
+				return nil, malformed(entry)
 			}
 			m.Claim = c
 		}
-		if byNum[m.Num] != "" || p.Machines[id] != nil {
-			return nil, bad(entry)
+		if byNumber[m.Number] != "" || s.Machines[id] != nil {
+			return nil, malformed(entry)
 		}
-		byNum[m.Num] = id
-		p.Machines[id] = m
+		byNumber[m.Number] = id
+		s.Machines[id] = m
 		if old != nil && old.Machines[id] != nil {
 			if o := old.Machines[id]; *o == *m {
-				p.Machines[id] = o
+				s.Machines[id] = o
 			}
 		}
 	}
@@ -387,35 +387,35 @@
 	same := old != nil
 	if same {
 		for id, o := range old.Machines {
-			if other, ok := byNum[o.Num]; ok && other != id {
+			if other, ok := byNumber[o.Number]; ok && other != id {
 				same = false
 				break
 			}
 		}
 	}
 	lastID = ""
-	for _, entry := range split(rec.Jobs) {
+	for _, entry := range splitEntries(record.Jobs) {
 		head, rest, _ := strings.Cut(entry, " ")
-		id, ok := unfront(lastID, head)
-		if !ok || id == "" || p.Jobs[id] != nil {
-			return nil, bad(entry)
+		id, ok := expandPrefix(lastID, head)
+		if !ok || id == "" || s.Jobs[id] != nil {
+			return nil, malformed(entry)
 		}
 		lastID = id
 		text := entry[len(head):]
 		if same {
-			if o := old.Jobs[id]; o != nil && o.text == text {
-				p.Jobs[id] = o
+			if o := old.Jobs[id]; o != nil && o.encoded == text {
+				s.Jobs[id] = o
 				continue
 			}
 		}
-		e := &ShardJob{text: text}
+		e := &ShardJob{encoded: text}
 		for _, f := range strings.Fields(rest) {
 			if done, ok := strings.CutPrefix(f, "d"); ok && !strings.ContainsAny(f, "@!") {
-				t, err := parseTasks(done, protocol.MaxTasks)
+				t, err := parseTaskSet(done, protocol.MaxTasks)
 				if err != nil {
 					return nil, err
 				}
-				e.Done = t
+				e.Completed = t
 				continue
 			}
 			head, tasks, listed := strings.Cut(f, ":")
@@ -429,26 +429,26 @@
 			}
 			n, err1 := strconv.ParseInt(num, 36, 32)
 			a, err2 := strconv.ParseUint(attempt, 36, 64)
-			t, err3 := parseTasks(tasks, protocol.MaxTasks)
-			if !ok2 || err1 != nil || err2 != nil || err3 != nil || byNum[int(n)] == "" {
-				return nil, bad(entry)
+			t, err3 := parseTaskSet(tasks, protocol.MaxTasks)
+			if !ok2 || err1 != nil || err2 != nil || err3 != nil || byNumber[int(n)] == "" {
+				return nil, malformed(entry)
 			}
-			t.Each(func(i int) { e.Held = append(e.Held, Held{i, byNum[int(n)], a, starting}) })
+			t.Each(func(i int) { e.Attempts = append(e.Attempts, Attempt{i, byNumber[int(n)], a, starting}) })
 		}
-		sort.Slice(e.Held, func(a, b int) bool { return e.Held[a].Task < e.Held[b].Task })
-		p.Jobs[id] = e
+		sort.Slice(e.Attempts, func(a, b int) bool { return e.Attempts[a].Task < e.Attempts[b].Task })
+		s.Jobs[id] = e
 	}
-	return p, nil
+	return s, nil
 }
 
-func split(s string) []string {
+func splitEntries(s string) []string {
 	if s == "" {
 		return nil
 	}
 	return strings.Split(s, ";")
 }
 
-func sortedNames[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
--- a/internal/bookkeeping/stored_test.go
+++ b/internal/bookkeeping/stored_test.go
@@ -19,45 +19,45 @@
 // storedRecords has one record of each kind with every field set, and those with optional fields
 // without them too. Maps have one entry at most: their order isn't fixed.
 func storedRecords() []storedRecord {
-	spec := Spec{
+	spec := JobSpec{
 		Class: "batch", Team: "wren", Service: true, Priority: 7, Tasks: 40, CPUs: 1.5, GPUs: 2,
-		MemoryGB: 6.25, Image: "wren/sort:3", ImageGB: 0.75, Types: []string{"m8", "g2"},
+		MemoryGB: 6.25, Image: "wren/sort:3", ImageGB: 0.75, MachineTypes: []string{"m8", "g2"},
 		Zone: "rack-a", OneZone: true, Spread: true, Spot: true, EstimateS: 90.5, CheckpointS: 30, SaveS: 2.5, DeadlineS: 900,
 	}
-	least := Spec{Class: "batch", Team: "wren", Priority: 7, Tasks: 1, CPUs: 1, MemoryGB: 2,
+	least := JobSpec{Class: "batch", Team: "wren", Priority: 7, Tasks: 1, CPUs: 1, MemoryGB: 2,
 		Image: "wren/sort:3", ImageGB: 0.5, EstimateS: 60}
 	const at = 1_764_687_600_123_456
 	return []storedRecord{
-		{file: "job-done", key: Key(KindJob, "j-000017"), value: &Answer{Status: Done}},
-		{file: "job-cancelled", key: Key(KindJob, "j-000018"), value: &Answer{Status: Cancelled}},
-		{file: "open", key: Key(KindOpen, "j-000017"), value: &OpenJob{Spec: spec, At: at,
-			Shares: []Share{{First: 0, End: 16, Partition: "n-0"}, {First: 16, End: 40, Partition: "n-1"}}}},
-		{file: "open-sparse", key: Key(KindOpen, "j-000018"), sparse: true,
-			value: &OpenJob{Spec: least, At: at}},
+		{file: "job-done", key: Key(KindJobResult, "j-000017"), value: &JobResult{State: JobDone}},
+		{file: "job-cancelled", key: Key(KindJobResult, "j-000018"), value: &JobResult{State: JobCancelled}},
+		{file: "open", key: Key(KindOpenJob, "j-000017"), value: &OpenJob{Spec: spec, AcceptedAt: at,
+			TaskRanges: []TaskRange{{First: 0, End: 16, Partition: "n-0"}, {First: 16, End: 40, Partition: "n-1"}}}},
+		{file: "open-sparse", key: Key(KindOpenJob, "j-000018"), sparse: true,
+			value: &OpenJob{Spec: least, AcceptedAt: at}},
 		{file: "partition", key: Key(KindPartition, "n-0"),
-			value: &Partition{Shares: map[string]Amount{"wren": {CPUs: 12.5, GPUs: 3}}}},
-		{file: "type", key: Key(KindType, "m8"), value: &Type{CPUs: 8, GPUs: 1, MemoryGB: 64, CacheGB: 120,
-			FetchGBPerS: 0.25, Price: 1.75, SpotPrice: 0.5, BootS: 45, Zones: []string{"rack-a", "rack-b"}}},
-		{file: "rental", key: Key(KindRental, "a-1-4"), value: &Rental{Phase: RentalProvisioning, Type: "m8",
+			value: &Partition{QuotaShares: map[string]Resources{"wren": {CPUs: 12.5, GPUs: 3}}}},
+		{file: "type", key: Key(KindMachineType, "m8"), value: &MachineType{CPUs: 8, GPUs: 1, MemoryGB: 64, CacheGB: 120,
+			FetchGBPerS: 0.25, OnDemandPrice: 1.75, SpotPrice: 0.5, BootS: 45, Zones: []string{"rack-a", "rack-b"}}},
+		{file: "rental", key: Key(KindScaleOut, "a-1-4"), value: &ScaleOutRequest{Phase: ScaleOutProvisioning, MachineType: "m8",
 			Zone: "rack-a", Spot: true, Count: 2, Machines: []string{"i-000231", "i-000232"},
-			Live: []string{"n-0", "n-1"}, Own: map[string]string{"i-000231": "n-1"}, At: at}},
-		{file: "rental-pending", key: Key(KindRental, "a-1-5"), sparse: true,
-			value: &Rental{Phase: RentalPending, Type: "m8", Zone: "rack-a", Count: 2, At: at}},
-		{file: "rental-unmet", key: Key(KindRental, "a-1-6"), sparse: true,
-			value: &Rental{Phase: RentalUnmet, Type: "m8", Zone: "rack-b", Count: 1, At: at}},
-		{file: "removal", key: Key(KindRemoval, "d-1-2"), value: &Removal{Machines: []string{"i-000231"},
-			At: at, Tries: 3, Failed: true, Gone: true}},
-		{file: "removal-sparse", key: Key(KindRemoval, "d-1-3"), sparse: true,
-			value: &Removal{Machines: []string{"i-000232"}, At: at}},
+			Live: []string{"n-0", "n-1"}, Own: map[string]string{"i-000231": "n-1"}, PhaseSince: at}},
+		{file: "rental-pending", key: Key(KindScaleOut, "a-1-5"), sparse: true,
+			value: &ScaleOutRequest{Phase: ScaleOutPending, MachineType: "m8", Zone: "rack-a", Count: 2, PhaseSince: at}},
+		{file: "rental-unmet", key: Key(KindScaleOut, "a-1-6"), sparse: true,
+			value: &ScaleOutRequest{Phase: ScaleOutNoCapacity, MachineType: "m8", Zone: "rack-b", Count: 1, PhaseSince: at}},
+		{file: "removal", key: Key(KindScaleIn, "d-1-2"), value: &ScaleInRequest{Machines: []string{"i-000231"},
+			StateSince: at, Attempts: 3, Failed: true, Gone: true}},
+		{file: "removal-sparse", key: Key(KindScaleIn, "d-1-3"), sparse: true,
+			value: &ScaleInRequest{Machines: []string{"i-000232"}, StateSince: at}},
 		{file: "member", key: Key(KindMember, "n-0"), value: &Member{Incarnation: 1 << 47, Zone: "rack-a"}},
-		{file: "lead", key: LeadKey, value: &Lead{Node: "n-0", Incarnation: 1 << 47}},
+		{file: "lead", key: LeaderKey, value: &Leader{Node: "n-0", Incarnation: 1 << 47}},
 		{file: "drain", key: Key(KindDrain, "rack-a-out"), value: &Drain{State: DrainPaused,
-			Reason:   "its deadline has passed",
-			Selector: Selector{Machines: []string{"i-000231"}, Zone: "rack-a", Type: "m8", Kind: KindSpot},
-			Through:  "i-000300", Replace: true, AtOnce: true, MaxParallel: 3, StartedAt: at,
+			Reason:      "its deadline has passed",
+			Selector:    Selector{Machines: []string{"i-000231"}, Zone: "rack-a", Type: "m8", CapacityType: SpotCapacity},
+			LastMachine: "i-000300", Replace: true, RemoveAtOnce: true, MaxParallel: 3, StartedAt: at,
 			DeadlineAt: at + 60, EndedAt: at + 120}},
 		{file: "drain-active", key: Key(KindDrain, "d-1"), sparse: true,
-			value: &Drain{State: DrainActive, Selector: Selector{Kind: KindOrdinary}, MaxParallel: 1,
+			value: &Drain{State: DrainActive, Selector: Selector{CapacityType: OnDemandCapacity}, MaxParallel: 1,
 				StartedAt: at}},
 		{file: "drain-drained", key: Key(KindDrain, "d-2"), sparse: true,
 			value: &Drain{State: DrainDrained, Selector: Selector{Zone: "rack-b"}, MaxParallel: 1,
@@ -70,8 +70,8 @@
 				StartedAt: at, EndedAt: at + 1}},
 		{file: "permits", key: Key(KindPermits, "wren"), value: &Permits{Permits: []Permit{
 			{Drain: "rack-a-out", Job: "j-000017", Task: 5, Attempt: 50012, From: "i-000231", To: "i-000240",
-				At: at}}}},
-		{file: "registry", key: RegistryKey, value: ptr("rack-a-out")}, // the name of the newest drain
+				GrantedAt: at}}}},
+		{file: "registry", key: DrainRegistryKey, value: ptr("rack-a-out")}, // the name of the newest drain
 	}
 }
 
@@ -108,9 +108,9 @@
 
 // TestStoredKeys: the keys of all kinds are as they were, and are taken apart to what they were made of.
 func TestStoredKeys(t *testing.T) {
-	kinds := []string{KindJob, KindOpen, KindShard, KindPartition, KindType, KindRental, KindRemoval,
-		KindMember, KindLead, KindDrain, KindPermits, KindRegistry}
-	text := Root + "\n"
+	kinds := []string{KindJobResult, KindOpenJob, KindShard, KindPartition, KindMachineType, KindScaleOut, KindScaleIn,
+		KindMember, KindLeader, KindDrain, KindPermits, KindDrainRegistry}
+	text := KeyPrefix + "\n"
 	for _, kind := range kinds {
 		key := Key(kind, "a/name")
 		text += key + "\n"
@@ -118,7 +118,7 @@
 			t.Errorf("%s is taken apart to %q, %q, %v", key, gotKind, name, ok)
 		}
 	}
-	text += LeadKey + "\n" + RegistryKey + "\n"
+	text += LeaderKey + "\n" + DrainRegistryKey + "\n"
 	for _, record := range storedRecords() {
 		text += record.file + " " + record.key + "\n"
 	}
@@ -129,37 +129,37 @@
 // kinds, endpoints with and without a common beginning, completed tasks, and attempts that are starting.
 func storedShards() map[string]*Shard {
 	full := &Shard{Owner: "n-2", Incarnation: 1 << 47, Claim: 3, Machines: map[string]*ShardMachine{
-		"i-000231": {Num: 0, Type: "m16", Zone: "rack-a", Endpoint: "10.1.0.232:9000", State: MachineOpen},
-		"i-000232": {Num: 1, Type: "m16", Zone: "rack-b", Endpoint: "10.1.0.233:9000", State: MachineQuiet,
+		"i-000231": {Number: 0, Type: "m16", Zone: "rack-a", Endpoint: "10.1.0.232:9000", State: MachineOpen},
+		"i-000232": {Number: 1, Type: "m16", Zone: "rack-b", Endpoint: "10.1.0.233:9000", State: MachineUnreachable,
 			Spot: true},
-		"i-000240": {Num: 2, Type: "m16", Zone: "rack-a", Endpoint: "10.1.7.1:9000", State: MachineCordoned,
+		"i-000240": {Number: 2, Type: "m16", Zone: "rack-a", Endpoint: "10.1.7.1:9000", State: MachineCordoned,
 			Claim: 40},
-		"i-000999": {Num: 36, Type: "g2", Zone: "rack-a", Endpoint: "gpu-9.example:80",
+		"i-000999": {Number: 36, Type: "g2", Zone: "rack-a", Endpoint: "gpu-9.example:80",
 			State: MachineDraining, Claim: 7},
-		"k-1": {Num: 4, Type: "g2", Zone: "rack-a", Endpoint: "10.1.0.232:9001", State: MachineRemoving},
+		"k-1": {Number: 4, Type: "g2", Zone: "rack-a", Endpoint: "10.1.0.232:9001", State: MachineRemoving},
 	}, Jobs: map[string]*ShardJob{
-		"j-000017": {Done: Tasks{{0, 5}, {7, 8}, {100, 300}}, Held: []Held{
-			{Task: 5, Machine: "i-000231", Attempt: 50012}, {Task: 6, Machine: "i-000231", Attempt: 50012},
-			{Task: 9, Machine: "i-000999", Attempt: 1}, {Task: 12, Machine: "i-000231", Attempt: 50012}}},
-		"j-000018": {Held: []Held{
-			{Task: 0, Machine: "k-1", Attempt: 77, Starting: true}, {Task: 1, Machine: "k-1", Attempt: 77},
-			{Task: 2, Machine: "i-000240", Attempt: 78, Starting: true}}},
-		"j-000019": {Held: []Held{{Task: 0, Machine: "i-000232", Attempt: 79}}},
-		"zebra":    {Done: Tasks{{3, 4}}},
+		"j-000017": {Completed: TaskSet{{0, 5}, {7, 8}, {100, 300}}, Attempts: []Attempt{
+			{Task: 5, Machine: "i-000231", Number: 50012}, {Task: 6, Machine: "i-000231", Number: 50012},
+			{Task: 9, Machine: "i-000999", Number: 1}, {Task: 12, Machine: "i-000231", Number: 50012}}},
+		"j-000018": {Attempts: []Attempt{
+			{Task: 0, Machine: "k-1", Number: 77, Starting: true}, {Task: 1, Machine: "k-1", Number: 77},
+			{Task: 2, Machine: "i-000240", Number: 78, Starting: true}}},
+		"j-000019": {Attempts: []Attempt{{Task: 0, Machine: "i-000232", Number: 79}}},
+		"zebra":    {Completed: TaskSet{{3, 4}}},
 	}}
 	none := &Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*ShardMachine{},
 		Jobs: map[string]*ShardJob{}}
 	completed := &Shard{Owner: "n-1", Incarnation: 2, Claim: 9, Machines: map[string]*ShardMachine{},
-		Jobs: map[string]*ShardJob{"j-000001": {Done: Tasks{{0, 64}}}}}
+		Jobs: map[string]*ShardJob{"j-000001": {Completed: TaskSet{{0, 64}}}}}
 	drained := &Shard{Owner: "n-1", Incarnation: 5, Claim: 2, Machines: map[string]*ShardMachine{
-		"i-000001": {Num: 0, Type: "m8", Zone: "a", Endpoint: "10.0.0.1:9000", State: MachineCordoned},
-		"i-000002": {Num: 1, Type: "m8", Zone: "a", Endpoint: "10.0.0.2:9000", State: MachineCordoned},
-		"i-000003": {Num: 2, Type: "m8", Zone: "a", Endpoint: "10.0.0.3:9000", State: MachineDraining},
-	}, Jobs: map[string]*ShardJob{"web": {Held: []Held{
-		{Task: 0, Machine: "i-000001", Attempt: 8, Starting: true},
-		{Task: 1, Machine: "i-000002", Attempt: 8},
-		{Task: 2, Machine: "i-000001", Attempt: 8},
-		{Task: 3, Machine: "i-000003", Attempt: 9, Starting: true}}}}}
+		"i-000001": {Number: 0, Type: "m8", Zone: "a", Endpoint: "10.0.0.1:9000", State: MachineCordoned},
+		"i-000002": {Number: 1, Type: "m8", Zone: "a", Endpoint: "10.0.0.2:9000", State: MachineCordoned},
+		"i-000003": {Number: 2, Type: "m8", Zone: "a", Endpoint: "10.0.0.3:9000", State: MachineDraining},
+	}, Jobs: map[string]*ShardJob{"web": {Attempts: []Attempt{
+		{Task: 0, Machine: "i-000001", Number: 8, Starting: true},
+		{Task: 1, Machine: "i-000002", Number: 8},
+		{Task: 2, Machine: "i-000001", Number: 8},
+		{Task: 3, Machine: "i-000003", Number: 9, Starting: true}}}}}
 	return map[string]*Shard{"shard": full, "shard-empty": none, "shard-completed": completed,
 		"shard-drained": drained}
 }
@@ -182,7 +182,7 @@
 				fixtures.AllSet(t, file, decoded)
 			}
 			for _, job := range decoded.Jobs {
-				job.text = "" // what was read isn't to be copied
+				job.encoded = "" // what was read isn't to be copied
 			}
 			again, _ := decoded.Encode()
 			fixtures.Equal(t, file, stored, again)
--- a/internal/bookkeeping/tasks.go
+++ b/internal/bookkeeping/tasks.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Span is a run of task numbers, from First up to but not including End.
-type Span struct{ First, End int }
+// Interval is a run of task numbers, from First up to but not including End.
+type Interval struct{ First, End int }
 
-// Tasks is a set of task numbers: spans in order that don't touch.
-type Tasks []Span
+// TaskSet is a set of task numbers: spans in order that don't touch.
+type TaskSet []Interval
 
 // Count tells how many tasks the set holds.
-func (t Tasks) Count() int {
+func (t TaskSet) Count() int {
 	n := 0
 	for _, s := range t {
 		n += s.End - s.First
@@ -22,7 +22,7 @@
 }
 
 // Each calls f for every task in order.
-func (t Tasks) Each(f func(int)) {
+func (t TaskSet) Each(f func(int)) {
 	for _, s := range t {
 		for i := s.First; i < s.End; i++ {
 			f(i)
@@ -31,7 +31,7 @@
 }
 
 // With gives the set with one task more; t itself is not changed.
-func (t Tasks) With(task int) Tasks {
+func (t TaskSet) With(task int) TaskSet {
 	k := 0
 	for k < len(t) && t[k].End < task {
 		k++
@@ -39,9 +39,9 @@
 	if k < len(t) && t[k].First <= task && task < t[k].End {
 		return t
 	}
-	out := make(Tasks, 0, len(t)+1)
+	out := make(TaskSet, 0, len(t)+1)
 	out = append(out, t[:k]...)
-	s := Span{task, task + 1}
+	s := Interval{task, task + 1}
 	if k < len(t) && t[k].End == task {
 		s.First = t[k].First
 		k++
@@ -53,24 +53,24 @@
 	return append(append(out, s), t[k:]...)
 }
 
-// append writes the set's text: "0-31,40".
-func (t Tasks) append(b []byte) []byte {
+// appendText writes the set's text: "0-31,40".
+func (t TaskSet) appendText(text []byte) []byte {
 	for i, s := range t {
 		if i > 0 {
-			b = append(b, ',')
+			text = append(text, ',')
 		}
-		b = strconv.AppendInt(b, int64(s.First), 10)
+		text = strconv.AppendInt(text, int64(s.First), 10)
 		if s.End-s.First > 1 {
-			b = append(b, '-')
-			b = strconv.AppendInt(b, int64(s.End-1), 10)
+			text = append(text, '-')
+			text = strconv.AppendInt(text, int64(s.End-1), 10)
 		}
 	}
-	return b
+	return text
 }
 
-// parseTasks reads it. Numbers are bounded, so that a bad record costs nothing.
-func parseTasks(s string, most int) (Tasks, error) {
-	var out Tasks
+// parseTaskSet reads it. Numbers are bounded, so that a bad record costs nothing.
+func parseTaskSet(s string, most int) (TaskSet, error) {
+	var out TaskSet
 	last := -1
 	for len(s) > 0 {
 		var part string
@@ -85,7 +85,7 @@
 			return nil, fmt.Errorf("tasks %q out of order or bounds", part)
 		}
 		last = end
-		out = append(out, Span{first, end + 1})
+		out = append(out, Interval{first, end + 1})
 	}
 	return out, nil
 }
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -7,9 +7,9 @@
 	"pipitgap/internal/micros"
 )
 
-// maxPerMessage bounds a message to well under the size of a peer frame: a job's name
+// maxCommittedPerMessage bounds a message to well under the size of a peer frame: a job's name
 // has at most a hundred bytes.
-const maxPerMessage = 1000
+const maxCommittedPerMessage = 1000
 
 // Committed is a cancellation that the state service holds. It is final.
 type Committed struct {
@@ -20,12 +20,12 @@
 // RoundMessage is one of the messages of a round: together they carry every committed
 // cancellation that the sender knows and the receiver's mirror had not reached.
 type RoundMessage struct {
-	Incarnation       uint64   // of the sender
-	Clock             micros.T // the sender's clock when the round was made
-	EchoedIncarnation uint64   // the latest incarnation and clock that the sender has
-	EchoedClock       micros.T // received from the receiver
-	MirrorRevision    uint64   // the revision that the sender's mirror has reached
-	RecordsLoaded     bool     // the sender knows what its earlier incarnations had committed
+	Incarnation       uint64        // of the sender
+	Clock             micros.Micros // the sender's clock when the round was made
+	EchoedIncarnation uint64        // the latest incarnation and clock that the sender has
+	EchoedClock       micros.Micros // received from the receiver
+	MirrorRevision    uint64        // the revision that the sender's mirror has reached
+	RecordsLoaded     bool          // the sender knows what its earlier incarnations had committed
 	Round             uint64
 	MessagesInRound   int
 	Committed         []Committed
@@ -34,11 +34,11 @@
 // peerState is what is known of another controller.
 type peerState struct {
 	incarnation    uint64
-	clock          micros.T // the latest clock reading of that incarnation
+	clock          micros.Micros // the latest clock reading of that incarnation
 	mirrorRevision uint64
 	round          uint64
-	received       int      // messages of that round
-	knownUntil     micros.T // by our clock
+	received       int           // messages of that round
+	knownUntil     micros.Micros // by our clock
 }
 
 // Relay is one controller's side of the exchange.
@@ -58,8 +58,8 @@
 	return r
 }
 
-// Note adds a committed cancellation. It must be called before any user is told of it.
-func (r *Relay) Note(c Committed) { r.committed[c.Job] = c.Revision }
+// Add adds a committed cancellation. It must be called before any user is told of it.
+func (r *Relay) Add(c Committed) { r.committed[c.Job] = c.Revision }
 
 // Forget drops the cancellation of a job of which nothing is left on any machine.
 func (r *Relay) Forget(job string) { delete(r.committed, job) }
@@ -78,10 +78,10 @@
 	return out
 }
 
-// KeepOnly drops every cancellation up to a revision except those of the given jobs.
+// Prune drops every cancellation up to a revision except those of the given jobs.
 // It is called when all records have been read anew: a job that is over and has left the
 // records has nothing left on any machine.
-func (r *Relay) KeepOnly(revision uint64, keep func(job string) bool) {
+func (r *Relay) Prune(revision uint64, keep func(job string) bool) {
 	for job, at := range r.committed {
 		if at <= revision && !keep(job) {
 			delete(r.committed, job)
@@ -89,10 +89,10 @@
 	}
 }
 
-// Messages makes a round for a peer. mirrorRevision is the revision that our mirror has
+// MessagesFor makes a round for a peer. mirrorRevision is the revision that our mirror has
 // reached; recordsLoaded tells whether all records have been read by this incarnation.
-func (r *Relay) Messages(
-	name string, now micros.T, mirrorRevision uint64, recordsLoaded bool,
+func (r *Relay) MessagesFor(
+	name string, now micros.Micros, mirrorRevision uint64, recordsLoaded bool,
 ) []RoundMessage {
 	p := r.peers[name]
 	if p == nil {
@@ -100,10 +100,10 @@
 	}
 	r.round++
 	list := r.Since(p.mirrorRevision)
-	parts := max(1, (len(list)+maxPerMessage-1)/maxPerMessage)
+	parts := max(1, (len(list)+maxCommittedPerMessage-1)/maxCommittedPerMessage)
 	out := make([]RoundMessage, 0, parts)
 	for i := range parts {
-		begin, end := i*maxPerMessage, min(len(list), (i+1)*maxPerMessage)
+		begin, end := i*maxCommittedPerMessage, min(len(list), (i+1)*maxCommittedPerMessage)
 		out = append(out, RoundMessage{
 			Incarnation: r.incarnation, Clock: now,
 			EchoedIncarnation: p.incarnation, EchoedClock: p.clock,
@@ -115,7 +115,7 @@
 }
 
 // Receive takes a peer's message and returns the cancellations in it that were not
-// known yet. The caller must act on them before it asks for KnownUntil again.
+// known yet. The caller must act on them before it asks for ConfirmedUntil again.
 func (r *Relay) Receive(name string, m RoundMessage) []Committed {
 	p := r.peers[name]
 	if p == nil {
@@ -125,7 +125,7 @@
 	var fresh []Committed
 	for _, c := range m.Committed {
 		if _, known := r.committed[c.Job]; !known {
-			r.Note(c)
+			r.Add(c)
 			fresh = append(fresh, c)
 		}
 	}
@@ -156,12 +156,12 @@
 	return p.received == m.MessagesInRound
 }
 
-// KnownUntil tells the moment, by our clock, up to which every cancellation that any
+// ConfirmedUntil tells the moment, by our clock, up to which every cancellation that any
 // controller has confirmed to a user is known here. mirrored is when the question was
 // sent that last brought the mirror up to date: it holds all that was committed before.
 // A peer's complete round holds all that it had confirmed when it made the round, which
 // was after it had received the clock reading that it echoes.
-func (r *Relay) KnownUntil(mirrored, now micros.T) micros.T {
+func (r *Relay) ConfirmedUntil(mirrored, now micros.Micros) micros.Micros {
 	heard := now
 	for _, p := range r.peers {
 		heard = min(heard, p.knownUntil)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,9 +38,9 @@
 
 // Workers are the durations of the workers' protocol.
 type Workers struct {
-	ReportS float64 `toml:"report_s"` // between two reports
-	LeaseS  float64 `toml:"lease_s"`  // without an answered report a worker ends its tasks after this
-	CancelS float64 `toml:"cancel_s"` // a cancelled job's tasks must be gone after this
+	HeartbeatIntervalS float64 `toml:"report_s"` // between two reports
+	LeaseS             float64 `toml:"lease_s"`  // without an answered report a worker ends its tasks after this
+	CancelWithinS      float64 `toml:"cancel_s"` // a cancelled job's tasks must be gone after this
 }
 
 // Config is what the platform hands over.
@@ -49,7 +49,7 @@
 	Area       string `toml:"area"`
 	PublicAddr string `toml:"public_addr"`
 	PeerBind   string `toml:"peer_bind"`
-	Known      []Peer `toml:"known"`
+	Peers      []Peer `toml:"known"`
 	External   struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -105,7 +105,7 @@
 		{"external.cloud", c.External.Cloud}, {"external.state", c.External.State},
 	}
 	seen := map[string]bool{c.Node: true}
-	for i, p := range c.Known {
+	for i, p := range c.Peers {
 		field := fmt.Sprintf("known[%d]", i)
 		if p.Node == "" || seen[p.Node] {
 			return fmt.Errorf("%s.node: missing or named twice", field)
@@ -129,7 +129,7 @@
 		}
 		names[t.Name] = true
 		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if !finite(v) || v < 0 {
+			if !isFinite(v) || v < 0 {
 				return fmt.Errorf("%s: amounts must be 0 or more", field)
 			}
 		}
@@ -141,19 +141,19 @@
 		field string
 		v     float64
 	}{
-		{"facts.workers.report_s", f.Workers.ReportS}, {"facts.workers.lease_s", f.Workers.LeaseS},
-		{"facts.workers.cancel_s", f.Workers.CancelS}, {"facts.state.rps", f.State.RPS},
+		{"facts.workers.report_s", f.Workers.HeartbeatIntervalS}, {"facts.workers.lease_s", f.Workers.LeaseS},
+		{"facts.workers.cancel_s", f.Workers.CancelWithinS}, {"facts.state.rps", f.State.RPS},
 		{"facts.state.write_rps", f.State.WriteRPS}, {"facts.state.value_kb", f.State.ValueKB},
 		{"facts.state.txn_ops", float64(f.State.TxnOps)}, {"facts.cloud.rps", f.Cloud.RPS},
 		{"facts.quota.memory_mb", f.Quota.MemoryMB},
 		{"facts.quota.max_connections", float64(f.Quota.MaxConnections)},
 	}
 	for _, p := range positive {
-		if !finite(p.v) || p.v <= 0 {
+		if !isFinite(p.v) || p.v <= 0 {
 			return fmt.Errorf("%s: must be above 0", p.field)
 		}
 	}
-	if !finite(f.Cloud.ListLagS) || f.Cloud.ListLagS < 0 || !finite(f.SkewMs) || f.SkewMs < 0 {
+	if !isFinite(f.Cloud.ListLagS) || f.Cloud.ListLagS < 0 || !isFinite(f.SkewMs) || f.SkewMs < 0 {
 		return errors.New("facts.cloud.list_lag_s, facts.skew_ms: must be 0 or more")
 	}
 	if f.State.TxnOps < 4 {
@@ -165,10 +165,10 @@
 	if f.Quota.MaxConnections < 64 {
 		return errors.New("facts.quota.max_connections: at least 64 are needed")
 	}
-	if f.Workers.ReportS*2 > f.Workers.LeaseS {
+	if f.Workers.HeartbeatIntervalS*2 > f.Workers.LeaseS {
 		return errors.New("facts.workers.lease_s: must be at least two reports long")
 	}
 	return nil
 }
 
-func finite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
+func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/micros"
 )
 
-const good = `
+const validConfig = `
 node = "n-0"
 area = "a"
 public_addr = "10.0.0.1:8080"
@@ -47,7 +47,7 @@
 max_connections = 500
 `
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	p := filepath.Join(t.TempDir(), "f")
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	return p
 }
 
-func TestConfig(t *testing.T) {
+func TestLoadNamesWrongField(t *testing.T) {
 	cases := []struct{ name, old, new, field string }{
 		{"good", "", "", ""},
 		{"no node", `node = "n-0"`, "", "node"},
@@ -73,18 +73,18 @@
 		{"not TOML", `node = "n-0"`, "node = ", "settings"},
 	}
 	for _, tc := range cases {
-		_, err := Load(write(t, strings.Replace(good, tc.old, tc.new, 1)))
+		_, err := Load(writeFile(t, strings.Replace(validConfig, tc.old, tc.new, 1)))
 		if tc.field == "" && err != nil || tc.field != "" && (err == nil || !strings.Contains(err.Error(), tc.field)) {
 			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestLoadSettings(t *testing.T) {
 	cases := []struct {
 		name, text string
 		ok         bool
-		delay      micros.T
+		delay      micros.Micros
 	}{
 		{"nothing", "", true, 5 * micros.Minute},
 		{"a delay", "scale_down_delay: 20s", true, 20 * micros.Second},
@@ -95,9 +95,9 @@
 		{"no tries", "removal_tries: 0", false, 0},
 	}
 	for _, tc := range cases {
-		s, err := LoadSettings(write(t, tc.text))
-		if (err == nil) != tc.ok || tc.ok && s.ScaleDownDelay.T() != tc.delay {
-			t.Errorf("%s: %+v %v", tc.name, s, err)
+		settings, err := LoadSettings(writeFile(t, tc.text))
+		if (err == nil) != tc.ok || tc.ok && settings.ScaleDownDelay.Micros() != tc.delay {
+			t.Errorf("%s: %+v %v", tc.name, settings, err)
 		}
 	}
 	if _, err := LoadSettings("/nowhere/at/all"); err == nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestSettingsErrors: what is wrong is named by file, key and reason.
-func TestSettingsErrors(t *testing.T) {
+// TestSettingsErrorsNameFileKeyAndReason: what is wrong is named by file, key and reason.
+func TestSettingsErrorsNameFileKeyAndReason(t *testing.T) {
 	cases := []struct {
 		name, text, key, reason string
 	}{
@@ -124,7 +124,7 @@
 		{"not YAML", "drains: [", "", ""},
 	}
 	for _, tc := range cases {
-		path := write(t, tc.text)
+		path := writeFile(t, tc.text)
 		_, err := LoadSettings(path)
 		if err == nil {
 			t.Errorf("%s: accepted", tc.name)
@@ -138,38 +138,38 @@
 	}
 }
 
-// TestSettingsFiles: later files replace what earlier ones set, and nothing else.
-func TestSettingsFiles(t *testing.T) {
-	first := write(t, "scale_down_delay: 20s\ndrains: {max_parallel: 3, budgets: [{team: t, min_available: 75%}]}")
-	second := write(t, "removal_tries: 7\ndrains: {array_wait: 1m}")
-	s, err := LoadSettings(first, second)
+// TestLaterSettingsFilesOverride: later files replace what earlier ones set, and nothing else.
+func TestLaterSettingsFilesOverride(t *testing.T) {
+	first := writeFile(t, "scale_down_delay: 20s\ndrains: {max_parallel: 3, budgets: [{team: t, min_available: 75%}]}")
+	second := writeFile(t, "removal_tries: 7\ndrains: {array_wait: 1m}")
+	settings, err := LoadSettings(first, second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.ScaleDownDelay.T() != 20*micros.Second || s.RemovalTries != 7 {
-		t.Errorf("settings %+v", s)
+	if settings.ScaleDownDelay.Micros() != 20*micros.Second || settings.ScaleInAttempts != 7 {
+		t.Errorf("settings %+v", settings)
 	}
-	d := s.Drains
-	if d == nil || d.MaxParallel != 3 || d.ArrayWait.T() != micros.Minute || len(d.Budgets) != 1 || *d.DefaultReserveMachines != 1 {
+	d := settings.Drains
+	if d == nil || d.MaxParallel != 3 || d.ArrayWait.Micros() != micros.Minute || len(d.Budgets) != 1 || *d.DefaultReserveMachines != 1 {
 		t.Fatalf("drains %+v", d)
 	}
-	if err := s.CheckTeams([]Team{{Name: "t"}}); err != nil {
+	if err := settings.CheckTeams([]Team{{Name: "t"}}); err != nil {
 		t.Error(err)
 	}
-	if err := s.CheckTeams([]Team{{Name: "u"}}); !errors.Is(err, ErrUnknownTeam) {
+	if err := settings.CheckTeams([]Team{{Name: "u"}}); !errors.Is(err, ErrUnknownTeam) {
 		t.Errorf("unknown team: %v", err)
 	}
-	if err := s.CheckTeams([]Team{{Name: "t"}, {Name: "two words"}}); err == nil {
+	if err := settings.CheckTeams([]Team{{Name: "t"}, {Name: "two words"}}); err == nil {
 		t.Error("a team whose name can't be kept")
 	}
-	if s, err := LoadSettings(); err != nil || s.Drains != nil {
-		t.Errorf("without files: %+v %v", s, err)
+	if settings, err := LoadSettings(); err != nil || settings.Drains != nil {
+		t.Errorf("without files: %+v %v", settings, err)
 	}
 }
 
-// TestSettingsWithoutFolder: the working folder has gone, as under a service manager that cleans up.
-func TestSettingsWithoutFolder(t *testing.T) {
-	path := write(t, "removal_tries: 7")
+// TestLoadSettingsWithoutWorkingDirectory: the working folder has gone, as under a service manager that cleans up.
+func TestLoadSettingsWithoutWorkingDirectory(t *testing.T) {
+	path := writeFile(t, "removal_tries: 7")
 	folder := filepath.Join(t.TempDir(), "gone")
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
@@ -178,13 +178,13 @@
 	if err := os.Remove(folder); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := LoadSettings(path); err != nil || s.RemovalTries != 7 {
-		t.Errorf("%+v %v", s, err)
+	if settings, err := LoadSettings(path); err != nil || settings.ScaleInAttempts != 7 {
+		t.Errorf("%+v %v", settings, err)
 	}
 }
 
-// TestBudgetFloor: percentages are rounded so that more replicas stay.
-func TestBudgetFloor(t *testing.T) {
+// TestBudgetRoundsInFavorOfAvailability: percentages are rounded so that more replicas stay.
+func TestBudgetRoundsInFavorOfAvailability(t *testing.T) {
 	cases := []struct {
 		text            string
 		replicas, floor int
@@ -194,12 +194,12 @@
 		{"max_unavailable: 2", 10, 8}, {"max_unavailable: 25%", 10, 8}, {"max_unavailable: 10%", 9, 9}, {"max_unavailable: 100%", 9, 0},
 	}
 	for _, tc := range cases {
-		s, err := LoadSettings(write(t, "drains: {budgets: [{team: t, "+tc.text+"}]}"))
+		settings, err := LoadSettings(writeFile(t, "drains: {budgets: [{team: t, "+tc.text+"}]}"))
 		if err != nil {
 			t.Errorf("%s: %v", tc.text, err)
 			continue
 		}
-		if got := s.Drains.Budgets[0].Floor(tc.replicas); got != tc.floor {
+		if got := settings.Drains.Budgets[0].MinAvailableOf(tc.replicas); got != tc.floor {
 			t.Errorf("%s of %d: %d, want %d", tc.text, tc.replicas, got, tc.floor)
 		}
 	}
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/micros"
 )
 
-// Drains are the settings of stepwise drains.
-type Drains struct {
+// DrainSettings are the settings of stepwise drains.
+type DrainSettings struct {
 	// DefaultMaxUnavailable is how many replicas of a team without a budget may be
 	// unavailable at a time before a drain stops another.
 	DefaultMaxUnavailable int `yaml:"default_max_unavailable"`
@@ -22,11 +22,11 @@
 	// MaxParallel is how many machines of a drain are emptied at a time if the drain doesn't say.
 	MaxParallel int `yaml:"max_parallel"`
 	// ArrayWait is how long an array task that is expected to end by then is waited for.
-	ArrayWait Span `yaml:"array_wait"`
+	ArrayWait Duration `yaml:"array_wait"`
 	// MinReady is how long a replica must have been running to count as available.
-	MinReady Span `yaml:"min_ready"`
+	MinReady Duration `yaml:"min_ready"`
 	// Budgets say how much of a team's services must stay available.
-	Budgets []Budget `yaml:"budgets"`
+	Budgets []DisruptionBudget `yaml:"budgets"`
 }
 
 // Starting values of the settings of drains.
@@ -34,12 +34,12 @@
 	defaultMaxUnavailable  = 1
 	defaultReserveMachines = 1
 	defaultMaxParallel     = 10
-	defaultArrayWait       = Span(30 * micros.Second)
-	defaultMinReady        = Span(5 * micros.Second)
+	defaultArrayWait       = Duration(30 * micros.Second)
+	defaultMinReady        = Duration(5 * micros.Second)
 )
 
 // setDefaults fills in what the operators left out.
-func (d *Drains) setDefaults() {
+func (d *DrainSettings) setDefaults() {
 	if d.DefaultMaxUnavailable == 0 {
 		d.DefaultMaxUnavailable = defaultMaxUnavailable
 	}
@@ -59,8 +59,8 @@
 }
 
 // check looks for budgets that contradict each other or can never be kept.
-func (d *Drains) check() error {
-	if d.ArrayWait > longestSpan || d.MinReady > longestSpan {
+func (d *DrainSettings) check() error {
+	if d.ArrayWait > maxDuration || d.MinReady > maxDuration {
 		return fmt.Errorf("drains.array_wait, drains.min_ready: at most 24h")
 	}
 	type scope struct{ team, class string }
@@ -72,27 +72,27 @@
 			return fmt.Errorf("drains.budgets[%d]: the same team and class as budgets[%d]", i, first)
 		}
 		seen[of] = i
-		if reason := budget.unreachable(); reason != "" {
+		if reason := budget.unsatisfiable(); reason != "" {
 			return fmt.Errorf("drains.budgets[%d].%s", i, reason)
 		}
 	}
 	return nil
 }
 
-// Budget is a team's disruption budget, or that of one of its job classes. Either
+// DisruptionBudget is a team's disruption budget, or that of one of its job classes. Either
 // MinAvailable or MaxUnavailable is set.
-type Budget struct {
-	Team            string  `yaml:"team"`
-	Class           string  `yaml:"class"` // "": all of the team's services
-	MinAvailable    *Amount `yaml:"min_available"`
-	MaxUnavailable  *Amount `yaml:"max_unavailable"`
-	ReserveMachines *int    `yaml:"reserve_machines"`
+type DisruptionBudget struct {
+	Team            string          `yaml:"team"`
+	Class           string          `yaml:"class"` // "": all of the team's services
+	MinAvailable    *CountOrPercent `yaml:"min_available"`
+	MaxUnavailable  *CountOrPercent `yaml:"max_unavailable"`
+	ReserveMachines *int            `yaml:"reserve_machines"`
 }
 
-// unreachable tells why a budget can never permit anything, whatever runs; "" if it can.
-func (b *Budget) unreachable() string {
+// unsatisfiable tells why a budget can never permit anything, whatever runs; "" if it can.
+func (b *DisruptionBudget) unsatisfiable() string {
 	switch {
-	case b.MinAvailable != nil && *b.MinAvailable == Amount{Value: 100, Percent: true}:
+	case b.MinAvailable != nil && *b.MinAvailable == CountOrPercent{Value: 100, Percent: true}:
 		return "min_available: 100% leaves no replica that could ever be moved"
 	case b.MaxUnavailable != nil && b.MaxUnavailable.Value == 0:
 		return "max_unavailable: 0 leaves no replica that could ever be moved"
@@ -100,17 +100,17 @@
 	return ""
 }
 
-// Floor is how many of so many replicas must stay available. Percentages are rounded so
+// MinAvailableOf is how many of so many replicas must stay available. Percentages are rounded so
 // that more stay: what must be available is rounded up, what may be unavailable down.
-func (b *Budget) Floor(replicas int) int {
+func (b *DisruptionBudget) MinAvailableOf(replicas int) int {
 	if b.MinAvailable != nil {
 		return b.MinAvailable.roundedUp(replicas)
 	}
 	return replicas - b.MaxUnavailable.roundedDown(replicas)
 }
 
-// Amount is a number of replicas, or a percentage of them.
-type Amount struct {
+// CountOrPercent is a number of replicas, or a percentage of them.
+type CountOrPercent struct {
 	Value   int
 	Percent bool
 }
@@ -118,7 +118,7 @@
 const wholePercent = 100
 
 // roundedUp gives the amount of a number of replicas, a part of one counted as one.
-func (a Amount) roundedUp(replicas int) int {
+func (a CountOrPercent) roundedUp(replicas int) int {
 	if !a.Percent {
 		return a.Value
 	}
@@ -126,7 +126,7 @@
 }
 
 // roundedDown gives the amount of a number of replicas, a part of one left out.
-func (a Amount) roundedDown(replicas int) int {
+func (a CountOrPercent) roundedDown(replicas int) int {
 	if !a.Percent {
 		return a.Value
 	}
@@ -134,7 +134,7 @@
 }
 
 // String gives the form of the settings.
-func (a Amount) String() string {
+func (a CountOrPercent) String() string {
 	if a.Percent {
 		return strconv.Itoa(a.Value) + "%"
 	}
@@ -142,7 +142,7 @@
 }
 
 // UnmarshalYAML reads a number or a percentage.
-func (a *Amount) UnmarshalYAML(text []byte) error {
+func (a *CountOrPercent) UnmarshalYAML(text []byte) error {
 	var value any
 	if err := yaml.Unmarshal(text, &value); err != nil {
 		return err
@@ -152,6 +152,6 @@
 	if err != nil || number < 0 {
 		return fmt.Errorf("%q is neither a number nor a percentage", value)
 	}
-	*a = Amount{Value: number, Percent: percent}
+	*a = CountOrPercent{Value: number, Percent: percent}
 	return nil
 }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -21,9 +21,9 @@
 // relative one would be looked up from the working folder, which may have gone.
 const settingsSchemaName = "urn:pipitgap:settings"
 
-// checkShape compares a settings file with the schema. The error names the key and the
+// validateSchema compares a settings file with the schema. The error names the key and the
 // reason. It tells as well whether the file holds nothing but comments.
-func checkShape(text []byte) (empty bool, err error) {
+func validateSchema(text []byte) (empty bool, err error) {
 	document, err := plainDocument(text)
 	if err != nil || document == nil {
 		return document == nil, err
@@ -39,7 +39,7 @@
 	err = schema.Validate(document)
 	var invalid *jsonschema.ValidationError
 	if errors.As(err, &invalid) {
-		return shapeError(invalid)
+		return schemaError(invalid)
 	}
 	return err
 }
@@ -69,8 +69,8 @@
 	return compiler.Compile(settingsSchemaName)
 }
 
-// shapeError names the first key that doesn't fit, the innermost where keys are nested.
-func shapeError(invalid *jsonschema.ValidationError) error {
+// schemaError names the first key that doesn't fit, the innermost where keys are nested.
+func schemaError(invalid *jsonschema.ValidationError) error {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -14,59 +14,59 @@
 
 // Settings are the operators' own. The defaults are the design's starting values.
 type Settings struct {
-	PassInterval   Span `yaml:"pass_interval"`    // the leader's autoscaler pass
-	UnmetTTL       Span `yaml:"unmet_ttl"`        // how long a refused offer stays sidelined
-	ReadinessWait  Span `yaml:"readiness_wait"`   // a machine not up by then is given back
-	ScaleDownDelay Span `yaml:"scale_down_delay"` // between closing an empty machine and its removal
-	BackoffFirst   Span `yaml:"backoff_first"`    // first pause of an unplaceable job
-	BackoffMost    Span `yaml:"backoff_most"`     // its ceiling
-	BackoffPasses  int  `yaml:"backoff_passes"`   // passes without room before the first pause
-	RemovalTries   int  `yaml:"removal_tries"`    // quick deletions before a removal is flagged failed
-	RemovalPause   Span `yaml:"removal_pause"`    // pause between deletions of a flagged machine
-	// ExpectedRoom is the part of a type's boot time within which room that
+	AutoscalingInterval  Duration `yaml:"pass_interval"`    // the leader's autoscaler pass
+	OfferQuarantine      Duration `yaml:"unmet_ttl"`        // how long a refused offer stays sidelined
+	ReadinessTimeout     Duration `yaml:"readiness_wait"`   // a machine not up by then is given back
+	ScaleDownDelay       Duration `yaml:"scale_down_delay"` // between closing an empty machine and its removal
+	BackoffFirst         Duration `yaml:"backoff_first"`    // first pause of an unplaceable job
+	BackoffMax           Duration `yaml:"backoff_most"`     // its ceiling
+	BackoffPasses        int      `yaml:"backoff_passes"`   // passes without room before the first pause
+	ScaleInAttempts      int      `yaml:"removal_tries"`    // quick deletions before a removal is flagged failed
+	ScaleInRetryInterval Duration `yaml:"removal_pause"`    // pause between deletions of a flagged machine
+	// ExpectedCapacity is the part of a type's boot time within which room that
 	// running tasks will free counts as supply. The design counts none of it.
-	ExpectedRoom float64 `yaml:"expected_room"`
-	// ExpectedRoomOrdinary is the same for ordinary machines that would be rented
-	// for tasks that may use spot machines; at least ExpectedRoom.
-	ExpectedRoomOrdinary float64 `yaml:"expected_room_ordinary"`
+	ExpectedCapacity float64 `yaml:"expected_room"`
+	// ExpectedOnDemandCapacity is the same for ordinary machines that would be rented
+	// for tasks that may use spot machines; at least ExpectedCapacity.
+	ExpectedOnDemandCapacity float64 `yaml:"expected_room_ordinary"`
 	// ServiceHeadroom is the part of what each class of services uses that is kept
 	// free, or in use by what a service may preempt, for services yet to come.
 	ServiceHeadroom float64 `yaml:"service_headroom"`
-	// OverdueBoot is after how many boot times a machine that isn't up no longer
+	// OverdueBootFactor is after how many boot times a machine that isn't up no longer
 	// counts as supply for services, and after half as many again for anything; 0:
 	// it counts until the readiness wait ends.
-	OverdueBoot    float64 `yaml:"overdue_boot"`
-	MaxConnections int     `yaml:"max_connections"` // lowers the platform's quota; 0: as the platform says
+	OverdueBootFactor float64 `yaml:"overdue_boot"`
+	MaxConnections    int     `yaml:"max_connections"` // lowers the platform's quota; 0: as the platform says
 
 	// Drains turns on stepwise drains within disruption budgets; nil: off.
-	Drains *Drains `yaml:"drains"`
+	Drains *DrainSettings `yaml:"drains"`
 }
 
 // Defaults are the starting values of the design.
 func Defaults() Settings {
 	return Settings{
-		PassInterval:   Span(2 * micros.Second),
-		UnmetTTL:       Span(30 * micros.Second),
-		ReadinessWait:  Span(90 * micros.Second),
-		ScaleDownDelay: Span(5 * micros.Minute),
-		BackoffFirst:   Span(4 * micros.Second),
-		BackoffMost:    Span(60 * micros.Second),
-		BackoffPasses:  3,
-		RemovalTries:   4,
-		RemovalPause:   Span(60 * micros.Second),
+		AutoscalingInterval:  Duration(2 * micros.Second),
+		OfferQuarantine:      Duration(30 * micros.Second),
+		ReadinessTimeout:     Duration(90 * micros.Second),
+		ScaleDownDelay:       Duration(5 * micros.Minute),
+		BackoffFirst:         Duration(4 * micros.Second),
+		BackoffMax:           Duration(60 * micros.Second),
+		BackoffPasses:        3,
+		ScaleInAttempts:      4,
+		ScaleInRetryInterval: Duration(60 * micros.Second),
 	}
 }
 
 // LoadSettings reads the operators' YAML files; what a later one sets replaces what earlier
 // ones set. Unlike in the platform's file, an unknown key is an error: it is a typing mistake.
 func LoadSettings(paths ...string) (Settings, error) {
-	s := Defaults()
+	settings := Defaults()
 	for _, path := range paths {
-		if err := s.merge(path); err != nil {
-			return s, fmt.Errorf("operator settings %s: %w", path, err)
+		if err := settings.merge(path); err != nil {
+			return settings, fmt.Errorf("operator settings %s: %w", path, err)
 		}
 	}
-	return s, nil
+	return settings, nil
 }
 
 // merge reads one file over what is set already.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	if empty, err := checkShape(text); err != nil || empty {
+	if empty, err := validateSchema(text); err != nil || empty {
 		return err
 	}
 	if err := yaml.Unmarshal(text, s); err != nil {
@@ -89,8 +89,8 @@
 
 // Bounds of a duration in the settings.
 const (
-	shortestSpan = Span(100 * micros.Millisecond)
-	longestSpan  = Span(24 * 60 * micros.Minute)
+	minDuration = Duration(100 * micros.Millisecond)
+	maxDuration = Duration(24 * 60 * micros.Minute)
 )
 
 // check looks for what the schema can't express: durations out of range, and settings that
@@ -98,14 +98,14 @@
 func (s *Settings) check() error {
 	spans := []struct {
 		field string
-		value Span
+		value Duration
 	}{
-		{"pass_interval", s.PassInterval}, {"unmet_ttl", s.UnmetTTL}, {"readiness_wait", s.ReadinessWait},
+		{"pass_interval", s.AutoscalingInterval}, {"unmet_ttl", s.OfferQuarantine}, {"readiness_wait", s.ReadinessTimeout},
 		{"scale_down_delay", s.ScaleDownDelay}, {"backoff_first", s.BackoffFirst},
-		{"backoff_most", s.BackoffMost}, {"removal_pause", s.RemovalPause},
+		{"backoff_most", s.BackoffMax}, {"removal_pause", s.ScaleInRetryInterval},
 	}
 	for _, span := range spans {
-		if span.value < shortestSpan || span.value > longestSpan {
+		if span.value < minDuration || span.value > maxDuration {
 			return fmt.Errorf("%s: must lie between 100ms and 24h", span.field)
 		}
 	}
@@ -124,9 +124,9 @@
 	known := map[string]bool{}
 	for _, team := range teams {
 		known[team.Name] = true
-		if strings.ContainsFunc(team.Name, unicode.IsSpace) || len(team.Name) > longestTeamName {
+		if strings.ContainsFunc(team.Name, unicode.IsSpace) || len(team.Name) > maxTeamNameLength {
 			return fmt.Errorf("facts.teams: drains need names without spaces, of %d characters at most: %q",
-				longestTeamName, team.Name)
+				maxTeamNameLength, team.Name)
 		}
 	}
 	for i, budget := range s.Drains.Budgets {
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// longestTeamName keeps the key of a team's record within what the state service takes.
-const longestTeamName = 100
+// maxTeamNameLength keeps the key of a team's record within what the state service takes.
+const maxTeamNameLength = 100
 
 // ErrUnknownTeam says that a budget names a team that the platform doesn't have.
 var ErrUnknownTeam = errors.New("no such team")
--- a/internal/config/span.go
+++ b/internal/config/span.go
@@ -9,11 +9,11 @@
 	"pipitgap/internal/micros"
 )
 
-// Span is a duration in a YAML file, written like 30s or 5m.
-type Span micros.T
+// Duration is a duration in a YAML file, written like 30s or 5m.
+type Duration micros.Micros
 
 // UnmarshalYAML reads Go's duration form.
-func (s *Span) UnmarshalYAML(text []byte) error {
+func (s *Duration) UnmarshalYAML(text []byte) error {
 	var value string
 	if err := yaml.Unmarshal(text, &value); err != nil {
 		return err
@@ -22,9 +22,9 @@
 	if err != nil {
 		return fmt.Errorf("%q is not a duration such as 30s", value)
 	}
-	*s = Span(micros.FromDuration(duration))
+	*s = Duration(micros.FromDuration(duration))
 	return nil
 }
 
-// T gives the span as a time.
-func (s Span) T() micros.T { return micros.T(s) }
+// Micros gives the span as a time.
+func (s Duration) Micros() micros.Micros { return micros.Micros(s) }
--- a/internal/coordination/admission_test.go
+++ b/internal/coordination/admission_test.go
@@ -9,35 +9,35 @@
 	"pipitgap/internal/standin"
 )
 
-// TestFlood: past what the store lets through, every request has an immediate
+// TestOverloadAnswersImmediately: past what the store lets through, every request has an immediate
 // answer with a time to come back, and what waits stays bounded.
-func TestFlood(t *testing.T) {
-	c := newCluster(t, 13).steady()
-	core := c.nodes["n-0"].core
+func TestOverloadAnswersImmediately(t *testing.T) {
+	c := newCluster(t, 13).startWithLeader()
+	core := c.nodes["n-0"].controller
 	answers := map[int]int{}
 	late := 0
 	for i := 0; i < 3000; i++ {
-		id, j := c.spec()
-		begun := c.sim.Now()
-		back := func(r Reply) {
-			answers[r.Status]++
-			if (r.Status == 429 || r.Status == 503) && r.RetryAfter < 1 {
+		id, j := c.newSubmission()
+		startedAt := c.sim.Now()
+		back := func(response Response) {
+			answers[response.Status]++
+			if (response.Status == 429 || response.Status == 503) && response.RetryAfter < 1 {
 				t.Error("no time to come back")
 			}
-			if c.sim.Now()-begun > 3*sec {
+			if c.sim.Now()-startedAt > 3*second {
 				late++
 			}
 		}
-		c.request("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
-		c.request("n-0", "GET", protocol.JobPath(id), nil, back)
-		if n := core.queue.Waiting(bookkeeping.RankUser); n > core.mostUserCalls()+1 {
+		c.sendRequest("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
+		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, back)
+		if n := core.storeQueue.Len(bookkeeping.PriorityUserRequest); n > core.maxQueuedUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
-		if len(core.waitingReaders) > mostReaders {
-			t.Fatalf("%d polls wait", len(core.waitingReaders))
+		if len(core.pendingReads) > maxWaitingReaders {
+			t.Fatalf("%d polls wait", len(core.pendingReads))
 		}
 	}
-	c.sim.Run(10 * sec)
+	c.sim.Run(10 * second)
 	total := 0
 	for _, n := range answers {
 		total += n
@@ -47,59 +47,59 @@
 	}
 }
 
-// TestOutageAnswers: in an outage of the store users are told at once, a common
+// TestStoreOutageIsReportedAtOnce: in an outage of the store users are told at once, a common
 // outage leaves every node healthy, one that is refused alone says so.
-func TestOutageAnswers(t *testing.T) {
-	c := newCluster(t, 14).steady()
-	_, j := c.spec()
+func TestStoreOutageIsReportedAtOnce(t *testing.T) {
+	c := newCluster(t, 14).startWithLeader()
+	_, j := c.newSubmission()
 	body := protocol.MustMarshal(j)
-	c.store.Outage(20 * sec)
-	c.sim.Run(5 * sec)
-	for _, n := range c.names {
-		if r := c.ask(n, "POST", protocol.JobsPath, body); r.Status != 503 || r.RetryAfter < 1 {
-			t.Errorf("submission to %s in an outage: %+v", n, r)
+	c.store.Outage(20 * second)
+	c.sim.Run(5 * second)
+	for _, node := range c.nodeNames {
+		if response := c.requestAndWait(node, "POST", protocol.JobsPath, body); response.Status != 503 || response.RetryAfter < 1 {
+			t.Errorf("submission to %s in an outage: %+v", node, response)
 		}
-		if r := c.ask(n, "GET", "/healthz", nil); r.Status != 200 {
-			t.Errorf("%s is unhealthy in a common outage", n)
+		if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 200 {
+			t.Errorf("%s is unhealthy in a common outage", node)
 		}
 	}
-	c.sim.Run(20 * sec)
-	c.store.Refused["n-1"] = true
-	c.sim.Run(6 * sec)
-	for n, want := range map[string]int{"n-0": 200, "n-1": 503, "n-2": 200} {
-		if r := c.ask(n, "GET", "/healthz", nil); r.Status != want {
-			t.Errorf("%s: %d, want %d", n, r.Status, want)
+	c.sim.Run(20 * second)
+	c.store.RefusedCallers["n-1"] = true
+	c.sim.Run(6 * second)
+	for node, want := range map[string]int{"n-0": 200, "n-1": 503, "n-2": 200} {
+		if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != want {
+			t.Errorf("%s: %d, want %d", node, response.Status, want)
 		}
 	}
 }
 
-// TestLateAcceptance: a submission repeated on another node while the first one's
+// TestLateCommitOfRepeatedSubmissionIsOneJob: a submission repeated on another node while the first one's
 // commit is applied late is one job.
-func TestLateAcceptance(t *testing.T) {
-	c := newCluster(t, 15).steady()
-	id, j := c.spec()
-	c.fleet.Jobs[id] = standin.JobInfo{Team: "free", CPUs: 2, Run: 2 * sec}
+func TestLateCommitOfRepeatedSubmissionIsOneJob(t *testing.T) {
+	c := newCluster(t, 15).startWithLeader()
+	id, j := c.newSubmission()
+	c.fleet.Jobs[id] = standin.JobBehavior{Team: "free", CPUs: 2, RunTime: 2 * second}
 	body := protocol.MustMarshal(j)
 	first := true
-	c.store.Delay = func(txn *protocol.Txn) micros.T {
-		for _, op := range txn.Then {
-			if first && op.Put == bookkeeping.Key(bookkeeping.KindOpen, id) {
+	c.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+		for _, operation := range txn.Then {
+			if first && operation.Put == bookkeeping.Key(bookkeeping.KindOpenJob, id) {
 				first = false
-				return 6 * sec
+				return 6 * second
 			}
 		}
 		return 0
 	}
-	if r := c.ask("n-0", "POST", protocol.JobsPath, body); r.Status != 503 {
-		t.Errorf("a commit without an answer is told as %d", r.Status)
+	if response := c.requestAndWait("n-0", "POST", protocol.JobsPath, body); response.Status != 503 {
+		t.Errorf("a commit without an answer is told as %d", response.Status)
 	}
-	if r := c.ask("n-1", "POST", protocol.JobsPath, body); r.Status != 201 {
-		t.Errorf("the retry: %d", r.Status)
+	if response := c.requestAndWait("n-1", "POST", protocol.JobsPath, body); response.Status != 201 {
+		t.Errorf("the retry: %d", response.Status)
 	}
-	c.sim.Run(8 * sec)
-	c.finished(id, 60*sec)
+	c.sim.Run(8 * second)
+	c.requireFinished(id, 60*second)
 	if n := c.fleet.Starts[id+"/0"]; n != 1 {
 		t.Errorf("started %d times", n)
 	}
-	c.rules()
+	c.requireNoViolations()
 }
--- a/internal/coordination/arrivals.go
+++ b/internal/coordination/arrivals.go
@@ -11,183 +11,183 @@
 
 // Machines that have come up, or have lost their owner, on their way into our shards.
 
-// admit puts machines that have come up, or come over to us, into shards; it
+// admitClaimRequests puts machines that have come up, or come over to us, into shards; it
 // opens a new shard when no other has the room.
-func (c *Core) admit(ds []*shardUpdate, now micros.T) []*shardUpdate {
-	inDoubtUpdates := map[string]bool{}
-	for _, s := range c.shards {
-		for _, d := range s.inDoubtUpdates {
-			for id := range d.arrived {
-				inDoubtUpdates[id] = true
+func (c *Controller) admitClaimRequests(updates []*ShardUpdate, now micros.Micros) []*ShardUpdate {
+	inDoubt := map[string]bool{}
+	for _, tracker := range c.shardTrackers {
+		for _, update := range tracker.updatesInDoubt {
+			for id := range update.AdmittedMachines {
+				inDoubt[id] = true
 			}
 		}
 	}
 	// Only as the member that we are now: what an earlier life of ours or a lapsed
 	// membership sent off must not put a machine into a second shard.
-	member := c.view.members[c.node]
-	if member.version == 0 || member.rec.Incarnation != c.inc || c.view.watched < member.version {
-		return ds
+	member := c.mirror.Members[c.node]
+	if member.Version == 0 || member.Record.Incarnation != c.incarnation || c.mirror.WatchedRevision < member.Version {
+		return updates
 	}
-	var mover *shardUpdate     // our shard that takes machines from other partitions
-	moved := map[string]bool{} // the shards that it takes from
-	for _, id := range c.arrivalsInOrder() {
-		a := c.arrivals[id]
-		m := c.view.machines[id]
-		known := m != nil && m.rec != nil
-		if now-a.since > arrivalWait || known && m.w != nil || c.view.removal[id] != "" {
-			c.arrived(id, known && m.w != nil)
+	var takeoverUpdate *ShardUpdate // our shard that takes machines from other partitions
+	moved := map[string]bool{}      // the shards that it takes from
+	for _, id := range c.orderedClaimRequests() {
+		pendingClaim := c.claimRequests[id]
+		machine := c.mirror.Machines[id]
+		known := machine != nil && machine.Record != nil
+		if now-pendingClaim.requestedAt > claimRequestTimeout || known && machine.Agent != nil || c.mirror.ScaleInOfMachine[id] != "" {
+			c.completeClaimRequest(id, known && machine.Agent != nil)
 			continue
 		}
-		if inDoubtUpdates[id] {
+		if inDoubt[id] {
 			continue
 		}
-		rental := c.view.rentals[c.view.rentalOf[id]]
+		request := c.mirror.ScaleOuts[c.mirror.ScaleOutOfMachine[id]]
 		switch {
-		case known && (a.from == nil || !c.isLive(m.owner()) || a.from.name != m.shard.name || c.claiming[m.shard.name]):
+		case known && (pendingClaim.fromShard == nil || !c.isMember(machine.Owner()) || pendingClaim.fromShard.Name != machine.Shard.Name || c.shardClaimsInFlight[machine.Shard.Name]):
 			continue // somebody else has it
-		case !known && (rental == nil || c.designated(rental, id) != c.node || c.view.watched < rental.version):
+		case !known && (request == nil || c.designatedController(request, id) != c.node || c.mirror.WatchedRevision < request.Version):
 			continue
 		}
-		need := c.machineBytes(a.rep.Type)
+		need := c.shardBytesForMachine(pendingClaim.report.Type)
 		moving := 0
 		if known {
-			moving = 40 * len(m.tasks)
+			moving = 40 * len(machine.Attempts)
 		}
 		// One commit a pass takes machines over, from a few shards: each changes our
 		// shares of the teams' limits, so of several but one could be made.
-		if known && !moved[m.shard.name] && len(moved) >= c.adoption.sources {
+		if known && !moved[machine.Shard.Name] && len(moved) >= c.takeoverLimiter.sourceLimit {
 			continue
 		}
-		d := mover
-		if !known || d == nil {
-			d = nil
-			for _, o := range ds {
-				if o.planned+need <= c.shardLimit() && o.bound+moving+machineRoom <= c.shardLimit() && (d == nil || o.planned < d.planned) {
-					d = o
+		update := takeoverUpdate
+		if !known || update == nil {
+			update = nil
+			for _, other := range updates {
+				if other.PlannedBytes+need <= c.assignmentShardBytes() && other.MaxBytes+moving+bytesPerMachine <= c.assignmentShardBytes() && (update == nil || other.PlannedBytes < update.PlannedBytes) {
+					update = other
 				}
 			}
 		}
-		if d == nil || d.planned+need > c.shardLimit() || d.bound+moving+machineRoom > c.shardLimit() {
-			if known && mover != nil {
+		if update == nil || update.PlannedBytes+need > c.assignmentShardBytes() || update.MaxBytes+moving+bytesPerMachine > c.assignmentShardBytes() {
+			if known && takeoverUpdate != nil {
 				continue // the rest the next time
 			}
-			c.shardSeq++
-			name := fmt.Sprintf("%s.%x.%d", c.node, c.inc, c.shardSeq)
-			next := &bookkeeping.Shard{Owner: c.node, Incarnation: c.inc, Claim: 1,
+			c.shardSequence++
+			name := fmt.Sprintf("%s.%x.%d", c.node, c.incarnation, c.shardSequence)
+			next := &bookkeeping.Shard{Owner: c.node, Incarnation: c.incarnation, Claim: 1,
 				Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
-			c.fresh[name] = next
-			d = newShardUpdate(name, nil, next)
-			d.bound = d.next.Bound()
-			ds = append(ds, d)
+			c.newShards[name] = next
+			update = NewShardUpdate(name, nil, next)
+			update.MaxBytes = update.Next.MaxEncodedSize()
+			updates = append(updates, update)
 		}
-		if len(d.txn.If) > 3*c.cfg.Facts.State.TxnOps {
+		if len(update.Txn.If) > 3*c.cfg.Facts.State.TxnOps {
 			continue
 		}
-		d.changed = true
-		d.bound += machineRoom + moving
-		d.planned += need
-		d.arrived[id] = a
-		d.cond(bookkeeping.Key(bookkeeping.KindMember, c.node), member.version)
+		update.Changed = true
+		update.MaxBytes += bytesPerMachine + moving
+		update.PlannedBytes += need
+		update.AdmittedMachines[id] = pendingClaim
+		update.AddCompare(bookkeeping.Key(bookkeeping.KindMember, c.node), member.Version)
 		if known {
-			mover, moved[m.shard.name] = d, true
-			c.moveOver(d, m, &a.rep)
+			takeoverUpdate, moved[machine.Shard.Name] = update, true
+			c.moveMachine(update, machine, &pendingClaim.report)
 			continue
 		}
-		d.next.Add(id, bookkeeping.ShardMachine{Type: a.rep.Type, Zone: a.rep.Zone, Spot: a.rep.Spot,
-			Endpoint: a.rep.Endpoint, State: bookkeeping.MachineOpen, Claim: a.rep.Token>>32 + 1})
-		d.cond(bookkeeping.Key(bookkeeping.KindRental, c.view.rentalOf[id]), rental.version)
+		update.Next.AddMachine(id, bookkeeping.ShardMachine{Type: pendingClaim.report.Type, Zone: pendingClaim.report.Zone, Spot: pendingClaim.report.Spot,
+			Endpoint: pendingClaim.report.Endpoint, State: bookkeeping.MachineOpen, Claim: pendingClaim.report.FencingToken>>32 + 1})
+		update.AddCompare(bookkeeping.Key(bookkeeping.KindScaleOut, c.mirror.ScaleOutOfMachine[id]), request.Version)
 	}
-	return ds
+	return updates
 }
 
-// adoption bounds how many shards of other partitions a commit takes machines over from. Their
+// takeoverLimiter bounds how many shards of other partitions a commit takes machines over from. Their
 // owner may be alive, only not for these machines, and goes on writing its shards: a commit that
 // asks for the versions of four of them failed time and again until the leases had ended.
-type adoption struct {
-	sources int             // shards that the next commit may take from
-	most    int             // and at most
-	failed  map[string]bool // keys of those that the last one failed on: they come last
+type takeoverLimiter struct {
+	sourceLimit    int             // shards that the next commit may take from
+	maxSourceLimit int             // and at most
+	conflictedKeys map[string]bool // keys of those that the last one failed on: they come last
 }
 
-// mostSources is how many shards of other partitions a commit may take machines from at most.
-const mostSources = 4
+// maxTakeoverSources is how many shards of other partitions a commit may take machines from at most.
+const maxTakeoverSources = 4
 
-// newAdoption begins with as many sources as a commit holds: beside our shard, each of theirs and
+// newTakeoverLimiter begins with as many sources as a commit holds: beside our shard, each of theirs and
 // its partition's shares change, and ours.
-func newAdoption(txnOps int) adoption {
-	most := max(1, min(mostSources, (txnOps-2)/2))
-	return adoption{sources: most, most: most, failed: map[string]bool{}}
+func newTakeoverLimiter(txnOps int) takeoverLimiter {
+	most := max(1, min(maxTakeoverSources, (txnOps-2)/2))
+	return takeoverLimiter{sourceLimit: most, maxSourceLimit: most, conflictedKeys: map[string]bool{}}
 }
 
-// note follows what became of a commit that took machines over.
-func (a *adoption) note(r protocol.StoreResult) {
-	clear(a.failed)
-	switch r.Outcome {
+// recordOutcome follows what became of a commit that took machines over.
+func (a *takeoverLimiter) recordOutcome(result protocol.StoreResult) {
+	clear(a.conflictedKeys)
+	switch result.Outcome {
 	case protocol.OK:
-		a.sources = min(2*a.sources, a.most)
+		a.sourceLimit = min(2*a.sourceLimit, a.maxSourceLimit)
 	case protocol.Conflict:
-		a.sources = max(1, a.sources/2)
-		for _, key := range r.Failed {
-			a.failed[key] = true
+		a.sourceLimit = max(1, a.sourceLimit/2)
+		for _, key := range result.Failed {
+			a.conflictedKeys[key] = true
 		}
 	}
 }
 
-// arrivalsInOrder lists the machines that wait to be claimed; last those that stand in
+// orderedClaimRequests lists the machines that wait to be claimed; last those that stand in
 // shards on which the commit before has failed.
-func (c *Core) arrivalsInOrder() []string {
-	ids := sortedKeys(c.arrivals)
+func (c *Controller) orderedClaimRequests() []string {
+	ids := sortedKeys(c.claimRequests)
 	last := func(id string) bool {
-		from := c.arrivals[id].from
-		return from != nil && c.adoption.failed[bookkeeping.Key(bookkeeping.KindShard, from.name)]
+		fromShard := c.claimRequests[id].fromShard
+		return fromShard != nil && c.takeoverLimiter.conflictedKeys[bookkeeping.Key(bookkeeping.KindShard, fromShard.Name)]
 	}
 	sort.SliceStable(ids, func(a, b int) bool { return !last(ids[a]) && last(ids[b]) })
 	return ids
 }
 
-// moveOver takes a machine with all that is on it out of another partition's shard and
+// moveMachine takes a machine with all that is on it out of another partition's shard and
 // puts it into an update, in one commit that both shards must agree to.
-func (c *Core) moveOver(d *shardUpdate, m *machine, rep *protocol.Report) {
-	from := m.shard
-	key := bookkeeping.Key(bookkeeping.KindShard, from.name)
+func (c *Controller) moveMachine(update *ShardUpdate, machine *Machine, report *protocol.Heartbeat) {
+	fromShard := machine.Shard
+	key := bookkeeping.Key(bookkeeping.KindShard, fromShard.Name)
 	at := -1
-	left := from.rec
-	for i, op := range d.txn.Then {
-		if op.Put == key {
+	left := fromShard.Record
+	for i, operation := range update.Txn.Then {
+		if operation.Put == key {
 			at = i
-			left, _ = bookkeeping.DecodeShard(op.Value, nil)
+			left, _ = bookkeeping.DecodeShard(operation.Value, nil)
 		}
 	}
 	left = left.Clone()
-	rec := *m.rec
-	rec.Endpoint = rep.Endpoint
-	rec.Claim = max(m.claim(), d.next.Claim) + 1
-	delete(left.Machines, m.id)
-	d.next.Add(m.id, rec)
-	use := map[string]amount{}
-	for ref, attempt := range m.tasks {
-		before, _ := from.rec.Find(ref.job, ref.index)
-		left.Release(ref.job, ref.index, false)
-		d.next.Assign(ref.job, bookkeeping.Held{Task: ref.index, Machine: m.id, Attempt: attempt, Starting: before.Starting})
-		if j := c.view.jobs[ref.job]; j != nil {
-			addUse(use, j.rec.Spec.Team, j.need, 1)
+	record := *machine.Record
+	record.Endpoint = report.Endpoint
+	record.Claim = max(machine.Claim(), update.Next.Claim) + 1
+	delete(left.Machines, machine.ID)
+	update.Next.AddMachine(machine.ID, record)
+	useByTeam := map[string]Resources{}
+	for task, attempt := range machine.Attempts {
+		before, _ := fromShard.Record.FindAttempt(task.Job, task.Index)
+		left.Release(task.Job, task.Index, false)
+		update.Next.Assign(task.Job, bookkeeping.Attempt{Task: task.Index, Machine: machine.ID, Number: attempt, Starting: before.Starting})
+		if job := c.mirror.Jobs[task.Job]; job != nil {
+			addTeamUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
 	}
-	raw, _ := left.Encode()
+	encoded, _ := left.Encode()
 	if at >= 0 {
-		d.txn.Then[at].Value = raw
+		update.Txn.Then[at].Value = encoded
 	} else {
-		d.cond(key, from.version)
-		d.txn.Then = append(d.txn.Then, protocol.Op{Put: key, Value: raw})
+		update.AddCompare(key, fromShard.Version)
+		update.Txn.Then = append(update.Txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
-	c.moveShares(&d.txn, d.conds, from.rec.Owner, c.node, use)
+	c.transferQuotaShares(&update.Txn, update.ComparedKeys, fromShard.Record.Owner, c.node, useByTeam)
 }
 
-// arrived tells those who wait for a machine's claim.
-func (c *Core) arrived(id string, ok bool) {
-	if a := c.arrivals[id]; a != nil {
-		delete(c.arrivals, id)
-		for _, f := range a.back {
+// completeClaimRequest tells those who wait for a machine's claim.
+func (c *Controller) completeClaimRequest(id string, ok bool) {
+	if pendingClaim := c.claimRequests[id]; pendingClaim != nil {
+		delete(c.claimRequests, id)
+		for _, f := range pendingClaim.callbacks {
 			f(ok)
 		}
 	}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -12,170 +12,170 @@
 
 // Bounds of a pass.
 const (
-	mostAPass  = 600 // machines rented in a pass
-	bootWeight = 60  // seconds: boot time that makes an offer look twice as dear
+	maxMachinesPerPass = 600 // machines rented in a pass
+	bootPenaltySeconds = 60  // seconds: boot time that makes an offer look twice as dear
 )
 
-// unmet lists the offers that are sidelined.
-func (c *Core) unmet() map[offer]bool {
+// quarantinedOffers lists the offers that are sidelined.
+func (c *Controller) quarantinedOffers() map[offer]bool {
 	out := map[offer]bool{}
-	for _, a := range c.view.rentals {
-		if a.rec.Phase == bookkeeping.RentalUnmet {
-			out[offer{a.rec.Type, a.rec.Zone, a.rec.Spot}] = true
+	for _, request := range c.mirror.ScaleOuts {
+		if request.Record.Phase == bookkeeping.ScaleOutNoCapacity {
+			out[offer{request.Record.MachineType, request.Record.Zone, request.Record.Spot}] = true
 		}
 	}
 	return out
 }
 
-// demands lists the unplaced tasks that teams' limits let run, and the room
+// demandAndSupply lists the unplaced tasks that teams' limits let run, and the room
 // there is for them: machines that are there, and open requests.
-func (c *Core) demands(now micros.T) ([]*demand, []*bin) {
-	waiting := append(c.unplacedTasks(now), c.drains.demands()...)
+func (c *Controller) demandAndSupply(now micros.Micros) ([]*taskDemand, []*machineBin) {
+	waiting := append(c.unplacedDemand(now), c.drains.replacementDemands()...)
 	return waiting, append(c.machineBins(), c.requestedBins()...)
 }
 
-// unplacedTasks lists the tasks without room that teams' limits let run.
-func (c *Core) unplacedTasks(now micros.T) []*demand {
-	var out []*demand
-	teamLeft := map[string]amount{}
-	for i, j := range c.openJobs() {
-		spec := &j.rec.Spec
-		if s := c.jobState[j.id]; s != nil && now < s.until {
+// unplacedDemand lists the tasks without room that teams' limits let run.
+func (c *Controller) unplacedDemand(now micros.Micros) []*taskDemand {
+	var out []*taskDemand
+	teamLeft := map[string]Resources{}
+	for i, job := range c.orderedQueue() {
+		spec := &job.Record.Spec
+		if s := c.jobStates[job.ID]; s != nil && now < s.placeNotBefore {
 			continue
 		}
-		mistaken := c.mistakes(j)
-		if mistaken && !c.mayRent(j, now) {
+		mistaken := c.isCrashLooping(job)
+		if mistaken && !c.mayScaleOutForTrial(job, now) {
 			continue // it is tried in what room there is
 		}
 		left, ok := teamLeft[spec.Team]
 		if !ok {
-			team, _ := c.team(spec.Team)
-			left = team.left(c.view.teamUse[spec.Team])
+			team, _ := c.teamLimits(spec.Team)
+			left = team.remaining(c.mirror.UseByTeam[spec.Team])
 		}
-		n := min(j.waiting(), j.need.count(left))
-		teamLeft[spec.Team] = left.plus(j.need, -float64(n))
+		n := min(job.UnassignedTasks(), job.TaskResources.CountIn(left))
+		teamLeft[spec.Team] = left.AddScaled(job.TaskResources, -float64(n))
 		if n == 0 {
 			continue
 		}
-		slack, _ := c.slack(j, c.env.Wall())
-		d := &demand{spec: spec, need: j.need, count: n, job: j.id, index: i, zones: newZoneRule(c.view, j),
-			slack: slack, lasts: c.expected(spec), idle: c.bound(j)}
-		if !d.idle && c.idle(j) || mistaken {
-			d.count, d.try = 1, mistaken
+		slack, _ := c.slackOf(job, c.env.WallClock())
+		demand := &taskDemand{spec: spec, need: job.TaskResources, tasks: n, jobID: job.ID, queueIndex: i, zoneConstraint: newZoneConstraint(c.mirror, job),
+			slackSeconds: slack, expectedSeconds: c.expectedRunSeconds(spec), spotOnly: c.spotOnly(job)}
+		if !demand.spotOnly && c.isScavenger(job) || mistaken {
+			demand.tasks, demand.crashLoopTrial = 1, mistaken
 		}
-		out = append(out, d)
+		out = append(out, demand)
 	}
 	return out
 }
 
 // machineBins lists the machines that may get tasks.
-func (c *Core) machineBins() []*bin {
-	var out []*bin
-	for _, id := range sortedKeys(c.view.machines) {
-		m := c.view.machines[id]
-		if m.rec == nil || m.rec.State != bookkeeping.MachineOpen {
+func (c *Controller) machineBins() []*machineBin {
+	var out []*machineBin
+	for _, id := range sortedKeys(c.mirror.Machines) {
+		machine := c.mirror.Machines[id]
+		if machine.Record == nil || machine.Record.State != bookkeeping.MachineOpen {
 			continue
 		}
-		t, ok := c.types[m.rec.Type]
+		machineType, ok := c.machineTypes[machine.Record.Type]
 		if !ok {
 			continue
 		}
-		size := capacity(&t)
-		b := &bin{typ: m.rec.Type, zone: m.rec.Zone, spot: m.rec.Spot, size: size, free: size.plus(m.used, -1), machine: id}
-		c.expectedRoom(b, m)
-		out = append(out, b)
+		size := machineCapacity(&machineType)
+		bin := &machineBin{machineType: machine.Record.Type, zone: machine.Record.Zone, spot: machine.Record.Spot, capacity: size, free: size.AddScaled(machine.Used, -1), machineID: id}
+		c.estimateRoom(bin, machine)
+		out = append(out, bin)
 	}
 	return out
 }
 
 // requestedBins lists the machines that open requests will bring: they are supply.
-func (c *Core) requestedBins() []*bin {
-	var out []*bin
-	for _, name := range sortedKeys(c.view.rentals) {
-		a := c.view.rentals[name]
-		t, ok := c.types[a.rec.Type]
-		if !ok || a.rec.Phase == bookkeeping.RentalUnmet {
+func (c *Controller) requestedBins() []*machineBin {
+	var out []*machineBin
+	for _, name := range sortedKeys(c.mirror.ScaleOuts) {
+		request := c.mirror.ScaleOuts[name]
+		machineType, ok := c.machineTypes[request.Record.MachineType]
+		if !ok || request.Record.Phase == bookkeeping.ScaleOutNoCapacity {
 			continue
 		}
-		coming, late := c.stillComing(a, t.BootS)
+		coming, late := c.expectedMachines(request, machineType.BootS)
 		for range coming {
-			out = append(out, &bin{typ: a.rec.Type, zone: a.rec.Zone, spot: a.rec.Spot, size: capacity(&t), free: capacity(&t),
-				rate: t.CPUs, boot: t.BootS, late: late})
+			out = append(out, &machineBin{machineType: request.Record.MachineType, zone: request.Record.Zone, spot: request.Record.Spot, capacity: machineCapacity(&machineType), free: machineCapacity(&machineType),
+				arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS, overdue: late})
 		}
 	}
 	return out
 }
 
-// stillComing tells how many machines a request may be relied on to bring, and whether they
+// expectedMachines tells how many machines a request may be relied on to bring, and whether they
 // are late already.
-func (c *Core) stillComing(a *rentalView, bootS float64) (machines int, late bool) {
-	if a.rec.Phase != bookkeeping.RentalProvisioning {
-		return a.rec.Count, false
+func (c *Controller) expectedMachines(request *ScaleOutEntry, bootS float64) (machines int, late bool) {
+	if request.Record.Phase != bookkeeping.ScaleOutProvisioning {
+		return request.Record.Count, false
 	}
-	if c.set.OverdueBoot > 0 {
-		boots := micros.T(c.env.Wall()-a.rec.At).Seconds() / max(bootS, 1)
-		if boots > 1.5*c.set.OverdueBoot {
+	if c.settings.OverdueBootFactor > 0 {
+		boots := micros.Micros(c.env.WallClock()-request.Record.PhaseSince).Seconds() / max(bootS, 1)
+		if boots > 1.5*c.settings.OverdueBootFactor {
 			return 0, false // those that are missing are slow or dead: no longer to be relied on
 		}
-		late = boots > c.set.OverdueBoot
+		late = boots > c.settings.OverdueBootFactor
 	}
-	return len(c.missing(a)), late
+	return len(c.missingMachines(request)), late
 }
 
-// expectedRoom estimates what a machine can give to waiting tasks: what its
+// estimateRoom estimates what a machine can give to waiting tasks: what its
 // services hold is out, and its other tasks are taken to be half through.
-func (c *Core) expectedRoom(b *bin, m *machine) {
-	t := c.types[b.typ]
-	b.rate, b.boot = t.CPUs, t.BootS
-	for ref := range m.tasks {
-		j := c.view.jobs[ref.job]
-		if j == nil {
+func (c *Controller) estimateRoom(bin *machineBin, machine *Machine) {
+	machineType := c.machineTypes[bin.machineType]
+	bin.arrayCPUs, bin.bootSeconds = machineType.CPUs, machineType.BootS
+	for task := range machine.Attempts {
+		job := c.mirror.Jobs[task.Job]
+		if job == nil {
 			continue
 		}
-		if j.rec.Spec.Service {
-			b.rate -= j.need.cpus
+		if job.Record.Spec.Service {
+			bin.arrayCPUs -= job.TaskResources.CPUs
 		} else {
-			b.stoppable = b.stoppable.plus(j.need, 1)
-			if c.yields(j) {
-				if b.yields == nil {
-					b.yields = map[int]amount{}
+			bin.preemptibleByServices = bin.preemptibleByServices.AddScaled(job.TaskResources, 1)
+			if c.isPreemptible(job) {
+				if bin.preemptibleByPriority == nil {
+					bin.preemptibleByPriority = map[int]Resources{}
 				}
-				priority := j.rec.Spec.Priority
-				b.yields[priority] = b.yields[priority].plus(j.need, 1)
+				priority := job.Record.Spec.Priority
+				bin.preemptibleByPriority[priority] = bin.preemptibleByPriority[priority].AddScaled(job.TaskResources, 1)
 				continue // it isn't waited for, it gives way
 			}
-			lasts := c.expected(&j.rec.Spec)
-			b.busy += exact(j.need.cpus * lasts / 2)
-			b.running = append(b.running, runningTask{exact(j.need.cpus), exact(lasts)})
+			lasts := c.expectedRunSeconds(&job.Record.Spec)
+			bin.committedCPUSeconds += roundToUnit(job.TaskResources.CPUs * lasts / 2)
+			bin.running = append(bin.running, runningTask{roundToUnit(job.TaskResources.CPUs), roundToUnit(lasts)})
 		}
 	}
 }
 
-// doubt stretches estimates: they are wrong, and images must be fetched.
-const doubt = 1.2
+// estimateMargin stretches estimates: they are wrong, and images must be fetched.
+const estimateMargin = 1.2
 
-// begins are the times by which the users' aims would have a job's tasks begin, in
+// latestStarts are the times by which the users' aims would have a job's tasks begin, in
 // seconds from its submission, the shortest first: multiples of its deadline and the
 // times within which its class is to be finished, less its run; the times within
 // which its class is to have started. Without any of them it has no such time.
-func (c *Core) begins(s *bookkeeping.Spec) []float64 {
-	run := doubt * c.expected(s)
+func (c *Controller) latestStarts(spec *bookkeeping.JobSpec) []float64 {
+	run := estimateMargin * c.expectedRunSeconds(spec)
 	var out []float64
 	due := false
 	for _, o := range c.cfg.Facts.Objectives {
 		switch {
-		case o.Class != s.Class || s.Service:
+		case o.Class != spec.Class || spec.Service:
 		case o.Kind == "finished":
 			out = append(out, o.WithinS-run)
 		case o.Kind == "wait":
 			out = append(out, o.WithinS)
-		case o.Kind == "deadline" && s.DeadlineS > 0 && o.Times > 0:
-			out = append(out, o.Times*s.DeadlineS-run)
+		case o.Kind == "deadline" && spec.DeadlineS > 0 && o.Times > 0:
+			out = append(out, o.Times*spec.DeadlineS-run)
 			due = true
 		}
 	}
-	if !due && s.DeadlineS > 0 {
-		out = append(out, s.DeadlineS-run)
+	if !due && spec.DeadlineS > 0 {
+		out = append(out, spec.DeadlineS-run)
 	}
 	if len(out) == 0 {
 		return []float64{math.Inf(1)}
@@ -184,225 +184,225 @@
 	return out
 }
 
-// slack tells how many seconds a job's waiting tasks may still wait and meet the
+// slackOf tells how many seconds a job's waiting tasks may still wait and meet the
 // first of its aims that can still be met, and how many can't.
-func (c *Core) slack(j *job, wall int64) (seconds float64, missed int) {
-	age := micros.T(wall - j.rec.At).Seconds()
-	begins := c.begins(&j.rec.Spec)
+func (c *Controller) slackOf(job *Job, wall int64) (seconds float64, missed int) {
+	age := micros.Micros(wall - job.Record.AcceptedAt).Seconds()
+	begins := c.latestStarts(&job.Record.Spec)
 	for missed < len(begins) && begins[missed] < age {
 		missed++
 	}
 	return begins[min(missed, len(begins)-1)] - age, missed
 }
 
-// offers lists what may be rented now.
-func (c *Core) offers() []*offerInfo {
-	heard := c.heardByZone()
-	c.noteCutZones(heard)
-	unmet, inZone := c.unmet(), c.machinesByZone()
-	var out []*offerInfo
-	for _, name := range sortedKeys(c.types) {
-		t := c.types[name]
-		for _, zone := range t.Zones {
-			if c.leader.cut[zone] {
+// availableOffers lists what may be rented now.
+func (c *Controller) availableOffers() []*pricedOffer {
+	heard := c.zoneReachability()
+	c.updateUnreachableZones(heard)
+	unmet, inZone := c.quarantinedOffers(), c.machinesByZone()
+	var out []*pricedOffer
+	for _, name := range sortedKeys(c.machineTypes) {
+		machineType := c.machineTypes[name]
+		for _, zone := range machineType.Zones {
+			if c.leader.unreachableZones[zone] {
 				continue // what is rented there would wait, paid for, until it is back
 			}
 			for _, spot := range []bool{true, false} {
 				o := offer{name, zone, spot}
-				price := rentalPrice(&t, spot)
-				if unmet[o] || price <= 0 || c.drains.closes(o) {
+				price := effectivePrice(&machineType, spot)
+				if unmet[o] || price <= 0 || c.drains.closesOffer(o) {
 					continue
 				}
-				out = append(out, &offerInfo{offer: o, capacity: capacity(&t), price: price, have: inZone[zone]})
+				out = append(out, &pricedOffer{offer: o, capacity: machineCapacity(&machineType), price: price, zoneMachines: inZone[zone]})
 			}
 		}
 	}
 	return out
 }
 
-// rentalPrice is an offer's price, with the boot time on top: that is paid for too, and keeps
+// effectivePrice is an offer's price, with the boot time on top: that is paid for too, and keeps
 // tasks waiting.
-func rentalPrice(t *protocol.MachineType, spot bool) float64 {
-	price := t.Price
+func effectivePrice(machineType *protocol.MachineType, spot bool) float64 {
+	price := machineType.OnDemandPrice
 	if spot {
-		price = t.SpotPrice
+		price = machineType.SpotPrice
 	}
-	return price * (1 + t.BootS/bootWeight)
+	return price * (1 + machineType.BootS/bootPenaltySeconds)
 }
 
-// heardByZone counts each zone's machines, and which of them are silent.
-func (c *Core) heardByZone() map[string]*heardCount {
-	heard := map[string]*heardCount{}
-	for _, m := range c.view.machines {
-		if m.rec == nil {
+// zoneReachability counts each zone's machines, and which of them are silent.
+func (c *Controller) zoneReachability() map[string]*silenceCount {
+	heard := map[string]*silenceCount{}
+	for _, machine := range c.mirror.Machines {
+		if machine.Record == nil {
 			continue
 		}
-		if heard[m.rec.Zone] == nil {
-			heard[m.rec.Zone] = &heardCount{}
+		if heard[machine.Record.Zone] == nil {
+			heard[machine.Record.Zone] = &silenceCount{}
 		}
-		heard[m.rec.Zone].count(m.rec.State == bookkeeping.MachineQuiet, m.rec.State != bookkeeping.MachineOpen)
+		heard[machine.Record.Zone].add(machine.Record.State == bookkeeping.MachineUnreachable, machine.Record.State != bookkeeping.MachineOpen)
 	}
 	return heard
 }
 
 // machinesByZone counts the machines that are there or requested.
-func (c *Core) machinesByZone() map[string]int {
+func (c *Controller) machinesByZone() map[string]int {
 	count := map[string]int{}
-	for _, m := range c.view.machines {
-		if m.rec != nil {
-			count[m.rec.Zone]++
+	for _, machine := range c.mirror.Machines {
+		if machine.Record != nil {
+			count[machine.Record.Zone]++
 		}
 	}
-	for _, a := range c.view.rentals {
-		if a.rec.Phase != bookkeeping.RentalUnmet {
-			count[a.rec.Zone] += a.rec.Count
+	for _, request := range c.mirror.ScaleOuts {
+		if request.Record.Phase != bookkeeping.ScaleOutNoCapacity {
+			count[request.Record.Zone] += request.Record.Count
 		}
 	}
 	return count
 }
 
-// noteCutZones follows which zones have fallen silent as a whole.
-func (c *Core) noteCutZones(heard map[string]*heardCount) {
-	for zone := range c.leader.cut {
-		if !heard[zone].cut() {
-			delete(c.leader.cut, zone)
-			c.leader.recover++
+// updateUnreachableZones follows which zones have fallen silent as a whole.
+func (c *Controller) updateUnreachableZones(heard map[string]*silenceCount) {
+	for zone := range c.leader.unreachableZones {
+		if !heard[zone].isUnreachable() {
+			delete(c.leader.unreachableZones, zone)
+			c.leader.offerRecoveries++
 			c.log.Info("zone unreachable", "state", conditionEnd, "zone", zone)
 		}
 	}
 	for _, zone := range sortedKeys(heard) {
-		if z := heard[zone]; z.cut() && !c.leader.cut[zone] {
-			c.leader.cut[zone] = true
+		if zoneSilence := heard[zone]; zoneSilence.isUnreachable() && !c.leader.unreachableZones[zone] {
+			c.leader.unreachableZones[zone] = true
 			c.log.Info("zone unreachable", "state", conditionBegin, "zone", zone,
-				"machines", z.machines, "machines_unreachable", z.silent)
+				"machines", zoneSilence.machines, "machines_unreachable", zoneSilence.silent)
 		}
 	}
 }
 
-// pass is the design's: demand net of room and open requests, then rentals,
+// autoscalingPass is the design's: demand net of room and open requests, then rentals,
 // then empty machines.
-func (c *Core) pass(now micros.T) {
-	if c.types == nil {
+func (c *Controller) autoscalingPass(now micros.Micros) {
+	if c.machineTypes == nil {
 		return
 	}
-	ds, bins := c.unmetDemand(now)
-	c.forgetPlaced(ds)
-	wanted := c.wantedDemand(ds, now)
+	demands, bins := c.unmetDemand(now)
+	c.forgetPlacedJobs(demands)
+	wanted := c.eligibleDemand(demands, now)
 	before := map[string]int{}
-	for _, d := range wanted {
-		before[d.job] = d.count
+	for _, demand := range wanted {
+		before[demand.jobID] = demand.tasks
 	}
-	chosen := c.choosePlan(wanted, bins)
-	for _, d := range wanted {
-		c.backOff(d, d.count < before[d.job], now)
+	chosen := c.planScaleOut(wanted, bins)
+	for _, demand := range wanted {
+		c.updateBackoff(demand, demand.tasks < before[demand.jobID], now)
 	}
-	for _, o := range inOrder(chosen) {
-		for n := chosen[o]; n > 0; n -= mostARent {
-			c.rental(o, min(n, mostARent))
+	for _, o := range sortedOffers(chosen) {
+		for n := chosen[o]; n > 0; n -= maxMachinesPerScaleOut {
+			c.requestScaleOut(o, min(n, maxMachinesPerScaleOut))
 		}
 	}
 }
 
 // unmetDemand is what finds no room in the machines that are there or requested, headroom
 // included.
-func (c *Core) unmetDemand(now micros.T) ([]*demand, []*bin) {
-	ds, bins := c.demands(now)
-	for _, d := range ds {
-		if d.try {
-			c.jobNotes(d.job).askedAt = max(now, 1)
+func (c *Controller) unmetDemand(now micros.Micros) ([]*taskDemand, []*machineBin) {
+	demands, bins := c.demandAndSupply(now)
+	for _, demand := range demands {
+		if demand.crashLoopTrial {
+			c.trackingOf(demand.jobID).trialDemandAt = max(now, 1)
 		}
 	}
-	largestFirst(ds)
-	fill(ds, bins)
-	displacing(ds, bins)
-	reserve := c.headroom()
-	holdRoom(reserve, bins, map[string]bool{})
-	absorb(ds, bins, c.set.ExpectedRoom, false)
-	return append(ds, reserve...), bins
+	largestFirst(demands)
+	fillBins(demands, bins)
+	absorbByPreemption(demands, bins)
+	reserve := c.serviceHeadroom()
+	reserveHeadroom(reserve, bins, map[string]bool{})
+	absorbDemand(demands, bins, c.settings.ExpectedCapacity, false)
+	return append(demands, reserve...), bins
 }
 
-// wantedDemand leaves out what is met, and jobs that have backed off.
-func (c *Core) wantedDemand(ds []*demand, now micros.T) []*demand {
-	var wanted []*demand
-	for _, d := range ds {
-		if d.count > 0 && !c.backedOff(d.job, now) {
-			wanted = append(wanted, d)
+// eligibleDemand leaves out what is met, and jobs that have backed off.
+func (c *Controller) eligibleDemand(demands []*taskDemand, now micros.Micros) []*taskDemand {
+	var wanted []*taskDemand
+	for _, demand := range demands {
+		if demand.tasks > 0 && !c.inBackoff(demand.jobID, now) {
+			wanted = append(wanted, demand)
 		}
 	}
 	return wanted
 }
 
-// backedOff tells whether nothing is rented for a job for now.
-func (c *Core) backedOff(job string, now micros.T) bool {
-	u := c.leader.unplaced[job]
-	if u == nil {
+// inBackoff tells whether nothing is rented for a job for now.
+func (c *Controller) inBackoff(job string, now micros.Micros) bool {
+	backoff := c.leader.unplaceableJobs[job]
+	if backoff == nil {
 		return false
 	}
-	if u.out {
-		return u.recover == c.leader.recover
+	if backoff.suspended {
+		return backoff.offerRecoveries == c.leader.offerRecoveries
 	}
-	return now < u.until
+	return now < backoff.retryAt
 }
 
-// forgetPlaced drops the notes about jobs that wait no more.
-func (c *Core) forgetPlaced(ds []*demand) {
+// forgetPlacedJobs drops the notes about jobs that wait no more.
+func (c *Controller) forgetPlacedJobs(demands []*taskDemand) {
 	waiting := map[string]bool{}
-	for _, d := range ds {
-		waiting[d.job] = waiting[d.job] || d.count > 0
+	for _, demand := range demands {
+		waiting[demand.jobID] = waiting[demand.jobID] || demand.tasks > 0
 	}
-	for id := range c.leader.unplaced {
+	for id := range c.leader.unplaceableJobs {
 		if !waiting[id] {
-			delete(c.leader.unplaced, id)
+			delete(c.leader.unplaceableJobs, id)
 		}
 	}
 }
 
-// headroom is room that is kept for services yet to come: a partition of what each
+// serviceHeadroom is room that is kept for services yet to come: a partition of what each
 // class of services uses now. A service that finds room starts within its image
 // fetch, one that doesn't waits for a boot.
-func (c *Core) headroom() []*demand {
-	if c.set.ServiceHeadroom == 0 {
+func (c *Controller) serviceHeadroom() []*taskDemand {
+	if c.settings.ServiceHeadroom == 0 {
 		return nil
 	}
 	count := map[string]int{}
-	like := map[string]*job{}
-	for _, id := range sortedKeys(c.view.jobs) {
-		if j := c.view.jobs[id]; j.open() && j.rec.Spec.Service && !c.mistakes(j) {
-			k := j.rec.Spec.Class
-			count[k] += j.rec.Spec.Tasks
-			like[k] = j
+	like := map[string]*Job{}
+	for _, id := range sortedKeys(c.mirror.Jobs) {
+		if job := c.mirror.Jobs[id]; job.IsOpen() && job.Record.Spec.Service && !c.isCrashLooping(job) {
+			k := job.Record.Spec.Class
+			count[k] += job.Record.Spec.Tasks
+			like[k] = job
 		}
 	}
-	var out []*demand
+	var out []*taskDemand
 	for _, k := range sortedKeys(like) {
-		spec := like[k].rec.Spec
-		spec.OneZone, spec.Spread, spec.Zone, spec.Types = false, false, "", nil
-		n := int(math.Ceil(float64(count[k]) * c.set.ServiceHeadroom))
-		out = append(out, &demand{spec: &spec, need: like[k].need, count: n, job: "headroom " + k, index: math.MaxInt32})
+		spec := like[k].Record.Spec
+		spec.OneZone, spec.Spread, spec.Zone, spec.MachineTypes = false, false, "", nil
+		n := int(math.Ceil(float64(count[k]) * c.settings.ServiceHeadroom))
+		out = append(out, &taskDemand{spec: &spec, need: like[k].TaskResources, tasks: n, jobID: "headroom " + k, queueIndex: math.MaxInt32})
 	}
 	return out
 }
 
-// choosePlan plans in two steps: first spot machines for the tasks that may use
+// planScaleOut plans in two steps: first spot machines for the tasks that may use
 // them, and what the others need; then, for spot tasks that are left and would
 // wait beyond the longer horizon, ordinary machines.
-func (c *Core) choosePlan(wanted []*demand, bins []*bin) map[offer]int {
+func (c *Controller) planScaleOut(wanted []*taskDemand, bins []*machineBin) map[offer]int {
 	chosen := map[offer]int{}
-	offers := c.offers()
-	plan(wanted, offers, mostAPass, func(d *demand, o *offerInfo) bool { return o.spot == d.spec.Spot }, chosen)
-	for _, o := range inOrder(chosen) {
-		t := c.types[o.typ]
+	offers := c.availableOffers()
+	planOffers(wanted, offers, maxMachinesPerPass, func(demand *taskDemand, o *pricedOffer) bool { return o.spot == demand.spec.Spot }, chosen)
+	for _, o := range sortedOffers(chosen) {
+		machineType := c.machineTypes[o.machineType]
 		for n := chosen[o]; n > 0; n-- {
-			bins = append(bins, &bin{typ: o.typ, zone: o.zone, spot: o.spot, size: capacity(&t), rate: t.CPUs, boot: t.BootS})
+			bins = append(bins, &machineBin{machineType: o.machineType, zone: o.zone, spot: o.spot, capacity: machineCapacity(&machineType), arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS})
 		}
 	}
-	absorb(wanted, bins, c.set.ExpectedRoomOrdinary, true)
-	plan(wanted, offers, mostAPass, func(d *demand, o *offerInfo) bool { return o.spot || !d.idle }, chosen)
+	absorbDemand(wanted, bins, c.settings.ExpectedOnDemandCapacity, true)
+	planOffers(wanted, offers, maxMachinesPerPass, func(demand *taskDemand, o *pricedOffer) bool { return o.spot || !demand.spotOnly }, chosen)
 	return chosen
 }
 
-// inOrder lists what was chosen always in the same order.
-func inOrder(chosen map[offer]int) []offer {
+// sortedOffers lists what was chosen always in the same order.
+func sortedOffers(chosen map[offer]int) []offer {
 	var out []offer
 	for o := range chosen {
 		out = append(out, o)
@@ -411,106 +411,106 @@
 	return out
 }
 
-// backOff follows a job whose tasks no offer can take: after several passes it
+// updateBackoff follows a job whose tasks no offer can take: after several passes it
 // pauses, longer each time, and at the ceiling it leaves the demand until an
 // offer recovers.
-func (c *Core) backOff(d *demand, met bool, now micros.T) {
-	l := &c.leader
+func (c *Controller) updateBackoff(demand *taskDemand, met bool, now micros.Micros) {
+	leader := &c.leader
 	if met {
-		delete(l.unplaced, d.job)
+		delete(leader.unplaceableJobs, demand.jobID)
 		return
 	}
-	u := l.unplaced[d.job]
-	if u == nil {
-		u = &unplaced{}
-		l.unplaced[d.job] = u
+	backoff := leader.unplaceableJobs[demand.jobID]
+	if backoff == nil {
+		backoff = &unplacedBackoff{}
+		leader.unplaceableJobs[demand.jobID] = backoff
 	}
-	u.passes++
-	if u.out {
-		u.recover = l.recover
+	backoff.unmetPasses++
+	if backoff.suspended {
+		backoff.offerRecoveries = leader.offerRecoveries
 		return
 	}
-	if u.passes < c.set.BackoffPasses {
+	if backoff.unmetPasses < c.settings.BackoffPasses {
 		return
 	}
-	if u.step == 0 {
-		u.step = c.set.BackoffFirst.T()
+	if backoff.delay == 0 {
+		backoff.delay = c.settings.BackoffFirst.Micros()
 	} else {
-		u.step *= 2
+		backoff.delay *= 2
 	}
-	if u.step >= c.set.BackoffMost.T() {
-		u.out, u.recover = true, l.recover
-		c.log.Info("job removed from demand, insufficient capacity", "job", d.job, "tasks", d.count)
+	if backoff.delay >= c.settings.BackoffMax.Micros() {
+		backoff.suspended, backoff.offerRecoveries = true, leader.offerRecoveries
+		c.log.Info("job removed from demand, insufficient capacity", "job", demand.jobID, "tasks", demand.tasks)
 		return
 	}
-	u.until = now + u.step
+	backoff.retryAt = now + backoff.delay
 }
 
-// keepFor is how long an empty machine stays closed before it is given back: the delay
+// scaleInDelay is how long an empty machine stays closed before it is given back: the delay
 // for what is cheapest, less for a dearer kind of the same type, by its price. What is
 // kept for the next burst is better kept where it costs least.
-func (c *Core) keepFor(rec *bookkeeping.ShardMachine) micros.T {
-	delay := c.set.ScaleDownDelay.T()
-	if t := c.types[rec.Type]; !rec.Spot && t.SpotPrice > 0 && t.SpotPrice < t.Price {
-		return micros.T(float64(delay) * t.SpotPrice / t.Price)
+func (c *Controller) scaleInDelay(record *bookkeeping.ShardMachine) micros.Micros {
+	delay := c.settings.ScaleDownDelay.Micros()
+	if machineType := c.machineTypes[record.Type]; !record.Spot && machineType.SpotPrice > 0 && machineType.SpotPrice < machineType.OnDemandPrice {
+		return micros.Micros(float64(delay) * machineType.SpotPrice / machineType.OnDemandPrice)
 	}
 	return delay
 }
 
-// closeEmpty closes our empty machines, and has them given back after the delay if
+// scaleInEmpty closes our empty machines, and has them given back after the delay if
 // they are still empty; headroom that all partitions together keep is left. Closing is
 // only a matter of the part that places on them: a waiting task reopens one
 // without a write. Each part does so for its own machines, as it alone writes its
 // shards, and the leader deletes them.
-func (c *Core) closeEmpty(now micros.T) {
-	if c.types == nil {
+func (c *Controller) scaleInEmpty(now micros.Micros) {
+	if c.machineTypes == nil {
 		return
 	}
 	needed := map[string]bool{}
-	moving := c.drains.demands()
-	if c.set.ServiceHeadroom > 0 || len(moving) > 0 {
-		_, bins := c.demands(now)
-		holdRoom(append(c.headroom(), moving...), bins, needed)
+	moving := c.drains.replacementDemands()
+	if c.settings.ServiceHeadroom > 0 || len(moving) > 0 {
+		_, bins := c.demandAndSupply(now)
+		reserveHeadroom(append(c.serviceHeadroom(), moving...), bins, needed)
 	}
 	for id := range c.drains.reservations() {
 		needed[id] = true
 	}
-	noteVisit := map[string]bool{}
-	for _, id := range sortedKeys(c.view.machines) {
-		m := c.view.machines[id]
-		if m.w == nil || m.rec == nil || len(m.tasks) > 0 || needed[id] && m.rec.State == bookkeeping.MachineOpen && !m.w.doubtful || m.w.removing != "" {
+	synced := map[string]bool{}
+	for _, id := range sortedKeys(c.mirror.Machines) {
+		machine := c.mirror.Machines[id]
+		if machine.Agent == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == bookkeeping.MachineOpen && !machine.Agent.FailureProne || machine.Agent.RemovalReason != "" {
 			continue
 		}
-		switch m.rec.State {
+		switch machine.Record.State {
 		case bookkeeping.MachineOpen:
-			noteVisit[id] = true
-			at, ok := c.emptyAt[id]
+			synced[id] = true
+			at, ok := c.emptySince[id]
 			if !ok {
-				c.emptyAt[id] = now
+				c.emptySince[id] = now
 				continue
 			}
-			closed, ok := c.closedAt[id]
-			if !ok && now-at >= 2*c.set.PassInterval.T() {
-				c.closedAt[id] = now
-			} else if ok && now-closed >= c.keepFor(m.rec) {
-				c.remove(m, removeIdle)
+			closed, ok := c.jobsClosedAt[id]
+			if !ok && now-at >= 2*c.settings.AutoscalingInterval.Micros() {
+				c.jobsClosedAt[id] = now
+			} else if ok && now-closed >= c.scaleInDelay(machine.Record) {
+				c.requestRemoval(machine, removalReasonIdle)
 			}
 		case bookkeeping.MachineCordoned:
-			noteVisit[id] = true
-			if _, ok := c.emptyAt[id]; !ok {
-				c.emptyAt[id] = now
+			synced[id] = true
+			if _, ok := c.emptySince[id]; !ok {
+				c.emptySince[id] = now
 			}
-			if c.drains.givesBack(m, now-c.emptyAt[id]) {
-				c.remove(m, removeDrained)
+			if c.drains.mayScaleIn(machine, now-c.emptySince[id]) {
+				c.requestRemoval(machine, removalReasonDrained)
 			}
 		case bookkeeping.MachineDraining:
-			c.remove(m, removeDrained)
+			c.requestRemoval(machine, removalReasonDrained)
 		}
 	}
-	for id := range c.emptyAt {
-		if !noteVisit[id] {
-			delete(c.emptyAt, id)
-			delete(c.closedAt, id)
+	for id := range c.emptySince {
+		if !synced[id] {
+			delete(c.emptySince, id)
+			delete(c.jobsClosedAt, id)
 		}
 	}
 }
--- a/internal/coordination/capacities.go
+++ b/internal/coordination/capacities.go
@@ -4,63 +4,63 @@
 	"pipitgap/internal/bookkeeping"
 )
 
-// freeCapacity is the free room of every partition, from the mirror.
-type freeCapacity struct {
-	core       *Core
-	partitions map[string][]*candidate
-	made       map[claimant]string // what mostVictims has found
+// partitionCapacity is the free room of every partition, from the mirror.
+type partitionCapacity struct {
+	core              *Controller
+	partitions        map[string][]*candidateMachine
+	preemptionTargets map[preemptorClass]string // what bestPreemptionTarget has found
 }
 
-// claimant is what decides whose work may be stopped for a job.
-type claimant struct {
-	likeOf
+// preemptorClass is what decides whose work may be stopped for a job.
+type preemptorClass struct {
+	taskShape
 	service  bool
 	priority int
 }
 
-func (c *Core) freeCapacity() *freeCapacity {
-	p := &freeCapacity{core: c, partitions: map[string][]*candidate{}, made: map[claimant]string{}}
+func (c *Controller) capacityByPartition() *partitionCapacity {
+	fc := &partitionCapacity{core: c, partitions: map[string][]*candidateMachine{}, preemptionTargets: map[preemptorClass]string{}}
 	reserved := c.drains.reservations()
-	for _, m := range c.view.machines {
-		if m.rec == nil || m.rec.State != bookkeeping.MachineOpen || !c.isLive(m.owner()) {
+	for _, machine := range c.mirror.Machines {
+		if machine.Record == nil || machine.Record.State != bookkeeping.MachineOpen || !c.isMember(machine.Owner()) {
 			continue
 		}
-		t, ok := c.types[m.rec.Type]
+		machineType, ok := c.machineTypes[machine.Record.Type]
 		if !ok {
 			continue
 		}
-		p.partitions[m.owner()] = append(p.partitions[m.owner()], &candidate{m: m, rec: m.rec, free: capacity(&t).plus(m.used, -1).plus(reserved[m.id], -1)})
+		fc.partitions[machine.Owner()] = append(fc.partitions[machine.Owner()], &candidateMachine{machine: machine, record: machine.Record, freeResources: machineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(reserved[machine.ID], -1)})
 	}
-	return p
+	return fc
 }
 
-// room counts the tasks of a job that fit into a partition.
-func (p *freeCapacity) room(s *bookkeeping.Spec, partition string) int {
-	need := needOf(s)
+// tasksFitting counts the tasks of a job that fit into a partition.
+func (p *partitionCapacity) tasksFitting(spec *bookkeeping.JobSpec, partition string) int {
+	taskResources := TaskResources(spec)
 	n := 0
-	for _, cd := range p.partitions[partition] {
-		if mayRun(s, cd.rec) {
-			n += need.count(cd.free)
+	for _, candidate := range p.partitions[partition] {
+		if machineAllowed(spec, candidate.record) {
+			n += taskResources.CountIn(candidate.freeResources)
 		}
 	}
 	return n
 }
 
-// roomiest names the part with most room for a new job; for a service, one that
+// partitionForNewJob names the part with most room for a new job; for a service, one that
 // has its image too comes first. If none has room: the part that could make
 // most, or ours.
-func (c *Core) roomiest(s *bookkeeping.Spec) string {
-	p := c.freeCapacity()
+func (c *Controller) partitionForNewJob(spec *bookkeeping.JobSpec) string {
+	fc := c.capacityByPartition()
 	best, most := c.node, 0
 	for _, score := range []func(string) int{
-		func(n string) int { return p.withImage(s, n) },
-		func(n string) int { return p.victims(s, n, true) },
-		func(n string) int { return p.room(s, n) },
-		func(n string) int { return p.victims(s, n, false) },
+		func(node string) int { return fc.tasksFittingWithImage(spec, node) },
+		func(node string) int { return fc.machinesAfterPreemption(spec, node, true) },
+		func(node string) int { return fc.tasksFitting(spec, node) },
+		func(node string) int { return fc.machinesAfterPreemption(spec, node, false) },
 	} {
-		for _, n := range append([]string{c.node}, c.able()...) {
-			if r := score(n); r > most {
-				best, most = n, r
+		for _, node := range append([]string{c.node}, c.connectedControllers()...) {
+			if r := score(node); r > most {
+				best, most = node, r
 			}
 		}
 		if most > 0 {
@@ -70,74 +70,74 @@
 	return best
 }
 
-// withImage counts a service's tasks that fit beside their image.
-func (p *freeCapacity) withImage(s *bookkeeping.Spec, partition string) int {
-	if !s.Service {
+// tasksFittingWithImage counts a service's tasks that fit beside their image.
+func (p *partitionCapacity) tasksFittingWithImage(spec *bookkeeping.JobSpec, partition string) int {
+	if !spec.Service {
 		return 0
 	}
-	need := needOf(s)
+	taskResources := TaskResources(spec)
 	n := 0
-	for _, cd := range p.partitions[partition] {
-		if cd.m.images[s.Image] && mayRun(s, cd.rec) {
-			n += need.count(cd.free)
+	for _, candidate := range p.partitions[partition] {
+		if candidate.machine.CachedImages[spec.Image] && machineAllowed(spec, candidate.record) {
+			n += taskResources.CountIn(candidate.freeResources)
 		}
 	}
 	return n
 }
 
-// victims counts the machines of a partition on which a service would fit if tasks
+// machinesAfterPreemption counts the machines of a partition on which a service would fit if tasks
 // of lower priority were stopped; with beside, only those that have its image.
-func (p *freeCapacity) victims(s *bookkeeping.Spec, partition string, beside bool) int {
-	if !s.Service {
+func (p *partitionCapacity) machinesAfterPreemption(spec *bookkeeping.JobSpec, partition string, withImage bool) int {
+	if !spec.Service {
 		return 0
 	}
-	need := needOf(s)
+	taskResources := TaskResources(spec)
 	n := 0
-	for _, cd := range p.partitions[partition] {
-		if !mayRun(s, cd.rec) || beside && !cd.m.images[s.Image] {
+	for _, candidate := range p.partitions[partition] {
+		if !machineAllowed(spec, candidate.record) || withImage && !candidate.machine.CachedImages[spec.Image] {
 			continue
 		}
-		free := cd.free
-		for ref := range cd.m.tasks {
-			if v := p.core.view.jobs[ref.job]; v != nil && v.rec.Spec.Priority < s.Priority {
-				free = free.plus(v.need, 1)
+		free := candidate.freeResources
+		for task := range candidate.machine.Attempts {
+			if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.Record.Spec.Priority < spec.Priority {
+				free = free.AddScaled(victim.TaskResources, 1)
 			}
 		}
-		if need.fits(free) {
+		if taskResources.FitsIn(free) {
 			n++
 		}
 	}
 	return n
 }
 
-// mostVictims names the other partition that could make room for a job on most
+// bestPreemptionTarget names the other partition that could make room for a job on most
 // machines by stopping what may be stopped for it, or "".
-func (p *freeCapacity) mostVictims(j *job, not string) string {
-	spec := &j.rec.Spec
-	who := claimant{like(spec, spec.Team), spec.Service, spec.Priority}
-	if partition, ok := p.made[who]; ok {
+func (p *partitionCapacity) bestPreemptionTarget(job *Job, excluded string) string {
+	spec := &job.Record.Spec
+	preemptor := preemptorClass{shapeOf(spec, spec.Team), spec.Service, spec.Priority}
+	if partition, ok := p.preemptionTargets[preemptor]; ok {
 		return partition
 	}
 	most, partition := 0, ""
-	defer func() { p.made[who] = partition }()
-	for _, n := range p.core.live() {
-		if n == not {
+	defer func() { p.preemptionTargets[preemptor] = partition }()
+	for _, node := range p.core.liveControllers() {
+		if node == excluded {
 			continue
 		}
 		r := 0
-		for _, cd := range p.partitions[n] {
-			free := cd.free
-			for ref := range cd.m.tasks {
-				if v := p.core.view.jobs[ref.job]; v != nil && v.open() && p.core.mayStop(j, v) {
-					free = free.plus(v.need, 1)
+		for _, candidate := range p.partitions[node] {
+			free := candidate.freeResources
+			for task := range candidate.machine.Attempts {
+				if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.IsOpen() && p.core.mayPreempt(job, victim) {
+					free = free.AddScaled(victim.TaskResources, 1)
 				}
 			}
-			if mayRun(&j.rec.Spec, cd.rec) && j.need.fits(free) {
+			if machineAllowed(&job.Record.Spec, candidate.record) && job.TaskResources.FitsIn(free) {
 				r++
 			}
 		}
 		if r > most {
-			most, partition = r, n
+			most, partition = r, node
 		}
 	}
 	return partition
--- a/internal/coordination/claims.go
+++ b/internal/coordination/claims.go
@@ -11,29 +11,29 @@
 	// A commit of many changes waits until the state service has that many left, and
 	// while all controllers use up what there is that is never: one that was back claimed
 	// its six shards after 3.6 s. Where nothing else must change along, each goes by itself.
-	fewShards     = 1
-	refusedLately = 2 * micros.Second
-	mostCommit    = 56 << 10 // bytes of a commit, as the state service counts them
+	maxShardsWhenThrottled = 1
+	recentThrottleWindow   = 2 * micros.Second
+	maxCommitBytes         = 56 << 10 // bytes of a commit, as the state service counts them
 )
 
-// claimOrphaned claims the shards of our earlier lives, and those of controllers that
+// claimOrphanedShards claims the shards of our earlier lives, and those of controllers that
 // have gone and whose successor we are: whole shards, many to a commit.
-func (c *Core) claimOrphaned(now micros.T) {
-	if c.storeDown || !c.leaseHeld(now) {
+func (c *Controller) claimOrphanedShards(now micros.Micros) {
+	if c.storeUnavailable || !c.holdsLease(now) {
 		return
 	}
-	live := c.able()
-	orphaned := map[string][]*shard{}
-	for _, name := range sortedKeys(c.view.shards) {
-		p := c.view.shards[name]
-		if owner := p.rec.Owner; !c.claiming[name] && c.succeeds(p, live, now) && c.view.watched >= p.version {
-			orphaned[owner] = append(orphaned[owner], p)
+	controllers := c.connectedControllers()
+	orphaned := map[string][]*Shard{}
+	for _, name := range sortedKeys(c.mirror.Shards) {
+		shard := c.mirror.Shards[name]
+		if owner := shard.Record.Owner; !c.shardClaimsInFlight[name] && c.isSuccessorFor(shard, controllers, now) && c.mirror.WatchedRevision >= shard.Version {
+			orphaned[owner] = append(orphaned[owner], shard)
 		}
 	}
 	for _, owner := range sortedKeys(orphaned) {
-		ps := orphaned[owner]
-		for len(ps) > 0 {
-			ps = ps[c.claim(owner, ps):]
+		shards := orphaned[owner]
+		for len(shards) > 0 {
+			shards = shards[c.claimShards(owner, shards):]
 			if owner != c.node {
 				break // one commit at a time, the shares must not conflict
 			}
@@ -41,79 +41,79 @@
 	}
 }
 
-// succeeds tells whether we are to claim a shard whose owner has gone: an earlier
+// isSuccessorFor tells whether we are to claim a shard whose owner has gone: an earlier
 // incarnation of ours, or another controller and we are its successor.
-func (c *Core) succeeds(p *shard, live []string, now micros.T) bool {
-	owner := p.rec.Owner
+func (c *Controller) isSuccessorFor(shard *Shard, controllers []string, now micros.Micros) bool {
+	owner := shard.Record.Owner
 	if owner == c.node {
-		return p.rec.Incarnation != c.inc
+		return shard.Record.Incarnation != c.incarnation
 	}
-	if c.isLive(owner) {
+	if c.isMember(owner) {
 		return false
 	}
-	return now-c.gone(owner, now) > micros.Second && home(p.name, live) == c.node
+	return now-c.absentSince(owner, now) > micros.Second && rendezvousOwner(shard.Name, controllers) == c.node
 }
 
-// claim takes over shards of one owner, as many as a commit takes.
-func (c *Core) claim(owner string, ps []*shard) int {
-	t, n := c.passShards(ps, c.node, c.inc)
-	ps = ps[:n]
-	for _, p := range ps {
-		c.claiming[p.name] = true
+// claimShards takes over shards of one owner, as many as a commit takes.
+func (c *Controller) claimShards(owner string, shards []*Shard) int {
+	txn, n := c.buildShardTransfer(shards, c.node, c.incarnation)
+	shards = shards[:n]
+	for _, shard := range shards {
+		c.shardClaimsInFlight[shard.Name] = true
 	}
-	c.commit(bookkeeping.RankClaim, t, func(r protocol.StoreResult) {
+	c.commitTxn(bookkeeping.PriorityClaim, txn, func(result protocol.StoreResult) {
 		machines := 0
-		for _, p := range ps {
-			delete(c.claiming, p.name)
-			if r.Outcome != protocol.OK {
+		for _, shard := range shards {
+			delete(c.shardClaimsInFlight, shard.Name)
+			if result.Outcome != protocol.OK {
 				continue
 			}
-			for _, id := range sortedKeys(p.rec.Machines) {
+			for _, id := range sortedKeys(shard.Record.Machines) {
 				machines++
-				c.show(c.view.machines[id], owner == c.node)
+				c.probeAgent(c.mirror.Machines[id], owner == c.node)
 			}
 		}
-		if r.Outcome == protocol.OK {
-			c.log.Info("shards claimed", "from_node", owner, "shards", len(ps), "machines", machines)
+		if result.Outcome == protocol.OK {
+			c.log.Info("shards claimed", "from_node", owner, "shards", len(shards), "machines", machines)
 		}
 	})
 	return n
 }
 
-// passShards prepares the commit by which shards of one owner go to another: a
+// buildShardTransfer prepares the commit by which shards of one owner go to another: a
 // conditional write that raises their claim numbers, so that tokens of any earlier
 // owner are outranked, with the shares of the teams' limits that their attempts use.
 // As many shards as a commit takes go at once.
-func (c *Core) passShards(ps []*shard, to string, incarnation uint64) (t protocol.Txn, taken int) {
-	use := map[string]amount{}
+func (c *Controller) buildShardTransfer(shards []*Shard, to string, incarnation uint64) (txn protocol.Transaction, taken int) {
+	useByTeam := map[string]Resources{}
 	bytes := 0
-	from := ps[0].rec.Owner
+	from := shards[0].Record.Owner
 	most := c.cfg.Facts.State.TxnOps - 2 // two partitions' shares follow
-	if from == to || c.now()-c.refusedAt < refusedLately {
-		most = min(most, fewShards)
+	if from == to || c.now()-c.lastThrottledAt < recentThrottleWindow {
+		most = min(most, maxShardsWhenThrottled)
 	}
-	for _, p := range ps {
-		rec := p.rec.Clone()
-		rec.Owner, rec.Incarnation = to, incarnation
-		for _, m := range rec.Machines {
-			rec.Claim = max(rec.Claim, m.Claim)
+	for _, shard := range shards {
+		record := shard.Record.Clone()
+		record.Owner, record.Incarnation = to, incarnation
+		for _, machineRecord := range record.Machines {
+			record.Claim = max(record.Claim, machineRecord.Claim)
 		}
-		rec.Claim++
-		raw, size := rec.Encode()
-		if taken > 0 && (bytes+size > mostCommit || taken >= most) {
+		record.Claim++
+		encoded, size := record.Encode()
+		if taken > 0 && (bytes+size > maxCommitBytes || taken >= most) {
 			break
 		}
 		bytes += size
 		taken++
-		key := bookkeeping.Key(bookkeeping.KindShard, p.name)
-		t.If = append(t.If, protocol.Cond{Key: key, Version: p.version})
-		t.Then = append(t.Then, protocol.Op{Put: key, Value: raw})
-		for team, a := range p.use {
-			addUse(use, team, a, 1)
+		key := bookkeeping.Key(bookkeeping.KindShard, shard.Name)
+		txn.If = append(txn.If, protocol.Compare{Key: key, Version: shard.Version})
+		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
+		for team, r := range shard.UseByTeam {
+			addTeamUse(useByTeam, team, r, 1)
 		}
 	}
 	if from != to {
-		c.moveShares(&t, map[string]bool{}, from, to, use)
+		c.transferQuotaShares(&txn, map[string]bool{}, from, to, useByTeam)
 	}
-	return t, taken
+	return txn, taken
 }
--- a/internal/coordination/cluster_test.go
+++ b/internal/coordination/cluster_test.go
@@ -15,59 +15,59 @@
 	"pipitgap/internal/standin"
 )
 
-const sec = micros.Second
+const second = micros.Second
 
 // cluster is three controllers (or more) on stand-ins, under one simulated clock.
 type cluster struct {
-	t        testing.TB
-	sim      *standin.Sim
-	store    *standin.Store
-	cloud    *standin.Cloud
-	fleet    *standin.Fleet
-	check    *standin.Checker
-	names    []string
-	nodes    map[string]*simNode
-	set      config.Settings
-	teams    []config.Team
-	cut      map[string]bool // "machine-node" or "node-node" pairs that can't talk
-	deaf     map[string]bool // machines whose reports arrive, but nothing reaches them
-	unseen   map[string]bool // machines that are reached, but whose reports don't arrive
-	split    bool            // the zones can't reach each other
-	downSeen map[string]bool // if set, machines that have noticed a controller's end: it says nothing to them from then on
-	cutSeen  map[string]bool // if set, machines that have noticed a cut: what they try from then on is refused
-	lateDo   func(w *standin.Worker, req *protocol.DoRequest) micros.T
-	next     int
-	copies   func(w *standin.Worker, node string, body []byte) // sees every report on its way
-	facts    func(*config.Config)                              // changes what the platform hands over
-	accepted func(id string)                                   // a job that was sent is accepted
-	refuse   bool                                              // controllers that are down refuse connections, rather than say nothing
-	still    map[string]*[]func()                              // controllers that stand still: what waits for them
-	called   func(string)                                      // sees every call of a controller, in words
-	wire     func(node, kind, text string)                     // sees every call, hint and answer of a controller in wire form
-	commands int                                               // direct commands, and questions to workers
-	largest  int                                               // bytes of an answer, at most
+	t                   testing.TB
+	sim                 *standin.SimClock
+	store               *standin.StateStore
+	cloud               *standin.Cloud
+	fleet               *standin.WorkerFleet
+	checker             *standin.Checker
+	nodeNames           []string
+	nodes               map[string]*simController
+	settings            config.Settings
+	teams               []config.Team
+	disconnectedPairs   map[string]bool // "machine-node" or "node-node" pairs that can't talk
+	unreachableMachines map[string]bool // machines whose reports arrive, but nothing reaches them
+	mutedMachines       map[string]bool // machines that are reached, but whose reports don't arrive
+	zonesPartitioned    bool            // the zones can't reach each other
+	controllerDownSeen  map[string]bool // if set, machines that have noticed a controller's end: it says nothing to them from then on
+	disconnectionSeen   map[string]bool // if set, machines that have noticed a cut: what they try from then on is refused
+	commandDelay        func(worker *standin.Worker, req *protocol.CommandRequest) micros.Micros
+	nextSubmission      int
+	onReport            func(worker *standin.Worker, node string, body []byte) // sees every report on its way
+	adjustFacts         func(*config.Config)                                   // changes what the platform hands over
+	onAccepted          func(id string)                                        // a job that was sent is accepted
+	refuseConnections   bool                                                   // controllers that are down refuse connections, rather than say nothing
+	pausedWork          map[string]*[]func()                                   // controllers that stand still: what waits for them
+	onCall              func(string)                                           // sees every call of a controller, in words
+	wire                func(node, kind, text string)                          // sees every call, hint and answer of a controller in wire form
+	commandCount        int                                                    // direct commands, and questions to workers
+	largestResponse     int                                                    // bytes of an answer, at most
 }
 
-// simNode is one controller; its env drops whatever belongs to an earlier life.
-type simNode struct {
-	c    *cluster
-	name string
-	core *Core
-	life int
+// simController is one controller; its env drops whatever belongs to an earlier life.
+type simController struct {
+	cluster     *cluster
+	name        string
+	controller  *Controller
+	incarnation int
 }
 
 type simEnv struct {
-	n    *simNode
-	life int
-	rnd  *rand.Rand
+	node        *simController
+	incarnation int
+	random      *rand.Rand
 }
 
-func (e *simEnv) alive() bool { return e.n.life == e.life && e.n.core != nil }
+func (e *simEnv) alive() bool { return e.node.incarnation == e.incarnation && e.node.controller != nil }
 
-func (e *simEnv) guard(f func()) func() {
+func (e *simEnv) whileAlive(f func()) func() {
 	return func() {
 		if e.alive() {
-			e.n.c.awake(e.n.name, func() {
+			e.node.cluster.runWhenResumed(e.node.name, func() {
 				if e.alive() {
 					f()
 				}
@@ -76,92 +76,94 @@
 	}
 }
 
-// awake has something happen in a controller, now or when it goes on.
-func (c *cluster) awake(node string, f func()) {
-	if wait := c.still[node]; wait != nil {
+// runWhenResumed has something happen in a controller, now or when it goes on.
+func (c *cluster) runWhenResumed(node string, f func()) {
+	if wait := c.pausedWork[node]; wait != nil {
 		*wait = append(*wait, f)
 		return
 	}
 	f()
 }
 
-// standStill stops a controller for a while: its clocks run on, and all that comes to
+// pause stops a controller for a while: its clocks run on, and all that comes to
 // it waits.
-func (c *cluster) standStill(node string, d micros.T) {
+func (c *cluster) pause(node string, duration micros.Micros) {
 	wait := &[]func(){}
-	c.still[node] = wait
-	c.sim.After(d, func() {
-		delete(c.still, node)
+	c.pausedWork[node] = wait
+	c.sim.After(duration, func() {
+		delete(c.pausedWork, node)
 		for _, f := range *wait {
 			f()
 		}
 	})
 }
 
-// call tells the test of a call.
-func (e *simEnv) call(what string, v any) {
-	if e.n.c.called != nil {
+// reportCall tells the test of a call.
+func (e *simEnv) reportCall(what string, v any) {
+	if e.node.cluster.onCall != nil {
 		raw, _ := json.Marshal(v)
-		e.n.c.called(e.n.name + " " + what + " " + string(raw))
+		e.node.cluster.onCall(e.node.name + " " + what + " " + string(raw))
 	}
 }
 
 // record tells the course of a call, see courses_test.go; the text is only made if one is recorded.
 func (e *simEnv) record(kind string, text func() string) {
-	if e.n.c.wire != nil {
-		e.n.c.wire(e.n.name, kind, text())
+	if e.node.cluster.wire != nil {
+		e.node.cluster.wire(e.node.name, kind, text())
 	}
 }
 
-func (e *simEnv) Now() micros.T              { return e.n.c.sim.Now() }
-func (e *simEnv) Wall() int64                { return int64(e.n.c.sim.Now()) + 1_000_000_000_000 }
-func (e *simEnv) Rand() *rand.Rand           { return e.rnd }
-func (e *simEnv) After(d micros.T, f func()) { e.n.c.sim.After(d, e.guard(f)) }
-func (e *simEnv) Store(c *protocol.StoreCall, back func(protocol.StoreResult)) {
-	e.call("store", c)
+func (e *simEnv) Now() micros.Micros { return e.node.cluster.sim.Now() }
+func (e *simEnv) WallClock() int64   { return int64(e.node.cluster.sim.Now()) + 1_000_000_000_000 }
+func (e *simEnv) Rand() *rand.Rand   { return e.random }
+func (e *simEnv) After(duration micros.Micros, f func()) {
+	e.node.cluster.sim.After(duration, e.whileAlive(f))
+}
+func (e *simEnv) CallStore(c *protocol.StoreCall, callback func(protocol.StoreResult)) {
+	e.reportCall("store", c)
 	e.record("store", func() string { return wireStoreCall(c) })
-	e.n.c.store.Call(e.n.name, c, func(r protocol.StoreResult) { e.guard(func() { back(r) })() })
+	e.node.cluster.store.Call(e.node.name, c, func(result protocol.StoreResult) { e.whileAlive(func() { callback(result) })() })
 }
 
-func (e *simEnv) Cloud(c *protocol.CloudCall, back func(protocol.CloudResult)) {
-	e.call("cloud", c)
+func (e *simEnv) CallCloud(c *protocol.CloudCall, back func(protocol.CloudResult)) {
+	e.reportCall("cloud", c)
 	e.record("cloud", func() string { return wireCloudCall(c) })
-	e.n.c.cloud.Call(c, func(r protocol.CloudResult) { e.guard(func() { back(r) })() })
+	e.node.cluster.cloud.Call(c, func(result protocol.CloudResult) { e.whileAlive(func() { back(result) })() })
 }
 
-func (e *simEnv) Command(endpoint string, req *protocol.DoRequest, within micros.T, back func(protocol.DoResult)) {
-	c := e.n.c
-	c.commands++
-	e.call(endpoint, req)
+func (e *simEnv) SendCommands(endpoint string, req *protocol.CommandRequest, within micros.Micros, callback func(protocol.CommandResult)) {
+	c := e.node.cluster
+	c.commandCount++
+	e.reportCall(endpoint, req)
 	e.record("command", func() string { return wireCommand(endpoint, req, within) })
 	answered := false
-	answer := func(r protocol.DoResult) {
+	answer := func(result protocol.CommandResult) {
 		if !answered {
 			answered = true
-			e.guard(func() { back(r) })()
+			e.whileAlive(func() { callback(result) })()
 		}
 	}
-	c.sim.After(within, func() { answer(protocol.DoResult{}) })
-	if w := c.fleet.At[endpoint]; w != nil && !w.Machine.Gone {
-		id := w.Machine.ID
+	c.sim.After(within, func() { answer(protocol.CommandResult{}) })
+	if worker := c.fleet.ByEndpoint[endpoint]; worker != nil && !worker.Machine.Gone {
+		id := worker.Machine.ID
 		delay := 2 * micros.Millisecond
-		if c.lateDo != nil {
-			delay += c.lateDo(w, req)
+		if c.commandDelay != nil {
+			delay += c.commandDelay(worker, req)
 		}
 		execute := func() {
-			r := protocol.DoResult{Status: 200}
+			result := protocol.CommandResult{Status: 200}
 			if req == nil {
-				r.Report = *w.Body()
+				result.Heartbeat = *worker.Heartbeat()
 			} else {
-				r = w.Do(req)
+				result = worker.Execute(req)
 			}
-			c.sim.After(2*micros.Millisecond, func() { answer(r) })
+			c.sim.After(2*micros.Millisecond, func() { answer(result) })
 		}
 		c.sim.After(delay, func() {
 			switch {
-			case w.Machine.Gone || w.Silent || c.apart(w, e.n.name) || c.deaf[id]:
-			case w.Hanging:
-				w.Hold(execute)
+			case worker.Machine.Gone || worker.Partitioned || c.cannotReach(worker, e.node.name) || c.unreachableMachines[id]:
+			case worker.Paused:
+				worker.Defer(execute)
 			default:
 				execute()
 			}
@@ -169,18 +171,18 @@
 	}
 }
 
-func (e *simEnv) Peer(node string, status PeerStatus) {
-	c := e.n.c
+func (e *simEnv) SendPeerStatus(node string, status PeerStatus) {
+	c := e.node.cluster
 	e.record("hint", func() string { return node + " " + wirePeerStatus(&status) })
-	if c.cut[e.n.name+"-"+node] || c.cut[node+"-"+e.n.name] || c.split && areaOf(e.n.name) != areaOf(node) {
+	if c.disconnectedPairs[e.node.name+"-"+node] || c.disconnectedPairs[node+"-"+e.node.name] || c.zonesPartitioned && zoneOfController(e.node.name) != zoneOfController(node) {
 		return
 	}
 	frame := PeerFrame(&status)
 	c.sim.After(2*micros.Millisecond, func() {
-		if n := c.nodes[node]; n.core != nil {
-			c.awake(node, func() {
-				if n.core != nil {
-					n.core.OnPeerStatus(FromPeerFrame(&frame))
+		if controller := c.nodes[node]; controller.controller != nil {
+			c.runWhenResumed(node, func() {
+				if controller.controller != nil {
+					controller.controller.OnPeerStatus(FromPeerFrame(&frame))
 				}
 			})
 		}
@@ -188,101 +190,101 @@
 }
 
 var testTypes = []protocol.MachineType{
-	{Name: "m8", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10},
-	{Name: "m16", CPUs: 16, MemoryGB: 128, Price: 2.2, SpotPrice: 0.9, Zones: []string{"a", "b"}, BootS: 10},
+	{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10},
+	{Name: "m16", CPUs: 16, MemoryGB: 128, OnDemandPrice: 2.2, SpotPrice: 0.9, Zones: []string{"a", "b"}, BootS: 10},
 }
 
 func newCluster(t testing.TB, seed uint64) *cluster {
-	sim := standin.NewSim(seed)
-	c := &cluster{t: t, sim: sim, names: []string{"n-0", "n-1", "n-2"}, nodes: map[string]*simNode{},
-		set: config.Defaults(), cut: map[string]bool{}, deaf: map[string]bool{}, unseen: map[string]bool{}, still: map[string]*[]func(){},
+	sim := standin.NewSimClock(seed)
+	c := &cluster{t: t, sim: sim, nodeNames: []string{"n-0", "n-1", "n-2"}, nodes: map[string]*simController{},
+		settings: config.Defaults(), disconnectedPairs: map[string]bool{}, unreachableMachines: map[string]bool{}, mutedMachines: map[string]bool{}, pausedWork: map[string]*[]func(){},
 		teams: []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 12}}}
-	c.store = standin.NewStore(sim, 200, 50, 12)
+	c.store = standin.NewStateStore(sim, 200, 50, 12)
 	c.cloud = standin.NewCloud(sim, testTypes)
 	for _, typ := range testTypes {
 		for _, z := range typ.Zones {
-			c.cloud.Capacity[standin.Offer(typ.Name, z, false)] = 6
-			c.cloud.Capacity[standin.Offer(typ.Name, z, true)] = 3
+			c.cloud.Capacity[standin.OfferKey(typ.Name, z, false)] = 6
+			c.cloud.Capacity[standin.OfferKey(typ.Name, z, true)] = 3
 		}
 	}
-	c.check = standin.NewChecker(sim, 32*sec)
-	c.check.Limits["tight"] = 12
-	c.fleet = standin.NewFleet(sim, 2*sec, 12*sec, c.names, c.check)
-	c.cloud.OnUp = func(m *standin.Rented) {
+	c.checker = standin.NewChecker(sim, 32*second)
+	c.checker.Limits["tight"] = 12
+	c.fleet = standin.NewWorkerFleet(sim, 2*second, 12*second, c.nodeNames, c.checker)
+	c.cloud.OnMachineUp = func(rented *standin.Machine) {
 		for _, typ := range testTypes {
-			if typ.Name == m.Type {
-				c.fleet.Up(m, typ.CPUs)
+			if typ.Name == rented.Type {
+				c.fleet.MachineUp(rented, typ.CPUs)
 			}
 		}
 	}
-	c.cloud.OnGone = c.fleet.Down
-	c.fleet.Send = func(w *standin.Worker, node string, body []byte, back func(int, []byte)) {
-		if c.apart(w, node) && c.cutSeen[w.Machine.ID] {
+	c.cloud.OnMachineGone = c.fleet.MachineDown
+	c.fleet.SendHeartbeat = func(worker *standin.Worker, node string, body []byte, back func(int, []byte)) {
+		if c.cannotReach(worker, node) && c.disconnectionSeen[worker.Machine.ID] {
 			c.sim.After(2*micros.Millisecond, func() { back(0, nil) })
 			return
 		}
-		if c.apart(w, node) || c.unseen[w.Machine.ID] {
-			if c.cutSeen != nil {
-				c.cutSeen[w.Machine.ID] = true // its open connection says nothing, new ones are reset
+		if c.cannotReach(worker, node) || c.mutedMachines[worker.Machine.ID] {
+			if c.disconnectionSeen != nil {
+				c.disconnectionSeen[worker.Machine.ID] = true // its open connection says nothing, new ones are reset
 			}
 			return
 		}
-		if c.copies != nil {
-			c.copies(w, node, body)
+		if c.onReport != nil {
+			c.onReport(worker, node, body)
 		}
-		down := c.nodes[node].core == nil
-		if down && c.downSeen != nil && !c.downSeen[w.Machine.ID] {
-			c.downSeen[w.Machine.ID] = true // its open connection is reset, new ones say nothing
+		unavailable := c.nodes[node].controller == nil
+		if unavailable && c.controllerDownSeen != nil && !c.controllerDownSeen[worker.Machine.ID] {
+			c.controllerDownSeen[worker.Machine.ID] = true // its open connection is reset, new ones say nothing
 			c.sim.After(2*micros.Millisecond, func() { back(0, nil) })
 			return
 		}
-		if c.refuse && down {
+		if c.refuseConnections && unavailable {
 			c.sim.After(2*micros.Millisecond, func() { back(0, nil) })
 			return
 		}
 		c.sim.After(2*micros.Millisecond, func() {
-			c.request(node, "POST", protocol.HeartbeatPath, body, func(r Reply) {
-				if c.deaf[w.Machine.ID] {
+			c.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(response Response) {
+				if c.unreachableMachines[worker.Machine.ID] {
 					return
 				}
-				c.sim.After(2*micros.Millisecond, func() { back(r.Status, r.Body) })
+				c.sim.After(2*micros.Millisecond, func() { back(response.Status, response.Body) })
 			})
 		})
 	}
-	for _, n := range c.names {
-		c.nodes[n] = &simNode{c: c, name: n}
+	for _, node := range c.nodeNames {
+		c.nodes[node] = &simController{cluster: c, name: node}
 	}
 	return c
 }
 
-// areaOf is the zone that a controller stands in.
-func areaOf(node string) string {
+// zoneOfController is the zone that a controller stands in.
+func zoneOfController(node string) string {
 	if node == "n-0" {
 		return "a"
 	}
 	return "b"
 }
 
-// apart tells whether a machine and a controller can't reach each other.
-func (c *cluster) apart(w *standin.Worker, node string) bool {
-	return c.cut[w.Machine.ID+"-"+node] || c.split && w.Machine.Zone != areaOf(node)
+// cannotReach tells whether a machine and a controller can't reach each other.
+func (c *cluster) cannotReach(worker *standin.Worker, node string) bool {
+	return c.disconnectedPairs[worker.Machine.ID+"-"+node] || c.zonesPartitioned && worker.Machine.Zone != zoneOfController(node)
 }
 
-func (c *cluster) config(node string) *config.Config {
+func (c *cluster) nodeConfig(node string) *config.Config {
 	cfg := &config.Config{Node: node, Area: "a", PublicAddr: "127.0.0.1:1", PeerBind: "127.0.0.1:2"}
-	for _, n := range c.names {
+	for _, n := range c.nodeNames {
 		if n != node {
-			cfg.Known = append(cfg.Known, config.Peer{Node: n, Area: "b", Addr: "127.0.0.1:3"})
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: n, Area: "b", Addr: "127.0.0.1:3"})
 		}
 	}
 	f := &cfg.Facts
 	defer func() {
-		if c.facts != nil {
-			c.facts(cfg)
+		if c.adjustFacts != nil {
+			c.adjustFacts(cfg)
 		}
 	}()
 	f.Zones, f.Teams = []string{"a", "b"}, c.teams
-	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 2, 12, 32
+	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 2, 12, 32
 	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 200, 50, 4, 12
 	f.Cloud.RPS, f.Cloud.ListLagS = 6, 3
 	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.3, 100, 500
@@ -291,129 +293,131 @@
 
 func (c *cluster) start(nodes ...string) {
 	for _, name := range nodes {
-		n := c.nodes[name]
-		n.life++
-		env := &simEnv{n: n, life: n.life, rnd: rand.New(rand.NewPCG(uint64(n.life), c.sim.Rand.Uint64()))}
+		controller := c.nodes[name]
+		controller.incarnation++
+		env := &simEnv{node: controller, incarnation: controller.incarnation, random: rand.New(rand.NewPCG(uint64(controller.incarnation), c.sim.Rand.Uint64()))}
 		out := io.Discard
 		if os.Getenv("PIPITGAP_TEST_LOG") != "" {
 			out = os.Stderr
 		}
 		log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", name)
-		n.core = NewCore(c.config(name), c.set, env, log)
-		n.core.Start()
+		controller.controller = NewController(c.nodeConfig(name), c.settings, env, log)
+		controller.controller.Start()
 	}
 }
 
 func (c *cluster) kill(nodes ...string) {
-	for _, n := range nodes {
-		c.nodes[n].core = nil
+	for _, node := range nodes {
+		c.nodes[node].controller = nil
 	}
 }
 
-// request reaches a node like a new connection; a dead one says nothing.
-func (c *cluster) request(node, method, target string, body []byte, back func(Reply)) {
-	n := c.nodes[node]
-	if n.core == nil {
+// sendRequest reaches a node like a new connection; a dead one says nothing.
+func (c *cluster) sendRequest(node, method, target string, body []byte, back func(Response)) {
+	controller := c.nodes[node]
+	if controller.controller == nil {
 		return
 	}
-	life := n.life
-	question := c.check.Observe(method, target, body)
-	c.awake(node, func() {
-		if n.life != life || n.core == nil {
+	life := controller.incarnation
+	question := c.checker.UserRequest(method, target, body)
+	c.runWhenResumed(node, func() {
+		if controller.incarnation != life || controller.controller == nil {
 			return
 		}
-		n.core.OnRequest(method, target, body, func(r Reply) {
-			c.largest = max(c.largest, len(r.Body))
+		controller.controller.HandleRequest(method, target, body, func(response Response) {
+			c.largestResponse = max(c.largestResponse, len(response.Body))
 			if c.wire != nil {
-				c.wire(node, "answer", wireAnswer(method, target, r))
+				c.wire(node, "answer", wireAnswer(method, target, response))
 			}
-			if n.life == life && n.core != nil {
+			if controller.incarnation == life && controller.controller != nil {
 				if question != nil {
-					question.Answer(r.Status, r.Body)
+					question.Answered(response.Status, response.Body)
 				}
-				back(r)
+				back(response)
 			}
 		})
 	})
 }
 
-// ask sends a request and waits up to five seconds for its answer.
-func (c *cluster) ask(node, method, target string, body []byte) Reply {
-	var rep Reply
-	c.request(node, method, target, body, func(r Reply) { rep = r })
-	c.sim.RunUntil(5*sec, func() bool { return rep.Status != 0 })
+// requestAndWait sends a request and waits up to five seconds for its answer.
+func (c *cluster) requestAndWait(node, method, target string, body []byte) Response {
+	var rep Response
+	c.sendRequest(node, method, target, body, func(response Response) { rep = response })
+	c.sim.RunUntil(5*second, func() bool { return rep.Status != 0 })
 	return rep
 }
 
-// spec is a submission of the cluster's next job.
-func (c *cluster) spec(options ...jobOption) (string, *protocol.Submission) {
-	c.next++
+// newSubmission is a submission of the cluster's next job.
+func (c *cluster) newSubmission(options ...jobOption) (string, *protocol.Submission) {
+	c.nextSubmission++
 	submission := newSubmission(options...)
-	submission.ID = fmt.Sprintf("j-%06d", c.next)
+	submission.ID = fmt.Sprintf("j-%06d", c.nextSubmission)
 	return submission.ID, submission
 }
 
 // submit has a job accepted, retrying like a user.
-func (c *cluster) submit(run micros.T, options ...jobOption) string {
+func (c *cluster) submit(run micros.Micros, options ...jobOption) string {
 	c.t.Helper()
-	id, j := c.spec(options...)
-	c.fleet.Jobs[id] = standin.JobInfo{Team: j.Team, CPUs: j.CPUs, Run: run}
+	id, j := c.newSubmission(options...)
+	c.fleet.Jobs[id] = standin.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
 	body := protocol.MustMarshal(j)
 	for i := 0; i < 30; i++ {
-		r := c.ask(c.names[i%len(c.names)], "POST", protocol.JobsPath, body)
-		if r.Status == 201 || r.Status == 200 {
+		response := c.requestAndWait(c.nodeNames[i%len(c.nodeNames)], "POST", protocol.JobsPath, body)
+		if response.Status == 201 || response.Status == 200 {
 			return id
 		}
-		c.sim.Run(sec)
+		c.sim.Run(second)
 	}
 	c.t.Fatalf("job %s was not accepted", id)
 	return id
 }
 
-func (c *cluster) status(node, id string) (int, protocol.JobStatus) {
-	r := c.ask(node, "GET", protocol.JobPath(id), nil)
-	var st protocol.JobStatus
-	_ = protocol.Unmarshal(r.Body, &st)
-	return r.Status, st
+func (c *cluster) jobStatus(node, id string) (int, protocol.JobStatusReply) {
+	response := c.requestAndWait(node, "GET", protocol.JobPath(id), nil)
+	var jobStatus protocol.JobStatusReply
+	_ = protocol.Unmarshal(response.Body, &jobStatus)
+	return response.Status, jobStatus
 }
 
-// finished waits until a job is told done, and checks that it is.
-func (c *cluster) finished(id string, within micros.T) {
+// requireFinished waits until a job is told done, and checks that it is.
+func (c *cluster) requireFinished(id string, within micros.Micros) {
 	c.t.Helper()
 	i := 0
 	ok := c.sim.RunUntil(within, func() bool {
 		i++
-		code, st := c.status(c.names[i%len(c.names)], id)
-		return code == 200 && st.Status == protocol.JobDone
+		code, jobStatus := c.jobStatus(c.nodeNames[i%len(c.nodeNames)], id)
+		return code == 200 && jobStatus.Status == protocol.JobDone
 	})
 	if !ok {
-		_, st := c.status(c.names[0], id)
-		c.t.Fatalf("job %s is not done after %v s: %+v", id, within.Seconds(), st)
+		_, jobStatus := c.jobStatus(c.nodeNames[0], id)
+		c.t.Fatalf("job %s is not done after %v s: %+v", id, within.Seconds(), jobStatus)
 	}
 }
 
-func (c *cluster) rules() {
+func (c *cluster) requireNoViolations() {
 	c.t.Helper()
-	for _, b := range c.check.Broken {
+	for _, b := range c.checker.Violations {
 		c.t.Error(b)
 	}
 }
 
-// steady starts all controllers and waits for a leader.
-func (c *cluster) steady() *cluster {
-	c.start(c.names...)
-	c.sim.Run(3 * sec)
+// startWithLeader starts all controllers and waits for a leader.
+func (c *cluster) startWithLeader() *cluster {
+	c.start(c.nodeNames...)
+	c.sim.Run(3 * second)
 	return c
 }
 
-func (c *cluster) leader() *simNode {
-	for _, n := range c.names {
-		if core := c.nodes[n].core; core != nil && core.leading(c.sim.Now()) {
-			return c.nodes[n]
+func (c *cluster) leaderNode() *simController {
+	for _, node := range c.nodeNames {
+		if core := c.nodes[node].controller; core != nil && core.isLeader(c.sim.Now()) {
+			return c.nodes[node]
 		}
 	}
 	return nil
 }
 
-// jitter is some time up to d.
-func (c *cluster) jitter(d micros.T) micros.T { return micros.T(c.sim.Rand.Int64N(int64(d))) }
+// randomDuration is some time up to d.
+func (c *cluster) randomDuration(duration micros.Micros) micros.Micros {
+	return micros.Micros(c.sim.Rand.Int64N(int64(duration)))
+}
