--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -7,187 +7,187 @@
 	"pipitgap/internal/protocol"
 )
 
-// mostCommands bounds a batch to well under 64 KiB; the rest follows in the next.
-const mostCommands = 400
+// maxCommandsPerBatch bounds a batch to well under 64 KiB; the rest follows in the next.
+const maxCommandsPerBatch = 400
 
-// commands works out what a worker must be told, reaps and kills before runs.
+// nextCommands works out what a worker must be told, reaps and kills before runs.
 // A batch that isn't empty gets a token of its own, above all earlier ones, so
 // a late copy of an earlier batch can't undo it.
-func (c *Core) commands(m *machine, now micros.T) []protocol.Command {
-	w := m.w
-	cmds := []protocol.Command{}
+func (c *Controller) nextCommands(machine *Machine, now micros.Micros) []protocol.Command {
+	agent := machine.Agent
+	commands := []protocol.Command{}
 	const again = micros.Second
-	token := w.token() + 1
-	add := func(op string, k attemptKey, grace float64) {
-		cmd := protocol.Command{Op: op, Task: k.ref.String(), Attempt: k.attempt}
+	token := agent.Token() + 1
+	add := func(op string, key AttemptID, graceSeconds float64) {
+		command := protocol.Command{Op: op, Task: key.Task.String(), Attempt: key.Attempt}
 		if op == protocol.CmdKill {
-			cmd.GraceS = &grace
+			command.GraceS = &graceSeconds
 		}
-		cmds = append(cmds, cmd)
+		commands = append(commands, command)
 	}
-	due := func(at *micros.T) bool {
-		if len(cmds) >= mostCommands || *at != 0 && now-*at < again {
+	due := func(at *micros.Micros) bool {
+		if len(commands) >= maxCommandsPerBatch || *at != 0 && now-*at < again {
 			return false
 		}
 		*at = max(now, 1)
 		return true
 	}
-	var unexpected []attemptKey
-	for k := range w.rep {
-		if attempt, ok := m.tasks[k.ref]; !ok || attempt != k.attempt {
-			unexpected = append(unexpected, k)
+	var unexpected []AttemptID
+	for key := range agent.ReportedAttempts {
+		if attempt, ok := machine.Attempts[key.Task]; !ok || attempt != key.Attempt {
+			unexpected = append(unexpected, key)
 		}
 	}
-	inOrderOf(unexpected)
-	for _, k := range unexpected {
-		s, t := w.told(k), w.rep[k]
-		if t.State == protocol.StateExited {
+	sortAttempts(unexpected)
+	for _, key := range unexpected {
+		record, taskReport := agent.CommandRecordOf(key), agent.ReportedAttempts[key]
+		if taskReport.State == protocol.StateExited {
 			// Its outcome is in the store, or nobody wants it.
-			if due(&s.reapAt) {
-				add(protocol.CmdReap, k, 0)
+			if due(&record.ReapSentAt) {
+				add(protocol.CmdReap, key, 0)
 			}
-		} else if due(&s.killAt) {
-			add(protocol.CmdKill, k, 0)
+		} else if due(&record.KillSentAt) {
+			add(protocol.CmdKill, key, 0)
 		}
 	}
-	var kills, runs []attemptKey
-	for ref, attempt := range m.tasks {
-		k := attemptKey{ref, attempt}
-		j := c.view.jobs[ref.job]
-		if j == nil {
+	var kills, runs []AttemptID
+	for task, attempt := range machine.Attempts {
+		key := AttemptID{task, attempt}
+		job := c.mirror.Jobs[task.Job]
+		if job == nil {
 			continue
 		}
-		t, has := w.rep[k]
-		if has && t.State == protocol.StateExited || w.settled(k) {
+		taskReport, reported := agent.ReportedAttempts[key]
+		if reported && taskReport.State == protocol.StateExited || agent.HasOutcome(key) {
 			continue
 		}
-		if !j.open() || w.stopping[k] {
-			kills = append(kills, k)
+		if !job.IsOpen() || agent.StoppingAttempts[key] {
+			kills = append(kills, key)
 			continue
 		}
-		if !has && !w.lost {
-			runs = append(runs, k)
+		if !reported && !agent.LeaseExpired {
+			runs = append(runs, key)
 		}
 	}
-	inOrderOf(kills)
-	for _, k := range kills {
-		if s := w.told(k); due(&s.killAt) {
-			if s.kill == 0 {
-				s.kill = token
+	sortAttempts(kills)
+	for _, key := range kills {
+		if record := agent.CommandRecordOf(key); due(&record.KillSentAt) {
+			if record.KillToken == 0 {
+				record.KillToken = token
 			}
-			grace := 0.0
-			if j := c.view.jobs[k.ref.job]; j.open() && j.rec.Spec.CheckpointS > 0 {
-				grace = j.rec.Spec.SaveS // its progress is worth saving
+			graceSeconds := 0.0
+			if job := c.mirror.Jobs[key.Task.Job]; job.IsOpen() && job.Record.Spec.CheckpointS > 0 {
+				graceSeconds = job.Record.Spec.SaveS // its progress is worth saving
 			}
-			add(protocol.CmdKill, k, grace)
+			add(protocol.CmdKill, key, graceSeconds)
 		}
 	}
-	inOrderOf(runs)
-	for _, k := range runs {
-		if due(&w.told(k).runAt) {
-			add(protocol.CmdRun, k, 0)
+	sortAttempts(runs)
+	for _, key := range runs {
+		if due(&agent.CommandRecordOf(key).RunSentAt) {
+			add(protocol.CmdRun, key, 0)
 		}
 	}
-	if len(cmds) > 0 {
-		w.counter++
+	if len(commands) > 0 {
+		agent.TokenCounter++
 	}
-	return cmds
+	return commands
 }
 
-// inOrderOf sorts attempts by job and task.
-func inOrderOf(ks []attemptKey) {
-	sort.Slice(ks, func(a, b int) bool {
-		x, y := ks[a], ks[b]
-		if x.ref.job != y.ref.job {
-			return x.ref.job < y.ref.job
+// sortAttempts sorts attempts by job and task.
+func sortAttempts(keys []AttemptID) {
+	sort.Slice(keys, func(a, b int) bool {
+		x, y := keys[a], keys[b]
+		if x.Task.Job != y.Task.Job {
+			return x.Task.Job < y.Task.Job
 		}
-		if x.ref.index != y.ref.index {
-			return x.ref.index < y.ref.index
+		if x.Task.Index != y.Task.Index {
+			return x.Task.Index < y.Task.Index
 		}
-		return x.attempt < y.attempt
+		return x.Attempt < y.Attempt
 	})
 }
 
-// syncJob tells every worker of ours that has tasks of a job.
-func (c *Core) syncJob(j *job) {
-	noteVisit := map[string]bool{}
-	for _, name := range sortedKeys(c.view.shards) {
-		p := c.view.shards[name]
-		e := p.rec.Jobs[j.id]
-		if e == nil || !c.owns(p) {
+// syncCommandsOfJob tells every worker of ours that has tasks of a job.
+func (c *Controller) syncCommandsOfJob(job *Job) {
+	synced := map[string]bool{}
+	for _, name := range sortedKeys(c.mirror.Shards) {
+		shard := c.mirror.Shards[name]
+		entry := shard.Record.Jobs[job.ID]
+		if entry == nil || !c.ownsShard(shard) {
 			continue
 		}
-		for _, h := range e.Held {
-			if m := c.view.machines[h.Machine]; !noteVisit[h.Machine] && m != nil && m.w != nil {
-				noteVisit[h.Machine] = true
-				c.sync(m)
+		for _, held := range entry.Attempts {
+			if machine := c.mirror.Machines[held.Machine]; !synced[held.Machine] && machine != nil && machine.Agent != nil {
+				synced[held.Machine] = true
+				c.syncCommands(machine)
 			}
 		}
 	}
 }
 
-// sync tells a worker directly what its next report would bring it. One batch
+// syncCommands tells a worker directly what its next report would bring it. One batch
 // is in flight at a time.
-func (c *Core) sync(m *machine) {
-	w := m.w
-	if w == nil || w.session == 0 || w.lost || m.rec == nil {
+func (c *Controller) syncCommands(machine *Machine) {
+	agent := machine.Agent
+	if agent == nil || agent.Incarnation == 0 || agent.LeaseExpired || machine.Record == nil {
 		return
 	}
-	if w.busy {
-		w.again = true
+	if agent.CommandInFlight {
+		agent.ResyncNeeded = true
 		return
 	}
-	cmds := c.commands(m, c.now())
-	if len(cmds) == 0 {
+	commands := c.nextCommands(machine, c.now())
+	if len(commands) == 0 {
 		return
 	}
-	w.busy = true
-	req := &protocol.DoRequest{Token: w.token(), Session: w.session, Commands: cmds}
-	c.env.Command(m.rec.Endpoint, req, commandWithin, func(r protocol.DoResult) {
-		w.busy = false
-		if m.w != w {
+	agent.CommandInFlight = true
+	req := &protocol.CommandRequest{FencingToken: agent.Token(), Incarnation: agent.Incarnation, Commands: commands}
+	c.env.SendCommands(machine.Record.Endpoint, req, commandTimeout, func(result protocol.CommandResult) {
+		agent.CommandInFlight = false
+		if machine.Agent != agent {
 			return // the claim has moved on
 		}
-		if r.Status != 200 {
+		if result.Status != 200 {
 			// Not executed, or not known to be: say it again with a new token.
-			for _, cmd := range cmds {
-				if ref, ok := parseTask(cmd.Task); ok {
-					s := w.told(attemptKey{ref, cmd.Attempt})
-					s.runAt, s.killAt, s.reapAt = 0, 0, 0
+			for _, command := range commands {
+				if task, ok := ParseTaskID(command.Task); ok {
+					record := agent.CommandRecordOf(AttemptID{task, command.Attempt})
+					record.RunSentAt, record.KillSentAt, record.ReapSentAt = 0, 0, 0
 				}
 			}
 		}
-		rep := &r.Report
-		if r.Status != 0 && rep.Machine == m.id && rep.Valid() &&
-			(rep.Session > w.session || rep.Session == w.session && rep.Seq > w.seq) {
-			c.apply(m, rep)
+		report := &result.Heartbeat
+		if result.Status != 0 && report.Machine == machine.ID && report.Valid() &&
+			(report.Incarnation > agent.Incarnation || report.Incarnation == agent.Incarnation && report.Sequence > agent.Sequence) {
+			c.applyReport(machine, report)
 		}
-		if w.again && r.Status == 200 {
-			w.again = false
-			c.sync(m)
+		if agent.ResyncNeeded && result.Status == 200 {
+			agent.ResyncNeeded = false
+			c.syncCommands(machine)
 		}
 	})
 }
 
-// show asks a worker for its report. What it says is taken like any report: it
+// probeAgent asks a worker for its report. What it says is taken like any report: it
 // proves nothing before the worker has seen our token. It isn't told anything yet
 // if its machine was another controller's, who may still be answering it: a
 // higher token would have it drop those answers and its lease would end.
-func (c *Core) show(m *machine, speak bool) {
-	if m == nil || m.w == nil || m.rec == nil {
+func (c *Controller) probeAgent(machine *Machine, syncAfterwards bool) {
+	if machine == nil || machine.Agent == nil || machine.Record == nil {
 		return
 	}
-	w := m.w
-	c.env.Command(m.rec.Endpoint, nil, commandWithin, func(r protocol.DoResult) {
-		rep := &r.Report
-		if m.w != w || r.Status != 200 || rep.Machine != m.id || !rep.Valid() ||
-			rep.Session < w.session || rep.Session == w.session && rep.Seq <= w.seq {
+	agent := machine.Agent
+	c.env.SendCommands(machine.Record.Endpoint, nil, commandTimeout, func(result protocol.CommandResult) {
+		report := &result.Heartbeat
+		if machine.Agent != agent || result.Status != 200 || report.Machine != machine.ID || !report.Valid() ||
+			report.Incarnation < agent.Incarnation || report.Incarnation == agent.Incarnation && report.Sequence <= agent.Sequence {
 			return
 		}
-		c.apply(m, rep)
-		if speak {
-			c.sync(m)
+		c.applyReport(machine, report)
+		if syncAfterwards {
+			c.syncCommands(machine)
 		}
-		c.dirty = true
+		c.schedulingNeeded = true
 	})
 }
--- a/internal/coordination/core.go
+++ b/internal/coordination/core.go
@@ -13,21 +13,21 @@
 	"pipitgap/internal/protocol"
 )
 
-// Env is the world as the core sees it. Every callback comes back as a message
+// Environment is the world as the core sees it. Every callback comes back as a message
 // to the core's mailbox, never on another goroutine.
-type Env interface {
-	Now() micros.T    // the steady clock
-	Wall() int64      // time of day, microseconds
-	Rand() *rand.Rand // injected randomness
-	After(micros.T, func())
-	Store(*protocol.StoreCall, func(protocol.StoreResult))
-	Cloud(*protocol.CloudCall, func(protocol.CloudResult))
-	Command(endpoint string, req *protocol.DoRequest, within micros.T, back func(protocol.DoResult))
-	Peer(node string, status PeerStatus)
+type Environment interface {
+	Now() micros.Micros // the steady clock
+	WallClock() int64   // time of day, microseconds
+	Rand() *rand.Rand   // injected randomness
+	After(micros.Micros, func())
+	CallStore(*protocol.StoreCall, func(protocol.StoreResult))
+	CallCloud(*protocol.CloudCall, func(protocol.CloudResult))
+	SendCommands(endpoint string, req *protocol.CommandRequest, within micros.Micros, callback func(protocol.CommandResult))
+	SendPeerStatus(node string, status PeerStatus)
 }
 
-// Reply is the answer to a user or a worker.
-type Reply struct {
+// Response is the answer to a user or a worker.
+type Response struct {
 	Status     int
 	RetryAfter int
 	Body       []byte
@@ -35,247 +35,247 @@
 
 // Durations of the coordination itself; none depends on the deployment.
 const (
-	storeTimeout  = 2 * micros.Second
-	touchTimeout  = 1 * micros.Second
-	watchBlock    = 2 * micros.Second
-	fastTick      = 50 * micros.Millisecond
-	slowTick      = 500 * micros.Millisecond
-	commandWithin = 3 * micros.Second
-	showWithin    = 1 * micros.Second
-	mostWatch     = 4 << 20 // bytes of an answer of the watch, at most about
-	budgetExcess  = 1.2     // of the even share of the store's limits that each may use
+	storeTimeout           = 2 * micros.Second
+	leaseKeepAliveTimeout  = 1 * micros.Second
+	watchLongPoll          = 2 * micros.Second
+	fastTickInterval       = 50 * micros.Millisecond
+	slowTickInterval       = 500 * micros.Millisecond
+	commandTimeout         = 3 * micros.Second
+	probeTimeout           = 1 * micros.Second
+	maxWatchBytes          = 4 << 20 // bytes of an answer of the watch, at most about
+	budgetOversubscription = 1.2     // of the even share of the store's limits that each may use
 )
 
-// Core is the actor that decides. All of its methods run on its own goroutine
+// Controller is the actor that decides. All of its methods run on its own goroutine
 // (or, in tests, on the test's).
-type Core struct {
-	cfg    *config.Config
-	set    config.Settings
-	timing timing // what follows from the platform's durations
-	env    Env
-	log    *slog.Logger
-	node   string
-	inc    uint64
-	all    []string // every controller's name, ours included
+type Controller struct {
+	cfg         *config.Config
+	settings    config.Settings
+	durations   platformDurations // what follows from the platform's durations
+	env         Environment
+	log         *slog.Logger
+	node        string
+	incarnation uint64
+	controllers []string // every controller's name, ours included
 
-	view  *View
-	queue bookkeeping.Queue
-	armed bool // a timer will run the queue
+	mirror          *Mirror
+	storeQueue      bookkeeping.Queue
+	queueTimerArmed bool // a timer will run the queue
 
-	ready      bool   // the mirror is complete
-	loadedUpTo uint64 // the watch must reach this before the mirror is complete
-	loading    bool
-	loaded     bool // a first load is done, the watch may go on from it
-	watchGap   micros.T
-	watchAt    micros.T
-	watching   bool
-	watchOKAt  micros.T // last answer of the watch
-	measuredAt micros.T // when the changes since then were last found to be few
-	lease      uint64
-	leaseSent  micros.T // send time of the last touch that succeeded
-	leaseAt    micros.T // when the lease was granted
-	granting   bool
-	touching   bool
-	touchAt    micros.T
-	memberBusy bool
-	leadBusy   bool
-	storeOKAt  micros.T // last answer of the store other than 503 or silence
-	storeBadAt micros.T // last failure
-	storeDown  bool
-	peers      *peers
-	lostAt     micros.T // since when our workers are out of reach; 0: they aren't
-	heardMost  bool     // most of them were heard lately
-	probing    int      // questions to silent machines in flight, see suspect
-	reachedAt  micros.T // when one last answered
-	probeAt    micros.T
-	tickAt     micros.T // when it was last seen to run
-	freshAt    micros.T // when the watch was sent that last answered
-	resumedAt  micros.T // when we last went on after standing still
-	expiring   bool     // the leases of our workers are left to expire
-	deadSince  map[string]micros.T
+	mirrorReady                bool   // the mirror is complete
+	loadedRevision             uint64 // the watch must reach this before the mirror is complete
+	mirrorLoading              bool
+	mirrorLoaded               bool // a first load is done, the watch may go on from it
+	minWatchInterval           micros.Micros
+	nextWatchAt                micros.Micros
+	watchInFlight              bool
+	lastWatchSuccessAt         micros.Micros // last answer of the watch
+	backlogMeasuredAt          micros.Micros // when the changes since then were last found to be few
+	leaseID                    uint64
+	leaseRenewalSentAt         micros.Micros // send time of the last touch that succeeded
+	leaseGrantedAt             micros.Micros // when the lease was granted
+	leaseGrantInFlight         bool
+	leaseRenewalInFlight       bool
+	nextLeaseRenewalAt         micros.Micros
+	memberWriteInFlight        bool
+	electionInFlight           bool
+	lastStoreSuccessAt         micros.Micros // last answer of the store other than 503 or silence
+	lastStoreFailureAt         micros.Micros // last failure
+	storeUnavailable           bool
+	peerStatuses               *PeerTable
+	workersUnreachableSince    micros.Micros // since when our workers are out of reach; 0: they aren't
+	hearsMostWorkers           bool          // most of them were heard lately
+	reachabilityProbesInFlight int           // questions to silent machines in flight, see suspect
+	lastProbeSuccessAt         micros.Micros // when one last answered
+	nextReachabilityProbeAt    micros.Micros
+	lastActivityAt             micros.Micros // when it was last seen to run
+	mirrorFreshAt              micros.Micros // when the watch was sent that last answered
+	resumedFromPauseAt         micros.Micros // when we last went on after standing still
+	leaseRenewalSuspended      bool          // the leases of our workers are left to expire
+	missingSince               map[string]micros.Micros
 
 	cancellations *cancellation.Relay // committed ones, exchanged with the peers
 
-	types     map[string]protocol.MachineType
-	catalogAt micros.T
-	catalogIn bool
+	machineTypes         map[string]protocol.MachineType
+	catalogFetchedAt     micros.Micros
+	catalogFetchInFlight bool
 
-	waitingReaders  []waitingReader // answers that wait for a mirror no older than their request
-	catching        bool            // a watch that doesn't wait is in flight for them
-	catchAt         micros.T
-	watchSent       micros.T // when the watch in flight was sent
-	liveShare       int      // live controllers that the budgets are shared by
-	boost           float64  // how much more than its even part of them this one uses
-	refusedAt       micros.T // when a call was last throttled
-	refused         int      // calls that were throttled when that was last looked at
-	shards          map[string]*shardState
-	fresh           map[string]*bookkeeping.Shard // new shards that the mirror hasn't yet
-	shardSeq        int
-	adoption        adoption
-	passAt          micros.T
-	served          float64 // CPUs that all services hold
-	orphanAt        micros.T
-	passJobs        map[string]bool            // jobs with tasks assigned by the pass under way
-	takeAt          micros.T                   // when tasks may change their part again
-	ownAt           micros.T                   // when a machine's claimant may be changed again
-	dirty           bool                       // a pass may find something to do
-	submissionRates map[string]*submissionRate // by team, its submissions of late
-	arrivals        map[string]*arrival
-	claimSeen       map[string]claimSeen
-	claiming        map[string]bool // shards being taken over
-	jobBusy         map[string]bool // jobs with a change of their record in flight
-	accepted        map[string]uint64
-	partitionBusy   bool
-	teamShort       map[string]shortage // what assignments lacked of a team's share
+	pendingReads                []pendingRead // answers that wait for a mirror no older than their request
+	catchUpInFlight             bool          // a watch that doesn't wait is in flight for them
+	nextCatchUpAt               micros.Micros
+	watchSentAt                 micros.Micros // when the watch in flight was sent
+	budgetSharers               int           // live controllers that the budgets are shared by
+	budgetMultiplier            float64       // how much more than its even part of them this one uses
+	lastThrottledAt             micros.Micros // when a call was last throttled
+	throttledSeen               int           // calls that were throttled when that was last looked at
+	shardTrackers               map[string]*shardTracker
+	newShards                   map[string]*bookkeeping.Shard // new shards that the mirror hasn't yet
+	shardSequence               int
+	takeoverLimiter             takeoverLimiter
+	nextSchedulingPassAt        micros.Micros
+	serviceCPUsAssigned         float64 // CPUs that all services hold
+	nextOrphanedTasksTakeoverAt micros.Micros
+	jobsInPass                  map[string]bool            // jobs with tasks assigned by the pass under way
+	nextWorkStealAt             micros.Micros              // when tasks may change their part again
+	nextDesignationChangeAt     micros.Micros              // when a machine's claimant may be changed again
+	schedulingNeeded            bool                       // a pass may find something to do
+	submissionRates             map[string]*submissionRate // by team, its submissions of late
+	claimRequests               map[string]*claimRequest
+	claimsObserved              map[string]observedClaim
+	shardClaimsInFlight         map[string]bool // shards being taken over
+	recordWritesInFlight        map[string]bool // jobs with a change of their record in flight
+	acceptedRevisions           map[string]uint64
+	quotaWriteInFlight          bool
+	quotaShortages              map[string]quotaShortage // what assignments lacked of a team's share
 
-	inDoubt      []sharesInDoubt
-	lackingSince map[string]micros.T // teams of whose limit we lack a task's worth
+	quotaSharesInDoubt []quotaSharesInDoubt
+	quotaLackingSince  map[string]micros.Micros // teams of whose limit we lack a task's worth
 
-	jobState     map[string]*jobState
-	bias         map[string]float64 // by class: log of run time over estimate, lately
-	leader       leaderState
-	orphanVisits map[string]*orphanVisit // workers of other partitions that came to us
-	preempting   map[string]*preemption
-	emptyAt      map[string]micros.T // own machines, since when they are empty
-	closedAt     map[string]micros.T
-	closeAt      micros.T
-	zoneCut      map[string]micros.T // when a zone had last fallen silent as a whole
-	quietSaid    bool                // many silent machines have been logged
-	givenBack    map[string][]string // machines to be removed, by reason, not yet logged
-	slowAt       micros.T
-	cloudGate    bookkeeping.Bucket
-	drains       *drains // nil: the settings don't turn them on
-	stats        stats
+	jobStates               map[string]*jobTracking
+	estimateBias            map[string]float64 // by class: log of run time over estimate, lately
+	leader                  leaderTermState
+	orphanContacts          map[string]*orphanContact // workers of other partitions that came to us
+	preemptions             map[string]*pendingPreemption
+	emptySince              map[string]micros.Micros // own machines, since when they are empty
+	jobsClosedAt            map[string]micros.Micros
+	nextEmptyMachineCheckAt micros.Micros
+	zoneUnreachableAt       map[string]micros.Micros // when a zone had last fallen silent as a whole
+	manySilentLogged        bool                     // many silent machines have been logged
+	unloggedRemovals        map[string][]string      // machines to be removed, by reason, not yet logged
+	nextSlowTickAt          micros.Micros
+	cloudRateLimiter        bookkeeping.TokenBucket
+	drains                  *drains // nil: the settings don't turn them on
+	counters                activityCounters
 }
 
-// NewCore makes the actor's state.
-func NewCore(cfg *config.Config, set config.Settings, env Env, log *slog.Logger) *Core {
-	c := &Core{
-		cfg: cfg, set: set, env: env, log: log, node: cfg.Node,
-		inc:   env.Rand().Uint64()>>16 | 1,
-		peers: newPeers(), deadSince: map[string]micros.T{},
-		shards: map[string]*shardState{}, fresh: map[string]*bookkeeping.Shard{}, submissionRates: map[string]*submissionRate{}, arrivals: map[string]*arrival{}, claimSeen: map[string]claimSeen{},
-		claiming: map[string]bool{}, jobBusy: map[string]bool{}, accepted: map[string]uint64{}, teamShort: map[string]shortage{},
-		lackingSince: map[string]micros.T{},
-		jobState:     map[string]*jobState{}, bias: map[string]float64{}, orphanVisits: map[string]*orphanVisit{},
-		preempting: map[string]*preemption{}, givenBack: map[string][]string{}, zoneCut: map[string]micros.T{}, emptyAt: map[string]micros.T{}, closedAt: map[string]micros.T{},
+// NewController makes the actor's state.
+func NewController(cfg *config.Config, settings config.Settings, env Environment, log *slog.Logger) *Controller {
+	c := &Controller{
+		cfg: cfg, settings: settings, env: env, log: log, node: cfg.Node,
+		incarnation:  env.Rand().Uint64()>>16 | 1,
+		peerStatuses: newPeerTable(), missingSince: map[string]micros.Micros{},
+		shardTrackers: map[string]*shardTracker{}, newShards: map[string]*bookkeeping.Shard{}, submissionRates: map[string]*submissionRate{}, claimRequests: map[string]*claimRequest{}, claimsObserved: map[string]observedClaim{},
+		shardClaimsInFlight: map[string]bool{}, recordWritesInFlight: map[string]bool{}, acceptedRevisions: map[string]uint64{}, quotaShortages: map[string]quotaShortage{},
+		quotaLackingSince: map[string]micros.Micros{},
+		jobStates:         map[string]*jobTracking{}, estimateBias: map[string]float64{}, orphanContacts: map[string]*orphanContact{},
+		preemptions: map[string]*pendingPreemption{}, unloggedRemovals: map[string][]string{}, zoneUnreachableAt: map[string]micros.Micros{}, emptySince: map[string]micros.Micros{}, jobsClosedAt: map[string]micros.Micros{},
 	}
-	c.all = append(c.all, cfg.Node)
-	for _, p := range cfg.Known {
-		c.all = append(c.all, p.Node)
+	c.controllers = append(c.controllers, cfg.Node)
+	for _, peer := range cfg.Peers {
+		c.controllers = append(c.controllers, peer.Node)
 	}
-	c.cancellations = cancellation.NewRelay(c.inc, slices.Clone(c.all[1:]))
-	sort.Strings(c.all)
-	c.view = newView(c.touched)
-	c.queue.MaxInFlight = 8
-	c.adoption = newAdoption(cfg.Facts.State.TxnOps)
-	c.boost = 1
-	c.shareBudgets(len(c.all))
-	c.timing = newTiming(cfg.Facts.Workers)
+	c.cancellations = cancellation.NewRelay(c.incarnation, slices.Clone(c.controllers[1:]))
+	sort.Strings(c.controllers)
+	c.mirror = newMirror(c.onMirrorChange)
+	c.storeQueue.MaxInFlight = 8
+	c.takeoverLimiter = newTakeoverLimiter(cfg.Facts.State.TxnOps)
+	c.budgetMultiplier = 1
+	c.updateStoreBudgets(len(c.controllers))
+	c.durations = newPlatformDurations(cfg.Facts.Workers)
 	// The leader alone calls the cloud, but for the catalogue.
-	c.cloudGate = bookkeeping.Bucket{Rate: cfg.Facts.Cloud.RPS * 0.8, Burst: max(1, cfg.Facts.Cloud.RPS)}
+	c.cloudRateLimiter = bookkeeping.TokenBucket{Rate: cfg.Facts.Cloud.RPS * 0.8, Burst: max(1, cfg.Facts.Cloud.RPS)}
 	c.leader = newLeaderState(0)
-	c.drains = newDrains(c, set.Drains)
+	c.drains = newDrains(c, settings.Drains)
 	return c
 }
 
 // Start begins the actor's work.
-func (c *Core) Start() {
-	c.log.Info("controller starting", "node", c.node, "incarnation", c.inc)
-	for _, w := range c.timing.warnings() {
-		c.log.Warn("platform durations not covered", "field", w.field, "consequence", w.consequence)
+func (c *Controller) Start() {
+	c.log.Info("controller starting", "node", c.node, "incarnation", c.incarnation)
+	for _, warning := range c.durations.warnings() {
+		c.log.Warn("platform durations not covered", "field", warning.field, "consequence", warning.consequence)
 	}
-	c.grant()
-	c.load()
+	c.grantLease()
+	c.loadMirror()
 	c.fetchCatalog()
 	c.tick()
 }
 
-func (c *Core) now() micros.T { return c.env.Now() }
+func (c *Controller) now() micros.Micros { return c.env.Now() }
 
 // tick drives everything that is not an answer to a message.
-func (c *Core) tick() {
+func (c *Controller) tick() {
 	now := c.now()
-	c.noteStill(now)
-	c.fast(now)
-	if now >= c.slowAt {
-		c.slow(now)
-		c.slowAt = pace(now, c.now(), slowTick)
+	c.detectPause(now)
+	c.runFastTick(now)
+	if now >= c.nextSlowTickAt {
+		c.runSlowTick(now)
+		c.nextSlowTickAt = nextDue(now, c.now(), slowTickInterval)
 	}
-	c.env.After(fastTick, c.tick)
+	c.env.After(fastTickInterval, c.tick)
 }
 
-// pace tells when work that ran from begun to ended is due again: after its
+// nextDue tells when work that ran from begun to ended is due again: after its
 // interval, or later so that it takes at most a tenth of the time. With thousands
 // of jobs a pass costs milliseconds; leases and users must keep their share.
-func pace(begun, ended, interval micros.T) micros.T {
-	return begun + max(interval, 10*(ended-begun))
+func nextDue(startedAt, ended, interval micros.Micros) micros.Micros {
+	return startedAt + max(interval, 10*(ended-startedAt))
 }
 
-func (c *Core) fast(now micros.T) {
-	c.keepLease(now)
-	c.keepWatch(now)
-	if !c.ready || c.outdated(now) {
+func (c *Controller) runFastTick(now micros.Micros) {
+	c.renewLease(now)
+	c.maintainWatch(now)
+	if !c.mirrorReady || c.mirrorStale(now) {
 		return
 	}
-	if c.dirty && now >= c.passAt {
-		c.schedulingPass(now)
-		c.passAt = max(c.passAt, pace(now, c.now(), 2*fastTick))
+	if c.schedulingNeeded && now >= c.nextSchedulingPassAt {
+		c.runSchedulingPass(now)
+		c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, nextDue(now, c.now(), 2*fastTickInterval))
 	}
 }
 
-func (c *Core) slow(now micros.T) {
-	c.watchStore(now)
-	c.gossip(now)
-	if c.catalogAt == 0 || now-c.catalogAt > 60*micros.Second {
+func (c *Controller) runSlowTick(now micros.Micros) {
+	c.logStoreAvailability(now)
+	c.sendPeerStatus(now)
+	if c.catalogFetchedAt == 0 || now-c.catalogFetchedAt > 60*micros.Second {
 		c.fetchCatalog()
 	}
-	if !c.ready || c.outdated(now) {
+	if !c.mirrorReady || c.mirrorStale(now) {
 		return
 	}
-	c.shareBudgets(len(c.live()))
-	c.keepMember()
-	c.election(now)
-	c.claimOrphaned(now)
-	c.freeShares(now)
+	c.updateStoreBudgets(len(c.liveControllers()))
+	c.ensureMemberRecord()
+	c.campaign(now)
+	c.claimOrphanedShards(now)
+	c.releaseDepartedQuotaShares(now)
 	c.checkMachines(now)
-	c.drains.advance(now)
-	c.adjustShares(now)
-	c.closeJobs()
-	c.dirty = true
-	c.lead(now)
+	c.drains.reconcile(now)
+	c.adjustQuotaShares(now)
+	c.finalizeJobs()
+	c.schedulingNeeded = true
+	c.reconcileAsLeader(now)
 }
 
-// touched is called by the view for every change that it applied.
-func (c *Core) touched(kind, name string) {
+// onMirrorChange is called by the view for every change that it applied.
+func (c *Controller) onMirrorChange(kind, name string) {
 	switch kind {
-	case bookkeeping.KindOpen:
-		c.dirty = true
-		j := c.view.jobs[name]
-		if j == nil {
-			delete(c.jobState, name)
-			delete(c.preempting, name)
-			delete(c.accepted, name)
+	case bookkeeping.KindOpenJob:
+		c.schedulingNeeded = true
+		job := c.mirror.Jobs[name]
+		if job == nil {
+			delete(c.jobStates, name)
+			delete(c.preemptions, name)
+			delete(c.acceptedRevisions, name)
 			c.cancellations.Forget(name)
 			return
 		}
-		c.jobNotes(name).sharedAt = c.now()
-	case bookkeeping.KindJob:
-		c.noteCancellation(c.view.jobs[name])
-		if j := c.view.jobs[name]; j != nil && j.held > 0 {
-			if n := c.jobNotes(name); n.overAt == 0 {
-				n.overAt = c.now()
+		c.trackingOf(name).recordChangedAt = c.now()
+	case bookkeeping.KindJobResult:
+		c.recordCancellation(c.mirror.Jobs[name])
+		if job := c.mirror.Jobs[name]; job != nil && job.AssignedTasks > 0 {
+			if tracking := c.trackingOf(name); tracking.finalSeenAt == 0 {
+				tracking.finalSeenAt = c.now()
 			}
-			c.syncJob(j) // a cancellation reaches the workers at once
+			c.syncCommandsOfJob(job) // a cancellation reaches the workers at once
 		}
 	case bookkeeping.KindShard:
-		c.dirty = true
-		c.shardTouched(name)
-	case bookkeeping.KindRental, bookkeeping.KindRemoval, bookkeeping.KindDrain, bookkeeping.KindPermits:
-		c.dirty = true
+		c.schedulingNeeded = true
+		c.onShardChange(name)
+	case bookkeeping.KindScaleOut, bookkeeping.KindScaleIn, bookkeeping.KindDrain, bookkeeping.KindPermits:
+		c.schedulingNeeded = true
 	case bookkeeping.KindMember:
-		if c.isLive(name) {
-			delete(c.deadSince, name)
+		if c.isMember(name) {
+			delete(c.missingSince, name)
 			c.log.Info("controller membership", "state", conditionBegin, "node", name)
 		} else {
 			c.log.Info("controller membership", "state", conditionEnd, "node", name)
@@ -284,27 +284,27 @@
 }
 
 // fetchCatalog reads the machine types.
-func (c *Core) fetchCatalog() {
-	if c.catalogIn || c.cloudGate.Ready(c.now(), 1) > 0 {
+func (c *Controller) fetchCatalog() {
+	if c.catalogFetchInFlight || c.cloudRateLimiter.WaitTime(c.now(), 1) > 0 {
 		return
 	}
-	c.catalogIn = true
-	c.cloudGate.Take(1)
-	c.env.Cloud(&protocol.CloudCall{Op: protocol.CloudCatalog, Within: 3 * micros.Second}, func(r protocol.CloudResult) {
-		c.catalogIn = false
-		if r.Outcome != protocol.OK || len(r.Types) == 0 {
+	c.catalogFetchInFlight = true
+	c.cloudRateLimiter.Take(1)
+	c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudCatalog, Timeout: 3 * micros.Second}, func(result protocol.CloudResult) {
+		c.catalogFetchInFlight = false
+		if result.Outcome != protocol.OK || len(result.Types) == 0 {
 			return
 		}
-		c.catalogAt = c.now()
+		c.catalogFetchedAt = c.now()
 		types := map[string]protocol.MachineType{}
-		for _, t := range r.Types {
-			if t.Name != "" && t.CPUs > 0 && t.Price > 0 {
-				types[t.Name] = t
+		for _, machineType := range result.Types {
+			if machineType.Name != "" && machineType.CPUs > 0 && machineType.OnDemandPrice > 0 {
+				types[machineType.Name] = machineType
 			}
 		}
 		if len(types) > 0 {
-			c.types = types
-			c.dirty = true
+			c.machineTypes = types
+			c.schedulingNeeded = true
 		}
 	})
 }
--- a/internal/coordination/core_test.go
+++ b/internal/coordination/core_test.go
@@ -8,16 +8,16 @@
 	"pipitgap/internal/protocol"
 )
 
-// TestPace: work is due after its interval, and takes a tenth of the time at most.
-func TestPace(t *testing.T) {
-	cases := []struct{ begun, ended, interval, want micros.T }{
+// TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at most.
+func TestTickWorkTakesAtMostATenthOfTheTime(t *testing.T) {
+	cases := []struct{ begun, ended, interval, want micros.Micros }{
 		{0, 0, 100, 100},
 		{50, 55, 100, 150},
 		{50, 60, 100, 150},
 		{50, 90, 100, 450},
 	}
 	for _, tc := range cases {
-		if got := pace(tc.begun, tc.ended, tc.interval); got != tc.want {
+		if got := nextDue(tc.begun, tc.ended, tc.interval); got != tc.want {
 			t.Errorf("%+v: due at %d", tc, got)
 		}
 	}
@@ -25,26 +25,26 @@
 
 // TestPagesMakeRoom: shards come less often while users wait for the store, here or at
 // a peer that said so lately.
-func TestShardsMakeRoom(t *testing.T) {
-	c := newCluster(t, 8).steady()
-	core := c.nodes["n-0"].core
-	usual := core.shardRate()
-	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: manyUsers})
-	if got := core.shardRate(); got != usual {
+func TestShardWriteRateYieldsToWaitingUsers(t *testing.T) {
+	c := newCluster(t, 8).startWithLeader()
+	core := c.nodes["n-0"].controller
+	usual := core.shardWriteRate()
+	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: waitingUserCallsThreshold})
+	if got := core.shardWriteRate(); got != usual {
 		t.Errorf("a few users at a peer: %v, usually %v", got, usual)
 	}
-	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: manyUsers + 1})
-	if got := core.shardRate(); got >= usual/2 {
+	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: waitingUserCallsThreshold + 1})
+	if got := core.shardWriteRate(); got >= usual/2 {
 		t.Errorf("many users at a peer: %v, usually %v", got, usual)
 	}
-	c.sim.Run(3 * slowTick)
-	if got := core.shardRate(); got != usual {
+	c.sim.Run(3 * slowTickInterval)
+	if got := core.shardWriteRate(); got != usual {
 		t.Errorf("afterwards: %v, usually %v", got, usual)
 	}
-	for i := 0; i <= manyUsers; i++ {
-		core.queue.Add(bookkeeping.Call{StoreCall: &protocol.StoreCall{}, Rank: bookkeeping.RankUser})
+	for i := 0; i <= waitingUserCallsThreshold; i++ {
+		core.storeQueue.Add(bookkeeping.Call{StoreCall: &protocol.StoreCall{}, Priority: bookkeeping.PriorityUserRequest})
 	}
-	if got := core.shardRate(); got >= usual/4 {
+	if got := core.shardWriteRate(); got >= usual/4 {
 		t.Errorf("many users here: %v, usually %v", got, usual)
 	}
 }
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -129,19 +129,19 @@
 	case protocol.StoreList:
 		text = fmt.Sprintf("list %q after %q limit %d", c.Key, c.After, c.Limit)
 	case protocol.StoreCommit:
-		txn := c.Txn
+		txn := c.Transaction
 		if txn.If == nil {
-			txn.If = []protocol.Cond{}
+			txn.If = []protocol.Compare{}
 		}
 		text = "commit " + canonical(protocol.MustMarshal(&txn))
-	case protocol.StoreGrant:
+	case protocol.StoreGrantLease:
 		text = fmt.Sprintf("grant %d", int64(c.TTL))
-	case protocol.StoreTouch:
+	case protocol.StoreKeepAlive:
 		text = fmt.Sprintf("touch %d", c.Lease)
 	case protocol.StoreWatch:
-		text = fmt.Sprintf("watch %q from %d block %d", c.Key, c.From, int64(c.Block))
+		text = fmt.Sprintf("watch %q from %d block %d", c.Key, c.FromRevision, int64(c.MaxBlock))
 	}
-	return fmt.Sprintf("%s within %d", text, int64(c.Within))
+	return fmt.Sprintf("%s within %d", text, int64(c.Timeout))
 }
 
 // wireCloudCall renders a call as protocol.CallCloud sends it.
@@ -153,15 +153,15 @@
 	case protocol.CloudRent:
 		text = "rent " + canonical(protocol.MustMarshal(&c.Rent))
 	case protocol.CloudDelete:
-		text = "delete " + canonical(protocol.MustMarshal(&protocol.DeleteRequest{Machines: c.Delete}))
+		text = "delete " + canonical(protocol.MustMarshal(&protocol.DeleteMachinesRequest{Machines: c.Delete}))
 	case protocol.CloudList:
 		text = fmt.Sprintf("list after %q", c.After)
 	}
-	return fmt.Sprintf("%s within %d", text, int64(c.Within))
+	return fmt.Sprintf("%s within %d", text, int64(c.Timeout))
 }
 
 // wireCommand renders a command batch, or the question for a report.
-func wireCommand(endpoint string, req *protocol.DoRequest, within micros.T) string {
+func wireCommand(endpoint string, req *protocol.CommandRequest, within micros.Micros) string {
 	body := []byte("show")
 	if req != nil {
 		body = protocol.MustMarshal(req)
@@ -190,8 +190,8 @@
 }
 
 // wireAnswer renders the answer to a user or a worker.
-func wireAnswer(method, target string, r Reply) string {
-	return fmt.Sprintf("%s %s %d retry %d %s", method, target, r.Status, r.RetryAfter, canonical(r.Body))
+func wireAnswer(method, target string, response Response) string {
+	return fmt.Sprintf("%s %s %d retry %d %s", method, target, response.Status, response.RetryAfter, canonical(response.Body))
 }
 
 // courseScenario plays one course for each of its seeds. play must have the recorder watch the
@@ -301,47 +301,47 @@
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	s := newScenario(t, seed)
 	r.watch(s.cluster)
-	leases := []leaseSettings{usualLeases, {4 * sec, 22 * sec, 42 * sec}, {5 * sec, 28 * sec, 53 * sec}, {8 * sec / 10, 10 * sec, 30 * sec}}
+	leases := []leaseDurations{defaultLeases, {4 * second, 22 * second, 42 * second}, {5 * second, 28 * second, 53 * second}, {8 * second / 10, 10 * second, 30 * second}}
 	leases[rnd.IntN(len(leases))].apply(s)
-	s.closeLook = rnd.IntN(2) == 0
+	s.eagerQueries = rnd.IntN(2) == 0
 	if rnd.IntN(2) == 0 {
-		fullTeams(s)
+		fillTeamLimits(s)
 	}
-	s.play(randomFaults(rnd), scenarioLength)
+	s.runFaults(randomFaults(rnd), scenarioLength)
 }
 
 // playCancelledWhileRefused has users cancel while the leader alone is refused, then an outage.
 func playCancelledWhileRefused(t *testing.T, seed uint64, r *recorder) {
 	more := [][]fault{
 		nil,
-		{crash(64*sec, leader, 3*sec), cancelNow(71*sec, 4, 10*sec)},
-		{standStill(73*sec, leader, 8*sec), zoneCut(100*sec, 20*sec)},
-		{peerCut(71*sec, leader, 60*sec), lateCommands(60*sec, 0.5, 60*sec)},
-		{lostAnswers(60*sec, 0.3, 60*sec), machineCut(66*sec, 4, 15*sec)},
-		{lateWrites(60*sec, 0.2, 60*sec), crashAll(140*sec, 4*sec)},
+		{crashController(64*second, leaderController, 3*second), cancelRunningJobs(71*second, 4, 10*second)},
+		{processPause(73*second, leaderController, 8*second), zonePartition(100*second, 20*second)},
+		{peerPartition(71*second, leaderController, 60*second), delayedCommands(60*second, 0.5, 60*second)},
+		{lostCommitAnswers(60*second, 0.3, 60*second), machinesPartitioned(66*second, 4, 15*second)},
+		{delayedCommits(60*second, 0.2, 60*second), crashAllControllers(140*second, 4*second)},
 	}
 	s := newScenario(t, 3000+seed)
 	r.watch(s.cluster)
-	s.play(refusedThenOut(2*sec, more[int(seed-1)%len(more)]...), 190*sec)
+	s.runFaults(throttledThenStoreOutage(2*second, more[int(seed-1)%len(more)]...), 190*second)
 }
 
 // playShortLeases is a platform of short leases and large tasks, on which controllers restart slowly.
 func playShortLeases(t *testing.T, seed uint64, r *recorder) {
 	s := newShortLeaseScenario(t, 4000+seed)
 	r.watch(s.cluster)
-	s.wholeMachineJobs()
-	faults := []fault{submissions(50*sec, sec, 50*sec, smallJob), crashAllBut(s.names[seed%3], 80*sec, slowRestart)}
+	s.submitWholeMachineJobs()
+	faults := []fault{submitAtRate(50*second, second, 50*second, submitSmallUrgentArray), crashAllExcept(s.nodeNames[seed%3], 80*second, slowRestartDelay)}
 	if seed%2 == 0 {
-		faults = append(faults, zoneCut(110*sec, 12*sec), slowStore(60*sec, sec, 20*sec))
+		faults = append(faults, zonePartition(110*second, 12*second), slowStoreReplies(60*second, second, 20*second))
 	}
-	s.play(faults, 150*sec)
+	s.runFaults(faults, 150*second)
 }
 
 // playSmallJobs has one team send many small jobs while machines and controllers fail.
 func playSmallJobs(t *testing.T, seed uint64, r *recorder) {
 	c := newCluster(t, 2500+seed)
 	r.watch(c)
-	c.swarmed()
+	c.startBurst()
 	var arrays []string
 	for s := range 40 {
 		c.sendSmallJobs(10 + 10*int(seed%3))
@@ -349,56 +349,56 @@
 		c.sendService()
 		switch s {
 		case 8:
-			c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].Sick = true
-			c.request("n-0", "POST", protocol.CancelPath(arrays[2]), nil, func(Reply) {})
+			c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].FailsTasks = true
+			c.sendRequest("n-0", "POST", protocol.CancelPath(arrays[2]), nil, func(Response) {})
 		case 12:
 			c.kill("n-1")
 		case 14:
 			c.start("n-1")
 		case 18:
 			for _, id := range sortedKeys(c.fleet.Workers)[:4] {
-				c.fleet.Workers[id].Silent = true
+				c.fleet.Workers[id].Partitioned = true
 			}
 		case 22:
-			c.kill(c.leader().name)
+			c.kill(c.leaderNode().name)
 		case 30:
-			c.start(c.names...)
+			c.start(c.nodeNames...)
 		}
-		c.sim.Run(sec)
+		c.sim.Run(second)
 	}
-	c.rules()
+	c.requireNoViolations()
 }
 
 // playDrainFault drains a zone while something fails; each seed has the next of drainFaults.
 func playDrainFault(t *testing.T, seed uint64, r *recorder) {
 	s := newDrainScenario(t, 800+seed)
 	r.watch(s.cluster)
-	s.settle()
+	s.startServices()
 	s.drainZone("rack", "a")
-	s.sim.Run(s.jitter(35 * sec))
+	s.sim.Run(s.randomDuration(35 * second))
 	drainFaults[int(seed-1)%len(drainFaults)].begin(s)
-	s.sim.Run(120 * sec)
-	s.rules()
+	s.sim.Run(120 * second)
+	s.requireNoViolations()
 }
 
 // playDrainAbort ends a drain before it is complete, with permits that are written late.
 func playDrainAbort(t *testing.T, seed uint64, r *recorder) {
 	s := newDrainScenario(t, 900+seed)
 	r.watch(s.cluster)
-	s.settle()
-	s.store.Delay = func(txn *protocol.Txn) micros.T {
-		if touchesPermits(txn) && s.sim.Rand.IntN(3) == 0 {
-			return s.jitter(20 * sec)
+	s.startServices()
+	s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+		if changesPermits(txn) && s.sim.Rand.IntN(3) == 0 {
+			return s.randomDuration(20 * second)
 		}
 		return 0
 	}
 	s.drainZone("rack", "a")
-	s.sim.Run(2*sec + s.jitter(30*sec))
-	s.abort("rack")
-	s.sim.Run(30 * sec)
-	s.store.Delay = nil
-	s.sim.Run(60 * sec)
-	s.rules()
+	s.sim.Run(2*second + s.randomDuration(30*second))
+	s.abortDrain("rack")
+	s.sim.Run(30 * second)
+	s.store.DelayCommit = nil
+	s.sim.Run(60 * second)
+	s.requireNoViolations()
 }
 
 // playLimits has teams at their limits and guarantees, with preemption and cancellations.
@@ -406,81 +406,81 @@
 	s := newScenario(t, 5000+seed)
 	r.watch(s.cluster)
 	s.teams = []config.Team{{Name: "free", CPUs: 16}, {Name: "tight", CPUs: 16, CPUsMax: 24}}
-	s.check.Limits["tight"] = 24
+	s.checker.Limits["tight"] = 24
 	clear(s.cloud.Capacity)
-	s.cloud.Capacity[standin.Offer("m8", "a", false)] = 3
-	s.cloud.Capacity[standin.Offer("m8", "b", false)] = 2
+	s.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 3
+	s.cloud.Capacity[standin.OfferKey("m8", "b", false)] = 2
 	s.addBorrowers()
 	faults := []fault{
-		{at: 50 * sec, name: "owners", begin: (*scenario).addOwners},
-		{at: 70 * sec, name: "services", begin: (*scenario).addUrgentServices},
-		cancelTeam(85*sec, "tight", 2, 6*sec),
-		cancelNow(100*sec, 2, 0),
+		{at: 50 * second, name: "owners", inject: (*scenario).addOwners},
+		{at: 70 * second, name: "services", inject: (*scenario).addUrgentServices},
+		cancelTeamJobs(85*second, "tight", 2, 6*second),
+		cancelRunningJobs(100*second, 2, 0),
 	}
 	if seed%2 == 0 {
-		faults = append(faults, crash(86*sec, leader, 3*sec), hang(104*sec, 2, 10*sec))
+		faults = append(faults, crashController(86*second, leaderController, 3*second), machinesHang(104*second, 2, 10*second))
 	} else {
-		faults = append(faults, crashAll(110*sec, 2*sec), machinesDie(95*sec, 1))
+		faults = append(faults, crashAllControllers(110*second, 2*second), machinesVanish(95*second, 1))
 	}
-	s.play(faults, 160*sec)
+	s.runFaults(faults, 160*second)
 }
 
 // playCloudAndSpot has the cloud refuse, lose answers and take machines back.
 func playCloudAndSpot(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 6000+seed)
 	r.watch(s.cluster)
-	s.set.ScaleDownDelay = config.Span(8 * sec)
-	s.cloud.NeverUp["i-000003"] = true
+	s.settings.ScaleDownDelay = config.Duration(8 * second)
+	s.cloud.NeverBoots["i-000003"] = true
 	s.addSpotJobs()
-	begin := func(at micros.T, name string, f func(s *scenario)) fault { return fault{at, name, f} }
+	begin := func(at micros.Micros, name string, f func(s *scenario)) fault { return fault{at, name, f} }
 	faults := []fault{
-		submissions(45*sec, 2*sec, 60*sec, oneTask),
-		begin(45*sec, "spot machines are taken back", (*scenario).takeSpotBack),
-		begin(55*sec, "a machine is sick", func(s *scenario) {
-			for _, w := range s.machines(1) {
-				w.Sick = true
+		submitAtRate(45*second, 2*second, 60*second, submitSingleTask),
+		begin(45*second, "spot machines are taken back", (*scenario).takeSpotBack),
+		begin(55*second, "a machine is sick", func(s *scenario) {
+			for _, worker := range s.pickMachines(1) {
+				worker.FailsTasks = true
 			}
 		}),
-		begin(60*sec, "rentals lose answers", func(s *scenario) {
-			s.cloud.LoseRent = true
-			s.sim.After(5*sec, func() { s.cloud.LoseRent = false })
+		begin(60*second, "rentals lose answers", func(s *scenario) {
+			s.cloud.LoseRentReply = true
+			s.sim.After(5*second, func() { s.cloud.LoseRentReply = false })
 		}),
-		begin(62*sec, "more work", (*scenario).addSpotJobs),
-		begin(75*sec, "the cloud throttles", func(s *scenario) {
-			s.cloud.Limit = true
-			s.sim.After(10*sec, func() { s.cloud.Limit = false })
+		begin(62*second, "more work", (*scenario).addSpotJobs),
+		begin(75*second, "the cloud throttles", func(s *scenario) {
+			s.cloud.Throttling = true
+			s.sim.After(10*second, func() { s.cloud.Throttling = false })
 		}),
-		machinesDie(76*sec, 3),
-		begin(90*sec, "the cloud is in trouble", func(s *scenario) {
-			s.cloud.Trouble = true
-			s.sim.After(15*sec, func() { s.cloud.Trouble = false })
+		machinesVanish(76*second, 3),
+		begin(90*second, "the cloud is in trouble", func(s *scenario) {
+			s.cloud.Unavailable = true
+			s.sim.After(15*second, func() { s.cloud.Unavailable = false })
 		}),
-		begin(110*sec, "no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
-		begin(112*sec, "still more work", (*scenario).addSpotJobs),
-		begin(113*sec, "spot machines are taken back", (*scenario).takeSpotBack),
-		begin(125*sec, "capacity is back", func(s *scenario) { s.cloud.Capacity[standin.Offer("m16", "a", false)] = 12 }),
-		cancelNow(115*sec, 3, 0),
+		begin(110*second, "no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
+		begin(112*second, "still more work", (*scenario).addSpotJobs),
+		begin(113*second, "spot machines are taken back", (*scenario).takeSpotBack),
+		begin(125*second, "capacity is back", func(s *scenario) { s.cloud.Capacity[standin.OfferKey("m16", "a", false)] = 12 }),
+		cancelRunningJobs(115*second, 3, 0),
 	}
 	if seed%2 == 0 {
-		faults = append(faults, crash(61*sec, leader, 3*sec), crash(112*sec, leader, 10*sec))
+		faults = append(faults, crashController(61*second, leaderController, 3*second), crashController(112*second, leaderController, 10*second))
 	}
-	s.play(faults, 170*sec)
+	s.runFaults(faults, 170*second)
 }
 
 // takeSpotBack announces the end of two spot machines in their reports, and ends them.
 func (s *scenario) takeSpotBack() {
 	left := 2
 	for _, id := range sortedKeys(s.fleet.Workers) {
-		w := s.fleet.Workers[id]
-		if left == 0 || !w.Machine.Spot || w.Machine.Gone {
+		worker := s.fleet.Workers[id]
+		if left == 0 || !worker.Machine.Spot || worker.Machine.Gone {
 			continue
 		}
 		left--
 		notice := 10.0
-		report := w.Body()
-		report.NoticeS = &notice
-		s.deliverCopy(protocol.MustMarshal(report))
-		s.sim.After(10*sec, func() { s.cloud.Remove(id) })
+		report := worker.Heartbeat()
+		report.InterruptionNoticeS = &notice
+		s.deliverDuplicateReport(protocol.MustMarshal(report))
+		s.sim.After(10*second, func() { s.cloud.RemoveMachine(id) })
 	}
 }
 
@@ -490,23 +490,23 @@
 	r.watch(s.cluster)
 	s.addVariedJobs()
 	faults := []fault{
-		{at: 45 * sec, name: "requests with mistakes", begin: (*scenario).sendMistakes},
-		machinesDie(60*sec, 2),
-		{at: 70 * sec, name: "more jobs", begin: (*scenario).addVariedJobs},
-		cancelNow(90*sec, 3, 0),
-		crashAll(100*sec, 2*sec),
-		{at: 115 * sec, name: "requests with mistakes", begin: (*scenario).sendMistakes},
+		{at: 45 * second, name: "requests with mistakes", inject: (*scenario).sendMistakes},
+		machinesVanish(60*second, 2),
+		{at: 70 * second, name: "more jobs", inject: (*scenario).addVariedJobs},
+		cancelRunningJobs(90*second, 3, 0),
+		crashAllControllers(100*second, 2*second),
+		{at: 115 * second, name: "requests with mistakes", inject: (*scenario).sendMistakes},
 	}
 	if seed%2 == 0 {
-		faults = append(faults, zoneCut(75*sec, 20*sec), mute(110*sec, 2, 20*sec), deaf(112*sec, 2, 20*sec))
+		faults = append(faults, zonePartition(75*second, 20*second), machinesMuted(110*second, 2, 20*second), machinesUnreachable(112*second, 2, 20*second))
 	}
-	s.play(faults, 160*sec)
+	s.runFaults(faults, 160*second)
 }
 
 // sendMistakes asks every controller for what it must refuse or doesn't know.
 func (s *scenario) sendMistakes() {
-	for _, node := range s.names {
-		send := func(method, target string, body []byte) { s.request(node, method, target, body, func(Reply) {}) }
+	for _, node := range s.nodeNames {
+		send := func(method, target string, body []byte) { s.sendRequest(node, method, target, body, func(Response) {}) }
 		send("GET", "/healthz", nil)
 		send("GET", protocol.JobsPath, nil)
 		send("GET", protocol.JobPath("j-unknown"), nil)
@@ -522,93 +522,93 @@
 func playLateShares(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 8000+seed)
 	r.watch(s.cluster)
-	fullTeams(s)
-	faults := []fault{lateShares(45*sec, 60*sec), cancelTeam(60*sec, "tight", 2, 0), machinesDie(70*sec, 2),
-		reportsForNextLeader(75*sec, 0.3, 40*sec), crash(80*sec, leader, 12*sec), crash(90*sec, following(1), 3*sec)}
-	s.play(faults, 150*sec)
+	fillTeamLimits(s)
+	faults := []fault{delayedQuotaWrites(45*second, 60*second), cancelTeamJobs(60*second, "tight", 2, 0), machinesVanish(70*second, 2),
+		duplicateReportsToNextLeader(75*second, 0.3, 40*second), crashController(80*second, leaderController, 12*second), crashController(90*second, followerController(1), 3*second)}
+	s.runFaults(faults, 150*second)
 }
 
 // playFiveControllers has more controllers and machines, and settings of a grown fleet.
 func playFiveControllers(t *testing.T, seed uint64, r *recorder) {
-	c := newGrown(t, 9000+seed)
+	c := newGrownCluster(t, 9000+seed)
 	r.watch(c)
-	c.steady()
+	c.startWithLeader()
 	for s := range 30 {
 		c.sendLargeArrays()
 		switch s {
 		case 15:
-			c.kill("n-3", c.leader().name)
+			c.kill("n-3", c.leaderNode().name)
 		case 22:
-			for _, node := range c.names {
-				if c.nodes[node].core == nil {
+			for _, node := range c.nodeNames {
+				if c.nodes[node].controller == nil {
 					c.start(node)
 				}
 			}
 		}
-		c.sim.Run(sec)
+		c.sim.Run(second)
 	}
-	c.rules()
+	c.requireNoViolations()
 }
 
 // The jobs of the courses.
 
 func (c *cluster) sendSmallJobs(n int) {
 	for range n {
-		c.send(2*sec, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
+		c.submitWithRetry(2*second, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
 			withMemoryGB(0.7), withSpot(true), withEstimateS(2))
 	}
 }
 
 func (c *cluster) sendArray(spot bool) string {
-	return c.send(20*sec, withTeam("home"), withTasks(9), withCPUs(1.1), withSpot(spot), withEstimateS(30),
+	return c.submitWithRetry(20*second, withTeam("home"), withTasks(9), withCPUs(1.1), withSpot(spot), withEstimateS(30),
 		withCheckpointS(3))
 }
 
 func (c *cluster) sendService() {
-	c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
+	c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
 }
 
 func (c *cluster) sendLargeArrays() {
-	c.send(25*sec, withTasks(60), withCPUs(2), withSpot(true), withEstimateS(20))
-	c.send(8*sec, withTeam("tight"), withTasks(40), withCPUs(1), withEstimateS(10), withDeadlineS(60))
+	c.submitWithRetry(25*second, withTasks(60), withCPUs(2), withSpot(true), withEstimateS(20))
+	c.submitWithRetry(8*second, withTeam("tight"), withTasks(40), withCPUs(1), withEstimateS(10), withDeadlineS(60))
 }
 
 func (s *scenario) addBorrowers() {
-	s.add(300*sec, withTasks(16), withCPUs(2), withPriority(protocol.BestEffort))
-	s.add(250*sec, withTasks(6), withCPUs(1))
+	s.addUser(300*second, withTasks(16), withCPUs(2), withPriority(protocol.BestEffort))
+	s.addUser(250*second, withTasks(6), withCPUs(1))
 }
 
 func (s *scenario) addOwners() {
 	for range 4 {
-		s.add(60*sec, withTeam("tight"), withTasks(6), withCPUs(2))
+		s.addUser(60*second, withTeam("tight"), withTasks(6), withCPUs(2))
 	}
 }
 
 func (s *scenario) addUrgentServices() {
 	for range 3 {
-		s.add(0, withTasks(2), withCPUs(3), withPriority(protocol.Prod))
+		s.addUser(0, withTasks(2), withCPUs(3), withPriority(protocol.Production))
 	}
 }
 
 func (s *scenario) addSpotJobs() {
 	for i := range 3 {
-		s.add(60*sec, withTasks(12), withCPUs(4), withSpot(true), withEstimateS(50),
+		s.addUser(60*second, withTasks(12), withCPUs(4), withSpot(true), withEstimateS(50),
 			withCheckpointS(10), withSaveS(2))
-		s.add(0, withTasks(2+i), withCPUs(2), withPriority(protocol.High), withSpot(i == 1))
+		s.addUser(0, withTasks(2+i), withCPUs(2), withPriority(protocol.High), withSpot(i == 1))
 	}
 }
 
 func (s *scenario) addVariedJobs() {
-	s.add(0, withTasks(4), withSpread(true), withPriority(protocol.Prod))
-	s.add(0, withTasks(3), withSpread(true), withOneZone(true), withCPUs(3))
-	s.add(60*sec, withTasks(8), withOneZone(true), withCPUs(2), withEstimateS(60))
-	s.add(60*sec, withTasks(5), withZone("b"), withCPUs(2), withCheckpointS(10), withSaveS(3))
-	s.add(40*sec, withTasks(5), withTypes("m16"), withCPUs(9), withEstimateS(30))
-	s.add(15*sec, withTasks(30), withDeadlineS(40), withCPUs(0.5), withEstimateS(15), withSpot(true))
-	s.add(30*sec, withTasks(6), withMemoryGB(30), withCPUs(1), withImageGB(6), withImage("large"))
-	failing := s.add(5*sec, withTasks(2))
+	s.addUser(0, withTasks(4), withSpread(true), withPriority(protocol.Production))
+	s.addUser(0, withTasks(3), withSpread(true), withOneZone(true), withCPUs(3))
+	s.addUser(60*second, withTasks(8), withOneZone(true), withCPUs(2), withEstimateS(60))
+	s.addUser(60*second, withTasks(5), withZone("b"), withCPUs(2), withCheckpointS(10), withSaveS(3))
+	s.addUser(40*second, withTasks(5), withTypes("m16"), withCPUs(9), withEstimateS(30))
+	s.addUser(15*second, withTasks(30), withDeadlineS(40), withCPUs(0.5), withEstimateS(15), withSpot(true))
+	s.addUser(30*second, withTasks(6), withMemoryGB(30), withCPUs(1), withImageGB(6), withImage("large"))
+	failing := s.addUser(5*second, withTasks(2))
 	info := s.fleet.Jobs[failing.id]
 	info.Fails = true
 	s.fleet.Jobs[failing.id] = info
-	s.sim.After(55*sec, failing.cancel)
+	s.sim.After(55*second, failing.cancel)
 }
--- a/internal/coordination/cuts_test.go
+++ b/internal/coordination/cuts_test.go
@@ -10,30 +10,30 @@
 	"pipitgap/internal/standin"
 )
 
-// TestIsolated: controllers that lose the store and the others, but not their
+// TestIsolatedControllersAnswerUsersAndDiscardState: controllers that lose the store and the others, but not their
 // workers, answer users at once, keep services for a while, and on their return
 // apply nothing that they held. The leader may be among them.
-func TestIsolated(t *testing.T) {
+func TestIsolatedControllersAnswerUsersAndDiscardState(t *testing.T) {
 	for i, nodes := range [][]string{{"n-0"}, {"n-1"}, {"n-2"}, {"n-0", "n-1"}, {"n-1", "n-2"}} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
-			c := newCluster(t, uint64(800+i)).steady()
-			service := c.submit(0, withService(true), withTasks(6), withPriority(protocol.Prod), withCPUs(4))
-			array := c.submit(10*sec, withTasks(40), withSpot(true))
-			if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(service) == 6 }) {
+			c := newCluster(t, uint64(800+i)).startWithLeader()
+			service := c.submit(0, withService(true), withTasks(6), withPriority(protocol.Production), withCPUs(4))
+			array := c.submit(10*second, withTasks(40), withSpot(true))
+			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 6 }) {
 				t.Fatal("not started")
 			}
-			for _, n := range nodes {
-				c.store.Refused[n] = true
-				for _, o := range c.names {
-					c.cut[n+"-"+o] = true
+			for _, node := range nodes {
+				c.store.RefusedCallers[node] = true
+				for _, o := range c.nodeNames {
+					c.disconnectedPairs[node+"-"+o] = true
 				}
 			}
-			c.sim.Run(5 * sec)
-			for _, n := range nodes {
-				if r := c.ask(n, "GET", "/healthz", nil); r.Status != 503 {
-					t.Errorf("%s says %d to health checks", n, r.Status)
+			c.sim.Run(5 * second)
+			for _, node := range nodes {
+				if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 503 {
+					t.Errorf("%s says %d to health checks", node, response.Status)
 				}
-				_, j := c.spec()
+				_, j := c.newSubmission()
 				for _, q := range []struct {
 					method, target string
 					body           []byte
@@ -42,28 +42,28 @@
 					{"GET", protocol.JobPath(service), nil},
 					{"POST", protocol.CancelPath(service), nil},
 				} {
-					begun := c.sim.Now()
-					if r := c.ask(n, q.method, q.target, q.body); r.Status != 503 || r.RetryAfter < 1 || c.sim.Now()-begun > sec/2 {
-						t.Errorf("%s answers %s %s with %d after %d us", n, q.method, q.target, r.Status, c.sim.Now()-begun)
+					startedAt := c.sim.Now()
+					if response := c.requestAndWait(node, q.method, q.target, q.body); response.Status != 503 || response.RetryAfter < 1 || c.sim.Now()-startedAt > second/2 {
+						t.Errorf("%s answers %s %s with %d after %d us", node, q.method, q.target, response.Status, c.sim.Now()-startedAt)
 					}
 				}
 			}
-			c.sim.Run(40 * sec)
-			clear(c.store.Refused)
-			clear(c.cut)
-			c.finished(array, 200*sec)
-			if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(service) == 6 }) {
+			c.sim.Run(40 * second)
+			clear(c.store.RefusedCallers)
+			clear(c.disconnectedPairs)
+			c.requireFinished(array, 200*second)
+			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 6 }) {
 				t.Errorf("%d replicas after the return", c.fleet.Running(service))
 			}
-			c.rules()
+			c.requireNoViolations()
 		})
 	}
 }
 
-// TestLongCut: a controller that comes back to the store after many changes reads
+// TestLongWatchGapReloadsMirror: a controller that comes back to the store after many changes reads
 // the records again rather than all that has happened, in one answer without a
 // bound; one that missed few goes on with its watch.
-func TestLongCut(t *testing.T) {
+func TestLongWatchGapReloadsMirror(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		jobs  int
@@ -71,68 +71,68 @@
 	}{{"few changes", 3, false}, {"many changes", 60, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 41)
-			c.facts = func(cfg *config.Config) { cfg.Facts.State.ValueKB = 64 }
-			c.steady()
-			c.store.Refused["n-2"] = true
+			c.adjustFacts = func(cfg *config.Config) { cfg.Facts.State.ValueKB = 64 }
+			c.startWithLeader()
+			c.store.RefusedCallers["n-2"] = true
 			for i := 0; i < tc.jobs; i++ {
-				_, j := c.spec(withCPUs(0.1))
-				c.ask("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j))
+				_, j := c.newSubmission(withCPUs(0.1))
+				c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j))
 			}
-			c.sim.Run(15 * sec)
+			c.sim.Run(15 * second)
 			lists := c.store.Calls[protocol.StoreList]
-			c.store.LargestWatch = 0
-			c.store.Refused["n-2"] = false
-			c.sim.Run(5 * sec)
-			core := c.nodes["n-2"].core
-			most := core.mostChanges()
-			if got := c.store.LargestWatch; got > most {
+			c.store.LargestWatchReply = 0
+			c.store.RefusedCallers["n-2"] = false
+			c.sim.Run(5 * second)
+			core := c.nodes["n-2"].controller
+			most := core.maxWatchEvents()
+			if got := c.store.LargestWatchReply; got > most {
 				t.Errorf("a watch brought %d changes, want %d at most", got, most)
 			}
-			if again := c.store.Calls[protocol.StoreList] > lists+3; again != tc.again {
-				t.Errorf("read again: %v, want %v", again, tc.again)
+			if freedQuotaOnly := c.store.Calls[protocol.StoreList] > lists+3; freedQuotaOnly != tc.again {
+				t.Errorf("read again: %v, want %v", freedQuotaOnly, tc.again)
 			}
-			if got, want := len(core.view.jobs), len(c.store.Keys(bookkeeping.Key(bookkeeping.KindOpen, ""))); got != want || want == 0 {
+			if got, want := len(core.mirror.Jobs), len(c.store.Keys(bookkeeping.Key(bookkeeping.KindOpenJob, ""))); got != want || want == 0 {
 				t.Errorf("the mirror has %d jobs, the store %d", got, want)
 			}
 		})
 	}
 }
 
-// TestZoneCut: a zone that falls silent keeps its machines for as long as it may come
+// TestUnreachableZoneKeepsMachines: a zone that falls silent keeps its machines for as long as it may come
 // back with them, but for those whose services must be proven gone; nothing is rented
 // there meanwhile, and afterwards it serves again at once. Single machines that fall
 // silent are replaced as ever.
-func TestZoneCut(t *testing.T) {
+func TestUnreachableZoneKeepsMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		silent func(m *standin.Rented, i int) bool
+		silent func(rented *standin.Machine, i int) bool
 		kept   bool
 	}{
-		{"a zone", func(m *standin.Rented, _ int) bool { return m.Zone == "a" }, true},
-		{"two machines", func(_ *standin.Rented, i int) bool { return i < 2 }, false},
+		{"a zone", func(rented *standin.Machine, _ int) bool { return rented.Zone == "a" }, true},
+		{"two machines", func(_ *standin.Machine, i int) bool { return i < 2 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 77)
 			for k := range c.cloud.Capacity {
 				c.cloud.Capacity[k] = 12
 			}
-			c.names = c.names[:2] // each with more than a few machines in the zone
-			c.fleet.Nodes = c.names
-			c.steady()
+			c.nodeNames = c.nodeNames[:2] // each with more than a few machines in the zone
+			c.fleet.Controllers = c.nodeNames
+			c.startWithLeader()
 			there := map[string]bool{}
 			for i := 0; i < 8; i++ {
-				id := c.send(600*sec, withTasks(8), withCPUs(4), withMemoryGB(8),
+				id := c.submitWithRetry(600*second, withTasks(8), withCPUs(4), withMemoryGB(8),
 					withZone([]string{"a", "b"}[i%2]))
 				there[id] = i%2 == 0
 			}
-			c.sim.Run(40 * sec)
+			c.sim.Run(40 * second)
 			var cut []*standin.Worker
 			for i, id := range sortedKeys(c.fleet.Workers) {
-				if w := c.fleet.Workers[id]; tc.silent(w.Machine, i) {
-					cut = append(cut, w)
-					w.Silent = true
-					for _, n := range c.names {
-						c.cut[id+"-"+n] = true
+				if worker := c.fleet.Workers[id]; tc.silent(worker.Machine, i) {
+					cut = append(cut, worker)
+					worker.Partitioned = true
+					for _, node := range c.nodeNames {
+						c.disconnectedPairs[id+"-"+node] = true
 					}
 				}
 			}
@@ -140,36 +140,36 @@
 			for id := range c.cloud.Machines {
 				before[id] = true
 			}
-			c.sim.Run(16 * sec)
+			c.sim.Run(16 * second)
 			for i := 0; i < 4; i++ {
-				c.send(5*sec, withTasks(20), withCPUs(4), withMemoryGB(8))
+				c.submitWithRetry(5*second, withTasks(20), withCPUs(4), withMemoryGB(8))
 			}
-			c.sim.Run(14 * sec)
+			c.sim.Run(14 * second)
 			gone, inA := 0, 0
-			for _, w := range cut {
-				if w.Machine.Gone {
+			for _, worker := range cut {
+				if worker.Machine.Gone {
 					gone++
 				}
 			}
-			for id, m := range c.cloud.Machines {
-				if !before[id] && m.Zone == "a" {
+			for id, rented := range c.cloud.Machines {
+				if !before[id] && rented.Zone == "a" {
 					inA++
 				}
 			}
 			if len(cut) < 2 || tc.kept && (gone > 0 || inA > 0) || !tc.kept && gone < len(cut) {
 				t.Errorf("of %d silent machines %d were deleted; %d rented in the zone", len(cut), gone, inA)
 			}
-			for _, w := range cut {
-				w.Silent = false
+			for _, worker := range cut {
+				worker.Partitioned = false
 			}
-			clear(c.cut)
-			c.sim.Run(15 * sec)
+			clear(c.disconnectedPairs)
+			c.sim.Run(15 * second)
 			for id, a := range there {
 				if n := c.fleet.Running(id); a && tc.kept && n != 8 {
 					t.Errorf("%d tasks of %s run after the return", n, id)
 				}
 			}
-			c.rules()
+			c.requireNoViolations()
 		})
 	}
 }
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -12,9 +12,9 @@
 
 // Causes of such ends.
 const (
-	lossReclaimed lossCause = "spot interruption"
-	lossMachine   lossCause = "machine lost"
-	lossExit      lossCause = "task exit"
+	lossSpotReclaimed lossCause = "spot interruption"
+	lossMachineFailed lossCause = "machine lost"
+	lossTaskExited    lossCause = "task exit"
 )
 
 // replicaLoss is a replica that ended outside of a permit.
@@ -23,51 +23,51 @@
 	cause lossCause
 }
 
-// lossesNotedEvery is how often losses are logged, many by one line.
-const lossesNotedEvery = 10 * micros.Second
+// lossLogInterval is how often losses are logged, many by one line.
+const lossLogInterval = 10 * micros.Second
 
-// noteLoss adds a release to the losses of a shard's update, if it is one.
-func (d *drains) noteLoss(losses []replicaLoss, m *machine, ref taskRef) []replicaLoss {
+// recordLoss adds a release to the losses of a shard's update, if it is one.
+func (d *drains) recordLoss(losses []replicaLoss, machine *Machine, task TaskID) []replicaLoss {
 	if d == nil {
 		return losses
 	}
-	j := d.core.view.jobs[ref.job]
-	if j == nil || !j.open() || !d.tracks(&j.rec.Spec) || d.permitted(j, ref, m.tasks[ref]) {
+	job := d.core.mirror.Jobs[task.Job]
+	if job == nil || !job.IsOpen() || !d.tracksStart(&job.Record.Spec) || d.hasPermit(job, task, machine.Attempts[task]) {
 		return losses
 	}
-	cause := lossExit
+	cause := lossTaskExited
 	switch {
-	case m.w != nil && m.w.noticed:
-		cause = lossReclaimed
-	case m.w == nil || m.w.lost || m.w.removing != "" || d.core.view.removal[m.id] != "":
-		cause = lossMachine
+	case machine.Agent != nil && machine.Agent.InterruptionNoticed:
+		cause = lossSpotReclaimed
+	case machine.Agent == nil || machine.Agent.LeaseExpired || machine.Agent.RemovalReason != "" || d.core.mirror.ScaleInOfMachine[machine.ID] != "":
+		cause = lossMachineFailed
 	}
-	return append(losses, replicaLoss{j.rec.Spec.Team, cause})
+	return append(losses, replicaLoss{job.Record.Spec.Team, cause})
 }
 
-// permitted tells whether an attempt was to be stopped under a permit.
-func (d *drains) permitted(j *job, ref taskRef, attempt uint64) bool {
-	for _, p := range d.core.view.permits[j.rec.Spec.Team].rec.Permits {
-		if p.Job == ref.job && p.Task == ref.index && p.Attempt == attempt {
+// hasPermit tells whether an attempt was to be stopped under a permit.
+func (d *drains) hasPermit(job *Job, task TaskID, attempt uint64) bool {
+	for _, permit := range d.core.mirror.PermitsByTeam[job.Record.Spec.Team].Record.Permits {
+		if permit.Job == task.Job && permit.Task == task.Index && permit.Attempt == attempt {
 			return true
 		}
 	}
 	return false
 }
 
-// countLosses counts losses whose release is in the store.
-func (d *drains) countLosses(losses []replicaLoss) {
+// countCommittedLosses counts losses whose release is in the store.
+func (d *drains) countCommittedLosses(losses []replicaLoss) {
 	if d == nil || len(losses) == 0 {
 		return
 	}
 	for _, loss := range losses {
-		d.outside[loss.cause]++
+		d.unpermittedLosses[loss.cause]++
 	}
-	if now := d.core.now(); now-d.lossNoted >= lossesNotedEvery {
-		d.lossNoted = now
-		for _, cause := range sortedKeys(d.outside) {
+	if now := d.core.now(); now-d.lossesLoggedAt >= lossLogInterval {
+		d.lossesLoggedAt = now
+		for _, cause := range sortedKeys(d.unpermittedLosses) {
 			d.core.log.Info("replicas lost outside of permits",
-				"reason", string(cause), "replicas_total", d.outside[cause])
+				"reason", string(cause), "replicas_total", d.unpermittedLosses[cause])
 		}
 	}
 }
--- a/internal/coordination/drain_room.go
+++ b/internal/coordination/drain_room.go
@@ -8,156 +8,158 @@
 // Room for replicas that drains move: what is held for them, and what is rented.
 
 // reservations is the room that permits hold for the next attempts of their replicas, by machine.
-func (d *drains) reservations() map[string]amount {
+func (d *drains) reservations() map[string]Resources {
 	if d == nil {
 		return nil
 	}
-	held := map[string]amount{}
-	d.eachReservation(func(p *bookkeeping.Permit, j *job) {
-		held[p.To] = held[p.To].plus(j.need, 1)
+	held := map[string]Resources{}
+	d.forEachReservation(func(permit *bookkeeping.Permit, job *Job) {
+		held[permit.To] = held[permit.To].AddScaled(job.TaskResources, 1)
 	})
 	return held
 }
 
-// eachReservation calls f for every permit whose replica hasn't found its new place yet.
-func (d *drains) eachReservation(f func(*bookkeeping.Permit, *job)) {
-	view := d.core.view
-	for _, team := range sortedKeys(view.permits) {
-		permits := view.permits[team].rec.Permits
+// forEachReservation calls f for every permit whose replica hasn't found its new place yet.
+func (d *drains) forEachReservation(f func(*bookkeeping.Permit, *Job)) {
+	mirror := d.core.mirror
+	for _, team := range sortedKeys(mirror.PermitsByTeam) {
+		permits := mirror.PermitsByTeam[team].Record.Permits
 		for i := range permits {
-			p := &permits[i]
-			j := view.jobs[p.Job]
-			if j == nil || !j.open() || p.Task >= len(j.state) {
+			permit := &permits[i]
+			job := mirror.Jobs[permit.Job]
+			if job == nil || !job.IsOpen() || permit.Task >= len(job.TaskStates) {
 				continue
 			}
-			from := view.machines[p.From]
-			here := from != nil && from.tasks[taskRef{p.Job, p.Task}] == p.Attempt
-			if here || j.state[p.Task] == 0 {
-				f(p, j)
+			from := mirror.Machines[permit.From]
+			here := from != nil && from.Attempts[TaskID{permit.Job, permit.Task}] == permit.Attempt
+			if here || job.TaskStates[permit.Task] == 0 {
+				f(permit, job)
 			}
 		}
 	}
 }
 
-// reservedRoom is the room on a pass's candidates that is held for replicas that are being
+// drainReservations is the room on a pass's candidates that is held for replicas that are being
 // moved. It is lent to a job while its own tasks are placed.
-type reservedRoom struct {
-	places  map[string][]reservedPlace // by job
-	updates []*shardUpdate
+type drainReservations struct {
+	byJob   map[string][]drainReservation // by job
+	updates []*ShardUpdate
 }
 
-// reservedPlace is room for one replica.
-type reservedPlace struct {
-	on   *candidate
-	task taskRef
-	need amount
+// drainReservation is room for one replica.
+type drainReservation struct {
+	candidate *candidateMachine
+	task      TaskID
+	need      Resources
 }
 
-// reserve takes the room that is held for replicas off what the candidates have.
-func (d *drains) reserve(candidates []*candidate, updates []*shardUpdate) *reservedRoom {
+// reserveOnCandidates takes the room that is held for replicas off what the candidates have.
+func (d *drains) reserveOnCandidates(candidates []*candidateMachine, updates []*ShardUpdate) *drainReservations {
 	if d == nil {
 		return nil
 	}
-	byMachine := map[string]*candidate{}
-	for _, cd := range candidates {
-		byMachine[cd.m.id] = cd
+	byMachine := map[string]*candidateMachine{}
+	for _, candidate := range candidates {
+		byMachine[candidate.machine.ID] = candidate
 	}
-	r := &reservedRoom{places: map[string][]reservedPlace{}, updates: updates}
-	d.eachReservation(func(p *bookkeeping.Permit, j *job) {
-		if cd := byMachine[p.To]; cd != nil {
-			cd.free = cd.free.plus(j.need, -1)
-			r.places[j.id] = append(r.places[j.id], reservedPlace{cd, taskRef{p.Job, p.Task}, j.need})
+	r := &drainReservations{byJob: map[string][]drainReservation{}, updates: updates}
+	d.forEachReservation(func(permit *bookkeeping.Permit, job *Job) {
+		if candidate := byMachine[permit.To]; candidate != nil {
+			candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
+			r.byJob[job.ID] = append(r.byJob[job.ID], drainReservation{candidate, TaskID{permit.Job, permit.Task}, job.TaskResources})
 		}
 	})
 	return r
 }
 
-// holdsFor tells whether room is held for replicas of a job.
-func (r *reservedRoom) holdsFor(j *job) bool { return r != nil && len(r.places[j.id]) > 0 }
+// hasReservationFor tells whether room is held for replicas of a job.
+func (r *drainReservations) hasReservationFor(job *Job) bool {
+	return r != nil && len(r.byJob[job.ID]) > 0
+}
 
-// cpus is the size of what is held.
-func (r *reservedRoom) cpus() float64 {
+// totalCPUs is the size of what is held.
+func (r *drainReservations) totalCPUs() float64 {
 	total := 0.0
 	if r != nil {
-		for _, places := range r.places {
+		for _, places := range r.byJob {
 			for _, place := range places {
-				total += place.need.cpus
+				total += place.need.CPUs
 			}
 		}
 	}
 	return total
 }
 
-// lend gives a job the room that is held for it.
-func (r *reservedRoom) lend(j *job) {
+// release gives a job the room that is held for it.
+func (r *drainReservations) release(job *Job) {
 	if r == nil {
 		return
 	}
-	for _, place := range r.places[j.id] {
-		place.on.free = place.on.free.plus(place.need, 1)
+	for _, place := range r.byJob[job.ID] {
+		place.candidate.freeResources = place.candidate.freeResources.AddScaled(place.need, 1)
 	}
 }
 
-// takeBack takes again what the job hasn't used. A replica that has found a place, wherever
+// reserveAgain takes again what the job hasn't used. A replica that has found a place, wherever
 // that is, needs nothing held any more.
-func (r *reservedRoom) takeBack(j *job) {
+func (r *drainReservations) reserveAgain(job *Job) {
 	if r == nil {
 		return
 	}
-	var left []reservedPlace
-	for _, place := range r.places[j.id] {
-		if r.placed(place.task) {
+	var left []drainReservation
+	for _, place := range r.byJob[job.ID] {
+		if r.assignedThisPass(place.task) {
 			continue
 		}
-		place.on.free = place.on.free.plus(place.need, -1)
+		place.candidate.freeResources = place.candidate.freeResources.AddScaled(place.need, -1)
 		left = append(left, place)
 	}
-	r.places[j.id] = left
+	r.byJob[job.ID] = left
 }
 
-// placed tells whether a task is assigned by the pass under way.
-func (r *reservedRoom) placed(task taskRef) bool {
+// assignedThisPass tells whether a task is assigned by the pass under way.
+func (r *drainReservations) assignedThisPass(task TaskID) bool {
 	for _, update := range r.updates {
-		if update.tasks[task] {
+		if update.AssignedTasks[task] {
 			return true
 		}
 	}
 	return false
 }
 
-// demands is the room that drains with replacement want rented: what the machines that are
+// replacementDemands is the room that drains with replacement want rented: what the machines that are
 // being emptied hold of services.
-func (d *drains) demands() []*demand {
+func (d *drains) replacementDemands() []*taskDemand {
 	if d == nil {
 		return nil
 	}
-	out := make([]*demand, 0, len(d.moving))
-	for _, m := range d.moving {
+	out := make([]*taskDemand, 0, len(d.replacementDemand))
+	for _, m := range d.replacementDemand {
 		next := *m
-		next.zones = newZoneRule(d.core.view, d.core.view.jobs[m.job])
+		next.zoneConstraint = newZoneConstraint(d.core.mirror, d.core.mirror.Jobs[m.jobID])
 		out = append(out, &next)
 	}
 	return out
 }
 
-// demandsOf lists the replicas, by job, that drains with replacement are to move next.
-func (d *drains) demandsOf(s *drain.Snapshot) []*demand {
+// computeReplacementDemand lists the replicas, by job, that drains with replacement are to move next.
+func (d *drains) computeReplacementDemand(s *drain.Snapshot) []*taskDemand {
 	count := map[string]int{}
 	for _, record := range s.Drains() {
 		if record.State != bookkeeping.DrainActive || !record.Replace {
 			continue
 		}
-		for _, id := range s.Step(&record) {
+		for _, id := range s.MachinesInStep(&record) {
 			m, _ := s.Machine(id)
 			for _, r := range m.Replicas {
 				count[r.Job]++
 			}
 		}
 	}
-	var out []*demand
+	var out []*taskDemand
 	for _, id := range sortedKeys(count) {
-		if j := d.core.view.jobs[id]; j != nil && j.open() {
-			out = append(out, &demand{spec: &j.rec.Spec, need: j.need, count: count[id], job: id})
+		if job := d.core.mirror.Jobs[id]; job != nil && job.IsOpen() {
+			out = append(out, &taskDemand{spec: &job.Record.Spec, need: job.TaskResources, tasks: count[id], jobID: id})
 		}
 	}
 	return out
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -12,238 +12,240 @@
 // drains carries out on this controller what package drain decides. A nil *drains is one that
 // is turned off: every method then does nothing.
 type drains struct {
-	core      *Core
-	settings  *config.Drains
-	policy    *drain.Policy
-	runAt     micros.T
-	writeAt   micros.T            // when a change may be spent on permits again
-	busy      map[string]bool     // teams whose permits have a commit in flight
-	emptying  map[string]micros.T // own machines whose array tasks are being stopped, and since when
-	moving    []*demand           // what the leader rents room for
-	outside   map[lossCause]int   // replicas lost outside of permits
-	lossNoted micros.T
+	core                 *Controller
+	settings             *config.DrainSettings
+	policy               *drain.Policy
+	nextRunAt            micros.Micros
+	nextPermitWriteAt    micros.Micros            // when a change may be spent on permits again
+	permitCommitInFlight map[string]bool          // teams whose permits have a commit in flight
+	evictingSince        map[string]micros.Micros // own machines whose array tasks are being stopped, and since when
+	replacementDemand    []*taskDemand            // what the leader rents room for
+	unpermittedLosses    map[lossCause]int        // replicas lost outside of permits
+	lossesLoggedAt       micros.Micros
 }
 
 // Bounds of what drains cost.
 const (
-	// permitWrites is the part of the state service's changes that all controllers together
+	// permitWriteFraction is the part of the state service's changes that all controllers together
 	// spend on permits.
-	permitWrites = 0.1
-	// spareChanges is the part of a controller's burst of changes that must be unused for it to
+	permitWriteFraction = 0.1
+	// spareWriteFraction is the part of a controller's burst of changes that must be unused for it to
 	// begin moves.
-	spareChanges = 0.7
-	// drainKept is how long the record of a drain that has ended is kept.
-	drainKept = 24 * 60 * micros.Minute
+	spareWriteFraction = 0.7
+	// drainRetention is how long the record of a drain that has ended is kept.
+	drainRetention = 24 * 60 * micros.Minute
 )
 
-func newDrains(c *Core, settings *config.Drains) *drains {
+func newDrains(c *Controller, settings *config.DrainSettings) *drains {
 	if settings == nil {
 		return nil
 	}
-	return &drains{core: c, settings: settings, policy: drain.NewPolicy(settings), busy: map[string]bool{},
-		emptying: map[string]micros.T{}, outside: map[lossCause]int{}}
+	return &drains{core: c, settings: settings, policy: drain.NewPolicy(settings), permitCommitInFlight: map[string]bool{},
+		evictingSince: map[string]micros.Micros{}, unpermittedLosses: map[lossCause]int{}}
 }
 
-// tracks tells whether it is recorded of a job's attempts whether they run.
-func (d *drains) tracks(s *bookkeeping.Spec) bool { return d != nil && s.Service }
+// tracksStart tells whether it is recorded of a job's attempts whether they run.
+func (d *drains) tracksStart(spec *bookkeeping.JobSpec) bool { return d != nil && spec.Service }
 
-// protects tells whether a job's tasks aren't stopped to make room for others.
-func (d *drains) protects(j *job) bool {
-	return d != nil && j.rec.Spec.Service && d.policy.Budgeted(j.rec.Spec.Team, j.rec.Spec.Class)
+// protectsFromPreemption tells whether a job's tasks aren't stopped to make room for others.
+func (d *drains) protectsFromPreemption(job *Job) bool {
+	return d != nil && job.Record.Spec.Service && d.policy.Budgeted(job.Record.Spec.Team, job.Record.Spec.Class)
 }
 
-// covering gives the unfinished drain that a machine belongs to.
-func (d *drains) covering(m *machine) (*bookkeeping.Drain, bool) {
-	if d == nil || m.rec == nil {
+// drainCovering gives the unfinished drain that a machine belongs to.
+func (d *drains) drainCovering(machine *Machine) (*bookkeeping.Drain, bool) {
+	if d == nil || machine.Record == nil {
 		return nil, false
 	}
-	for _, name := range sortedKeys(d.core.view.drains) {
-		rec := d.core.view.drains[name].rec
-		if rec.State.Unfinished() && drain.Covers(&rec, m.id, m.rec.Type, m.rec.Zone, m.rec.Spot) {
+	for _, name := range sortedKeys(d.core.mirror.Drains) {
+		rec := d.core.mirror.Drains[name].Record
+		if rec.State.Unfinished() && drain.Covers(&rec, machine.ID, machine.Record.Type, machine.Record.Zone, machine.Record.Spot) {
 			return &rec, true
 		}
 	}
 	return nil, false
 }
 
-// cordons tells whether a machine gets no new tasks because of a drain.
-func (d *drains) cordons(m *machine) bool {
-	_, covered := d.covering(m)
+// isCordoned tells whether a machine gets no new tasks because of a drain.
+func (d *drains) isCordoned(machine *Machine) bool {
+	_, covered := d.drainCovering(machine)
 	return covered
 }
 
-// closes tells whether a drain keeps an offer from being rented.
-func (d *drains) closes(o offer) bool {
+// closesOffer tells whether a drain keeps an offer from being rented.
+func (d *drains) closesOffer(o offer) bool {
 	if d == nil {
 		return false
 	}
-	for _, v := range d.core.view.drains {
-		if drain.ClosesOffer(&v.rec, o.typ, o.zone, o.spot) {
+	for _, v := range d.core.mirror.Drains {
+		if drain.ClosesOffer(&v.Record, o.machineType, o.zone, o.spot) {
 			return true
 		}
 	}
 	return false
 }
 
-// givesBack tells whether a drained machine that has been empty for so long is to be given back.
-func (d *drains) givesBack(m *machine, empty micros.T) bool {
-	rec, covered := d.covering(m)
+// mayScaleIn tells whether a drained machine that has been empty for so long is to be given back.
+func (d *drains) mayScaleIn(machine *Machine, empty micros.Micros) bool {
+	rec, covered := d.drainCovering(machine)
 	if !covered || rec.State == bookkeeping.DrainPaused {
 		return false
 	}
-	return rec.AtOnce || empty >= d.core.keepFor(m.rec)
+	return rec.RemoveAtOnce || empty >= d.core.scaleInDelay(machine.Record)
 }
 
-// advance takes the next steps of all drains. It decides on a fresh mirror only: what has
+// reconcile takes the next steps of all drains. It decides on a fresh mirror only: what has
 // been lost since an old one was read would not be counted.
-func (d *drains) advance(now micros.T) {
-	if d == nil || now < d.runAt || !d.pending() {
+func (d *drains) reconcile(now micros.Micros) {
+	if d == nil || now < d.nextRunAt || !d.hasWork() {
 		return
 	}
 	c := d.core
-	if c.storeDown || c.types == nil || !c.leaseHeld(now) || now-c.watchOKAt > watchBlock+micros.Second {
+	if c.storeUnavailable || c.machineTypes == nil || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+micros.Second {
 		return
 	}
-	snapshot := c.fleet()
+	snapshot := c.drainSnapshot()
 	decision := d.policy.Decide(snapshot, d.controller())
 	for _, permit := range decision.Stop {
-		d.stop(permit)
+		d.stopReplica(permit)
 	}
-	if !d.mayBeginMoves(now) {
-		clear(decision.Grant)
-		decision.Emptying = nil
+	if !d.hasSpareWrites(now) {
+		clear(decision.Granted)
+		decision.StopArrays = nil
 	}
-	d.emptyMachines(decision.Emptying, now)
+	d.evictUnpermitted(decision.StopArrays, now)
 	d.writePermits(decision, now)
-	d.moving = d.demandsOf(snapshot)
-	if c.leading(now) {
-		d.lead(snapshot)
+	d.replacementDemand = d.computeReplacementDemand(snapshot)
+	if c.isLeader(now) {
+		d.settleDrains(snapshot)
 	}
-	d.runAt = pace(now, c.now(), slowTick)
+	d.nextRunAt = nextDue(now, c.now(), slowTickInterval)
 }
 
-// pending tells whether there is anything to do for drains.
-func (d *drains) pending() bool {
-	for _, v := range d.core.view.drains {
-		if v.rec.State.Unfinished() || d.core.env.Wall()-v.rec.EndedAt > int64(drainKept) {
+// hasWork tells whether there is anything to do for drains.
+func (d *drains) hasWork() bool {
+	for _, v := range d.core.mirror.Drains {
+		if v.Record.State.Unfinished() || d.core.env.WallClock()-v.Record.EndedAt > int64(drainRetention) {
 			return true
 		}
 	}
-	for _, v := range d.core.view.permits {
-		if len(v.rec.Permits) > 0 {
+	for _, v := range d.core.mirror.PermitsByTeam {
+		if len(v.Record.Permits) > 0 {
 			return true
 		}
 	}
-	d.moving = nil
-	clear(d.emptying)
+	d.replacementDemand = nil
+	clear(d.evictingSince)
 	return false
 }
 
 // controller is what a decision must know of us.
 func (d *drains) controller() *drain.Controller {
 	c := d.core
-	live := c.live()
+	controllers := c.liveControllers()
 	return &drain.Controller{
-		Node:        c.node,
-		Live:        c.isLive,
-		Responsible: func(team string) bool { return home(bookkeeping.KindPermits+"/"+team, live) == c.node },
-		RecordBytes: c.shardLimit(),
+		Node: c.node,
+		Live: c.isMember,
+		Responsible: func(team string) bool {
+			return rendezvousOwner(bookkeeping.KindPermits+"/"+team, controllers) == c.node
+		},
+		RecordBytes: c.assignmentShardBytes(),
 	}
 }
 
-// stop uses a permit that stands.
-func (d *drains) stop(p bookkeeping.Permit) {
-	m := d.core.view.machines[p.From]
-	key := attemptKey{taskRef{p.Job, p.Task}, p.Attempt}
-	if m == nil || m.w == nil || m.w.stopping[key] {
+// stopReplica uses a permit that stands.
+func (d *drains) stopReplica(permit bookkeeping.Permit) {
+	machine := d.core.mirror.Machines[permit.From]
+	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
+	if machine == nil || machine.Agent == nil || machine.Agent.StoppingAttempts[key] {
 		return
 	}
-	m.w.stopping[key] = true
-	d.core.log.Info("replica evicted for drain", "drain", p.Drain, "task", key.ref.String(),
-		"from_machine", p.From, "to_machine", p.To)
-	d.core.sync(m)
+	machine.Agent.StoppingAttempts[key] = true
+	d.core.log.Info("replica evicted for drain", "drain", permit.Drain, "task", key.Task.String(),
+		"from_machine", permit.From, "to_machine", permit.To)
+	d.core.syncCommands(machine)
 }
 
-// unbegun tells whether a permit surely hasn't been used and can't be by anything still on its
+// permitUnused tells whether a permit surely hasn't been used and can't be by anything still on its
 // way: we haven't told its worker to stop, and the worker, which still runs the replica, has
 // seen our claim, which outranks every command of the owners before us.
-func (d *drains) unbegun(p bookkeeping.Permit) bool {
-	m := d.core.view.machines[p.From]
-	key := attemptKey{taskRef{p.Job, p.Task}, p.Attempt}
-	if m == nil || m.w == nil {
+func (d *drains) permitUnused(permit bookkeeping.Permit) bool {
+	machine := d.core.mirror.Machines[permit.From]
+	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
+	if machine == nil || machine.Agent == nil {
 		return false
 	}
-	w := m.w
-	if told := w.sent[key]; w.stopping[key] || w.settled(key) || told != nil && told.kill != 0 {
+	agent := machine.Agent
+	if told := agent.SentCommands[key]; agent.StoppingAttempts[key] || agent.HasOutcome(key) || told != nil && told.KillToken != 0 {
 		return false
 	}
-	return w.acked && w.repToken >= w.base() && w.rep[key].State == protocol.StateRunning
+	return agent.ClaimAcknowledged && agent.AcknowledgedToken >= agent.BaseToken() && agent.ReportedAttempts[key].State == protocol.StateRunning
 }
 
 // writePermits writes what changes of one team's permits: one commit a team, spaced.
-func (d *drains) writePermits(decision *drain.Decision, now micros.T) {
+func (d *drains) writePermits(decision *drain.Decision, now micros.Micros) {
 	ended := map[string][]bookkeeping.Permit{}
-	for team, over := range decision.Over {
+	for team, over := range decision.Completed {
 		ended[team] = append(ended[team], over...)
 	}
-	for _, permit := range decision.Return {
-		if j := d.core.view.jobs[permit.Job]; j != nil && d.unbegun(permit) {
-			ended[j.rec.Spec.Team] = append(ended[j.rec.Spec.Team], permit)
+	for _, permit := range decision.Revoked {
+		if job := d.core.mirror.Jobs[permit.Job]; job != nil && d.permitUnused(permit) {
+			ended[job.Record.Spec.Team] = append(ended[job.Record.Spec.Team], permit)
 		}
 	}
 	changed := map[string]bool{}
-	for team := range decision.Grant {
+	for team := range decision.Granted {
 		changed[team] = true
 	}
 	for team := range ended {
 		changed[team] = true
 	}
 	for _, team := range sortedKeys(changed) {
-		if now < d.writeAt {
+		if now < d.nextPermitWriteAt {
 			return
 		}
-		if !d.busy[team] {
-			d.writeTeam(team, ended[team], decision.Grant[team])
-			d.writeAt = d.core.spaced(permitWrites)
+		if !d.permitCommitInFlight[team] {
+			d.writeTeamPermits(team, ended[team], decision.Granted[team])
+			d.nextPermitWriteAt = d.core.nextAllowedAt(permitWriteFraction)
 		}
 	}
 }
 
-// mayBeginMoves tells whether the state service has changes to spare. Each move costs several, of
+// hasSpareWrites tells whether the state service has changes to spare. Each move costs several, of
 // the shards too, and they are the same that users and running work need: at 93% of what the
 // service takes submissions waited for more than a second.
-func (d *drains) mayBeginMoves(now micros.T) bool {
+func (d *drains) hasSpareWrites(now micros.Micros) bool {
 	c := d.core
-	if c.usersWait() || c.peers.usersWait(now) {
+	if c.userCallsWaiting() || c.peerStatuses.userCallsWaiting(now) {
 		return false
 	}
-	return c.queue.Writes.Ready(now, spareChanges*c.queue.Writes.Burst) == 0
+	return c.storeQueue.Writes.WaitTime(now, spareWriteFraction*c.storeQueue.Writes.Burst) == 0
 }
 
-// writeTeam changes a team's permits, on the condition that nobody else has. One that is written
+// writeTeamPermits changes a team's permits, on the condition that nobody else has. One that is written
 // after its drain has ended does no harm: whether it may be used is decided anew. The record is
 // never deleted, since its version must not come back.
-func (d *drains) writeTeam(team string, ended, granted []bookkeeping.Permit) {
+func (d *drains) writeTeamPermits(team string, ended, granted []bookkeeping.Permit) {
 	c := d.core
-	have := c.view.permits[team]
+	have := c.mirror.PermitsByTeam[team]
 	next := bookkeeping.Permits{Permits: []bookkeeping.Permit{}}
-	for _, permit := range have.rec.Permits {
+	for _, permit := range have.Record.Permits {
 		if !slices.Contains(ended, permit) {
 			next.Permits = append(next.Permits, permit)
 		}
 	}
 	next.Permits = append(next.Permits, granted...)
 	key := bookkeeping.Key(bookkeeping.KindPermits, team)
-	txn := protocol.Txn{
-		If:   []protocol.Cond{{Key: key, Version: have.version}},
+	txn := protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: have.Version}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
 	}
-	d.busy[team] = true
-	c.commit(bookkeeping.RankRest, txn, func(r protocol.StoreResult) {
-		delete(d.busy, team)
-		switch r.Outcome {
+	d.permitCommitInFlight[team] = true
+	c.commitTxn(bookkeeping.PriorityBackground, txn, func(result protocol.StoreResult) {
+		delete(d.permitCommitInFlight, team)
+		switch result.Outcome {
 		case protocol.OK:
-			c.stats.permitWrites++
+			c.counters.permitWrites++
 			c.log.Debug("eviction permits committed", "team", team, "granted", len(granted), "ended", len(ended))
 		case protocol.Rejected:
 			c.log.Error("eviction permits rejected by state service", "team", team)
@@ -251,115 +253,117 @@
 	})
 }
 
-// emptyMachines stops the tasks that need no permit on machines whose replicas have been
+// evictUnpermitted stops the tasks that need no permit on machines whose replicas have been
 // seen to: those of arrays, and of services that fail wherever they run. An array task that
 // is about to end is waited for.
-func (d *drains) emptyMachines(machines []string, now micros.T) {
-	since := map[string]micros.T{}
+func (d *drains) evictUnpermitted(machines []string, now micros.Micros) {
+	since := map[string]micros.Micros{}
 	for _, id := range machines {
-		begun, ok := d.emptying[id]
+		startedAt, ok := d.evictingSince[id]
 		if !ok {
-			begun = now
+			startedAt = now
 		}
-		since[id] = begun
-		if m := d.core.view.machines[id]; m != nil && m.w != nil {
-			d.stopOthers(m, begun, now)
+		since[id] = startedAt
+		if machine := d.core.mirror.Machines[id]; machine != nil && machine.Agent != nil {
+			d.evictUnpermittedOn(machine, startedAt, now)
 		}
 	}
 	if len(machines) > 0 {
-		d.emptying = since
+		d.evictingSince = since
 	}
 }
 
-// stopOthers stops what needs no permit on a machine.
-func (d *drains) stopOthers(m *machine, begun, now micros.T) {
+// evictUnpermittedOn stops what needs no permit on a machine.
+func (d *drains) evictUnpermittedOn(machine *Machine, startedAt, now micros.Micros) {
 	stopped := 0
-	for ref, attempt := range m.tasks {
-		key := attemptKey{ref, attempt}
-		j := d.core.view.jobs[ref.job]
-		if j == nil || !j.open() || m.w.stopping[key] || m.w.settled(key) || d.needsPermit(j) || d.worthWaiting(m, key, j, begun, now) {
+	for task, attempt := range machine.Attempts {
+		key := AttemptID{task, attempt}
+		job := d.core.mirror.Jobs[task.Job]
+		if job == nil || !job.IsOpen() || machine.Agent.StoppingAttempts[key] || machine.Agent.HasOutcome(key) || d.needsPermit(job) || d.endsSoon(machine, key, job, startedAt, now) {
 			continue
 		}
-		m.w.stopping[key] = true
+		machine.Agent.StoppingAttempts[key] = true
 		stopped++
 	}
 	if stopped > 0 {
-		d.core.log.Info("tasks evicted for drain", "machine", m.id, "tasks", stopped)
-		d.core.sync(m)
+		d.core.log.Info("tasks evicted for drain", "machine", machine.ID, "tasks", stopped)
+		d.core.syncCommands(machine)
 	}
 }
 
 // needsPermit tells whether a job's tasks are stopped under permits only.
-func (d *drains) needsPermit(j *job) bool { return j.rec.Spec.Service && !d.core.mistakes(j) }
+func (d *drains) needsPermit(job *Job) bool {
+	return job.Record.Spec.Service && !d.core.isCrashLooping(job)
+}
 
-// worthWaiting tells whether an array task is expected to end soon. An estimate that was
+// endsSoon tells whether an array task is expected to end soon. An estimate that was
 // wrong is believed for twice the time.
-func (d *drains) worthWaiting(m *machine, key attemptKey, j *job, begun, now micros.T) bool {
-	at, running := m.w.since[key]
-	if !running || j.rec.Spec.Service || now-begun > 2*d.settings.ArrayWait.T() {
+func (d *drains) endsSoon(machine *Machine, key AttemptID, job *Job, startedAt, now micros.Micros) bool {
+	at, running := machine.Agent.RunningSince[key]
+	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
 		return false
 	}
-	left := micros.FromSeconds(d.core.expected(&j.rec.Spec)) - (now - at)
-	return left <= d.settings.ArrayWait.T()
+	left := micros.FromSeconds(d.core.expectedRunSeconds(&job.Record.Spec)) - (now - at)
+	return left <= d.settings.ArrayWait.Micros()
 }
 
-// markRunning keeps the marks of a machine's replicas true: one that the worker doesn't report
+// updateStartingMarks keeps the marks of a machine's replicas true: one that the worker doesn't report
 // as running is starting, one that has run for long enough isn't. It tells whether anything
 // has changed.
-func (d *drains) markRunning(next *bookkeeping.Shard, m *machine, now micros.T) bool {
-	w := m.w
-	if d == nil || w.session == 0 || !w.acked || !w.reached() {
+func (d *drains) updateStartingMarks(next *bookkeeping.Shard, machine *Machine, now micros.Micros) bool {
+	agent := machine.Agent
+	if d == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || !agent.IsReachable() {
 		return false
 	}
 	changed := false
-	for ref, attempt := range m.tasks {
-		j := d.core.view.jobs[ref.job]
-		if j == nil || !d.tracks(&j.rec.Spec) {
+	for task, attempt := range machine.Attempts {
+		job := d.core.mirror.Jobs[task.Job]
+		if job == nil || !d.tracksStart(&job.Record.Spec) {
 			continue
 		}
-		held, ok := next.Find(ref.job, ref.index)
-		if !ok || held.Attempt != attempt || held.Machine != m.id {
+		held, ok := next.FindAttempt(task.Job, task.Index)
+		if !ok || held.Number != attempt || held.Machine != machine.ID {
 			continue
 		}
-		if starting := d.starting(w, attemptKey{ref, attempt}, held.Starting, now); starting != held.Starting && d.mayMark(next, starting) {
-			next.MarkStarting(ref.job, ref.index, starting)
+		if starting := d.countsAsStarting(agent, AttemptID{task, attempt}, held.Starting, now); starting != held.Starting && d.markFits(next, starting) {
+			next.MarkStarting(task.Job, task.Index, starting)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// mayMark tells whether a mark may change: one more must find room in the record.
-func (d *drains) mayMark(next *bookkeeping.Shard, starting bool) bool {
-	return !starting || next.Bound()+bookkeeping.StartingBound <= d.core.valueBytes()
+// markFits tells whether a mark may change: one more must find room in the record.
+func (d *drains) markFits(next *bookkeeping.Shard, starting bool) bool {
+	return !starting || next.MaxEncodedSize()+bookkeeping.MaxStartingBytes <= d.core.maxValueBytes()
 }
 
-// starting tells whether a replica counts as starting, given whether it did before.
-func (d *drains) starting(w *worker, key attemptKey, before bool, now micros.T) bool {
-	if w.rep[key].State != protocol.StateRunning {
+// countsAsStarting tells whether a replica counts as starting, given whether it did before.
+func (d *drains) countsAsStarting(agent *Agent, key AttemptID, before bool, now micros.Micros) bool {
+	if agent.ReportedAttempts[key].State != protocol.StateRunning {
 		return true
 	}
-	since, ok := w.since[key]
-	return before && (!ok || now-since < d.settings.MinReady.T())
+	since, ok := agent.RunningSince[key]
+	return before && (!ok || now-since < d.settings.MinReady.Micros())
 }
 
-// lead does the leader's share: it ends drains that have come to their end or their deadline.
-func (d *drains) lead(s *drain.Snapshot) {
+// settleDrains does the leader's share: it ends drains that have come to their end or their deadline.
+func (d *drains) settleDrains(s *drain.Snapshot) {
 	for _, record := range s.Drains() {
-		next, changed := s.Settle(&record, d.expecting(&record.Drain), int64(drainKept))
+		next, changed := s.NextState(&record, d.expectsMachines(&record.Drain), int64(drainRetention))
 		if !changed {
 			continue
 		}
 		key := bookkeeping.Key(bookkeeping.KindDrain, record.Name)
-		op := protocol.Op{Delete: key}
+		operation := protocol.Op{Delete: key}
 		if next != nil {
-			op = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
+			operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
 		}
-		d.core.leaderCommit(bookkeeping.RankRest, key, protocol.Txn{
-			If:   []protocol.Cond{{Key: key, Version: record.Version}},
-			Then: []protocol.Op{op},
-		}, func(r protocol.StoreResult) {
-			if r.Outcome == protocol.OK && next != nil {
+		d.core.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: record.Version}},
+			Then: []protocol.Op{operation},
+		}, func(result protocol.StoreResult) {
+			if result.Outcome == protocol.OK && next != nil {
 				d.core.log.Info("drain state changed", "drain", record.Name, "drain_state", string(next.State),
 					"reason", next.Reason)
 			}
@@ -367,14 +371,14 @@
 	}
 }
 
-// expecting tells whether machines that a drain covers may still come up.
-func (d *drains) expecting(rec *bookkeeping.Drain) bool {
-	for _, a := range d.core.view.rentals {
-		if a.rec.Phase == bookkeeping.RentalUnmet {
+// expectsMachines tells whether machines that a drain covers may still come up.
+func (d *drains) expectsMachines(rec *bookkeeping.Drain) bool {
+	for _, request := range d.core.mirror.ScaleOuts {
+		if request.Record.Phase == bookkeeping.ScaleOutNoCapacity {
 			continue
 		}
-		for _, id := range d.core.missing(a) {
-			if drain.Covers(rec, id, a.rec.Type, a.rec.Zone, a.rec.Spot) {
+		for _, id := range d.core.missingMachines(request) {
+			if drain.Covers(rec, id, request.Record.MachineType, request.Record.Zone, request.Record.Spot) {
 				return true
 			}
 		}
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -15,30 +15,30 @@
 // is taken every second from what the workers run, and compared with its floor.
 type drainScenario struct {
 	*cluster
-	floors   map[string]int
-	services map[string]int // replicas by job
-	samples  int
-	below    []string
-	stopped  int      // replicas stopped by command
-	stops    []string // stops by command that took a team below its floor
-	lossy    bool     // more may be lost at once than the reserve: only the stops are checked
-	lowest   map[string]int
+	floors          map[string]int
+	services        map[string]int // replicas by job
+	samples         int
+	floorViolations []string
+	stoppedReplicas int      // replicas stopped by command
+	stopsBelowFloor []string // stops by command that took a team below its floor
+	allowsLosses    bool     // more may be lost at once than the reserve: only the stops are checked
+	lowestRunning   map[string]int
 }
 
-const sampleEvery = sec
+const sampleInterval = second
 
 // newDrainScenario starts a fleet with three teams' services; two have budgets.
 func newDrainScenario(t testing.TB, seed uint64) *drainScenario {
-	s := &drainScenario{cluster: newCluster(t, seed), floors: map[string]int{}, services: map[string]int{}, lowest: map[string]int{}}
+	s := &drainScenario{cluster: newCluster(t, seed), floors: map[string]int{}, services: map[string]int{}, lowestRunning: map[string]int{}}
 	s.teams = []config.Team{{Name: "intake"}, {Name: "payout"}, {Name: "other"}}
 	for offer := range s.cloud.Capacity {
 		s.cloud.Capacity[offer] = 40
 	}
-	s.set.Drains = drainSettings()
-	s.set.ScaleDownDelay = config.Span(8 * sec)
-	s.store = standin.NewStore(s.sim, 300, 100, 12)
-	facts := s.facts
-	s.facts = func(cfg *config.Config) {
+	s.settings.Drains = drainSettings()
+	s.settings.ScaleDownDelay = config.Duration(8 * second)
+	s.store = standin.NewStateStore(s.sim, 300, 100, 12)
+	facts := s.adjustFacts
+	s.adjustFacts = func(cfg *config.Config) {
 		if facts != nil {
 			facts(cfg)
 		}
@@ -47,50 +47,50 @@
 	return s
 }
 
-func drainSettings() *config.Drains {
+func drainSettings() *config.DrainSettings {
 	reserve := 1
-	return &config.Drains{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 4,
-		ArrayWait: config.Span(10 * sec), MinReady: config.Span(3 * sec),
-		Budgets: []config.Budget{
-			{Team: "intake", MinAvailable: &config.Amount{Value: 70, Percent: true}},
-			{Team: "payout", MaxUnavailable: &config.Amount{Value: 6}},
+	return &config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 4,
+		ArrayWait: config.Duration(10 * second), MinReady: config.Duration(3 * second),
+		Budgets: []config.DisruptionBudget{
+			{Team: "intake", MinAvailable: &config.CountOrPercent{Value: 70, Percent: true}},
+			{Team: "payout", MaxUnavailable: &config.CountOrPercent{Value: 6}},
 		}}
 }
 
-// service has a service accepted and waits until all of its replicas run.
-func (s *drainScenario) service(team string, replicas int, options ...jobOption) string {
+// submitService has a service accepted and waits until all of its replicas run.
+func (s *drainScenario) submitService(team string, replicas int, options ...jobOption) string {
 	s.t.Helper()
-	usual := jobWith(withService(true), withTasks(replicas), withTeam(team), withPriority(protocol.Prod), withCPUs(2))
-	id, body := s.spec(usual, jobWith(options...))
+	usual := jobWith(withService(true), withTasks(replicas), withTeam(team), withPriority(protocol.Production), withCPUs(2))
+	id, body := s.newSubmission(usual, jobWith(options...))
 	s.fleet.Jobs[id] = serviceInfo(team, body.CPUs)
 	s.services[id] = replicas
-	r := s.ask(s.names[0], "POST", protocol.JobsPath, protocol.MustMarshal(body))
-	if r.Status != 201 {
-		s.t.Fatalf("service of %s: %d", team, r.Status)
+	response := s.requestAndWait(s.nodeNames[0], "POST", protocol.JobsPath, protocol.MustMarshal(body))
+	if response.Status != 201 {
+		s.t.Fatalf("service of %s: %d", team, response.Status)
 	}
 	return id
 }
 
 // serviceInfo is what a worker knows of a service: it fetches an image and saves when it stops.
-func serviceInfo(team string, cpus float64) standin.JobInfo {
-	return standin.JobInfo{Team: team, CPUs: cpus, Service: true, Fetch: 2 * sec, Save: sec / 2}
+func serviceInfo(team string, cpus float64) standin.JobBehavior {
+	return standin.JobBehavior{Team: team, CPUs: cpus, Service: true, PullTime: 2 * second, CheckpointTime: second / 2}
 }
 
-// settle starts everything and waits until all replicas run.
-func (s *drainScenario) settle() *drainScenario {
+// startServices starts everything and waits until all replicas run.
+func (s *drainScenario) startServices() *drainScenario {
 	s.t.Helper()
-	s.steady()
+	s.startWithLeader()
 	for i := range 3 {
-		s.service("intake", 6+i)
-		s.service("payout", 5)
+		s.submitService("intake", 6+i)
+		s.submitService("payout", 5)
 	}
-	s.service("other", 4)
-	s.submit(40*sec, withTasks(30), withTeam("other"), withCPUs(1), withEstimateS(40),
+	s.submitService("other", 4)
+	s.submit(40*second, withTasks(30), withTeam("other"), withCPUs(1), withEstimateS(40),
 		withPriority(protocol.BestEffort))
-	if !s.sim.RunUntil(120*sec, s.allRun) {
-		s.t.Fatalf("only %v of the services run", s.running())
+	if !s.sim.RunUntil(120*second, s.allReplicasRun) {
+		s.t.Fatalf("only %v of the services run", s.runningByTeam())
 	}
-	s.sim.Run(15 * sec)
+	s.sim.Run(15 * second)
 	s.floors["intake"] = 15 // 70% of 21, rounded up
 	s.floors["payout"] = 9  // 15 but for 6
 	s.sample()
@@ -100,27 +100,27 @@
 
 // checkStop looks at every stop of a replica by a command: whatever was lost before, it must
 // leave the team at its floor.
-func (s *drainScenario) checkStop(task string, w *standin.Worker) {
-	ref, _ := parseTask(task)
-	if s.fleet.Jobs[ref.job].Service {
-		s.stopped++
+func (s *drainScenario) checkStop(task string, worker *standin.Worker) {
+	ref, _ := ParseTaskID(task)
+	if s.fleet.Jobs[ref.Job].Service {
+		s.stoppedReplicas++
 	}
-	team := s.fleet.Jobs[ref.job].Team
-	if floor, budgeted := s.floors[team]; budgeted && s.fleet.Jobs[ref.job].Service && s.fleet.RunningOf(team) < floor {
-		s.stops = append(s.stops, fmt.Sprintf("%.1f s: %s is stopped on %s, %s runs %d, floor %d",
-			s.sim.Now().Seconds(), task, w.Machine.ID, team, s.fleet.RunningOf(team), floor))
+	team := s.fleet.Jobs[ref.Job].Team
+	if floor, budgeted := s.floors[team]; budgeted && s.fleet.Jobs[ref.Job].Service && s.fleet.RunningReplicas(team) < floor {
+		s.stopsBelowFloor = append(s.stopsBelowFloor, fmt.Sprintf("%.1f s: %s is stopped on %s, %s runs %d, floor %d",
+			s.sim.Now().Seconds(), task, worker.Machine.ID, team, s.fleet.RunningReplicas(team), floor))
 	}
 }
 
-func (s *drainScenario) running() map[string]int {
+func (s *drainScenario) runningByTeam() map[string]int {
 	out := map[string]int{}
 	for team := range s.floors {
-		out[team] = s.fleet.RunningOf(team)
+		out[team] = s.fleet.RunningReplicas(team)
 	}
 	return out
 }
 
-func (s *drainScenario) allRun() bool {
+func (s *drainScenario) allReplicasRun() bool {
 	for id, n := range s.services {
 		if s.fleet.Running(id) != n {
 			return false
@@ -133,34 +133,34 @@
 func (s *drainScenario) sample() {
 	s.samples++
 	for _, team := range sortedKeys(s.floors) {
-		n := s.fleet.RunningOf(team)
-		if low, ok := s.lowest[team]; !ok || n < low {
-			s.lowest[team] = n
+		n := s.fleet.RunningReplicas(team)
+		if low, ok := s.lowestRunning[team]; !ok || n < low {
+			s.lowestRunning[team] = n
 		}
 		if n < s.floors[team] {
-			s.below = append(s.below, fmt.Sprintf("%.0f s: %s runs %d, floor %d", s.sim.Now().Seconds(), team, n, s.floors[team]))
+			s.floorViolations = append(s.floorViolations, fmt.Sprintf("%.0f s: %s runs %d, floor %d", s.sim.Now().Seconds(), team, n, s.floors[team]))
 		}
 	}
-	s.sim.After(sampleEvery, s.sample)
+	s.sim.After(sampleInterval, s.sample)
 }
 
 // commit makes a change as an operator's command does.
-func (s *drainScenario) commit(txn protocol.Txn) protocol.StoreResult {
+func (s *drainScenario) commit(txn protocol.Transaction) protocol.StoreResult {
 	var result *protocol.StoreResult
-	s.store.Call("operator", &protocol.StoreCall{Op: protocol.StoreCommit, Txn: txn, Within: 2 * sec}, func(r protocol.StoreResult) { result = &r })
-	s.sim.RunUntil(3*sec, func() bool { return result != nil })
+	s.store.Call("operator", &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: 2 * second}, func(r protocol.StoreResult) { result = &r })
+	s.sim.RunUntil(3*second, func() bool { return result != nil })
 	return *result
 }
 
-// put writes a drain's record, whatever it was.
-func (s *drainScenario) put(name string, d bookkeeping.Drain) {
+// putDrain writes a drain's record, whatever it was.
+func (s *drainScenario) putDrain(name string, d bookkeeping.Drain) {
 	s.t.Helper()
 	key := bookkeeping.Key(bookkeeping.KindDrain, name)
 	for range 60 {
-		if s.commit(protocol.Txn{Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&d)}}}).Outcome == protocol.OK {
+		if s.commit(protocol.Transaction{Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&d)}}}).Outcome == protocol.OK {
 			return
 		}
-		s.sim.Run(sec)
+		s.sim.Run(second)
 	}
 	s.t.Fatalf("drain %s can't be written", name)
 }
@@ -168,26 +168,26 @@
 // drainZone starts a drain of a zone with replacement.
 func (s *drainScenario) drainZone(name, zone string) {
 	s.t.Helper()
-	s.put(name, bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: zone}, Replace: true,
+	s.putDrain(name, bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: zone}, Replace: true,
 		MaxParallel: 4, StartedAt: int64(s.sim.Now())})
 }
 
-func (s *drainScenario) state(name string) bookkeeping.DrainState {
+func (s *drainScenario) drainState(name string) bookkeeping.DrainState {
 	var d bookkeeping.Drain
 	s.store.Read(bookkeeping.Key(bookkeeping.KindDrain, name), &d)
 	return d.State
 }
 
-// ends waits until a drain has ended and all replicas run.
-func (s *drainScenario) ends(name string, within micros.T) {
+// waitDrainEnds waits until a drain has ended and all replicas run.
+func (s *drainScenario) waitDrainEnds(name string, within micros.Micros) {
 	s.t.Helper()
-	ended := func() bool { return s.state(name) != bookkeeping.DrainActive && s.allRun() }
+	ended := func() bool { return s.drainState(name) != bookkeeping.DrainActive && s.allReplicasRun() }
 	if !s.sim.RunUntil(within, ended) {
-		s.t.Errorf("drain %s is %s after %v s, running %v, in zone a %v", name, s.state(name), within.Seconds(), s.running(), s.inZone("a"))
-		for _, n := range s.names {
-			if core := s.nodes[n].core; core != nil {
-				d := core.drains.policy.Decide(core.fleet(), core.drains.controller())
-				s.t.Errorf("%s: blocked %v", n, d.Blocked)
+		s.t.Errorf("drain %s is %s after %v s, running %v, in zone a %v", name, s.drainState(name), within.Seconds(), s.runningByTeam(), s.machinesInZone("a"))
+		for _, node := range s.nodeNames {
+			if core := s.nodes[node].controller; core != nil {
+				d := core.drains.policy.Decide(core.drainSnapshot(), core.drains.controller())
+				s.t.Errorf("%s: blocked %v", node, d.Blocked)
 			}
 		}
 	}
@@ -202,36 +202,36 @@
 	return newest
 }
 
-// inZone lists the machines that are there in a zone.
-func (s *drainScenario) inZone(zone string) []string {
+// machinesInZone lists the machines that are there in a zone.
+func (s *drainScenario) machinesInZone(zone string) []string {
 	var out []string
 	for _, id := range sortedKeys(s.cloud.Machines) {
-		if m := s.cloud.Machines[id]; m.Zone == zone && !m.Gone {
+		if rented := s.cloud.Machines[id]; rented.Zone == zone && !rented.Gone {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// kept checks that no sample was below a floor, and all invariants.
-func (s *drainScenario) kept() {
+// reportBudgetViolations checks that no sample was below a floor, and all invariants.
+func (s *drainScenario) reportBudgetViolations() {
 	s.t.Helper()
-	for _, stop := range s.stops {
+	for _, stop := range s.stopsBelowFloor {
 		s.t.Error(stop)
 	}
-	for _, b := range s.below {
-		if !s.lossy {
+	for _, b := range s.floorViolations {
+		if !s.allowsLosses {
 			s.t.Error(b)
 		}
 	}
 	if s.samples < 10 {
 		s.t.Errorf("only %d samples", s.samples)
 	}
-	s.rules()
+	s.requireNoViolations()
 }
 
-// moves counts starts of replicas beyond the first.
-func (s *drainScenario) moves() (moved, most int) {
+// countMoves counts starts of replicas beyond the first.
+func (s *drainScenario) countMoves() (moved, most int) {
 	for id, n := range s.services {
 		for i := range n {
 			again := s.fleet.Starts[fmt.Sprintf("%s/%d", id, i)] - 1
@@ -247,26 +247,26 @@
 func TestDrainZone(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			s := newDrainScenario(t, 700+seed).settle()
+			s := newDrainScenario(t, 700+seed).startServices()
 			s.floors["other"] = 3 // no budget: one at a time
-			before := len(s.inZone("a"))
-			changes, begun := s.store.Changes, s.sim.Now()
+			before := len(s.machinesInZone("a"))
+			changes, startedAt := s.store.Changes, s.sim.Now()
 			s.drainZone("rack", "a")
-			s.ends("rack", 300*sec)
-			took := s.sim.Now() - begun
-			if got := s.state("rack"); got != bookkeeping.DrainDrained {
+			s.waitDrainEnds("rack", 300*second)
+			took := s.sim.Now() - startedAt
+			if got := s.drainState("rack"); got != bookkeeping.DrainDrained {
 				t.Errorf("the drain is %s", got)
 			}
-			if left := s.inZone("a"); len(left) > 0 || before == 0 {
+			if left := s.machinesInZone("a"); len(left) > 0 || before == 0 {
 				t.Errorf("left of %d machines: %v", before, left)
 			}
-			moved, most := s.moves()
+			moved, most := s.countMoves()
 			if most > 1 || moved == 0 {
 				t.Errorf("%d moves, %d of one replica", moved, most)
 			}
 			t.Logf("%d machines, %d moves in %.0f s, %d changes of the state service; lowest %v, floors %v",
-				before, moved, took.Seconds(), s.store.Changes-changes, s.lowest, s.floors)
-			s.kept()
+				before, moved, took.Seconds(), s.store.Changes-changes, s.lowestRunning, s.floors)
+			s.reportBudgetViolations()
 		})
 	}
 }
--- a/internal/coordination/faults.go
+++ b/internal/coordination/faults.go
@@ -14,130 +14,132 @@
 
 // Bounds of the judgement.
 const (
-	mistakenAfter = 3                  // machines that a job has failed on, with nothing completed
-	doubtfulAfter = 2                  // failures that a machine has had since something completed there
-	replicaProves = 10 * micros.Second // a service that has run for so long has no mistake
-	mostFailing   = 64                 // jobs that a hint tells of
+	jobFaultMachines       = 3                  // machines that a job has failed on, with nothing completed
+	machineFaultFailures   = 2                  // failures that a machine has had since something completed there
+	healthyReplicaAfter    = 10 * micros.Second // a service that has run for so long has no mistake
+	maxReportedFailingJobs = 64                 // jobs that a hint tells of
 )
 
-// verdict is what is known of a job whose tasks have failed.
-type verdict uint8
+// failureAttribution is what is known of a job whose tasks have failed.
+type failureAttribution uint8
 
 const (
-	unproven verdict = iota
-	sound            // something of it has completed: its failures are the machines'
-	mistaken         // its failures are its own, or say nothing any more
+	faultUnknown   failureAttribution = iota
+	machineAtFault                    // something of it has completed: its failures are the machines'
+	jobAtFault                        // its failures are its own, or say nothing any more
 )
 
-// judge tells what a job's failures are worth as evidence. That some task of it is
+// attributeFailures tells what a job's failures are worth as evidence. That some task of it is
 // done stands in the shards for all controllers; on how many machines it has failed
 // the others tell in their hints.
-func (c *Core) judge(id string) verdict {
-	j := c.view.jobs[id]
-	if j == nil {
-		if s, ok := c.view.finals.get(id); ok && s == bookkeeping.Done {
-			return sound
+func (c *Controller) attributeFailures(id string) failureAttribution {
+	job := c.mirror.Jobs[id]
+	if job == nil {
+		if status, ok := c.mirror.Results.Get(id); ok && status == bookkeeping.JobDone {
+			return machineAtFault
 		}
-		return mistaken // cancelled, or forgotten: no evidence
+		return jobAtFault // cancelled, or forgotten: no evidence
 	}
-	notes := c.jobState[id]
+	tracking := c.jobStates[id]
 	switch {
-	case !j.open():
-		return mistaken
-	case j.done > 0:
-		return sound
-	case notes != nil && notes.failedAt != 0 && j.rec.Spec.Service && j.held > 0 && c.now()-notes.failedAt > replicaProves:
-		return sound
+	case !job.IsOpen():
+		return jobAtFault
+	case job.DoneTasks > 0:
+		return machineAtFault
+	case tracking != nil && tracking.lastFailureAt != 0 && job.Record.Spec.Service && job.AssignedTasks > 0 && c.now()-tracking.lastFailureAt > healthyReplicaAfter:
+		return machineAtFault
 	}
 	n := 0
-	if notes != nil {
-		n = notes.fails
+	if tracking != nil {
+		n = tracking.failedMachines
 	}
-	n += c.peers.failures(id)
-	if n >= mistakenAfter {
-		return mistaken
+	n += c.peerStatuses.failedMachines(id)
+	if n >= jobFaultMachines {
+		return jobAtFault
 	}
-	return unproven
+	return faultUnknown
 }
 
-// mistakes tells whether an open job is held to an occasional try.
-func (c *Core) mistakes(j *job) bool { return c.judge(j.id) == mistaken && j.open() }
+// isCrashLooping tells whether an open job is held to an occasional try.
+func (c *Controller) isCrashLooping(job *Job) bool {
+	return c.attributeFailures(job.ID) == jobAtFault && job.IsOpen()
+}
 
-// blame weighs a machine's failures since something last completed there. faulty:
+// machineFault weighs a machine's failures since something last completed there. faulty:
 // jobs that run elsewhere fail on it; doubtful: so many failed there, of jobs that
 // nothing is known of yet, that it gets no more until it is.
-func (c *Core) blame(w *worker) (faulty, doubtful bool) {
+func (c *Controller) machineFault(agent *Agent) (faulty, doubtful bool) {
 	const samples, drag = 6, 1.1 // three times as long as expected, again and again
-	if w.samples >= samples && w.drag > drag {
+	if agent.SlowdownSamples >= samples && agent.LogSlowdown > drag {
 		return true, true
 	}
 	against, open := 0, 0
-	for id, n := range w.failures {
-		switch c.judge(id) {
-		case sound:
+	for id, n := range agent.FailuresByJob {
+		switch c.attributeFailures(id) {
+		case machineAtFault:
 			against += n
-		case unproven:
+		case faultUnknown:
 			open += n
 		}
 	}
-	return against >= doubtfulAfter, against+open >= doubtfulAfter
+	return against >= machineFaultFailures, against+open >= machineFaultFailures
 }
 
-// noteFailure learns from a task that failed.
-func (c *Core) noteFailure(m *machine, j *job) {
-	m.w.failures[j.id]++
-	notes := c.jobNotes(j.id)
-	notes.failedAt = c.now()
-	if !notes.failedOn[m.id] {
-		notes.failedOn[m.id] = true
-		notes.fails++
+// recordFailure learns from a task that failed.
+func (c *Controller) recordFailure(machine *Machine, job *Job) {
+	machine.Agent.FailuresByJob[job.ID]++
+	tracking := c.trackingOf(job.ID)
+	tracking.lastFailureAt = c.now()
+	if !tracking.excludedMachines[machine.ID] {
+		tracking.excludedMachines[machine.ID] = true
+		tracking.failedMachines++
 	}
-	if c.judge(j.id) == mistaken && c.now() >= notes.retryAt {
-		notes.pause(c.now(), c.set)
+	if c.attributeFailures(job.ID) == jobAtFault && c.now() >= tracking.retryAt {
+		tracking.backOff(c.now(), c.settings)
 	}
 }
 
-// acquit takes back what a faulty machine's failures have said of jobs.
-func (c *Core) acquit(m *machine) {
-	for id := range m.w.failures {
-		if notes := c.jobState[id]; notes != nil && notes.failedOn[m.id] {
-			delete(notes.failedOn, m.id)
-			notes.fails = max(0, notes.fails-1)
-			notes.retryAt, notes.step = 0, 0
+// clearFailuresOn takes back what a faulty machine's failures have said of jobs.
+func (c *Controller) clearFailuresOn(machine *Machine) {
+	for id := range machine.Agent.FailuresByJob {
+		if tracking := c.jobStates[id]; tracking != nil && tracking.excludedMachines[machine.ID] {
+			delete(tracking.excludedMachines, machine.ID)
+			tracking.failedMachines = max(0, tracking.failedMachines-1)
+			tracking.retryAt, tracking.backoffDelay = 0, 0
 		}
 	}
 }
 
-// mayTry tells how many tasks of a job that fails everywhere may be placed now: one
+// crashLoopTrials tells how many tasks of a job that fails everywhere may be placed now: one
 // at a time, the next after a pause that grows.
-func (c *Core) mayTry(j *job, now micros.T) int {
-	notes := c.jobNotes(j.id)
-	if notes.step == 0 { // learned from another controller
-		notes.pause(now, c.set)
+func (c *Controller) crashLoopTrials(job *Job, now micros.Micros) int {
+	tracking := c.trackingOf(job.ID)
+	if tracking.backoffDelay == 0 { // learned from another controller
+		tracking.backOff(now, c.settings)
 	}
-	if j.held > 0 || now < notes.retryAt {
+	if job.AssignedTasks > 0 || now < tracking.retryAt {
 		return 0
 	}
-	if notes.step >= c.set.BackoffMost.T() {
-		clear(notes.failedOn) // it has been everywhere
+	if tracking.backoffDelay >= c.settings.BackoffMax.Micros() {
+		clear(tracking.excludedMachines) // it has been everywhere
 	}
 	return 1
 }
 
-// mayRent tells whether a machine may be rented for a try of a job that fails everywhere,
+// mayScaleOutForTrial tells whether a machine may be rented for a try of a job that fails everywhere,
 // if there is no room at all: once in the longest pause. It may be the machines' fault
 // after all, and where nothing else keeps any it would wait for ever.
-func (c *Core) mayRent(j *job, now micros.T) bool {
-	at := c.jobNotes(j.id).askedAt
-	return j.held == 0 && (at == 0 || now-at >= c.set.BackoffMost.T())
+func (c *Controller) mayScaleOutForTrial(job *Job, now micros.Micros) bool {
+	at := c.trackingOf(job.ID).trialDemandAt
+	return job.AssignedTasks == 0 && (at == 0 || now-at >= c.settings.BackoffMax.Micros())
 }
 
-// failing lists the jobs that fail here, for the others.
-func (c *Core) failing() map[string]int {
+// failingJobs lists the jobs that fail here, for the others.
+func (c *Controller) failingJobs() map[string]int {
 	var out map[string]int
-	for _, id := range sortedKeys(c.jobState) {
-		n := c.jobState[id].fails
-		if j := c.view.jobs[id]; n == 0 || j == nil || !j.open() || j.done > 0 || len(out) >= mostFailing {
+	for _, id := range sortedKeys(c.jobStates) {
+		n := c.jobStates[id].failedMachines
+		if job := c.mirror.Jobs[id]; n == 0 || job == nil || !job.IsOpen() || job.DoneTasks > 0 || len(out) >= maxReportedFailingJobs {
 			continue
 		}
 		if out == nil {
--- a/internal/coordination/finals.go
+++ b/internal/coordination/finals.go
@@ -2,31 +2,33 @@
 
 import "pipitgap/internal/bookkeeping"
 
-// finals remembers final answers, the oldest forgotten first: whatever is
+// ResultCache remembers final answers, the oldest forgotten first: whatever is
 // forgotten is read from the store again.
-type finals struct {
-	most  int
-	m     map[string]bookkeeping.JobStatus
-	order []string
+type ResultCache struct {
+	capacity       int
+	statuses       map[string]bookkeeping.JobState
+	insertionOrder []string
 }
 
-func newFinals(most int) *finals { return &finals{most: most, m: map[string]bookkeeping.JobStatus{}} }
+func NewResultCache(most int) *ResultCache {
+	return &ResultCache{capacity: most, statuses: map[string]bookkeeping.JobState{}}
+}
 
-func (f *finals) add(id string, s bookkeeping.JobStatus) {
-	if _, ok := f.m[id]; ok {
+func (f *ResultCache) Add(id string, status bookkeeping.JobState) {
+	if _, ok := f.statuses[id]; ok {
 		return
 	}
-	f.m[id] = s
-	f.order = append(f.order, id)
-	if batch := f.most/16 + 1; len(f.order) >= f.most+batch {
-		for _, old := range f.order[:batch] {
-			delete(f.m, old)
+	f.statuses[id] = status
+	f.insertionOrder = append(f.insertionOrder, id)
+	if batch := f.capacity/16 + 1; len(f.insertionOrder) >= f.capacity+batch {
+		for _, old := range f.insertionOrder[:batch] {
+			delete(f.statuses, old)
 		}
-		f.order = append([]string(nil), f.order[batch:]...)
+		f.insertionOrder = append([]string(nil), f.insertionOrder[batch:]...)
 	}
 }
 
-func (f *finals) get(id string) (bookkeeping.JobStatus, bool) {
-	s, ok := f.m[id]
-	return s, ok
+func (f *ResultCache) Get(id string) (bookkeeping.JobState, bool) {
+	status, ok := f.statuses[id]
+	return status, ok
 }
--- a/internal/coordination/fleet.go
+++ b/internal/coordination/fleet.go
@@ -6,89 +6,89 @@
 	"pipitgap/internal/protocol"
 )
 
-// fleet gives the mirror in the form in which drains are decided, with what we know of our own
+// drainSnapshot gives the mirror in the form in which drains are decided, with what we know of our own
 // machines beyond the records.
-func (c *Core) fleet() *drain.Snapshot {
-	b := c.view.fleetBuilder(c.env.Wall(), c.types, c.mistakes)
-	for _, id := range sortedKeys(c.view.machines) {
-		m := c.view.machines[id]
-		if m.rec == nil {
+func (c *Controller) drainSnapshot() *drain.Snapshot {
+	b := c.mirror.drainSnapshotBuilder(c.env.WallClock(), c.machineTypes, c.isCrashLooping)
+	for _, id := range sortedKeys(c.mirror.Machines) {
+		machine := c.mirror.Machines[id]
+		if machine.Record == nil {
 			continue
 		}
-		entry := c.view.fleetMachine(m, c.types)
+		entry := c.mirror.drainSnapshotMachine(machine, c.machineTypes)
 		switch {
-		case m.w == nil && m.owner() == c.node:
+		case machine.Agent == nil && machine.Owner() == c.node:
 			entry.Owner = "" // an earlier life of ours, whose shard isn't claimed again yet
-		case m.w == nil:
-		case m.w.removing != "":
+		case machine.Agent == nil:
+		case machine.Agent.RemovalReason != "":
 			entry.State = bookkeeping.MachineRemoving
-		case m.w.noticed:
+		case machine.Agent.InterruptionNoticed:
 			entry.State = bookkeeping.MachineDraining
-		case m.w.quiet:
-			entry.State = bookkeeping.MachineQuiet
+		case machine.Agent.Suspect:
+			entry.State = bookkeeping.MachineUnreachable
 		}
 		b.AddMachine(entry)
 	}
 	return b.Build()
 }
 
-// fleetBuilder begins a snapshot with all but the machines.
-func (v *View) fleetBuilder(wall int64, types map[string]protocol.MachineType, failing func(*job) bool) *drain.Builder {
-	b := drain.NewBuilder(v.watched, wall)
-	for id, j := range v.jobs {
-		if s := &j.rec.Spec; s.Service && j.open() {
-			b.AddJob(&drain.Job{ID: id, Team: s.Team, Class: s.Class, Replicas: s.Tasks, Need: resources(j.need), Priority: s.Priority,
-				Types: s.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Spot: s.Spot, Failing: failing(j)})
+// drainSnapshotBuilder begins a snapshot with all but the machines.
+func (v *Mirror) drainSnapshotBuilder(wall int64, types map[string]protocol.MachineType, failing func(*Job) bool) *drain.Builder {
+	b := drain.NewBuilder(v.WatchedRevision, wall)
+	for id, job := range v.Jobs {
+		if spec := &job.Record.Spec; spec.Service && job.IsOpen() {
+			b.AddJob(&drain.Job{ID: id, Team: spec.Team, Class: spec.Class, Replicas: spec.Tasks, PerTask: drainResources(job.TaskResources), Priority: spec.Priority,
+				Types: spec.MachineTypes, Zone: spec.Zone, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Failing: failing(job)})
 		}
 	}
-	for name, t := range types {
-		b.AddType(drain.MachineType{Name: name, Capacity: resources(capacity(&t)), Zones: t.Zones})
+	for name, machineType := range types {
+		b.AddType(drain.TypeCapacity{Name: name, Capacity: drainResources(machineCapacity(&machineType)), Zones: machineType.Zones})
 	}
-	for name, d := range v.drains {
-		b.AddDrain(name, d.version, d.rec)
+	for name, drainEntry := range v.Drains {
+		b.AddDrain(name, drainEntry.Version, drainEntry.Record)
 	}
-	for team, p := range v.permits {
-		b.AddPermits(team, p.version, p.rec)
+	for team, permits := range v.PermitsByTeam {
+		b.AddPermits(team, permits.Version, permits.Record)
 	}
 	return b
 }
 
-// fleetMachine gives a machine as the records have it.
-func (v *View) fleetMachine(m *machine, types map[string]protocol.MachineType) *drain.Machine {
-	out := &drain.Machine{ID: m.id, Type: m.rec.Type, Zone: m.rec.Zone, Spot: m.rec.Spot, State: m.rec.State, Owner: m.owner()}
-	if v.removal[m.id] != "" {
+// drainSnapshotMachine gives a machine as the records have it.
+func (v *Mirror) drainSnapshotMachine(machine *Machine, types map[string]protocol.MachineType) *drain.Machine {
+	out := &drain.Machine{ID: machine.ID, Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot, State: machine.Record.State, Owner: machine.Owner()}
+	if v.ScaleInOfMachine[machine.ID] != "" {
 		out.State = bookkeeping.MachineRemoving
 	}
-	if t, ok := types[m.rec.Type]; ok {
-		out.Free = resources(capacity(&t).plus(m.used, -1))
+	if machineType, ok := types[machine.Record.Type]; ok {
+		out.Free = drainResources(machineCapacity(&machineType).AddScaled(machine.Used, -1))
 	}
-	for _, ref := range sortedTasks(m.tasks) {
-		j := v.jobs[ref.job]
+	for _, task := range sortedTaskIDs(machine.Attempts) {
+		job := v.Jobs[task.Job]
 		switch {
-		case j == nil || !j.open():
-		case j.rec.Spec.Service:
-			held, _ := m.shard.rec.Find(ref.job, ref.index)
-			out.Replicas = append(out.Replicas, drain.Replica{Job: ref.job, Task: ref.index, Attempt: m.tasks[ref], Starting: held.Starting})
+		case job == nil || !job.IsOpen():
+		case job.Record.Spec.Service:
+			held, _ := machine.Shard.Record.FindAttempt(task.Job, task.Index)
+			out.Replicas = append(out.Replicas, drain.Replica{Job: task.Job, Task: task.Index, Attempt: machine.Attempts[task], Starting: held.Starting})
 		default:
-			addArrayWork(out, j)
+			addArrayTask(out, job)
 		}
 	}
 	return out
 }
 
-// addArrayWork adds an array task to what a machine holds.
-func addArrayWork(m *drain.Machine, j *job) {
-	priority := j.rec.Spec.Priority
-	for i := range m.Arrays {
-		if m.Arrays[i].Priority == priority {
-			m.Arrays[i].Tasks++
-			m.Arrays[i].Uses = m.Arrays[i].Uses.Plus(resources(j.need))
+// addArrayTask adds an array task to what a machine holds.
+func addArrayTask(m *drain.Machine, job *Job) {
+	priority := job.Record.Spec.Priority
+	for i := range m.ArrayUsage {
+		if m.ArrayUsage[i].Priority == priority {
+			m.ArrayUsage[i].Tasks++
+			m.ArrayUsage[i].Resources = m.ArrayUsage[i].Resources.Plus(drainResources(job.TaskResources))
 			return
 		}
 	}
-	m.Arrays = append(m.Arrays, drain.ArrayWork{Priority: priority, Tasks: 1, Uses: resources(j.need)})
+	m.ArrayUsage = append(m.ArrayUsage, drain.ArrayUsage{Priority: priority, Tasks: 1, Resources: drainResources(job.TaskResources)})
 }
 
-func resources(a amount) drain.Resources {
-	return drain.Resources{CPUs: a.cpus, GPUs: a.gpus, MemoryGB: a.mem}
+func drainResources(r Resources) drain.Resources {
+	return drain.Resources{CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB}
 }
--- a/internal/coordination/fleet_test.go
+++ b/internal/coordination/fleet_test.go
@@ -11,27 +11,27 @@
 	"pipitgap/internal/standin"
 )
 
-// newFleet is five controllers with room for some fifteen hundred machines, on a
+// newLargeFleetCluster is five controllers with room for some fifteen hundred machines, on a
 // state service and a cloud that are but twice those of three with forty.
-func newFleet(t testing.TB, seed uint64) *cluster {
-	c := newGrown(t, seed)
-	c.store.RPS, c.store.WPS = 400, 100
-	c.fleet.Report, c.fleet.Lease, c.check.CancelIn = 4*sec, 22*sec, 42*sec
-	c.cloud.Boot = 25 * sec
+func newLargeFleetCluster(t testing.TB, seed uint64) *cluster {
+	c := newGrownCluster(t, seed)
+	c.store.RPS, c.store.WriteRPS = 400, 100
+	c.fleet.HeartbeatInterval, c.fleet.LeaseTime, c.checker.CancelWithin = 4*second, 22*second, 42*second
+	c.cloud.BootTime = 25 * second
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.Offer("m16", z, false)] = 375
-		c.cloud.Capacity[standin.Offer("m16", z, true)] = 395
+		c.cloud.Capacity[standin.OfferKey("m16", z, false)] = 375
+		c.cloud.Capacity[standin.OfferKey("m16", z, true)] = 395
 	}
 	c.teams = nil
 	for i, most := range []float64{7000, 5000, 10000, 5000, 6000, 7000} {
 		name := fmt.Sprint("team", i)
 		c.teams = append(c.teams, config.Team{Name: name, CPUs: most / 3, CPUsMax: most})
-		c.check.Limits[name] = most
+		c.checker.Limits[name] = most
 	}
-	c.facts = func(cfg *config.Config) {
+	c.adjustFacts = func(cfg *config.Config) {
 		f := &cfg.Facts
-		f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 4, 22, 42
+		f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 4, 22, 42
 		f.State.RPS, f.State.WriteRPS = 400, 100
 		f.Cloud.RPS = 9
 		f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.55, 320, 2800
@@ -41,17 +41,17 @@
 	return c
 }
 
-// opening submits what waits when a day of the far larger fleet begins, and as
+// submitOpeningLoad submits what waits when a day of the far larger fleet begins, and as
 // much as comes in a second of it.
-func (c *cluster) opening(services, deep, wide int) {
+func (c *cluster) submitOpeningLoad(services, deep, wide int) {
 	for i := 0; i < services; i++ {
-		c.send(0, withClass("svc"), withTeam(fmt.Sprint("team", i%6)), withService(true),
+		c.submitWithRetry(0, withClass("svc"), withTeam(fmt.Sprint("team", i%6)), withService(true),
 			withPriority(protocol.High), withCPUs(1), withMemoryGB(6.3),
 			withImage(fmt.Sprint("svc", i%16)), withImageGB(1.8), withEstimateS(0))
 	}
 	array := func(class string, team, tasks int, cores, mem, guess, due float64) {
-		run := micros.T(guess * float64(sec) * (0.5 + c.sim.Rand.Float64()))
-		c.send(run, withClass(class), withTeam(fmt.Sprint("team", team)), withTasks(tasks), withCPUs(cores),
+		run := micros.Micros(guess * float64(second) * (0.5 + c.sim.Rand.Float64()))
+		c.submitWithRetry(run, withClass(class), withTeam(fmt.Sprint("team", team)), withTasks(tasks), withCPUs(cores),
 			withMemoryGB(mem),
 			withImage(fmt.Sprint(class, c.sim.Rand.IntN(12))), withImageGB(0.7), withEstimateS(guess),
 			withSpot(true), withDeadlineS(due))
@@ -64,106 +64,106 @@
 	}
 }
 
-// poll asks about a job like its user, from its acceptance to its end.
-func (c *cluster) poll(id string, answered map[int]int) {
+// pollUntilFinal asks about a job like its user, from its acceptance to its end.
+func (c *cluster) pollUntilFinal(id string, answered map[int]int) {
 	over := false
-	c.sim.After(c.jitter(5*sec), func() {
-		node := c.names[c.sim.Rand.IntN(len(c.names))]
-		if c.nodes[node].core == nil {
-			node = c.names[0]
+	c.sim.After(c.randomDuration(5*second), func() {
+		node := c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))]
+		if c.nodes[node].controller == nil {
+			node = c.nodeNames[0]
 		}
-		c.request(node, "GET", protocol.JobPath(id), nil, func(r Reply) {
-			answered[r.Status]++
-			var st protocol.JobStatus
-			over = protocol.Unmarshal(r.Body, &st) == nil && st.Status == protocol.JobDone
+		c.sendRequest(node, "GET", protocol.JobPath(id), nil, func(response Response) {
+			answered[response.Status]++
+			var jobStatus protocol.JobStatusReply
+			over = protocol.Unmarshal(response.Body, &jobStatus) == nil && jobStatus.Status == protocol.JobDone
 		})
 	})
-	c.sim.After(5*sec, func() {
+	c.sim.After(5*second, func() {
 		if !over {
-			c.poll(id, answered)
+			c.pollUntilFinal(id, answered)
 		}
 	})
 }
 
-// TestFleetOpening plays the opening of a day at one and a half times the far larger
+// TestLargeFleetOpeningLoad plays the opening of a day at one and a half times the far larger
 // fleet, and a crash of all controllers but one in the midst of it: what is served,
 // and what it costs in changes, requests, commands and machines looked at.
-func TestFleetOpening(t *testing.T) {
-	c := newFleet(t, 1)
+func TestLargeFleetOpeningLoad(t *testing.T) {
+	c := newLargeFleetCluster(t, 1)
 	got := map[string]int{}
-	c.copies = func(_ *standin.Worker, _ string, body []byte) {
+	c.onReport = func(_ *standin.Worker, _ string, body []byte) {
 		got["largest report"] = max(got["largest report"], len(body))
 	}
 	answered := map[int]int{}
-	c.accepted = func(id string) { c.poll(id, answered) }
-	c.start(c.names...)
-	c.sim.Run(3 * sec)
-	c.opening(1100, 22, 65)
+	c.onAccepted = func(id string) { c.pollUntilFinal(id, answered) }
+	c.start(c.nodeNames...)
+	c.sim.Run(3 * second)
+	c.submitOpeningLoad(1100, 22, 65)
 	for s := 0; s < 55; s++ {
-		c.opening(8, 1, 1+s%2)
-		c.sim.Run(sec)
+		c.submitOpeningLoad(8, 1, 1+s%2)
+		c.sim.Run(second)
 	}
 	running := func() (services, of int) {
 		for id, j := range c.fleet.Jobs {
-			if j.Run == 0 {
+			if j.RunTime == 0 {
 				of++
 				services += c.fleet.Running(id)
 			}
 		}
 		return services, of
 	}
-	for _, n := range c.names {
-		got["looked at"] += c.nodes[n].core.stats.looked
-		got["placed"] += c.nodes[n].core.stats.placed
+	for _, node := range c.nodeNames {
+		got["looked at"] += c.nodes[node].controller.counters.machinesExamined
+		got["placed"] += c.nodes[node].controller.counters.tasksPlaced
 	}
-	for _, k := range c.store.Keys(bookkeeping.Root) {
-		got["largest value"] = max(got["largest value"], c.store.Size(k))
+	for _, k := range c.store.Keys(bookkeeping.KeyPrefix) {
+		got["largest value"] = max(got["largest value"], c.store.JSONSize(k))
 	}
 	got["pages"] = len(c.store.Keys(bookkeeping.Key(bookkeeping.KindShard, "")))
-	got["machines"] = c.cloud.Count()
+	got["machines"] = c.cloud.MachineCount()
 	got["cloud calls"] = c.cloud.Calls[protocol.CloudRent] + c.cloud.Calls[protocol.CloudList] + c.cloud.Calls[protocol.CloudDelete]
 	got["finished"] = len(c.fleet.Finished)
 	got["refused"] = c.store.Throttled
 	used, room := 0.0, 0.0
-	for _, m := range c.nodes["n-0"].core.view.machines {
-		if m.rec != nil && m.rec.State == bookkeeping.MachineOpen {
-			used, room = used+m.used.cpus, room+16
+	for _, machine := range c.nodes["n-0"].controller.mirror.Machines {
+		if machine.Record != nil && machine.Record.State == bookkeeping.MachineOpen {
+			used, room = used+machine.Used.CPUs, room+16
 		}
 	}
 	got["used of 100"] = int(100 * used / room)
 
 	// One is left, with some three hundred of the machines, and has them all soon.
 	sessions := map[string]uint64{}
-	for id, w := range c.fleet.Workers {
-		sessions[id] = w.Session
+	for id, worker := range c.fleet.Workers {
+		sessions[id] = worker.Incarnation
 	}
 	changes, before := c.store.Changes, len(c.fleet.Finished)
-	c.refuse = true
-	c.kill(c.names[1:]...)
+	c.refuseConnections = true
+	c.kill(c.nodeNames[1:]...)
 	clear(answered)
-	c.sim.Run(25 * sec)
+	c.sim.Run(25 * second)
 	got["changes, alone"] = c.store.Changes - changes
-	core := c.nodes["n-0"].core
-	for _, p := range core.view.shards {
-		if !core.owns(p) {
+	core := c.nodes["n-0"].controller
+	for _, shard := range core.mirror.Shards {
+		if !core.ownsShard(shard) {
 			got["pages of others"]++
 		}
 	}
-	for id, w := range c.fleet.Workers {
-		if !w.Machine.Gone && sessions[id] != 0 && w.Session > sessions[id] {
+	for id, worker := range c.fleet.Workers {
+		if !worker.Machine.Gone && sessions[id] != 0 && worker.Incarnation > sessions[id] {
 			got["leases lost"]++
 		}
 	}
 	got["finished, alone"] = len(c.fleet.Finished) - before
 	got["polls answered, alone"] = answered[200]
 	got["services"], got["services of"] = running()
-	got["commands"], got["largest response"] = c.commands, c.largest
+	got["commands"], got["largest response"] = c.commandCount, c.largestResponse
 	got["changes"] = c.store.Changes
 	for _, n := range c.store.Calls {
 		got["requests"] += n
 	}
 	t.Log(got)
-	c.rules()
+	c.requireNoViolations()
 	for _, tc := range []struct {
 		what        string
 		least, most int
--- a/internal/coordination/grown_test.go
+++ b/internal/coordination/grown_test.go
@@ -11,47 +11,47 @@
 	"pipitgap/internal/standin"
 )
 
-// newGrown is five controllers with room for some five hundred machines, on a
+// newGrownCluster is five controllers with room for some five hundred machines, on a
 // state service and a cloud no larger than those of three with forty.
-func newGrown(t testing.TB, seed uint64) *cluster {
+func newGrownCluster(t testing.TB, seed uint64) *cluster {
 	c := newCluster(t, seed)
-	c.names = []string{"n-0", "n-1", "n-2", "n-3", "n-4"}
-	c.fleet.Nodes = c.names
-	for _, n := range c.names {
-		c.nodes[n] = &simNode{c: c, name: n}
+	c.nodeNames = []string{"n-0", "n-1", "n-2", "n-3", "n-4"}
+	c.fleet.Controllers = c.nodeNames
+	for _, node := range c.nodeNames {
+		c.nodes[node] = &simController{cluster: c, name: node}
 	}
 	c.teams = []config.Team{{Name: "free", CPUs: 1000, CPUsMax: 3500}, {Name: "tight", CPUs: 800, CPUsMax: 2500}, {Name: "third", CPUs: 800, CPUsMax: 3500}}
-	c.set.ScaleDownDelay, c.set.ExpectedRoom, c.set.ExpectedRoomOrdinary = config.Span(15*sec), 0.2, 1.75
-	c.set.OverdueBoot, c.set.ServiceHeadroom = 0.75, 0.3
+	c.settings.ScaleDownDelay, c.settings.ExpectedCapacity, c.settings.ExpectedOnDemandCapacity = config.Duration(15*second), 0.2, 1.75
+	c.settings.OverdueBootFactor, c.settings.ServiceHeadroom = 0.75, 0.3
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.Offer("m16", z, false)] = 135
-		c.cloud.Capacity[standin.Offer("m16", z, true)] = 135
+		c.cloud.Capacity[standin.OfferKey("m16", z, false)] = 135
+		c.cloud.Capacity[standin.OfferKey("m16", z, true)] = 135
 	}
-	c.check.Limits["tight"], c.check.Limits["free"], c.check.Limits["third"] = 2500, 3500, 3500
+	c.checker.Limits["tight"], c.checker.Limits["free"], c.checker.Limits["third"] = 2500, 3500, 3500
 	return c
 }
 
-// send submits a job at some controller, asking again like a user.
-func (c *cluster) send(run micros.T, options ...jobOption) string {
-	id, j := c.spec(options...)
-	c.fleet.Jobs[id] = standin.JobInfo{Team: j.Team, CPUs: j.CPUs, Run: run}
+// submitWithRetry submits a job at some controller, asking again like a user.
+func (c *cluster) submitWithRetry(run micros.Micros, options ...jobOption) string {
+	id, j := c.newSubmission(options...)
+	c.fleet.Jobs[id] = standin.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
 	body := protocol.MustMarshal(j)
 	var try func()
 	try = func() {
 		settled := false
-		c.request(c.names[c.sim.Rand.IntN(len(c.names))], "POST", protocol.JobsPath, body, func(r Reply) {
+		c.sendRequest(c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))], "POST", protocol.JobsPath, body, func(response Response) {
 			if settled {
 				return
 			}
 			settled = true
-			if r.Status != 200 && r.Status != 201 {
-				c.sim.After(sec, try)
-			} else if c.accepted != nil {
-				c.accepted(id)
+			if response.Status != 200 && response.Status != 201 {
+				c.sim.After(second, try)
+			} else if c.onAccepted != nil {
+				c.onAccepted(id)
 			}
 		})
-		c.sim.After(5*sec, func() {
+		c.sim.After(5*second, func() {
 			if !settled {
 				settled = true
 				try()
@@ -62,25 +62,25 @@
 	return id
 }
 
-// TestGrownOpening plays the opening of a day twelve times as large: what it costs
+// TestGrownClusterOpeningLoad plays the opening of a day twelve times as large: what it costs
 // in changes, requests and bytes, and what gets done for that. Before shards, 4,500
 // changes brought 137 tasks to their end in the same time.
-func TestGrownOpening(t *testing.T) {
-	c := newGrown(t, 1)
+func TestGrownClusterOpeningLoad(t *testing.T) {
+	c := newGrownCluster(t, 1)
 	largest := map[string]int{}
-	c.copies = func(_ *standin.Worker, _ string, body []byte) { largest["report"] = max(largest["report"], len(body)) }
-	c.start(c.names...)
-	c.sim.Run(3 * sec)
+	c.onReport = func(_ *standin.Worker, _ string, body []byte) { largest["report"] = max(largest["report"], len(body)) }
+	c.start(c.nodeNames...)
+	c.sim.Run(3 * second)
 	teams := []string{"free", "tight", "third"}
 	for i := 0; i < 400; i++ {
-		c.send(0, withTeam(teams[i%3]), withService(true), withPriority(protocol.High), withCPUs(1),
+		c.submitWithRetry(0, withTeam(teams[i%3]), withService(true), withPriority(protocol.High), withCPUs(1),
 			withMemoryGB(6),
 			withImage(fmt.Sprint("svc", i%16)), withImageGB(1.8), withEstimateS(0))
 	}
 	arrays := func(n int) {
 		for i := 0; i < n; i++ {
-			run := micros.T(float64(12*sec) * (0.5 + 1.2*c.sim.Rand.Float64()))
-			c.send(run, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
+			run := micros.Micros(float64(12*second) * (0.5 + 1.2*c.sim.Rand.Float64()))
+			c.submitWithRetry(run, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
 				withMemoryGB(10),
 				withImage(fmt.Sprint("tr", c.sim.Rand.IntN(18))), withImageGB(0.7), withEstimateS(12),
 				withSpot(true), withDeadlineS(46))
@@ -91,24 +91,24 @@
 		if s%2 == 0 {
 			arrays(1)
 		}
-		c.sim.Run(sec)
-		for _, n := range c.names {
-			if got := len(c.nodes[n].core.waitingReaders); got > mostReaders {
+		c.sim.Run(second)
+		for _, node := range c.nodeNames {
+			if got := len(c.nodes[node].controller.pendingReads); got > maxWaitingReaders {
 				t.Fatalf("%d polls wait", got)
 			}
 		}
 	}
-	c.rules()
-	for _, k := range c.store.Keys(bookkeeping.Root) {
-		largest["value"] = max(largest["value"], c.store.Size(k))
+	c.requireNoViolations()
+	for _, k := range c.store.Keys(bookkeeping.KeyPrefix) {
+		largest["value"] = max(largest["value"], c.store.JSONSize(k))
 	}
 	services := 0
 	for id, j := range c.fleet.Jobs {
-		if j.Run == 0 && c.fleet.Running(id) > 0 {
+		if j.RunTime == 0 && c.fleet.Running(id) > 0 {
 			services++
 		}
 	}
-	shards := len(c.store.Keys(bookkeeping.Root + bookkeeping.KindShard))
+	shards := len(c.store.Keys(bookkeeping.KeyPrefix + bookkeeping.KindShard))
 	got := map[string]int{
 		"changes": c.store.Changes, "requests": 0, "conflicts": c.store.Conflicts, "refused": c.store.Throttled,
 		"finished": len(c.fleet.Finished), "services": services, "pages": shards, "cloud calls": 0,
@@ -141,16 +141,16 @@
 		}
 	}
 	// After all controllers have crashed at once they read it all again and go on.
-	c.kill(c.names...)
+	c.kill(c.nodeNames...)
 	before, finished := c.store.Calls[protocol.StoreList], len(c.fleet.Finished)
-	c.sim.Run(3 * sec)
-	c.start(c.names...)
-	c.sim.Run(12 * sec)
+	c.sim.Run(3 * second)
+	c.start(c.nodeNames...)
+	c.sim.Run(12 * second)
 	if n := c.store.Calls[protocol.StoreList] - before; n > 5*20 {
 		t.Errorf("%d lists to read everything again", n)
 	}
 	if len(c.fleet.Finished) <= finished {
 		t.Error("nothing gets done after a restart of all")
 	}
-	c.rules()
+	c.requireNoViolations()
 }
--- a/internal/coordination/idle.go
+++ b/internal/coordination/idle.go
@@ -14,101 +14,101 @@
 // a swarm's array of hours held half of the machines, ordinary ones rented for it, while
 // leak-scan waited minutes for gaps.
 
-// idleStart is how long idle-time work waits for such room before one ordinary machine
+// scavengerStartDelay is how long idle-time work waits for such room before one ordinary machine
 // may be rented for it: it must begin at some time, wherever nothing else is to be had.
-const idleStart = micros.Minute
+const scavengerStartDelay = micros.Minute
 
-// idle tells whether a job is idle-time work.
-func (c *Core) idle(j *job) bool {
-	s := &j.rec.Spec
-	if s.Service || !s.Spot || s.Priority != int(protocol.BestEffort) || s.DeadlineS > 0 {
+// isScavenger tells whether a job is idle-time work.
+func (c *Controller) isScavenger(job *Job) bool {
+	spec := &job.Record.Spec
+	if spec.Service || !spec.Spot || spec.Priority != int(protocol.BestEffort) || spec.DeadlineS > 0 {
 		return false
 	}
-	team, _ := c.team(s.Team)
-	return team.CPUs == 0 && team.GPUs == 0 && math.IsInf(c.begins(s)[0], 1)
+	team, _ := c.teamLimits(spec.Team)
+	return team.guaranteedCPUs == 0 && team.guaranteedGPUs == 0 && math.IsInf(c.latestStarts(spec)[0], 1)
 }
 
-// bound tells whether a job is held to spot machines and to what is there in any case:
+// spotOnly tells whether a job is held to spot machines and to what is there in any case:
 // idle-time work, once it has begun or as long as it needn't have.
-func (c *Core) bound(j *job) bool {
-	return c.idle(j) && (j.done+j.held > 0 || micros.T(c.env.Wall()-j.rec.At) <= idleStart)
+func (c *Controller) spotOnly(job *Job) bool {
+	return c.isScavenger(job) && (job.DoneTasks+job.AssignedTasks > 0 || micros.Micros(c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay)
 }
 
-// yields tells whether a job's tasks give way to arrays of higher priority: nobody has an aim
+// isPreemptible tells whether a job's tasks give way to arrays of higher priority: nobody has an aim
 // for them, their work can be saved, and their team uses more than it is owed. Work with an
 // aim of its own is late for it if it is stopped, and begins again only when as much room is
 // free at once: small urgent tasks had stopped tasks of whole machines hundreds of times.
-func (c *Core) yields(j *job) bool {
-	s := &j.rec.Spec
-	return !s.Service && s.CheckpointS > 0 && j.open() && math.IsInf(c.begins(s)[0], 1) && c.beyond(s.Team, amount{})
+func (c *Controller) isPreemptible(job *Job) bool {
+	spec := &job.Record.Spec
+	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() && math.IsInf(c.latestStarts(spec)[0], 1) && c.exceedsGuarantee(spec.Team, Resources{})
 }
 
-// givesWay tells whether a running task may be stopped for any of higher priority.
-func (c *Core) givesWay(j, v *job) bool {
-	return v.rec.Spec.Priority < j.rec.Spec.Priority && c.yields(v)
+// preemptibleBy tells whether a running task may be stopped for any of higher priority.
+func (c *Controller) preemptibleBy(job, victim *Job) bool {
+	return victim.Record.Spec.Priority < job.Record.Spec.Priority && c.isPreemptible(victim)
 }
 
-// displace stops work that gives way, so that up to want tasks of a job get room on
+// preemptScavengers stops work that gives way, so that up to want tasks of a job get room on
 // our machines: one look at each, as many tasks on each as it can make room for. It
 // tells whether room is being made.
-func (c *Core) displace(j *job, want int, zones *zoneRule, cands []*candidate, now micros.T) bool {
-	if p := c.preempting[j.id]; p != nil && now < p.until {
+func (c *Controller) preemptScavengers(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, now micros.Micros) bool {
+	if pending := c.preemptions[job.ID]; pending != nil && now < pending.expiresAt {
 		return true
 	}
 	made, on, save := 0, map[string]bool{}, 0.0
-	for _, cd := range cands {
+	for _, candidate := range candidates {
 		if made >= want {
 			break
 		}
-		m := cd.m
-		if cd.held || !cd.keptFor(j) || len(m.w.stopping) > 0 || !mayRun(&j.rec.Spec, cd.rec) || !zones.ok(cd.rec.Zone) {
+		machine := candidate.machine
+		if candidate.heldBack || !candidate.availableTo(job) || len(machine.Agent.StoppingAttempts) > 0 || !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) {
 			continue
 		}
-		var vs []victim
-		for ref, attempt := range m.tasks {
-			k := attemptKey{ref, attempt}
-			v := c.view.jobs[ref.job]
-			if v == nil || !c.givesWay(j, v) || m.w.settled(k) {
+		var victims []preemptionVictim
+		for task, attempt := range machine.Attempts {
+			key := AttemptID{task, attempt}
+			victim := c.mirror.Jobs[task.Job]
+			if victim == nil || !c.preemptibleBy(job, victim) || machine.Agent.HasOutcome(key) {
 				continue
 			}
-			if t, has := m.w.rep[k]; has && t.State == protocol.StateExited {
+			if taskReport, reported := machine.Agent.ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
 				continue
 			}
-			vs = append(vs, victim{k, v.need, v.rec.Spec.SaveS})
+			victims = append(victims, preemptionVictim{key, victim.TaskResources, victim.Record.Spec.SaveS})
 		}
-		sort.Slice(vs, func(a, b int) bool {
-			x, y := vs[a].key.ref, vs[b].key.ref
-			return x.job < y.job || x.job == y.job && x.index > y.index // the last begun
+		sort.Slice(victims, func(a, b int) bool {
+			x, y := victims[a].attempt.Task, victims[b].attempt.Task
+			return x.Job < y.Job || x.Job == y.Job && x.Index > y.Index // the last begun
 		})
-		free, taken := cd.free, 0
+		free, taken := candidate.freeResources, 0
 		for made < want {
-			k, room := taken, free
-			for k < len(vs) && !j.need.fits(room) {
-				room = room.plus(vs[k].need, 1)
+			k, available := taken, free
+			for k < len(victims) && !job.TaskResources.FitsIn(available) {
+				available = available.AddScaled(victims[k].need, 1)
 				k++
 			}
-			if k == taken || !j.need.fits(room) {
+			if k == taken || !job.TaskResources.FitsIn(available) {
 				break
 			}
-			taken, free = k, room.plus(j.need, -1)
+			taken, free = k, available.AddScaled(job.TaskResources, -1)
 			made++
 		}
 		if taken == 0 {
 			continue
 		}
-		for _, v := range vs[:taken] {
-			m.w.stopping[v.key] = true
-			save = max(save, v.loss)
-			c.log.Debug("scavenger task preempted", "task", v.key.ref.String(), "attempt", v.key.attempt,
-				"machine", m.id, "for_job", j.id)
+		for _, victim := range victims[:taken] {
+			machine.Agent.StoppingAttempts[victim.attempt] = true
+			save = max(save, victim.lostCPUSeconds)
+			c.log.Debug("scavenger task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
+				"machine", machine.ID, "for_job", job.ID)
 		}
-		cd.keep, on[m.id] = j.id, true
-		c.sync(m)
+		candidate.reservedForJob, on[machine.ID] = job.ID, true
+		c.syncCommands(machine)
 	}
 	if made == 0 {
 		return false
 	}
-	c.dirty = true
-	c.preempting[j.id] = &preemption{made, now + preemptWait + micros.FromSeconds(save), on}
+	c.schedulingNeeded = true
+	c.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout + micros.FromSeconds(save), on}
 	return true
 }
--- a/internal/coordination/idle_test.go
+++ b/internal/coordination/idle_test.go
@@ -9,77 +9,77 @@
 	"pipitgap/internal/standin"
 )
 
-// TestDisplacing: room that lower work gives way to is room, for higher work alone,
+// TestPreemptibleWorkCountsAsRoom: room that lower work gives way to is room, for higher work alone,
 // and each bit of it once.
-func TestDisplacing(t *testing.T) {
-	at := func(d *demand, priority int) *demand { d.spec.Priority = priority; return d }
-	yielding := func(free, idle float64) *bin {
-		b := binOf("a", true, free)
-		b.yields = map[int]amount{0: {cpus: idle, mem: 2 * idle}}
-		return b
+func TestPreemptibleWorkCountsAsRoom(t *testing.T) {
+	at := func(demand *taskDemand, priority int) *taskDemand { demand.spec.Priority = priority; return demand }
+	yielding := func(freeCPUs, idle float64) *machineBin {
+		bin := newBin("a", true, freeCPUs)
+		bin.preemptibleByPriority = map[int]Resources{0: {CPUs: idle, MemoryGB: 2 * idle}}
+		return bin
 	}
 	for _, tc := range []struct {
 		name string
-		ds   []*demand
-		bins []*bin
+		ds   []*taskDemand
+		bins []*machineBin
 		left []int
 	}{
-		{"a task for a task", []*demand{at(demandOf(4, 3, true, false), 1)}, []*bin{yielding(0, 8)}, []int{1}},
-		{"with what is free", []*demand{at(demandOf(4, 3, true, false), 1)}, []*bin{yielding(4, 8)}, []int{0}},
-		{"each once", []*demand{at(demandOf(4, 1, true, false), 1), at(demandOf(4, 2, true, false), 2)}, []*bin{yielding(0, 8)}, []int{0, 1}},
-		{"not its like", []*demand{at(demandOf(4, 1, true, false), 0)}, []*bin{yielding(0, 8)}, []int{1}},
-		{"not where it may not run", []*demand{at(demandOf(4, 1, false, false), 1)}, []*bin{yielding(0, 8)}, []int{1}},
-		{"not services, which have their own way", []*demand{at(demandOf(4, 1, true, true), 1)}, []*bin{yielding(0, 8)}, []int{1}},
+		{"a task for a task", []*taskDemand{at(newDemand(4, 3, true, false), 1)}, []*machineBin{yielding(0, 8)}, []int{1}},
+		{"with what is free", []*taskDemand{at(newDemand(4, 3, true, false), 1)}, []*machineBin{yielding(4, 8)}, []int{0}},
+		{"each once", []*taskDemand{at(newDemand(4, 1, true, false), 1), at(newDemand(4, 2, true, false), 2)}, []*machineBin{yielding(0, 8)}, []int{0, 1}},
+		{"not its like", []*taskDemand{at(newDemand(4, 1, true, false), 0)}, []*machineBin{yielding(0, 8)}, []int{1}},
+		{"not where it may not run", []*taskDemand{at(newDemand(4, 1, false, false), 1)}, []*machineBin{yielding(0, 8)}, []int{1}},
+		{"not services, which have their own way", []*taskDemand{at(newDemand(4, 1, true, true), 1)}, []*machineBin{yielding(0, 8)}, []int{1}},
 	} {
-		displacing(tc.ds, tc.bins)
-		for i, d := range tc.ds {
-			if d.count != tc.left[i] {
-				t.Errorf("%s: %d of demand %d left, want %d", tc.name, d.count, i, tc.left[i])
+		absorbByPreemption(tc.ds, tc.bins)
+		for i, demand := range tc.ds {
+			if demand.tasks != tc.left[i] {
+				t.Errorf("%s: %d of demand %d left, want %d", tc.name, demand.tasks, i, tc.left[i])
 			}
 		}
 	}
 }
 
-// TestYields: only work that nobody has an aim for gives way to arrays. Small urgent tasks
+// TestOnlyWorkWithoutObjectiveIsPreemptible: only work that nobody has an aim for gives way to arrays. Small urgent tasks
 // had stopped tasks of whole machines, with an aim of their own, hundreds of times a day.
-func TestYields(t *testing.T) {
+func TestOnlyWorkWithoutObjectiveIsPreemptible(t *testing.T) {
 	c := newCluster(t, 790)
 	c.teams = []config.Team{{Name: "free", CPUs: 4, CPUsMax: 200}, {Name: "other", CPUs: 100, CPUsMax: 200}}
-	c.facts = func(cfg *config.Config) {
+	c.adjustFacts = func(cfg *config.Config) {
 		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "survey", WithinS: 50, Share: 0.9}}
 	}
-	core := c.steady().nodes["n-0"].core
-	core.view.teamUse["free"] = amount{cpus: 32}
-	core.view.teamUse["other"] = amount{cpus: 32}
-	saving := func(change func(*bookkeeping.Spec)) *job {
-		j := &job{id: "j-1", need: amount{cpus: 16}}
-		j.rec.Spec = bookkeeping.Spec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
-		change(&j.rec.Spec)
-		return j
+	core := c.startWithLeader().nodes["n-0"].controller
+	core.mirror.UseByTeam["free"] = Resources{CPUs: 32}
+	core.mirror.UseByTeam["other"] = Resources{CPUs: 32}
+	saving := func(change func(*bookkeeping.JobSpec)) *Job {
+		job := &Job{ID: "j-1", TaskResources: Resources{CPUs: 16}}
+		job.Record.Spec = bookkeeping.JobSpec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
+		change(&job.Record.Spec)
+		return job
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(*bookkeeping.Spec)
+		change func(*bookkeeping.JobSpec)
 		want   bool
 	}{
-		{"nobody has an aim for it", func(*bookkeeping.Spec) {}, true},
-		{"an aim of its class", func(s *bookkeeping.Spec) { s.Class = "survey" }, false},
-		{"a deadline", func(s *bookkeeping.Spec) { s.DeadlineS = 100 }, false},
-		{"it saves nothing", func(s *bookkeeping.Spec) { s.CheckpointS = 0 }, false},
-		{"a service", func(s *bookkeeping.Spec) { s.Service = true }, false},
-		{"within its team's guarantee", func(s *bookkeeping.Spec) { s.Team = "other" }, false},
+		{"nobody has an aim for it", func(*bookkeeping.JobSpec) {}, true},
+		{"an aim of its class", func(spec *bookkeeping.JobSpec) { spec.Class = "survey" }, false},
+		{"a deadline", func(spec *bookkeeping.JobSpec) { spec.DeadlineS = 100 }, false},
+		{"it saves nothing", func(spec *bookkeeping.JobSpec) { spec.CheckpointS = 0 }, false},
+		{"a service", func(spec *bookkeeping.JobSpec) { spec.Service = true }, false},
+		{"within its team's guarantee", func(spec *bookkeeping.JobSpec) { spec.Team = "other" }, false},
 	} {
-		if got := core.yields(saving(tc.change)); got != tc.want {
+		if got := core.isPreemptible(saving(tc.change)); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestIdleWork: work that nobody has an aim for takes what room there is and spot
+// TestScavengerWorkUsesSpareRoom: work that nobody has an aim for takes what room there is and spot
 // machines, begins also where there are neither, and is out of the way within
 // seconds when others come; what it did is saved. Without that an array of hours held
 // its machines, ordinary ones rented for it, while others waited for gaps.
-func TestIdleWork(t *testing.T) {
+func TestScavengerWorkUsesSpareRoom(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		spot int
@@ -87,19 +87,19 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(800+tc.spot))
 			c.teams = []config.Team{{Name: "free", CPUs: 40, CPUsMax: 200}, {Name: "guest"}}
-			c.set.ScaleDownDelay = config.Span(8 * sec)
+			c.settings.ScaleDownDelay = config.Duration(8 * second)
 			for _, typ := range testTypes {
 				for _, z := range typ.Zones {
-					c.cloud.Capacity[standin.Offer(typ.Name, z, true)] = tc.spot
+					c.cloud.Capacity[standin.OfferKey(typ.Name, z, true)] = tc.spot
 				}
 			}
-			c.steady()
-			swarms := c.submit(600*sec, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(60),
+			c.startWithLeader()
+			swarms := c.submit(600*second, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(60),
 				withCPUs(4), withSpot(true), withEstimateS(300), withCheckpointS(30), withSaveS(1))
-			c.sim.Run(100 * sec)
+			c.sim.Run(100 * second)
 			ordinary := 0
-			for _, m := range c.cloud.Machines {
-				if !m.Spot && !m.Gone {
+			for _, rented := range c.cloud.Machines {
+				if !rented.Spot && !rented.Gone {
 					ordinary++
 				}
 			}
@@ -110,19 +110,19 @@
 			if tc.spot == 0 {
 				return
 			}
-			id := c.submit(3*sec, withTasks(20), withCPUs(4), withSpot(true), withEstimateS(3),
+			id := c.submit(3*second, withTasks(20), withCPUs(4), withSpot(true), withEstimateS(3),
 				withDeadlineS(20))
-			c.finished(id, 25*sec)
-			for _, m := range c.cloud.Machines {
-				if !m.Spot {
+			c.requireFinished(id, 25*second)
+			for _, rented := range c.cloud.Machines {
+				if !rented.Spot {
 					t.Error("an ordinary machine was rented")
 				}
 			}
-			c.sim.Run(20 * sec)
+			c.sim.Run(20 * second)
 			if n := c.fleet.Running(swarms); n < begun*3/4 {
 				t.Errorf("%d of its tasks run again, %d before", n, begun)
 			}
-			c.rules()
+			c.requireNoViolations()
 		})
 	}
 }
--- a/internal/coordination/jobs.go
+++ b/internal/coordination/jobs.go
@@ -7,75 +7,75 @@
 	"pipitgap/internal/protocol"
 )
 
-// finishIfComplete makes a job done once the shards show every task of it done.
-func (c *Core) finishIfComplete(id string) {
-	j := c.view.jobs[id]
-	if j == nil || !j.open() || !j.complete() || c.jobBusy[id] {
+// completeJobIfDone makes a job done once the shards show every task of it done.
+func (c *Controller) completeJobIfDone(id string) {
+	job := c.mirror.Jobs[id]
+	if job == nil || !job.IsOpen() || !job.IsComplete() || c.recordWritesInFlight[id] {
 		return
 	}
-	c.end(j)
+	c.completeJob(job)
 }
 
-// end closes a job whose tasks are all done, unless it has an answer already: the
+// completeJob closes a job whose tasks are all done, unless it has an answer already: the
 // answer is kept for ever, the description goes. The shards drop what they hold of
 // it with their next changes.
-func (c *Core) end(j *job) {
-	id := j.id
-	c.jobBusy[id] = true
-	openKey, jobKey := bookkeeping.Key(bookkeeping.KindOpen, id), bookkeeping.Key(bookkeeping.KindJob, id)
-	c.commit(c.rankOf(&j.rec.Spec, bookkeeping.RankEnd), protocol.Txn{
-		If: []protocol.Cond{{Key: jobKey}},
+func (c *Controller) completeJob(job *Job) {
+	id := job.ID
+	c.recordWritesInFlight[id] = true
+	openKey, jobKey := bookkeeping.Key(bookkeeping.KindOpenJob, id), bookkeeping.Key(bookkeeping.KindJobResult, id)
+	c.commitTxn(c.priorityClassOf(&job.Record.Spec, bookkeeping.PriorityJobResult), protocol.Transaction{
+		If: []protocol.Compare{{Key: jobKey}},
 		Then: []protocol.Op{
-			{Put: jobKey, Value: protocol.MustMarshal(&bookkeeping.Answer{Status: bookkeeping.Done})},
+			{Put: jobKey, Value: protocol.MustMarshal(&bookkeeping.JobResult{State: bookkeeping.JobDone})},
 			{Delete: openKey},
 		},
-	}, func(r protocol.StoreResult) {
-		delete(c.jobBusy, id)
-		if r.Outcome == protocol.OK {
-			c.stats.done++
+	}, func(result protocol.StoreResult) {
+		delete(c.recordWritesInFlight, id)
+		if result.Outcome == protocol.OK {
+			c.counters.jobsCompleted++
 			c.log.Debug("job completed", "job", id)
 		}
 	})
 }
 
-// sweep drops the description of a cancelled job that has nothing left anywhere.
+// purgeCancelledJob drops the description of a cancelled job that has nothing left anywhere.
 // No attempt can follow: each depends on the job having no answer.
-func (c *Core) sweep(j *job) {
-	c.jobBusy[j.id] = true
-	key := bookkeeping.Key(bookkeeping.KindOpen, j.id)
-	c.commit(bookkeeping.RankRest, protocol.Txn{
-		If:   []protocol.Cond{{Key: key, Version: j.version}},
+func (c *Controller) purgeCancelledJob(job *Job) {
+	c.recordWritesInFlight[job.ID] = true
+	key := bookkeeping.Key(bookkeeping.KindOpenJob, job.ID)
+	c.commitTxn(bookkeeping.PriorityBackground, protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Delete: key}},
-	}, func(protocol.StoreResult) { delete(c.jobBusy, j.id) })
+	}, func(protocol.StoreResult) { delete(c.recordWritesInFlight, job.ID) })
 }
 
-// closeJobs closes jobs that are over: such whose last tasks ended on several partitions
+// finalizeJobs closes jobs that are over: such whose last tasks ended on several partitions
 // at once, each of which saw another's unfinished, and cancelled ones whose every
 // attempt is proven gone. Each job has one controller that does so.
-func (c *Core) closeJobs() {
-	if c.storeDown {
+func (c *Controller) finalizeJobs() {
+	if c.storeUnavailable {
 		return
 	}
-	live := c.live()
+	controllers := c.liveControllers()
 	var over []string
-	for id, j := range c.view.jobs {
-		if j.open() && j.complete() || !j.open() && j.held == 0 {
+	for id, job := range c.mirror.Jobs {
+		if job.IsOpen() && job.IsComplete() || !job.IsOpen() && job.AssignedTasks == 0 {
 			over = append(over, id)
 		}
 	}
 	sort.Strings(over)
 	for _, id := range over {
-		j := c.view.jobs[id]
-		if j == nil || c.jobBusy[id] || c.view.watched < j.version {
+		job := c.mirror.Jobs[id]
+		if job == nil || c.recordWritesInFlight[id] || c.mirror.WatchedRevision < job.Version {
 			continue
 		}
 		switch {
-		case j.open() && j.complete() && home(j.id, live) == c.node:
-			c.end(j)
-		case !j.open() && j.held == 0 && home(j.id, live) == c.node && j.overAt != 0 && c.view.watched >= j.overAt:
+		case job.IsOpen() && job.IsComplete() && rendezvousOwner(job.ID, controllers) == c.node:
+			c.completeJob(job)
+		case !job.IsOpen() && job.AssignedTasks == 0 && rendezvousOwner(job.ID, controllers) == c.node && job.FinalRevision != 0 && c.mirror.WatchedRevision >= job.FinalRevision:
 			// With a mirror that has all that came before the answer. An answer that was
 			// learned ahead of the job's record has no revision until the mirror has it.
-			c.sweep(j)
+			c.purgeCancelledJob(job)
 		}
 	}
 }
--- a/internal/coordination/jobs_test.go
+++ b/internal/coordination/jobs_test.go
@@ -10,36 +10,36 @@
 	"pipitgap/internal/protocol"
 )
 
-// TestJobsRunThrough: accepted, rented for, run, told done, machines given back.
-func TestJobsRunThrough(t *testing.T) {
+// TestJobsRunToCompletion: accepted, rented for, run, told done, machines given back.
+func TestJobsRunToCompletion(t *testing.T) {
 	cases := []struct {
 		name string
 		job  jobOption
-		run  micros.T
+		run  micros.Micros
 	}{
-		{"one task", jobWith(), 3 * sec},
-		{"more tasks than a row", jobWith(withTasks(70), withCPUs(1)), 3 * sec},
+		{"one task", jobWith(), 3 * second},
+		{"more tasks than a row", jobWith(withTasks(70), withCPUs(1)), 3 * second},
 		{"more rows than a commit drops", jobWith(withTasks(420), withCPUs(1), withMemoryGB(1),
-			withSpot(true)), sec},
-		{"one zone", jobWith(withTasks(12), withOneZone(true)), 5 * sec},
-		{"spread", jobWith(withTasks(9), withSpread(true)), 5 * sec},
-		{"a team's limit", jobWith(withTasks(20), withTeam("tight")), 2 * sec},
-		{"a type", jobWith(withTasks(3), withTypes("m16"), withZone("b")), 2 * sec},
+			withSpot(true)), second},
+		{"one zone", jobWith(withTasks(12), withOneZone(true)), 5 * second},
+		{"spread", jobWith(withTasks(9), withSpread(true)), 5 * second},
+		{"a team's limit", jobWith(withTasks(20), withTeam("tight")), 2 * second},
+		{"a type", jobWith(withTasks(3), withTypes("m16"), withZone("b")), 2 * second},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(i))
-			c.set.ScaleDownDelay = 0
-			c.steady()
+			c.settings.ScaleDownDelay = 0
+			c.startWithLeader()
 			id := c.submit(tc.run, tc.job)
-			c.finished(id, 300*sec)
-			c.rules()
-			if !c.sim.RunUntil(120*sec, func() bool { return c.cloud.Count() == 0 }) {
-				t.Errorf("%d machines were not given back", c.cloud.Count())
+			c.requireFinished(id, 300*second)
+			c.requireNoViolations()
+			if !c.sim.RunUntil(120*second, func() bool { return c.cloud.MachineCount() == 0 }) {
+				t.Errorf("%d machines were not given back", c.cloud.MachineCount())
 			}
-			c.sim.Run(60 * sec)
+			c.sim.Run(60 * second)
 			for _, kind := range []string{"open", "page", "ask"} {
-				if keys := c.store.Keys(bookkeeping.Root + kind); len(keys) > 0 {
+				if keys := c.store.Keys(bookkeeping.KeyPrefix + kind); len(keys) > 0 {
 					t.Errorf("records left behind: %v", keys)
 				}
 			}
@@ -47,14 +47,14 @@
 	}
 }
 
-// TestConstraints: starts only where the job allows.
-func TestConstraints(t *testing.T) {
+// TestPlacementRespectsConstraints: starts only where the job allows.
+func TestPlacementRespectsConstraints(t *testing.T) {
 	zonesOf := func(c *cluster, id string) map[string]int {
 		zones := map[string]int{}
-		for _, w := range c.fleet.Workers {
-			for task := range w.Tasks {
-				if strings.HasPrefix(task, id+"/") && !w.Machine.Gone {
-					zones[w.Machine.Zone]++
+		for _, worker := range c.fleet.Workers {
+			for task := range worker.Attempts {
+				if strings.HasPrefix(task, id+"/") && !worker.Machine.Gone {
+					zones[worker.Machine.Zone]++
 				}
 			}
 		}
@@ -66,8 +66,8 @@
 		check func(c *cluster, id string) string
 	}{
 		{"spot only by permission", jobWith(withTasks(6)), func(c *cluster, id string) string {
-			for _, w := range c.fleet.Workers {
-				if w.Machine.Spot && len(w.Tasks) > 0 {
+			for _, worker := range c.fleet.Workers {
+				if worker.Machine.Spot && len(worker.Attempts) > 0 {
 					return "a task runs on a spot machine"
 				}
 			}
@@ -87,9 +87,9 @@
 		}},
 		{"zone and type", jobWith(withTasks(4), withZone("b"),
 			withTypes("m16")), func(c *cluster, id string) string {
-			for _, w := range c.fleet.Workers {
-				if len(w.Tasks) > 0 && (w.Machine.Zone != "b" || w.Machine.Type != "m16") {
-					return "on " + w.Machine.Type + " in " + w.Machine.Zone
+			for _, worker := range c.fleet.Workers {
+				if len(worker.Attempts) > 0 && (worker.Machine.Zone != "b" || worker.Machine.Type != "m16") {
+					return "on " + worker.Machine.Type + " in " + worker.Machine.Zone
 				}
 			}
 			return ""
@@ -97,29 +97,29 @@
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCluster(t, uint64(100+i)).steady()
+			c := newCluster(t, uint64(100+i)).startWithLeader()
 			for k := 0; k < 4; k++ { // what is there needn't be what is allowed
-				c.cloud.Add("m8", []string{"a", "b"}[k%2], k < 2)
+				c.cloud.AddMachine("m8", []string{"a", "b"}[k%2], k < 2)
 			}
-			c.sim.Run(15 * sec)
+			c.sim.Run(15 * second)
 			id := c.submit(0, tc.job)
 			want := newSubmission(tc.job).Tasks
-			if !c.sim.RunUntil(120*sec, func() bool { return c.fleet.Running(id) == want }) {
+			if !c.sim.RunUntil(120*second, func() bool { return c.fleet.Running(id) == want }) {
 				t.Fatalf("%d of %d run", c.fleet.Running(id), want)
 			}
 			if what := tc.check(c, id); what != "" {
 				t.Error(what)
 			}
-			c.rules()
+			c.requireNoViolations()
 		})
 	}
 }
 
-// TestVerdicts: the answers of the users' interface.
-func TestVerdicts(t *testing.T) {
-	c := newCluster(t, 5).steady()
+// TestUserRequestStatusCodes: the answers of the users' interface.
+func TestUserRequestStatusCodes(t *testing.T) {
+	c := newCluster(t, 5).startWithLeader()
 	known := c.submit(0, withService(true))
-	_, good := c.spec()
+	_, good := c.newSubmission()
 	with := func(field string, value any) []byte {
 		fields := good.Fields()
 		fields[field] = value
@@ -153,16 +153,16 @@
 		{"malformed check-in", "POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
-		if r := c.ask("n-1", tc.method, tc.target, tc.body); r.Status != tc.want {
-			t.Errorf("%s: %d, want %d: %s", tc.name, r.Status, tc.want, r.Body)
+		if response := c.requestAndWait("n-1", tc.method, tc.target, tc.body); response.Status != tc.want {
+			t.Errorf("%s: %d, want %d: %s", tc.name, response.Status, tc.want, response.Body)
 		}
 	}
 	// A known job is known whatever its repeated submission looks like, on any node.
-	for _, n := range c.names {
+	for _, node := range c.nodeNames {
 		again := *good
 		again.ID, again.Team = known, "nobody"
-		if r := c.ask(n, "POST", protocol.JobsPath, protocol.MustMarshal(&again)); r.Status != 200 {
-			t.Errorf("repeated submission on %s: %d", n, r.Status)
+		if response := c.requestAndWait(node, "POST", protocol.JobsPath, protocol.MustMarshal(&again)); response.Status != 200 {
+			t.Errorf("repeated submission on %s: %d", node, response.Status)
 		}
 	}
 	// A team's limit: all replicas of a service, one task of an array.
@@ -171,70 +171,70 @@
 		tasks   int
 		want    int
 	}{{true, 7, 422}, {true, 6, 201}, {false, 7, 201}} {
-		_, j := c.spec(withTeam("tight"), withService(tc.service), withTasks(tc.tasks))
-		if r := c.ask("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j)); r.Status != tc.want {
-			t.Errorf("service %v of %d: %d, want %d", tc.service, tc.tasks, r.Status, tc.want)
+		_, j := c.newSubmission(withTeam("tight"), withService(tc.service), withTasks(tc.tasks))
+		if response := c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j)); response.Status != tc.want {
+			t.Errorf("service %v of %d: %d, want %d", tc.service, tc.tasks, response.Status, tc.want)
 		}
 	}
 }
 
-// TestCancel: cancelled in every state, gone in time, never called anything else.
-func TestCancel(t *testing.T) {
+// TestCancelInEveryState: cancelled in every state, gone in time, never called anything else.
+func TestCancelInEveryState(t *testing.T) {
 	cases := []struct {
 		name string
-		wait micros.T // before the abort
-		run  micros.T
+		wait micros.Micros // before the abort
+		run  micros.Micros
 	}{
-		{"at once", 0, 0}, {"racing the start", 13 * sec, 0}, {"running", 30 * sec, 0}, {"racing done", 14500 * micros.Millisecond, sec},
+		{"at once", 0, 0}, {"racing the start", 13 * second, 0}, {"running", 30 * second, 0}, {"racing done", 14500 * micros.Millisecond, second},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCluster(t, uint64(200+i)).steady()
+			c := newCluster(t, uint64(200+i)).startWithLeader()
 			id := c.submit(tc.run, withTasks(8))
 			c.sim.Run(tc.wait)
-			r := c.ask("n-2", "POST", protocol.CancelPath(id), nil)
-			var a protocol.Accepted
-			_ = protocol.Unmarshal(r.Body, &a)
-			if r.Status != 200 || a.Status != protocol.JobCancelled && a.Status != protocol.JobDone {
-				t.Fatalf("%d %+v", r.Status, a)
+			response := c.requestAndWait("n-2", "POST", protocol.CancelPath(id), nil)
+			var a protocol.AcceptedReply
+			_ = protocol.Unmarshal(response.Body, &a)
+			if response.Status != 200 || a.Status != protocol.JobCancelled && a.Status != protocol.JobDone {
+				t.Fatalf("%d %+v", response.Status, a)
 			}
 			if a.Status == protocol.JobCancelled {
-				c.check.Cancelled(id)
+				c.checker.CancellationConfirmed(id)
 			}
 			for k := 0; k < 12; k++ {
-				c.sim.Run(5 * sec)
-				if code, st := c.status(c.names[k%3], id); code != 200 || st.Status != a.Status {
-					t.Fatalf("told %s, then %d %s", a.Status, code, st.Status)
+				c.sim.Run(5 * second)
+				if code, jobStatus := c.jobStatus(c.nodeNames[k%3], id); code != 200 || jobStatus.Status != a.Status {
+					t.Fatalf("told %s, then %d %s", a.Status, code, jobStatus.Status)
 				}
 			}
 			if n := c.fleet.Running(id); n > 0 {
 				t.Errorf("%d tasks of a job that is over", n)
 			}
-			if keys := c.store.Keys(bookkeeping.Root + "open"); len(keys) > 0 {
+			if keys := c.store.Keys(bookkeeping.KeyPrefix + "open"); len(keys) > 0 {
 				t.Errorf("left behind: %v", keys)
 			}
-			c.rules()
+			c.requireNoViolations()
 		})
 	}
 }
 
-// TestAbortOfDone: an abort decided on an outdated mirror must not cancel a job
+// TestAbortDoesNotCancelDoneJob: an abort decided on an outdated mirror must not cancel a job
 // that has been called done.
-func TestAbortOfDone(t *testing.T) {
-	c := newCluster(t, 18).steady()
-	id := c.submit(sec)
-	core := c.nodes["n-0"].core
-	c.finished(id, 60*sec)
-	core.cancel(id, func(r Reply) {
-		var a protocol.Accepted
-		_ = protocol.Unmarshal(r.Body, &a)
+func TestAbortDoesNotCancelDoneJob(t *testing.T) {
+	c := newCluster(t, 18).startWithLeader()
+	id := c.submit(second)
+	core := c.nodes["n-0"].controller
+	c.requireFinished(id, 60*second)
+	core.cancelJob(id, func(response Response) {
+		var a protocol.AcceptedReply
+		_ = protocol.Unmarshal(response.Body, &a)
 		if a.Status != protocol.JobDone {
 			t.Errorf("told %+v", a)
 		}
 	})
-	c.sim.Run(2 * sec)
-	var kept bookkeeping.Answer
-	if !c.store.Read(bookkeeping.Key(bookkeeping.KindJob, id), &kept) || kept.Status != bookkeeping.Done {
+	c.sim.Run(2 * second)
+	var kept bookkeeping.JobResult
+	if !c.store.Read(bookkeeping.Key(bookkeeping.KindJobResult, id), &kept) || kept.State != bookkeeping.JobDone {
 		t.Errorf("the store holds %+v", kept)
 	}
 }
