--- a/internal/coordination/leader.go
+++ b/internal/coordination/leader.go
@@ -12,253 +12,253 @@
 
 // Bounds of the leader's work.
 const (
-	listEvery    = 10 * micros.Second
-	cloudTimeout = 4 * micros.Second
-	cloudPause   = 1 * micros.Second
-	mostARent    = 50  // machines a request
-	mostADelete  = 100 // machines a deletion
-	removeEvery  = 1 * micros.Second
-	ghostsFor    = 10 * micros.Minute // late reports of deleted machines are expected for so long
+	listInterval            = 10 * micros.Second
+	cloudTimeout            = 4 * micros.Second
+	cloudRetryDelay         = 1 * micros.Second
+	maxMachinesPerScaleOut  = 50  // machines a request
+	maxMachinesPerScaleIn   = 100 // machines a deletion
+	scaleInInterval         = 1 * micros.Second
+	deletedMachineRetention = 10 * micros.Minute // late reports of deleted machines are expected for so long
 )
 
-// leaderState is what a leader knows beside the store. A new term starts anew:
+// leaderTermState is what a leader knows beside the store. A new term starts anew:
 // first the picture is rebuilt, only then is anything rented.
-type leaderState struct {
-	term     uint64
-	rebuilt  bool
-	passAt   micros.T
-	listAt   micros.T
-	listing  bool
-	sequence int
-	probing  map[string]bool
-	rentAt   map[string]micros.T
-	deleting map[string]bool     // removals whose call is in flight
-	deleteAt map[string]micros.T // when a removal may be tried again
-	removeAt micros.T
-	unready  map[string]string // machines to be removed that are in no shard, and why
-	found    map[string]*protocol.Listed
-	busy     map[string]bool // keys with a commit of the leader in flight
-	unplaced map[string]*unplaced
-	recover  int             // grows whenever an offer recovers from unmet
-	cut      map[string]bool // zones that have fallen silent
-	trouble  bool
+type leaderTermState struct {
+	term             uint64
+	inventoryRebuilt bool
+	nextPassAt       micros.Micros
+	nextListAt       micros.Micros
+	listInFlight     bool
+	requestSequence  int
+	scaleOutInFlight map[string]bool
+	scaleOutRetryAt  map[string]micros.Micros
+	scaleInInFlight  map[string]bool          // removals whose call is in flight
+	scaleInRetryAt   map[string]micros.Micros // when a removal may be tried again
+	nextScaleInAt    micros.Micros
+	failedMachines   map[string]string // machines to be removed that are in no shard, and why
+	unknownMachines  map[string]*protocol.ListedMachine
+	commitInFlight   map[string]bool // keys with a commit of the leader in flight
+	unplaceableJobs  map[string]*unplacedBackoff
+	offerRecoveries  int             // grows whenever an offer recovers from unmet
+	unreachableZones map[string]bool // zones that have fallen silent
+	cloudTrouble     bool
 }
 
-// unplaced follows a job whose demand no offer can meet.
-type unplaced struct {
-	passes  int
-	until   micros.T
-	step    micros.T
-	out     bool // out of demand until an offer recovers
-	recover int
+// unplacedBackoff follows a job whose demand no offer can meet.
+type unplacedBackoff struct {
+	unmetPasses     int
+	retryAt         micros.Micros
+	delay           micros.Micros
+	suspended       bool // out of demand until an offer recovers
+	offerRecoveries int
 }
 
-func newLeaderState(term uint64) leaderState {
-	return leaderState{
-		term: term, probing: map[string]bool{}, rentAt: map[string]micros.T{}, deleting: map[string]bool{},
-		deleteAt: map[string]micros.T{}, unready: map[string]string{}, found: map[string]*protocol.Listed{},
-		busy: map[string]bool{}, unplaced: map[string]*unplaced{}, cut: map[string]bool{},
+func newLeaderState(term uint64) leaderTermState {
+	return leaderTermState{
+		term: term, scaleOutInFlight: map[string]bool{}, scaleOutRetryAt: map[string]micros.Micros{}, scaleInInFlight: map[string]bool{},
+		scaleInRetryAt: map[string]micros.Micros{}, failedMachines: map[string]string{}, unknownMachines: map[string]*protocol.ListedMachine{},
+		commitInFlight: map[string]bool{}, unplaceableJobs: map[string]*unplacedBackoff{}, unreachableZones: map[string]bool{},
 	}
 }
 
-// lead does the leader's share; it is called every slow tick.
-func (c *Core) lead(now micros.T) {
-	if now >= c.closeAt {
-		c.closeAt = now + c.set.PassInterval.T()
-		c.closeEmpty(now)
+// reconcileAsLeader does the leader's share; it is called every slow tick.
+func (c *Controller) reconcileAsLeader(now micros.Micros) {
+	if now >= c.nextEmptyMachineCheckAt {
+		c.nextEmptyMachineCheckAt = now + c.settings.AutoscalingInterval.Micros()
+		c.scaleInEmpty(now)
 	}
-	if !c.leading(now) || c.storeDown {
+	if !c.isLeader(now) || c.storeUnavailable {
 		return
 	}
-	l := &c.leader
-	if l.term != c.view.leadVer {
-		c.leader = newLeaderState(c.view.leadVer)
+	leader := &c.leader
+	if leader.term != c.mirror.LeaderVersion {
+		c.leader = newLeaderState(c.mirror.LeaderVersion)
 	}
-	c.keepTypes()
-	c.removals(now)
-	if now >= l.listAt && !l.listing {
+	c.persistCatalog()
+	c.reconcileScaleIns(now)
+	if now >= leader.nextListAt && !leader.listInFlight {
 		c.listMachines(now)
 	}
-	if !l.rebuilt {
+	if !leader.inventoryRebuilt {
 		return
 	}
-	c.rentals(now)
-	if now >= l.passAt {
-		c.pass(now)
-		l.passAt = pace(now, c.now(), c.set.PassInterval.T())
+	c.reconcileScaleOuts(now)
+	if now >= leader.nextPassAt {
+		c.autoscalingPass(now)
+		leader.nextPassAt = nextDue(now, c.now(), c.settings.AutoscalingInterval.Micros())
 	}
 }
 
-// leaderCommit makes a change conditional on our lead, one at a time a key.
-func (c *Core) leaderCommit(rank bookkeeping.Rank, busyKey string, t protocol.Txn, back func(protocol.StoreResult)) {
-	if c.leader.busy[busyKey] {
+// commitAsLeader makes a change conditional on our lead, one at a time a key.
+func (c *Controller) commitAsLeader(priority bookkeeping.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
+	if c.leader.commitInFlight[busyKey] {
 		return
 	}
-	c.leader.busy[busyKey] = true
+	c.leader.commitInFlight[busyKey] = true
 	term := c.leader.term
-	t.If = append(t.If, c.leadCond())
-	c.commit(rank, t, func(r protocol.StoreResult) {
+	txn.If = append(txn.If, c.leadershipCompare())
+	c.commitTxn(priority, txn, func(result protocol.StoreResult) {
 		if term != c.leader.term {
 			return
 		}
-		delete(c.leader.busy, busyKey)
-		if back != nil {
-			back(r)
+		delete(c.leader.commitInFlight, busyKey)
+		if callback != nil {
+			callback(result)
 		}
 	})
 }
 
-// keepTypes keeps the cloud's catalogue in the store, so that a controller that
+// persistCatalog keeps the cloud's catalogue in the store, so that a controller that
 // starts during an outage of the cloud can accept and place. Prices move all the
 // time and are not worth a write.
-func (c *Core) keepTypes() {
-	if c.catalogAt == 0 {
+func (c *Controller) persistCatalog() {
+	if c.catalogFetchedAt == 0 {
 		return
 	}
-	for _, name := range sortedKeys(c.types) {
-		t := c.types[name]
-		have := c.view.types[name]
-		rec := bookkeeping.Type{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB, FetchGBPerS: t.FetchGBPerS,
-			Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones}
-		same := rec
-		same.Price, same.SpotPrice = have.rec.Price, have.rec.SpotPrice
-		if have.version != 0 && reflect.DeepEqual(same, have.rec) || !protocol.ValidKeyPart(name) {
+	for _, name := range sortedKeys(c.machineTypes) {
+		machineType := c.machineTypes[name]
+		have := c.mirror.MachineTypes[name]
+		record := bookkeeping.MachineType{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB, CacheGB: machineType.CacheGB, FetchGBPerS: machineType.FetchGBPerS,
+			OnDemandPrice: machineType.OnDemandPrice, SpotPrice: machineType.SpotPrice, BootS: machineType.BootS, Zones: machineType.Zones}
+		same := record
+		same.OnDemandPrice, same.SpotPrice = have.Record.OnDemandPrice, have.Record.SpotPrice
+		if have.Version != 0 && reflect.DeepEqual(same, have.Record) || !protocol.ValidKeyPart(name) {
 			continue
 		}
-		key := bookkeeping.Key(bookkeeping.KindType, name)
-		c.leaderCommit(bookkeeping.RankRest, key, protocol.Txn{
-			If:   []protocol.Cond{{Key: key, Version: have.version}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
+		key := bookkeeping.Key(bookkeeping.KindMachineType, name)
+		c.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: have.Version}},
+			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
 	}
 }
 
 // ---- removals ----
 
-// removals has machines deleted: those that their parts want to be rid of, and
+// reconcileScaleIns has machines deleted: those that their parts want to be rid of, and
 // such as nobody has. Many go by one record and one call; the record is written
 // before the call, and says afterwards that they are gone.
-func (c *Core) removals(now micros.T) {
-	l := &c.leader
-	if now >= l.removeAt {
-		var due []string
-		for _, id := range sortedKeys(c.view.machines) {
-			if m := c.view.machines[id]; m.rec != nil && m.rec.State == bookkeeping.MachineRemoving && c.view.removal[id] == "" {
-				due = append(due, id)
+func (c *Controller) reconcileScaleIns(now micros.Micros) {
+	leader := &c.leader
+	if now >= leader.nextScaleInAt {
+		var removable []string
+		for _, id := range sortedKeys(c.mirror.Machines) {
+			if machine := c.mirror.Machines[id]; machine.Record != nil && machine.Record.State == bookkeeping.MachineRemoving && c.mirror.ScaleInOfMachine[id] == "" {
+				removable = append(removable, id)
 			}
 		}
-		for _, id := range sortedKeys(l.unready) {
-			if c.view.removal[id] != "" {
-				delete(l.unready, id)
+		for _, id := range sortedKeys(leader.failedMachines) {
+			if c.mirror.ScaleInOfMachine[id] != "" {
+				delete(leader.failedMachines, id)
 				continue
 			}
-			due = append(due, id)
+			removable = append(removable, id)
 		}
-		if len(due) > 0 {
-			l.removeAt = now + removeEvery
-			c.writeRemoval(due)
+		if len(removable) > 0 {
+			leader.nextScaleInAt = now + scaleInInterval
+			c.requestScaleIn(removable)
 		}
 	}
-	for _, name := range sortedKeys(c.view.removals) {
-		r := c.view.removals[name]
-		if r.rec.Gone {
-			c.forgetRemoval(name, r)
+	for _, name := range sortedKeys(c.mirror.ScaleIns) {
+		removal := c.mirror.ScaleIns[name]
+		if removal.Record.Gone {
+			c.forgetScaleIn(name, removal)
 			continue
 		}
-		if l.deleting[name] || now < l.deleteAt[name] || c.cloudGate.Ready(now, 1) > 0 {
+		if leader.scaleInInFlight[name] || now < leader.scaleInRetryAt[name] || c.cloudRateLimiter.WaitTime(now, 1) > 0 {
 			continue
 		}
-		c.delete(name, r)
+		c.deleteMachines(name, removal)
 	}
 }
 
-// writeRemoval writes the record of a removal, as many machines as it can hold.
-func (c *Core) writeRemoval(ids []string) {
+// requestScaleIn writes the record of a removal, as many machines as it can hold.
+func (c *Controller) requestScaleIn(ids []string) {
 	size, n := 64, 0
-	for n < len(ids) && n < mostADelete && size+len(ids[n])+3 < c.valueBytes() {
+	for n < len(ids) && n < maxMachinesPerScaleIn && size+len(ids[n])+3 < c.maxValueBytes() {
 		size += len(ids[n]) + 3
 		n++
 	}
-	c.leader.sequence++
-	name := fmt.Sprintf("%d-%d", c.leader.term, c.leader.sequence)
-	key := bookkeeping.Key(bookkeeping.KindRemoval, name)
-	rec := bookkeeping.Removal{Machines: ids[:n], At: c.env.Wall()}
-	c.leaderCommit(bookkeeping.RankRest, "removals", protocol.Txn{
-		If:   []protocol.Cond{{Key: key, Version: 0}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
-	}, func(r protocol.StoreResult) {
-		if r.Outcome == protocol.OK {
-			c.removals(c.now())
+	c.leader.requestSequence++
+	name := fmt.Sprintf("%d-%d", c.leader.term, c.leader.requestSequence)
+	key := bookkeeping.Key(bookkeeping.KindScaleIn, name)
+	record := bookkeeping.ScaleInRequest{Machines: ids[:n], StateSince: c.env.WallClock()}
+	c.commitAsLeader(bookkeeping.PriorityBackground, "removals", protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: 0}},
+		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
+	}, func(result protocol.StoreResult) {
+		if result.Outcome == protocol.OK {
+			c.reconcileScaleIns(c.now())
 		}
 	})
 }
 
-func (c *Core) delete(name string, r *removalView) {
-	l := &c.leader
-	c.cloudGate.Take(1)
-	l.deleting[name] = true
-	term := l.term
-	c.env.Cloud(&protocol.CloudCall{Op: protocol.CloudDelete, Delete: r.rec.Machines, Within: cloudTimeout}, func(res protocol.CloudResult) {
+func (c *Controller) deleteMachines(name string, removal *ScaleInEntry) {
+	leader := &c.leader
+	c.cloudRateLimiter.Take(1)
+	leader.scaleInInFlight[name] = true
+	term := leader.term
+	c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudDelete, Delete: removal.Record.Machines, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
 		if term != c.leader.term {
 			return
 		}
-		c.noteCloud(res.Outcome)
-		delete(c.leader.deleting, name)
-		c.leader.deleteAt[name] = c.now() + cloudPause
-		key := bookkeeping.Key(bookkeeping.KindRemoval, name)
-		rec := r.rec
-		switch res.Outcome {
+		c.noteCloudOutcome(result.Outcome)
+		delete(c.leader.scaleInInFlight, name)
+		c.leader.scaleInRetryAt[name] = c.now() + cloudRetryDelay
+		key := bookkeeping.Key(bookkeeping.KindScaleIn, name)
+		record := removal.Record
+		switch result.Outcome {
 		case protocol.OK:
 			// The proof that they and all on them are gone.
-			rec.Gone, rec.At = true, c.env.Wall()
+			record.Gone, record.StateSince = true, c.env.WallClock()
 		case protocol.Throttled, protocol.Unavailable:
 			return // the cloud's own trouble counts for nothing
 		default:
 			// A few quick tries, then it is flagged and tried on a long back-off.
-			rec.Tries++
-			if rec.Tries >= c.set.RemovalTries {
-				rec.Failed = true
-				c.leader.deleteAt[name] = c.now() + c.set.RemovalPause.T()
-				c.log.Error("machine deletion failed", "scale_in", name, "machines", len(rec.Machines),
-					"tries", rec.Tries, "outcome", res.Outcome.String())
+			record.Attempts++
+			if record.Attempts >= c.settings.ScaleInAttempts {
+				record.Failed = true
+				c.leader.scaleInRetryAt[name] = c.now() + c.settings.ScaleInRetryInterval.Micros()
+				c.log.Error("machine deletion failed", "scale_in", name, "machines", len(record.Machines),
+					"tries", record.Attempts, "outcome", result.Outcome.String())
 			}
 		}
-		c.leaderCommit(bookkeeping.RankShard, key, protocol.Txn{
-			If:   []protocol.Cond{{Key: key, Version: r.version}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
-		}, func(cr protocol.StoreResult) {
-			if cr.Outcome == protocol.OK && rec.Gone {
-				c.log.Info("machines deleted", "scale_in", name, "machines", len(rec.Machines))
+		c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: removal.Version}},
+			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
+		}, func(result protocol.StoreResult) {
+			if result.Outcome == protocol.OK && record.Gone {
+				c.log.Info("machines deleted", "scale_in", name, "machines", len(record.Machines))
 			}
 		})
 	})
 }
 
-// forgetRemoval drops a record whose machines are in no shard any more, once no
+// forgetScaleIn drops a record whose machines are in no shard any more, once no
 // late report of theirs is to be expected.
-func (c *Core) forgetRemoval(name string, r *removalView) {
-	if micros.T(c.env.Wall()-r.rec.At) < ghostsFor {
+func (c *Controller) forgetScaleIn(name string, removal *ScaleInEntry) {
+	if micros.Micros(c.env.WallClock()-removal.Record.StateSince) < deletedMachineRetention {
 		return
 	}
-	for _, id := range r.rec.Machines {
-		if m := c.view.machines[id]; m != nil {
+	for _, id := range removal.Record.Machines {
+		if machine := c.mirror.Machines[id]; machine != nil {
 			return
 		}
 	}
-	key := bookkeeping.Key(bookkeeping.KindRemoval, name)
-	c.leaderCommit(bookkeeping.RankRest, key, protocol.Txn{
-		If:   []protocol.Cond{{Key: key, Version: r.version}},
+	key := bookkeeping.Key(bookkeeping.KindScaleIn, name)
+	c.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: removal.Version}},
 		Then: []protocol.Op{{Delete: key}},
 	}, nil)
 }
 
-// noteCloud logs the beginning and the end of the cloud's trouble.
-func (c *Core) noteCloud(o protocol.Outcome) {
-	bad := o == protocol.Unavailable || o == protocol.Unknown
-	if bad != c.leader.trouble && o != protocol.Throttled {
-		c.leader.trouble = bad
+// noteCloudOutcome logs the beginning and the end of the cloud's trouble.
+func (c *Controller) noteCloudOutcome(outcome protocol.Outcome) {
+	bad := outcome == protocol.Unavailable || outcome == protocol.Unknown
+	if bad != c.leader.cloudTrouble && outcome != protocol.Throttled {
+		c.leader.cloudTrouble = bad
 		if bad {
-			c.log.Info("cloud unavailable", "state", conditionBegin, "outcome", o.String())
+			c.log.Info("cloud unavailable", "state", conditionBegin, "outcome", outcome.String())
 		} else {
 			c.log.Info("cloud unavailable", "state", conditionEnd)
 		}
@@ -269,235 +269,235 @@
 
 // listMachines reads the cloud's list to its end. It finds failed machines and
 // such as nobody expected; an absent machine proves nothing, the list lags.
-func (c *Core) listMachines(now micros.T) {
-	l := &c.leader
-	l.listing = true
-	term := l.term
-	var shard func(after string)
-	shard = func(after string) {
+func (c *Controller) listMachines(now micros.Micros) {
+	leader := &c.leader
+	leader.listInFlight = true
+	term := leader.term
+	var listPage func(after string)
+	listPage = func(after string) {
 		if term != c.leader.term {
 			return
 		}
-		if !c.leading(c.now()) { // what was listed is another leader's by now
-			c.leader.listing = false
+		if !c.isLeader(c.now()) { // what was listed is another leader's by now
+			c.leader.listInFlight = false
 			return
 		}
-		if wait := c.cloudGate.Ready(c.now(), 1); wait > 0 {
-			c.env.After(wait, func() { shard(after) })
+		if delay := c.cloudRateLimiter.WaitTime(c.now(), 1); delay > 0 {
+			c.env.After(delay, func() { listPage(after) })
 			return
 		}
-		c.cloudGate.Take(1)
-		c.env.Cloud(&protocol.CloudCall{Op: protocol.CloudList, After: after, Within: cloudTimeout}, func(r protocol.CloudResult) {
+		c.cloudRateLimiter.Take(1)
+		c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudList, After: after, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
 			if term != c.leader.term {
 				return
 			}
-			c.noteCloud(r.Outcome)
-			if r.Outcome != protocol.OK {
-				c.leader.listing = false
-				c.leader.listAt = c.now() + cloudPause
+			c.noteCloudOutcome(result.Outcome)
+			if result.Outcome != protocol.OK {
+				c.leader.listInFlight = false
+				c.leader.nextListAt = c.now() + cloudRetryDelay
 				return
 			}
-			if !c.leading(c.now()) {
-				c.leader.listing = false
+			if !c.isLeader(c.now()) {
+				c.leader.listInFlight = false
 				return
 			}
-			for i := range r.Listed {
-				c.listed(&r.Listed[i])
+			for i := range result.Listed {
+				c.inspectListed(&result.Listed[i])
 			}
-			if r.More && len(r.Listed) > 0 {
-				shard(r.Listed[len(r.Listed)-1].ID)
+			if result.More && len(result.Listed) > 0 {
+				listPage(result.Listed[len(result.Listed)-1].ID)
 				return
 			}
-			c.leader.listing = false
-			c.leader.listAt = c.now() + listEvery
-			c.takeFound()
-			if !c.leader.rebuilt {
-				c.leader.rebuilt = true
-				c.log.Info("inventory rebuilt, scale-out enabled", "machines", len(c.view.machines),
-					"scale_outs", len(c.view.rentals))
+			c.leader.listInFlight = false
+			c.leader.nextListAt = c.now() + listInterval
+			c.adoptUnknownMachines()
+			if !c.leader.inventoryRebuilt {
+				c.leader.inventoryRebuilt = true
+				c.log.Info("inventory rebuilt, scale-out enabled", "machines", len(c.mirror.Machines),
+					"scale_outs", len(c.mirror.ScaleOuts))
 			}
 		})
 	}
-	shard("")
+	listPage("")
 }
 
-// listed looks at one machine of the list.
-func (c *Core) listed(e *protocol.Listed) {
-	l := &c.leader
-	if !protocol.ValidKeyPart(e.ID) || c.view.removal[e.ID] != "" {
+// inspectListed looks at one machine of the list.
+func (c *Controller) inspectListed(listed *protocol.ListedMachine) {
+	leader := &c.leader
+	if !protocol.ValidKeyPart(listed.ID) || c.mirror.ScaleInOfMachine[listed.ID] != "" {
 		return
 	}
-	if m := c.view.machines[e.ID]; m != nil && m.rec != nil {
-		if e.State == "failed" {
-			l.unready[e.ID] = "failed"
+	if machine := c.mirror.Machines[listed.ID]; machine != nil && machine.Record != nil {
+		if listed.State == "failed" {
+			leader.failedMachines[listed.ID] = "failed"
 		}
 		return
 	}
 	lag := micros.FromSeconds(2*c.cfg.Facts.Cloud.ListLagS) + 5*micros.Second
 	switch {
-	case e.State == "failed":
-		l.unready[e.ID] = "failed before it was up"
-	case c.view.rentalOf[e.ID] == "" && micros.FromSeconds(e.AgeS) > lag:
-		l.found[e.ID] = e
+	case listed.State == "failed":
+		leader.failedMachines[listed.ID] = "failed before it was up"
+	case c.mirror.ScaleOutOfMachine[listed.ID] == "" && micros.FromSeconds(listed.AgeS) > lag:
+		leader.unknownMachines[listed.ID] = listed
 	}
 }
 
-// takeFound writes requests for machines that nobody asked for, so that they are
+// adoptUnknownMachines writes requests for machines that nobody asked for, so that they are
 // claimed like any other when they are up, or given back when they don't come up.
-func (c *Core) takeFound() {
-	l := &c.leader
-	for _, id := range sortedKeys(l.found) {
-		e := l.found[id]
-		delete(l.found, id)
-		if c.view.rentalOf[id] != "" || c.view.removal[id] != "" {
+func (c *Controller) adoptUnknownMachines() {
+	leader := &c.leader
+	for _, id := range sortedKeys(leader.unknownMachines) {
+		listed := leader.unknownMachines[id]
+		delete(leader.unknownMachines, id)
+		if c.mirror.ScaleOutOfMachine[id] != "" || c.mirror.ScaleInOfMachine[id] != "" {
 			continue
 		}
-		l.sequence++
-		name := fmt.Sprintf("r-%d-%d", l.term, l.sequence)
-		key := bookkeeping.Key(bookkeeping.KindRental, name)
-		rec := bookkeeping.Rental{Phase: bookkeeping.RentalProvisioning, Type: e.Type, Zone: e.Zone, Spot: e.Spot, Count: 1,
-			Machines: []string{id}, Live: c.able(), At: c.env.Wall()}
-		c.log.Info("unrequested machine found", "machine", id, "machine_type", e.Type, "zone", e.Zone)
-		c.leaderCommit(bookkeeping.RankRest, key, protocol.Txn{
-			If:   []protocol.Cond{{Key: key, Version: 0}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
+		leader.requestSequence++
+		name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
+		key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
+		record := bookkeeping.ScaleOutRequest{Phase: bookkeeping.ScaleOutProvisioning, MachineType: listed.Type, Zone: listed.Zone, Spot: listed.Spot, Count: 1,
+			Machines: []string{id}, Live: c.connectedControllers(), PhaseSince: c.env.WallClock()}
+		c.log.Info("unrequested machine found", "machine", id, "machine_type", listed.Type, "zone", listed.Zone)
+		c.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: 0}},
+			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
 	}
 }
 
 // ---- requests ----
 
-// rentals moves rental requests on.
-func (c *Core) rentals(now micros.T) {
-	l := &c.leader
-	wall := c.env.Wall()
-	for _, name := range sortedKeys(c.view.rentals) {
-		a := c.view.rentals[name]
-		key := bookkeeping.Key(bookkeeping.KindRental, name)
-		age := micros.T(wall - a.rec.At)
-		drop := protocol.Txn{If: []protocol.Cond{{Key: key, Version: a.version}}, Then: []protocol.Op{{Delete: key}}}
-		switch a.rec.Phase {
-		case bookkeeping.RentalPending:
-			if !l.probing[name] && now >= l.rentAt[name] && c.cloudGate.Ready(now, 1) == 0 {
-				c.rent(name, a)
+// reconcileScaleOuts moves rental requests on.
+func (c *Controller) reconcileScaleOuts(now micros.Micros) {
+	leader := &c.leader
+	wall := c.env.WallClock()
+	for _, name := range sortedKeys(c.mirror.ScaleOuts) {
+		request := c.mirror.ScaleOuts[name]
+		key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
+		age := micros.Micros(wall - request.Record.PhaseSince)
+		drop := protocol.Transaction{If: []protocol.Compare{{Key: key, Version: request.Version}}, Then: []protocol.Op{{Delete: key}}}
+		switch request.Record.Phase {
+		case bookkeeping.ScaleOutPending:
+			if !leader.scaleOutInFlight[name] && now >= leader.scaleOutRetryAt[name] && c.cloudRateLimiter.WaitTime(now, 1) == 0 {
+				c.callScaleOut(name, request)
 			}
-		case bookkeeping.RentalUnmet:
-			if age > c.set.UnmetTTL.T() {
-				l.recover++
-				c.leaderCommit(bookkeeping.RankRest, key, drop, nil)
+		case bookkeeping.ScaleOutNoCapacity:
+			if age > c.settings.OfferQuarantine.Micros() {
+				leader.offerRecoveries++
+				c.commitAsLeader(bookkeeping.PriorityBackground, key, drop, nil)
 			}
-		case bookkeeping.RentalProvisioning:
-			missing := c.missing(a)
-			able := c.able()
+		case bookkeeping.ScaleOutProvisioning:
+			missing := c.missingMachines(request)
+			connected := c.connectedControllers()
 			orphans := false
 			for _, id := range missing {
-				if !slices.Contains(able, c.designated(a, id)) {
+				if !slices.Contains(connected, c.designatedController(request, id)) {
 					orphans = true
 				}
 			}
 			switch {
-			case len(missing) == 0 && c.view.watched >= a.version:
-				c.leaderCommit(bookkeeping.RankRest, key, drop, nil)
-			case age > c.set.ReadinessWait.T():
+			case len(missing) == 0 && c.mirror.WatchedRevision >= request.Version:
+				c.commitAsLeader(bookkeeping.PriorityBackground, key, drop, nil)
+			case age > c.settings.ReadinessTimeout.Micros():
 				// With the request goes the right to claim them.
-				l.sequence++
-				removal := bookkeeping.Key(bookkeeping.KindRemoval, fmt.Sprintf("%d-%d", l.term, l.sequence))
-				drop.If = append(drop.If, protocol.Cond{Key: removal, Version: 0})
+				leader.requestSequence++
+				removal := bookkeeping.Key(bookkeeping.KindScaleIn, fmt.Sprintf("%d-%d", leader.term, leader.requestSequence))
+				drop.If = append(drop.If, protocol.Compare{Key: removal, Version: 0})
 				drop.Then = append(drop.Then, protocol.Op{Put: removal,
-					Value: protocol.MustMarshal(&bookkeeping.Removal{Machines: missing, At: wall})})
-				c.leaderCommit(bookkeeping.RankRest, key, drop, func(r protocol.StoreResult) {
-					if r.Outcome == protocol.OK {
+					Value: protocol.MustMarshal(&bookkeeping.ScaleInRequest{Machines: missing, StateSince: wall})})
+				c.commitAsLeader(bookkeeping.PriorityBackground, key, drop, func(result protocol.StoreResult) {
+					if result.Outcome == protocol.OK {
 						c.log.Info("machines not ready in time, scale-in requested", "scale_out", name,
-							"machines", len(missing), "machine_type", a.rec.Type, "zone", a.rec.Zone)
+							"machines", len(missing), "machine_type", request.Record.MachineType, "zone", request.Record.Zone)
 					}
 				})
-			case orphans && len(able) > 0:
+			case orphans && len(connected) > 0:
 				// Those who were to claim them have gone, or can't: name others.
-				rec := a.rec
-				rec.Live, rec.Own = able, nil
-				c.leaderCommit(bookkeeping.RankShard, key, protocol.Txn{
-					If:   []protocol.Cond{{Key: key, Version: a.version}},
-					Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
+				record := request.Record
+				record.Live, record.Own = connected, nil
+				c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, protocol.Transaction{
+					If:   []protocol.Compare{{Key: key, Version: request.Version}},
+					Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 				}, nil)
 			}
 		}
 	}
 }
 
-// missing lists the machines of a request that haven't come up.
-func (c *Core) missing(a *rentalView) []string {
+// missingMachines lists the machines of a request that haven't come up.
+func (c *Controller) missingMachines(request *ScaleOutEntry) []string {
 	var out []string
-	for _, id := range a.rec.Machines {
-		if m := c.view.machines[id]; (m == nil || m.rec == nil) && c.view.removal[id] == "" {
+	for _, id := range request.Record.Machines {
+		if machine := c.mirror.Machines[id]; (machine == nil || machine.Record == nil) && c.mirror.ScaleInOfMachine[id] == "" {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// rent makes the cloud call of a request. Its name was written before, so a new
+// callScaleOut makes the cloud call of a request. Its name was written before, so a new
 // leader repeats the very same call and the cloud gives the same answer.
-func (c *Core) rent(name string, a *rentalView) {
-	l := &c.leader
-	l.probing[name] = true
-	c.cloudGate.Take(1)
-	term := l.term
-	call := &protocol.CloudCall{Op: protocol.CloudRent, Within: cloudTimeout, Rent: protocol.RentRequest{
-		Name: name, Type: a.rec.Type, Zone: a.rec.Zone, Spot: a.rec.Spot, Count: a.rec.Count}}
-	c.env.Cloud(call, func(r protocol.CloudResult) {
+func (c *Controller) callScaleOut(name string, request *ScaleOutEntry) {
+	leader := &c.leader
+	leader.scaleOutInFlight[name] = true
+	c.cloudRateLimiter.Take(1)
+	term := leader.term
+	call := &protocol.CloudCall{Op: protocol.CloudRent, Timeout: cloudTimeout, Rent: protocol.RentRequest{
+		Name: name, Type: request.Record.MachineType, Zone: request.Record.Zone, Spot: request.Record.Spot, Count: request.Record.Count}}
+	c.env.CallCloud(call, func(result protocol.CloudResult) {
 		if term != c.leader.term {
 			return
 		}
-		delete(c.leader.probing, name)
-		c.leader.rentAt[name] = c.now() + cloudPause
-		c.noteCloud(r.Outcome)
-		rec := a.rec
+		delete(c.leader.scaleOutInFlight, name)
+		c.leader.scaleOutRetryAt[name] = c.now() + cloudRetryDelay
+		c.noteCloudOutcome(result.Outcome)
+		record := request.Record
 		switch {
-		case r.Outcome == protocol.OK && len(r.Rented) > 0:
-			rec.Phase, rec.Machines, rec.Live = bookkeeping.RentalProvisioning, r.Rented, c.able()
-			c.log.Info("scale-out completed", "scale_out", name, "machine_type", rec.Type, "zone", rec.Zone,
-				"spot", rec.Spot, "requested", rec.Count, "machines", len(r.Rented))
-		case r.Outcome == protocol.OK, r.Outcome == protocol.NoCapacity:
-			rec.Phase = bookkeeping.RentalUnmet
-			c.log.Info("insufficient capacity, offer quarantined", "machine_type", rec.Type,
-				"zone", rec.Zone, "spot", rec.Spot)
-		case r.Outcome == protocol.Rejected:
-			c.log.Error("scale-out request rejected", "scale_out", name, "machine_type", rec.Type)
-			rec.Phase = bookkeeping.RentalUnmet
+		case result.Outcome == protocol.OK && len(result.Rented) > 0:
+			record.Phase, record.Machines, record.Live = bookkeeping.ScaleOutProvisioning, result.Rented, c.connectedControllers()
+			c.log.Info("scale-out completed", "scale_out", name, "machine_type", record.MachineType, "zone", record.Zone,
+				"spot", record.Spot, "requested", record.Count, "machines", len(result.Rented))
+		case result.Outcome == protocol.OK, result.Outcome == protocol.NoCapacity:
+			record.Phase = bookkeeping.ScaleOutNoCapacity
+			c.log.Info("insufficient capacity, offer quarantined", "machine_type", record.MachineType,
+				"zone", record.Zone, "spot", record.Spot)
+		case result.Outcome == protocol.Rejected:
+			c.log.Error("scale-out request rejected", "scale_out", name, "machine_type", record.MachineType)
+			record.Phase = bookkeeping.ScaleOutNoCapacity
 		default:
 			// Throttled, troubled or unknown: says nothing about the offer. The
 			// same name is asked again.
 			return
 		}
-		rec.At = c.env.Wall()
-		key := bookkeeping.Key(bookkeeping.KindRental, name)
-		t := protocol.Txn{
-			If:   []protocol.Cond{{Key: key, Version: a.version}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
+		record.PhaseSince = c.env.WallClock()
+		key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
+		txn := protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: request.Version}},
+			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}
-		if rec.Phase == bookkeeping.RentalProvisioning && len(r.Rented) < rec.Count {
+		if record.Phase == bookkeeping.ScaleOutProvisioning && len(result.Rented) < record.Count {
 			// Partly filled: the rest isn't to be had for now.
-			un := bookkeeping.Rental{Phase: bookkeeping.RentalUnmet, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, At: rec.At}
-			t.Then = append(t.Then, protocol.Op{Put: key + "-rest", Value: protocol.MustMarshal(&un)})
+			unmetRequest := bookkeeping.ScaleOutRequest{Phase: bookkeeping.ScaleOutNoCapacity, MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot, PhaseSince: record.PhaseSince}
+			txn.Then = append(txn.Then, protocol.Op{Put: key + "-rest", Value: protocol.MustMarshal(&unmetRequest)})
 		}
-		c.leaderCommit(bookkeeping.RankShard, key, t, nil)
+		c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, txn, nil)
 	})
 }
 
-// rental writes a request; its cloud call follows once it is written. The name
+// requestScaleOut writes a request; its cloud call follows once it is written. The name
 // holds the term, so no other leader ever uses it.
-func (c *Core) rental(o offer, n int) {
-	l := &c.leader
-	l.sequence++
-	name := fmt.Sprintf("r-%d-%d", l.term, l.sequence)
-	key := bookkeeping.Key(bookkeeping.KindRental, name)
-	rec := bookkeeping.Rental{Phase: bookkeeping.RentalPending, Type: o.typ, Zone: o.zone, Spot: o.spot, Count: n, At: c.env.Wall()}
-	c.leaderCommit(bookkeeping.RankShard, key, protocol.Txn{
-		If:   []protocol.Cond{{Key: key, Version: 0}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
-	}, func(r protocol.StoreResult) {
-		if r.Outcome == protocol.OK {
-			c.rentals(c.now())
+func (c *Controller) requestScaleOut(o offer, n int) {
+	leader := &c.leader
+	leader.requestSequence++
+	name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
+	key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
+	record := bookkeeping.ScaleOutRequest{Phase: bookkeeping.ScaleOutPending, MachineType: o.machineType, Zone: o.zone, Spot: o.spot, Count: n, PhaseSince: c.env.WallClock()}
+	c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: 0}},
+		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
+	}, func(result protocol.StoreResult) {
+		if result.Outcome == protocol.OK {
+			c.reconcileScaleOuts(c.now())
 		}
 	})
 }
--- a/internal/coordination/learning.go
+++ b/internal/coordination/learning.go
@@ -9,94 +9,94 @@
 	"pipitgap/internal/protocol"
 )
 
-// noteExit learns from how an attempt ended.
-func (c *Core) noteExit(m *machine, j *job, ref taskRef, t *protocol.TaskReport) {
-	w := m.w
-	if w.settled(attemptKey{ref, t.Attempt}) {
+// recordExit learns from how an attempt ended.
+func (c *Controller) recordExit(machine *Machine, job *Job, task TaskID, taskReport *protocol.TaskStatus) {
+	agent := machine.Agent
+	if agent.HasOutcome(AttemptID{task, taskReport.Attempt}) {
 		return
 	}
-	switch t.Cause {
+	switch taskReport.Cause {
 	case protocol.CauseDone:
-		if at, ok := w.since[attemptKey{ref, t.Attempt}]; ok && !j.rec.Spec.Service {
-			w.measure((c.now() - at).Seconds(), c.expected(&j.rec.Spec))
-			c.learn(&j.rec.Spec, (c.now() - at).Seconds())
+		if at, ok := agent.RunningSince[AttemptID{task, taskReport.Attempt}]; ok && !job.Record.Spec.Service {
+			agent.recordSpeed((c.now() - at).Seconds(), c.expectedRunSeconds(&job.Record.Spec))
+			c.updateEstimateBias(&job.Record.Spec, (c.now() - at).Seconds())
 		}
-		clear(w.failures)
-		if js := c.jobState[j.id]; js != nil {
-			js.fails, js.step, js.retryAt = 0, 0, 0
-			clear(js.failedOn)
+		clear(agent.FailuresByJob)
+		if tracking := c.jobStates[job.ID]; tracking != nil {
+			tracking.failedMachines, tracking.backoffDelay, tracking.retryAt = 0, 0, 0
+			clear(tracking.excludedMachines)
 		}
 	case protocol.CauseError:
-		c.stats.failed++
-		c.noteFailure(m, j)
-		c.log.Debug("task failed", "task", ref.String(), "attempt", t.Attempt, "machine", m.id)
-	case protocol.CauseUnknown, protocol.CauseFull, protocol.CauseBusy:
-		js := c.jobNotes(j.id)
-		js.until = max(js.until, c.now()+500*micros.Millisecond)
-		c.log.Debug("task start refused", "task", ref.String(), "attempt", t.Attempt,
-			"machine", m.id, "reason", t.Cause)
+		c.counters.jobsFailed++
+		c.recordFailure(machine, job)
+		c.log.Debug("task failed", "task", task.String(), "attempt", taskReport.Attempt, "machine", machine.ID)
+	case protocol.CauseUnknown, protocol.CauseMachineFull, protocol.CauseBusy:
+		tracking := c.trackingOf(job.ID)
+		tracking.placeNotBefore = max(tracking.placeNotBefore, c.now()+500*micros.Millisecond)
+		c.log.Debug("task start refused", "task", task.String(), "attempt", taskReport.Attempt,
+			"machine", machine.ID, "reason", taskReport.Cause)
 	}
 }
 
-// learn follows how far the owners' estimates of a class are off just now: on
+// updateEstimateBias follows how far the owners' estimates of a class are off just now: on
 // some days they are mostly too high or mostly too low.
-func (c *Core) learn(s *bookkeeping.Spec, ran float64) {
-	if s.EstimateS <= 0 || ran <= 0 {
+func (c *Controller) updateEstimateBias(spec *bookkeeping.JobSpec, ran float64) {
+	if spec.EstimateS <= 0 || ran <= 0 {
 		return
 	}
 	const weight = 0.05
-	c.bias[s.Class] += weight * (math.Log(ran/s.EstimateS) - c.bias[s.Class])
+	c.estimateBias[spec.Class] += weight * (math.Log(ran/spec.EstimateS) - c.estimateBias[spec.Class])
 }
 
-// expected is a task's estimate, corrected by what was learned.
-func (c *Core) expected(s *bookkeeping.Spec) float64 {
-	return s.EstimateS * math.Exp(min(max(c.bias[s.Class], -1), 1))
+// expectedRunSeconds is a task's estimate, corrected by what was learned.
+func (c *Controller) expectedRunSeconds(spec *bookkeeping.JobSpec) float64 {
+	return spec.EstimateS * math.Exp(min(max(c.estimateBias[spec.Class], -1), 1))
 }
 
-// jobState is what a controller notes about a job beside the store.
-type jobState struct {
-	fails      int             // machines of ours that it has failed on, with nothing completed since
-	failedOn   map[string]bool // those that it isn't tried on again
-	failedAt   micros.T
-	retryAt    micros.T // if it fails everywhere: its next try
-	step       micros.T // the pause before that
-	askedAt    micros.T // when it was last demand, for a try, see mayAsk
-	until      micros.T // not to be placed before
-	most       int      // tasks that it had begun when it last got on
-	due        int      // tasks that it is to have begun before it is starved no more
-	movedAt    micros.T // when that was
-	sharedAt   micros.T // when its record last changed: who is to place its tasks
-	handedAt   micros.T // when its tasks were last handed to another partition
-	overAt     micros.T // when its answer was seen; 0: before we looked
-	taken      int      // tasks that we have just taken over from other partitions
-	takenUntil micros.T
+// jobTracking is what a controller notes about a job beside the store.
+type jobTracking struct {
+	failedMachines   int             // machines of ours that it has failed on, with nothing completed since
+	excludedMachines map[string]bool // those that it isn't tried on again
+	lastFailureAt    micros.Micros
+	retryAt          micros.Micros // if it fails everywhere: its next try
+	backoffDelay     micros.Micros // the pause before that
+	trialDemandAt    micros.Micros // when it was last demand, for a try, see mayAsk
+	placeNotBefore   micros.Micros // not to be placed before
+	startedHighWater int           // tasks that it had begun when it last got on
+	startedTarget    int           // tasks that it is to have begun before it is starved no more
+	progressAt       micros.Micros // when that was
+	recordChangedAt  micros.Micros // when its record last changed: who is to place its tasks
+	reassignedAt     micros.Micros // when its tasks were last handed to another partition
+	finalSeenAt      micros.Micros // when its answer was seen; 0: before we looked
+	stolenTasks      int           // tasks that we have just taken over from other partitions
+	stolenUntil      micros.Micros
 }
 
-func (c *Core) jobNotes(id string) *jobState {
-	s := c.jobState[id]
+func (c *Controller) trackingOf(id string) *jobTracking {
+	s := c.jobStates[id]
 	if s == nil {
-		s = &jobState{failedOn: map[string]bool{}}
-		c.jobState[id] = s
+		s = &jobTracking{excludedMachines: map[string]bool{}}
+		c.jobStates[id] = s
 	}
 	return s
 }
 
-// pause backs a job that fails everywhere off, longer each time.
-func (s *jobState) pause(now micros.T, set config.Settings) {
-	if s.step == 0 {
-		s.step = set.BackoffFirst.T()
+// backOff backs a job that fails everywhere off, longer each time.
+func (s *jobTracking) backOff(now micros.Micros, settings config.Settings) {
+	if s.backoffDelay == 0 {
+		s.backoffDelay = settings.BackoffFirst.Micros()
 	} else {
-		s.step = min(2*s.step, set.BackoffMost.T())
+		s.backoffDelay = min(2*s.backoffDelay, settings.BackoffMax.Micros())
 	}
-	s.retryAt = now + s.step
+	s.retryAt = now + s.backoffDelay
 }
 
-// measure follows how fast the machine is. Single estimates are wrong by half
+// recordSpeed follows how fast the machine is. Single estimates are wrong by half
 // or more; a smoothed ratio of several tasks is not.
-func (w *worker) measure(ran, expected float64) {
+func (w *Agent) recordSpeed(ran, expected float64) {
 	if ran <= 0 || expected <= 0 {
 		return
 	}
-	w.samples++
-	w.drag += (math.Log(ran/expected) - w.drag) / float64(min(w.samples, 8))
+	w.SlowdownSamples++
+	w.LogSlowdown += (math.Log(ran/expected) - w.LogSlowdown) / float64(min(w.SlowdownSamples, 8))
 }
--- a/internal/coordination/machines.go
+++ b/internal/coordination/machines.go
@@ -5,150 +5,152 @@
 	"pipitgap/internal/micros"
 )
 
-// machineCheck is one look at all machines that are ours.
-type machineCheck struct {
-	now             micros.T
-	ours, quiet     int // machines, and those of them that are silent
-	lost, lostTasks int // whose leases have ended just now
-	noticed         int // that the cloud is about to take back
+// machineHealthCheck is one look at all machines that are ours.
+type machineHealthCheck struct {
+	now                      micros.Micros
+	owned, silent            int // machines, and those of them that are silent
+	leasesExpired, tasksLost int // whose leases have ended just now
+	interruptionNoticed      int // that the cloud is about to take back
 }
 
 // checkMachines looks after the machines that are ours: leases that have ended,
 // silence, notices, faults.
-func (c *Core) checkMachines(now micros.T) {
-	c.dropOldVisits(now)
+func (c *Controller) checkMachines(now micros.Micros) {
+	c.expireContactsAndClaimRequests(now)
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
-	if _, alone := c.refusedAlone(now); alone || c.storeDown || now-c.watchOKAt > watchBlock+micros.Second {
+	if _, alone := c.storeUnreachableOnlyHere(now); alone || c.storeUnavailable || now-c.lastWatchSuccessAt > watchLongPoll+micros.Second {
 		return
 	}
-	check := &machineCheck{now: now}
-	c.countSilent(check)
-	for _, id := range sortedKeys(c.view.machines) {
-		if m := c.view.machines[id]; m.w != nil && m.rec != nil {
-			c.checkMachine(m, check)
+	check := &machineHealthCheck{now: now}
+	c.countSilentMachines(check)
+	for _, id := range sortedKeys(c.mirror.Machines) {
+		if machine := c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
+			c.checkMachine(machine, check)
 		}
 	}
-	c.logCheck(check)
+	c.logMachineCheck(check)
 	c.logRemovals()
 }
 
-// dropOldVisits forgets workers of other partitions that haven't come for long, and machines
+// expireContactsAndClaimRequests forgets workers of other partitions that haven't come for long, and machines
 // that have waited for a claim for too long.
-func (c *Core) dropOldVisits(now micros.T) {
-	for id, v := range c.orphanVisits {
-		if now-v.last > micros.Minute {
-			delete(c.orphanVisits, id)
+func (c *Controller) expireContactsAndClaimRequests(now micros.Micros) {
+	for id, contact := range c.orphanContacts {
+		if now-contact.lastAt > micros.Minute {
+			delete(c.orphanContacts, id)
 		}
 	}
-	for _, id := range sortedKeys(c.arrivals) {
-		if now-c.arrivals[id].since > arrivalWait {
-			c.arrived(id, false)
+	for _, id := range sortedKeys(c.claimRequests) {
+		if now-c.claimRequests[id].requestedAt > claimRequestTimeout {
+			c.completeClaimRequest(id, false)
 		}
 	}
 }
 
-// silence is how long a machine has been silent; while we stood still nobody could be heard.
-func (c *Core) silence(w *worker, now micros.T) micros.T { return now - max(w.aliveAt, c.resumedAt) }
+// agentSilence is how long a machine has been silent; while we stood still nobody could be heard.
+func (c *Controller) agentSilence(agent *Agent, now micros.Micros) micros.Micros {
+	return now - max(agent.LastReachedAt, c.resumedFromPauseAt)
+}
 
-// countSilent counts the silent machines, by zone too, and judges from that whether it is
+// countSilentMachines counts the silent machines, by zone too, and judges from that whether it is
 // we, or a zone, that is cut off. A machine that we have claimed but not heard yet may still
 // be looking for us: it has until its lease must have ended.
-func (c *Core) countSilent(check *machineCheck) {
+func (c *Controller) countSilentMachines(check *machineHealthCheck) {
 	now := check.now
-	zones, all := map[string]*heardCount{}, heardCount{}
-	for _, m := range c.view.machines {
-		if m.w == nil || m.rec == nil {
+	zones, overall := map[string]*silenceCount{}, silenceCount{}
+	for _, machine := range c.mirror.Machines {
+		if machine.Agent == nil || machine.Record == nil {
 			continue
 		}
-		check.ours++
-		away := c.silence(m.w, now) > 2*c.timing.report
-		if away {
-			check.quiet++
+		check.owned++
+		silent := c.agentSilence(machine.Agent, now) > 2*c.durations.heartbeatInterval
+		if silent {
+			check.silent++
 		}
-		z := zones[m.rec.Zone]
-		if z == nil {
-			z = &heardCount{}
-			zones[m.rec.Zone] = z
+		zoneSilence := zones[machine.Record.Zone]
+		if zoneSilence == nil {
+			zoneSilence = &silenceCount{}
+			zones[machine.Record.Zone] = zoneSilence
 		}
-		z.count(away, m.w.session == 0)
-		all.count(away, m.w.session == 0)
+		zoneSilence.add(silent, machine.Agent.Incarnation == 0)
+		overall.add(silent, machine.Agent.Incarnation == 0)
 	}
-	if now-c.resumedAt > c.timing.patience || c.resumedAt == 0 {
-		c.noteReach(all, now)
+	if now-c.resumedFromPauseAt > c.durations.suspicionTimeout || c.resumedFromPauseAt == 0 {
+		c.updateReachability(overall, now)
 	}
-	check.quiet = max(check.quiet, 1) - 1 // one alone may always be the one
-	for zone, z := range zones {
-		if z.cut() {
-			c.zoneCut[zone] = now
+	check.silent = max(check.silent, 1) - 1 // one alone may always be the one
+	for zone, zoneSilence := range zones {
+		if zoneSilence.isUnreachable() {
+			c.zoneUnreachableAt[zone] = now
 		}
 	}
 }
 
 // checkMachine looks after one machine.
-func (c *Core) checkMachine(m *machine, check *machineCheck) {
-	w, now := m.w, check.now
-	if !w.lost && w.acked && now-max(w.answeredAt, w.sessionAt) > c.timing.proof {
-		check.lost++
-		check.lostTasks += len(m.tasks)
-		c.loseMachine(m)
+func (c *Controller) checkMachine(machine *Machine, check *machineHealthCheck) {
+	agent, now := machine.Agent, check.now
+	if !agent.LeaseExpired && agent.ClaimAcknowledged && now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > c.durations.leaseExpiryProof {
+		check.leasesExpired++
+		check.tasksLost += len(machine.Attempts)
+		c.expireMachineLease(machine)
 	}
-	faulty, doubtful := c.blame(w)
-	if doubtful != w.doubtful {
-		w.doubtful = doubtful
-		c.dirty = true
+	faulty, doubtful := c.machineFault(agent)
+	if doubtful != agent.FailureProne {
+		agent.FailureProne = doubtful
+		c.schedulingNeeded = true
 	}
-	if quiet := c.silence(w, now) > c.timing.patience || faulty; quiet != w.quiet {
-		w.quiet = quiet
-		c.dirty = true
+	if quiet := c.agentSilence(agent, now) > c.durations.suspicionTimeout || faulty; quiet != agent.Suspect {
+		agent.Suspect = quiet
+		c.schedulingNeeded = true
 	}
-	reason := c.reasonToRemove(m, check)
+	reason := c.removalReason(machine, check)
 	switch {
-	case m.rec.State == bookkeeping.MachineRemoving || w.removing != "":
+	case machine.Record.State == bookkeeping.MachineRemoving || agent.RemovalReason != "":
 	case reason != "":
-		c.remove(m, reason)
+		c.requestRemoval(machine, reason)
 	case faulty:
-		c.acquit(m)
-		c.remove(m, "faulty")
-	case w.noticed && m.rec.State != bookkeeping.MachineDraining && len(w.stopping) == 0:
-		check.noticed++
-		c.leave(m)
+		c.clearFailuresOn(machine)
+		c.requestRemoval(machine, "faulty")
+	case agent.InterruptionNoticed && machine.Record.State != bookkeeping.MachineDraining && len(agent.StoppingAttempts) == 0:
+		check.interruptionNoticed++
+		c.vacateInterruptedMachine(machine)
 	}
 }
 
-// loseMachine settles all that was on a machine whose lease has ended.
-func (c *Core) loseMachine(m *machine) {
-	m.w.lost, m.w.acked = true, false
-	for ref, attempt := range m.tasks {
-		m.w.settle(attemptKey{ref, attempt}, outRetry)
+// expireMachineLease settles all that was on a machine whose lease has ended.
+func (c *Controller) expireMachineLease(machine *Machine) {
+	machine.Agent.LeaseExpired, machine.Agent.ClaimAcknowledged = true, false
+	for task, attempt := range machine.Attempts {
+		machine.Agent.RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
 	}
-	c.dirty = true
+	c.schedulingNeeded = true
 }
 
-// reasonToRemove tells why a silent machine is to be deleted, or "" if it isn't.
-func (c *Core) reasonToRemove(m *machine, check *machineCheck) string {
-	w, silent := m.w, c.silence(m.w, check.now)
+// removalReason tells why a silent machine is to be deleted, or "" if it isn't.
+func (c *Controller) removalReason(machine *Machine, check *machineHealthCheck) string {
+	agent, silent := machine.Agent, c.agentSilence(machine.Agent, check.now)
 	// A zone that is cut off comes back with its machines, each within a lease: to
 	// delete them for their silence would have its room wait for boots then. Not
 	// so where services are: a deletion lets them start elsewhere.
-	at, cut := c.zoneCut[m.rec.Zone]
-	cut = cut && check.now-at < c.timing.lease && !c.holdsService(m)
+	at, cut := c.zoneUnreachableAt[machine.Record.Zone]
+	cut = cut && check.now-at < c.durations.workerLease && !c.holdsService(machine)
 	// Cancelled tasks there must be gone in time. Until then its lease may end, or
 	// another controller reach it: a machine with all its tasks for one that was
 	// cancelled a moment before the trouble is dear.
-	giveUp, overdue := c.timing.proof+2*c.timing.report, c.timing.cancel/2
+	giveUp, overdue := c.durations.leaseExpiryProof+2*c.durations.heartbeatInterval, c.durations.cancellationDeadline/2
 	if cut {
-		giveUp, overdue = 3*c.timing.proof, 3*c.timing.cancel/4
+		giveUp, overdue = 3*c.durations.leaseExpiryProof, 3*c.durations.cancellationDeadline/4
 	}
 	switch {
 	case silent > giveUp:
 		return "unreachable"
-	case silent > c.timing.patience && c.holdsCancelled(m, overdue):
+	case silent > c.durations.suspicionTimeout && c.holdsCancelled(machine, overdue):
 		// Its cancelled tasks must be gone in time, whoever is to blame.
 		return "cancelled tasks unreachable"
-	case w.noticed && silent > c.timing.alive:
+	case agent.InterruptionNoticed && silent > c.durations.placementSilenceLimit:
 		return "spot interruption"
-	case silent > c.timing.patience && 3*check.quiet <= check.ours && w.acked && !cut:
+	case silent > c.durations.suspicionTimeout && 3*check.silent <= check.owned && agent.ClaimAcknowledged && !cut:
 		// Deleting it proves its tasks gone long before its lease would. Not
 		// when many are silent: then it is we who are cut off.
 		return "unreachable"
@@ -156,41 +158,41 @@
 	return ""
 }
 
-// logCheck writes one line for each trouble, however many machines share it.
-func (c *Core) logCheck(check *machineCheck) {
-	if check.lost > 0 {
-		c.log.Info("machines lost", "state", conditionBegin, "machines", check.lost, "tasks", check.lostTasks)
+// logMachineCheck writes one line for each trouble, however many machines share it.
+func (c *Controller) logMachineCheck(check *machineHealthCheck) {
+	if check.leasesExpired > 0 {
+		c.log.Info("machines lost", "state", conditionBegin, "machines", check.leasesExpired, "tasks", check.tasksLost)
 	}
-	if check.noticed > 0 {
-		c.log.Info("spot interruption notice", "machines", check.noticed)
+	if check.interruptionNoticed > 0 {
+		c.log.Info("spot interruption notice", "machines", check.interruptionNoticed)
 	}
-	many := check.quiet >= 3
-	if many == c.quietSaid {
+	many := check.silent >= 3
+	if many == c.manySilentLogged {
 		return
 	}
-	c.quietSaid = many
+	c.manySilentLogged = many
 	if many {
 		c.log.Info("machines unreachable", "state", conditionBegin,
-			"machines", check.quiet+1, "machines_owned", check.ours)
+			"machines", check.silent+1, "machines_owned", check.owned)
 	} else {
-		c.log.Info("machines unreachable", "state", conditionEnd, "machines_owned", check.ours)
+		c.log.Info("machines unreachable", "state", conditionEnd, "machines_owned", check.owned)
 	}
 }
 
-// wanted is the state that a machine of ours should stand in.
-func (c *Core) wanted(m *machine) bookkeeping.MachineState {
-	w := m.w
-	if (w.removing == removeIdle || w.removing == removeDrained) && len(m.tasks) > 0 {
-		w.removing = "" // the recheck: it got tasks meanwhile
+// desiredMachineState is the state that a machine of ours should stand in.
+func (c *Controller) desiredMachineState(machine *Machine) bookkeeping.MachineState {
+	agent := machine.Agent
+	if (agent.RemovalReason == removalReasonIdle || agent.RemovalReason == removalReasonDrained) && len(machine.Attempts) > 0 {
+		agent.RemovalReason = "" // the recheck: it got tasks meanwhile
 	}
 	switch {
-	case m.rec.State == bookkeeping.MachineRemoving || w.removing != "":
+	case machine.Record.State == bookkeeping.MachineRemoving || agent.RemovalReason != "":
 		return bookkeeping.MachineRemoving
-	case m.rec.State == bookkeeping.MachineDraining || w.noticed:
+	case machine.Record.State == bookkeeping.MachineDraining || agent.InterruptionNoticed:
 		return bookkeeping.MachineDraining
-	case w.quiet:
-		return bookkeeping.MachineQuiet
-	case c.drains.cordons(m):
+	case agent.Suspect:
+		return bookkeeping.MachineUnreachable
+	case c.drains.isCordoned(machine):
 		return bookkeeping.MachineCordoned
 	}
 	return bookkeeping.MachineOpen
@@ -198,57 +200,59 @@
 
 // Reasons that hold only while the machine is empty.
 const (
-	removeIdle    = "idle"
-	removeDrained = "drained"
+	removalReasonIdle    = "idle"
+	removalReasonDrained = "drained"
 )
 
-// remove has a machine given back: our shard says so, and the leader deletes it.
-func (c *Core) remove(m *machine, reason string) {
-	m.w.removing = reason
-	c.dirty = true
-	c.givenBack[reason] = append(c.givenBack[reason], m.id)
+// requestRemoval has a machine given back: our shard says so, and the leader deletes it.
+func (c *Controller) requestRemoval(machine *Machine, reason string) {
+	machine.Agent.RemovalReason = reason
+	c.schedulingNeeded = true
+	c.unloggedRemovals[reason] = append(c.unloggedRemovals[reason], machine.ID)
 }
 
 // logRemovals writes one line a reason, however many machines share it.
-func (c *Core) logRemovals() {
-	for _, reason := range sortedKeys(c.givenBack) {
-		ids := c.givenBack[reason]
+func (c *Controller) logRemovals() {
+	for _, reason := range sortedKeys(c.unloggedRemovals) {
+		ids := c.unloggedRemovals[reason]
 		tasks := 0
 		for _, id := range ids {
-			if m := c.view.machines[id]; m != nil {
-				tasks += len(m.tasks)
+			if machine := c.mirror.Machines[id]; machine != nil {
+				tasks += len(machine.Attempts)
 			}
 		}
 		c.log.Info("machines marked for scale-in", "reason", reason, "machines", len(ids),
 			"tasks", tasks, "first_machine", ids[0])
 	}
-	clear(c.givenBack)
+	clear(c.unloggedRemovals)
 }
 
-// heardCount counts a zone's machines of ours, and which of them are silent.
-type heardCount struct{ machines, silent int }
+// silenceCount counts a zone's machines of ours, and which of them are silent.
+type silenceCount struct{ machines, silent int }
 
-// count adds a machine; one that was claimed just now and has had no time to be
+// add adds a machine; one that was claimed just now and has had no time to be
 // heard says nothing about its zone.
-func (h *heardCount) count(away, unheard bool) {
-	if unheard && !away {
+func (h *silenceCount) add(silent, unheard bool) {
+	if unheard && !silent {
 		return
 	}
 	h.machines++
-	if away {
+	if silent {
 		h.silent++
 	}
 }
 
-// cut tells whether a zone as a whole has fallen silent.
-func (h *heardCount) cut() bool { return h != nil && h.silent >= 3 && 4*h.silent >= 3*h.machines }
+// isUnreachable tells whether a zone as a whole has fallen silent.
+func (h *silenceCount) isUnreachable() bool {
+	return h != nil && h.silent >= 3 && 4*h.silent >= 3*h.machines
+}
 
 // holdsCancelled tells whether the store holds tasks there of jobs that were
 // cancelled longer ago than since. What a controller hasn't seen being cancelled
 // itself was so for an unknown time: long enough.
-func (c *Core) holdsCancelled(m *machine, since micros.T) bool {
-	for ref := range m.tasks {
-		if j := c.view.jobs[ref.job]; j != nil && !j.open() && c.now()-c.jobNotes(ref.job).overAt >= since {
+func (c *Controller) holdsCancelled(machine *Machine, since micros.Micros) bool {
+	for task := range machine.Attempts {
+		if job := c.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() && c.now()-c.trackingOf(task.Job).finalSeenAt >= since {
 			return true
 		}
 	}
@@ -256,26 +260,26 @@
 }
 
 // holdsService tells whether the store holds replicas of services there.
-func (c *Core) holdsService(m *machine) bool {
-	for ref := range m.tasks {
-		if j := c.view.jobs[ref.job]; j != nil && j.rec.Spec.Service {
+func (c *Controller) holdsService(machine *Machine) bool {
+	for task := range machine.Attempts {
+		if job := c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
 			return true
 		}
 	}
 	return false
 }
 
-// leave stops what gains by it before a noticed machine goes: services start
+// vacateInterruptedMachine stops what gains by it before a noticed machine goes: services start
 // elsewhere now rather than later, checkpointed work is saved.
-func (c *Core) leave(m *machine) {
-	w := m.w
-	for ref, attempt := range m.tasks {
-		j := c.view.jobs[ref.job]
-		if j != nil && j.open() && (j.rec.Spec.Service || j.rec.Spec.CheckpointS > 0) {
-			w.stopping[attemptKey{ref, attempt}] = true
+func (c *Controller) vacateInterruptedMachine(machine *Machine) {
+	agent := machine.Agent
+	for task, attempt := range machine.Attempts {
+		job := c.mirror.Jobs[task.Job]
+		if job != nil && job.IsOpen() && (job.Record.Spec.Service || job.Record.Spec.CheckpointS > 0) {
+			agent.StoppingAttempts[AttemptID{task, attempt}] = true
 		}
 	}
-	if len(w.stopping) > 0 {
-		c.sync(m)
+	if len(agent.StoppingAttempts) > 0 {
+		c.syncCommands(machine)
 	}
 }
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -25,169 +25,169 @@
 	Cancellations cancellation.RoundMessage
 }
 
-func (c *Core) grant() {
-	if c.granting {
+func (c *Controller) grantLease() {
+	if c.leaseGrantInFlight {
 		return
 	}
-	c.granting = true
-	sent := c.now()
-	sc := &protocol.StoreCall{Op: protocol.StoreGrant, TTL: c.timing.membership, Within: touchTimeout}
-	c.call(bookkeeping.RankLease, sc, func(r protocol.StoreResult) {
-		c.granting = false
-		if r.Outcome != protocol.OK {
-			c.granting = true
-			wait := 300*micros.Millisecond + micros.T(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
-			c.env.After(wait, func() { c.granting = false; c.grant() })
+	c.leaseGrantInFlight = true
+	sentAt := c.now()
+	call := &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: c.durations.membershipTTL, Timeout: leaseKeepAliveTimeout}
+	c.callStore(bookkeeping.PriorityLease, call, func(result protocol.StoreResult) {
+		c.leaseGrantInFlight = false
+		if result.Outcome != protocol.OK {
+			c.leaseGrantInFlight = true
+			delay := 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
+			c.env.After(delay, func() { c.leaseGrantInFlight = false; c.grantLease() })
 			return
 		}
-		c.lease, c.leaseSent, c.touchAt = r.Lease, sent, sent+c.timing.membership/4
-		c.leaseAt = c.now()
-		c.current(func(bool) {}) // the mirror catches up at once, see leading
-		c.keepMember()
+		c.leaseID, c.leaseRenewalSentAt, c.nextLeaseRenewalAt = result.Lease, sentAt, sentAt+c.durations.membershipTTL/4
+		c.leaseGrantedAt = c.now()
+		c.whenMirrorCurrent(func(bool) {}) // the mirror catches up at once, see leading
+		c.ensureMemberRecord()
 	})
 }
 
-func (c *Core) keepLease(now micros.T) {
-	if c.lease == 0 || c.touching || now < c.touchAt {
+func (c *Controller) renewLease(now micros.Micros) {
+	if c.leaseID == 0 || c.leaseRenewalInFlight || now < c.nextLeaseRenewalAt {
 		return
 	}
-	c.touching = true
-	sent, lease := now, c.lease
-	sc := &protocol.StoreCall{Op: protocol.StoreTouch, Lease: lease, Within: touchTimeout}
-	c.call(bookkeeping.RankLease, sc, func(r protocol.StoreResult) {
-		c.touching = false
-		switch r.Outcome {
+	c.leaseRenewalInFlight = true
+	sentAt, lease := now, c.leaseID
+	call := &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: lease, Timeout: leaseKeepAliveTimeout}
+	c.callStore(bookkeeping.PriorityLease, call, func(result protocol.StoreResult) {
+		c.leaseRenewalInFlight = false
+		switch result.Outcome {
 		case protocol.OK:
-			c.leaseSent, c.touchAt = sent, sent+c.timing.membership/4
+			c.leaseRenewalSentAt, c.nextLeaseRenewalAt = sentAt, sentAt+c.durations.membershipTTL/4
 		case protocol.NotFound:
 			c.log.Info("controller lease expired")
-			c.lease = 0
-			c.grant()
+			c.leaseID = 0
+			c.grantLease()
 		default:
-			c.touchAt = c.now() + 300*micros.Millisecond
+			c.nextLeaseRenewalAt = c.now() + 300*micros.Millisecond
 		}
 	})
 }
 
-// leaseHeld tells whether our lease can't have ended yet, by the steady clock.
-func (c *Core) leaseHeld(now micros.T) bool {
-	return c.lease != 0 && now-c.leaseSent < c.timing.membership-c.timing.membership/100
+// holdsLease tells whether our lease can't have ended yet, by the steady clock.
+func (c *Controller) holdsLease(now micros.Micros) bool {
+	return c.leaseID != 0 && now-c.leaseRenewalSentAt < c.durations.membershipTTL-c.durations.membershipTTL/100
 }
 
-// keepMember writes our member record if the store's isn't ours: an earlier
+// ensureMemberRecord writes our member record if the store's isn't ours: an earlier
 // incarnation's late put may overwrite it, or its lease may have taken it along. Our part
 // of the teams' limits gets a new version with it: whoever dropped that part while we were
 // away, by a commit that is carried out only after we have been back and gone again, asks
 // for the one before.
-func (c *Core) keepMember() {
-	if !c.ready || c.lease == 0 || c.memberBusy {
+func (c *Controller) ensureMemberRecord() {
+	if !c.mirrorReady || c.leaseID == 0 || c.memberWriteInFlight {
 		return
 	}
-	have := c.view.members[c.node]
-	if have.version != 0 && have.rec.Incarnation == c.inc {
+	have := c.mirror.Members[c.node]
+	if have.Version != 0 && have.Record.Incarnation == c.incarnation {
 		return
 	}
-	c.memberBusy = true
+	c.memberWriteInFlight = true
 	key := bookkeeping.Key(bookkeeping.KindMember, c.node)
-	lease := c.lease
-	t := protocol.Txn{
-		If: []protocol.Cond{{Key: key, Version: have.version}},
+	lease := c.leaseID
+	txn := protocol.Transaction{
+		If: []protocol.Compare{{Key: key, Version: have.Version}},
 		Then: []protocol.Op{{Put: key, Lease: lease,
-			Value: protocol.MustMarshal(&bookkeeping.Member{Incarnation: c.inc, Zone: c.cfg.Area})}},
+			Value: protocol.MustMarshal(&bookkeeping.Member{Incarnation: c.incarnation, Zone: c.cfg.Area})}},
 	}
-	if p := c.view.partitions[c.node]; p != nil {
+	if partition := c.mirror.Partitions[c.node]; partition != nil {
 		key := partitionKey(c.node)
-		t.If = append(t.If, protocol.Cond{Key: key, Version: p.version})
-		t.Then = append(t.Then, protocol.Op{Put: key, Value: protocol.MustMarshal(&p.rec)})
+		txn.If = append(txn.If, protocol.Compare{Key: key, Version: partition.Version})
+		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: protocol.MustMarshal(&partition.Record)})
 	}
-	c.commit(bookkeeping.RankLease, t, func(r protocol.StoreResult) {
-		c.memberBusy = false
-		if r.Outcome == protocol.Rejected && c.lease == lease {
-			c.lease = 0
-			c.grant()
+	c.commitTxn(bookkeeping.PriorityLease, txn, func(result protocol.StoreResult) {
+		c.memberWriteInFlight = false
+		if result.Outcome == protocol.Rejected && c.leaseID == lease {
+			c.leaseID = 0
+			c.grantLease()
 		}
 	})
 }
 
-// live lists the controllers that the store holds as members, in order. Our own
+// liveControllers lists the controllers that the store holds as members, in order. Our own
 // membership counts only while our lease is surely held.
-func (c *Core) live() []string {
-	out := make([]string, 0, len(c.all))
-	for _, n := range c.all {
-		if _, ok := c.view.members[n]; ok {
-			out = append(out, n)
+func (c *Controller) liveControllers() []string {
+	out := make([]string, 0, len(c.controllers))
+	for _, node := range c.controllers {
+		if _, ok := c.mirror.Members[node]; ok {
+			out = append(out, node)
 		}
 	}
 	return out
 }
 
-func (c *Core) isLive(node string) bool {
-	_, ok := c.view.members[node]
+func (c *Controller) isMember(node string) bool {
+	_, ok := c.mirror.Members[node]
 	return ok
 }
 
-// leading tells whether we lead, by the mirror and our lease. Commits of the
+// isLeader tells whether we lead, by the mirror and our lease. Commits of the
 // leader are conditional on the lead record as well. A mirror from before our lease may
 // show a lead that we had under an earlier one.
-func (c *Core) leading(now micros.T) bool {
-	return c.ready && c.view.leadVer != 0 && c.view.lead.Node == c.node && c.view.lead.Incarnation == c.inc &&
-		c.leaseHeld(now) && c.freshAt >= c.leaseAt
+func (c *Controller) isLeader(now micros.Micros) bool {
+	return c.mirrorReady && c.mirror.LeaderVersion != 0 && c.mirror.Leader.Node == c.node && c.mirror.Leader.Incarnation == c.incarnation &&
+		c.holdsLease(now) && c.mirrorFreshAt >= c.leaseGrantedAt
 }
 
-func (c *Core) leadCond() protocol.Cond {
-	return protocol.Cond{Key: bookkeeping.LeadKey, Version: c.view.leadVer}
+func (c *Controller) leadershipCompare() protocol.Compare {
+	return protocol.Compare{Key: bookkeeping.LeaderKey, Version: c.mirror.LeaderVersion}
 }
 
-// election takes the lead when nobody has it, or when our own earlier
+// campaign takes the lead when nobody has it, or when our own earlier
 // incarnation still holds it.
-func (c *Core) election(now micros.T) {
-	if c.leadBusy || !c.leaseHeld(now) || c.storeDown {
+func (c *Controller) campaign(now micros.Micros) {
+	if c.electionInFlight || !c.holdsLease(now) || c.storeUnavailable {
 		return
 	}
-	v := c.view
-	mine := v.leadVer != 0 && v.lead.Node == c.node
-	if v.leadVer != 0 && !(mine && v.lead.Incarnation != c.inc) {
+	mr := c.mirror
+	mine := mr.LeaderVersion != 0 && mr.Leader.Node == c.node
+	if mr.LeaderVersion != 0 && !(mine && mr.Leader.Incarnation != c.incarnation) {
 		return
 	}
-	c.leadBusy = true
-	t := protocol.Txn{
-		If: []protocol.Cond{{Key: bookkeeping.LeadKey, Version: v.leadVer}},
-		Then: []protocol.Op{{Put: bookkeeping.LeadKey, Lease: c.lease,
-			Value: protocol.MustMarshal(&bookkeeping.Lead{Node: c.node, Incarnation: c.inc})}},
+	c.electionInFlight = true
+	txn := protocol.Transaction{
+		If: []protocol.Compare{{Key: bookkeeping.LeaderKey, Version: mr.LeaderVersion}},
+		Then: []protocol.Op{{Put: bookkeeping.LeaderKey, Lease: c.leaseID,
+			Value: protocol.MustMarshal(&bookkeeping.Leader{Node: c.node, Incarnation: c.incarnation})}},
 	}
-	c.commit(bookkeeping.RankLease, t, func(r protocol.StoreResult) {
-		c.leadBusy = false
-		if r.Outcome == protocol.OK {
-			c.log.Info("leader elected", "term", r.Revision)
+	c.commitTxn(bookkeeping.PriorityLease, txn, func(result protocol.StoreResult) {
+		c.electionInFlight = false
+		if result.Outcome == protocol.OK {
+			c.log.Info("leader elected", "term", result.Revision)
 		}
 	})
 }
 
-// gossip sends our status to the peers.
-func (c *Core) gossip(now micros.T) {
-	ok := !c.storeDown && now-c.storeOKAt < 1500*micros.Millisecond
-	failing := c.failing()
-	for _, p := range c.cfg.Known {
+// sendPeerStatus sends our status to the peers.
+func (c *Controller) sendPeerStatus(now micros.Micros) {
+	ok := !c.storeUnavailable && now-c.lastStoreSuccessAt < 1500*micros.Millisecond
+	failing := c.failingJobs()
+	for _, peer := range c.cfg.Peers {
 		status := PeerStatus{
 			Node:                  c.node,
-			Incarnation:           c.inc,
+			Incarnation:           c.incarnation,
 			StateServiceReachable: ok,
-			WaitingUserRequests:   c.queue.Waiting(bookkeeping.RankUser),
+			WaitingUserRequests:   c.storeQueue.Len(bookkeeping.PriorityUserRequest),
 			WorkerReach:           c.workerReach(),
 			FailingJobs:           failing,
-			TeamsShortOfQuota:     c.limitLacking(now),
+			TeamsShortOfQuota:     c.teamsLackingQuota(now),
 		}
-		for _, m := range c.cancellations.Messages(p.Node, now, c.view.watched, c.loaded) {
+		for _, m := range c.cancellations.MessagesFor(peer.Node, now, c.mirror.WatchedRevision, c.mirrorLoaded) {
 			status.Cancellations = m
-			c.env.Peer(p.Node, status)
+			c.env.SendPeerStatus(peer.Node, status)
 		}
 	}
 }
 
 // OnPeerStatus handles the status that a peer has sent.
-func (c *Core) OnPeerStatus(status PeerStatus) {
+func (c *Controller) OnPeerStatus(status PeerStatus) {
 	now := c.now()
-	c.noteStill(now)
-	c.peers.note(&status, now)
-	c.learnCancellations(c.cancellations.Receive(status.Node, status.Cancellations))
+	c.detectPause(now)
+	c.peerStatuses.update(&status, now)
+	c.applyPeerCancellations(c.cancellations.Receive(status.Node, status.Cancellations))
 }
--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -8,49 +8,49 @@
 	"pipitgap/internal/protocol"
 )
 
-// load reads every record but the answers of finished jobs. The watch then goes
+// loadMirror reads every record but the answers of finished jobs. The watch then goes
 // on from before the first list, so nothing falls between the lists.
-func (c *Core) load() {
-	if c.loading {
+func (c *Controller) loadMirror() {
+	if c.mirrorLoading {
 		return
 	}
-	c.loading, c.ready = true, false
-	kinds := recordKinds
+	c.mirrorLoading, c.mirrorReady = true, false
+	kinds := mirroredKinds
 	if c.drains != nil {
-		kinds = slices.Concat(recordKinds, drainKinds)
+		kinds = slices.Concat(mirroredKinds, mirroredDrainKinds)
 	}
-	view := newView(func(string, string) {})
-	view.finals = c.view.finals
-	var first, last uint64
-	var sent micros.T // when the first list was asked for
-	begun := false
+	mirror := newMirror(func(string, string) {})
+	mirror.Results = c.mirror.Results
+	var firstRevision, lastRevision uint64
+	var sentAt micros.Micros // when the first list was asked for
+	started := false
 	var readList func(k int, after string)
 	readList = func(k int, after string) {
 		if k == len(kinds) {
-			c.loadAnswers(view, sortedKeys(view.jobs), func() {
-				c.freshAt = max(c.freshAt, sent)
-				c.adopt(view, first, last)
+			c.loadResults(mirror, sortedKeys(mirror.Jobs), func() {
+				c.mirrorFreshAt = max(c.mirrorFreshAt, sentAt)
+				c.installMirror(mirror, firstRevision, lastRevision)
 			})
 			return
 		}
-		sc := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.Key(kinds[k], ""), After: after, Limit: 500}
-		asked := c.now()
-		c.call(bookkeeping.RankClaim, sc, func(r protocol.StoreResult) {
-			if r.Outcome != protocol.OK {
-				wait := 200*micros.Millisecond + micros.T(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
-				c.env.After(wait, func() { readList(k, after) })
+		call := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.Key(kinds[k], ""), After: after, Limit: 500}
+		listSentAt := c.now()
+		c.callStore(bookkeeping.PriorityClaim, call, func(result protocol.StoreResult) {
+			if result.Outcome != protocol.OK {
+				delay := 200*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
+				c.env.After(delay, func() { readList(k, after) })
 				return
 			}
-			if !begun { // the revision of an empty store is 0
-				begun, first, c.measuredAt = true, r.Revision, c.now()
-				sent = asked
+			if !started { // the revision of an empty store is 0
+				started, firstRevision, c.backlogMeasuredAt = true, result.Revision, c.now()
+				sentAt = listSentAt
 			}
-			last = max(last, r.Revision)
-			for _, it := range r.Items {
-				view.put(it.Key, it.Value, it.Version)
+			lastRevision = max(lastRevision, result.Revision)
+			for _, item := range result.Items {
+				mirror.ApplyPut(item.Key, item.Value, item.Version)
 			}
-			if r.More && len(r.Items) > 0 {
-				readList(k, r.Items[len(r.Items)-1].Key)
+			if result.More && len(result.Items) > 0 {
+				readList(k, result.Items[len(result.Items)-1].Key)
 			} else {
 				readList(k+1, "")
 			}
@@ -59,34 +59,34 @@
 	readList(0, "")
 }
 
-// loadAnswers finds which of the listed jobs have an answer already: cancelled
+// loadResults finds which of the listed jobs have an answer already: cancelled
 // ones whose attempts aren't all gone. The answers themselves can't be listed, they
 // are kept for ever; comparing tells which of the few dozen named exist.
-func (c *Core) loadAnswers(view *View, ids []string, done func()) {
+func (c *Controller) loadResults(mirror *Mirror, ids []string, done func()) {
 	if len(ids) == 0 {
 		done()
 		return
 	}
 	again := func() {
-		wait := 200*micros.Millisecond + micros.T(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
-		c.env.After(wait, func() { c.loadAnswers(view, ids, done) })
+		delay := 200*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
+		c.env.After(delay, func() { c.loadResults(mirror, ids, done) })
 	}
 	n := min(len(ids), 4*c.cfg.Facts.State.TxnOps)
-	t := protocol.Txn{}
+	txn := protocol.Transaction{}
 	for _, id := range ids[:n] {
-		t.If = append(t.If, protocol.Cond{Key: bookkeeping.Key(bookkeeping.KindJob, id)})
+		txn.If = append(txn.If, protocol.Compare{Key: bookkeeping.Key(bookkeeping.KindJobResult, id)})
 	}
-	c.call(bookkeeping.RankClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Txn: t}, func(r protocol.StoreResult) {
+	c.callStore(bookkeeping.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
 		switch {
-		case r.Outcome == protocol.OK:
-			c.loadAnswers(view, ids[n:], done)
-		case r.Outcome == protocol.Conflict && len(r.Failed) > 0:
-			left := len(r.Failed)
+		case result.Outcome == protocol.OK:
+			c.loadResults(mirror, ids[n:], done)
+		case result.Outcome == protocol.Conflict && len(result.Failed) > 0:
+			left := len(result.Failed)
 			bad := false
-			for _, key := range r.Failed {
-				c.call(bookkeeping.RankClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(r protocol.StoreResult) {
-					if r.Outcome == protocol.OK {
-						view.put(key, r.Item.Value, r.Item.Version)
+			for _, key := range result.Failed {
+				c.callStore(bookkeeping.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
+					if result.Outcome == protocol.OK {
+						mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
 					} else {
 						bad = true
 					}
@@ -97,7 +97,7 @@
 						again()
 						return
 					}
-					c.loadAnswers(view, ids[n:], done)
+					c.loadResults(mirror, ids[n:], done)
 				})
 			}
 		default:
@@ -106,182 +106,184 @@
 	})
 }
 
-// adopt makes a loaded mirror the core's own.
-func (c *Core) adopt(view *View, first, last uint64) {
-	for id, m := range c.view.machines {
-		if m.w != nil && view.machines[id] != nil {
-			view.machines[id].w = m.w
+// installMirror makes a loaded mirror the core's own.
+func (c *Controller) installMirror(mirror *Mirror, firstRevision, lastRevision uint64) {
+	for id, machine := range c.mirror.Machines {
+		if machine.Agent != nil && mirror.Machines[id] != nil {
+			mirror.Machines[id].Agent = machine.Agent
 		}
 	}
-	view.watched, view.newest, view.touched = first, max(last, c.view.newest), c.touched
-	c.view = view
-	c.loading, c.loaded, c.loadedUpTo = false, true, last
+	mirror.WatchedRevision, mirror.NewestRevision, mirror.OnChange = firstRevision, max(lastRevision, c.mirror.NewestRevision), c.onMirrorChange
+	c.mirror = mirror
+	c.mirrorLoading, c.mirrorLoaded, c.loadedRevision = false, true, lastRevision
 	c.reconcileCancellations()
-	for _, name := range sortedKeys(view.shards) {
-		c.shardTouched(name)
+	for _, name := range sortedKeys(mirror.Shards) {
+		c.onShardChange(name)
 	}
-	c.watchAt = 0
-	c.log.Info("mirror loaded", "jobs", len(view.jobs), "machines", len(view.machines),
-		"shards", len(view.shards), "revision", last)
-	if first >= last {
-		c.becomeReady()
+	c.nextWatchAt = 0
+	c.log.Info("mirror loaded", "jobs", len(mirror.Jobs), "machines", len(mirror.Machines),
+		"shards", len(mirror.Shards), "revision", lastRevision)
+	if firstRevision >= lastRevision {
+		c.markMirrorReady()
 	}
 }
 
-func (c *Core) becomeReady() {
-	c.watchOKAt = c.now()
-	if c.types == nil && len(c.view.types) > 0 {
+func (c *Controller) markMirrorReady() {
+	c.lastWatchSuccessAt = c.now()
+	if c.machineTypes == nil && len(c.mirror.MachineTypes) > 0 {
 		// The cloud may be out: what was known of it before still holds.
-		c.types = c.view.catalog()
+		c.machineTypes = c.mirror.Catalog()
 	}
-	c.ready, c.dirty = true, true
-	c.log.Info("mirror ready", "revision", c.view.watched)
-	c.slowAt = 0
+	c.mirrorReady, c.schedulingNeeded = true, true
+	c.log.Info("mirror ready", "revision", c.mirror.WatchedRevision)
+	c.nextSlowTickAt = 0
 }
 
-// waitingReader waits for the mirror to be as new as its question.
-type waitingReader struct {
-	since micros.T
-	back  func(ok bool)
+// pendingRead waits for the mirror to be as new as its question.
+type pendingRead struct {
+	requestedAt micros.Micros
+	callback    func(ok bool)
 }
 
-// current calls back once the mirror holds all that the store held when it was
+// whenMirrorCurrent calls back once the mirror holds all that the store held when it was
 // asked, or with false if the store can't be asked. One answer of the watch serves
 // all that wait: confirming each answer by itself cost a request for every few
 // dozen, and users of a thousand jobs ask a few hundred times a second.
-func (c *Core) current(back func(ok bool)) {
-	c.waitingReaders = append(c.waitingReaders, waitingReader{c.now(), back})
-	if c.watching && c.now() >= c.catchAt && !c.catching {
-		c.catchUp()
+func (c *Controller) whenMirrorCurrent(callback func(ok bool)) {
+	c.pendingReads = append(c.pendingReads, pendingRead{c.now(), callback})
+	if c.watchInFlight && c.now() >= c.nextCatchUpAt && !c.catchUpInFlight {
+		c.catchUpWatch()
 	}
 }
 
-// answerReaders serves those who came before a watch was sent that has answered.
-func (c *Core) answerReaders(sent micros.T, ok bool) {
+// completePendingReads serves those who came before a watch was sent that has answered.
+func (c *Controller) completePendingReads(sentAt micros.Micros, ok bool) {
 	n := 0
-	for n < len(c.waitingReaders) && c.waitingReaders[n].since <= sent {
+	for n < len(c.pendingReads) && c.pendingReads[n].requestedAt <= sentAt {
 		n++
 	}
-	served := c.waitingReaders[:n:n]
-	c.waitingReaders = c.waitingReaders[n:]
+	served := c.pendingReads[:n:n]
+	c.pendingReads = c.pendingReads[n:]
 	for _, a := range served {
-		a.back(ok)
+		a.callback(ok)
 	}
 }
 
-func (c *Core) keepWatch(now micros.T) {
-	if c.loading || !c.loaded {
+func (c *Controller) maintainWatch(now micros.Micros) {
+	if c.mirrorLoading || !c.mirrorLoaded {
 		return
 	}
-	if !c.watching && now >= c.watchAt {
-		if now-max(c.watchOKAt, c.measuredAt) > c.watchSpan() {
-			c.measureGap(now)
+	if !c.watchInFlight && now >= c.nextWatchAt {
+		if now-max(c.lastWatchSuccessAt, c.backlogMeasuredAt) > c.maxWatchGap() {
+			c.measureWatchBacklog(now)
 			return
 		}
-		c.watching = true
-		block := watchBlock
-		if len(c.waitingReaders) > 0 {
-			block = 0
+		c.watchInFlight = true
+		longPoll := watchLongPoll
+		if len(c.pendingReads) > 0 {
+			longPoll = 0
 		}
-		c.watchSent = now
-		c.watch(now, block, func() { c.watching = false })
-	} else if c.watching && len(c.waitingReaders) > 0 && c.watchSent < c.waitingReaders[0].since && now >= c.catchAt && !c.catching {
-		c.catchUp() // the one in flight was sent before they asked
+		c.watchSentAt = now
+		c.sendWatch(now, longPoll, func() { c.watchInFlight = false })
+	} else if c.watchInFlight && len(c.pendingReads) > 0 && c.watchSentAt < c.pendingReads[0].requestedAt && now >= c.nextCatchUpAt && !c.catchUpInFlight {
+		c.catchUpWatch() // the one in flight was sent before they asked
 	}
 }
 
-// watchSpan is after how long without an answer of the watch its next one could
+// maxWatchGap is after how long without an answer of the watch its next one could
 // be too large to take. A watch has no size limit of its own: after a cut of 48 s
 // from a state service of 80 changes a second and 16 KiB a value, the answer was
 // larger than is ever read, and the same was asked for again until the service
 // had forgotten where it began.
-func (c *Core) watchSpan() micros.T {
-	return max(2*watchBlock, micros.FromSeconds(float64(c.mostChanges())/c.cfg.Facts.State.WriteRPS))
+func (c *Controller) maxWatchGap() micros.Micros {
+	return max(2*watchLongPoll, micros.FromSeconds(float64(c.maxWatchEvents())/c.cfg.Facts.State.WriteRPS))
 }
 
-// mostChanges is how many changes a watch may bring, each as large as a value may be.
-func (c *Core) mostChanges() int { return max(16, mostWatch/c.valueBytes()) }
+// maxWatchEvents is how many changes a watch may bring, each as large as a value may be.
+func (c *Controller) maxWatchEvents() int { return max(16, maxWatchBytes/c.maxValueBytes()) }
 
-// measureGap asks how far the store has come. When that is too far for a watch to
+// measureWatchBacklog asks how far the store has come. When that is too far for a watch to
 // catch up with, all records are read anew, in answers of bounded size.
-func (c *Core) measureGap(now micros.T) {
-	c.watching = true
-	view := c.view
-	sc := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.LeadKey, Limit: 1}
-	c.call(bookkeeping.RankClaim, sc, func(r protocol.StoreResult) {
-		c.watching = false
+func (c *Controller) measureWatchBacklog(now micros.Micros) {
+	c.watchInFlight = true
+	mirror := c.mirror
+	call := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.LeaderKey, Limit: 1}
+	c.callStore(bookkeeping.PriorityClaim, call, func(result protocol.StoreResult) {
+		c.watchInFlight = false
 		switch {
-		case view != c.view || c.loading:
+		case mirror != c.mirror || c.mirrorLoading:
 			return
-		case r.Outcome != protocol.OK:
-			c.watchAt = c.now() + 300*micros.Millisecond + micros.T(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
-			c.answerReaders(now, false)
-		case r.Revision > view.watched+uint64(c.mostChanges()):
-			c.log.Info("watch too far behind, mirror reload", "revisions", r.Revision-view.watched)
-			c.load()
-			c.answerReaders(now, false)
+		case result.Outcome != protocol.OK:
+			c.nextWatchAt = c.now() + 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
+			c.completePendingReads(now, false)
+		case result.Revision > mirror.WatchedRevision+uint64(c.maxWatchEvents()):
+			c.log.Info("watch too far behind, mirror reload", "revisions", result.Revision-mirror.WatchedRevision)
+			c.loadMirror()
+			c.completePendingReads(now, false)
 		default:
-			c.measuredAt = c.now()
-			c.keepWatch(c.now())
+			c.backlogMeasuredAt = c.now()
+			c.maintainWatch(c.now())
 		}
 	})
 }
 
-// catchUp asks for the changes so far, beside a watch that waits for the next.
-func (c *Core) catchUp() {
-	if c.now()-max(c.watchOKAt, c.measuredAt) > c.watchSpan() {
-		return // it could bring too much, see measureGap
+// catchUpWatch asks for the changes so far, beside a watch that waits for the next.
+func (c *Controller) catchUpWatch() {
+	if c.now()-max(c.lastWatchSuccessAt, c.backlogMeasuredAt) > c.maxWatchGap() {
+		return // it could bring too much, see measureWatchBacklog
 	}
-	c.catching = true
-	c.watch(c.now(), 0, func() { c.catching = false })
-	c.catchAt = c.now() + c.watchGap
+	c.catchUpInFlight = true
+	c.sendWatch(c.now(), 0, func() { c.catchUpInFlight = false })
+	c.nextCatchUpAt = c.now() + c.minWatchInterval
 }
 
-func (c *Core) watch(now, block micros.T, ended func()) {
-	c.watchAt = now + c.watchGap
-	view := c.view
-	sc := &protocol.StoreCall{
-		Op: protocol.StoreWatch, Key: bookkeeping.Root, From: view.watched,
-		Block: block, Within: block + 2*micros.Second,
+func (c *Controller) sendWatch(now, longPoll micros.Micros, ended func()) {
+	c.nextWatchAt = now + c.minWatchInterval
+	mirror := c.mirror
+	call := &protocol.StoreCall{
+		Op: protocol.StoreWatch, Key: bookkeeping.KeyPrefix, FromRevision: mirror.WatchedRevision,
+		MaxBlock: longPoll, Timeout: longPoll + 2*micros.Second,
 	}
-	c.queue.Reads.Take(1)
-	c.env.Store(sc, func(r protocol.StoreResult) {
+	c.storeQueue.Reads.Take(1)
+	c.env.CallStore(call, func(result protocol.StoreResult) {
 		ended()
-		c.noteStill(c.now())
-		if view != c.view {
-			c.answerReaders(now, false)
+		c.detectPause(c.now())
+		if mirror != c.mirror {
+			c.completePendingReads(now, false)
 			return
 		}
-		switch r.Outcome {
+		switch result.Outcome {
 		case protocol.OK:
-			c.noteStore(r.Outcome)
-			c.freshAt, c.watchOKAt = max(c.freshAt, now), c.now()
-			if now < c.resumedAt {
-				c.watchOKAt = now // it waited here while we stood still
+			c.recordStoreOutcome(result.Outcome)
+			c.mirrorFreshAt, c.lastWatchSuccessAt = max(c.mirrorFreshAt, now), c.now()
+			if now < c.resumedFromPauseAt {
+				c.lastWatchSuccessAt = now // it waited here while we stood still
 			}
-			c.view.applyEvents(r.Events, r.Revision)
-			if !c.ready && c.view.watched >= c.loadedUpTo {
-				c.becomeReady()
+			c.mirror.ApplyEvents(result.Events, result.Revision)
+			if !c.mirrorReady && c.mirror.WatchedRevision >= c.loadedRevision {
+				c.markMirrorReady()
 			}
-			c.answerReaders(now, c.ready)
-			if len(r.Events) > 0 && c.ready {
-				c.fast(c.now())
+			c.completePendingReads(now, c.mirrorReady)
+			if len(result.Events) > 0 && c.mirrorReady {
+				c.runFastTick(c.now())
 			}
-		case protocol.TooOld:
+		case protocol.Compacted:
 			c.log.Info("watch compacted, mirror reload")
-			c.load()
-			c.answerReaders(now, false)
+			c.loadMirror()
+			c.completePendingReads(now, false)
 		case protocol.Throttled:
-			c.watchAt = max(c.watchAt, c.now()+100*micros.Millisecond)
-			c.catchAt = c.watchAt
+			c.nextWatchAt = max(c.nextWatchAt, c.now()+100*micros.Millisecond)
+			c.nextCatchUpAt = c.nextWatchAt
 		default:
-			c.noteStore(r.Outcome)
-			c.watchAt = c.now() + 300*micros.Millisecond + micros.T(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
-			c.catchAt = c.watchAt
-			c.answerReaders(now, false)
+			c.recordStoreOutcome(result.Outcome)
+			c.nextWatchAt = c.now() + 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
+			c.nextCatchUpAt = c.nextWatchAt
+			c.completePendingReads(now, false)
 		}
 	})
 }
 
-// nudge has the other side of a conflict looked at soon.
-func (c *Core) nudge() { c.watchAt = min(c.watchAt, max(c.now(), c.watchSent+50*micros.Millisecond)) }
+// hastenWatch has the other side of a conflict looked at soon.
+func (c *Controller) hastenWatch() {
+	c.nextWatchAt = min(c.nextWatchAt, max(c.now(), c.watchSentAt+50*micros.Millisecond))
+}
--- a/internal/coordination/order.go
+++ b/internal/coordination/order.go
@@ -8,19 +8,19 @@
 	"pipitgap/internal/micros"
 )
 
-// standing is a job's place in the order of urgency.
-type standing struct {
-	job    *job
-	slack  float64 // seconds that it may still wait
-	work   float64 // CPU seconds that wait
-	missed int     // aims that it can't meet any more
-	urgent bool    // past its first aims, and soon past the next
-	owed   bool    // its team is within its guarantee
-	hungry bool    // got nothing for long, see starved
-	last   bool    // it fails everywhere: an occasional try, after all others
+// queueEntry is a job's place in the order of urgency.
+type queueEntry struct {
+	job               *Job
+	slackSeconds      float64 // seconds that it may still wait
+	waitingCPUSeconds float64 // CPU seconds that wait
+	missedObjectives  int     // aims that it can't meet any more
+	deadlineBoost     bool    // past its first aims, and soon past the next
+	withinGuarantee   bool    // its team is within its guarantee
+	starved           bool    // got nothing for long, see starved
+	crashLooping      bool    // it fails everywhere: an occasional try, after all others
 }
 
-// before orders jobs: higher priority first; of the same priority those first
+// goesBefore orders jobs: higher priority first; of the same priority those first
 // whose team doesn't yet use its guarantee, then those that can still meet the
 // first of their aims, then those that can meet the next, the least waiting work
 // first; last, the oldest first, what can meet none. Past what can be done, going
@@ -30,159 +30,159 @@
 // passes, a job that is past its first ones goes before all that are in time.
 // Before all other arrays, whatever their priority, comes one that has been
 // waiting in vain for long, with a partition of its tasks.
-func (a standing) before(b standing) bool {
-	x, y := a.job, b.job
-	if a.last != b.last {
-		return b.last
-	}
-	if a.hungry != b.hungry {
-		if a.hungry {
-			return !y.rec.Spec.Service
+func (a queueEntry) goesBefore(b queueEntry) bool {
+	left, right := a.job, b.job
+	if a.crashLooping != b.crashLooping {
+		return b.crashLooping
+	}
+	if a.starved != b.starved {
+		if a.starved {
+			return !right.Record.Spec.Service
 		}
-		return x.rec.Spec.Service
+		return left.Record.Spec.Service
 	}
-	if x.rec.Spec.Priority != y.rec.Spec.Priority {
-		return x.rec.Spec.Priority > y.rec.Spec.Priority
+	if left.Record.Spec.Priority != right.Record.Spec.Priority {
+		return left.Record.Spec.Priority > right.Record.Spec.Priority
 	}
-	if a.owed != b.owed {
-		return a.owed
+	if a.withinGuarantee != b.withinGuarantee {
+		return a.withinGuarantee
 	}
-	if a.urgent != b.urgent {
-		return a.urgent
+	if a.deadlineBoost != b.deadlineBoost {
+		return a.deadlineBoost
 	}
-	if a.missed != b.missed && !a.urgent {
-		return a.missed < b.missed
+	if a.missedObjectives != b.missedObjectives && !a.deadlineBoost {
+		return a.missedObjectives < b.missedObjectives
 	}
-	if a.slack >= 0 && b.slack >= 0 && a.work != b.work {
-		return a.work < b.work
+	if a.slackSeconds >= 0 && b.slackSeconds >= 0 && a.waitingCPUSeconds != b.waitingCPUSeconds {
+		return a.waitingCPUSeconds < b.waitingCPUSeconds
 	}
-	if x.rec.At != y.rec.At {
-		return x.rec.At < y.rec.At
+	if left.Record.AcceptedAt != right.Record.AcceptedAt {
+		return left.Record.AcceptedAt < right.Record.AcceptedAt
 	}
-	return x.id < y.id
+	return left.ID < right.ID
 }
 
-// openJobs lists jobs with unplaced tasks, the most urgent first.
-func (c *Core) openJobs() []*job {
-	var all []standing
-	wall, now := c.env.Wall(), c.now()
-	for _, j := range c.view.jobs {
-		if j.open() && j.waiting() > 0 {
-			slack, missed := c.slack(j, wall)
-			work := float64(j.waiting()) * j.need.cpus * c.expected(&j.rec.Spec)
-			urgent := missed >= lateAims && slack >= 0 && slack < lastChance
-			st := standing{j, slack, work, missed, urgent, c.owed(j), c.starved(j, now), c.mistakes(j)}
-			if st.last {
-				st.urgent, st.owed, st.hungry = false, false, false
+// orderedQueue lists jobs with unplaced tasks, the most urgent first.
+func (c *Controller) orderedQueue() []*Job {
+	var entries []queueEntry
+	wall, now := c.env.WallClock(), c.now()
+	for _, job := range c.mirror.Jobs {
+		if job.IsOpen() && job.UnassignedTasks() > 0 {
+			slack, missed := c.slackOf(job, wall)
+			work := float64(job.UnassignedTasks()) * job.TaskResources.CPUs * c.expectedRunSeconds(&job.Record.Spec)
+			urgent := missed >= lateAfterMissedObjectives && slack >= 0 && slack < deadlineBoostWindowSeconds
+			entry := queueEntry{job, slack, work, missed, urgent, c.withinGuarantee(job), c.isStarved(job, now), c.isCrashLooping(job)}
+			if entry.crashLooping {
+				entry.deadlineBoost, entry.withinGuarantee, entry.starved = false, false, false
 			}
-			all = append(all, st)
+			entries = append(entries, entry)
 		}
 	}
-	c.rescue(all, wall)
-	sort.Slice(all, func(a, b int) bool { return all[a].before(all[b]) })
-	out := make([]*job, len(all))
-	for i := range all {
-		out[i] = all[i].job
+	c.limitDeadlineBoost(entries, wall)
+	sort.Slice(entries, func(a, b int) bool { return entries[a].goesBefore(entries[b]) })
+	out := make([]*Job, len(entries))
+	for i := range entries {
+		out[i] = entries[i].job
 	}
 	return out
 }
 
-// rescue leaves urgent, of each team's late jobs that are, those with the least work,
+// limitDeadlineBoost leaves urgent, of each team's late jobs that are, those with the least work,
 // as far as late jobs hold no more than a partition of what the team can use. After a burst
 // most that waits is late; were all of it to go first, all that comes after would be
 // late too. What they hold counts, not what waits: others become urgent as these go.
-func (c *Core) rescue(all []standing, wall int64) {
-	var late []*standing
-	for i := range all {
-		if all[i].urgent {
-			late = append(late, &all[i])
+func (c *Controller) limitDeadlineBoost(entries []queueEntry, wall int64) {
+	var lateEntries []*queueEntry
+	for i := range entries {
+		if entries[i].deadlineBoost {
+			lateEntries = append(lateEntries, &entries[i])
 		}
 	}
-	if len(late) == 0 {
+	if len(lateEntries) == 0 {
 		return
 	}
-	there := 0.0
-	for _, m := range c.view.machines {
-		if m.rec != nil && m.rec.State == bookkeeping.MachineOpen {
-			there += c.types[m.rec.Type].CPUs
+	fleetCPUs := 0.0
+	for _, machine := range c.mirror.Machines {
+		if machine.Record != nil && machine.Record.State == bookkeeping.MachineOpen {
+			fleetCPUs += c.machineTypes[machine.Record.Type].CPUs
 		}
 	}
-	hold := map[string]float64{}
-	for _, j := range c.view.jobs {
-		if j.held > 0 && !j.rec.Spec.Service {
-			if _, missed := c.slack(j, wall); missed >= lateAims {
-				hold[j.rec.Spec.Team] += float64(j.held) * j.need.cpus
+	lateCPUsByTeam := map[string]float64{}
+	for _, job := range c.mirror.Jobs {
+		if job.AssignedTasks > 0 && !job.Record.Spec.Service {
+			if _, missed := c.slackOf(job, wall); missed >= lateAfterMissedObjectives {
+				lateCPUsByTeam[job.Record.Spec.Team] += float64(job.AssignedTasks) * job.TaskResources.CPUs
 			}
 		}
 	}
-	sort.Slice(late, func(a, b int) bool {
-		if late[a].work != late[b].work {
-			return late[a].work < late[b].work
+	sort.Slice(lateEntries, func(a, b int) bool {
+		if lateEntries[a].waitingCPUSeconds != lateEntries[b].waitingCPUSeconds {
+			return lateEntries[a].waitingCPUSeconds < lateEntries[b].waitingCPUSeconds
 		}
-		return late[a].job.id < late[b].job.id
+		return lateEntries[a].job.ID < lateEntries[b].job.ID
 	})
-	for _, s := range late {
-		name := s.job.rec.Spec.Team
-		can := there
-		if team, _ := c.team(name); team.CPUsMax > 0 {
-			can = min(can, team.CPUsMax)
+	for _, entry := range lateEntries {
+		name := entry.job.Record.Spec.Team
+		usableCPUs := fleetCPUs
+		if team, _ := c.teamLimits(name); team.maxCPUs > 0 {
+			usableCPUs = min(usableCPUs, team.maxCPUs)
 		}
-		if hold[name] > rescuePart*can {
-			s.urgent = false
+		if lateCPUsByTeam[name] > deadlineBoostMaxFraction*usableCPUs {
+			entry.deadlineBoost = false
 			continue
 		}
-		hold[name] += float64(s.job.waiting()) * s.job.need.cpus
+		lateCPUsByTeam[name] += float64(entry.job.UnassignedTasks()) * entry.job.TaskResources.CPUs
 	}
 }
 
-// pressed tells whether a job has an aim that it can still meet if it doesn't wait
+// canMeetObjective tells whether a job has an aim that it can still meet if it doesn't wait
 // for long.
-func (c *Core) pressed(j *job, wall int64) bool {
-	slack, _ := c.slack(j, wall)
+func (c *Controller) canMeetObjective(job *Job, wall int64) bool {
+	slack, _ := c.slackOf(job, wall)
 	return slack >= 0 && !math.IsInf(slack, 1)
 }
 
-// starved tells whether an array has got nothing for a long time: under lasting
+// isStarved tells whether an array has got nothing for a long time: under lasting
 // load those that are late already, large or of low priority would never have
 // their turn, and a class, a team or the largest jobs would go unserved.
-func (c *Core) starved(j *job, now micros.T) bool {
-	if j.rec.Spec.Service {
+func (c *Controller) isStarved(job *Job, now micros.Micros) bool {
+	if job.Record.Spec.Service {
 		return false
 	}
-	n := c.jobNotes(j.id)
-	got := j.done + j.held
-	if n.movedAt == 0 { // first seen: it may have waited before we began
-		n.movedAt = max(1, now)
+	tracking := c.trackingOf(job.ID)
+	got := job.DoneTasks + job.AssignedTasks
+	if tracking.progressAt == 0 { // first seen: it may have waited before we began
+		tracking.progressAt = max(1, now)
 		if got == 0 {
-			n.movedAt = max(1, now-micros.T(min(max(0, c.env.Wall()-j.rec.At), int64(2*fairAfter))))
+			tracking.progressAt = max(1, now-micros.Micros(min(max(0, c.env.WallClock()-job.Record.AcceptedAt), int64(2*starvedAfter))))
 		}
 	}
-	if got > n.most {
-		n.most, n.movedAt = got, now
+	if got > tracking.startedHighWater {
+		tracking.startedHighWater, tracking.progressAt = got, now
 	}
-	if got < n.due {
+	if got < tracking.startedTarget {
 		return true // room comes bit by bit
 	}
-	after := fairAfter
-	if n.most > 0 {
-		if c.idle(j) {
+	after := starvedAfter
+	if tracking.startedHighWater > 0 {
+		if c.isScavenger(job) {
 			return false
 		}
-		after = fairAgain
+		after = starvedAgainAfter
 	}
-	if now-n.movedAt <= after {
+	if now-tracking.progressAt <= after {
 		return false
 	}
-	n.due = got + max(1, j.waiting()/fairPart)
-	if c.idle(j) {
-		n.due = got + 1 // that it begins; the rest is for idle time
+	tracking.startedTarget = got + max(1, job.UnassignedTasks()/starvedTaskDivisor)
+	if c.isScavenger(job) {
+		tracking.startedTarget = got + 1 // that it begins; the rest is for idle time
 	}
 	return true
 }
 
-// owed tells whether one more task of a job lies within its team's guarantee.
-func (c *Core) owed(j *job) bool {
-	team, _ := c.team(j.rec.Spec.Team)
-	use := c.view.teamUse[j.rec.Spec.Team].plus(j.need, 1)
-	return use.cpus <= team.CPUs+slack && use.gpus <= team.GPUs+slack
+// withinGuarantee tells whether one more task of a job lies within its team's guarantee.
+func (c *Controller) withinGuarantee(job *Job) bool {
+	team, _ := c.teamLimits(job.Record.Spec.Team)
+	use := c.mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
+	return use.CPUs <= team.guaranteedCPUs+resourceTolerance && use.GPUs <= team.guaranteedGPUs+resourceTolerance
 }
--- a/internal/coordination/passes_bench_test.go
+++ b/internal/coordination/passes_bench_test.go
@@ -5,40 +5,40 @@
 	"testing"
 )
 
-// BenchmarkPasses measures the parts of the passes that grow with the fleet, in a full
+// BenchmarkSchedulingPasses measures the parts of the passes that grow with the fleet, in a full
 // fleet with jobs that wait.
-func BenchmarkPasses(b *testing.B) {
+func BenchmarkSchedulingPasses(b *testing.B) {
 	for _, machines := range []int{1000, 4200} {
-		c := newSized(b, machines)
-		c.start(c.names...)
-		c.sim.Run(3 * sec)
-		c.longArrays(machines)
-		c.opening(machines/2, machines/100, machines/20)
-		c.sim.Run(45 * sec)
-		core := c.leader().core
+		c := newClusterOfSize(b, machines)
+		c.start(c.nodeNames...)
+		c.sim.Run(3 * second)
+		c.submitLongArrays(machines)
+		c.submitOpeningLoad(machines/2, machines/100, machines/20)
+		c.sim.Run(45 * second)
+		core := c.leaderNode().controller
 		now := c.sim.Now()
-		var own []*shard
-		for _, name := range sortedKeys(core.view.shards) {
-			if p := core.view.shards[name]; core.owns(p) {
-				own = append(own, p)
+		var own []*Shard
+		for _, name := range sortedKeys(core.mirror.Shards) {
+			if shard := core.mirror.Shards[name]; core.ownsShard(shard) {
+				own = append(own, shard)
 			}
 		}
 		for _, part := range []struct {
 			name string
 			run  func()
 		}{
-			{"order of jobs", func() { core.openJobs() }},
-			{"demand and room", func() { core.demands(now) }},
-			{"offers", func() { core.offers() }},
-			{"free capacity", func() { core.freeCapacity() }},
+			{"order of jobs", func() { core.orderedQueue() }},
+			{"demand and room", func() { core.demandAndSupply(now) }},
+			{"offers", func() { core.availableOffers() }},
+			{"free capacity", func() { core.capacityByPartition() }},
 			{"shard updates", func() {
-				for _, p := range own {
-					core.shardUpdate(p, now)
+				for _, shard := range own {
+					core.prepareShardUpdate(shard, now)
 				}
 			}},
 			{"encoding shards", func() {
-				for _, p := range own {
-					p.rec.Encode()
+				for _, shard := range own {
+					shard.Record.Encode()
 				}
 			}},
 		} {
--- a/internal/coordination/peer_frames.go
+++ b/internal/coordination/peer_frames.go
@@ -56,9 +56,9 @@
 func fromCancellationFrame(frame *peerwire.Message) cancellation.RoundMessage {
 	message := cancellation.RoundMessage{
 		Incarnation:       frame.Incarnation,
-		Clock:             micros.T(frame.Clock),
+		Clock:             micros.Micros(frame.Clock),
 		EchoedIncarnation: frame.EchoIncarnation,
-		EchoedClock:       micros.T(frame.EchoClock),
+		EchoedClock:       micros.Micros(frame.EchoClock),
 		MirrorRevision:    frame.Watched,
 		RecordsLoaded:     frame.Complete,
 		Round:             frame.Round,
--- a/internal/coordination/peers.go
+++ b/internal/coordination/peers.go
@@ -4,64 +4,66 @@
 	"pipitgap/internal/micros"
 )
 
-// peers is what the other controllers have said of themselves lately. Nothing of it decides
+// PeerTable is what the other controllers have said of themselves lately. Nothing of it decides
 // anything: the store does.
-type peers struct {
-	of    map[string]*peer
-	lacks map[string]micros.T // by team: when a peer last said that it lacks some of the limit
+type PeerTable struct {
+	statuses            map[string]*peerState
+	quotaLackReportedAt map[string]micros.Micros // by team: when a peer last said that it lacks some of the limit
 }
 
-// peer is what one of them has said.
-type peer struct {
-	heardAt   micros.T       // when it last spoke
-	storeAt   micros.T       // when it last said that it reaches the store; 0: never
-	usersAt   micros.T       // when it last said that many users wait there; 0: never
-	reach     WorkerReach    // what it last said of its workers
-	failing   map[string]int // the jobs that fail there, on so many machines
-	hasSpoken bool
+// peerState is what one of them has said.
+type peerState struct {
+	lastHeardAt        micros.Micros  // when it last spoke
+	storeReachableAt   micros.Micros  // when it last said that it reaches the store; 0: never
+	userCallsWaitingAt micros.Micros  // when it last said that many users wait there; 0: never
+	reachability       WorkerReach    // what it last said of its workers
+	failingJobs        map[string]int // the jobs that fail there, on so many machines
+	hasReported        bool
 }
 
-func newPeers() *peers { return &peers{of: map[string]*peer{}, lacks: map[string]micros.T{}} }
+func newPeerTable() *PeerTable {
+	return &PeerTable{statuses: map[string]*peerState{}, quotaLackReportedAt: map[string]micros.Micros{}}
+}
 
-// get gives what is known of a peer, which may be nothing.
-func (p *peers) get(node string) *peer {
-	if p.of[node] == nil {
-		p.of[node] = &peer{}
+// status gives what is known of a peer, which may be nothing.
+func (p *PeerTable) status(node string) *peerState {
+	if p.statuses[node] == nil {
+		p.statuses[node] = &peerState{}
 	}
-	return p.of[node]
+	return p.statuses[node]
 }
 
-// note keeps the status that a peer has sent.
-func (p *peers) note(status *PeerStatus, now micros.T) {
-	peer := p.get(status.Node)
-	peer.heardAt, peer.hasSpoken = now, true
+// update keeps the status that a peer has sent.
+func (p *PeerTable) update(status *PeerStatus, now micros.Micros) {
+	peer := p.status(status.Node)
+	peer.lastHeardAt, peer.hasReported = now, true
 	if status.StateServiceReachable {
-		peer.storeAt = now
+		peer.storeReachableAt = now
 	}
-	if status.WaitingUserRequests > manyUsers {
-		peer.usersAt = now
+	if status.WaitingUserRequests > waitingUserCallsThreshold {
+		peer.userCallsWaitingAt = now
 	}
-	peer.failing, peer.reach = status.FailingJobs, status.WorkerReach
+	peer.failingJobs, peer.reachability = status.FailingJobs, status.WorkerReach
 	for _, team := range status.TeamsShortOfQuota {
-		p.lacks[team] = now
+		p.quotaLackReportedAt[team] = now
 	}
 }
 
-// usersWait tells whether a peer said lately that many users wait there.
-func (p *peers) usersWait(now micros.T) bool {
-	for _, peer := range p.of {
-		if peer.usersAt != 0 && now-peer.usersAt < 3*slowTick {
+// userCallsWaiting tells whether a peer said lately that many users wait there.
+func (p *PeerTable) userCallsWaiting(now micros.Micros) bool {
+	for _, status := range p.statuses {
+		if status.userCallsWaitingAt != 0 && now-status.userCallsWaitingAt < 3*slowTickInterval {
 			return true
 		}
 	}
 	return false
 }
 
-// failures counts on how many machines of peers a job has failed.
-func (p *peers) failures(job string) int {
+// failedMachines counts on how many machines of peers a job has failed.
+func (p *PeerTable) failedMachines(job string) int {
 	n := 0
-	for _, peer := range p.of {
-		n += peer.failing[job]
+	for _, status := range p.statuses {
+		n += status.failingJobs[job]
 	}
 	return n
 }
--- a/internal/coordination/placement.go
+++ b/internal/coordination/placement.go
@@ -7,203 +7,203 @@
 
 // placement is the part of a scheduling pass that gives waiting tasks to machines.
 type placement struct {
-	core                *Core
-	now                 micros.T
-	wall                int64
-	candidates          []*candidate
-	sample              bool                    // look at some of the candidates only
-	fits                map[likeOf][]*candidate // if so, those with room for a task, as last looked at: room only shrinks in a pass
-	inDoubt             map[taskRef]bool        // tasks that a commit in doubt may have assigned
-	left                map[string]amount
-	full                map[likeOf]bool // what no machine has room for: room only shrinks in a pass
-	hasRoom             map[likeOf]bool // of what lacks a share of its team's limit: whether it could start here
-	capacity            *freeCapacity   // of all partitions, made when it is first needed
-	yields, yieldsKnown bool            // whether any running work gives way to arrays
-	elsewhere           bool            // a job that waits elsewhere has room kept here
-	reserved            *reservedRoom   // room held for replicas that are being moved
+	core                                   *Controller
+	now                                    micros.Micros
+	wallNow                                int64
+	candidates                             []*candidateMachine
+	sampling                               bool                              // look at some of the candidates only
+	fittingByShape                         map[taskShape][]*candidateMachine // if so, those with room for a task, as last looked at: room only shrinks in a pass
+	tasksInDoubt                           map[TaskID]bool                   // tasks that a commit in doubt may have assigned
+	quotaLeft                              map[string]Resources
+	noRoomFor                              map[taskShape]bool // what no machine has room for: room only shrinks in a pass
+	hasRoomFor                             map[taskShape]bool // of what lacks a share of its team's limit: whether it could start here
+	partitionCapacity                      *partitionCapacity // of all partitions, made when it is first needed
+	preemptibleRunning, preemptibleChecked bool               // whether any running work gives way to arrays
+	reassignedThisPass                     bool               // a job that waits elsewhere has room kept here
+	reservations                           *drainReservations // room held for replicas that are being moved
 }
 
 // jobPlacement is what a placement does for one job.
 type jobPlacement struct {
 	*placement
-	job      *job
-	spec     *bookkeeping.Spec
-	notes    *jobState
-	team     teamLimit
-	idle     bool // held to spot machines, see bound
-	mistaken bool
-	fenced   bool   // its tasks go out by one commit at a time
-	making   bool   // machines are kept for it
-	lent     bool   // room is held for replicas of it that are being moved
-	room     amount // of our share of its team's limit
-	most     int    // tasks that it may be given
-	zones    *zoneRule
-	kind     likeOf // what is like its tasks,
-	short    likeOf // and within the same team's limit
-	roomless bool   // no machine has room for a task
-	lacking  bool   // the share of the team's limit doesn't take one
-	pending  int    // tasks of ours that wait
-	limit    int    // bytes that a shard may come to take
+	job              *Job
+	spec             *bookkeeping.JobSpec
+	tracking         *jobTracking
+	teamLimit        teamLimits
+	spotOnly         bool // held to spot machines, see bound
+	crashLooping     bool
+	oneCommitAtATime bool      // its tasks go out by one commit at a time
+	preempting       bool      // machines are kept for it
+	hasReservation   bool      // room is held for replicas of it that are being moved
+	quotaRoom        Resources // of our share of its team's limit
+	maxTasks         int       // tasks that it may be given
+	zoneConstraint   *zoneConstraint
+	shape            taskShape // what is like its tasks,
+	teamShape        taskShape // and within the same team's limit
+	noRoom           bool      // no machine has room for a task
+	quotaShort       bool      // the share of the team's limit doesn't take one
+	pendingTasks     int       // tasks of ours that wait
+	shardBytesLimit  int       // bytes that a shard may come to take
 
-	fitting []*candidate // those with room for a task when it was first looked for
+	fittingAtStart []*candidateMachine // those with room for a task when it was first looked for
 
-	only   *shardUpdate // the update that takes a fenced job's tasks
-	chosen *candidate
-	near   *shardUpdate // the shard that its last tasks went to
-	last   bookkeeping.Held
+	fencedUpdate    *ShardUpdate // the update that takes a fenced job's tasks
+	chosenMachine   *candidateMachine
+	preferredUpdate *ShardUpdate // the shard that its last tasks went to
+	lastAssigned    bookkeeping.Attempt
 }
 
-// place gives pending tasks of our shares to machines of the updates; where
+// placeTasks gives pending tasks of our shares to machines of the updates; where
 // nothing has room it makes some, or looks who could.
-func (c *Core) place(ds []*shardUpdate, now micros.T) {
-	if c.types == nil || !c.leaseHeld(now) {
+func (c *Controller) placeTasks(updates []*ShardUpdate, now micros.Micros) {
+	if c.machineTypes == nil || !c.holdsLease(now) {
 		return
 	}
-	jobs := c.openJobs()
+	jobs := c.orderedQueue()
 	if len(jobs) == 0 {
 		return
 	}
-	c.passJobs = map[string]bool{}
-	c.served = c.servedCPUs()
-	p := &placement{core: c, now: now, wall: c.env.Wall(), candidates: c.candidates(ds, now), inDoubt: c.tasksInDoubt(),
-		left: map[string]amount{}, full: map[likeOf]bool{}, hasRoom: map[likeOf]bool{}, fits: map[likeOf][]*candidate{}}
-	c.keepMade(p.candidates, now)
-	p.reserved = c.drains.reserve(p.candidates, ds)
-	p.sample = len(p.candidates) > fullSearch && len(p.candidates)*len(jobs) > fullWork
-	for _, j := range jobs {
-		p.reserved.lend(j)
-		p.placeJob(j)
-		p.reserved.takeBack(j)
-	}
-	c.adoptOrphans(jobs, now)
-	c.take(jobs, p.candidates, p.reserved, p.left, now)
+	c.jobsInPass = map[string]bool{}
+	c.serviceCPUsAssigned = c.totalServiceCPUs()
+	p := &placement{core: c, now: now, wallNow: c.env.WallClock(), candidates: c.candidateMachines(updates, now), tasksInDoubt: c.tasksInDoubt(),
+		quotaLeft: map[string]Resources{}, noRoomFor: map[taskShape]bool{}, hasRoomFor: map[taskShape]bool{}, fittingByShape: map[taskShape][]*candidateMachine{}}
+	c.reservePreemptedRoom(p.candidates, now)
+	p.reservations = c.drains.reserveOnCandidates(p.candidates, updates)
+	p.sampling = len(p.candidates) > sampleAboveMachines && len(p.candidates)*len(jobs) > sampleAboveComparisons
+	for _, job := range jobs {
+		p.reservations.release(job)
+		p.placeJob(job)
+		p.reservations.reserveAgain(job)
+	}
+	c.adoptOrphanedTasks(jobs, now)
+	c.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
 }
 
-// servedCPUs is what all services hold.
-func (c *Core) servedCPUs() float64 {
+// totalServiceCPUs is what all services hold.
+func (c *Controller) totalServiceCPUs() float64 {
 	served := 0.0
-	for _, j := range c.view.jobs {
-		if j.rec.Spec.Service && j.open() {
-			served += float64(j.held) * j.need.cpus
+	for _, job := range c.mirror.Jobs {
+		if job.Record.Spec.Service && job.IsOpen() {
+			served += float64(job.AssignedTasks) * job.TaskResources.CPUs
 		}
 	}
 	return served
 }
 
 // placeJob places a job's tasks, and sees to room for those that find none.
-func (p *placement) placeJob(j *job) {
-	jp := p.begin(j)
-	if jp == nil {
+func (p *placement) placeJob(job *Job) {
+	jobPlan := p.beginJob(job)
+	if jobPlan == nil {
 		return
 	}
-	jp.assignShares()
-	p.left[jp.spec.Team] = jp.room
-	if jp.mistaken {
+	jobPlan.assignTasks()
+	p.quotaLeft[jobPlan.spec.Team] = jobPlan.quotaRoom
+	if jobPlan.crashLooping {
 		return // nothing is held, stopped or fetched for it
 	}
-	if jp.lacking {
-		jp.noteShortage()
+	if jobPlan.quotaShort {
+		jobPlan.noteQuotaShortage()
 	}
 	switch {
-	case jp.urgentElsewhere():
-		jp.takeUrgent()
-	case jp.roomless && jp.pending > 0:
-		jp.makeRoom()
+	case jobPlan.urgentInOtherPartition():
+		jobPlan.stealUrgentTasks()
+	case jobPlan.noRoom && jobPlan.pendingTasks > 0:
+		jobPlan.makeRoomByPreemption()
 	}
 }
 
-// begin prepares the placement of a job's tasks; nil if it isn't its time.
-func (p *placement) begin(j *job) *jobPlacement {
+// beginJob prepares the placement of a job's tasks; nil if it isn't its time.
+func (p *placement) beginJob(job *Job) *jobPlacement {
 	c := p.core
-	spec, notes := &j.rec.Spec, c.jobNotes(j.id)
-	jp := &jobPlacement{placement: p, job: j, spec: spec, notes: notes, idle: c.bound(j), mistaken: c.mistakes(j),
-		fenced: spec.OneZone || spec.Spread, most: spec.Tasks}
+	spec, tracking := &job.Record.Spec, c.trackingOf(job.ID)
+	jobPlan := &jobPlacement{placement: p, job: job, spec: spec, tracking: tracking, spotOnly: c.spotOnly(job), crashLooping: c.isCrashLooping(job),
+		oneCommitAtATime: spec.OneZone || spec.Spread, maxTasks: spec.Tasks}
 	tries := 0
-	if jp.mistaken {
-		if tries = c.mayTry(j, p.now); tries == 0 {
+	if jobPlan.crashLooping {
+		if tries = c.crashLoopTrials(job, p.now); tries == 0 {
 			return nil
 		}
 	}
-	if p.now < notes.until || c.jobBusy[j.id] || c.view.watched < j.version && c.accepted[j.id] != j.version {
-		if p.now < notes.takenUntil { // on its way to us: its room is still its own
-			reserve(j.need, spec, p.candidates, notes.taken)
+	if p.now < tracking.placeNotBefore || c.recordWritesInFlight[job.ID] || c.mirror.WatchedRevision < job.Version && c.acceptedRevisions[job.ID] != job.Version {
+		if p.now < tracking.stolenUntil { // on its way to us: its room is still its own
+			reserveRoom(job.TaskResources, spec, p.candidates, tracking.stolenTasks)
 		}
 		return nil
 	}
-	jp.team, _ = c.team(spec.Team)
-	room, known := p.left[spec.Team]
+	jobPlan.teamLimit, _ = c.teamLimits(spec.Team)
+	available, known := p.quotaLeft[spec.Team]
 	if !known {
-		room = c.shareLeft(spec.Team)
+		available = c.quotaLeft(spec.Team)
 	}
-	jp.room = room
-	if c.starved(j, p.now) {
-		jp.most = max(1, notes.due-j.done-j.held)
+	jobPlan.quotaRoom = available
+	if c.isStarved(job, p.now) {
+		jobPlan.maxTasks = max(1, tracking.startedTarget-job.DoneTasks-job.AssignedTasks)
 	}
-	if jp.mistaken {
-		jp.most = tries
+	if jobPlan.crashLooping {
+		jobPlan.maxTasks = tries
 	}
-	jp.zones = newZoneRule(c.view, j)
-	jp.kind, jp.short = like(spec, ""), like(spec, spec.Team)
-	made := c.preempting[j.id]
-	jp.making = made != nil && p.now < made.until
+	jobPlan.zoneConstraint = newZoneConstraint(c.mirror, job)
+	jobPlan.shape, jobPlan.teamShape = shapeOf(spec, ""), shapeOf(spec, spec.Team)
+	made := c.preemptions[job.ID]
+	jobPlan.preempting = made != nil && p.now < made.expiresAt
 	// Without a share of the team's limit only what a shard gives back counts.
-	within := j.need.fits(room)
-	jp.lent = p.reserved.holdsFor(j)
-	jp.roomless = p.full[jp.kind] && within && !jp.making && !jp.lent
-	jp.lacking = p.full[jp.short] && !within && !jp.making && !jp.lent
-	jp.limit = c.shardBytes(spec)
-	return jp
+	within := job.TaskResources.FitsIn(available)
+	jobPlan.hasReservation = p.reservations.hasReservationFor(job)
+	jobPlan.noRoom = p.noRoomFor[jobPlan.shape] && within && !jobPlan.preempting && !jobPlan.hasReservation
+	jobPlan.quotaShort = p.noRoomFor[jobPlan.teamShape] && !within && !jobPlan.preempting && !jobPlan.hasReservation
+	jobPlan.shardBytesLimit = c.shardBytesFor(spec)
+	return jobPlan
 }
 
-// searched lists the candidates that a machine for the job's next task is looked for among.
-func (p *jobPlacement) searched() []*candidate {
-	if !p.sample || p.lent {
+// searchSpace lists the candidates that a machine for the job's next task is looked for among.
+func (p *jobPlacement) searchSpace() []*candidateMachine {
+	if !p.sampling || p.hasReservation {
 		return p.candidates
 	}
-	if p.fitting == nil {
-		p.fitting = p.fittingFor(p.kind, p.job.need)
+	if p.fittingAtStart == nil {
+		p.fittingAtStart = p.fittingCandidates(p.shape, p.job.TaskResources)
 	}
-	return p.fitting
+	return p.fittingAtStart
 }
 
-// fittingFor lists the candidates with room for a task of a kind. Where samples are looked
+// fittingCandidates lists the candidates with room for a task of a kind. Where samples are looked
 // at, most of which are full, each task would have all machines looked at again: with a
 // thousand of them 270 for each task that was placed.
-func (p *placement) fittingFor(kind likeOf, need amount) []*candidate {
-	known, seen := p.fits[kind]
+func (p *placement) fittingCandidates(kind taskShape, taskResources Resources) []*candidateMachine {
+	searched, seen := p.fittingByShape[kind]
 	if !seen {
-		known = p.candidates
+		searched = p.candidates
 	}
-	var fitting []*candidate
-	for _, cd := range known {
-		if need.fits(cd.free) {
-			fitting = append(fitting, cd)
+	var fitting []*candidateMachine
+	for _, candidate := range searched {
+		if taskResources.FitsIn(candidate.freeResources) {
+			fitting = append(fitting, candidate)
 		}
 	}
-	p.core.stats.looked += len(known)
-	p.fits[kind] = fitting
+	p.core.counters.machinesExamined += len(searched)
+	p.fittingByShape[kind] = fitting
 	return fitting
 }
 
-// assignShares gives the tasks of our shares of the job to machines, as far as there is room.
-func (p *jobPlacement) assignShares() {
-	j := p.job
-	for _, s := range j.rec.Shares {
-		if s.Partition != p.core.node {
+// assignTasks gives the tasks of our shares of the job to machines, as far as there is room.
+func (p *jobPlacement) assignTasks() {
+	job := p.job
+	for _, taskRange := range job.Record.TaskRanges {
+		if taskRange.Partition != p.core.node {
 			continue
 		}
-		for i := s.First; i < s.End; i++ {
-			if j.state[i] != 0 {
+		for i := taskRange.First; i < taskRange.End; i++ {
+			if job.TaskStates[i] != 0 {
 				continue
 			}
-			if p.inDoubt[taskRef{j.id, i}] {
-				if p.fenced {
+			if p.tasksInDoubt[TaskID{job.ID, i}] {
+				if p.oneCommitAtATime {
 					return
 				}
 				continue
 			}
-			p.pending++
-			if !p.roomless && !p.lacking && p.most > 0 {
+			p.pendingTasks++
+			if !p.noRoom && !p.quotaShort && p.maxTasks > 0 {
 				p.assignTask(i)
 			}
 		}
@@ -212,178 +212,178 @@
 
 // assignTask gives one task to a machine, or notes why it can't.
 func (p *jobPlacement) assignTask(task int) {
-	c, j := p.core, p.job
+	c, job := p.core, p.job
 	// What a shard's own attempts give back can be used by the same write.
-	again := !j.need.fits(p.room)
-	if p.mustChoose(task, again) {
-		p.chosen = c.choose(j, p.searched(), p.zones, p.only, p.near, p.sample, again, p.idle)
+	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
+	if p.needsNewMachine(task, freedQuotaOnly) {
+		p.chosenMachine = c.chooseMachine(job, p.searchSpace(), p.zoneConstraint, p.fencedUpdate, p.preferredUpdate, p.sampling, freedQuotaOnly, p.spotOnly)
 	}
-	if p.chosen == nil {
-		p.noteFull(again)
+	if p.chosenMachine == nil {
+		p.noteNoMachine(freedQuotaOnly)
 		return
 	}
-	beside := p.chosen.m.images[p.spec.Image]
-	if p.spec.Service && !beside && !c.waited(j, p.wall) && c.preempt(j, 1, p.zones, p.candidates, true, p.now) {
+	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
+	if p.spec.Service && !withImage && !c.waitedForImage(job, p.wallNow) && c.preemptFor(job, 1, p.zoneConstraint, p.candidates, true, p.now) {
 		// Room is being made beside the image: sooner than a fetch.
-		p.most = 0
+		p.maxTasks = 0
 		return
 	}
-	p.assign(task)
-	p.pending--
-	p.most--
+	p.assignToChosen(task)
+	p.pendingTasks--
+	p.maxTasks--
 }
 
-// mustChoose tells whether a task can't just follow the one before.
-func (p *jobPlacement) mustChoose(task int, again bool) bool {
-	cd, need := p.chosen, p.job.need
-	return cd == nil || again && !need.fits(cd.d.given[p.spec.Team]) || p.spec.Service || !need.fits(cd.free) ||
-		!p.zones.ok(cd.rec.Zone) || cd.tasks >= mostOnMachine || cd.d.bound+2*bookkeeping.TaskBound(task) > p.limit
+// needsNewMachine tells whether a task can't just follow the one before.
+func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
+	candidate, taskResources := p.chosenMachine, p.job.TaskResources
+	return candidate == nil || freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedByTeam[p.spec.Team]) || p.spec.Service || !taskResources.FitsIn(candidate.freeResources) ||
+		!p.zoneConstraint.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine || candidate.update.MaxBytes+2*bookkeeping.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
-// noteFull notes that no machine takes a task of the job, also for others like it.
-func (p *jobPlacement) noteFull(again bool) {
-	p.lacking, p.roomless = again, !again
-	if p.fenced || p.making || p.lent || p.idle || len(p.notes.failedOn) > 0 {
+// noteNoMachine notes that no machine takes a task of the job, also for others like it.
+func (p *jobPlacement) noteNoMachine(freedQuotaOnly bool) {
+	p.quotaShort, p.noRoom = freedQuotaOnly, !freedQuotaOnly
+	if p.oneCommitAtATime || p.preempting || p.hasReservation || p.spotOnly || len(p.tracking.excludedMachines) > 0 {
 		return
 	}
-	p.full[p.kind] = p.full[p.kind] || p.roomless
-	p.full[p.short] = p.full[p.short] || p.lacking
+	p.noRoomFor[p.shape] = p.noRoomFor[p.shape] || p.noRoom
+	p.noRoomFor[p.teamShape] = p.noRoomFor[p.teamShape] || p.quotaShort
 }
 
-// assign writes a task into the update of the chosen machine's shard.
-func (p *jobPlacement) assign(task int) {
-	c, j, cd := p.core, p.job, p.chosen
-	d, machine := cd.d, cd.m.id
-	p.near = d
-	if !d.jobs[j.id] {
-		d.jobs[j.id] = true
-		d.bound += len(j.id) + 4
-		d.cond(bookkeeping.Key(bookkeeping.KindOpen, j.id), j.version)
-		d.cond(bookkeeping.Key(bookkeeping.KindJob, j.id), 0)
-	}
-	if p.team.limited() {
-		d.cond(partitionKey(c.node), c.view.versionOf(partitionKey(c.node)))
-	}
-	if p.last.Machine == machine && p.last.Task == task-1 {
-		d.bound += bookkeeping.TaskBound(task) + 1 // it joins the range before
+// assignToChosen writes a task into the update of the chosen machine's shard.
+func (p *jobPlacement) assignToChosen(task int) {
+	c, job, candidate := p.core, p.job, p.chosenMachine
+	update, machine := candidate.update, candidate.machine.ID
+	p.preferredUpdate = update
+	if !update.AssignedJobs[job.ID] {
+		update.AssignedJobs[job.ID] = true
+		update.MaxBytes += len(job.ID) + 4
+		update.AddCompare(bookkeeping.Key(bookkeeping.KindOpenJob, job.ID), job.Version)
+		update.AddCompare(bookkeeping.Key(bookkeeping.KindJobResult, job.ID), 0)
+	}
+	if p.teamLimit.hasLimit() {
+		update.AddCompare(partitionKey(c.node), c.mirror.VersionOf(partitionKey(c.node)))
+	}
+	if p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1 {
+		update.MaxBytes += bookkeeping.MaxTaskBytes(task) + 1 // it joins the range before
 	} else {
-		d.bound += 2*bookkeeping.TaskBound(task) + 12
+		update.MaxBytes += 2*bookkeeping.MaxTaskBytes(task) + 12
 	}
-	starting := c.drains.tracks(p.spec)
+	starting := c.drains.tracksStart(p.spec)
 	if starting {
-		d.bound += bookkeeping.StartingBound
-	}
-	p.last = bookkeeping.Held{Task: task, Machine: machine, Attempt: c.view.newest, Starting: starting}
-	d.changed = true
-	c.passJobs[j.id] = true
-	d.next.Assign(j.id, p.last)
-	d.tasks[taskRef{j.id, task}] = true
-	d.taken[machine] = d.taken[machine].plus(j.need, 1)
-	addUse(d.use, p.spec.Team, j.need, 1)
-	d.told[machine] = true
-	delete(c.closedAt, machine)
-	cd.closed = false
-	cd.free = cd.free.plus(j.need, -1)
-	cd.tasks++
+		update.MaxBytes += bookkeeping.MaxStartingBytes
+	}
+	p.lastAssigned = bookkeeping.Attempt{Task: task, Machine: machine, Number: c.mirror.NewestRevision, Starting: starting}
+	update.Changed = true
+	c.jobsInPass[job.ID] = true
+	update.Next.Assign(job.ID, p.lastAssigned)
+	update.AssignedTasks[TaskID{job.ID, task}] = true
+	update.AssignedByMachine[machine] = update.AssignedByMachine[machine].AddScaled(job.TaskResources, 1)
+	addTeamUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
+	update.MachinesToSync[machine] = true
+	delete(c.jobsClosedAt, machine)
+	candidate.closing = false
+	candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
+	candidate.taskCount++
 	if p.spec.Service {
-		cd.served += j.need.cpus
+		candidate.serviceCPUs += job.TaskResources.CPUs
 	}
-	cd.m.images[p.spec.Image] = true
-	if given := d.given[p.spec.Team]; p.team.limited() && j.need.fits(given) {
-		d.given[p.spec.Team] = given.plus(j.need, -1)
+	candidate.machine.CachedImages[p.spec.Image] = true
+	if given := update.FreedByTeam[p.spec.Team]; p.teamLimit.hasLimit() && job.TaskResources.FitsIn(given) {
+		update.FreedByTeam[p.spec.Team] = given.AddScaled(job.TaskResources, -1)
 	} else {
-		p.room = p.room.plus(j.need, -1)
+		p.quotaRoom = p.quotaRoom.AddScaled(job.TaskResources, -1)
 	}
-	p.zones.add(cd.rec.Zone, 1)
-	if p.fenced {
-		p.only = d
+	p.zoneConstraint.addTasks(candidate.record.Zone, 1)
+	if p.oneCommitAtATime {
+		p.fencedUpdate = update
 	}
 }
 
-// noteShortage notes that our share of the team's limit keeps the job's tasks waiting.
-func (p *jobPlacement) noteShortage() {
-	if _, asked := p.hasRoom[p.kind]; !asked {
-		p.hasRoom[p.kind] = roomFor(p.job, p.candidates) > 0
+// noteQuotaShortage notes that our share of the team's limit keeps the job's tasks waiting.
+func (p *jobPlacement) noteQuotaShortage() {
+	if _, asked := p.hasRoomFor[p.shape]; !asked {
+		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
 	}
-	p.core.lacks(p.spec.Team, p.job.need, p.pending, p.room, p.hasRoom[p.kind])
+	p.core.noteQuotaShortage(p.spec.Team, p.job.TaskResources, p.pendingTasks, p.quotaRoom, p.hasRoomFor[p.shape])
 }
 
-// urgentElsewhere tells whether the job waits at other partitions only and has an aim that it
+// urgentInOtherPartition tells whether the job waits at other partitions only and has an aim that it
 // can still meet. It goes before what is less urgent here: small jobs of large tasks sat out
 // their deadlines in a partition without a gap while others gave theirs to tasks that had time.
-func (p *jobPlacement) urgentElsewhere() bool {
-	return p.pending == 0 && !p.spec.Service && !p.fenced && !p.elsewhere && !p.full[p.kind] && p.job.waiting() > 0 &&
-		p.core.pressed(p.job, p.wall)
+func (p *jobPlacement) urgentInOtherPartition() bool {
+	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass && !p.noRoomFor[p.shape] && p.job.UnassignedTasks() > 0 &&
+		p.core.canMeetObjective(p.job, p.wallNow)
 }
 
-// takeUrgent takes such a job's tasks over, as many as there is room for, and keeps the room
+// stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room
 // for them. One job a pass: that costs a change.
-func (p *jobPlacement) takeUrgent() {
-	c, j := p.core, p.job
-	if roomFor(j, p.candidates) == 0 {
-		p.full[p.kind] = true
-		p.holdFor(j.waiting())
+func (p *jobPlacement) stealUrgentTasks() {
+	c, job := p.core, p.job
+	if tasksThatFit(job, p.candidates) == 0 {
+		p.noRoomFor[p.shape] = true
+		p.holdMachinesFor(job.UnassignedTasks())
 		return
 	}
-	if p.now < c.takeAt {
+	if p.now < c.nextWorkStealAt {
 		return // others use the room until a change may be spent
 	}
-	n := c.takeJob(j, p.candidates, p.left, p.capacities(), p.wall)
-	p.notes.taken, p.notes.takenUntil = n, p.now+micros.Second
-	p.elsewhere = n > 0
-	reserve(j.need, p.spec, p.candidates, min(n, j.waiting()))
+	n := c.stealTasksOfJob(job, p.candidates, p.quotaLeft, p.freePartitionCapacity(), p.wallNow)
+	p.tracking.stolenTasks, p.tracking.stolenUntil = n, p.now+micros.Second
+	p.reassignedThisPass = n > 0
+	reserveRoom(job.TaskResources, p.spec, p.candidates, min(n, job.UnassignedTasks()))
 }
 
-// holdFor keeps machines for our part of so many waiting tasks of the job.
-func (p *jobPlacement) holdFor(tasks int) {
-	all := len(p.core.all)
-	p.core.holdFor(p.job, p.candidates, p.zones, (tasks+all-1)/all)
+// holdMachinesFor keeps machines for our part of so many waiting tasks of the job.
+func (p *jobPlacement) holdMachinesFor(tasks int) {
+	all := len(p.core.controllers)
+	p.core.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, (tasks+all-1)/all)
 }
 
-// capacities is the free room of all partitions.
-func (p *placement) capacities() *freeCapacity {
-	if p.capacity == nil {
-		p.capacity = p.core.freeCapacity()
+// freePartitionCapacity is the free room of all partitions.
+func (p *placement) freePartitionCapacity() *partitionCapacity {
+	if p.partitionCapacity == nil {
+		p.partitionCapacity = p.core.capacityByPartition()
 	}
-	return p.capacity
+	return p.partitionCapacity
 }
 
-// anyYields tells whether any running work gives way to arrays.
-func (p *placement) anyYields() bool {
-	if !p.yieldsKnown {
-		p.yieldsKnown = true
-		for _, j := range p.core.view.jobs {
-			if j.held > 0 && p.core.yields(j) {
-				p.yields = true
+// anyPreemptible tells whether any running work gives way to arrays.
+func (p *placement) anyPreemptible() bool {
+	if !p.preemptibleChecked {
+		p.preemptibleChecked = true
+		for _, job := range p.core.mirror.Jobs {
+			if job.AssignedTasks > 0 && p.core.isPreemptible(job) {
+				p.preemptibleRunning = true
 				break
 			}
 		}
 	}
-	return p.yields
+	return p.preemptibleRunning
 }
 
-// makeRoom stops others' work for a service, and for what a team's guarantee owes to a job
+// makeRoomByPreemption stops others' work for a service, and for what a team's guarantee owes to a job
 // that found no room for a while; where that can't be done here, a partition gets the job's
 // tasks that can.
-func (p *jobPlacement) makeRoom() {
-	c, j := p.core, p.job
-	want := p.pending
+func (p *jobPlacement) makeRoomByPreemption() {
+	c, job := p.core, p.job
+	want := p.pendingTasks
 	if !p.spec.Service {
-		p.holdFor(p.pending)
-		if n := min(p.pending, j.need.count(p.room)); n > 0 && p.anyYields() && c.displace(j, n, p.zones, p.candidates, p.now) {
+		p.holdMachinesFor(p.pendingTasks)
+		if n := min(p.pendingTasks, job.TaskResources.CountIn(p.quotaRoom)); n > 0 && p.anyPreemptible() && c.preemptScavengers(job, n, p.zoneConstraint, p.candidates, p.now) {
 			return
 		}
-		if p.wall-j.rec.At <= int64(owedAfter) || !c.guaranteed(j) {
+		if p.wallNow-job.Record.AcceptedAt <= int64(guaranteePreemptionDelay) || !c.entitledToGuarantee(job) {
 			return
 		}
-		want = min(p.pending, owedAtOnce)
+		want = min(p.pendingTasks, guaranteePreemptionBatch)
 	}
 	// Each hand-over costs a change, and so does taking tasks over, which comes
 	// after: a service that only tried its turn in between never had it.
-	if c.preempt(j, want, p.zones, p.candidates, false, p.now) || p.now-p.notes.handedAt <= handPause || p.now < c.takeAt {
+	if c.preemptFor(job, want, p.zoneConstraint, p.candidates, false, p.now) || p.now-p.tracking.reassignedAt <= reassignmentInterval || p.now < c.nextWorkStealAt {
 		return
 	}
-	if to := p.capacities().mostVictims(j, c.node); to != "" && c.handOver(j, to) {
-		p.notes.handedAt = p.now
+	if to := p.freePartitionCapacity().bestPreemptionTarget(job, c.node); to != "" && c.handOverTasks(job, to) {
+		p.tracking.reassignedAt = p.now
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -7,160 +7,160 @@
 	"pipitgap/internal/protocol"
 )
 
-// preemptWait is how long room that was made for a job is waited for before
+// preemptionTimeout is how long room that was made for a job is waited for before
 // more is made.
-const preemptWait = 3 * micros.Second
+const preemptionTimeout = 3 * micros.Second
 
-// fetchWorth is how many CPU seconds of lost work for each of its CPUs a service
+// imageFetchLossPerCPU is how many CPU seconds of lost work for each of its CPUs a service
 // is worth that starts beside its image rather than fetching it.
-const fetchWorth = 24
+const imageFetchLossPerCPU = 24
 
-// preemption is the room being made for a job.
-type preemption struct {
-	count int
-	until micros.T
-	on    map[string]bool // machines: what is free there until then is the job's
+// pendingPreemption is the room being made for a job.
+type pendingPreemption struct {
+	tasks     int
+	expiresAt micros.Micros
+	machines  map[string]bool // machines: what is free there until then is the job's
 }
 
-// victim is a running task of lower priority.
-type victim struct {
-	key  attemptKey
-	need amount
-	loss float64 // CPU seconds of work that stopping it throws away
+// preemptionVictim is a running task of lower priority.
+type preemptionVictim struct {
+	attempt        AttemptID
+	need           Resources
+	lostCPUSeconds float64 // CPU seconds of work that stopping it throws away
 }
 
-// preempt stops tasks so that up to want tasks of a job get room on our machines;
-// the cheapest loss first, see mayStop. For its priority only a service preempts:
+// preemptFor stops tasks so that up to want tasks of a job get room on our machines;
+// the cheapest loss first, see mayPreempt. For its priority only a service preempts:
 // an array gains little by it and the work thrown away is paid for. It tells
 // whether room is being made. With beside, only machines that have the job's
 // image count, and only a small loss is worth it.
-func (c *Core) preempt(j *job, want int, zones *zoneRule, cands []*candidate, beside bool, now micros.T) bool {
-	p := c.preempting[j.id]
-	if p != nil && now < p.until {
+func (c *Controller) preemptFor(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, withImage bool, now micros.Micros) bool {
+	pending := c.preemptions[job.ID]
+	if pending != nil && now < pending.expiresAt {
 		return true
 	}
 	made, on := 0, map[string]bool{}
 	for ; made < min(want, 8); made++ {
-		var best *candidate
-		var bestVictims []victim
+		var best *candidateMachine
+		var bestVictims []preemptionVictim
 		bestLoss := 0.0
 		// A sample of machines is enough when there are many: the loss hardly
 		// differs, and each look goes over all that runs there.
-		for i := 0; i < min(len(cands), fullSearch); i++ {
-			cd := cands[i]
-			if len(cands) > fullSearch {
-				cd = cands[c.env.Rand().IntN(len(cands))]
+		for i := 0; i < min(len(candidates), sampleAboveMachines); i++ {
+			candidate := candidates[i]
+			if len(candidates) > sampleAboveMachines {
+				candidate = candidates[c.env.Rand().IntN(len(candidates))]
 			}
-			m := cd.m
-			if !mayRun(&j.rec.Spec, cd.rec) || !zones.ok(cd.rec.Zone) || len(m.w.stopping) > 0 || !cd.keptFor(j) {
+			machine := candidate.machine
+			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) || len(machine.Agent.StoppingAttempts) > 0 || !candidate.availableTo(job) {
 				continue
 			}
-			vs, loss, ok := c.victimsOn(m, j, cd.free, now)
+			victims, loss, ok := c.selectVictims(machine, job, candidate.freeResources, now)
 			if !ok {
 				continue
 			}
-			if !m.images[j.rec.Spec.Image] {
-				loss += 8 * j.rec.Spec.ImageGB
+			if !machine.CachedImages[job.Record.Spec.Image] {
+				loss += 8 * job.Record.Spec.ImageGB
 			}
-			if beside && (!m.images[j.rec.Spec.Image] || loss > fetchWorth*j.need.cpus) {
+			if withImage && (!machine.CachedImages[job.Record.Spec.Image] || loss > imageFetchLossPerCPU*job.TaskResources.CPUs) {
 				continue
 			}
 			if best == nil || loss < bestLoss {
-				best, bestVictims, bestLoss = cd, vs, loss
+				best, bestVictims, bestLoss = candidate, victims, loss
 			}
 		}
 		if best == nil {
 			break
 		}
-		for _, v := range bestVictims {
-			best.m.w.stopping[v.key] = true
-			c.log.Debug("task preempted", "task", v.key.ref.String(), "attempt", v.key.attempt,
-				"machine", best.m.id, "for_job", j.id)
+		for _, victim := range bestVictims {
+			best.machine.Agent.StoppingAttempts[victim.attempt] = true
+			c.log.Debug("task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
+				"machine", best.machine.ID, "for_job", job.ID)
 		}
-		best.keep, on[best.m.id] = j.id, true
-		c.sync(best.m)
+		best.reservedForJob, on[best.machine.ID] = job.ID, true
+		c.syncCommands(best.machine)
 	}
 	if made == 0 {
 		return false
 	}
-	c.dirty = true
-	c.preempting[j.id] = &preemption{made, now + preemptWait, on}
+	c.schedulingNeeded = true
+	c.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout, on}
 	return true
 }
 
-// mayStop tells whether a task of v may be stopped for j: one of lower priority
+// mayPreempt tells whether a task of v may be stopped for j: one of lower priority
 // for a service; one that another team runs beyond its guarantee, so that j's team
 // gets its own. The protocol would let that be of any priority; of a higher one it
 // would be placed again first, and the two would stop each other for ever. Services with a
 // disruption budget aren't stopped for others.
-func (c *Core) mayStop(j, v *job) bool {
-	if c.drains.protects(v) {
+func (c *Controller) mayPreempt(job, victim *Job) bool {
+	if c.drains.protectsFromPreemption(victim) {
 		return false
 	}
-	if v.rec.Spec.Priority < j.rec.Spec.Priority && j.rec.Spec.Service {
+	if victim.Record.Spec.Priority < job.Record.Spec.Priority && job.Record.Spec.Service {
 		return true
 	}
-	return v.rec.Spec.Team != j.rec.Spec.Team && !v.rec.Spec.Service && v.rec.Spec.Priority <= j.rec.Spec.Priority && c.guaranteed(j) && c.beyond(v.rec.Spec.Team, amount{})
+	return victim.Record.Spec.Team != job.Record.Spec.Team && !victim.Record.Spec.Service && victim.Record.Spec.Priority <= job.Record.Spec.Priority && c.entitledToGuarantee(job) && c.exceedsGuarantee(victim.Record.Spec.Team, Resources{})
 }
 
-// guaranteed tells whether a job's next task is owed to its team: the team has a
+// entitledToGuarantee tells whether a job's next task is owed to its team: the team has a
 // guarantee and the task lies within it.
-func (c *Core) guaranteed(j *job) bool {
-	team, _ := c.team(j.rec.Spec.Team)
-	return (team.CPUs > 0 || team.GPUs > 0) && c.owed(j)
+func (c *Controller) entitledToGuarantee(job *Job) bool {
+	team, _ := c.teamLimits(job.Record.Spec.Team)
+	return (team.guaranteedCPUs > 0 || team.guaranteedGPUs > 0) && c.withinGuarantee(job)
 }
 
-// beyond tells whether a team uses more than its guarantee, less what is to be
+// exceedsGuarantee tells whether a team uses more than its guarantee, less what is to be
 // stopped of it.
-func (c *Core) beyond(name string, less amount) bool {
-	team, _ := c.team(name)
-	use := c.view.teamUse[name].plus(less, -1)
-	return use.cpus > team.CPUs+slack || use.gpus > team.GPUs+slack
+func (c *Controller) exceedsGuarantee(name string, less Resources) bool {
+	team, _ := c.teamLimits(name)
+	use := c.mirror.UseByTeam[name].AddScaled(less, -1)
+	return use.CPUs > team.guaranteedCPUs+resourceTolerance || use.GPUs > team.guaranteedGPUs+resourceTolerance
 }
 
-// victimsOn picks the tasks of a machine whose stop makes room for one task of
+// selectVictims picks the tasks of a machine whose stop makes room for one task of
 // a job, with least work lost.
-func (c *Core) victimsOn(m *machine, j *job, free amount, now micros.T) (vs []victim, loss float64, ok bool) {
-	var all []victim
-	for ref, attempt := range m.tasks {
-		v := c.view.jobs[ref.job]
-		if v == nil || !v.open() || !c.mayStop(j, v) || m.w.settled(attemptKey{ref, attempt}) {
+func (c *Controller) selectVictims(machine *Machine, job *Job, free Resources, now micros.Micros) (victims []preemptionVictim, loss float64, ok bool) {
+	var possible []preemptionVictim
+	for task, attempt := range machine.Attempts {
+		victim := c.mirror.Jobs[task.Job]
+		if victim == nil || !victim.IsOpen() || !c.mayPreempt(job, victim) || machine.Agent.HasOutcome(AttemptID{task, attempt}) {
 			continue
 		}
-		k := attemptKey{ref, attempt}
-		if t, has := m.w.rep[k]; has && t.State == protocol.StateExited {
+		key := AttemptID{task, attempt}
+		if taskReport, reported := machine.Agent.ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
 			continue
 		}
 		ran := 0.0
-		if at, ok := m.w.since[k]; ok {
+		if at, ok := machine.Agent.RunningSince[key]; ok {
 			ran = (now - at).Seconds()
 		}
-		if cp := v.rec.Spec.CheckpointS; cp > 0 {
+		if cp := victim.Record.Spec.CheckpointS; cp > 0 {
 			ran = min(ran, cp)
 		}
-		all = append(all, victim{k, v.need, ran * v.need.cpus})
+		possible = append(possible, preemptionVictim{key, victim.TaskResources, ran * victim.TaskResources.CPUs})
 	}
-	sort.Slice(all, func(a, b int) bool {
-		if all[a].loss != all[b].loss {
-			return all[a].loss < all[b].loss
+	sort.Slice(possible, func(a, b int) bool {
+		if possible[a].lostCPUSeconds != possible[b].lostCPUSeconds {
+			return possible[a].lostCPUSeconds < possible[b].lostCPUSeconds
 		}
-		return all[a].key.ref.String() < all[b].key.ref.String()
+		return possible[a].attempt.Task.String() < possible[b].attempt.Task.String()
 	})
-	taken := map[string]amount{}
-	for _, v := range all {
-		if j.need.fits(free) {
+	taken := map[string]Resources{}
+	for _, victim := range possible {
+		if job.TaskResources.FitsIn(free) {
 			break
 		}
-		if s := &c.view.jobs[v.key.ref.job].rec.Spec; !j.rec.Spec.Service || s.Priority >= j.rec.Spec.Priority {
+		if spec := &c.mirror.Jobs[victim.attempt.Task.Job].Record.Spec; !job.Record.Spec.Service || spec.Priority >= job.Record.Spec.Priority {
 			// Only what its team has beyond its guarantee may go.
-			if !c.beyond(s.Team, taken[s.Team]) {
+			if !c.exceedsGuarantee(spec.Team, taken[spec.Team]) {
 				continue
 			}
-			taken[s.Team] = taken[s.Team].plus(v.need, 1)
+			taken[spec.Team] = taken[spec.Team].AddScaled(victim.need, 1)
 		}
-		free = free.plus(v.need, 1)
-		loss += v.loss
-		vs = append(vs, v)
+		free = free.AddScaled(victim.need, 1)
+		loss += victim.lostCPUSeconds
+		victims = append(victims, victim)
 	}
-	return vs, loss, j.need.fits(free) && len(vs) > 0
+	return victims, loss, job.TaskResources.FitsIn(free) && len(victims) > 0
 }
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -11,65 +11,71 @@
 
 var (
 	scenarioCount = flag.Int("scenarios", 40, "random scenarios to play")
-	scenarioFirst = flag.Uint64("scenario-seed", 1, "seed of the first random scenario")
+	scenarioSeed  = flag.Uint64("scenario-seed", 1, "seed of the first random scenario")
 )
 
 const (
-	lastFaultAt    = 130 * sec
-	scenarioLength = 185 * sec
+	lastFaultAt    = 130 * second
+	scenarioLength = 185 * second
 )
 
 // randomFaults combines two to five faults of all kinds at random times, many of them
 // within seconds of each other.
 func randomFaults(rnd *rand.Rand) []fault {
-	span := func(least, most micros.T) micros.T { return least + micros.T(rnd.Int64N(int64(most-least))) }
-	controller := func() which {
+	span := func(least, most micros.Micros) micros.Micros {
+		return least + micros.Micros(rnd.Int64N(int64(most-least)))
+	}
+	controller := func() controllerPicker {
 		if rnd.IntN(2) == 0 {
-			return leader
+			return leaderController
 		}
-		return following(rnd.IntN(3))
+		return followerController(rnd.IntN(3))
 	}
-	kinds := []func(at micros.T) fault{
-		func(at micros.T) fault { return refusal(at, controller(), span(sec, 40*sec)) },
-		func(at micros.T) fault { return outage(at, span(sec, 45*sec)) },
-		func(at micros.T) fault { return crash(at, controller(), span(sec/10, 20*sec)) },
-		func(at micros.T) fault { return crashAll(at, span(sec/2, 25*sec)) },
-		func(at micros.T) fault { return peerCut(at, controller(), span(sec, 40*sec)) },
-		func(at micros.T) fault { return stateAndPeerCut(at, controller(), span(sec, 40*sec)) },
-		func(at micros.T) fault { return standStill(at, controller(), span(sec, 25*sec)) },
-		func(at micros.T) fault { return hang(at, 1+rnd.IntN(6), span(sec, 30*sec)) },
-		func(at micros.T) fault { return machineCut(at, 1+rnd.IntN(8), span(sec, 40*sec)) },
-		func(at micros.T) fault { return deaf(at, 1+rnd.IntN(8), span(sec, 40*sec)) },
-		func(at micros.T) fault { return mute(at, 1+rnd.IntN(8), span(sec, 40*sec)) },
-		func(at micros.T) fault { return lateWrites(at, rnd.Float64()/3, span(5*sec, 50*sec)) },
-		func(at micros.T) fault { return lostAnswers(at, rnd.Float64()/2, span(5*sec, 50*sec)) },
-		func(at micros.T) fault { return lateCommands(at, rnd.Float64(), span(5*sec, 50*sec)) },
-		func(at micros.T) fault { return lateReports(at, rnd.Float64(), span(5*sec, 50*sec)) },
-		func(at micros.T) fault { return reportsForNextLeader(at, rnd.Float64(), 60*sec) },
-		func(at micros.T) fault { return slowStore(at, span(sec/10, 3*sec), span(5*sec, 50*sec)) },
-		func(at micros.T) fault { return zoneCut(at, span(sec, 45*sec)) },
-		func(at micros.T) fault { return machinesDie(at, 1+rnd.IntN(4)) },
-		func(at micros.T) fault { return submissions(at, sec, span(10*sec, 50*sec), oneTask) },
+	kinds := []func(at micros.Micros) fault{
+		func(at micros.Micros) fault { return storeRejectsController(at, controller(), span(second, 40*second)) },
+		func(at micros.Micros) fault { return storeOutage(at, span(second, 45*second)) },
+		func(at micros.Micros) fault { return crashController(at, controller(), span(second/10, 20*second)) },
+		func(at micros.Micros) fault { return crashAllControllers(at, span(second/2, 25*second)) },
+		func(at micros.Micros) fault { return peerPartition(at, controller(), span(second, 40*second)) },
+		func(at micros.Micros) fault { return storeAndPeerPartition(at, controller(), span(second, 40*second)) },
+		func(at micros.Micros) fault { return processPause(at, controller(), span(second, 25*second)) },
+		func(at micros.Micros) fault { return machinesHang(at, 1+rnd.IntN(6), span(second, 30*second)) },
+		func(at micros.Micros) fault { return machinesPartitioned(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at micros.Micros) fault { return machinesUnreachable(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at micros.Micros) fault { return machinesMuted(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at micros.Micros) fault { return delayedCommits(at, rnd.Float64()/3, span(5*second, 50*second)) },
+		func(at micros.Micros) fault { return lostCommitAnswers(at, rnd.Float64()/2, span(5*second, 50*second)) },
+		func(at micros.Micros) fault { return delayedCommands(at, rnd.Float64(), span(5*second, 50*second)) },
+		func(at micros.Micros) fault { return duplicateReports(at, rnd.Float64(), span(5*second, 50*second)) },
+		func(at micros.Micros) fault { return duplicateReportsToNextLeader(at, rnd.Float64(), 60*second) },
+		func(at micros.Micros) fault {
+			return slowStoreReplies(at, span(second/10, 3*second), span(5*second, 50*second))
+		},
+		func(at micros.Micros) fault { return zonePartition(at, span(second, 45*second)) },
+		func(at micros.Micros) fault { return machinesVanish(at, 1+rnd.IntN(4)) },
+		func(at micros.Micros) fault {
+			return submitAtRate(at, second, span(10*second, 50*second), submitSingleTask)
+		},
 	}
 	var faults []fault
 	at := span(warmUp, lastFaultAt)
 	for range 2 + rnd.IntN(4) {
 		faults = append(faults, kinds[rnd.IntN(len(kinds))](at))
-		if at += span(0, 6*sec); rnd.IntN(4) == 0 {
+		if at += span(0, 6*second); rnd.IntN(4) == 0 {
 			at = span(warmUp, lastFaultAt)
 		}
 	}
 	if rnd.IntN(2) == 0 {
 		at := span(warmUp, lastFaultAt)
-		faults = append(faults, cancelTeam(at, "tight", 1+rnd.IntN(3), span(sec, 20*sec)), crash(at+span(0, 3*sec), controller(), span(sec/10, 5*sec)))
+		faults = append(faults, cancelTeamJobs(at, "tight", 1+rnd.IntN(3), span(second, 20*second)), crashController(at+span(0, 3*second), controller(), span(second/10, 5*second)))
 	}
 	for range 2 + rnd.IntN(3) {
 		near := faults[rnd.IntN(len(faults))].at
-		hangFor := micros.T(0)
+		hangFor := micros.Micros(0)
 		if rnd.IntN(3) == 0 {
-			hangFor = span(sec, 15*sec)
+			hangFor = span(second, 15*second)
 		}
-		faults = append(faults, cancelNow(max(warmUp, near+span(-2*sec, 5*sec)), 1+rnd.IntN(4), hangFor))
+		faults = append(faults, cancelRunningJobs(max(warmUp, near+span(-2*second, 5*second)), 1+rnd.IntN(4), hangFor))
 	}
 	return faults
 }
@@ -77,21 +83,21 @@
 // TestRandomFaults plays random combinations of faults. A failing seed is played again
 // with -run TestRandomFaults -scenarios 1 -scenario-seed SEED.
 func TestRandomFaults(t *testing.T) {
-	leases := []leaseSettings{usualLeases, {4 * sec, 22 * sec, 42 * sec}, {5 * sec, 28 * sec, 53 * sec}, {8 * sec / 10, 10 * sec, 30 * sec}}
+	leases := []leaseDurations{defaultLeases, {4 * second, 22 * second, 42 * second}, {5 * second, 28 * second, 53 * second}, {8 * second / 10, 10 * second, 30 * second}}
 	for i := range uint64(*scenarioCount) {
-		seed := *scenarioFirst + i
+		seed := *scenarioSeed + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 11))
 			s := newScenario(t, seed)
 			leases[rnd.IntN(len(leases))].apply(s)
-			s.closeLook = rnd.IntN(2) == 0
+			s.eagerQueries = rnd.IntN(2) == 0
 			if rnd.IntN(2) == 0 {
-				fullTeams(s)
+				fillTeamLimits(s)
 			}
 			faults := randomFaults(rnd)
-			s.play(faults, scenarioLength)
+			s.runFaults(faults, scenarioLength)
 			if t.Failed() {
-				t.Logf("faults: %s", describe(faults))
+				t.Logf("faults: %s", describeFaults(faults))
 				t.Logf("again: go test ./internal/coordination -run TestRandomFaults -scenarios 1 -scenario-seed %d", seed)
 			}
 		})
--- a/internal/coordination/reach.go
+++ b/internal/coordination/reach.go
@@ -22,164 +22,164 @@
 )
 
 const (
-	stillFor     = 3 * micros.Second / 2 // a tick so late means that the process stood still
-	stillTrust   = micros.Second / 2     // after that it waits so long for word from the store
-	probeEvery   = 2 * micros.Second
-	probedFirst  = 3                 // silent machines that are asked before we take ourselves for cut off
-	trustReached = 3 * micros.Second // one that answers proves the contrary for so long
+	pauseThreshold            = 3 * micros.Second / 2 // a tick so late means that the process stood still
+	staleAfterPause           = micros.Second / 2     // after that it waits so long for word from the store
+	reachabilityProbeInterval = 2 * micros.Second
+	initialProbeCount         = 3                 // silent machines that are asked before we take ourselves for cut off
+	probeValidity             = 3 * micros.Second // one that answers proves the contrary for so long
 )
 
-// noteStill notes that the process stood still since the last tick, or whatever else
+// detectPause notes that the process stood still since the last tick, or whatever else
 // came, while its clocks ran. It is asked before anything that comes in is taken.
-func (c *Core) noteStill(now micros.T) {
-	if c.tickAt != 0 && now-c.tickAt > stillFor {
-		c.resumedAt = now
-		c.log.Info("process pause detected", "duration_ms", (now - c.tickAt).Millis())
+func (c *Controller) detectPause(now micros.Micros) {
+	if c.lastActivityAt != 0 && now-c.lastActivityAt > pauseThreshold {
+		c.resumedFromPauseAt = now
+		c.log.Info("process pause detected", "duration_ms", (now - c.lastActivityAt).Milliseconds())
 	}
-	c.tickAt = now
+	c.lastActivityAt = now
 }
 
-// outdated tells whether we stood still and haven't heard from the store since: what we
+// mirrorStale tells whether we stood still and haven't heard from the store since: what we
 // hold may be others', and what comes in may have waited for long. In an outage the
 // wait is short, or the workers' leases would lapse.
-func (c *Core) outdated(now micros.T) bool {
-	return c.resumedAt > c.freshAt && now-c.resumedAt < stillTrust
+func (c *Controller) mirrorStale(now micros.Micros) bool {
+	return c.resumedFromPauseAt > c.mirrorFreshAt && now-c.resumedFromPauseAt < staleAfterPause
 }
 
 // workerReach tells whether we reach our workers.
-func (c *Core) workerReach() WorkerReach {
+func (c *Controller) workerReach() WorkerReach {
 	switch {
-	case c.lostAt != 0:
+	case c.workersUnreachableSince != 0:
 		return WorkersUnreachable
-	case c.heardMost:
+	case c.hearsMostWorkers:
 		return WorkersReachable
 	}
 	return WorkersUnknown
 }
 
-// noteReach judges from the silence of our machines whether it is we who are cut off
+// updateReachability judges from the silence of our machines whether it is we who are cut off
 // from them. Without a fresh mirror, or just after standing still, silence says nothing.
-func (c *Core) noteReach(all heardCount, now micros.T) {
-	c.heardMost = all.machines > 0 && 2*all.silent < all.machines
+func (c *Controller) updateReachability(overall silenceCount, now micros.Micros) {
+	c.hearsMostWorkers = overall.machines > 0 && 2*overall.silent < overall.machines
 	switch {
-	case all.cut() && c.lostAt == 0:
-		c.suspect(now)
-	case c.lostAt != 0 && c.heardMost:
-		c.found(now)
+	case overall.isUnreachable() && c.workersUnreachableSince == 0:
+		c.probeSilentMachines(now)
+	case c.workersUnreachableSince != 0 && c.hearsMostWorkers:
+		c.markWorkersReachable(now)
 	}
-	if c.lostAt == 0 {
+	if c.workersUnreachableSince == 0 {
 		return
 	}
-	c.handOverShards(now)
-	c.probe(now)
+	c.handOffShards(now)
+	c.probeReachability(now)
 }
 
-// suspect asks a few of our silent machines themselves. They are silent too while their
+// probeSilentMachines asks a few of our silent machines themselves. They are silent too while their
 // workers go round after a crash of several controllers, each for seconds at one that
 // hangs: those that had just claimed them again gave them away once more.
-func (c *Core) suspect(now micros.T) {
-	if c.probing > 0 || now-c.reachedAt < trustReached {
+func (c *Controller) probeSilentMachines(now micros.Micros) {
+	if c.reachabilityProbesInFlight > 0 || now-c.lastProbeSuccessAt < probeValidity {
 		return
 	}
-	var ms []*machine
-	for _, id := range sortedKeys(c.view.machines) {
-		if m := c.view.machines[id]; m.w != nil && m.rec != nil {
-			ms = append(ms, m)
+	var machines []*Machine
+	for _, id := range sortedKeys(c.mirror.Machines) {
+		if machine := c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
+			machines = append(machines, machine)
 		}
 	}
-	n := min(len(ms), probedFirst)
-	c.probing = n
+	n := min(len(machines), initialProbeCount)
+	c.reachabilityProbesInFlight = n
 	answered := false
 	for i := 0; i < n; i++ {
-		k := i + c.env.Rand().IntN(len(ms)-i)
-		ms[i], ms[k] = ms[k], ms[i]
-		m := ms[i]
-		c.env.Command(m.rec.Endpoint, nil, showWithin, func(r protocol.DoResult) {
-			c.probing--
-			if r.Status == 200 && r.Report.Machine == m.id {
-				answered, c.reachedAt = true, c.now()
+		k := i + c.env.Rand().IntN(len(machines)-i)
+		machines[i], machines[k] = machines[k], machines[i]
+		machine := machines[i]
+		c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+			c.reachabilityProbesInFlight--
+			if result.Status == 200 && result.Heartbeat.Machine == machine.ID {
+				answered, c.lastProbeSuccessAt = true, c.now()
 			}
-			if c.probing == 0 && !answered && c.lostAt == 0 {
-				c.lostAt = c.now()
-				c.log.Info("workers unreachable", "state", conditionBegin, "machines", len(ms))
-				c.handOverShards(c.now())
+			if c.reachabilityProbesInFlight == 0 && !answered && c.workersUnreachableSince == 0 {
+				c.workersUnreachableSince = c.now()
+				c.log.Info("workers unreachable", "state", conditionBegin, "machines", len(machines))
+				c.handOffShards(c.now())
 			}
 		})
 	}
 }
 
-func (c *Core) found(now micros.T) {
-	c.lostAt = 0
-	c.dirty = true
+func (c *Controller) markWorkersReachable(now micros.Micros) {
+	c.workersUnreachableSince = 0
+	c.schedulingNeeded = true
 	c.log.Info("workers unreachable", "state", conditionEnd)
 }
 
-// probe asks some machine, whosever it is, whether we reach workers again. A report
+// probeReachability asks some machine, whosever it is, whether we reach workers again. A report
 // that comes in wouldn't do: copies come late.
-func (c *Core) probe(now micros.T) {
-	if now < c.probeAt {
+func (c *Controller) probeReachability(now micros.Micros) {
+	if now < c.nextReachabilityProbeAt {
 		return
 	}
-	c.probeAt = now + probeEvery
-	ids := sortedKeys(c.view.machines)
+	c.nextReachabilityProbeAt = now + reachabilityProbeInterval
+	ids := sortedKeys(c.mirror.Machines)
 	if len(ids) == 0 {
-		c.found(now)
+		c.markWorkersReachable(now)
 		return
 	}
-	m := c.view.machines[ids[c.env.Rand().IntN(len(ids))]]
-	if m.rec == nil {
-		c.probeAt = now
+	machine := c.mirror.Machines[ids[c.env.Rand().IntN(len(ids))]]
+	if machine.Record == nil {
+		c.nextReachabilityProbeAt = now
 		return
 	}
-	since := c.lostAt
-	c.env.Command(m.rec.Endpoint, nil, showWithin, func(r protocol.DoResult) {
-		if r.Status == 200 && r.Report.Machine == m.id && c.lostAt == since && since != 0 {
-			c.found(c.now())
+	since := c.workersUnreachableSince
+	c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+		if result.Status == 200 && result.Heartbeat.Machine == machine.ID && c.workersUnreachableSince == since && since != 0 {
+			c.markWorkersReachable(c.now())
 		}
 	})
 }
 
-// cutOff tells whether a controller lives, but is known not to reach workers.
-func (c *Core) cutOff(node string, now micros.T) bool {
+// isCutOffFromWorkers tells whether a controller lives, but is known not to reach workers.
+func (c *Controller) isCutOffFromWorkers(node string, now micros.Micros) bool {
 	if node == c.node {
-		return c.lostAt != 0
+		return c.workersUnreachableSince != 0
 	}
-	return c.heard(node, now) && c.peers.get(node).reach == WorkersUnreachable
+	return c.heardFromRecently(node, now) && c.peerStatuses.status(node).reachability == WorkersUnreachable
 }
 
-// able lists the live controllers that are good for machines and waiting tasks.
-func (c *Core) able() []string {
-	live, now := c.live(), c.now()
+// connectedControllers lists the live controllers that are good for machines and waiting tasks.
+func (c *Controller) connectedControllers() []string {
+	controllers, now := c.liveControllers(), c.now()
 	var out []string
-	for _, n := range live {
-		if !c.cutOff(n, now) {
-			out = append(out, n)
+	for _, node := range controllers {
+		if !c.isCutOffFromWorkers(node, now) {
+			out = append(out, node)
 		}
 	}
 	if len(out) == 0 {
-		return live
+		return controllers
 	}
 	return out
 }
 
-// handOverShards gives our shards to controllers that say they hear their workers. Ours
+// handOffShards gives our shards to controllers that say they hear their workers. Ours
 // turn to them when we don't answer; their claims one by one, each against our own
 // writes, took longer than the leases of most.
-func (c *Core) handOverShards(now micros.T) {
-	if c.partitionBusy || c.storeDown || !c.leaseHeld(now) || now-c.watchOKAt > watchBlock+micros.Second {
+func (c *Controller) handOffShards(now micros.Micros) {
+	if c.quotaWriteInFlight || c.storeUnavailable || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+micros.Second {
 		return
 	}
 	var to, others []string
 	alone := true
-	for _, n := range c.live() {
-		if n == c.node {
+	for _, node := range c.liveControllers() {
+		if node == c.node {
 			continue
 		}
-		others = append(others, n)
-		if c.heard(n, now) {
+		others = append(others, node)
+		if c.heardFromRecently(node, now) {
 			alone = false
-			if c.peers.get(n).reach == WorkersReachable {
-				to = append(to, n)
+			if c.peerStatuses.status(node).reachability == WorkersReachable {
+				to = append(to, node)
 			}
 		}
 	}
@@ -190,33 +190,33 @@
 		return // nobody hears any
 	}
 	successor := ""
-	var ps []*shard
-	for _, name := range sortedKeys(c.view.shards) {
-		p := c.view.shards[name]
-		if s := c.shardNotes(name); !c.owns(p) || s.busyAt != 0 || len(s.inDoubtUpdates) > 0 || c.view.watched < p.version {
+	var shards []*Shard
+	for _, name := range sortedKeys(c.mirror.Shards) {
+		shard := c.mirror.Shards[name]
+		if tracker := c.trackerOf(name); !c.ownsShard(shard) || tracker.commitInFlightSince != 0 || len(tracker.updatesInDoubt) > 0 || c.mirror.WatchedRevision < shard.Version {
 			continue
 		}
-		h := home(name, to)
+		destination := rendezvousOwner(name, to)
 		if successor == "" {
-			successor = h
+			successor = destination
 		}
-		if h == successor {
-			ps = append(ps, p)
+		if destination == successor {
+			shards = append(shards, shard)
 		}
 	}
-	if len(ps) == 0 {
+	if len(shards) == 0 {
 		return
 	}
-	member := c.view.members[successor]
-	t, taken := c.passShards(ps, successor, member.rec.Incarnation)
-	t.If = append(t.If, protocol.Cond{Key: bookkeeping.Key(bookkeeping.KindMember, successor), Version: member.version})
-	c.partitionBusy = true
-	c.commit(bookkeeping.RankClaim, t, func(r protocol.StoreResult) {
-		c.partitionBusy = false
-		c.dirty = true
-		if r.Outcome == protocol.OK {
+	member := c.mirror.Members[successor]
+	txn, taken := c.buildShardTransfer(shards, successor, member.Record.Incarnation)
+	txn.If = append(txn.If, protocol.Compare{Key: bookkeeping.Key(bookkeeping.KindMember, successor), Version: member.Version})
+	c.quotaWriteInFlight = true
+	c.commitTxn(bookkeeping.PriorityClaim, txn, func(result protocol.StoreResult) {
+		c.quotaWriteInFlight = false
+		c.schedulingNeeded = true
+		if result.Outcome == protocol.OK {
 			c.log.Info("shards transferred", "to_node", successor, "shards", taken)
-			c.handOverShards(c.now())
+			c.handOffShards(c.now())
 		}
 	})
 }
--- a/internal/coordination/reading.go
+++ b/internal/coordination/reading.go
@@ -14,149 +14,149 @@
 // StoreCaller makes a call of the state service and waits for its answer.
 type StoreCaller func(*protocol.StoreCall) protocol.StoreResult
 
-// Reading is all records as they stood at one revision.
-type Reading struct {
-	view  *View
-	types map[string]protocol.MachineType
-	// Registry is the version of the registry of drains, 0 if there is none yet.
-	Registry uint64
+// RecordSnapshot is all records as they stood at one revision.
+type RecordSnapshot struct {
+	mirror       *Mirror
+	machineTypes map[string]protocol.MachineType
+	// DrainRegistryVersion is the version of the registry of drains, 0 if there is none yet.
+	DrainRegistryVersion uint64
 }
 
-// ErrNoAnswer says that the state service couldn't be read.
-var ErrNoAnswer = errors.New("the state service doesn't answer")
+// ErrStoreUnavailable says that the state service couldn't be read.
+var ErrStoreUnavailable = errors.New("the state service doesn't answer")
 
 // Bounds of a reading.
 const (
-	readingPage    = 500
-	readingTimeout = 5 * micros.Second
+	snapshotPageSize    = 500
+	snapshotCallTimeout = 5 * micros.Second
 )
 
-// recordKinds are the records that every mirror holds; the answers of finished jobs aren't.
-var recordKinds = []string{
-	bookkeeping.KindRental, bookkeeping.KindLead, bookkeeping.KindMember, bookkeeping.KindOpen,
-	bookkeeping.KindShard, bookkeeping.KindPartition, bookkeeping.KindRemoval, bookkeeping.KindType,
+// mirroredKinds are the records that every mirror holds; the answers of finished jobs aren't.
+var mirroredKinds = []string{
+	bookkeeping.KindScaleOut, bookkeeping.KindLeader, bookkeeping.KindMember, bookkeeping.KindOpenJob,
+	bookkeeping.KindShard, bookkeeping.KindPartition, bookkeeping.KindScaleIn, bookkeeping.KindMachineType,
 }
 
-// drainKinds are those that a mirror holds as well where drains are turned on.
-var drainKinds = []string{bookkeeping.KindDrain, bookkeeping.KindPermits}
+// mirroredDrainKinds are those that a mirror holds as well where drains are turned on.
+var mirroredDrainKinds = []string{bookkeeping.KindDrain, bookkeeping.KindPermits}
 
-// Read reads all records and brings them to one revision: the lists are read one after the
+// ReadRecords reads all records and brings them to one revision: the lists are read one after the
 // other, then all changes since the first are applied.
-func Read(call StoreCaller, txnOps int) (*Reading, error) {
-	r := &Reading{view: newView(func(string, string) {}), types: map[string]protocol.MachineType{}}
-	first, err := r.readLists(call)
+func ReadRecords(call StoreCaller, txnOps int) (*RecordSnapshot, error) {
+	s := &RecordSnapshot{mirror: newMirror(func(string, string) {}), machineTypes: map[string]protocol.MachineType{}}
+	firstRevision, err := s.readLists(call)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.readAnswers(call, 4*txnOps); err != nil {
+	if err := s.readResults(call, 4*txnOps); err != nil {
 		return nil, err
 	}
-	registry := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: bookkeeping.RegistryKey, Within: readingTimeout})
+	registry := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: bookkeeping.DrainRegistryKey, Timeout: snapshotCallTimeout})
 	switch registry.Outcome {
 	case protocol.OK:
-		r.Registry = registry.Item.Version
+		s.DrainRegistryVersion = registry.Item.Version
 	case protocol.NotFound:
 	default:
-		return nil, fmt.Errorf("%w: %v", ErrNoAnswer, registry.Outcome)
+		return nil, fmt.Errorf("%w: %v", ErrStoreUnavailable, registry.Outcome)
 	}
-	return r, r.catchUp(call, first)
+	return s, s.catchUp(call, firstRevision)
 }
 
 // readLists reads all lists and gives the revision of the first.
-func (r *Reading) readLists(call StoreCaller) (uint64, error) {
-	first, begun := uint64(0), false
-	for _, kind := range slices.Concat(recordKinds, drainKinds) {
+func (r *RecordSnapshot) readLists(call StoreCaller) (uint64, error) {
+	firstRevision, started := uint64(0), false
+	for _, kind := range slices.Concat(mirroredKinds, mirroredDrainKinds) {
 		for after, more := "", true; more; {
-			page := call(&protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.Key(kind, ""), After: after, Limit: readingPage, Within: readingTimeout})
+			page := call(&protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.Key(kind, ""), After: after, Limit: snapshotPageSize, Timeout: snapshotCallTimeout})
 			if page.Outcome != protocol.OK {
-				return 0, fmt.Errorf("%w: %v", ErrNoAnswer, page.Outcome)
+				return 0, fmt.Errorf("%w: %v", ErrStoreUnavailable, page.Outcome)
 			}
-			if !begun {
-				begun, first = true, page.Revision
+			if !started {
+				started, firstRevision = true, page.Revision
 			}
 			for _, item := range page.Items {
-				r.view.put(item.Key, item.Value, item.Version)
+				r.mirror.ApplyPut(item.Key, item.Value, item.Version)
 				after = item.Key
 			}
 			more = page.More && len(page.Items) > 0
 		}
 	}
-	return first, nil
+	return firstRevision, nil
 }
 
-// readAnswers finds which of the listed jobs are over: answers can't be listed, so the versions
+// readResults finds which of the listed jobs are over: answers can't be listed, so the versions
 // of as many as a commit can name are compared at a time.
-func (r *Reading) readAnswers(call StoreCaller, mostConditions int) error {
-	ids := sortedKeys(r.view.jobs)
+func (r *RecordSnapshot) readResults(call StoreCaller, mostConditions int) error {
+	ids := sortedKeys(r.mirror.Jobs)
 	for len(ids) > 0 {
 		n := min(len(ids), mostConditions)
-		txn := protocol.Txn{}
+		txn := protocol.Transaction{}
 		for _, id := range ids[:n] {
-			txn.If = append(txn.If, protocol.Cond{Key: bookkeeping.Key(bookkeeping.KindJob, id)})
+			txn.If = append(txn.If, protocol.Compare{Key: bookkeeping.Key(bookkeeping.KindJobResult, id)})
 		}
 		ids = ids[n:]
-		compared := call(&protocol.StoreCall{Op: protocol.StoreCommit, Txn: txn, Within: readingTimeout})
+		compared := call(&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: snapshotCallTimeout})
 		if compared.Outcome != protocol.OK && compared.Outcome != protocol.Conflict {
-			return fmt.Errorf("%w: %v", ErrNoAnswer, compared.Outcome)
+			return fmt.Errorf("%w: %v", ErrStoreUnavailable, compared.Outcome)
 		}
 		for _, key := range compared.Failed {
-			answer := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: key, Within: readingTimeout})
+			answer := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: key, Timeout: snapshotCallTimeout})
 			if answer.Outcome != protocol.OK {
-				return fmt.Errorf("%w: %v", ErrNoAnswer, answer.Outcome)
+				return fmt.Errorf("%w: %v", ErrStoreUnavailable, answer.Outcome)
 			}
-			r.view.put(key, answer.Item.Value, answer.Item.Version)
+			r.mirror.ApplyPut(key, answer.Item.Value, answer.Item.Version)
 		}
 	}
 	return nil
 }
 
-// catchUp applies all changes since a revision.
-func (r *Reading) catchUp(call StoreCaller, from uint64) error {
-	r.view.watched = from
-	watch := call(&protocol.StoreCall{Op: protocol.StoreWatch, Key: bookkeeping.Root, From: from, Within: readingTimeout})
+// catchUpWatch applies all changes since a revision.
+func (r *RecordSnapshot) catchUp(call StoreCaller, sinceRevision uint64) error {
+	r.mirror.WatchedRevision = sinceRevision
+	watch := call(&protocol.StoreCall{Op: protocol.StoreWatch, Key: bookkeeping.KeyPrefix, FromRevision: sinceRevision, Timeout: snapshotCallTimeout})
 	if watch.Outcome != protocol.OK {
-		return fmt.Errorf("%w: %v", ErrNoAnswer, watch.Outcome)
+		return fmt.Errorf("%w: %v", ErrStoreUnavailable, watch.Outcome)
 	}
-	r.view.applyEvents(watch.Events, watch.Revision)
+	r.mirror.ApplyEvents(watch.Events, watch.Revision)
 	for _, event := range watch.Events {
-		if event.Put == bookkeeping.RegistryKey {
-			r.Registry = max(r.Registry, event.Version)
+		if event.Put == bookkeeping.DrainRegistryKey {
+			r.DrainRegistryVersion = max(r.DrainRegistryVersion, event.Version)
 		}
 	}
-	r.types = r.view.catalog()
+	r.machineTypes = r.mirror.Catalog()
 	return nil
 }
 
-// Fleet gives the reading in the form in which drains are decided.
-func (r *Reading) Fleet(wall int64) *drain.Snapshot {
-	b := r.view.fleetBuilder(wall, r.types, func(*job) bool { return false })
-	for _, id := range sortedKeys(r.view.machines) {
-		if m := r.view.machines[id]; m.rec != nil {
-			b.AddMachine(r.view.fleetMachine(m, r.types))
+// DrainSnapshot gives the reading in the form in which drains are decided.
+func (r *RecordSnapshot) DrainSnapshot(wall int64) *drain.Snapshot {
+	b := r.mirror.drainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
+	for _, id := range sortedKeys(r.mirror.Machines) {
+		if machine := r.mirror.Machines[id]; machine.Record != nil {
+			b.AddMachine(r.mirror.drainSnapshotMachine(machine, r.machineTypes))
 		}
 	}
 	return b.Build()
 }
 
-// Live tells whether a controller is a member.
-func (r *Reading) Live(node string) bool {
-	_, member := r.view.members[node]
+// IsMember tells whether a controller is a member.
+func (r *RecordSnapshot) IsMember(node string) bool {
+	_, member := r.mirror.Members[node]
 	return member
 }
 
-// HasType tells whether the cloud has a machine type.
-func (r *Reading) HasType(name string) bool {
-	_, ok := r.types[name]
+// HasMachineType tells whether the cloud has a machine type.
+func (r *RecordSnapshot) HasMachineType(name string) bool {
+	_, ok := r.machineTypes[name]
 	return ok
 }
 
 // NewestMachine is the machine that was rented last, as far as is known; "" if there is none.
-func (r *Reading) NewestMachine() string {
+func (r *RecordSnapshot) NewestMachine() string {
 	newest := ""
-	for id := range r.view.machines {
+	for id := range r.mirror.Machines {
 		newest = max(newest, id)
 	}
-	for id := range r.view.rentalOf {
+	for id := range r.mirror.ScaleOutOfMachine {
 		newest = max(newest, id)
 	}
 	return newest
