--- a/internal/coordination/reports.go
+++ b/internal/coordination/reports.go
@@ -9,414 +9,416 @@
 	"pipitgap/internal/protocol"
 )
 
-// orphanVisit is a worker of another partition that came to us.
-type orphanVisit struct {
-	first, last micros.T
-	claim       uint64 // under which its owner held it
+// orphanContact is a worker of another partition that came to us.
+type orphanContact struct {
+	firstAt, lastAt micros.Micros
+	claimNumber     uint64 // under which its owner held it
 }
 
-func (c *Core) redirect(to string) Reply {
-	return Reply{Status: 421, Body: protocol.MustMarshal(&protocol.Redirect{Lead: to})}
+func (c *Controller) redirectResponse(to string) Response {
+	return Response{Status: 421, Body: protocol.MustMarshal(&protocol.Redirect{Leader: to})}
 }
 
-// onCheckin answers a worker's report.
-func (c *Core) onCheckin(body []byte, answer func(Reply)) {
-	var rep protocol.Report
-	if err := protocol.Unmarshal(body, &rep); err != nil {
-		answer(errorReply(400, err.Error()))
+// handleHeartbeat answers a worker's report.
+func (c *Controller) handleHeartbeat(body []byte, respond func(Response)) {
+	var report protocol.Heartbeat
+	if err := protocol.Unmarshal(body, &report); err != nil {
+		respond(errorResponse(400, err.Error()))
 		return
 	}
-	if !rep.Valid() {
-		answer(errorReply(400, "report lacks a field"))
+	if !report.Valid() {
+		respond(errorResponse(400, "report lacks a field"))
 		return
 	}
 	now := c.now()
-	if peer, alone := c.refusedAlone(now); alone {
-		answer(c.redirect(peer))
+	if peer, alone := c.storeUnreachableOnlyHere(now); alone {
+		respond(c.redirectResponse(peer))
 		return
 	}
-	if !c.ready {
-		answer(errorReply(503, "records not read yet"))
+	if !c.mirrorReady {
+		respond(errorResponse(503, "records not read yet"))
 		return
 	}
-	if c.outdated(now) {
+	if c.mirrorStale(now) {
 		// It may have waited here for as long as we stood still.
-		answer(errorReply(503, "stood still"))
+		respond(errorResponse(503, "stood still"))
 		return
 	}
-	if c.mustLetLeasesExpire(now) {
-		answer(errorReply(503, "cut off from the state service"))
+	if c.mustSuspendLeaseRenewal(now) {
+		respond(errorResponse(503, "cut off from the state service"))
 		return
 	}
-	m := c.view.machines[rep.Machine]
+	machine := c.mirror.Machines[report.Machine]
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
-		reply := answer
-		answer = func(r Reply) {
-			c.log.Debug("heartbeat", "machine", rep.Machine, "agent_incarnation", rep.Session, "seq", rep.Seq,
-				"fencing_token", rep.Token, "tasks", len(rep.Tasks), "status", r.Status,
-				"waited_ms", (c.now() - now).Millis())
-			reply(r)
+		reply := respond
+		respond = func(response Response) {
+			c.log.Debug("heartbeat", "machine", report.Machine, "agent_incarnation", report.Incarnation, "seq", report.Sequence,
+				"fencing_token", report.FencingToken, "tasks", len(report.Tasks), "status", response.Status,
+				"waited_ms", (c.now() - now).Milliseconds())
+			reply(response)
 		}
 	}
 	switch {
-	case m != nil && m.w != nil && c.sendsElsewhere(m.w, now):
-		answer(errorReply(503, "cut off from all others"))
-	case m != nil && m.w != nil:
-		answer(c.report(m, &rep))
-	case c.view.removal[rep.Machine] != "":
+	case machine != nil && machine.Agent != nil && c.shouldRedirectAway(machine.Agent, now):
+		respond(errorResponse(503, "cut off from all others"))
+	case machine != nil && machine.Agent != nil:
+		respond(c.answerHeartbeat(machine, &report))
+	case c.mirror.ScaleInOfMachine[report.Machine] != "":
 		// Deleted, or about to be: a report that was held back on its way must not
 		// bring it to life again. Tasks were assigned to such ghosts.
-		answer(errorReply(503, "machine is being given back"))
-	case m != nil && m.rec != nil:
-		c.orphanedWorker(m, &rep, answer, now)
+		respond(errorResponse(503, "machine is being given back"))
+	case machine != nil && machine.Record != nil:
+		c.handleOrphanedWorker(machine, &report, respond, now)
 	default:
-		c.unknownWorker(&rep, answer, now)
+		c.handleUnclaimedWorker(&report, respond, now)
 	}
 }
 
-// noteVisit notes a worker of another partition, and tells when this run of visits began. A
+// recordOrphanContact notes a worker of another partition, and tells when this run of visits began. A
 // new claim begins it anew: an owner that was gone for a moment and has claimed its
 // machines again must have the time to be found by them.
-func (c *Core) noteVisit(id string, claim uint64, now micros.T) micros.T {
-	s := c.orphanVisits[id]
-	if s == nil || now-s.last > 20*micros.Second || s.claim != claim {
-		s = &orphanVisit{first: now, claim: claim}
-		c.orphanVisits[id] = s
-	}
-	s.last = now
-	return s.first
+func (c *Controller) recordOrphanContact(id string, claimNumber uint64, now micros.Micros) micros.Micros {
+	contact := c.orphanContacts[id]
+	if contact == nil || now-contact.lastAt > 20*micros.Second || contact.claimNumber != claimNumber {
+		contact = &orphanContact{firstAt: now, claimNumber: claimNumber}
+		c.orphanContacts[id] = contact
+	}
+	contact.lastAt = now
+	return contact.firstAt
 }
 
-// orphanedWorker answers a worker whose machine is another partition's. A worker stays with a
+// handleOrphanedWorker answers a worker whose machine is another partition's. A worker stays with a
 // node that answers; one that comes to us has lost its owner, unless this is a
 // copy of an old report. We take the machine over if its owner can't be the one
 // who will be back for it in a moment, and the worker itself confirms its report.
-func (c *Core) orphanedWorker(m *machine, rep *protocol.Report, answer func(Reply), now micros.T) {
-	owner := m.owner()
-	member, live := c.view.members[owner]
-	first := c.noteVisit(m.id, m.claim(), now)
+func (c *Controller) handleOrphanedWorker(machine *Machine, report *protocol.Heartbeat, respond func(Response), now micros.Micros) {
+	owner := machine.Owner()
+	member, live := c.mirror.Members[owner]
+	firstContactAt := c.recordOrphanContact(machine.ID, machine.Claim(), now)
 	adopt := false
 	switch {
 	case owner == c.node:
-		c.claimOrphaned(now) // an earlier life of ours
-		c.arrive(rep, nil, answer)
+		c.claimOrphanedShards(now) // an earlier life of ours
+		c.requestClaim(report, nil, respond)
 		return
 	case !live:
-		if h := home(m.shard.name, c.able()); h != c.node {
-			answer(c.redirect(h))
+		if destination := rendezvousOwner(machine.Shard.Name, c.connectedControllers()); destination != c.node {
+			respond(c.redirectResponse(destination))
 			return
 		}
-		c.claimOrphaned(now)
-		c.arrive(rep, nil, answer)
+		c.claimOrphanedShards(now)
+		c.requestClaim(report, nil, respond)
 		return
-	case member.rec.Incarnation != m.shard.rec.Incarnation:
-		answer(c.redirect(owner)) // it has just come back and claims its shards
+	case member.Record.Incarnation != machine.Shard.Record.Incarnation:
+		respond(c.redirectResponse(owner)) // it has just come back and claims its shards
 		return
-	case c.heard(owner, now):
+	case c.heardFromRecently(owner, now):
 		// It lives, or did a moment ago. A worker that had it for long and lost it
 		// needn't be sent there again, its lease may not last for another round. One
 		// that goes round because its owner was gone for a moment must find it: that
 		// the owner has spoken to it since doesn't tell that it reports there.
-		if now-first > c.timing.adoption || rep.Token >= m.claim()<<32 && now-c.claimSeen[m.shard.name].at > c.timing.lease {
+		if now-firstContactAt > c.durations.adoptionDelay || report.FencingToken >= machine.Claim()<<32 && now-c.claimsObserved[machine.Shard.Name].observedAt > c.durations.workerLease {
 			// If it crashed just now, all its machines come, and it is back before they
 			// would all have changed their shards: so its next word is waited for.
-			claim := m.claim()
-			c.env.After(slowTick+2*fastTick, func() {
-				m := c.view.machines[rep.Machine]
-				silent := c.peers.get(owner).heardAt <= now
-				if silent && !c.lastRound(owner, c.now()) || m == nil || m.rec == nil || m.w != nil || m.claim() != claim || m.owner() != owner {
-					answer(c.redirect(""))
+			claimNumber := machine.Claim()
+			c.env.After(slowTickInterval+2*fastTickInterval, func() {
+				machine := c.mirror.Machines[report.Machine]
+				silent := c.peerStatuses.status(owner).lastHeardAt <= now
+				if silent && !c.mustAdoptBeforeLeaseEnds(owner, c.now()) || machine == nil || machine.Record == nil || machine.Agent != nil || machine.Claim() != claimNumber || machine.Owner() != owner {
+					respond(c.redirectResponse(""))
 					return
 				}
-				c.takeOver(m, rep, answer)
+				c.takeOverMachine(machine, report, respond)
 			})
 			return
 		}
 	default:
 		// Crashed, perhaps back in a moment; or cut off, then its membership ends.
-		adopt = now-first > c.timing.adoption || c.lastRound(owner, now)
+		adopt = now-firstContactAt > c.durations.adoptionDelay || c.mustAdoptBeforeLeaseEnds(owner, now)
 	}
 	if !adopt {
-		if c.heard(owner, now) {
-			answer(c.redirect(owner))
+		if c.heardFromRecently(owner, now) {
+			respond(c.redirectResponse(owner))
 		} else {
-			answer(c.redirect(""))
+			respond(c.redirectResponse(""))
 		}
 		return
 	}
-	c.takeOver(m, rep, answer)
+	c.takeOverMachine(machine, report, respond)
 }
 
-// takeOver has a machine of another partition claimed by us, if its worker itself confirms
+// takeOverMachine has a machine of another partition claimed by us, if its worker itself confirms
 // its report.
-func (c *Core) takeOver(m *machine, rep *protocol.Report, answer func(Reply)) {
-	from, owner := m.shard, m.owner()
-	c.verify(rep, true, func(ok bool) {
+func (c *Controller) takeOverMachine(machine *Machine, report *protocol.Heartbeat, respond func(Response)) {
+	fromShard, owner := machine.Shard, machine.Owner()
+	c.verifyReport(report, true, func(ok bool) {
 		if !ok {
-			answer(c.redirect(owner))
+			respond(c.redirectResponse(owner))
 			return
 		}
-		c.arrive(rep, from, answer)
+		c.requestClaim(report, fromShard, respond)
 	})
 }
 
-// heard tells whether a peer spoke to us lately.
-func (c *Core) heard(peer string, now micros.T) bool {
-	p := c.peers.get(peer)
-	return p.hasSpoken && now-p.heardAt < 3*slowTick
+// heardFromRecently tells whether a peer spoke to us lately.
+func (c *Controller) heardFromRecently(peer string, now micros.Micros) bool {
+	p := c.peerStatuses.status(peer)
+	return p.hasReported && now-p.lastHeardAt < 3*slowTickInterval
 }
 
-// unheardFor tells for how long a peer hasn't spoken to us.
-func (c *Core) unheardFor(peer string, now micros.T) micros.T { return now - c.peers.get(peer).heardAt }
+// silentFor tells for how long a peer hasn't spoken to us.
+func (c *Controller) silentFor(peer string, now micros.Micros) micros.Micros {
+	return now - c.peerStatuses.status(peer).lastHeardAt
+}
 
-// lastRound tells whether a worker that has lost a silent owner must be adopted now: if it
+// mustAdoptBeforeLeaseEnds tells whether a worker that has lost a silent owner must be adopted now: if it
 // goes round all controllers once more, waiting at each that says nothing, its lease may
 // end on the way. Whoever is still a member for longer than that takes lives, but won't be
 // found on another round either.
-func (c *Core) lastRound(owner string, now micros.T) bool {
-	round := workerPause
-	for _, peer := range c.cfg.Known {
-		round += workerPause
-		if !c.heard(peer.Node, now) {
-			round += workerWaits
+func (c *Controller) mustAdoptBeforeLeaseEnds(owner string, now micros.Micros) bool {
+	round := workerRetryPause
+	for _, peer := range c.cfg.Peers {
+		round += workerRetryPause
+		if !c.heardFromRecently(peer.Node, now) {
+			round += workerAnswerTimeout
 		}
 	}
-	unheard := c.unheardFor(owner, now)
-	return unheard > c.timing.membership || unheard+round > c.timing.lease-c.timing.report
+	unheard := c.silentFor(owner, now)
+	return unheard > c.durations.membershipTTL || unheard+round > c.durations.workerLease-c.durations.heartbeatInterval
 }
 
-// verify asks a worker itself whether it stands where a report says. Copies of
+// verifyReport asks a worker itself whether it stands where a report says. Copies of
 // reports come late, and a machine may be heard that can't be reached: neither may
 // cause a claim. exact: nothing may have passed since.
-func (c *Core) verify(rep *protocol.Report, exact bool, back func(ok bool)) {
-	c.env.Command(rep.Endpoint, nil, showWithin, func(r protocol.DoResult) {
-		s := &r.Report
-		back(r.Status == 200 && s.Machine == rep.Machine && s.Session == rep.Session && s.Seq > rep.Seq &&
-			(!exact || s.Seq <= rep.Seq+1))
+func (c *Controller) verifyReport(report *protocol.Heartbeat, requireNextSequence bool, callback func(ok bool)) {
+	c.env.SendCommands(report.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+		current := &result.Heartbeat
+		callback(result.Status == 200 && current.Machine == report.Machine && current.Incarnation == report.Incarnation && current.Sequence > report.Sequence &&
+			(!requireNextSequence || current.Sequence <= report.Sequence+1))
 	})
 }
 
-// arrive has a machine taken into our shards by the next pass; from is the shard of
+// requestClaim has a machine taken into our shards by the next pass; from is the shard of
 // another partition that it stands in. Without one, and in a shard already, it waits for
 // the claim that is on its way.
-func (c *Core) arrive(rep *protocol.Report, from *shard, answer func(Reply)) {
-	a := c.arrivals[rep.Machine]
-	if a == nil {
-		a = &arrival{since: c.now()}
-		c.arrivals[rep.Machine] = a
-	}
-	a.rep, a.from = *rep, from
-	a.back = append(a.back, func(ok bool) {
-		if m := c.view.machines[rep.Machine]; ok && m != nil && m.w != nil {
-			answer(c.report(m, rep))
+func (c *Controller) requestClaim(report *protocol.Heartbeat, fromShard *Shard, respond func(Response)) {
+	pendingClaim := c.claimRequests[report.Machine]
+	if pendingClaim == nil {
+		pendingClaim = &claimRequest{requestedAt: c.now()}
+		c.claimRequests[report.Machine] = pendingClaim
+	}
+	pendingClaim.report, pendingClaim.fromShard = *report, fromShard
+	pendingClaim.callbacks = append(pendingClaim.callbacks, func(ok bool) {
+		if machine := c.mirror.Machines[report.Machine]; ok && machine != nil && machine.Agent != nil {
+			respond(c.answerHeartbeat(machine, report))
 			return
 		}
-		if m := c.view.machines[rep.Machine]; m != nil && m.rec != nil && m.owner() != c.node && c.isLive(m.owner()) {
-			answer(c.redirect(m.owner()))
+		if machine := c.mirror.Machines[report.Machine]; machine != nil && machine.Record != nil && machine.Owner() != c.node && c.isMember(machine.Owner()) {
+			respond(c.redirectResponse(machine.Owner()))
 			return
 		}
-		answer(errorReply(503, "claim not made"))
+		respond(errorResponse(503, "claim not made"))
 	})
-	c.dirty = true
+	c.schedulingNeeded = true
 }
 
-// designated names the controller that may claim a machine that comes up.
-func (c *Core) designated(a *rentalView, id string) string {
-	if to := a.rec.Own[id]; to != "" {
+// designatedController names the controller that may claim a machine that comes up.
+func (c *Controller) designatedController(request *ScaleOutEntry, id string) string {
+	if to := request.Record.Own[id]; to != "" {
 		return to
 	}
-	return home(id, a.rec.Live)
+	return rendezvousOwner(id, request.Record.Live)
 }
 
-// unknownWorker answers a worker whose machine no part has claimed yet.
-func (c *Core) unknownWorker(rep *protocol.Report, answer func(Reply), now micros.T) {
-	name := c.view.rentalOf[rep.Machine]
-	rental := c.view.rentals[name]
-	if rental == nil {
+// handleUnclaimedWorker answers a worker whose machine no part has claimed yet.
+func (c *Controller) handleUnclaimedWorker(report *protocol.Heartbeat, respond func(Response), now micros.Micros) {
+	name := c.mirror.ScaleOutOfMachine[report.Machine]
+	request := c.mirror.ScaleOuts[name]
+	if request == nil {
 		// Its request isn't written yet, or it is one that nobody expects: the
 		// leader finds it in the cloud's list.
-		answer(c.redirect(""))
+		respond(c.redirectResponse(""))
 		return
 	}
-	to := c.designated(rental, rep.Machine)
+	to := c.designatedController(request, report.Machine)
 	if to == c.node {
-		if c.view.watched < rental.version {
-			answer(c.redirect(""))
+		if c.mirror.WatchedRevision < request.Version {
+			respond(c.redirectResponse(""))
 			return
 		}
-		c.verify(rep, false, func(ok bool) {
+		c.verifyReport(report, false, func(ok bool) {
 			if !ok {
-				answer(c.redirect(""))
+				respond(c.redirectResponse(""))
 				return
 			}
-			c.arrive(rep, nil, answer)
+			c.requestClaim(report, nil, respond)
 		})
 		return
 	}
 	// It has nothing on it yet, so there is no hurry; a request that is rewritten
 	// makes the claims of all its other machines fail.
-	if first := c.noteVisit(rep.Machine, 0, now); now-first < c.timing.lease/2 {
-		if c.isLive(to) && !c.cutOff(to, now) {
-			answer(c.redirect(to))
+	if firstContactAt := c.recordOrphanContact(report.Machine, 0, now); now-firstContactAt < c.durations.workerLease/2 {
+		if c.isMember(to) && !c.isCutOffFromWorkers(to, now) {
+			respond(c.redirectResponse(to))
 		} else {
-			answer(c.redirect("")) // the leader is about to name another
+			respond(c.redirectResponse("")) // the leader is about to name another
 		}
 		return
 	}
 	// It was sent there and has come back: it can't reach it. Say in the request
 	// that it is ours; once that is written, nobody else's claim can follow.
-	answer(c.redirect(""))
-	key := bookkeeping.Key(bookkeeping.KindRental, name)
-	if c.jobBusy[key] || now < c.ownAt {
+	respond(c.redirectResponse(""))
+	key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
+	if c.recordWritesInFlight[key] || now < c.nextDesignationChangeAt {
 		return
 	}
-	c.ownAt = now + 2*micros.Second
-	c.jobBusy[key] = true
-	id := rep.Machine
-	c.verify(rep, false, func(ok bool) {
-		rental := c.view.rentals[name]
-		if !ok || rental == nil {
-			delete(c.jobBusy, key)
+	c.nextDesignationChangeAt = now + 2*micros.Second
+	c.recordWritesInFlight[key] = true
+	id := report.Machine
+	c.verifyReport(report, false, func(ok bool) {
+		request := c.mirror.ScaleOuts[name]
+		if !ok || request == nil {
+			delete(c.recordWritesInFlight, key)
 			return
 		}
-		rec := rental.rec
-		rec.Own = map[string]string{id: c.node}
-		for k, v := range rental.rec.Own {
+		record := request.Record
+		record.Own = map[string]string{id: c.node}
+		for k, v := range request.Record.Own {
 			if k != id {
-				rec.Own[k] = v
+				record.Own[k] = v
 			}
 		}
-		c.commit(bookkeeping.RankRest, protocol.Txn{
-			If:   []protocol.Cond{{Key: key, Version: rental.version}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&rec)}},
-		}, func(protocol.StoreResult) { delete(c.jobBusy, key) })
+		c.commitTxn(bookkeeping.PriorityBackground, protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: request.Version}},
+			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
+		}, func(protocol.StoreResult) { delete(c.recordWritesInFlight, key) })
 	})
 }
 
-// report applies a worker's check-in and gives the answer.
-func (c *Core) report(m *machine, rep *protocol.Report) Reply {
-	w := m.w
+// answerHeartbeat applies a worker's check-in and gives the answer.
+func (c *Controller) answerHeartbeat(machine *Machine, report *protocol.Heartbeat) Response {
+	agent := machine.Agent
 	now := c.now()
-	if rep.Session < w.checkSession || rep.Session == w.checkSession && rep.Seq <= w.checkSeq || rep.Session < w.session {
-		return errorReply(503, "seen before") // a late copy
-	}
-	gap := now - w.checkAt
-	w.checkSession, w.checkSeq, w.checkAt = rep.Session, rep.Seq, now
-	jumped := w.session != 0 && rep.Session > w.session
-	if rep.Session > w.session || rep.Seq > w.seq {
-		c.apply(m, rep)
-	}
-	w.answeredAt = now
-	if rep.Token < w.answered {
-		w.misses++
+	if report.Incarnation < agent.LastHeartbeatIncarnation || report.Incarnation == agent.LastHeartbeatIncarnation && report.Sequence <= agent.LastHeartbeatSequence || report.Incarnation < agent.Incarnation {
+		return errorResponse(503, "seen before") // a late copy
+	}
+	sincePrevious := now - agent.LastHeartbeatAt
+	agent.LastHeartbeatIncarnation, agent.LastHeartbeatSequence, agent.LastHeartbeatAt = report.Incarnation, report.Sequence, now
+	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
+	if report.Incarnation > agent.Incarnation || report.Sequence > agent.Sequence {
+		c.applyReport(machine, report)
+	}
+	agent.LastAnsweredAt = now
+	if report.FencingToken < agent.LastAnsweredToken {
+		agent.UnacknowledgedHeartbeats++
 	} else {
-		w.misses = 0
+		agent.UnacknowledgedHeartbeats = 0
 	}
-	cmds := c.commands(m, now)
-	if w.acked && (jumped || gap > c.timing.alive || w.misses >= 2) && w.asked <= rep.Token {
+	commands := c.nextCommands(machine, now)
+	if agent.ClaimAcknowledged && (jumped || sincePrevious > c.durations.placementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) && agent.RequestedToken <= report.FencingToken {
 		// It was away, or shows no effect of what we say: it must show a token that
 		// only this answer can have brought it.
-		if len(cmds) == 0 {
-			w.counter++
+		if len(commands) == 0 {
+			agent.TokenCounter++
 		}
-		w.asked = w.token()
+		agent.RequestedToken = agent.Token()
 	}
-	w.answered = w.token()
-	return Reply{Status: 200, Body: protocol.MustMarshal(&protocol.CheckinReply{Token: w.token(), Commands: cmds})}
+	agent.LastAnsweredToken = agent.Token()
+	return Response{Status: 200, Body: protocol.MustMarshal(&protocol.HeartbeatReply{FencingToken: agent.Token(), Commands: commands})}
 }
 
-// apply takes over a report that is newer than what we know.
-func (c *Core) apply(m *machine, rep *protocol.Report) {
-	w := m.w
+// applyReport takes over a report that is newer than what we know.
+func (c *Controller) applyReport(machine *Machine, report *protocol.Heartbeat) {
+	agent := machine.Agent
 	now := c.now()
-	jumped := w.session != 0 && rep.Session > w.session
-	if rep.Session > w.session {
+	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
+	if report.Incarnation > agent.Incarnation {
 		// A session has its lease from its own beginning, answered or not: what
 		// direct commands start in it lives on though no report reaches us.
-		w.sessionAt = now
-	}
-	w.session, w.seq = rep.Session, rep.Seq
-	w.noticed = w.noticed || rep.NoticeS != nil
-	w.repToken = rep.Token
-	clear(w.rep)
-	for i := range rep.Tasks {
-		t := &rep.Tasks[i]
-		if ref, ok := parseTask(t.Task); ok {
-			w.rep[attemptKey{ref, t.Attempt}] = *t
+		agent.IncarnationSeenAt = now
+	}
+	agent.Incarnation, agent.Sequence = report.Incarnation, report.Sequence
+	agent.InterruptionNoticed = agent.InterruptionNoticed || report.InterruptionNoticeS != nil
+	agent.AcknowledgedToken = report.FencingToken
+	clear(agent.ReportedAttempts)
+	for i := range report.Tasks {
+		taskReport := &report.Tasks[i]
+		if task, ok := ParseTaskID(taskReport.Task); ok {
+			agent.ReportedAttempts[AttemptID{task, taskReport.Attempt}] = *taskReport
 		}
 	}
 	// A report from before the worker saw our claim may be older than the
 	// previous owner's last commands: it proves nothing, not even that the
 	// machine is still there.
-	if rep.Token < w.base() {
+	if report.FencingToken < agent.BaseToken() {
 		return
 	}
-	if !w.acked {
+	if !agent.ClaimAcknowledged {
 		// An earlier owner's answers were good until now.
-		w.acked, w.answeredAt = true, now
+		agent.ClaimAcknowledged, agent.LastAnsweredAt = true, now
 	}
-	if w.reached() {
-		w.aliveAt = now
-		if w.lost {
-			w.lost = false
-			c.log.Info("machines lost", "state", conditionEnd, "machine", m.id)
+	if agent.IsReachable() {
+		agent.LastReachedAt = now
+		if agent.LeaseExpired {
+			agent.LeaseExpired = false
+			c.log.Info("machines lost", "state", conditionEnd, "machine", machine.ID)
 		}
 	}
 	// With a new session all that was there before is gone. That it has one though
 	// we answered its last reports in time shows that our answers don't reach it:
 	// then its tasks are better run elsewhere.
-	deaf := jumped && now-w.answeredAt < c.timing.lease-workerWaits
-	var ended []attemptKey
-	for ref, attempt := range m.tasks {
-		k := attemptKey{ref, attempt}
-		t, has := w.rep[k]
-		j := c.view.jobs[ref.job]
-		if j == nil {
+	answersNotArriving := jumped && now-agent.LastAnsweredAt < c.durations.workerLease-workerAnswerTimeout
+	var ended []AttemptID
+	for task, attempt := range machine.Attempts {
+		key := AttemptID{task, attempt}
+		taskReport, reported := agent.ReportedAttempts[key]
+		job := c.mirror.Jobs[task.Job]
+		if job == nil {
 			continue
 		}
 		switch {
-		case has && t.State == protocol.StateExited:
-			ended = append(ended, k)
-		case !has && jumped && (deaf || !j.open() || w.stopping[k]):
-			w.settle(k, outRetry)
-		case !has && (!j.open() || w.stopping[k]):
+		case reported && taskReport.State == protocol.StateExited:
+			ended = append(ended, key)
+		case !reported && jumped && (answersNotArriving || !job.IsOpen() || agent.StoppingAttempts[key]):
+			agent.RecordOutcome(key, OutcomeRetry)
+		case !reported && (!job.IsOpen() || agent.StoppingAttempts[key]):
 			// Absent after a kill that outranks every batch with its run: it
 			// isn't there and can't start any more.
-			if s := w.sent[k]; s != nil && s.kill != 0 && rep.Token >= s.kill {
-				w.settle(k, outRetry)
+			if record := agent.SentCommands[key]; record != nil && record.KillToken != 0 && report.FencingToken >= record.KillToken {
+				agent.RecordOutcome(key, OutcomeRetry)
 			}
 		}
 	}
-	inOrderOf(ended)
-	for _, k := range ended {
-		t, j, kind := w.rep[k], c.view.jobs[k.ref.job], outRetry
-		if t.Cause == protocol.CauseDone && !j.rec.Spec.Service {
-			kind = outDone
+	sortAttempts(ended)
+	for _, key := range ended {
+		taskReport, job, outcome := agent.ReportedAttempts[key], c.mirror.Jobs[key.Task.Job], OutcomeRetry
+		if taskReport.Cause == protocol.CauseDone && !job.Record.Spec.Service {
+			outcome = OutcomeCompleted
 		}
-		c.noteExit(m, j, k.ref, &t)
-		w.settle(k, kind)
+		c.recordExit(machine, job, key.Task, &taskReport)
+		agent.RecordOutcome(key, outcome)
 	}
-	if len(w.outcomes) > 0 {
-		c.dirty = true
+	if len(agent.PendingOutcomes) > 0 {
+		c.schedulingNeeded = true
 	}
-	for k, t := range w.rep {
-		if _, ok := w.since[k]; !ok && t.State == protocol.StateRunning {
-			w.since[k] = now
+	for key, taskReport := range agent.ReportedAttempts {
+		if _, ok := agent.RunningSince[key]; !ok && taskReport.State == protocol.StateRunning {
+			agent.RunningSince[key] = now
 		}
 	}
-	for k := range w.since {
-		if _, here := w.rep[k]; !here {
-			delete(w.since, k)
+	for key := range agent.RunningSince {
+		if _, here := agent.ReportedAttempts[key]; !here {
+			delete(agent.RunningSince, key)
 		}
 	}
-	for k := range w.stopping {
-		if m.tasks[k.ref] != k.attempt {
-			delete(w.stopping, k)
+	for key := range agent.StoppingAttempts {
+		if machine.Attempts[key.Task] != key.Attempt {
+			delete(agent.StoppingAttempts, key)
 		}
 	}
-	for k := range w.sent {
-		if _, here := w.rep[k]; !here && m.tasks[k.ref] != k.attempt {
-			delete(w.sent, k)
+	for key := range agent.SentCommands {
+		if _, here := agent.ReportedAttempts[key]; !here && machine.Attempts[key.Task] != key.Attempt {
+			delete(agent.SentCommands, key)
 		}
 	}
 }
--- a/internal/coordination/reports_test.go
+++ b/internal/coordination/reports_test.go
@@ -8,64 +8,70 @@
 	"pipitgap/internal/protocol"
 )
 
-// ownMachine puts a shard of n-0's with one machine and a running service on it into
+// newClusterOwningMachine puts a shard of n-0's with one machine and a running service on it into
 // the mirror of a controller that runs alone.
-func ownMachine(t *testing.T, seed uint64) (*cluster, *Core, *machine) {
+func newClusterOwningMachine(t *testing.T, seed uint64) (*cluster, *Controller, *Machine) {
 	c := newCluster(t, seed)
 	c.start("n-0")
-	c.sim.Run(3 * sec)
-	core := c.nodes["n-0"].core
-	core.view.put(bookkeeping.Key(bookkeeping.KindOpen, "j-1"), protocol.MustMarshal(&bookkeeping.OpenJob{
-		Spec: bookkeeping.Spec{Tasks: 1, CPUs: 1, Service: true}, Shares: []bookkeeping.Share{{First: 0, End: 1, Partition: "n-0"}}}), 1000)
-	shard := &bookkeeping.Shard{Owner: "n-0", Incarnation: core.inc, Claim: 3,
+	c.sim.Run(3 * second)
+	core := c.nodes["n-0"].controller
+	core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindOpenJob, "j-1"), protocol.MustMarshal(&bookkeeping.OpenJob{
+		Spec: bookkeeping.JobSpec{Tasks: 1, CPUs: 1, Service: true}, TaskRanges: []bookkeeping.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 1000)
+	shard := &bookkeeping.Shard{Owner: "n-0", Incarnation: core.incarnation, Claim: 3,
 		Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
-	shard.Add("i-1", bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: bookkeeping.MachineOpen})
-	shard.Assign("j-1", bookkeeping.Held{Task: 0, Machine: "i-1", Attempt: 1})
-	raw, _ := shard.Encode()
-	core.view.put(bookkeeping.Key(bookkeeping.KindShard, "p"), raw, 1001)
-	return c, core, core.view.machines["i-1"]
+	shard.AddMachine("i-1", bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: bookkeeping.MachineOpen})
+	shard.Assign("j-1", bookkeeping.Attempt{Task: 0, Machine: "i-1", Number: 1})
+	encoded, _ := shard.Encode()
+	core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindShard, "p"), encoded, 1001)
+	return c, core, core.mirror.Machines["i-1"]
 }
 
-// TestLeaseProof: when a lease is taken to have ended. What was wrong once: tasks
+// TestLeaseExpiryIsProvenPerIncarnation: when a lease is taken to have ended. What was wrong once: tasks
 // that a direct command started in a new session, whose reports never arrived,
 // were taken to have ended with the lease of the session before, and ran twice.
-func TestLeaseProof(t *testing.T) {
+func TestLeaseExpiryIsProvenPerIncarnation(t *testing.T) {
 	const base = 3 << 32
-	report := func(session, seq, token uint64) *protocol.Report {
-		return &protocol.Report{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Session: session, Seq: seq, Token: token,
-			Tasks: []protocol.TaskReport{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}}}
+	report := func(session, seq, token uint64) *protocol.Heartbeat {
+		return &protocol.Heartbeat{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: token,
+			Tasks: []protocol.TaskStatus{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}}}
 	}
 	cases := []struct {
 		name  string
-		after func(c *cluster, core *Core, m *machine) // 10 s after the last answered check-in
-		lost  bool                                     // 14 s after that check-in
+		after func(c *cluster, core *Controller, machine *Machine) // 10 s after the last answered check-in
+		lost  bool                                                 // 14 s after that check-in
 	}{
-		{"silence", func(*cluster, *Core, *machine) {}, true},
-		{"a newer check-in", func(c *cluster, core *Core, m *machine) { core.report(m, report(1, 9, base+9)) }, false},
-		{"a late copy of an older check-in", func(c *cluster, core *Core, m *machine) { core.report(m, report(1, 4, base)) }, true},
-		{"a late copy of the last check-in", func(c *cluster, core *Core, m *machine) { core.report(m, report(1, 5, base)) }, true},
-		{"a direct answer of the same session", func(c *cluster, core *Core, m *machine) { core.apply(m, report(1, 9, base)) }, true},
-		{"a direct answer of a new session", func(c *cluster, core *Core, m *machine) { core.apply(m, report(2, 1, base)) }, false},
+		{"silence", func(*cluster, *Controller, *Machine) {}, true},
+		{"a newer check-in", func(c *cluster, core *Controller, machine *Machine) {
+			core.answerHeartbeat(machine, report(1, 9, base+9))
+		}, false},
+		{"a late copy of an older check-in", func(c *cluster, core *Controller, machine *Machine) {
+			core.answerHeartbeat(machine, report(1, 4, base))
+		}, true},
+		{"a late copy of the last check-in", func(c *cluster, core *Controller, machine *Machine) {
+			core.answerHeartbeat(machine, report(1, 5, base))
+		}, true},
+		{"a direct answer of the same session", func(c *cluster, core *Controller, machine *Machine) { core.applyReport(machine, report(1, 9, base)) }, true},
+		{"a direct answer of a new session", func(c *cluster, core *Controller, machine *Machine) { core.applyReport(machine, report(2, 1, base)) }, false},
 	}
 	for _, tc := range cases {
-		c, core, m := ownMachine(t, 30)
-		core.report(m, report(1, 5, base))
-		c.sim.Run(10 * sec)
-		tc.after(c, core, m)
-		c.sim.Run(4 * sec)
-		if m.w.lost != tc.lost {
-			t.Errorf("%s: lost %v", tc.name, m.w.lost)
+		c, core, machine := newClusterOwningMachine(t, 30)
+		core.answerHeartbeat(machine, report(1, 5, base))
+		c.sim.Run(10 * second)
+		tc.after(c, core, machine)
+		c.sim.Run(4 * second)
+		if machine.Agent.LeaseExpired != tc.lost {
+			t.Errorf("%s: lost %v", tc.name, machine.Agent.LeaseExpired)
 		}
-		c.sim.Run(13 * sec)
-		if !m.w.lost || !m.w.settled(attemptKey{taskRef{"j-1", 0}, 1}) {
+		c.sim.Run(13 * second)
+		if !machine.Agent.LeaseExpired || !machine.Agent.HasOutcome(AttemptID{TaskID{"j-1", 0}, 1}) {
 			t.Errorf("%s: never lost", tc.name)
 		}
 	}
 }
 
-// TestAlive: what shows that a machine may get tasks. A machine that is heard
+// TestMachineIsAliveOnlyIfTokenReturns: what shows that a machine may get tasks. A machine that is heard
 // needn't be reached: a token that only our answer can have brought must come back.
-func TestAlive(t *testing.T) {
+func TestMachineIsAliveOnlyIfTokenReturns(t *testing.T) {
 	const base = 3 << 32
 	type step struct {
 		session, seq, token uint64
@@ -86,14 +92,14 @@
 		{"an older session", []step{{2, 5, base, 0}, {1, 9, base, 6}}, false},
 	}
 	for _, tc := range cases {
-		c, core, m := ownMachine(t, 31)
+		c, core, machine := newClusterOwningMachine(t, 31)
 		for _, s := range tc.steps {
-			c.sim.Run(micros.T(s.pause) * sec)
-			core.report(m, &protocol.Report{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Session: s.session, Seq: s.seq, Token: s.token,
-				Tasks: []protocol.TaskReport{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}}})
+			c.sim.Run(micros.Micros(s.pause) * second)
+			core.answerHeartbeat(machine, &protocol.Heartbeat{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Incarnation: s.session, Sequence: s.seq, FencingToken: s.token,
+				Tasks: []protocol.TaskStatus{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}}})
 		}
-		m.w.removing = ""
-		if got := core.usable(m, c.sim.Now()); got != tc.usable {
+		machine.Agent.RemovalReason = ""
+		if got := core.schedulable(machine, c.sim.Now()); got != tc.usable {
 			t.Errorf("%s: usable %v", tc.name, got)
 		}
 	}
--- a/internal/coordination/restarts_test.go
+++ b/internal/coordination/restarts_test.go
@@ -10,298 +10,298 @@
 	"pipitgap/internal/standin"
 )
 
-// TestRestarts: controllers killed at any moment and started again with nothing
+// TestControllerRestartsLoseNoJobs: controllers killed at any moment and started again with nothing
 // but the store; nothing is forgotten and nothing runs twice.
-func TestRestarts(t *testing.T) {
+func TestControllerRestartsLoseNoJobs(t *testing.T) {
 	for seed := uint64(0); seed < 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			c := newCluster(t, 300+seed).steady()
+			c := newCluster(t, 300+seed).startWithLeader()
 			var ids []string
 			for i := 0; i < 6; i++ {
-				ids = append(ids, c.submit(6*sec, withTasks(12), withSpot(i%2 == 0)))
+				ids = append(ids, c.submit(6*second, withTasks(12), withSpot(i%2 == 0)))
 			}
-			service := c.submit(0, withService(true), withTasks(3), withPriority(protocol.Prod))
+			service := c.submit(0, withService(true), withTasks(3), withPriority(protocol.Production))
 			for i := 0; i < 5; i++ {
-				c.sim.Run(micros.T(c.sim.Rand.Int64N(int64(8 * sec))))
-				down := c.names[:1+c.sim.Rand.IntN(3)]
+				c.sim.Run(micros.Micros(c.sim.Rand.Int64N(int64(8 * second))))
+				down := c.nodeNames[:1+c.sim.Rand.IntN(3)]
 				c.kill(down...)
-				c.sim.Run(micros.T(c.sim.Rand.Int64N(int64(4 * sec))))
+				c.sim.Run(micros.Micros(c.sim.Rand.Int64N(int64(4 * second))))
 				c.start(down...)
 			}
 			for _, id := range ids {
-				c.finished(id, 300*sec)
+				c.requireFinished(id, 300*second)
 			}
-			if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(service) == 3 }) {
+			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 3 }) {
 				t.Errorf("service has %d replicas", c.fleet.Running(service))
 			}
-			c.rules()
+			c.requireNoViolations()
 		})
 	}
 }
 
-// TestTroubles: each trouble by itself, over running work, without a broken rule.
-func TestTroubles(t *testing.T) {
+// TestSingleFaultsKeepInvariants: each trouble by itself, over running work, without a broken rule.
+func TestSingleFaultsKeepInvariants(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(c *cluster)
 	}{
-		{"store outage", func(c *cluster) { c.store.Outage(20 * sec); c.sim.Run(20 * sec) }},
+		{"store outage", func(c *cluster) { c.store.Outage(20 * second); c.sim.Run(20 * second) }},
 		{"store outage and all controllers restart in it", func(c *cluster) {
-			c.store.Outage(15 * sec)
-			c.sim.Run(5 * sec)
-			c.kill(c.names...)
-			c.sim.Run(3 * sec)
-			c.start(c.names...)
-			c.sim.Run(8 * sec)
+			c.store.Outage(15 * second)
+			c.sim.Run(5 * second)
+			c.kill(c.nodeNames...)
+			c.sim.Run(3 * second)
+			c.start(c.nodeNames...)
+			c.sim.Run(8 * second)
 		}},
 		{"one controller refused by the store alone", func(c *cluster) {
-			c.store.Refused["n-0"] = true
-			c.sim.Run(40 * sec)
-			delete(c.store.Refused, "n-0")
+			c.store.RefusedCallers["n-0"] = true
+			c.sim.Run(40 * second)
+			delete(c.store.RefusedCallers, "n-0")
 		}},
 		{"answers of commits lost", func(c *cluster) {
 			n := 0
-			c.store.LoseAnswer = func(*protocol.Txn) bool { n++; return n%4 == 0 }
-			c.sim.Run(20 * sec)
-			c.store.LoseAnswer = nil
+			c.store.LoseResponse = func(*protocol.Transaction) bool { n++; return n%4 == 0 }
+			c.sim.Run(20 * second)
+			c.store.LoseResponse = nil
 		}},
 		{"commits applied late", func(c *cluster) {
 			n := 0
-			c.store.Delay = func(*protocol.Txn) micros.T {
+			c.store.DelayCommit = func(*protocol.Transaction) micros.Micros {
 				if n++; n%5 == 0 {
-					return 7 * sec
+					return 7 * second
 				}
 				return 0
 			}
-			c.sim.Run(20 * sec)
-			c.store.Delay = nil
+			c.sim.Run(20 * second)
+			c.store.DelayCommit = nil
 		}},
 		{"direct commands late", func(c *cluster) {
 			n := 0
-			c.lateDo = func(*standin.Worker, *protocol.DoRequest) micros.T {
+			c.commandDelay = func(*standin.Worker, *protocol.CommandRequest) micros.Micros {
 				if n++; n%2 == 0 {
-					return 9 * sec
+					return 9 * second
 				}
 				return 0
 			}
-			c.sim.Run(30 * sec)
-			c.lateDo = nil
+			c.sim.Run(30 * second)
+			c.commandDelay = nil
 		}},
 		{"machines silent beyond their lease and back", func(c *cluster) {
 			for i, id := range sortedKeys(c.fleet.Workers) {
-				c.fleet.Workers[id].Silent = i%2 == 0
+				c.fleet.Workers[id].Partitioned = i%2 == 0
 			}
-			c.sim.Run(14 * sec)
-			for _, w := range c.fleet.Workers {
-				w.Silent = false
+			c.sim.Run(14 * second)
+			for _, worker := range c.fleet.Workers {
+				worker.Partitioned = false
 			}
 		}},
 		{"machines whose reports don't arrive, but that are reached", func(c *cluster) {
 			for i, id := range sortedKeys(c.fleet.Workers) {
-				c.unseen[id] = i%2 == 0
+				c.mutedMachines[id] = i%2 == 0
 			}
-			c.sim.Run(16 * sec)
-			clear(c.unseen)
+			c.sim.Run(16 * second)
+			clear(c.mutedMachines)
 		}},
 		{"machines that are heard, but that nothing reaches", func(c *cluster) {
 			for i, id := range sortedKeys(c.fleet.Workers) {
-				c.deaf[id] = i%2 == 0
+				c.unreachableMachines[id] = i%2 == 0
 			}
-			c.sim.Run(40 * sec)
-			clear(c.deaf)
+			c.sim.Run(40 * second)
+			clear(c.unreachableMachines)
 		}},
 		{"machines hang within their lease and resume", func(c *cluster) {
 			for i, id := range sortedKeys(c.fleet.Workers) {
-				c.fleet.Workers[id].Hanging = i%2 == 0
+				c.fleet.Workers[id].Paused = i%2 == 0
 			}
-			c.sim.Run(8 * sec)
-			for _, w := range c.fleet.Workers {
-				w.Hanging = false
+			c.sim.Run(8 * second)
+			for _, worker := range c.fleet.Workers {
+				worker.Paused = false
 			}
 		}},
 		{"machines die", func(c *cluster) {
 			for i, id := range sortedKeys(c.fleet.Workers) {
 				if i%2 == 0 {
-					c.fleet.Workers[id].Silent = true
-					c.fleet.Down(c.cloud.Machines[id])
+					c.fleet.Workers[id].Partitioned = true
+					c.fleet.MachineDown(c.cloud.Machines[id])
 				}
 			}
 		}},
 		{"a sick machine", func(c *cluster) {
-			c.fleet.Workers[sortedKeys(c.fleet.Workers)[0]].Sick = true
+			c.fleet.Workers[sortedKeys(c.fleet.Workers)[0]].FailsTasks = true
 		}},
 		{"workers cut from their owner only", func(c *cluster) {
 			for _, id := range sortedKeys(c.fleet.Workers) {
-				c.cut[id+"-n-0"] = true
+				c.disconnectedPairs[id+"-n-0"] = true
 			}
-			c.sim.Run(30 * sec)
-			clear(c.cut)
+			c.sim.Run(30 * second)
+			clear(c.disconnectedPairs)
 		}},
 		{"peers cut from each other", func(c *cluster) {
-			c.cut["n-0-n-1"], c.cut["n-1-n-2"], c.cut["n-0-n-2"] = true, true, true
-			c.sim.Run(20 * sec)
+			c.disconnectedPairs["n-0-n-1"], c.disconnectedPairs["n-1-n-2"], c.disconnectedPairs["n-0-n-2"] = true, true, true
+			c.sim.Run(20 * second)
 		}},
 		{"cloud trouble and throttling", func(c *cluster) {
-			c.cloud.Trouble = true
-			c.sim.Run(15 * sec)
-			c.cloud.Trouble, c.cloud.Limit = false, true
-			c.sim.Run(10 * sec)
-			c.cloud.Limit = false
+			c.cloud.Unavailable = true
+			c.sim.Run(15 * second)
+			c.cloud.Unavailable, c.cloud.Throttling = false, true
+			c.sim.Run(10 * second)
+			c.cloud.Throttling = false
 		}},
 		{"machines that nobody asked for", func(c *cluster) {
 			for i := 0; i < 3; i++ {
-				c.cloud.Add("m8", "b", i == 0)
+				c.cloud.AddMachine("m8", "b", i == 0)
 			}
 		}},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCluster(t, uint64(400+i)).steady()
-			service := c.submit(0, withService(true), withTasks(4), withPriority(protocol.Prod))
+			c := newCluster(t, uint64(400+i)).startWithLeader()
+			service := c.submit(0, withService(true), withTasks(4), withPriority(protocol.Production))
 			var ids []string
 			for k := 0; k < 4; k++ {
-				ids = append(ids, c.submit(8*sec, withTasks(20), withCPUs(1), withSpot(true),
+				ids = append(ids, c.submit(8*second, withTasks(20), withCPUs(1), withSpot(true),
 					withTeam([]string{"free", "tight"}[k%2])))
 			}
-			c.sim.Run(18 * sec)
+			c.sim.Run(18 * second)
 			tc.do(c)
 			for _, id := range ids {
-				c.finished(id, 400*sec)
+				c.requireFinished(id, 400*second)
 			}
-			if !c.sim.RunUntil(90*sec, func() bool { return c.fleet.Running(service) == 4 }) {
+			if !c.sim.RunUntil(90*second, func() bool { return c.fleet.Running(service) == 4 }) {
 				t.Errorf("service has %d replicas", c.fleet.Running(service))
 			}
-			c.rules()
+			c.requireNoViolations()
 		})
 	}
 }
 
-// TestBackAtOnce: controllers back within a fraction of a second, in the middle of
+// TestImmediateRestartWithOldLeaseKeepsInvariants: controllers back within a fraction of a second, in the middle of
 // an election or of anything, with their old leases and incarnations still in the
 // store and what they had sent applied late.
-func TestBackAtOnce(t *testing.T) {
+func TestImmediateRestartWithOldLeaseKeepsInvariants(t *testing.T) {
 	for seed := uint64(0); seed < 8; seed++ {
-		c := newCluster(t, 900+seed).steady()
-		service := c.submit(0, withService(true), withTasks(4), withPriority(protocol.Prod))
+		c := newCluster(t, 900+seed).startWithLeader()
+		service := c.submit(0, withService(true), withTasks(4), withPriority(protocol.Production))
 		var ids []string
 		for i := 0; i < 5; i++ {
-			ids = append(ids, c.submit(5*sec, withTasks(16), withCPUs(1), withSpot(true),
+			ids = append(ids, c.submit(5*second, withTasks(16), withCPUs(1), withSpot(true),
 				withTeam([]string{"free", "tight"}[i%2])))
 		}
-		c.store.Delay = func(*protocol.Txn) micros.T {
+		c.store.DelayCommit = func(*protocol.Transaction) micros.Micros {
 			if c.sim.Rand.IntN(12) == 0 {
-				return c.jitter(9 * sec)
+				return c.randomDuration(9 * second)
 			}
 			return 0
 		}
 		for i := 0; i < 12; i++ {
-			c.sim.Run(c.jitter(4 * sec))
-			down := []string{c.names[c.sim.Rand.IntN(3)]}
-			if l := c.leader(); l != nil && i%2 == 0 {
+			c.sim.Run(c.randomDuration(4 * second))
+			down := []string{c.nodeNames[c.sim.Rand.IntN(3)]}
+			if l := c.leaderNode(); l != nil && i%2 == 0 {
 				down = []string{l.name}
 			}
 			c.kill(down...)
-			c.sim.Run(c.jitter(sec / 2))
+			c.sim.Run(c.randomDuration(second / 2))
 			c.start(down...)
 			if i%3 == 0 { // and once more, before it has its records
-				c.sim.Run(c.jitter(sec / 4))
+				c.sim.Run(c.randomDuration(second / 4))
 				c.kill(down...)
 				c.start(down...)
 			}
 		}
-		c.store.Delay = nil
+		c.store.DelayCommit = nil
 		for _, id := range ids {
-			c.finished(id, 300*sec)
+			c.requireFinished(id, 300*second)
 		}
-		if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(service) == 4 }) {
+		if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 4 }) {
 			t.Errorf("seed %d: %d replicas", seed, c.fleet.Running(service))
 		}
-		c.rules()
+		c.requireNoViolations()
 	}
 }
 
-// TestStaysKnown: when the troubles are over every accepted job is answered on
+// TestAcceptedJobsStayKnownOnAllControllers: when the troubles are over every accepted job is answered on
 // every controller, one whose record this version can't read too.
-func TestStaysKnown(t *testing.T) {
-	c := newCluster(t, 35).steady()
+func TestAcceptedJobsStayKnownOnAllControllers(t *testing.T) {
+	c := newCluster(t, 35).startWithLeader()
 	var ids []string
 	for i := 0; i < 30; i++ {
-		ids = append(ids, c.submit(micros.T(1+i%3)*40*sec, withTasks(1+i%5)))
+		ids = append(ids, c.submit(micros.Micros(1+i%3)*40*second, withTasks(1+i%5)))
 	}
 	odd := "j-odd"
-	c.store.Outage(12 * sec)
-	c.sim.Run(4 * sec)
-	c.kill(c.names...)
-	c.sim.Run(2 * sec)
-	c.start(c.names...)
-	c.sim.Run(8 * sec)
-	c.store.Call("test", &protocol.StoreCall{Op: protocol.StoreCommit, Within: sec, Txn: protocol.Txn{Then: []protocol.Op{
-		{Put: bookkeeping.Key(bookkeeping.KindOpen, odd), Value: protocol.MustMarshal("another layout")}}}}, func(protocol.StoreResult) {})
+	c.store.Outage(12 * second)
+	c.sim.Run(4 * second)
+	c.kill(c.nodeNames...)
+	c.sim.Run(2 * second)
+	c.start(c.nodeNames...)
+	c.sim.Run(8 * second)
+	c.store.Call("test", &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: second, Transaction: protocol.Transaction{Then: []protocol.Op{
+		{Put: bookkeeping.Key(bookkeeping.KindOpenJob, odd), Value: protocol.MustMarshal("another layout")}}}}, func(protocol.StoreResult) {})
 	for _, seconds := range []int{20, 60} {
-		c.sim.Run(micros.T(seconds) * sec)
-		for _, n := range c.names {
+		c.sim.Run(micros.Micros(seconds) * second)
+		for _, node := range c.nodeNames {
 			for _, id := range append(ids, odd) {
-				if code, _ := c.status(n, id); code != 200 {
-					t.Errorf("%s on %s: %d", id, n, code)
+				if code, _ := c.jobStatus(node, id); code != 200 {
+					t.Errorf("%s on %s: %d", id, node, code)
 				}
 			}
 		}
 	}
 }
 
-// TestBackInAMoment: controllers that crash and are back in three seconds find their
+// TestBriefOutageLeavesMachinesInPlace: controllers that crash and are back in three seconds find their
 // machines where they were. The one that is left hears from all of their workers while
 // its peers' last words are still fresh; to take them over then cost a storm of
 // commits that all ask for the same shares. An owner that lives but can't be reached
 // by its workers loses them.
-func TestBackInAMoment(t *testing.T) {
+func TestBriefOutageLeavesMachinesInPlace(t *testing.T) {
 	for _, crash := range []bool{true, false} {
-		c := newCluster(t, 61).steady()
-		c.refuse = true
+		c := newCluster(t, 61).startWithLeader()
+		c.refuseConnections = true
 		for i := 0; i < 6; i++ {
-			c.send(0, withService(true), withTasks(4), withCPUs(4), withTeam([]string{"free", "tight"}[i%2]))
+			c.submitWithRetry(0, withService(true), withTasks(4), withCPUs(4), withTeam([]string{"free", "tight"}[i%2]))
 		}
-		c.sim.Run(45 * sec)
+		c.sim.Run(45 * second)
 		owners := func() map[string]string {
 			out := map[string]string{}
-			for id, m := range c.nodes["n-0"].core.view.machines {
-				if m.rec != nil {
-					out[id] = m.owner()
+			for id, machine := range c.nodes["n-0"].controller.mirror.Machines {
+				if machine.Record != nil {
+					out[id] = machine.Owner()
 				}
 			}
 			return out
 		}
 		before := owners()
 		theirs := 0
-		for id, n := range before {
-			if n != "n-0" {
+		for id, node := range before {
+			if node != "n-0" {
 				theirs++
 				if !crash {
-					c.cut[id+"-"+n] = true
+					c.disconnectedPairs[id+"-"+node] = true
 				}
 			}
 		}
-		conflicts := c.store.ByKind["!part"]
+		conflicts := c.store.ChangesByKind["!part"]
 		if crash {
 			c.kill("n-1", "n-2")
 		}
-		c.sim.Run(3 * sec)
+		c.sim.Run(3 * second)
 		if crash {
 			c.start("n-1", "n-2")
 		}
-		c.sim.Run(17 * sec)
+		c.sim.Run(17 * second)
 		changed := 0
-		for id, n := range owners() {
-			if before[id] != "" && before[id] != n {
+		for id, node := range owners() {
+			if before[id] != "" && before[id] != node {
 				changed++
 			}
 		}
 		if theirs < 3 || crash && changed > 0 || !crash && changed < theirs {
 			t.Errorf("crash %v: %d of %d machines have changed their owner", crash, changed, theirs)
 		}
-		if n := c.store.ByKind["!part"] - conflicts; n > 12 {
+		if n := c.store.ChangesByKind["!part"] - conflicts; n > 12 {
 			t.Errorf("crash %v: %d conflicts about shares", crash, n)
 		}
-		c.rules()
+		c.requireNoViolations()
 	}
 }
--- a/internal/coordination/seed_test.go
+++ b/internal/coordination/seed_test.go
@@ -7,44 +7,44 @@
 	"pipitgap/internal/protocol"
 )
 
-// TestSameCourse: the same seed plays the same day, call by call. Decisions that hung on
+// TestSameSeedGivesSameCourse: the same seed plays the same day, call by call. Decisions that hung on
 // the order in which a map is walked, or on the rounding of a sum in that order, had a
 // test pass on one machine and fail on the next.
-func TestSameCourse(t *testing.T) {
+func TestSameSeedGivesSameCourse(t *testing.T) {
 	play := func() []string {
 		var course []string
 		c := newCluster(t, 2500)
-		c.called = func(s string) { course = append(course, fmt.Sprintf("%.6f %s", c.sim.Now().Seconds(), s)) }
-		c.swarmed()
+		c.onCall = func(s string) { course = append(course, fmt.Sprintf("%.6f %s", c.sim.Now().Seconds(), s)) }
+		c.startBurst()
 		var last []string
 		for s := 0; s < 40; s++ {
 			for i := 0; i < 10; i++ {
-				c.send(2*sec, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
+				c.submitWithRetry(2*second, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
 					withMemoryGB(0.7), withSpot(true), withEstimateS(2))
 			}
-			last = append(last, c.send(20*sec, withTeam("home"), withTasks(9), withCPUs(1.1),
+			last = append(last, c.submitWithRetry(20*second, withTeam("home"), withTasks(9), withCPUs(1.1),
 				withSpot(s%2 == 0), withEstimateS(30), withCheckpointS(3)))
-			c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
+			c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
 			switch s {
 			case 8:
-				c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].Sick = true
-				c.request("n-0", "POST", protocol.CancelPath(last[2]), nil, func(Reply) {})
+				c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].FailsTasks = true
+				c.sendRequest("n-0", "POST", protocol.CancelPath(last[2]), nil, func(Response) {})
 			case 12:
 				c.kill("n-1")
 			case 14:
 				c.start("n-1")
 			case 18:
 				for _, id := range sortedKeys(c.fleet.Workers)[:4] {
-					c.fleet.Workers[id].Silent = true
+					c.fleet.Workers[id].Partitioned = true
 				}
 			case 22:
-				c.kill(c.leader().name)
+				c.kill(c.leaderNode().name)
 			case 30:
-				c.start(c.names...)
+				c.start(c.nodeNames...)
 			}
-			c.sim.Run(sec)
+			c.sim.Run(second)
 		}
-		c.rules()
+		c.requireNoViolations()
 		return course
 	}
 	a, b := play(), play()
--- a/internal/coordination/shares.go
+++ b/internal/coordination/shares.go
@@ -12,30 +12,30 @@
 
 // Bounds of how tasks move between parts.
 const (
-	leastShare = 24                // tasks
-	mostShares = 40                // of one job; what a value holds
-	ownerGrace = 3 * micros.Second // an owner that seems to have room gets so long to use it
-	takerGrace = 1 * micros.Second // and one that has just taken tasks over: they went round without a start
+	minTasksPerRange        = 24                // tasks
+	maxTaskRangesPerJob     = 40                // of one job; what a value holds
+	ownerGracePeriod        = 3 * micros.Second // an owner that seems to have room gets so long to use it
+	reassignmentGracePeriod = 1 * micros.Second // and one that has just taken tasks over: they went round without a start
 )
 
-// split divides a new job among the partitions: whole to the one with most room, or
+// assignTaskRanges divides a new job among the partitions: whole to the one with most room, or
 // what the parts have room for, and the rest evenly. A job too large for any part
 // is so spread over all of them, and what binds stays in its own record.
-func (c *Core) split(spec *bookkeeping.Spec) []bookkeeping.Share {
+func (c *Controller) assignTaskRanges(spec *bookkeeping.JobSpec) []bookkeeping.TaskRange {
 	n := spec.Tasks
-	live := c.able()
-	if n == 1 || spec.OneZone || spec.Spread || len(live) == 0 {
-		return []bookkeeping.Share{{First: 0, End: n, Partition: c.roomiest(spec)}}
+	controllers := c.connectedControllers()
+	if n == 1 || spec.OneZone || spec.Spread || len(controllers) == 0 {
+		return []bookkeeping.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
 	}
-	capacities := c.freeCapacity()
-	backlog := c.backlog()
+	capacities := c.capacityByPartition()
+	backlog := c.backlogCPUs()
 	type partition struct {
 		name       string
 		room, size int
 	}
 	var partitions []partition
-	for _, p := range live {
-		r := capacities.room(spec, p) - int(math.Ceil(backlog[p]/max(spec.CPUs, 0.01)))
+	for _, p := range controllers {
+		r := capacities.tasksFitting(spec, p) - int(math.Ceil(backlog[p]/max(spec.CPUs, 0.01)))
 		partitions = append(partitions, partition{name: p, room: r})
 	}
 	// The least burdened first where none has room.
@@ -44,7 +44,7 @@
 		partitions[i].room = max(0, partitions[i].room)
 	}
 	if n <= partitions[0].room || spec.Service {
-		return []bookkeeping.Share{{First: 0, End: n, Partition: c.roomiest(spec)}}
+		return []bookkeeping.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
 	}
 	left := n
 	for i := range partitions {
@@ -53,38 +53,38 @@
 	}
 	// What has no room anywhere yet goes to no more parts than is worth it: each
 	// part that has some of a job holds a record of it.
-	among := min(len(partitions), max(1, left/leastShare))
+	among := min(len(partitions), max(1, left/minTasksPerRange))
 	for i := range partitions[:among] {
 		k := (left + among - i - 1) / (among - i)
 		partitions[i].size += k
 		left -= k
 	}
-	var out []bookkeeping.Share
+	var out []bookkeeping.TaskRange
 	at := 0
 	for _, p := range partitions {
 		if p.size > 0 {
-			out = append(out, bookkeeping.Share{First: at, End: at + p.size, Partition: p.name})
+			out = append(out, bookkeeping.TaskRange{First: at, End: at + p.size, Partition: p.name})
 			at += p.size
 		}
 	}
 	return out
 }
 
-// backlog is the CPUs that each partition's waiting tasks will take.
-func (c *Core) backlog() map[string]float64 {
+// backlogCPUs is the CPUs that each partition's waiting tasks will take.
+func (c *Controller) backlogCPUs() map[string]float64 {
 	out := map[string]float64{}
-	for _, j := range c.view.jobs {
-		if !j.open() || j.waiting() == 0 || c.mistakes(j) {
+	for _, job := range c.mirror.Jobs {
+		if !job.IsOpen() || job.UnassignedTasks() == 0 || c.isCrashLooping(job) {
 			continue
 		}
-		for _, s := range j.rec.Shares {
-			if len(j.rec.Shares) == 1 {
-				out[s.Partition] += float64(j.waiting()) * j.need.cpus
+		for _, taskRange := range job.Record.TaskRanges {
+			if len(job.Record.TaskRanges) == 1 {
+				out[taskRange.Partition] += float64(job.UnassignedTasks()) * job.TaskResources.CPUs
 				break
 			}
-			for i := s.First; i < s.End; i++ {
-				if j.state[i] == 0 {
-					out[s.Partition] += j.need.cpus
+			for i := taskRange.First; i < taskRange.End; i++ {
+				if job.TaskStates[i] == 0 {
+					out[taskRange.Partition] += job.TaskResources.CPUs
 				}
 			}
 		}
@@ -92,81 +92,81 @@
 	return out
 }
 
-// reshare changes which parts place a job's tasks. Whatever a range's owner assigned
+// reassignTaskRanges changes which parts place a job's tasks. Whatever a range's owner assigned
 // before stands in the shards by then, whatever it would assign after fails on the
 // record's version; so the new owner may begin once its mirror has come that far.
-func (c *Core) reshare(j *job, shares []bookkeeping.Share) bool {
+func (c *Controller) reassignTaskRanges(job *Job, ranges []bookkeeping.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
 	// handing a job to and fro without ever starting it.
-	if c.jobBusy[j.id] || c.passJobs[j.id] || len(shares) > mostShares {
+	if c.recordWritesInFlight[job.ID] || c.jobsInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
 		return false
 	}
-	rec := j.rec
-	rec.Shares = shares
-	value := protocol.MustMarshal(&rec)
-	if 2*len(value) > c.valueBytes() {
+	record := job.Record
+	record.TaskRanges = ranges
+	value := protocol.MustMarshal(&record)
+	if 2*len(value) > c.maxValueBytes() {
 		return false
 	}
-	c.jobBusy[j.id] = true
-	key := bookkeeping.Key(bookkeeping.KindOpen, j.id)
-	c.commit(bookkeeping.RankShard, protocol.Txn{
-		If:   []protocol.Cond{{Key: key, Version: j.version}},
+	c.recordWritesInFlight[job.ID] = true
+	key := bookkeeping.Key(bookkeeping.KindOpenJob, job.ID)
+	c.commitTxn(bookkeeping.PriorityShardUpdate, protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Put: key, Value: value}},
-	}, func(r protocol.StoreResult) {
-		delete(c.jobBusy, j.id)
-		c.dirty = true
-		if r.Outcome == protocol.OK {
-			c.log.Debug("task ranges reassigned", "job", j.id, "ranges", fmt.Sprint(shares))
+	}, func(result protocol.StoreResult) {
+		delete(c.recordWritesInFlight, job.ID)
+		c.schedulingNeeded = true
+		if result.Outcome == protocol.OK {
+			c.log.Debug("task ranges reassigned", "job", job.ID, "ranges", fmt.Sprint(ranges))
 		}
 	})
 	return true
 }
 
-// spaced tells when something that costs a change may be done again, if all
+// nextAllowedAt tells when something that costs a change may be done again, if all
 // controllers together may spend that partition of the store's changes on it: what is
 // spent here the shards lack.
-func (c *Core) spaced(partition float64) micros.T {
-	return c.now() + micros.FromSeconds(float64(c.liveShare)/(partition*c.cfg.Facts.State.WriteRPS))
+func (c *Controller) nextAllowedAt(fraction float64) micros.Micros {
+	return c.now() + micros.FromSeconds(float64(c.budgetSharers)/(fraction*c.cfg.Facts.State.WriteRPS))
 }
 
-// adoptOrphans takes over the waiting tasks of parts that have gone, or don't reach
+// adoptOrphanedTasks takes over the waiting tasks of parts that have gone, or don't reach
 // their machines. Each job has
 // one successor for that, whether it has room for them or not: only their owner makes
 // room for services by stopping others' work, or rents for nobody else to place.
-func (c *Core) adoptOrphans(jobs []*job, now micros.T) {
-	live := c.able()
-	for _, j := range jobs {
-		if now < c.orphanAt {
+func (c *Controller) adoptOrphanedTasks(jobs []*Job, now micros.Micros) {
+	controllers := c.connectedControllers()
+	for _, job := range jobs {
+		if now < c.nextOrphanedTasksTakeoverAt {
 			return
 		}
-		if c.jobBusy[j.id] || c.view.watched < j.version || home(j.id, live) != c.node {
+		if c.recordWritesInFlight[job.ID] || c.mirror.WatchedRevision < job.Version || rendezvousOwner(job.ID, controllers) != c.node {
 			continue
 		}
-		shares := j.rec.Shares
-		for _, s := range j.rec.Shares {
-			if !c.isLive(s.Partition) && now-c.gone(s.Partition, now) > micros.Second || c.cutOff(s.Partition, now) {
-				shares = bookkeeping.Reshare(shares, s.First, s.End, c.node)
+		ranges := job.Record.TaskRanges
+		for _, taskRange := range job.Record.TaskRanges {
+			if !c.isMember(taskRange.Partition) && now-c.absentSince(taskRange.Partition, now) > micros.Second || c.isCutOffFromWorkers(taskRange.Partition, now) {
+				ranges = bookkeeping.AssignRange(ranges, taskRange.First, taskRange.End, c.node)
 			}
 		}
-		if len(shares) != len(j.rec.Shares) || !sameShares(shares, j.rec.Shares) {
-			if c.reshare(j, shares) {
-				c.orphanAt = c.spaced(0.4)
+		if len(ranges) != len(job.Record.TaskRanges) || !sameTaskRanges(ranges, job.Record.TaskRanges) {
+			if c.reassignTaskRanges(job, ranges) {
+				c.nextOrphanedTasksTakeoverAt = c.nextAllowedAt(0.4)
 			}
 		}
 	}
 }
 
-// gone tells since when a controller is missed.
-func (c *Core) gone(node string, now micros.T) micros.T {
-	at, ok := c.deadSince[node]
+// absentSince tells since when a controller is missed.
+func (c *Controller) absentSince(node string, now micros.Micros) micros.Micros {
+	at, ok := c.missingSince[node]
 	if !ok {
-		c.deadSince[node], at = now, now
+		c.missingSince[node], at = now, now
 	}
 	return at
 }
 
-func sameShares(a, b []bookkeeping.Share) bool {
+func sameTaskRanges(a, b []bookkeeping.TaskRange) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return false
@@ -175,121 +175,121 @@
 	return true
 }
 
-// take looks for waiting tasks of other partitions that ours has room for: of parts
+// stealWork looks for waiting tasks of other partitions that ours has room for: of parts
 // that have gone, have no room for them, or haven't used what they seem to have.
 // That hands tasks on in one write, at the time when there is room, and lets each
 // part's room go to the most urgent tasks of all.
-func (c *Core) take(jobs []*job, cands []*candidate, reserved *reservedRoom, left map[string]amount, now micros.T) {
-	free := reserved.cpus()
-	for _, cd := range cands {
-		if !cd.held && cd.keep == "" {
-			free += max(0, cd.free.cpus)
+func (c *Controller) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]Resources, now micros.Micros) {
+	freeCPUs := reserved.totalCPUs()
+	for _, candidate := range candidates {
+		if !candidate.heldBack && candidate.reservedForJob == "" {
+			freeCPUs += max(0, candidate.freeResources.CPUs)
 		}
 	}
-	if free < slack || now < c.takeAt {
+	if freeCPUs < resourceTolerance || now < c.nextWorkStealAt {
 		return
 	}
-	capacities := c.freeCapacity()
-	wall := c.env.Wall()
-	for _, j := range jobs {
-		if now < c.takeAt {
+	capacities := c.capacityByPartition()
+	wall := c.env.WallClock()
+	for _, job := range jobs {
+		if now < c.nextWorkStealAt {
 			return
 		}
-		if j.need.cpus <= free+slack {
-			reserved.lend(j)
-			c.takeJob(j, cands, left, capacities, wall)
-			reserved.takeBack(j)
+		if job.TaskResources.CPUs <= freeCPUs+resourceTolerance {
+			reserved.release(job)
+			c.stealTasksOfJob(job, candidates, quotaLeftByTeam, capacities, wall)
+			reserved.reserveAgain(job)
 		}
 	}
 }
 
-// roomFor counts the tasks of a job that the room not kept for others can take.
-func roomFor(j *job, cands []*candidate) int {
+// tasksThatFit counts the tasks of a job that the room not kept for others can take.
+func tasksThatFit(job *Job, candidates []*candidateMachine) int {
 	room := 0
-	for _, cd := range cands {
-		if !cd.held && cd.keptFor(j) && mayRun(&j.rec.Spec, cd.rec) {
-			room += j.need.count(cd.free)
+	for _, candidate := range candidates {
+		if !candidate.heldBack && candidate.availableTo(job) && machineAllowed(&job.Record.Spec, candidate.record) {
+			room += job.TaskResources.CountIn(candidate.freeResources)
 		}
 	}
 	return room
 }
 
-// takeJob takes over as many of a job's tasks that wait at other partitions as we have room
+// stealTasksOfJob takes over as many of a job's tasks that wait at other partitions as we have room
 // for, and tells how many.
-func (c *Core) takeJob(j *job, cands []*candidate, left map[string]amount, capacities *freeCapacity, wall int64) int {
-	spec := &j.rec.Spec
-	if len(j.rec.Shares) == 1 && j.rec.Shares[0].Partition == c.node ||
-		c.jobBusy[j.id] || c.now() < c.jobNotes(j.id).until || c.view.watched < j.version || c.mistakes(j) {
+func (c *Controller) stealTasksOfJob(job *Job, candidates []*candidateMachine, quotaLeftByTeam map[string]Resources, capacities *partitionCapacity, wall int64) int {
+	spec := &job.Record.Spec
+	if len(job.Record.TaskRanges) == 1 && job.Record.TaskRanges[0].Partition == c.node ||
+		c.recordWritesInFlight[job.ID] || c.now() < c.trackingOf(job.ID).placeNotBefore || c.mirror.WatchedRevision < job.Version || c.isCrashLooping(job) {
 		return 0
 	}
-	room := roomFor(j, cands)
+	room := tasksThatFit(job, candidates)
 	if room == 0 {
 		return 0
 	}
-	l, ok := left[spec.Team]
+	quota, ok := quotaLeftByTeam[spec.Team]
 	if !ok {
-		l = c.shareLeft(spec.Team)
-		left[spec.Team] = l
+		quota = c.quotaLeft(spec.Team)
+		quotaLeftByTeam[spec.Team] = quota
 	}
-	if n := j.need.count(l); n < room {
+	if n := job.TaskResources.CountIn(quota); n < room {
 		// A part with machines but without a share of the team's limit would leave
 		// the tasks for ever to one with a share but without machines.
-		c.lacks(spec.Team, j.need, min(room-n, j.waiting()), l, true)
+		c.noteQuotaShortage(spec.Team, job.TaskResources, min(room-n, job.UnassignedTasks()), quota, true)
 		room = n
 	}
 	if room == 0 {
 		return 0
 	}
 	whole := spec.OneZone || spec.Spread
-	for k := len(j.rec.Shares) - 1; k >= 0; k-- {
-		s := j.rec.Shares[k]
-		if s.Partition == c.node || c.isLive(s.Partition) && capacities.room(spec, s.Partition) > 0 &&
-			(wall-j.rec.At < int64(ownerGrace) || c.now()-c.jobNotes(j.id).sharedAt < takerGrace) {
+	for k := len(job.Record.TaskRanges) - 1; k >= 0; k-- {
+		taskRange := job.Record.TaskRanges[k]
+		if taskRange.Partition == c.node || c.isMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
+			(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || c.now()-c.trackingOf(job.ID).recordChangedAt < reassignmentGracePeriod) {
 			continue
 		}
-		n, first := 0, s.End
-		for first > s.First && (n < room || whole) {
+		n, first := 0, taskRange.End
+		for first > taskRange.First && (n < room || whole) {
 			first--
-			if j.state[first] == 0 {
+			if job.TaskStates[first] == 0 {
 				n++
 			}
 		}
-		if n == 0 || whole && n > room && c.isLive(s.Partition) {
+		if n == 0 || whole && n > room && c.isMember(taskRange.Partition) {
 			continue
 		}
-		if !c.reshare(j, bookkeeping.Reshare(j.rec.Shares, first, s.End, c.node)) {
+		if !c.reassignTaskRanges(job, bookkeeping.AssignRange(job.Record.TaskRanges, first, taskRange.End, c.node)) {
 			return 0
 		}
-		c.takeAt = c.spaced(0.1)
+		c.nextWorkStealAt = c.nextAllowedAt(0.1)
 		return n
 	}
 	return 0
 }
 
-// reserve keeps room for tasks that are about to be ours from what is less urgent.
-func reserve(need amount, spec *bookkeeping.Spec, cands []*candidate, n int) {
-	for _, cd := range cands {
+// reserveRoom keeps room for tasks that are about to be ours from what is less urgent.
+func reserveRoom(taskResources Resources, spec *bookkeeping.JobSpec, candidates []*candidateMachine, n int) {
+	for _, candidate := range candidates {
 		if n <= 0 {
 			return
 		}
-		if !cd.held && cd.keep == "" && mayRun(spec, cd.rec) {
-			k := min(n, need.count(cd.free))
-			cd.free = cd.free.plus(need, -float64(k))
+		if !candidate.heldBack && candidate.reservedForJob == "" && machineAllowed(spec, candidate.record) {
+			k := min(n, taskResources.CountIn(candidate.freeResources))
+			candidate.freeResources = candidate.freeResources.AddScaled(taskResources, -float64(k))
 			n -= k
 		}
 	}
 }
 
-// handOver gives our waiting tasks of a job to a partition that can make room.
-func (c *Core) handOver(j *job, to string) bool {
-	for _, s := range j.rec.Shares {
-		if s.Partition != c.node {
+// handOverTasks gives our waiting tasks of a job to a partition that can make room.
+func (c *Controller) handOverTasks(job *Job, to string) bool {
+	for _, taskRange := range job.Record.TaskRanges {
+		if taskRange.Partition != c.node {
 			continue
 		}
-		if !c.reshare(j, bookkeeping.Reshare(j.rec.Shares, s.First, s.End, to)) {
+		if !c.reassignTaskRanges(job, bookkeeping.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to)) {
 			return false
 		}
-		c.takeAt = c.spaced(0.1)
+		c.nextWorkStealAt = c.nextAllowedAt(0.1)
 		return true
 	}
 	return false
--- a/internal/coordination/shares_test.go
+++ b/internal/coordination/shares_test.go
@@ -10,8 +10,8 @@
 	"pipitgap/internal/standin"
 )
 
-// TestShareLeft: what a partition may still assign within a team's limit.
-func TestShareLeft(t *testing.T) {
+// TestQuotaLeft: what a partition may still assign within a team's limit.
+func TestQuotaLeft(t *testing.T) {
 	cases := []struct {
 		name           string
 		owner          string
@@ -29,73 +29,73 @@
 	for _, tc := range cases {
 		c := newCluster(t, 33)
 		c.start("n-0")
-		core := c.nodes["n-0"].core
-		core.view.put(bookkeeping.Key(bookkeeping.KindPartition, "n-0"), protocol.MustMarshal(&bookkeeping.Partition{
-			Shares: map[string]bookkeeping.Amount{"tight": {CPUs: 10}}}), 3)
-		core.view.put(bookkeeping.Key(bookkeeping.KindOpen, "j-1"), protocol.MustMarshal(&bookkeeping.OpenJob{
-			Spec: bookkeeping.Spec{Team: "tight", Tasks: 4, CPUs: 2}, Shares: []bookkeeping.Share{{First: 0, End: 4, Partition: "n-0"}}}), 4)
+		core := c.nodes["n-0"].controller
+		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindPartition, "n-0"), protocol.MustMarshal(&bookkeeping.Partition{
+			QuotaShares: map[string]bookkeeping.Resources{"tight": {CPUs: 10}}}), 3)
+		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindOpenJob, "j-1"), protocol.MustMarshal(&bookkeeping.OpenJob{
+			Spec: bookkeeping.JobSpec{Team: "tight", Tasks: 4, CPUs: 2}, TaskRanges: []bookkeeping.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
 		inc := tc.incarnation
 		if inc == 0 {
-			inc = core.inc
+			inc = core.incarnation
 		}
 		shard := &bookkeeping.Shard{Owner: tc.owner, Incarnation: inc, Claim: 1,
 			Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
-		shard.Add("i-1", bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: bookkeeping.MachineOpen})
-		shard.Assign("j-1", bookkeeping.Held{Task: 0, Machine: "i-1", Attempt: 1})
-		shard.Assign("j-1", bookkeeping.Held{Task: 1, Machine: "i-1", Attempt: 1})
-		raw, _ := shard.Encode()
-		core.view.put(bookkeeping.Key(bookkeeping.KindShard, "p"), raw, 5)
+		shard.AddMachine("i-1", bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: bookkeeping.MachineOpen})
+		shard.Assign("j-1", bookkeeping.Attempt{Task: 0, Machine: "i-1", Number: 1})
+		shard.Assign("j-1", bookkeeping.Attempt{Task: 1, Machine: "i-1", Number: 1})
+		encoded, _ := shard.Encode()
+		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
-			d := newShardUpdate("p", core.view.shards["p"], shard)
-			addUse(d.use, "tight", amount{cpus: 2}, 1)
-			core.shardNotes("p").inDoubtUpdates = []*shardUpdate{d}
+			update := NewShardUpdate("p", core.mirror.Shards["p"], shard)
+			addTeamUse(update.AssignedByTeam, "tight", Resources{CPUs: 2}, 1)
+			core.trackerOf("p").updatesInDoubt = []*ShardUpdate{update}
 		}
-		if got := core.shareLeft("tight").cpus; got != tc.left {
+		if got := core.quotaLeft("tight").CPUs; got != tc.left {
 			t.Errorf("%s: %v left, want %v", tc.name, got, tc.left)
 		}
-		if got := core.pool("tight").cpus; got != 2 {
+		if got := core.unallocatedQuota("tight").CPUs; got != 2 {
 			t.Errorf("%s: %v in the pool", tc.name, got)
 		}
 	}
 }
 
-// TestLimitThroughRestarts: a team at its limit, controllers killed at any moment:
+// TestTeamLimitHoldsThroughRestarts: a team at its limit, controllers killed at any moment:
 // never more than the limit runs, and what is left of it is found again.
-func TestLimitThroughRestarts(t *testing.T) {
+func TestTeamLimitHoldsThroughRestarts(t *testing.T) {
 	for seed := uint64(0); seed < 6; seed++ {
-		c := newCluster(t, 600+seed).steady()
+		c := newCluster(t, 600+seed).startWithLeader()
 		var ids []string
 		for i := 0; i < 8; i++ {
-			ids = append(ids, c.submit(4*sec, withTasks(14), withCPUs(1), withTeam("tight"), withSpot(true)))
+			ids = append(ids, c.submit(4*second, withTasks(14), withCPUs(1), withTeam("tight"), withSpot(true)))
 		}
 		for i := 0; i < 6; i++ {
-			c.sim.Run(2*sec + c.jitter(6*sec))
-			down := c.names[:1+c.sim.Rand.IntN(3)]
+			c.sim.Run(2*second + c.randomDuration(6*second))
+			down := c.nodeNames[:1+c.sim.Rand.IntN(3)]
 			c.kill(down...)
-			c.sim.Run(c.jitter(3 * sec))
+			c.sim.Run(c.randomDuration(3 * second))
 			c.start(down...)
 		}
 		for _, id := range ids {
-			c.finished(id, 300*sec)
+			c.requireFinished(id, 300*second)
 		}
-		c.rules()
+		c.requireNoViolations()
 	}
 }
 
-// TestOrphans: a service whose part has gone gets room by stopping lesser work,
+// TestOrphanedServicePreemptsLowerPriority: a service whose part has gone gets room by stopping lesser work,
 // though no part has any free. Left to whoever has room, it waited for a minute.
-func TestOrphans(t *testing.T) {
+func TestOrphanedServicePreemptsLowerPriority(t *testing.T) {
 	c := newCluster(t, 34)
 	clear(c.cloud.Capacity)
-	c.cloud.Capacity[standin.Offer("m8", "a", false)] = 6
-	c.steady()
-	array := c.submit(400*sec, withTasks(90)) // more than fits: no room stays free
-	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(array) == 24 }) {
+	c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 6
+	c.startWithLeader()
+	array := c.submit(400*second, withTasks(90)) // more than fits: no room stays free
+	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(array) == 24 }) {
 		t.Fatalf("array: %d run", c.fleet.Running(array))
 	}
 	var services []string
 	for i := 0; i < 3; i++ {
-		services = append(services, c.submit(0, withService(true), withPriority(protocol.Prod), withCPUs(4)))
+		services = append(services, c.submit(0, withService(true), withPriority(protocol.Production), withCPUs(4)))
 	}
 	all := func() bool {
 		for _, id := range services {
@@ -105,21 +105,21 @@
 		}
 		return true
 	}
-	if !c.sim.RunUntil(20*sec, all) {
+	if !c.sim.RunUntil(20*second, all) {
 		t.Fatal("services not started")
 	}
 	// A controller goes, and the machines with those services that it placed.
 	hit := 0
 	for _, id := range services {
-		j := c.nodes["n-0"].core.view.jobs[id]
-		if j.rec.Shares[0].Partition != "n-1" {
+		job := c.nodes["n-0"].controller.mirror.Jobs[id]
+		if job.Record.TaskRanges[0].Partition != "n-1" {
 			continue
 		}
-		for _, w := range c.fleet.Workers {
-			if w.Tasks[id+"/0"] != nil {
+		for _, worker := range c.fleet.Workers {
+			if worker.Attempts[id+"/0"] != nil {
 				hit++
-				w.Silent = true
-				c.fleet.Down(w.Machine)
+				worker.Partitioned = true
+				c.fleet.MachineDown(worker.Machine)
 			}
 		}
 	}
@@ -127,169 +127,169 @@
 		t.Fatal("no service was placed by n-1")
 	}
 	c.kill("n-1")
-	c.cloud.Capacity[standin.Offer("m8", "a", false)] = -100
-	if !c.sim.RunUntil(60*sec, all) {
+	c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = -100
+	if !c.sim.RunUntil(60*second, all) {
 		t.Error("a service of the part that has gone is still down")
 	}
-	c.rules()
+	c.requireNoViolations()
 }
 
 // TestHandOverHasItsTurn: a service that its partition has no room for is handed on as
 // soon as that may be written again, however often the part takes tasks of others:
 // a try in between doesn't cost it its turn.
-func TestHandOverIsNotStarved(t *testing.T) {
-	c := newCluster(t, 5).steady()
-	core := c.nodes["n-0"].core
+func TestTaskHandOverIsNotStarvedByStealing(t *testing.T) {
+	c := newCluster(t, 5).startWithLeader()
+	core := c.nodes["n-0"].controller
 	now := c.sim.Now()
 	id, array := "j-900000", "j-900001"
-	for name, spec := range map[string]bookkeeping.Spec{
+	for name, spec := range map[string]bookkeeping.JobSpec{
 		id:    {Team: "free", Service: true, Priority: 2, Tasks: 1, CPUs: 4},
 		array: {Team: "free", Priority: 1, Tasks: 4, CPUs: 2, Spot: true},
 	} {
-		core.view.jobs[name] = &job{id: name, version: 1, state: make([]uint8, spec.Tasks), need: amount{cpus: spec.CPUs},
-			rec: bookkeeping.OpenJob{Spec: spec, Shares: []bookkeeping.Share{{First: 0, End: spec.Tasks, Partition: "n-0"}}}}
+		core.mirror.Jobs[name] = &Job{ID: name, Version: 1, TaskStates: make([]uint8, spec.Tasks), TaskResources: Resources{CPUs: spec.CPUs},
+			Record: bookkeeping.OpenJob{Spec: spec, TaskRanges: []bookkeeping.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}}}}
 	}
-	core.accepted[id] = 1
-	other := &shard{name: "n-1.1", rec: &bookkeeping.Shard{Owner: "n-1"}, use: map[string]amount{}}
-	core.view.machines["i-9"] = &machine{id: "i-9", shard: other, used: amount{cpus: 8}, tasks: map[taskRef]uint64{},
-		rec: &bookkeeping.ShardMachine{Type: "m8", Zone: "a", State: bookkeeping.MachineOpen}}
+	core.acceptedRevisions[id] = 1
+	other := &Shard{Name: "n-1.1", Record: &bookkeeping.Shard{Owner: "n-1"}, UseByTeam: map[string]Resources{}}
+	core.mirror.Machines["i-9"] = &Machine{ID: "i-9", Shard: other, Used: Resources{CPUs: 8}, Attempts: map[TaskID]uint64{},
+		Record: &bookkeeping.ShardMachine{Type: "m8", Zone: "a", State: bookkeeping.MachineOpen}}
 	for i := 0; i < 4; i++ {
-		core.view.machines["i-9"].tasks[taskRef{array, i}] = 1
+		core.mirror.Machines["i-9"].Attempts[TaskID{array, i}] = 1
 	}
-	core.takeAt = now + sec
-	core.place(nil, now)
-	if core.jobBusy[id] {
+	core.nextWorkStealAt = now + second
+	core.placeTasks(nil, now)
+	if core.recordWritesInFlight[id] {
 		t.Error("handed on before a change may be spent on it")
 	}
-	core.place(nil, now+sec/2)
-	c.sim.Run(sec)
-	core.takeAt = c.sim.Now()
-	core.place(nil, c.sim.Now())
-	if !core.jobBusy[id] {
+	core.placeTasks(nil, now+second/2)
+	c.sim.Run(second)
+	core.nextWorkStealAt = c.sim.Now()
+	core.placeTasks(nil, c.sim.Now())
+	if !core.recordWritesInFlight[id] {
 		t.Error("not handed on at the first turn that may")
 	}
 }
 
-// TestUrgentElsewhere: a small job of large tasks begins soon though nothing ends on
+// TestUrgentJobIsStolenFirst: a small job of large tasks begins soon though nothing ends on
 // the machines of the part that it was given to, while the others' gaps would go to
 // tasks that have more time: the most urgent of all goes first, wherever it waits.
-func TestUrgentElsewhere(t *testing.T) {
+func TestUrgentJobIsStolenFirst(t *testing.T) {
 	c := newCluster(t, 300)
 	clear(c.cloud.Capacity)
-	c.cloud.Capacity[standin.Offer("m8", "a", false)] = 9
-	c.facts = func(cfg *config.Config) {
+	c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 9
+	c.adjustFacts = func(cfg *config.Config) {
 		cfg.Facts.Objectives = []config.Objective{{Kind: "deadline", Class: "batch", Times: 1}}
 	}
-	c.steady()
+	c.startWithLeader()
 	give := func(id string, partitions ...string) {
-		core := c.nodes["n-0"].core
-		var shares []bookkeeping.Share
-		n := core.view.jobs[id].rec.Spec.Tasks
+		core := c.nodes["n-0"].controller
+		var ranges []bookkeeping.TaskRange
+		n := core.mirror.Jobs[id].Record.Spec.Tasks
 		for i, p := range partitions {
-			shares = append(shares, bookkeeping.Share{First: n * i / len(partitions), End: n * (i + 1) / len(partitions), Partition: p})
+			ranges = append(ranges, bookkeeping.TaskRange{First: n * i / len(partitions), End: n * (i + 1) / len(partitions), Partition: p})
 		}
-		if !c.sim.RunUntil(5*sec, func() bool { return core.reshare(core.view.jobs[id], shares) }) {
+		if !c.sim.RunUntil(5*second, func() bool { return core.reassignTaskRanges(core.mirror.Jobs[id], ranges) }) {
 			t.Fatalf("%s can't be given to %v", id, partitions)
 		}
-		c.sim.Run(sec / 10)
+		c.sim.Run(second / 10)
 	}
-	give(c.submit(400*sec, withTasks(4), withDeadlineS(500), withEstimateS(400)), "n-2")
-	give(c.submit(6*sec, withTasks(300), withDeadlineS(600)), "n-0", "n-1")
-	c.sim.Run(40 * sec)
-	id := c.submit(6*sec, withTasks(3), withCPUs(4), withDeadlineS(30))
+	give(c.submit(400*second, withTasks(4), withDeadlineS(500), withEstimateS(400)), "n-2")
+	give(c.submit(6*second, withTasks(300), withDeadlineS(600)), "n-0", "n-1")
+	c.sim.Run(40 * second)
+	id := c.submit(6*second, withTasks(3), withCPUs(4), withDeadlineS(30))
 	give(id, "n-2")
 	at := c.sim.Now()
 	begun := func() bool {
 		return c.fleet.Starts[id+"/0"] > 0 && c.fleet.Starts[id+"/1"] > 0 && c.fleet.Starts[id+"/2"] > 0
 	}
-	if !c.sim.RunUntil(9*sec, begun) {
+	if !c.sim.RunUntil(9*second, begun) {
 		t.Error("not begun after 9 s") // 12 when only room left over went to others' tasks
 	}
 	t.Logf("begun after %.1f s", (c.sim.Now() - at).Seconds())
-	c.rules()
+	c.requireNoViolations()
 }
 
-// TestRoomMadeIsKept: what is free on a machine where tasks are being stopped for a
+// TestPreemptedRoomIsReservedForPreemptor: what is free on a machine where tasks are being stopped for a
 // job is that job's until they are gone, and nobody else's.
-func TestRoomMadeIsKept(t *testing.T) {
-	c := newCluster(t, 9).steady()
-	core := c.nodes["n-0"].core
+func TestPreemptedRoomIsReservedForPreemptor(t *testing.T) {
+	c := newCluster(t, 9).startWithLeader()
+	core := c.nodes["n-0"].controller
 	now := c.sim.Now()
-	mk := func(id string, service bool, cpus float64) *job {
-		j := &job{id: id, version: 1, state: make([]uint8, 1), need: amount{cpus: cpus},
-			rec: bookkeeping.OpenJob{Spec: bookkeeping.Spec{Team: "free", Service: service, Tasks: 1, CPUs: cpus}}}
-		core.view.jobs[id] = j
-		return j
+	mk := func(id string, service bool, cpus float64) *Job {
+		job := &Job{ID: id, Version: 1, TaskStates: make([]uint8, 1), TaskResources: Resources{CPUs: cpus},
+			Record: bookkeeping.OpenJob{Spec: bookkeeping.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus}}}
+		core.mirror.Jobs[id] = job
+		return job
 	}
 	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
-	cand := func(id string) *candidate {
-		return &candidate{m: &machine{id: id, images: map[string]bool{}}, rec: &bookkeeping.ShardMachine{Type: "m8", Zone: "a"},
-			d: newShardUpdate("n-0.1", nil, &bookkeeping.Shard{Jobs: map[string]*bookkeeping.ShardJob{}}), free: amount{cpus: 2}}
+	cand := func(id string) *candidateMachine {
+		return &candidateMachine{machine: &Machine{ID: id, CachedImages: map[string]bool{}}, record: &bookkeeping.ShardMachine{Type: "m8", Zone: "a"},
+			update: NewShardUpdate("n-0.1", nil, &bookkeeping.Shard{Jobs: map[string]*bookkeeping.ShardJob{}}), freeResources: Resources{CPUs: 2}}
 	}
-	cands := []*candidate{cand("i-1"), cand("i-2")}
-	core.preempting[service.id] = &preemption{1, now + sec, map[string]bool{"i-1": true}}
-	core.keepMade(cands, now)
-	zones := newZoneRule(core.view, array)
+	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
+	core.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
+	core.reservePreemptedRoom(candidates, now)
+	zones := newZoneConstraint(core.mirror, array)
 	for i := 0; i < 4; i++ {
-		if cd := core.choose(array, cands, zones, nil, nil, false, false, false); cd != cands[1] {
+		if candidate := core.chooseMachine(array, candidates, zones, nil, nil, false, false, false); candidate != candidates[1] {
 			t.Fatal("an array's task goes where room is being made for a service, or nowhere")
 		}
 	}
-	if n := roomFor(array, cands); n != 1 {
+	if n := tasksThatFit(array, candidates); n != 1 {
 		t.Errorf("room for %d tasks of others, want 1", n)
 	}
-	cands[0].free = amount{cpus: 4} // the stopped ones are gone
-	if cd := core.choose(service, cands, zones, nil, nil, false, false, false); cd != cands[0] {
+	candidates[0].freeResources = Resources{CPUs: 4} // the stopped ones are gone
+	if candidate := core.chooseMachine(service, candidates, zones, nil, nil, false, false, false); candidate != candidates[0] {
 		t.Error("the service doesn't get the room that was made for it")
 	}
-	core.keepMade(cands, now+2*sec)
-	if cands[0].keep != "" {
+	core.reservePreemptedRoom(candidates, now+2*second)
+	if candidates[0].reservedForJob != "" {
 		t.Error("room is kept for longer than it takes to be made")
 	}
 }
 
-// TestLateDropOfShares: what an absent controller has of the limits is dropped, but not
+// TestLateQuotaReleaseFailsAfterReturn: what an absent controller has of the limits is dropped, but not
 // once it has been back: it may have assigned tasks under its record by then, though it is
 // gone again when the drop is carried out.
-func TestLateDropOfShares(t *testing.T) {
-	const late = 20 * sec
+func TestLateQuotaReleaseFailsAfterReturn(t *testing.T) {
+	const late = 20 * second
 	for _, tc := range []struct {
 		name        string
 		back, again bool // it comes back, and is gone again
 	}{{"away", false, false}, {"back", true, false}, {"back and gone again", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newScenario(t, 3300)
-			s.start(s.names...)
-			s.sim.Run(3 * sec)
-			fullTeams(s)
-			s.sim.Run(40 * sec)
-			gone := following(1)(s)
+			s.start(s.nodeNames...)
+			s.sim.Run(3 * second)
+			fillTeamLimits(s)
+			s.sim.Run(40 * second)
+			gone := followerController(1)(s)
 			key := partitionKey(gone)
 			if len(s.store.Keys(key)) == 0 {
 				t.Fatalf("%s has no share", gone)
 			}
 			sent := 0
-			s.store.Delay = func(t *protocol.Txn) micros.T {
-				if !changesShares(t, true) {
+			s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+				if !changesQuotaShares(txn, true) {
 					return 0
 				}
 				if sent++; sent > 1 {
-					return 1000 * sec // only the first is looked at
+					return 1000 * second // only the first is looked at
 				}
 				return late
 			}
 			s.kill(gone)
-			if !s.sim.RunUntil(30*sec, func() bool { return sent > 0 }) {
+			if !s.sim.RunUntil(30*second, func() bool { return sent > 0 }) {
 				t.Fatal("nobody drops the shares of the one that has gone")
 			}
-			member := func() bool { return s.nodes[s.names[0]].core.isLive(gone) }
+			member := func() bool { return s.nodes[s.nodeNames[0]].controller.isMember(gone) }
 			if tc.back {
 				s.start(gone)
-				s.sim.RunUntil(4*sec, member)
+				s.sim.RunUntil(4*second, member)
 			}
 			if tc.again {
 				s.kill(gone)
-				s.sim.RunUntil(10*sec, func() bool { return !member() })
+				s.sim.RunUntil(10*second, func() bool { return !member() })
 			}
 			if member() != (tc.back && !tc.again) {
 				t.Fatal("membership is not as the case wants it")
@@ -298,7 +298,7 @@
 			if left := len(s.store.Keys(key)) > 0; left != tc.back {
 				t.Errorf("its record is left: %v", left)
 			}
-			s.rules()
+			s.requireNoViolations()
 		})
 	}
 }
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -8,71 +8,71 @@
 	"pipitgap/internal/micros"
 )
 
-type stats struct {
-	accepted, later, placed, done, failed, conflicts, throttled int
-	looked                                                      int // machines, by placement
-	permitWrites                                                int
+type activityCounters struct {
+	jobsAccepted, requestsDeferred, tasksPlaced, jobsCompleted, jobsFailed, commitConflicts, callsThrottled int
+	machinesExamined                                                                                        int // machines, by placement
+	permitWrites                                                                                            int
 }
 
-// LogWaiting tells at debug which jobs wait at the front, and why.
-func (c *Core) LogWaiting() {
+// LogQueue tells at debug which jobs wait at the front, and why.
+func (c *Controller) LogQueue() {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
 	s := ""
-	for i, j := range c.openJobs() {
+	for i, job := range c.orderedQueue() {
 		if i == 12 {
 			break
 		}
-		slack, missed := c.slack(j, c.env.Wall())
+		slack, missed := c.slackOf(job, c.env.WallClock())
 		s += fmt.Sprintf(" %s(%s %s age %.0f slack %.0f missed %d"+
 			" starved %v within_guarantee %v waiting %d pending_here %d"+
 			" backoff_ms %d update_in_flight %v mirror_stale %v)",
-			j.id, j.rec.Spec.Class, j.rec.Spec.Team,
-			micros.T(c.env.Wall()-j.rec.At).Seconds(), slack, missed, c.starved(j, c.now()), c.owed(j), j.waiting(), j.pendingOf(c.node),
-			max(0, c.jobNotes(j.id).until-c.now()).Millis(), c.jobBusy[j.id], c.view.watched < j.version)
+			job.ID, job.Record.Spec.Class, job.Record.Spec.Team,
+			micros.Micros(c.env.WallClock()-job.Record.AcceptedAt).Seconds(), slack, missed, c.isStarved(job, c.now()), c.withinGuarantee(job), job.UnassignedTasks(), job.PendingInPartition(c.node),
+			max(0, c.trackingOf(job.ID).placeNotBefore-c.now()).Milliseconds(), c.recordWritesInFlight[job.ID], c.mirror.WatchedRevision < job.Version)
 	}
 	shares := ""
 	for i := range c.cfg.Facts.Teams {
 		team := c.cfg.Facts.Teams[i].Name
-		if limit, _ := c.team(team); limit.limited() {
+		if limit, _ := c.teamLimits(team); limit.hasLimit() {
 			shares += fmt.Sprintf(" %s share %.0f unused %.0f unassigned %.0f", team,
-				c.partitionShare(c.node, team).cpus, c.shareLeft(team).cpus, c.pool(team).cpus)
+				c.quotaShareOf(c.node, team).CPUs, c.quotaLeft(team).CPUs, c.unallocatedQuota(team).CPUs)
 		}
 	}
 	c.log.Debug("queue head", "queue", s, "quota_shares", shares)
 }
 
 // Summary is one line about the node, for the log.
-func (c *Core) Summary() string {
+func (c *Controller) Summary() string {
 	shards, waiting, running, used, all := 0, 0, 0, 0.0, 0.0
-	for _, p := range c.view.shards {
-		if c.owns(p) {
+	for _, shard := range c.mirror.Shards {
+		if c.ownsShard(shard) {
 			shards++
 		}
 	}
-	for _, j := range c.view.jobs {
-		if j.open() {
-			waiting += j.waiting()
-			running += j.held
+	for _, job := range c.mirror.Jobs {
+		if job.IsOpen() {
+			waiting += job.UnassignedTasks()
+			running += job.AssignedTasks
 		}
 	}
-	for _, m := range c.view.machines {
-		if m.rec != nil {
-			used += m.used.cpus
-			all += c.types[m.rec.Type].CPUs
+	for _, machine := range c.mirror.Machines {
+		if machine.Record != nil {
+			used += machine.Used.CPUs
+			all += c.machineTypes[machine.Record.Type].CPUs
 		}
 	}
 	s := fmt.Sprintf("jobs %d waiting %d running %d machines %d cpus %.0f/%.0f members %d shards %d"+
 		" accepted %d deferred %d placed %d done %d conflicts %d throttled %d",
-		len(c.view.jobs), waiting, running, len(c.view.machines), used, all, len(c.view.members), shards,
-		c.stats.accepted, c.stats.later, c.stats.placed, c.stats.done, c.stats.conflicts, c.stats.throttled)
+		len(c.mirror.Jobs), waiting, running, len(c.mirror.Machines), used, all, len(c.mirror.Members), shards,
+		c.counters.jobsAccepted, c.counters.requestsDeferred, c.counters.tasksPlaced, c.counters.jobsCompleted, c.counters.commitConflicts, c.counters.callsThrottled)
 	if c.drains != nil {
-		s += fmt.Sprintf(" permit_writes %d", c.stats.permitWrites)
+		s += fmt.Sprintf(" permit_writes %d", c.counters.permitWrites)
 	}
 	for i := range c.cfg.Facts.Teams {
-		if t := &c.cfg.Facts.Teams[i]; t.CPUsMax > 0 {
-			s += fmt.Sprintf(" %s %.0f/%.0f", t.Name, c.view.teamUse[t.Name].cpus, t.CPUsMax)
+		if teamConfig := &c.cfg.Facts.Teams[i]; teamConfig.CPUsMax > 0 {
+			s += fmt.Sprintf(" %s %.0f/%.0f", teamConfig.Name, c.mirror.UseByTeam[teamConfig.Name].CPUs, teamConfig.CPUsMax)
 		}
 	}
 	return s
--- a/internal/coordination/swarms_test.go
+++ b/internal/coordination/swarms_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestGuest: whose submissions go after the others'.
-func TestSwarming(t *testing.T) {
+func TestRateLimitedTeams(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		sent      map[string]int
@@ -28,70 +28,70 @@
 		{"nobody else", map[string]int{"guest": 50}, protocol.Standard, true, false},
 		{"services that come in a burst", map[string]int{"guest": 50, "home": 10}, protocol.High, true, false},
 	} {
-		core := newCluster(t, 1).steady().nodes["n-0"].core
+		core := newCluster(t, 1).startWithLeader().nodes["n-0"].controller
 		for team, n := range tc.sent {
 			for i := 0; i < n; i++ {
-				core.counted(&bookkeeping.Spec{Team: team})
+				core.countSubmission(&bookkeeping.JobSpec{Team: team})
 			}
 		}
 		if tc.contended {
-			core.queue.Add(bookkeeping.Call{StoreCall: &protocol.StoreCall{}, Rank: bookkeeping.RankShard, Since: core.now() - 2*sec})
+			core.storeQueue.Add(bookkeeping.Call{StoreCall: &protocol.StoreCall{}, Priority: bookkeeping.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
 		}
-		if got := core.swarms(&bookkeeping.Spec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
+		if got := core.isRateLimited(&bookkeeping.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
 	}
 }
 
-// swarmed is a cluster with a team at home and a swarm, and machines that are up.
-func swarmed(t *testing.T, seed uint64, facts func(*config.Config)) (c *cluster) {
+// newBurstCluster is a cluster with a team at home and a swarm, and machines that are up.
+func newBurstCluster(t *testing.T, seed uint64, facts func(*config.Config)) (c *cluster) {
 	c = newCluster(t, seed)
-	c.facts = facts
-	return c.swarmed()
+	c.adjustFacts = facts
+	return c.startBurst()
 }
 
-func (c *cluster) swarmed() *cluster {
+func (c *cluster) startBurst() *cluster {
 	c.t.Helper()
 	c.teams = []config.Team{{Name: "home", CPUs: 100, CPUsMax: 400}, {Name: "guest"}}
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.Offer("m16", z, false)] = 10
-		c.cloud.Capacity[standin.Offer("m16", z, true)] = 10
+		c.cloud.Capacity[standin.OfferKey("m16", z, false)] = 10
+		c.cloud.Capacity[standin.OfferKey("m16", z, true)] = 10
 	}
-	c.steady()
+	c.startWithLeader()
 	keep := c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(60),
 		withCPUs(3))
-	if !c.sim.RunUntil(60*sec, func() bool { return c.fleet.Running(keep) == 60 }) {
+	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(keep) == 60 }) {
 		c.t.Fatal("the service isn't up")
 	}
 	return c
 }
 
-// TestSwarm: a swarm sends tiny jobs several times as fast as the store takes them; of
+// TestBurstLeavesOthersUnharmed: a swarm sends tiny jobs several times as fast as the store takes them; of
 // the others' submissions none waits for long, their services start once a machine is
 // up, and what the swarm is refused it is told at once, with when to come back; half of
 // its jobs and more are served all the same. Without ranks of their own they had most of
 // all changes; with the answers of its jobs among the shards, machines that were up were
 // not claimed for six seconds.
-func TestSwarm(t *testing.T) {
+func TestBurstLeavesOthersUnharmed(t *testing.T) {
 	for seed := uint64(2000); seed < 2004; seed++ {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { swarm(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runBurst(t, seed) })
 	}
 }
 
-func swarm(t *testing.T, seed uint64) {
-	c := swarmed(t, seed, nil)
+func runBurst(t *testing.T, seed uint64) {
+	c := newBurstCluster(t, seed, nil)
 	changes := c.store.Changes
-	accepted := map[string]micros.T{}
-	c.accepted = func(id string) { accepted[id] = c.sim.Now() }
-	sentAt := map[string]micros.T{}
+	accepted := map[string]micros.Micros{}
+	c.onAccepted = func(id string) { accepted[id] = c.sim.Now() }
+	sentAt := map[string]micros.Micros{}
 	var swarming, services []string
 	refused, silent, started := 0, 0, 0
-	unclaimed, longest := map[string]micros.T{}, micros.T(0) // machines that are up
+	unclaimed, longest := map[string]micros.Micros{}, micros.Micros(0) // machines that are up
 	var look func()
 	look = func() {
-		for id, w := range c.fleet.Workers {
-			if unclaimed[id] += 250 * micros.Millisecond; w.Token == 0 && !w.Machine.Gone {
+		for id, worker := range c.fleet.Workers {
+			if unclaimed[id] += 250 * micros.Millisecond; worker.FencingToken == 0 && !worker.Machine.Gone {
 				longest = max(longest, unclaimed[id])
 			}
 		}
@@ -101,26 +101,26 @@
 	const seconds = 40
 	for s := 0; s < seconds; s++ {
 		for i := 0; i < 30; i++ {
-			id := c.send(2*sec, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25),
+			id := c.submitWithRetry(2*second, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25),
 				withMemoryGB(0.5), withSpot(true), withEstimateS(2))
 			swarming = append(swarming, id)
 		}
-		id := c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
+		id := c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
 		services, sentAt[id] = append(services, id), c.sim.Now()
-		_, j := c.spec(withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25))
-		begun := c.sim.Now()
-		c.request(c.names[s%3], "POST", protocol.JobsPath, protocol.MustMarshal(j), func(r Reply) {
-			if r.Status == 429 {
+		_, j := c.newSubmission(withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25))
+		startedAt := c.sim.Now()
+		c.sendRequest(c.nodeNames[s%3], "POST", protocol.JobsPath, protocol.MustMarshal(j), func(response Response) {
+			if response.Status == 429 {
 				refused++
-				if r.RetryAfter == 0 || c.sim.Now() != begun {
+				if response.RetryAfter == 0 || c.sim.Now() != startedAt {
 					silent++
 				}
 			}
 		})
-		c.sim.After(c.cloud.Boot+8*sec, func() { started += c.fleet.Running(id) })
-		c.sim.Run(sec)
+		c.sim.After(c.cloud.BootTime+8*second, func() { started += c.fleet.Running(id) })
+		c.sim.Run(second)
 	}
-	c.sim.Run(c.cloud.Boot + 8*sec)
+	c.sim.Run(c.cloud.BootTime + 8*second)
 	late := 0
 	for _, id := range services {
 		if at, ok := accepted[id]; !ok || at-sentAt[id] > 1500*micros.Millisecond {
@@ -134,7 +134,7 @@
 		}
 	}
 	t.Logf("of %d services %d accepted late, %d run; of %d guests %d accepted; %d refused; %d changes; a machine waited %v s for its claim", len(services), late, started, len(swarming), served, refused, c.store.Changes-changes, longest.Seconds())
-	if longest > 5*sec {
+	if longest > 5*second {
 		t.Errorf("a machine that was up waited %v s for its claim", longest.Seconds())
 	}
 	if late > len(services)/10 || started < len(services)*9/10 {
@@ -146,16 +146,16 @@
 	if refused == 0 || silent > 0 {
 		t.Errorf("%d refused, %d of them late or not told when to come back", refused, silent)
 	}
-	if n := c.store.Changes - changes; n > (seconds+int(c.cloud.Boot/sec)+9)*50 {
+	if n := c.store.Changes - changes; n > (seconds+int(c.cloud.BootTime/second)+9)*50 {
 		t.Errorf("%d changes", n)
 	}
-	c.rules()
+	c.requireNoViolations()
 }
 
-// TestHugeArray: 25,000 tasks of a quarter of a CPU for a few seconds beside another
+// TestHugeArrayLeavesServicesUnharmed: 25,000 tasks of a quarter of a CPU for a few seconds beside another
 // team's services, which start as if it weren't there; counted are the changes that a
 // task costs, and the largest value, report and answer.
-func TestHugeArray(t *testing.T) {
+func TestHugeArrayLeavesServicesUnharmed(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		kb          float64
@@ -164,15 +164,15 @@
 		{"4 KiB a value", 4, 8000, 4},
 		{"1 KiB: bytes of the pages are short", 1, 4000, 4},
 	} {
-		t.Run(tc.name, func(t *testing.T) { hugeArray(t, tc.kb, tc.done, tc.waits) })
+		t.Run(tc.name, func(t *testing.T) { runHugeArray(t, tc.kb, tc.done, tc.waits) })
 	}
 }
 
-func hugeArray(t *testing.T, kb float64, least, most int) {
-	c := swarmed(t, 2100, func(cfg *config.Config) { cfg.Facts.State.ValueKB = kb })
+func runHugeArray(t *testing.T, kb float64, least, most int) {
+	c := newBurstCluster(t, 2100, func(cfg *config.Config) { cfg.Facts.State.ValueKB = kb })
 	largest := 0
-	c.copies = func(_ *standin.Worker, _ string, body []byte) { largest = max(largest, len(body)) }
-	sweep := c.submit(4*sec, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(25000),
+	c.onReport = func(_ *standin.Worker, _ string, body []byte) { largest = max(largest, len(body)) }
+	sweep := c.submit(4*second, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(25000),
 		withCPUs(0.25), withMemoryGB(0.45), withSpot(true), withEstimateS(4))
 	changes, requests := c.store.Changes, 0
 	for _, n := range c.store.Calls {
@@ -181,16 +181,16 @@
 	value, waits := 0, 0
 	for s := 0; s < 100; s++ {
 		if s%5 == 0 {
-			id := c.send(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
-			c.sim.After(4*sec, func() {
+			id := c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
+			c.sim.After(4*second, func() {
 				if c.fleet.Running(id) == 0 {
 					waits++
 				}
 			})
 		}
-		c.sim.Run(sec)
-		for _, k := range c.store.Keys(bookkeeping.Root) {
-			value = max(value, c.store.Size(k))
+		c.sim.Run(second)
+		for _, k := range c.store.Keys(bookkeeping.KeyPrefix) {
+			value = max(value, c.store.JSONSize(k))
 		}
 	}
 	for _, n := range c.store.Calls {
@@ -198,12 +198,12 @@
 	}
 	done := 0
 	for task := range c.fleet.Finished {
-		if jobOfTask(task) == sweep {
+		if jobIDOfTask(task) == sweep {
 			done++
 		}
 	}
 	changes = c.store.Changes - changes
-	t.Logf("%d tasks done, %d changes, %d requests; largest value %d, report %d, answer %d; %d services waited", done, changes, requests, value, largest, c.largest, waits)
+	t.Logf("%d tasks done, %d changes, %d requests; largest value %d, report %d, answer %d; %d services waited", done, changes, requests, value, largest, c.largestResponse, waits)
 	for _, tc := range []struct {
 		what           string
 		n, least, most int
@@ -213,44 +213,44 @@
 		{"requests", requests, 1, 100 * 150},
 		{"largest value", value, 1, int(kb * 1024)},
 		{"largest report", largest, 1, 64 << 10},
-		{"largest answer", c.largest, 1, 64 << 10},
+		{"largest answer", c.largestResponse, 1, 64 << 10},
 		{"services that waited for four seconds", waits, 0, most},
 	} {
 		if tc.n < tc.least || tc.n > tc.most {
 			t.Errorf("%s: %d, want %d to %d", tc.what, tc.n, tc.least, tc.most)
 		}
 	}
-	r := c.ask("n-0", "POST", protocol.CancelPath(sweep), nil)
-	if r.Status != 200 {
-		t.Errorf("cancelling it: %d", r.Status)
+	response := c.requestAndWait("n-0", "POST", protocol.CancelPath(sweep), nil)
+	if response.Status != 200 {
+		t.Errorf("cancelling it: %d", response.Status)
 	}
-	c.check.Cancelled(sweep)
-	c.sim.Run(35 * sec)
+	c.checker.CancellationConfirmed(sweep)
+	c.sim.Run(35 * second)
 	if n := c.fleet.Running(sweep); n > 0 {
 		t.Errorf("%d of its tasks still run", n)
 	}
-	c.rules()
+	c.requireNoViolations()
 }
 
-// TestPollStorm: users ask a few hundred times a second, one controller is down: every
+// TestPollStormIsBounded: users ask a few hundred times a second, one controller is down: every
 // question is answered at once or told when to come back, jobs that are over cost the
 // store nothing, the others a few watches; submissions and leases have their turn.
-func TestPollStorm(t *testing.T) {
-	c := swarmed(t, 2200, nil)
+func TestPollStormIsBounded(t *testing.T) {
+	c := newBurstCluster(t, 2200, nil)
 	var open, over []string
 	for i := 0; i < 10; i++ {
-		over = append(over, c.submit(sec, withTeam("home"), withCPUs(0.5)))
-		open = append(open, c.submit(300*sec, withTeam("home"), withCPUs(0.5)))
+		over = append(over, c.submit(second, withTeam("home"), withCPUs(0.5)))
+		open = append(open, c.submit(300*second, withTeam("home"), withCPUs(0.5)))
 	}
 	for _, id := range over {
-		c.finished(id, 30*sec)
+		c.requireFinished(id, 30*second)
 	}
-	c.refuse = true
+	c.refuseConnections = true
 	c.kill("n-2")
-	c.sim.Run(10 * sec)
+	c.sim.Run(10 * second)
 	sessions := map[string]uint64{}
-	for id, w := range c.fleet.Workers {
-		sessions[id] = w.Session
+	for id, worker := range c.fleet.Workers {
+		sessions[id] = worker.Incarnation
 	}
 	storm := func(ids []string) (requests, answered, late int) {
 		for _, n := range c.store.Calls {
@@ -258,36 +258,36 @@
 		}
 		for s := 0; s < 100; s++ {
 			for i := 0; i < 80; i++ {
-				begun := c.sim.Now()
-				c.request(c.names[i%2], "GET", protocol.JobPath(ids[i%len(ids)]), nil, func(r Reply) {
+				startedAt := c.sim.Now()
+				c.sendRequest(c.nodeNames[i%2], "GET", protocol.JobPath(ids[i%len(ids)]), nil, func(response Response) {
 					switch {
-					case r.Status == 200 || r.Status == 429 && r.RetryAfter > 0:
+					case response.Status == 200 || response.Status == 429 && response.RetryAfter > 0:
 						answered++
-						if c.sim.Now()-begun > sec {
+						if c.sim.Now()-startedAt > second {
 							late++
 						}
 					default:
-						t.Errorf("answered %d", r.Status)
+						t.Errorf("answered %d", response.Status)
 					}
 				})
 			}
 			c.sim.Run(100 * micros.Millisecond)
 		}
-		c.sim.Run(sec)
+		c.sim.Run(second)
 		for _, n := range c.store.Calls {
 			requests += n
 		}
 		return requests, answered, late
 	}
 	calm, _, _ := storm(over)
-	id := c.send(sec, withTeam("home"), withCPUs(0.5))
-	taken := micros.T(0)
-	c.accepted = func(got string) {
+	id := c.submitWithRetry(second, withTeam("home"), withCPUs(0.5))
+	taken := micros.Micros(0)
+	c.onAccepted = func(got string) {
 		if got == id {
 			taken = c.sim.Now()
 		}
 	}
-	begun := c.sim.Now()
+	startedAt := c.sim.Now()
 	requests, answered, late := storm(open)
 	t.Logf("%d questions, %d answered, %d late; %d requests, %d for jobs that are over", 8000, answered, late, requests, calm)
 	if answered < 8000 || late > 0 {
@@ -296,33 +296,33 @@
 	if requests > calm+11*60 {
 		t.Errorf("%d requests of the store, %d without", requests, calm)
 	}
-	if taken == 0 || taken-begun > 3*sec {
-		t.Errorf("a submission was accepted after %v s", (taken - begun).Seconds())
+	if taken == 0 || taken-startedAt > 3*second {
+		t.Errorf("a submission was accepted after %v s", (taken - startedAt).Seconds())
 	}
-	for id, w := range c.fleet.Workers {
-		if !w.Machine.Gone && w.Session != sessions[id] {
+	for id, worker := range c.fleet.Workers {
+		if !worker.Machine.Gone && worker.Incarnation != sessions[id] {
 			t.Errorf("%s lost its lease", id)
 		}
 	}
-	c.rules()
+	c.requireNoViolations()
 }
 
 // TestPageBytes: past four fifths of a shard's bytes no more tasks of the lowest priority
 // go to its machines, however much room they have, so that others' find some.
-func TestShardBytes(t *testing.T) {
-	core := newCluster(t, 2300).steady().nodes["n-0"].core
+func TestShardBytesReservedForHigherPriority(t *testing.T) {
+	core := newCluster(t, 2300).startWithLeader().nodes["n-0"].controller
 	for _, tc := range []struct {
 		partition float64 // of what a shard is filled to
 		swarms    bool
 		service   bool
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
-		d := newShardUpdate("n-0.1", nil, &bookkeeping.Shard{Jobs: map[string]*bookkeeping.ShardJob{}})
-		d.bound = int(tc.partition * float64(core.shardLimit()))
-		cands := []*candidate{{m: &machine{id: "i-1", images: map[string]bool{}}, rec: &bookkeeping.ShardMachine{Type: "m8", Zone: "a"}, d: d, free: amount{cpus: 8, mem: 64}}}
+		update := NewShardUpdate("n-0.1", nil, &bookkeeping.Shard{Jobs: map[string]*bookkeeping.ShardJob{}})
+		update.MaxBytes = int(tc.partition * float64(core.assignmentShardBytes()))
+		candidates := []*candidateMachine{{machine: &Machine{ID: "i-1", CachedImages: map[string]bool{}}, record: &bookkeeping.ShardMachine{Type: "m8", Zone: "a"}, update: update, freeResources: Resources{CPUs: 8, MemoryGB: 64}}}
 		for _, service := range []bool{false, true} {
-			j := &job{id: "j-900000", need: amount{cpus: 0.25}, state: make([]uint8, 1),
-				rec: bookkeeping.OpenJob{Spec: bookkeeping.Spec{Tasks: 1, CPUs: 0.25, Service: service, Priority: int(protocol.BestEffort)}}}
-			if got := core.choose(j, cands, newZoneRule(core.view, j), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
+			job := &Job{ID: "j-900000", TaskResources: Resources{CPUs: 0.25}, TaskStates: make([]uint8, 1),
+				Record: bookkeeping.OpenJob{Spec: bookkeeping.JobSpec{Tasks: 1, CPUs: 0.25, Service: service, Priority: int(protocol.BestEffort)}}}
+			if got := core.chooseMachine(job, candidates, newZoneConstraint(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
 				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
 			}
 		}
--- a/internal/coordination/timing_test.go
+++ b/internal/coordination/timing_test.go
@@ -6,9 +6,9 @@
 	"pipitgap/internal/config"
 )
 
-// TestTiming: bounds follow the platform's durations, and a platform whose durations the
+// TestDurationsFollowPlatform: bounds follow the platform's durations, and a platform whose durations the
 // design doesn't cover is warned of at start, with the consequence.
-func TestTiming(t *testing.T) {
+func TestDurationsFollowPlatform(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		workers    config.Workers
@@ -16,25 +16,25 @@
 		renewal    float64
 		warned     []string
 	}{
-		{"short leases", config.Workers{ReportS: 0.8, LeaseS: 10, CancelS: 30}, 5, 19, nil},
-		{"usual leases", config.Workers{ReportS: 2, LeaseS: 12, CancelS: 32}, 6, 19, nil},
-		{"long leases", config.Workers{ReportS: 5, LeaseS: 28, CancelS: 53}, 8, 24, nil},
-		{"no time for a successor", config.Workers{ReportS: 1, LeaseS: 6.5, CancelS: 30}, 4, 22.5, []string{"facts.workers.lease_s"}},
-		{"nor for another controller", config.Workers{ReportS: 1, LeaseS: 5, CancelS: 30}, 4, 24, []string{"facts.workers.lease_s", "facts.workers.lease_s"}},
-		{"leases outlast cancellations", config.Workers{ReportS: 2, LeaseS: 30, CancelS: 20}, 8, 3, []string{"facts.workers.cancel_s"}},
+		{"short leases", config.Workers{HeartbeatIntervalS: 0.8, LeaseS: 10, CancelWithinS: 30}, 5, 19, nil},
+		{"usual leases", config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32}, 6, 19, nil},
+		{"long leases", config.Workers{HeartbeatIntervalS: 5, LeaseS: 28, CancelWithinS: 53}, 8, 24, nil},
+		{"no time for a successor", config.Workers{HeartbeatIntervalS: 1, LeaseS: 6.5, CancelWithinS: 30}, 4, 22.5, []string{"facts.workers.lease_s"}},
+		{"nor for another controller", config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelWithinS: 30}, 4, 24, []string{"facts.workers.lease_s", "facts.workers.lease_s"}},
+		{"leases outlast cancellations", config.Workers{HeartbeatIntervalS: 2, LeaseS: 30, CancelWithinS: 20}, 8, 3, []string{"facts.workers.cancel_s"}},
 	} {
-		derived := newTiming(tc.workers)
-		if derived.membership.Seconds() != tc.membership || derived.renewal.Seconds() != tc.renewal {
-			t.Errorf("%s: membership %v s, renewal %v s", tc.name, derived.membership.Seconds(), derived.renewal.Seconds())
+		derived := newPlatformDurations(tc.workers)
+		if derived.membershipTTL.Seconds() != tc.membership || derived.renewalWindow.Seconds() != tc.renewal {
+			t.Errorf("%s: membership %v s, renewal %v s", tc.name, derived.membershipTTL.Seconds(), derived.renewalWindow.Seconds())
 		}
 		warned := derived.warnings()
 		if len(warned) != len(tc.warned) {
 			t.Errorf("%s: warned %v, want of %v", tc.name, warned, tc.warned)
 			continue
 		}
-		for i, w := range warned {
-			if w.field != tc.warned[i] || w.consequence == "" {
-				t.Errorf("%s: warned %v, want of %v", tc.name, w, tc.warned[i])
+		for i, warning := range warned {
+			if warning.field != tc.warned[i] || warning.consequence == "" {
+				t.Errorf("%s: warned %v, want of %v", tc.name, warning, tc.warned[i])
 			}
 		}
 	}
--- a/internal/coordination/users.go
+++ b/internal/coordination/users.go
@@ -15,459 +15,461 @@
 // Bounds of what waits for the store on behalf of users; past them the answer
 // is an immediate 429.
 const (
-	mostReaders  = 2048
-	mostOpenJobs = 5000
+	maxWaitingReaders = 2048
+	maxOpenJobs       = 5000
 )
 
-// mostUserCalls bounds what waits in the queue to well under the time that a user
+// maxQueuedUserCalls bounds what waits in the queue to well under the time that a user
 // waits for an answer.
-func (c *Core) mostUserCalls() int { return max(4, int(c.queue.Writes.Rate*0.75)) }
+func (c *Controller) maxQueuedUserCalls() int { return max(4, int(c.storeQueue.Writes.Rate*0.75)) }
 
-func errorReply(status int, text string) Reply {
-	return Reply{Status: status, Body: protocol.MustMarshal(&protocol.ErrorBody{Error: text})}
+func errorResponse(status int, text string) Response {
+	return Response{Status: status, Body: protocol.MustMarshal(&protocol.ErrorBody{Error: text})}
 }
 
-// later is the immediate answer to what can't be taken now.
-func (c *Core) later(status int, text string) Reply {
-	c.stats.later++
+// retryLater is the immediate answer to what can't be taken now.
+func (c *Controller) retryLater(status int, text string) Response {
+	c.counters.requestsDeferred++
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
 		c.log.Debug("request deferred", "status", status, "reason", text,
-			"user_calls", c.queue.Waiting(bookkeeping.RankUser),
-			"shard_calls", c.queue.Waiting(bookkeeping.RankShard),
-			"waiting_readers", len(c.waitingReaders))
+			"user_calls", c.storeQueue.Len(bookkeeping.PriorityUserRequest),
+			"shard_calls", c.storeQueue.Len(bookkeeping.PriorityShardUpdate),
+			"waiting_readers", len(c.pendingReads))
 	}
-	r := errorReply(status, text)
-	r.RetryAfter = 1
-	if c.storeDown {
+	response := errorResponse(status, text)
+	response.RetryAfter = 1
+	if c.storeUnavailable {
 		// Spread over a few seconds: the return must not be a stampede.
-		r.RetryAfter = 1 + int(c.env.Rand().Int64N(3))
+		response.RetryAfter = 1 + int(c.env.Rand().Int64N(3))
 	}
-	return r
+	return response
 }
 
-// OnRequest answers a request of a user or a worker. The answer may come later,
+// HandleRequest answers a request of a user or a worker. The answer may come later,
 // but never because it is held back: only as long as the store takes.
-func (c *Core) OnRequest(method, target string, body []byte, answer func(Reply)) {
-	c.noteStill(c.now())
+func (c *Controller) HandleRequest(method, target string, body []byte, respond func(Response)) {
+	c.detectPause(c.now())
 	path, query, _ := strings.Cut(target, "?")
 	if query != "" && path != "/healthz" {
-		answer(errorReply(400, "no parameters are known here"))
+		respond(errorResponse(400, "no parameters are known here"))
 		return
 	}
 	only := func(m string) bool {
 		if method != m {
-			answer(errorReply(405, "use "+m))
+			respond(errorResponse(405, "use "+m))
 		}
 		return method == m
 	}
 	switch {
 	case path == "/healthz":
 		if only("GET") {
-			answer(c.health())
+			respond(c.healthResponse())
 		}
 	case path == protocol.HeartbeatPath:
 		if only("POST") {
-			c.onCheckin(body, answer)
+			c.handleHeartbeat(body, respond)
 		}
 	case path == protocol.JobsPath:
 		if only("POST") {
-			c.onSubmit(body, answer)
+			c.handleSubmit(body, respond)
 		}
 	case strings.HasPrefix(path, protocol.JobsPath+"/"):
 		id, cancel, _ := protocol.ParseJobPath(path)
 		if cancel {
 			if only("POST") {
-				c.onAbort(id, answer)
+				c.handleAbort(id, respond)
 			}
 			return
 		}
 		if strings.Contains(id, "/") {
-			answer(errorReply(404, "no such path"))
+			respond(errorResponse(404, "no such path"))
 			return
 		}
 		if only("GET") {
-			c.onPoll(id, answer)
+			c.handleStatus(id, respond)
 		}
 	default:
-		answer(errorReply(404, "no such path"))
+		respond(errorResponse(404, "no such path"))
 	}
 }
 
-// health: a node that can't take requests while others can says so. In an
+// healthResponse: a node that can't take requests while others can says so. In an
 // outage that all share it stays healthy, so that no time is lost afterwards.
-func (c *Core) health() Reply {
-	if !c.ready {
-		return c.later(503, "records not read yet")
+func (c *Controller) healthResponse() Response {
+	if !c.mirrorReady {
+		return c.retryLater(503, "records not read yet")
 	}
 	now := c.now()
-	_, alone := c.refusedAlone(now)
-	if alone || c.isolated(now) {
-		return c.later(503, "state service out of reach")
+	_, alone := c.storeUnreachableOnlyHere(now)
+	if alone || c.isIsolated(now) {
+		return c.retryLater(503, "state service out of reach")
 	}
-	return Reply{Status: 200}
+	return Response{Status: 200}
 }
 
-func status(id string, s bookkeeping.JobStatus) Reply {
+func acceptedResponse(id string, status bookkeeping.JobState) Response {
 	w := protocol.JobDone
-	if s == bookkeeping.Cancelled {
+	if status == bookkeeping.JobCancelled {
 		w = protocol.JobCancelled
 	}
-	return Reply{Status: 200, Body: protocol.MustMarshal(&protocol.Accepted{ID: id, Status: w})}
+	return Response{Status: 200, Body: protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: w})}
 }
 
-// statusOf is the answer about a job that the mirror holds.
-func (c *Core) statusOf(j *job) Reply {
-	if !j.open() {
-		return c.final(j.id, j.over)
+// jobStatusResponse is the answer about a job that the mirror holds.
+func (c *Controller) jobStatusResponse(job *Job) Response {
+	if !job.IsOpen() {
+		return c.finalStatusResponse(job.ID, job.FinalStatus)
 	}
-	st := protocol.JobStatus{ID: j.id, Status: protocol.JobPending, Done: j.done, Running: j.held}
-	if j.held > 0 {
-		st.Status = protocol.JobRunning
+	jobStatus := protocol.JobStatusReply{ID: job.ID, Status: protocol.JobPending, Done: job.DoneTasks, Running: job.AssignedTasks}
+	if job.AssignedTasks > 0 {
+		jobStatus.Status = protocol.JobRunning
 	}
-	return Reply{Status: 200, Body: protocol.MustMarshal(&st)}
+	return Response{Status: 200, Body: protocol.MustMarshal(&jobStatus)}
 }
 
-func (c *Core) final(id string, s bookkeeping.JobStatus) Reply {
-	st := protocol.JobStatus{ID: id, Status: protocol.JobDone}
-	if s == bookkeeping.Cancelled {
-		st.Status = protocol.JobCancelled
+func (c *Controller) finalStatusResponse(id string, status bookkeeping.JobState) Response {
+	jobStatus := protocol.JobStatusReply{ID: id, Status: protocol.JobDone}
+	if status == bookkeeping.JobCancelled {
+		jobStatus.Status = protocol.JobCancelled
 	}
-	return Reply{Status: 200, Body: protocol.MustMarshal(&st)}
+	return Response{Status: 200, Body: protocol.MustMarshal(&jobStatus)}
 }
 
-// unready tells whether the store can't be asked for users at all; then the
+// rejectIfUnavailable tells whether the store can't be asked for users at all; then the
 // answer is immediate.
-func (c *Core) unready() (Reply, bool) {
+func (c *Controller) rejectIfUnavailable() (Response, bool) {
 	switch {
-	case !c.ready:
-		return c.later(503, "records not read yet"), true
-	case c.storeDown:
-		return c.later(503, "state service out of reach"), true
+	case !c.mirrorReady:
+		return c.retryLater(503, "records not read yet"), true
+	case c.storeUnavailable:
+		return c.retryLater(503, "state service out of reach"), true
 	}
-	return Reply{}, false
+	return Response{}, false
 }
 
-// busy tells whether the store can't take more for users.
-func (c *Core) busy() (Reply, bool) {
-	if r, no := c.unready(); no {
-		return r, true
+// rejectIfOverloaded tells whether the store can't take more for users.
+func (c *Controller) rejectIfOverloaded() (Response, bool) {
+	if response, rejected := c.rejectIfUnavailable(); rejected {
+		return response, true
 	}
-	if c.queue.Waiting(bookkeeping.RankUser) >= c.mostUserCalls() {
-		return c.later(429, "too many requests"), true
+	if c.storeQueue.Len(bookkeeping.PriorityUserRequest) >= c.maxQueuedUserCalls() {
+		return c.retryLater(429, "too many requests"), true
 	}
-	return Reply{}, false
+	return Response{}, false
 }
 
-func (c *Core) onSubmit(body []byte, answer func(Reply)) {
-	sub, bad := protocol.ParseSubmission(body)
-	if sub.ID == "" {
-		answer(errorReply(400, bad.Error()))
+func (c *Controller) handleSubmit(body []byte, respond func(Response)) {
+	submission, bad := protocol.ParseSubmission(body)
+	if submission.ID == "" {
+		respond(errorResponse(400, bad.Error()))
 		return
 	}
-	if s, ok := c.view.finals.get(sub.ID); ok {
-		answer(c.final(sub.ID, s))
+	if status, ok := c.mirror.Results.Get(submission.ID); ok {
+		respond(c.finalStatusResponse(submission.ID, status))
 		return
 	}
 	if bad != nil {
 		// A known job is known, whatever its repeated submission looks like. Only
 		// a node that can't ask gives the verdict on the text alone.
-		if _, no := c.busy(); no {
-			if !c.ready || c.view.jobs[sub.ID] != nil {
-				answer(c.later(503, "state service out of reach"))
+		if _, rejected := c.rejectIfOverloaded(); rejected {
+			if !c.mirrorReady || c.mirror.Jobs[submission.ID] != nil {
+				respond(c.retryLater(503, "state service out of reach"))
 				return
 			}
-			answer(errorReply(400, bad.Error()))
+			respond(errorResponse(400, bad.Error()))
 			return
 		}
-		c.known(sub.ID, errorReply(400, bad.Error()), answer)
+		c.lookUpJobOr(submission.ID, errorResponse(400, bad.Error()), respond)
 		return
 	}
-	if r, no := c.busy(); no {
-		answer(r)
+	if response, rejected := c.rejectIfOverloaded(); rejected {
+		respond(response)
 		return
 	}
-	if c.view.jobs[sub.ID] != nil {
-		c.onPoll(sub.ID, answer)
+	if c.mirror.Jobs[submission.ID] != nil {
+		c.handleStatus(submission.ID, respond)
 		return
 	}
-	if c.types == nil {
-		answer(c.later(503, "machine types not known yet"))
+	if c.machineTypes == nil {
+		respond(c.retryLater(503, "machine types not known yet"))
 		return
 	}
-	spec := bookkeeping.SpecOf(sub)
-	if why := c.never(&spec); why != "" {
-		c.known(sub.ID, errorReply(422, why), answer)
+	spec := bookkeeping.JobSpecOf(submission)
+	if why := c.unsatisfiableReason(&spec); why != "" {
+		c.lookUpJobOr(submission.ID, errorResponse(422, why), respond)
 		return
 	}
-	if len(c.view.jobs) >= mostOpenJobs {
-		answer(c.later(429, "too many unfinished jobs"))
+	if len(c.mirror.Jobs) >= maxOpenJobs {
+		respond(c.retryLater(429, "too many unfinished jobs"))
 		return
 	}
-	c.counted(&spec)
-	if c.swarms(&spec) && c.queue.Waiting(bookkeeping.RankSwarm) >= c.swarmPlaces() {
-		r := c.later(429, "too many jobs of this team")
-		r.RetryAfter += 1 + int(c.env.Rand().Int64N(3))
-		answer(r)
+	c.countSubmission(&spec)
+	if c.isRateLimited(&spec) && c.storeQueue.Len(bookkeeping.PriorityBurst) >= c.maxQueuedBurstCalls() {
+		response := c.retryLater(429, "too many jobs of this team")
+		response.RetryAfter += 1 + int(c.env.Rand().Int64N(3))
+		respond(response)
 		return
 	}
-	c.accept(sub.ID, spec, answer)
+	c.acceptJob(submission.ID, spec, respond)
 }
 
-// known answers with the job's state if the store knows it, else with other.
-func (c *Core) known(id string, other Reply, answer func(Reply)) {
-	c.lookUp(id, func(r Reply) {
-		if r.Status == 404 {
-			r = other
+// lookUpJobOr answers with the job's state if the store knows it, else with other.
+func (c *Controller) lookUpJobOr(id string, other Response, respond func(Response)) {
+	c.lookUpJob(id, func(response Response) {
+		if response.Status == 404 {
+			response = other
 		}
-		answer(r)
+		respond(response)
 	})
 }
 
-// never tells why a job can never run, or "".
-func (c *Core) never(s *bookkeeping.Spec) string {
-	team, ok := c.team(s.Team)
+// unsatisfiableReason tells why a job can never run, or "".
+func (c *Controller) unsatisfiableReason(spec *bookkeeping.JobSpec) string {
+	team, ok := c.teamLimits(spec.Team)
 	if !ok {
 		return "unknown team"
 	}
 	n := 1.0
-	if s.Service {
-		n = float64(s.Tasks)
+	if spec.Service {
+		n = float64(spec.Tasks)
 	}
-	if team.CPUsMax > 0 && s.CPUs*n > team.CPUsMax+slack || team.GPUsMax > 0 && s.GPUs*n > team.GPUsMax+slack {
+	if team.maxCPUs > 0 && spec.CPUs*n > team.maxCPUs+resourceTolerance || team.maxGPUs > 0 && spec.GPUs*n > team.maxGPUs+resourceTolerance {
 		return "needs more than the team's limit"
 	}
-	need := needOf(s)
-	for _, name := range sortedKeys(c.types) {
-		t := c.types[name]
-		if allowed(s, t.Name, s.Zone) && need.fits(capacity(&t)) && (s.Zone == "" || slices.Contains(t.Zones, s.Zone)) {
+	taskResources := TaskResources(spec)
+	for _, name := range sortedKeys(c.machineTypes) {
+		machineType := c.machineTypes[name]
+		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) && taskResources.FitsIn(machineCapacity(&machineType)) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
 			return ""
 		}
 	}
 	return "a task fits no allowed machine type"
 }
 
-func (c *Core) team(name string) (team teamLimit, ok bool) {
+func (c *Controller) teamLimits(name string) (team teamLimits, ok bool) {
 	for i := range c.cfg.Facts.Teams {
-		t := &c.cfg.Facts.Teams[i]
-		if t.Name == name {
-			return teamLimit{CPUs: t.CPUs, CPUsMax: t.CPUsMax, GPUs: t.GPUs, GPUsMax: t.GPUsMax}, true
+		teamConfig := &c.cfg.Facts.Teams[i]
+		if teamConfig.Name == name {
+			return teamLimits{guaranteedCPUs: teamConfig.CPUs, maxCPUs: teamConfig.CPUsMax, guaranteedGPUs: teamConfig.GPUs, maxGPUs: teamConfig.GPUsMax}, true
 		}
 	}
-	return teamLimit{}, false
+	return teamLimits{}, false
 }
 
-type teamLimit struct{ CPUs, CPUsMax, GPUs, GPUsMax float64 }
+type teamLimits struct{ guaranteedCPUs, maxCPUs, guaranteedGPUs, maxGPUs float64 }
 
-func (t teamLimit) limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
+func (t teamLimits) hasLimit() bool { return t.maxCPUs > 0 || t.maxGPUs > 0 }
 
-// left tells what the team may still use.
-func (t teamLimit) left(used amount) amount {
-	room := amount{math.Inf(1), math.Inf(1), math.Inf(1)}
-	if t.CPUsMax > 0 {
-		room.cpus = exact(t.CPUsMax) - used.cpus
+// remaining tells what the team may still use.
+func (t teamLimits) remaining(used Resources) Resources {
+	available := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
+	if t.maxCPUs > 0 {
+		available.CPUs = roundToUnit(t.maxCPUs) - used.CPUs
 	}
-	if t.GPUsMax > 0 {
-		room.gpus = exact(t.GPUsMax) - used.gpus
+	if t.maxGPUs > 0 {
+		available.GPUs = roundToUnit(t.maxGPUs) - used.GPUs
 	}
-	return room
+	return available
 }
 
-func (c *Core) accept(id string, spec bookkeeping.Spec, answer func(Reply)) {
-	rec := bookkeeping.OpenJob{Spec: spec, At: c.env.Wall(), Shares: c.split(&spec)}
-	value := protocol.MustMarshal(&rec)
+func (c *Controller) acceptJob(id string, spec bookkeeping.JobSpec, respond func(Response)) {
+	record := bookkeeping.OpenJob{Spec: spec, AcceptedAt: c.env.WallClock(), TaskRanges: c.assignTaskRanges(&spec)}
+	value := protocol.MustMarshal(&record)
 	// The stored form is counted as JSON: about twice the packed one here.
-	if len(value)*2 > c.valueBytes() {
-		c.known(id, errorReply(400, "names too long to be kept"), answer)
+	if len(value)*2 > c.maxValueBytes() {
+		c.lookUpJobOr(id, errorResponse(400, "names too long to be kept"), respond)
 		return
 	}
-	openKey := bookkeeping.Key(bookkeeping.KindOpen, id)
-	t := protocol.Txn{
-		If:   []protocol.Cond{{Key: openKey, Version: 0}, {Key: bookkeeping.Key(bookkeeping.KindJob, id), Version: 0}},
+	openKey := bookkeeping.Key(bookkeeping.KindOpenJob, id)
+	txn := protocol.Transaction{
+		If:   []protocol.Compare{{Key: openKey, Version: 0}, {Key: bookkeeping.Key(bookkeeping.KindJobResult, id), Version: 0}},
 		Then: []protocol.Op{{Put: openKey, Value: value}},
 	}
-	c.commit(c.rankOf(&spec, bookkeeping.RankUser), t, func(r protocol.StoreResult) {
-		switch r.Outcome {
+	c.commitTxn(c.priorityClassOf(&spec, bookkeeping.PriorityUserRequest), txn, func(result protocol.StoreResult) {
+		switch result.Outcome {
 		case protocol.OK:
-			c.stats.accepted++
+			c.counters.jobsAccepted++
 			// Nobody can have placed any of it yet.
-			c.accepted[id] = r.Revision
+			c.acceptedRevisions[id] = result.Revision
 			c.log.Debug("job accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks,
-				"estimate_s", spec.EstimateS, "ranges", len(rec.Shares))
-			answer(Reply{Status: 201, Body: protocol.MustMarshal(&protocol.Accepted{ID: id, Status: protocol.JobPending})})
-			c.fast(c.now())
+				"estimate_s", spec.EstimateS, "ranges", len(record.TaskRanges))
+			respond(Response{Status: 201, Body: protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: protocol.JobPending})})
+			c.runFastTick(c.now())
 		case protocol.Conflict:
-			c.lookUp(id, answer)
+			c.lookUpJob(id, respond)
 		case protocol.Rejected:
 			c.log.Error("job acceptance rejected by state service", "job", id)
-			answer(c.later(503, "not kept"))
+			respond(c.retryLater(503, "not kept"))
 		default:
 			// Unknown: perhaps accepted, perhaps not. The user asks again.
-			answer(c.later(503, "state service out of reach"))
+			respond(c.retryLater(503, "state service out of reach"))
 		}
 	})
 }
 
-// lookUp answers from a mirror as new as the question. What it doesn't hold is over, or
+// lookUpJob answers from a mirror as new as the question. What it doesn't hold is over, or
 // was never accepted: the store itself is asked.
-func (c *Core) lookUp(id string, answer func(Reply)) {
-	if len(c.waitingReaders) >= mostReaders {
-		answer(c.later(429, "too many requests"))
+func (c *Controller) lookUpJob(id string, respond func(Response)) {
+	if len(c.pendingReads) >= maxWaitingReaders {
+		respond(c.retryLater(429, "too many requests"))
 		return
 	}
-	c.current(func(ok bool) {
+	c.whenMirrorCurrent(func(ok bool) {
 		if !ok {
-			answer(c.later(503, "state service out of reach"))
+			respond(c.retryLater(503, "state service out of reach"))
 			return
 		}
-		if j := c.view.jobs[id]; j != nil {
-			answer(c.statusOf(j))
+		if job := c.mirror.Jobs[id]; job != nil {
+			respond(c.jobStatusResponse(job))
 			return
 		}
-		if s, ok := c.view.finals.get(id); ok {
-			answer(c.final(id, s))
+		if status, ok := c.mirror.Results.Get(id); ok {
+			respond(c.finalStatusResponse(id, status))
 			return
 		}
-		if c.queue.Waiting(bookkeeping.RankUser) >= c.mostUserCalls() {
-			answer(c.later(429, "too many requests"))
+		if c.storeQueue.Len(bookkeeping.PriorityUserRequest) >= c.maxQueuedUserCalls() {
+			respond(c.retryLater(429, "too many requests"))
 			return
 		}
-		c.readJob(id, answer)
+		c.readJob(id, respond)
 	})
 }
 
 // readJob asks the store for a job's final answer, then for its open record, so that a
 // record which this mirror can't read is still known, and once more for the final
 // answer: the job may have ended between the two.
-func (c *Core) readJob(id string, answer func(Reply)) {
-	c.readFinal(id, answer, func() {
-		c.readOpen(id, answer, func() {
-			c.readFinal(id, answer, func() { answer(errorReply(404, "no such job")) })
+func (c *Controller) readJob(id string, respond func(Response)) {
+	c.readFinalStatus(id, respond, func() {
+		c.readOpenRecord(id, respond, func() {
+			c.readFinalStatus(id, respond, func() { respond(errorResponse(404, "no such job")) })
 		})
 	})
 }
 
-// readFinal answers with a job's final state, or goes on if the store has none.
-func (c *Core) readFinal(id string, answer func(Reply), none func()) {
-	c.readRecord(bookkeeping.KindJob, id, answer, none, func(value protocol.Raw) {
-		var a bookkeeping.Answer
-		if protocol.Unmarshal(value, &a) != nil {
-			answer(c.later(503, "final state can't be read"))
+// readFinalStatus answers with a job's final state, or goes on if the store has none.
+func (c *Controller) readFinalStatus(id string, respond func(Response), none func()) {
+	c.readRecord(bookkeeping.KindJobResult, id, respond, none, func(value protocol.Raw) {
+		var result bookkeeping.JobResult
+		if protocol.Unmarshal(value, &result) != nil {
+			respond(c.retryLater(503, "final state can't be read"))
 			return
 		}
-		c.view.finals.add(id, a.Status)
-		answer(c.final(id, a.Status))
+		c.mirror.Results.Add(id, result.State)
+		respond(c.finalStatusResponse(id, result.State))
 	})
 }
 
-// readOpen answers for a job that has an open record, or goes on if it has none.
-func (c *Core) readOpen(id string, answer func(Reply), none func()) {
-	c.readRecord(bookkeeping.KindOpen, id, answer, none, func(protocol.Raw) {
-		answer(Reply{Status: 200, Body: protocol.MustMarshal(&protocol.JobStatus{ID: id, Status: protocol.JobPending})})
+// readOpenRecord answers for a job that has an open record, or goes on if it has none.
+func (c *Controller) readOpenRecord(id string, respond func(Response), none func()) {
+	c.readRecord(bookkeeping.KindOpenJob, id, respond, none, func(protocol.Raw) {
+		respond(Response{Status: 200, Body: protocol.MustMarshal(&protocol.JobStatusReply{ID: id, Status: protocol.JobPending})})
 	})
 }
 
 // readRecord reads a job's record of a kind; without the store it answers at once.
-func (c *Core) readRecord(kind, id string, answer func(Reply), none func(), found func(protocol.Raw)) {
+func (c *Controller) readRecord(kind, id string, respond func(Response), none func(), found func(protocol.Raw)) {
 	call := &protocol.StoreCall{Op: protocol.StoreGet, Key: bookkeeping.Key(kind, id)}
-	c.call(bookkeeping.RankUser, call, func(r protocol.StoreResult) {
-		switch r.Outcome {
+	c.callStore(bookkeeping.PriorityUserRequest, call, func(result protocol.StoreResult) {
+		switch result.Outcome {
 		case protocol.OK:
-			found(r.Item.Value)
+			found(result.Item.Value)
 		case protocol.NotFound:
 			none()
 		default:
-			answer(c.later(503, "state service out of reach"))
+			respond(c.retryLater(503, "state service out of reach"))
 		}
 	})
 }
 
-func (c *Core) onPoll(id string, answer func(Reply)) {
+func (c *Controller) handleStatus(id string, respond func(Response)) {
 	if !protocol.ValidJobID(id) {
-		answer(errorReply(404, "no such job"))
+		respond(errorResponse(404, "no such job"))
 		return
 	}
-	if s, ok := c.view.finals.get(id); ok {
-		answer(c.final(id, s))
+	if status, ok := c.mirror.Results.Get(id); ok {
+		respond(c.finalStatusResponse(id, status))
 		return
 	}
-	if j := c.view.jobs[id]; j != nil && !j.open() {
-		answer(c.final(id, j.over))
+	if job := c.mirror.Jobs[id]; job != nil && !job.IsOpen() {
+		respond(c.finalStatusResponse(id, job.FinalStatus))
 		return
 	}
-	if r, no := c.unready(); no {
-		answer(r)
+	if response, rejected := c.rejectIfUnavailable(); rejected {
+		respond(response)
 		return
 	}
-	c.lookUp(id, answer)
+	c.lookUpJob(id, respond)
 }
 
-func (c *Core) onAbort(id string, answer func(Reply)) {
+func (c *Controller) handleAbort(id string, respond func(Response)) {
 	if !protocol.ValidJobID(id) {
-		answer(errorReply(404, "no such job"))
+		respond(errorResponse(404, "no such job"))
 		return
 	}
-	if s, ok := c.view.finals.get(id); ok {
-		answer(status(id, s))
+	if status, ok := c.mirror.Results.Get(id); ok {
+		respond(acceptedResponse(id, status))
 		return
 	}
-	if r, no := c.unready(); no {
-		answer(r)
+	if response, rejected := c.rejectIfUnavailable(); rejected {
+		respond(response)
 		return
 	}
-	if c.view.jobs[id] != nil {
-		c.cancel(id, answer)
+	if c.mirror.Jobs[id] != nil {
+		c.cancelJob(id, respond)
 		return
 	}
 	// The mirror doesn't hold it: it is over, was never accepted, or is new.
-	c.lookUp(id, func(r Reply) {
-		switch s, over := c.view.finals.get(id); {
+	c.lookUpJob(id, func(response Response) {
+		switch status, over := c.mirror.Results.Get(id); {
 		case over:
-			answer(status(id, s))
-		case r.Status == 200 && c.view.jobs[id] != nil:
-			c.cancel(id, answer)
-		case r.Status == 200:
-			answer(c.later(503, "changing just now"))
+			respond(acceptedResponse(id, status))
+		case response.Status == 200 && c.mirror.Jobs[id] != nil:
+			c.cancelJob(id, respond)
+		case response.Status == 200:
+			respond(c.retryLater(503, "changing just now"))
 		default:
-			answer(r)
+			respond(response)
 		}
 	})
 }
 
-// cancel writes the answer of a job that has been accepted, unless it has one: done
+// cancelJob writes the answer of a job that has been accepted, unless it has one: done
 // and cancelled exclude each other by that, and every assignment asks for it.
-func (c *Core) cancel(id string, answer func(Reply)) {
-	key := bookkeeping.Key(bookkeeping.KindJob, id)
-	c.commit(bookkeeping.RankCancel, protocol.Txn{
-		If:   []protocol.Cond{{Key: key}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&bookkeeping.Answer{Status: bookkeeping.Cancelled})}},
-	}, func(r protocol.StoreResult) {
-		switch r.Outcome {
+func (c *Controller) cancelJob(id string, respond func(Response)) {
+	key := bookkeeping.Key(bookkeeping.KindJobResult, id)
+	c.commitTxn(bookkeeping.PriorityCancellation, protocol.Transaction{
+		If:   []protocol.Compare{{Key: key}},
+		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&bookkeeping.JobResult{State: bookkeeping.JobCancelled})}},
+	}, func(result protocol.StoreResult) {
+		switch result.Outcome {
 		case protocol.OK:
 			c.log.Debug("job cancelled", "job", id)
-			c.cancellations.Note(cancellation.Committed{Job: id, Revision: r.Revision})
-			answer(status(id, bookkeeping.Cancelled))
+			c.cancellations.Add(cancellation.Committed{Job: id, Revision: result.Revision})
+			respond(acceptedResponse(id, bookkeeping.JobCancelled))
 		case protocol.Conflict:
-			c.lookUp(id, func(rep Reply) {
-				if s, ok := c.view.finals.get(id); ok {
-					rep = status(id, s)
+			c.lookUpJob(id, func(rep Response) {
+				if status, ok := c.mirror.Results.Get(id); ok {
+					rep = acceptedResponse(id, status)
 				} else if rep.Status == 200 {
-					rep = c.later(503, "changing just now")
+					rep = c.retryLater(503, "changing just now")
 				}
-				answer(rep)
+				respond(rep)
 			})
 		default:
-			answer(c.later(503, "state service out of reach"))
+			respond(c.retryLater(503, "state service out of reach"))
 		}
 	})
 }
 
-// allowed tells whether a job's tasks may run on a type in a zone; a zone of ""
+// typeAndZoneAllowed tells whether a job's tasks may run on a type in a zone; a zone of ""
 // leaves the zone open.
-func allowed(s *bookkeeping.Spec, typ, zone string) bool {
-	if s.Types != nil && !slices.Contains(s.Types, typ) {
+func typeAndZoneAllowed(spec *bookkeeping.JobSpec, typeName, zone string) bool {
+	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, typeName) {
 		return false
 	}
-	return s.Zone == "" || zone == "" || s.Zone == zone
+	return spec.Zone == "" || zone == "" || spec.Zone == zone
 }
 
-func capacity(t *protocol.MachineType) amount { return amountOf(t.CPUs, t.GPUs, t.MemoryGB) }
+func machineCapacity(machineType *protocol.MachineType) Resources {
+	return NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
+}
--- a/internal/coordination/users_standin_test.go
+++ b/internal/coordination/users_standin_test.go
@@ -8,39 +8,39 @@
 
 // How long users wait for answers, and how often they ask, by the protocol.
 const (
-	submitWithin = 5 * sec
-	pollWithin   = 2 * sec
-	pollEvery    = 5 * sec
-	retryAfter   = sec
+	submitTimeout = 5 * second
+	pollTimeout   = 2 * second
+	pollInterval  = 5 * second
+	retryAfter    = second
 )
 
-// user owns one job: it submits it until it is accepted, asks for its state, and cancels
+// simUser owns one job: it submits it until it is accepted, asks for its state, and cancels
 // it when it is told to. The checker sees all that it is told.
-type user struct {
-	c          *cluster
-	id         string
-	body       []byte
-	closeLooks bool // asks everywhere at once whenever something has changed
-	accepted   bool
-	over       bool
-	answeredAt micros.T // when a question was last answered with 200
-	cancelling bool
+type simUser struct {
+	cluster      *cluster
+	id           string
+	body         []byte
+	eagerQueries bool // asks everywhere at once whenever something has changed
+	accepted     bool
+	finished     bool
+	answeredAt   micros.Micros // when a question was last answered with 200
+	cancelling   bool
 }
 
 // newUser begins with the submission of a job whose tasks run for a time; 0: a service.
-func (c *cluster) newUser(run micros.T, options ...jobOption) *user {
-	id, j := c.spec(options...)
+func (c *cluster) newUser(run micros.Micros, options ...jobOption) *simUser {
+	id, j := c.newSubmission(options...)
 	if run == 0 {
 		j.Service = true
 	}
-	c.fleet.Jobs[id] = standin.JobInfo{Team: j.Team, CPUs: j.CPUs, Memory: j.MemoryGB, Run: run}
-	u := &user{c: c, id: id, body: protocol.MustMarshal(j)}
+	c.fleet.Jobs[id] = standin.JobBehavior{Team: j.Team, CPUs: j.CPUs, MemoryGB: j.MemoryGB, RunTime: run}
+	u := &simUser{cluster: c, id: id, body: protocol.MustMarshal(j)}
 	u.submit()
 	return u
 }
 
 // send asks a node and calls back once, with a status of 0 when no answer came in time.
-func (u *user) send(node, method, target string, body []byte, within micros.T, back func(status int, state string)) {
+func (u *simUser) send(node, method, target string, body []byte, within micros.Micros, back func(status int, state string)) {
 	answered := false
 	answer := func(status int, state string) {
 		if !answered {
@@ -48,79 +48,81 @@
 			back(status, state)
 		}
 	}
-	u.c.request(node, method, target, body, func(r Reply) {
-		var told protocol.JobStatus
-		_ = protocol.Unmarshal(r.Body, &told)
-		answer(r.Status, told.Status)
+	u.cluster.sendRequest(node, method, target, body, func(response Response) {
+		var told protocol.JobStatusReply
+		_ = protocol.Unmarshal(response.Body, &told)
+		answer(response.Status, told.Status)
 	})
-	u.c.sim.After(within, func() { answer(0, "") })
+	u.cluster.sim.After(within, func() { answer(0, "") })
 }
 
-func (u *user) anyNode() string { return u.c.names[u.c.sim.Rand.IntN(len(u.c.names))] }
+func (u *simUser) randomNode() string {
+	return u.cluster.nodeNames[u.cluster.sim.Rand.IntN(len(u.cluster.nodeNames))]
+}
 
-func (u *user) target() string { return protocol.JobPath(u.id) }
+func (u *simUser) jobPath() string { return protocol.JobPath(u.id) }
 
-func (u *user) submit() {
-	u.send(u.anyNode(), "POST", protocol.JobsPath, u.body, submitWithin, func(status int, _ string) {
+func (u *simUser) submit() {
+	u.send(u.randomNode(), "POST", protocol.JobsPath, u.body, submitTimeout, func(status int, _ string) {
 		if status != 200 && status != 201 {
-			u.c.sim.After(retryAfter, u.submit)
+			u.cluster.sim.After(retryAfter, u.submit)
 			return
 		}
-		u.accepted, u.answeredAt = true, u.c.sim.Now()
-		u.lookClosely()
-		u.c.sim.After(u.c.jitter(pollEvery), u.poll)
+		u.accepted, u.answeredAt = true, u.cluster.sim.Now()
+		u.queryAllNodes()
+		u.cluster.sim.After(u.cluster.randomDuration(pollInterval), u.poll)
 	})
 }
 
-func (u *user) poll() {
-	if u.over {
+func (u *simUser) poll() {
+	if u.finished {
 		return
 	}
-	u.send(u.anyNode(), "GET", u.target(), nil, pollWithin, func(status int, state string) {
-		u.note(status, state)
-		u.c.sim.After(pollEvery, u.poll)
+	u.send(u.randomNode(), "GET", u.jobPath(), nil, pollTimeout, func(status int, state string) {
+		u.recordAnswer(status, state)
+		u.cluster.sim.After(pollInterval, u.poll)
 	})
 }
 
 // cancel repeats the request until it is answered.
-func (u *user) cancel() {
-	if u.over {
+func (u *simUser) cancel() {
+	if u.finished {
 		return
 	}
 	u.cancelling = true
-	u.send(u.anyNode(), "POST", protocol.CancelPath(u.id), nil, submitWithin, func(status int, state string) {
-		u.note(status, state)
+	u.send(u.randomNode(), "POST", protocol.CancelPath(u.id), nil, submitTimeout, func(status int, state string) {
+		u.recordAnswer(status, state)
 		if status != 200 {
-			u.c.sim.After(retryAfter, u.cancel)
+			u.cluster.sim.After(retryAfter, u.cancel)
 		}
 	})
 }
 
-// note takes an answer about the job.
-func (u *user) note(status int, state string) {
+// recordAnswer takes an answer about the job.
+func (u *simUser) recordAnswer(status int, state string) {
 	if status != 200 {
 		return
 	}
-	u.answeredAt = u.c.sim.Now()
-	if over := state == protocol.JobDone || state == protocol.JobCancelled; over && !u.over {
-		u.over = true
-		u.lookClosely()
+	u.answeredAt = u.cluster.sim.Now()
+	if over := state == protocol.JobDone || state == protocol.JobCancelled; over && !u.finished {
+		u.finished = true
+		u.queryAllNodes()
 	}
 }
 
-// lookClosely asks all nodes within milliseconds, again and again, and repeats the
+// queryAllNodes asks all nodes within milliseconds, again and again, and repeats the
 // submission there.
-func (u *user) lookClosely() {
-	if !u.closeLooks {
+func (u *simUser) queryAllNodes() {
+	if !u.eagerQueries {
 		return
 	}
 	for i := range 4 {
-		u.c.sim.After(micros.T(1+3*i)*micros.Millisecond, func() {
-			for _, node := range u.c.names {
-				u.send(node, "GET", u.target(), nil, pollWithin, u.note)
-				u.send(node, "POST", protocol.JobsPath, u.body, submitWithin, u.note)
-				if u.over {
-					u.send(node, "POST", protocol.CancelPath(u.id), nil, submitWithin, u.note)
+		u.cluster.sim.After(micros.Micros(1+3*i)*micros.Millisecond, func() {
+			for _, node := range u.cluster.nodeNames {
+				u.send(node, "GET", u.jobPath(), nil, pollTimeout, u.recordAnswer)
+				u.send(node, "POST", protocol.JobsPath, u.body, submitTimeout, u.recordAnswer)
+				if u.finished {
+					u.send(node, "POST", protocol.CancelPath(u.id), nil, submitTimeout, u.recordAnswer)
 				}
 			}
 		})
--- a/internal/coordination/view.go
+++ b/internal/coordination/view.go
@@ -15,57 +15,61 @@
 	"pipitgap/internal/protocol"
 )
 
-// taskRef names a task.
-type taskRef struct {
-	job   string
-	index int
+// TaskID names a task.
+type TaskID struct {
+	Job   string
+	Index int
 }
 
-func (t taskRef) String() string { return t.job + "/" + strconv.Itoa(t.index) }
+func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-func parseTask(s string) (taskRef, bool) {
-	job, n, ok := strings.Cut(s, "/")
+func ParseTaskID(s string) (TaskID, bool) {
+	job, node, ok := strings.Cut(s, "/")
 	if !ok {
-		return taskRef{}, false
+		return TaskID{}, false
 	}
-	i, err := strconv.Atoi(n)
+	i, err := strconv.Atoi(node)
 	if err != nil || i < 0 {
-		return taskRef{}, false
+		return TaskID{}, false
 	}
-	return taskRef{job, i}, true
+	return TaskID{job, i}, true
 }
 
-// amount is what tasks take and machines have.
-type amount struct{ cpus, gpus, mem float64 }
+// Resources is what tasks take and machines have.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
-// unit is what amounts are whole multiples of: then their sums are exact, whatever the
+// resourceUnit is what amounts are whole multiples of: then their sums are exact, whatever the
 // order in which maps are walked, and the same day takes the same course.
-const unit = 1.0 / (1 << 30)
+const resourceUnit = 1.0 / (1 << 30)
 
-func exact(x float64) float64 { return math.Round(x/unit) * unit }
+func roundToUnit(x float64) float64 { return math.Round(x/resourceUnit) * resourceUnit }
 
-func amountOf(cpus, gpus, mem float64) amount { return amount{exact(cpus), exact(gpus), exact(mem)} }
+func NewResources(cpus, gpus, mem float64) Resources {
+	return Resources{roundToUnit(cpus), roundToUnit(gpus), roundToUnit(mem)}
+}
 
-// needOf is what each task of a job takes.
-func needOf(s *bookkeeping.Spec) amount { return amountOf(s.CPUs, s.GPUs, s.MemoryGB) }
+// TaskResources is what each task of a job takes.
+func TaskResources(spec *bookkeeping.JobSpec) Resources {
+	return NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
+}
 
-func (a amount) plus(b amount, n float64) amount {
-	return amount{a.cpus + n*b.cpus, a.gpus + n*b.gpus, a.mem + n*b.mem}
+func (a Resources) AddScaled(b Resources, n float64) Resources {
+	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
 }
 
-// slack keeps sums of decimal amounts from refusing an exact fit.
-const slack = 1e-6
+// resourceTolerance keeps sums of decimal amounts from refusing an exact fit.
+const resourceTolerance = 1e-6
 
-func (a amount) fits(room amount) bool {
-	return a.cpus <= room.cpus+slack && a.gpus <= room.gpus+slack && a.mem <= room.mem+slack
+func (a Resources) FitsIn(available Resources) bool {
+	return a.CPUs <= available.CPUs+resourceTolerance && a.GPUs <= available.GPUs+resourceTolerance && a.MemoryGB <= available.MemoryGB+resourceTolerance
 }
 
-// count tells how many of a fit into room.
-func (a amount) count(room amount) int {
+// CountIn tells how many of a fit into room.
+func (a Resources) CountIn(available Resources) int {
 	n := math.Inf(1)
-	for _, p := range [][2]float64{{a.cpus, room.cpus}, {a.gpus, room.gpus}, {a.mem, room.mem}} {
+	for _, p := range [][2]float64{{a.CPUs, available.CPUs}, {a.GPUs, available.GPUs}, {a.MemoryGB, available.MemoryGB}} {
 		if p[0] > 0 {
-			n = min(n, math.Floor((p[1]+slack)/p[0]))
+			n = min(n, math.Floor((p[1]+resourceTolerance)/p[0]))
 		}
 	}
 	if n > protocol.MaxTasks {
@@ -74,41 +78,41 @@
 	return max(0, int(n))
 }
 
-// job is an unfinished job in the mirror.
-type job struct {
-	id      string
-	rec     bookkeeping.OpenJob
-	version uint64
-	need    amount
-	over    bookkeeping.JobStatus // the answer, if it has one
-	overAt  uint64                // its version
-	state   []uint8               // of each task, 0: pending; see heldUnit
-	done    int
-	held    int // tasks with an attempt on some machine
+// Job is an unfinished job in the mirror.
+type Job struct {
+	ID            string
+	Record        bookkeeping.OpenJob
+	Version       uint64
+	TaskResources Resources
+	FinalStatus   bookkeeping.JobState // the answer, if it has one
+	FinalRevision uint64               // its version
+	TaskStates    []uint8              // of each task, 0: pending; see assignedUnit
+	DoneTasks     int
+	AssignedTasks int // tasks with an attempt on some machine
 }
 
 // A task's state counts the shards that hold it and those that have it done. More
 // than one of either would be a mistake, but one that must not start a task twice.
 const (
-	heldUnit = 1
-	doneUnit = 16
+	assignedUnit = 1
+	doneUnit     = 16
 )
 
-func (j *job) open() bool { return j.over == "" }
+func (j *Job) IsOpen() bool { return j.FinalStatus == "" }
 
-// waiting counts the tasks without an attempt.
-func (j *job) waiting() int { return j.rec.Spec.Tasks - j.done - j.held }
+// UnassignedTasks counts the tasks without an attempt.
+func (j *Job) UnassignedTasks() int { return j.Record.Spec.Tasks - j.DoneTasks - j.AssignedTasks }
 
-// complete tells whether every task is done.
-func (j *job) complete() bool { return j.done == j.rec.Spec.Tasks }
+// IsComplete tells whether every task is done.
+func (j *Job) IsComplete() bool { return j.DoneTasks == j.Record.Spec.Tasks }
 
-// pendingOf counts the pending tasks that a partition is to place.
-func (j *job) pendingOf(partition string) int {
+// PendingInPartition counts the pending tasks that a partition is to place.
+func (j *Job) PendingInPartition(partition string) int {
 	n := 0
-	for _, s := range j.rec.Shares {
-		if s.Partition == partition {
-			for i := s.First; i < s.End; i++ {
-				if j.state[i] == 0 {
+	for _, taskRange := range j.Record.TaskRanges {
+		if taskRange.Partition == partition {
+			for i := taskRange.First; i < taskRange.End; i++ {
+				if j.TaskStates[i] == 0 {
 					n++
 				}
 			}
@@ -117,237 +121,237 @@
 	return n
 }
 
-// shard is a shard in the mirror.
-type shard struct {
-	name    string
-	rec     *bookkeeping.Shard
-	version uint64
-	use     map[string]amount // by team, what its attempts take
+// Shard is a shard in the mirror.
+type Shard struct {
+	Name      string
+	Record    *bookkeeping.Shard
+	Version   uint64
+	UseByTeam map[string]Resources // by team, what its attempts take
 }
 
-// machine is a claimed machine in the mirror, with what its tasks take.
-type machine struct {
-	id     string
-	shard  *shard
-	rec    *bookkeeping.ShardMachine // nil: only its attempts are known still
-	used   amount
-	tasks  map[taskRef]uint64 // attempts that the store holds here
-	images map[string]bool    // images that tasks have brought here, as far as we saw
-	w      *worker            // only while it is ours
+// Machine is a claimed machine in the mirror, with what its tasks take.
+type Machine struct {
+	ID           string
+	Shard        *Shard
+	Record       *bookkeeping.ShardMachine // nil: only its attempts are known still
+	Used         Resources
+	Attempts     map[TaskID]uint64 // attempts that the store holds here
+	CachedImages map[string]bool   // images that tasks have brought here, as far as we saw
+	Agent        *Agent            // only while it is ours
 }
 
-func (m *machine) owner() string { return m.shard.rec.Owner }
-func (m *machine) claim() uint64 { return m.shard.rec.ClaimOf(m.rec) }
+func (m *Machine) Owner() string { return m.Shard.Record.Owner }
+func (m *Machine) Claim() uint64 { return m.Shard.Record.ClaimOf(m.Record) }
 
-// View is the mirror of the store with the sums that decisions need. Changes
+// Mirror is the mirror of the store with the sums that decisions need. Changes
 // reach it by the watch, in order, and by the core's own commits, which may be
 // ahead of the watch; versions keep each key from going back.
-type View struct {
-	watched    uint64 // the watch is complete up to here
-	newest     uint64 // the newest revision heard of in any way
-	jobs       map[string]*job
-	shards     map[string]*shard
-	machines   map[string]*machine
-	teamUse    map[string]amount
-	partitions map[string]*partitionView
-	rentals    map[string]*rentalView
-	rentalOf   map[string]string // machine: the request that it came with
-	removals   map[string]*removalView
-	removal    map[string]string // machine: the removal that names it
-	types      map[string]typeView
-	members    map[string]memberView
-	lead       bookkeeping.Lead
-	leadVer    uint64
-	drains     map[string]drainView
-	permits    map[string]permitsView // by team
-	deleted    map[string]uint64      // own deletions ahead of the watch
-	finals     *finals
-	touched    func(kind, name string)
+type Mirror struct {
+	WatchedRevision   uint64 // the watch is complete up to here
+	NewestRevision    uint64 // the newest revision heard of in any way
+	Jobs              map[string]*Job
+	Shards            map[string]*Shard
+	Machines          map[string]*Machine
+	UseByTeam         map[string]Resources
+	Partitions        map[string]*PartitionEntry
+	ScaleOuts         map[string]*ScaleOutEntry
+	ScaleOutOfMachine map[string]string // machine: the request that it came with
+	ScaleIns          map[string]*ScaleInEntry
+	ScaleInOfMachine  map[string]string // machine: the removal that names it
+	MachineTypes      map[string]MachineTypeEntry
+	Members           map[string]MemberEntry
+	Leader            bookkeeping.Leader
+	LeaderVersion     uint64
+	Drains            map[string]DrainEntry
+	PermitsByTeam     map[string]PermitsEntry // by team
+	ownDeletions      map[string]uint64       // own deletions ahead of the watch
+	Results           *ResultCache
+	OnChange          func(kind, name string)
 }
 
-func newView(touched func(kind, name string)) *View {
-	return &View{
-		jobs: map[string]*job{}, shards: map[string]*shard{}, machines: map[string]*machine{}, teamUse: map[string]amount{},
-		partitions: map[string]*partitionView{}, rentals: map[string]*rentalView{}, rentalOf: map[string]string{},
-		removals: map[string]*removalView{}, removal: map[string]string{}, types: map[string]typeView{},
-		members: map[string]memberView{}, drains: map[string]drainView{}, permits: map[string]permitsView{}, deleted: map[string]uint64{}, finals: newFinals(20000), touched: touched,
+func newMirror(touched func(kind, name string)) *Mirror {
+	return &Mirror{
+		Jobs: map[string]*Job{}, Shards: map[string]*Shard{}, Machines: map[string]*Machine{}, UseByTeam: map[string]Resources{},
+		Partitions: map[string]*PartitionEntry{}, ScaleOuts: map[string]*ScaleOutEntry{}, ScaleOutOfMachine: map[string]string{},
+		ScaleIns: map[string]*ScaleInEntry{}, ScaleInOfMachine: map[string]string{}, MachineTypes: map[string]MachineTypeEntry{},
+		Members: map[string]MemberEntry{}, Drains: map[string]DrainEntry{}, PermitsByTeam: map[string]PermitsEntry{}, ownDeletions: map[string]uint64{}, Results: NewResultCache(20000), OnChange: touched,
 	}
 }
 
-// put applies one change, see apply.
-func (v *View) put(key string, value protocol.Raw, version uint64) {
-	v.apply([]protocol.Event{{Put: key, Value: value, Version: version}}, false)
+// ApplyPut applies one change, see apply.
+func (v *Mirror) ApplyPut(key string, value protocol.Raw, version uint64) {
+	v.applyRevision([]protocol.Event{{Put: key, Value: value, Version: version}}, false)
 }
 
-// drop applies a deletion.
-func (v *View) drop(key string, version uint64, own bool) {
-	v.apply([]protocol.Event{{Delete: key, Version: version}}, own)
+// ApplyDelete applies a deletion.
+func (v *Mirror) ApplyDelete(key string, version uint64, ownCommit bool) {
+	v.applyRevision([]protocol.Event{{Delete: key, Version: version}}, ownCommit)
 }
 
-// apply brings the changes of one revision into the mirror, each unless the
+// applyRevision brings the changes of one revision into the mirror, each unless the
 // mirror is newer already. Pages are taken out before any is put in: a machine
 // that moves from one to another must not be counted out after it was counted in.
 // own: it is a commit of ours, which may be ahead of the watch.
-func (v *View) apply(events []protocol.Event, own bool) {
+func (v *Mirror) applyRevision(events []protocol.Event, ownCommit bool) {
 	type change struct {
 		kind, name string
 		e          protocol.Event
-		next       *shard
+		next       *Shard
 	}
 	var todo []change
-	for _, e := range events {
-		v.newest = max(v.newest, e.Version)
-		if e.Version <= v.watched {
+	for _, event := range events {
+		v.NewestRevision = max(v.NewestRevision, event.Version)
+		if event.Version <= v.WatchedRevision {
 			// An answer that comes after a newer one: the watch has passed this change,
 			// and what it wrote may have been deleted since.
 			continue
 		}
-		key := e.Put + e.Delete
+		key := event.Put + event.Delete
 		kind, name, ok := bookkeeping.SplitKey(key)
 		if !ok {
 			continue
 		}
-		if e.Put == "" && own && e.Version > v.watched {
-			v.deleted[key] = e.Version
+		if event.Put == "" && ownCommit && event.Version > v.WatchedRevision {
+			v.ownDeletions[key] = event.Version
 		}
-		if have := v.versionOf(key); e.Version < have || e.Put != "" && (e.Version <= have || e.Version <= v.deleted[key]) || e.Put == "" && have == 0 {
+		if have := v.VersionOf(key); event.Version < have || event.Put != "" && (event.Version <= have || event.Version <= v.ownDeletions[key]) || event.Put == "" && have == 0 {
 			continue
 		}
-		if e.Put != "" {
-			delete(v.deleted, key)
+		if event.Put != "" {
+			delete(v.ownDeletions, key)
 		}
-		ch := change{kind: kind, name: name, e: e}
+		ch := change{kind: kind, name: name, e: event}
 		if kind == bookkeeping.KindShard {
-			old := v.shards[name]
-			if e.Put != "" {
+			previous := v.Shards[name]
+			if event.Put != "" {
 				var before *bookkeeping.Shard
-				if old != nil {
-					before = old.rec
+				if previous != nil {
+					before = previous.Record
 				}
-				rec, err := bookkeeping.DecodeShard(e.Value, before)
+				record, err := bookkeeping.DecodeShard(event.Value, before)
 				if err != nil {
 					continue
 				}
-				ch.next = &shard{name: name, rec: rec, version: e.Version}
+				ch.next = &Shard{Name: name, Record: record, Version: event.Version}
 			}
-			v.shardOut(old, ch.next)
+			v.removeShard(previous, ch.next)
 		}
 		todo = append(todo, ch)
 	}
 	for _, ch := range todo {
 		switch {
 		case ch.next != nil:
-			v.shardIn(v.shards[ch.name], ch.next)
+			v.addShard(v.Shards[ch.name], ch.next)
 		case ch.kind == bookkeeping.KindShard:
-			delete(v.shards, ch.name)
+			delete(v.Shards, ch.name)
 		case ch.e.Put != "":
-			v.set(ch.kind, ch.name, ch.e)
+			v.applyRecordPut(ch.kind, ch.name, ch.e)
 		default:
-			v.unset(ch.kind, ch.name)
+			v.applyRecordDelete(ch.kind, ch.name)
 		}
-		v.touched(ch.kind, ch.name)
+		v.OnChange(ch.kind, ch.name)
 	}
 }
 
-// shardOut takes out of the sums what a shard has and its next version hasn't.
-func (v *View) shardOut(old, next *shard) {
-	if old == nil {
+// removeShard takes out of the sums what a shard has and its next version hasn't.
+func (v *Mirror) removeShard(previous, next *Shard) {
+	if previous == nil {
 		return
 	}
-	for id, e := range old.rec.Jobs {
-		if next == nil || next.rec.Jobs[id] != e {
-			v.sum(old, id, -1)
+	for id, entry := range previous.Record.Jobs {
+		if next == nil || next.Record.Jobs[id] != entry {
+			v.countJobOfShard(previous, id, -1)
 		}
 	}
-	for id := range old.rec.Machines {
-		m := v.machines[id]
-		if (next == nil || next.rec.Machines[id] == nil) && m != nil && m.shard == old {
-			m.shard, m.rec, m.w = nil, nil, nil
-			v.forget(m)
+	for id := range previous.Record.Machines {
+		machine := v.Machines[id]
+		if (next == nil || next.Record.Machines[id] == nil) && machine != nil && machine.Shard == previous {
+			machine.Shard, machine.Record, machine.Agent = nil, nil, nil
+			v.removeMachineIfUnused(machine)
 		}
 	}
 }
 
-// shardIn puts into the sums what a shard's version before hasn't.
-func (v *View) shardIn(old, next *shard) {
-	if old != nil {
-		next.use = old.use
+// addShard puts into the sums what a shard's version before hasn't.
+func (v *Mirror) addShard(previous, next *Shard) {
+	if previous != nil {
+		next.UseByTeam = previous.UseByTeam
 	} else {
-		next.use = map[string]amount{}
+		next.UseByTeam = map[string]Resources{}
 	}
-	v.shards[next.name] = next
-	for id, rec := range next.rec.Machines {
-		m := v.machine(id)
-		m.shard, m.rec = next, rec
+	v.Shards[next.Name] = next
+	for id, record := range next.Record.Machines {
+		machine := v.ensureMachine(id)
+		machine.Shard, machine.Record = next, record
 	}
-	for id, e := range next.rec.Jobs {
-		if old == nil || old.rec.Jobs[id] != e {
-			v.sum(next, id, 1)
+	for id, entry := range next.Record.Jobs {
+		if previous == nil || previous.Record.Jobs[id] != entry {
+			v.countJobOfShard(next, id, 1)
 		}
 	}
 }
 
-// sum counts what a shard holds of a job in or out.
-func (v *View) sum(p *shard, id string, sign int) {
-	e, j := p.rec.Jobs[id], v.jobs[id]
-	if e == nil || j == nil {
+// countJobOfShard counts what a shard holds of a job in or out.
+func (v *Mirror) countJobOfShard(shard *Shard, id string, sign int) {
+	entry, job := shard.Record.Jobs[id], v.Jobs[id]
+	if entry == nil || job == nil {
 		return
 	}
-	for _, h := range e.Held {
-		if h.Task >= len(j.state) {
+	for _, held := range entry.Attempts {
+		if held.Task >= len(job.TaskStates) {
 			continue
 		}
-		ref := taskRef{id, h.Task}
-		m := v.machine(h.Machine)
+		task := TaskID{id, held.Task}
+		machine := v.ensureMachine(held.Machine)
 		if sign > 0 {
-			if j.state[h.Task]%doneUnit == 0 {
-				j.held++
+			if job.TaskStates[held.Task]%doneUnit == 0 {
+				job.AssignedTasks++
 			}
-			j.state[h.Task] += heldUnit
-			m.tasks[ref] = h.Attempt
-			m.images[j.rec.Spec.Image] = true
+			job.TaskStates[held.Task] += assignedUnit
+			machine.Attempts[task] = held.Number
+			machine.CachedImages[job.Record.Spec.Image] = true
 		} else {
-			j.state[h.Task] -= heldUnit
-			if j.state[h.Task]%doneUnit == 0 {
-				j.held--
+			job.TaskStates[held.Task] -= assignedUnit
+			if job.TaskStates[held.Task]%doneUnit == 0 {
+				job.AssignedTasks--
 			}
-			if j.state[h.Task]%doneUnit == 0 || !v.elsewhere(p, id, h) {
-				delete(m.tasks, ref)
+			if job.TaskStates[held.Task]%doneUnit == 0 || !v.heldByOtherShard(shard, id, held) {
+				delete(machine.Attempts, task)
 			}
 		}
-		m.used = m.used.plus(j.need, float64(sign))
-		if len(m.tasks) == 0 {
-			m.used = amount{} // no rounding left behind
+		machine.Used = machine.Used.AddScaled(job.TaskResources, float64(sign))
+		if len(machine.Attempts) == 0 {
+			machine.Used = Resources{} // no rounding left behind
 		}
-		addUse(p.use, j.rec.Spec.Team, j.need, sign)
-		addUse(v.teamUse, j.rec.Spec.Team, j.need, sign)
-		v.forget(m)
+		addTeamUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+		addTeamUse(v.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+		v.removeMachineIfUnused(machine)
 	}
-	e.Done.Each(func(i int) {
-		if i >= len(j.state) {
+	entry.Completed.Each(func(i int) {
+		if i >= len(job.TaskStates) {
 			return
 		}
 		if sign > 0 {
-			if j.state[i] < doneUnit {
-				j.done++
+			if job.TaskStates[i] < doneUnit {
+				job.DoneTasks++
 			}
-			j.state[i] += doneUnit
+			job.TaskStates[i] += doneUnit
 		} else {
-			j.state[i] -= doneUnit
-			if j.state[i] < doneUnit {
-				j.done--
+			job.TaskStates[i] -= doneUnit
+			if job.TaskStates[i] < doneUnit {
+				job.DoneTasks--
 			}
 		}
 	})
 }
 
-// elsewhere tells whether another shard too holds an attempt on the same machine: a
+// heldByOtherShard tells whether another shard too holds an attempt on the same machine: a
 // list that is read while the machine moves shows it in both.
-func (v *View) elsewhere(not *shard, job string, h bookkeeping.Held) bool {
-	for _, p := range v.shards {
-		if e := p.rec.Jobs[job]; e != nil && p.name != not.name {
-			for _, o := range e.Held {
-				if o.SameAttempt(h) {
+func (v *Mirror) heldByOtherShard(not *Shard, job string, held bookkeeping.Attempt) bool {
+	for _, shard := range v.Shards {
+		if entry := shard.Record.Jobs[job]; entry != nil && shard.Name != not.Name {
+			for _, o := range entry.Attempts {
+				if o.SameAs(held) {
 					return true
 				}
 			}
@@ -356,66 +360,66 @@
 	return false
 }
 
-func addUse(use map[string]amount, team string, need amount, sign int) {
-	u := use[team].plus(need, float64(sign))
-	if u.cpus < slack && u.gpus < slack && u.mem < slack {
-		delete(use, team)
+func addTeamUse(useByTeam map[string]Resources, team string, taskResources Resources, sign int) {
+	total := useByTeam[team].AddScaled(taskResources, float64(sign))
+	if total.CPUs < resourceTolerance && total.GPUs < resourceTolerance && total.MemoryGB < resourceTolerance {
+		delete(useByTeam, team)
 	} else {
-		use[team] = u
+		useByTeam[team] = total
 	}
 }
 
-// forget drops a machine that stands in no shard and holds nothing.
-func (v *View) forget(m *machine) {
-	if m.rec == nil && len(m.tasks) == 0 {
-		delete(v.machines, m.id)
+// removeMachineIfUnused drops a machine that stands in no shard and holds nothing.
+func (v *Mirror) removeMachineIfUnused(machine *Machine) {
+	if machine.Record == nil && len(machine.Attempts) == 0 {
+		delete(v.Machines, machine.ID)
 	}
 }
 
-// applyTxn brings an own commit that succeeded into the mirror.
-func (v *View) applyTxn(t *protocol.Txn, revision uint64) {
-	events := make([]protocol.Event, 0, len(t.Then))
-	for _, op := range t.Then {
-		events = append(events, protocol.Event{Put: op.Put, Value: op.Value, Delete: op.Delete, Version: revision})
+// ApplyCommit brings an own commit that succeeded into the mirror.
+func (v *Mirror) ApplyCommit(txn *protocol.Transaction, revision uint64) {
+	events := make([]protocol.Event, 0, len(txn.Then))
+	for _, operation := range txn.Then {
+		events = append(events, protocol.Event{Put: operation.Put, Value: operation.Value, Delete: operation.Delete, Version: revision})
 	}
-	v.apply(events, true)
+	v.applyRevision(events, true)
 }
 
-// applyEvents brings the result of a watch into the mirror.
-func (v *View) applyEvents(events []protocol.Event, revision uint64) {
+// ApplyEvents brings the result of a watch into the mirror.
+func (v *Mirror) ApplyEvents(events []protocol.Event, revision uint64) {
 	for len(events) > 0 {
 		n := 1
 		for n < len(events) && events[n].Version == events[0].Version {
 			n++
 		}
-		v.apply(events[:n], false)
+		v.applyRevision(events[:n], false)
 		events = events[n:]
 	}
-	v.watched = max(v.watched, revision)
-	v.newest = max(v.newest, revision)
-	for k, ver := range v.deleted {
-		if ver <= v.watched {
-			delete(v.deleted, k)
+	v.WatchedRevision = max(v.WatchedRevision, revision)
+	v.NewestRevision = max(v.NewestRevision, revision)
+	for k, ver := range v.ownDeletions {
+		if ver <= v.WatchedRevision {
+			delete(v.ownDeletions, k)
 		}
 	}
 }
 
-func (v *View) machine(id string) *machine {
-	m := v.machines[id]
-	if m == nil {
-		m = &machine{id: id, tasks: map[taskRef]uint64{}, images: map[string]bool{}}
-		v.machines[id] = m
+func (v *Mirror) ensureMachine(id string) *Machine {
+	machine := v.Machines[id]
+	if machine == nil {
+		machine = &Machine{ID: id, Attempts: map[TaskID]uint64{}, CachedImages: map[string]bool{}}
+		v.Machines[id] = machine
 	}
-	return m
+	return machine
 }
 
 // sortedKeys gives a map's keys in order: decisions must not depend on the
 // order of a map.
 func sortedKeys[K ~string, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// sortedTasks gives the tasks of a machine in order.
-func sortedTasks(tasks map[taskRef]uint64) []taskRef {
-	return slices.SortedFunc(maps.Keys(tasks), func(a, b taskRef) int {
-		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.index, b.index))
+// sortedTaskIDs gives the tasks of a machine in order.
+func sortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
+	return slices.SortedFunc(maps.Keys(attempts), func(a, b TaskID) int {
+		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
 }
--- a/internal/coordination/view_records.go
+++ b/internal/coordination/view_records.go
@@ -7,210 +7,210 @@
 
 // The mirror's records but for the shards.
 
-type partitionView struct {
-	rec     bookkeeping.Partition
-	version uint64
+type PartitionEntry struct {
+	Record  bookkeeping.Partition
+	Version uint64
 }
 
-type rentalView struct {
-	rec     bookkeeping.Rental
-	version uint64
+type ScaleOutEntry struct {
+	Record  bookkeeping.ScaleOutRequest
+	Version uint64
 }
 
-type removalView struct {
-	rec     bookkeeping.Removal
-	version uint64
+type ScaleInEntry struct {
+	Record  bookkeeping.ScaleInRequest
+	Version uint64
 }
 
-type typeView struct {
-	rec     bookkeeping.Type
-	version uint64
+type MachineTypeEntry struct {
+	Record  bookkeeping.MachineType
+	Version uint64
 }
 
-type memberView struct {
-	rec     bookkeeping.Member
-	version uint64
+type MemberEntry struct {
+	Record  bookkeeping.Member
+	Version uint64
 }
 
-type drainView struct {
-	rec     bookkeeping.Drain
-	version uint64
+type DrainEntry struct {
+	Record  bookkeeping.Drain
+	Version uint64
 }
 
-type permitsView struct {
-	rec     bookkeeping.Permits
-	version uint64
+type PermitsEntry struct {
+	Record  bookkeeping.Permits
+	Version uint64
 }
 
-// versionOf gives the version of a key in the mirror, 0 if it has none.
-func (v *View) versionOf(key string) uint64 {
+// VersionOf gives the version of a key in the mirror, 0 if it has none.
+func (v *Mirror) VersionOf(key string) uint64 {
 	kind, name, ok := bookkeeping.SplitKey(key)
 	if !ok {
 		return 0
 	}
 	switch kind {
-	case bookkeeping.KindOpen:
-		if j := v.jobs[name]; j != nil {
-			return j.version
+	case bookkeeping.KindOpenJob:
+		if job := v.Jobs[name]; job != nil {
+			return job.Version
 		}
 	case bookkeeping.KindShard:
-		if p := v.shards[name]; p != nil {
-			return p.version
+		if shard := v.Shards[name]; shard != nil {
+			return shard.Version
 		}
 	case bookkeeping.KindPartition:
-		if p := v.partitions[name]; p != nil {
-			return p.version
+		if partition := v.Partitions[name]; partition != nil {
+			return partition.Version
 		}
-	case bookkeeping.KindRental:
-		if a := v.rentals[name]; a != nil {
-			return a.version
+	case bookkeeping.KindScaleOut:
+		if request := v.ScaleOuts[name]; request != nil {
+			return request.Version
 		}
-	case bookkeeping.KindRemoval:
-		if r := v.removals[name]; r != nil {
-			return r.version
+	case bookkeeping.KindScaleIn:
+		if removal := v.ScaleIns[name]; removal != nil {
+			return removal.Version
 		}
 	case bookkeeping.KindMember:
-		return v.members[name].version
-	case bookkeeping.KindType:
-		return v.types[name].version
-	case bookkeeping.KindLead:
-		return v.leadVer
+		return v.Members[name].Version
+	case bookkeeping.KindMachineType:
+		return v.MachineTypes[name].Version
+	case bookkeeping.KindLeader:
+		return v.LeaderVersion
 	case bookkeeping.KindDrain:
-		return v.drains[name].version
+		return v.Drains[name].Version
 	case bookkeeping.KindPermits:
-		return v.permits[name].version
+		return v.PermitsByTeam[name].Version
 	}
 	return 0
 }
 
-// set applies a put of any record but a shard.
-func (v *View) set(kind, name string, e protocol.Event) {
+// applyRecordPut applies a put of any record but a shard.
+func (v *Mirror) applyRecordPut(kind, name string, event protocol.Event) {
 	switch kind {
-	case bookkeeping.KindJob:
-		var a bookkeeping.Answer
-		if protocol.Unmarshal(e.Value, &a) == nil {
-			v.finals.add(name, a.Status)
-			if j := v.jobs[name]; j != nil {
-				j.over, j.overAt = a.Status, e.Version
+	case bookkeeping.KindJobResult:
+		var result bookkeeping.JobResult
+		if protocol.Unmarshal(event.Value, &result) == nil {
+			v.Results.Add(name, result.State)
+			if job := v.Jobs[name]; job != nil {
+				job.FinalStatus, job.FinalRevision = result.State, event.Version
 			}
 		}
-	case bookkeeping.KindOpen:
-		j := v.jobs[name]
-		var rec bookkeeping.OpenJob
-		if protocol.Unmarshal(e.Value, &rec) != nil || rec.Spec.Tasks <= 0 || rec.Spec.Tasks > protocol.MaxTasks ||
-			j != nil && rec.Spec.Tasks != j.rec.Spec.Tasks {
+	case bookkeeping.KindOpenJob:
+		job := v.Jobs[name]
+		var record bookkeeping.OpenJob
+		if protocol.Unmarshal(event.Value, &record) != nil || record.Spec.Tasks <= 0 || record.Spec.Tasks > protocol.MaxTasks ||
+			job != nil && record.Spec.Tasks != job.Record.Spec.Tasks {
 			return
 		}
-		if j != nil {
-			j.rec, j.version = rec, e.Version
+		if job != nil {
+			job.Record, job.Version = record, event.Version
 			return
 		}
-		j = &job{id: name, rec: rec, version: e.Version, state: make([]uint8, rec.Spec.Tasks),
-			need: needOf(&rec.Spec)}
-		j.over, _ = v.finals.get(name)
-		v.jobs[name] = j
-		for _, p := range v.shards { // it may have been seen before its job
-			v.sum(p, name, 1)
+		job = &Job{ID: name, Record: record, Version: event.Version, TaskStates: make([]uint8, record.Spec.Tasks),
+			TaskResources: TaskResources(&record.Spec)}
+		job.FinalStatus, _ = v.Results.Get(name)
+		v.Jobs[name] = job
+		for _, shard := range v.Shards { // it may have been seen before its job
+			v.countJobOfShard(shard, name, 1)
 		}
 	case bookkeeping.KindPartition:
-		p := &partitionView{version: e.Version}
-		if protocol.Unmarshal(e.Value, &p.rec) == nil {
-			v.partitions[name] = p
-		}
-	case bookkeeping.KindRental:
-		a := &rentalView{version: e.Version}
-		if protocol.Unmarshal(e.Value, &a.rec) == nil {
-			v.unset(kind, name)
-			v.rentals[name] = a
-			for _, id := range a.rec.Machines {
-				v.rentalOf[id] = name
+		partition := &PartitionEntry{Version: event.Version}
+		if protocol.Unmarshal(event.Value, &partition.Record) == nil {
+			v.Partitions[name] = partition
+		}
+	case bookkeeping.KindScaleOut:
+		request := &ScaleOutEntry{Version: event.Version}
+		if protocol.Unmarshal(event.Value, &request.Record) == nil {
+			v.applyRecordDelete(kind, name)
+			v.ScaleOuts[name] = request
+			for _, id := range request.Record.Machines {
+				v.ScaleOutOfMachine[id] = name
 			}
 		}
-	case bookkeeping.KindRemoval:
-		r := &removalView{version: e.Version}
-		if protocol.Unmarshal(e.Value, &r.rec) == nil {
-			v.unset(kind, name)
-			v.removals[name] = r
-			for _, id := range r.rec.Machines {
-				v.removal[id] = name
+	case bookkeeping.KindScaleIn:
+		removal := &ScaleInEntry{Version: event.Version}
+		if protocol.Unmarshal(event.Value, &removal.Record) == nil {
+			v.applyRecordDelete(kind, name)
+			v.ScaleIns[name] = removal
+			for _, id := range removal.Record.Machines {
+				v.ScaleInOfMachine[id] = name
 			}
 		}
-	case bookkeeping.KindType:
-		t := typeView{version: e.Version}
-		if protocol.Unmarshal(e.Value, &t.rec) == nil {
-			v.types[name] = t
+	case bookkeeping.KindMachineType:
+		entry := MachineTypeEntry{Version: event.Version}
+		if protocol.Unmarshal(event.Value, &entry.Record) == nil {
+			v.MachineTypes[name] = entry
 		}
 	case bookkeeping.KindMember:
-		m := memberView{version: e.Version}
-		if protocol.Unmarshal(e.Value, &m.rec) == nil {
-			v.members[name] = m
+		member := MemberEntry{Version: event.Version}
+		if protocol.Unmarshal(event.Value, &member.Record) == nil {
+			v.Members[name] = member
 		}
-	case bookkeeping.KindLead:
-		var l bookkeeping.Lead
-		if protocol.Unmarshal(e.Value, &l) == nil {
-			v.lead, v.leadVer = l, e.Version
+	case bookkeeping.KindLeader:
+		var lead bookkeeping.Leader
+		if protocol.Unmarshal(event.Value, &lead) == nil {
+			v.Leader, v.LeaderVersion = lead, event.Version
 		}
 	case bookkeeping.KindDrain:
-		d := drainView{version: e.Version}
-		if protocol.Unmarshal(e.Value, &d.rec) == nil {
-			v.drains[name] = d
+		drainEntry := DrainEntry{Version: event.Version}
+		if protocol.Unmarshal(event.Value, &drainEntry.Record) == nil {
+			v.Drains[name] = drainEntry
 		}
 	case bookkeeping.KindPermits:
-		p := permitsView{version: e.Version}
-		if protocol.Unmarshal(e.Value, &p.rec) == nil {
-			v.permits[name] = p
+		permits := PermitsEntry{Version: event.Version}
+		if protocol.Unmarshal(event.Value, &permits.Record) == nil {
+			v.PermitsByTeam[name] = permits
 		}
 	}
 }
 
-// unset applies a deletion of any record but a shard.
-func (v *View) unset(kind, name string) {
+// applyRecordDelete applies a deletion of any record but a shard.
+func (v *Mirror) applyRecordDelete(kind, name string) {
 	switch kind {
-	case bookkeeping.KindOpen:
-		for _, p := range v.shards {
-			v.sum(p, name, -1)
+	case bookkeeping.KindOpenJob:
+		for _, shard := range v.Shards {
+			v.countJobOfShard(shard, name, -1)
 		}
-		delete(v.jobs, name)
+		delete(v.Jobs, name)
 	case bookkeeping.KindPartition:
-		delete(v.partitions, name)
-	case bookkeeping.KindRental:
-		if a := v.rentals[name]; a != nil {
-			for _, id := range a.rec.Machines {
-				if v.rentalOf[id] == name {
-					delete(v.rentalOf, id)
+		delete(v.Partitions, name)
+	case bookkeeping.KindScaleOut:
+		if request := v.ScaleOuts[name]; request != nil {
+			for _, id := range request.Record.Machines {
+				if v.ScaleOutOfMachine[id] == name {
+					delete(v.ScaleOutOfMachine, id)
 				}
 			}
 		}
-		delete(v.rentals, name)
-	case bookkeeping.KindRemoval:
-		if r := v.removals[name]; r != nil {
-			for _, id := range r.rec.Machines {
-				if v.removal[id] == name {
-					delete(v.removal, id)
+		delete(v.ScaleOuts, name)
+	case bookkeeping.KindScaleIn:
+		if removal := v.ScaleIns[name]; removal != nil {
+			for _, id := range removal.Record.Machines {
+				if v.ScaleInOfMachine[id] == name {
+					delete(v.ScaleInOfMachine, id)
 				}
 			}
 		}
-		delete(v.removals, name)
-	case bookkeeping.KindType:
-		delete(v.types, name)
+		delete(v.ScaleIns, name)
+	case bookkeeping.KindMachineType:
+		delete(v.MachineTypes, name)
 	case bookkeeping.KindMember:
-		delete(v.members, name)
-	case bookkeeping.KindLead:
-		v.lead, v.leadVer = bookkeeping.Lead{}, 0
+		delete(v.Members, name)
+	case bookkeeping.KindLeader:
+		v.Leader, v.LeaderVersion = bookkeeping.Leader{}, 0
 	case bookkeeping.KindDrain:
-		delete(v.drains, name)
+		delete(v.Drains, name)
 	case bookkeeping.KindPermits:
-		delete(v.permits, name)
+		delete(v.PermitsByTeam, name)
 	}
 }
 
-// catalog gives the machine types as the store has them.
-func (v *View) catalog() map[string]protocol.MachineType {
+// Catalog gives the machine types as the store has them.
+func (v *Mirror) Catalog() map[string]protocol.MachineType {
 	types := map[string]protocol.MachineType{}
-	for name, t := range v.types {
-		r := t.rec
+	for name, entry := range v.MachineTypes {
+		r := entry.Record
 		types[name] = protocol.MachineType{Name: name, CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB, CacheGB: r.CacheGB,
-			FetchGBPerS: r.FetchGBPerS, Price: r.Price, SpotPrice: r.SpotPrice, BootS: r.BootS, Zones: r.Zones}
+			FetchGBPerS: r.FetchGBPerS, OnDemandPrice: r.OnDemandPrice, SpotPrice: r.SpotPrice, BootS: r.BootS, Zones: r.Zones}
 	}
 	return types
 }
--- a/internal/coordination/zones.go
+++ b/internal/coordination/zones.go
@@ -4,26 +4,26 @@
 	"pipitgap/internal/protocol"
 )
 
-// zoneRule keeps one_zone and apart. It knows where the job's other tasks are;
+// zoneConstraint keeps one_zone and apart. It knows where the job's other tasks are;
 // such a job has one part at a time,
 // which assigns its tasks one commit after the other.
-type zoneRule struct {
-	oneZone, spread bool
-	most            int
-	in              map[string]int
+type zoneConstraint struct {
+	oneZone, spreadZones bool
+	maxPerZone           int
+	tasksByZone          map[string]int
 }
 
-func newZoneRule(v *View, j *job) *zoneRule {
-	s := &j.rec.Spec
-	z := &zoneRule{oneZone: s.OneZone, spread: s.Spread, most: (s.Tasks + 1) / 2, in: map[string]int{}}
-	if !z.oneZone && !z.spread {
+func newZoneConstraint(mr *Mirror, job *Job) *zoneConstraint {
+	spec := &job.Record.Spec
+	z := &zoneConstraint{oneZone: spec.OneZone, spreadZones: spec.Spread, maxPerZone: (spec.Tasks + 1) / 2, tasksByZone: map[string]int{}}
+	if !z.oneZone && !z.spreadZones {
 		return z
 	}
-	for _, p := range v.shards {
-		if e := p.rec.Jobs[j.id]; e != nil {
-			for _, h := range e.Held {
-				if m := p.rec.Machines[h.Machine]; m != nil {
-					z.in[m.Zone]++
+	for _, shard := range mr.Shards {
+		if entry := shard.Record.Jobs[job.ID]; entry != nil {
+			for _, held := range entry.Attempts {
+				if machineRecord := shard.Record.Machines[held.Machine]; machineRecord != nil {
+					z.tasksByZone[machineRecord.Zone]++
 				}
 			}
 		}
@@ -31,21 +31,21 @@
 	return z
 }
 
-func (z *zoneRule) ok(zone string) bool { return z.room(zone) > 0 }
+func (z *zoneConstraint) allows(zone string) bool { return z.remaining(zone) > 0 }
 
-// room counts the tasks that the rule lets a zone take.
-func (z *zoneRule) room(zone string) int {
-	if z.oneZone && len(z.in) > 0 && z.in[zone] == 0 {
+// remaining counts the tasks that the rule lets a zone take.
+func (z *zoneConstraint) remaining(zone string) int {
+	if z.oneZone && len(z.tasksByZone) > 0 && z.tasksByZone[zone] == 0 {
 		return 0
 	}
-	if z.spread {
-		return max(0, z.most-z.in[zone])
+	if z.spreadZones {
+		return max(0, z.maxPerZone-z.tasksByZone[zone])
 	}
 	return protocol.MaxTasks
 }
 
-func (z *zoneRule) add(zone string, n int) {
-	if n > 0 && (z.oneZone || z.spread) {
-		z.in[zone] += n
+func (z *zoneConstraint) addTasks(zone string, n int) {
+	if n > 0 && (z.oneZone || z.spreadZones) {
+		z.tasksByZone[zone] += n
 	}
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -14,34 +14,34 @@
 	"pipitgap/internal/transport"
 )
 
-// TestAlone runs a whole controller on loopback whose state service and cloud
+// TestAnswersWithoutStateServiceAndCloud runs a whole controller on loopback whose state service and cloud
 // refuse every connection: it must answer everybody at once, keep within its
 // connections and stay up.
-func TestAlone(t *testing.T) {
+func TestAnswersWithoutStateServiceAndCloud(t *testing.T) {
 	free := func() string {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
-		return l.Addr().String()
+		defer listener.Close()
+		return listener.Addr().String()
 	}
 	cfg := &config.Config{Node: "n-0", Area: "a", PublicAddr: free(), PeerBind: free()}
 	cfg.External.State, cfg.External.Cloud = free(), free()
-	cfg.Known = []config.Peer{{Node: "n-1", Area: "b", Addr: free()}}
+	cfg.Peers = []config.Peer{{Node: "n-1", Area: "b", Addr: free()}}
 	f := &cfg.Facts
 	f.Zones, f.Teams = []string{"a", "b"}, []config.Team{{Name: "t"}}
-	f.Workers.ReportS, f.Workers.LeaseS, f.Workers.CancelS = 2, 12, 32
+	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 2, 12, 32
 	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 200, 50, 4, 12
 	f.Cloud.RPS = 6
 	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.3, 100, 140
 	ended := make(chan error, 1)
 	go func() { ended <- Run(cfg, config.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil))) }()
 
-	cl := transport.NewClient(cfg.PublicAddr, 1, 1024)
+	client := transport.NewClient(cfg.PublicAddr, 1, 1024)
 	up := false
 	for i := 0; i < 400 && !up; i++ {
-		_, err := cl.Do("GET", "/healthz", nil, 5*micros.Second)
+		_, err := client.Do("GET", "/healthz", nil, 5*micros.Second)
 		up = err == nil
 		if !up {
 			time.Sleep(10 * time.Millisecond) // until the listener is there
@@ -60,7 +60,7 @@
 		{"POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
-		m, err := cl.Do(tc.method, tc.target, tc.body, 10*micros.Second)
+		m, err := client.Do(tc.method, tc.target, tc.body, 10*micros.Second)
 		if err != nil || m.Status != tc.want {
 			t.Errorf("%s %s: %+v %v, want %d", tc.method, tc.target, m, err, tc.want)
 			continue
@@ -87,7 +87,7 @@
 	if most := 140*8/10 - 32; answered == 0 || answered > most {
 		t.Errorf("%d connections answered, at most %d are to be kept", answered, most)
 	}
-	if m, err := cl.Do("GET", "/healthz", nil, 10*micros.Second); err != nil || m.Status != 503 {
+	if m, err := client.Do("GET", "/healthz", nil, 10*micros.Second); err != nil || m.Status != 503 {
 		t.Errorf("after the flood: %+v %v", m, err)
 	}
 	select {
@@ -97,25 +97,25 @@
 	}
 }
 
-// TestTimers: in order of time, then of their making; what is added while they
+// TestTimersRunInOrderOfTime: in order of time, then of their making; what is added while they
 // run waits for the next time.
-func TestTimers(t *testing.T) {
-	var h timerHeap
+func TestTimersRunInOrderOfTime(t *testing.T) {
+	var timers timerHeap
 	got := ""
-	add := func(at micros.T, name string) { h.add(at, func() { got += name }) }
+	add := func(at micros.Micros, name string) { timers.schedule(at, func() { got += name }) }
 	add(30, "c")
 	add(10, "a")
 	add(10, "b")
-	h.add(20, func() { got += "-"; add(20, "d") })
-	if w := h.wait(4); w != 6 {
+	timers.schedule(20, func() { got += "-"; add(20, "d") })
+	if w := timers.untilNext(4); w != 6 {
 		t.Errorf("waits %d", w)
 	}
-	h.run(25)
+	timers.runDue(25)
 	if got != "ab-" {
 		t.Errorf("ran %q", got)
 	}
-	h.run(30)
-	if got != "ab-dc" || h.wait(30) != micros.Minute {
+	timers.runDue(30)
+	if got != "ab-dc" || timers.untilNext(30) != micros.Minute {
 		t.Errorf("ran %q", got)
 	}
 }
--- a/internal/daemon/peers_test.go
+++ b/internal/daemon/peers_test.go
@@ -17,12 +17,12 @@
 	failing := map[string]int{}
 	for i := range 5000 {
 		id := fmt.Sprintf("j-%s-%06d", strings.Repeat("x", 90), i)
-		relay.Note(cancellation.Committed{Job: id, Revision: uint64(1_000_000_000 + i)})
+		relay.Add(cancellation.Committed{Job: id, Revision: uint64(1_000_000_000 + i)})
 		if i < 100 {
 			failing[id] = i
 		}
 	}
-	messages := relay.Messages("n-1", micros.Minute, 1, true)
+	messages := relay.MessagesFor("n-1", micros.Minute, 1, true)
 	if len(messages) < 5 {
 		t.Fatalf("%d messages", len(messages))
 	}
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -14,17 +14,17 @@
 }
 
 type timerItem struct {
-	at  micros.T
-	seq uint64
-	f   func()
+	due      micros.Micros
+	seq      uint64
+	callback func()
 }
 
 type timerItems []timerItem
 
 func (t timerItems) Len() int { return len(t) }
 func (t timerItems) Less(a, b int) bool {
-	if t[a].at != t[b].at {
-		return t[a].at < t[b].at
+	if t[a].due != t[b].due {
+		return t[a].due < t[b].due
 	}
 	return t[a].seq < t[b].seq
 }
@@ -38,25 +38,25 @@
 	return x
 }
 
-func (h *timerHeap) add(at micros.T, f func()) {
+func (h *timerHeap) schedule(at micros.Micros, f func()) {
 	h.seq++
 	heap.Push(&h.items, timerItem{at, h.seq, f})
 }
 
-// wait tells how long until the next timer is due.
-func (h *timerHeap) wait(now micros.T) micros.T {
+// untilNext tells how long until the next timer is due.
+func (h *timerHeap) untilNext(now micros.Micros) micros.Micros {
 	if len(h.items) == 0 {
 		return micros.Minute
 	}
-	return max(0, h.items[0].at-now)
+	return max(0, h.items[0].due-now)
 }
 
-// run runs what is due now. What that adds runs the next time, even if it is due:
+// runDue runs what is due now. What that adds runs the next time, even if it is due:
 // a timer that sets itself anew for now must not keep the mailbox waiting.
-func (h *timerHeap) run(now micros.T) {
+func (h *timerHeap) runDue(now micros.Micros) {
 	var due []func()
-	for len(h.items) > 0 && h.items[0].at <= now {
-		due = append(due, heap.Pop(&h.items).(timerItem).f)
+	for len(h.items) > 0 && h.items[0].due <= now {
+		due = append(due, heap.Pop(&h.items).(timerItem).callback)
 	}
 	for _, f := range due {
 		f()
--- a/internal/daemon/workers.go
+++ b/internal/daemon/workers.go
@@ -7,38 +7,38 @@
 // thousands would hold more idle connections than it has sockets to spare, and
 // closing all of them at once would have all of them dialled again.
 type workerPool struct {
-	most  int
-	turn  uint64
-	known map[string]*pooled
+	maxClients int
+	clock      uint64
+	clients    map[string]*pooledClient
 }
 
-type pooled struct {
-	client *transport.Client
-	used   uint64 // when, in turns of the pool
+type pooledClient struct {
+	client   *transport.Client
+	lastUsed uint64 // when, in turns of the pool
 }
 
 // client gives the client of an endpoint; the one that was used longest ago makes
 // room for a new one. What it has in flight ends as usual.
 func (p *workerPool) client(endpoint string) *transport.Client {
-	if p.known == nil {
-		p.known = map[string]*pooled{}
+	if p.clients == nil {
+		p.clients = map[string]*pooledClient{}
 	}
-	p.turn++
-	if e := p.known[endpoint]; e != nil {
-		e.used = p.turn
-		return e.client
+	p.clock++
+	if entry := p.clients[endpoint]; entry != nil {
+		entry.lastUsed = p.clock
+		return entry.client
 	}
-	if len(p.known) >= p.most {
+	if len(p.clients) >= p.maxClients {
 		oldest := ""
-		for name, e := range p.known {
-			if oldest == "" || e.used < p.known[oldest].used {
+		for name, entry := range p.clients {
+			if oldest == "" || entry.lastUsed < p.clients[oldest].lastUsed {
 				oldest = name
 			}
 		}
-		p.known[oldest].client.Close()
-		delete(p.known, oldest)
+		p.clients[oldest].client.Close()
+		delete(p.clients, oldest)
 	}
-	e := &pooled{client: transport.NewClient(endpoint, 1, transport.MaxBody), used: p.turn}
-	p.known[endpoint] = e
-	return e.client
+	entry := &pooledClient{client: transport.NewClient(endpoint, 1, transport.MaxBody), lastUsed: p.clock}
+	p.clients[endpoint] = entry
+	return entry.client
 }
--- a/internal/daemon/workers_test.go
+++ b/internal/daemon/workers_test.go
@@ -10,31 +10,31 @@
 	"pipitgap/internal/transport"
 )
 
-// TestWorkerPool: a controller that speaks to more workers than it may keep
+// TestWorkerPoolEvictsLeastRecentlyUsed: a controller that speaks to more workers than it may keep
 // connections to drops the one used longest ago, and of a request that was in flight
 // meanwhile nothing is left open.
-func TestWorkerPool(t *testing.T) {
-	p := workerPool{most: 3}
+func TestWorkerPoolEvictsLeastRecentlyUsed(t *testing.T) {
+	p := workerPool{maxClients: 3}
 	for i := 0; i < 3; i++ {
 		p.client(fmt.Sprint("127.0.0.1:", i+1))
 	}
 	first := p.client("127.0.0.1:1")
-	if p.client("127.0.0.1:9"); p.known["127.0.0.1:2"] != nil || p.known["127.0.0.1:1"] == nil || len(p.known) != 3 {
-		t.Errorf("kept %d, want all but the one used longest ago", len(p.known))
+	if p.client("127.0.0.1:9"); p.clients["127.0.0.1:2"] != nil || p.clients["127.0.0.1:1"] == nil || len(p.clients) != 3 {
+		t.Errorf("kept %d, want all but the one used longest ago", len(p.clients))
 	}
 	if p.client("127.0.0.1:1") != first {
 		t.Error("a kept client is made anew")
 	}
 
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	var open atomic.Int32
 	asked, answer, over := make(chan bool), make(chan bool), make(chan bool)
 	go func() {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -48,14 +48,14 @@
 		open.Add(-1)
 		over <- true
 	}()
-	cl := transport.NewClient(l.Addr().String(), 1, 1024)
+	client := transport.NewClient(listener.Addr().String(), 1, 1024)
 	done := make(chan error)
 	go func() {
-		_, err := cl.Do("GET", "/show", nil, 20*micros.Second)
+		_, err := client.Do("GET", "/show", nil, 20*micros.Second)
 		done <- err
 	}()
 	<-asked
-	cl.Close()
+	client.Close()
 	answer <- true
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -8,10 +8,10 @@
 )
 
 // Policy is what the operators' settings say of drains.
-type Policy struct{ settings *config.Drains }
+type Policy struct{ settings *config.DrainSettings }
 
 // NewPolicy takes the settings, whose defaults are filled in.
-func NewPolicy(settings *config.Drains) *Policy { return &Policy{settings} }
+func NewPolicy(settings *config.DrainSettings) *Policy { return &Policy{settings} }
 
 // Scope is what a budget counts: a team's services, or those of one class.
 type Scope struct {
@@ -28,7 +28,7 @@
 }
 
 // budgetFor gives the budget of a scope that has one.
-func (p *Policy) budgetFor(scope Scope) (*config.Budget, bool) {
+func (p *Policy) budgetFor(scope Scope) (*config.DisruptionBudget, bool) {
 	for i := range p.settings.Budgets {
 		budget := &p.settings.Budgets[i]
 		if budget.Team == scope.Team && budget.Class == scope.Class {
@@ -46,8 +46,8 @@
 }
 
 // defaultBudget is the pace at which services without a budget are moved.
-func (p *Policy) defaultBudget() *config.Budget {
-	return &config.Budget{MaxUnavailable: &config.Amount{Value: p.settings.DefaultMaxUnavailable}}
+func (p *Policy) defaultBudget() *config.DisruptionBudget {
+	return &config.DisruptionBudget{MaxUnavailable: &config.CountOrPercent{Value: p.settings.DefaultMaxUnavailable}}
 }
 
 // scopesOf lists what a job counts in: its team's budget and its class's, or the default
@@ -67,17 +67,17 @@
 
 // Availability is how a scope stands against its budget.
 type Availability struct {
-	Scope     Scope
-	Budgeted  bool // false: the default pace
-	Desired   int  // replicas that its jobs should have
-	Available int  // replicas that run, are reachable, and are under no permit
-	Floor     int  // replicas that must stay available
-	Reserve   int  // machines whose sudden loss must leave the floor intact
-	onMachine map[string]int
+	Scope           Scope
+	Budgeted        bool // false: the default pace
+	Desired         int  // replicas that its jobs should have
+	Available       int  // replicas that run, are reachable, and are under no permit
+	MinAvailable    int  // replicas that must stay available
+	ReserveMachines int  // machines whose sudden loss must leave the floor intact
+	onMachine       map[string]int
 }
 
-// availabilities counts all scopes of a snapshot.
-func (p *Policy) availabilities(s *Snapshot) map[Scope]*Availability {
+// availabilityByScope counts all scopes of a snapshot.
+func (p *Policy) availabilityByScope(s *Snapshot) map[Scope]*Availability {
 	counted := map[Scope]*Availability{}
 	for _, id := range sortedKeys(s.jobs) {
 		job := s.jobs[id]
@@ -91,7 +91,7 @@
 			counted[scope].Desired += job.Replicas
 		}
 	}
-	s.EachMachine(func(m *Machine) bool {
+	s.ForEachMachine(func(m *Machine) bool {
 		p.countMachine(s, m, counted)
 		return true
 	})
@@ -108,7 +108,7 @@
 	}
 	for _, r := range m.Replicas {
 		job, known := s.jobs[r.Job]
-		if !known || job.Failing || r.Starting || r.Permit {
+		if !known || job.Failing || r.Starting || r.UnderPermit {
 			continue
 		}
 		for _, scope := range p.scopesOf(job) {
@@ -125,19 +125,19 @@
 	if !ok {
 		budget = p.defaultBudget()
 	}
-	a.Floor = max(0, budget.Floor(a.Desired))
-	a.Reserve = *p.settings.DefaultReserveMachines
+	a.MinAvailable = max(0, budget.MinAvailableOf(a.Desired))
+	a.ReserveMachines = *p.settings.DefaultReserveMachines
 	if budget.ReserveMachines != nil {
-		a.Reserve = *budget.ReserveMachines
+		a.ReserveMachines = *budget.ReserveMachines
 	}
 	if !ok {
-		a.Reserve = 0
+		a.ReserveMachines = 0
 	}
 }
 
 // worstLoss is how many replicas are lost with the reserve's machines, at most.
 func (a *Availability) worstLoss() int {
-	if a.Reserve == 0 {
+	if a.ReserveMachines == 0 {
 		return 0
 	}
 	counts := make([]int, 0, len(a.onMachine))
@@ -146,14 +146,14 @@
 	}
 	slices.SortFunc(counts, func(x, y int) int { return y - x })
 	lost := 0
-	for _, n := range counts[:min(a.Reserve, len(counts))] {
+	for _, n := range counts[:min(a.ReserveMachines, len(counts))] {
 		lost += n
 	}
 	return lost
 }
 
-// kept tells whether the budget holds, the loss of the reserve's machines included.
-func (a *Availability) kept() bool { return a.Available-a.worstLoss() >= a.Floor }
+// floorKept tells whether the budget holds, the loss of the reserve's machines included.
+func (a *Availability) floorKept() bool { return a.Available-a.worstLoss() >= a.MinAvailable }
 
 // stop counts a replica out.
 func (a *Availability) stop(machine string) {
@@ -167,18 +167,18 @@
 	a.onMachine[machine]++
 }
 
-// permits tells whether a further replica on a machine may be stopped, and if not, why.
-func (a *Availability) permits(machine string) (reason string, ok bool) {
-	if a.Available <= a.Floor {
+// allowsStop tells whether a further replica on a machine may be stopped, and if not, why.
+func (a *Availability) allowsStop(machine string) (reason string, ok bool) {
+	if a.Available <= a.MinAvailable {
 		return fmt.Sprintf("%s: %d of %d replicas are available, %d must stay",
-			a.Scope, a.Available, a.Desired, a.Floor), false
+			a.Scope, a.Available, a.Desired, a.MinAvailable), false
 	}
 	a.stop(machine)
 	defer a.restore(machine)
-	if a.kept() {
+	if a.floorKept() {
 		return "", true
 	}
 	return fmt.Sprintf("%s: %d of %d replicas would be available, "+
 		"and %d without the %d fullest of its machines (reserve); %d must stay",
-		a.Scope, a.Available, a.Desired, a.Available-a.worstLoss(), a.Reserve, a.Floor), false
+		a.Scope, a.Available, a.Desired, a.Available-a.worstLoss(), a.ReserveMachines, a.MinAvailable), false
 }
