--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -19,17 +19,17 @@
 
 // Decision is what a controller is to do now. Nothing of it has been done.
 type Decision struct {
-	// Grant are permits to add, by team.
-	Grant map[string][]bookkeeping.Permit
+	// Granted are permits to add, by team.
+	Granted map[string][]bookkeeping.Permit
 	// Stop are permits that stand and may be used now: their replicas are on own machines.
 	Stop []bookkeeping.Permit
-	// Return are permits of own machines that must not be used. One that its owner has begun to
+	// Revoked are permits of own machines that must not be used. One that its owner has begun to
 	// use stays until it is over.
-	Return []bookkeeping.Permit
-	// Over are permits that are fulfilled or without a purpose, by team.
-	Over map[string][]bookkeeping.Permit
-	// Emptying are own machines whose other tasks may be stopped now.
-	Emptying []string
+	Revoked []bookkeeping.Permit
+	// Completed are permits that are fulfilled or without a purpose, by team.
+	Completed map[string][]bookkeeping.Permit
+	// StopArrays are own machines whose other tasks may be stopped now.
+	StopArrays []string
 	// Blocked says what a drain waits for.
 	Blocked []Blockage
 }
@@ -39,13 +39,13 @@
 
 // What a move can wait for.
 const (
-	BlockedByBudget   BlockKind = "budget"
-	BlockedByRoom     BlockKind = "room"
-	BlockedByStart    BlockKind = "starting"
-	BlockedByCordon   BlockKind = "cordon"
-	BlockedByPermits  BlockKind = "permits"
-	BlockedByOwner    BlockKind = "controller"
-	BlockedByDeadline BlockKind = "deadline"
+	BlockedByBudget     BlockKind = "budget"
+	BlockedByCapacity   BlockKind = "room"
+	BlockedByStarting   BlockKind = "starting"
+	BlockedByCordon     BlockKind = "cordon"
+	BlockedByPermits    BlockKind = "permits"
+	BlockedByController BlockKind = "controller"
+	BlockedByDeadline   BlockKind = "deadline"
 )
 
 // Blockage is a replica that can't be moved yet, and why.
@@ -58,8 +58,8 @@
 }
 
 // permitBytes is what a permit takes in a record at most.
-func permitBytes(p *bookkeeping.Permit) int {
-	return bookkeeping.PermitBytes + len(p.Drain) + len(p.Job) + len(p.From) + len(p.To)
+func permitBytes(permit *bookkeeping.Permit) int {
+	return bookkeeping.PermitBytes + len(permit.Drain) + len(permit.Job) + len(permit.From) + len(permit.To)
 }
 
 // decider works out one decision; its snapshot moves on with every permit that it grants.
@@ -68,13 +68,13 @@
 	snapshot     *Snapshot
 	controller   *Controller
 	availability map[Scope]*Availability
-	full         map[needOf]bool // what no machine has room for
-	bytes        map[string]int  // by team: the size of its permits
+	noRoom       map[placementKey]bool // what no machine has room for
+	recordBytes  map[string]int        // by team: the size of its permits
 	decision     *Decision
 }
 
-// needOf is what decides whether a replica finds room, but for zone rules.
-type needOf struct {
+// placementKey is what decides whether a replica finds room, but for zone rules.
+type placementKey struct {
 	need  Resources
 	types string
 	zone  string
@@ -85,13 +85,13 @@
 // Decide works out what a controller is to do for all drains.
 func (p *Policy) Decide(s *Snapshot, c *Controller) *Decision {
 	d := &decider{
-		policy: p, snapshot: s, controller: c, availability: p.availabilities(s),
-		full: map[needOf]bool{}, bytes: map[string]int{},
-		decision: &Decision{Grant: map[string][]bookkeeping.Permit{}, Over: map[string][]bookkeeping.Permit{}},
+		policy: p, snapshot: s, controller: c, availability: p.availabilityByScope(s),
+		noRoom: map[placementKey]bool{}, recordBytes: map[string]int{},
+		decision: &Decision{Granted: map[string][]bookkeeping.Permit{}, Completed: map[string][]bookkeeping.Permit{}},
 	}
 	for _, team := range sortedKeys(s.permits) {
 		for i := range s.permits[team].Permits {
-			d.standing(team, &s.permits[team].Permits[i])
+			d.reviewPermit(team, &s.permits[team].Permits[i])
 		}
 	}
 	for i := range s.drains {
@@ -100,56 +100,56 @@
 	return d.decision
 }
 
-// standing decides what becomes of a permit.
-func (d *decider) standing(team string, p *bookkeeping.Permit) {
-	d.bytes[team] += permitBytes(p)
-	if d.over(p) {
+// reviewPermit decides what becomes of a permit.
+func (d *decider) reviewPermit(team string, permit *bookkeeping.Permit) {
+	d.recordBytes[team] += permitBytes(permit)
+	if d.completed(permit) {
 		if d.controller.Responsible(team) {
-			d.decision.Over[team] = append(d.decision.Over[team], *p)
+			d.decision.Completed[team] = append(d.decision.Completed[team], *permit)
 		}
 		return
 	}
-	from, ok := d.snapshot.Machine(p.From)
-	if !ok || from.Owner != d.controller.Node || !holds(from, p) {
+	from, ok := d.snapshot.Machine(permit.From)
+	if !ok || from.Owner != d.controller.Node || !holdsAttempt(from, permit) {
 		return // stopped, lost, or another controller's
 	}
-	if d.usable(p, from) {
-		d.decision.Stop = append(d.decision.Stop, *p)
+	if d.stillAllowed(permit, from) {
+		d.decision.Stop = append(d.decision.Stop, *permit)
 	} else {
-		d.decision.Return = append(d.decision.Return, *p)
+		d.decision.Revoked = append(d.decision.Revoked, *permit)
 	}
 }
 
-// over tells whether nothing is left to wait for: the service has ended, or the replica runs
+// completed tells whether nothing is left to wait for: the service has ended, or the replica runs
 // by another attempt.
-func (d *decider) over(p *bookkeeping.Permit) bool {
-	if _, known := d.snapshot.jobs[p.Job]; !known {
+func (d *decider) completed(permit *bookkeeping.Permit) bool {
+	if _, known := d.snapshot.jobs[permit.Job]; !known {
 		return true
 	}
-	m, r, held := d.snapshot.holder(p.Job, p.Task)
-	return held && r.Attempt != p.Attempt && !r.Starting && m.reachable()
+	m, r, held := d.snapshot.replicaOf(permit.Job, permit.Task)
+	return held && r.Attempt != permit.Attempt && !r.Starting && m.reachable()
 }
 
-// holds tells whether the attempt that a permit is for is still on a machine.
-func holds(m *Machine, p *bookkeeping.Permit) bool {
+// holdsAttempt tells whether the attempt that a permit is for is still on a machine.
+func holdsAttempt(m *Machine, permit *bookkeeping.Permit) bool {
 	for _, r := range m.Replicas {
-		if r.Job == p.Job && r.Task == p.Task && r.Attempt == p.Attempt {
+		if r.Job == permit.Job && r.Task == permit.Task && r.Attempt == permit.Attempt {
 			return true
 		}
 	}
 	return false
 }
 
-// usable tells whether a permit that stands may be used now. The budget is looked at once
+// stillAllowed tells whether a permit that stands may be used now. The budget is looked at once
 // more: machines may have been lost since the permit was granted, or it was granted late.
-func (d *decider) usable(p *bookkeeping.Permit, from *Machine) bool {
-	record, ok := d.snapshot.covering(from)
-	if !ok || record.Name != p.Drain || !d.stepsAllowed(record) {
+func (d *decider) stillAllowed(permit *bookkeeping.Permit, from *Machine) bool {
+	record, ok := d.snapshot.drainCovering(from)
+	if !ok || record.Name != permit.Drain || !d.stepsAllowed(record) {
 		return false
 	}
-	job := d.snapshot.jobs[p.Job]
+	job := d.snapshot.jobs[permit.Job]
 	for _, scope := range d.policy.scopesOf(job) {
-		if a := d.availability[scope]; a != nil && !a.kept() {
+		if a := d.availability[scope]; a != nil && !a.floorKept() {
 			return false
 		}
 	}
@@ -166,11 +166,11 @@
 	return record.DeadlineAt != 0 && s.Wall >= record.DeadlineAt
 }
 
-// Settle tells what becomes of a drain by itself: it ends when nothing is left of it, and is
+// NextState tells what becomes of a drain by itself: it ends when nothing is left of it, and is
 // paused at its deadline. The record of one that ended long ago is dropped: next is nil then.
 // expecting: machines that it covers may still come up; kept: how long a record is kept,
 // microseconds.
-func (s *Snapshot) Settle(record *DrainRecord, expecting bool, kept int64) (next *bookkeeping.Drain, changed bool) {
+func (s *Snapshot) NextState(record *DrainRecord, expecting bool, kept int64) (next *bookkeeping.Drain, changed bool) {
 	rec := record.Drain
 	switch rec.State {
 	case bookkeeping.DrainDone, bookkeeping.DrainAborted:
@@ -182,7 +182,7 @@
 	switch {
 	case !expecting && len(s.Selected(&rec)) == 0:
 		rec.State, rec.Reason, rec.EndedAt = bookkeeping.DrainDone, "", s.Wall
-		if rec.Closes() {
+		if rec.ClosesOffers() {
 			rec.State = bookkeeping.DrainDrained
 			rec.Reason = "nothing is left; nothing is rented there until the drain is aborted"
 		}
@@ -194,15 +194,15 @@
 	return &rec, true
 }
 
-// Step lists the machines of a drain that are being emptied: those that were begun, then the
+// MachinesInStep lists the machines of a drain that are being emptied: those that were begun, then the
 // others in the order of their ids, as many as may be emptied at a time.
-func (s *Snapshot) Step(record *DrainRecord) []string {
+func (s *Snapshot) MachinesInStep(record *DrainRecord) []string {
 	var begun, others []string
 	for _, id := range s.Selected(&record.Drain) {
 		m, _ := s.Machine(id)
 		switch {
-		case m.State == bookkeeping.MachineRemoving || len(m.Replicas) == 0 && len(m.Arrays) == 0:
-		case m.leaving():
+		case m.State == bookkeeping.MachineRemoving || len(m.Replicas) == 0 && len(m.ArrayUsage) == 0:
+		case m.hasPermits():
 			begun = append(begun, id)
 		default:
 			others = append(others, id)
@@ -212,10 +212,10 @@
 	return step[:min(len(step), record.MaxParallel)]
 }
 
-// leaving tells whether a replica on a machine is under a permit.
-func (m *Machine) leaving() bool {
+// hasPermits tells whether a replica on a machine is under a permit.
+func (m *Machine) hasPermits() bool {
 	for _, r := range m.Replicas {
-		if r.Permit {
+		if r.UnderPermit {
 			return true
 		}
 	}
@@ -227,35 +227,35 @@
 	if record.State != bookkeeping.DrainActive {
 		return
 	}
-	for _, id := range d.snapshot.Step(record) {
+	for _, id := range d.snapshot.MachinesInStep(record) {
 		m, _ := d.snapshot.Machine(id)
 		if d.snapshot.deadlinePassed(record) {
 			d.block(record, m, nil, BlockedByDeadline, "the deadline has passed")
 			continue
 		}
-		d.empty(record, m)
+		d.emptyMachine(record, m)
 	}
 }
 
-// empty decides on a machine of the present step.
-func (d *decider) empty(record *DrainRecord, m *Machine) {
+// emptyMachine decides on a machine of the present step.
+func (d *decider) emptyMachine(record *DrainRecord, m *Machine) {
 	if m.State != bookkeeping.MachineCordoned {
 		d.blockMachine(record, m)
 		return
 	}
 	mine := m.Owner == d.controller.Node
 	if !mine && !d.controller.Live(m.Owner) {
-		d.block(record, m, nil, BlockedByOwner,
+		d.block(record, m, nil, BlockedByController,
 			fmt.Sprintf("controller %s is gone, its successor isn't there yet", m.Owner))
 	}
 	staying := 0
 	for i := range m.Replicas {
 		r := m.Replicas[i]
 		job, known := d.snapshot.jobs[r.Job]
-		if !known || job.Failing || r.Permit {
+		if !known || job.Failing || r.UnderPermit {
 			continue
 		}
-		permit, kind, reason := d.consider(record, m, &r, job)
+		permit, kind, reason := d.evaluateReplica(record, m, &r, job)
 		if kind != "" {
 			staying++
 			d.block(record, m, &r, kind, reason)
@@ -266,78 +266,78 @@
 		}
 	}
 	if mine && staying == 0 {
-		d.decision.Emptying = append(d.decision.Emptying, m.ID)
+		d.decision.StopArrays = append(d.decision.StopArrays, m.ID)
 	}
 }
 
 // blockMachine says why nothing can be moved off a machine that isn't cordoned.
 func (d *decider) blockMachine(record *DrainRecord, m *Machine) {
 	switch m.State {
-	case bookkeeping.MachineQuiet:
+	case bookkeeping.MachineUnreachable:
 		d.block(record, m, nil, BlockedByCordon, "the machine is out of reach")
 	case bookkeeping.MachineOpen:
 		d.block(record, m, nil, BlockedByCordon, "the machine isn't cordoned yet")
 	}
 }
 
-// consider tells whether a replica may be stopped now, with the permit that would allow it,
+// evaluateReplica tells whether a replica may be stopped now, with the permit that would allow it,
 // or what it waits for.
-func (d *decider) consider(
-	record *DrainRecord, m *Machine, r *Replica, job *Job,
+func (d *decider) evaluateReplica(
+	record *DrainRecord, m *Machine, replica *Replica, job *Job,
 ) (bookkeeping.Permit, BlockKind, string) {
-	if r.Starting {
-		return bookkeeping.Permit{}, BlockedByStart, "it is still starting"
+	if replica.Starting {
+		return bookkeeping.Permit{}, BlockedByStarting, "it is still starting"
 	}
 	for _, scope := range d.policy.scopesOf(job) {
-		if reason, ok := d.availability[scope].permits(m.ID); !ok {
+		if reason, ok := d.availability[scope].allowsStop(m.ID); !ok {
 			return bookkeeping.Permit{}, BlockedByBudget, reason
 		}
 	}
 	to, ok := d.roomFor(job, m)
 	if !ok {
-		return bookkeeping.Permit{}, BlockedByRoom,
+		return bookkeeping.Permit{}, BlockedByCapacity,
 			fmt.Sprintf("no machine outside the drain has room for %g CPUs, %g accelerators, %g GB",
-				job.Need.CPUs, job.Need.GPUs, job.Need.MemoryGB)
+				job.PerTask.CPUs, job.PerTask.GPUs, job.PerTask.MemoryGB)
 	}
 	permit := bookkeeping.Permit{
-		Drain: record.Name, Job: r.Job, Task: r.Task, Attempt: r.Attempt,
-		From: m.ID, To: to.ID, At: d.snapshot.Wall,
+		Drain: record.Name, Job: replica.Job, Task: replica.Task, Attempt: replica.Attempt,
+		From: m.ID, To: to.ID, GrantedAt: d.snapshot.Wall,
 	}
-	if d.bytes[job.Team]+permitBytes(&permit) > d.controller.RecordBytes {
+	if d.recordBytes[job.Team]+permitBytes(&permit) > d.controller.RecordBytes {
 		return bookkeeping.Permit{}, BlockedByPermits,
 			fmt.Sprintf("team %s has as many permits as its record holds", job.Team)
 	}
 	return permit, "", ""
 }
 
-// roomFor finds a machine for a replica, remembering what finds none.
+// tasksThatFit finds a machine for a replica, remembering what finds none.
 func (d *decider) roomFor(job *Job, from *Machine) (*Machine, bool) {
-	key := needOf{job.Need, fmt.Sprint(job.Types), job.Zone, job.Spot, from.ID}
+	key := placementKey{job.PerTask, fmt.Sprint(job.Types), job.Zone, job.Spot, from.ID}
 	plain := !job.OneZone && !job.Spread
-	if plain && d.full[key] {
+	if plain && d.noRoom[key] {
 		return nil, false
 	}
 	to, ok := d.snapshot.destination(job, from, d.controller.Live)
 	if plain && !ok {
-		d.full[key] = true
+		d.noRoom[key] = true
 	}
 	return to, ok
 }
 
 // grant adds a permit to the decision, and takes it into account for the next ones.
 func (d *decider) grant(job *Job, permit bookkeeping.Permit) {
-	d.decision.Grant[job.Team] = append(d.decision.Grant[job.Team], permit)
-	d.bytes[job.Team] += permitBytes(&permit)
+	d.decision.Granted[job.Team] = append(d.decision.Granted[job.Team], permit)
+	d.recordBytes[job.Team] += permitBytes(&permit)
 	for _, scope := range d.policy.scopesOf(job) {
 		d.availability[scope].stop(permit.From)
 	}
-	d.snapshot = d.snapshot.permitted(permit)
+	d.snapshot = d.snapshot.withPermit(permit)
 }
 
-func (d *decider) block(record *DrainRecord, m *Machine, r *Replica, kind BlockKind, reason string) {
+func (d *decider) block(record *DrainRecord, m *Machine, replica *Replica, kind BlockKind, reason string) {
 	blockage := Blockage{Drain: record.Name, Machine: m.ID, Kind: kind, Reason: reason}
-	if r != nil {
-		blockage.Task = fmt.Sprintf("%s/%d", r.Job, r.Task)
+	if replica != nil {
+		blockage.Task = fmt.Sprintf("%s/%d", replica.Job, replica.Task)
 	}
 	d.decision.Blocked = append(d.decision.Blocked, blockage)
 }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -39,7 +39,7 @@
 		for _, job := range f.machines[id] {
 			m.Replicas = append(m.Replicas, Replica{Job: job, Task: next[job], Attempt: 7, Starting: f.starting[id]})
 			next[job]++
-			m.Free = m.Free.Minus(f.jobs[job].Need)
+			m.Free = m.Free.Minus(f.jobs[job].PerTask)
 		}
 		b.AddMachine(m)
 	}
@@ -48,7 +48,7 @@
 		job.Replicas = max(job.Replicas, next[id])
 		b.AddJob(&job)
 	}
-	b.AddType(MachineType{Name: "m8", Capacity: Resources{CPUs: machineCPUs, MemoryGB: 64}, Zones: []string{"a", "b"}})
+	b.AddType(TypeCapacity{Name: "m8", Capacity: Resources{CPUs: machineCPUs, MemoryGB: 64}, Zones: []string{"a", "b"}})
 	for name, d := range f.drains {
 		b.AddDrain(name, 50, d)
 	}
@@ -59,19 +59,19 @@
 }
 
 func job(team string) Job {
-	return Job{Team: team, Class: "web", Need: Resources{CPUs: 2, MemoryGB: 4}, Priority: 3}
+	return Job{Team: team, Class: "web", PerTask: Resources{CPUs: 2, MemoryGB: 4}, Priority: 3}
 }
 
 func zoneDrain(zone string) bookkeeping.Drain {
 	return bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: zone}, MaxParallel: 5}
 }
 
-func policyOf(reserve int, budgets ...config.Budget) *Policy {
-	return NewPolicy(&config.Drains{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 5, Budgets: budgets})
+func policyOf(reserve int, budgets ...config.DisruptionBudget) *Policy {
+	return NewPolicy(&config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 5, Budgets: budgets})
 }
 
-func minAvailable(team string, n int) config.Budget {
-	return config.Budget{Team: team, MinAvailable: &config.Amount{Value: n}}
+func minAvailable(team string, n int) config.DisruptionBudget {
+	return config.DisruptionBudget{Team: team, MinAvailable: &config.CountOrPercent{Value: n}}
 }
 
 func nodeZero() *Controller {
@@ -94,14 +94,14 @@
 
 func granted(d *Decision) int {
 	n := 0
-	for _, permits := range d.Grant {
+	for _, permits := range d.Granted {
 		n += len(permits)
 	}
 	return n
 }
 
-// TestGrants: as many permits as the budget leaves, reserve included.
-func TestGrants(t *testing.T) {
+// TestGrantsWithinBudgetAndReserve: as many permits as the budget leaves, reserve included.
+func TestGrantsWithinBudgetAndReserve(t *testing.T) {
 	four := []string{"j-1 j-1", "j-1", "j-1"}
 	cases := []struct {
 		name    string
@@ -114,8 +114,8 @@
 		{"the reserve counts the fullest machine that is left", policyOf(1, minAvailable("t", 2)), cordonedZone(four...), 1, BlockedByBudget},
 		{"the reserve takes all", policyOf(2, minAvailable("t", 2)), cordonedZone(four...), 0, BlockedByBudget},
 		{"the default pace", policyOf(1), cordonedZone(four...), 1, BlockedByBudget},
-		{"a budget of the class", policyOf(0, config.Budget{Team: "t", Class: "web", MinAvailable: &config.Amount{Value: 3}}), cordonedZone(four...), 1, BlockedByBudget},
-		{"the tighter of two budgets", policyOf(0, minAvailable("t", 1), config.Budget{Team: "t", Class: "web", MinAvailable: &config.Amount{Value: 3}}),
+		{"a budget of the class", policyOf(0, config.DisruptionBudget{Team: "t", Class: "web", MinAvailable: &config.CountOrPercent{Value: 3}}), cordonedZone(four...), 1, BlockedByBudget},
+		{"the tighter of two budgets", policyOf(0, minAvailable("t", 1), config.DisruptionBudget{Team: "t", Class: "web", MinAvailable: &config.CountOrPercent{Value: 3}}),
 			cordonedZone(four...), 1, BlockedByBudget},
 		{"unreachable", policyOf(0, minAvailable("t", 4)), cordonedZone(four...), 0, BlockedByBudget},
 		{"starting replicas count as missing", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
@@ -130,7 +130,7 @@
 		}(), 0, BlockedByBudget},
 		{"a machine out of reach counts as lost", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := cordonedZone(four...)
-			f.state["i-3"] = bookkeeping.MachineQuiet
+			f.state["i-3"] = bookkeeping.MachineUnreachable
 			return f
 		}(), 0, BlockedByBudget},
 		{"no room", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
@@ -138,19 +138,19 @@
 			delete(f.machines, "i-8")
 			delete(f.machines, "i-9")
 			return f
-		}(), 0, BlockedByRoom},
+		}(), 0, BlockedByCapacity},
 		{"what the drain covers is no place, cordoned or not", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
 			f.zones["i-8"], f.zones["i-9"] = "a", "a"
 			return f
-		}(), 0, BlockedByRoom},
+		}(), 0, BlockedByCapacity},
 		{"the job must stay in one zone", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
 			j := f.jobs["j-1"]
 			j.OneZone = true
 			f.jobs["j-1"] = j
 			return f
-		}(), 0, BlockedByRoom},
+		}(), 0, BlockedByCapacity},
 		{"half of the job may be in the other zone", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
 			j := f.jobs["j-1"]
@@ -210,8 +210,8 @@
 	}
 }
 
-// TestStandingPermits: what becomes of a permit, by what the records show.
-func TestStandingPermits(t *testing.T) {
+// TestGrantedPermitsAreStoppedRevokedOrCompleted: what becomes of a permit, by what the records show.
+func TestGrantedPermitsAreStoppedRevokedOrCompleted(t *testing.T) {
 	permit := bookkeeping.Permit{Drain: "rack", Job: "j-1", Task: 0, Attempt: 7, From: "i-1", To: "i-8"}
 	cases := []struct {
 		name             string
@@ -220,7 +220,7 @@
 		minimum          int
 	}{
 		{"usable", func(*fleetSpec) {}, 1, 0, 0, 2},
-		{"the budget doesn't hold any more", func(f *fleetSpec) { f.state["i-3"] = bookkeeping.MachineQuiet }, 0, 1, 0, 2},
+		{"the budget doesn't hold any more", func(f *fleetSpec) { f.state["i-3"] = bookkeeping.MachineUnreachable }, 0, 1, 0, 2},
 		{"the drain was aborted", func(f *fleetSpec) {
 			d := zoneDrain("a")
 			d.State = bookkeeping.DrainAborted
@@ -241,21 +241,21 @@
 			f.permits["t"][0].Attempt = 6
 		}
 		d := policyOf(0, minAvailable("t", tc.minimum)).Decide(f.build(), nodeZero())
-		if len(d.Stop) != tc.stop || len(d.Return) != tc.back || len(d.Over["t"]) != tc.over {
-			t.Errorf("%s: stop %d, return %d, over %d", tc.name, len(d.Stop), len(d.Return), len(d.Over["t"]))
+		if len(d.Stop) != tc.stop || len(d.Revoked) != tc.back || len(d.Completed["t"]) != tc.over {
+			t.Errorf("%s: stop %d, return %d, over %d", tc.name, len(d.Stop), len(d.Revoked), len(d.Completed["t"]))
 		}
 	}
 	f := cordonedZone("j-1", "j-1", "j-1")
 	moved := permit
 	moved.Attempt = 6 // task 0 runs by attempt 7 now
 	f.permits["t"] = []bookkeeping.Permit{moved}
-	if d := policyOf(0, minAvailable("t", 2)).Decide(f.build(), nodeZero()); len(d.Over["t"]) != 1 {
+	if d := policyOf(0, minAvailable("t", 2)).Decide(f.build(), nodeZero()); len(d.Completed["t"]) != 1 {
 		t.Errorf("replaced: %+v", d)
 	}
 }
 
-// TestSnapshotUnchanged: what a plan tries leaves the snapshot as it was.
-func TestSnapshotUnchanged(t *testing.T) {
+// TestDecideLeavesSnapshotUnchanged: what a plan tries leaves the snapshot as it was.
+func TestDecideLeavesSnapshotUnchanged(t *testing.T) {
 	s := cordonedZone("j-1 j-1", "j-1").build()
 	policy := policyOf(0, minAvailable("t", 0))
 	policy.Plan(s, "rack", zoneDrain("a"))
@@ -268,8 +268,8 @@
 	}
 }
 
-// TestPlan: the steps of a drain, each within the budget.
-func TestPlan(t *testing.T) {
+// TestPlanEmptiesMachinesInSteps: the steps of a drain, each within the budget.
+func TestPlanEmptiesMachinesInSteps(t *testing.T) {
 	f := cordonedZone("j-1 j-1", "j-1", "j-1")
 	plan := policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a"))
 	moves := 0
@@ -290,14 +290,14 @@
 	d := zoneDrain("a")
 	d.Replace = true
 	plan = policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", d)
-	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].Rent) == 0 || !strings.Contains(plan.Steps[0].Rent[0], "zone b") {
+	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].ScaleOut) == 0 || !strings.Contains(plan.Steps[0].ScaleOut[0], "zone b") {
 		t.Errorf("with replacement: %+v", plan)
 	}
 }
 
-// TestRandomGrants: whatever the fleet, all permits of several controllers that decide one after
+// TestRandomGrantsKeepFloors: whatever the fleet, all permits of several controllers that decide one after
 // the other keep every budget, also with the loss of any machine.
-func TestRandomGrants(t *testing.T) {
+func TestRandomGrantsKeepFloors(t *testing.T) {
 	for seed := range uint64(300) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		f := cordonedZone()
@@ -317,25 +317,25 @@
 		d := policyOf(1, minAvailable("t", minimum)).Decide(s, nodeZero())
 		left := map[string]int{}
 		total := 0
-		s.EachMachine(func(m *Machine) bool {
+		s.ForEachMachine(func(m *Machine) bool {
 			left[m.ID] = len(m.Replicas)
 			total += len(m.Replicas)
 			return true
 		})
-		for _, p := range d.Grant["t"] {
+		for _, p := range d.Granted["t"] {
 			left[p.From]--
 			total--
 		}
 		for id, n := range left {
-			if len(d.Grant["t"]) > 0 && total-n < minimum {
-				t.Errorf("seed %d: %d permits leave %d, and %d without %s; %d must stay", seed, len(d.Grant["t"]), total, total-n, id, minimum)
+			if len(d.Granted["t"]) > 0 && total-n < minimum {
+				t.Errorf("seed %d: %d permits leave %d, and %d without %s; %d must stay", seed, len(d.Granted["t"]), total, total-n, id, minimum)
 			}
 		}
 	}
 }
 
-// TestOverlaps: drains of the same machines, there or to come.
-func TestOverlaps(t *testing.T) {
+// TestOverlappingSelectors: drains of the same machines, there or to come.
+func TestOverlappingSelectors(t *testing.T) {
 	f := cordonedZone("j-1", "j-1")
 	f.zones["i-2"] = "b"
 	s := f.build()
@@ -343,7 +343,7 @@
 		return bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Machines: ids}}
 	}
 	of := func(sel bookkeeping.Selector, through string) bookkeeping.Drain {
-		return bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: sel, Through: through}
+		return bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: sel, LastMachine: through}
 	}
 	cases := []struct {
 		name string
@@ -354,7 +354,7 @@
 		{"a machine of the zone", zoneDrain("a"), byName("i-1"), true},
 		{"a machine of the other zone", zoneDrain("a"), byName("i-2"), false},
 		{"a type that may come up in the zone", zoneDrain("c"), of(bookkeeping.Selector{Type: "m16"}, ""), true},
-		{"other kinds", of(bookkeeping.Selector{Kind: bookkeeping.KindSpot}, ""), of(bookkeeping.Selector{Kind: bookkeeping.KindOrdinary}, ""), false},
+		{"other kinds", of(bookkeeping.Selector{CapacityType: bookkeeping.SpotCapacity}, ""), of(bookkeeping.Selector{CapacityType: bookkeeping.OnDemandCapacity}, ""), false},
 		{"only older machines", of(bookkeeping.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
 	}
 	for _, tc := range cases {
--- a/internal/drain/order.go
+++ b/internal/drain/order.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// compare orders names.
-func compare(a, b string) int { return cmp.Compare(a, b) }
+// compareNames orders names.
+func compareNames(a, b string) int { return cmp.Compare(a, b) }
 
 // sortedKeys gives a map's keys in order: decisions must not depend on the order of a map.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/drain/place.go
+++ b/internal/drain/place.go
@@ -7,16 +7,16 @@
 func (s *Snapshot) destination(job *Job, from *Machine, live func(node string) bool) (*Machine, bool) {
 	zones := s.zonesFor(job, from)
 	var free, displacing *Machine
-	s.EachMachine(func(m *Machine) bool {
-		if m.ID == from.ID || !s.takesReplicas(m, live) || !job.mayRunOn(m) || !zones.allow(m.Zone) {
+	s.ForEachMachine(func(m *Machine) bool {
+		if m.ID == from.ID || !s.takesReplicas(m, live) || !job.allows(m) || !zones.allow(m.Zone) {
 			return true
 		}
 		switch {
-		case job.Need.FitsInto(m.Free):
+		case job.PerTask.FitsInto(m.Free):
 			if free == nil || m.Free.CPUs < free.Free.CPUs {
 				free = m
 			}
-		case displacing == nil && job.Need.FitsInto(m.displaceable(job.Priority)):
+		case displacing == nil && job.PerTask.FitsInto(m.freeWithPreemption(job.Priority)):
 			displacing = m
 		}
 		return true
@@ -32,7 +32,7 @@
 	if m.State != bookkeeping.MachineOpen || !live(m.Owner) {
 		return false
 	}
-	_, covered := s.covering(m)
+	_, covered := s.drainCovering(m)
 	return !covered
 }
 
@@ -48,7 +48,7 @@
 	if !job.OneZone && !job.Spread {
 		return zones
 	}
-	s.EachMachine(func(m *Machine) bool {
+	s.ForEachMachine(func(m *Machine) bool {
 		for _, r := range m.Replicas {
 			if r.Job == job.ID {
 				zones.in[m.Zone]++
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -17,10 +17,10 @@
 
 // Step is what a plan does at a time.
 type Step struct {
-	Rent    []string `json:"rent,omitempty"` // machines that would be rented before
-	Moves   []Move   `json:"moves"`
-	Stopped int      `json:"array_tasks_stopped"` // array tasks that would be stopped
-	Emptied []string `json:"emptied"`             // machines that are empty then
+	ScaleOut []string `json:"rent,omitempty"` // machines that would be rented before
+	Moves    []Move   `json:"moves"`
+	Stopped  int      `json:"array_tasks_stopped"` // array tasks that would be stopped
+	Emptied  []string `json:"emptied"`             // machines that are empty then
 }
 
 // Plan is the course of a drain if nothing else happens, and what would remain.
@@ -30,8 +30,8 @@
 	Blocked  []Blockage `json:"blocked,omitempty"`
 }
 
-// mostSteps bounds a plan.
-const mostSteps = 10000
+// maxPlanSteps bounds a plan.
+const maxPlanSteps = 10000
 
 // planner plays a drain on snapshots: each step is the decision that all controllers
 // together would take, carried out at once.
@@ -47,9 +47,9 @@
 	planner := &planner{policy: p, snapshot: s.withDrain(name, d), record: DrainRecord{Drain: d, Name: name}}
 	plan := &Plan{Machines: s.Selected(&d)}
 	planner.cordon(plan.Machines)
-	for len(plan.Steps) < mostSteps {
-		step, blocked := planner.next()
-		if len(step.Moves) == 0 && len(step.Emptied) == 0 && len(step.Rent) == 0 {
+	for len(plan.Steps) < maxPlanSteps {
+		step, blocked := planner.nextStep()
+		if len(step.Moves) == 0 && len(step.Emptied) == 0 && len(step.ScaleOut) == 0 {
 			plan.Blocked = blocked
 			break
 		}
@@ -72,30 +72,30 @@
 		if m.State == bookkeeping.MachineOpen {
 			cordoned := *m
 			cordoned.State = bookkeeping.MachineCordoned
-			p.snapshot = p.snapshot.with(&cordoned)
+			p.snapshot = p.snapshot.withMachine(&cordoned)
 		}
 	}
 }
 
-// next takes one step.
-func (p *planner) next() (Step, []Blockage) {
+// nextStep takes one step.
+func (p *planner) nextStep() (Step, []Blockage) {
 	step := Step{}
 	decision := p.decide()
-	if p.record.Replace && p.rentFor(decision.Blocked, &step) {
+	if p.record.Replace && p.scaleOutFor(decision.Blocked, &step) {
 		decision = p.decide()
 	}
-	for _, team := range sortedKeys(decision.Grant) {
-		for _, permit := range decision.Grant[team] {
+	for _, team := range sortedKeys(decision.Granted) {
+		for _, permit := range decision.Granted[team] {
 			step.Moves = append(step.Moves, p.move(team, permit))
 		}
 	}
 	for _, id := range p.snapshot.Selected(&p.record.Drain) {
 		if m, _ := p.snapshot.Machine(id); m.State == bookkeeping.MachineCordoned && len(m.Replicas) == 0 {
-			for _, work := range m.Arrays {
+			for _, work := range m.ArrayUsage {
 				step.Stopped += work.Tasks
 			}
 			step.Emptied = append(step.Emptied, id)
-			p.snapshot = p.snapshot.without(id)
+			p.snapshot = p.snapshot.withoutMachine(id)
 		}
 	}
 	return step, decision.Blocked
@@ -103,16 +103,16 @@
 
 // decide joins the decisions of all controllers, each of which takes the others' into account.
 func (p *planner) decide() *Decision {
-	all := &Decision{Grant: map[string][]bookkeeping.Permit{}}
+	all := &Decision{Granted: map[string][]bookkeeping.Permit{}}
 	everybody := func(string) bool { return true }
 	tried := p.snapshot
 	for _, node := range p.owners() {
 		c := &Controller{Node: node, Live: everybody, Responsible: everybody, RecordBytes: 1 << 20}
 		d := p.policy.Decide(tried, c)
-		for team, permits := range d.Grant {
-			all.Grant[team] = append(all.Grant[team], permits...)
+		for team, permits := range d.Granted {
+			all.Granted[team] = append(all.Granted[team], permits...)
 			for _, permit := range permits {
-				tried = tried.permitted(permit)
+				tried = tried.withPermit(permit)
 			}
 		}
 		all.Blocked = d.Blocked
@@ -122,7 +122,7 @@
 
 func (p *planner) owners() []string {
 	owners := map[string]bool{}
-	p.snapshot.EachMachine(func(m *Machine) bool {
+	p.snapshot.ForEachMachine(func(m *Machine) bool {
 		owners[m.Owner] = true
 		return true
 	})
@@ -137,38 +137,38 @@
 	emptier.Replicas = slices.DeleteFunc(slices.Clone(from.Replicas), func(r Replica) bool {
 		return r.Job == permit.Job && r.Task == permit.Task
 	})
-	emptier.Free = from.Free.Plus(job.Need)
-	p.snapshot = p.snapshot.with(&emptier)
+	emptier.Free = from.Free.Plus(job.PerTask)
+	p.snapshot = p.snapshot.withMachine(&emptier)
 	to, _ := p.snapshot.Machine(permit.To)
 	fuller := *to
 	fuller.Replicas = append(slices.Clone(to.Replicas),
 		Replica{Job: permit.Job, Task: permit.Task, Attempt: permit.Attempt + 1})
-	fuller.Free = to.Free.Minus(job.Need)
-	p.snapshot = p.snapshot.with(&fuller)
+	fuller.Free = to.Free.Minus(job.PerTask)
+	p.snapshot = p.snapshot.withMachine(&fuller)
 	return Move{
 		Task: fmt.Sprintf("%s/%d", permit.Job, permit.Task),
 		Team: team, From: permit.From, To: permit.To,
 	}
 }
 
-// rentFor rents a machine of the same type for the first replica that finds no room.
-func (p *planner) rentFor(blocked []Blockage, step *Step) bool {
+// scaleOutFor rents a machine of the same type for the first replica that finds no room.
+func (p *planner) scaleOutFor(blocked []Blockage, step *Step) bool {
 	for _, b := range blocked {
-		if b.Kind != BlockedByRoom {
+		if b.Kind != BlockedByCapacity {
 			continue
 		}
 		like, _ := p.snapshot.Machine(b.Machine)
-		if m, ok := p.rental(like); ok {
-			step.Rent = append(step.Rent, fmt.Sprintf("%s in zone %s", m.Type, m.Zone))
-			p.snapshot = p.snapshot.with(m)
+		if m, ok := p.simulateScaleOut(like); ok {
+			step.ScaleOut = append(step.ScaleOut, fmt.Sprintf("%s in zone %s", m.Type, m.Zone))
+			p.snapshot = p.snapshot.withMachine(m)
 			return true
 		}
 	}
 	return false
 }
 
-// rental gives a new machine like another, in a zone where the drain lets it be rented.
-func (p *planner) rental(like *Machine) (*Machine, bool) {
+// simulateScaleOut gives a new machine like another, in a zone where the drain lets it be rented.
+func (p *planner) simulateScaleOut(like *Machine) (*Machine, bool) {
 	t, known := p.snapshot.types[like.Type]
 	if !known {
 		return nil, false
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -8,7 +8,7 @@
 
 // Covers tells whether a drain is about a machine.
 func Covers(d *bookkeeping.Drain, id, machineType, zone string, spot bool) bool {
-	if d.Through != "" && id > d.Through {
+	if d.LastMachine != "" && id > d.LastMachine {
 		return false
 	}
 	return matches(&d.Selector, id, machineType, zone, spot)
@@ -23,22 +23,22 @@
 
 func matchesOffer(s *bookkeeping.Selector, machineType, zone string, spot bool) bool {
 	return (s.Zone == "" || s.Zone == zone) && (s.Type == "" || s.Type == machineType) &&
-		(s.Kind == bookkeeping.KindAny || s.Kind == bookkeeping.KindOf(spot))
+		(s.CapacityType == bookkeeping.AnyCapacity || s.CapacityType == bookkeeping.CapacityTypeOf(spot))
 }
 
 // ClosesOffer tells whether a drain keeps a type, zone and kind from being rented: what is
 // rented there would have to be drained as well.
 func ClosesOffer(d *bookkeeping.Drain, machineType, zone string, spot bool) bool {
-	return d.State.Unfinished() && d.Closes() && matchesOffer(&d.Selector, machineType, zone, spot)
+	return d.State.Unfinished() && d.ClosesOffers() && matchesOffer(&d.Selector, machineType, zone, spot)
 }
 
-// Empty tells whether a selector names nothing.
-func Empty(s *bookkeeping.Selector) bool {
-	return len(s.Machines) == 0 && s.Zone == "" && s.Type == "" && s.Kind == bookkeeping.KindAny
+// SelectorEmpty tells whether a selector names nothing.
+func SelectorEmpty(s *bookkeeping.Selector) bool {
+	return len(s.Machines) == 0 && s.Zone == "" && s.Type == "" && s.CapacityType == bookkeeping.AnyCapacity
 }
 
-// covering gives the unfinished drain that a machine belongs to. Drains don't overlap.
-func (s *Snapshot) covering(m *Machine) (*DrainRecord, bool) {
+// drainCovering gives the unfinished drain that a machine belongs to. Drains don't overlap.
+func (s *Snapshot) drainCovering(m *Machine) (*DrainRecord, bool) {
 	for i := range s.drains {
 		d := &s.drains[i]
 		if d.State.Unfinished() && Covers(&d.Drain, m.ID, m.Type, m.Zone, m.Spot) {
@@ -51,7 +51,7 @@
 // Selected lists the machines that a drain is about, by their ids.
 func (s *Snapshot) Selected(d *bookkeeping.Drain) []string {
 	var selected []string
-	s.EachMachine(func(m *Machine) bool {
+	s.ForEachMachine(func(m *Machine) bool {
 		if Covers(d, m.ID, m.Type, m.Zone, m.Spot) {
 			selected = append(selected, m.ID)
 		}
@@ -69,11 +69,11 @@
 			return true
 		}
 	}
-	return a.Closes() && b.Closes() && compatible(&a.Selector, &b.Selector)
+	return a.ClosesOffers() && b.ClosesOffers() && compatible(&a.Selector, &b.Selector)
 }
 
 // compatible tells whether a machine can be matched by two selectors of whole zones, types and kinds.
 func compatible(a, b *bookkeeping.Selector) bool {
 	agree := func(x, y string) bool { return x == "" || y == "" || x == y }
-	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) && agree(string(a.Kind), string(b.Kind))
+	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) && agree(string(a.CapacityType), string(b.CapacityType))
 }
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -33,11 +33,11 @@
 
 // Replica is an attempt of a service's task on a machine.
 type Replica struct {
-	Job      string
-	Task     int
-	Attempt  uint64
-	Starting bool // not known to be running yet
-	Permit   bool // to be stopped under a permit
+	Job         string
+	Task        int
+	Attempt     uint64
+	Starting    bool // not known to be running yet
+	UnderPermit bool // to be stopped under a permit
 }
 
 // Machine is a machine with the replicas on it.
@@ -48,14 +48,14 @@
 	Owner          string
 	Free           Resources // used by no task, and held under no permit
 	Replicas       []Replica
-	Arrays         []ArrayWork // what array tasks use, by priority
+	ArrayUsage     []ArrayUsage // what array tasks use, by priority
 }
 
-// ArrayWork is what the array tasks of one priority use on a machine.
-type ArrayWork struct {
-	Priority int
-	Tasks    int
-	Uses     Resources
+// ArrayUsage is what the array tasks of one priority use on a machine.
+type ArrayUsage struct {
+	Priority  int
+	Tasks     int
+	Resources Resources
 }
 
 // reachable tells whether what runs on a machine counts as available.
@@ -63,12 +63,12 @@
 	return m.State == bookkeeping.MachineOpen || m.State == bookkeeping.MachineCordoned
 }
 
-// displaceable is what is free on a machine once array tasks of lower priority have given way.
-func (m *Machine) displaceable(priority int) Resources {
+// freeWithPreemption is what is free on a machine once array tasks of lower priority have given way.
+func (m *Machine) freeWithPreemption(priority int) Resources {
 	free := m.Free
-	for _, work := range m.Arrays {
+	for _, work := range m.ArrayUsage {
 		if work.Priority < priority {
-			free = free.Plus(work.Uses)
+			free = free.Plus(work.Resources)
 		}
 	}
 	return free
@@ -78,7 +78,7 @@
 type Job struct {
 	ID, Team, Class string
 	Replicas        int
-	Need            Resources
+	PerTask         Resources
 	Priority        int
 	Types           []string // allowed machine types; nil: any
 	Zone            string   // the only allowed zone; "": any
@@ -88,14 +88,14 @@
 	Failing bool
 }
 
-// mayRunOn tells whether a job's replicas may run on a machine, but for its zone rules.
-func (j *Job) mayRunOn(m *Machine) bool {
+// allows tells whether a job's replicas may run on a machine, but for its zone rules.
+func (j *Job) allows(m *Machine) bool {
 	typed := j.Types == nil || slices.Contains(j.Types, m.Type)
 	return typed && (j.Zone == "" || j.Zone == m.Zone) && (j.Spot || !m.Spot)
 }
 
-// MachineType is an entry of the cloud's catalogue.
-type MachineType struct {
+// TypeCapacity is an entry of the cloud's catalogue.
+type TypeCapacity struct {
 	Name     string
 	Capacity Resources
 	Zones    []string
@@ -117,14 +117,14 @@
 // Snapshot is the fleet at one revision of the state service. It never changes: what a plan
 // tries gives further snapshots, which share nearly everything with it.
 type Snapshot struct {
-	Revision uint64
-	Wall     int64 // time of day, microseconds
-	machines *immutable.SortedMap[string, *Machine]
-	jobs     map[string]*Job
-	types    map[string]MachineType
-	drains   []DrainRecord // by name
-	permits  map[string]TeamPermits
-	holders  map[replicaKey]string // the machine that each replica is on
+	Revision  uint64
+	Wall      int64 // time of day, microseconds
+	machines  *immutable.SortedMap[string, *Machine]
+	jobs      map[string]*Job
+	types     map[string]TypeCapacity
+	drains    []DrainRecord // by name
+	permits   map[string]TeamPermits
+	machineOf map[replicaKey]string // the machine that each replica is on
 }
 
 // Machine gives a machine by its id.
@@ -152,9 +152,9 @@
 // Permits gives a team's permits.
 func (s *Snapshot) Permits(team string) TeamPermits { return s.permits[team] }
 
-// holder finds the attempt by which a replica is held, and its machine.
-func (s *Snapshot) holder(job string, task int) (*Machine, Replica, bool) {
-	m, ok := s.Machine(s.holders[replicaKey{job, task}])
+// replicaOf finds the attempt by which a replica is held, and its machine.
+func (s *Snapshot) replicaOf(job string, task int) (*Machine, Replica, bool) {
+	m, ok := s.Machine(s.machineOf[replicaKey{job, task}])
 	if !ok {
 		return nil, Replica{}, false
 	}
@@ -166,8 +166,8 @@
 	return nil, Replica{}, false
 }
 
-// EachMachine calls f for all machines in the order of their ids until it returns false.
-func (s *Snapshot) EachMachine(f func(*Machine) bool) {
+// ForEachMachine calls f for all machines in the order of their ids until it returns false.
+func (s *Snapshot) ForEachMachine(f func(*Machine) bool) {
 	for it := s.machines.Iterator(); !it.Done(); {
 		if _, machine, ok := it.Next(); ok && !f(machine) {
 			return
@@ -175,39 +175,39 @@
 	}
 }
 
-// with gives a snapshot in which one machine is another; this one stays as it is.
-func (s *Snapshot) with(m *Machine) *Snapshot {
+// withMachine gives a snapshot in which one machine is another; this one stays as it is.
+func (s *Snapshot) withMachine(m *Machine) *Snapshot {
 	next := *s
 	next.machines = s.machines.Set(m.ID, m)
 	return &next
 }
 
-// without gives a snapshot that lacks a machine.
-func (s *Snapshot) without(id string) *Snapshot {
+// withoutMachine gives a snapshot that lacks a machine.
+func (s *Snapshot) withoutMachine(id string) *Snapshot {
 	next := *s
 	next.machines = s.machines.Delete(id)
 	return &next
 }
 
-// permitted gives a snapshot in which a permit stands: its replica is to be stopped, and room
+// withPermit gives a snapshot in which a permit stands: its replica is to be stopped, and room
 // is held for the next attempt.
-func (s *Snapshot) permitted(p bookkeeping.Permit) *Snapshot {
+func (s *Snapshot) withPermit(p bookkeeping.Permit) *Snapshot {
 	next := s
 	if from, ok := s.Machine(p.From); ok {
 		marked := *from
 		marked.Replicas = slices.Clone(from.Replicas)
 		for i := range marked.Replicas {
-			if r := &marked.Replicas[i]; r.Job == p.Job && r.Task == p.Task && r.Attempt == p.Attempt {
-				r.Permit = true
+			if replica := &marked.Replicas[i]; replica.Job == p.Job && replica.Task == p.Task && replica.Attempt == p.Attempt {
+				replica.UnderPermit = true
 			}
 		}
-		next = next.with(&marked)
+		next = next.withMachine(&marked)
 	}
 	job, known := s.jobs[p.Job]
 	if to, ok := next.Machine(p.To); ok && known {
 		holding := *to
-		holding.Free = to.Free.Minus(job.Need)
-		next = next.with(&holding)
+		holding.Free = to.Free.Minus(job.PerTask)
+		next = next.withMachine(&holding)
 	}
 	return next
 }
@@ -229,8 +229,8 @@
 	return &Builder{
 		snapshot: Snapshot{
 			Revision: revision, Wall: wall, jobs: map[string]*Job{},
-			types:   map[string]MachineType{},
-			permits: map[string]TeamPermits{}, holders: map[replicaKey]string{}},
+			types:   map[string]TypeCapacity{},
+			permits: map[string]TeamPermits{}, machineOf: map[replicaKey]string{}},
 		machines: immutable.NewSortedMapBuilder[string, *Machine](nil),
 	}
 }
@@ -239,7 +239,7 @@
 func (b *Builder) AddMachine(m *Machine) {
 	b.machines.Set(m.ID, m)
 	for _, r := range m.Replicas {
-		b.snapshot.holders[replicaKey{r.Job, r.Task}] = m.ID
+		b.snapshot.machineOf[replicaKey{r.Job, r.Task}] = m.ID
 	}
 }
 
@@ -247,7 +247,7 @@
 func (b *Builder) AddJob(j *Job) { b.snapshot.jobs[j.ID] = j }
 
 // AddType adds a machine type.
-func (b *Builder) AddType(t MachineType) { b.snapshot.types[t.Name] = t }
+func (b *Builder) AddType(t TypeCapacity) { b.snapshot.types[t.Name] = t }
 
 // AddDrain adds a drain.
 func (b *Builder) AddDrain(name string, version uint64, d bookkeeping.Drain) {
@@ -263,12 +263,12 @@
 func (b *Builder) Build() *Snapshot {
 	s := b.snapshot
 	s.machines = b.machines.Map()
-	slices.SortFunc(s.drains, func(x, y DrainRecord) int { return compare(x.Name, y.Name) })
+	slices.SortFunc(s.drains, func(x, y DrainRecord) int { return compareNames(x.Name, y.Name) })
 	next := &s
 	for _, team := range sortedKeys(s.permits) {
 		for _, p := range s.permits[team].Permits {
-			if _, r, held := next.holder(p.Job, p.Task); !held || r.Attempt == p.Attempt {
-				next = next.permitted(p)
+			if _, r, held := next.replicaOf(p.Job, p.Task); !held || r.Attempt == p.Attempt {
+				next = next.withPermit(p)
 			}
 		}
 	}
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -21,20 +21,20 @@
 
 // MachineProgress is a machine of a drain that hasn't been given back.
 type MachineProgress struct {
-	ID       string `json:"id"`
-	State    string `json:"state"`
-	Replicas int    `json:"replicas"`
-	Arrays   int    `json:"array_tasks"`
-	Step     bool   `json:"being_emptied"`
+	ID           string `json:"id"`
+	State        string `json:"state"`
+	Replicas     int    `json:"replicas"`
+	ArrayTasks   int    `json:"array_tasks"`
+	BeingEmptied bool   `json:"being_emptied"`
 }
 
 // stateNames are the words for the states of a machine.
 var stateNames = map[bookkeeping.MachineState]string{
-	bookkeeping.MachineOpen:     "open",
-	bookkeeping.MachineQuiet:    "out of reach",
-	bookkeeping.MachineCordoned: "cordoned",
-	bookkeeping.MachineDraining: "about to be taken by the cloud",
-	bookkeeping.MachineRemoving: "being given back",
+	bookkeeping.MachineOpen:        "open",
+	bookkeeping.MachineUnreachable: "out of reach",
+	bookkeeping.MachineCordoned:    "cordoned",
+	bookkeeping.MachineDraining:    "about to be taken by the cloud",
+	bookkeeping.MachineRemoving:    "being given back",
 }
 
 // Progress tells where a drain stands, and what it waits for.
@@ -46,14 +46,14 @@
 	}
 	step := map[string]bool{}
 	if record.State == bookkeeping.DrainActive {
-		for _, id := range s.Step(record) {
+		for _, id := range s.MachinesInStep(record) {
 			step[id] = true
 		}
 	}
 	for _, id := range s.Selected(&record.Drain) {
 		m, _ := s.Machine(id)
 		progress.Machines = append(progress.Machines, MachineProgress{ID: id, State: stateNames[m.State],
-			Replicas: len(m.Replicas), Arrays: m.arrayTasks(), Step: step[id]})
+			Replicas: len(m.Replicas), ArrayTasks: m.arrayTasks(), BeingEmptied: step[id]})
 	}
 	for _, team := range sortedKeys(s.permits) {
 		for _, permit := range s.permits[team].Permits {
@@ -73,7 +73,7 @@
 
 func (m *Machine) arrayTasks() int {
 	n := 0
-	for _, work := range m.Arrays {
+	for _, work := range m.ArrayUsage {
 		n += work.Tasks
 	}
 	return n
@@ -81,19 +81,19 @@
 
 // TeamStatus is how a scope stands against its budget.
 type TeamStatus struct {
-	Team      string `json:"team"`
-	Class     string `json:"class,omitempty"`
-	Budgeted  bool   `json:"budgeted"`
-	Desired   int    `json:"desired"`
-	Available int    `json:"available"`
-	Floor     int    `json:"must_stay"`
-	Reserve   int    `json:"reserve_machines"`
-	WorstLoss int    `json:"lost_with_reserve"`
+	Team            string `json:"team"`
+	Class           string `json:"class,omitempty"`
+	Budgeted        bool   `json:"budgeted"`
+	Desired         int    `json:"desired"`
+	Available       int    `json:"available"`
+	MinAvailable    int    `json:"must_stay"`
+	ReserveMachines int    `json:"reserve_machines"`
+	WorstLoss       int    `json:"lost_with_reserve"`
 }
 
 // Teams lists how all scopes with services stand against their budgets.
 func (p *Policy) Teams(s *Snapshot) []TeamStatus {
-	counted := p.availabilities(s)
+	counted := p.availabilityByScope(s)
 	byName := map[string]*Availability{}
 	for scope, a := range counted {
 		byName[scope.String()] = a
@@ -103,7 +103,7 @@
 		a := byName[name]
 		out = append(out, TeamStatus{
 			Team: a.Scope.Team, Class: a.Scope.Class, Budgeted: a.Budgeted, Desired: a.Desired,
-			Available: a.Available, Floor: a.Floor, Reserve: a.Reserve, WorstLoss: a.worstLoss()})
+			Available: a.Available, MinAvailable: a.MinAvailable, ReserveMachines: a.ReserveMachines, WorstLoss: a.worstLoss()})
 	}
 	return out
 }
--- a/internal/micros/micros.go
+++ b/internal/micros/micros.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// T is a point in time or a span, in microseconds. Points are readings of a
+// Micros is a point in time or a span, in microseconds. Points are readings of a
 // steady clock whose zero is the start of the process.
-type T int64
+type Micros int64
 
 // Common spans.
 const (
-	Millisecond T = 1000
-	Second      T = 1000 * Millisecond
-	Minute      T = 60 * Second
+	Millisecond Micros = 1000
+	Second      Micros = 1000 * Millisecond
+	Minute      Micros = 60 * Second
 )
 
 // FromSeconds converts a wire amount, saturating far below overflow.
-func FromSeconds(s float64) T {
+func FromSeconds(s float64) Micros {
 	const most = 1e12 // some 11 days in microseconds times 1000
 	v := s * float64(Second)
 	if math.IsNaN(v) || v < 0 {
 		return 0
 	}
-	return T(math.Min(v, most))
+	return Micros(math.Min(v, most))
 }
 
 // FromDuration converts a standard duration.
-func FromDuration(d time.Duration) T { return T(d / time.Microsecond) }
+func FromDuration(d time.Duration) Micros { return Micros(d / time.Microsecond) }
 
 // Seconds gives the wire form.
-func (t T) Seconds() float64 { return float64(t) / float64(Second) }
+func (t Micros) Seconds() float64 { return float64(t) / float64(Second) }
 
-// Millis gives whole milliseconds.
-func (t T) Millis() int64 { return int64(t / Millisecond) }
+// Milliseconds gives whole milliseconds.
+func (t Micros) Milliseconds() int64 { return int64(t / Millisecond) }
 
 // Duration gives the standard form.
-func (t T) Duration() time.Duration { return time.Duration(t) * time.Microsecond }
+func (t Micros) Duration() time.Duration { return time.Duration(t) * time.Microsecond }
 
-// Steady returns a clock that counts from now and never steps.
-func Steady() func() T {
+// NewClock returns a clock that counts from now and never steps.
+func NewClock() func() Micros {
 	start := time.Now()
-	return func() T { return FromDuration(time.Since(start)) }
+	return func() Micros { return FromDuration(time.Since(start)) }
 }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -17,49 +17,49 @@
 // Why a command is refused. Each has an exit status of its own kind, see cmd/pipitgap.
 var (
 	ErrBadRequest      = errors.New("bad request")
-	ErrUnknown         = errors.New("unknown")
+	ErrNotFound        = errors.New("unknown")
 	ErrNothingSelected = errors.New("nothing is selected")
 	ErrNameInUse       = errors.New("the name is in use")
-	ErrOverlap         = errors.New("another drain is about the same machines")
-	ErrFinished        = errors.New("the drain has ended")
+	ErrDrainsOverlap   = errors.New("another drain is about the same machines")
+	ErrDrainEnded      = errors.New("the drain has ended")
 	ErrContention      = errors.New("others keep changing the same records; try again")
 )
 
-// Drains are the commands about drains.
-type Drains struct {
+// DrainOperator are the commands about drains.
+type DrainOperator struct {
 	*Operator
 	Policy *drain.Policy
 }
 
 // StartRequest is what an operator asks for.
 type StartRequest struct {
-	Name        string
-	Selector    bookkeeping.Selector
-	Replace     bool     // rent room before it is needed
-	AllowSame   bool     // machines like the selected ones may be rented meanwhile
-	AtOnce      bool     // give empty machines back without a delay
-	MaxParallel int      // machines being emptied at a time
-	Deadline    micros.T // no step begins so long after the start; 0: never
-	DryRun      bool
+	Name         string
+	Selector     bookkeeping.Selector
+	Replace      bool          // rent room before it is needed
+	AllowSimilar bool          // machines like the selected ones may be rented meanwhile
+	RemoveAtOnce bool          // give empty machines back without a delay
+	MaxParallel  int           // machines being emptied at a time
+	Deadline     micros.Micros // no step begins so long after the start; 0: never
+	DryRun       bool
 }
 
-// Started answers a start.
-type Started struct {
-	Name     string      `json:"name"`
-	Repeated bool        `json:"repeated"` // it was started before, by the same request
-	Machines []string    `json:"machines"`
-	Plan     *drain.Plan `json:"plan,omitempty"` // of a dry run
+// StartResult answers a start.
+type StartResult struct {
+	Name           string      `json:"name"`
+	AlreadyStarted bool        `json:"repeated"` // it was started before, by the same request
+	Machines       []string    `json:"machines"`
+	Plan           *drain.Plan `json:"plan,omitempty"` // of a dry run
 }
 
 // Start starts a drain, or with DryRun says what it would do.
-func (d *Drains) Start(request StartRequest) (*Started, error) {
-	if err := request.check(); err != nil {
+func (d *DrainOperator) Start(request StartRequest) (*StartResult, error) {
+	if err := request.validate(); err != nil {
 		return nil, err
 	}
-	answer := &Started{Name: request.Name}
-	wall := d.Wall()
-	err := d.change(func(reading *coordination.Reading) (*protocol.Txn, error) {
-		fleet := reading.Fleet(wall)
+	answer := &StartResult{Name: request.Name}
+	wall := d.WallClock()
+	err := d.transact(func(reading *coordination.RecordSnapshot) (*protocol.Transaction, error) {
+		fleet := reading.DrainSnapshot(wall)
 		if err := d.checkSelector(&request.Selector, reading, fleet); err != nil {
 			return nil, err
 		}
@@ -70,21 +70,21 @@
 			if !sameRequest(&existing.Drain, &record) {
 				return nil, fmt.Errorf("%w: drain %q is %s", ErrNameInUse, request.Name, existing.State)
 			}
-			answer.Repeated = existing.StartedAt != record.StartedAt
+			answer.AlreadyStarted = existing.StartedAt != record.StartedAt
 			answer.Machines = fleet.Selected(&existing.Drain)
 			return nil, nil
 		}
 		if len(answer.Machines) == 0 {
-			return nil, fmt.Errorf("%w: no machine matches %s", ErrNothingSelected, describe(&request.Selector))
+			return nil, fmt.Errorf("%w: no machine matches %s", ErrNothingSelected, describeSelector(&request.Selector))
 		}
-		if err := overlapping(fleet, request.Name, &record); err != nil {
+		if err := checkOverlap(fleet, request.Name, &record); err != nil {
 			return nil, err
 		}
 		if request.DryRun {
 			answer.Plan = d.Policy.Plan(fleet, request.Name, record)
 			return nil, nil
 		}
-		return d.startTxn(reading, request.Name, existing, &record)
+		return d.startTransaction(reading, request.Name, existing, &record)
 	})
 	if err != nil {
 		return nil, err
@@ -92,15 +92,15 @@
 	return answer, nil
 }
 
-func (r *StartRequest) check() error {
+func (r *StartRequest) validate() error {
 	switch {
 	case !protocol.ValidKeyPart(r.Name):
 		return fmt.Errorf("%w: a drain's name has 1 to 100 letters, digits, dots, dashes and underscores",
 			ErrBadRequest)
-	case drain.Empty(&r.Selector):
+	case drain.SelectorEmpty(&r.Selector):
 		return fmt.Errorf("%w: select machines by name, zone, type or kind", ErrBadRequest)
 	case len(r.Selector.Machines) > 0 &&
-		(r.Selector.Zone != "" || r.Selector.Type != "" || r.Selector.Kind != bookkeeping.KindAny):
+		(r.Selector.Zone != "" || r.Selector.Type != "" || r.Selector.CapacityType != bookkeeping.AnyCapacity):
 		return fmt.Errorf("%w: select machines either by name or by zone, type and kind", ErrBadRequest)
 	case r.MaxParallel < 1:
 		return fmt.Errorf("%w: at least one machine must be emptied at a time", ErrBadRequest)
@@ -111,14 +111,14 @@
 }
 
 // checkSelector looks for names that nobody knows.
-func (d *Drains) checkSelector(
-	s *bookkeeping.Selector, reading *coordination.Reading, fleet *drain.Snapshot,
+func (d *DrainOperator) checkSelector(
+	s *bookkeeping.Selector, reading *coordination.RecordSnapshot, fleet *drain.Snapshot,
 ) error {
 	if s.Zone != "" && !slices.Contains(d.Zones, s.Zone) {
-		return fmt.Errorf("%w: zone %q", ErrUnknown, s.Zone)
+		return fmt.Errorf("%w: zone %q", ErrNotFound, s.Zone)
 	}
-	if s.Type != "" && !reading.HasType(s.Type) {
-		return fmt.Errorf("%w: machine type %q", ErrUnknown, s.Type)
+	if s.Type != "" && !reading.HasMachineType(s.Type) {
+		return fmt.Errorf("%w: machine type %q", ErrNotFound, s.Type)
 	}
 	var unknown []string
 	for _, id := range s.Machines {
@@ -127,21 +127,21 @@
 		}
 	}
 	if len(unknown) > 0 {
-		return fmt.Errorf("%w: machines %s", ErrUnknown, strings.Join(unknown, ", "))
+		return fmt.Errorf("%w: machines %s", ErrNotFound, strings.Join(unknown, ", "))
 	}
 	return nil
 }
 
 // record is the drain that a request asks for.
-func (r *StartRequest) record(reading *coordination.Reading, wall int64) bookkeeping.Drain {
+func (r *StartRequest) record(reading *coordination.RecordSnapshot, wall int64) bookkeeping.Drain {
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
 	record := bookkeeping.Drain{
-		State: bookkeeping.DrainActive, Selector: selector, Replace: r.Replace, AtOnce: r.AtOnce,
+		State: bookkeeping.DrainActive, Selector: selector, Replace: r.Replace, RemoveAtOnce: r.RemoveAtOnce,
 		MaxParallel: r.MaxParallel, StartedAt: wall,
 	}
-	if r.AllowSame && len(selector.Machines) == 0 {
-		record.Through = reading.NewestMachine()
+	if r.AllowSimilar && len(selector.Machines) == 0 {
+		record.LastMachine = reading.NewestMachine()
 	}
 	if r.Deadline > 0 {
 		record.DeadlineAt = wall + int64(r.Deadline)
@@ -152,27 +152,27 @@
 // sameRequest tells whether two drains were asked for in the same words, whenever that was.
 func sameRequest(a, b *bookkeeping.Drain) bool {
 	lasts := func(d *bookkeeping.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
-	return reflect.DeepEqual(a.Selector, b.Selector) && a.Replace == b.Replace && a.AtOnce == b.AtOnce &&
-		a.MaxParallel == b.MaxParallel && (a.Through == "") == (b.Through == "") && lasts(a) == lasts(b)
+	return reflect.DeepEqual(a.Selector, b.Selector) && a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
+		a.MaxParallel == b.MaxParallel && (a.LastMachine == "") == (b.LastMachine == "") && lasts(a) == lasts(b)
 }
 
-// overlapping looks for another unfinished drain about the same machines.
-func overlapping(fleet *drain.Snapshot, name string, record *bookkeeping.Drain) error {
+// checkOverlap looks for another unfinished drain about the same machines.
+func checkOverlap(fleet *drain.Snapshot, name string, record *bookkeeping.Drain) error {
 	for _, other := range fleet.Drains() {
 		if other.Name != name && other.State.Unfinished() && fleet.Overlaps(record, &other.Drain) {
 			return fmt.Errorf("%w: drain %q (%s) of %s",
-				ErrOverlap, other.Name, other.State, describe(&other.Selector))
+				ErrDrainsOverlap, other.Name, other.State, describeSelector(&other.Selector))
 		}
 	}
 	return nil
 }
 
-// startTxn writes a drain, on the condition that no other was started since the reading.
-func (d *Drains) startTxn(
-	reading *coordination.Reading, name string, existing *drain.DrainRecord, record *bookkeeping.Drain,
-) (*protocol.Txn, error) {
+// startTransaction writes a drain, on the condition that no other was started since the reading.
+func (d *DrainOperator) startTransaction(
+	reading *coordination.RecordSnapshot, name string, existing *drain.DrainRecord, record *bookkeeping.Drain,
+) (*protocol.Transaction, error) {
 	value := protocol.MustMarshal(record)
-	if 2*len(value) > d.ValueBytes { // it is counted in its JSON form
+	if 2*len(value) > d.MaxValueBytes { // it is counted in its JSON form
 		return nil, fmt.Errorf("%w: so many machines don't fit into a record; drain them in parts, or by zone and type",
 			ErrBadRequest)
 	}
@@ -181,64 +181,64 @@
 		version = existing.Version
 	}
 	key := bookkeeping.Key(bookkeeping.KindDrain, name)
-	return &protocol.Txn{
-		If: []protocol.Cond{
+	return &protocol.Transaction{
+		If: []protocol.Compare{
 			{Key: key, Version: version},
-			{Key: bookkeeping.RegistryKey, Version: reading.Registry},
+			{Key: bookkeeping.DrainRegistryKey, Version: reading.DrainRegistryVersion},
 		},
 		Then: []protocol.Op{
 			{Put: key, Value: value},
-			{Put: bookkeeping.RegistryKey, Value: protocol.MustMarshal(name)},
+			{Put: bookkeeping.DrainRegistryKey, Value: protocol.MustMarshal(name)},
 		},
 	}, nil
 }
 
 // Status tells where a drain stands, at one revision.
-func (d *Drains) Status(name string) (*drain.Progress, []drain.TeamStatus, error) {
-	reading, err := d.read()
+func (d *DrainOperator) Status(name string) (*drain.Progress, []drain.TeamStatus, error) {
+	reading, err := d.readRecords()
 	if err != nil {
 		return nil, nil, err
 	}
-	fleet := reading.Fleet(d.Wall())
+	fleet := reading.DrainSnapshot(d.WallClock())
 	record, ok := fleet.Drain(name)
 	if !ok {
-		return nil, nil, fmt.Errorf("%w: drain %q", ErrUnknown, name)
+		return nil, nil, fmt.Errorf("%w: drain %q", ErrNotFound, name)
 	}
-	return d.Policy.Progress(fleet, record, reading.Live), d.Policy.Teams(fleet), nil
+	return d.Policy.Progress(fleet, record, reading.IsMember), d.Policy.Teams(fleet), nil
 }
 
 // Budgets tells how all teams with services stand against their budgets, at one revision.
-func (d *Drains) Budgets() ([]drain.TeamStatus, error) {
-	reading, err := d.read()
+func (d *DrainOperator) Budgets() ([]drain.TeamStatus, error) {
+	reading, err := d.readRecords()
 	if err != nil {
 		return nil, err
 	}
-	return d.Policy.Teams(reading.Fleet(d.Wall())), nil
+	return d.Policy.Teams(reading.DrainSnapshot(d.WallClock())), nil
 }
 
-// Listed is a drain in a list.
-type Listed struct {
-	Name     string                 `json:"name"`
-	State    bookkeeping.DrainState `json:"state"`
-	Reason   string                 `json:"reason,omitempty"`
-	Selects  string                 `json:"selects"`
-	Machines int                    `json:"machines_left"`
+// DrainSummary is a drain in a list.
+type DrainSummary struct {
+	Name         string                 `json:"name"`
+	State        bookkeeping.DrainState `json:"state"`
+	Reason       string                 `json:"reason,omitempty"`
+	Selection    string                 `json:"selects"`
+	MachinesLeft int                    `json:"machines_left"`
 }
 
 // List lists all drains, also those that ended within the last day.
-func (d *Drains) List() ([]Listed, error) {
-	reading, err := d.read()
+func (d *DrainOperator) List() ([]DrainSummary, error) {
+	reading, err := d.readRecords()
 	if err != nil {
 		return nil, err
 	}
-	fleet := reading.Fleet(d.Wall())
-	drains := []Listed{}
+	fleet := reading.DrainSnapshot(d.WallClock())
+	drains := []DrainSummary{}
 	for _, record := range fleet.Drains() {
-		listed := Listed{
-			Name: record.Name, State: record.State, Reason: record.Reason, Selects: describe(&record.Selector),
+		listed := DrainSummary{
+			Name: record.Name, State: record.State, Reason: record.Reason, Selection: describeSelector(&record.Selector),
 		}
 		if record.State.Unfinished() {
-			listed.Machines = len(fleet.Selected(&record.Drain))
+			listed.MachinesLeft = len(fleet.Selected(&record.Drain))
 		}
 		drains = append(drains, listed)
 	}
@@ -246,29 +246,29 @@
 }
 
 // Pause has a drain begin no further step. What is under way ends.
-func (d *Drains) Pause(name string) (changed bool, err error) {
-	return d.move(name, func(record *bookkeeping.Drain) error {
+func (d *DrainOperator) Pause(name string) (changed bool, err error) {
+	return d.transition(name, func(record *bookkeeping.Drain) error {
 		switch record.State {
 		case bookkeeping.DrainActive:
 			record.State, record.Reason = bookkeeping.DrainPaused, "paused by an operator"
 		case bookkeeping.DrainPaused:
 		default:
-			return fmt.Errorf("%w: it is %s", ErrFinished, record.State)
+			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
 		}
 		return nil
 	})
 }
 
 // Resume has a paused drain go on. One that was paused at its deadline needs a new one, or none.
-func (d *Drains) Resume(name string, deadline micros.T) (changed bool, err error) {
-	wall := d.Wall()
-	return d.move(name, func(record *bookkeeping.Drain) error {
+func (d *DrainOperator) Resume(name string, deadline micros.Micros) (changed bool, err error) {
+	wall := d.WallClock()
+	return d.transition(name, func(record *bookkeeping.Drain) error {
 		switch record.State {
 		case bookkeeping.DrainActive:
 			return nil
 		case bookkeeping.DrainPaused:
 		default:
-			return fmt.Errorf("%w: it is %s", ErrFinished, record.State)
+			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
 		}
 		switch {
 		case deadline > 0:
@@ -283,9 +283,9 @@
 
 // Abort ends a drain: machines that haven't been given back are opened, and what was closed may
 // be rented again.
-func (d *Drains) Abort(name string) (changed bool, err error) {
-	wall := d.Wall()
-	return d.move(name, func(record *bookkeeping.Drain) error {
+func (d *DrainOperator) Abort(name string) (changed bool, err error) {
+	wall := d.WallClock()
+	return d.transition(name, func(record *bookkeeping.Drain) error {
 		switch record.State {
 		case bookkeeping.DrainActive, bookkeeping.DrainPaused:
 			record.State, record.Reason = bookkeeping.DrainAborted, "aborted by an operator"
@@ -294,19 +294,19 @@
 		case bookkeeping.DrainAborted:
 			return nil
 		default:
-			return fmt.Errorf("%w: it is %s", ErrFinished, record.State)
+			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
 		}
 		record.EndedAt = wall
 		return nil
 	})
 }
 
-// move changes the state of a drain; what changes nothing is no change.
-func (d *Drains) move(name string, to func(*bookkeeping.Drain) error) (changed bool, err error) {
-	err = d.change(func(reading *coordination.Reading) (*protocol.Txn, error) {
-		record, ok := reading.Fleet(d.Wall()).Drain(name)
+// transition changes the state of a drain; what changes nothing is no change.
+func (d *DrainOperator) transition(name string, to func(*bookkeeping.Drain) error) (changed bool, err error) {
+	err = d.transact(func(reading *coordination.RecordSnapshot) (*protocol.Transaction, error) {
+		record, ok := reading.DrainSnapshot(d.WallClock()).Drain(name)
 		if !ok {
-			return nil, fmt.Errorf("%w: drain %q", ErrUnknown, name)
+			return nil, fmt.Errorf("%w: drain %q", ErrNotFound, name)
 		}
 		next := record.Drain
 		if err := to(&next); err != nil {
@@ -317,16 +317,16 @@
 		}
 		changed = true
 		key := bookkeeping.Key(bookkeeping.KindDrain, name)
-		return &protocol.Txn{
-			If:   []protocol.Cond{{Key: key, Version: record.Version}},
+		return &protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: record.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
 		}, nil
 	})
 	return changed, err
 }
 
-// describe says in words what a selector selects.
-func describe(s *bookkeeping.Selector) string {
+// describeSelector says in words what a selector selects.
+func describeSelector(s *bookkeeping.Selector) string {
 	if n := len(s.Machines); n > 0 {
 		return fmt.Sprintf("%d machines by name", n)
 	}
@@ -334,7 +334,7 @@
 	for _, part := range []struct{ name, value string }{
 		{"zone", s.Zone},
 		{"type", s.Type},
-		{"kind", string(s.Kind)},
+		{"kind", string(s.CapacityType)},
 	} {
 		if part.value != "" {
 			parts = append(parts, part.name+" "+part.value)
--- a/internal/operator/drains_test.go
+++ b/internal/operator/drains_test.go
@@ -13,55 +13,55 @@
 	"pipitgap/internal/standin"
 )
 
-// bench is a state service with a small fleet's records, and operators.
-type bench struct {
-	t      *testing.T
-	sim    *standin.Sim
-	store  *standin.Store
-	before func(*protocol.StoreCall) // called before each call
+// fixture is a state service with a small fleet's records, and operators.
+type fixture struct {
+	t          *testing.T
+	sim        *standin.SimClock
+	store      *standin.StateStore
+	beforeCall func(*protocol.StoreCall) // called before each call
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, sim: standin.NewSim(1)}
-	b.store = standin.NewStore(b.sim, 1000, 1000, 12)
+func newFixture(t *testing.T) *fixture {
+	b := &fixture{t: t, sim: standin.NewSimClock(1)}
+	b.store = standin.NewStateStore(b.sim, 1000, 1000, 12)
 	shard := &bookkeeping.Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		shard.Add(id, bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:9000", State: bookkeeping.MachineOpen})
+		shard.AddMachine(id, bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:9000", State: bookkeeping.MachineOpen})
 	}
-	shard.Add("i-4", bookkeeping.ShardMachine{Type: "m8", Zone: "b", Endpoint: "10.0.0.1:9000", State: bookkeeping.MachineOpen, Spot: true})
+	shard.AddMachine("i-4", bookkeeping.ShardMachine{Type: "m8", Zone: "b", Endpoint: "10.0.0.1:9000", State: bookkeeping.MachineOpen, Spot: true})
 	raw, _ := shard.Encode()
 	b.put(bookkeeping.Key(bookkeeping.KindShard, "s"), raw)
-	b.put(bookkeeping.Key(bookkeeping.KindType, "m8"), protocol.MustMarshal(&bookkeeping.Type{CPUs: 8, MemoryGB: 64, Zones: []string{"a", "b"}}))
+	b.put(bookkeeping.Key(bookkeeping.KindMachineType, "m8"), protocol.MustMarshal(&bookkeeping.MachineType{CPUs: 8, MemoryGB: 64, Zones: []string{"a", "b"}}))
 	return b
 }
 
-func (b *bench) call(c *protocol.StoreCall) protocol.StoreResult {
-	if b.before != nil {
-		b.before(c)
+func (b *fixture) call(c *protocol.StoreCall) protocol.StoreResult {
+	if b.beforeCall != nil {
+		b.beforeCall(c)
 	}
-	return b.direct(c)
+	return b.callStore(c)
 }
 
-func (b *bench) direct(c *protocol.StoreCall) protocol.StoreResult {
+func (b *fixture) callStore(c *protocol.StoreCall) protocol.StoreResult {
 	var result *protocol.StoreResult
 	b.store.Call("operator", c, func(r protocol.StoreResult) { result = &r })
 	b.sim.RunUntil(20*micros.Second, func() bool { return result != nil })
 	return *result
 }
 
-func (b *bench) put(key string, value protocol.Raw) {
+func (b *fixture) put(key string, value protocol.Raw) {
 	b.t.Helper()
-	r := b.direct(&protocol.StoreCall{Op: protocol.StoreCommit, Within: micros.Second, Txn: protocol.Txn{Then: []protocol.Op{{Put: key, Value: value}}}})
+	r := b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: micros.Second, Transaction: protocol.Transaction{Then: []protocol.Op{{Put: key, Value: value}}}})
 	if r.Outcome != protocol.OK {
 		b.t.Fatal(r.Outcome)
 	}
 }
 
-func (b *bench) drains() *Drains {
+func (b *fixture) drains() *DrainOperator {
 	reserve := 1
-	return &Drains{
-		Operator: &Operator{Call: b.call, Wait: b.sim.Run, Wall: func() int64 { return int64(b.sim.Now()) + 1 }, TxnOps: 12, ValueBytes: 4096, Zones: []string{"a", "b"}},
-		Policy:   drain.NewPolicy(&config.Drains{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 3}),
+	return &DrainOperator{
+		Operator: &Operator{Call: b.call, Sleep: b.sim.Run, WallClock: func() int64 { return int64(b.sim.Now()) + 1 }, MaxTransactionOps: 12, MaxValueBytes: 4096, Zones: []string{"a", "b"}},
+		Policy:   drain.NewPolicy(&config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 3}),
 	}
 }
 
@@ -69,50 +69,52 @@
 	return StartRequest{Name: name, Selector: bookkeeping.Selector{Zone: zone}, MaxParallel: 2}
 }
 
-// commits tells whether a call writes a drain.
-func commits(c *protocol.StoreCall) bool { return c.Op == protocol.StoreCommit && len(c.Txn.Then) > 0 }
+// isCommit tells whether a call writes a drain.
+func isCommit(c *protocol.StoreCall) bool {
+	return c.Op == protocol.StoreCommit && len(c.Transaction.Then) > 0
+}
 
-// TestStartTwiceAtOnce: two operators who start drains of the same machines at one moment: one is
+// TestConcurrentStartsOverlap: two operators who start drains of the same machines at one moment: one is
 // told of the other.
-func TestStartTwiceAtOnce(t *testing.T) {
-	b := newBench(t)
+func TestConcurrentStartsOverlap(t *testing.T) {
+	b := newFixture(t)
 	other := b.drains()
-	other.Call = b.direct
+	other.Call = b.callStore
 	raced := false
-	b.before = func(c *protocol.StoreCall) {
-		if commits(c) && !raced {
+	b.beforeCall = func(c *protocol.StoreCall) {
+		if isCommit(c) && !raced {
 			raced = true
 			if _, err := other.Start(zoneRequest("theirs", "a")); err != nil {
 				t.Error(err)
 			}
 		}
 	}
-	if _, err := b.drains().Start(zoneRequest("ours", "a")); !raced || !errors.Is(err, ErrOverlap) {
+	if _, err := b.drains().Start(zoneRequest("ours", "a")); !raced || !errors.Is(err, ErrDrainsOverlap) {
 		t.Errorf("raced %v: %v", raced, err)
 	}
 }
 
-// TestStartInDoubt: a start whose answer is lost is found to have been made, and isn't made twice.
-func TestStartInDoubt(t *testing.T) {
-	b := newBench(t)
+// TestStartIsIdempotentAfterLostAnswer: a start whose answer is lost is found to have been made, and isn't made twice.
+func TestStartIsIdempotentAfterLostAnswer(t *testing.T) {
+	b := newFixture(t)
 	lost := 0
-	b.store.LoseAnswer = func(*protocol.Txn) bool { lost++; return lost == 1 }
+	b.store.LoseResponse = func(*protocol.Transaction) bool { lost++; return lost == 1 }
 	started, err := b.drains().Start(zoneRequest("rack", "a"))
-	if err != nil || started.Repeated || len(started.Machines) != 3 {
+	if err != nil || started.AlreadyStarted || len(started.Machines) != 3 {
 		t.Errorf("%+v %v", started, err)
 	}
 	again, err := b.drains().Start(zoneRequest("rack", "a"))
-	if err != nil || !again.Repeated {
+	if err != nil || !again.AlreadyStarted {
 		t.Errorf("again: %+v %v", again, err)
 	}
-	if b.store.ByKind["+drain"] != 1 {
-		t.Errorf("written %d times", b.store.ByKind["+drain"])
+	if b.store.ChangesByKind["+drain"] != 1 {
+		t.Errorf("written %d times", b.store.ChangesByKind["+drain"])
 	}
 }
 
-// TestRefusals: what is refused, by its kind, and that nothing is written then.
-func TestRefusals(t *testing.T) {
-	b := newBench(t)
+// TestRefusedRequestsWriteNothing: what is refused, by its kind, and that nothing is written then.
+func TestRefusedRequestsWriteNothing(t *testing.T) {
+	b := newFixture(t)
 	if _, err := b.drains().Start(zoneRequest("rack", "a")); err != nil {
 		t.Fatal(err)
 	}
@@ -127,12 +129,12 @@
 		{"by name and zone", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Machines = []string{"i-4"} }), ErrBadRequest},
 		{"none at a time", with(zoneRequest("x", "b"), func(r *StartRequest) { r.MaxParallel = 0 }), ErrBadRequest},
 		{"a deadline that has passed", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Deadline = -1 }), ErrBadRequest},
-		{"unknown zone", zoneRequest("x", "c"), ErrUnknown},
-		{"unknown type", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Type = "m9" }), ErrUnknown},
-		{"unknown machine", StartRequest{Name: "x", MaxParallel: 1, Selector: bookkeeping.Selector{Machines: []string{"i-9"}}}, ErrUnknown},
-		{"no such machine in the zone", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Kind = bookkeeping.KindOrdinary }), ErrNothingSelected},
+		{"unknown zone", zoneRequest("x", "c"), ErrNotFound},
+		{"unknown type", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Type = "m9" }), ErrNotFound},
+		{"unknown machine", StartRequest{Name: "x", MaxParallel: 1, Selector: bookkeeping.Selector{Machines: []string{"i-9"}}}, ErrNotFound},
+		{"no such machine in the zone", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.CapacityType = bookkeeping.OnDemandCapacity }), ErrNothingSelected},
 		{"name in use", zoneRequest("rack", "b"), ErrNameInUse},
-		{"overlap", StartRequest{Name: "x", MaxParallel: 1, Selector: bookkeeping.Selector{Machines: []string{"i-1"}}}, ErrOverlap},
+		{"overlap", StartRequest{Name: "x", MaxParallel: 1, Selector: bookkeeping.Selector{Machines: []string{"i-1"}}}, ErrDrainsOverlap},
 	}
 	revision := b.store.Revision
 	for _, tc := range cases {
@@ -145,7 +147,7 @@
 		func() error { _, err := b.drains().Abort("nothing"); return err },
 		func() error { _, _, err := b.drains().Status("nothing"); return err },
 	} {
-		if err := f(); !errors.Is(err, ErrUnknown) {
+		if err := f(); !errors.Is(err, ErrNotFound) {
 			t.Errorf("of no drain: %v", err)
 		}
 	}
@@ -153,14 +155,14 @@
 		t.Error("something was written")
 	}
 	b.store.Down = true
-	if _, err := b.drains().List(); !errors.Is(err, coordination.ErrNoAnswer) {
+	if _, err := b.drains().List(); !errors.Is(err, coordination.ErrStoreUnavailable) {
 		t.Errorf("in an outage: %v", err)
 	}
 }
 
-// TestLifeOfDrain: the states that commands bring about.
-func TestLifeOfDrain(t *testing.T) {
-	b := newBench(t)
+// TestDrainStateTransitions: the states that commands bring about.
+func TestDrainStateTransitions(t *testing.T) {
+	b := newFixture(t)
 	d := b.drains()
 	request := zoneRequest("rack", "a")
 	request.Deadline = 5 * micros.Second
@@ -183,7 +185,7 @@
 	if changed, err := d.Abort("rack"); !changed || err != nil {
 		t.Error(changed, err)
 	}
-	if _, err := d.Pause("rack"); !errors.Is(err, ErrFinished) {
+	if _, err := d.Pause("rack"); !errors.Is(err, ErrDrainEnded) {
 		t.Errorf("paused after its end: %v", err)
 	}
 	if _, err := d.Start(zoneRequest("rack", "b")); err != nil {
@@ -194,23 +196,23 @@
 		t.Errorf("%+v %v %v", progress, teams, err)
 	}
 	list, err := d.List()
-	if err != nil || len(list) != 1 || list[0].Selects != "zone b" || list[0].Machines != 1 {
+	if err != nil || len(list) != 1 || list[0].Selection != "zone b" || list[0].MachinesLeft != 1 {
 		t.Errorf("%+v %v", list, err)
 	}
 }
 
-// TestReadAtOneRevision: what changes while the lists are read is in the answer, or nothing of it.
-func TestReadAtOneRevision(t *testing.T) {
-	b := newBench(t)
+// TestListReadsOneConsistentRevision: what changes while the lists are read is in the answer, or nothing of it.
+func TestListReadsOneConsistentRevision(t *testing.T) {
+	b := newFixture(t)
 	n := 0
-	b.before = func(c *protocol.StoreCall) {
+	b.beforeCall = func(c *protocol.StoreCall) {
 		if c.Op != protocol.StoreList {
 			return
 		}
 		// A drain changes its name between any two lists: the old one goes as the new one comes.
 		n++
 		old, next := bookkeeping.Key(bookkeeping.KindDrain, string(rune('a'+n-1))), bookkeeping.Key(bookkeeping.KindDrain, string(rune('a'+n)))
-		b.direct(&protocol.StoreCall{Op: protocol.StoreCommit, Within: micros.Second, Txn: protocol.Txn{Then: []protocol.Op{
+		b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: micros.Second, Transaction: protocol.Transaction{Then: []protocol.Op{
 			{Put: next, Value: protocol.MustMarshal(&bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}})}, {Delete: old}}}})
 	}
 	for range 3 {
--- a/internal/operator/store.go
+++ b/internal/operator/store.go
@@ -10,31 +10,31 @@
 
 // Operator carries out commands on one deployment's state service.
 type Operator struct {
-	Call   coordination.StoreCaller
-	Wait   func(micros.T) // pauses before a call is repeated
-	Wall   func() int64   // time of day, microseconds
-	TxnOps int            // changes that a commit may hold
-	// ValueBytes is how large a value may be.
-	ValueBytes int
-	Zones      []string
+	Call              coordination.StoreCaller
+	Sleep             func(micros.Micros) // pauses before a call is repeated
+	WallClock         func() int64        // time of day, microseconds
+	MaxTransactionOps int                 // changes that a commit may hold
+	// MaxValueBytes is how large a value may be.
+	MaxValueBytes int
+	Zones         []string
 }
 
 // Bounds of how a command repeats its calls.
 const (
-	mostTries = 5
-	tryPause  = 400 * micros.Millisecond
+	maxAttempts   = 5
+	retryInterval = 400 * micros.Millisecond
 )
 
-// read reads all records at one revision. A state service that is busy or changes faster than it
+// readRecords reads all records at one revision. A state service that is busy or changes faster than it
 // is read is asked again a few times.
-func (o *Operator) read() (*coordination.Reading, error) {
+func (o *Operator) readRecords() (*coordination.RecordSnapshot, error) {
 	var err error
-	for try := range mostTries {
+	for try := range maxAttempts {
 		if try > 0 {
-			o.Wait(tryPause)
+			o.Sleep(retryInterval)
 		}
-		var reading *coordination.Reading
-		if reading, err = coordination.Read(o.call, o.TxnOps); err == nil {
+		var reading *coordination.RecordSnapshot
+		if reading, err = coordination.ReadRecords(o.call, o.MaxTransactionOps); err == nil {
 			return reading, nil
 		}
 	}
@@ -44,9 +44,9 @@
 // call makes a call, again where the state service says that it was too much.
 func (o *Operator) call(c *protocol.StoreCall) protocol.StoreResult {
 	var result protocol.StoreResult
-	for try := range mostTries {
+	for try := range maxAttempts {
 		if try > 0 {
-			o.Wait(tryPause)
+			o.Sleep(retryInterval)
 		}
 		if result = o.Call(c); result.Outcome != protocol.Throttled {
 			break
@@ -55,16 +55,16 @@
 	return result
 }
 
-// change decides on a reading and commits what comes of it. What another has changed meanwhile,
+// transact decides on a reading and commits what comes of it. What another has changed meanwhile,
 // or what nobody knows the outcome of, is read and decided anew: so decide must find its own
 // change in a reading and be content with it.
-func (o *Operator) change(decide func(*coordination.Reading) (*protocol.Txn, error)) error {
+func (o *Operator) transact(decide func(*coordination.RecordSnapshot) (*protocol.Transaction, error)) error {
 	var last protocol.Outcome
-	for try := range mostTries {
+	for try := range maxAttempts {
 		if try > 0 {
-			o.Wait(tryPause)
+			o.Sleep(retryInterval)
 		}
-		reading, err := o.read()
+		reading, err := o.readRecords()
 		if err != nil {
 			return err
 		}
@@ -72,12 +72,12 @@
 		if err != nil || txn == nil {
 			return err
 		}
-		result := o.call(&protocol.StoreCall{Op: protocol.StoreCommit, Txn: *txn, Within: commitTimeout})
+		result := o.call(&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: *txn, Timeout: commitTimeout})
 		if result.Outcome == protocol.OK {
 			return nil
 		}
 		if result.Outcome == protocol.Rejected {
-			return fmt.Errorf("%w: it rejects the change", coordination.ErrNoAnswer)
+			return fmt.Errorf("%w: it rejects the change", coordination.ErrStoreUnavailable)
 		}
 		last = result.Outcome
 	}
@@ -85,7 +85,7 @@
 		return ErrContention
 	}
 	return fmt.Errorf("%w: the change may or may not have been made (%v); repeating the command is safe",
-		coordination.ErrNoAnswer, last)
+		coordination.ErrStoreUnavailable, last)
 }
 
 const commitTimeout = 5 * micros.Second
--- a/internal/protocol/clients.go
+++ b/internal/protocol/clients.go
@@ -18,7 +18,7 @@
 	OK                  // 200
 	Conflict            // 409: nothing changed
 	NotFound            // 404
-	TooOld              // 410: the watch has fallen behind
+	Compacted           // 410: the watch has fallen behind
 	Rejected            // 400
 	NoCapacity          // 503 with "no capacity"
 	Throttled           // 429: not executed
@@ -40,33 +40,33 @@
 	StoreGet StoreOp = iota
 	StoreList
 	StoreCommit
-	StoreGrant
-	StoreTouch
+	StoreGrantLease
+	StoreKeepAlive
 	StoreWatch
 )
 
 // StoreCall is one call of the state service.
 type StoreCall struct {
-	Op     StoreOp
-	Key    string // get, list and watch: the key or prefix
-	After  string
-	Limit  int
-	Txn    Txn
-	Lease  uint64
-	TTL    micros.T
-	From   uint64
-	Block  micros.T
-	Within micros.T // deadline
+	Op           StoreOp
+	Key          string // get, list and watch: the key or prefix
+	After        string
+	Limit        int
+	Transaction  Transaction
+	Lease        uint64
+	TTL          micros.Micros
+	FromRevision uint64
+	MaxBlock     micros.Micros
+	Timeout      micros.Micros // deadline
 }
 
 // Writes tells how many puts and deletes a call is counted for.
-func (c *StoreCall) Writes() int { return len(c.Txn.Then) }
+func (c *StoreCall) Writes() int { return len(c.Transaction.Then) }
 
 // StoreResult answers it.
 type StoreResult struct {
 	Outcome  Outcome
-	Item     Item
-	Items    []Item
+	Item     KeyValue
+	Items    []KeyValue
 	More     bool
 	Revision uint64
 	Failed   []string
@@ -74,11 +74,11 @@
 	Events   []Event
 }
 
-func outcomeOf(m *transport.Message, err error) Outcome {
+func outcomeOf(message *transport.Message, err error) Outcome {
 	if err != nil {
 		return Unknown
 	}
-	switch m.Status {
+	switch message.Status {
 	case 200, 201, 204:
 		return OK
 	case 400:
@@ -88,7 +88,7 @@
 	case 409:
 		return Conflict
 	case 410:
-		return TooOld
+		return Compacted
 	case 429:
 		return Throttled
 	case 503:
@@ -98,72 +98,72 @@
 }
 
 // CallStore performs a call of the state service and waits for it.
-func CallStore(cl *transport.Client, c *StoreCall) StoreResult {
-	var m *transport.Message
+func CallStore(client *transport.Client, call *StoreCall) StoreResult {
+	var message *transport.Message
 	var err error
 	var out any
-	var txn TxnReply
-	var list ItemList
+	var transaction TransactionReply
+	var list KeyValueList
 	var watch WatchReply
 	var grant LeaseReply
-	var item Item
-	switch c.Op {
+	var item KeyValue
+	switch call.Op {
 	case StoreGet:
 		out = &item
-		m, err = cl.Do("GET", "/kv/"+c.Key, nil, c.Within)
+		message, err = client.Do("GET", "/kv/"+call.Key, nil, call.Timeout)
 	case StoreList:
 		out = &list
-		t := "/kv?under=" + c.Key + "&limit=" + strconv.Itoa(c.Limit)
-		if c.After != "" {
-			t += "&from=" + c.After
+		t := "/kv?under=" + call.Key + "&limit=" + strconv.Itoa(call.Limit)
+		if call.After != "" {
+			t += "&from=" + call.After
 		}
-		m, err = cl.Do("GET", t, nil, c.Within)
+		message, err = client.Do("GET", t, nil, call.Timeout)
 	case StoreCommit:
-		out = &txn
-		if c.Txn.If == nil {
-			c.Txn.If = []Cond{}
+		out = &transaction
+		if call.Transaction.If == nil {
+			call.Transaction.If = []Compare{}
 		}
-		m, err = cl.Do("POST", "/commit", MustMarshal(&c.Txn), c.Within)
-	case StoreGrant:
+		message, err = client.Do("POST", "/commit", MustMarshal(&call.Transaction), call.Timeout)
+	case StoreGrantLease:
 		out = &grant
-		m, err = cl.Do("POST", "/leases", MustMarshal(&LeaseRequest{TTLMillis: c.TTL.Millis()}), c.Within)
-	case StoreTouch:
-		m, err = cl.Do("POST", fmt.Sprintf("/leases/%d/touch", c.Lease), nil, c.Within)
+		message, err = client.Do("POST", "/leases", MustMarshal(&LeaseRequest{TTLMillis: call.TTL.Milliseconds()}), call.Timeout)
+	case StoreKeepAlive:
+		message, err = client.Do("POST", fmt.Sprintf("/leases/%d/touch", call.Lease), nil, call.Timeout)
 	case StoreWatch:
 		out = &watch
-		t := fmt.Sprintf("/watch?under=%s&from=%d&block_ms=%d", c.Key, c.From, c.Block.Millis())
-		m, err = cl.Do("GET", t, nil, c.Within)
+		t := fmt.Sprintf("/watch?under=%s&from=%d&block_ms=%d", call.Key, call.FromRevision, call.MaxBlock.Milliseconds())
+		message, err = client.Do("GET", t, nil, call.Timeout)
 	}
-	r := StoreResult{Outcome: outcomeOf(m, err)}
-	wanted := r.Outcome == OK || r.Outcome == Conflict
+	result := StoreResult{Outcome: outcomeOf(message, err)}
+	wanted := result.Outcome == OK || result.Outcome == Conflict
 	if wanted && out != nil {
 		// Garbage in a 200 proves nothing: the outcome is unknown.
-		if Unmarshal(m.Body, out) != nil {
+		if Unmarshal(message.Body, out) != nil {
 			return StoreResult{}
 		}
 	}
-	switch c.Op {
+	switch call.Op {
 	case StoreGet:
-		r.Item = item
-		if r.Outcome == OK && item.Version == 0 {
+		result.Item = item
+		if result.Outcome == OK && item.Version == 0 {
 			return StoreResult{}
 		}
 	case StoreList:
-		r.Items, r.More, r.Revision = list.Items, list.More, list.Revision
+		result.Items, result.More, result.Revision = list.Items, list.More, list.Revision
 	case StoreCommit:
-		r.Revision, r.Failed = txn.Revision, txn.Failed
-		if r.Outcome == OK && txn.Revision == 0 || r.Outcome == NotFound {
+		result.Revision, result.Failed = transaction.Revision, transaction.Failed
+		if result.Outcome == OK && transaction.Revision == 0 || result.Outcome == NotFound {
 			return StoreResult{}
 		}
-	case StoreGrant:
-		r.Lease = grant.Lease
-		if r.Outcome == OK && grant.Lease == 0 {
+	case StoreGrantLease:
+		result.Lease = grant.Lease
+		if result.Outcome == OK && grant.Lease == 0 {
 			return StoreResult{}
 		}
 	case StoreWatch:
-		r.Events, r.Revision = watch.Events, watch.Revision
+		result.Events, result.Revision = watch.Events, watch.Revision
 	}
-	return r
+	return result
 }
 
 // CloudOp names a call of the cloud.
@@ -179,11 +179,11 @@
 
 // CloudCall is one call of the cloud.
 type CloudCall struct {
-	Op     CloudOp
-	Rent   RentRequest
-	Delete []string
-	After  string
-	Within micros.T
+	Op      CloudOp
+	Rent    RentRequest
+	Delete  []string
+	After   string
+	Timeout micros.Micros
 }
 
 // CloudResult answers it.
@@ -191,74 +191,74 @@
 	Outcome Outcome
 	Types   []MachineType
 	Rented  []string
-	Listed  []Listed
+	Listed  []ListedMachine
 	More    bool
 }
 
 // CallCloud performs a call of the cloud and waits for it.
-func CallCloud(cl *transport.Client, c *CloudCall) CloudResult {
-	var m *transport.Message
+func CallCloud(client *transport.Client, call *CloudCall) CloudResult {
+	var message *transport.Message
 	var err error
-	var cat Catalog
+	var catalog Catalog
 	var rent RentReply
 	var list MachineList
 	var out any
-	switch c.Op {
+	switch call.Op {
 	case CloudCatalog:
-		out = &cat
-		m, err = cl.Do("GET", "/catalog", nil, c.Within)
+		out = &catalog
+		message, err = client.Do("GET", "/catalog", nil, call.Timeout)
 	case CloudRent:
 		out = &rent
-		m, err = cl.Do("POST", "/rentals", MustMarshal(&c.Rent), c.Within)
+		message, err = client.Do("POST", "/rentals", MustMarshal(&call.Rent), call.Timeout)
 	case CloudDelete:
-		m, err = cl.Do("POST", "/rentals/delete", MustMarshal(&DeleteRequest{Machines: c.Delete}), c.Within)
+		message, err = client.Do("POST", "/rentals/delete", MustMarshal(&DeleteMachinesRequest{Machines: call.Delete}), call.Timeout)
 	case CloudList:
 		out = &list
 		t := "/rentals?limit=500"
-		if c.After != "" {
-			t += "&from=" + url.QueryEscape(c.After)
+		if call.After != "" {
+			t += "&from=" + url.QueryEscape(call.After)
 		}
-		m, err = cl.Do("GET", t, nil, c.Within)
+		message, err = client.Do("GET", t, nil, call.Timeout)
 	}
-	r := CloudResult{Outcome: outcomeOf(m, err)}
-	if r.Outcome == OK && out != nil && Unmarshal(m.Body, out) != nil {
+	result := CloudResult{Outcome: outcomeOf(message, err)}
+	if result.Outcome == OK && out != nil && Unmarshal(message.Body, out) != nil {
 		return CloudResult{}
 	}
-	if r.Outcome == Unavailable && c.Op == CloudRent {
+	if result.Outcome == Unavailable && call.Op == CloudRent {
 		// Only "no capacity" is an answer about the offer. Any other 503 is the
 		// cloud's own trouble and says nothing about it.
 		var e ErrorBody
-		if Unmarshal(m.Body, &e) == nil && e.Error == "no capacity" {
-			r.Outcome = NoCapacity
+		if Unmarshal(message.Body, &e) == nil && e.Error == "no capacity" {
+			result.Outcome = NoCapacity
 		}
 	}
-	r.Types, r.Rented, r.Listed, r.More = cat.Types, rent.Machines, list.Machines, list.More
-	return r
+	result.Types, result.Rented, result.Listed, result.More = catalog.Types, rent.Machines, list.Machines, list.More
+	return result
 }
 
-// DoResult answers a direct command batch. With Status 200 or 409 it carries
+// CommandResult answers a direct command batch. With Status 200 or 409 it carries
 // the worker's report; 0 means that there was no usable response.
-type DoResult struct {
-	Status int
-	Report Report
+type CommandResult struct {
+	Status    int
+	Heartbeat Heartbeat
 }
 
 // CallWorker sends a command batch to a worker; without one it only asks for the
 // worker's report.
-func CallWorker(cl *transport.Client, req *DoRequest, within micros.T) DoResult {
-	var m *transport.Message
+func CallWorker(client *transport.Client, req *CommandRequest, within micros.Micros) CommandResult {
+	var message *transport.Message
 	var err error
 	if req == nil {
-		m, err = cl.Do("GET", "/show", nil, within)
+		message, err = client.Do("GET", "/show", nil, within)
 	} else {
-		m, err = cl.Do("POST", "/do", MustMarshal(req), within)
+		message, err = client.Do("POST", "/do", MustMarshal(req), within)
 	}
-	if err != nil || m.Status != 200 && m.Status != 409 {
-		return DoResult{}
+	if err != nil || message.Status != 200 && message.Status != 409 {
+		return CommandResult{}
 	}
-	r := DoResult{Status: m.Status}
-	if Unmarshal(m.Body, &r.Report) != nil {
-		return DoResult{}
+	result := CommandResult{Status: message.Status}
+	if Unmarshal(message.Body, &result.Heartbeat) != nil {
+		return CommandResult{}
 	}
-	return r
+	return result
 }
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -38,7 +38,7 @@
 
 // Unmarshal checks the shape first: a hostile length or depth must cost nothing.
 func Unmarshal(b []byte, v any) error {
-	if err := Check(b); err != nil {
+	if err := CheckShape(b); err != nil {
 		return err
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
@@ -47,13 +47,13 @@
 	return nil
 }
 
-// Check walks one MessagePack value without building anything: every length
+// CheckShape walks one MessagePack value without building anything: every length
 // must be covered by the bytes that follow, and nesting is bounded.
-func Check(b []byte) error {
+func CheckShape(b []byte) error {
 	const depth = 32
-	var left [depth]int // values still to come, a level each
+	var remaining [depth]int // values still to come, a level each
 	level := 0
-	left[0] = 1
+	remaining[0] = 1
 	i := 0
 	need := func(n int) bool { return n >= 0 && len(b)-i >= n }
 	size := func(n int) int { // reads a big-endian length of n bytes
@@ -68,7 +68,7 @@
 		return v
 	}
 	for {
-		for left[level] == 0 {
+		for remaining[level] == 0 {
 			if level == 0 {
 				if i != len(b) {
 					return ErrMalformed
@@ -77,7 +77,7 @@
 			}
 			level--
 		}
-		left[level]--
+		remaining[level]--
 		if !need(1) {
 			return ErrMalformed
 		}
@@ -127,7 +127,7 @@
 				return ErrMalformed
 			}
 			level++
-			left[level] = nest
+			remaining[level] = nest
 		}
 	}
 }
@@ -139,12 +139,12 @@
 	StateFlushing = "flushing"
 	StateExited   = "exited"
 
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseFull    = "full"
-	CauseBusy    = "busy"
-	CauseUnknown = "unknown"
+	CauseDone        = "done"
+	CauseStopped     = "stopped"
+	CauseError       = "error"
+	CauseMachineFull = "full"
+	CauseBusy        = "busy"
+	CauseUnknown     = "unknown"
 
 	CmdRun  = "run"
 	CmdKill = "kill"
@@ -159,16 +159,16 @@
 	JobCancelled = "cancelled"
 )
 
-// JobStatus answers submissions, polls and cancellations.
-type JobStatus struct {
+// JobStatusReply answers submissions, polls and cancellations.
+type JobStatusReply struct {
 	ID      string `msgpack:"id"`
 	Status  string `msgpack:"status"`
 	Done    int    `msgpack:"done"`
 	Running int    `msgpack:"running"`
 }
 
-// Accepted answers a submission or a cancellation.
-type Accepted struct {
+// AcceptedReply answers a submission or a cancellation.
+type AcceptedReply struct {
 	ID     string `msgpack:"id"`
 	Status string `msgpack:"status"`
 }
@@ -178,33 +178,33 @@
 	Error string `msgpack:"error"`
 }
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string `msgpack:"pip"`
-	Attempt uint64 `msgpack:"try_no"`
-	State   string `msgpack:"status"`
-	Cause   string `msgpack:"cause,omitempty"`
-	Saved   bool   `msgpack:"kept,omitempty"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task            string `msgpack:"pip"`
+	Attempt         uint64 `msgpack:"try_no"`
+	State           string `msgpack:"status"`
+	Cause           string `msgpack:"cause,omitempty"`
+	CheckpointSaved bool   `msgpack:"kept,omitempty"`
 }
 
-// Report is a worker's report.
-type Report struct {
-	Machine  string       `msgpack:"tree"`
-	Endpoint string       `msgpack:"endpoint"`
-	Type     string       `msgpack:"breed"`
-	Zone     string       `msgpack:"grove"`
-	Spot     bool         `msgpack:"borrowed"`
-	Session  uint64       `msgpack:"roost"`
-	Seq      uint64       `msgpack:"chirp"`
-	Token    uint64       `msgpack:"baton"`
-	NoticeS  *float64     `msgpack:"warning_s"`
-	Tasks    []TaskReport `msgpack:"pips"`
+// Heartbeat is a worker's report.
+type Heartbeat struct {
+	Machine             string       `msgpack:"tree"`
+	Endpoint            string       `msgpack:"endpoint"`
+	Type                string       `msgpack:"breed"`
+	Zone                string       `msgpack:"grove"`
+	Spot                bool         `msgpack:"borrowed"`
+	Incarnation         uint64       `msgpack:"roost"`
+	Sequence            uint64       `msgpack:"chirp"`
+	FencingToken        uint64       `msgpack:"baton"`
+	InterruptionNoticeS *float64     `msgpack:"warning_s"`
+	Tasks               []TaskStatus `msgpack:"pips"`
 }
 
 // Valid tells whether a report can be acted upon.
-func (r *Report) Valid() bool {
+func (r *Heartbeat) Valid() bool {
 	if !ValidKeyPart(r.Machine) || r.Endpoint == "" || len(r.Endpoint) > 64 || r.Type == "" || len(r.Type) > 100 ||
-		r.Zone == "" || len(r.Zone) > 100 || r.Session == 0 {
+		r.Zone == "" || len(r.Zone) > 100 || r.Incarnation == 0 {
 		return false
 	}
 	for i := 0; i < len(r.Endpoint); i++ {
@@ -228,36 +228,36 @@
 	GraceS  *float64 `msgpack:"leeway_s,omitempty"`
 }
 
-// CheckinReply answers a report.
-type CheckinReply struct {
-	Token    uint64    `msgpack:"baton"`
-	Commands []Command `msgpack:"calls"`
+// HeartbeatReply answers a report.
+type HeartbeatReply struct {
+	FencingToken uint64    `msgpack:"baton"`
+	Commands     []Command `msgpack:"calls"`
 }
 
 // Redirect goes with 421.
 type Redirect struct {
-	Lead string `msgpack:"flock_lead,omitempty"`
+	Leader string `msgpack:"flock_lead,omitempty"`
 }
 
-// DoRequest is a direct command batch.
-type DoRequest struct {
-	Token    uint64    `msgpack:"baton"`
-	Session  uint64    `msgpack:"roost"`
-	Commands []Command `msgpack:"calls"`
+// CommandRequest is a direct command batch.
+type CommandRequest struct {
+	FencingToken uint64    `msgpack:"baton"`
+	Incarnation  uint64    `msgpack:"roost"`
+	Commands     []Command `msgpack:"calls"`
 }
 
-// MachineType is an entry of the cloud's catalogue.
+// TypeCapacity is an entry of the cloud's catalogue.
 type MachineType struct {
-	Name        string   `msgpack:"name"`
-	CPUs        float64  `msgpack:"cores"`
-	GPUs        float64  `msgpack:"accelerators"`
-	MemoryGB    float64  `msgpack:"memory_gb"`
-	CacheGB     float64  `msgpack:"local_gb"`
-	FetchGBPerS float64  `msgpack:"pull_gb_per_s"`
-	Price       float64  `msgpack:"rate"`
-	SpotPrice   float64  `msgpack:"low_price"`
-	BootS       float64  `msgpack:"ready_s"`
-	Zones       []string `msgpack:"groves"`
+	Name          string   `msgpack:"name"`
+	CPUs          float64  `msgpack:"cores"`
+	GPUs          float64  `msgpack:"accelerators"`
+	MemoryGB      float64  `msgpack:"memory_gb"`
+	CacheGB       float64  `msgpack:"local_gb"`
+	FetchGBPerS   float64  `msgpack:"pull_gb_per_s"`
+	OnDemandPrice float64  `msgpack:"rate"`
+	SpotPrice     float64  `msgpack:"low_price"`
+	BootS         float64  `msgpack:"ready_s"`
+	Zones         []string `msgpack:"groves"`
 }
 
 // Catalog is the list of machine types.
@@ -279,13 +279,13 @@
 	Machines []string `msgpack:"trees"`
 }
 
-// DeleteRequest gives machines back.
-type DeleteRequest struct {
+// DeleteMachinesRequest gives machines back.
+type DeleteMachinesRequest struct {
 	Machines []string `msgpack:"trees"`
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
+// ListedMachine is a machine in the cloud's list.
+type ListedMachine struct {
 	ID       string  `msgpack:"id"`
 	Endpoint string  `msgpack:"endpoint"`
 	Type     string  `msgpack:"breed"`
@@ -297,27 +297,27 @@
 
 // MachineList is a page of the cloud's list.
 type MachineList struct {
-	Machines []Listed `msgpack:"trees"`
-	More     bool     `msgpack:"has_next"`
+	Machines []ListedMachine `msgpack:"trees"`
+	More     bool            `msgpack:"has_next"`
 }
 
-// Item is a key of the state service.
-type Item struct {
+// KeyValue is a key of the state service.
+type KeyValue struct {
 	Key     string `msgpack:"path"`
 	Value   Raw    `msgpack:"value"`
 	Version uint64 `msgpack:"stamp"`
 	Lease   uint64 `msgpack:"tenure"`
 }
 
-// ItemList is a page of keys.
-type ItemList struct {
-	Items    []Item `msgpack:"pairs"`
-	More     bool   `msgpack:"has_next"`
-	Revision uint64 `msgpack:"epoch"`
+// KeyValueList is a page of keys.
+type KeyValueList struct {
+	Items    []KeyValue `msgpack:"pairs"`
+	More     bool       `msgpack:"has_next"`
+	Revision uint64     `msgpack:"epoch"`
 }
 
-// Cond is a condition of a transaction; version 0: the key does not exist.
-type Cond struct {
+// Compare is a condition of a transaction; version 0: the key does not exist.
+type Compare struct {
 	Key     string `msgpack:"path"`
 	Version uint64 `msgpack:"stamp"`
 }
@@ -330,14 +330,14 @@
 	Delete string `msgpack:"drop,omitempty"`
 }
 
-// Txn is a transaction.
-type Txn struct {
-	If   []Cond `msgpack:"if"`
-	Then []Op   `msgpack:"apply,omitempty"`
+// Transaction is a transaction.
+type Transaction struct {
+	If   []Compare `msgpack:"if"`
+	Then []Op      `msgpack:"apply,omitempty"`
 }
 
-// TxnReply answers a transaction.
-type TxnReply struct {
+// TransactionReply answers a transaction.
+type TransactionReply struct {
 	Revision uint64   `msgpack:"epoch"`
 	Failed   []string `msgpack:"failed"`
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func valid() map[string]any {
+func validSubmission() map[string]any {
 	return map[string]any{
 		"id": "j-000412", "lane": "train", "crew": "vision", "shape": "sweep", "rank": "high", "pips": 16,
 		"cores": 8.0, "accelerators": 1, "memory_gb": 64.0, "plumage": "img-07", "pull_gb": 6.2,
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestSubmission(t *testing.T) {
+func TestParseSubmission(t *testing.T) {
 	cases := []struct {
 		name string
 		set  map[string]any
@@ -46,36 +46,36 @@
 		{"types not names", map[string]any{"breeds": []any{8}}, false},
 	}
 	for _, tc := range cases {
-		m := valid()
+		values := validSubmission()
 		for k, v := range tc.set {
-			m[k] = v
+			values[k] = v
 		}
-		s, err := ParseSubmission(MustMarshal(m))
+		submission, err := ParseSubmission(MustMarshal(values))
 		if (err == nil) != tc.ok {
 			t.Errorf("%s: %v", tc.name, err)
 		}
-		if tc.ok && (s.ID != "j-000412" || s.Priority != High || s.Service) {
-			t.Errorf("%s: %+v", tc.name, s)
+		if tc.ok && (submission.ID != "j-000412" || submission.Priority != High || submission.Service) {
+			t.Errorf("%s: %+v", tc.name, submission)
 		}
 	}
-	for k := range valid() {
-		m := valid()
-		delete(m, k)
+	for k := range validSubmission() {
+		values := validSubmission()
+		delete(values, k)
 		may := map[string]bool{"breeds": true, "grove": true, "due_s": true, "new_field": true}[k]
-		if _, err := ParseSubmission(MustMarshal(m)); (err == nil) != may {
+		if _, err := ParseSubmission(MustMarshal(values)); (err == nil) != may {
 			t.Errorf("without %s: %v", k, err)
 		}
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestCheckShapeRejectsMalformed(t *testing.T) {
 	cases := []struct {
 		name string
 		in   []byte
 		ok   bool
 	}{
 		{"nothing", nil, false},
-		{"map", MustMarshal(valid()), true},
+		{"map", MustMarshal(validSubmission()), true},
 		{"two values", []byte{0xc0, 0xc0}, false},
 		{"list that claims four thousand million", []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, false},
 		{"map that claims too much", []byte{0xdf, 0x7f, 0xff, 0xff, 0xff, 0xc0}, false},
@@ -86,7 +86,7 @@
 		{"number cut off", []byte{0xcb, 0, 0}, false},
 	}
 	for _, tc := range cases {
-		if err := Check(tc.in); (err == nil) != tc.ok {
+		if err := CheckShape(tc.in); (err == nil) != tc.ok {
 			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
@@ -95,15 +95,15 @@
 // FuzzSubmission: whatever comes, the decoder answers without a crash, and what
 // it accepts is within the protocol's bounds.
 func FuzzSubmission(f *testing.F) {
-	f.Add(MustMarshal(valid()))
+	f.Add(MustMarshal(validSubmission()))
 	f.Add([]byte{0x81, 0xa2, 'i', 'd', 0x01})
 	f.Add([]byte{0x81, 0xc0, 0xc0})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		s, err := ParseSubmission(in)
-		if err == nil && (s.Tasks < 1 || s.Tasks > MaxTasks || s.CPUs < 0 || math.IsNaN(s.CPUs) || !ValidJobID(s.ID)) {
-			t.Fatalf("accepted %+v", s)
+		submission, err := ParseSubmission(in)
+		if err == nil && (submission.Tasks < 1 || submission.Tasks > MaxTasks || submission.CPUs < 0 || math.IsNaN(submission.CPUs) || !ValidJobID(submission.ID)) {
+			t.Fatalf("accepted %+v", submission)
 		}
-		var r Report
+		var r Heartbeat
 		if Unmarshal(in, &r) == nil && r.Valid() && r.Machine == "" {
 			t.Fatal("a report without a machine")
 		}
@@ -119,7 +119,7 @@
 		Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900,
 	}
 	least := Submission{ID: "j-1", Class: "train", Team: "vision", Tasks: 1, Image: "img-07"}
-	documented := valid()
+	documented := validSubmission()
 	delete(documented, "new_field")
 	for _, want := range []Submission{full, least} {
 		got, err := ParseSubmission(MustMarshal(&want))
--- a/internal/protocol/requests.go
+++ b/internal/protocol/requests.go
@@ -73,7 +73,7 @@
 			priority = name
 		}
 	}
-	m := map[string]any{
+	values := map[string]any{
 		FieldID:          s.ID,
 		FieldClass:       s.Class,
 		FieldTeam:        s.Team,
@@ -96,15 +96,15 @@
 		FieldDeadlineS:   nil,
 	}
 	if s.Types != nil {
-		m[FieldTypes] = s.Types
+		values[FieldTypes] = s.Types
 	}
 	if s.Zone != "" {
-		m[FieldZone] = s.Zone
+		values[FieldZone] = s.Zone
 	}
 	if s.DeadlineS != 0 {
-		m[FieldDeadlineS] = s.DeadlineS
+		values[FieldDeadlineS] = s.DeadlineS
 	}
-	return m
+	return values
 }
 
 // EncodeMsgpack writes the submission in the form that users send.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -14,11 +14,11 @@
 	BestEffort Priority = iota
 	Standard
 	High
-	Prod
+	Production
 )
 
 var priorities = map[string]Priority{
-	"prod": Prod, "high": High, "standard": Standard, "best_effort": BestEffort,
+	"prod": Production, "high": High, "standard": Standard, "best_effort": BestEffort,
 }
 
 // MaxTasks is the most tasks that one job may have.
@@ -68,20 +68,20 @@
 	return true
 }
 
-// fields reads a decoded map, remembering the first thing wrong.
-type fields struct {
-	m   map[string]any
-	err error
+// fieldReader reads a decoded map, remembering the first thing wrong.
+type fieldReader struct {
+	values map[string]any
+	err    error
 }
 
-func (f *fields) fail(name, what string) {
+func (f *fieldReader) fail(name, what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", name, what)
 	}
 }
 
-func (f *fields) text(name string, may bool) string {
-	v := f.m[name]
+func (f *fieldReader) text(name string, may bool) string {
+	v := f.values[name]
 	if v == nil && may {
 		return ""
 	}
@@ -93,8 +93,8 @@
 	return s
 }
 
-func (f *fields) amount(name string, may bool) float64 {
-	v := f.m[name]
+func (f *fieldReader) nonNegative(name string, may bool) float64 {
+	v := f.values[name]
 	if v == nil && may {
 		return 0
 	}
@@ -106,9 +106,9 @@
 	return x
 }
 
-func (f *fields) count(name string, least, most int64) int {
+func (f *fieldReader) integer(name string, least, most int64) int {
 	var n int64
-	switch v := f.m[name].(type) {
+	switch v := f.values[name].(type) {
 	case int8:
 		n = int64(v)
 	case int16:
@@ -135,8 +135,8 @@
 	return int(n)
 }
 
-func (f *fields) flag(name string) bool {
-	v, ok := f.m[name].(bool)
+func (f *fieldReader) boolean(name string) bool {
+	v, ok := f.values[name].(bool)
 	if !ok {
 		f.fail(name, "must be true or false")
 	}
@@ -173,26 +173,26 @@
 // 400. The id is returned as soon as it is valid, even with an error, so that a
 // known job is recognised before its repeated submission is refused.
 func ParseSubmission(body []byte) (*Submission, error) {
-	var m map[string]any
-	if err := Unmarshal(body, &m); err != nil {
+	var values map[string]any
+	if err := Unmarshal(body, &values); err != nil {
 		return &Submission{}, err
 	}
-	if m == nil {
+	if values == nil {
 		return &Submission{}, fmt.Errorf("%w: not a map", ErrMalformed)
 	}
-	f := &fields{m: m}
-	s := &Submission{ID: f.text(FieldID, false)}
-	if !ValidJobID(s.ID) {
-		s.ID = ""
+	f := &fieldReader{values: values}
+	submission := &Submission{ID: f.text(FieldID, false)}
+	if !ValidJobID(submission.ID) {
+		submission.ID = ""
 		f.fail(FieldID, "must be j- followed by letters, digits, '-', '_' or '.'")
-		return s, f.err
+		return submission, f.err
 	}
-	s.Class = f.text(FieldClass, false)
-	s.Team = f.text(FieldTeam, false)
+	submission.Class = f.text(FieldClass, false)
+	submission.Team = f.text(FieldTeam, false)
 	switch f.text(FieldShape, false) {
 	case ShapeArray:
 	case ShapeService:
-		s.Service = true
+		submission.Service = true
 	default:
 		f.fail(FieldShape, "must be "+ShapeArray+" or "+ShapeService)
 	}
@@ -200,34 +200,34 @@
 	if !ok {
 		f.fail(FieldPriority, "must be prod, high, standard or best_effort")
 	}
-	s.Priority = pr
-	s.Tasks = f.count(FieldTasks, 1, MaxTasks)
-	s.CPUs = f.amount(FieldCPUs, false)
-	s.GPUs = f.amount(FieldGPUs, false)
-	s.MemoryGB = f.amount(FieldMemoryGB, false)
-	s.Image = f.text(FieldImage, false)
-	s.ImageGB = f.amount(FieldImageGB, false)
-	s.Zone = f.text(FieldZone, true)
-	s.OneZone = f.flag(FieldOneZone)
-	s.Spread = f.flag(FieldSpread)
-	s.Spot = f.flag(FieldSpot)
-	s.EstimateS = f.amount(FieldEstimateS, false)
-	s.CheckpointS = f.amount(FieldCheckpointS, false)
-	s.SaveS = f.amount(FieldSaveS, false)
-	s.DeadlineS = f.amount(FieldDeadlineS, true)
-	switch list := m[FieldTypes].(type) {
+	submission.Priority = pr
+	submission.Tasks = f.integer(FieldTasks, 1, MaxTasks)
+	submission.CPUs = f.nonNegative(FieldCPUs, false)
+	submission.GPUs = f.nonNegative(FieldGPUs, false)
+	submission.MemoryGB = f.nonNegative(FieldMemoryGB, false)
+	submission.Image = f.text(FieldImage, false)
+	submission.ImageGB = f.nonNegative(FieldImageGB, false)
+	submission.Zone = f.text(FieldZone, true)
+	submission.OneZone = f.boolean(FieldOneZone)
+	submission.Spread = f.boolean(FieldSpread)
+	submission.Spot = f.boolean(FieldSpot)
+	submission.EstimateS = f.nonNegative(FieldEstimateS, false)
+	submission.CheckpointS = f.nonNegative(FieldCheckpointS, false)
+	submission.SaveS = f.nonNegative(FieldSaveS, false)
+	submission.DeadlineS = f.nonNegative(FieldDeadlineS, true)
+	switch list := values[FieldTypes].(type) {
 	case nil:
 	case []any:
-		s.Types = []string{}
+		submission.Types = []string{}
 		for _, v := range list {
 			name, ok := v.(string)
 			if !ok || name == "" {
 				f.fail(FieldTypes, "must be a list of names or null")
 			}
-			s.Types = append(s.Types, name)
+			submission.Types = append(submission.Types, name)
 		}
 	default:
 		f.fail(FieldTypes, "must be a list of names or null")
 	}
-	return s, f.err
+	return submission, f.err
 }
--- a/internal/standin/checker.go
+++ b/internal/standin/checker.go
@@ -9,229 +9,229 @@
 	"pipitgap/internal/protocol"
 )
 
-// Rule names an invariant that the checker watches.
-type Rule string
+// Invariant names an invariant that the checker watches.
+type Invariant string
 
 // The invariants. The first six have the protocol's names.
 const (
-	RanTwice     Rule = "ran_twice"     // two live attempts of a task
-	OverLimit    Rule = "quota"         // a team uses more than its limit
-	WrongPlace   Rule = "wrong_place"   // a start where the job doesn't allow it
-	RanCancelled Rule = "ran_cancelled" // a task of a cancelled job after its time
-	WentBack     Rule = "went_back"     // an answer older than one that was given before
-	NotDone      Rule = "not_done"      // done before all tasks were
-	Forgotten    Rule = "forgotten"     // an accepted job that isn't known
-	Invented     Rule = "invented"      // a job that nobody submitted is known
-	Unfit        Rule = "unfit"         // malformed, or can never run, and accepted
-	LeftWaiting  Rule = "left_waiting"  // a task waits beside room that it may use
+	RanTwice           Invariant = "ran_twice"     // two live attempts of a task
+	QuotaExceeded      Invariant = "quota"         // a team uses more than its limit
+	WrongPlace         Invariant = "wrong_place"   // a start where the job doesn't allow it
+	RanCancelled       Invariant = "ran_cancelled" // a task of a cancelled job after its time
+	StaleAnswer        Invariant = "went_back"     // an answer older than one that was given before
+	DoneTooEarly       Invariant = "not_done"      // done before all tasks were
+	JobLost            Invariant = "forgotten"     // an accepted job that isn't known
+	UnknownJobReported Invariant = "invented"      // a job that nobody submitted is known
+	InvalidAccepted    Invariant = "unfit"         // malformed, or can never run, and accepted
+	TaskStarved        Invariant = "left_waiting"  // a task waits beside room that it may use
 )
 
 // Violation is an invariant that was broken.
 type Violation struct {
-	At   micros.T
-	Rule Rule
-	What string
+	At        micros.Micros
+	Invariant Invariant
+	Detail    string
 }
 
 // String gives the time in seconds, the rule and what broke it.
 func (v Violation) String() string {
-	return fmt.Sprintf("%.3f: %s: %s", v.At.Seconds(), v.Rule, v.What)
+	return fmt.Sprintf("%.3f: %s: %s", v.At.Seconds(), v.Invariant, v.Detail)
 }
 
 const (
-	// ForgottenAfter is how long an accepted job may go unanswered once all troubles are over.
-	ForgottenAfter = 75 * micros.Second
-	// WaitingAtMost is how long a task may wait beside room that it may use.
-	WaitingAtMost = 90 * micros.Second
-	waitingEvery  = 5 * micros.Second
+	// MaxUnanswered is how long an accepted job may go unanswered once all troubles are over.
+	MaxUnanswered = 75 * micros.Second
+	// MaxWaitBesideRoom is how long a task may wait beside room that it may use.
+	MaxWaitBesideRoom = 90 * micros.Second
+	waitCheckInterval = 5 * micros.Second
 )
 
 // Checker watches a simulated deployment from outside: what machines run, and what
 // users are told. It never reads a controller's state.
 type Checker struct {
-	Sim      *Sim
-	CancelIn micros.T           // tasks of a cancelled job must be gone within this time
-	Limits   map[string]float64 // CPUs a team may use; none: no limit
-	Broken   []Violation
+	Clock        *SimClock
+	CancelWithin micros.Micros      // tasks of a cancelled job must be gone within this time
+	Limits       map[string]float64 // CPUs a team may use; none: no limit
+	Violations   []Violation
 	// LateStarts counts starts after a confirmed cancellation, within the time allowed.
 	LateStarts int
 
-	jobs  map[string]*watched
-	tasks map[string]map[string]*Rented // by job and task: where each live attempt is
-	use   map[string]float64            // CPUs by team
-	done  map[string]bool               // completed tasks
+	jobs           map[string]*observedJob
+	liveAttempts   map[string]map[string]*Machine // by job and task: where each live attempt is
+	usedCPUs       map[string]float64             // CPUs by team
+	completedTasks map[string]bool                // completed tasks
 
-	completed   map[string]int      // by task: how often
-	completedAt map[string]micros.T // by job: when a task of it last did
+	completions    map[string]int           // by task: how often
+	lastCompletion map[string]micros.Micros // by job: when a task of it last did
 }
 
-// watched is a job as its users know it.
-type watched struct {
-	id          string
-	spec        protocol.Submission
-	submitted   bool
-	wellFormed  bool // at least once
-	unrunnable  bool // it fits no machine, or not into its team's limit
-	cancelSent  bool
-	acceptedAt  micros.T // when a user was first told so; 0: not yet
-	finalAt     micros.T // when a user was first told how it ended
-	final       string
-	cancelledAt micros.T
-	waiting     map[int]micros.T // tasks that wait beside room, and since when
+// observedJob is a job as its users know it.
+type observedJob struct {
+	id           string
+	spec         protocol.Submission
+	submitted    bool
+	wellFormed   bool // at least once
+	unrunnable   bool // it fits no machine, or not into its team's limit
+	cancelSent   bool
+	acceptedAt   micros.Micros // when a user was first told so; 0: not yet
+	finalAt      micros.Micros // when a user was first told how it ended
+	finalState   string
+	cancelledAt  micros.Micros
+	waitingSince map[int]micros.Micros // tasks that wait beside room, and since when
 }
 
 // NewChecker begins to watch.
-func NewChecker(sim *Sim, cancelIn micros.T) *Checker {
-	return &Checker{Sim: sim, CancelIn: cancelIn, Limits: map[string]float64{}, jobs: map[string]*watched{},
-		tasks: map[string]map[string]*Rented{}, use: map[string]float64{}, done: map[string]bool{},
-		completed: map[string]int{}, completedAt: map[string]micros.T{}}
+func NewChecker(sim *SimClock, cancelIn micros.Micros) *Checker {
+	return &Checker{Clock: sim, CancelWithin: cancelIn, Limits: map[string]float64{}, jobs: map[string]*observedJob{},
+		liveAttempts: map[string]map[string]*Machine{}, usedCPUs: map[string]float64{}, completedTasks: map[string]bool{},
+		completions: map[string]int{}, lastCompletion: map[string]micros.Micros{}}
 }
 
-func (k *Checker) broke(rule Rule, format string, args ...any) {
-	k.Broken = append(k.Broken, Violation{k.Sim.Now(), rule, fmt.Sprintf(format, args...)})
+func (k *Checker) violate(rule Invariant, format string, args ...any) {
+	k.Violations = append(k.Violations, Violation{k.Clock.Now(), rule, fmt.Sprintf(format, args...)})
 }
 
-func (k *Checker) job(id string) *watched {
-	j := k.jobs[id]
-	if j == nil {
-		j = &watched{id: id, waiting: map[int]micros.T{}}
-		k.jobs[id] = j
+func (k *Checker) job(id string) *observedJob {
+	job := k.jobs[id]
+	if job == nil {
+		job = &observedJob{id: id, waitingSince: map[int]micros.Micros{}}
+		k.jobs[id] = job
 	}
-	return j
+	return job
 }
 
-// Begin notes that a task has started on a machine.
-func (k *Checker) Begin(task string, m *Rented, team string, cpus float64) {
+// TaskStarted notes that a task has started on a machine.
+func (k *Checker) TaskStarted(task string, machine *Machine, team string, cpus float64) {
 	id := jobOf(task)
-	if at := k.tasks[id][task]; at != nil {
-		k.broke(RanTwice, "%s starts on %s while on %s", task, m.ID, at.ID)
+	if host := k.liveAttempts[id][task]; host != nil {
+		k.violate(RanTwice, "%s starts on %s while on %s", task, machine.ID, host.ID)
 	}
-	if k.tasks[id] == nil {
-		k.tasks[id] = map[string]*Rented{}
+	if k.liveAttempts[id] == nil {
+		k.liveAttempts[id] = map[string]*Machine{}
 	}
-	k.tasks[id][task] = m
-	k.use[team] += cpus
-	if limit := k.Limits[team]; limit > 0 && k.use[team] > limit+1e-6 {
-		k.broke(OverLimit, "team %s uses %v", team, k.use[team])
+	k.liveAttempts[id][task] = machine
+	k.usedCPUs[team] += cpus
+	if limit := k.Limits[team]; limit > 0 && k.usedCPUs[team] > limit+1e-6 {
+		k.violate(QuotaExceeded, "team %s uses %v", team, k.usedCPUs[team])
 	}
-	j := k.job(id)
-	k.checkPlace(j, task, m)
+	job := k.job(id)
+	k.checkPlace(job, task, machine)
 	switch {
-	case j.cancelledAt == 0:
-	case k.Sim.Now() > j.cancelledAt+k.CancelIn:
-		k.broke(RanCancelled, "%s starts", task)
+	case job.cancelledAt == 0:
+	case k.Clock.Now() > job.cancelledAt+k.CancelWithin:
+		k.violate(RanCancelled, "%s starts", task)
 	default:
 		k.LateStarts++
 	}
 }
 
-// End notes that a task has left a machine.
-func (k *Checker) End(task string, m *Rented, team string, cpus float64) {
-	live := k.tasks[jobOf(task)]
-	if live[task] != m {
+// TaskEnded notes that a task has left a machine.
+func (k *Checker) TaskEnded(task string, machine *Machine, team string, cpus float64) {
+	live := k.liveAttempts[jobOf(task)]
+	if live[task] != machine {
 		return
 	}
 	delete(live, task)
-	k.use[team] -= cpus
+	k.usedCPUs[team] -= cpus
 }
 
-// Finish notes that a task has completed.
-func (k *Checker) Finish(task string) {
-	k.done[task] = true
-	k.completed[task]++
-	k.completedAt[jobOf(task)] = k.Sim.Now()
+// TaskCompleted notes that a task has completed.
+func (k *Checker) TaskCompleted(task string) {
+	k.completedTasks[task] = true
+	k.completions[task]++
+	k.lastCompletion[jobOf(task)] = k.Clock.Now()
 }
 
-// Complete tells whether all tasks of a job have completed and none runs again, and when the last
+// IsJobCompleted tells whether all tasks of a job have completed and none runs again, and when the last
 // did. A result is lost with its machine, so a task may have to run again.
-func (k *Checker) Complete(job string) (at micros.T, complete bool) {
+func (k *Checker) IsJobCompleted(job string) (at micros.Micros, complete bool) {
 	j := k.jobs[job]
-	if j == nil || !j.submitted || len(k.tasks[job]) > 0 {
+	if j == nil || !j.submitted || len(k.liveAttempts[job]) > 0 {
 		return 0, false
 	}
 	for i := range j.spec.Tasks {
-		if !k.done[fmt.Sprintf("%s/%d", job, i)] {
+		if !k.completedTasks[fmt.Sprintf("%s/%d", job, i)] {
 			return 0, false
 		}
 	}
-	return k.completedAt[job], true
+	return k.lastCompletion[job], true
 }
 
-// Repeated tells how often the task of a job that has completed most often has.
-func (k *Checker) Repeated(job string) int {
+// MaxCompletions tells how often the task of a job that has completed most often has.
+func (k *Checker) MaxCompletions(job string) int {
 	most := 0
 	for i := range k.job(job).spec.Tasks {
-		most = max(most, k.completed[fmt.Sprintf("%s/%d", job, i)])
+		most = max(most, k.completions[fmt.Sprintf("%s/%d", job, i)])
 	}
 	return most
 }
 
-// Finished tells whether a task has completed.
-func (k *Checker) Finished(task string) bool { return k.done[task] }
+// IsTaskCompleted tells whether a task has completed.
+func (k *Checker) IsTaskCompleted(task string) bool { return k.completedTasks[task] }
 
-// Running counts a job's live attempts.
-func (k *Checker) Running(job string) int { return len(k.tasks[job]) }
+// LiveAttempts counts a job's live attempts.
+func (k *Checker) LiveAttempts(job string) int { return len(k.liveAttempts[job]) }
 
-func (k *Checker) checkPlace(j *watched, task string, m *Rented) {
-	s := &j.spec
-	if !j.submitted {
+func (k *Checker) checkPlace(job *observedJob, task string, machine *Machine) {
+	spec := &job.spec
+	if !job.submitted {
 		return
 	}
-	if !allows(s, m) {
-		k.broke(WrongPlace, "%s starts on %s in %s, spot %v", task, m.Type, m.Zone, m.Spot)
+	if !offerAllowed(spec, machine) {
+		k.violate(WrongPlace, "%s starts on %s in %s, spot %v", task, machine.Type, machine.Zone, machine.Spot)
 	}
 	same, others := 0, 0
-	for other, at := range k.tasks[j.id] {
+	for other, host := range k.liveAttempts[job.id] {
 		if other == task {
 			continue
 		}
-		if at.Zone == m.Zone {
+		if host.Zone == machine.Zone {
 			same++
 		} else {
 			others++
 		}
 	}
-	if s.OneZone && others > 0 {
-		k.broke(WrongPlace, "%s starts in zone %s beside tasks in another", task, m.Zone)
+	if spec.OneZone && others > 0 {
+		k.violate(WrongPlace, "%s starts in zone %s beside tasks in another", task, machine.Zone)
 	}
-	if s.Spread && same+1 > (s.Tasks+1)/2 {
-		k.broke(WrongPlace, "%s is the %dth of %d in zone %s", task, same+1, s.Tasks, m.Zone)
+	if spec.Spread && same+1 > (spec.Tasks+1)/2 {
+		k.violate(WrongPlace, "%s is the %dth of %d in zone %s", task, same+1, spec.Tasks, machine.Zone)
 	}
 }
 
-// allows tells whether a machine's type, zone and kind are allowed.
-func allows(s *protocol.Submission, m *Rented) bool {
-	typed := len(s.Types) == 0
-	for _, t := range s.Types {
-		typed = typed || t == m.Type
+// offerAllowed tells whether a machine's type, zone and kind are allowed.
+func offerAllowed(spec *protocol.Submission, machine *Machine) bool {
+	typed := len(spec.Types) == 0
+	for _, t := range spec.Types {
+		typed = typed || t == machine.Type
 	}
-	return typed && (s.Zone == "" || s.Zone == m.Zone) && (s.Spot || !m.Spot)
+	return typed && (spec.Zone == "" || spec.Zone == machine.Zone) && (spec.Spot || !machine.Spot)
 }
 
-// Question is a user's request on its way.
-type Question struct {
-	k      *Checker
-	job    string
-	method string
-	abort  bool
-	sentAt micros.T
+// PendingRequest is a user's request on its way.
+type PendingRequest struct {
+	checker *Checker
+	job     string
+	method  string
+	cancels bool
+	sentAt  micros.Micros
 }
 
-// Observe notes that a user sends a request; nil for a request that is no user's.
-func (k *Checker) Observe(method, target string, body []byte) *Question {
+// UserRequest notes that a user sends a request; nil for a request that is no user's.
+func (k *Checker) UserRequest(method, target string, body []byte) *PendingRequest {
 	if !strings.HasPrefix(target, protocol.JobsPath) {
 		return nil
 	}
-	q := &Question{k: k, method: method, sentAt: k.Sim.Now()}
+	q := &PendingRequest{checker: k, method: method, sentAt: k.Clock.Now()}
 	id, cancel, ok := protocol.ParseJobPath(target)
 	if !ok {
 		id = target
 	}
-	q.job, q.abort = id, cancel
+	q.job, q.cancels = id, cancel
 	if method == "POST" && target == protocol.JobsPath {
 		q.job = k.noteSubmission(body)
 	}
-	if q.abort {
+	if q.cancels {
 		k.job(q.job).cancelSent = true // it may be on its way before the submission arrives
 	}
 	return q
@@ -242,97 +242,97 @@
 	if spec.ID == "" {
 		return ""
 	}
-	j := k.job(spec.ID)
-	if !j.submitted {
-		j.submitted, j.spec = true, *spec
+	job := k.job(spec.ID)
+	if !job.submitted {
+		job.submitted, job.spec = true, *spec
 	}
-	j.wellFormed = j.wellFormed || bad == nil
-	return j.id
+	job.wellFormed = job.wellFormed || bad == nil
+	return job.id
 }
 
-// NeverRuns says of a job that it can never run, so that it must not be accepted.
-func (k *Checker) NeverRuns(job string) { k.job(job).unrunnable = true }
+// MarkUnrunnable says of a job that it can never run, so that it must not be accepted.
+func (k *Checker) MarkUnrunnable(job string) { k.job(job).unrunnable = true }
 
-// Answer notes what a user was told.
-func (q *Question) Answer(status int, body []byte) {
-	k, j := q.k, q.k.jobs[q.job]
+// Answered notes what a user was told.
+func (q *PendingRequest) Answered(status int, body []byte) {
+	k, job := q.checker, q.checker.jobs[q.job]
 	if q.job == "" || status >= 429 || status == 405 {
 		return
 	}
-	if j == nil || !j.submitted {
+	if job == nil || !job.submitted {
 		if status == 200 || status == 201 {
-			k.broke(Invented, "%s %s is answered %d", q.method, q.job, status)
+			k.violate(UnknownJobReported, "%s %s is answered %d", q.method, q.job, status)
 		}
 		return
 	}
 	switch status {
 	case 200, 201:
-		var told protocol.JobStatus
+		var told protocol.JobStatusReply
 		if err := protocol.Unmarshal(body, &told); err != nil {
-			k.broke(WentBack, "%s: no status: %v", j.id, err)
+			k.violate(StaleAnswer, "%s: no status: %v", job.id, err)
 			return
 		}
-		q.told(j, told.Status)
+		q.checkState(job, told.Status)
 	default:
-		if j.acceptedAt != 0 && j.acceptedAt <= q.sentAt {
-			k.broke(Forgotten, "%s is answered %d", j.id, status)
+		if job.acceptedAt != 0 && job.acceptedAt <= q.sentAt {
+			k.violate(JobLost, "%s is answered %d", job.id, status)
 		}
 	}
 }
 
-// told checks a state that a user was told against what was told before the question.
-func (q *Question) told(j *watched, state string) {
-	k, now := q.k, q.k.Sim.Now()
-	if j.unrunnable || !j.wellFormed {
-		k.broke(Unfit, "%s is accepted", j.id)
+// checkState checks a state that a user was told against what was told before the question.
+func (q *PendingRequest) checkState(job *observedJob, state string) {
+	k, now := q.checker, q.checker.Clock.Now()
+	if job.unrunnable || !job.wellFormed {
+		k.violate(InvalidAccepted, "%s is accepted", job.id)
 	}
 	over := state == protocol.JobDone || state == protocol.JobCancelled
 	switch {
-	case !over && j.final != "" && j.finalAt <= q.sentAt, over && j.final != "" && j.final != state:
-		k.broke(WentBack, "%s was %s, is called %s", j.id, j.final, state)
-	case state == protocol.JobCancelled && !j.cancelSent:
-		k.broke(WentBack, "%s is called cancelled, nobody cancelled it", j.id)
+	case !over && job.finalState != "" && job.finalAt <= q.sentAt, over && job.finalState != "" && job.finalState != state:
+		k.violate(StaleAnswer, "%s was %s, is called %s", job.id, job.finalState, state)
+	case state == protocol.JobCancelled && !job.cancelSent:
+		k.violate(StaleAnswer, "%s is called cancelled, nobody cancelled it", job.id)
 	case state == protocol.JobDone:
-		k.checkDone(j)
+		k.checkDone(job)
 	}
-	if j.acceptedAt == 0 {
-		j.acceptedAt = max(now, 1)
+	if job.acceptedAt == 0 {
+		job.acceptedAt = max(now, 1)
 	}
-	if over && j.final == "" {
-		j.final, j.finalAt = state, now
+	if over && job.finalState == "" {
+		job.finalState, job.finalAt = state, now
 		if state == protocol.JobCancelled {
-			k.Cancelled(j.id)
+			k.CancellationConfirmed(job.id)
 		}
 	}
 }
 
-func (k *Checker) checkDone(j *watched) {
-	for i := range j.spec.Tasks {
-		if !k.done[fmt.Sprintf("%s/%d", j.id, i)] {
-			k.broke(NotDone, "%s is called done, task %d isn't", j.id, i)
+func (k *Checker) checkDone(job *observedJob) {
+	for i := range job.spec.Tasks {
+		if !k.completedTasks[fmt.Sprintf("%s/%d", job.id, i)] {
+			k.violate(DoneTooEarly, "%s is called done, task %d isn't", job.id, i)
 			return
 		}
 	}
 }
 
-// Cancelled notes that a user was told that a job is cancelled: its tasks must be gone
+// CancellationConfirmed notes that a user was told that a job is cancelled: its tasks must be gone
 // in time.
-func (k *Checker) Cancelled(job string) {
+func (k *Checker) CancellationConfirmed(job string) {
 	j := k.job(job)
 	if j.cancelledAt != 0 {
 		return
 	}
-	j.cancelledAt = max(k.Sim.Now(), 1)
-	k.Sim.After(k.CancelIn+1, func() {
-		for _, task := range k.live(job) {
-			k.broke(RanCancelled, "%s is still on %s", task, k.tasks[job][task].ID)
+	j.cancelledAt = max(k.Clock.Now(), 1)
+	k.Clock.After(k.CancelWithin+1, func() {
+		for _, task := range k.liveTasks(job) {
+			k.violate(RanCancelled, "%s is still on %s", task, k.liveAttempts[job][task].ID)
 		}
 	})
 }
 
-func (k *Checker) live(job string) []string {
+func (k *Checker) liveTasks(job string) []string {
 	var out []string
-	for task := range k.tasks[job] {
+	for task := range k.liveAttempts[job] {
 		out = append(out, task)
 	}
 	sort.Strings(out)
@@ -342,8 +342,8 @@
 // Accepted lists the jobs that users were told are accepted and that aren't over.
 func (k *Checker) Accepted() []string {
 	var out []string
-	for id, j := range k.jobs {
-		if j.acceptedAt != 0 && j.final == "" {
+	for id, job := range k.jobs {
+		if job.acceptedAt != 0 && job.finalState == "" {
 			out = append(out, id)
 		}
 	}
@@ -351,57 +351,59 @@
 	return out
 }
 
-// Unanswered notes that no question about an accepted job was answered for too long.
-func (k *Checker) Unanswered(job string) { k.broke(Forgotten, "%s: no question is answered", job) }
+// ReportUnanswered notes that no question about an accepted job was answered for too long.
+func (k *Checker) ReportUnanswered(job string) {
+	k.violate(JobLost, "%s: no question is answered", job)
+}
 
-// Room is a machine with what is free on it.
-type Room struct {
-	Machine      *Rented
-	CPUs, Memory float64
+// FreeMachine is a machine with what is free on it.
+type FreeMachine struct {
+	Machine        *Machine
+	CPUs, MemoryGB float64
 }
 
 // WatchWaiting looks from now on, at times when there are no troubles, for tasks that
 // wait beside room that they may use.
-func (k *Checker) WatchWaiting(rooms func() []Room) {
-	free := rooms()
+func (k *Checker) WatchWaiting(freeMachines func() []FreeMachine) {
+	free := freeMachines()
 	for _, id := range k.Accepted() {
 		k.checkWaiting(k.jobs[id], free)
 	}
-	k.Sim.After(waitingEvery, func() { k.WatchWaiting(rooms) })
+	k.Clock.After(waitCheckInterval, func() { k.WatchWaiting(freeMachines) })
 }
 
-func (k *Checker) checkWaiting(j *watched, free []Room) {
-	now := k.Sim.Now()
-	for i := range j.spec.Tasks {
-		task := fmt.Sprintf("%s/%d", j.id, i)
-		if k.tasks[j.id][task] != nil || k.done[task] || j.cancelSent || !k.hasRoom(j, free) {
-			delete(j.waiting, i)
+func (k *Checker) checkWaiting(job *observedJob, free []FreeMachine) {
+	now := k.Clock.Now()
+	for i := range job.spec.Tasks {
+		task := fmt.Sprintf("%s/%d", job.id, i)
+		if k.liveAttempts[job.id][task] != nil || k.completedTasks[task] || job.cancelSent || !k.hasCapacity(job, free) {
+			delete(job.waitingSince, i)
 			continue
 		}
-		since, waits := j.waiting[i]
+		since, waits := job.waitingSince[i]
 		if !waits {
-			j.waiting[i] = now
-		} else if now-since >= WaitingAtMost {
-			k.broke(LeftWaiting, "%s", task)
-			j.waiting[i] = now
+			job.waitingSince[i] = now
+		} else if now-since >= MaxWaitBesideRoom {
+			k.violate(TaskStarved, "%s", task)
+			job.waitingSince[i] = now
 		}
 	}
 }
 
-// hasRoom tells whether a task of a job could start somewhere.
-func (k *Checker) hasRoom(j *watched, free []Room) bool {
-	s := &j.spec
-	if limit := k.Limits[s.Team]; limit > 0 && k.use[s.Team]+s.CPUs > limit+1e-6 {
+// hasCapacity tells whether a task of a job could start somewhere.
+func (k *Checker) hasCapacity(job *observedJob, free []FreeMachine) bool {
+	spec := &job.spec
+	if limit := k.Limits[spec.Team]; limit > 0 && k.usedCPUs[spec.Team]+spec.CPUs > limit+1e-6 {
 		return false
 	}
 	zones := map[string]int{}
-	for _, at := range k.tasks[j.id] {
-		zones[at.Zone]++
+	for _, host := range k.liveAttempts[job.id] {
+		zones[host.Zone]++
 	}
 	for _, r := range free {
-		fits := r.CPUs+1e-6 >= s.CPUs && r.Memory+1e-6 >= s.MemoryGB && allows(s, r.Machine)
-		alone := !s.OneZone || len(zones) == 0 || zones[r.Machine.Zone] > 0
-		spread := !s.Spread || zones[r.Machine.Zone]+1 <= (s.Tasks+1)/2
+		fits := r.CPUs+1e-6 >= spec.CPUs && r.MemoryGB+1e-6 >= spec.MemoryGB && offerAllowed(spec, r.Machine)
+		alone := !spec.OneZone || len(zones) == 0 || zones[r.Machine.Zone] > 0
+		spread := !spec.Spread || zones[r.Machine.Zone]+1 <= (spec.Tasks+1)/2
 		if fits && alone && spread {
 			return true
 		}
--- a/internal/standin/checker_test.go
+++ b/internal/standin/checker_test.go
@@ -9,171 +9,175 @@
 
 const second = micros.Second
 
-// watchedDay is a checker with one accepted job of two tasks and a few machines.
-type watchedDay struct {
+// checkerScenario is a checker with one accepted job of two tasks and a few machines.
+type checkerScenario struct {
 	*Checker
-	sim           *Sim
-	machine, twin *Rented
+	sim                   *SimClock
+	machine, otherMachine *Machine
 }
 
 // submission is a job of two tasks; more, if any, changes it.
 func submission(id string, more func(*protocol.Submission)) []byte {
-	s := &protocol.Submission{ID: id, Class: "batch", Team: "tight", Priority: protocol.Standard, Tasks: 2,
+	spec := &protocol.Submission{ID: id, Class: "batch", Team: "tight", Priority: protocol.Standard, Tasks: 2,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 0.5, EstimateS: 5}
 	if more != nil {
-		more(s)
+		more(spec)
 	}
-	return protocol.MustMarshal(s)
+	return protocol.MustMarshal(spec)
 }
 
-func inZoneB(s *protocol.Submission) { s.Zone = "b" }
+func inZoneB(spec *protocol.Submission) { spec.Zone = "b" }
 
-func onlyM16(s *protocol.Submission) { s.Types = []string{"m16"} }
+func onlyM16(spec *protocol.Submission) { spec.Types = []string{"m16"} }
 
-func withoutTasks(s *protocol.Submission) { s.Tasks = 0 }
+func withoutTasks(spec *protocol.Submission) { spec.Tasks = 0 }
 
-func newWatchedDay(more func(*protocol.Submission)) *watchedDay {
-	sim := NewSim(1)
-	d := &watchedDay{Checker: NewChecker(sim, 30*second), sim: sim,
-		machine: &Rented{ID: "i-1", Type: "m8", Zone: "a"}, twin: &Rented{ID: "i-2", Type: "m8", Zone: "b"}}
-	d.Limits["tight"] = 8
+func newCheckerScenario(more func(*protocol.Submission)) *checkerScenario {
+	sim := NewSimClock(1)
+	s := &checkerScenario{Checker: NewChecker(sim, 30*second), sim: sim,
+		machine: &Machine{ID: "i-1", Type: "m8", Zone: "a"}, otherMachine: &Machine{ID: "i-2", Type: "m8", Zone: "b"}}
+	s.Limits["tight"] = 8
 	sim.Run(second)
-	d.tell("POST", protocol.JobsPath, submission("j-1", more), 201, protocol.JobPending)
-	return d
+	s.request("POST", protocol.JobsPath, submission("j-1", more), 201, protocol.JobPending)
+	return s
 }
 
-// tell has a user ask and be answered a moment later.
-func (d *watchedDay) tell(method, target string, body []byte, status int, state string) {
-	q := d.Observe(method, target, body)
+// request has a user ask and be answered a moment later.
+func (d *checkerScenario) request(method, target string, body []byte, status int, state string) {
+	q := d.UserRequest(method, target, body)
 	d.sim.Run(second / 10)
-	q.Answer(status, protocol.MustMarshal(&protocol.JobStatus{Status: state}))
+	q.Answered(status, protocol.MustMarshal(&protocol.JobStatusReply{Status: state}))
 	d.sim.Run(second / 10)
 }
 
-func (d *watchedDay) poll(state string) { d.tell("GET", protocol.JobPath("j-1"), nil, 200, state) }
+func (d *checkerScenario) poll(state string) {
+	d.request("GET", protocol.JobPath("j-1"), nil, 200, state)
+}
 
-func (d *watchedDay) begin(task string, m *Rented) { d.Begin(task, m, "tight", 4) }
+func (d *checkerScenario) begin(task string, machine *Machine) {
+	d.TaskStarted(task, machine, "tight", 4)
+}
 
-func (d *watchedDay) cancel() {
-	d.tell("POST", protocol.CancelPath("j-1"), nil, 200, protocol.JobCancelled)
+func (d *checkerScenario) cancel() {
+	d.request("POST", protocol.CancelPath("j-1"), nil, 200, protocol.JobCancelled)
 }
 
-// TestChecker: each kind of violation is caught, and what is allowed isn't taken for one.
-func TestChecker(t *testing.T) {
+// TestCheckerReportsExactlyTheViolations: each kind of violation is caught, and what is allowed isn't taken for one.
+func TestCheckerReportsExactlyTheViolations(t *testing.T) {
 	cases := []struct {
 		name string
 		more func(*protocol.Submission)
-		do   func(d *watchedDay)
-		want Rule // "": none
+		do   func(s *checkerScenario)
+		want Invariant // "": none
 	}{
-		{"a whole life", nil, func(d *watchedDay) {
-			d.begin("j-1/0", d.machine)
-			d.begin("j-1/1", d.twin)
-			d.poll(protocol.JobRunning)
+		{"a whole life", nil, func(s *checkerScenario) {
+			s.begin("j-1/0", s.machine)
+			s.begin("j-1/1", s.otherMachine)
+			s.poll(protocol.JobRunning)
 			for _, task := range []string{"j-1/0", "j-1/1"} {
-				d.Finish(task)
+				s.TaskCompleted(task)
 			}
-			d.End("j-1/0", d.machine, "tight", 4)
-			d.End("j-1/1", d.twin, "tight", 4)
-			d.poll(protocol.JobDone)
+			s.TaskEnded("j-1/0", s.machine, "tight", 4)
+			s.TaskEnded("j-1/1", s.otherMachine, "tight", 4)
+			s.poll(protocol.JobDone)
 		}, ""},
-		{"moved after its end", nil, func(d *watchedDay) {
-			d.begin("j-1/0", d.machine)
-			d.End("j-1/0", d.machine, "tight", 4)
-			d.begin("j-1/0", d.twin)
+		{"moved after its end", nil, func(s *checkerScenario) {
+			s.begin("j-1/0", s.machine)
+			s.TaskEnded("j-1/0", s.machine, "tight", 4)
+			s.begin("j-1/0", s.otherMachine)
 		}, ""},
-		{"two attempts", nil, func(d *watchedDay) { d.begin("j-1/0", d.machine); d.begin("j-1/0", d.twin) }, RanTwice},
-		{"over the limit", nil, func(d *watchedDay) {
-			d.begin("j-1/0", d.machine)
-			d.begin("j-1/1", d.machine)
-			d.begin("j-2/0", d.machine)
-		}, OverLimit},
-		{"another zone", inZoneB, func(d *watchedDay) { d.begin("j-1/0", d.machine) }, WrongPlace},
-		{"another type", onlyM16, func(d *watchedDay) { d.begin("j-1/0", d.machine) }, WrongPlace},
-		{"a spot machine", nil, func(d *watchedDay) { d.machine.Spot = true; d.begin("j-1/0", d.machine) }, WrongPlace},
-		{"two zones", func(s *protocol.Submission) { s.OneZone = true }, func(d *watchedDay) {
-			d.begin("j-1/0", d.machine)
-			d.begin("j-1/1", d.twin)
+		{"two attempts", nil, func(s *checkerScenario) { s.begin("j-1/0", s.machine); s.begin("j-1/0", s.otherMachine) }, RanTwice},
+		{"over the limit", nil, func(s *checkerScenario) {
+			s.begin("j-1/0", s.machine)
+			s.begin("j-1/1", s.machine)
+			s.begin("j-2/0", s.machine)
+		}, QuotaExceeded},
+		{"another zone", inZoneB, func(s *checkerScenario) { s.begin("j-1/0", s.machine) }, WrongPlace},
+		{"another type", onlyM16, func(s *checkerScenario) { s.begin("j-1/0", s.machine) }, WrongPlace},
+		{"a spot machine", nil, func(s *checkerScenario) { s.machine.Spot = true; s.begin("j-1/0", s.machine) }, WrongPlace},
+		{"two zones", func(spec *protocol.Submission) { spec.OneZone = true }, func(s *checkerScenario) {
+			s.begin("j-1/0", s.machine)
+			s.begin("j-1/1", s.otherMachine)
 		}, WrongPlace},
-		{"not apart", func(s *protocol.Submission) { s.Spread = true }, func(d *watchedDay) {
-			d.begin("j-1/0", d.machine)
-			d.begin("j-1/1", d.machine)
+		{"not apart", func(spec *protocol.Submission) { spec.Spread = true }, func(s *checkerScenario) {
+			s.begin("j-1/0", s.machine)
+			s.begin("j-1/1", s.machine)
 		}, WrongPlace},
-		{"a start in time after a cancellation", nil, func(d *watchedDay) {
-			d.cancel()
-			d.begin("j-1/0", d.machine)
-			d.End("j-1/0", d.machine, "tight", 4)
-			d.sim.Run(40 * second)
+		{"a start in time after a cancellation", nil, func(s *checkerScenario) {
+			s.cancel()
+			s.begin("j-1/0", s.machine)
+			s.TaskEnded("j-1/0", s.machine, "tight", 4)
+			s.sim.Run(40 * second)
 		}, ""},
-		{"a start too late after a cancellation", nil, func(d *watchedDay) {
-			d.cancel()
-			d.sim.Run(31 * second)
-			d.begin("j-1/0", d.machine)
+		{"a start too late after a cancellation", nil, func(s *checkerScenario) {
+			s.cancel()
+			s.sim.Run(31 * second)
+			s.begin("j-1/0", s.machine)
 		}, RanCancelled},
-		{"a task stays after a cancellation", nil, func(d *watchedDay) {
-			d.begin("j-1/0", d.machine)
-			d.cancel()
-			d.sim.Run(31 * second)
+		{"a task stays after a cancellation", nil, func(s *checkerScenario) {
+			s.begin("j-1/0", s.machine)
+			s.cancel()
+			s.sim.Run(31 * second)
 		}, RanCancelled},
-		{"running after cancelled", nil, func(d *watchedDay) { d.cancel(); d.poll(protocol.JobRunning) }, WentBack},
-		{"an answer that was on its way", nil, func(d *watchedDay) {
-			q := d.Observe("GET", protocol.JobPath("j-1"), nil)
-			d.cancel()
-			q.Answer(200, protocol.MustMarshal(&protocol.JobStatus{Status: protocol.JobRunning}))
+		{"running after cancelled", nil, func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobRunning) }, StaleAnswer},
+		{"an answer that was on its way", nil, func(s *checkerScenario) {
+			q := s.UserRequest("GET", protocol.JobPath("j-1"), nil)
+			s.cancel()
+			q.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobRunning}))
 		}, ""},
-		{"done after cancelled", nil, func(d *watchedDay) { d.cancel(); d.poll(protocol.JobDone) }, WentBack},
-		{"cancelled by nobody", nil, func(d *watchedDay) { d.poll(protocol.JobCancelled) }, WentBack},
-		{"cancelled on the way", nil, func(d *watchedDay) {
-			q := d.Observe("POST", protocol.CancelPath("j-2"), nil)
-			d.tell("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
-			q.Answer(200, protocol.MustMarshal(&protocol.JobStatus{Status: protocol.JobCancelled}))
+		{"done after cancelled", nil, func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobDone) }, StaleAnswer},
+		{"cancelled by nobody", nil, func(s *checkerScenario) { s.poll(protocol.JobCancelled) }, StaleAnswer},
+		{"cancelled on the way", nil, func(s *checkerScenario) {
+			q := s.UserRequest("POST", protocol.CancelPath("j-2"), nil)
+			s.request("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
+			q.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobCancelled}))
 		}, ""},
-		{"done too early", nil, func(d *watchedDay) { d.Finish("j-1/0"); d.poll(protocol.JobDone) }, NotDone},
-		{"unknown after accepted", nil, func(d *watchedDay) {
-			d.tell("GET", protocol.JobPath("j-1"), nil, 404, "")
-		}, Forgotten},
-		{"refused after accepted", nil, func(d *watchedDay) {
-			d.tell("POST", protocol.JobsPath, submission("j-1", nil), 422, "")
-		}, Forgotten},
-		{"asked to come back", nil, func(d *watchedDay) {
-			d.tell("GET", protocol.JobPath("j-1"), nil, 503, "")
+		{"done too early", nil, func(s *checkerScenario) { s.TaskCompleted("j-1/0"); s.poll(protocol.JobDone) }, DoneTooEarly},
+		{"unknown after accepted", nil, func(s *checkerScenario) {
+			s.request("GET", protocol.JobPath("j-1"), nil, 404, "")
+		}, JobLost},
+		{"refused after accepted", nil, func(s *checkerScenario) {
+			s.request("POST", protocol.JobsPath, submission("j-1", nil), 422, "")
+		}, JobLost},
+		{"asked to come back", nil, func(s *checkerScenario) {
+			s.request("GET", protocol.JobPath("j-1"), nil, 503, "")
 		}, ""},
-		{"never answered", nil, func(d *watchedDay) { d.Unanswered("j-1") }, Forgotten},
-		{"known by nobody", nil, func(d *watchedDay) {
-			d.tell("GET", protocol.JobPath("j-9"), nil, 200, protocol.JobPending)
-		}, Invented},
-		{"malformed", nil, func(d *watchedDay) {
-			d.tell("POST", protocol.JobsPath, submission("j-2", withoutTasks), 201, protocol.JobPending)
-		}, Unfit},
-		{"can never run", nil, func(d *watchedDay) {
-			d.NeverRuns("j-2")
-			d.tell("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
-		}, Unfit},
-		{"malformed, once it is known", nil, func(d *watchedDay) {
-			d.tell("POST", protocol.JobsPath, submission("j-1", withoutTasks), 200, protocol.JobPending)
+		{"never answered", nil, func(s *checkerScenario) { s.ReportUnanswered("j-1") }, JobLost},
+		{"known by nobody", nil, func(s *checkerScenario) {
+			s.request("GET", protocol.JobPath("j-9"), nil, 200, protocol.JobPending)
+		}, UnknownJobReported},
+		{"malformed", nil, func(s *checkerScenario) {
+			s.request("POST", protocol.JobsPath, submission("j-2", withoutTasks), 201, protocol.JobPending)
+		}, InvalidAccepted},
+		{"can never run", nil, func(s *checkerScenario) {
+			s.MarkUnrunnable("j-2")
+			s.request("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
+		}, InvalidAccepted},
+		{"malformed, once it is known", nil, func(s *checkerScenario) {
+			s.request("POST", protocol.JobsPath, submission("j-1", withoutTasks), 200, protocol.JobPending)
 		}, ""},
-		{"left beside room", nil, func(d *watchedDay) { d.wait(Room{d.machine, 8, 64}) }, LeftWaiting},
-		{"no room", nil, func(d *watchedDay) { d.wait(Room{d.machine, 3, 64}) }, ""},
-		{"no memory", nil, func(d *watchedDay) { d.wait(Room{d.machine, 8, 7}) }, ""},
-		{"room elsewhere", inZoneB, func(d *watchedDay) { d.wait(Room{d.machine, 8, 64}) }, ""},
-		{"room, the team at its limit", nil, func(d *watchedDay) {
-			d.Begin("j-3/0", d.twin, "tight", 8)
-			d.wait(Room{d.machine, 8, 64})
+		{"left beside room", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 64}) }, TaskStarved},
+		{"no room", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 3, 64}) }, ""},
+		{"no memory", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 7}) }, ""},
+		{"room elsewhere", inZoneB, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 64}) }, ""},
+		{"room, the team at its limit", nil, func(s *checkerScenario) {
+			s.TaskStarted("j-3/0", s.otherMachine, "tight", 8)
+			s.wait(FreeMachine{s.machine, 8, 64})
 		}, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			d := newWatchedDay(tc.more)
-			tc.do(d)
-			if tc.want == "" && len(d.Broken) > 0 || tc.want != "" && (len(d.Broken) == 0 || d.Broken[0].Rule != tc.want) {
-				t.Errorf("broken: %v, want %q", d.Broken, tc.want)
+			s := newCheckerScenario(tc.more)
+			tc.do(s)
+			if tc.want == "" && len(s.Violations) > 0 || tc.want != "" && (len(s.Violations) == 0 || s.Violations[0].Invariant != tc.want) {
+				t.Errorf("broken: %v, want %q", s.Violations, tc.want)
 			}
 		})
 	}
 }
 
 // wait lets both tasks wait for two minutes beside a room.
-func (d *watchedDay) wait(r Room) {
-	d.WatchWaiting(func() []Room { return []Room{r} })
+func (d *checkerScenario) wait(r FreeMachine) {
+	d.WatchWaiting(func() []FreeMachine { return []FreeMachine{r} })
 	d.sim.Run(120 * second)
 }
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -10,152 +10,152 @@
 
 // Cloud is a stand-in for the cloud. Capacity is per type, zone and kind.
 type Cloud struct {
-	Sim      *Sim
-	Types    []protocol.MachineType
-	Capacity map[string]int // "type/zone/spot"
-	Lag      micros.T
-	Boot     micros.T
-	NeverUp  map[string]bool
+	Clock      *SimClock
+	Types      []protocol.MachineType
+	Capacity   map[string]int // "type/zone/spot"
+	ListLag    micros.Micros
+	BootTime   micros.Micros
+	NeverBoots map[string]bool
 
-	Trouble bool
-	Limit   bool // 429 for all
-	// LoseRent has rentals carried out and their answers lost.
-	LoseRent bool
+	Unavailable bool
+	Throttling  bool // 429 for all
+	// LoseRentReply has rentals carried out and their answers lost.
+	LoseRentReply bool
 
-	Machines map[string]*Rented
-	Calls    map[protocol.CloudOp]int
-	Names    map[string][]string
-	Repeated int // rentals under a name that had been answered
-	next     int
-	// Endpoint, if set, gives the address of the next machine's worker.
-	Endpoint func() string
-	OnUp     func(*Rented)
-	OnGone   func(*Rented)
+	Machines      map[string]*Machine
+	Calls         map[protocol.CloudOp]int
+	RentedByName  map[string][]string
+	RepeatedRents int // rentals under a name that had been answered
+	machinesMade  int
+	// NextEndpoint, if set, gives the address of the next machine's worker.
+	NextEndpoint  func() string
+	OnMachineUp   func(*Machine)
+	OnMachineGone func(*Machine)
 }
 
-// Rented is a machine of the stand-in cloud.
-type Rented struct {
+// Machine is a machine of the stand-in cloud.
+type Machine struct {
 	ID, Endpoint, Type, Zone string
 	Spot                     bool
-	At                       micros.T
+	RentedAt                 micros.Micros
 	Up, Gone                 bool
-	GoneAt                   micros.T
+	GoneAt                   micros.Micros
 }
 
 // NewCloud starts a cloud without machines.
-func NewCloud(sim *Sim, types []protocol.MachineType) *Cloud {
-	return &Cloud{Sim: sim, Types: types, Capacity: map[string]int{}, Lag: 3 * micros.Second,
-		Boot: 10 * micros.Second, NeverUp: map[string]bool{}, Machines: map[string]*Rented{},
-		Calls: map[protocol.CloudOp]int{}, Names: map[string][]string{}}
+func NewCloud(sim *SimClock, types []protocol.MachineType) *Cloud {
+	return &Cloud{Clock: sim, Types: types, Capacity: map[string]int{}, ListLag: 3 * micros.Second,
+		BootTime: 10 * micros.Second, NeverBoots: map[string]bool{}, Machines: map[string]*Machine{},
+		Calls: map[protocol.CloudOp]int{}, RentedByName: map[string][]string{}}
 }
 
-// Offer names what capacity is counted by.
-func Offer(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
+// OfferKey names what capacity is counted by.
+func OfferKey(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
 
 // Call performs a call.
 func (c *Cloud) Call(call *protocol.CloudCall, back func(protocol.CloudResult)) {
-	c.Sim.After(50*micros.Millisecond, func() {
-		r, lost := c.handle(call)
+	c.Clock.After(50*micros.Millisecond, func() {
+		result, lost := c.handle(call)
 		if lost {
-			c.Sim.After(call.Within, func() { back(protocol.CloudResult{}) })
+			c.Clock.After(call.Timeout, func() { back(protocol.CloudResult{}) })
 			return
 		}
-		c.Sim.After(50*micros.Millisecond, func() { back(r) })
+		c.Clock.After(50*micros.Millisecond, func() { back(result) })
 	})
 }
 
-func (c *Cloud) handle(call *protocol.CloudCall) (r protocol.CloudResult, lost bool) {
+func (c *Cloud) handle(call *protocol.CloudCall) (result protocol.CloudResult, lost bool) {
 	c.Calls[call.Op]++
-	if c.Limit {
+	if c.Throttling {
 		return protocol.CloudResult{Outcome: protocol.Throttled}, false
 	}
-	if c.Trouble {
+	if c.Unavailable {
 		return protocol.CloudResult{Outcome: protocol.Unavailable}, false
 	}
 	switch call.Op {
 	case protocol.CloudCatalog:
 		return protocol.CloudResult{Outcome: protocol.OK, Types: c.Types}, false
 	case protocol.CloudRent:
-		q := &call.Rent
-		if ids, ok := c.Names[q.Name]; ok {
-			c.Repeated++
+		request := &call.Rent
+		if ids, ok := c.RentedByName[request.Name]; ok {
+			c.RepeatedRents++
 			return protocol.CloudResult{Outcome: protocol.OK, Rented: ids}, false
 		}
-		key := Offer(q.Type, q.Zone, q.Spot)
-		n := min(q.Count, c.Capacity[key])
+		key := OfferKey(request.Type, request.Zone, request.Spot)
+		n := min(request.Count, c.Capacity[key])
 		if n == 0 {
 			return protocol.CloudResult{Outcome: protocol.NoCapacity}, false
 		}
 		c.Capacity[key] -= n
 		for i := 0; i < n; i++ {
-			r.Rented = append(r.Rented, c.Add(q.Type, q.Zone, q.Spot).ID)
+			result.Rented = append(result.Rented, c.AddMachine(request.Type, request.Zone, request.Spot).ID)
 		}
-		c.Names[q.Name] = r.Rented
-		r.Outcome = protocol.OK
-		return r, c.LoseRent
+		c.RentedByName[request.Name] = result.Rented
+		result.Outcome = protocol.OK
+		return result, c.LoseRentReply
 	case protocol.CloudDelete:
 		for _, id := range call.Delete {
-			c.Remove(id)
+			c.RemoveMachine(id)
 		}
 		return protocol.CloudResult{Outcome: protocol.OK}, false
 	case protocol.CloudList:
-		r.Outcome = protocol.OK
-		seen := c.Sim.Now() - c.Lag
+		result.Outcome = protocol.OK
+		seen := c.Clock.Now() - c.ListLag
 		var ids []string
 		for id := range c.Machines {
 			ids = append(ids, id)
 		}
 		sort.Strings(ids)
 		for _, id := range ids {
-			m := c.Machines[id]
-			if m.At > seen || m.Gone && m.GoneAt <= seen {
+			machine := c.Machines[id]
+			if machine.RentedAt > seen || machine.Gone && machine.GoneAt <= seen {
 				continue
 			}
 			state := "starting"
-			if m.Up {
+			if machine.Up {
 				state = "running"
 			}
-			r.Listed = append(r.Listed, protocol.Listed{ID: id, Endpoint: m.Endpoint, Type: m.Type, Zone: m.Zone,
-				Spot: m.Spot, State: state, AgeS: (seen - m.At).Seconds()})
+			result.Listed = append(result.Listed, protocol.ListedMachine{ID: id, Endpoint: machine.Endpoint, Type: machine.Type, Zone: machine.Zone,
+				Spot: machine.Spot, State: state, AgeS: (seen - machine.RentedAt).Seconds()})
 		}
 	}
-	return r, false
+	return result, false
 }
 
-// Add rents a machine, whoever asked for it.
-func (c *Cloud) Add(typ, zone string, spot bool) *Rented {
-	c.next++
-	m := &Rented{ID: fmt.Sprintf("i-%06d", c.next), Type: typ, Zone: zone, Spot: spot, At: c.Sim.Now()}
-	m.Endpoint = fmt.Sprintf("10.1.%d.%d:9000", c.next/256, c.next%256)
-	if c.Endpoint != nil {
-		m.Endpoint = c.Endpoint()
+// AddMachine rents a machine, whoever asked for it.
+func (c *Cloud) AddMachine(typ, zone string, spot bool) *Machine {
+	c.machinesMade++
+	machine := &Machine{ID: fmt.Sprintf("i-%06d", c.machinesMade), Type: typ, Zone: zone, Spot: spot, RentedAt: c.Clock.Now()}
+	machine.Endpoint = fmt.Sprintf("10.1.%d.%d:9000", c.machinesMade/256, c.machinesMade%256)
+	if c.NextEndpoint != nil {
+		machine.Endpoint = c.NextEndpoint()
 	}
-	c.Machines[m.ID] = m
-	if !c.NeverUp[m.ID] {
-		c.Sim.After(c.Boot, func() {
-			if !m.Gone {
-				m.Up = true
-				c.OnUp(m)
+	c.Machines[machine.ID] = machine
+	if !c.NeverBoots[machine.ID] {
+		c.Clock.After(c.BootTime, func() {
+			if !machine.Gone {
+				machine.Up = true
+				c.OnMachineUp(machine)
 			}
 		})
 	}
-	return m
+	return machine
 }
 
-// Remove takes a machine away with all that is on it.
-func (c *Cloud) Remove(id string) {
-	if m := c.Machines[id]; m != nil && !m.Gone {
-		m.Gone, m.GoneAt = true, c.Sim.Now()
-		c.Capacity[Offer(m.Type, m.Zone, m.Spot)]++
-		c.OnGone(m)
+// RemoveMachine takes a machine away with all that is on it.
+func (c *Cloud) RemoveMachine(id string) {
+	if machine := c.Machines[id]; machine != nil && !machine.Gone {
+		machine.Gone, machine.GoneAt = true, c.Clock.Now()
+		c.Capacity[OfferKey(machine.Type, machine.Zone, machine.Spot)]++
+		c.OnMachineGone(machine)
 	}
 }
 
-// Count counts the machines that are there.
-func (c *Cloud) Count() int {
+// MachineCount counts the machines that are there.
+func (c *Cloud) MachineCount() int {
 	n := 0
-	for _, m := range c.Machines {
-		if !m.Gone {
+	for _, machine := range c.Machines {
+		if !machine.Gone {
 			n++
 		}
 	}
--- a/internal/standin/loopback/abrupt_test.go
+++ b/internal/standin/loopback/abrupt_test.go
@@ -27,11 +27,11 @@
 	if program == "" {
 		t.Skip("only as a child of TestNothingLeftBehind")
 	}
-	d := New(t, 1, Options{Binary: program, Controllers: 2, Zones: []string{"a"},
-		Types:  []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 1, Zones: []string{"a"}, BootS: 2}},
-		Teams:  []config.Team{{Name: "t"}},
-		Report: micros.Second, Lease: 10 * micros.Second, Cancel: 30 * micros.Second, StateRPS: 100, StateWPS: 50})
-	for _, node := range d.Nodes {
+	d := NewDeployment(t, 1, Options{Binary: program, Controllers: 2, Zones: []string{"a"},
+		Types:             []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}, BootS: 2}},
+		Teams:             []config.Team{{Name: "t"}},
+		HeartbeatInterval: micros.Second, LeaseTime: 10 * micros.Second, CancelWithin: 30 * micros.Second, StateRPS: 100, StateWriteRPS: 50})
+	for _, node := range d.Controllers {
 		os.Stdout.WriteString(pidPrefix + strconv.Itoa(d.Process(node).pid()) + "\n")
 	}
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
@@ -59,10 +59,10 @@
 	if len(pids) != 2 {
 		t.Fatalf("controllers %v", pids)
 	}
-	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(lookEvery) {
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(pollInterval) {
 		left := 0
 		for _, pid := range pids {
-			if runsStill(pid) {
+			if processAlive(pid) {
 				left++
 			}
 		}
@@ -75,8 +75,8 @@
 	}
 }
 
-// runsStill tells whether a process is there and no zombie.
-func runsStill(pid int) bool {
+// processAlive tells whether a process is there and no zombie.
+func processAlive(pid int) bool {
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	return err == nil && !strings.Contains(string(status), ") Z ")
 }
--- a/internal/standin/loopback/clock.go
+++ b/internal/standin/loopback/clock.go
@@ -8,61 +8,61 @@
 	"pipitgap/internal/standin"
 )
 
-// Clock plays a simulation in step with the wall clock. All that touches the simulation goes
+// RealTimeClock plays a simulation in step with the wall clock. All that touches the simulation goes
 // through Do.
-type Clock struct {
-	mu    sync.Mutex
-	sim   *standin.Sim
-	begun time.Time
-	ended chan struct{}
-	done  sync.WaitGroup
+type RealTimeClock struct {
+	mu        sync.Mutex
+	simulated *standin.SimClock
+	startedAt time.Time
+	stop      chan struct{}
+	done      sync.WaitGroup
 }
 
-// tickEvery is how finely the simulation follows the wall clock.
-const tickEvery = 2 * time.Millisecond
+// tickInterval is how finely the simulation follows the wall clock.
+const tickInterval = 2 * time.Millisecond
 
-// NewClock starts the clock.
-func NewClock(sim *standin.Sim) *Clock {
-	c := &Clock{sim: sim, begun: time.Now(), ended: make(chan struct{})}
+// NewRealTimeClock starts the clock.
+func NewRealTimeClock(sim *standin.SimClock) *RealTimeClock {
+	c := &RealTimeClock{simulated: sim, startedAt: time.Now(), stop: make(chan struct{})}
 	c.done.Add(1)
 	go c.run()
 	return c
 }
 
-func (c *Clock) run() {
+func (c *RealTimeClock) run() {
 	defer c.done.Done()
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 			c.Do(func() {})
-		case <-c.ended:
+		case <-c.stop:
 			return
 		}
 	}
 }
 
 // Do brings the simulation to the present and has f called on it.
-func (c *Clock) Do(f func()) {
+func (c *RealTimeClock) Do(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if behind := micros.FromDuration(time.Since(c.begun)) - c.sim.Now(); behind > 0 {
-		c.sim.Run(behind)
+	if behind := micros.FromDuration(time.Since(c.startedAt)) - c.simulated.Now(); behind > 0 {
+		c.simulated.Run(behind)
 	}
 	f()
 }
 
 // Advance has time pass at once.
-func (c *Clock) Advance(d micros.T) {
+func (c *RealTimeClock) Advance(d micros.Micros) {
 	c.mu.Lock()
-	c.begun = c.begun.Add(-d.Duration())
+	c.startedAt = c.startedAt.Add(-d.Duration())
 	c.mu.Unlock()
 	c.Do(func() {})
 }
 
 // Stop ends the clock.
-func (c *Clock) Stop() {
-	close(c.ended)
+func (c *RealTimeClock) Stop() {
+	close(c.stop)
 	c.done.Wait()
 }
--- a/internal/standin/loopback/cloud.go
+++ b/internal/standin/loopback/cloud.go
@@ -9,23 +9,23 @@
 
 // cloudHandler answers as the cloud does.
 type cloudHandler struct {
-	clock *Clock
+	clock *RealTimeClock
 	cloud *standin.Cloud
 }
 
 func (h *cloudHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, ok := cloudCall(r)
 	if !ok {
-		write(w, http.StatusBadRequest, &protocol.ErrorBody{Error: "malformed"})
+		writeMessage(w, http.StatusBadRequest, &protocol.ErrorBody{Error: "malformed"})
 		return
 	}
-	perform(h.clock, w, r, func(back func(protocol.CloudResult)) { h.cloud.Call(call, back) },
+	answerCall(h.clock, w, r, func(back func(protocol.CloudResult)) { h.cloud.Call(call, back) },
 		func(result *protocol.CloudResult) (int, any) { return cloudAnswer(call, result) })
 }
 
 // cloudCall reads a request as the call that it is.
 func cloudCall(r *http.Request) (*protocol.CloudCall, bool) {
-	call := &protocol.CloudCall{Within: unbounded}
+	call := &protocol.CloudCall{Timeout: noTimeout}
 	switch r.Method + " " + r.URL.Path {
 	case "GET /catalog":
 		call.Op = protocol.CloudCatalog
@@ -35,11 +35,11 @@
 		return call, true
 	case "POST /rentals":
 		call.Op = protocol.CloudRent
-		return call, read(r, &call.Rent)
+		return call, readMessage(r, &call.Rent)
 	case "POST /rentals/delete":
-		var request protocol.DeleteRequest
+		var request protocol.DeleteMachinesRequest
 		call.Op = protocol.CloudDelete
-		ok := read(r, &request)
+		ok := readMessage(r, &request)
 		call.Delete = request.Machines
 		return call, ok
 	}
@@ -47,23 +47,23 @@
 }
 
 // cloudAnswer gives the response to a call.
-func cloudAnswer(call *protocol.CloudCall, r *protocol.CloudResult) (status int, body any) {
-	switch r.Outcome {
+func cloudAnswer(call *protocol.CloudCall, result *protocol.CloudResult) (status int, body any) {
+	switch result.Outcome {
 	case protocol.NoCapacity:
 		return http.StatusServiceUnavailable, &protocol.ErrorBody{Error: "no capacity"}
 	case protocol.Unavailable:
 		return http.StatusServiceUnavailable, &protocol.ErrorBody{Error: "trouble"}
 	case protocol.OK:
 	default:
-		return statusOf[r.Outcome], nil
+		return httpStatus[result.Outcome], nil
 	}
 	switch call.Op {
 	case protocol.CloudCatalog:
-		return http.StatusOK, &protocol.Catalog{Types: r.Types}
+		return http.StatusOK, &protocol.Catalog{Types: result.Types}
 	case protocol.CloudRent:
-		return http.StatusOK, &protocol.RentReply{Machines: r.Rented}
+		return http.StatusOK, &protocol.RentReply{Machines: result.Rented}
 	case protocol.CloudList:
-		return http.StatusOK, &protocol.MachineList{Machines: r.Listed, More: r.More}
+		return http.StatusOK, &protocol.MachineList{Machines: result.Listed, More: result.More}
 	}
 	return http.StatusOK, nil
 }
--- a/internal/standin/loopback/conformance_test.go
+++ b/internal/standin/loopback/conformance_test.go
@@ -15,18 +15,18 @@
 type stateService struct {
 	name string
 	call func(*protocol.StoreCall) protocol.StoreResult
-	// let has time pass.
-	let func(micros.T)
-	// down begins or ends an outage.
-	down func(bool)
-	// keep sets how many changes are kept.
-	keep func(int)
+	// advance has time pass.
+	advance func(micros.Micros)
+	// setOutage begins or ends an outage.
+	setOutage func(bool)
+	// setHistory sets how many changes are kept.
+	setHistory func(int)
 }
 
 // simulatedState is the stand-in as the simulated tests use it.
 func simulatedState() *stateService {
-	sim := standin.NewSim(1)
-	store := standin.NewStore(sim, 1000, 1000, 4)
+	sim := standin.NewSimClock(1)
+	store := standin.NewStateStore(sim, 1000, 1000, 4)
 	return &stateService{
 		name: "simulated",
 		call: func(c *protocol.StoreCall) protocol.StoreResult {
@@ -35,54 +35,54 @@
 			sim.RunUntil(20*micros.Second, func() bool { return result != nil })
 			return *result
 		},
-		let:  sim.Run,
-		down: func(down bool) { store.Down = down },
-		keep: func(n int) { store.ChangesKept = n },
+		advance:    sim.Run,
+		setOutage:  func(down bool) { store.Down = down },
+		setHistory: func(n int) { store.WatchHistory = n },
 	}
 }
 
 // loopbackState is the same over HTTP, as controllers on loopback reach it.
 func loopbackState(t *testing.T) *stateService {
-	sim := standin.NewSim(1)
-	store := standin.NewStore(sim, 1000, 1000, 4)
-	clock := NewClock(sim)
-	server, err := newServer("n-0", &stateHandler{clock, store, "n-0"}, &faults{})
+	sim := standin.NewSimClock(1)
+	store := standin.NewStateStore(sim, 1000, 1000, 4)
+	clock := NewRealTimeClock(sim)
+	server, err := newServer("n-0", &stateHandler{clock, store, "n-0"}, &faultInjector{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { server.Close(); clock.Stop() })
 	client := transport.NewClient(server.Addr, 2, 1<<20)
 	return &stateService{
-		name: "loopback",
-		call: func(c *protocol.StoreCall) protocol.StoreResult { return protocol.CallStore(client, c) },
-		let:  clock.Advance,
-		down: func(down bool) { clock.Do(func() { store.Down = down }) },
-		keep: func(n int) { clock.Do(func() { store.ChangesKept = n }) },
+		name:       "loopback",
+		call:       func(c *protocol.StoreCall) protocol.StoreResult { return protocol.CallStore(client, c) },
+		advance:    clock.Advance,
+		setOutage:  func(down bool) { clock.Do(func() { store.Down = down }) },
+		setHistory: func(n int) { clock.Do(func() { store.WatchHistory = n }) },
 	}
 }
 
 func get(key string) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreGet, Key: key, Within: 2 * micros.Second}
+	return &protocol.StoreCall{Op: protocol.StoreGet, Key: key, Timeout: 2 * micros.Second}
 }
 
 func list(prefix, after string, limit int) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreList, Key: prefix, After: after, Limit: limit, Within: 2 * micros.Second}
+	return &protocol.StoreCall{Op: protocol.StoreList, Key: prefix, After: after, Limit: limit, Timeout: 2 * micros.Second}
 }
 
-func commit(txn protocol.Txn) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreCommit, Txn: txn, Within: 2 * micros.Second}
+func commit(txn protocol.Transaction) *protocol.StoreCall {
+	return &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: 2 * micros.Second}
 }
 
-func watch(prefix string, from uint64, block micros.T) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreWatch, Key: prefix, From: from, Block: block, Within: block + 2*micros.Second}
+func watch(prefix string, from uint64, block micros.Micros) *protocol.StoreCall {
+	return &protocol.StoreCall{Op: protocol.StoreWatch, Key: prefix, FromRevision: from, MaxBlock: block, Timeout: block + 2*micros.Second}
 }
 
 func put(key, value string, lease uint64) protocol.Op {
 	return protocol.Op{Put: key, Value: protocol.MustMarshal(value), Lease: lease}
 }
 
-// summary says what is to be compared of an answer.
-func summary(r protocol.StoreResult) string {
+// resultSummary says what is to be compared of an answer.
+func resultSummary(r protocol.StoreResult) string {
 	s := fmt.Sprintf("%v revision %d failed %v more %v", r.Outcome, r.Revision, r.Failed, r.More)
 	if r.Item.Key != "" {
 		s += fmt.Sprintf(" item %s@%d lease %d %x", r.Item.Key, r.Item.Version, r.Item.Lease, []byte(r.Item.Value))
@@ -99,48 +99,48 @@
 	return s
 }
 
-// step is a call with the answer that the protocol asks for.
-type step struct {
-	what string
-	call *protocol.StoreCall
-	want string
-	pass micros.T // time to pass before
-	down int      // 1: an outage begins before, 2: it ends
+// callStep is a call with the answer that the protocol asks for.
+type callStep struct {
+	what        string
+	call        *protocol.StoreCall
+	wantSummary string
+	advanceBy   micros.Micros // time to pass before
+	down        int           // 1: an outage begins before, 2: it ends
 }
 
 // conformance is the protocol of the state service, call by call.
-var conformance = []step{
-	{what: "a key that isn't there", call: get("a/1"), want: "not found revision 0"},
-	{what: "a list of nothing", call: list("a/", "", 10), want: "ok revision 0"},
-	{what: "creating two keys", call: commit(protocol.Txn{If: []protocol.Cond{{Key: "a/1"}}, Then: []protocol.Op{put("a/1", "x", 0), put("a/2", "y", 0)}}),
-		want: "ok revision 1 failed [] more false"},
-	{what: "creating one that is there", call: commit(protocol.Txn{If: []protocol.Cond{{Key: "a/1"}, {Key: "a/3"}}, Then: []protocol.Op{put("a/3", "z", 0)}}),
-		want: "conflict revision 1 failed [a/1] more false"},
-	{what: "reading", call: get("a/1"), want: "ok revision 0 failed [] more false item a/1@1 lease 0 a178"},
-	{what: "a condition on the version", call: commit(protocol.Txn{If: []protocol.Cond{{Key: "a/1", Version: 1}}, Then: []protocol.Op{put("a/1", "w", 0)}}),
-		want: "ok revision 2 failed [] more false"},
-	{what: "comparing alone", call: commit(protocol.Txn{If: []protocol.Cond{{Key: "a/1", Version: 2}}}), want: "ok revision 2 failed [] more false"},
-	{what: "a list in pages", call: list("a/", "", 1), want: "ok revision 2 failed [] more true a/1@2"},
-	{what: "the next page", call: list("a/", "a/1", 1), want: "ok revision 2 failed [] more false a/2@1"},
-	{what: "changes since a revision", call: watch("a/", 1, 0), want: "ok revision 2 failed [] more false +a/1-@2"},
-	{what: "no changes in time", call: watch("a/", 2, 100*micros.Millisecond), want: "ok revision 2 failed [] more false"},
-	{what: "a deletion", call: commit(protocol.Txn{Then: []protocol.Op{{Delete: "a/2"}}}), want: "ok revision 3 failed [] more false"},
-	{what: "the deletion is seen", call: watch("a/", 2, 0), want: "ok revision 3 failed [] more false +-a/2@3"},
-	{what: "too many changes", call: commit(protocol.Txn{Then: []protocol.Op{put("b", "1", 0), put("c", "1", 0), put("d", "1", 0), put("e", "1", 0), put("f", "1", 0)}}),
-		want: "rejected"},
-	{what: "a large value", call: commit(protocol.Txn{Then: []protocol.Op{put("b/1", strings.Repeat("x", 9000), 0)}}), want: "ok revision 4 failed [] more false"},
-	{what: "a large answer", call: list("b/", "", 10), want: "ok revision 4 failed [] more false b/1@4"},
-	{what: "a lease", call: &protocol.StoreCall{Op: protocol.StoreGrant, TTL: 5 * micros.Second, Within: micros.Second}, want: "ok revision 0 failed [] more false lease 1"},
-	{what: "a key with a lease", call: commit(protocol.Txn{Then: []protocol.Op{put("l/1", "x", 1)}}), want: "ok revision 5 failed [] more false"},
-	{what: "a lease that there isn't", call: commit(protocol.Txn{Then: []protocol.Op{put("l/2", "x", 9)}}), want: "rejected"},
-	{what: "a renewal", call: &protocol.StoreCall{Op: protocol.StoreTouch, Lease: 1, Within: micros.Second}, pass: 3 * micros.Second, want: "ok"},
-	{what: "the key stays", call: get("l/1"), pass: 3 * micros.Second, want: "ok revision 0 failed [] more false item l/1@5 lease 1 a178"},
-	{what: "the key goes with its lease", call: get("l/1"), pass: 4 * micros.Second, want: "not found"},
-	{what: "its end is a change", call: watch("l/", 5, 0), want: "ok revision 6 failed [] more false +-l/1@6"},
-	{what: "a lease that has ended", call: &protocol.StoreCall{Op: protocol.StoreTouch, Lease: 1, Within: micros.Second}, want: "not found"},
-	{what: "an outage", call: get("a/1"), down: 1, want: "unavailable"},
-	{what: "a commit in an outage", call: commit(protocol.Txn{Then: []protocol.Op{put("a/9", "x", 0)}}), want: "unavailable"},
-	{what: "after the outage", call: get("a/9"), down: 2, want: "not found"},
+var conformance = []callStep{
+	{what: "a key that isn't there", call: get("a/1"), wantSummary: "not found revision 0"},
+	{what: "a list of nothing", call: list("a/", "", 10), wantSummary: "ok revision 0"},
+	{what: "creating two keys", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1"}}, Then: []protocol.Op{put("a/1", "x", 0), put("a/2", "y", 0)}}),
+		wantSummary: "ok revision 1 failed [] more false"},
+	{what: "creating one that is there", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1"}, {Key: "a/3"}}, Then: []protocol.Op{put("a/3", "z", 0)}}),
+		wantSummary: "conflict revision 1 failed [a/1] more false"},
+	{what: "reading", call: get("a/1"), wantSummary: "ok revision 0 failed [] more false item a/1@1 lease 0 a178"},
+	{what: "a condition on the version", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1", Version: 1}}, Then: []protocol.Op{put("a/1", "w", 0)}}),
+		wantSummary: "ok revision 2 failed [] more false"},
+	{what: "comparing alone", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1", Version: 2}}}), wantSummary: "ok revision 2 failed [] more false"},
+	{what: "a list in pages", call: list("a/", "", 1), wantSummary: "ok revision 2 failed [] more true a/1@2"},
+	{what: "the next page", call: list("a/", "a/1", 1), wantSummary: "ok revision 2 failed [] more false a/2@1"},
+	{what: "changes since a revision", call: watch("a/", 1, 0), wantSummary: "ok revision 2 failed [] more false +a/1-@2"},
+	{what: "no changes in time", call: watch("a/", 2, 100*micros.Millisecond), wantSummary: "ok revision 2 failed [] more false"},
+	{what: "a deletion", call: commit(protocol.Transaction{Then: []protocol.Op{{Delete: "a/2"}}}), wantSummary: "ok revision 3 failed [] more false"},
+	{what: "the deletion is seen", call: watch("a/", 2, 0), wantSummary: "ok revision 3 failed [] more false +-a/2@3"},
+	{what: "too many changes", call: commit(protocol.Transaction{Then: []protocol.Op{put("b", "1", 0), put("c", "1", 0), put("d", "1", 0), put("e", "1", 0), put("f", "1", 0)}}),
+		wantSummary: "rejected"},
+	{what: "a large value", call: commit(protocol.Transaction{Then: []protocol.Op{put("b/1", strings.Repeat("x", 9000), 0)}}), wantSummary: "ok revision 4 failed [] more false"},
+	{what: "a large answer", call: list("b/", "", 10), wantSummary: "ok revision 4 failed [] more false b/1@4"},
+	{what: "a lease", call: &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: 5 * micros.Second, Timeout: micros.Second}, wantSummary: "ok revision 0 failed [] more false lease 1"},
+	{what: "a key with a lease", call: commit(protocol.Transaction{Then: []protocol.Op{put("l/1", "x", 1)}}), wantSummary: "ok revision 5 failed [] more false"},
+	{what: "a lease that there isn't", call: commit(protocol.Transaction{Then: []protocol.Op{put("l/2", "x", 9)}}), wantSummary: "rejected"},
+	{what: "a renewal", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: micros.Second}, advanceBy: 3 * micros.Second, wantSummary: "ok"},
+	{what: "the key stays", call: get("l/1"), advanceBy: 3 * micros.Second, wantSummary: "ok revision 0 failed [] more false item l/1@5 lease 1 a178"},
+	{what: "the key goes with its lease", call: get("l/1"), advanceBy: 4 * micros.Second, wantSummary: "not found"},
+	{what: "its end is a change", call: watch("l/", 5, 0), wantSummary: "ok revision 6 failed [] more false +-l/1@6"},
+	{what: "a lease that has ended", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: micros.Second}, wantSummary: "not found"},
+	{what: "an outage", call: get("a/1"), down: 1, wantSummary: "unavailable"},
+	{what: "a commit in an outage", call: commit(protocol.Transaction{Then: []protocol.Op{put("a/9", "x", 0)}}), wantSummary: "unavailable"},
+	{what: "after the outage", call: get("a/9"), down: 2, wantSummary: "not found"},
 }
 
 // TestConformance: the simulated state service and the one on loopback answer alike, and as the
@@ -148,15 +148,15 @@
 func TestConformance(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
 		for _, s := range conformance {
-			if s.pass > 0 {
-				service.let(s.pass)
+			if s.advanceBy > 0 {
+				service.advance(s.advanceBy)
 			}
 			if s.down > 0 {
-				service.down(s.down == 1)
+				service.setOutage(s.down == 1)
 			}
-			got := summary(service.call(s.call))
-			if len(got) < len(s.want) || got[:len(s.want)] != s.want {
-				t.Errorf("%s, %s:\n got  %s\n want %s", service.name, s.what, got, s.want)
+			got := resultSummary(service.call(s.call))
+			if len(got) < len(s.wantSummary) || got[:len(s.wantSummary)] != s.wantSummary {
+				t.Errorf("%s, %s:\n got  %s\n want %s", service.name, s.what, got, s.wantSummary)
 			}
 		}
 	}
@@ -165,13 +165,13 @@
 // TestTooOldWatch: a watch from before what is kept is told so.
 func TestTooOldWatch(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
-		service.keep(5)
+		service.setHistory(5)
 		for i := range 10 {
-			if r := service.call(commit(protocol.Txn{Then: []protocol.Op{put("a/1", fmt.Sprint(i), 0)}})); r.Outcome != protocol.OK {
+			if r := service.call(commit(protocol.Transaction{Then: []protocol.Op{put("a/1", fmt.Sprint(i), 0)}})); r.Outcome != protocol.OK {
 				t.Fatalf("%s: %v", service.name, r.Outcome)
 			}
 		}
-		if r := service.call(watch("a/", 2, 0)); r.Outcome != protocol.TooOld {
+		if r := service.call(watch("a/", 2, 0)); r.Outcome != protocol.Compacted {
 			t.Errorf("%s: %v", service.name, r.Outcome)
 		}
 	}
--- a/internal/standin/loopback/deployment.go
+++ b/internal/standin/loopback/deployment.go
@@ -22,79 +22,79 @@
 
 // Options says what a deployment is made of.
 type Options struct {
-	Binary      string   // the program
-	Controllers int      // how many
-	Settings    []string // settings files, by path
-	Zones       []string
-	Types       []protocol.MachineType
-	Teams       []config.Team
-	Boot        micros.T // of a machine
-	Report      micros.T
-	Lease       micros.T
-	Cancel      micros.T
-	StateRPS    float64
-	StateWPS    float64
+	Binary            string   // the program
+	Controllers       int      // how many
+	Settings          []string // settings files, by path
+	Zones             []string
+	Types             []protocol.MachineType
+	Teams             []config.Team
+	BootTime          micros.Micros // of a machine
+	HeartbeatInterval micros.Micros
+	LeaseTime         micros.Micros
+	CancelWithin      micros.Micros
+	StateRPS          float64
+	StateWriteRPS     float64
 }
 
 // Deployment is controllers as processes with stand-ins for all that they speak to.
 type Deployment struct {
-	Clock *Clock
-	Sim   *standin.Sim
-	Store *standin.Store
-	Cloud *standin.Cloud
-	Fleet *standin.Fleet
-	Check *standin.Checker
-	Nodes []string
+	Clock       *RealTimeClock
+	SimClock    *standin.SimClock
+	Store       *standin.StateStore
+	Cloud       *standin.Cloud
+	Fleet       *standin.WorkerFleet
+	Checker     *standin.Checker
+	Controllers []string
 
-	t         testing.TB
-	options   Options
-	folder    string
-	processes map[string]*Process
-	public    map[string]string // addresses
-	peer      map[string]string
-	state     map[string]*Server // by caller
-	cloud     *Server
-	faults    *faults
-	workers   []*Server
+	t             testing.TB
+	options       Options
+	directory     string
+	processes     map[string]*Process
+	publicAddrs   map[string]string // addresses
+	peerAddrs     map[string]string
+	stateServers  map[string]*Server // by caller
+	cloudServer   *Server
+	injector      *faultInjector
+	workerServers []*Server
 }
 
 // Limits of the state service that the options don't set.
 const (
-	txnOps     = 32
-	valueKB    = 16
-	cloudRPS   = 9
-	listLagS   = 1
-	memoryMB   = 200
-	mostSocket = 1000
+	maxTransactionOps = 32
+	maxValueKB        = 16
+	cloudRPS          = 9
+	listLagS          = 1
+	memoryMB          = 200
+	maxConnections    = 1000
 )
 
 // operatorCaller is the name under which commands reach the state service.
 const operatorCaller = "operator"
 
-// New makes a deployment and starts its controllers. All ends with the test.
-func New(t testing.TB, seed uint64, options Options) *Deployment {
+// NewDeployment makes a deployment and starts its controllers. All ends with the test.
+func NewDeployment(t testing.TB, seed uint64, options Options) *Deployment {
 	t.Helper()
-	sim := standin.NewSim(seed)
-	d := &Deployment{t: t, Sim: sim, options: options, folder: t.TempDir(), processes: map[string]*Process{},
-		public: map[string]string{}, peer: map[string]string{}, state: map[string]*Server{}, faults: &faults{}}
-	d.Check = standin.NewChecker(sim, options.Cancel)
-	d.Store = standin.NewStore(sim, options.StateRPS, options.StateWPS, txnOps)
+	sim := standin.NewSimClock(seed)
+	d := &Deployment{t: t, SimClock: sim, options: options, directory: t.TempDir(), processes: map[string]*Process{},
+		publicAddrs: map[string]string{}, peerAddrs: map[string]string{}, stateServers: map[string]*Server{}, injector: &faultInjector{}}
+	d.Checker = standin.NewChecker(sim, options.CancelWithin)
+	d.Store = standin.NewStateStore(sim, options.StateRPS, options.StateWriteRPS, maxTransactionOps)
 	d.Cloud = standin.NewCloud(sim, options.Types)
-	d.Cloud.Boot, d.Cloud.Lag = options.Boot, listLagS*micros.Second
+	d.Cloud.BootTime, d.Cloud.ListLag = options.BootTime, listLagS*micros.Second
 	for i := range options.Controllers {
-		d.Nodes = append(d.Nodes, fmt.Sprintf("n-%d", i))
+		d.Controllers = append(d.Controllers, fmt.Sprintf("n-%d", i))
 	}
-	d.Fleet = standin.NewFleet(sim, options.Report, options.Lease, d.Nodes, d.Check)
-	d.Clock = NewClock(sim)
+	d.Fleet = standin.NewWorkerFleet(sim, options.HeartbeatInterval, options.LeaseTime, d.Controllers, d.Checker)
+	d.Clock = NewRealTimeClock(sim)
 	t.Cleanup(d.close)
-	d.serveStandins()
+	d.serveFakes()
 	d.connectWorkers()
-	for _, node := range d.Nodes {
-		d.public[node], d.peer[node] = d.freeAddr(), d.freeAddr()
+	for _, node := range d.Controllers {
+		d.publicAddrs[node], d.peerAddrs[node] = d.freeAddr(), d.freeAddr()
 	}
-	for _, node := range d.Nodes {
+	for _, node := range d.Controllers {
 		d.processes[node] = &Process{}
-		d.Start(node)
+		d.StartController(node)
 	}
 	return d
 }
@@ -102,56 +102,56 @@
 // close ends all processes and servers.
 func (d *Deployment) close() {
 	for _, p := range d.processes {
-		p.Continue()
+		p.Resume()
 		p.Kill()
 	}
 	d.Clock.Stop()
-	for _, s := range d.state {
+	for _, s := range d.stateServers {
 		s.Close()
 	}
-	if d.cloud != nil {
-		d.cloud.Close()
+	if d.cloudServer != nil {
+		d.cloudServer.Close()
 	}
-	for _, s := range d.workers {
+	for _, s := range d.workerServers {
 		s.Close()
 	}
 }
 
-// serveStandins has the state service and the cloud listen: the former on a port for each
+// serveFakes has the state service and the cloud listen: the former on a port for each
 // caller, so that it can tell them apart.
-func (d *Deployment) serveStandins() {
-	for _, caller := range append([]string{operatorCaller}, d.Nodes...) {
-		d.state[caller] = d.serve(caller, &stateHandler{d.Clock, d.Store, caller})
+func (d *Deployment) serveFakes() {
+	for _, caller := range append([]string{operatorCaller}, d.Controllers...) {
+		d.stateServers[caller] = d.serve(caller, &stateHandler{d.Clock, d.Store, caller})
 	}
-	d.cloud = d.serve("cloud", &cloudHandler{d.Clock, d.Cloud})
+	d.cloudServer = d.serve("cloud", &cloudHandler{d.Clock, d.Cloud})
 }
 
 // connectWorkers gives every machine a listener, and its reports a way to the controllers.
 func (d *Deployment) connectWorkers() {
-	d.Cloud.Endpoint = func() string {
+	d.Cloud.NextEndpoint = func() string {
 		handler := &workerHandler{clock: d.Clock, fleet: d.Fleet}
 		server := d.serve("worker", handler)
 		handler.endpoint = func() string { return server.Addr }
-		d.workers = append(d.workers, server)
+		d.workerServers = append(d.workerServers, server)
 		return server.Addr
 	}
-	d.Cloud.OnUp = func(m *standin.Rented) {
+	d.Cloud.OnMachineUp = func(m *standin.Machine) {
 		for _, t := range d.options.Types {
 			if t.Name == m.Type {
-				d.Fleet.Up(m, t.CPUs)
+				d.Fleet.MachineUp(m, t.CPUs)
 			}
 		}
 	}
-	d.Cloud.OnGone = d.Fleet.Down
-	reports := &reporter{
+	d.Cloud.OnMachineGone = d.Fleet.MachineDown
+	reports := &heartbeatSender{
 		clock: d.Clock, clients: map[string]*transport.Client{},
-		addr: func(node string) string { return d.public[node] },
+		addr: func(node string) string { return d.publicAddrs[node] },
 	}
-	d.Fleet.Send = reports.send
+	d.Fleet.SendHeartbeat = reports.send
 }
 
 func (d *Deployment) serve(caller string, handler http.Handler) *Server {
-	server, err := newServer(caller, handler, d.faults)
+	server, err := newServer(caller, handler, d.injector)
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -169,13 +169,13 @@
 }
 
 // SetFaults has calls to the state service, the cloud and the workers meet faults; nil ends them.
-func (d *Deployment) SetFaults(decide FaultFunc) { d.faults.set(decide) }
+func (d *Deployment) SetFaults(decide FaultFunc) { d.injector.set(decide) }
 
 // Process gives a controller's process.
 func (d *Deployment) Process(node string) *Process { return d.processes[node] }
 
-// Start starts a controller that doesn't run.
-func (d *Deployment) Start(node string) {
+// StartController starts a controller that doesn't run.
+func (d *Deployment) StartController(node string) {
 	d.t.Helper()
 	log, err := os.OpenFile(d.logPath(node), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -187,10 +187,10 @@
 	}
 }
 
-func (d *Deployment) logPath(node string) string { return filepath.Join(d.folder, node+".log") }
+func (d *Deployment) logPath(node string) string { return filepath.Join(d.directory, node+".log") }
 
-// Log gives what a controller has written.
-func (d *Deployment) Log(node string) string {
+// ControllerLog gives what a controller has written.
+func (d *Deployment) ControllerLog(node string) string {
 	text, _ := os.ReadFile(d.logPath(node))
 	return string(text)
 }
@@ -204,8 +204,8 @@
 	return args
 }
 
-// Command runs an operator's command and gives what it printed and its exit status.
-func (d *Deployment) Command(words ...string) (output string, status int) {
+// RunCommand runs an operator's command and gives what it printed and its exit status.
+func (d *Deployment) RunCommand(words ...string) (output string, status int) {
 	d.t.Helper()
 	cmd := exec.Command(d.options.Binary, append(words, d.arguments(operatorCaller)...)...)
 	var out, errs bytes.Buffer
@@ -219,62 +219,62 @@
 
 // writeConfig writes the platform's settings as a caller sees them.
 func (d *Deployment) writeConfig(caller string) string {
-	cfg := config.Config{Node: caller, Area: d.options.Zones[0], PublicAddr: d.public[caller], PeerBind: d.peer[caller]}
+	cfg := config.Config{Node: caller, Area: d.options.Zones[0], PublicAddr: d.publicAddrs[caller], PeerBind: d.peerAddrs[caller]}
 	if caller == operatorCaller { // a command listens nowhere, but its settings must be whole
-		cfg.PublicAddr, cfg.PeerBind = d.public[d.Nodes[0]], d.peer[d.Nodes[0]]
+		cfg.PublicAddr, cfg.PeerBind = d.publicAddrs[d.Controllers[0]], d.peerAddrs[d.Controllers[0]]
 	}
-	for i, node := range d.Nodes {
+	for i, node := range d.Controllers {
 		if node != caller {
-			cfg.Known = append(cfg.Known, config.Peer{
-				Node: node, Area: d.options.Zones[i%len(d.options.Zones)], Addr: d.peer[node],
+			cfg.Peers = append(cfg.Peers, config.Peer{
+				Node: node, Area: d.options.Zones[i%len(d.options.Zones)], Addr: d.peerAddrs[node],
 			})
 		}
 	}
-	cfg.External.Cloud, cfg.External.State = d.cloud.Addr, d.state[caller].Addr
+	cfg.External.Cloud, cfg.External.State = d.cloudServer.Addr, d.stateServers[caller].Addr
 	f := &cfg.Facts
 	f.Zones, f.Teams = d.options.Zones, d.options.Teams
 	f.Workers = config.Workers{
-		ReportS: d.options.Report.Seconds(),
-		LeaseS:  d.options.Lease.Seconds(),
-		CancelS: d.options.Cancel.Seconds(),
+		HeartbeatIntervalS: d.options.HeartbeatInterval.Seconds(),
+		LeaseS:             d.options.LeaseTime.Seconds(),
+		CancelWithinS:      d.options.CancelWithin.Seconds(),
 	}
-	f.State.RPS, f.State.WriteRPS = d.options.StateRPS, d.options.StateWPS
-	f.State.ValueKB, f.State.TxnOps = valueKB, txnOps
+	f.State.RPS, f.State.WriteRPS = d.options.StateRPS, d.options.StateWriteRPS
+	f.State.ValueKB, f.State.TxnOps = maxValueKB, maxTransactionOps
 	f.Cloud.RPS, f.Cloud.ListLagS = cloudRPS, listLagS
-	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 1, memoryMB, mostSocket
+	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 1, memoryMB, maxConnections
 	var text bytes.Buffer
 	if err := toml.NewEncoder(&text).Encode(&cfg); err != nil {
 		d.t.Fatal(err)
 	}
-	path := filepath.Join(d.folder, caller+".toml")
+	path := filepath.Join(d.directory, caller+".toml")
 	if err := os.WriteFile(path, text.Bytes(), 0o600); err != nil {
 		d.t.Fatal(err)
 	}
 	return path
 }
 
-// Request makes a user's request of a controller; status 0: there was no answer.
-func (d *Deployment) Request(node, method, target string, body []byte) (status int, reply []byte) {
-	var question *standin.Question
-	d.Clock.Do(func() { question = d.Check.Observe(method, target, body) })
-	client := transport.NewClient(d.public[node], 1, reportAnswer)
+// UserRequest makes a user's request of a controller; status 0: there was no answer.
+func (d *Deployment) UserRequest(node, method, target string, body []byte) (status int, reply []byte) {
+	var question *standin.PendingRequest
+	d.Clock.Do(func() { question = d.Checker.UserRequest(method, target, body) })
+	client := transport.NewClient(d.publicAddrs[node], 1, maxHeartbeatReply)
 	defer client.Close()
 	message, err := client.Do(method, target, body, 5*micros.Second)
 	if err != nil {
 		return 0, nil
 	}
 	if question != nil {
-		d.Clock.Do(func() { question.Answer(message.Status, message.Body) })
+		d.Clock.Do(func() { question.Answered(message.Status, message.Body) })
 	}
 	return message.Status, message.Body
 }
 
-// lookEvery is how often a condition is looked at.
-const lookEvery = 20 * time.Millisecond
+// pollInterval is how often a condition is looked at.
+const pollInterval = 20 * time.Millisecond
 
 // Eventually waits until a condition on the stand-ins holds, and tells whether it did in time.
 func (d *Deployment) Eventually(within time.Duration, ok func() bool) bool {
-	for deadline := time.Now().Add(within); ; time.Sleep(lookEvery) {
+	for deadline := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		held := false
 		d.Clock.Do(func() { held = ok() })
 		if held {
