--- a/internal/standin/loopback/drain_test.go
+++ b/internal/standin/loopback/drain_test.go
@@ -21,9 +21,9 @@
 )
 
 var (
-	longForm   = flag.Bool("long", false, "play the long form: more workers, several drains, random faults")
-	longRounds = flag.Int("rounds", 4, "rounds of the long form")
-	withoutBud = flag.Bool("at-once", false, "measure drains without budgets instead: everything may be moved at once")
+	longForm       = flag.Bool("long", false, "play the long form: more workers, several drains, random faults")
+	longRounds     = flag.Int("rounds", 4, "rounds of the long form")
+	withoutBudgets = flag.Bool("at-once", false, "measure drains without budgets instead: everything may be moved at once")
 )
 
 // binary is the program under test, built once.
@@ -83,8 +83,8 @@
 
 var shortTeams = []TeamServices{{"intake", 3, 20, 48}, {"payout", 3, 20, 48}, {"tally", 2, 24, 0}}
 
-// drained is a deployment with services on which drains are tried.
-type drained struct {
+// drainScenario is a deployment with services on which drains are tried.
+type drainScenario struct {
 	*Services
 	t *testing.T
 }
@@ -97,16 +97,16 @@
 	return path
 }
 
-// newDrained starts controllers and services and waits until all replicas run.
-func newDrained(t *testing.T, settings string, teams []TeamServices) *drained {
+// newDrainScenario starts controllers and services and waits until all replicas run.
+func newDrainScenario(t *testing.T, settings string, teams []TeamServices) *drainScenario {
 	options := Options{Binary: binary, Controllers: 3, Settings: []string{settingsFile(t, settings)}, Zones: []string{"a", "b"},
-		Types: []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 2}},
-		Boot:  2 * micros.Second, Report: micros.Second, Lease: 10 * micros.Second, Cancel: 30 * micros.Second, StateRPS: 400, StateWPS: 100}
-	return &drained{Services: NewServices(t, 1, options, teams), t: t}
+		Types:    []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 2}},
+		BootTime: 2 * micros.Second, HeartbeatInterval: micros.Second, LeaseTime: 10 * micros.Second, CancelWithin: 30 * micros.Second, StateRPS: 400, StateWriteRPS: 100}
+	return &drainScenario{Services: NewServices(t, 1, options, teams), t: t}
 }
 
-// floors checks every sample, and the invariants.
-func (d *drained) floors() {
+// checkFloors checks every sample, and the invariants.
+func (d *drainScenario) checkFloors() {
 	d.t.Helper()
 	for _, team := range d.Teams {
 		samples := d.Samples(team.Team)
@@ -115,22 +115,22 @@
 			continue
 		}
 		low := slices.Min(samples)
-		d.t.Logf("%s: %d samples, lowest %d of %d, floor %d", team.Team, len(samples), low, team.Services*team.Replicas, team.Floor)
-		if low < team.Floor {
-			d.t.Errorf("%s ran %d, its floor is %d: %v", team.Team, low, team.Floor, samples)
+		d.t.Logf("%s: %d samples, lowest %d of %d, floor %d", team.Team, len(samples), low, team.Services*team.Replicas, team.MinAvailable)
+		if low < team.MinAvailable {
+			d.t.Errorf("%s ran %d, its floor is %d: %v", team.Team, low, team.MinAvailable, samples)
 		}
 	}
 	d.Clock.Do(func() {
-		for _, broken := range d.Check.Broken {
+		for _, broken := range d.Checker.Violations {
 			d.t.Error(broken)
 		}
 	})
 }
 
-// must runs a command and checks its exit status.
-func (d *drained) must(status int, words ...string) string {
+// mustRun runs a command and checks its exit status.
+func (d *drainScenario) mustRun(status int, words ...string) string {
 	d.t.Helper()
-	out, got := d.Command(append([]string{"drain"}, words...)...)
+	out, got := d.RunCommand(append([]string{"drain"}, words...)...)
 	if got != status {
 		d.t.Errorf("drain %v: status %d, want %d: %s", words, got, status, out)
 	}
@@ -138,20 +138,20 @@
 }
 
 // progress asks for a drain's status.
-func (d *drained) progress(name string) *drain.Progress {
+func (d *drainScenario) progress(name string) *drain.Progress {
 	d.t.Helper()
 	var answer struct {
 		Drain *drain.Progress `json:"drain"`
 	}
-	out, status := d.Command("drain", "status", name, "--json")
+	out, status := d.RunCommand("drain", "status", name, "--json")
 	if status != 0 || json.Unmarshal([]byte(out), &answer) != nil {
 		d.t.Fatalf("status of %s: %d %s", name, status, out)
 	}
 	return answer.Drain
 }
 
-// waitFor waits for a drain to end.
-func (d *drained) waitFor(name string, within time.Duration) {
+// pollFor waits for a drain to end.
+func (d *drainScenario) waitFor(name string, within time.Duration) {
 	d.t.Helper()
 	var p *drain.Progress
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(time.Second) {
@@ -162,37 +162,37 @@
 	d.t.Errorf("drain %s is %s with %d machines left: %+v", name, p.State, len(p.Machines), p.Blocked)
 }
 
-// TestDrainOnLoopback: a zone is drained; half way a second team's replacement starts, a machine
+// TestDrainKeepsBudgetsThroughFailures: a zone is drained; half way a second team's replacement starts, a machine
 // dies and the leader is killed. No sample of any team is below its budget.
-func TestDrainOnLoopback(t *testing.T) {
-	d := newDrained(t, budgets, shortTeams)
-	machines := len(d.InZone("a"))
-	if all := machines + len(d.InZone("b")); all < 40 {
+func TestDrainKeepsBudgetsThroughFailures(t *testing.T) {
+	s := newDrainScenario(t, budgets, shortTeams)
+	machines := len(s.MachinesInZone("a"))
+	if all := machines + len(s.MachinesInZone("b")); all < 40 {
 		t.Errorf("only %d workers", all)
 	}
-	d.must(0, "start", "rack", "--zone", "a", "--replace")
-	d.Eventually(60*time.Second, func() bool { return d.Cloud.Count() > 0 && d.GoneInZone("a") >= machines/3 })
-	second := d.Holding("payout", "b", 4)
-	d.must(0, append([]string{"start", "payout-machines", "--replace", "--at-once"}, byName(second)...)...)
-	if dying := d.Holding("intake", "b", 1); len(dying) == 1 {
-		d.Clock.Do(func() { d.Cloud.Remove(dying[0]) })
+	s.mustRun(0, "start", "rack", "--zone", "a", "--replace")
+	s.Eventually(60*time.Second, func() bool { return s.Cloud.MachineCount() > 0 && s.MachinesGoneInZone("a") >= machines/3 })
+	second := s.MachinesRunning("payout", "b", 4)
+	s.mustRun(0, append([]string{"start", "payout-machines", "--replace", "--at-once"}, byName(second)...)...)
+	if dying := s.MachinesRunning("intake", "b", 1); len(dying) == 1 {
+		s.Clock.Do(func() { s.Cloud.RemoveMachine(dying[0]) })
 	}
-	leader := d.Leader()
-	d.Process(leader).Kill()
-	d.waitFor("rack", 150*time.Second)
-	d.waitFor("payout-machines", 60*time.Second)
-	if !d.Eventually(30*time.Second, d.AllRun) {
-		t.Errorf("running %v", d.Running())
+	leader := s.Leader()
+	s.Process(leader).Kill()
+	s.waitFor("rack", 150*time.Second)
+	s.waitFor("payout-machines", 60*time.Second)
+	if !s.Eventually(30*time.Second, s.AllRunning) {
+		t.Errorf("running %v", s.Running())
 	}
-	if left := d.InZone("a"); len(left) > 0 {
+	if left := s.MachinesInZone("a"); len(left) > 0 {
 		t.Errorf("left in zone a: %v", left)
 	}
-	if got := d.progress("rack").State; got != bookkeeping.DrainDrained {
+	if got := s.progress("rack").State; got != bookkeeping.DrainDrained {
 		t.Errorf("rack is %s", got)
 	}
-	moved, most := d.Restarts()
+	moved, most := s.Restarts()
 	t.Logf("%d machines of the zone; %d restarts, at most %d of a replica", machines, moved, most)
-	d.floors()
+	s.checkFloors()
 }
 
 func byName(machines []string) []string {
@@ -203,70 +203,70 @@
 	return words
 }
 
-// TestDrainCommands: what operators see of a drain, also of mistaken and repeated commands.
-func TestDrainCommands(t *testing.T) {
-	d := newDrained(t, looseBudgets, []TeamServices{{"intake", 2, 8, 8}, {"payout", 2, 8, 4}})
-	zone := len(d.InZone("a"))
+// TestDrainCommandsReportStatesAndMistakes: what operators see of a drain, also of mistaken and repeated commands.
+func TestDrainCommandsReportStatesAndMistakes(t *testing.T) {
+	s := newDrainScenario(t, looseBudgets, []TeamServices{{"intake", 2, 8, 8}, {"payout", 2, 8, 4}})
+	zone := len(s.MachinesInZone("a"))
 
 	// The records say a few seconds later that the replicas run.
-	ready := func() bool { return d.availability("intake") == 16 && d.availability("payout") == 16 }
+	ready := func() bool { return s.availability("intake") == 16 && s.availability("payout") == 16 }
 	for deadline := time.Now().Add(30 * time.Second); !ready() && time.Now().Before(deadline); time.Sleep(time.Second) {
 	}
-	var started operator.Started
-	out := d.must(0, "start", "rack", "--zone", "a", "--replace", "--dry-run", "--json")
+	var started operator.StartResult
+	out := s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--dry-run", "--json")
 	err := json.Unmarshal([]byte(out), &started)
 	if err != nil || started.Plan == nil || len(started.Plan.Machines) != zone || len(started.Plan.Steps) == 0 || len(started.Plan.Blocked) > 0 {
 		t.Errorf("dry run: %v %s", err, out)
 	}
-	d.must(3, "status", "rack")
-	d.must(3, "start", "rack", "--zone", "c")
-	d.must(3, "start", "rack", "--type", "m9")
-	d.must(3, "start", "rack", "--machine", "i-999999")
-	d.must(3, "start", "rack", "--zone", "a", "--kind", "spot")
-	d.must(2, "start", "rack")
-	d.must(2, "start", "a/b", "--zone", "a")
-	d.must(2, "start", "rack", "--zone", "a", "--deadline=-5s")
-	d.must(3, "abort", "rack")
-	d.must(0, "list")
+	s.mustRun(3, "status", "rack")
+	s.mustRun(3, "start", "rack", "--zone", "c")
+	s.mustRun(3, "start", "rack", "--type", "m9")
+	s.mustRun(3, "start", "rack", "--machine", "i-999999")
+	s.mustRun(3, "start", "rack", "--zone", "a", "--kind", "spot")
+	s.mustRun(2, "start", "rack")
+	s.mustRun(2, "start", "a/b", "--zone", "a")
+	s.mustRun(2, "start", "rack", "--zone", "a", "--deadline=-5s")
+	s.mustRun(3, "abort", "rack")
+	s.mustRun(0, "list")
 
-	d.must(0, "start", "rack", "--zone", "a", "--replace", "--max-parallel", "1")
-	d.must(0, "start", "rack", "--zone", "a", "--replace", "--max-parallel", "1")
-	d.must(4, "start", "rack", "--zone", "b")
-	d.must(4, "start", "other", "--type", "m8")
-	d.must(0, "pause", "rack")
-	d.must(0, "pause", "rack")
-	if p := d.progress("rack"); p.State != bookkeeping.DrainPaused || len(p.Machines) != zone {
+	s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--max-parallel", "1")
+	s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--max-parallel", "1")
+	s.mustRun(4, "start", "rack", "--zone", "b")
+	s.mustRun(4, "start", "other", "--type", "m8")
+	s.mustRun(0, "pause", "rack")
+	s.mustRun(0, "pause", "rack")
+	if p := s.progress("rack"); p.State != bookkeeping.DrainPaused || len(p.Machines) != zone {
 		t.Errorf("paused: %+v", p)
 	}
-	d.must(0, "resume", "rack")
-	d.must(0, "abort", "rack")
-	d.must(0, "abort", "rack")
-	d.must(4, "resume", "rack")
-	if p := d.progress("rack"); p.State != bookkeeping.DrainAborted {
+	s.mustRun(0, "resume", "rack")
+	s.mustRun(0, "abort", "rack")
+	s.mustRun(0, "abort", "rack")
+	s.mustRun(4, "resume", "rack")
+	if p := s.progress("rack"); p.State != bookkeeping.DrainAborted {
 		t.Errorf("aborted: %+v", p)
 	}
-	var list []operator.Listed
-	if err := json.Unmarshal([]byte(d.must(0, "list", "--json")), &list); err != nil || len(list) != 1 || list[0].State != bookkeeping.DrainAborted {
+	var list []operator.DrainSummary
+	if err := json.Unmarshal([]byte(s.mustRun(0, "list", "--json")), &list); err != nil || len(list) != 1 || list[0].State != bookkeeping.DrainAborted {
 		t.Errorf("list: %v %+v", err, list)
 	}
-	d.must(0, "start", "rack", "--zone", "a", "--replace", "--at-once")
-	d.waitFor("rack", 90*time.Second)
-	if p := d.progress("rack"); p.State != bookkeeping.DrainDrained || len(d.InZone("a")) > 0 {
+	s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--at-once")
+	s.waitFor("rack", 90*time.Second)
+	if p := s.progress("rack"); p.State != bookkeeping.DrainDrained || len(s.MachinesInZone("a")) > 0 {
 		t.Errorf("drained: %+v", p)
 	}
-	d.must(0, "abort", "rack") // the zone may be used again
-	d.must(4, "abort", "rack")
-	d.Clock.Do(func() { d.Store.Down = true })
-	d.must(5, "list")
-	d.Clock.Do(func() { d.Store.Down = false })
-	d.floors()
+	s.mustRun(0, "abort", "rack") // the zone may be used again
+	s.mustRun(4, "abort", "rack")
+	s.Clock.Do(func() { s.Store.Down = true })
+	s.mustRun(5, "list")
+	s.Clock.Do(func() { s.Store.Down = false })
+	s.checkFloors()
 }
 
 // availability asks how many replicas of a team count as available.
-func (d *drained) availability(team string) int {
+func (d *drainScenario) availability(team string) int {
 	d.t.Helper()
 	var teams []drain.TeamStatus
-	if err := json.Unmarshal([]byte(d.must(0, "budgets", "--json")), &teams); err != nil {
+	if err := json.Unmarshal([]byte(d.mustRun(0, "budgets", "--json")), &teams); err != nil {
 		d.t.Fatal(err)
 	}
 	for _, t := range teams {
@@ -286,57 +286,57 @@
 		t.Skip("only with -long")
 	}
 	settings := budgets
-	if *withoutBud {
+	if *withoutBudgets {
 		settings = atOnce
 	}
-	d := newDrained(t, settings, longTeams)
+	s := newDrainScenario(t, settings, longTeams)
 	rnd := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
 	for round := range *longRounds {
 		zone := []string{"a", "b"}[round%2]
 		name := fmt.Sprintf("round-%d", round)
-		machines, changes, begun := len(d.InZone(zone)), d.Changes(), time.Now()
-		movedBefore, _ := d.Restarts()
-		d.must(0, "start", name, "--zone", zone, "--replace")
-		if !*withoutBud {
-			d.randomFault(rnd)
+		machines, changes, begun := len(s.MachinesInZone(zone)), s.StoreChanges(), time.Now()
+		movedBefore, _ := s.Restarts()
+		s.mustRun(0, "start", name, "--zone", zone, "--replace")
+		if !*withoutBudgets {
+			s.randomFault(rnd)
 		}
-		d.waitFor(name, 400*time.Second)
-		d.must(0, "abort", name)
-		if !d.Eventually(60*time.Second, d.AllRun) {
-			t.Errorf("running %v", d.Running())
+		s.waitFor(name, 400*time.Second)
+		s.mustRun(0, "abort", name)
+		if !s.Eventually(60*time.Second, s.AllRunning) {
+			t.Errorf("running %v", s.Running())
 		}
-		moved, _ := d.Restarts()
+		moved, _ := s.Restarts()
 		t.Logf("%s: %d machines, %d restarts, %.0f s, %d changes of the state service", name, machines, moved-movedBefore,
-			time.Since(begun).Seconds(), d.Changes()-changes)
+			time.Since(begun).Seconds(), s.StoreChanges()-changes)
 		time.Sleep(5 * time.Second)
 	}
-	if *withoutBud {
-		for i := range d.Teams {
-			d.Teams[i].Floor = 0
+	if *withoutBudgets {
+		for i := range s.Teams {
+			s.Teams[i].MinAvailable = 0
 		}
 	}
-	d.floors()
+	s.checkFloors()
 }
 
 // randomFault has something happen at a random moment of a drain.
-func (d *drained) randomFault(rnd *rand.Rand) {
+func (d *drainScenario) randomFault(rnd *rand.Rand) {
 	time.Sleep(time.Duration(rnd.Int64N(int64(10 * time.Second))))
-	node := d.Nodes[rnd.IntN(len(d.Nodes))]
+	node := d.Controllers[rnd.IntN(len(d.Controllers))]
 	switch rnd.IntN(5) {
 	case 0:
 		d.t.Logf("%s is killed", node)
 		d.Process(node).Kill()
 		time.Sleep(3 * time.Second)
-		d.Start(node)
+		d.StartController(node)
 	case 1:
 		d.t.Logf("%s is stopped for 6 s", node)
-		d.Process(node).Stop()
+		d.Process(node).Suspend()
 		time.Sleep(6 * time.Second)
-		d.Process(node).Continue()
+		d.Process(node).Resume()
 	case 2:
 		d.t.Log("a machine dies")
-		if dying := d.Holding("intake", "b", 1); len(dying) == 1 {
-			d.Clock.Do(func() { d.Cloud.Remove(dying[0]) })
+		if dying := d.MachinesRunning("intake", "b", 1); len(dying) == 1 {
+			d.Clock.Do(func() { d.Cloud.RemoveMachine(dying[0]) })
 		}
 	case 3:
 		d.t.Logf("calls of %s are reset for 5 s", node)
--- a/internal/standin/loopback/process.go
+++ b/internal/standin/loopback/process.go
@@ -16,15 +16,15 @@
 	exited chan struct{}
 }
 
-// errRunning says that a process was started twice.
-var errRunning = errors.New("the process runs already")
+// errAlreadyRunning says that a process was started twice.
+var errAlreadyRunning = errors.New("the process runs already")
 
 // start runs a program with its log in a file.
 func (p *Process) start(log *os.File, program string, args ...string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		return errRunning
+		return errAlreadyRunning
 	}
 	cmd := exec.Command(program, args...)
 	cmd.Stdout, cmd.Stderr = log, log
@@ -53,14 +53,14 @@
 	p.cmd = nil
 }
 
-// Stop freezes the process; its connections stay open.
-func (p *Process) Stop() { p.signal(syscall.SIGSTOP) }
+// Suspend freezes the process; its connections stay open.
+func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Continue has a frozen process go on.
-func (p *Process) Continue() { p.signal(syscall.SIGCONT) }
+// Resume has a frozen process go on.
+func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Runs tells whether the process has been started and hasn't ended.
-func (p *Process) Runs() bool {
+// Running tells whether the process has been started and hasn't ended.
+func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
--- a/internal/standin/loopback/server.go
+++ b/internal/standin/loopback/server.go
@@ -24,25 +24,25 @@
 
 // Server is an HTTP server on a free port of 127.0.0.1.
 type Server struct {
-	Addr   string
-	caller string // who it is for
-	server *http.Server
-	faults *faults
+	Addr     string
+	caller   string // who it is for
+	server   *http.Server
+	injector *faultInjector
 }
 
-// faults holds the present fault function of all servers of a deployment.
-type faults struct {
+// faultInjector holds the present fault function of all servers of a deployment.
+type faultInjector struct {
 	mu     sync.Mutex
 	decide FaultFunc
 }
 
-func (f *faults) set(decide FaultFunc) {
+func (f *faultInjector) set(decide FaultFunc) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.decide = decide
 }
 
-func (f *faults) of(caller string, r *http.Request) Fault {
+func (f *faultInjector) faultFor(caller string, r *http.Request) Fault {
 	f.mu.Lock()
 	decide := f.decide
 	f.mu.Unlock()
@@ -53,12 +53,12 @@
 }
 
 // newServer serves on a free port.
-func newServer(caller string, handler http.Handler, f *faults) (*Server, error) {
+func newServer(caller string, handler http.Handler, f *faultInjector) (*Server, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Addr: listener.Addr().String(), caller: caller, faults: f}
+	s := &Server{Addr: listener.Addr().String(), caller: caller, injector: f}
 	s.server = &http.Server{Handler: s.withFaults(handler), ReadHeaderTimeout: 10 * time.Second}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
@@ -70,14 +70,14 @@
 // withFaults has calls go through the present fault first.
 func (s *Server) withFaults(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		fault := s.faults.of(s.caller, r)
+		fault := s.injector.faultFor(s.caller, r)
 		if fault.Reset {
-			reset(w)
+			resetConnection(w)
 			return
 		}
 		if fault.Delay > 0 {
 			// The message is on its way: it arrives even if its sender gives it up.
-			body, _ := io.ReadAll(io.LimitReader(r.Body, mostBody))
+			body, _ := io.ReadAll(io.LimitReader(r.Body, maxBody))
 			time.Sleep(fault.Delay)
 			r = r.Clone(context.WithoutCancel(r.Context()))
 			r.Body = io.NopCloser(bytes.NewReader(body))
@@ -86,11 +86,11 @@
 	})
 }
 
-// mostBody bounds what is read of a request.
-const mostBody = 1 << 20
+// maxBody bounds what is read of a request.
+const maxBody = 1 << 20
 
-// reset closes a connection so that its peer sees a reset.
-func reset(w http.ResponseWriter) {
+// resetConnection closes a connection so that its peer sees a reset.
+func resetConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -105,14 +105,14 @@
 	_ = conn.Close()
 }
 
-// read decodes a request's body.
-func read(r *http.Request, v any) bool {
-	body, err := io.ReadAll(io.LimitReader(r.Body, mostBody))
+// readMessage decodes a request's body.
+func readMessage(r *http.Request, v any) bool {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	return err == nil && protocol.Unmarshal(body, v) == nil
 }
 
-// write answers with a status and a message; nil: without a body.
-func write(w http.ResponseWriter, status int, v any) {
+// writeMessage answers with a status and a message; nil: without a body.
+func writeMessage(w http.ResponseWriter, status int, v any) {
 	var body []byte
 	if v != nil {
 		body = protocol.MustMarshal(v)
@@ -123,20 +123,20 @@
 	_, _ = w.Write(body)
 }
 
-// call is a call of a stand-in that answers by calling back on the simulation.
-type call[Result any] func(back func(Result))
+// asyncCall is a call of a stand-in that answers by calling back on the simulation.
+type asyncCall[Result any] func(back func(Result))
 
-// perform has a call made on the simulation and writes its answer, unless whoever asked has gone.
-func perform[Result any](
-	clock *Clock, w http.ResponseWriter, r *http.Request,
-	begin call[Result], answer func(*Result) (status int, body any),
+// answerCall has a call made on the simulation and writes its answer, unless whoever asked has gone.
+func answerCall[Result any](
+	clock *RealTimeClock, w http.ResponseWriter, r *http.Request,
+	begin asyncCall[Result], answer func(*Result) (status int, body any),
 ) {
 	answered := newAnswer[Result]()
 	clock.Do(func() { begin(answered.put) })
 	select {
 	case result := <-answered:
 		status, body := answer(&result)
-		write(w, status, body)
+		writeMessage(w, status, body)
 	case <-r.Context().Done():
 	}
 }
--- a/internal/standin/loopback/services.go
+++ b/internal/standin/loopback/services.go
@@ -19,28 +19,28 @@
 type TeamServices struct {
 	Team               string
 	Services, Replicas int
-	Floor              int // that its budget asks for; 0: it has none
+	MinAvailable       int // that its budget asks for; 0: it has none
 }
 
 // Services is a deployment whose teams' running counts are taken every second from what the
 // workers run.
 type Services struct {
 	*Deployment
-	Teams  []TeamServices
-	t      testing.TB
-	size   map[string]int // replicas by job
-	mu     sync.Mutex
-	counts map[string][]int // by team, a sample a second
-	ended  chan struct{}
-	taker  sync.WaitGroup
+	Teams    []TeamServices
+	t        testing.TB
+	replicas map[string]int // replicas by job
+	mu       sync.Mutex
+	samples  map[string][]int // by team, a sample a second
+	stop     chan struct{}
+	sampler  sync.WaitGroup
 }
 
 // Bounds of a start.
 const (
-	zoneCapacity  = 500 // machines of each type
-	startWithin   = 60 * time.Second
-	mostSubmits   = 300
-	sampleSpacing = time.Second
+	zoneCapacity      = 500 // machines of each type
+	startTimeout      = 60 * time.Second
+	maxSubmitAttempts = 300
+	sampleInterval    = time.Second
 )
 
 // NewServices starts a deployment with services and waits until all replicas run.
@@ -49,30 +49,30 @@
 	for _, team := range teams {
 		options.Teams = append(options.Teams, config.Team{Name: team.Team})
 	}
-	d := &Services{Deployment: New(t, seed, options), Teams: teams, t: t, size: map[string]int{}, counts: map[string][]int{}, ended: make(chan struct{})}
-	d.Clock.Do(func() {
+	s := &Services{Deployment: NewDeployment(t, seed, options), Teams: teams, t: t, replicas: map[string]int{}, samples: map[string][]int{}, stop: make(chan struct{})}
+	s.Clock.Do(func() {
 		for _, machineType := range options.Types {
 			for _, zone := range options.Zones {
-				d.Cloud.Capacity[standin.Offer(machineType.Name, zone, false)] = zoneCapacity
+				s.Cloud.Capacity[standin.OfferKey(machineType.Name, zone, false)] = zoneCapacity
 			}
 		}
 	})
-	d.submitAll()
-	if !d.Eventually(startWithin, d.AllRun) {
-		d.Clock.Do(func() { t.Logf("running %v, machines %d", d.Running(), d.Cloud.Count()) })
-		t.Fatalf("not all services run: %s", d.Log(d.Nodes[0]))
+	s.submitAll()
+	if !s.Eventually(startTimeout, s.AllRunning) {
+		s.Clock.Do(func() { t.Logf("running %v, machines %d", s.Running(), s.Cloud.MachineCount()) })
+		t.Fatalf("not all services run: %s", s.ControllerLog(s.Controllers[0]))
 	}
-	d.taker.Add(1)
-	go d.take()
-	t.Cleanup(func() { close(d.ended); d.taker.Wait() })
-	return d
+	s.sampler.Add(1)
+	go s.sampleAvailability()
+	t.Cleanup(func() { close(s.stop); s.sampler.Wait() })
+	return s
 }
 
 // Samples gives the counts of a team so far.
 func (d *Services) Samples(team string) []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.counts[team])
+	return slices.Clone(d.samples[team])
 }
 
 // submitAll has all services accepted.
@@ -82,12 +82,12 @@
 		for range team.Services {
 			next++
 			id := fmt.Sprintf("j-%06d", next)
-			d.size[id] = team.Replicas
+			d.replicas[id] = team.Replicas
 			d.Clock.Do(func() {
-				d.Fleet.Jobs[id] = standin.JobInfo{Team: team.Team, CPUs: 2, Service: true, Fetch: micros.Second, Save: micros.Second / 2}
+				d.Fleet.Jobs[id] = standin.JobBehavior{Team: team.Team, CPUs: 2, Service: true, PullTime: micros.Second, CheckpointTime: micros.Second / 2}
 			})
 			body := protocol.MustMarshal(&protocol.Submission{
-				ID: id, Class: "web", Team: team.Team, Service: true, Priority: protocol.Prod, Tasks: team.Replicas,
+				ID: id, Class: "web", Team: team.Team, Service: true, Priority: protocol.Production, Tasks: team.Replicas,
 				CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 0.5, SaveS: 0.5,
 			})
 			d.submit(id, body)
@@ -99,27 +99,27 @@
 func (d *Services) submit(id string, body []byte) {
 	d.t.Helper()
 	accepted := false
-	for try := 0; try < mostSubmits && !accepted; try++ {
-		status, _ := d.Request(d.Nodes[try%len(d.Nodes)], "POST", protocol.JobsPath, body)
+	for try := 0; try < maxSubmitAttempts && !accepted; try++ {
+		status, _ := d.UserRequest(d.Controllers[try%len(d.Controllers)], "POST", protocol.JobsPath, body)
 		accepted = status == http.StatusCreated || status == http.StatusOK
 		if !accepted {
-			time.Sleep(lookEvery)
+			time.Sleep(pollInterval)
 		}
 	}
 	if !accepted {
-		d.t.Fatalf("%s isn't accepted: %s", id, d.Log("n-0"))
+		d.t.Fatalf("%s isn't accepted: %s", id, d.ControllerLog("n-0"))
 	}
 }
 
-// AllRun tells whether all replicas run, by the workers and by the checker. It is looked at on the clock.
-func (d *Services) AllRun() bool {
-	for id, n := range d.size {
+// AllRunning tells whether all replicas run, by the workers and by the checker. It is looked at on the clock.
+func (d *Services) AllRunning() bool {
+	for id, n := range d.replicas {
 		if d.Fleet.Running(id) != n {
 			return false
 		}
 	}
 	for _, team := range d.Teams {
-		if d.Fleet.RunningOf(team.Team) != team.Services*team.Replicas {
+		if d.Fleet.RunningReplicas(team.Team) != team.Services*team.Replicas {
 			return false
 		}
 	}
@@ -130,34 +130,34 @@
 func (d *Services) Running() map[string]int {
 	out := map[string]int{}
 	for _, team := range d.Teams {
-		out[team.Team] = d.Fleet.RunningOf(team.Team)
+		out[team.Team] = d.Fleet.RunningReplicas(team.Team)
 	}
 	return out
 }
 
-// take takes a sample every second, from what the workers run.
-func (d *Services) take() {
-	defer d.taker.Done()
-	ticker := time.NewTicker(sampleSpacing)
+// sampleAvailability takes a sample every second, from what the workers run.
+func (d *Services) sampleAvailability() {
+	defer d.sampler.Done()
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-d.ended:
+		case <-d.stop:
 			return
 		case <-ticker.C:
 			d.Clock.Do(func() {
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				for team, n := range d.Running() {
-					d.counts[team] = append(d.counts[team], n)
+					d.samples[team] = append(d.samples[team], n)
 				}
 			})
 		}
 	}
 }
 
-// InZone lists the machines of a zone that are there.
-func (d *Services) InZone(zone string) []string {
+// MachinesInZone lists the machines of a zone that are there.
+func (d *Services) MachinesInZone(zone string) []string {
 	var out []string
 	d.Clock.Do(func() {
 		for id, m := range d.Cloud.Machines {
@@ -172,15 +172,15 @@
 
 // Leader reads from the state service who leads.
 func (d *Services) Leader() string {
-	var lead bookkeeping.Lead
-	d.Clock.Do(func() { d.Store.Read(bookkeeping.LeadKey, &lead) })
+	var lead bookkeeping.Leader
+	d.Clock.Do(func() { d.Store.Read(bookkeeping.LeaderKey, &lead) })
 	return lead.Node
 }
 
 // Restarts counts starts of replicas beyond each one's first.
 func (d *Services) Restarts() (all, most int) {
 	d.Clock.Do(func() {
-		for id, n := range d.size {
+		for id, n := range d.replicas {
 			for i := range n {
 				again := d.Fleet.Starts[fmt.Sprintf("%s/%d", id, i)] - 1
 				all += again
@@ -191,15 +191,15 @@
 	return all, most
 }
 
-// Changes counts the changes of the state service so far.
-func (d *Services) Changes() int {
+// StoreChanges counts the changes of the state service so far.
+func (d *Services) StoreChanges() int {
 	n := 0
 	d.Clock.Do(func() { n = d.Store.Changes })
 	return n
 }
 
-// GoneInZone counts machines of a zone that have gone; it is looked at on the clock.
-func (d *Services) GoneInZone(zone string) int {
+// MachinesGoneInZone counts machines of a zone that have gone; it is looked at on the clock.
+func (d *Services) MachinesGoneInZone(zone string) int {
 	n := 0
 	for _, m := range d.Cloud.Machines {
 		if m.Gone && m.Zone == zone {
@@ -209,15 +209,15 @@
 	return n
 }
 
-// Holding lists machines of a zone that run replicas of a team.
-func (d *Services) Holding(team, zone string, most int) []string {
+// MachinesRunning lists machines of a zone that run replicas of a team.
+func (d *Services) MachinesRunning(team, zone string, most int) []string {
 	var out []string
 	d.Clock.Do(func() {
 		for id, w := range d.Fleet.Workers {
 			if w.Machine.Gone || w.Machine.Zone != zone {
 				continue
 			}
-			for task, held := range w.Tasks {
+			for task, held := range w.Attempts {
 				if d.Fleet.Jobs[task[:len("j-000000")]].Team == team && held.State == protocol.StateRunning {
 					out = append(out, id)
 					break
--- a/internal/standin/loopback/state.go
+++ b/internal/standin/loopback/state.go
@@ -13,17 +13,17 @@
 
 // stateHandler answers as the state service does, for one caller.
 type stateHandler struct {
-	clock  *Clock
-	store  *standin.Store
+	clock  *RealTimeClock
+	store  *standin.StateStore
 	caller string
 }
 
 // ServeState serves a store on loopback until the test ends, and returns its address.
-func ServeState(t testing.TB, sim *standin.Sim, store *standin.Store) string {
+func ServeState(t testing.TB, sim *standin.SimClock, store *standin.StateStore) string {
 	t.Helper()
 	const caller = "operator"
-	clock := NewClock(sim)
-	server, err := newServer(caller, &stateHandler{clock, store, caller}, &faults{})
+	clock := NewRealTimeClock(sim)
+	server, err := newServer(caller, &stateHandler{clock, store, caller}, &faultInjector{})
 	if err != nil {
 		clock.Stop()
 		t.Fatal(err)
@@ -32,22 +32,22 @@
 	return server.Addr
 }
 
-// unbounded is the time that a call may take: its caller's own deadline ends it sooner.
-const unbounded = 10 * micros.Minute
+// noTimeout is the time that a call may take: its caller's own deadline ends it sooner.
+const noTimeout = 10 * micros.Minute
 
 func (h *stateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, ok := stateCall(r)
 	if !ok {
-		write(w, http.StatusBadRequest, &protocol.ErrorBody{Error: "malformed"})
+		writeMessage(w, http.StatusBadRequest, &protocol.ErrorBody{Error: "malformed"})
 		return
 	}
-	perform(h.clock, w, r, func(back func(protocol.StoreResult)) { h.store.Call(h.caller, call, back) },
+	answerCall(h.clock, w, r, func(back func(protocol.StoreResult)) { h.store.Call(h.caller, call, back) },
 		func(result *protocol.StoreResult) (int, any) { return stateAnswer(call, result) })
 }
 
 // stateCall reads a request as the call that it is.
 func stateCall(r *http.Request) (*protocol.StoreCall, bool) {
-	call := &protocol.StoreCall{Within: unbounded}
+	call := &protocol.StoreCall{Timeout: noTimeout}
 	query := r.URL.Query()
 	path := r.URL.Path
 	switch {
@@ -61,51 +61,51 @@
 		return call, call.Key != ""
 	case r.Method == "POST" && path == "/commit":
 		call.Op = protocol.StoreCommit
-		return call, read(r, &call.Txn)
+		return call, readMessage(r, &call.Transaction)
 	case r.Method == "POST" && path == "/leases":
 		var lease protocol.LeaseRequest
-		call.Op = protocol.StoreGrant
-		ok := read(r, &lease)
-		call.TTL = micros.T(lease.TTLMillis) * micros.Millisecond
+		call.Op = protocol.StoreGrantLease
+		ok := readMessage(r, &lease)
+		call.TTL = micros.Micros(lease.TTLMillis) * micros.Millisecond
 		return call, ok && lease.TTLMillis >= 100
 	case r.Method == "POST" && strings.HasPrefix(path, "/leases/") && strings.HasSuffix(path, "/touch"):
 		id, err := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"), 10, 64)
-		call.Op, call.Lease = protocol.StoreTouch, id
+		call.Op, call.Lease = protocol.StoreKeepAlive, id
 		return call, err == nil
 	case r.Method == "GET" && path == "/watch":
 		from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 		block, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
-		call.Op, call.Key, call.From = protocol.StoreWatch, query.Get("under"), from
-		call.Block = micros.T(block) * micros.Millisecond
+		call.Op, call.Key, call.FromRevision = protocol.StoreWatch, query.Get("under"), from
+		call.MaxBlock = micros.Micros(block) * micros.Millisecond
 		return call, err == nil
 	}
 	return nil, false
 }
 
-// statusOf are the statuses by which the state service says what became of a call.
-var statusOf = map[protocol.Outcome]int{
+// httpStatus are the statuses by which the state service says what became of a call.
+var httpStatus = map[protocol.Outcome]int{
 	protocol.OK: http.StatusOK, protocol.Conflict: http.StatusConflict, protocol.NotFound: http.StatusNotFound,
-	protocol.TooOld: http.StatusGone, protocol.Rejected: http.StatusBadRequest,
+	protocol.Compacted: http.StatusGone, protocol.Rejected: http.StatusBadRequest,
 	protocol.Throttled: http.StatusTooManyRequests, protocol.Unavailable: http.StatusServiceUnavailable,
 }
 
 // stateAnswer gives the response to a call.
-func stateAnswer(call *protocol.StoreCall, r *protocol.StoreResult) (status int, body any) {
-	status = statusOf[r.Outcome]
-	if r.Outcome != protocol.OK && r.Outcome != protocol.Conflict {
-		return status, &protocol.ErrorBody{Error: r.Outcome.String()}
+func stateAnswer(call *protocol.StoreCall, result *protocol.StoreResult) (status int, body any) {
+	status = httpStatus[result.Outcome]
+	if result.Outcome != protocol.OK && result.Outcome != protocol.Conflict {
+		return status, &protocol.ErrorBody{Error: result.Outcome.String()}
 	}
 	switch call.Op {
 	case protocol.StoreGet:
-		return status, &r.Item
+		return status, &result.Item
 	case protocol.StoreList:
-		return status, &protocol.ItemList{Items: r.Items, More: r.More, Revision: r.Revision}
+		return status, &protocol.KeyValueList{Items: result.Items, More: result.More, Revision: result.Revision}
 	case protocol.StoreCommit:
-		return status, &protocol.TxnReply{Revision: r.Revision, Failed: r.Failed}
-	case protocol.StoreGrant:
-		return status, &protocol.LeaseReply{Lease: r.Lease}
+		return status, &protocol.TransactionReply{Revision: result.Revision, Failed: result.Failed}
+	case protocol.StoreGrantLease:
+		return status, &protocol.LeaseReply{Lease: result.Lease}
 	case protocol.StoreWatch:
-		return status, &protocol.WatchReply{Revision: r.Revision, Events: r.Events}
+		return status, &protocol.WatchReply{Revision: result.Revision, Events: result.Events}
 	}
 	return status, nil
 }
--- a/internal/standin/loopback/workers.go
+++ b/internal/standin/loopback/workers.go
@@ -12,56 +12,56 @@
 
 // workerHandler answers direct commands as a machine's worker does.
 type workerHandler struct {
-	clock    *Clock
-	fleet    *standin.Fleet
+	clock    *RealTimeClock
+	fleet    *standin.WorkerFleet
 	endpoint func() string
 }
 
 func (h *workerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var request *protocol.DoRequest
+	var request *protocol.CommandRequest
 	if r.URL.Path == "/do" {
-		request = &protocol.DoRequest{}
-		if !read(r, request) || request.Token == 0 || request.Session == 0 {
-			write(w, http.StatusBadRequest, nil)
+		request = &protocol.CommandRequest{}
+		if !readMessage(r, request) || request.FencingToken == 0 || request.Incarnation == 0 {
+			writeMessage(w, http.StatusBadRequest, nil)
 			return
 		}
 	}
-	answered := make(chan protocol.DoResult, 1)
+	answered := make(chan protocol.CommandResult, 1)
 	gone := false
 	h.clock.Do(func() {
-		worker := h.fleet.At[h.endpoint()]
-		if gone = worker == nil || worker.Machine.Gone || worker.Silent; gone {
+		worker := h.fleet.ByEndpoint[h.endpoint()]
+		if gone = worker == nil || worker.Machine.Gone || worker.Partitioned; gone {
 			return
 		}
-		execute := func() { answered <- execute(worker, request) }
-		if worker.Hanging {
-			worker.Hold(execute)
+		execute := func() { answered <- executeRequest(worker, request) }
+		if worker.Paused {
+			worker.Defer(execute)
 		} else {
 			execute()
 		}
 	})
 	if gone {
-		reset(w)
+		resetConnection(w)
 		return
 	}
 	select {
 	case result := <-answered:
-		write(w, result.Status, &result.Report)
+		writeMessage(w, result.Status, &result.Heartbeat)
 	case <-r.Context().Done():
 	}
 }
 
-// execute carries a batch out, or without one gives the worker's report.
-func execute(worker *standin.Worker, request *protocol.DoRequest) protocol.DoResult {
+// executeRequest carries a batch out, or without one gives the worker's report.
+func executeRequest(worker *standin.Worker, request *protocol.CommandRequest) protocol.CommandResult {
 	if request == nil {
-		return protocol.DoResult{Status: http.StatusOK, Report: *worker.Body()}
+		return protocol.CommandResult{Status: http.StatusOK, Heartbeat: *worker.Heartbeat()}
 	}
-	return worker.Do(request)
+	return worker.Execute(request)
 }
 
-// reporter carries workers' reports to the controllers.
-type reporter struct {
-	clock   *Clock
+// heartbeatSender carries workers' reports to the controllers.
+type heartbeatSender struct {
+	clock   *RealTimeClock
 	mu      sync.Mutex
 	clients map[string]*transport.Client // by controller
 	addr    func(node string) string
@@ -69,25 +69,25 @@
 
 // Bounds of the workers' connections.
 const (
-	reportConnections = 32
-	reportAnswer      = 64 << 10
-	reportTimeout     = 4 * micros.Second
+	heartbeatConnections = 32
+	maxHeartbeatReply    = 64 << 10
+	heartbeatTimeout     = 4 * micros.Second
 )
 
-func (p *reporter) client(node string) *transport.Client {
+func (p *heartbeatSender) client(node string) *transport.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.clients[node] == nil {
-		p.clients[node] = transport.NewClient(p.addr(node), reportConnections, reportAnswer)
+		p.clients[node] = transport.NewClient(p.addr(node), heartbeatConnections, maxHeartbeatReply)
 	}
 	return p.clients[node]
 }
 
 // send carries one report; it is called on the simulation.
-func (p *reporter) send(_ *standin.Worker, node string, body []byte, back func(status int, reply []byte)) {
+func (p *heartbeatSender) send(_ *standin.Worker, node string, body []byte, back func(status int, reply []byte)) {
 	client := p.client(node)
 	go func() {
-		message, err := client.Do("POST", protocol.HeartbeatPath, body, reportTimeout)
+		message, err := client.Do("POST", protocol.HeartbeatPath, body, heartbeatTimeout)
 		p.clock.Do(func() {
 			if err != nil {
 				back(0, nil)
--- a/internal/standin/sim.go
+++ b/internal/standin/sim.go
@@ -10,60 +10,60 @@
 	"pipitgap/internal/micros"
 )
 
-// Sim is a simulated clock with events in order of time, then of their making.
-type Sim struct {
-	now   micros.T
+// SimClock is a simulated clock with events in order of time, then of their making.
+type SimClock struct {
+	now   micros.Micros
 	seq   uint64
-	items events
+	queue eventHeap
 	Rand  *rand.Rand
 }
 
 type event struct {
-	at  micros.T
-	seq uint64
-	f   func()
+	at       micros.Micros
+	seq      uint64
+	callback func()
 }
 
-type events []event
+type eventHeap []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(a, b int) bool {
+func (e eventHeap) Len() int { return len(e) }
+func (e eventHeap) Less(a, b int) bool {
 	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].seq < e[b].seq
 }
-func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventHeap) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// NewSim starts a clock with seeded randomness.
-func NewSim(seed uint64) *Sim { return &Sim{Rand: rand.New(rand.NewPCG(seed, 7))} }
+// NewSimClock starts a clock with seeded randomness.
+func NewSimClock(seed uint64) *SimClock { return &SimClock{Rand: rand.New(rand.NewPCG(seed, 7))} }
 
 // Now reads the clock.
-func (s *Sim) Now() micros.T { return s.now }
+func (s *SimClock) Now() micros.Micros { return s.now }
 
 // After has f called d later.
-func (s *Sim) After(d micros.T, f func()) {
+func (s *SimClock) After(d micros.Micros, f func()) {
 	s.seq++
-	heap.Push(&s.items, event{s.now + max(d, 0), s.seq, f})
+	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, f})
 }
 
 // Run plays the events of the next d.
-func (s *Sim) Run(d micros.T) {
+func (s *SimClock) Run(d micros.Micros) {
 	end := s.now + d
-	for len(s.items) > 0 && s.items[0].at <= end {
-		e := heap.Pop(&s.items).(event)
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(event)
 		s.now = e.at
-		e.f()
+		e.callback()
 	}
 	s.now = end
 }
 
 // RunUntil plays events until ok or until d has passed, and tells which.
-func (s *Sim) RunUntil(d micros.T, ok func() bool) bool {
+func (s *SimClock) RunUntil(d micros.Micros, ok func() bool) bool {
 	for end := s.now + d; s.now < end; s.Run(50 * micros.Millisecond) {
 		if ok() {
 			return true
@@ -72,15 +72,15 @@
 	return ok()
 }
 
-// Once has f called as soon as ok holds, or not at all if that takes longer than d. Unlike
+// AfterCondition has f called as soon as ok holds, or not at all if that takes longer than d. Unlike
 // RunUntil it may be called from an event.
-func (s *Sim) Once(ok func() bool, d micros.T, f func()) {
+func (s *SimClock) AfterCondition(ok func() bool, d micros.Micros, f func()) {
 	const look = 50 * micros.Millisecond
 	if ok() {
 		f()
 		return
 	}
 	if d > look {
-		s.After(look, func() { s.Once(ok, d-look, f) })
+		s.After(look, func() { s.AfterCondition(ok, d-look, f) })
 	}
 }
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -9,90 +9,90 @@
 	"pipitgap/internal/protocol"
 )
 
-// Store is a stand-in for the state service.
-type Store struct {
-	Sim      *Sim
-	RPS, WPS float64
-	TxnOps   int
-	// ChangesKept is how many changes are kept for watches.
-	ChangesKept int
-	Revision    uint64
-	items       map[string]protocol.Item
-	log         []logged
-	// forgotten is the newest revision whose changes aren't kept any more.
-	forgotten uint64
-	leases    map[uint64]*lease
-	nextID    uint64
-	watches   []*watch
-	reads     float64
-	writes    float64
-	last      micros.T
+// StateStore is a stand-in for the state service.
+type StateStore struct {
+	Clock             *SimClock
+	RPS, WriteRPS     float64
+	MaxTransactionOps int
+	// WatchHistory is how many changes are kept for watches.
+	WatchHistory int
+	Revision     uint64
+	keyValues    map[string]protocol.KeyValue
+	history      []historyEntry
+	// compactedRevision is the newest revision whose changes aren't kept any more.
+	compactedRevision uint64
+	leases            map[uint64]*lease
+	nextID            uint64
+	watches           []*watch
+	readTokens        float64
+	writeTokens       float64
+	refilledAt        micros.Micros
 
-	Down    bool            // 503 for all
-	Refused map[string]bool // 503 for these callers alone
-	// LoseAnswer, if set, tells whether a commit that was applied gets no answer.
-	LoseAnswer func(*protocol.Txn) bool
-	// Delay, if set, has a commit applied that much later, with no answer.
-	Delay func(*protocol.Txn) micros.T
-	// Slow, if set, has answers come that much later.
-	Slow      func() micros.T
-	Throttled int
+	Down           bool            // 503 for all
+	RefusedCallers map[string]bool // 503 for these callers alone
+	// LoseResponse, if set, tells whether a commit that was applied gets no answer.
+	LoseResponse func(*protocol.Transaction) bool
+	// DelayCommit, if set, has a commit applied that much later, with no answer.
+	DelayCommit func(*protocol.Transaction) micros.Micros
+	// DelayResponse, if set, has answers come that much later.
+	DelayResponse func() micros.Micros
+	Throttled     int
 	// Calls counts what was let through by kind, Changes the puts and deletes,
 	// Conflicts the commits that changed nothing.
 	Calls              map[protocol.StoreOp]int
 	Changes, Conflicts int
-	ByKind             map[string]int // what was changed ("+kind") and what failed ("!kind")
-	LargestWatch       int            // changes in one answer of a watch, at most
+	ChangesByKind      map[string]int // what was changed ("+kind") and what failed ("!kind")
+	LargestWatchReply  int            // changes in one answer of a watch, at most
 }
 
-type logged struct {
-	rev uint64
-	ev  protocol.Event
+type historyEntry struct {
+	revision uint64
+	event    protocol.Event
 }
 
 type lease struct {
-	ttl micros.T
-	end micros.T
+	ttl       micros.Micros
+	expiresAt micros.Micros
 }
 
 type watch struct {
-	call *protocol.StoreCall
-	back func(protocol.StoreResult)
-	done bool
+	call     *protocol.StoreCall
+	callback func(protocol.StoreResult)
+	answered bool
 }
 
-// NewStore starts an empty store with the given limits.
-func NewStore(sim *Sim, rps, wps float64, txnOps int) *Store {
-	s := &Store{
-		Sim: sim, RPS: rps, WPS: wps, TxnOps: txnOps, ChangesKept: changesKept,
-		items: map[string]protocol.Item{}, leases: map[uint64]*lease{}, Refused: map[string]bool{},
-		reads: rps, writes: wps, Calls: map[protocol.StoreOp]int{}, ByKind: map[string]int{},
+// NewStateStore starts an empty store with the given limits.
+func NewStateStore(sim *SimClock, rps, wps float64, txnOps int) *StateStore {
+	s := &StateStore{
+		Clock: sim, RPS: rps, WriteRPS: wps, MaxTransactionOps: txnOps, WatchHistory: defaultWatchHistory,
+		keyValues: map[string]protocol.KeyValue{}, leases: map[uint64]*lease{}, RefusedCallers: map[string]bool{},
+		readTokens: rps, writeTokens: wps, Calls: map[protocol.StoreOp]int{}, ChangesByKind: map[string]int{},
 	}
-	s.expire()
+	s.expireLeases()
 	return s
 }
 
 // Outage has the store refuse everything for a while; afterwards every lease
 // has its full time again.
-func (s *Store) Outage(d micros.T) {
+func (s *StateStore) Outage(d micros.Micros) {
 	s.Down = true
-	s.Sim.After(d, func() {
+	s.Clock.After(d, func() {
 		s.Down = false
 		for _, l := range s.leases {
-			l.end = s.Sim.Now() + l.ttl
+			l.expiresAt = s.Clock.Now() + l.ttl
 		}
-		s.wake()
+		s.answerWatches()
 	})
 }
 
-func (s *Store) expire() {
+func (s *StateStore) expireLeases() {
 	if !s.Down {
 		for id := uint64(1); id <= s.nextID; id++ {
-			if l := s.leases[id]; l != nil && s.Sim.Now() > l.end {
+			if l := s.leases[id]; l != nil && s.Clock.Now() > l.expiresAt {
 				delete(s.leases, id)
 				var gone []string
-				for k, it := range s.items {
-					if it.Lease == id {
+				for k, item := range s.keyValues {
+					if item.Lease == id {
 						gone = append(gone, k)
 					}
 				}
@@ -101,225 +101,225 @@
 					s.Revision++
 				}
 				for _, k := range gone {
-					delete(s.items, k)
-					s.log = append(s.log, logged{s.Revision, protocol.Event{Delete: k, Version: s.Revision}})
+					delete(s.keyValues, k)
+					s.history = append(s.history, historyEntry{s.Revision, protocol.Event{Delete: k, Version: s.Revision}})
 				}
-				s.wake()
+				s.answerWatches()
 			}
 		}
 	}
-	s.Sim.After(50*micros.Millisecond, s.expire)
+	s.Clock.After(50*micros.Millisecond, s.expireLeases)
 }
 
-func (s *Store) budget(writes int) bool {
-	now := s.Sim.Now()
-	d := (now - s.last).Seconds()
-	s.last = now
-	s.reads = min(s.RPS, s.reads+d*s.RPS)
-	s.writes = min(s.WPS, s.writes+d*s.WPS)
-	if s.reads < 1 || writes > 0 && s.writes < float64(writes) {
+func (s *StateStore) takeTokens(writes int) bool {
+	now := s.Clock.Now()
+	d := (now - s.refilledAt).Seconds()
+	s.refilledAt = now
+	s.readTokens = min(s.RPS, s.readTokens+d*s.RPS)
+	s.writeTokens = min(s.WriteRPS, s.writeTokens+d*s.WriteRPS)
+	if s.readTokens < 1 || writes > 0 && s.writeTokens < float64(writes) {
 		s.Throttled++
 		return false
 	}
-	s.reads--
-	s.writes -= float64(writes)
+	s.readTokens--
+	s.writeTokens -= float64(writes)
 	return true
 }
 
 // Call performs a call for a caller; the answer comes after a few milliseconds.
-func (s *Store) Call(caller string, c *protocol.StoreCall, back func(protocol.StoreResult)) {
+func (s *StateStore) Call(caller string, c *protocol.StoreCall, back func(protocol.StoreResult)) {
 	call := *c
 	answered := false
-	answer := func(r protocol.StoreResult) {
+	answer := func(result protocol.StoreResult) {
 		if !answered {
 			answered = true
-			s.Sim.After(2*micros.Millisecond, func() { back(r) })
+			s.Clock.After(2*micros.Millisecond, func() { back(result) })
 		}
 	}
-	s.Sim.After(call.Within, func() { answer(protocol.StoreResult{}) })
+	s.Clock.After(call.Timeout, func() { answer(protocol.StoreResult{}) })
 	reply := answer
-	if s.Slow != nil {
-		late := s.Slow()
-		reply = func(r protocol.StoreResult) { s.Sim.After(late, func() { answer(r) }) }
+	if s.DelayResponse != nil {
+		late := s.DelayResponse()
+		reply = func(result protocol.StoreResult) { s.Clock.After(late, func() { answer(result) }) }
 	}
-	s.Sim.After(2*micros.Millisecond, func() { s.handle(caller, &call, reply) })
+	s.Clock.After(2*micros.Millisecond, func() { s.handle(caller, &call, reply) })
 }
 
-func (s *Store) handle(caller string, c *protocol.StoreCall, answer func(protocol.StoreResult)) {
-	if s.Down || s.Refused[caller] {
+func (s *StateStore) handle(caller string, call *protocol.StoreCall, answer func(protocol.StoreResult)) {
+	if s.Down || s.RefusedCallers[caller] {
 		answer(protocol.StoreResult{Outcome: protocol.Unavailable})
 		return
 	}
-	if !s.budget(c.Writes()) {
+	if !s.takeTokens(call.Writes()) {
 		answer(protocol.StoreResult{Outcome: protocol.Throttled})
 		return
 	}
-	s.Calls[c.Op]++
-	s.Changes += c.Writes()
-	switch c.Op {
+	s.Calls[call.Op]++
+	s.Changes += call.Writes()
+	switch call.Op {
 	case protocol.StoreGet:
-		it, ok := s.items[c.Key]
+		item, ok := s.keyValues[call.Key]
 		if !ok {
 			answer(protocol.StoreResult{Outcome: protocol.NotFound, Revision: s.Revision})
 			return
 		}
-		answer(protocol.StoreResult{Outcome: protocol.OK, Item: it})
+		answer(protocol.StoreResult{Outcome: protocol.OK, Item: item})
 	case protocol.StoreList:
-		r := protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
-		for _, k := range s.Keys(c.Key) {
-			if k <= c.After {
+		result := protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
+		for _, k := range s.Keys(call.Key) {
+			if k <= call.After {
 				continue
 			}
-			if len(r.Items) == c.Limit {
-				r.More = true
+			if len(result.Items) == call.Limit {
+				result.More = true
 				break
 			}
-			r.Items = append(r.Items, s.items[k])
+			result.Items = append(result.Items, s.keyValues[k])
 		}
-		answer(r)
+		answer(result)
 	case protocol.StoreCommit:
-		if s.Delay != nil {
-			if d := s.Delay(&c.Txn); d > 0 {
-				s.Sim.After(d, func() { s.commit(&c.Txn) })
+		if s.DelayCommit != nil {
+			if d := s.DelayCommit(&call.Transaction); d > 0 {
+				s.Clock.After(d, func() { s.commit(&call.Transaction) })
 				return
 			}
 		}
-		r := s.commit(&c.Txn)
-		if r.Outcome == protocol.OK && s.LoseAnswer != nil && s.LoseAnswer(&c.Txn) {
+		result := s.commit(&call.Transaction)
+		if result.Outcome == protocol.OK && s.LoseResponse != nil && s.LoseResponse(&call.Transaction) {
 			return
 		}
-		answer(r)
-	case protocol.StoreGrant:
+		answer(result)
+	case protocol.StoreGrantLease:
 		s.nextID++
-		s.leases[s.nextID] = &lease{c.TTL, s.Sim.Now() + c.TTL}
+		s.leases[s.nextID] = &lease{call.TTL, s.Clock.Now() + call.TTL}
 		answer(protocol.StoreResult{Outcome: protocol.OK, Lease: s.nextID})
-	case protocol.StoreTouch:
-		l := s.leases[c.Lease]
+	case protocol.StoreKeepAlive:
+		l := s.leases[call.Lease]
 		if l == nil {
 			answer(protocol.StoreResult{Outcome: protocol.NotFound})
 			return
 		}
-		l.end = s.Sim.Now() + l.ttl
+		l.expiresAt = s.Clock.Now() + l.ttl
 		answer(protocol.StoreResult{Outcome: protocol.OK})
 	case protocol.StoreWatch:
-		w := &watch{call: c, back: answer}
-		if !s.serve(w, false) {
-			s.watches = append(s.watches, w)
-			s.Sim.After(c.Block, func() {
+		watcher := &watch{call: call, callback: answer}
+		if !s.answerWatch(watcher, false) {
+			s.watches = append(s.watches, watcher)
+			s.Clock.After(call.MaxBlock, func() {
 				if !s.Down {
-					s.serve(w, true)
+					s.answerWatch(watcher, true)
 				}
 			})
 		}
 	}
 }
 
-func (s *Store) serve(w *watch, force bool) bool {
-	if w.done {
+func (s *StateStore) answerWatch(watcher *watch, force bool) bool {
+	if watcher.answered {
 		return true
 	}
-	if w.call.From < s.forgotten {
-		w.done = true
-		w.back(protocol.StoreResult{Outcome: protocol.TooOld})
+	if watcher.call.FromRevision < s.compactedRevision {
+		watcher.answered = true
+		watcher.callback(protocol.StoreResult{Outcome: protocol.Compacted})
 		return true
 	}
-	r := protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
-	begin := sort.Search(len(s.log), func(i int) bool { return s.log[i].rev > w.call.From })
-	for _, l := range s.log[begin:] {
-		if strings.HasPrefix(l.ev.Put+l.ev.Delete, w.call.Key) {
-			r.Events = append(r.Events, l.ev)
+	result := protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
+	begin := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > watcher.call.FromRevision })
+	for _, l := range s.history[begin:] {
+		if strings.HasPrefix(l.event.Put+l.event.Delete, watcher.call.Key) {
+			result.Events = append(result.Events, l.event)
 		}
 	}
-	if len(r.Events) == 0 && !force {
+	if len(result.Events) == 0 && !force {
 		return false
 	}
-	w.done = true
-	s.LargestWatch = max(s.LargestWatch, len(r.Events))
-	w.back(r)
+	watcher.answered = true
+	s.LargestWatchReply = max(s.LargestWatchReply, len(result.Events))
+	watcher.callback(result)
 	return true
 }
 
-// changesKept is how many changes are kept for watches, unless a test says otherwise.
-const changesKept = 10000
+// defaultWatchHistory is how many changes are kept for watches, unless a test says otherwise.
+const defaultWatchHistory = 10000
 
-// forget drops the oldest changes, many at a time.
-func (s *Store) forget() {
-	if len(s.log) <= s.ChangesKept {
+// compact drops the oldest changes, many at a time.
+func (s *StateStore) compact() {
+	if len(s.history) <= s.WatchHistory {
 		return
 	}
-	drop := len(s.log) - s.ChangesKept
-	s.forgotten = s.log[drop-1].rev
-	s.log = s.log[drop:]
+	drop := len(s.history) - s.WatchHistory
+	s.compactedRevision = s.history[drop-1].revision
+	s.history = s.history[drop:]
 }
 
-func (s *Store) wake() {
-	s.forget()
+func (s *StateStore) answerWatches() {
+	s.compact()
 	if s.Down {
 		return
 	}
 	var left []*watch
-	for _, w := range s.watches {
-		if !s.serve(w, false) {
-			left = append(left, w)
+	for _, watcher := range s.watches {
+		if !s.answerWatch(watcher, false) {
+			left = append(left, watcher)
 		}
 	}
 	s.watches = left
 }
 
-func (s *Store) commit(t *protocol.Txn) protocol.StoreResult {
-	if len(t.Then) > s.TxnOps || len(t.If) > 4*s.TxnOps {
+func (s *StateStore) commit(txn *protocol.Transaction) protocol.StoreResult {
+	if len(txn.Then) > s.MaxTransactionOps || len(txn.If) > 4*s.MaxTransactionOps {
 		return protocol.StoreResult{Outcome: protocol.Rejected}
 	}
-	for _, op := range t.Then {
+	for _, op := range txn.Then {
 		if op.Put != "" && op.Lease != 0 && s.leases[op.Lease] == nil {
 			return protocol.StoreResult{Outcome: protocol.Rejected}
 		}
 	}
-	r := protocol.StoreResult{Outcome: protocol.OK}
-	for _, c := range t.If {
-		if s.items[c.Key].Version != c.Version {
-			r.Failed = append(r.Failed, c.Key)
+	result := protocol.StoreResult{Outcome: protocol.OK}
+	for _, c := range txn.If {
+		if s.keyValues[c.Key].Version != c.Version {
+			result.Failed = append(result.Failed, c.Key)
 		}
 	}
-	if len(r.Failed) > 0 {
+	if len(result.Failed) > 0 {
 		s.Conflicts++
-		for _, k := range r.Failed {
-			s.ByKind["!"+kindOf(k)]++
+		for _, k := range result.Failed {
+			s.ChangesByKind["!"+recordKind(k)]++
 		}
-		r.Outcome, r.Revision = protocol.Conflict, s.Revision
-		return r
+		result.Outcome, result.Revision = protocol.Conflict, s.Revision
+		return result
 	}
-	if len(t.Then) > 0 {
+	if len(txn.Then) > 0 {
 		s.Revision++
 	}
-	for _, op := range t.Then {
-		s.ByKind["+"+kindOf(op.Put+op.Delete)]++
+	for _, op := range txn.Then {
+		s.ChangesByKind["+"+recordKind(op.Put+op.Delete)]++
 		if op.Put != "" {
-			s.items[op.Put] = protocol.Item{Key: op.Put, Value: op.Value, Version: s.Revision, Lease: op.Lease}
-			s.log = append(s.log, logged{s.Revision, protocol.Event{Put: op.Put, Value: op.Value, Version: s.Revision}})
-		} else if _, ok := s.items[op.Delete]; ok {
-			delete(s.items, op.Delete)
-			s.log = append(s.log, logged{s.Revision, protocol.Event{Delete: op.Delete, Version: s.Revision}})
+			s.keyValues[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.Revision, Lease: op.Lease}
+			s.history = append(s.history, historyEntry{s.Revision, protocol.Event{Put: op.Put, Value: op.Value, Version: s.Revision}})
+		} else if _, ok := s.keyValues[op.Delete]; ok {
+			delete(s.keyValues, op.Delete)
+			s.history = append(s.history, historyEntry{s.Revision, protocol.Event{Delete: op.Delete, Version: s.Revision}})
 		}
 	}
-	if len(t.Then) > 0 {
-		s.wake()
+	if len(txn.Then) > 0 {
+		s.answerWatches()
 	}
-	r.Revision = s.Revision
-	return r
+	result.Revision = s.Revision
+	return result
 }
 
 // Rewrite gives a key a new version with the value that it has.
-func (s *Store) Rewrite(key string) {
-	if it, ok := s.items[key]; ok {
-		s.commit(&protocol.Txn{Then: []protocol.Op{{Put: key, Value: it.Value, Lease: it.Lease}}})
+func (s *StateStore) Rewrite(key string) {
+	if item, ok := s.keyValues[key]; ok {
+		s.commit(&protocol.Transaction{Then: []protocol.Op{{Put: key, Value: item.Value, Lease: item.Lease}}})
 	}
 }
 
 // Keys lists the keys with a prefix, in order.
-func (s *Store) Keys(prefix string) []string {
+func (s *StateStore) Keys(prefix string) []string {
 	var out []string
-	for k := range s.items {
+	for k := range s.keyValues {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, k)
 		}
@@ -329,13 +329,13 @@
 }
 
 // Read decodes the value of a key.
-func (s *Store) Read(key string, v any) bool {
-	it, ok := s.items[key]
-	return ok && protocol.Unmarshal(it.Value, v) == nil
+func (s *StateStore) Read(key string, v any) bool {
+	item, ok := s.keyValues[key]
+	return ok && protocol.Unmarshal(item.Value, v) == nil
 }
 
-// kindOf is the second part of a key.
-func kindOf(key string) string {
+// recordKind is the second part of a key.
+func recordKind(key string) string {
 	f := strings.Split(key, "/")
 	if len(f) < 2 {
 		return key
@@ -343,10 +343,10 @@
 	return f[1]
 }
 
-// Size is a key's value as the state service counts it: in its JSON form.
-func (s *Store) Size(key string) int {
+// JSONSize is a key's value as the state service counts it: in its JSON form.
+func (s *StateStore) JSONSize(key string) int {
 	var v any
-	if protocol.Unmarshal(s.items[key].Value, &v) != nil {
+	if protocol.Unmarshal(s.keyValues[key].Value, &v) != nil {
 		return 0
 	}
 	b, err := json.Marshal(v)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -7,89 +7,89 @@
 	"pipitgap/internal/protocol"
 )
 
-// JobInfo is what a worker fetches about a job on its own.
-type JobInfo struct {
-	Team    string
-	CPUs    float64
-	Memory  float64
-	Run     micros.T // 0: runs until it is stopped
-	Fails   bool
-	Service bool
-	Fetch   micros.T // how long a machine fetches its image before a task runs
-	Save    micros.T // how long a task saves when it is stopped
+// JobBehavior is what a worker fetches about a job on its own.
+type JobBehavior struct {
+	Team           string
+	CPUs           float64
+	MemoryGB       float64
+	RunTime        micros.Micros // 0: runs until it is stopped
+	Fails          bool
+	Service        bool
+	PullTime       micros.Micros // how long a machine fetches its image before a task runs
+	CheckpointTime micros.Micros // how long a task saves when it is stopped
 }
 
-// Fleet is all workers; what they run is reported to the checker.
-type Fleet struct {
-	Sim     *Sim
-	Report  micros.T
-	Lease   micros.T
-	Nodes   []string
-	Jobs    map[string]JobInfo
-	Workers map[string]*Worker
-	At      map[string]*Worker // by endpoint
-	// Send carries a report to a node; back gets status 0 for no response.
-	Send func(w *Worker, node string, body []byte, back func(status int, reply []byte))
+// WorkerFleet is all workers; what they run is reported to the checker.
+type WorkerFleet struct {
+	Clock             *SimClock
+	HeartbeatInterval micros.Micros
+	LeaseTime         micros.Micros
+	Controllers       []string
+	Jobs              map[string]JobBehavior
+	Workers           map[string]*Worker
+	ByEndpoint        map[string]*Worker // by endpoint
+	// SendHeartbeat carries a report to a node; back gets status 0 for no response.
+	SendHeartbeat func(w *Worker, node string, body []byte, back func(status int, reply []byte))
 
 	// OnStop, if set, is told of every running task that is stopped by a command, just after.
 	OnStop func(task string, w *Worker)
 
-	RunOf    map[string]micros.T // tasks that run for another time than their job's others
-	Check    *Checker
-	Starts   map[string]int
-	Finished map[string]bool
+	TaskRunTime map[string]micros.Micros // tasks that run for another time than their job's others
+	Checker     *Checker
+	Starts      map[string]int
+	Finished    map[string]bool
 }
 
 // Worker is one machine's worker.
 type Worker struct {
-	fleet    *Fleet
-	Machine  *Rented
-	CPUs     float64
-	Session  uint64
-	Seq      uint64
-	Token    uint64
-	Tasks    map[string]*Held
-	node     int
-	renewed  micros.T
-	Sick     bool // every task fails
-	Silent   bool // cut from everything, goes on working
-	Hanging  bool
-	held     []func() // direct commands that came while it hung
-	dead     bool
-	inFlight bool
-	soon     bool
+	fleet           *WorkerFleet
+	Machine         *Machine
+	CPUs            float64
+	Incarnation     uint64
+	Sequence        uint64
+	FencingToken    uint64
+	Attempts        map[string]*Attempt
+	controller      int
+	leaseRenewedAt  micros.Micros
+	FailsTasks      bool // every task fails
+	Partitioned     bool // cut from everything, goes on working
+	Paused          bool
+	deferred        []func() // direct commands that came while it hung
+	gone            bool
+	inFlight        bool
+	heartbeatQueued bool
 }
 
-// Held is an attempt on a worker.
-type Held struct {
-	Attempt uint64
-	State   string
-	Cause   string
-	gen     int
+// Attempt is an attempt on a worker.
+type Attempt struct {
+	Number     uint64
+	State      string
+	Cause      string
+	generation int
 }
 
-// NewFleet starts without workers.
-func NewFleet(sim *Sim, report, lease micros.T, nodes []string, check *Checker) *Fleet {
-	return &Fleet{Sim: sim, Report: report, Lease: lease, Nodes: nodes, Jobs: map[string]JobInfo{},
-		Workers: map[string]*Worker{}, At: map[string]*Worker{}, Check: check, RunOf: map[string]micros.T{},
+// NewWorkerFleet starts without workers.
+func NewWorkerFleet(sim *SimClock, report, lease micros.Micros, nodes []string, check *Checker) *WorkerFleet {
+	return &WorkerFleet{Clock: sim, HeartbeatInterval: report, LeaseTime: lease, Controllers: nodes, Jobs: map[string]JobBehavior{},
+		Workers: map[string]*Worker{}, ByEndpoint: map[string]*Worker{}, Checker: check, TaskRunTime: map[string]micros.Micros{},
 		Starts: map[string]int{}, Finished: map[string]bool{}}
 }
 
-// Up starts a machine's worker.
-func (f *Fleet) Up(m *Rented, cpus float64) *Worker {
-	w := &Worker{fleet: f, Machine: m, CPUs: cpus, Session: 1, Tasks: map[string]*Held{},
-		renewed: f.Sim.Now(), node: f.Sim.Rand.IntN(len(f.Nodes))}
-	f.Workers[m.ID], f.At[m.Endpoint] = w, w
-	w.loop()
+// MachineUp starts a machine's worker.
+func (f *WorkerFleet) MachineUp(machine *Machine, cpus float64) *Worker {
+	w := &Worker{fleet: f, Machine: machine, CPUs: cpus, Incarnation: 1, Attempts: map[string]*Attempt{},
+		leaseRenewedAt: f.Clock.Now(), controller: f.Clock.Rand.IntN(len(f.Controllers))}
+	f.Workers[machine.ID], f.ByEndpoint[machine.Endpoint] = w, w
+	w.heartbeatLoop()
 	w.watchLease()
 	return w
 }
 
-// Down ends a machine with all that is on it.
-func (f *Fleet) Down(m *Rented) {
-	if w := f.Workers[m.ID]; w != nil {
-		w.dead = true
-		w.clear()
+// MachineDown ends a machine with all that is on it.
+func (f *WorkerFleet) MachineDown(machine *Machine) {
+	if w := f.Workers[machine.ID]; w != nil {
+		w.gone = true
+		w.dropAttempts()
 	}
 }
 
@@ -102,31 +102,31 @@
 	return task
 }
 
-func (w *Worker) begin(task string) {
+func (w *Worker) taskStarted(task string) {
 	f := w.fleet
 	f.Starts[task]++
 	j := f.Jobs[jobOf(task)]
-	f.Check.Begin(task, w.Machine, j.Team, j.CPUs)
+	f.Checker.TaskStarted(task, w.Machine, j.Team, j.CPUs)
 }
 
-func (w *Worker) end(task string) {
+func (w *Worker) taskEnded(task string) {
 	j := w.fleet.Jobs[jobOf(task)]
-	w.fleet.Check.End(task, w.Machine, j.Team, j.CPUs)
+	w.fleet.Checker.TaskEnded(task, w.Machine, j.Team, j.CPUs)
 }
 
-func (w *Worker) clear() {
-	for _, t := range w.names() {
-		if h := w.Tasks[t]; h.State == protocol.StateRunning || h.State == protocol.StateFlushing {
-			w.end(t)
+func (w *Worker) dropAttempts() {
+	for _, t := range w.taskNames() {
+		if attempt := w.Attempts[t]; attempt.State == protocol.StateRunning || attempt.State == protocol.StateFlushing {
+			w.taskEnded(t)
 		}
-		w.Tasks[t].gen++
+		w.Attempts[t].generation++
 	}
-	w.Tasks = map[string]*Held{}
+	w.Attempts = map[string]*Attempt{}
 }
 
-func (w *Worker) names() []string {
+func (w *Worker) taskNames() []string {
 	var out []string
-	for t := range w.Tasks {
+	for t := range w.Attempts {
 		out = append(out, t)
 	}
 	sort.Strings(out)
@@ -134,272 +134,272 @@
 }
 
 func (w *Worker) watchLease() {
-	if w.dead {
+	if w.gone {
 		return
 	}
-	if w.fleet.Sim.Now()-w.renewed > w.fleet.Lease {
-		w.clear()
-		w.Session++
-		w.Seq = 0
-		w.renewed = w.fleet.Sim.Now()
+	if w.fleet.Clock.Now()-w.leaseRenewedAt > w.fleet.LeaseTime {
+		w.dropAttempts()
+		w.Incarnation++
+		w.Sequence = 0
+		w.leaseRenewedAt = w.fleet.Clock.Now()
 	}
-	w.fleet.Sim.After(100*micros.Millisecond, w.watchLease)
+	w.fleet.Clock.After(100*micros.Millisecond, w.watchLease)
 }
 
-// Body is the worker's report now.
-func (w *Worker) Body() *protocol.Report {
-	w.Seq++
-	r := &protocol.Report{Machine: w.Machine.ID, Endpoint: w.Machine.Endpoint, Type: w.Machine.Type,
-		Zone: w.Machine.Zone, Spot: w.Machine.Spot, Session: w.Session, Seq: w.Seq, Token: w.Token}
-	for _, t := range w.names() {
-		h := w.Tasks[t]
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t, Attempt: h.Attempt, State: h.State, Cause: h.Cause})
+// Heartbeat is the worker's report now.
+func (w *Worker) Heartbeat() *protocol.Heartbeat {
+	w.Sequence++
+	r := &protocol.Heartbeat{Machine: w.Machine.ID, Endpoint: w.Machine.Endpoint, Type: w.Machine.Type,
+		Zone: w.Machine.Zone, Spot: w.Machine.Spot, Incarnation: w.Incarnation, Sequence: w.Sequence, FencingToken: w.FencingToken}
+	for _, t := range w.taskNames() {
+		attempt := w.Attempts[t]
+		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t, Attempt: attempt.Number, State: attempt.State, Cause: attempt.Cause})
 	}
 	return r
 }
 
-func (w *Worker) loop() {
-	if w.dead {
+func (w *Worker) heartbeatLoop() {
+	if w.gone {
 		return
 	}
 	f := w.fleet
-	next := f.Report + micros.T(f.Sim.Rand.Int64N(int64(f.Report/2))) - f.Report/4
-	if !w.inFlight && !w.Hanging {
-		w.report()
+	next := f.HeartbeatInterval + micros.Micros(f.Clock.Rand.Int64N(int64(f.HeartbeatInterval/2))) - f.HeartbeatInterval/4
+	if !w.inFlight && !w.Paused {
+		w.sendHeartbeat()
 	}
-	f.Sim.After(next, w.loop)
+	f.Clock.After(next, w.heartbeatLoop)
 }
 
-// change sends a report soon.
-func (w *Worker) change() {
-	if w.soon {
+// heartbeatSoon sends a report soon.
+func (w *Worker) heartbeatSoon() {
+	if w.heartbeatQueued {
 		return
 	}
-	w.soon = true
-	w.fleet.Sim.After(500*micros.Millisecond, func() {
-		w.soon = false
-		if !w.dead && !w.inFlight && !w.Hanging {
-			w.report()
+	w.heartbeatQueued = true
+	w.fleet.Clock.After(500*micros.Millisecond, func() {
+		w.heartbeatQueued = false
+		if !w.gone && !w.inFlight && !w.Paused {
+			w.sendHeartbeat()
 		}
 	})
 }
 
-func (w *Worker) report() {
+func (w *Worker) sendHeartbeat() {
 	f := w.fleet
 	w.inFlight = true
-	sent, session := f.Sim.Now(), w.Session
+	sent, session := f.Clock.Now(), w.Incarnation
 	done := false
 	finish := func(status int, reply []byte) {
-		if done || w.dead {
+		if done || w.gone {
 			return
 		}
 		done = true
 		w.inFlight = false
 		switch status {
 		case 200:
-			var r protocol.CheckinReply
-			if protocol.Unmarshal(reply, &r) != nil || r.Token < w.Token || session != w.Session {
+			var r protocol.HeartbeatReply
+			if protocol.Unmarshal(reply, &r) != nil || r.FencingToken < w.FencingToken || session != w.Incarnation {
 				return
 			}
-			w.renewed = sent
-			w.seen(r.Token)
+			w.leaseRenewedAt = sent
+			w.noteToken(r.FencingToken)
 			w.execute(r.Commands)
 		case 421:
 			var r protocol.Redirect
 			_ = protocol.Unmarshal(reply, &r)
-			for i, n := range f.Nodes {
-				if n == r.Lead && i != w.node {
-					w.node = i
-					f.Sim.After(200*micros.Millisecond, w.again)
+			for i, n := range f.Controllers {
+				if n == r.Leader && i != w.controller {
+					w.controller = i
+					f.Clock.After(200*micros.Millisecond, w.retryHeartbeat)
 					return
 				}
 			}
 			fallthrough
 		default:
-			w.node = (w.node + 1) % len(f.Nodes)
-			f.Sim.After(micros.Second, w.again)
+			w.controller = (w.controller + 1) % len(f.Controllers)
+			f.Clock.After(micros.Second, w.retryHeartbeat)
 		}
 	}
-	f.Sim.After(4*micros.Second, func() { finish(0, nil) })
-	if w.Silent {
+	f.Clock.After(4*micros.Second, func() { finish(0, nil) })
+	if w.Partitioned {
 		return
 	}
-	body := protocol.MustMarshal(w.Body())
-	f.Send(w, f.Nodes[w.node], body, finish)
+	body := protocol.MustMarshal(w.Heartbeat())
+	f.SendHeartbeat(w, f.Controllers[w.controller], body, finish)
 }
 
-func (w *Worker) again() {
-	if !w.dead && !w.inFlight && !w.Hanging {
-		w.report()
+func (w *Worker) retryHeartbeat() {
+	if !w.gone && !w.inFlight && !w.Paused {
+		w.sendHeartbeat()
 	}
 }
 
-func (w *Worker) seen(token uint64) {
-	if token > w.Token {
-		w.Token = token
-		w.change()
+func (w *Worker) noteToken(token uint64) {
+	if token > w.FencingToken {
+		w.FencingToken = token
+		w.heartbeatSoon()
 	}
 }
 
-// Hang stops a machine for a while: it neither reports nor executes, and its lease runs
+// Pause stops a machine for a while: it neither reports nor executes, and its lease runs
 // on. Commands that come meanwhile are executed when it goes on.
-func (w *Worker) Hang(d micros.T) {
-	w.Hanging = true
-	w.fleet.Sim.After(d, func() {
-		w.Hanging = false
-		held := w.held
-		w.held = nil
+func (w *Worker) Pause(d micros.Micros) {
+	w.Paused = true
+	w.fleet.Clock.After(d, func() {
+		w.Paused = false
+		held := w.deferred
+		w.deferred = nil
 		for _, execute := range held {
-			if !w.dead {
+			if !w.gone {
 				execute()
 			}
 		}
 	})
 }
 
-// Hold keeps a command until a hanging machine goes on.
-func (w *Worker) Hold(execute func()) { w.held = append(w.held, execute) }
+// Defer keeps a command until a hanging machine goes on.
+func (w *Worker) Defer(execute func()) { w.deferred = append(w.deferred, execute) }
 
-// Do executes a direct command batch.
-func (w *Worker) Do(req *protocol.DoRequest) protocol.DoResult {
-	if req.Token < w.Token || req.Session != w.Session {
-		return protocol.DoResult{Status: 409, Report: *w.Body()}
+// Execute executes a direct command batch.
+func (w *Worker) Execute(req *protocol.CommandRequest) protocol.CommandResult {
+	if req.FencingToken < w.FencingToken || req.Incarnation != w.Incarnation {
+		return protocol.CommandResult{Status: 409, Heartbeat: *w.Heartbeat()}
 	}
-	w.seen(req.Token)
+	w.noteToken(req.FencingToken)
 	w.execute(req.Commands)
-	return protocol.DoResult{Status: 200, Report: *w.Body()}
+	return protocol.CommandResult{Status: 200, Heartbeat: *w.Heartbeat()}
 }
 
 func (w *Worker) execute(cmds []protocol.Command) {
 	f := w.fleet
-	for _, c := range cmds {
-		h := w.Tasks[c.Task]
-		switch c.Op {
+	for _, command := range cmds {
+		attempt := w.Attempts[command.Task]
+		switch command.Op {
 		case protocol.CmdRun:
-			if h != nil && h.Attempt == c.Attempt {
+			if attempt != nil && attempt.Number == command.Attempt {
 				continue
 			}
-			job, known := f.Jobs[jobOf(c.Task)]
-			n := &Held{Attempt: c.Attempt, State: protocol.StatePulling}
+			job, known := f.Jobs[jobOf(command.Task)]
+			started := &Attempt{Number: command.Attempt, State: protocol.StatePulling}
 			switch {
-			case h != nil:
+			case attempt != nil:
 				// The protocol keeps both attempts; one refused is enough here.
 				continue
 			case !known:
-				n.State, n.Cause = protocol.StateExited, protocol.CauseUnknown
-			case w.used()+job.CPUs > w.CPUs+1e-6:
-				n.State, n.Cause = protocol.StateExited, protocol.CauseFull
+				started.State, started.Cause = protocol.StateExited, protocol.CauseUnknown
+			case w.usedCPUs()+job.CPUs > w.CPUs+1e-6:
+				started.State, started.Cause = protocol.StateExited, protocol.CauseMachineFull
 			}
-			w.Tasks[c.Task] = n
-			w.change()
-			if n.State == protocol.StateExited {
+			w.Attempts[command.Task] = started
+			w.heartbeatSoon()
+			if started.State == protocol.StateExited {
 				continue
 			}
-			if job.Fetch == 0 {
-				w.start(c.Task, n, job)
+			if job.PullTime == 0 {
+				w.start(command.Task, started, job)
 				continue
 			}
-			gen, task := n.gen, c.Task
-			f.Sim.After(job.Fetch, func() {
-				if w.holds(task, n, gen) {
-					w.start(task, n, job)
-					w.change()
+			gen, task := started.generation, command.Task
+			f.Clock.After(job.PullTime, func() {
+				if w.isCurrent(task, started, gen) {
+					w.start(task, started, job)
+					w.heartbeatSoon()
 				}
 			})
 		case protocol.CmdKill:
-			if h != nil && h.Attempt == c.Attempt {
-				w.stop(c.Task, h, f.Jobs[jobOf(c.Task)])
+			if attempt != nil && attempt.Number == command.Attempt {
+				w.stop(command.Task, attempt, f.Jobs[jobOf(command.Task)])
 			}
 		case protocol.CmdReap:
-			if h != nil && h.Attempt == c.Attempt && h.State == protocol.StateExited {
-				delete(w.Tasks, c.Task)
-				w.change()
+			if attempt != nil && attempt.Number == command.Attempt && attempt.State == protocol.StateExited {
+				delete(w.Attempts, command.Task)
+				w.heartbeatSoon()
 			}
 		}
 	}
 }
 
-// holds tells whether an attempt is still what it was.
-func (w *Worker) holds(task string, h *Held, gen int) bool {
-	return !w.dead && h.gen == gen && w.Tasks[task] == h
+// isCurrent tells whether an attempt is still what it was.
+func (w *Worker) isCurrent(task string, attempt *Attempt, gen int) bool {
+	return !w.gone && attempt.generation == gen && w.Attempts[task] == attempt
 }
 
 // start has a task run, now that its image is there.
-func (w *Worker) start(task string, h *Held, job JobInfo) {
+func (w *Worker) start(task string, attempt *Attempt, job JobBehavior) {
 	f := w.fleet
-	h.State = protocol.StateRunning
-	w.begin(task)
-	run := job.Run
-	if own, set := f.RunOf[task]; set {
+	attempt.State = protocol.StateRunning
+	w.taskStarted(task)
+	run := job.RunTime
+	if own, set := f.TaskRunTime[task]; set {
 		run = own
 	}
-	if w.Sick || job.Fails {
+	if w.FailsTasks || job.Fails {
 		run = 500 * micros.Millisecond
 	}
 	if run == 0 {
 		return
 	}
-	gen := h.gen
-	f.Sim.After(run, func() {
-		if w.holds(task, h, gen) && h.State == protocol.StateRunning {
-			w.complete(task, h, w.Sick || job.Fails)
+	gen := attempt.generation
+	f.Clock.After(run, func() {
+		if w.isCurrent(task, attempt, gen) && attempt.State == protocol.StateRunning {
+			w.complete(task, attempt, w.FailsTasks || job.Fails)
 		}
 	})
 }
 
 // complete ends a task by itself.
-func (w *Worker) complete(task string, h *Held, failed bool) {
-	h.State, h.Cause = protocol.StateExited, protocol.CauseDone
+func (w *Worker) complete(task string, attempt *Attempt, failed bool) {
+	attempt.State, attempt.Cause = protocol.StateExited, protocol.CauseDone
 	if failed {
-		h.Cause = protocol.CauseError
+		attempt.Cause = protocol.CauseError
 	} else {
 		w.fleet.Finished[task] = true
-		w.fleet.Check.Finish(task)
+		w.fleet.Checker.TaskCompleted(task)
 	}
-	w.end(task)
-	w.change()
+	w.taskEnded(task)
+	w.heartbeatSoon()
 }
 
 // stop ends a task by a command, once it has saved.
-func (w *Worker) stop(task string, h *Held, job JobInfo) {
-	switch h.State {
+func (w *Worker) stop(task string, attempt *Attempt, job JobBehavior) {
+	switch attempt.State {
 	case protocol.StatePulling:
-		h.gen++
-		h.State, h.Cause = protocol.StateExited, protocol.CauseStopped
+		attempt.generation++
+		attempt.State, attempt.Cause = protocol.StateExited, protocol.CauseStopped
 	case protocol.StateRunning:
-		h.gen++
-		h.State = protocol.StateFlushing
+		attempt.generation++
+		attempt.State = protocol.StateFlushing
 		if w.fleet.OnStop != nil {
 			w.fleet.OnStop(task, w)
 		}
-		gen := h.gen
+		gen := attempt.generation
 		exit := func() {
-			if w.holds(task, h, gen) {
-				h.State, h.Cause = protocol.StateExited, protocol.CauseStopped
-				w.end(task)
-				w.change()
+			if w.isCurrent(task, attempt, gen) {
+				attempt.State, attempt.Cause = protocol.StateExited, protocol.CauseStopped
+				w.taskEnded(task)
+				w.heartbeatSoon()
 			}
 		}
-		if job.Save == 0 {
+		if job.CheckpointTime == 0 {
 			exit()
 		} else {
-			w.fleet.Sim.After(job.Save, exit)
+			w.fleet.Clock.After(job.CheckpointTime, exit)
 		}
 	default:
 		return
 	}
-	w.change()
+	w.heartbeatSoon()
 }
 
-// RunningOf counts a team's replicas that run on machines that are up.
-func (f *Fleet) RunningOf(team string) int {
+// RunningReplicas counts a team's replicas that run on machines that are up.
+func (f *WorkerFleet) RunningReplicas(team string) int {
 	n := 0
 	for _, w := range f.Workers {
-		if w.dead {
+		if w.gone {
 			continue
 		}
-		for task, h := range w.Tasks {
-			if job := f.Jobs[jobOf(task)]; job.Service && job.Team == team && h.State == protocol.StateRunning {
+		for task, attempt := range w.Attempts {
+			if job := f.Jobs[jobOf(task)]; job.Service && job.Team == team && attempt.State == protocol.StateRunning {
 				n++
 			}
 		}
@@ -407,10 +407,10 @@
 	return n
 }
 
-func (w *Worker) used() float64 {
+func (w *Worker) usedCPUs() float64 {
 	n := 0.0
-	for t, h := range w.Tasks {
-		if h.State != protocol.StateExited {
+	for t, attempt := range w.Attempts {
+		if attempt.State != protocol.StateExited {
 			n += w.fleet.Jobs[jobOf(t)].CPUs
 		}
 	}
@@ -418,19 +418,19 @@
 }
 
 // Running counts the tasks of a job that are on machines now.
-func (f *Fleet) Running(job string) int { return f.Check.Running(job) }
+func (f *WorkerFleet) Running(job string) int { return f.Checker.LiveAttempts(job) }
 
-// Rooms lists the machines that are up with what is free on them.
-func (f *Fleet) Rooms(memory func(machineType string) float64) []Room {
-	var out []Room
+// FreeMachines lists the machines that are up with what is free on them.
+func (f *WorkerFleet) FreeMachines(memory func(machineType string) float64) []FreeMachine {
+	var out []FreeMachine
 	for _, w := range f.Workers {
-		if w.dead || w.Silent || w.Hanging {
+		if w.gone || w.Partitioned || w.Paused {
 			continue
 		}
-		r := Room{Machine: w.Machine, CPUs: w.CPUs - w.used(), Memory: memory(w.Machine.Type)}
-		for task, h := range w.Tasks {
-			if h.State != protocol.StateExited {
-				r.Memory -= f.Jobs[jobOf(task)].Memory
+		r := FreeMachine{Machine: w.Machine, CPUs: w.CPUs - w.usedCPUs(), MemoryGB: memory(w.Machine.Type)}
+		for task, attempt := range w.Attempts {
+			if attempt.State != protocol.StateExited {
+				r.MemoryGB -= f.Jobs[jobOf(task)].MemoryGB
 			}
 		}
 		out = append(out, r)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -12,21 +12,21 @@
 // connections. evio can't dial, so outbound traffic uses net. The pool is a
 // channel: whoever holds a connection owns it.
 type Client struct {
-	addr    string
-	idle    chan *clientConn
-	closed  chan struct{}
-	maxBody int
+	addr      string
+	idleConns chan *clientConn
+	closed    chan struct{}
+	maxBody   int
 }
 
 type clientConn struct {
-	c      net.Conn
+	conn   net.Conn
 	parser Parser
 }
 
 // NewClient keeps up to idle connections open.
 func NewClient(addr string, idle, maxBody int) *Client {
 	return &Client{
-		addr: addr, idle: make(chan *clientConn, idle), closed: make(chan struct{}), maxBody: maxBody,
+		addr: addr, idleConns: make(chan *clientConn, idle), closed: make(chan struct{}), maxBody: maxBody,
 	}
 }
 
@@ -36,48 +36,48 @@
 // Do sends a request and waits for the whole response, at most timeout. After
 // an error other than ErrNotSent the request may have been executed, or may
 // yet be.
-func (cl *Client) Do(method, target string, body []byte, timeout micros.T) (*Message, error) {
+func (cl *Client) Do(method, target string, body []byte, timeout micros.Micros) (*Message, error) {
 	deadline := time.Now().Add(timeout.Duration())
 	var cc *clientConn
 	select {
-	case cc = <-cl.idle:
+	case cc = <-cl.idleConns:
 	default:
 		c, err := net.DialTimeout("tcp4", cl.addr, timeout.Duration())
 		if err != nil {
 			return nil, errors.Join(ErrNotSent, err)
 		}
-		cc = &clientConn{c: c, parser: Parser{Response: true, MaxBody: cl.maxBody}}
+		cc = &clientConn{conn: c, parser: Parser{Response: true, MaxBody: cl.maxBody}}
 	}
-	m, err := cc.exchange(AppendRequest(nil, method, target, cl.addr, body), deadline)
-	if err != nil || m.Close || cc.parser.Buffered() > 0 {
-		_ = cc.c.Close()
-		return m, err
+	message, err := cc.exchange(AppendRequest(nil, method, target, cl.addr, body), deadline)
+	if err != nil || message.Close || cc.parser.Buffered() > 0 {
+		_ = cc.conn.Close()
+		return message, err
 	}
 	select {
-	case cl.idle <- cc:
+	case cl.idleConns <- cc:
 	default:
-		_ = cc.c.Close()
+		_ = cc.conn.Close()
 	}
 	select {
 	case <-cl.closed: // meanwhile: nobody would come for it
-		cl.drain()
+		cl.closeIdle()
 	default:
 	}
-	return m, nil
+	return message, nil
 }
 
 // Close drops the kept connections, and those of requests in flight as they end. It
 // is called once, by the client's owner.
 func (cl *Client) Close() {
 	close(cl.closed)
-	cl.drain()
+	cl.closeIdle()
 }
 
-func (cl *Client) drain() {
+func (cl *Client) closeIdle() {
 	for {
 		select {
-		case cc := <-cl.idle:
-			_ = cc.c.Close()
+		case cc := <-cl.idleConns:
+			_ = cc.conn.Close()
 		default:
 			return
 		}
@@ -85,19 +85,19 @@
 }
 
 func (cc *clientConn) exchange(req []byte, deadline time.Time) (*Message, error) {
-	if err := cc.c.SetDeadline(deadline); err != nil {
+	if err := cc.conn.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	if _, err := cc.c.Write(req); err != nil {
+	if _, err := cc.conn.Write(req); err != nil {
 		return nil, err
 	}
 	buf := make([]byte, 8<<10)
 	for {
-		m, err := cc.parser.Next()
-		if m != nil || err != nil {
-			return m, err
+		message, err := cc.parser.Next()
+		if message != nil || err != nil {
+			return message, err
 		}
-		n, err := cc.c.Read(buf)
+		n, err := cc.conn.Read(buf)
 		if n > 0 {
 			cc.parser.Feed(buf[:n])
 			continue
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -17,26 +17,26 @@
 
 // Parse errors. Each has a definite status, see StatusOf.
 var (
-	ErrBad      = errors.New("malformed message")
-	ErrTooLarge = errors.New("body too large")
-	ErrHead     = errors.New("head too large")
-	ErrURI      = errors.New("request line too long")
-	ErrCoding   = errors.New("transfer coding not supported")
-	ErrVersion  = errors.New("http version not supported")
+	ErrMalformed                 = errors.New("malformed message")
+	ErrBodyTooLarge              = errors.New("body too large")
+	ErrHeadTooLarge              = errors.New("head too large")
+	ErrURITooLong                = errors.New("request line too long")
+	ErrUnsupportedTransferCoding = errors.New("transfer coding not supported")
+	ErrUnsupportedVersion        = errors.New("http version not supported")
 )
 
 // StatusOf gives the answer to a parse error.
 func StatusOf(err error) int {
 	switch err {
-	case ErrTooLarge:
+	case ErrBodyTooLarge:
 		return 413
-	case ErrHead:
+	case ErrHeadTooLarge:
 		return 431
-	case ErrURI:
+	case ErrURITooLong:
 		return 414
-	case ErrCoding:
+	case ErrUnsupportedTransferCoding:
 		return 501
-	case ErrVersion:
+	case ErrUnsupportedVersion:
 		return 505
 	}
 	return 400
@@ -54,12 +54,12 @@
 // Parser is an incremental reader of HTTP/1.1 messages. It is strict: anything
 // two readers could frame differently is an error, never a guess.
 type Parser struct {
-	Response bool // reads responses instead of requests
-	MaxBody  int  // 0: MaxBody
-	buf      []byte
-	scanned  int // bytes already searched for the end of the head
-	msg      *Message
-	need     int
+	Response   bool // reads responses instead of requests
+	MaxBody    int  // 0: MaxBody
+	buf        []byte
+	searched   int // bytes already searched for the end of the head
+	msg        *Message
+	bodyLength int
 }
 
 // Buffered tells how many bytes wait for the rest of their message.
@@ -79,47 +79,47 @@
 		if len(p.buf) == 0 {
 			return nil, nil
 		}
-		i := bytes.Index(p.buf[p.scanned:], []byte("\r\n\r\n"))
+		i := bytes.Index(p.buf[p.searched:], []byte("\r\n\r\n"))
 		if i < 0 {
 			if len(p.buf) > MaxHead {
 				if !p.Response && bytes.IndexByte(p.buf, '\n') < 0 {
-					return nil, ErrURI
+					return nil, ErrURITooLong
 				}
-				return nil, ErrHead
+				return nil, ErrHeadTooLarge
 			}
 			// A lone line feed would end a line for a lenient reader only.
-			if bareLF(p.buf) {
-				return nil, ErrBad
+			if hasBareLF(p.buf) {
+				return nil, ErrMalformed
 			}
-			p.scanned = max(0, len(p.buf)-3)
+			p.searched = max(0, len(p.buf)-3)
 			return nil, nil
 		}
-		end := p.scanned + i
+		end := p.searched + i
 		if end > MaxHead {
-			return nil, ErrHead
+			return nil, ErrHeadTooLarge
 		}
-		if bareLF(p.buf[:end]) {
-			return nil, ErrBad
+		if hasBareLF(p.buf[:end]) {
+			return nil, ErrMalformed
 		}
-		m, n, err := p.head(string(p.buf[:end]))
+		message, n, err := p.parseHead(string(p.buf[:end]))
 		if err != nil {
 			return nil, err
 		}
 		p.buf = p.buf[end+4:]
-		p.scanned, p.msg, p.need = 0, m, n
+		p.searched, p.msg, p.bodyLength = 0, message, n
 	}
-	if len(p.buf) < p.need {
+	if len(p.buf) < p.bodyLength {
 		return nil, nil
 	}
-	m := p.msg
-	m.Body = append([]byte(nil), p.buf[:p.need]...)
-	rest := p.buf[p.need:]
+	message := p.msg
+	message.Body = append([]byte(nil), p.buf[:p.bodyLength]...)
+	rest := p.buf[p.bodyLength:]
 	p.buf = append([]byte(nil), rest...)
-	p.msg, p.need = nil, 0
-	return m, nil
+	p.msg, p.bodyLength = nil, 0
+	return message, nil
 }
 
-func bareLF(b []byte) bool {
+func hasBareLF(b []byte) bool {
 	for off := 0; ; {
 		i := bytes.IndexByte(b[off:], '\n')
 		if i < 0 {
@@ -132,69 +132,69 @@
 	}
 }
 
-func (p *Parser) head(head string) (*Message, int, error) {
+func (p *Parser) parseHead(head string) (*Message, int, error) {
 	line, rest, _ := strings.Cut(head, "\r\n")
-	m := &Message{}
+	message := &Message{}
 	var version string
 	if p.Response {
 		parts := strings.SplitN(line, " ", 3)
 		if len(parts) < 2 || len(parts[1]) != 3 {
-			return nil, 0, ErrBad
+			return nil, 0, ErrMalformed
 		}
 		version = parts[0]
 		status, err := strconv.Atoi(parts[1])
 		if err != nil || status < 100 || status > 599 {
-			return nil, 0, ErrBad
+			return nil, 0, ErrMalformed
 		}
-		m.Status = status
+		message.Status = status
 	} else {
 		parts := strings.Split(line, " ")
 		if len(parts) != 3 || !isToken(parts[0]) ||
-			parts[1] == "" || parts[1][0] != '/' || !printable(parts[1]) {
-			return nil, 0, ErrBad
+			parts[1] == "" || parts[1][0] != '/' || !isPrintable(parts[1]) {
+			return nil, 0, ErrMalformed
 		}
-		m.Method, m.Target, version = parts[0], parts[1], parts[2]
+		message.Method, message.Target, version = parts[0], parts[1], parts[2]
 	}
 	switch {
 	case version == "HTTP/1.1":
 	case version == "HTTP/1.0":
-		m.Close = true
+		message.Close = true
 	case strings.HasPrefix(version, "HTTP/"):
-		return nil, 0, ErrVersion
+		return nil, 0, ErrUnsupportedVersion
 	default:
-		return nil, 0, ErrBad
+		return nil, 0, ErrMalformed
 	}
 	length := -1
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) {
-			return nil, 0, ErrBad
+			return nil, 0, ErrMalformed
 		}
 		value = strings.Trim(value, " \t")
-		if !visible(value) {
-			return nil, 0, ErrBad
+		if !isVisible(value) {
+			return nil, 0, ErrMalformed
 		}
 		switch strings.ToLower(name) {
 		case "content-length":
 			if value == "" || len(value) > 12 || strings.Trim(value, "0123456789") != "" {
-				return nil, 0, ErrBad
+				return nil, 0, ErrMalformed
 			}
 			n, _ := strconv.Atoi(value)
 			if length >= 0 && n != length {
-				return nil, 0, ErrBad
+				return nil, 0, ErrMalformed
 			}
 			length = n
 		case "transfer-encoding":
-			return nil, 0, ErrCoding
+			return nil, 0, ErrUnsupportedTransferCoding
 		case "connection":
 			for _, o := range strings.Split(value, ",") {
 				if strings.EqualFold(strings.TrimSpace(o), "close") {
-					m.Close = true
+					message.Close = true
 				}
 			}
 		case "retry-after":
-			m.RetryAfter, _ = strconv.Atoi(value)
+			message.RetryAfter, _ = strconv.Atoi(value)
 		}
 	}
 	if length < 0 {
@@ -205,9 +205,9 @@
 		most = MaxBody
 	}
 	if length > most {
-		return nil, 0, ErrTooLarge
+		return nil, 0, ErrBodyTooLarge
 	}
-	return m, length, nil
+	return message, length, nil
 }
 
 func isToken(s string) bool {
@@ -226,7 +226,7 @@
 	return true
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] >= 0x7f {
 			return false
@@ -235,7 +235,7 @@
 	return true
 }
 
-func visible(s string) bool {
+func isVisible(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
 			return false
@@ -244,7 +244,7 @@
 	return true
 }
 
-var reasons = map[int]string{
+var reasonPhrases = map[int]string{
 	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 413: "Content Too Large", 414: "URI Too Long", 421: "Misdirected Request",
 	422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
@@ -257,7 +257,7 @@
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	b = append(b, "\r\nContent-Type: application/msgpack\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
 	if retryAfter > 0 {
--- a/internal/transport/parser_test.go
+++ b/internal/transport/parser_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestParser(t *testing.T) {
+func TestParserRequests(t *testing.T) {
 	long := strings.Repeat("a", MaxHead)
 	cases := []struct {
 		name, in string
@@ -22,55 +22,55 @@
 		{name: "old version", in: "GET / HTTP/1.0\r\n\r\n", closing: true},
 		{name: "half head", in: "GET / HT", more: true},
 		{name: "half body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", more: true},
-		{name: "two lengths", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", err: ErrBad},
-		{name: "length with a sign", in: "POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", err: ErrBad},
-		{name: "no length", in: "POST / HTTP/1.1\r\nContent-Length:\r\n\r\n", err: ErrBad},
-		{name: "length and coding", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", err: ErrCoding},
-		{name: "bare line feeds", in: "GET / HTTP/1.1\nHost: x\n\n", err: ErrBad},
-		{name: "bare line feed in the head", in: "GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n", err: ErrBad},
-		{name: "space before the colon", in: "GET / HTTP/1.1\r\nHost : x\r\n\r\n", err: ErrBad},
-		{name: "folded header", in: "GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", err: ErrBad},
-		{name: "no colon", in: "GET / HTTP/1.1\r\nHost\r\n\r\n", err: ErrBad},
-		{name: "control character", in: "GET / HTTP/1.1\r\nA: \x00\r\n\r\n", err: ErrBad},
-		{name: "absolute target", in: "GET http://x/ HTTP/1.1\r\n\r\n", err: ErrBad},
-		{name: "two spaces", in: "GET  / HTTP/1.1\r\n\r\n", err: ErrBad},
-		{name: "version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrVersion},
-		{name: "no http", in: "hello\r\n\r\n", err: ErrBad},
-		{name: "body too large", in: "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", err: ErrTooLarge},
-		{name: "absurd length", in: "POST / HTTP/1.1\r\nContent-Length: 999999999999\r\n\r\n", err: ErrTooLarge},
-		{name: "request line too long", in: "GET /" + long + long, err: ErrURI},
-		{name: "head too long", in: "GET / HTTP/1.1\r\nA: " + long + long, err: ErrHead},
-		{name: "whole head too long", in: "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", err: ErrHead},
+		{name: "two lengths", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", err: ErrMalformed},
+		{name: "length with a sign", in: "POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", err: ErrMalformed},
+		{name: "no length", in: "POST / HTTP/1.1\r\nContent-Length:\r\n\r\n", err: ErrMalformed},
+		{name: "length and coding", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", err: ErrUnsupportedTransferCoding},
+		{name: "bare line feeds", in: "GET / HTTP/1.1\nHost: x\n\n", err: ErrMalformed},
+		{name: "bare line feed in the head", in: "GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n", err: ErrMalformed},
+		{name: "space before the colon", in: "GET / HTTP/1.1\r\nHost : x\r\n\r\n", err: ErrMalformed},
+		{name: "folded header", in: "GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", err: ErrMalformed},
+		{name: "no colon", in: "GET / HTTP/1.1\r\nHost\r\n\r\n", err: ErrMalformed},
+		{name: "control character", in: "GET / HTTP/1.1\r\nA: \x00\r\n\r\n", err: ErrMalformed},
+		{name: "absolute target", in: "GET http://x/ HTTP/1.1\r\n\r\n", err: ErrMalformed},
+		{name: "two spaces", in: "GET  / HTTP/1.1\r\n\r\n", err: ErrMalformed},
+		{name: "version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrUnsupportedVersion},
+		{name: "no http", in: "hello\r\n\r\n", err: ErrMalformed},
+		{name: "body too large", in: "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", err: ErrBodyTooLarge},
+		{name: "absurd length", in: "POST / HTTP/1.1\r\nContent-Length: 999999999999\r\n\r\n", err: ErrBodyTooLarge},
+		{name: "request line too long", in: "GET /" + long + long, err: ErrURITooLong},
+		{name: "head too long", in: "GET / HTTP/1.1\r\nA: " + long + long, err: ErrHeadTooLarge},
+		{name: "whole head too long", in: "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", err: ErrHeadTooLarge},
 	}
 	for _, tc := range cases {
 		// In one piece and byte by byte: framing must not depend on packets.
 		for _, step := range []int{len(tc.in), 1} {
 			p := &Parser{}
-			var m *Message
+			var message *Message
 			var err error
-			for i := 0; i < len(tc.in) && m == nil && err == nil; i += step {
+			for i := 0; i < len(tc.in) && message == nil && err == nil; i += step {
 				p.Feed([]byte(tc.in[i:min(len(tc.in), i+step)]))
-				m, err = p.Next()
+				message, err = p.Next()
 			}
 			switch {
 			case err != tc.err:
 				t.Errorf("%s (step %d): error %v, want %v", tc.name, step, err, tc.err)
 			case tc.err != nil:
-			case tc.more != (m == nil):
-				t.Errorf("%s (step %d): whole is %v", tc.name, step, m != nil)
-			case m != nil && (string(m.Body) != tc.body || m.Close != tc.closing):
-				t.Errorf("%s (step %d): %+v", tc.name, step, m)
+			case tc.more != (message == nil):
+				t.Errorf("%s (step %d): whole is %v", tc.name, step, message != nil)
+			case message != nil && (string(message.Body) != tc.body || message.Close != tc.closing):
+				t.Errorf("%s (step %d): %+v", tc.name, step, message)
 			}
 		}
 	}
 }
 
-func TestResponses(t *testing.T) {
+func TestParserResponses(t *testing.T) {
 	p := &Parser{Response: true}
 	p.Feed(AppendResponse(nil, 503, 7, true, []byte("no")))
-	m, err := p.Next()
-	if err != nil || m.Status != 503 || m.RetryAfter != 7 || !m.Close || string(m.Body) != "no" {
-		t.Fatalf("%+v %v", m, err)
+	message, err := p.Next()
+	if err != nil || message.Status != 503 || message.RetryAfter != 7 || !message.Close || string(message.Body) != "no" {
+		t.Fatalf("%+v %v", message, err)
 	}
 }
 
@@ -80,28 +80,28 @@
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nContent-Length: 1\r\n\r\nx"), 3)
 	f.Add([]byte("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"), 1)
 	f.Add([]byte("\n\r\n\r\n"), 2)
-	f.Fuzz(func(t *testing.T, in []byte, step int) {
-		if step < 1 || len(in) > 1<<16 {
+	f.Fuzz(func(t *testing.T, input []byte, step int) {
+		if step < 1 || len(input) > 1<<16 {
 			return
 		}
 		read := func(step int) (out []string, bad bool) {
 			p := &Parser{}
-			for i := 0; i < len(in); i += step {
-				p.Feed(in[i:min(len(in), i+step)])
+			for i := 0; i < len(input); i += step {
+				p.Feed(input[i:min(len(input), i+step)])
 				for {
-					m, err := p.Next()
+					message, err := p.Next()
 					if err != nil {
 						return out, true
 					}
-					if m == nil {
+					if message == nil {
 						break
 					}
-					out = append(out, m.Method+" "+m.Target+" "+string(m.Body))
+					out = append(out, message.Method+" "+message.Target+" "+string(message.Body))
 				}
 			}
 			return out, false
 		}
-		a, badA := read(len(in) + 1)
+		a, badA := read(len(input) + 1)
 		b, badB := read(step)
 		if badA != badB || strings.Join(a, "|") != strings.Join(b, "|") {
 			t.Fatalf("whole: %q %v; in steps of %d: %q %v", a, badA, step, b, badB)
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestFrames(t *testing.T) {
+func TestFrameReaderReassemblesFrames(t *testing.T) {
 	type hint struct{ A string }
 	one, err := EncodeFrame(&hint{"x"})
 	if err != nil {
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -16,8 +16,8 @@
 
 func (f *frameReader) buffered() int { return len(f.buf) }
 
-func (f *frameReader) feed(in []byte, each func([]byte)) error {
-	f.buf = append(f.buf, in...)
+func (f *frameReader) feed(input []byte, each func([]byte)) error {
+	f.buf = append(f.buf, input...)
 	for len(f.buf) >= 4 {
 		n := int(binary.BigEndian.Uint32(f.buf))
 		if n == 0 || n > maxFrame {
@@ -57,13 +57,13 @@
 // connection, and frames are dropped rather than queued when the peer is slow,
 // because what peers say are only hints.
 type PeerLink struct {
-	addr string
-	box  chan []byte
+	addr  string
+	queue chan []byte
 }
 
 // NewPeerLink starts the actor.
 func NewPeerLink(addr string) *PeerLink {
-	l := &PeerLink{addr: addr, box: make(chan []byte, 32)}
+	l := &PeerLink{addr: addr, queue: make(chan []byte, 32)}
 	go l.run()
 	return l
 }
@@ -71,14 +71,14 @@
 // Send queues a frame, or drops it when the mailbox is full.
 func (l *PeerLink) Send(frame []byte) {
 	select {
-	case l.box <- frame:
+	case l.queue <- frame:
 	default:
 	}
 }
 
 func (l *PeerLink) run() {
 	var conn net.Conn
-	for frame := range l.box {
+	for frame := range l.queue {
 		if conn == nil {
 			c, err := net.DialTimeout("tcp4", l.addr, time.Second)
 			if err != nil {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -10,8 +10,8 @@
 	"pipitgap/internal/micros"
 )
 
-// Reply is an answer on its way to a connection.
-type Reply struct {
+// Response is an answer on its way to a connection.
+type Response struct {
 	Status     int
 	RetryAfter int
 	Body       []byte
@@ -20,42 +20,42 @@
 // Request is a parsed request with its way back. Answer may be called once,
 // from any goroutine; a request whose connection has gone is simply dropped.
 type Request struct {
-	Msg  *Message
-	conn *serverConn
+	Message *Message
+	conn    *serverConn
 }
 
 // Server accepts users, workers and peers on evio's loop. The loop's goroutine
 // owns all connections; answers come to it as messages, carried by Wake.
 type Server struct {
-	Now      func() micros.T
-	MaxConns int
-	OnHTTP   func(*Request)
-	OnPeer   func(frame []byte)
-	Idle     micros.T // a connection without traffic is closed after this
-	Partial  micros.T // a request must be complete within this
+	Now            func() micros.Micros
+	MaxConns       int
+	OnRequest      func(*Request)
+	OnPeerFrame    func(frame []byte)
+	IdleTimeout    micros.Micros // a connection without traffic is closed after this
+	RequestTimeout micros.Micros // a request must be complete within this
 
 	conns map[evio.Conn]*serverConn
 }
 
 type serverConn struct {
-	srv     *Server
-	evc     evio.Conn
-	parser  Parser
-	frames  frameReader
-	last    micros.T // last traffic
-	began   micros.T // when the first byte of a half request came
-	busy    bool     // a request is being worked on
-	closing bool
-	last1   bool // close after the answer under way
-	answer  chan Reply
+	server             *Server
+	eventConn          evio.Conn
+	parser             Parser
+	frames             frameReader
+	lastTraffic        micros.Micros // last traffic
+	partialSince       micros.Micros // when the first byte of a half request came
+	busy               bool          // a request is being worked on
+	closing            bool
+	closeAfterResponse bool // close after the answer under way
+	responses          chan Response
 }
 
-// Answer sends the response.
-func (r *Request) Answer(rep Reply) {
+// Respond sends the response.
+func (r *Request) Respond(response Response) {
 	// The channel holds one answer and a request has one: this never blocks.
 	select {
-	case r.conn.answer <- rep:
-		r.conn.evc.Wake()
+	case r.conn.responses <- response:
+		r.conn.eventConn.Wake()
 	default:
 	}
 }
@@ -64,10 +64,10 @@
 // end is always an error.
 func (s *Server) Serve(public, peer string) error {
 	s.conns = map[evio.Conn]*serverConn{}
-	var ev evio.Events
-	ev.NumLoops = 1
-	ev.Opened = func(c evio.Conn) ([]byte, evio.Options, evio.Action) {
-		sc := &serverConn{srv: s, evc: c, last: s.Now(), answer: make(chan Reply, 1)}
+	var events evio.Events
+	events.NumLoops = 1
+	events.Opened = func(c evio.Conn) ([]byte, evio.Options, evio.Action) {
+		sc := &serverConn{server: s, eventConn: c, lastTraffic: s.Now(), responses: make(chan Response, 1)}
 		c.SetContext(sc)
 		s.conns[c] = sc
 		// Guards against the socket limit: an accept error would end evio's loop.
@@ -77,58 +77,58 @@
 		}
 		return nil, evio.Options{ReuseInputBuffer: true}, evio.None
 	}
-	ev.Closed = func(c evio.Conn, _ error) evio.Action {
+	events.Closed = func(c evio.Conn, _ error) evio.Action {
 		delete(s.conns, c)
 		return evio.None
 	}
-	ev.Data = func(c evio.Conn, in []byte) ([]byte, evio.Action) {
+	events.Data = func(c evio.Conn, input []byte) ([]byte, evio.Action) {
 		sc, ok := c.Context().(*serverConn)
 		if !ok {
 			return nil, evio.Close
 		}
-		return sc.data(in)
+		return sc.handleInput(input)
 	}
-	ev.Tick = func() (time.Duration, evio.Action) {
+	events.Tick = func() (time.Duration, evio.Action) {
 		now := s.Now()
 		for c, sc := range s.conns {
-			if sc.stale(now) {
+			if sc.timedOut(now) {
 				sc.closing = true
 				c.Wake()
 			}
 		}
 		return time.Second, evio.None
 	}
-	err := evio.Serve(ev, "tcp://"+public, "tcp://"+peer)
+	err := evio.Serve(events, "tcp://"+public, "tcp://"+peer)
 	if err == nil {
 		err = errors.New("accept failed, the loop has ended")
 	}
 	return err
 }
 
-// stale tells whether the connection has been silent or half done for too long
+// timedOut tells whether the connection has been silent or half done for too long
 // (evio has no timeouts of its own).
-func (sc *serverConn) stale(now micros.T) bool {
+func (sc *serverConn) timedOut(now micros.Micros) bool {
 	if sc.busy {
-		return now-sc.last > sc.srv.Idle
+		return now-sc.lastTraffic > sc.server.IdleTimeout
 	}
-	half := sc.parser.Buffered() > 0 || sc.frames.buffered() > 0
-	if half && now-sc.began > sc.srv.Partial {
+	partial := sc.parser.Buffered() > 0 || sc.frames.buffered() > 0
+	if partial && now-sc.partialSince > sc.server.RequestTimeout {
 		return true
 	}
-	return now-sc.last > sc.srv.Idle
+	return now-sc.lastTraffic > sc.server.IdleTimeout
 }
 
-func (sc *serverConn) data(in []byte) ([]byte, evio.Action) {
+func (sc *serverConn) handleInput(input []byte) ([]byte, evio.Action) {
 	if sc.closing {
 		return nil, evio.Close
 	}
-	now := sc.srv.Now()
-	if in == nil {
+	now := sc.server.Now()
+	if input == nil {
 		select {
-		case rep := <-sc.answer:
-			sc.busy, sc.last = false, now
-			out := AppendResponse(nil, rep.Status, rep.RetryAfter, sc.last1, rep.Body)
-			if sc.last1 {
+		case response := <-sc.responses:
+			sc.busy, sc.lastTraffic = false, now
+			out := AppendResponse(nil, response.Status, response.RetryAfter, sc.closeAfterResponse, response.Body)
+			if sc.closeAfterResponse {
 				sc.closing = true
 				return out, evio.Close
 			}
@@ -137,12 +137,12 @@
 			return nil, evio.None
 		}
 	}
-	sc.last = now
-	if sc.evc.AddrIndex() == 1 {
+	sc.lastTraffic = now
+	if sc.eventConn.AddrIndex() == 1 {
 		if sc.frames.buffered() == 0 {
-			sc.began = now
+			sc.partialSince = now
 		}
-		if err := sc.frames.feed(in, sc.srv.OnPeer); err != nil {
+		if err := sc.frames.feed(input, sc.server.OnPeerFrame); err != nil {
 			sc.closing = true
 			return nil, evio.Close
 		}
@@ -152,16 +152,16 @@
 		// Pipelining is not part of the protocol. The request under way is
 		// answered and the connection closed; what follows is not read, so a
 		// second answer can never overwrite the first in evio's one buffer.
-		sc.last1 = true
+		sc.closeAfterResponse = true
 		return nil, evio.None
 	}
 	if sc.parser.Buffered() == 0 {
-		sc.began = now
+		sc.partialSince = now
 	}
-	sc.parser.Feed(in)
+	sc.parser.Feed(input)
 	msg, err := sc.parser.Next()
 	if err != nil {
-		slog.Debug("malformed request", "remote_addr", sc.evc.RemoteAddr().String(), "error", err)
+		slog.Debug("malformed request", "remote_addr", sc.eventConn.RemoteAddr().String(), "error", err)
 		sc.closing = true
 		return AppendResponse(nil, StatusOf(err), 0, true, nil), evio.Close
 	}
@@ -169,7 +169,7 @@
 		return nil, evio.None
 	}
 	sc.busy = true
-	sc.last1 = msg.Close || sc.parser.Buffered() > 0
-	sc.srv.OnHTTP(&Request{Msg: msg, conn: sc})
+	sc.closeAfterResponse = msg.Close || sc.parser.Buffered() > 0
+	sc.server.OnRequest(&Request{Message: msg, conn: sc})
 	return nil, evio.None
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -10,21 +10,21 @@
 	"pipitgap/internal/micros"
 )
 
-// TestServer drives the evio server over loopback: definite answers for what is
+// TestServerAnswersDefinitely drives the evio server over loopback: definite answers for what is
 // wrong, one answer for pipelined requests, a bound on connections.
-func TestServer(t *testing.T) {
+func TestServerAnswersDefinitely(t *testing.T) {
 	free := func() string {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
-		return l.Addr().String()
+		defer listener.Close()
+		return listener.Addr().String()
 	}
 	public, peer := free(), free()
-	s := &Server{Now: micros.Steady(), MaxConns: 4, Idle: micros.Minute, Partial: 300 * micros.Millisecond,
-		OnHTTP: func(r *Request) { r.Answer(Reply{Status: 200, Body: []byte(r.Msg.Target)}) },
-		OnPeer: func([]byte) {}}
+	s := &Server{Now: micros.NewClock(), MaxConns: 4, IdleTimeout: micros.Minute, RequestTimeout: 300 * micros.Millisecond,
+		OnRequest:   func(r *Request) { r.Respond(Response{Status: 200, Body: []byte(r.Message.Target)}) },
+		OnPeerFrame: func([]byte) {}}
 	go func() { _ = s.Serve(public, peer) }()
 	dial := func() net.Conn {
 		for i := 0; ; i++ {
@@ -86,16 +86,16 @@
 	}
 }
 
-// TestClient: a response in pieces, a refused connection, a silent peer.
-func TestClient(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// TestClientResponsesAndFailures: a response in pieces, a refused connection, a silent peer.
+func TestClientResponsesAndFailures(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -113,9 +113,9 @@
 			}()
 		}
 	}()
-	cl := NewClient(l.Addr().String(), 1, 1024)
-	if m, err := cl.Do("GET", "/x", nil, 10*micros.Second); err != nil || string(m.Body) != "hello" {
-		t.Errorf("%+v %v", m, err)
+	cl := NewClient(listener.Addr().String(), 1, 1024)
+	if message, err := cl.Do("GET", "/x", nil, 10*micros.Second); err != nil || string(message.Body) != "hello" {
+		t.Errorf("%+v %v", message, err)
 	}
 	if _, err := cl.Do("GET", "/silent", nil, 200*micros.Millisecond); err == nil {
 		t.Error("a silent peer has no answer")
