--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -1,289 +1,425 @@
+// Package coordination decides: membership, leadership, claims on machines,
+// placement, the autoscaler and the answers to users. One actor owns all of its
+// state; see Core.
 package coordination
 
 import (
+	"cmp"
+	"maps"
+	"math"
 	"slices"
+	"strconv"
+	"strings"
 
 	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
 	"pipitgap/internal/protocol"
 )
 
-// loadMirror reads every record but the answers of finished jobs. The watch then goes
-// on from before the first list, so nothing falls between the lists.
-func (c *Controller) loadMirror() {
-	if c.mirrorLoading {
-		return
-	}
-	c.mirrorLoading, c.mirrorReady = true, false
-	kinds := mirroredKinds
-	if c.drains != nil {
-		kinds = slices.Concat(mirroredKinds, mirroredDrainKinds)
-	}
-	mirror := newMirror(func(string, string) {})
-	mirror.Results = c.mirror.Results
-	var firstRevision, lastRevision uint64
-	var sentAt micros.Micros // when the first list was asked for
-	started := false
-	var readList func(k int, after string)
-	readList = func(k int, after string) {
-		if k == len(kinds) {
-			c.loadResults(mirror, sortedKeys(mirror.Jobs), func() {
-				c.mirrorFreshAt = max(c.mirrorFreshAt, sentAt)
-				c.installMirror(mirror, firstRevision, lastRevision)
-			})
-			return
-		}
-		call := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.Key(kinds[k], ""), After: after, Limit: 500}
-		listSentAt := c.now()
-		c.callStore(bookkeeping.PriorityClaim, call, func(result protocol.StoreResult) {
-			if result.Outcome != protocol.OK {
-				delay := 200*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
-				c.env.After(delay, func() { readList(k, after) })
-				return
-			}
-			if !started { // the revision of an empty store is 0
-				started, firstRevision, c.backlogMeasuredAt = true, result.Revision, c.now()
-				sentAt = listSentAt
-			}
-			lastRevision = max(lastRevision, result.Revision)
-			for _, item := range result.Items {
-				mirror.ApplyPut(item.Key, item.Value, item.Version)
-			}
-			if result.More && len(result.Items) > 0 {
-				readList(k, result.Items[len(result.Items)-1].Key)
-			} else {
-				readList(k+1, "")
-			}
-		})
-	}
-	readList(0, "")
+// TaskID names a task.
+type TaskID struct {
+	Job   string
+	Index int
 }
 
-// loadResults finds which of the listed jobs have an answer already: cancelled
-// ones whose attempts aren't all gone. The answers themselves can't be listed, they
-// are kept for ever; comparing tells which of the few dozen named exist.
-func (c *Controller) loadResults(mirror *Mirror, ids []string, done func()) {
-	if len(ids) == 0 {
-		done()
-		return
-	}
-	again := func() {
-		delay := 200*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
-		c.env.After(delay, func() { c.loadResults(mirror, ids, done) })
+func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
+
+func ParseTaskID(s string) (TaskID, bool) {
+	job, node, ok := strings.Cut(s, "/")
+	if !ok {
+		return TaskID{}, false
 	}
-	n := min(len(ids), 4*c.cfg.Facts.State.TxnOps)
-	txn := protocol.Transaction{}
-	for _, id := range ids[:n] {
-		txn.If = append(txn.If, protocol.Compare{Key: bookkeeping.Key(bookkeeping.KindJobResult, id)})
+	i, err := strconv.Atoi(node)
+	if err != nil || i < 0 {
+		return TaskID{}, false
 	}
-	c.callStore(bookkeeping.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
-		switch {
-		case result.Outcome == protocol.OK:
-			c.loadResults(mirror, ids[n:], done)
-		case result.Outcome == protocol.Conflict && len(result.Failed) > 0:
-			left := len(result.Failed)
-			bad := false
-			for _, key := range result.Failed {
-				c.callStore(bookkeeping.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
-					if result.Outcome == protocol.OK {
-						mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
-					} else {
-						bad = true
-					}
-					if left--; left > 0 {
-						return
-					}
-					if bad {
-						again()
-						return
-					}
-					c.loadResults(mirror, ids[n:], done)
-				})
-			}
-		default:
-			again()
-		}
-	})
+	return TaskID{job, i}, true
+}
+
+// Resources is what tasks take and machines have.
+type Resources struct{ CPUs, GPUs, MemoryGB float64 }
+
+// resourceUnit is what amounts are whole multiples of: then their sums are exact, whatever the
+// order in which maps are walked, and the same day takes the same course.
+const resourceUnit = 1.0 / (1 << 30)
+
+func roundToUnit(x float64) float64 { return math.Round(x/resourceUnit) * resourceUnit }
+
+func NewResources(cpus, gpus, mem float64) Resources {
+	return Resources{roundToUnit(cpus), roundToUnit(gpus), roundToUnit(mem)}
+}
+
+// TaskResources is what each task of a job takes.
+func TaskResources(spec *bookkeeping.JobSpec) Resources {
+	return NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
+}
+
+func (a Resources) AddScaled(b Resources, n float64) Resources {
+	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
 }
 
-// installMirror makes a loaded mirror the core's own.
-func (c *Controller) installMirror(mirror *Mirror, firstRevision, lastRevision uint64) {
-	for id, machine := range c.mirror.Machines {
-		if machine.Agent != nil && mirror.Machines[id] != nil {
-			mirror.Machines[id].Agent = machine.Agent
+// resourceTolerance keeps sums of decimal amounts from refusing an exact fit.
+const resourceTolerance = 1e-6
+
+func (a Resources) FitsIn(available Resources) bool {
+	return a.CPUs <= available.CPUs+resourceTolerance && a.GPUs <= available.GPUs+resourceTolerance && a.MemoryGB <= available.MemoryGB+resourceTolerance
+}
+
+// CountIn tells how many of a fit into room.
+func (a Resources) CountIn(available Resources) int {
+	n := math.Inf(1)
+	for _, p := range [][2]float64{{a.CPUs, available.CPUs}, {a.GPUs, available.GPUs}, {a.MemoryGB, available.MemoryGB}} {
+		if p[0] > 0 {
+			n = min(n, math.Floor((p[1]+resourceTolerance)/p[0]))
 		}
 	}
-	mirror.WatchedRevision, mirror.NewestRevision, mirror.OnChange = firstRevision, max(lastRevision, c.mirror.NewestRevision), c.onMirrorChange
-	c.mirror = mirror
-	c.mirrorLoading, c.mirrorLoaded, c.loadedRevision = false, true, lastRevision
-	c.reconcileCancellations()
-	for _, name := range sortedKeys(mirror.Shards) {
-		c.onShardChange(name)
-	}
-	c.nextWatchAt = 0
-	c.log.Info("mirror loaded", "jobs", len(mirror.Jobs), "machines", len(mirror.Machines),
-		"shards", len(mirror.Shards), "revision", lastRevision)
-	if firstRevision >= lastRevision {
-		c.markMirrorReady()
+	if n > protocol.MaxTasks {
+		return protocol.MaxTasks
 	}
+	return max(0, int(n))
 }
 
-func (c *Controller) markMirrorReady() {
-	c.lastWatchSuccessAt = c.now()
-	if c.machineTypes == nil && len(c.mirror.MachineTypes) > 0 {
-		// The cloud may be out: what was known of it before still holds.
-		c.machineTypes = c.mirror.Catalog()
+// Job is an unfinished job in the mirror.
+type Job struct {
+	ID            string
+	Record        bookkeeping.OpenJob
+	Version       uint64
+	TaskResources Resources
+	FinalStatus   bookkeeping.JobState // the answer, if it has one
+	FinalRevision uint64               // its version
+	TaskStates    []uint8              // of each task, 0: pending; see assignedUnit
+	DoneTasks     int
+	AssignedTasks int // tasks with an attempt on some machine
+}
+
+// A task's state counts the shards that hold it and those that have it done. More
+// than one of either would be a mistake, but one that must not start a task twice.
+const (
+	assignedUnit = 1
+	doneUnit     = 16
+)
+
+func (j *Job) IsOpen() bool { return j.FinalStatus == "" }
+
+// UnassignedTasks counts the tasks without an attempt.
+func (j *Job) UnassignedTasks() int { return j.Record.Spec.Tasks - j.DoneTasks - j.AssignedTasks }
+
+// IsComplete tells whether every task is done.
+func (j *Job) IsComplete() bool { return j.DoneTasks == j.Record.Spec.Tasks }
+
+// PendingInPartition counts the pending tasks that a partition is to place.
+func (j *Job) PendingInPartition(partition string) int {
+	n := 0
+	for _, taskRange := range j.Record.TaskRanges {
+		if taskRange.Partition == partition {
+			for i := taskRange.First; i < taskRange.End; i++ {
+				if j.TaskStates[i] == 0 {
+					n++
+				}
+			}
+		}
 	}
-	c.mirrorReady, c.schedulingNeeded = true, true
-	c.log.Info("mirror ready", "revision", c.mirror.WatchedRevision)
-	c.nextSlowTickAt = 0
+	return n
+}
+
+// Shard is a shard in the mirror.
+type Shard struct {
+	Name      string
+	Record    *bookkeeping.Shard
+	Version   uint64
+	UseByTeam map[string]Resources // by team, what its attempts take
 }
 
-// pendingRead waits for the mirror to be as new as its question.
-type pendingRead struct {
-	requestedAt micros.Micros
-	callback    func(ok bool)
+// Machine is a claimed machine in the mirror, with what its tasks take.
+type Machine struct {
+	ID           string
+	Shard        *Shard
+	Record       *bookkeeping.ShardMachine // nil: only its attempts are known still
+	Used         Resources
+	Attempts     map[TaskID]uint64 // attempts that the store holds here
+	CachedImages map[string]bool   // images that tasks have brought here, as far as we saw
+	Agent        *Agent            // only while it is ours
 }
 
-// whenMirrorCurrent calls back once the mirror holds all that the store held when it was
-// asked, or with false if the store can't be asked. One answer of the watch serves
-// all that wait: confirming each answer by itself cost a request for every few
-// dozen, and users of a thousand jobs ask a few hundred times a second.
-func (c *Controller) whenMirrorCurrent(callback func(ok bool)) {
-	c.pendingReads = append(c.pendingReads, pendingRead{c.now(), callback})
-	if c.watchInFlight && c.now() >= c.nextCatchUpAt && !c.catchUpInFlight {
-		c.catchUpWatch()
+func (m *Machine) Owner() string { return m.Shard.Record.Owner }
+func (m *Machine) Claim() uint64 { return m.Shard.Record.ClaimOf(m.Record) }
+
+// Mirror is the mirror of the store with the sums that decisions need. Changes
+// reach it by the watch, in order, and by the core's own commits, which may be
+// ahead of the watch; versions keep each key from going back.
+type Mirror struct {
+	WatchedRevision   uint64 // the watch is complete up to here
+	NewestRevision    uint64 // the newest revision heard of in any way
+	Jobs              map[string]*Job
+	Shards            map[string]*Shard
+	Machines          map[string]*Machine
+	UseByTeam         map[string]Resources
+	Partitions        map[string]*PartitionEntry
+	ScaleOuts         map[string]*ScaleOutEntry
+	ScaleOutOfMachine map[string]string // machine: the request that it came with
+	ScaleIns          map[string]*ScaleInEntry
+	ScaleInOfMachine  map[string]string // machine: the removal that names it
+	MachineTypes      map[string]MachineTypeEntry
+	Members           map[string]MemberEntry
+	Leader            bookkeeping.Leader
+	LeaderVersion     uint64
+	Drains            map[string]DrainEntry
+	PermitsByTeam     map[string]PermitsEntry // by team
+	ownDeletions      map[string]uint64       // own deletions ahead of the watch
+	Results           *ResultCache
+	OnChange          func(kind, name string)
+}
+
+func newMirror(touched func(kind, name string)) *Mirror {
+	return &Mirror{
+		Jobs: map[string]*Job{}, Shards: map[string]*Shard{}, Machines: map[string]*Machine{}, UseByTeam: map[string]Resources{},
+		Partitions: map[string]*PartitionEntry{}, ScaleOuts: map[string]*ScaleOutEntry{}, ScaleOutOfMachine: map[string]string{},
+		ScaleIns: map[string]*ScaleInEntry{}, ScaleInOfMachine: map[string]string{}, MachineTypes: map[string]MachineTypeEntry{},
+		Members: map[string]MemberEntry{}, Drains: map[string]DrainEntry{}, PermitsByTeam: map[string]PermitsEntry{}, ownDeletions: map[string]uint64{}, Results: NewResultCache(20000), OnChange: touched,
 	}
 }
 
-// completePendingReads serves those who came before a watch was sent that has answered.
-func (c *Controller) completePendingReads(sentAt micros.Micros, ok bool) {
-	n := 0
-	for n < len(c.pendingReads) && c.pendingReads[n].requestedAt <= sentAt {
-		n++
+// ApplyPut applies one change, see apply.
+func (v *Mirror) ApplyPut(key string, value protocol.Raw, version uint64) {
+	v.applyRevision([]protocol.Event{{Put: key, Value: value, Version: version}}, false)
+}
+
+// ApplyDelete applies a deletion.
+func (v *Mirror) ApplyDelete(key string, version uint64, ownCommit bool) {
+	v.applyRevision([]protocol.Event{{Delete: key, Version: version}}, ownCommit)
+}
+
+// applyRevision brings the changes of one revision into the mirror, each unless the
+// mirror is newer already. Pages are taken out before any is put in: a machine
+// that moves from one to another must not be counted out after it was counted in.
+// own: it is a commit of ours, which may be ahead of the watch.
+func (v *Mirror) applyRevision(events []protocol.Event, ownCommit bool) {
+	type change struct {
+		kind, name string
+		e          protocol.Event
+		next       *Shard
 	}
-	served := c.pendingReads[:n:n]
-	c.pendingReads = c.pendingReads[n:]
-	for _, a := range served {
-		a.callback(ok)
+	var todo []change
+	for _, event := range events {
+		v.NewestRevision = max(v.NewestRevision, event.Version)
+		if event.Version <= v.WatchedRevision {
+			// An answer that comes after a newer one: the watch has passed this change,
+			// and what it wrote may have been deleted since.
+			continue
+		}
+		key := event.Put + event.Delete
+		kind, name, ok := bookkeeping.SplitKey(key)
+		if !ok {
+			continue
+		}
+		if event.Put == "" && ownCommit && event.Version > v.WatchedRevision {
+			v.ownDeletions[key] = event.Version
+		}
+		if have := v.VersionOf(key); event.Version < have || event.Put != "" && (event.Version <= have || event.Version <= v.ownDeletions[key]) || event.Put == "" && have == 0 {
+			continue
+		}
+		if event.Put != "" {
+			delete(v.ownDeletions, key)
+		}
+		ch := change{kind: kind, name: name, e: event}
+		if kind == bookkeeping.KindShard {
+			previous := v.Shards[name]
+			if event.Put != "" {
+				var before *bookkeeping.Shard
+				if previous != nil {
+					before = previous.Record
+				}
+				record, err := bookkeeping.DecodeShard(event.Value, before)
+				if err != nil {
+					continue
+				}
+				ch.next = &Shard{Name: name, Record: record, Version: event.Version}
+			}
+			v.removeShard(previous, ch.next)
+		}
+		todo = append(todo, ch)
+	}
+	for _, ch := range todo {
+		switch {
+		case ch.next != nil:
+			v.addShard(v.Shards[ch.name], ch.next)
+		case ch.kind == bookkeeping.KindShard:
+			delete(v.Shards, ch.name)
+		case ch.e.Put != "":
+			v.applyRecordPut(ch.kind, ch.name, ch.e)
+		default:
+			v.applyRecordDelete(ch.kind, ch.name)
+		}
+		v.OnChange(ch.kind, ch.name)
 	}
 }
 
-func (c *Controller) maintainWatch(now micros.Micros) {
-	if c.mirrorLoading || !c.mirrorLoaded {
+// removeShard takes out of the sums what a shard has and its next version hasn't.
+func (v *Mirror) removeShard(previous, next *Shard) {
+	if previous == nil {
 		return
 	}
-	if !c.watchInFlight && now >= c.nextWatchAt {
-		if now-max(c.lastWatchSuccessAt, c.backlogMeasuredAt) > c.maxWatchGap() {
-			c.measureWatchBacklog(now)
-			return
+	for id, entry := range previous.Record.Jobs {
+		if next == nil || next.Record.Jobs[id] != entry {
+			v.countJobOfShard(previous, id, -1)
 		}
-		c.watchInFlight = true
-		longPoll := watchLongPoll
-		if len(c.pendingReads) > 0 {
-			longPoll = 0
+	}
+	for id := range previous.Record.Machines {
+		machine := v.Machines[id]
+		if (next == nil || next.Record.Machines[id] == nil) && machine != nil && machine.Shard == previous {
+			machine.Shard, machine.Record, machine.Agent = nil, nil, nil
+			v.removeMachineIfUnused(machine)
 		}
-		c.watchSentAt = now
-		c.sendWatch(now, longPoll, func() { c.watchInFlight = false })
-	} else if c.watchInFlight && len(c.pendingReads) > 0 && c.watchSentAt < c.pendingReads[0].requestedAt && now >= c.nextCatchUpAt && !c.catchUpInFlight {
-		c.catchUpWatch() // the one in flight was sent before they asked
 	}
 }
 
-// maxWatchGap is after how long without an answer of the watch its next one could
-// be too large to take. A watch has no size limit of its own: after a cut of 48 s
-// from a state service of 80 changes a second and 16 KiB a value, the answer was
-// larger than is ever read, and the same was asked for again until the service
-// had forgotten where it began.
-func (c *Controller) maxWatchGap() micros.Micros {
-	return max(2*watchLongPoll, micros.FromSeconds(float64(c.maxWatchEvents())/c.cfg.Facts.State.WriteRPS))
+// addShard puts into the sums what a shard's version before hasn't.
+func (v *Mirror) addShard(previous, next *Shard) {
+	if previous != nil {
+		next.UseByTeam = previous.UseByTeam
+	} else {
+		next.UseByTeam = map[string]Resources{}
+	}
+	v.Shards[next.Name] = next
+	for id, record := range next.Record.Machines {
+		machine := v.ensureMachine(id)
+		machine.Shard, machine.Record = next, record
+	}
+	for id, entry := range next.Record.Jobs {
+		if previous == nil || previous.Record.Jobs[id] != entry {
+			v.countJobOfShard(next, id, 1)
+		}
+	}
 }
 
-// maxWatchEvents is how many changes a watch may bring, each as large as a value may be.
-func (c *Controller) maxWatchEvents() int { return max(16, maxWatchBytes/c.maxValueBytes()) }
-
-// measureWatchBacklog asks how far the store has come. When that is too far for a watch to
-// catch up with, all records are read anew, in answers of bounded size.
-func (c *Controller) measureWatchBacklog(now micros.Micros) {
-	c.watchInFlight = true
-	mirror := c.mirror
-	call := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.LeaderKey, Limit: 1}
-	c.callStore(bookkeeping.PriorityClaim, call, func(result protocol.StoreResult) {
-		c.watchInFlight = false
-		switch {
-		case mirror != c.mirror || c.mirrorLoading:
+// countJobOfShard counts what a shard holds of a job in or out.
+func (v *Mirror) countJobOfShard(shard *Shard, id string, sign int) {
+	entry, job := shard.Record.Jobs[id], v.Jobs[id]
+	if entry == nil || job == nil {
+		return
+	}
+	for _, held := range entry.Attempts {
+		if held.Task >= len(job.TaskStates) {
+			continue
+		}
+		task := TaskID{id, held.Task}
+		machine := v.ensureMachine(held.Machine)
+		if sign > 0 {
+			if job.TaskStates[held.Task]%doneUnit == 0 {
+				job.AssignedTasks++
+			}
+			job.TaskStates[held.Task] += assignedUnit
+			machine.Attempts[task] = held.Number
+			machine.CachedImages[job.Record.Spec.Image] = true
+		} else {
+			job.TaskStates[held.Task] -= assignedUnit
+			if job.TaskStates[held.Task]%doneUnit == 0 {
+				job.AssignedTasks--
+			}
+			if job.TaskStates[held.Task]%doneUnit == 0 || !v.heldByOtherShard(shard, id, held) {
+				delete(machine.Attempts, task)
+			}
+		}
+		machine.Used = machine.Used.AddScaled(job.TaskResources, float64(sign))
+		if len(machine.Attempts) == 0 {
+			machine.Used = Resources{} // no rounding left behind
+		}
+		addTeamUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+		addTeamUse(v.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+		v.removeMachineIfUnused(machine)
+	}
+	entry.Completed.Each(func(i int) {
+		if i >= len(job.TaskStates) {
 			return
-		case result.Outcome != protocol.OK:
-			c.nextWatchAt = c.now() + 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
-			c.completePendingReads(now, false)
-		case result.Revision > mirror.WatchedRevision+uint64(c.maxWatchEvents()):
-			c.log.Info("watch too far behind, mirror reload", "revisions", result.Revision-mirror.WatchedRevision)
-			c.loadMirror()
-			c.completePendingReads(now, false)
-		default:
-			c.backlogMeasuredAt = c.now()
-			c.maintainWatch(c.now())
+		}
+		if sign > 0 {
+			if job.TaskStates[i] < doneUnit {
+				job.DoneTasks++
+			}
+			job.TaskStates[i] += doneUnit
+		} else {
+			job.TaskStates[i] -= doneUnit
+			if job.TaskStates[i] < doneUnit {
+				job.DoneTasks--
+			}
 		}
 	})
 }
 
-// catchUpWatch asks for the changes so far, beside a watch that waits for the next.
-func (c *Controller) catchUpWatch() {
-	if c.now()-max(c.lastWatchSuccessAt, c.backlogMeasuredAt) > c.maxWatchGap() {
-		return // it could bring too much, see measureWatchBacklog
+// heldByOtherShard tells whether another shard too holds an attempt on the same machine: a
+// list that is read while the machine moves shows it in both.
+func (v *Mirror) heldByOtherShard(not *Shard, job string, held bookkeeping.Attempt) bool {
+	for _, shard := range v.Shards {
+		if entry := shard.Record.Jobs[job]; entry != nil && shard.Name != not.Name {
+			for _, o := range entry.Attempts {
+				if o.SameAs(held) {
+					return true
+				}
+			}
+		}
 	}
-	c.catchUpInFlight = true
-	c.sendWatch(c.now(), 0, func() { c.catchUpInFlight = false })
-	c.nextCatchUpAt = c.now() + c.minWatchInterval
+	return false
 }
 
-func (c *Controller) sendWatch(now, longPoll micros.Micros, ended func()) {
-	c.nextWatchAt = now + c.minWatchInterval
-	mirror := c.mirror
-	call := &protocol.StoreCall{
-		Op: protocol.StoreWatch, Key: bookkeeping.KeyPrefix, FromRevision: mirror.WatchedRevision,
-		MaxBlock: longPoll, Timeout: longPoll + 2*micros.Second,
+func addTeamUse(useByTeam map[string]Resources, team string, taskResources Resources, sign int) {
+	total := useByTeam[team].AddScaled(taskResources, float64(sign))
+	if total.CPUs < resourceTolerance && total.GPUs < resourceTolerance && total.MemoryGB < resourceTolerance {
+		delete(useByTeam, team)
+	} else {
+		useByTeam[team] = total
 	}
-	c.storeQueue.Reads.Take(1)
-	c.env.CallStore(call, func(result protocol.StoreResult) {
-		ended()
-		c.detectPause(c.now())
-		if mirror != c.mirror {
-			c.completePendingReads(now, false)
-			return
+}
+
+// removeMachineIfUnused drops a machine that stands in no shard and holds nothing.
+func (v *Mirror) removeMachineIfUnused(machine *Machine) {
+	if machine.Record == nil && len(machine.Attempts) == 0 {
+		delete(v.Machines, machine.ID)
+	}
+}
+
+// ApplyCommit brings an own commit that succeeded into the mirror.
+func (v *Mirror) ApplyCommit(txn *protocol.Transaction, revision uint64) {
+	events := make([]protocol.Event, 0, len(txn.Then))
+	for _, operation := range txn.Then {
+		events = append(events, protocol.Event{Put: operation.Put, Value: operation.Value, Delete: operation.Delete, Version: revision})
+	}
+	v.applyRevision(events, true)
+}
+
+// ApplyEvents brings the result of a watch into the mirror.
+func (v *Mirror) ApplyEvents(events []protocol.Event, revision uint64) {
+	for len(events) > 0 {
+		n := 1
+		for n < len(events) && events[n].Version == events[0].Version {
+			n++
 		}
-		switch result.Outcome {
-		case protocol.OK:
-			c.recordStoreOutcome(result.Outcome)
-			c.mirrorFreshAt, c.lastWatchSuccessAt = max(c.mirrorFreshAt, now), c.now()
-			if now < c.resumedFromPauseAt {
-				c.lastWatchSuccessAt = now // it waited here while we stood still
-			}
-			c.mirror.ApplyEvents(result.Events, result.Revision)
-			if !c.mirrorReady && c.mirror.WatchedRevision >= c.loadedRevision {
-				c.markMirrorReady()
-			}
-			c.completePendingReads(now, c.mirrorReady)
-			if len(result.Events) > 0 && c.mirrorReady {
-				c.runFastTick(c.now())
-			}
-		case protocol.Compacted:
-			c.log.Info("watch compacted, mirror reload")
-			c.loadMirror()
-			c.completePendingReads(now, false)
-		case protocol.Throttled:
-			c.nextWatchAt = max(c.nextWatchAt, c.now()+100*micros.Millisecond)
-			c.nextCatchUpAt = c.nextWatchAt
-		default:
-			c.recordStoreOutcome(result.Outcome)
-			c.nextWatchAt = c.now() + 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
-			c.nextCatchUpAt = c.nextWatchAt
-			c.completePendingReads(now, false)
+		v.applyRevision(events[:n], false)
+		events = events[n:]
+	}
+	v.WatchedRevision = max(v.WatchedRevision, revision)
+	v.NewestRevision = max(v.NewestRevision, revision)
+	for k, ver := range v.ownDeletions {
+		if ver <= v.WatchedRevision {
+			delete(v.ownDeletions, k)
 		}
-	})
+	}
+}
+
+func (v *Mirror) ensureMachine(id string) *Machine {
+	machine := v.Machines[id]
+	if machine == nil {
+		machine = &Machine{ID: id, Attempts: map[TaskID]uint64{}, CachedImages: map[string]bool{}}
+		v.Machines[id] = machine
+	}
+	return machine
 }
 
-// hastenWatch has the other side of a conflict looked at soon.
-func (c *Controller) hastenWatch() {
-	c.nextWatchAt = min(c.nextWatchAt, max(c.now(), c.watchSentAt+50*micros.Millisecond))
+// sortedKeys gives a map's keys in order: decisions must not depend on the
+// order of a map.
+func sortedKeys[K ~string, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+
+// sortedTaskIDs gives the tasks of a machine in order.
+func sortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
+	return slices.SortedFunc(maps.Keys(attempts), func(a, b TaskID) int {
+		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
+	})
 }
