--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -9,12 +9,12 @@
 
 	"github.com/alecthomas/kong"
 
-	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/fake/loopback"
 	"pipitgap/internal/fixtures"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
-	"pipitgap/internal/standin/loopback"
+	"pipitgap/internal/storage"
 )
 
 // commandConfig is what the platform hands over, but for the state service's address.
@@ -60,74 +60,74 @@
 func commandRecords() []protocol.Op {
 	const at = 1_764_687_600_123_456
 	put := func(kind, name string, record any) protocol.Op {
-		return protocol.Op{Put: bookkeeping.Key(kind, name), Value: protocol.MustMarshal(record)}
+		return protocol.Op{Put: storage.Key(kind, name), Value: protocol.MustMarshal(record)}
 	}
 	machine := func(
-		num int, zone string, state bookkeeping.MachineState, spot bool,
-	) *bookkeeping.ShardMachine {
-		return &bookkeeping.ShardMachine{Number: num, Type: "m8", Zone: zone, Spot: spot,
+		num int, zone string, state storage.MachineState, spot bool,
+	) *storage.ShardMachine {
+		return &storage.ShardMachine{Number: num, Type: "m8", Zone: zone, Spot: spot,
 			Endpoint: "10.0.0.1:9000", State: state}
 	}
-	service := func(team string, tasks int, cpus float64) *bookkeeping.OpenJob {
-		return &bookkeeping.OpenJob{AcceptedAt: at, Spec: bookkeeping.JobSpec{Class: "high", Team: team, Service: true,
+	service := func(team string, tasks int, cpus float64) *storage.OpenJob {
+		return &storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Class: "high", Team: team, Service: true,
 			Priority: 3, Tasks: tasks, CPUs: cpus, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 60}}
 	}
-	array := &bookkeeping.OpenJob{AcceptedAt: at, Spec: bookkeeping.JobSpec{Class: "low", Team: "pipit", Priority: 1,
+	array := &storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Class: "low", Team: "pipit", Priority: 1,
 		Tasks: 2, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 60}}
-	own := &bookkeeping.Shard{Owner: "n-0", Incarnation: 7, Claim: 1,
-		Machines: map[string]*bookkeeping.ShardMachine{
-			"i-01": machine(0, "rack-a", bookkeeping.MachineCordoned, false),
-			"i-02": machine(1, "rack-a", bookkeeping.MachineCordoned, false),
-			"i-03": machine(2, "rack-b", bookkeeping.MachineOpen, false),
-			"i-04": machine(3, "rack-b", bookkeeping.MachineUnreachable, true),
-			"i-05": machine(4, "rack-b", bookkeeping.MachineDraining, true),
-			"i-06": machine(5, "rack-b", bookkeeping.MachineRemoving, false),
-			"i-07": machine(6, "rack-c", bookkeeping.MachineOpen, false),
-			"i-08": machine(7, "rack-c", bookkeeping.MachineOpen, false),
-			"i-10": machine(8, "rack-a", bookkeeping.MachineOpen, false),
-		}, Jobs: map[string]*bookkeeping.ShardJob{
-			"web": {Attempts: []bookkeeping.Attempt{
+	own := &storage.Shard{Owner: "n-0", Incarnation: 7, Claim: 1,
+		Machines: map[string]*storage.ShardMachine{
+			"i-01": machine(0, "rack-a", storage.MachineCordoned, false),
+			"i-02": machine(1, "rack-a", storage.MachineCordoned, false),
+			"i-03": machine(2, "rack-b", storage.MachineOpen, false),
+			"i-04": machine(3, "rack-b", storage.MachineUnreachable, true),
+			"i-05": machine(4, "rack-b", storage.MachineDraining, true),
+			"i-06": machine(5, "rack-b", storage.MachineRemoving, false),
+			"i-07": machine(6, "rack-c", storage.MachineOpen, false),
+			"i-08": machine(7, "rack-c", storage.MachineOpen, false),
+			"i-10": machine(8, "rack-a", storage.MachineOpen, false),
+		}, Jobs: map[string]*storage.ShardJob{
+			"web": {Attempts: []storage.Attempt{
 				{Task: 0, Machine: "i-01", Number: 11}, {Task: 1, Machine: "i-01", Number: 11},
 				{Task: 2, Machine: "i-02", Number: 12, Starting: true},
 				{Task: 3, Machine: "i-03", Number: 13},
 				{Task: 4, Machine: "i-07", Number: 14}, {Task: 5, Machine: "i-07", Number: 15}}},
-			"array": {Attempts: []bookkeeping.Attempt{{Task: 0, Machine: "i-02", Number: 16},
+			"array": {Attempts: []storage.Attempt{{Task: 0, Machine: "i-02", Number: 16},
 				{Task: 1, Machine: "i-08", Number: 17}}},
 		}}
-	orphaned := &bookkeeping.Shard{Owner: "n-1", Incarnation: 8, Claim: 1,
-		Machines: map[string]*bookkeeping.ShardMachine{
-			"i-09": machine(0, "rack-a", bookkeeping.MachineCordoned, false),
-		}, Jobs: map[string]*bookkeeping.ShardJob{
-			"large": {Attempts: []bookkeeping.Attempt{{Task: 0, Machine: "i-09", Number: 18}}},
+	orphaned := &storage.Shard{Owner: "n-1", Incarnation: 8, Claim: 1,
+		Machines: map[string]*storage.ShardMachine{
+			"i-09": machine(0, "rack-a", storage.MachineCordoned, false),
+		}, Jobs: map[string]*storage.ShardJob{
+			"large": {Attempts: []storage.Attempt{{Task: 0, Machine: "i-09", Number: 18}}},
 		}}
-	shard := func(name string, s *bookkeeping.Shard) protocol.Op {
+	shard := func(name string, s *storage.Shard) protocol.Op {
 		raw, _ := s.Encode()
-		return protocol.Op{Put: bookkeeping.Key(bookkeeping.KindShard, name), Value: raw}
+		return protocol.Op{Put: storage.Key(storage.KindShard, name), Value: raw}
 	}
 	drainOf := func(
-		state bookkeeping.DrainState, reason string, selector bookkeeping.Selector, ended int64,
-	) *bookkeeping.Drain {
-		return &bookkeeping.Drain{State: state, Reason: reason, Selector: selector, Replace: true,
+		state storage.DrainState, reason string, selector storage.Selector, ended int64,
+	) *storage.Drain {
+		return &storage.Drain{State: state, Reason: reason, Selector: selector, Replace: true,
 			MaxParallel: 5, StartedAt: at, EndedAt: ended}
 	}
 	return []protocol.Op{
-		put(bookkeeping.KindMember, "n-0", &bookkeeping.Member{Incarnation: 7, Zone: "rack-a"}),
-		put(bookkeeping.KindMachineType, "m8", &bookkeeping.MachineType{CPUs: 8, MemoryGB: 64,
+		put(storage.KindMember, "n-0", &storage.Member{Incarnation: 7, Zone: "rack-a"}),
+		put(storage.KindMachineType, "m8", &storage.MachineType{CPUs: 8, MemoryGB: 64,
 			Zones: []string{"rack-a", "rack-b", "rack-c"}}),
-		put(bookkeeping.KindOpenJob, "web", service("wren", 6, 3)),
-		put(bookkeeping.KindOpenJob, "large", service("pipit", 2, 8)),
-		put(bookkeeping.KindOpenJob, "array", array),
+		put(storage.KindOpenJob, "web", service("wren", 6, 3)),
+		put(storage.KindOpenJob, "large", service("pipit", 2, 8)),
+		put(storage.KindOpenJob, "array", array),
 		shard("own", own), shard("orphaned", orphaned),
-		put(bookkeeping.KindPermits, "wren", &bookkeeping.Permits{Permits: []bookkeeping.Permit{
+		put(storage.KindPermits, "wren", &storage.Permits{Permits: []storage.Permit{
 			{Drain: "emptying", Job: "web", Task: 0, Attempt: 11, From: "i-01", To: "i-03", GrantedAt: at}}}),
-		put(bookkeeping.KindDrain, "emptying", drainOf(bookkeeping.DrainActive, "",
-			bookkeeping.Selector{Zone: "rack-a"}, 0)),
-		put(bookkeeping.KindDrain, "by-name", drainOf(bookkeeping.DrainPaused, "paused by an operator",
-			bookkeeping.Selector{Machines: []string{"i-04", "i-05", "i-06"}}, 0)),
-		put(bookkeeping.KindDrain, "nothing-left", drainOf(bookkeeping.DrainDrained, "nothing is left",
-			bookkeeping.Selector{Zone: "rack-b", Type: "m9", CapacityType: bookkeeping.SpotCapacity}, at+5)),
-		put(bookkeeping.KindDrain, "over", drainOf(bookkeeping.DrainDone, "",
-			bookkeeping.Selector{Zone: "rack-b"}, at+6)),
+		put(storage.KindDrain, "emptying", drainOf(storage.DrainActive, "",
+			storage.Selector{Zone: "rack-a"}, 0)),
+		put(storage.KindDrain, "by-name", drainOf(storage.DrainPaused, "paused by an operator",
+			storage.Selector{Machines: []string{"i-04", "i-05", "i-06"}}, 0)),
+		put(storage.KindDrain, "nothing-left", drainOf(storage.DrainDrained, "nothing is left",
+			storage.Selector{Zone: "rack-b", Type: "m9", CapacityType: storage.SpotCapacity}, at+5)),
+		put(storage.KindDrain, "over", drainOf(storage.DrainDone, "",
+			storage.Selector{Zone: "rack-b"}, at+6)),
 	}
 }
 
@@ -169,13 +169,13 @@
 // same status, on the same records.
 func TestJSONOfCommands(t *testing.T) {
 	const perSecond, txnOps = 1000, 50
-	sim := standin.NewSimClock(1)
-	store := standin.NewStateStore(sim, perSecond, perSecond, txnOps)
+	sim := fake.NewSimClock(1)
+	store := fake.NewStateStore(sim, perSecond, perSecond, txnOps)
 	written := protocol.Outcome(0)
 	txn := protocol.Transaction{Then: commandRecords()}
-	store.Call("setup", &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: micros.Second, Transaction: txn},
+	store.Call("setup", &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: txn},
 		func(r protocol.StoreResult) { written = r.Outcome })
-	if sim.Run(micros.Second); written != protocol.OK {
+	if sim.Run(monotime.Second); written != protocol.OK {
 		t.Fatal(written)
 	}
 	folder := t.TempDir()
--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -9,12 +9,12 @@
 	"text/tabwriter"
 	"time"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/coordination"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/operator"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 	"pipitgap/internal/transport"
 )
 
@@ -88,7 +88,7 @@
 	store := transport.NewClient(cfg.External.State, operatorConnections, operatorBody)
 	op := &operator.Operator{
 		Call:              func(c *protocol.StoreCall) protocol.StoreResult { return protocol.CallStore(store, c) },
-		Sleep:             func(d micros.Micros) { time.Sleep(d.Duration()) },
+		Sleep:             func(d monotime.Micros) { time.Sleep(d.Duration()) },
 		WallClock:         func() int64 { return time.Now().UnixMicro() },
 		MaxTransactionOps: cfg.Facts.State.TxnOps,
 		MaxValueBytes:     int(cfg.Facts.State.ValueKB * 1024),
@@ -135,11 +135,11 @@
 	}
 	request := operator.StartRequest{
 		Name: c.Name,
-		Selector: bookkeeping.Selector{
-			Machines: c.Machine, Zone: c.Zone, Type: c.Type, CapacityType: bookkeeping.CapacityType(c.Kind),
+		Selector: storage.Selector{
+			Machines: c.Machine, Zone: c.Zone, Type: c.Type, CapacityType: storage.CapacityType(c.Kind),
 		},
 		Replace: c.Replace, AllowSimilar: c.AllowSame, RemoveAtOnce: c.AtOnce, MaxParallel: c.MaxParallel,
-		Deadline: micros.FromDuration(c.Deadline), DryRun: c.DryRun,
+		Deadline: monotime.FromDuration(c.Deadline), DryRun: c.DryRun,
 	}
 	if c.MaxParallel == 0 {
 		request.MaxParallel = defaults.maxParallel
@@ -322,7 +322,7 @@
 	if err != nil {
 		return err
 	}
-	changed, err := drains.Resume(c.Name, micros.FromDuration(c.Deadline))
+	changed, err := drains.Resume(c.Name, monotime.FromDuration(c.Deadline))
 	if err != nil {
 		return err
 	}
--- a/cmd/pipitgap/json_test.go
+++ b/cmd/pipitgap/json_test.go
@@ -9,10 +9,10 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/drain"
 	"pipitgap/internal/fixtures"
 	"pipitgap/internal/operator"
+	"pipitgap/internal/storage"
 )
 
 // printed returns what a function writes to the standard output.
@@ -61,18 +61,18 @@
 	return map[string]any{
 		"start":         operator.StartResult{Name: "rack-a-out", AlreadyStarted: true, Machines: machines, Plan: plan},
 		"start-no-plan": operator.StartResult{Name: "rack-a-out", Machines: machines},
-		"status": statusOutput{Drain: &drain.Progress{Name: "rack-a-out", State: bookkeeping.DrainActive,
+		"status": statusOutput{Drain: &drain.Progress{Name: "rack-a-out", State: storage.DrainActive,
 			Reason: "resumed", Revision: 40_001,
 			Machines: []drain.MachineProgress{{ID: "i-000231", State: "cordoned", Replicas: 2, ArrayTasks: 3,
 				BeingEmptied: true}},
 			Permits: 1, Blocked: blocked, StartedAt: at, EndedAt: at + 1}, Teams: teams},
-		"status-ended": statusOutput{Drain: &drain.Progress{Name: "d-1", State: bookkeeping.DrainDone,
+		"status-ended": statusOutput{Drain: &drain.Progress{Name: "d-1", State: storage.DrainDone,
 			Revision: 40_002, Machines: []drain.MachineProgress{}, StartedAt: at}},
-		"status-blocked": statusOutput{Drain: &drain.Progress{Name: "d-2", State: bookkeeping.DrainActive,
+		"status-blocked": statusOutput{Drain: &drain.Progress{Name: "d-2", State: storage.DrainActive,
 			Revision: 40_003, Machines: []drain.MachineProgress{}, Blocked: waiting, StartedAt: at}, Teams: teams},
-		"list": []operator.DrainSummary{{Name: "rack-a-out", State: bookkeeping.DrainPaused,
+		"list": []operator.DrainSummary{{Name: "rack-a-out", State: storage.DrainPaused,
 			Reason: "paused by an operator", Selection: "zone rack-a", MachinesLeft: 3}},
-		"list-no-reason": []operator.DrainSummary{{Name: "d-1", State: bookkeeping.DrainDrained,
+		"list-no-reason": []operator.DrainSummary{{Name: "d-1", State: storage.DrainDrained,
 			Selection: "2 machines by name"}},
 		"list-empty":    []operator.DrainSummary{},
 		"budgets":       teams,
--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -40,14 +40,13 @@
 // layers has every package of the tree, the lowest layer first. A package imports packages of lower layers only:
 // neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above all it imports.
 var layers = [][]row{
-	{{path: "internal/micros"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
+	{{path: "internal/monotime"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
 		{path: "internal/peerwire/cancellation"}},
 	{{path: "internal/resources", planned: true}, {path: "internal/peerwire"}},
 	{{path: "internal/config"}, {path: "internal/transport"}},
 	{{path: "internal/protocol"}},
-	{{path: "internal/ratelimit", planned: true}, {path: "internal/standin", kind: fake},
-		{path: "internal/fake", kind: fake, planned: true}},
-	{{path: "internal/bookkeeping"}, {path: "internal/storage", planned: true}},
+	{{path: "internal/ratelimit"}, {path: "internal/fake", kind: fake}},
+	{{path: "internal/storage"}},
 	{{path: "internal/cancellation", kind: decision}, {path: "internal/drain", kind: decision},
 		{path: "internal/quota", kind: decision, planned: true}},
 	{{path: "internal/scheduling", kind: decision, planned: true}},
@@ -59,7 +58,7 @@
 	{{path: "internal/api", planned: true}},
 	{{path: "internal/coordination"}}, // the actor
 	{{path: "internal/daemon"}, {path: "internal/operator"}},
-	{{path: "internal/standin/loopback", kind: fake}, {path: "internal/fake/loopback", kind: fake, planned: true}},
+	{{path: "internal/fake/loopback", kind: fake}},
 	{{path: "cmd/pipitgap"}},
 }
 
--- a/internal/architecture/style_test.go
+++ b/internal/architecture/style_test.go
@@ -21,7 +21,7 @@
 // notWrapped has the packages whose code still has wider lines. A row is taken out once its package has none.
 var notWrapped = map[string]bool{
 	"internal/coordination":     true,
-	"internal/standin/loopback": true,
+	"internal/fake/loopback": true,
 }
 
 // wideLines gives the numbers of the lines that are too wide. Struct tags are left out: they can't be broken.
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // maxCommittedPerMessage bounds a message to well under the size of a peer frame: a job's name
@@ -20,12 +20,12 @@
 // RoundMessage is one of the messages of a round: together they carry every committed
 // cancellation that the sender knows and the receiver's mirror had not reached.
 type RoundMessage struct {
-	Incarnation       uint64        // of the sender
-	Clock             micros.Micros // the sender's clock when the round was made
-	EchoedIncarnation uint64        // the latest incarnation and clock that the sender has
-	EchoedClock       micros.Micros // received from the receiver
-	MirrorRevision    uint64        // the revision that the sender's mirror has reached
-	RecordsLoaded     bool          // the sender knows what its earlier incarnations had committed
+	Incarnation       uint64          // of the sender
+	Clock             monotime.Micros // the sender's clock when the round was made
+	EchoedIncarnation uint64          // the latest incarnation and clock that the sender has
+	EchoedClock       monotime.Micros // received from the receiver
+	MirrorRevision    uint64          // the revision that the sender's mirror has reached
+	RecordsLoaded     bool            // the sender knows what its earlier incarnations had committed
 	Round             uint64
 	MessagesInRound   int
 	Committed         []Committed
@@ -34,11 +34,11 @@
 // peerState is what is known of another controller.
 type peerState struct {
 	incarnation    uint64
-	clock          micros.Micros // the latest clock reading of that incarnation
+	clock          monotime.Micros // the latest clock reading of that incarnation
 	mirrorRevision uint64
 	round          uint64
-	received       int           // messages of that round
-	knownUntil     micros.Micros // by our clock
+	received       int             // messages of that round
+	knownUntil     monotime.Micros // by our clock
 }
 
 // Relay is one controller's side of the exchange.
@@ -92,7 +92,7 @@
 // MessagesFor makes a round for a peer. mirrorRevision is the revision that our mirror has
 // reached; recordsLoaded tells whether all records have been read by this incarnation.
 func (r *Relay) MessagesFor(
-	name string, now micros.Micros, mirrorRevision uint64, recordsLoaded bool,
+	name string, now monotime.Micros, mirrorRevision uint64, recordsLoaded bool,
 ) []RoundMessage {
 	p := r.peers[name]
 	if p == nil {
@@ -161,7 +161,7 @@
 // sent that last brought the mirror up to date: it holds all that was committed before.
 // A peer's complete round holds all that it had confirmed when it made the round, which
 // was after it had received the clock reading that it echoes.
-func (r *Relay) ConfirmedUntil(mirrored, now micros.Micros) micros.Micros {
+func (r *Relay) ConfirmedUntil(mirrored, now monotime.Micros) monotime.Micros {
 	heard := now
 	for _, p := range r.peers {
 		heard = min(heard, p.knownUntil)
--- a/internal/cancellation/relay_test.go
+++ b/internal/cancellation/relay_test.go
@@ -5,7 +5,7 @@
 	"slices"
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // relayPair is two controllers' relays, and the messages of a round that are delivered.
@@ -16,7 +16,7 @@
 }
 
 // deliverToConfirmer delivers the holder's round to the confirmer.
-func (p *relayPair) deliverToConfirmer(now micros.Micros, watched uint64) {
+func (p *relayPair) deliverToConfirmer(now monotime.Micros, watched uint64) {
 	for _, m := range p.holder.MessagesFor("confirmer", now, watched, true) {
 		p.confirmer.Receive("holder", m)
 	}
@@ -34,7 +34,7 @@
 }
 
 func TestConfirmedOnlyAfterRoundTrip(t *testing.T) {
-	const told, now = micros.Micros(500), micros.Micros(900)
+	const told, now = monotime.Micros(500), monotime.Micros(900)
 	many := func(r *Relay) {
 		for i := range 2*maxCommittedPerMessage + 1 {
 			r.Add(Committed{fmt.Sprintf("j-%d", i), uint64(100 + i)})
@@ -43,7 +43,7 @@
 	cases := []struct {
 		name     string
 		do       func(p *relayPair) int // returns the cancellations that reached the holder
-		until    micros.Micros
+		until    monotime.Micros
 		received int
 	}{
 		{"nothing heard", func(*relayPair) int { return 0 }, 0, 0},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 const validConfig = `
@@ -84,10 +84,10 @@
 	cases := []struct {
 		name, text string
 		ok         bool
-		delay      micros.Micros
+		delay      monotime.Micros
 	}{
-		{"nothing", "", true, 5 * micros.Minute},
-		{"a delay", "scale_down_delay: 20s", true, 20 * micros.Second},
+		{"nothing", "", true, 5 * monotime.Minute},
+		{"a delay", "scale_down_delay: 20s", true, 20 * monotime.Second},
 		{"unknown key", "scale_down_dely: 20s", false, 0},
 		{"not a duration", "scale_down_delay: soon", false, 0},
 		{"no unit", "scale_down_delay: 20", false, 0},
@@ -146,11 +146,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if settings.ScaleDownDelay.Micros() != 20*micros.Second || settings.ScaleInAttempts != 7 {
+	if settings.ScaleDownDelay.Micros() != 20*monotime.Second || settings.ScaleInAttempts != 7 {
 		t.Errorf("settings %+v", settings)
 	}
 	d := settings.Drains
-	if d == nil || d.MaxParallel != 3 || d.ArrayWait.Micros() != micros.Minute || len(d.Budgets) != 1 || *d.DefaultReserveMachines != 1 {
+	if d == nil || d.MaxParallel != 3 || d.ArrayWait.Micros() != monotime.Minute || len(d.Budgets) != 1 || *d.DefaultReserveMachines != 1 {
 		t.Fatalf("drains %+v", d)
 	}
 	if err := settings.CheckTeams([]Team{{Name: "t"}}); err != nil {
--- a/internal/config/drain_settings.go
+++ b/internal/config/drain_settings.go
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // DrainSettings are the settings of stepwise drains.
@@ -34,8 +34,8 @@
 	defaultMaxUnavailable  = 1
 	defaultReserveMachines = 1
 	defaultMaxParallel     = 10
-	defaultArrayWait       = Duration(30 * micros.Second)
-	defaultMinReady        = Duration(5 * micros.Second)
+	defaultArrayWait       = Duration(30 * monotime.Second)
+	defaultMinReady        = Duration(5 * monotime.Second)
 )
 
 // setDefaults fills in what the operators left out.
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -6,11 +6,11 @@
 
 	"github.com/goccy/go-yaml"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // Duration is a duration in a YAML file, written like 30s or 5m.
-type Duration micros.Micros
+type Duration monotime.Micros
 
 // UnmarshalYAML reads Go's duration form.
 func (s *Duration) UnmarshalYAML(text []byte) error {
@@ -22,9 +22,9 @@
 	if err != nil {
 		return fmt.Errorf("%q is not a duration such as 30s", value)
 	}
-	*s = Duration(micros.FromDuration(duration))
+	*s = Duration(monotime.FromDuration(duration))
 	return nil
 }
 
 // Micros gives the span as a time.
-func (s Duration) Micros() micros.Micros { return micros.Micros(s) }
+func (s Duration) Micros() monotime.Micros { return monotime.Micros(s) }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,7 @@
 
 	"github.com/goccy/go-yaml"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // Settings are the operators' own. The defaults are the design's starting values.
@@ -45,15 +45,15 @@
 // Defaults are the starting values of the design.
 func Defaults() Settings {
 	return Settings{
-		AutoscalingInterval:  Duration(2 * micros.Second),
-		OfferQuarantine:      Duration(30 * micros.Second),
-		ReadinessTimeout:     Duration(90 * micros.Second),
-		ScaleDownDelay:       Duration(5 * micros.Minute),
-		BackoffFirst:         Duration(4 * micros.Second),
-		BackoffMax:           Duration(60 * micros.Second),
+		AutoscalingInterval:  Duration(2 * monotime.Second),
+		OfferQuarantine:      Duration(30 * monotime.Second),
+		ReadinessTimeout:     Duration(90 * monotime.Second),
+		ScaleDownDelay:       Duration(5 * monotime.Minute),
+		BackoffFirst:         Duration(4 * monotime.Second),
+		BackoffMax:           Duration(60 * monotime.Second),
 		BackoffPasses:        3,
 		ScaleInAttempts:      4,
-		ScaleInRetryInterval: Duration(60 * micros.Second),
+		ScaleInRetryInterval: Duration(60 * monotime.Second),
 	}
 }
 
@@ -89,8 +89,8 @@
 
 // Bounds of a duration in the settings.
 const (
-	minDuration = Duration(100 * micros.Millisecond)
-	maxDuration = Duration(24 * 60 * micros.Minute)
+	minDuration = Duration(100 * monotime.Millisecond)
+	maxDuration = Duration(24 * 60 * monotime.Minute)
 )
 
 // check looks for what the schema can't express: durations out of range, and settings that
--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -3,7 +3,7 @@
 import (
 	"hash/fnv"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -15,7 +15,7 @@
 
 // CommandRecord is what we have told a worker about an attempt.
 type CommandRecord struct {
-	RunSentAt, KillSentAt, ReapSentAt micros.Micros
+	RunSentAt, KillSentAt, ReapSentAt monotime.Micros
 	KillToken                         uint64 // token of the first kill batch
 }
 
@@ -39,15 +39,15 @@
 	// What came as a check-in, and when. A copy of one that came before is never
 	// answered: it says nothing, and its answer would renew no lease.
 	LastHeartbeatIncarnation, LastHeartbeatSequence uint64
-	LastHeartbeatAt                                 micros.Micros
-	LastAnsweredAt                                  micros.Micros // when we last answered one: its lease may run from there
-	IncarnationSeenAt                               micros.Micros // when we learned of its session: that may have begun then
-	LastReachedAt                                   micros.Micros // when it last showed that our answers reach it
-	RedirectedAt                                    micros.Micros // when it was last told to look for another controller, see shouldRedirectAway
-	RequestedToken                                  uint64        // the token that it must show for that
-	LastAnsweredToken                               uint64        // the token of our last answer
-	UnacknowledgedHeartbeats                        int           // check-ins in a row without it
-	LeaseExpired                                    bool          // its lease has surely ended since LastAnsweredAt
+	LastHeartbeatAt                                 monotime.Micros
+	LastAnsweredAt                                  monotime.Micros // when we last answered one: its lease may run from there
+	IncarnationSeenAt                               monotime.Micros // when we learned of its session: that may have begun then
+	LastReachedAt                                   monotime.Micros // when it last showed that our answers reach it
+	RedirectedAt                                    monotime.Micros // when it was last told to look for another controller, see shouldRedirectAway
+	RequestedToken                                  uint64          // the token that it must show for that
+	LastAnsweredToken                               uint64          // the token of our last answer
+	UnacknowledgedHeartbeats                        int             // check-ins in a row without it
+	LeaseExpired                                    bool            // its lease has surely ended since LastAnsweredAt
 
 	PendingOutcomes     map[AttemptID]AttemptOutcome // not yet in the store
 	SentCommands        map[AttemptID]*CommandRecord
@@ -55,12 +55,12 @@
 	ResyncNeeded        bool // and there is more to say afterwards
 	InterruptionNoticed bool
 	Suspect             bool
-	RemovalReason       string                      // why it is to be given back
-	StoppingAttempts    map[AttemptID]bool          // preempted: to be stopped
-	RunningSince        map[AttemptID]micros.Micros // first seen running
-	FailureProne        bool                        // too much failed here, see blame
-	FailuresByJob       map[string]int              // by job, since something last completed here
-	LogSlowdown         float64                     // how much longer than expected tasks run here: log, smoothed
+	RemovalReason       string                        // why it is to be given back
+	StoppingAttempts    map[AttemptID]bool            // preempted: to be stopped
+	RunningSince        map[AttemptID]monotime.Micros // first seen running
+	FailureProne        bool                          // too much failed here, see blame
+	FailuresByJob       map[string]int                // by job, since something last completed here
+	LogSlowdown         float64                       // how much longer than expected tasks run here: log, smoothed
 	SlowdownSamples     int
 }
 
@@ -125,7 +125,7 @@
 		machine.Agent = &Agent{
 			ClaimNumber: machine.Claim(), RequestedToken: machine.Claim() << 32, LastHeartbeatAt: now, LastAnsweredAt: now, LastReachedAt: now,
 			ReportedAttempts: map[AttemptID]protocol.TaskStatus{}, PendingOutcomes: map[AttemptID]AttemptOutcome{}, SentCommands: map[AttemptID]*CommandRecord{},
-			StoppingAttempts: map[AttemptID]bool{}, RunningSince: map[AttemptID]micros.Micros{}, FailuresByJob: map[string]int{},
+			StoppingAttempts: map[AttemptID]bool{}, RunningSince: map[AttemptID]monotime.Micros{}, FailuresByJob: map[string]int{},
 		}
 	}
 }
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TestLateRunAfterReapStartsNothing: a direct batch that is held back and delivered after its
@@ -15,7 +15,7 @@
 func TestLateRunAfterReapStartsNothing(t *testing.T) {
 	c := newCluster(t, 7).startWithLeader()
 	var late []func()
-	c.commandDelay = func(worker *standin.Worker, req *protocol.CommandRequest) micros.Micros {
+	c.commandDelay = func(worker *fake.Worker, req *protocol.CommandRequest) monotime.Micros {
 		if req == nil {
 			return 0
 		}
@@ -98,16 +98,16 @@
 		c := newCluster(t, 17)
 		c.start("n-0")
 		core := c.nodes["n-0"].controller
-		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindOpenJob, "j-1"), protocol.MustMarshal(&bookkeeping.OpenJob{
-			Spec: bookkeeping.JobSpec{Tasks: 1, CPUs: 1}, TaskRanges: []bookkeeping.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 5)
-		shard := &bookkeeping.Shard{Owner: "n-0", Incarnation: core.incarnation, Claim: 3,
-			Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
-		shard.AddMachine("i-1", bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: bookkeeping.MachineOpen})
-		shard.Assign("j-1", bookkeeping.Attempt{Task: 0, Machine: "i-1", Number: 1})
+		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
+			Spec: storage.JobSpec{Tasks: 1, CPUs: 1}, TaskRanges: []storage.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 5)
+		shard := &storage.Shard{Owner: "n-0", Incarnation: core.incarnation, Claim: 3,
+			Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
+		shard.AddMachine("i-1", storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: storage.MachineOpen})
+		shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
 		encoded, _ := shard.Encode()
-		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindShard, "p"), encoded, 7)
+		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 7)
 		if tc.cancelled {
-			core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindJobResult, "j-1"), protocol.MustMarshal(&bookkeeping.JobResult{State: bookkeeping.JobCancelled}), 8)
+			core.mirror.ApplyPut(storage.Key(storage.KindJobResult, "j-1"), protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}), 8)
 		}
 		core.mirror.WatchedRevision = 8
 		machine := core.mirror.Machines["i-1"]
@@ -194,23 +194,23 @@
 	}
 	cases := []struct {
 		name string
-		do   func(c *cluster, id string, worker *standin.Worker) // between the report and its copy
+		do   func(c *cluster, id string, worker *fake.Worker) // between the report and its copy
 	}{
-		{"within a session", func(c *cluster, _ string, _ *standin.Worker) { c.sim.Run(6 * second) }},
-		{"well over a lease later", func(c *cluster, _ string, _ *standin.Worker) { c.sim.Run(40 * second) }},
-		{"across sessions", func(c *cluster, _ string, worker *standin.Worker) {
+		{"within a session", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(6 * second) }},
+		{"well over a lease later", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(40 * second) }},
+		{"across sessions", func(c *cluster, _ string, worker *fake.Worker) {
 			worker.Partitioned = true
 			c.sim.Run(13 * second)
 			worker.Partitioned = false
 			c.sim.Run(3 * second)
 		}},
-		{"after the owner restarted", func(c *cluster, _ string, worker *standin.Worker) {
+		{"after the owner restarted", func(c *cluster, _ string, worker *fake.Worker) {
 			c.kill(c.nodeNames...)
 			c.start(c.nodeNames...)
 			worker.Partitioned = true // the copy is the first that the owner hears of it
 			c.sim.Run(3 * second)
 		}},
-		{"after another controller claimed the machine", func(c *cluster, id string, worker *standin.Worker) {
+		{"after another controller claimed the machine", func(c *cluster, id string, worker *fake.Worker) {
 			for _, node := range c.nodeNames {
 				if machine := c.nodes[node].controller.mirror.Machines[id]; machine != nil && machine.Agent != nil {
 					c.disconnectedPairs[id+"-"+node] = true
@@ -218,7 +218,7 @@
 			}
 			c.sim.Run(25 * second)
 		}},
-		{"after the machine was deleted", func(c *cluster, id string, _ *standin.Worker) {
+		{"after the machine was deleted", func(c *cluster, id string, _ *fake.Worker) {
 			c.requestAndWait(c.nodeNames[0], "GET", "/healthz", nil)
 			c.sim.RunUntil(90*second, func() bool { return c.cloud.Machines[id].Gone })
 			c.sim.Run(5 * second)
@@ -230,8 +230,8 @@
 			c.settings.ScaleDownDelay = 0
 			c.startWithLeader()
 			var copies []copied
-			c.onReport = func(_ *standin.Worker, node string, body []byte) { copies = append(copies, copied{node, body}) }
-			run := micros.Micros(0)
+			c.onReport = func(_ *fake.Worker, node string, body []byte) { copies = append(copies, copied{node, body}) }
+			run := monotime.Micros(0)
 			if tc.name == "after the machine was deleted" {
 				run = 3 * second
 			}
@@ -248,7 +248,7 @@
 			}
 			tc.do(c, machine, c.fleet.Workers[machine])
 			c.onReport = nil
-			c.sim.Run(10 * micros.Millisecond)
+			c.sim.Run(10 * monotime.Millisecond)
 			state := func() string {
 				s := ""
 				for _, node := range c.nodeNames {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -5,9 +5,9 @@
 	"math"
 	"sort"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Bounds of a pass.
@@ -20,7 +20,7 @@
 func (c *Controller) quarantinedOffers() map[offer]bool {
 	out := map[offer]bool{}
 	for _, request := range c.mirror.ScaleOuts {
-		if request.Record.Phase == bookkeeping.ScaleOutNoCapacity {
+		if request.Record.Phase == storage.ScaleOutNoCapacity {
 			out[offer{request.Record.MachineType, request.Record.Zone, request.Record.Spot}] = true
 		}
 	}
@@ -29,13 +29,13 @@
 
 // demandAndSupply lists the unplaced tasks that teams' limits let run, and the room
 // there is for them: machines that are there, and open requests.
-func (c *Controller) demandAndSupply(now micros.Micros) ([]*taskDemand, []*machineBin) {
+func (c *Controller) demandAndSupply(now monotime.Micros) ([]*taskDemand, []*machineBin) {
 	waiting := append(c.unplacedDemand(now), c.drains.replacementDemands()...)
 	return waiting, append(c.machineBins(), c.requestedBins()...)
 }
 
 // unplacedDemand lists the tasks without room that teams' limits let run.
-func (c *Controller) unplacedDemand(now micros.Micros) []*taskDemand {
+func (c *Controller) unplacedDemand(now monotime.Micros) []*taskDemand {
 	var out []*taskDemand
 	teamLeft := map[string]Resources{}
 	for i, job := range c.orderedQueue() {
@@ -73,7 +73,7 @@
 	var out []*machineBin
 	for _, id := range sortedKeys(c.mirror.Machines) {
 		machine := c.mirror.Machines[id]
-		if machine.Record == nil || machine.Record.State != bookkeeping.MachineOpen {
+		if machine.Record == nil || machine.Record.State != storage.MachineOpen {
 			continue
 		}
 		machineType, ok := c.machineTypes[machine.Record.Type]
@@ -94,7 +94,7 @@
 	for _, name := range sortedKeys(c.mirror.ScaleOuts) {
 		request := c.mirror.ScaleOuts[name]
 		machineType, ok := c.machineTypes[request.Record.MachineType]
-		if !ok || request.Record.Phase == bookkeeping.ScaleOutNoCapacity {
+		if !ok || request.Record.Phase == storage.ScaleOutNoCapacity {
 			continue
 		}
 		coming, late := c.expectedMachines(request, machineType.BootS)
@@ -109,11 +109,11 @@
 // expectedMachines tells how many machines a request may be relied on to bring, and whether they
 // are late already.
 func (c *Controller) expectedMachines(request *ScaleOutEntry, bootS float64) (machines int, late bool) {
-	if request.Record.Phase != bookkeeping.ScaleOutProvisioning {
+	if request.Record.Phase != storage.ScaleOutProvisioning {
 		return request.Record.Count, false
 	}
 	if c.settings.OverdueBootFactor > 0 {
-		boots := micros.Micros(c.env.WallClock()-request.Record.PhaseSince).Seconds() / max(bootS, 1)
+		boots := monotime.Micros(c.env.WallClock()-request.Record.PhaseSince).Seconds() / max(bootS, 1)
 		if boots > 1.5*c.settings.OverdueBootFactor {
 			return 0, false // those that are missing are slow or dead: no longer to be relied on
 		}
@@ -158,7 +158,7 @@
 // seconds from its submission, the shortest first: multiples of its deadline and the
 // times within which its class is to be finished, less its run; the times within
 // which its class is to have started. Without any of them it has no such time.
-func (c *Controller) latestStarts(spec *bookkeeping.JobSpec) []float64 {
+func (c *Controller) latestStarts(spec *storage.JobSpec) []float64 {
 	run := estimateMargin * c.expectedRunSeconds(spec)
 	var out []float64
 	due := false
@@ -187,7 +187,7 @@
 // slackOf tells how many seconds a job's waiting tasks may still wait and meet the
 // first of its aims that can still be met, and how many can't.
 func (c *Controller) slackOf(job *Job, wall int64) (seconds float64, missed int) {
-	age := micros.Micros(wall - job.Record.AcceptedAt).Seconds()
+	age := monotime.Micros(wall - job.Record.AcceptedAt).Seconds()
 	begins := c.latestStarts(&job.Record.Spec)
 	for missed < len(begins) && begins[missed] < age {
 		missed++
@@ -240,7 +240,7 @@
 		if heard[machine.Record.Zone] == nil {
 			heard[machine.Record.Zone] = &silenceCount{}
 		}
-		heard[machine.Record.Zone].add(machine.Record.State == bookkeeping.MachineUnreachable, machine.Record.State != bookkeeping.MachineOpen)
+		heard[machine.Record.Zone].add(machine.Record.State == storage.MachineUnreachable, machine.Record.State != storage.MachineOpen)
 	}
 	return heard
 }
@@ -254,7 +254,7 @@
 		}
 	}
 	for _, request := range c.mirror.ScaleOuts {
-		if request.Record.Phase != bookkeeping.ScaleOutNoCapacity {
+		if request.Record.Phase != storage.ScaleOutNoCapacity {
 			count[request.Record.Zone] += request.Record.Count
 		}
 	}
@@ -281,7 +281,7 @@
 
 // autoscalingPass is the design's: demand net of room and open requests, then rentals,
 // then empty machines.
-func (c *Controller) autoscalingPass(now micros.Micros) {
+func (c *Controller) autoscalingPass(now monotime.Micros) {
 	if c.machineTypes == nil {
 		return
 	}
@@ -305,7 +305,7 @@
 
 // unmetDemand is what finds no room in the machines that are there or requested, headroom
 // included.
-func (c *Controller) unmetDemand(now micros.Micros) ([]*taskDemand, []*machineBin) {
+func (c *Controller) unmetDemand(now monotime.Micros) ([]*taskDemand, []*machineBin) {
 	demands, bins := c.demandAndSupply(now)
 	for _, demand := range demands {
 		if demand.crashLoopTrial {
@@ -322,7 +322,7 @@
 }
 
 // eligibleDemand leaves out what is met, and jobs that have backed off.
-func (c *Controller) eligibleDemand(demands []*taskDemand, now micros.Micros) []*taskDemand {
+func (c *Controller) eligibleDemand(demands []*taskDemand, now monotime.Micros) []*taskDemand {
 	var wanted []*taskDemand
 	for _, demand := range demands {
 		if demand.tasks > 0 && !c.inBackoff(demand.jobID, now) {
@@ -333,7 +333,7 @@
 }
 
 // inBackoff tells whether nothing is rented for a job for now.
-func (c *Controller) inBackoff(job string, now micros.Micros) bool {
+func (c *Controller) inBackoff(job string, now monotime.Micros) bool {
 	backoff := c.leader.unplaceableJobs[job]
 	if backoff == nil {
 		return false
@@ -414,7 +414,7 @@
 // updateBackoff follows a job whose tasks no offer can take: after several passes it
 // pauses, longer each time, and at the ceiling it leaves the demand until an
 // offer recovers.
-func (c *Controller) updateBackoff(demand *taskDemand, met bool, now micros.Micros) {
+func (c *Controller) updateBackoff(demand *taskDemand, met bool, now monotime.Micros) {
 	leader := &c.leader
 	if met {
 		delete(leader.unplaceableJobs, demand.jobID)
@@ -449,10 +449,10 @@
 // scaleInDelay is how long an empty machine stays closed before it is given back: the delay
 // for what is cheapest, less for a dearer kind of the same type, by its price. What is
 // kept for the next burst is better kept where it costs least.
-func (c *Controller) scaleInDelay(record *bookkeeping.ShardMachine) micros.Micros {
+func (c *Controller) scaleInDelay(record *storage.ShardMachine) monotime.Micros {
 	delay := c.settings.ScaleDownDelay.Micros()
 	if machineType := c.machineTypes[record.Type]; !record.Spot && machineType.SpotPrice > 0 && machineType.SpotPrice < machineType.OnDemandPrice {
-		return micros.Micros(float64(delay) * machineType.SpotPrice / machineType.OnDemandPrice)
+		return monotime.Micros(float64(delay) * machineType.SpotPrice / machineType.OnDemandPrice)
 	}
 	return delay
 }
@@ -462,7 +462,7 @@
 // only a matter of the part that places on them: a waiting task reopens one
 // without a write. Each part does so for its own machines, as it alone writes its
 // shards, and the leader deletes them.
-func (c *Controller) scaleInEmpty(now micros.Micros) {
+func (c *Controller) scaleInEmpty(now monotime.Micros) {
 	if c.machineTypes == nil {
 		return
 	}
@@ -478,11 +478,11 @@
 	synced := map[string]bool{}
 	for _, id := range sortedKeys(c.mirror.Machines) {
 		machine := c.mirror.Machines[id]
-		if machine.Agent == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == bookkeeping.MachineOpen && !machine.Agent.FailureProne || machine.Agent.RemovalReason != "" {
+		if machine.Agent == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == storage.MachineOpen && !machine.Agent.FailureProne || machine.Agent.RemovalReason != "" {
 			continue
 		}
 		switch machine.Record.State {
-		case bookkeeping.MachineOpen:
+		case storage.MachineOpen:
 			synced[id] = true
 			at, ok := c.emptySince[id]
 			if !ok {
@@ -495,7 +495,7 @@
 			} else if ok && now-closed >= c.scaleInDelay(machine.Record) {
 				c.requestRemoval(machine, removalReasonIdle)
 			}
-		case bookkeeping.MachineCordoned:
+		case storage.MachineCordoned:
 			synced[id] = true
 			if _, ok := c.emptySince[id]; !ok {
 				c.emptySince[id] = now
@@ -503,7 +503,7 @@
 			if c.drains.mayScaleIn(machine, now-c.emptySince[id]) {
 				c.requestRemoval(machine, removalReasonDrained)
 			}
-		case bookkeeping.MachineDraining:
+		case storage.MachineDraining:
 			c.requestRemoval(machine, removalReasonDrained)
 		}
 	}
--- a/internal/coordination/burst_limit.go
+++ b/internal/coordination/burst_limit.go
@@ -3,9 +3,9 @@
 import (
 	"math"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Each small job costs as many changes as a large one. A team that sends them as fast
@@ -13,19 +13,19 @@
 // neither be accepted nor placed. So what swarms goes last, with places of its own in
 // the queue, and is what gets 429.
 const (
-	submissionRateWindow = 10 * micros.Second // submissions that long ago count a third
-	minBurstSubmissions  = 8                  // and so many that count make a swarm, if they are
-	burstFraction        = 0.6                // more than this part of all, or of the lowest priority
-	contendedQueueAge    = 1200 * micros.Millisecond
+	submissionRateWindow = 10 * monotime.Second // submissions that long ago count a third
+	minBurstSubmissions  = 8                    // and so many that count make a swarm, if they are
+	burstFraction        = 0.6                  // more than this part of all, or of the lowest priority
+	contendedQueueAge    = 1200 * monotime.Millisecond
 )
 
 // submissionRate counts a team's submissions of jobs that may wait.
 type submissionRate struct {
 	decayingCount float64
-	updatedAt     micros.Micros
+	updatedAt     monotime.Micros
 }
 
-func (a *submissionRate) decayedCount(now micros.Micros) float64 {
+func (a *submissionRate) decayedCount(now monotime.Micros) float64 {
 	if now > a.updatedAt {
 		a.decayingCount *= math.Exp(-(now - a.updatedAt).Seconds() / submissionRateWindow.Seconds())
 		a.updatedAt = now
@@ -36,7 +36,7 @@
 // isRateLimited tells whether a submission is to go after the others while changes are short:
 // one of many that a team has sent lately, of the lowest priority, or while other teams
 // send theirs too.
-func (c *Controller) isRateLimited(spec *bookkeeping.JobSpec) bool {
+func (c *Controller) isRateLimited(spec *storage.JobSpec) bool {
 	if spec.Priority > int(protocol.Standard) || !c.storeContended() {
 		return false
 	}
@@ -59,11 +59,11 @@
 // that starts and ends, have waited for longer than a burst takes.
 func (c *Controller) storeContended() bool {
 	now := c.now()
-	return c.userCallsWaiting() || max(c.storeQueue.OldestWait(bookkeeping.PriorityShardUpdate, now), c.storeQueue.OldestWait(bookkeeping.PriorityJobResult, now)) > contendedQueueAge || c.storeQueue.Len(bookkeeping.PriorityBurst) > 0
+	return c.userCallsWaiting() || max(c.storeQueue.OldestWait(storage.PriorityShardUpdate, now), c.storeQueue.OldestWait(storage.PriorityJobResult, now)) > contendedQueueAge || c.storeQueue.Len(storage.PriorityBurst) > 0
 }
 
 // countSubmission notes a submission for its team.
-func (c *Controller) countSubmission(spec *bookkeeping.JobSpec) {
+func (c *Controller) countSubmission(spec *storage.JobSpec) {
 	a := c.submissionRates[spec.Team]
 	if a == nil {
 		a = &submissionRate{}
@@ -74,9 +74,9 @@
 }
 
 // priorityClassOf tells in which rank changes of a job's record go.
-func (c *Controller) priorityClassOf(spec *bookkeeping.JobSpec, otherwise bookkeeping.Priority) bookkeeping.Priority {
+func (c *Controller) priorityClassOf(spec *storage.JobSpec, otherwise storage.Priority) storage.Priority {
 	if c.isRateLimited(spec) {
-		return bookkeeping.PriorityBurst
+		return storage.PriorityBurst
 	}
 	return otherwise
 }
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TestGuest: whose submissions go after the others'.
@@ -31,13 +31,13 @@
 		core := newCluster(t, 1).startWithLeader().nodes["n-0"].controller
 		for team, n := range tc.sent {
 			for i := 0; i < n; i++ {
-				core.countSubmission(&bookkeeping.JobSpec{Team: team})
+				core.countSubmission(&storage.JobSpec{Team: team})
 			}
 		}
 		if tc.contended {
-			core.storeQueue.Add(bookkeeping.Call{StoreCall: &protocol.StoreCall{}, Priority: bookkeeping.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
+			core.storeQueue.Add(storage.Call{StoreCall: &protocol.StoreCall{}, Priority: storage.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
 		}
-		if got := core.isRateLimited(&bookkeeping.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
+		if got := core.isRateLimited(&storage.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
 	}
@@ -55,8 +55,8 @@
 	c.teams = []config.Team{{Name: "home", CPUs: 100, CPUsMax: 400}, {Name: "guest"}}
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.OfferKey("m16", z, false)] = 10
-		c.cloud.Capacity[standin.OfferKey("m16", z, true)] = 10
+		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = 10
+		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = 10
 	}
 	c.startWithLeader()
 	keep := c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(60),
@@ -82,20 +82,20 @@
 func runBurst(t *testing.T, seed uint64) {
 	c := newBurstCluster(t, seed, nil)
 	changes := c.store.Changes
-	accepted := map[string]micros.Micros{}
+	accepted := map[string]monotime.Micros{}
 	c.onAccepted = func(id string) { accepted[id] = c.sim.Now() }
-	sentAt := map[string]micros.Micros{}
+	sentAt := map[string]monotime.Micros{}
 	var swarming, services []string
 	refused, silent, started := 0, 0, 0
-	unclaimed, longest := map[string]micros.Micros{}, micros.Micros(0) // machines that are up
+	unclaimed, longest := map[string]monotime.Micros{}, monotime.Micros(0) // machines that are up
 	var look func()
 	look = func() {
 		for id, worker := range c.fleet.Workers {
-			if unclaimed[id] += 250 * micros.Millisecond; worker.FencingToken == 0 && !worker.Machine.Gone {
+			if unclaimed[id] += 250 * monotime.Millisecond; worker.FencingToken == 0 && !worker.Machine.Gone {
 				longest = max(longest, unclaimed[id])
 			}
 		}
-		c.sim.After(250*micros.Millisecond, look)
+		c.sim.After(250*monotime.Millisecond, look)
 	}
 	look()
 	const seconds = 40
@@ -123,7 +123,7 @@
 	c.sim.Run(c.cloud.BootTime + 8*second)
 	late := 0
 	for _, id := range services {
-		if at, ok := accepted[id]; !ok || at-sentAt[id] > 1500*micros.Millisecond {
+		if at, ok := accepted[id]; !ok || at-sentAt[id] > 1500*monotime.Millisecond {
 			late++
 		}
 	}
@@ -171,7 +171,7 @@
 func runHugeArray(t *testing.T, kb float64, least, most int) {
 	c := newBurstCluster(t, 2100, func(cfg *config.Config) { cfg.Facts.State.ValueKB = kb })
 	largest := 0
-	c.onReport = func(_ *standin.Worker, _ string, body []byte) { largest = max(largest, len(body)) }
+	c.onReport = func(_ *fake.Worker, _ string, body []byte) { largest = max(largest, len(body)) }
 	sweep := c.submit(4*second, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(25000),
 		withCPUs(0.25), withMemoryGB(0.45), withSpot(true), withEstimateS(4))
 	changes, requests := c.store.Changes, 0
@@ -189,7 +189,7 @@
 			})
 		}
 		c.sim.Run(second)
-		for _, k := range c.store.Keys(bookkeeping.KeyPrefix) {
+		for _, k := range c.store.Keys(storage.KeyPrefix) {
 			value = max(value, c.store.JSONSize(k))
 		}
 	}
@@ -271,7 +271,7 @@
 					}
 				})
 			}
-			c.sim.Run(100 * micros.Millisecond)
+			c.sim.Run(100 * monotime.Millisecond)
 		}
 		c.sim.Run(second)
 		for _, n := range c.store.Calls {
@@ -281,7 +281,7 @@
 	}
 	calm, _, _ := storm(over)
 	id := c.submitWithRetry(second, withTeam("home"), withCPUs(0.5))
-	taken := micros.Micros(0)
+	taken := monotime.Micros(0)
 	c.onAccepted = func(got string) {
 		if got == id {
 			taken = c.sim.Now()
@@ -316,12 +316,12 @@
 		swarms    bool
 		service   bool
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
-		update := NewShardUpdate("n-0.1", nil, &bookkeeping.Shard{Jobs: map[string]*bookkeeping.ShardJob{}})
+		update := NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
 		update.MaxBytes = int(tc.partition * float64(core.assignmentShardBytes()))
-		candidates := []*candidateMachine{{machine: &Machine{ID: "i-1", CachedImages: map[string]bool{}}, record: &bookkeeping.ShardMachine{Type: "m8", Zone: "a"}, update: update, freeResources: Resources{CPUs: 8, MemoryGB: 64}}}
+		candidates := []*candidateMachine{{machine: &Machine{ID: "i-1", CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"}, update: update, freeResources: Resources{CPUs: 8, MemoryGB: 64}}}
 		for _, service := range []bool{false, true} {
 			job := &Job{ID: "j-900000", TaskResources: Resources{CPUs: 0.25}, TaskStates: make([]uint8, 1),
-				Record: bookkeeping.OpenJob{Spec: bookkeeping.JobSpec{Tasks: 1, CPUs: 0.25, Service: service, Priority: int(protocol.BestEffort)}}}
+				Record: storage.OpenJob{Spec: storage.JobSpec{Tasks: 1, CPUs: 0.25, Service: service, Priority: int(protocol.BestEffort)}}}
 			if got := core.chooseMachine(job, candidates, newZoneConstraint(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
 				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
 			}
--- a/internal/coordination/cancellations.go
+++ b/internal/coordination/cancellations.go
@@ -1,16 +1,16 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/cancellation"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // mustSuspendLeaseRenewal tells whether check-ins must go unanswered: another controller may
 // have confirmed a cancellation that we know nothing of, so long ago that its tasks
 // would outlast their time if we renewed their lease now.
-func (c *Controller) mustSuspendLeaseRenewal(now micros.Micros) bool {
+func (c *Controller) mustSuspendLeaseRenewal(now monotime.Micros) bool {
 	expire := now-c.cancellations.ConfirmedUntil(c.mirrorFreshAt, now) >= c.durations.renewalWindow
 	if expire != c.leaseRenewalSuspended {
 		c.leaseRenewalSuspended = expire
@@ -21,7 +21,7 @@
 
 // recordCancellation keeps a cancellation that our mirror holds for the peers.
 func (c *Controller) recordCancellation(job *Job) {
-	if job != nil && job.FinalStatus == bookkeeping.JobCancelled && job.FinalRevision != 0 {
+	if job != nil && job.FinalStatus == storage.JobCancelled && job.FinalRevision != 0 {
 		c.cancellations.Add(cancellation.Committed{Job: job.ID, Revision: job.FinalRevision})
 	}
 }
@@ -38,8 +38,8 @@
 }
 
 func (c *Controller) applyCancellation(cancelled cancellation.Committed) {
-	key := bookkeeping.Key(bookkeeping.KindJobResult, cancelled.Job)
-	c.mirror.ApplyPut(key, protocol.MustMarshal(&bookkeeping.JobResult{State: bookkeeping.JobCancelled}), cancelled.Revision)
+	key := storage.Key(storage.KindJobResult, cancelled.Job)
+	c.mirror.ApplyPut(key, protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}), cancelled.Revision)
 }
 
 // reconcileCancellations brings mirror and relay together when all records were read
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -4,9 +4,9 @@
 	"math"
 	"strings"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Bounds of one placement pass.
@@ -14,20 +14,20 @@
 	sampleAboveMachines        = 48    // with more machines than this, and
 	sampleAboveComparisons     = 20000 // more jobs times machines than this, a sample is looked at
 	candidateSampleSize        = 24
-	reassignmentInterval       = 1 * micros.Second
+	reassignmentInterval       = 1 * monotime.Second
 	maxTasksPerMachine         = 300 // tasks on a machine: what a report of 64 KiB can name
-	starvedAfter               = 100 * micros.Second
-	starvedAgainAfter          = 45 * micros.Second // the same once it has begun
-	lateAfterMissedObjectives  = 2                  // past so many aims a job waits behind all that are in time
-	deadlineBoostMaxFraction   = 0.3                // of what a team can use may be held by late jobs
-	deadlineBoostWindowSeconds = 40.0               // seconds before its next aim in which it goes before them again
-	starvedTaskDivisor         = 4                  // a job that got nothing for so long gets one of so many parts of it
+	starvedAfter               = 100 * monotime.Second
+	starvedAgainAfter          = 45 * monotime.Second // the same once it has begun
+	lateAfterMissedObjectives  = 2                    // past so many aims a job waits behind all that are in time
+	deadlineBoostMaxFraction   = 0.3                  // of what a team can use may be held by late jobs
+	deadlineBoostWindowSeconds = 40.0                 // seconds before its next aim in which it goes before them again
+	starvedTaskDivisor         = 4                    // a job that got nothing for so long gets one of so many parts of it
 )
 
 // candidateMachine is a machine with the room that a pass still has on it.
 type candidateMachine struct {
 	machine        *Machine
-	record         *bookkeeping.ShardMachine
+	record         *storage.ShardMachine
 	update         *ShardUpdate // nil where only the room counts
 	freeResources  Resources
 	serviceCPUs    float64 // CPUs that services hold, this pass's too
@@ -46,7 +46,7 @@
 
 // schedulable tells whether new tasks may go to a machine of ours: it is open, its
 // worker has lately shown that our answers reach it, and nothing speaks against it.
-func (c *Controller) schedulable(machine *Machine, now micros.Micros) bool {
+func (c *Controller) schedulable(machine *Machine, now monotime.Micros) bool {
 	agent := machine.Agent
 	if agent == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || agent.LeaseExpired || agent.InterruptionNoticed || agent.RemovalReason != "" || !agent.IsReachable() {
 		return false
@@ -58,12 +58,12 @@
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
-func (c *Controller) candidateMachines(updates []*ShardUpdate, now micros.Micros) []*candidateMachine {
+func (c *Controller) candidateMachines(updates []*ShardUpdate, now monotime.Micros) []*candidateMachine {
 	var out []*candidateMachine
 	for _, update := range updates {
 		for _, id := range sortedKeys(update.Next.Machines) {
 			record, machine := update.Next.Machines[id], c.mirror.Machines[id]
-			if machine == nil || machine.Record == nil || record.State != bookkeeping.MachineOpen || !c.schedulable(machine, now) {
+			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen || !c.schedulable(machine, now) {
 				continue
 			}
 			machineType, ok := c.machineTypes[record.Type]
@@ -80,7 +80,7 @@
 }
 
 // machineAllowed tells whether a job's tasks may run on a machine.
-func machineAllowed(spec *bookkeeping.JobSpec, machineRecord *bookkeeping.ShardMachine) bool {
+func machineAllowed(spec *storage.JobSpec, machineRecord *storage.ShardMachine) bool {
 	return typeAndZoneAllowed(spec, machineRecord.Type, machineRecord.Zone) && (spec.Spot || !machineRecord.Spot)
 }
 
@@ -93,7 +93,7 @@
 	zone, allowedTypes, team string
 }
 
-func shapeOf(spec *bookkeeping.JobSpec, team string) taskShape {
+func shapeOf(spec *storage.JobSpec, team string) taskShape {
 	types := ""
 	if spec.MachineTypes != nil {
 		types = "=" + strings.Join(spec.MachineTypes, " ")
@@ -103,7 +103,7 @@
 
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
 // it still waits and the room may be about to be there.
-func (c *Controller) reservePreemptedRoom(candidates []*candidateMachine, now micros.Micros) {
+func (c *Controller) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
 	jobByMachine := map[string]string{}
 	for id, pending := range c.preemptions {
 		if job := c.mirror.Jobs[id]; job != nil && job.IsOpen() && job.UnassignedTasks() > 0 && now < pending.expiresAt {
@@ -125,7 +125,7 @@
 // shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks
 // as its shard has bytes for: thousands of tiny ones filled the shards, and others found
 // no machine beside room for all of them.
-func (c *Controller) shardBytesFor(spec *bookkeeping.JobSpec) int {
+func (c *Controller) shardBytesFor(spec *storage.JobSpec) int {
 	if !spec.Service && spec.Priority == int(protocol.BestEffort) {
 		return c.assignmentShardBytes() * 8 / 10
 	}
@@ -183,7 +183,7 @@
 // waitedForImage tells whether a job has waited too long to go on looking for a better
 // place.
 func (c *Controller) waitedForImage(job *Job, wall int64) bool {
-	return wall-job.Record.AcceptedAt > int64(2*micros.Second)
+	return wall-job.Record.AcceptedAt > int64(2*monotime.Second)
 }
 
 // chooseMachine picks the machine for a task: spot before ordinary where the job may,
@@ -270,7 +270,7 @@
 }
 
 // guaranteePreemptionDelay is how long a job within a guarantee looks for free room first.
-const guaranteePreemptionDelay = 5 * micros.Second / 2
+const guaranteePreemptionDelay = 5 * monotime.Second / 2
 
 // guaranteePreemptionBatch is how many tasks of a job get room by its team's guarantee at a time.
 const guaranteePreemptionBatch = 4
@@ -300,7 +300,7 @@
 // imageFetchPenalty weighs an image fetch against a tighter fit: a service counts as
 // started only once its image is there, and it stays, so it pays to wait for
 // nothing else.
-func imageFetchPenalty(spec *bookkeeping.JobSpec) float64 {
+func imageFetchPenalty(spec *storage.JobSpec) float64 {
 	if spec.Service {
 		return 1000 + 4*spec.ImageGB
 	}
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"sort"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Machines that have come up, or have lost their owner, on their way into our shards.
 
 // admitClaimRequests puts machines that have come up, or come over to us, into shards; it
 // opens a new shard when no other has the room.
-func (c *Controller) admitClaimRequests(updates []*ShardUpdate, now micros.Micros) []*ShardUpdate {
+func (c *Controller) admitClaimRequests(updates []*ShardUpdate, now monotime.Micros) []*ShardUpdate {
 	inDoubt := map[string]bool{}
 	for _, tracker := range c.shardTrackers {
 		for _, update := range tracker.updatesInDoubt {
@@ -73,8 +73,8 @@
 			}
 			c.shardSequence++
 			name := fmt.Sprintf("%s.%x.%d", c.node, c.incarnation, c.shardSequence)
-			next := &bookkeeping.Shard{Owner: c.node, Incarnation: c.incarnation, Claim: 1,
-				Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
+			next := &storage.Shard{Owner: c.node, Incarnation: c.incarnation, Claim: 1,
+				Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
 			c.newShards[name] = next
 			update = NewShardUpdate(name, nil, next)
 			update.MaxBytes = update.Next.MaxEncodedSize()
@@ -87,15 +87,15 @@
 		update.MaxBytes += bytesPerMachine + moving
 		update.PlannedBytes += need
 		update.AdmittedMachines[id] = pendingClaim
-		update.AddCompare(bookkeeping.Key(bookkeeping.KindMember, c.node), member.Version)
+		update.AddCompare(storage.Key(storage.KindMember, c.node), member.Version)
 		if known {
 			takeoverUpdate, moved[machine.Shard.Name] = update, true
 			c.moveMachine(update, machine, &pendingClaim.report)
 			continue
 		}
-		update.Next.AddMachine(id, bookkeeping.ShardMachine{Type: pendingClaim.report.Type, Zone: pendingClaim.report.Zone, Spot: pendingClaim.report.Spot,
-			Endpoint: pendingClaim.report.Endpoint, State: bookkeeping.MachineOpen, Claim: pendingClaim.report.FencingToken>>32 + 1})
-		update.AddCompare(bookkeeping.Key(bookkeeping.KindScaleOut, c.mirror.ScaleOutOfMachine[id]), request.Version)
+		update.Next.AddMachine(id, storage.ShardMachine{Type: pendingClaim.report.Type, Zone: pendingClaim.report.Zone, Spot: pendingClaim.report.Spot,
+			Endpoint: pendingClaim.report.Endpoint, State: storage.MachineOpen, Claim: pendingClaim.report.FencingToken>>32 + 1})
+		update.AddCompare(storage.Key(storage.KindScaleOut, c.mirror.ScaleOutOfMachine[id]), request.Version)
 	}
 	return updates
 }
@@ -139,7 +139,7 @@
 	ids := sortedKeys(c.claimRequests)
 	last := func(id string) bool {
 		fromShard := c.claimRequests[id].fromShard
-		return fromShard != nil && c.takeoverLimiter.conflictedKeys[bookkeeping.Key(bookkeeping.KindShard, fromShard.Name)]
+		return fromShard != nil && c.takeoverLimiter.conflictedKeys[storage.Key(storage.KindShard, fromShard.Name)]
 	}
 	sort.SliceStable(ids, func(a, b int) bool { return !last(ids[a]) && last(ids[b]) })
 	return ids
@@ -149,13 +149,13 @@
 // puts it into an update, in one commit that both shards must agree to.
 func (c *Controller) moveMachine(update *ShardUpdate, machine *Machine, report *protocol.Heartbeat) {
 	fromShard := machine.Shard
-	key := bookkeeping.Key(bookkeeping.KindShard, fromShard.Name)
+	key := storage.Key(storage.KindShard, fromShard.Name)
 	at := -1
 	left := fromShard.Record
 	for i, operation := range update.Txn.Then {
 		if operation.Put == key {
 			at = i
-			left, _ = bookkeeping.DecodeShard(operation.Value, nil)
+			left, _ = storage.DecodeShard(operation.Value, nil)
 		}
 	}
 	left = left.Clone()
@@ -168,7 +168,7 @@
 	for task, attempt := range machine.Attempts {
 		before, _ := fromShard.Record.FindAttempt(task.Job, task.Index)
 		left.Release(task.Job, task.Index, false)
-		update.Next.Assign(task.Job, bookkeeping.Attempt{Task: task.Index, Machine: machine.ID, Number: attempt, Starting: before.Starting})
+		update.Next.Assign(task.Job, storage.Attempt{Task: task.Index, Machine: machine.ID, Number: attempt, Starting: before.Starting})
 		if job := c.mirror.Jobs[task.Job]; job != nil {
 			addTeamUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // TestNewLeaderRepeatsScaleOutIdempotently: a leader that crashes after the cloud has rented is followed
@@ -95,7 +95,7 @@
 			t.Errorf("%s answers %d", node, response.Status)
 		}
 	}
-	if keys := c.store.Keys(bookkeeping.KeyPrefix + "page"); len(keys) > 0 {
+	if keys := c.store.Keys(storage.KeyPrefix + "page"); len(keys) > 0 {
 		t.Errorf("claimed: %v", keys)
 	}
 }
--- a/internal/coordination/combined_failures_test.go
+++ b/internal/coordination/combined_failures_test.go
@@ -5,12 +5,12 @@
 	"testing"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
 // leaseDurations are how long leases and cancellations last on a platform.
-type leaseDurations struct{ heartbeatInterval, leaseTime, cancelTime micros.Micros }
+type leaseDurations struct{ heartbeatInterval, leaseTime, cancelTime monotime.Micros }
 
 var defaultLeases = leaseDurations{2 * second, 12 * second, 32 * second}
 
@@ -25,7 +25,7 @@
 // throttledThenStoreOutage is the meeting that broke most rules: the state service refuses the
 // leader alone, users cancel through another controller, and then the service is down
 // for all for longer than the tasks of a cancelled job may stay.
-func throttledThenStoreOutage(sincePrevious micros.Micros, more ...fault) []fault {
+func throttledThenStoreOutage(sincePrevious monotime.Micros, more ...fault) []fault {
 	return append([]fault{
 		storeRejectsController(70*second, leaderController, 14*second),
 		cancelRunningJobs(70*second+second/10, 4, 0),
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -3,7 +3,7 @@
 import (
 	"sort"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -13,10 +13,10 @@
 // nextCommands works out what a worker must be told, reaps and kills before runs.
 // A batch that isn't empty gets a token of its own, above all earlier ones, so
 // a late copy of an earlier batch can't undo it.
-func (c *Controller) nextCommands(machine *Machine, now micros.Micros) []protocol.Command {
+func (c *Controller) nextCommands(machine *Machine, now monotime.Micros) []protocol.Command {
 	agent := machine.Agent
 	commands := []protocol.Command{}
-	const again = micros.Second
+	const again = monotime.Second
 	token := agent.Token() + 1
 	add := func(op string, key AttemptID, graceSeconds float64) {
 		command := protocol.Command{Op: op, Task: key.Task.String(), Attempt: key.Attempt}
@@ -25,7 +25,7 @@
 		}
 		commands = append(commands, command)
 	}
-	due := func(at *micros.Micros) bool {
+	due := func(at *monotime.Micros) bool {
 		if len(commands) >= maxCommandsPerBatch || *at != 0 && now-*at < again {
 			return false
 		}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -6,23 +6,23 @@
 	"slices"
 	"sort"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Environment is the world as the core sees it. Every callback comes back as a message
 // to the core's mailbox, never on another goroutine.
 type Environment interface {
-	Now() micros.Micros // the steady clock
-	WallClock() int64   // time of day, microseconds
-	Rand() *rand.Rand   // injected randomness
-	After(micros.Micros, func())
+	Now() monotime.Micros // the steady clock
+	WallClock() int64     // time of day, microseconds
+	Rand() *rand.Rand     // injected randomness
+	After(monotime.Micros, func())
 	CallStore(*protocol.StoreCall, func(protocol.StoreResult))
 	CallCloud(*protocol.CloudCall, func(protocol.CloudResult))
-	SendCommands(endpoint string, req *protocol.CommandRequest, within micros.Micros, callback func(protocol.CommandResult))
+	SendCommands(endpoint string, req *protocol.CommandRequest, within monotime.Micros, callback func(protocol.CommandResult))
 	SendPeerStatus(node string, status PeerStatus)
 }
 
@@ -35,13 +35,13 @@
 
 // Durations of the coordination itself; none depends on the deployment.
 const (
-	storeTimeout           = 2 * micros.Second
-	leaseKeepAliveTimeout  = 1 * micros.Second
-	watchLongPoll          = 2 * micros.Second
-	fastTickInterval       = 50 * micros.Millisecond
-	slowTickInterval       = 500 * micros.Millisecond
-	commandTimeout         = 3 * micros.Second
-	probeTimeout           = 1 * micros.Second
+	storeTimeout           = 2 * monotime.Second
+	leaseKeepAliveTimeout  = 1 * monotime.Second
+	watchLongPoll          = 2 * monotime.Second
+	fastTickInterval       = 50 * monotime.Millisecond
+	slowTickInterval       = 500 * monotime.Millisecond
+	commandTimeout         = 3 * monotime.Second
+	probeTimeout           = 1 * monotime.Second
 	maxWatchBytes          = 4 << 20 // bytes of an answer of the watch, at most about
 	budgetOversubscription = 1.2     // of the even share of the store's limits that each may use
 )
@@ -59,65 +59,65 @@
 	controllers []string // every controller's name, ours included
 
 	mirror          *Mirror
-	storeQueue      bookkeeping.Queue
+	storeQueue      storage.Queue
 	queueTimerArmed bool // a timer will run the queue
 
 	mirrorReady                bool   // the mirror is complete
 	loadedRevision             uint64 // the watch must reach this before the mirror is complete
 	mirrorLoading              bool
 	mirrorLoaded               bool // a first load is done, the watch may go on from it
-	minWatchInterval           micros.Micros
-	nextWatchAt                micros.Micros
+	minWatchInterval           monotime.Micros
+	nextWatchAt                monotime.Micros
 	watchInFlight              bool
-	lastWatchSuccessAt         micros.Micros // last answer of the watch
-	backlogMeasuredAt          micros.Micros // when the changes since then were last found to be few
+	lastWatchSuccessAt         monotime.Micros // last answer of the watch
+	backlogMeasuredAt          monotime.Micros // when the changes since then were last found to be few
 	leaseID                    uint64
-	leaseRenewalSentAt         micros.Micros // send time of the last touch that succeeded
-	leaseGrantedAt             micros.Micros // when the lease was granted
+	leaseRenewalSentAt         monotime.Micros // send time of the last touch that succeeded
+	leaseGrantedAt             monotime.Micros // when the lease was granted
 	leaseGrantInFlight         bool
 	leaseRenewalInFlight       bool
-	nextLeaseRenewalAt         micros.Micros
+	nextLeaseRenewalAt         monotime.Micros
 	memberWriteInFlight        bool
 	electionInFlight           bool
-	lastStoreSuccessAt         micros.Micros // last answer of the store other than 503 or silence
-	lastStoreFailureAt         micros.Micros // last failure
+	lastStoreSuccessAt         monotime.Micros // last answer of the store other than 503 or silence
+	lastStoreFailureAt         monotime.Micros // last failure
 	storeUnavailable           bool
 	peerStatuses               *PeerTable
-	workersUnreachableSince    micros.Micros // since when our workers are out of reach; 0: they aren't
-	hearsMostWorkers           bool          // most of them were heard lately
-	reachabilityProbesInFlight int           // questions to silent machines in flight, see suspect
-	lastProbeSuccessAt         micros.Micros // when one last answered
-	nextReachabilityProbeAt    micros.Micros
-	lastActivityAt             micros.Micros // when it was last seen to run
-	mirrorFreshAt              micros.Micros // when the watch was sent that last answered
-	resumedFromPauseAt         micros.Micros // when we last went on after standing still
-	leaseRenewalSuspended      bool          // the leases of our workers are left to expire
-	missingSince               map[string]micros.Micros
+	workersUnreachableSince    monotime.Micros // since when our workers are out of reach; 0: they aren't
+	hearsMostWorkers           bool            // most of them were heard lately
+	reachabilityProbesInFlight int             // questions to silent machines in flight, see suspect
+	lastProbeSuccessAt         monotime.Micros // when one last answered
+	nextReachabilityProbeAt    monotime.Micros
+	lastActivityAt             monotime.Micros // when it was last seen to run
+	mirrorFreshAt              monotime.Micros // when the watch was sent that last answered
+	resumedFromPauseAt         monotime.Micros // when we last went on after standing still
+	leaseRenewalSuspended      bool            // the leases of our workers are left to expire
+	missingSince               map[string]monotime.Micros
 
 	cancellations *cancellation.Relay // committed ones, exchanged with the peers
 
 	machineTypes         map[string]protocol.MachineType
-	catalogFetchedAt     micros.Micros
+	catalogFetchedAt     monotime.Micros
 	catalogFetchInFlight bool
 
 	pendingReads                []pendingRead // answers that wait for a mirror no older than their request
 	catchUpInFlight             bool          // a watch that doesn't wait is in flight for them
-	nextCatchUpAt               micros.Micros
-	watchSentAt                 micros.Micros // when the watch in flight was sent
-	budgetSharers               int           // live controllers that the budgets are shared by
-	budgetMultiplier            float64       // how much more than its even part of them this one uses
-	lastThrottledAt             micros.Micros // when a call was last throttled
-	throttledSeen               int           // calls that were throttled when that was last looked at
+	nextCatchUpAt               monotime.Micros
+	watchSentAt                 monotime.Micros // when the watch in flight was sent
+	budgetSharers               int             // live controllers that the budgets are shared by
+	budgetMultiplier            float64         // how much more than its even part of them this one uses
+	lastThrottledAt             monotime.Micros // when a call was last throttled
+	throttledSeen               int             // calls that were throttled when that was last looked at
 	shardTrackers               map[string]*shardTracker
-	newShards                   map[string]*bookkeeping.Shard // new shards that the mirror hasn't yet
+	newShards                   map[string]*storage.Shard // new shards that the mirror hasn't yet
 	shardSequence               int
 	takeoverLimiter             takeoverLimiter
-	nextSchedulingPassAt        micros.Micros
+	nextSchedulingPassAt        monotime.Micros
 	serviceCPUsAssigned         float64 // CPUs that all services hold
-	nextOrphanedTasksTakeoverAt micros.Micros
+	nextOrphanedTasksTakeoverAt monotime.Micros
 	jobsInPass                  map[string]bool            // jobs with tasks assigned by the pass under way
-	nextWorkStealAt             micros.Micros              // when tasks may change their part again
-	nextDesignationChangeAt     micros.Micros              // when a machine's claimant may be changed again
+	nextWorkStealAt             monotime.Micros            // when tasks may change their part again
+	nextDesignationChangeAt     monotime.Micros            // when a machine's claimant may be changed again
 	schedulingNeeded            bool                       // a pass may find something to do
 	submissionRates             map[string]*submissionRate // by team, its submissions of late
 	claimRequests               map[string]*claimRequest
@@ -129,21 +129,21 @@
 	quotaShortages              map[string]quotaShortage // what assignments lacked of a team's share
 
 	quotaSharesInDoubt []quotaSharesInDoubt
-	quotaLackingSince  map[string]micros.Micros // teams of whose limit we lack a task's worth
+	quotaLackingSince  map[string]monotime.Micros // teams of whose limit we lack a task's worth
 
 	jobStates               map[string]*jobTracking
 	estimateBias            map[string]float64 // by class: log of run time over estimate, lately
 	leader                  leaderTermState
 	orphanContacts          map[string]*orphanContact // workers of other partitions that came to us
 	preemptions             map[string]*pendingPreemption
-	emptySince              map[string]micros.Micros // own machines, since when they are empty
-	jobsClosedAt            map[string]micros.Micros
-	nextEmptyMachineCheckAt micros.Micros
-	zoneUnreachableAt       map[string]micros.Micros // when a zone had last fallen silent as a whole
-	manySilentLogged        bool                     // many silent machines have been logged
-	unloggedRemovals        map[string][]string      // machines to be removed, by reason, not yet logged
-	nextSlowTickAt          micros.Micros
-	cloudRateLimiter        bookkeeping.TokenBucket
+	emptySince              map[string]monotime.Micros // own machines, since when they are empty
+	jobsClosedAt            map[string]monotime.Micros
+	nextEmptyMachineCheckAt monotime.Micros
+	zoneUnreachableAt       map[string]monotime.Micros // when a zone had last fallen silent as a whole
+	manySilentLogged        bool                       // many silent machines have been logged
+	unloggedRemovals        map[string][]string        // machines to be removed, by reason, not yet logged
+	nextSlowTickAt          monotime.Micros
+	cloudRateLimiter        storage.TokenBucket
 	drains                  *drains // nil: the settings don't turn them on
 	counters                activityCounters
 }
@@ -153,12 +153,12 @@
 	c := &Controller{
 		cfg: cfg, settings: settings, env: env, log: log, node: cfg.Node,
 		incarnation:  env.Rand().Uint64()>>16 | 1,
-		peerStatuses: newPeerTable(), missingSince: map[string]micros.Micros{},
-		shardTrackers: map[string]*shardTracker{}, newShards: map[string]*bookkeeping.Shard{}, submissionRates: map[string]*submissionRate{}, claimRequests: map[string]*claimRequest{}, claimsObserved: map[string]observedClaim{},
+		peerStatuses: newPeerTable(), missingSince: map[string]monotime.Micros{},
+		shardTrackers: map[string]*shardTracker{}, newShards: map[string]*storage.Shard{}, submissionRates: map[string]*submissionRate{}, claimRequests: map[string]*claimRequest{}, claimsObserved: map[string]observedClaim{},
 		shardClaimsInFlight: map[string]bool{}, recordWritesInFlight: map[string]bool{}, acceptedRevisions: map[string]uint64{}, quotaShortages: map[string]quotaShortage{},
-		quotaLackingSince: map[string]micros.Micros{},
+		quotaLackingSince: map[string]monotime.Micros{},
 		jobStates:         map[string]*jobTracking{}, estimateBias: map[string]float64{}, orphanContacts: map[string]*orphanContact{},
-		preemptions: map[string]*pendingPreemption{}, unloggedRemovals: map[string][]string{}, zoneUnreachableAt: map[string]micros.Micros{}, emptySince: map[string]micros.Micros{}, jobsClosedAt: map[string]micros.Micros{},
+		preemptions: map[string]*pendingPreemption{}, unloggedRemovals: map[string][]string{}, zoneUnreachableAt: map[string]monotime.Micros{}, emptySince: map[string]monotime.Micros{}, jobsClosedAt: map[string]monotime.Micros{},
 	}
 	c.controllers = append(c.controllers, cfg.Node)
 	for _, peer := range cfg.Peers {
@@ -173,7 +173,7 @@
 	c.updateStoreBudgets(len(c.controllers))
 	c.durations = newPlatformDurations(cfg.Facts.Workers)
 	// The leader alone calls the cloud, but for the catalogue.
-	c.cloudRateLimiter = bookkeeping.TokenBucket{Rate: cfg.Facts.Cloud.RPS * 0.8, Burst: max(1, cfg.Facts.Cloud.RPS)}
+	c.cloudRateLimiter = storage.TokenBucket{Rate: cfg.Facts.Cloud.RPS * 0.8, Burst: max(1, cfg.Facts.Cloud.RPS)}
 	c.leader = newLeaderState(0)
 	c.drains = newDrains(c, settings.Drains)
 	return c
@@ -191,7 +191,7 @@
 	c.tick()
 }
 
-func (c *Controller) now() micros.Micros { return c.env.Now() }
+func (c *Controller) now() monotime.Micros { return c.env.Now() }
 
 // tick drives everything that is not an answer to a message.
 func (c *Controller) tick() {
@@ -208,11 +208,11 @@
 // nextDue tells when work that ran from begun to ended is due again: after its
 // interval, or later so that it takes at most a tenth of the time. With thousands
 // of jobs a pass costs milliseconds; leases and users must keep their share.
-func nextDue(startedAt, ended, interval micros.Micros) micros.Micros {
+func nextDue(startedAt, ended, interval monotime.Micros) monotime.Micros {
 	return startedAt + max(interval, 10*(ended-startedAt))
 }
 
-func (c *Controller) runFastTick(now micros.Micros) {
+func (c *Controller) runFastTick(now monotime.Micros) {
 	c.renewLease(now)
 	c.maintainWatch(now)
 	if !c.mirrorReady || c.mirrorStale(now) {
@@ -224,10 +224,10 @@
 	}
 }
 
-func (c *Controller) runSlowTick(now micros.Micros) {
+func (c *Controller) runSlowTick(now monotime.Micros) {
 	c.logStoreAvailability(now)
 	c.sendPeerStatus(now)
-	if c.catalogFetchedAt == 0 || now-c.catalogFetchedAt > 60*micros.Second {
+	if c.catalogFetchedAt == 0 || now-c.catalogFetchedAt > 60*monotime.Second {
 		c.fetchCatalog()
 	}
 	if !c.mirrorReady || c.mirrorStale(now) {
@@ -249,7 +249,7 @@
 // onMirrorChange is called by the view for every change that it applied.
 func (c *Controller) onMirrorChange(kind, name string) {
 	switch kind {
-	case bookkeeping.KindOpenJob:
+	case storage.KindOpenJob:
 		c.schedulingNeeded = true
 		job := c.mirror.Jobs[name]
 		if job == nil {
@@ -260,7 +260,7 @@
 			return
 		}
 		c.trackingOf(name).recordChangedAt = c.now()
-	case bookkeeping.KindJobResult:
+	case storage.KindJobResult:
 		c.recordCancellation(c.mirror.Jobs[name])
 		if job := c.mirror.Jobs[name]; job != nil && job.AssignedTasks > 0 {
 			if tracking := c.trackingOf(name); tracking.finalSeenAt == 0 {
@@ -268,12 +268,12 @@
 			}
 			c.syncCommandsOfJob(job) // a cancellation reaches the workers at once
 		}
-	case bookkeeping.KindShard:
+	case storage.KindShard:
 		c.schedulingNeeded = true
 		c.onShardChange(name)
-	case bookkeeping.KindScaleOut, bookkeeping.KindScaleIn, bookkeeping.KindDrain, bookkeeping.KindPermits:
+	case storage.KindScaleOut, storage.KindScaleIn, storage.KindDrain, storage.KindPermits:
 		c.schedulingNeeded = true
-	case bookkeeping.KindMember:
+	case storage.KindMember:
 		if c.isMember(name) {
 			delete(c.missingSince, name)
 			c.log.Info("controller membership", "state", conditionBegin, "node", name)
@@ -290,7 +290,7 @@
 	}
 	c.catalogFetchInFlight = true
 	c.cloudRateLimiter.Take(1)
-	c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudCatalog, Timeout: 3 * micros.Second}, func(result protocol.CloudResult) {
+	c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudCatalog, Timeout: 3 * monotime.Second}, func(result protocol.CloudResult) {
 		c.catalogFetchInFlight = false
 		if result.Outcome != protocol.OK || len(result.Types) == 0 {
 			return
--- a/internal/coordination/controller_restart_test.go
+++ b/internal/coordination/controller_restart_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TestControllerRestartsLoseNoJobs: controllers killed at any moment and started again with nothing
@@ -22,10 +22,10 @@
 			}
 			service := c.submit(0, withService(true), withTasks(3), withPriority(protocol.Production))
 			for i := 0; i < 5; i++ {
-				c.sim.Run(micros.Micros(c.sim.Rand.Int64N(int64(8 * second))))
+				c.sim.Run(monotime.Micros(c.sim.Rand.Int64N(int64(8 * second))))
 				down := c.nodeNames[:1+c.sim.Rand.IntN(3)]
 				c.kill(down...)
-				c.sim.Run(micros.Micros(c.sim.Rand.Int64N(int64(4 * second))))
+				c.sim.Run(monotime.Micros(c.sim.Rand.Int64N(int64(4 * second))))
 				c.start(down...)
 			}
 			for _, id := range ids {
@@ -67,7 +67,7 @@
 		}},
 		{"commits applied late", func(c *cluster) {
 			n := 0
-			c.store.DelayCommit = func(*protocol.Transaction) micros.Micros {
+			c.store.DelayCommit = func(*protocol.Transaction) monotime.Micros {
 				if n++; n%5 == 0 {
 					return 7 * second
 				}
@@ -78,7 +78,7 @@
 		}},
 		{"direct commands late", func(c *cluster) {
 			n := 0
-			c.commandDelay = func(*standin.Worker, *protocol.CommandRequest) micros.Micros {
+			c.commandDelay = func(*fake.Worker, *protocol.CommandRequest) monotime.Micros {
 				if n++; n%2 == 0 {
 					return 9 * second
 				}
@@ -188,7 +188,7 @@
 			ids = append(ids, c.submit(5*second, withTasks(16), withCPUs(1), withSpot(true),
 				withTeam([]string{"free", "tight"}[i%2])))
 		}
-		c.store.DelayCommit = func(*protocol.Transaction) micros.Micros {
+		c.store.DelayCommit = func(*protocol.Transaction) monotime.Micros {
 			if c.sim.Rand.IntN(12) == 0 {
 				return c.randomDuration(9 * second)
 			}
@@ -226,7 +226,7 @@
 	c := newCluster(t, 35).startWithLeader()
 	var ids []string
 	for i := 0; i < 30; i++ {
-		ids = append(ids, c.submit(micros.Micros(1+i%3)*40*second, withTasks(1+i%5)))
+		ids = append(ids, c.submit(monotime.Micros(1+i%3)*40*second, withTasks(1+i%5)))
 	}
 	odd := "j-odd"
 	c.store.Outage(12 * second)
@@ -236,9 +236,9 @@
 	c.start(c.nodeNames...)
 	c.sim.Run(8 * second)
 	c.store.Call("test", &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: second, Transaction: protocol.Transaction{Then: []protocol.Op{
-		{Put: bookkeeping.Key(bookkeeping.KindOpenJob, odd), Value: protocol.MustMarshal("another layout")}}}}, func(protocol.StoreResult) {})
+		{Put: storage.Key(storage.KindOpenJob, odd), Value: protocol.MustMarshal("another layout")}}}}, func(protocol.StoreResult) {})
 	for _, seconds := range []int{20, 60} {
-		c.sim.Run(micros.Micros(seconds) * second)
+		c.sim.Run(monotime.Micros(seconds) * second)
 		for _, node := range c.nodeNames {
 			for _, id := range append(ids, odd) {
 				if code, _ := c.jobStatus(node, id); code != 200 {
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at most.
 func TestTickWorkTakesAtMostATenthOfTheTime(t *testing.T) {
-	cases := []struct{ begun, ended, interval, want micros.Micros }{
+	cases := []struct{ begun, ended, interval, want monotime.Micros }{
 		{0, 0, 100, 100},
 		{50, 55, 100, 150},
 		{50, 60, 100, 150},
@@ -42,7 +42,7 @@
 		t.Errorf("afterwards: %v, usually %v", got, usual)
 	}
 	for i := 0; i <= waitingUserCallsThreshold; i++ {
-		core.storeQueue.Add(bookkeeping.Call{StoreCall: &protocol.StoreCall{}, Priority: bookkeeping.PriorityUserRequest})
+		core.storeQueue.Add(storage.Call{StoreCall: &protocol.StoreCall{}, Priority: storage.PriorityUserRequest})
 	}
 	if got := core.shardWriteRate(); got >= usual/4 {
 		t.Errorf("many users here: %v, usually %v", got, usual)
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -21,9 +21,9 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 )
 
 // A course is everything that the controllers of a simulated cluster send: calls of the state
@@ -161,7 +161,7 @@
 }
 
 // wireCommand renders a command batch, or the question for a report.
-func wireCommand(endpoint string, req *protocol.CommandRequest, within micros.Micros) string {
+func wireCommand(endpoint string, req *protocol.CommandRequest, within monotime.Micros) string {
 	body := []byte("show")
 	if req != nil {
 		body = protocol.MustMarshal(req)
@@ -386,7 +386,7 @@
 	s := newDrainScenario(t, 900+seed)
 	r.watch(s.cluster)
 	s.startServices()
-	s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+	s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 		if changesPermits(txn) && s.sim.Rand.IntN(3) == 0 {
 			return s.randomDuration(20 * second)
 		}
@@ -408,8 +408,8 @@
 	s.teams = []config.Team{{Name: "free", CPUs: 16}, {Name: "tight", CPUs: 16, CPUsMax: 24}}
 	s.checker.Limits["tight"] = 24
 	clear(s.cloud.Capacity)
-	s.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 3
-	s.cloud.Capacity[standin.OfferKey("m8", "b", false)] = 2
+	s.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 3
+	s.cloud.Capacity[fake.OfferKey("m8", "b", false)] = 2
 	s.addBorrowers()
 	faults := []fault{
 		{at: 50 * second, name: "owners", inject: (*scenario).addOwners},
@@ -432,7 +432,7 @@
 	s.settings.ScaleDownDelay = config.Duration(8 * second)
 	s.cloud.NeverBoots["i-000003"] = true
 	s.addSpotJobs()
-	begin := func(at micros.Micros, name string, f func(s *scenario)) fault { return fault{at, name, f} }
+	begin := func(at monotime.Micros, name string, f func(s *scenario)) fault { return fault{at, name, f} }
 	faults := []fault{
 		submitAtRate(45*second, 2*second, 60*second, submitSingleTask),
 		begin(45*second, "spot machines are taken back", (*scenario).takeSpotBack),
@@ -458,7 +458,7 @@
 		begin(110*second, "no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
 		begin(112*second, "still more work", (*scenario).addSpotJobs),
 		begin(113*second, "spot machines are taken back", (*scenario).takeSpotBack),
-		begin(125*second, "capacity is back", func(s *scenario) { s.cloud.Capacity[standin.OfferKey("m16", "a", false)] = 12 }),
+		begin(125*second, "capacity is back", func(s *scenario) { s.cloud.Capacity[fake.OfferKey("m16", "a", false)] = 12 }),
 		cancelRunningJobs(115*second, 3, 0),
 	}
 	if seed%2 == 0 {
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -4,24 +4,24 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // updateDrain rewrites a drain's record as an operator's command does.
-func (s *drainScenario) updateDrain(name string, f func(*bookkeeping.Drain)) {
-	var d bookkeeping.Drain
-	s.store.Read(bookkeeping.Key(bookkeeping.KindDrain, name), &d)
+func (s *drainScenario) updateDrain(name string, f func(*storage.Drain)) {
+	var d storage.Drain
+	s.store.Read(storage.Key(storage.KindDrain, name), &d)
 	f(&d)
 	s.putDrain(name, d)
 }
 
 func (s *drainScenario) abortDrain(name string) {
-	s.updateDrain(name, func(d *bookkeeping.Drain) {
-		d.State, d.EndedAt = bookkeeping.DrainAborted, int64(s.sim.Now())
+	s.updateDrain(name, func(d *storage.Drain) {
+		d.State, d.EndedAt = storage.DrainAborted, int64(s.sim.Now())
 	})
 }
 
@@ -29,8 +29,8 @@
 func (s *drainScenario) storedPermits() int {
 	n := 0
 	for _, team := range s.teams {
-		var p bookkeeping.Permits
-		s.store.Read(bookkeeping.Key(bookkeeping.KindPermits, team.Name), &p)
+		var p storage.Permits
+		s.store.Read(storage.Key(storage.KindPermits, team.Name), &p)
 		n += len(p.Permits)
 	}
 	return n
@@ -50,7 +50,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newDrainScenario(t, 900+seed).startServices()
 			if seed%2 == 0 {
-				s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+				s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 					if changesPermits(txn) && s.sim.Rand.IntN(3) == 0 {
 						return s.randomDuration(20 * second)
 					}
@@ -71,7 +71,7 @@
 				t.Errorf("%d replicas were stopped until the abort, %d in all", stopped, s.stoppedReplicas)
 			}
 			for _, id := range s.machinesInZone("a") {
-				if machine := s.leaderNode().controller.mirror.Machines[id]; machine != nil && machine.Record != nil && machine.Record.State == bookkeeping.MachineCordoned {
+				if machine := s.leaderNode().controller.mirror.Machines[id]; machine != nil && machine.Record != nil && machine.Record.State == storage.MachineCordoned {
 					t.Errorf("%s is still cordoned", id)
 				}
 			}
@@ -117,7 +117,7 @@
 	s.sim.RunUntil(30*second, s.allReplicasRun)
 	s.sim.Run(10 * second)
 	moved, _ := s.countMoves()
-	s.putDrain("rack", bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}, MaxParallel: 4})
+	s.putDrain("rack", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 4})
 	s.sim.Run(40 * second)
 	if again, _ := s.countMoves(); again != moved {
 		t.Errorf("%d moves without room", again-moved)
@@ -137,9 +137,9 @@
 func TestDrainPausesAtDeadlineAndResumes(t *testing.T) {
 	s := newDrainScenario(t, 33).startServices()
 	s.drainZone("rack", "a")
-	s.updateDrain("rack", func(d *bookkeeping.Drain) { d.DeadlineAt = int64(s.sim.Now()) + 1_000_000_000_000 + int64(6*second) })
+	s.updateDrain("rack", func(d *storage.Drain) { d.DeadlineAt = int64(s.sim.Now()) + 1_000_000_000_000 + int64(6*second) })
 	s.sim.Run(20 * second)
-	if got := s.drainState("rack"); got != bookkeeping.DrainPaused {
+	if got := s.drainState("rack"); got != storage.DrainPaused {
 		t.Fatalf("past its deadline the drain is %s", got)
 	}
 	moved, _ := s.countMoves()
@@ -148,7 +148,7 @@
 	if again, _ := s.countMoves(); again != moved || len(s.machinesInZone("a")) != left || left == 0 {
 		t.Errorf("%d moves and %d of %d machines while it is paused", again-moved, len(s.machinesInZone("a")), left)
 	}
-	s.updateDrain("rack", func(d *bookkeeping.Drain) { d.State, d.DeadlineAt = bookkeeping.DrainActive, 0 })
+	s.updateDrain("rack", func(d *storage.Drain) { d.State, d.DeadlineAt = storage.DrainActive, 0 })
 	s.waitDrainEnds("rack", 200*second)
 	s.reportBudgetViolations()
 }
@@ -189,7 +189,7 @@
 	s.floors["other"] = 0
 	s.sample()
 	s.drainZone("rack", "a")
-	s.putDrain("rack2", bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "b", Type: "m16"}, MaxParallel: 9, LastMachine: "i-9"})
+	s.putDrain("rack2", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "b", Type: "m16"}, MaxParallel: 9, LastMachine: "i-9"})
 	s.sim.Run(60 * second)
 	again := func(id string) int {
 		n := 0
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -8,10 +8,10 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 var (
@@ -22,7 +22,7 @@
 // changesPermits tells whether a commit changes a team's permits.
 func changesPermits(txn *protocol.Transaction) bool {
 	for _, operation := range txn.Then {
-		if strings.HasPrefix(operation.Put, bookkeeping.Key(bookkeeping.KindPermits, "")) {
+		if strings.HasPrefix(operation.Put, storage.Key(storage.KindPermits, "")) {
 			return true
 		}
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *drainScenario) restart(node string, after micros.Micros) {
+func (s *drainScenario) restart(node string, after monotime.Micros) {
 	s.kill(node)
 	s.sim.After(after, func() {
 		if s.nodes[node].controller == nil {
@@ -74,8 +74,8 @@
 // killDestination ends the machine that the first permit to be seen names as its new place,
 // once the replica runs there.
 func killDestination(s *drainScenario) {
-	var permits bookkeeping.Permits
-	s.store.Read(bookkeeping.Key(bookkeeping.KindPermits, "intake"), &permits)
+	var permits storage.Permits
+	s.store.Read(storage.Key(storage.KindPermits, "intake"), &permits)
 	if len(permits.Permits) == 0 {
 		s.sim.After(second/5, func() { killDestination(s) })
 		return
@@ -116,7 +116,7 @@
 	{"an outage shorter than a lease", func(s *drainScenario) { s.store.Outage(7 * second) }, leaseLossInOutage},
 	{"an outage longer than a lease", func(s *drainScenario) { s.store.Outage(25 * second) }, leaseLossInOutage},
 	{"permits are written late", func(s *drainScenario) {
-		s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+		s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 			if changesPermits(txn) && s.sim.Rand.IntN(2) == 0 {
 				return second + s.randomDuration(25*second)
 			}
@@ -157,7 +157,7 @@
 	}, noLeaseLoss},
 	{"all controllers restart one after the other", func(s *drainScenario) {
 		for i, node := range s.nodeNames {
-			s.sim.After(micros.Micros(i)*8*second, func() { s.restart(node, 2*second) })
+			s.sim.After(monotime.Micros(i)*8*second, func() { s.restart(node, 2*second) })
 		}
 	}, leaseLossWithNewController},
 	{"budgets are tightened by a rolling restart", func(s *drainScenario) {
@@ -167,13 +167,13 @@
 		next.Budgets[0].MinAvailable = &config.CountOrPercent{Value: tighter}
 		s.settings.Drains = &next
 		for i, node := range s.nodeNames {
-			s.sim.After(micros.Micros(i)*6*second, func() { s.restart(node, second) })
+			s.sim.After(monotime.Micros(i)*6*second, func() { s.restart(node, second) })
 		}
 		s.sim.After(20*second, func() { s.floors["intake"] = tighter })
 	}, leaseLossWithNewController},
 	{"another drain replaces a type in the other zone", func(s *drainScenario) {
-		s.putDrain("types", bookkeeping.Drain{State: bookkeeping.DrainActive, Replace: true, RemoveAtOnce: true, MaxParallel: 3, LastMachine: s.newestMachine(),
-			Selector: bookkeeping.Selector{Zone: "b", Type: "m16"}, StartedAt: int64(s.sim.Now())})
+		s.putDrain("types", storage.Drain{State: storage.DrainActive, Replace: true, RemoveAtOnce: true, MaxParallel: 3, LastMachine: s.newestMachine(),
+			Selector: storage.Selector{Zone: "b", Type: "m16"}, StartedAt: int64(s.sim.Now())})
 	}, noLeaseLoss},
 	{"a service of a higher priority comes", func(s *drainScenario) {
 		id, body := s.newSubmission(withService(true), withTasks(6), withTeam("other"), withPriority(protocol.Production),
@@ -225,7 +225,7 @@
 				f := drainFaults[rnd.IntN(len(drainFaults))]
 				names = append(names, f.name)
 				parts[f.leaseLoss] = true
-				s.sim.Run(micros.Micros(rnd.Int64N(int64(25 * second))))
+				s.sim.Run(monotime.Micros(rnd.Int64N(int64(25 * second))))
 				f.begin(s)
 			}
 			s.allowsLosses = parts[leaseLossInOutage] && parts[leaseLossWithNewController]
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/storage"
 )
 
 var drainFleetSize = flag.Int("drain-fleet", 200, "machines of the fleet an eighth of which is drained; 4000 in the long form")
@@ -21,8 +21,8 @@
 // drainCosts is what users and the state service notice of a course.
 type drainCosts struct {
 	accepted     int
-	p99Latency   micros.Micros // of the submissions
-	meanLatency  micros.Micros
+	p99Latency   monotime.Micros // of the submissions
+	meanLatency  monotime.Micros
 	changes      int
 	permitWrites int
 	moved        int
@@ -47,8 +47,8 @@
 	c.sim.Run(90 * second)
 
 	got := &drainCosts{}
-	sentAt := map[string]micros.Micros{}
-	var waits []micros.Micros
+	sentAt := map[string]monotime.Micros{}
+	var waits []monotime.Micros
 	c.onAccepted = func(id string) {
 		if at, ok := sentAt[id]; ok {
 			waits = append(waits, c.sim.Now()-at)
@@ -58,14 +58,14 @@
 	submit = func() {
 		id := c.submitWithRetry(10*second, withTeam(fmt.Sprint("team", len(sentAt)%6)), withCPUs(1), withEstimateS(10))
 		sentAt[id] = c.sim.Now()
-		c.sim.After(submissionIntervalPerMachine*second/micros.Micros(machines), submit)
+		c.sim.After(submissionIntervalPerMachine*second/monotime.Micros(machines), submit)
 	}
 	submit()
 	ids := sortedKeys(c.cloud.Machines)
 	through := ids[len(ids)/4] // of the zone's, half of all: an eighth of the fleet
 	before, begun := c.store.Changes, time.Now()
 	if draining {
-		rec := bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}, LastMachine: through, Replace: true,
+		rec := storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, LastMachine: through, Replace: true,
 			RemoveAtOnce: true, MaxParallel: machines / 16, StartedAt: 1}
 		s := &drainScenario{cluster: c}
 		s.putDrain("eighth", rec)
@@ -75,7 +75,7 @@
 	got.changes = c.store.Changes - before
 	got.accepted = len(waits)
 	for _, w := range waits {
-		got.meanLatency += w / micros.Micros(len(waits))
+		got.meanLatency += w / monotime.Micros(len(waits))
 	}
 	slices.Sort(waits)
 	got.p99Latency = waits[len(waits)*99/100]
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -1,7 +1,7 @@
 package coordination
 
 import (
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // What disruption budgets don't cover: replicas that are lost, or stopped for another reason
@@ -24,7 +24,7 @@
 }
 
 // lossLogInterval is how often losses are logged, many by one line.
-const lossLogInterval = 10 * micros.Second
+const lossLogInterval = 10 * monotime.Second
 
 // recordLoss adds a release to the losses of a shard's update, if it is one.
 func (d *drains) recordLoss(losses []replicaLoss, machine *Machine, task TaskID) []replicaLoss {
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // setIntakeMaxUnavailable sets the only budget: so many of intake's replicas may be unavailable, without a
@@ -56,11 +56,11 @@
 			s.floors["intake"] = 8
 			s.sample()
 			s.fleet.OnStop = s.checkStop
-			s.store.DelayResponse = func() micros.Micros { return s.randomDuration(second) }
+			s.store.DelayResponse = func() monotime.Micros { return s.randomDuration(second) }
 			if seed%2 == 0 {
 				s.store.LoseResponse = func(txn *protocol.Transaction) bool { return changesPermits(txn) && s.sim.Rand.IntN(3) == 0 }
 			}
-			s.putDrain("all", bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Type: "m8"}, Replace: true,
+			s.putDrain("all", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Type: "m8"}, Replace: true,
 				RemoveAtOnce: true, MaxParallel: 20, LastMachine: s.newestMachine(), StartedAt: 1})
 			s.sim.Run(120 * second)
 			if s.stoppedReplicas < 3 {
@@ -89,13 +89,13 @@
 			s.floors["intake"] = 6
 			s.fleet.OnStop = s.checkStop
 			s.allowsLosses = true
-			s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+			s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 				if changesPermits(txn) {
 					return 20 * second
 				}
 				return 0
 			}
-			s.putDrain("rack", bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}, MaxParallel: 20})
+			s.putDrain("rack", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 20})
 			s.sim.Run(2 * second)
 			for range 3 { // more than are replaced by what room there is
 				if id := s.machineWith("intake", "b"); id != "" {
@@ -151,7 +151,7 @@
 			s.floors["intake"] = 7
 			s.fleet.OnStop = s.checkStop
 			replace := func(name, zone string) {
-				s.putDrain(name, bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: zone},
+				s.putDrain(name, storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone},
 					MaxParallel: 20, LastMachine: covered})
 			}
 			replace("rack", "a")
@@ -187,7 +187,7 @@
 			s := newDrainScenario(t, 1300+seed)
 			s.setIntakeMaxUnavailable(1)
 			s.startWithLeader()
-			offerB := standin.OfferKey("m8", "b", false)
+			offerB := fake.OfferKey("m8", "b", false)
 			s.cloud.Capacity[offerB] = 0
 			s.submitService("intake", 3, withCPUs(6), withTypes("m8"))
 			s.sim.RunUntil(60*second, s.allReplicasRun)
@@ -198,7 +198,7 @@
 			s.exhaustCapacity()
 			s.cancelJob(spare)
 			s.sim.Run(3 * second)
-			s.putDrain("rack", bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}, MaxParallel: 20})
+			s.putDrain("rack", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 20})
 			s.sim.RunUntil(20*second, func() bool { return s.storedPermits() > 0 })
 			_, body := s.newSubmission(withService(true), withTasks(1), withTeam("other"), withPriority(protocol.Production),
 				withCPUs(6), withZone("b"))
@@ -244,15 +244,15 @@
 // been lost since isn't known.
 func TestPermitIsNotUsedInOutage(t *testing.T) {
 	s := newDrainScenario(t, 41).startServices()
-	s.putDrain("idle", bookkeeping.Drain{State: bookkeeping.DrainPaused, Selector: bookkeeping.Selector{Machines: []string{"i-none"}}})
+	s.putDrain("idle", storage.Drain{State: storage.DrainPaused, Selector: storage.Selector{Machines: []string{"i-none"}}})
 	s.sim.Run(10 * second) // with a drain there, the records come to say which replicas run
 	s.store.Outage(20 * second)
 	s.sim.Run(4 * second)
 	used := 0
 	for _, node := range s.nodeNames {
 		core := s.nodes[node].controller
-		rec := bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}, MaxParallel: 9}
-		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindDrain, "rack"), protocol.MustMarshal(&rec), core.mirror.NewestRevision+1)
+		rec := storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 9}
+		core.mirror.ApplyPut(storage.Key(storage.KindDrain, "rack"), protocol.MustMarshal(&rec), core.mirror.NewestRevision+1)
 		for _, id := range sortedKeys(core.mirror.Machines) {
 			machine := core.mirror.Machines[id]
 			if machine.Agent == nil || machine.Record.Zone != "a" {
@@ -260,8 +260,8 @@
 			}
 			for _, task := range sortedTaskIDs(machine.Attempts) {
 				if job := core.mirror.Jobs[task.Job]; job.Record.Spec.Team == "payout" {
-					permits := bookkeeping.Permits{Permits: []bookkeeping.Permit{{Drain: "rack", Job: task.Job, Task: task.Index, Attempt: machine.Attempts[task], From: id, To: id}}}
-					core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindPermits, "payout"), protocol.MustMarshal(&permits), core.mirror.NewestRevision+1)
+					permits := storage.Permits{Permits: []storage.Permit{{Drain: "rack", Job: task.Job, Task: task.Index, Attempt: machine.Attempts[task], From: id, To: id}}}
+					core.mirror.ApplyPut(storage.Key(storage.KindPermits, "payout"), protocol.MustMarshal(&permits), core.mirror.NewestRevision+1)
 					used++
 				}
 			}
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -1,8 +1,8 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/drain"
+	"pipitgap/internal/storage"
 )
 
 // Room for replicas that drains move: what is held for them, and what is rented.
@@ -13,14 +13,14 @@
 		return nil
 	}
 	held := map[string]Resources{}
-	d.forEachReservation(func(permit *bookkeeping.Permit, job *Job) {
+	d.forEachReservation(func(permit *storage.Permit, job *Job) {
 		held[permit.To] = held[permit.To].AddScaled(job.TaskResources, 1)
 	})
 	return held
 }
 
 // forEachReservation calls f for every permit whose replica hasn't found its new place yet.
-func (d *drains) forEachReservation(f func(*bookkeeping.Permit, *Job)) {
+func (d *drains) forEachReservation(f func(*storage.Permit, *Job)) {
 	mirror := d.core.mirror
 	for _, team := range sortedKeys(mirror.PermitsByTeam) {
 		permits := mirror.PermitsByTeam[team].Record.Permits
@@ -63,7 +63,7 @@
 		byMachine[candidate.machine.ID] = candidate
 	}
 	r := &drainReservations{byJob: map[string][]drainReservation{}, updates: updates}
-	d.forEachReservation(func(permit *bookkeeping.Permit, job *Job) {
+	d.forEachReservation(func(permit *storage.Permit, job *Job) {
 		if candidate := byMachine[permit.To]; candidate != nil {
 			candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
 			r.byJob[job.ID] = append(r.byJob[job.ID], drainReservation{candidate, TaskID{permit.Job, permit.Task}, job.TaskResources})
@@ -146,7 +146,7 @@
 func (d *drains) computeReplacementDemand(s *drain.Snapshot) []*taskDemand {
 	count := map[string]int{}
 	for _, record := range s.Drains() {
-		if record.State != bookkeeping.DrainActive || !record.Replace {
+		if record.State != storage.DrainActive || !record.Replace {
 			continue
 		}
 		for _, id := range s.MachinesInStep(&record) {
--- a/internal/coordination/drain_snapshot.go
+++ b/internal/coordination/drain_snapshot.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/drain"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // drainSnapshot gives the mirror in the form in which drains are decided, with what we know of our own
@@ -21,11 +21,11 @@
 			entry.Owner = "" // an earlier life of ours, whose shard isn't claimed again yet
 		case machine.Agent == nil:
 		case machine.Agent.RemovalReason != "":
-			entry.State = bookkeeping.MachineRemoving
+			entry.State = storage.MachineRemoving
 		case machine.Agent.InterruptionNoticed:
-			entry.State = bookkeeping.MachineDraining
+			entry.State = storage.MachineDraining
 		case machine.Agent.Suspect:
-			entry.State = bookkeeping.MachineUnreachable
+			entry.State = storage.MachineUnreachable
 		}
 		b.AddMachine(entry)
 	}
@@ -57,7 +57,7 @@
 func (v *Mirror) drainSnapshotMachine(machine *Machine, types map[string]protocol.MachineType) *drain.Machine {
 	out := &drain.Machine{ID: machine.ID, Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot, State: machine.Record.State, Owner: machine.Owner()}
 	if v.ScaleInOfMachine[machine.ID] != "" {
-		out.State = bookkeeping.MachineRemoving
+		out.State = storage.MachineRemoving
 	}
 	if machineType, ok := types[machine.Record.Type]; ok {
 		out.Free = drainResources(machineCapacity(&machineType).AddScaled(machine.Used, -1))
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -1,12 +1,13 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
+	"slices"
+
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"slices"
+	"pipitgap/internal/storage"
 )
 
 // drains carries out on this controller what package drain decides. A nil *drains is one that
@@ -15,13 +16,13 @@
 	core                 *Controller
 	settings             *config.DrainSettings
 	policy               *drain.Policy
-	nextRunAt            micros.Micros
-	nextPermitWriteAt    micros.Micros            // when a change may be spent on permits again
-	permitCommitInFlight map[string]bool          // teams whose permits have a commit in flight
-	evictingSince        map[string]micros.Micros // own machines whose array tasks are being stopped, and since when
-	replacementDemand    []*taskDemand            // what the leader rents room for
-	unpermittedLosses    map[lossCause]int        // replicas lost outside of permits
-	lossesLoggedAt       micros.Micros
+	nextRunAt            monotime.Micros
+	nextPermitWriteAt    monotime.Micros            // when a change may be spent on permits again
+	permitCommitInFlight map[string]bool            // teams whose permits have a commit in flight
+	evictingSince        map[string]monotime.Micros // own machines whose array tasks are being stopped, and since when
+	replacementDemand    []*taskDemand              // what the leader rents room for
+	unpermittedLosses    map[lossCause]int          // replicas lost outside of permits
+	lossesLoggedAt       monotime.Micros
 }
 
 // Bounds of what drains cost.
@@ -33,7 +34,7 @@
 	// begin moves.
 	spareWriteFraction = 0.7
 	// drainRetention is how long the record of a drain that has ended is kept.
-	drainRetention = 24 * 60 * micros.Minute
+	drainRetention = 24 * 60 * monotime.Minute
 )
 
 func newDrains(c *Controller, settings *config.DrainSettings) *drains {
@@ -41,11 +42,11 @@
 		return nil
 	}
 	return &drains{core: c, settings: settings, policy: drain.NewPolicy(settings), permitCommitInFlight: map[string]bool{},
-		evictingSince: map[string]micros.Micros{}, unpermittedLosses: map[lossCause]int{}}
+		evictingSince: map[string]monotime.Micros{}, unpermittedLosses: map[lossCause]int{}}
 }
 
 // tracksStart tells whether it is recorded of a job's attempts whether they run.
-func (d *drains) tracksStart(spec *bookkeeping.JobSpec) bool { return d != nil && spec.Service }
+func (d *drains) tracksStart(spec *storage.JobSpec) bool { return d != nil && spec.Service }
 
 // protectsFromPreemption tells whether a job's tasks aren't stopped to make room for others.
 func (d *drains) protectsFromPreemption(job *Job) bool {
@@ -53,7 +54,7 @@
 }
 
 // drainCovering gives the unfinished drain that a machine belongs to.
-func (d *drains) drainCovering(machine *Machine) (*bookkeeping.Drain, bool) {
+func (d *drains) drainCovering(machine *Machine) (*storage.Drain, bool) {
 	if d == nil || machine.Record == nil {
 		return nil, false
 	}
@@ -86,9 +87,9 @@
 }
 
 // mayScaleIn tells whether a drained machine that has been empty for so long is to be given back.
-func (d *drains) mayScaleIn(machine *Machine, empty micros.Micros) bool {
+func (d *drains) mayScaleIn(machine *Machine, empty monotime.Micros) bool {
 	rec, covered := d.drainCovering(machine)
-	if !covered || rec.State == bookkeeping.DrainPaused {
+	if !covered || rec.State == storage.DrainPaused {
 		return false
 	}
 	return rec.RemoveAtOnce || empty >= d.core.scaleInDelay(machine.Record)
@@ -96,12 +97,12 @@
 
 // reconcile takes the next steps of all drains. It decides on a fresh mirror only: what has
 // been lost since an old one was read would not be counted.
-func (d *drains) reconcile(now micros.Micros) {
+func (d *drains) reconcile(now monotime.Micros) {
 	if d == nil || now < d.nextRunAt || !d.hasWork() {
 		return
 	}
 	c := d.core
-	if c.storeUnavailable || c.machineTypes == nil || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+micros.Second {
+	if c.storeUnavailable || c.machineTypes == nil || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	snapshot := c.drainSnapshot()
@@ -147,14 +148,14 @@
 		Node: c.node,
 		Live: c.isMember,
 		Responsible: func(team string) bool {
-			return rendezvousOwner(bookkeeping.KindPermits+"/"+team, controllers) == c.node
+			return rendezvousOwner(storage.KindPermits+"/"+team, controllers) == c.node
 		},
 		RecordBytes: c.assignmentShardBytes(),
 	}
 }
 
 // stopReplica uses a permit that stands.
-func (d *drains) stopReplica(permit bookkeeping.Permit) {
+func (d *drains) stopReplica(permit storage.Permit) {
 	machine := d.core.mirror.Machines[permit.From]
 	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
 	if machine == nil || machine.Agent == nil || machine.Agent.StoppingAttempts[key] {
@@ -169,7 +170,7 @@
 // permitUnused tells whether a permit surely hasn't been used and can't be by anything still on its
 // way: we haven't told its worker to stop, and the worker, which still runs the replica, has
 // seen our claim, which outranks every command of the owners before us.
-func (d *drains) permitUnused(permit bookkeeping.Permit) bool {
+func (d *drains) permitUnused(permit storage.Permit) bool {
 	machine := d.core.mirror.Machines[permit.From]
 	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
 	if machine == nil || machine.Agent == nil {
@@ -183,8 +184,8 @@
 }
 
 // writePermits writes what changes of one team's permits: one commit a team, spaced.
-func (d *drains) writePermits(decision *drain.Decision, now micros.Micros) {
-	ended := map[string][]bookkeeping.Permit{}
+func (d *drains) writePermits(decision *drain.Decision, now monotime.Micros) {
+	ended := map[string][]storage.Permit{}
 	for team, over := range decision.Completed {
 		ended[team] = append(ended[team], over...)
 	}
@@ -214,7 +215,7 @@
 // hasSpareWrites tells whether the state service has changes to spare. Each move costs several, of
 // the shards too, and they are the same that users and running work need: at 93% of what the
 // service takes submissions waited for more than a second.
-func (d *drains) hasSpareWrites(now micros.Micros) bool {
+func (d *drains) hasSpareWrites(now monotime.Micros) bool {
 	c := d.core
 	if c.userCallsWaiting() || c.peerStatuses.userCallsWaiting(now) {
 		return false
@@ -225,23 +226,23 @@
 // writeTeamPermits changes a team's permits, on the condition that nobody else has. One that is written
 // after its drain has ended does no harm: whether it may be used is decided anew. The record is
 // never deleted, since its version must not come back.
-func (d *drains) writeTeamPermits(team string, ended, granted []bookkeeping.Permit) {
+func (d *drains) writeTeamPermits(team string, ended, granted []storage.Permit) {
 	c := d.core
 	have := c.mirror.PermitsByTeam[team]
-	next := bookkeeping.Permits{Permits: []bookkeeping.Permit{}}
+	next := storage.Permits{Permits: []storage.Permit{}}
 	for _, permit := range have.Record.Permits {
 		if !slices.Contains(ended, permit) {
 			next.Permits = append(next.Permits, permit)
 		}
 	}
 	next.Permits = append(next.Permits, granted...)
-	key := bookkeeping.Key(bookkeeping.KindPermits, team)
+	key := storage.Key(storage.KindPermits, team)
 	txn := protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: have.Version}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
 	}
 	d.permitCommitInFlight[team] = true
-	c.commitTxn(bookkeeping.PriorityBackground, txn, func(result protocol.StoreResult) {
+	c.commitTxn(storage.PriorityBackground, txn, func(result protocol.StoreResult) {
 		delete(d.permitCommitInFlight, team)
 		switch result.Outcome {
 		case protocol.OK:
@@ -256,8 +257,8 @@
 // evictUnpermitted stops the tasks that need no permit on machines whose replicas have been
 // seen to: those of arrays, and of services that fail wherever they run. An array task that
 // is about to end is waited for.
-func (d *drains) evictUnpermitted(machines []string, now micros.Micros) {
-	since := map[string]micros.Micros{}
+func (d *drains) evictUnpermitted(machines []string, now monotime.Micros) {
+	since := map[string]monotime.Micros{}
 	for _, id := range machines {
 		startedAt, ok := d.evictingSince[id]
 		if !ok {
@@ -274,7 +275,7 @@
 }
 
 // evictUnpermittedOn stops what needs no permit on a machine.
-func (d *drains) evictUnpermittedOn(machine *Machine, startedAt, now micros.Micros) {
+func (d *drains) evictUnpermittedOn(machine *Machine, startedAt, now monotime.Micros) {
 	stopped := 0
 	for task, attempt := range machine.Attempts {
 		key := AttemptID{task, attempt}
@@ -298,19 +299,19 @@
 
 // endsSoon tells whether an array task is expected to end soon. An estimate that was
 // wrong is believed for twice the time.
-func (d *drains) endsSoon(machine *Machine, key AttemptID, job *Job, startedAt, now micros.Micros) bool {
+func (d *drains) endsSoon(machine *Machine, key AttemptID, job *Job, startedAt, now monotime.Micros) bool {
 	at, running := machine.Agent.RunningSince[key]
 	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
 		return false
 	}
-	left := micros.FromSeconds(d.core.expectedRunSeconds(&job.Record.Spec)) - (now - at)
+	left := monotime.FromSeconds(d.core.expectedRunSeconds(&job.Record.Spec)) - (now - at)
 	return left <= d.settings.ArrayWait.Micros()
 }
 
 // updateStartingMarks keeps the marks of a machine's replicas true: one that the worker doesn't report
 // as running is starting, one that has run for long enough isn't. It tells whether anything
 // has changed.
-func (d *drains) updateStartingMarks(next *bookkeeping.Shard, machine *Machine, now micros.Micros) bool {
+func (d *drains) updateStartingMarks(next *storage.Shard, machine *Machine, now monotime.Micros) bool {
 	agent := machine.Agent
 	if d == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || !agent.IsReachable() {
 		return false
@@ -334,12 +335,12 @@
 }
 
 // markFits tells whether a mark may change: one more must find room in the record.
-func (d *drains) markFits(next *bookkeeping.Shard, starting bool) bool {
-	return !starting || next.MaxEncodedSize()+bookkeeping.MaxStartingBytes <= d.core.maxValueBytes()
+func (d *drains) markFits(next *storage.Shard, starting bool) bool {
+	return !starting || next.MaxEncodedSize()+storage.MaxStartingBytes <= d.core.maxValueBytes()
 }
 
 // countsAsStarting tells whether a replica counts as starting, given whether it did before.
-func (d *drains) countsAsStarting(agent *Agent, key AttemptID, before bool, now micros.Micros) bool {
+func (d *drains) countsAsStarting(agent *Agent, key AttemptID, before bool, now monotime.Micros) bool {
 	if agent.ReportedAttempts[key].State != protocol.StateRunning {
 		return true
 	}
@@ -354,12 +355,12 @@
 		if !changed {
 			continue
 		}
-		key := bookkeeping.Key(bookkeeping.KindDrain, record.Name)
+		key := storage.Key(storage.KindDrain, record.Name)
 		operation := protocol.Op{Delete: key}
 		if next != nil {
 			operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
 		}
-		d.core.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+		d.core.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: record.Version}},
 			Then: []protocol.Op{operation},
 		}, func(result protocol.StoreResult) {
@@ -372,9 +373,9 @@
 }
 
 // expectsMachines tells whether machines that a drain covers may still come up.
-func (d *drains) expectsMachines(rec *bookkeeping.Drain) bool {
+func (d *drains) expectsMachines(rec *storage.Drain) bool {
 	for _, request := range d.core.mirror.ScaleOuts {
-		if request.Record.Phase == bookkeeping.ScaleOutNoCapacity {
+		if request.Record.Phase == storage.ScaleOutNoCapacity {
 			continue
 		}
 		for _, id := range d.core.missingMachines(request) {
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // drainScenario is a cluster whose services have disruption budgets. Each team's running count
@@ -36,7 +36,7 @@
 	}
 	s.settings.Drains = drainSettings()
 	s.settings.ScaleDownDelay = config.Duration(8 * second)
-	s.store = standin.NewStateStore(s.sim, 300, 100, 12)
+	s.store = fake.NewStateStore(s.sim, 300, 100, 12)
 	facts := s.adjustFacts
 	s.adjustFacts = func(cfg *config.Config) {
 		if facts != nil {
@@ -72,8 +72,8 @@
 }
 
 // serviceInfo is what a worker knows of a service: it fetches an image and saves when it stops.
-func serviceInfo(team string, cpus float64) standin.JobBehavior {
-	return standin.JobBehavior{Team: team, CPUs: cpus, Service: true, PullTime: 2 * second, CheckpointTime: second / 2}
+func serviceInfo(team string, cpus float64) fake.JobBehavior {
+	return fake.JobBehavior{Team: team, CPUs: cpus, Service: true, PullTime: 2 * second, CheckpointTime: second / 2}
 }
 
 // startServices starts everything and waits until all replicas run.
@@ -100,7 +100,7 @@
 
 // checkStop looks at every stop of a replica by a command: whatever was lost before, it must
 // leave the team at its floor.
-func (s *drainScenario) checkStop(task string, worker *standin.Worker) {
+func (s *drainScenario) checkStop(task string, worker *fake.Worker) {
 	ref, _ := ParseTaskID(task)
 	if s.fleet.Jobs[ref.Job].Service {
 		s.stoppedReplicas++
@@ -153,9 +153,9 @@
 }
 
 // putDrain writes a drain's record, whatever it was.
-func (s *drainScenario) putDrain(name string, d bookkeeping.Drain) {
+func (s *drainScenario) putDrain(name string, d storage.Drain) {
 	s.t.Helper()
-	key := bookkeeping.Key(bookkeeping.KindDrain, name)
+	key := storage.Key(storage.KindDrain, name)
 	for range 60 {
 		if s.commit(protocol.Transaction{Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&d)}}}).Outcome == protocol.OK {
 			return
@@ -168,20 +168,20 @@
 // drainZone starts a drain of a zone with replacement.
 func (s *drainScenario) drainZone(name, zone string) {
 	s.t.Helper()
-	s.putDrain(name, bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: zone}, Replace: true,
+	s.putDrain(name, storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone}, Replace: true,
 		MaxParallel: 4, StartedAt: int64(s.sim.Now())})
 }
 
-func (s *drainScenario) drainState(name string) bookkeeping.DrainState {
-	var d bookkeeping.Drain
-	s.store.Read(bookkeeping.Key(bookkeeping.KindDrain, name), &d)
+func (s *drainScenario) drainState(name string) storage.DrainState {
+	var d storage.Drain
+	s.store.Read(storage.Key(storage.KindDrain, name), &d)
 	return d.State
 }
 
 // waitDrainEnds waits until a drain has ended and all replicas run.
-func (s *drainScenario) waitDrainEnds(name string, within micros.Micros) {
+func (s *drainScenario) waitDrainEnds(name string, within monotime.Micros) {
 	s.t.Helper()
-	ended := func() bool { return s.drainState(name) != bookkeeping.DrainActive && s.allReplicasRun() }
+	ended := func() bool { return s.drainState(name) != storage.DrainActive && s.allReplicasRun() }
 	if !s.sim.RunUntil(within, ended) {
 		s.t.Errorf("drain %s is %s after %v s, running %v, in zone a %v", name, s.drainState(name), within.Seconds(), s.runningByTeam(), s.machinesInZone("a"))
 		for _, node := range s.nodeNames {
@@ -254,7 +254,7 @@
 			s.drainZone("rack", "a")
 			s.waitDrainEnds("rack", 300*second)
 			took := s.sim.Now() - startedAt
-			if got := s.drainState("rack"); got != bookkeeping.DrainDrained {
+			if got := s.drainState("rack"); got != storage.DrainDrained {
 				t.Errorf("the drain is %s", got)
 			}
 			if left := s.machinesInZone("a"); len(left) > 0 || before == 0 {
--- a/internal/coordination/durations.go
+++ b/internal/coordination/durations.go
@@ -2,52 +2,52 @@
 
 import (
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // Durations that the protocol fixes, and bounds of what is derived from the platform's.
 const (
 	// workerAnswerTimeout is how long a worker waits for an answer before it turns to the next
 	// controller.
-	workerAnswerTimeout = 4 * micros.Second
+	workerAnswerTimeout = 4 * monotime.Second
 	// workerRetryPause is how long after that, or after being told to look elsewhere, it does so.
-	workerRetryPause = micros.Second
+	workerRetryPause = monotime.Second
 	// A membership ends no sooner than minMembershipTTL: a controller that is only slow
 	// must not lose it. It need not last longer than maxMembershipTTL.
-	minMembershipTTL = 4 * micros.Second
-	maxMembershipTTL = 8 * micros.Second
+	minMembershipTTL = 4 * monotime.Second
+	maxMembershipTTL = 8 * monotime.Second
 	// takeoverDuration is what a successor takes from a membership's end to the first answers
 	// under its own claim.
-	takeoverDuration = 3 * micros.Second
+	takeoverDuration = 3 * monotime.Second
 	// leaseExpiryMargin is what remains between the end of a lease and the moment at which a
 	// cancelled task must be gone: the drift of two clocks over a minute, and the
 	// intervals at which a worker looks at its lease.
-	leaseExpiryMargin = micros.Second
+	leaseExpiryMargin = monotime.Second
 	// minRenewalWindow is for how long leases are renewed on evidence of any age. Without it
 	// a platform whose leases are longer than its cancellations may take would have
 	// every check-in refused between two answers of the watch.
-	minRenewalWindow = 3 * micros.Second
+	minRenewalWindow = 3 * monotime.Second
 	// clockDriftDivisor is how much a steady clock may run fast or slow: one part in so many.
 	clockDriftDivisor = 500
 )
 
 // platformDurations is what follows from the platform's report interval, lease and cancellation time.
 type platformDurations struct {
-	heartbeatInterval, workerLease, cancellationDeadline micros.Micros
-	membershipTTL                                        micros.Micros // how long a controller stays a member without renewing
-	suspicionTimeout                                     micros.Micros // silence of a machine that says that something is wrong: three reports
-	placementSilenceLimit                                micros.Micros // silence up to which a machine gets new tasks: two reports
-	leaseExpiryProof                                     micros.Micros // after so long without an answer a worker's lease has surely ended
-	renewalWindow                                        micros.Micros // age of the knowledge of cancellations up to which leases are renewed
-	adoptionDelay                                        micros.Micros // a worker that has come to us for so long has lost its owner
+	heartbeatInterval, workerLease, cancellationDeadline monotime.Micros
+	membershipTTL                                        monotime.Micros // how long a controller stays a member without renewing
+	suspicionTimeout                                     monotime.Micros // silence of a machine that says that something is wrong: three reports
+	placementSilenceLimit                                monotime.Micros // silence up to which a machine gets new tasks: two reports
+	leaseExpiryProof                                     monotime.Micros // after so long without an answer a worker's lease has surely ended
+	renewalWindow                                        monotime.Micros // age of the knowledge of cancellations up to which leases are renewed
+	adoptionDelay                                        monotime.Micros // a worker that has come to us for so long has lost its owner
 }
 
 func newPlatformDurations(w config.Workers) platformDurations {
-	d := platformDurations{heartbeatInterval: micros.FromSeconds(w.HeartbeatIntervalS), workerLease: micros.FromSeconds(w.LeaseS), cancellationDeadline: micros.FromSeconds(w.CancelWithinS)}
+	d := platformDurations{heartbeatInterval: monotime.FromSeconds(w.HeartbeatIntervalS), workerLease: monotime.FromSeconds(w.LeaseS), cancellationDeadline: monotime.FromSeconds(w.CancelWithinS)}
 	d.membershipTTL = min(max(d.workerLease/2, minMembershipTTL), maxMembershipTTL)
-	d.suspicionTimeout = 3*d.heartbeatInterval + micros.Second/2
-	d.placementSilenceLimit = 2*d.heartbeatInterval + micros.Second
-	d.leaseExpiryProof = d.workerLease + d.workerLease/clockDriftDivisor + micros.Second
+	d.suspicionTimeout = 3*d.heartbeatInterval + monotime.Second/2
+	d.placementSilenceLimit = 2*d.heartbeatInterval + monotime.Second
+	d.leaseExpiryProof = d.workerLease + d.workerLease/clockDriftDivisor + monotime.Second
 	d.renewalWindow = max(minRenewalWindow, d.cancellationDeadline-d.workerLease-leaseExpiryMargin)
 	d.adoptionDelay = d.workerLease / 3
 	return d
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -1,8 +1,8 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/storage"
 )
 
 // A task that fails speaks against its machine or against its job. Going by the
@@ -14,10 +14,10 @@
 
 // Bounds of the judgement.
 const (
-	jobFaultMachines       = 3                  // machines that a job has failed on, with nothing completed
-	machineFaultFailures   = 2                  // failures that a machine has had since something completed there
-	healthyReplicaAfter    = 10 * micros.Second // a service that has run for so long has no mistake
-	maxReportedFailingJobs = 64                 // jobs that a hint tells of
+	jobFaultMachines       = 3                    // machines that a job has failed on, with nothing completed
+	machineFaultFailures   = 2                    // failures that a machine has had since something completed there
+	healthyReplicaAfter    = 10 * monotime.Second // a service that has run for so long has no mistake
+	maxReportedFailingJobs = 64                   // jobs that a hint tells of
 )
 
 // failureAttribution is what is known of a job whose tasks have failed.
@@ -35,7 +35,7 @@
 func (c *Controller) attributeFailures(id string) failureAttribution {
 	job := c.mirror.Jobs[id]
 	if job == nil {
-		if status, ok := c.mirror.Results.Get(id); ok && status == bookkeeping.JobDone {
+		if status, ok := c.mirror.Results.Get(id); ok && status == storage.JobDone {
 			return machineAtFault
 		}
 		return jobAtFault // cancelled, or forgotten: no evidence
@@ -112,7 +112,7 @@
 
 // crashLoopTrials tells how many tasks of a job that fails everywhere may be placed now: one
 // at a time, the next after a pause that grows.
-func (c *Controller) crashLoopTrials(job *Job, now micros.Micros) int {
+func (c *Controller) crashLoopTrials(job *Job, now monotime.Micros) int {
 	tracking := c.trackingOf(job.ID)
 	if tracking.backoffDelay == 0 { // learned from another controller
 		tracking.backOff(now, c.settings)
@@ -129,7 +129,7 @@
 // mayScaleOutForTrial tells whether a machine may be rented for a try of a job that fails everywhere,
 // if there is no room at all: once in the longest pause. It may be the machines' fault
 // after all, and where nothing else keeps any it would wait for ever.
-func (c *Controller) mayScaleOutForTrial(job *Job, now micros.Micros) bool {
+func (c *Controller) mayScaleOutForTrial(job *Job, now monotime.Micros) bool {
 	at := c.trackingOf(job.ID).trialDemandAt
 	return job.AssignedTasks == 0 && (at == 0 || now-at >= c.settings.BackoffMax.Micros())
 }
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // TestFailureAttributionOfMachines: a machine is faulty when jobs that run elsewhere fail on it, not when
@@ -16,12 +16,12 @@
 	mr := core.mirror
 	next := mr.WatchedRevision + 1 // the mirror takes nothing older
 	mr.putJob("runs", 4, next)
-	mr.ApplyPut(bookkeeping.Key(bookkeeping.KindShard, "other"), encodedShard("i-9", "runs", 1, 2), next+1)
+	mr.ApplyPut(storage.Key(storage.KindShard, "other"), encodedShard("i-9", "runs", 1, 2), next+1)
 	mr.putJob("new", 4, next)
 	mr.putJob("here", 4, next)
 	mr.putJob("others", 4, next)
-	mr.Results.Add("ended", bookkeeping.JobDone)
-	mr.Results.Add("dropped", bookkeeping.JobCancelled)
+	mr.Results.Add("ended", storage.JobDone)
+	mr.Results.Add("dropped", storage.JobCancelled)
 	core.trackingOf("here").failedMachines = 3
 	core.trackingOf("others").failedMachines = 1
 	core.peerStatuses.status("n-1").failingJobs, core.peerStatuses.status("n-2").failingJobs = map[string]int{"others": 1}, map[string]int{"others": 1}
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -1,15 +1,15 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // fault is a trouble that begins at a time of the scenario.
 type fault struct {
-	at     micros.Micros
+	at     monotime.Micros
 	name   string
 	inject func(s *scenario)
 }
@@ -38,7 +38,7 @@
 }
 
 // storeRejectsController has the state service refuse one controller alone.
-func storeRejectsController(at micros.Micros, of controllerPicker, duration micros.Micros) fault {
+func storeRejectsController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "refusal", func(s *scenario) {
 		node := of(s)
 		s.store.RefusedCallers[node] = true
@@ -47,12 +47,12 @@
 }
 
 // storeOutage has the state service refuse everybody.
-func storeOutage(at, duration micros.Micros) fault {
+func storeOutage(at, duration monotime.Micros) fault {
 	return fault{at, "outage", func(s *scenario) { s.store.Outage(duration) }}
 }
 
 // crashController ends a controller; it is back after a while.
-func crashController(at micros.Micros, of controllerPicker, duration micros.Micros) fault {
+func crashController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "crash", func(s *scenario) {
 		node := of(s)
 		if s.nodes[node].controller == nil {
@@ -64,7 +64,7 @@
 }
 
 // crashAllControllers ends all controllers within a moment.
-func crashAllControllers(at, duration micros.Micros) fault {
+func crashAllControllers(at, duration monotime.Micros) fault {
 	return fault{at, "all crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
 			s.kill(node)
@@ -74,7 +74,7 @@
 }
 
 // peerPartition has a controller lose the others.
-func peerPartition(at micros.Micros, of controllerPicker, duration micros.Micros) fault {
+func peerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "cut from peers", func(s *scenario) {
 		node := of(s)
 		for _, other := range s.nodeNames {
@@ -90,7 +90,7 @@
 
 // storeAndPeerPartition has a controller lose the state service and the others, but neither
 // its workers nor its users.
-func storeAndPeerPartition(at micros.Micros, of controllerPicker, duration micros.Micros) fault {
+func storeAndPeerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "cut from state and peers", func(s *scenario) {
 		node := of(s)
 		storeRejectsController(0, func(*scenario) string { return node }, duration).inject(s)
@@ -99,13 +99,13 @@
 }
 
 // processPause stops a controller's process while its clocks run.
-func processPause(at micros.Micros, of controllerPicker, duration micros.Micros) fault {
+func processPause(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "stands still", func(s *scenario) { s.cluster.pause(of(s), duration) }}
 }
 
 // pickMachines picks some of those that are up.
-func (s *scenario) pickMachines(n int) []*standin.Worker {
-	var up []*standin.Worker
+func (s *scenario) pickMachines(n int) []*fake.Worker {
+	var up []*fake.Worker
 	for _, id := range sortedKeys(s.fleet.Workers) {
 		if worker := s.fleet.Workers[id]; !worker.Machine.Gone {
 			up = append(up, worker)
@@ -116,7 +116,7 @@
 }
 
 // machinesHang stops machines, which go on afterwards.
-func machinesHang(at micros.Micros, n int, duration micros.Micros) fault {
+func machinesHang(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines hang", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			worker.Pause(duration)
@@ -125,7 +125,7 @@
 }
 
 // machinesPartitioned cuts machines off from all controllers.
-func machinesPartitioned(at micros.Micros, n int, duration micros.Micros) fault {
+func machinesPartitioned(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines are cut off", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			worker.Partitioned = true
@@ -135,7 +135,7 @@
 }
 
 // machinesUnreachable has machines be heard but not reached.
-func machinesUnreachable(at micros.Micros, n int, duration micros.Micros) fault {
+func machinesUnreachable(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines are deaf", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			s.unreachableMachines[worker.Machine.ID] = true
@@ -145,7 +145,7 @@
 }
 
 // machinesMuted has machines be reached but not heard.
-func machinesMuted(at micros.Micros, n int, duration micros.Micros) fault {
+func machinesMuted(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines are mute", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			s.mutedMachines[worker.Machine.ID] = true
@@ -155,9 +155,9 @@
 }
 
 // delayedCommits has a share of the commits get no answer and be carried out late.
-func delayedCommits(at micros.Micros, share float64, duration micros.Micros) fault {
+func delayedCommits(at monotime.Micros, share float64, duration monotime.Micros) fault {
 	return fault{at, "late writes", func(s *scenario) {
-		s.store.DelayCommit = func(*protocol.Transaction) micros.Micros {
+		s.store.DelayCommit = func(*protocol.Transaction) monotime.Micros {
 			if s.sim.Rand.Float64() < share {
 				return 2*second + s.randomDuration(10*second)
 			}
@@ -173,15 +173,15 @@
 	if len(txn.Then) != 1 || (txn.Then[0].Delete != "") != drops {
 		return false
 	}
-	kind, _, _ := bookkeeping.SplitKey(txn.Then[0].Put + txn.Then[0].Delete)
-	return kind == bookkeeping.KindPartition
+	kind, _, _ := storage.SplitKey(txn.Then[0].Put + txn.Then[0].Delete)
+	return kind == storage.KindPartition
 }
 
 // delayedQuotaWrites has every second change of a controller's part of the limits, by itself,
 // get no answer and be carried out late.
-func delayedQuotaWrites(at, duration micros.Micros) fault {
+func delayedQuotaWrites(at, duration monotime.Micros) fault {
 	return fault{at, "late shares", func(s *scenario) {
-		s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+		s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 			if changesQuotaShares(txn, false) && s.sim.Rand.IntN(2) == 0 {
 				return 3*second + s.randomDuration(9*second)
 			}
@@ -192,7 +192,7 @@
 }
 
 // lostCommitAnswers has a share of the commits be carried out at once, their answers lost.
-func lostCommitAnswers(at micros.Micros, share float64, duration micros.Micros) fault {
+func lostCommitAnswers(at monotime.Micros, share float64, duration monotime.Micros) fault {
 	return fault{at, "lost answers", func(s *scenario) {
 		s.store.LoseResponse = func(*protocol.Transaction) bool { return s.sim.Rand.Float64() < share }
 		s.sim.After(duration, func() { s.store.LoseResponse = nil })
@@ -200,9 +200,9 @@
 }
 
 // delayedCommands has a share of the direct commands held up on their way.
-func delayedCommands(at micros.Micros, share float64, duration micros.Micros) fault {
+func delayedCommands(at monotime.Micros, share float64, duration monotime.Micros) fault {
 	return fault{at, "late commands", func(s *scenario) {
-		s.commandDelay = func(_ *standin.Worker, request *protocol.CommandRequest) micros.Micros {
+		s.commandDelay = func(_ *fake.Worker, request *protocol.CommandRequest) monotime.Micros {
 			if request != nil && s.sim.Rand.Float64() < share {
 				return 2*second + s.randomDuration(14*second)
 			}
@@ -213,9 +213,9 @@
 }
 
 // duplicateReports has copies of a share of the reports come again, to every controller.
-func duplicateReports(at micros.Micros, share float64, duration micros.Micros) fault {
+func duplicateReports(at monotime.Micros, share float64, duration monotime.Micros) fault {
 	return fault{at, "late reports", func(s *scenario) {
-		s.onReport = func(_ *standin.Worker, _ string, body []byte) {
+		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
 			if s.sim.Rand.Float64() < share {
 				s.sim.After(2*second+s.randomDuration(25*second), func() { s.deliverDuplicateReport(body) })
 			}
@@ -226,10 +226,10 @@
 
 // duplicateReportsToNextLeader keeps copies until another controller leads, which gets them at
 // that moment, as do all others.
-func duplicateReportsToNextLeader(at micros.Micros, share float64, duration micros.Micros) fault {
+func duplicateReportsToNextLeader(at monotime.Micros, share float64, duration monotime.Micros) fault {
 	return fault{at, "reports for the next leader", func(s *scenario) {
 		var kept [][]byte
-		s.onReport = func(_ *standin.Worker, _ string, body []byte) {
+		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
 			if s.sim.Rand.Float64() < share {
 				kept = append(kept, body)
 			}
@@ -245,7 +245,7 @@
 }
 
 // cancelRunningJobs has the users of running jobs call them off; machines of theirs may hang.
-func cancelRunningJobs(at micros.Micros, n int, hangFor micros.Micros) fault {
+func cancelRunningJobs(at monotime.Micros, n int, hangFor monotime.Micros) fault {
 	return fault{at, "cancellations", func(s *scenario) {
 		left := n
 		for _, u := range s.users {
@@ -261,7 +261,7 @@
 }
 
 // cancelTeamJobs has users of a team call off jobs that run; their machines hang.
-func cancelTeamJobs(at micros.Micros, team string, n int, hangFor micros.Micros) fault {
+func cancelTeamJobs(at monotime.Micros, team string, n int, hangFor monotime.Micros) fault {
 	return fault{at, "cancellations of " + team, func(s *scenario) {
 		left := n
 		for _, u := range s.users {
@@ -279,8 +279,8 @@
 }
 
 // machinesOf lists the machines that hold tasks of a job.
-func (s *scenario) machinesOf(job string) []*standin.Worker {
-	var out []*standin.Worker
+func (s *scenario) machinesOf(job string) []*fake.Worker {
+	var out []*fake.Worker
 	for _, id := range sortedKeys(s.fleet.Workers) {
 		worker := s.fleet.Workers[id]
 		holds := false
@@ -294,7 +294,7 @@
 	return out
 }
 
-func (s *scenario) hangMachineOf(job string, duration micros.Micros) {
+func (s *scenario) hangMachineOf(job string, duration monotime.Micros) {
 	for _, worker := range s.machinesOf(job) {
 		if !worker.Paused {
 			worker.Pause(duration)
@@ -304,15 +304,15 @@
 }
 
 // slowStoreReplies has the state service answer late, within the time that callers wait.
-func slowStoreReplies(at micros.Micros, most, duration micros.Micros) fault {
+func slowStoreReplies(at monotime.Micros, most, duration monotime.Micros) fault {
 	return fault{at, "slow store", func(s *scenario) {
-		s.store.DelayResponse = func() micros.Micros { return s.randomDuration(most) }
+		s.store.DelayResponse = func() monotime.Micros { return s.randomDuration(most) }
 		s.sim.After(duration, func() { s.store.DelayResponse = nil })
 	}}
 }
 
 // zonePartition keeps the zones from reaching each other; each has controllers and workers.
-func zonePartition(at, duration micros.Micros) fault {
+func zonePartition(at, duration monotime.Micros) fault {
 	return fault{at, "zones cut", func(s *scenario) {
 		s.zonesPartitioned = true
 		s.sim.After(duration, func() {
@@ -323,7 +323,7 @@
 }
 
 // machinesVanish takes some machines away without notice.
-func machinesVanish(at micros.Micros, n int) fault {
+func machinesVanish(at monotime.Micros, n int) fault {
 	return fault{at, "machines die", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			s.cloud.RemoveMachine(worker.Machine.ID)
@@ -332,10 +332,10 @@
 }
 
 // submitAtRate has users submit jobs at a rate for a while.
-func submitAtRate(at micros.Micros, every, duration micros.Micros, make func(s *scenario)) fault {
+func submitAtRate(at monotime.Micros, every, duration monotime.Micros, make func(s *scenario)) fault {
 	return fault{at, "submissions", func(s *scenario) {
-		var next func(left micros.Micros)
-		next = func(left micros.Micros) {
+		var next func(left monotime.Micros)
+		next = func(left monotime.Micros) {
 			if left > 0 {
 				make(s)
 				s.sim.After(every, func() { next(left - every) })
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
+	"pipitgap/internal/fake"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // sizeCosts is what a course at some size has cost.
@@ -36,11 +36,11 @@
 func newClusterOfSize(t testing.TB, machines int) *cluster {
 	c := newLargeFleetCluster(t, uint64(machines))
 	scale := float64(machines) / 1000
-	c.store = standin.NewStateStore(c.sim, 400*scale, 100*scale, c.store.MaxTransactionOps)
+	c.store = fake.NewStateStore(c.sim, 400*scale, 100*scale, c.store.MaxTransactionOps)
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.OfferKey("m16", z, false)] = machines / 4
-		c.cloud.Capacity[standin.OfferKey("m16", z, true)] = machines / 4
+		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = machines / 4
+		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = machines / 4
 	}
 	for i := range c.teams {
 		c.teams[i].CPUs, c.teams[i].CPUsMax = c.teams[i].CPUs*scale, c.teams[i].CPUsMax*scale
@@ -71,7 +71,7 @@
 func measureSize(t *testing.T, machines int) *sizeCosts {
 	c := newClusterOfSize(t, machines)
 	got := &sizeCosts{}
-	c.onReport = func(_ *standin.Worker, _ string, body []byte) {
+	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
 		got.largestHeartbeatBytes = max(got.largestHeartbeatBytes, len(body))
 	}
 	c.refuseConnections = true
@@ -108,10 +108,10 @@
 	for _, n := range c.store.Calls {
 		got.requests += n
 	}
-	for _, key := range c.store.Keys(bookkeeping.KeyPrefix) {
+	for _, key := range c.store.Keys(storage.KeyPrefix) {
 		got.largestValueBytes = max(got.largestValueBytes, c.store.JSONSize(key))
 	}
-	got.shards = len(c.store.Keys(bookkeeping.Key(bookkeeping.KindShard, "")))
+	got.shards = len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	for id, j := range c.fleet.Jobs {
 		if j.RunTime == 0 {
 			got.services++
--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // newGrownCluster is five controllers with room for some five hundred machines, on a
@@ -25,17 +25,17 @@
 	c.settings.OverdueBootFactor, c.settings.ServiceHeadroom = 0.75, 0.3
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.OfferKey("m16", z, false)] = 135
-		c.cloud.Capacity[standin.OfferKey("m16", z, true)] = 135
+		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = 135
+		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = 135
 	}
 	c.checker.Limits["tight"], c.checker.Limits["free"], c.checker.Limits["third"] = 2500, 3500, 3500
 	return c
 }
 
 // submitWithRetry submits a job at some controller, asking again like a user.
-func (c *cluster) submitWithRetry(run micros.Micros, options ...jobOption) string {
+func (c *cluster) submitWithRetry(run monotime.Micros, options ...jobOption) string {
 	id, j := c.newSubmission(options...)
-	c.fleet.Jobs[id] = standin.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
 	body := protocol.MustMarshal(j)
 	var try func()
 	try = func() {
@@ -68,7 +68,7 @@
 func TestGrownClusterOpeningLoad(t *testing.T) {
 	c := newGrownCluster(t, 1)
 	largest := map[string]int{}
-	c.onReport = func(_ *standin.Worker, _ string, body []byte) { largest["report"] = max(largest["report"], len(body)) }
+	c.onReport = func(_ *fake.Worker, _ string, body []byte) { largest["report"] = max(largest["report"], len(body)) }
 	c.start(c.nodeNames...)
 	c.sim.Run(3 * second)
 	teams := []string{"free", "tight", "third"}
@@ -79,7 +79,7 @@
 	}
 	arrays := func(n int) {
 		for i := 0; i < n; i++ {
-			run := micros.Micros(float64(12*second) * (0.5 + 1.2*c.sim.Rand.Float64()))
+			run := monotime.Micros(float64(12*second) * (0.5 + 1.2*c.sim.Rand.Float64()))
 			c.submitWithRetry(run, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
 				withMemoryGB(10),
 				withImage(fmt.Sprint("tr", c.sim.Rand.IntN(18))), withImageGB(0.7), withEstimateS(12),
@@ -99,7 +99,7 @@
 		}
 	}
 	c.requireNoViolations()
-	for _, k := range c.store.Keys(bookkeeping.KeyPrefix) {
+	for _, k := range c.store.Keys(storage.KeyPrefix) {
 		largest["value"] = max(largest["value"], c.store.JSONSize(k))
 	}
 	services := 0
@@ -108,7 +108,7 @@
 			services++
 		}
 	}
-	shards := len(c.store.Keys(bookkeeping.KeyPrefix + bookkeeping.KindShard))
+	shards := len(c.store.Keys(storage.KeyPrefix + storage.KindShard))
 	got := map[string]int{
 		"changes": c.store.Changes, "requests": 0, "conflicts": c.store.Conflicts, "refused": c.store.Throttled,
 		"finished": len(c.fleet.Finished), "services": services, "pages": shards, "cloud calls": 0,
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -4,14 +4,14 @@
 	"context"
 	"log/slog"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // orphanContact is a worker of another partition that came to us.
 type orphanContact struct {
-	firstAt, lastAt micros.Micros
+	firstAt, lastAt monotime.Micros
 	claimNumber     uint64 // under which its owner held it
 }
 
@@ -77,9 +77,9 @@
 // recordOrphanContact notes a worker of another partition, and tells when this run of visits began. A
 // new claim begins it anew: an owner that was gone for a moment and has claimed its
 // machines again must have the time to be found by them.
-func (c *Controller) recordOrphanContact(id string, claimNumber uint64, now micros.Micros) micros.Micros {
+func (c *Controller) recordOrphanContact(id string, claimNumber uint64, now monotime.Micros) monotime.Micros {
 	contact := c.orphanContacts[id]
-	if contact == nil || now-contact.lastAt > 20*micros.Second || contact.claimNumber != claimNumber {
+	if contact == nil || now-contact.lastAt > 20*monotime.Second || contact.claimNumber != claimNumber {
 		contact = &orphanContact{firstAt: now, claimNumber: claimNumber}
 		c.orphanContacts[id] = contact
 	}
@@ -91,7 +91,7 @@
 // node that answers; one that comes to us has lost its owner, unless this is a
 // copy of an old report. We take the machine over if its owner can't be the one
 // who will be back for it in a moment, and the worker itself confirms its report.
-func (c *Controller) handleOrphanedWorker(machine *Machine, report *protocol.Heartbeat, respond func(Response), now micros.Micros) {
+func (c *Controller) handleOrphanedWorker(machine *Machine, report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
 	owner := machine.Owner()
 	member, live := c.mirror.Members[owner]
 	firstContactAt := c.recordOrphanContact(machine.ID, machine.Claim(), now)
@@ -161,13 +161,13 @@
 }
 
 // heardFromRecently tells whether a peer spoke to us lately.
-func (c *Controller) heardFromRecently(peer string, now micros.Micros) bool {
+func (c *Controller) heardFromRecently(peer string, now monotime.Micros) bool {
 	p := c.peerStatuses.status(peer)
 	return p.hasReported && now-p.lastHeardAt < 3*slowTickInterval
 }
 
 // silentFor tells for how long a peer hasn't spoken to us.
-func (c *Controller) silentFor(peer string, now micros.Micros) micros.Micros {
+func (c *Controller) silentFor(peer string, now monotime.Micros) monotime.Micros {
 	return now - c.peerStatuses.status(peer).lastHeardAt
 }
 
@@ -175,7 +175,7 @@
 // goes round all controllers once more, waiting at each that says nothing, its lease may
 // end on the way. Whoever is still a member for longer than that takes lives, but won't be
 // found on another round either.
-func (c *Controller) mustAdoptBeforeLeaseEnds(owner string, now micros.Micros) bool {
+func (c *Controller) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
 	round := workerRetryPause
 	for _, peer := range c.cfg.Peers {
 		round += workerRetryPause
@@ -231,7 +231,7 @@
 }
 
 // handleUnclaimedWorker answers a worker whose machine no part has claimed yet.
-func (c *Controller) handleUnclaimedWorker(report *protocol.Heartbeat, respond func(Response), now micros.Micros) {
+func (c *Controller) handleUnclaimedWorker(report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
 	name := c.mirror.ScaleOutOfMachine[report.Machine]
 	request := c.mirror.ScaleOuts[name]
 	if request == nil {
@@ -268,11 +268,11 @@
 	// It was sent there and has come back: it can't reach it. Say in the request
 	// that it is ours; once that is written, nobody else's claim can follow.
 	respond(c.redirectResponse(""))
-	key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
+	key := storage.Key(storage.KindScaleOut, name)
 	if c.recordWritesInFlight[key] || now < c.nextDesignationChangeAt {
 		return
 	}
-	c.nextDesignationChangeAt = now + 2*micros.Second
+	c.nextDesignationChangeAt = now + 2*monotime.Second
 	c.recordWritesInFlight[key] = true
 	id := report.Machine
 	c.verifyReport(report, false, func(ok bool) {
@@ -288,7 +288,7 @@
 				record.Own[k] = v
 			}
 		}
-		c.commitTxn(bookkeeping.PriorityBackground, protocol.Transaction{
+		c.commitTxn(storage.PriorityBackground, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: request.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, func(protocol.StoreResult) { delete(c.recordWritesInFlight, key) })
--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // newClusterOwningMachine puts a shard of n-0's with one machine and a running service on it into
@@ -15,14 +15,14 @@
 	c.start("n-0")
 	c.sim.Run(3 * second)
 	core := c.nodes["n-0"].controller
-	core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindOpenJob, "j-1"), protocol.MustMarshal(&bookkeeping.OpenJob{
-		Spec: bookkeeping.JobSpec{Tasks: 1, CPUs: 1, Service: true}, TaskRanges: []bookkeeping.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 1000)
-	shard := &bookkeeping.Shard{Owner: "n-0", Incarnation: core.incarnation, Claim: 3,
-		Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
-	shard.AddMachine("i-1", bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: bookkeeping.MachineOpen})
-	shard.Assign("j-1", bookkeeping.Attempt{Task: 0, Machine: "i-1", Number: 1})
+	core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
+		Spec: storage.JobSpec{Tasks: 1, CPUs: 1, Service: true}, TaskRanges: []storage.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 1000)
+	shard := &storage.Shard{Owner: "n-0", Incarnation: core.incarnation, Claim: 3,
+		Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
+	shard.AddMachine("i-1", storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: storage.MachineOpen})
+	shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
 	encoded, _ := shard.Encode()
-	core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindShard, "p"), encoded, 1001)
+	core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 1001)
 	return c, core, core.mirror.Machines["i-1"]
 }
 
@@ -94,7 +94,7 @@
 	for _, tc := range cases {
 		c, core, machine := newClusterOwningMachine(t, 31)
 		for _, s := range tc.steps {
-			c.sim.Run(micros.Micros(s.pause) * second)
+			c.sim.Run(monotime.Micros(s.pause) * second)
 			core.answerHeartbeat(machine, &protocol.Heartbeat{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Incarnation: s.session, Sequence: s.seq, FencingToken: s.token,
 				Tasks: []protocol.TaskStatus{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}}})
 		}
--- a/internal/coordination/job_completion.go
+++ b/internal/coordination/job_completion.go
@@ -3,8 +3,8 @@
 import (
 	"sort"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // completeJobIfDone makes a job done once the shards show every task of it done.
@@ -22,11 +22,11 @@
 func (c *Controller) completeJob(job *Job) {
 	id := job.ID
 	c.recordWritesInFlight[id] = true
-	openKey, jobKey := bookkeeping.Key(bookkeeping.KindOpenJob, id), bookkeeping.Key(bookkeeping.KindJobResult, id)
-	c.commitTxn(c.priorityClassOf(&job.Record.Spec, bookkeeping.PriorityJobResult), protocol.Transaction{
+	openKey, jobKey := storage.Key(storage.KindOpenJob, id), storage.Key(storage.KindJobResult, id)
+	c.commitTxn(c.priorityClassOf(&job.Record.Spec, storage.PriorityJobResult), protocol.Transaction{
 		If: []protocol.Compare{{Key: jobKey}},
 		Then: []protocol.Op{
-			{Put: jobKey, Value: protocol.MustMarshal(&bookkeeping.JobResult{State: bookkeeping.JobDone})},
+			{Put: jobKey, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobDone})},
 			{Delete: openKey},
 		},
 	}, func(result protocol.StoreResult) {
@@ -42,8 +42,8 @@
 // No attempt can follow: each depends on the job having no answer.
 func (c *Controller) purgeCancelledJob(job *Job) {
 	c.recordWritesInFlight[job.ID] = true
-	key := bookkeeping.Key(bookkeeping.KindOpenJob, job.ID)
-	c.commitTxn(bookkeeping.PriorityBackground, protocol.Transaction{
+	key := storage.Key(storage.KindOpenJob, job.ID)
+	c.commitTxn(storage.PriorityBackground, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Delete: key}},
 	}, func(protocol.StoreResult) { delete(c.recordWritesInFlight, job.ID) })
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -4,11 +4,11 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // newLargeFleetCluster is five controllers with room for some fifteen hundred machines, on a
@@ -20,8 +20,8 @@
 	c.cloud.BootTime = 25 * second
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.OfferKey("m16", z, false)] = 375
-		c.cloud.Capacity[standin.OfferKey("m16", z, true)] = 395
+		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = 375
+		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = 395
 	}
 	c.teams = nil
 	for i, most := range []float64{7000, 5000, 10000, 5000, 6000, 7000} {
@@ -50,7 +50,7 @@
 			withImage(fmt.Sprint("svc", i%16)), withImageGB(1.8), withEstimateS(0))
 	}
 	array := func(class string, team, tasks int, cores, mem, guess, due float64) {
-		run := micros.Micros(guess * float64(second) * (0.5 + c.sim.Rand.Float64()))
+		run := monotime.Micros(guess * float64(second) * (0.5 + c.sim.Rand.Float64()))
 		c.submitWithRetry(run, withClass(class), withTeam(fmt.Sprint("team", team)), withTasks(tasks), withCPUs(cores),
 			withMemoryGB(mem),
 			withImage(fmt.Sprint(class, c.sim.Rand.IntN(12))), withImageGB(0.7), withEstimateS(guess),
@@ -91,7 +91,7 @@
 func TestLargeFleetOpeningLoad(t *testing.T) {
 	c := newLargeFleetCluster(t, 1)
 	got := map[string]int{}
-	c.onReport = func(_ *standin.Worker, _ string, body []byte) {
+	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
 		got["largest report"] = max(got["largest report"], len(body))
 	}
 	answered := map[int]int{}
@@ -116,17 +116,17 @@
 		got["looked at"] += c.nodes[node].controller.counters.machinesExamined
 		got["placed"] += c.nodes[node].controller.counters.tasksPlaced
 	}
-	for _, k := range c.store.Keys(bookkeeping.KeyPrefix) {
+	for _, k := range c.store.Keys(storage.KeyPrefix) {
 		got["largest value"] = max(got["largest value"], c.store.JSONSize(k))
 	}
-	got["pages"] = len(c.store.Keys(bookkeeping.Key(bookkeeping.KindShard, "")))
+	got["pages"] = len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	got["machines"] = c.cloud.MachineCount()
 	got["cloud calls"] = c.cloud.Calls[protocol.CloudRent] + c.cloud.Calls[protocol.CloudList] + c.cloud.Calls[protocol.CloudDelete]
 	got["finished"] = len(c.fleet.Finished)
 	got["refused"] = c.store.Throttled
 	used, room := 0.0, 0.0
 	for _, machine := range c.nodes["n-0"].controller.mirror.Machines {
-		if machine.Record != nil && machine.Record.State == bookkeeping.MachineOpen {
+		if machine.Record != nil && machine.Record.State == storage.MachineOpen {
 			used, room = used+machine.Used.CPUs, room+16
 		}
 	}
--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -5,20 +5,20 @@
 	"reflect"
 	"slices"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Bounds of the leader's work.
 const (
-	listInterval            = 10 * micros.Second
-	cloudTimeout            = 4 * micros.Second
-	cloudRetryDelay         = 1 * micros.Second
+	listInterval            = 10 * monotime.Second
+	cloudTimeout            = 4 * monotime.Second
+	cloudRetryDelay         = 1 * monotime.Second
 	maxMachinesPerScaleOut  = 50  // machines a request
 	maxMachinesPerScaleIn   = 100 // machines a deletion
-	scaleInInterval         = 1 * micros.Second
-	deletedMachineRetention = 10 * micros.Minute // late reports of deleted machines are expected for so long
+	scaleInInterval         = 1 * monotime.Second
+	deletedMachineRetention = 10 * monotime.Minute // late reports of deleted machines are expected for so long
 )
 
 // leaderTermState is what a leader knows beside the store. A new term starts anew:
@@ -26,15 +26,15 @@
 type leaderTermState struct {
 	term             uint64
 	inventoryRebuilt bool
-	nextPassAt       micros.Micros
-	nextListAt       micros.Micros
+	nextPassAt       monotime.Micros
+	nextListAt       monotime.Micros
 	listInFlight     bool
 	requestSequence  int
 	scaleOutInFlight map[string]bool
-	scaleOutRetryAt  map[string]micros.Micros
-	scaleInInFlight  map[string]bool          // removals whose call is in flight
-	scaleInRetryAt   map[string]micros.Micros // when a removal may be tried again
-	nextScaleInAt    micros.Micros
+	scaleOutRetryAt  map[string]monotime.Micros
+	scaleInInFlight  map[string]bool            // removals whose call is in flight
+	scaleInRetryAt   map[string]monotime.Micros // when a removal may be tried again
+	nextScaleInAt    monotime.Micros
 	failedMachines   map[string]string // machines to be removed that are in no shard, and why
 	unknownMachines  map[string]*protocol.ListedMachine
 	commitInFlight   map[string]bool // keys with a commit of the leader in flight
@@ -47,22 +47,22 @@
 // unplacedBackoff follows a job whose demand no offer can meet.
 type unplacedBackoff struct {
 	unmetPasses     int
-	retryAt         micros.Micros
-	delay           micros.Micros
+	retryAt         monotime.Micros
+	delay           monotime.Micros
 	suspended       bool // out of demand until an offer recovers
 	offerRecoveries int
 }
 
 func newLeaderState(term uint64) leaderTermState {
 	return leaderTermState{
-		term: term, scaleOutInFlight: map[string]bool{}, scaleOutRetryAt: map[string]micros.Micros{}, scaleInInFlight: map[string]bool{},
-		scaleInRetryAt: map[string]micros.Micros{}, failedMachines: map[string]string{}, unknownMachines: map[string]*protocol.ListedMachine{},
+		term: term, scaleOutInFlight: map[string]bool{}, scaleOutRetryAt: map[string]monotime.Micros{}, scaleInInFlight: map[string]bool{},
+		scaleInRetryAt: map[string]monotime.Micros{}, failedMachines: map[string]string{}, unknownMachines: map[string]*protocol.ListedMachine{},
 		commitInFlight: map[string]bool{}, unplaceableJobs: map[string]*unplacedBackoff{}, unreachableZones: map[string]bool{},
 	}
 }
 
 // reconcileAsLeader does the leader's share; it is called every slow tick.
-func (c *Controller) reconcileAsLeader(now micros.Micros) {
+func (c *Controller) reconcileAsLeader(now monotime.Micros) {
 	if now >= c.nextEmptyMachineCheckAt {
 		c.nextEmptyMachineCheckAt = now + c.settings.AutoscalingInterval.Micros()
 		c.scaleInEmpty(now)
@@ -90,7 +90,7 @@
 }
 
 // commitAsLeader makes a change conditional on our lead, one at a time a key.
-func (c *Controller) commitAsLeader(priority bookkeeping.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
+func (c *Controller) commitAsLeader(priority storage.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
 	if c.leader.commitInFlight[busyKey] {
 		return
 	}
@@ -118,15 +118,15 @@
 	for _, name := range sortedKeys(c.machineTypes) {
 		machineType := c.machineTypes[name]
 		have := c.mirror.MachineTypes[name]
-		record := bookkeeping.MachineType{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB, CacheGB: machineType.CacheGB, FetchGBPerS: machineType.FetchGBPerS,
+		record := storage.MachineType{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB, CacheGB: machineType.CacheGB, FetchGBPerS: machineType.FetchGBPerS,
 			OnDemandPrice: machineType.OnDemandPrice, SpotPrice: machineType.SpotPrice, BootS: machineType.BootS, Zones: machineType.Zones}
 		same := record
 		same.OnDemandPrice, same.SpotPrice = have.Record.OnDemandPrice, have.Record.SpotPrice
 		if have.Version != 0 && reflect.DeepEqual(same, have.Record) || !protocol.ValidKeyPart(name) {
 			continue
 		}
-		key := bookkeeping.Key(bookkeeping.KindMachineType, name)
-		c.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+		key := storage.Key(storage.KindMachineType, name)
+		c.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: have.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
@@ -138,12 +138,12 @@
 // reconcileScaleIns has machines deleted: those that their parts want to be rid of, and
 // such as nobody has. Many go by one record and one call; the record is written
 // before the call, and says afterwards that they are gone.
-func (c *Controller) reconcileScaleIns(now micros.Micros) {
+func (c *Controller) reconcileScaleIns(now monotime.Micros) {
 	leader := &c.leader
 	if now >= leader.nextScaleInAt {
 		var removable []string
 		for _, id := range sortedKeys(c.mirror.Machines) {
-			if machine := c.mirror.Machines[id]; machine.Record != nil && machine.Record.State == bookkeeping.MachineRemoving && c.mirror.ScaleInOfMachine[id] == "" {
+			if machine := c.mirror.Machines[id]; machine.Record != nil && machine.Record.State == storage.MachineRemoving && c.mirror.ScaleInOfMachine[id] == "" {
 				removable = append(removable, id)
 			}
 		}
@@ -181,9 +181,9 @@
 	}
 	c.leader.requestSequence++
 	name := fmt.Sprintf("%d-%d", c.leader.term, c.leader.requestSequence)
-	key := bookkeeping.Key(bookkeeping.KindScaleIn, name)
-	record := bookkeeping.ScaleInRequest{Machines: ids[:n], StateSince: c.env.WallClock()}
-	c.commitAsLeader(bookkeeping.PriorityBackground, "removals", protocol.Transaction{
+	key := storage.Key(storage.KindScaleIn, name)
+	record := storage.ScaleInRequest{Machines: ids[:n], StateSince: c.env.WallClock()}
+	c.commitAsLeader(storage.PriorityBackground, "removals", protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: 0}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 	}, func(result protocol.StoreResult) {
@@ -205,7 +205,7 @@
 		c.noteCloudOutcome(result.Outcome)
 		delete(c.leader.scaleInInFlight, name)
 		c.leader.scaleInRetryAt[name] = c.now() + cloudRetryDelay
-		key := bookkeeping.Key(bookkeeping.KindScaleIn, name)
+		key := storage.Key(storage.KindScaleIn, name)
 		record := removal.Record
 		switch result.Outcome {
 		case protocol.OK:
@@ -223,7 +223,7 @@
 					"tries", record.Attempts, "outcome", result.Outcome.String())
 			}
 		}
-		c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, protocol.Transaction{
+		c.commitAsLeader(storage.PriorityShardUpdate, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: removal.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, func(result protocol.StoreResult) {
@@ -237,7 +237,7 @@
 // forgetScaleIn drops a record whose machines are in no shard any more, once no
 // late report of theirs is to be expected.
 func (c *Controller) forgetScaleIn(name string, removal *ScaleInEntry) {
-	if micros.Micros(c.env.WallClock()-removal.Record.StateSince) < deletedMachineRetention {
+	if monotime.Micros(c.env.WallClock()-removal.Record.StateSince) < deletedMachineRetention {
 		return
 	}
 	for _, id := range removal.Record.Machines {
@@ -245,8 +245,8 @@
 			return
 		}
 	}
-	key := bookkeeping.Key(bookkeeping.KindScaleIn, name)
-	c.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+	key := storage.Key(storage.KindScaleIn, name)
+	c.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: removal.Version}},
 		Then: []protocol.Op{{Delete: key}},
 	}, nil)
@@ -269,7 +269,7 @@
 
 // listMachines reads the cloud's list to its end. It finds failed machines and
 // such as nobody expected; an absent machine proves nothing, the list lags.
-func (c *Controller) listMachines(now micros.Micros) {
+func (c *Controller) listMachines(now monotime.Micros) {
 	leader := &c.leader
 	leader.listInFlight = true
 	term := leader.term
@@ -333,11 +333,11 @@
 		}
 		return
 	}
-	lag := micros.FromSeconds(2*c.cfg.Facts.Cloud.ListLagS) + 5*micros.Second
+	lag := monotime.FromSeconds(2*c.cfg.Facts.Cloud.ListLagS) + 5*monotime.Second
 	switch {
 	case listed.State == "failed":
 		leader.failedMachines[listed.ID] = "failed before it was up"
-	case c.mirror.ScaleOutOfMachine[listed.ID] == "" && micros.FromSeconds(listed.AgeS) > lag:
+	case c.mirror.ScaleOutOfMachine[listed.ID] == "" && monotime.FromSeconds(listed.AgeS) > lag:
 		leader.unknownMachines[listed.ID] = listed
 	}
 }
@@ -354,11 +354,11 @@
 		}
 		leader.requestSequence++
 		name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
-		key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
-		record := bookkeeping.ScaleOutRequest{Phase: bookkeeping.ScaleOutProvisioning, MachineType: listed.Type, Zone: listed.Zone, Spot: listed.Spot, Count: 1,
+		key := storage.Key(storage.KindScaleOut, name)
+		record := storage.ScaleOutRequest{Phase: storage.ScaleOutProvisioning, MachineType: listed.Type, Zone: listed.Zone, Spot: listed.Spot, Count: 1,
 			Machines: []string{id}, Live: c.connectedControllers(), PhaseSince: c.env.WallClock()}
 		c.log.Info("unrequested machine found", "machine", id, "machine_type", listed.Type, "zone", listed.Zone)
-		c.commitAsLeader(bookkeeping.PriorityBackground, key, protocol.Transaction{
+		c.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: 0}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
@@ -368,25 +368,25 @@
 // ---- requests ----
 
 // reconcileScaleOuts moves rental requests on.
-func (c *Controller) reconcileScaleOuts(now micros.Micros) {
+func (c *Controller) reconcileScaleOuts(now monotime.Micros) {
 	leader := &c.leader
 	wall := c.env.WallClock()
 	for _, name := range sortedKeys(c.mirror.ScaleOuts) {
 		request := c.mirror.ScaleOuts[name]
-		key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
-		age := micros.Micros(wall - request.Record.PhaseSince)
+		key := storage.Key(storage.KindScaleOut, name)
+		age := monotime.Micros(wall - request.Record.PhaseSince)
 		drop := protocol.Transaction{If: []protocol.Compare{{Key: key, Version: request.Version}}, Then: []protocol.Op{{Delete: key}}}
 		switch request.Record.Phase {
-		case bookkeeping.ScaleOutPending:
+		case storage.ScaleOutPending:
 			if !leader.scaleOutInFlight[name] && now >= leader.scaleOutRetryAt[name] && c.cloudRateLimiter.WaitTime(now, 1) == 0 {
 				c.callScaleOut(name, request)
 			}
-		case bookkeeping.ScaleOutNoCapacity:
+		case storage.ScaleOutNoCapacity:
 			if age > c.settings.OfferQuarantine.Micros() {
 				leader.offerRecoveries++
-				c.commitAsLeader(bookkeeping.PriorityBackground, key, drop, nil)
+				c.commitAsLeader(storage.PriorityBackground, key, drop, nil)
 			}
-		case bookkeeping.ScaleOutProvisioning:
+		case storage.ScaleOutProvisioning:
 			missing := c.missingMachines(request)
 			connected := c.connectedControllers()
 			orphans := false
@@ -397,15 +397,15 @@
 			}
 			switch {
 			case len(missing) == 0 && c.mirror.WatchedRevision >= request.Version:
-				c.commitAsLeader(bookkeeping.PriorityBackground, key, drop, nil)
+				c.commitAsLeader(storage.PriorityBackground, key, drop, nil)
 			case age > c.settings.ReadinessTimeout.Micros():
 				// With the request goes the right to claim them.
 				leader.requestSequence++
-				removal := bookkeeping.Key(bookkeeping.KindScaleIn, fmt.Sprintf("%d-%d", leader.term, leader.requestSequence))
+				removal := storage.Key(storage.KindScaleIn, fmt.Sprintf("%d-%d", leader.term, leader.requestSequence))
 				drop.If = append(drop.If, protocol.Compare{Key: removal, Version: 0})
 				drop.Then = append(drop.Then, protocol.Op{Put: removal,
-					Value: protocol.MustMarshal(&bookkeeping.ScaleInRequest{Machines: missing, StateSince: wall})})
-				c.commitAsLeader(bookkeeping.PriorityBackground, key, drop, func(result protocol.StoreResult) {
+					Value: protocol.MustMarshal(&storage.ScaleInRequest{Machines: missing, StateSince: wall})})
+				c.commitAsLeader(storage.PriorityBackground, key, drop, func(result protocol.StoreResult) {
 					if result.Outcome == protocol.OK {
 						c.log.Info("machines not ready in time, scale-in requested", "scale_out", name,
 							"machines", len(missing), "machine_type", request.Record.MachineType, "zone", request.Record.Zone)
@@ -415,7 +415,7 @@
 				// Those who were to claim them have gone, or can't: name others.
 				record := request.Record
 				record.Live, record.Own = connected, nil
-				c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, protocol.Transaction{
+				c.commitAsLeader(storage.PriorityShardUpdate, key, protocol.Transaction{
 					If:   []protocol.Compare{{Key: key, Version: request.Version}},
 					Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 				}, nil)
@@ -454,33 +454,33 @@
 		record := request.Record
 		switch {
 		case result.Outcome == protocol.OK && len(result.Rented) > 0:
-			record.Phase, record.Machines, record.Live = bookkeeping.ScaleOutProvisioning, result.Rented, c.connectedControllers()
+			record.Phase, record.Machines, record.Live = storage.ScaleOutProvisioning, result.Rented, c.connectedControllers()
 			c.log.Info("scale-out completed", "scale_out", name, "machine_type", record.MachineType, "zone", record.Zone,
 				"spot", record.Spot, "requested", record.Count, "machines", len(result.Rented))
 		case result.Outcome == protocol.OK, result.Outcome == protocol.NoCapacity:
-			record.Phase = bookkeeping.ScaleOutNoCapacity
+			record.Phase = storage.ScaleOutNoCapacity
 			c.log.Info("insufficient capacity, offer quarantined", "machine_type", record.MachineType,
 				"zone", record.Zone, "spot", record.Spot)
 		case result.Outcome == protocol.Rejected:
 			c.log.Error("scale-out request rejected", "scale_out", name, "machine_type", record.MachineType)
-			record.Phase = bookkeeping.ScaleOutNoCapacity
+			record.Phase = storage.ScaleOutNoCapacity
 		default:
 			// Throttled, troubled or unknown: says nothing about the offer. The
 			// same name is asked again.
 			return
 		}
 		record.PhaseSince = c.env.WallClock()
-		key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
+		key := storage.Key(storage.KindScaleOut, name)
 		txn := protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: request.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}
-		if record.Phase == bookkeeping.ScaleOutProvisioning && len(result.Rented) < record.Count {
+		if record.Phase == storage.ScaleOutProvisioning && len(result.Rented) < record.Count {
 			// Partly filled: the rest isn't to be had for now.
-			unmetRequest := bookkeeping.ScaleOutRequest{Phase: bookkeeping.ScaleOutNoCapacity, MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot, PhaseSince: record.PhaseSince}
+			unmetRequest := storage.ScaleOutRequest{Phase: storage.ScaleOutNoCapacity, MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot, PhaseSince: record.PhaseSince}
 			txn.Then = append(txn.Then, protocol.Op{Put: key + "-rest", Value: protocol.MustMarshal(&unmetRequest)})
 		}
-		c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, txn, nil)
+		c.commitAsLeader(storage.PriorityShardUpdate, key, txn, nil)
 	})
 }
 
@@ -490,9 +490,9 @@
 	leader := &c.leader
 	leader.requestSequence++
 	name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
-	key := bookkeeping.Key(bookkeeping.KindScaleOut, name)
-	record := bookkeeping.ScaleOutRequest{Phase: bookkeeping.ScaleOutPending, MachineType: o.machineType, Zone: o.zone, Spot: o.spot, Count: n, PhaseSince: c.env.WallClock()}
-	c.commitAsLeader(bookkeeping.PriorityShardUpdate, key, protocol.Transaction{
+	key := storage.Key(storage.KindScaleOut, name)
+	record := storage.ScaleOutRequest{Phase: storage.ScaleOutPending, MachineType: o.machineType, Zone: o.zone, Spot: o.spot, Count: n, PhaseSince: c.env.WallClock()}
+	c.commitAsLeader(storage.PriorityShardUpdate, key, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: 0}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 	}, func(result protocol.StoreResult) {
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -1,13 +1,13 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/storage"
 )
 
 // machineHealthCheck is one look at all machines that are ours.
 type machineHealthCheck struct {
-	now                      micros.Micros
+	now                      monotime.Micros
 	owned, silent            int // machines, and those of them that are silent
 	leasesExpired, tasksLost int // whose leases have ended just now
 	interruptionNoticed      int // that the cloud is about to take back
@@ -15,11 +15,11 @@
 
 // checkMachines looks after the machines that are ours: leases that have ended,
 // silence, notices, faults.
-func (c *Controller) checkMachines(now micros.Micros) {
+func (c *Controller) checkMachines(now monotime.Micros) {
 	c.expireContactsAndClaimRequests(now)
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
-	if _, alone := c.storeUnreachableOnlyHere(now); alone || c.storeUnavailable || now-c.lastWatchSuccessAt > watchLongPoll+micros.Second {
+	if _, alone := c.storeUnreachableOnlyHere(now); alone || c.storeUnavailable || now-c.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	check := &machineHealthCheck{now: now}
@@ -35,9 +35,9 @@
 
 // expireContactsAndClaimRequests forgets workers of other partitions that haven't come for long, and machines
 // that have waited for a claim for too long.
-func (c *Controller) expireContactsAndClaimRequests(now micros.Micros) {
+func (c *Controller) expireContactsAndClaimRequests(now monotime.Micros) {
 	for id, contact := range c.orphanContacts {
-		if now-contact.lastAt > micros.Minute {
+		if now-contact.lastAt > monotime.Minute {
 			delete(c.orphanContacts, id)
 		}
 	}
@@ -49,7 +49,7 @@
 }
 
 // agentSilence is how long a machine has been silent; while we stood still nobody could be heard.
-func (c *Controller) agentSilence(agent *Agent, now micros.Micros) micros.Micros {
+func (c *Controller) agentSilence(agent *Agent, now monotime.Micros) monotime.Micros {
 	return now - max(agent.LastReachedAt, c.resumedFromPauseAt)
 }
 
@@ -106,13 +106,13 @@
 	}
 	reason := c.removalReason(machine, check)
 	switch {
-	case machine.Record.State == bookkeeping.MachineRemoving || agent.RemovalReason != "":
+	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason != "":
 	case reason != "":
 		c.requestRemoval(machine, reason)
 	case faulty:
 		c.clearFailuresOn(machine)
 		c.requestRemoval(machine, "faulty")
-	case agent.InterruptionNoticed && machine.Record.State != bookkeeping.MachineDraining && len(agent.StoppingAttempts) == 0:
+	case agent.InterruptionNoticed && machine.Record.State != storage.MachineDraining && len(agent.StoppingAttempts) == 0:
 		check.interruptionNoticed++
 		c.vacateInterruptedMachine(machine)
 	}
@@ -180,22 +180,22 @@
 }
 
 // desiredMachineState is the state that a machine of ours should stand in.
-func (c *Controller) desiredMachineState(machine *Machine) bookkeeping.MachineState {
+func (c *Controller) desiredMachineState(machine *Machine) storage.MachineState {
 	agent := machine.Agent
 	if (agent.RemovalReason == removalReasonIdle || agent.RemovalReason == removalReasonDrained) && len(machine.Attempts) > 0 {
 		agent.RemovalReason = "" // the recheck: it got tasks meanwhile
 	}
 	switch {
-	case machine.Record.State == bookkeeping.MachineRemoving || agent.RemovalReason != "":
-		return bookkeeping.MachineRemoving
-	case machine.Record.State == bookkeeping.MachineDraining || agent.InterruptionNoticed:
-		return bookkeeping.MachineDraining
+	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason != "":
+		return storage.MachineRemoving
+	case machine.Record.State == storage.MachineDraining || agent.InterruptionNoticed:
+		return storage.MachineDraining
 	case agent.Suspect:
-		return bookkeeping.MachineUnreachable
+		return storage.MachineUnreachable
 	case c.drains.isCordoned(machine):
-		return bookkeeping.MachineCordoned
+		return storage.MachineCordoned
 	}
-	return bookkeeping.MachineOpen
+	return storage.MachineOpen
 }
 
 // Reasons that hold only while the machine is empty.
@@ -250,7 +250,7 @@
 // holdsCancelled tells whether the store holds tasks there of jobs that were
 // cancelled longer ago than since. What a controller hasn't seen being cancelled
 // itself was so for an unknown time: long enough.
-func (c *Controller) holdsCancelled(machine *Machine, since micros.Micros) bool {
+func (c *Controller) holdsCancelled(machine *Machine, since monotime.Micros) bool {
 	for task := range machine.Attempts {
 		if job := c.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() && c.now()-c.trackingOf(task.Job).finalSeenAt >= since {
 			return true
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -1,10 +1,10 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/cancellation"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // PeerStatus is what a controller sends to the others about itself. Nothing is decided by it: it
@@ -32,11 +32,11 @@
 	c.leaseGrantInFlight = true
 	sentAt := c.now()
 	call := &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: c.durations.membershipTTL, Timeout: leaseKeepAliveTimeout}
-	c.callStore(bookkeeping.PriorityLease, call, func(result protocol.StoreResult) {
+	c.callStore(storage.PriorityLease, call, func(result protocol.StoreResult) {
 		c.leaseGrantInFlight = false
 		if result.Outcome != protocol.OK {
 			c.leaseGrantInFlight = true
-			delay := 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
+			delay := 300*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
 			c.env.After(delay, func() { c.leaseGrantInFlight = false; c.grantLease() })
 			return
 		}
@@ -47,14 +47,14 @@
 	})
 }
 
-func (c *Controller) renewLease(now micros.Micros) {
+func (c *Controller) renewLease(now monotime.Micros) {
 	if c.leaseID == 0 || c.leaseRenewalInFlight || now < c.nextLeaseRenewalAt {
 		return
 	}
 	c.leaseRenewalInFlight = true
 	sentAt, lease := now, c.leaseID
 	call := &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: lease, Timeout: leaseKeepAliveTimeout}
-	c.callStore(bookkeeping.PriorityLease, call, func(result protocol.StoreResult) {
+	c.callStore(storage.PriorityLease, call, func(result protocol.StoreResult) {
 		c.leaseRenewalInFlight = false
 		switch result.Outcome {
 		case protocol.OK:
@@ -64,13 +64,13 @@
 			c.leaseID = 0
 			c.grantLease()
 		default:
-			c.nextLeaseRenewalAt = c.now() + 300*micros.Millisecond
+			c.nextLeaseRenewalAt = c.now() + 300*monotime.Millisecond
 		}
 	})
 }
 
 // holdsLease tells whether our lease can't have ended yet, by the steady clock.
-func (c *Controller) holdsLease(now micros.Micros) bool {
+func (c *Controller) holdsLease(now monotime.Micros) bool {
 	return c.leaseID != 0 && now-c.leaseRenewalSentAt < c.durations.membershipTTL-c.durations.membershipTTL/100
 }
 
@@ -88,19 +88,19 @@
 		return
 	}
 	c.memberWriteInFlight = true
-	key := bookkeeping.Key(bookkeeping.KindMember, c.node)
+	key := storage.Key(storage.KindMember, c.node)
 	lease := c.leaseID
 	txn := protocol.Transaction{
 		If: []protocol.Compare{{Key: key, Version: have.Version}},
 		Then: []protocol.Op{{Put: key, Lease: lease,
-			Value: protocol.MustMarshal(&bookkeeping.Member{Incarnation: c.incarnation, Zone: c.cfg.Area})}},
+			Value: protocol.MustMarshal(&storage.Member{Incarnation: c.incarnation, Zone: c.cfg.Area})}},
 	}
 	if partition := c.mirror.Partitions[c.node]; partition != nil {
 		key := partitionKey(c.node)
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: partition.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: protocol.MustMarshal(&partition.Record)})
 	}
-	c.commitTxn(bookkeeping.PriorityLease, txn, func(result protocol.StoreResult) {
+	c.commitTxn(storage.PriorityLease, txn, func(result protocol.StoreResult) {
 		c.memberWriteInFlight = false
 		if result.Outcome == protocol.Rejected && c.leaseID == lease {
 			c.leaseID = 0
@@ -129,18 +129,18 @@
 // isLeader tells whether we lead, by the mirror and our lease. Commits of the
 // leader are conditional on the lead record as well. A mirror from before our lease may
 // show a lead that we had under an earlier one.
-func (c *Controller) isLeader(now micros.Micros) bool {
+func (c *Controller) isLeader(now monotime.Micros) bool {
 	return c.mirrorReady && c.mirror.LeaderVersion != 0 && c.mirror.Leader.Node == c.node && c.mirror.Leader.Incarnation == c.incarnation &&
 		c.holdsLease(now) && c.mirrorFreshAt >= c.leaseGrantedAt
 }
 
 func (c *Controller) leadershipCompare() protocol.Compare {
-	return protocol.Compare{Key: bookkeeping.LeaderKey, Version: c.mirror.LeaderVersion}
+	return protocol.Compare{Key: storage.LeaderKey, Version: c.mirror.LeaderVersion}
 }
 
 // campaign takes the lead when nobody has it, or when our own earlier
 // incarnation still holds it.
-func (c *Controller) campaign(now micros.Micros) {
+func (c *Controller) campaign(now monotime.Micros) {
 	if c.electionInFlight || !c.holdsLease(now) || c.storeUnavailable {
 		return
 	}
@@ -151,11 +151,11 @@
 	}
 	c.electionInFlight = true
 	txn := protocol.Transaction{
-		If: []protocol.Compare{{Key: bookkeeping.LeaderKey, Version: mr.LeaderVersion}},
-		Then: []protocol.Op{{Put: bookkeeping.LeaderKey, Lease: c.leaseID,
-			Value: protocol.MustMarshal(&bookkeeping.Leader{Node: c.node, Incarnation: c.incarnation})}},
+		If: []protocol.Compare{{Key: storage.LeaderKey, Version: mr.LeaderVersion}},
+		Then: []protocol.Op{{Put: storage.LeaderKey, Lease: c.leaseID,
+			Value: protocol.MustMarshal(&storage.Leader{Node: c.node, Incarnation: c.incarnation})}},
 	}
-	c.commitTxn(bookkeeping.PriorityLease, txn, func(result protocol.StoreResult) {
+	c.commitTxn(storage.PriorityLease, txn, func(result protocol.StoreResult) {
 		c.electionInFlight = false
 		if result.Outcome == protocol.OK {
 			c.log.Info("leader elected", "term", result.Revision)
@@ -164,15 +164,15 @@
 }
 
 // sendPeerStatus sends our status to the peers.
-func (c *Controller) sendPeerStatus(now micros.Micros) {
-	ok := !c.storeUnavailable && now-c.lastStoreSuccessAt < 1500*micros.Millisecond
+func (c *Controller) sendPeerStatus(now monotime.Micros) {
+	ok := !c.storeUnavailable && now-c.lastStoreSuccessAt < 1500*monotime.Millisecond
 	failing := c.failingJobs()
 	for _, peer := range c.cfg.Peers {
 		status := PeerStatus{
 			Node:                  c.node,
 			Incarnation:           c.incarnation,
 			StateServiceReachable: ok,
-			WaitingUserRequests:   c.storeQueue.Len(bookkeeping.PriorityUserRequest),
+			WaitingUserRequests:   c.storeQueue.Len(storage.PriorityUserRequest),
 			WorkerReach:           c.workerReach(),
 			FailingJobs:           failing,
 			TeamsShortOfQuota:     c.teamsLackingQuota(now),
--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -11,8 +11,8 @@
 	"strconv"
 	"strings"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // TaskID names a task.
@@ -49,7 +49,7 @@
 }
 
 // TaskResources is what each task of a job takes.
-func TaskResources(spec *bookkeeping.JobSpec) Resources {
+func TaskResources(spec *storage.JobSpec) Resources {
 	return NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
 }
 
@@ -81,12 +81,12 @@
 // Job is an unfinished job in the mirror.
 type Job struct {
 	ID            string
-	Record        bookkeeping.OpenJob
+	Record        storage.OpenJob
 	Version       uint64
 	TaskResources Resources
-	FinalStatus   bookkeeping.JobState // the answer, if it has one
-	FinalRevision uint64               // its version
-	TaskStates    []uint8              // of each task, 0: pending; see assignedUnit
+	FinalStatus   storage.JobState // the answer, if it has one
+	FinalRevision uint64           // its version
+	TaskStates    []uint8          // of each task, 0: pending; see assignedUnit
 	DoneTasks     int
 	AssignedTasks int // tasks with an attempt on some machine
 }
@@ -124,7 +124,7 @@
 // Shard is a shard in the mirror.
 type Shard struct {
 	Name      string
-	Record    *bookkeeping.Shard
+	Record    *storage.Shard
 	Version   uint64
 	UseByTeam map[string]Resources // by team, what its attempts take
 }
@@ -133,7 +133,7 @@
 type Machine struct {
 	ID           string
 	Shard        *Shard
-	Record       *bookkeeping.ShardMachine // nil: only its attempts are known still
+	Record       *storage.ShardMachine // nil: only its attempts are known still
 	Used         Resources
 	Attempts     map[TaskID]uint64 // attempts that the store holds here
 	CachedImages map[string]bool   // images that tasks have brought here, as far as we saw
@@ -160,7 +160,7 @@
 	ScaleInOfMachine  map[string]string // machine: the removal that names it
 	MachineTypes      map[string]MachineTypeEntry
 	Members           map[string]MemberEntry
-	Leader            bookkeeping.Leader
+	Leader            storage.Leader
 	LeaderVersion     uint64
 	Drains            map[string]DrainEntry
 	PermitsByTeam     map[string]PermitsEntry // by team
@@ -207,7 +207,7 @@
 			continue
 		}
 		key := event.Put + event.Delete
-		kind, name, ok := bookkeeping.SplitKey(key)
+		kind, name, ok := storage.SplitKey(key)
 		if !ok {
 			continue
 		}
@@ -221,14 +221,14 @@
 			delete(v.ownDeletions, key)
 		}
 		ch := change{kind: kind, name: name, e: event}
-		if kind == bookkeeping.KindShard {
+		if kind == storage.KindShard {
 			previous := v.Shards[name]
 			if event.Put != "" {
-				var before *bookkeeping.Shard
+				var before *storage.Shard
 				if previous != nil {
 					before = previous.Record
 				}
-				record, err := bookkeeping.DecodeShard(event.Value, before)
+				record, err := storage.DecodeShard(event.Value, before)
 				if err != nil {
 					continue
 				}
@@ -242,7 +242,7 @@
 		switch {
 		case ch.next != nil:
 			v.addShard(v.Shards[ch.name], ch.next)
-		case ch.kind == bookkeeping.KindShard:
+		case ch.kind == storage.KindShard:
 			delete(v.Shards, ch.name)
 		case ch.e.Put != "":
 			v.applyRecordPut(ch.kind, ch.name, ch.e)
@@ -347,7 +347,7 @@
 
 // heldByOtherShard tells whether another shard too holds an attempt on the same machine: a
 // list that is read while the machine moves shows it in both.
-func (v *Mirror) heldByOtherShard(not *Shard, job string, held bookkeeping.Attempt) bool {
+func (v *Mirror) heldByOtherShard(not *Shard, job string, held storage.Attempt) bool {
 	for _, shard := range v.Shards {
 		if entry := shard.Record.Jobs[job]; entry != nil && shard.Name != not.Name {
 			for _, o := range entry.Attempts {
