--- a/internal/coordination/mirror_records.go
+++ b/internal/coordination/mirror_records.go
@@ -1,83 +1,83 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // The mirror's records but for the shards.
 
 type PartitionEntry struct {
-	Record  bookkeeping.Partition
+	Record  storage.Partition
 	Version uint64
 }
 
 type ScaleOutEntry struct {
-	Record  bookkeeping.ScaleOutRequest
+	Record  storage.ScaleOutRequest
 	Version uint64
 }
 
 type ScaleInEntry struct {
-	Record  bookkeeping.ScaleInRequest
+	Record  storage.ScaleInRequest
 	Version uint64
 }
 
 type MachineTypeEntry struct {
-	Record  bookkeeping.MachineType
+	Record  storage.MachineType
 	Version uint64
 }
 
 type MemberEntry struct {
-	Record  bookkeeping.Member
+	Record  storage.Member
 	Version uint64
 }
 
 type DrainEntry struct {
-	Record  bookkeeping.Drain
+	Record  storage.Drain
 	Version uint64
 }
 
 type PermitsEntry struct {
-	Record  bookkeeping.Permits
+	Record  storage.Permits
 	Version uint64
 }
 
 // VersionOf gives the version of a key in the mirror, 0 if it has none.
 func (v *Mirror) VersionOf(key string) uint64 {
-	kind, name, ok := bookkeeping.SplitKey(key)
+	kind, name, ok := storage.SplitKey(key)
 	if !ok {
 		return 0
 	}
 	switch kind {
-	case bookkeeping.KindOpenJob:
+	case storage.KindOpenJob:
 		if job := v.Jobs[name]; job != nil {
 			return job.Version
 		}
-	case bookkeeping.KindShard:
+	case storage.KindShard:
 		if shard := v.Shards[name]; shard != nil {
 			return shard.Version
 		}
-	case bookkeeping.KindPartition:
+	case storage.KindPartition:
 		if partition := v.Partitions[name]; partition != nil {
 			return partition.Version
 		}
-	case bookkeeping.KindScaleOut:
+	case storage.KindScaleOut:
 		if request := v.ScaleOuts[name]; request != nil {
 			return request.Version
 		}
-	case bookkeeping.KindScaleIn:
+	case storage.KindScaleIn:
 		if removal := v.ScaleIns[name]; removal != nil {
 			return removal.Version
 		}
-	case bookkeeping.KindMember:
+	case storage.KindMember:
 		return v.Members[name].Version
-	case bookkeeping.KindMachineType:
+	case storage.KindMachineType:
 		return v.MachineTypes[name].Version
-	case bookkeeping.KindLeader:
+	case storage.KindLeader:
 		return v.LeaderVersion
-	case bookkeeping.KindDrain:
+	case storage.KindDrain:
 		return v.Drains[name].Version
-	case bookkeeping.KindPermits:
+	case storage.KindPermits:
 		return v.PermitsByTeam[name].Version
 	}
 	return 0
@@ -86,17 +86,17 @@
 // applyRecordPut applies a put of any record but a shard.
 func (v *Mirror) applyRecordPut(kind, name string, event protocol.Event) {
 	switch kind {
-	case bookkeeping.KindJobResult:
-		var result bookkeeping.JobResult
+	case storage.KindJobResult:
+		var result storage.JobResult
 		if protocol.Unmarshal(event.Value, &result) == nil {
 			v.Results.Add(name, result.State)
 			if job := v.Jobs[name]; job != nil {
 				job.FinalStatus, job.FinalRevision = result.State, event.Version
 			}
 		}
-	case bookkeeping.KindOpenJob:
+	case storage.KindOpenJob:
 		job := v.Jobs[name]
-		var record bookkeeping.OpenJob
+		var record storage.OpenJob
 		if protocol.Unmarshal(event.Value, &record) != nil || record.Spec.Tasks <= 0 || record.Spec.Tasks > protocol.MaxTasks ||
 			job != nil && record.Spec.Tasks != job.Record.Spec.Tasks {
 			return
@@ -112,12 +112,12 @@
 		for _, shard := range v.Shards { // it may have been seen before its job
 			v.countJobOfShard(shard, name, 1)
 		}
-	case bookkeeping.KindPartition:
+	case storage.KindPartition:
 		partition := &PartitionEntry{Version: event.Version}
 		if protocol.Unmarshal(event.Value, &partition.Record) == nil {
 			v.Partitions[name] = partition
 		}
-	case bookkeeping.KindScaleOut:
+	case storage.KindScaleOut:
 		request := &ScaleOutEntry{Version: event.Version}
 		if protocol.Unmarshal(event.Value, &request.Record) == nil {
 			v.applyRecordDelete(kind, name)
@@ -126,7 +126,7 @@
 				v.ScaleOutOfMachine[id] = name
 			}
 		}
-	case bookkeeping.KindScaleIn:
+	case storage.KindScaleIn:
 		removal := &ScaleInEntry{Version: event.Version}
 		if protocol.Unmarshal(event.Value, &removal.Record) == nil {
 			v.applyRecordDelete(kind, name)
@@ -135,27 +135,27 @@
 				v.ScaleInOfMachine[id] = name
 			}
 		}
-	case bookkeeping.KindMachineType:
+	case storage.KindMachineType:
 		entry := MachineTypeEntry{Version: event.Version}
 		if protocol.Unmarshal(event.Value, &entry.Record) == nil {
 			v.MachineTypes[name] = entry
 		}
-	case bookkeeping.KindMember:
+	case storage.KindMember:
 		member := MemberEntry{Version: event.Version}
 		if protocol.Unmarshal(event.Value, &member.Record) == nil {
 			v.Members[name] = member
 		}
-	case bookkeeping.KindLeader:
-		var lead bookkeeping.Leader
+	case storage.KindLeader:
+		var lead storage.Leader
 		if protocol.Unmarshal(event.Value, &lead) == nil {
 			v.Leader, v.LeaderVersion = lead, event.Version
 		}
-	case bookkeeping.KindDrain:
+	case storage.KindDrain:
 		drainEntry := DrainEntry{Version: event.Version}
 		if protocol.Unmarshal(event.Value, &drainEntry.Record) == nil {
 			v.Drains[name] = drainEntry
 		}
-	case bookkeeping.KindPermits:
+	case storage.KindPermits:
 		permits := PermitsEntry{Version: event.Version}
 		if protocol.Unmarshal(event.Value, &permits.Record) == nil {
 			v.PermitsByTeam[name] = permits
@@ -166,14 +166,14 @@
 // applyRecordDelete applies a deletion of any record but a shard.
 func (v *Mirror) applyRecordDelete(kind, name string) {
 	switch kind {
-	case bookkeeping.KindOpenJob:
+	case storage.KindOpenJob:
 		for _, shard := range v.Shards {
 			v.countJobOfShard(shard, name, -1)
 		}
 		delete(v.Jobs, name)
-	case bookkeeping.KindPartition:
+	case storage.KindPartition:
 		delete(v.Partitions, name)
-	case bookkeeping.KindScaleOut:
+	case storage.KindScaleOut:
 		if request := v.ScaleOuts[name]; request != nil {
 			for _, id := range request.Record.Machines {
 				if v.ScaleOutOfMachine[id] == name {
@@ -182,7 +182,7 @@
 			}
 		}
 		delete(v.ScaleOuts, name)
-	case bookkeeping.KindScaleIn:
+	case storage.KindScaleIn:
 		if removal := v.ScaleIns[name]; removal != nil {
 			for _, id := range removal.Record.Machines {
 				if v.ScaleInOfMachine[id] == name {
@@ -191,15 +191,15 @@
 			}
 		}
 		delete(v.ScaleIns, name)
-	case bookkeeping.KindMachineType:
+	case storage.KindMachineType:
 		delete(v.MachineTypes, name)
-	case bookkeeping.KindMember:
+	case storage.KindMember:
 		delete(v.Members, name)
-	case bookkeeping.KindLeader:
-		v.Leader, v.LeaderVersion = bookkeeping.Leader{}, 0
-	case bookkeeping.KindDrain:
+	case storage.KindLeader:
+		v.Leader, v.LeaderVersion = storage.Leader{}, 0
+	case storage.KindDrain:
 		delete(v.Drains, name)
-	case bookkeeping.KindPermits:
+	case storage.KindPermits:
 		delete(v.PermitsByTeam, name)
 	}
 }
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // loadMirror reads every record but the answers of finished jobs. The watch then goes
@@ -22,7 +22,7 @@
 	mirror := newMirror(func(string, string) {})
 	mirror.Results = c.mirror.Results
 	var firstRevision, lastRevision uint64
-	var sentAt micros.Micros // when the first list was asked for
+	var sentAt monotime.Micros // when the first list was asked for
 	started := false
 	var readList func(k int, after string)
 	readList = func(k int, after string) {
@@ -33,11 +33,11 @@
 			})
 			return
 		}
-		call := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.Key(kinds[k], ""), After: after, Limit: 500}
+		call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.Key(kinds[k], ""), After: after, Limit: 500}
 		listSentAt := c.now()
-		c.callStore(bookkeeping.PriorityClaim, call, func(result protocol.StoreResult) {
+		c.callStore(storage.PriorityClaim, call, func(result protocol.StoreResult) {
 			if result.Outcome != protocol.OK {
-				delay := 200*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
+				delay := 200*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
 				c.env.After(delay, func() { readList(k, after) })
 				return
 			}
@@ -68,15 +68,15 @@
 		return
 	}
 	again := func() {
-		delay := 200*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(400*micros.Millisecond)))
+		delay := 200*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
 		c.env.After(delay, func() { c.loadResults(mirror, ids, done) })
 	}
 	n := min(len(ids), 4*c.cfg.Facts.State.TxnOps)
 	txn := protocol.Transaction{}
 	for _, id := range ids[:n] {
-		txn.If = append(txn.If, protocol.Compare{Key: bookkeeping.Key(bookkeeping.KindJobResult, id)})
+		txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
 	}
-	c.callStore(bookkeeping.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
+	c.callStore(storage.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
 		switch {
 		case result.Outcome == protocol.OK:
 			c.loadResults(mirror, ids[n:], done)
@@ -84,7 +84,7 @@
 			left := len(result.Failed)
 			bad := false
 			for _, key := range result.Failed {
-				c.callStore(bookkeeping.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
+				c.callStore(storage.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
 					if result.Outcome == protocol.OK {
 						mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
 					} else {
@@ -141,7 +141,7 @@
 
 // pendingRead waits for the mirror to be as new as its question.
 type pendingRead struct {
-	requestedAt micros.Micros
+	requestedAt monotime.Micros
 	callback    func(ok bool)
 }
 
@@ -157,7 +157,7 @@
 }
 
 // completePendingReads serves those who came before a watch was sent that has answered.
-func (c *Controller) completePendingReads(sentAt micros.Micros, ok bool) {
+func (c *Controller) completePendingReads(sentAt monotime.Micros, ok bool) {
 	n := 0
 	for n < len(c.pendingReads) && c.pendingReads[n].requestedAt <= sentAt {
 		n++
@@ -169,7 +169,7 @@
 	}
 }
 
-func (c *Controller) maintainWatch(now micros.Micros) {
+func (c *Controller) maintainWatch(now monotime.Micros) {
 	if c.mirrorLoading || !c.mirrorLoaded {
 		return
 	}
@@ -195,8 +195,8 @@
 // from a state service of 80 changes a second and 16 KiB a value, the answer was
 // larger than is ever read, and the same was asked for again until the service
 // had forgotten where it began.
-func (c *Controller) maxWatchGap() micros.Micros {
-	return max(2*watchLongPoll, micros.FromSeconds(float64(c.maxWatchEvents())/c.cfg.Facts.State.WriteRPS))
+func (c *Controller) maxWatchGap() monotime.Micros {
+	return max(2*watchLongPoll, monotime.FromSeconds(float64(c.maxWatchEvents())/c.cfg.Facts.State.WriteRPS))
 }
 
 // maxWatchEvents is how many changes a watch may bring, each as large as a value may be.
@@ -204,17 +204,17 @@
 
 // measureWatchBacklog asks how far the store has come. When that is too far for a watch to
 // catch up with, all records are read anew, in answers of bounded size.
-func (c *Controller) measureWatchBacklog(now micros.Micros) {
+func (c *Controller) measureWatchBacklog(now monotime.Micros) {
 	c.watchInFlight = true
 	mirror := c.mirror
-	call := &protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.LeaderKey, Limit: 1}
-	c.callStore(bookkeeping.PriorityClaim, call, func(result protocol.StoreResult) {
+	call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.LeaderKey, Limit: 1}
+	c.callStore(storage.PriorityClaim, call, func(result protocol.StoreResult) {
 		c.watchInFlight = false
 		switch {
 		case mirror != c.mirror || c.mirrorLoading:
 			return
 		case result.Outcome != protocol.OK:
-			c.nextWatchAt = c.now() + 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
+			c.nextWatchAt = c.now() + 300*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
 			c.completePendingReads(now, false)
 		case result.Revision > mirror.WatchedRevision+uint64(c.maxWatchEvents()):
 			c.log.Info("watch too far behind, mirror reload", "revisions", result.Revision-mirror.WatchedRevision)
@@ -237,12 +237,12 @@
 	c.nextCatchUpAt = c.now() + c.minWatchInterval
 }
 
-func (c *Controller) sendWatch(now, longPoll micros.Micros, ended func()) {
+func (c *Controller) sendWatch(now, longPoll monotime.Micros, ended func()) {
 	c.nextWatchAt = now + c.minWatchInterval
 	mirror := c.mirror
 	call := &protocol.StoreCall{
-		Op: protocol.StoreWatch, Key: bookkeeping.KeyPrefix, FromRevision: mirror.WatchedRevision,
-		MaxBlock: longPoll, Timeout: longPoll + 2*micros.Second,
+		Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: mirror.WatchedRevision,
+		MaxBlock: longPoll, Timeout: longPoll + 2*monotime.Second,
 	}
 	c.storeQueue.Reads.Take(1)
 	c.env.CallStore(call, func(result protocol.StoreResult) {
@@ -272,11 +272,11 @@
 			c.loadMirror()
 			c.completePendingReads(now, false)
 		case protocol.Throttled:
-			c.nextWatchAt = max(c.nextWatchAt, c.now()+100*micros.Millisecond)
+			c.nextWatchAt = max(c.nextWatchAt, c.now()+100*monotime.Millisecond)
 			c.nextCatchUpAt = c.nextWatchAt
 		default:
 			c.recordStoreOutcome(result.Outcome)
-			c.nextWatchAt = c.now() + 300*micros.Millisecond + micros.Micros(c.env.Rand().Int64N(int64(300*micros.Millisecond)))
+			c.nextWatchAt = c.now() + 300*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
 			c.nextCatchUpAt = c.nextWatchAt
 			c.completePendingReads(now, false)
 		}
@@ -285,5 +285,5 @@
 
 // hastenWatch has the other side of a conflict looked at soon.
 func (c *Controller) hastenWatch() {
-	c.nextWatchAt = min(c.nextWatchAt, max(c.now(), c.watchSentAt+50*micros.Millisecond))
+	c.nextWatchAt = min(c.nextWatchAt, max(c.now(), c.watchSentAt+50*monotime.Millisecond))
 }
--- a/internal/coordination/mirror_test.go
+++ b/internal/coordination/mirror_test.go
@@ -5,27 +5,27 @@
 	"runtime"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 func (v *Mirror) putJob(id string, tasks int, version uint64) {
-	v.ApplyPut(bookkeeping.Key(bookkeeping.KindOpenJob, id), encodedOpenJob(tasks), version)
+	v.ApplyPut(storage.Key(storage.KindOpenJob, id), encodedOpenJob(tasks), version)
 }
 
 // encodedOpenJob is the stored form of a job of some tasks.
 func encodedOpenJob(tasks int) protocol.Raw {
-	return protocol.MustMarshal(&bookkeeping.OpenJob{
-		Spec:       bookkeeping.JobSpec{Team: "t", Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", Class: "batch"},
-		TaskRanges: []bookkeeping.TaskRange{{First: 0, End: tasks, Partition: "n-0"}}})
+	return protocol.MustMarshal(&storage.OpenJob{
+		Spec:       storage.JobSpec{Team: "t", Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", Class: "batch"},
+		TaskRanges: []storage.TaskRange{{First: 0, End: tasks, Partition: "n-0"}}})
 }
 
 // encodedShard holds tasks of a job on one machine, some of them done.
 func encodedShard(machine, job string, held, done int) protocol.Raw {
-	shardRecord := &bookkeeping.Shard{Owner: "n-0", Claim: 1, Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
-	shardRecord.AddMachine(machine, bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1", State: bookkeeping.MachineOpen})
+	shardRecord := &storage.Shard{Owner: "n-0", Claim: 1, Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
+	shardRecord.AddMachine(machine, storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1", State: storage.MachineOpen})
 	for i := 0; i < held+done; i++ {
-		shardRecord.Assign(job, bookkeeping.Attempt{Task: i, Machine: machine, Number: 1})
+		shardRecord.Assign(job, storage.Attempt{Task: i, Machine: machine, Number: 1})
 	}
 	for i := 0; i < done; i++ {
 		shardRecord.Release(job, held+i, true)
@@ -37,8 +37,8 @@
 // TestMirrorIsIndependentOfEventOrder: changes in any order, own commits ahead of the watch, shards before
 // their jobs, machines that move: the sums end up the same, and nothing goes back.
 func TestMirrorIsIndependentOfEventOrder(t *testing.T) {
-	open := bookkeeping.Key(bookkeeping.KindOpenJob, "j-1")
-	p, q := bookkeeping.Key(bookkeeping.KindShard, "p"), bookkeeping.Key(bookkeeping.KindShard, "q")
+	open := storage.Key(storage.KindOpenJob, "j-1")
+	p, q := storage.Key(storage.KindShard, "p"), storage.Key(storage.KindShard, "q")
 	bare := encodedShard("i-9", "j-9", 0, 0)
 	steps := map[string]func(mr *Mirror){
 		"job":      func(mr *Mirror) { mr.putJob("j-1", 6, 5) },
@@ -121,10 +121,10 @@
 	for i := 0; i < maxOpenJobs; i++ {
 		id := fmt.Sprintf("j-%06d", i)
 		mr.putJob(id, 64, uint64(3*i+1))
-		mr.ApplyPut(bookkeeping.Key(bookkeeping.KindShard, id), encodedShard(fmt.Sprintf("i-%06d", i), id, 32, 32), uint64(3*i+2))
+		mr.ApplyPut(storage.Key(storage.KindShard, id), encodedShard(fmt.Sprintf("i-%06d", i), id, 32, 32), uint64(3*i+2))
 	}
 	for i := 0; i < 200_000; i++ {
-		mr.Results.Add(fmt.Sprintf("j-%09d", i), bookkeeping.JobDone)
+		mr.Results.Add(fmt.Sprintf("j-%09d", i), storage.JobDone)
 	}
 	if used := measure() - before; used > 64<<20 {
 		t.Errorf("%d MB", used>>20)
--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
+	"pipitgap/internal/fake"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TestIsolatedControllersAnswerUsersAndDiscardState: controllers that lose the store and the others, but not their
@@ -91,7 +91,7 @@
 			if freedQuotaOnly := c.store.Calls[protocol.StoreList] > lists+3; freedQuotaOnly != tc.again {
 				t.Errorf("read again: %v, want %v", freedQuotaOnly, tc.again)
 			}
-			if got, want := len(core.mirror.Jobs), len(c.store.Keys(bookkeeping.Key(bookkeeping.KindOpenJob, ""))); got != want || want == 0 {
+			if got, want := len(core.mirror.Jobs), len(c.store.Keys(storage.Key(storage.KindOpenJob, ""))); got != want || want == 0 {
 				t.Errorf("the mirror has %d jobs, the store %d", got, want)
 			}
 		})
@@ -105,11 +105,11 @@
 func TestUnreachableZoneKeepsMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		silent func(rented *standin.Machine, i int) bool
+		silent func(rented *fake.Machine, i int) bool
 		kept   bool
 	}{
-		{"a zone", func(rented *standin.Machine, _ int) bool { return rented.Zone == "a" }, true},
-		{"two machines", func(_ *standin.Machine, i int) bool { return i < 2 }, false},
+		{"a zone", func(rented *fake.Machine, _ int) bool { return rented.Zone == "a" }, true},
+		{"two machines", func(_ *fake.Machine, i int) bool { return i < 2 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 77)
@@ -126,7 +126,7 @@
 				there[id] = i%2 == 0
 			}
 			c.sim.Run(40 * second)
-			var cut []*standin.Worker
+			var cut []*fake.Worker
 			for i, id := range sortedKeys(c.fleet.Workers) {
 				if worker := c.fleet.Workers[id]; tc.silent(worker.Machine, i) {
 					cut = append(cut, worker)
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -1,7 +1,7 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/storage"
 )
 
 // partitionCapacity is the free room of every partition, from the mirror.
@@ -22,7 +22,7 @@
 	fc := &partitionCapacity{core: c, partitions: map[string][]*candidateMachine{}, preemptionTargets: map[preemptorClass]string{}}
 	reserved := c.drains.reservations()
 	for _, machine := range c.mirror.Machines {
-		if machine.Record == nil || machine.Record.State != bookkeeping.MachineOpen || !c.isMember(machine.Owner()) {
+		if machine.Record == nil || machine.Record.State != storage.MachineOpen || !c.isMember(machine.Owner()) {
 			continue
 		}
 		machineType, ok := c.machineTypes[machine.Record.Type]
@@ -35,7 +35,7 @@
 }
 
 // tasksFitting counts the tasks of a job that fit into a partition.
-func (p *partitionCapacity) tasksFitting(spec *bookkeeping.JobSpec, partition string) int {
+func (p *partitionCapacity) tasksFitting(spec *storage.JobSpec, partition string) int {
 	taskResources := TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
@@ -49,7 +49,7 @@
 // partitionForNewJob names the part with most room for a new job; for a service, one that
 // has its image too comes first. If none has room: the part that could make
 // most, or ours.
-func (c *Controller) partitionForNewJob(spec *bookkeeping.JobSpec) string {
+func (c *Controller) partitionForNewJob(spec *storage.JobSpec) string {
 	fc := c.capacityByPartition()
 	best, most := c.node, 0
 	for _, score := range []func(string) int{
@@ -71,7 +71,7 @@
 }
 
 // tasksFittingWithImage counts a service's tasks that fit beside their image.
-func (p *partitionCapacity) tasksFittingWithImage(spec *bookkeeping.JobSpec, partition string) int {
+func (p *partitionCapacity) tasksFittingWithImage(spec *storage.JobSpec, partition string) int {
 	if !spec.Service {
 		return 0
 	}
@@ -87,7 +87,7 @@
 
 // machinesAfterPreemption counts the machines of a partition on which a service would fit if tasks
 // of lower priority were stopped; with beside, only those that have its image.
-func (p *partitionCapacity) machinesAfterPreemption(spec *bookkeeping.JobSpec, partition string, withImage bool) int {
+func (p *partitionCapacity) machinesAfterPreemption(spec *storage.JobSpec, partition string, withImage bool) int {
 	if !spec.Service {
 		return 0
 	}
--- a/internal/coordination/peer_frames.go
+++ b/internal/coordination/peer_frames.go
@@ -2,7 +2,7 @@
 
 import (
 	"pipitgap/internal/cancellation"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/peerwire"
 	wirecancellation "pipitgap/internal/peerwire/cancellation"
 )
@@ -56,9 +56,9 @@
 func fromCancellationFrame(frame *peerwire.Message) cancellation.RoundMessage {
 	message := cancellation.RoundMessage{
 		Incarnation:       frame.Incarnation,
-		Clock:             micros.Micros(frame.Clock),
+		Clock:             monotime.Micros(frame.Clock),
 		EchoedIncarnation: frame.EchoIncarnation,
-		EchoedClock:       micros.Micros(frame.EchoClock),
+		EchoedClock:       monotime.Micros(frame.EchoClock),
 		MirrorRevision:    frame.Watched,
 		RecordsLoaded:     frame.Complete,
 		Round:             frame.Round,
--- a/internal/coordination/peer_status.go
+++ b/internal/coordination/peer_status.go
@@ -1,28 +1,28 @@
 package coordination
 
 import (
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // PeerTable is what the other controllers have said of themselves lately. Nothing of it decides
 // anything: the store does.
 type PeerTable struct {
 	statuses            map[string]*peerState
-	quotaLackReportedAt map[string]micros.Micros // by team: when a peer last said that it lacks some of the limit
+	quotaLackReportedAt map[string]monotime.Micros // by team: when a peer last said that it lacks some of the limit
 }
 
 // peerState is what one of them has said.
 type peerState struct {
-	lastHeardAt        micros.Micros  // when it last spoke
-	storeReachableAt   micros.Micros  // when it last said that it reaches the store; 0: never
-	userCallsWaitingAt micros.Micros  // when it last said that many users wait there; 0: never
-	reachability       WorkerReach    // what it last said of its workers
-	failingJobs        map[string]int // the jobs that fail there, on so many machines
+	lastHeardAt        monotime.Micros // when it last spoke
+	storeReachableAt   monotime.Micros // when it last said that it reaches the store; 0: never
+	userCallsWaitingAt monotime.Micros // when it last said that many users wait there; 0: never
+	reachability       WorkerReach     // what it last said of its workers
+	failingJobs        map[string]int  // the jobs that fail there, on so many machines
 	hasReported        bool
 }
 
 func newPeerTable() *PeerTable {
-	return &PeerTable{statuses: map[string]*peerState{}, quotaLackReportedAt: map[string]micros.Micros{}}
+	return &PeerTable{statuses: map[string]*peerState{}, quotaLackReportedAt: map[string]monotime.Micros{}}
 }
 
 // status gives what is known of a peer, which may be nothing.
@@ -34,7 +34,7 @@
 }
 
 // update keeps the status that a peer has sent.
-func (p *PeerTable) update(status *PeerStatus, now micros.Micros) {
+func (p *PeerTable) update(status *PeerStatus, now monotime.Micros) {
 	peer := p.status(status.Node)
 	peer.lastHeardAt, peer.hasReported = now, true
 	if status.StateServiceReachable {
@@ -50,7 +50,7 @@
 }
 
 // userCallsWaiting tells whether a peer said lately that many users wait there.
-func (p *PeerTable) userCallsWaiting(now micros.Micros) bool {
+func (p *PeerTable) userCallsWaiting(now monotime.Micros) bool {
 	for _, status := range p.statuses {
 		if status.userCallsWaitingAt != 0 && now-status.userCallsWaitingAt < 3*slowTickInterval {
 			return true
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -1,14 +1,14 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/storage"
 )
 
 // placement is the part of a scheduling pass that gives waiting tasks to machines.
 type placement struct {
 	core                                   *Controller
-	now                                    micros.Micros
+	now                                    monotime.Micros
 	wallNow                                int64
 	candidates                             []*candidateMachine
 	sampling                               bool                              // look at some of the candidates only
@@ -27,7 +27,7 @@
 type jobPlacement struct {
 	*placement
 	job              *Job
-	spec             *bookkeeping.JobSpec
+	spec             *storage.JobSpec
 	tracking         *jobTracking
 	teamLimit        teamLimits
 	spotOnly         bool // held to spot machines, see bound
@@ -50,12 +50,12 @@
 	fencedUpdate    *ShardUpdate // the update that takes a fenced job's tasks
 	chosenMachine   *candidateMachine
 	preferredUpdate *ShardUpdate // the shard that its last tasks went to
-	lastAssigned    bookkeeping.Attempt
+	lastAssigned    storage.Attempt
 }
 
 // placeTasks gives pending tasks of our shares to machines of the updates; where
 // nothing has room it makes some, or looks who could.
-func (c *Controller) placeTasks(updates []*ShardUpdate, now micros.Micros) {
+func (c *Controller) placeTasks(updates []*ShardUpdate, now monotime.Micros) {
 	if c.machineTypes == nil || !c.holdsLease(now) {
 		return
 	}
@@ -237,7 +237,7 @@
 func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
 	candidate, taskResources := p.chosenMachine, p.job.TaskResources
 	return candidate == nil || freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedByTeam[p.spec.Team]) || p.spec.Service || !taskResources.FitsIn(candidate.freeResources) ||
-		!p.zoneConstraint.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine || candidate.update.MaxBytes+2*bookkeeping.MaxTaskBytes(task) > p.shardBytesLimit
+		!p.zoneConstraint.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine || candidate.update.MaxBytes+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
 // noteNoMachine notes that no machine takes a task of the job, also for others like it.
@@ -258,22 +258,22 @@
 	if !update.AssignedJobs[job.ID] {
 		update.AssignedJobs[job.ID] = true
 		update.MaxBytes += len(job.ID) + 4
-		update.AddCompare(bookkeeping.Key(bookkeeping.KindOpenJob, job.ID), job.Version)
-		update.AddCompare(bookkeeping.Key(bookkeeping.KindJobResult, job.ID), 0)
+		update.AddCompare(storage.Key(storage.KindOpenJob, job.ID), job.Version)
+		update.AddCompare(storage.Key(storage.KindJobResult, job.ID), 0)
 	}
 	if p.teamLimit.hasLimit() {
 		update.AddCompare(partitionKey(c.node), c.mirror.VersionOf(partitionKey(c.node)))
 	}
 	if p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1 {
-		update.MaxBytes += bookkeeping.MaxTaskBytes(task) + 1 // it joins the range before
+		update.MaxBytes += storage.MaxTaskBytes(task) + 1 // it joins the range before
 	} else {
-		update.MaxBytes += 2*bookkeeping.MaxTaskBytes(task) + 12
+		update.MaxBytes += 2*storage.MaxTaskBytes(task) + 12
 	}
 	starting := c.drains.tracksStart(p.spec)
 	if starting {
-		update.MaxBytes += bookkeeping.MaxStartingBytes
+		update.MaxBytes += storage.MaxStartingBytes
 	}
-	p.lastAssigned = bookkeeping.Attempt{Task: task, Machine: machine, Number: c.mirror.NewestRevision, Starting: starting}
+	p.lastAssigned = storage.Attempt{Task: task, Machine: machine, Number: c.mirror.NewestRevision, Starting: starting}
 	update.Changed = true
 	c.jobsInPass[job.ID] = true
 	update.Next.Assign(job.ID, p.lastAssigned)
@@ -329,7 +329,7 @@
 		return // others use the room until a change may be spent
 	}
 	n := c.stealTasksOfJob(job, p.candidates, p.quotaLeft, p.freePartitionCapacity(), p.wallNow)
-	p.tracking.stolenTasks, p.tracking.stolenUntil = n, p.now+micros.Second
+	p.tracking.stolenTasks, p.tracking.stolenUntil = n, p.now+monotime.Second
 	p.reassignedThisPass = n > 0
 	reserveRoom(job.TaskResources, p.spec, p.candidates, min(n, job.UnassignedTasks()))
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -3,13 +3,13 @@
 import (
 	"sort"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
 // preemptionTimeout is how long room that was made for a job is waited for before
 // more is made.
-const preemptionTimeout = 3 * micros.Second
+const preemptionTimeout = 3 * monotime.Second
 
 // imageFetchLossPerCPU is how many CPU seconds of lost work for each of its CPUs a service
 // is worth that starts beside its image rather than fetching it.
@@ -18,7 +18,7 @@
 // pendingPreemption is the room being made for a job.
 type pendingPreemption struct {
 	tasks     int
-	expiresAt micros.Micros
+	expiresAt monotime.Micros
 	machines  map[string]bool // machines: what is free there until then is the job's
 }
 
@@ -34,7 +34,7 @@
 // an array gains little by it and the work thrown away is paid for. It tells
 // whether room is being made. With beside, only machines that have the job's
 // image count, and only a small loss is worth it.
-func (c *Controller) preemptFor(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, withImage bool, now micros.Micros) bool {
+func (c *Controller) preemptFor(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, withImage bool, now monotime.Micros) bool {
 	pending := c.preemptions[job.ID]
 	if pending != nil && now < pending.expiresAt {
 		return true
@@ -120,7 +120,7 @@
 
 // selectVictims picks the tasks of a machine whose stop makes room for one task of
 // a job, with least work lost.
-func (c *Controller) selectVictims(machine *Machine, job *Job, free Resources, now micros.Micros) (victims []preemptionVictim, loss float64, ok bool) {
+func (c *Controller) selectVictims(machine *Machine, job *Job, free Resources, now monotime.Micros) (victims []preemptionVictim, loss float64, ok bool) {
 	var possible []preemptionVictim
 	for task, attempt := range machine.Attempts {
 		victim := c.mirror.Jobs[task.Job]
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -4,9 +4,9 @@
 	"testing"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 )
 
 // TestServicePreemptsLowerPriorityOnly: a service gets room at once from work of lower priority, and
@@ -26,7 +26,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(500+i))
 			clear(c.cloud.Capacity)
-			c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 2
+			c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 2
 			c.startWithLeader()
 			array := c.submit(200*second, withTasks(8), withPriority(tc.array))
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(array) == 8 }) {
@@ -51,7 +51,7 @@
 	c.teams = []config.Team{{Name: "free", CPUs: 8}, {Name: "tight", CPUs: 8}}
 	clear(c.checker.Limits)
 	clear(c.cloud.Capacity)
-	c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 2
+	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 2
 	c.startWithLeader()
 	borrower := c.submit(300*second, withTasks(8))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(borrower) == 8 }) {
@@ -84,7 +84,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 36)
 			clear(c.cloud.Capacity)
-			c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 4
+			c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 4
 			c.startWithLeader()
 			for i := 0; i < 6; i++ {
 				c.submitWithRetry(8*second, tc.rest)
@@ -100,7 +100,7 @@
 				}
 				return n
 			}
-			firstContactAt := micros.Micros(0)
+			firstContactAt := monotime.Micros(0)
 			for c.sim.Now()-startedAt < 480*second {
 				// Twice what there is room for, all the time.
 				for i := 0; i < 4; i++ {
--- a/internal/coordination/queue_order.go
+++ b/internal/coordination/queue_order.go
@@ -4,8 +4,8 @@
 	"math"
 	"sort"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/storage"
 )
 
 // queueEntry is a job's place in the order of urgency.
@@ -103,7 +103,7 @@
 	}
 	fleetCPUs := 0.0
 	for _, machine := range c.mirror.Machines {
-		if machine.Record != nil && machine.Record.State == bookkeeping.MachineOpen {
+		if machine.Record != nil && machine.Record.State == storage.MachineOpen {
 			fleetCPUs += c.machineTypes[machine.Record.Type].CPUs
 		}
 	}
@@ -145,7 +145,7 @@
 // isStarved tells whether an array has got nothing for a long time: under lasting
 // load those that are late already, large or of low priority would never have
 // their turn, and a class, a team or the largest jobs would go unserved.
-func (c *Controller) isStarved(job *Job, now micros.Micros) bool {
+func (c *Controller) isStarved(job *Job, now monotime.Micros) bool {
 	if job.Record.Spec.Service {
 		return false
 	}
@@ -154,7 +154,7 @@
 	if tracking.progressAt == 0 { // first seen: it may have waited before we began
 		tracking.progressAt = max(1, now)
 		if got == 0 {
-			tracking.progressAt = max(1, now-micros.Micros(min(max(0, c.env.WallClock()-job.Record.AcceptedAt), int64(2*starvedAfter))))
+			tracking.progressAt = max(1, now-monotime.Micros(min(max(0, c.env.WallClock()-job.Record.AcceptedAt), int64(2*starvedAfter))))
 		}
 	}
 	if got > tracking.startedHighWater {
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -4,9 +4,9 @@
 	"math"
 	"slices"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // What a partition may use of the teams' limits.
@@ -31,7 +31,7 @@
 // when tasks are assigned under it.
 type quotaSharesInDoubt struct {
 	version uint64
-	record  bookkeeping.Partition
+	record  storage.Partition
 }
 
 // ownQuotaShare is what we may use of a team's limit, whatever becomes of commits in doubt.
@@ -110,7 +110,7 @@
 	lowUnallocatedFraction = 0.15
 	// quotaLackReportDelay is how long a partition lacks some of a limit before it says so: while
 	// machines come up and jobs end, shares move by themselves.
-	quotaLackReportDelay = 8 * micros.Second
+	quotaLackReportDelay = 8 * monotime.Second
 	// quotaLackReportValidity is how long a peer's word that it lacks some of a limit counts.
 	quotaLackReportValidity = 3 * slowTickInterval
 )
@@ -119,7 +119,7 @@
 // we don't use of a team whose limit is nearly handed out. A raise depends on the
 // records of all partitions, a lowering on ours alone; either changes our record, on
 // which our assignments depend.
-func (c *Controller) adjustQuotaShares(now micros.Micros) {
+func (c *Controller) adjustQuotaShares(now monotime.Micros) {
 	if c.quotaWriteInFlight || c.storeUnavailable || !c.holdsLease(now) {
 		return
 	}
@@ -131,7 +131,7 @@
 	next, version := c.copyOwnQuotaShares()
 	c.resolveQuotaSharesInDoubt()
 	raised, changed := false, len(c.quotaSharesInDoubt) > 0 // writing them anew settles what became of those
-	lacking := map[string]micros.Micros{}
+	lacking := map[string]monotime.Micros{}
 	for i := range c.cfg.Facts.Teams {
 		team := c.cfg.Facts.Teams[i].Name
 		limit, _ := c.teamLimits(team)
@@ -161,8 +161,8 @@
 }
 
 // copyOwnQuotaShares copies our record of shares and gives its version.
-func (c *Controller) copyOwnQuotaShares() (next bookkeeping.Partition, version uint64) {
-	next.QuotaShares = map[string]bookkeeping.Resources{}
+func (c *Controller) copyOwnQuotaShares() (next storage.Partition, version uint64) {
+	next.QuotaShares = map[string]storage.Resources{}
 	if own := c.mirror.Partitions[c.node]; own != nil {
 		version = own.Version
 		for team, share := range own.Record.QuotaShares {
@@ -174,7 +174,7 @@
 
 // desiredQuotaShare is what our share of a team's limit should become, and whether we lack a
 // task's worth of it that can't be had.
-func (c *Controller) desiredQuotaShare(team string, limit teamLimits, current bookkeeping.Resources, now micros.Micros) (want bookkeeping.Resources, lacks bool) {
+func (c *Controller) desiredQuotaShare(team string, limit teamLimits, current storage.Resources, now monotime.Micros) (want storage.Resources, lacks bool) {
 	unallocated := c.unallocatedQuota(team)
 	shortage, wants := c.quotaShortages[team]
 	at, heard := c.peerStatuses.quotaLackReportedAt[team]
@@ -201,7 +201,7 @@
 
 // teamsLackingQuota lists the teams of whose limit we have lacked a task's worth for so long
 // that the others should give back what they don't use.
-func (c *Controller) teamsLackingQuota(now micros.Micros) []string {
+func (c *Controller) teamsLackingQuota(now monotime.Micros) []string {
 	var out []string
 	for _, team := range sortedKeys(c.quotaLackingSince) {
 		if now-c.quotaLackingSince[team] >= quotaLackReportDelay {
@@ -213,7 +213,7 @@
 
 // raisedQuotaShare takes what is lacking, and half of an even part of what is left: a raise
 // costs a change, and what one part has no other can use.
-func (c *Controller) raisedQuotaShare(limit teamLimits, current bookkeeping.Resources, shortage quotaShortage, unallocated Resources) bookkeeping.Resources {
+func (c *Controller) raisedQuotaShare(limit teamLimits, current storage.Resources, shortage quotaShortage, unallocated Resources) storage.Resources {
 	fraction := 1 / (2 * float64(c.budgetSharers))
 	grow := func(have, short, left float64) float64 {
 		grown := roundToUnit(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
@@ -233,9 +233,9 @@
 
 // loweredQuotaShare gives back what is more than twice a margin above what we use, down to
 // the margin.
-func (c *Controller) loweredQuotaShare(team string, current bookkeeping.Resources, margin Resources) bookkeeping.Resources {
+func (c *Controller) loweredQuotaShare(team string, current storage.Resources, margin Resources) storage.Resources {
 	use := c.ownQuotaUse(team)
-	lower := bookkeeping.Resources{
+	lower := storage.Resources{
 		CPUs: max(0, min(current.CPUs, use.CPUs+margin.CPUs)),
 		GPUs: max(0, min(current.GPUs, use.GPUs+margin.GPUs)),
 	}
@@ -246,7 +246,7 @@
 }
 
 // writeQuotaShares commits our record. A raise asks for the records of all partitions.
-func (c *Controller) writeQuotaShares(next bookkeeping.Partition, version uint64, raised bool) {
+func (c *Controller) writeQuotaShares(next storage.Partition, version uint64, raised bool) {
 	key := partitionKey(c.node)
 	txn := protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: version}},
@@ -268,7 +268,7 @@
 	}
 	c.quotaWriteInFlight = true
 	doubt := quotaSharesInDoubt{version, next}
-	c.commitTxn(bookkeeping.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+	c.commitTxn(storage.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		c.quotaWriteInFlight = false
 		c.schedulingNeeded = true
 		if result.Outcome == protocol.Unknown {
@@ -282,7 +282,7 @@
 // but for what it had kept for later, and a team at its limit lacked that for as long as
 // the controller was away. Whatever it may yet write asks for the record that is dropped,
 // and it must not have come back: one that is cut off from its machines lowers its own.
-func (c *Controller) releaseDepartedQuotaShares(now micros.Micros) {
+func (c *Controller) releaseDepartedQuotaShares(now monotime.Micros) {
 	if c.storeUnavailable || c.quotaWriteInFlight || !c.holdsLease(now) {
 		return
 	}
@@ -290,7 +290,7 @@
 	for _, node := range sortedKeys(c.mirror.Partitions) {
 		partition := c.mirror.Partitions[node]
 		if node == c.node || rendezvousOwner(node, connected) != c.node || c.recordWritesInFlight[partitionKey(node)] || c.mirror.WatchedRevision < partition.Version ||
-			c.isMember(node) || now-c.absentSince(node, now) <= micros.Second {
+			c.isMember(node) || now-c.absentSince(node, now) <= monotime.Second {
 			continue
 		}
 		left := false
@@ -302,8 +302,8 @@
 		}
 		key := partitionKey(node)
 		c.recordWritesInFlight[key] = true
-		c.commitTxn(bookkeeping.PriorityShardUpdate, protocol.Transaction{
-			If:   []protocol.Compare{{Key: key, Version: partition.Version}, {Key: bookkeeping.Key(bookkeeping.KindMember, node)}},
+		c.commitTxn(storage.PriorityShardUpdate, protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: partition.Version}, {Key: storage.Key(storage.KindMember, node)}},
 			Then: []protocol.Op{{Delete: key}},
 		}, func(result protocol.StoreResult) {
 			delete(c.recordWritesInFlight, key)
@@ -315,7 +315,7 @@
 	}
 }
 
-func partitionKey(node string) string { return bookkeeping.Key(bookkeeping.KindPartition, node) }
+func partitionKey(node string) string { return storage.Key(storage.KindPartition, node) }
 
 // transferQuotaShares has the shares of the teams' limits follow attempts that go over
 // from one part's shards into another's.
@@ -324,8 +324,8 @@
 	if departed == nil {
 		return // it never had any: none of its teams has a limit
 	}
-	keys := []string{bookkeeping.Key(bookkeeping.KindPartition, from), bookkeeping.Key(bookkeeping.KindPartition, to)}
-	next := []bookkeeping.Partition{{QuotaShares: map[string]bookkeeping.Resources{}}, {QuotaShares: map[string]bookkeeping.Resources{}}}
+	keys := []string{storage.Key(storage.KindPartition, from), storage.Key(storage.KindPartition, to)}
+	next := []storage.Partition{{QuotaShares: map[string]storage.Resources{}}, {QuotaShares: map[string]storage.Resources{}}}
 	for i, partition := range []*PartitionEntry{departed, own} {
 		if partition != nil {
 			for k, v := range partition.Record.QuotaShares {
@@ -338,7 +338,7 @@
 		for k := range keys {
 			if operation.Put == keys[k] {
 				puts[k] = i
-				var record bookkeeping.Partition
+				var record storage.Partition
 				if protocol.Unmarshal(operation.Value, &record) == nil {
 					next[k] = record
 				}
@@ -361,7 +361,7 @@
 	}
 	for k, key := range keys {
 		if next[k].QuotaShares == nil {
-			next[k].QuotaShares = map[string]bookkeeping.Resources{}
+			next[k].QuotaShares = map[string]storage.Resources{}
 		}
 		operation := protocol.Op{Put: key, Value: protocol.MustMarshal(&next[k])}
 		if puts[k] >= 0 {
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 var (
@@ -22,8 +22,8 @@
 // randomFaults combines two to five faults of all kinds at random times, many of them
 // within seconds of each other.
 func randomFaults(rnd *rand.Rand) []fault {
-	span := func(least, most micros.Micros) micros.Micros {
-		return least + micros.Micros(rnd.Int64N(int64(most-least)))
+	span := func(least, most monotime.Micros) monotime.Micros {
+		return least + monotime.Micros(rnd.Int64N(int64(most-least)))
 	}
 	controller := func() controllerPicker {
 		if rnd.IntN(2) == 0 {
@@ -31,29 +31,35 @@
 		}
 		return followerController(rnd.IntN(3))
 	}
-	kinds := []func(at micros.Micros) fault{
-		func(at micros.Micros) fault { return storeRejectsController(at, controller(), span(second, 40*second)) },
-		func(at micros.Micros) fault { return storeOutage(at, span(second, 45*second)) },
-		func(at micros.Micros) fault { return crashController(at, controller(), span(second/10, 20*second)) },
-		func(at micros.Micros) fault { return crashAllControllers(at, span(second/2, 25*second)) },
-		func(at micros.Micros) fault { return peerPartition(at, controller(), span(second, 40*second)) },
-		func(at micros.Micros) fault { return storeAndPeerPartition(at, controller(), span(second, 40*second)) },
-		func(at micros.Micros) fault { return processPause(at, controller(), span(second, 25*second)) },
-		func(at micros.Micros) fault { return machinesHang(at, 1+rnd.IntN(6), span(second, 30*second)) },
-		func(at micros.Micros) fault { return machinesPartitioned(at, 1+rnd.IntN(8), span(second, 40*second)) },
-		func(at micros.Micros) fault { return machinesUnreachable(at, 1+rnd.IntN(8), span(second, 40*second)) },
-		func(at micros.Micros) fault { return machinesMuted(at, 1+rnd.IntN(8), span(second, 40*second)) },
-		func(at micros.Micros) fault { return delayedCommits(at, rnd.Float64()/3, span(5*second, 50*second)) },
-		func(at micros.Micros) fault { return lostCommitAnswers(at, rnd.Float64()/2, span(5*second, 50*second)) },
-		func(at micros.Micros) fault { return delayedCommands(at, rnd.Float64(), span(5*second, 50*second)) },
-		func(at micros.Micros) fault { return duplicateReports(at, rnd.Float64(), span(5*second, 50*second)) },
-		func(at micros.Micros) fault { return duplicateReportsToNextLeader(at, rnd.Float64(), 60*second) },
-		func(at micros.Micros) fault {
+	kinds := []func(at monotime.Micros) fault{
+		func(at monotime.Micros) fault {
+			return storeRejectsController(at, controller(), span(second, 40*second))
+		},
+		func(at monotime.Micros) fault { return storeOutage(at, span(second, 45*second)) },
+		func(at monotime.Micros) fault { return crashController(at, controller(), span(second/10, 20*second)) },
+		func(at monotime.Micros) fault { return crashAllControllers(at, span(second/2, 25*second)) },
+		func(at monotime.Micros) fault { return peerPartition(at, controller(), span(second, 40*second)) },
+		func(at monotime.Micros) fault {
+			return storeAndPeerPartition(at, controller(), span(second, 40*second))
+		},
+		func(at monotime.Micros) fault { return processPause(at, controller(), span(second, 25*second)) },
+		func(at monotime.Micros) fault { return machinesHang(at, 1+rnd.IntN(6), span(second, 30*second)) },
+		func(at monotime.Micros) fault { return machinesPartitioned(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at monotime.Micros) fault { return machinesUnreachable(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at monotime.Micros) fault { return machinesMuted(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at monotime.Micros) fault { return delayedCommits(at, rnd.Float64()/3, span(5*second, 50*second)) },
+		func(at monotime.Micros) fault {
+			return lostCommitAnswers(at, rnd.Float64()/2, span(5*second, 50*second))
+		},
+		func(at monotime.Micros) fault { return delayedCommands(at, rnd.Float64(), span(5*second, 50*second)) },
+		func(at monotime.Micros) fault { return duplicateReports(at, rnd.Float64(), span(5*second, 50*second)) },
+		func(at monotime.Micros) fault { return duplicateReportsToNextLeader(at, rnd.Float64(), 60*second) },
+		func(at monotime.Micros) fault {
 			return slowStoreReplies(at, span(second/10, 3*second), span(5*second, 50*second))
 		},
-		func(at micros.Micros) fault { return zonePartition(at, span(second, 45*second)) },
-		func(at micros.Micros) fault { return machinesVanish(at, 1+rnd.IntN(4)) },
-		func(at micros.Micros) fault {
+		func(at monotime.Micros) fault { return zonePartition(at, span(second, 45*second)) },
+		func(at monotime.Micros) fault { return machinesVanish(at, 1+rnd.IntN(4)) },
+		func(at monotime.Micros) fault {
 			return submitAtRate(at, second, span(10*second, 50*second), submitSingleTask)
 		},
 	}
@@ -71,7 +77,7 @@
 	}
 	for range 2 + rnd.IntN(3) {
 		near := faults[rnd.IntN(len(faults))].at
-		hangFor := micros.Micros(0)
+		hangFor := monotime.Micros(0)
 		if rnd.IntN(3) == 0 {
 			hangFor = span(second, 15*second)
 		}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // What a controller holds is worth something only while it reaches it. This file asks
@@ -22,16 +22,16 @@
 )
 
 const (
-	pauseThreshold            = 3 * micros.Second / 2 // a tick so late means that the process stood still
-	staleAfterPause           = micros.Second / 2     // after that it waits so long for word from the store
-	reachabilityProbeInterval = 2 * micros.Second
-	initialProbeCount         = 3                 // silent machines that are asked before we take ourselves for cut off
-	probeValidity             = 3 * micros.Second // one that answers proves the contrary for so long
+	pauseThreshold            = 3 * monotime.Second / 2 // a tick so late means that the process stood still
+	staleAfterPause           = monotime.Second / 2     // after that it waits so long for word from the store
+	reachabilityProbeInterval = 2 * monotime.Second
+	initialProbeCount         = 3                   // silent machines that are asked before we take ourselves for cut off
+	probeValidity             = 3 * monotime.Second // one that answers proves the contrary for so long
 )
 
 // detectPause notes that the process stood still since the last tick, or whatever else
 // came, while its clocks ran. It is asked before anything that comes in is taken.
-func (c *Controller) detectPause(now micros.Micros) {
+func (c *Controller) detectPause(now monotime.Micros) {
 	if c.lastActivityAt != 0 && now-c.lastActivityAt > pauseThreshold {
 		c.resumedFromPauseAt = now
 		c.log.Info("process pause detected", "duration_ms", (now - c.lastActivityAt).Milliseconds())
@@ -42,7 +42,7 @@
 // mirrorStale tells whether we stood still and haven't heard from the store since: what we
 // hold may be others', and what comes in may have waited for long. In an outage the
 // wait is short, or the workers' leases would lapse.
-func (c *Controller) mirrorStale(now micros.Micros) bool {
+func (c *Controller) mirrorStale(now monotime.Micros) bool {
 	return c.resumedFromPauseAt > c.mirrorFreshAt && now-c.resumedFromPauseAt < staleAfterPause
 }
 
@@ -59,7 +59,7 @@
 
 // updateReachability judges from the silence of our machines whether it is we who are cut off
 // from them. Without a fresh mirror, or just after standing still, silence says nothing.
-func (c *Controller) updateReachability(overall silenceCount, now micros.Micros) {
+func (c *Controller) updateReachability(overall silenceCount, now monotime.Micros) {
 	c.hearsMostWorkers = overall.machines > 0 && 2*overall.silent < overall.machines
 	switch {
 	case overall.isUnreachable() && c.workersUnreachableSince == 0:
@@ -77,7 +77,7 @@
 // probeSilentMachines asks a few of our silent machines themselves. They are silent too while their
 // workers go round after a crash of several controllers, each for seconds at one that
 // hangs: those that had just claimed them again gave them away once more.
-func (c *Controller) probeSilentMachines(now micros.Micros) {
+func (c *Controller) probeSilentMachines(now monotime.Micros) {
 	if c.reachabilityProbesInFlight > 0 || now-c.lastProbeSuccessAt < probeValidity {
 		return
 	}
@@ -108,7 +108,7 @@
 	}
 }
 
-func (c *Controller) markWorkersReachable(now micros.Micros) {
+func (c *Controller) markWorkersReachable(now monotime.Micros) {
 	c.workersUnreachableSince = 0
 	c.schedulingNeeded = true
 	c.log.Info("workers unreachable", "state", conditionEnd)
@@ -116,7 +116,7 @@
 
 // probeReachability asks some machine, whosever it is, whether we reach workers again. A report
 // that comes in wouldn't do: copies come late.
-func (c *Controller) probeReachability(now micros.Micros) {
+func (c *Controller) probeReachability(now monotime.Micros) {
 	if now < c.nextReachabilityProbeAt {
 		return
 	}
@@ -140,7 +140,7 @@
 }
 
 // isCutOffFromWorkers tells whether a controller lives, but is known not to reach workers.
-func (c *Controller) isCutOffFromWorkers(node string, now micros.Micros) bool {
+func (c *Controller) isCutOffFromWorkers(node string, now monotime.Micros) bool {
 	if node == c.node {
 		return c.workersUnreachableSince != 0
 	}
@@ -165,8 +165,8 @@
 // handOffShards gives our shards to controllers that say they hear their workers. Ours
 // turn to them when we don't answer; their claims one by one, each against our own
 // writes, took longer than the leases of most.
-func (c *Controller) handOffShards(now micros.Micros) {
-	if c.quotaWriteInFlight || c.storeUnavailable || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+micros.Second {
+func (c *Controller) handOffShards(now monotime.Micros) {
+	if c.quotaWriteInFlight || c.storeUnavailable || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	var to, others []string
@@ -209,9 +209,9 @@
 	}
 	member := c.mirror.Members[successor]
 	txn, taken := c.buildShardTransfer(shards, successor, member.Record.Incarnation)
-	txn.If = append(txn.If, protocol.Compare{Key: bookkeeping.Key(bookkeeping.KindMember, successor), Version: member.Version})
+	txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindMember, successor), Version: member.Version})
 	c.quotaWriteInFlight = true
-	c.commitTxn(bookkeeping.PriorityClaim, txn, func(result protocol.StoreResult) {
+	c.commitTxn(storage.PriorityClaim, txn, func(result protocol.StoreResult) {
 		c.quotaWriteInFlight = false
 		c.schedulingNeeded = true
 		if result.Outcome == protocol.OK {
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -5,11 +5,11 @@
 	"slices"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // newBusyCluster is a cluster with services and arrays running on all three parts.
@@ -17,7 +17,7 @@
 	c = newCluster(t, seed)
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[standin.OfferKey("m8", z, false)] = 12
+		c.cloud.Capacity[fake.OfferKey("m8", z, false)] = 12
 	}
 	c.startWithLeader()
 	service = c.submit(0, withService(true), withPriority(protocol.High), withTasks(24), withCPUs(6))
@@ -97,7 +97,7 @@
 		name                  string
 		workers, store, peers bool
 		lead                  bool
-		within                micros.Micros // by when its machines are others'
+		within                monotime.Micros // by when its machines are others'
 	}{
 		{"workers", true, false, false, false, 9 * second},
 		{"workers, leading", true, false, false, true, 9 * second},
@@ -173,7 +173,7 @@
 			c := newCluster(t, uint64(1070+i))
 			clear(c.cloud.Capacity)
 			for _, z := range []string{"a", "b"} {
-				c.cloud.Capacity[standin.OfferKey("m8", z, false)] = 12
+				c.cloud.Capacity[fake.OfferKey("m8", z, false)] = 12
 			}
 			c.teams = []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 90}}
 			c.checker.Limits["tight"] = 90
@@ -275,7 +275,7 @@
 	for i, tc := range []struct {
 		name string
 		lead bool
-		d    micros.Micros
+		d    monotime.Micros
 		most int // replicas that start anew
 	}{
 		{"for a moment", false, 2 * second, 0},
@@ -329,7 +329,7 @@
 	c.sendRequest(core.node, "POST", protocol.HeartbeatPath, body, func(response Response) { got = response.Status })
 	c.sim.Run(5 * second)
 	core.tick() // the first thing that it does
-	c.sim.Run(micros.Millisecond)
+	c.sim.Run(monotime.Millisecond)
 	if got == 200 || machine.Agent != nil && machine.Agent.LastReachedAt > alive {
 		t.Errorf("answered %d", got)
 	}
@@ -345,9 +345,9 @@
 	core := c.nodes["n-0"].controller
 	var shards []*Shard
 	for i := 0; i < 12; i++ {
-		record := &bookkeeping.Shard{Owner: "n-9", Claim: 1, Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
+		record := &storage.Shard{Owner: "n-9", Claim: 1, Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
 		for k := 0; k < 300; k++ {
-			record.AddMachine(fmt.Sprintf("i-%02d%04d", i, k), bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: fmt.Sprintf("10.0.%d.%d:9000", i, k), State: bookkeeping.MachineOpen})
+			record.AddMachine(fmt.Sprintf("i-%02d%04d", i, k), storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: fmt.Sprintf("10.0.%d.%d:9000", i, k), State: storage.MachineOpen})
 		}
 		shards = append(shards, &Shard{Name: fmt.Sprint("p", i), Record: record, Version: 1})
 	}
@@ -400,11 +400,11 @@
 	noise = func() {
 		call := &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: second, Transaction: protocol.Transaction{Then: []protocol.Op{{Put: "noise", Value: protocol.MustMarshal(1)}}}}
 		c.store.Call("noise", call, func(protocol.StoreResult) {})
-		c.sim.After(15*micros.Millisecond, noise)
+		c.sim.After(15*monotime.Millisecond, noise)
 	}
 	noise()
 	c.kill(node)
-	c.sim.Run(300 * micros.Millisecond)
+	c.sim.Run(300 * monotime.Millisecond)
 	c.start(node)
 	if !c.sim.RunUntil(3*second, func() bool { shards, mine := count(node); return mine == shards }) {
 		shards, mine := count(node)
--- a/internal/coordination/record_snapshot.go
+++ b/internal/coordination/record_snapshot.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"slices"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // StoreCaller makes a call of the state service and waits for its answer.
@@ -28,17 +28,17 @@
 // Bounds of a reading.
 const (
 	snapshotPageSize    = 500
-	snapshotCallTimeout = 5 * micros.Second
+	snapshotCallTimeout = 5 * monotime.Second
 )
 
 // mirroredKinds are the records that every mirror holds; the answers of finished jobs aren't.
 var mirroredKinds = []string{
-	bookkeeping.KindScaleOut, bookkeeping.KindLeader, bookkeeping.KindMember, bookkeeping.KindOpenJob,
-	bookkeeping.KindShard, bookkeeping.KindPartition, bookkeeping.KindScaleIn, bookkeeping.KindMachineType,
+	storage.KindScaleOut, storage.KindLeader, storage.KindMember, storage.KindOpenJob,
+	storage.KindShard, storage.KindPartition, storage.KindScaleIn, storage.KindMachineType,
 }
 
 // mirroredDrainKinds are those that a mirror holds as well where drains are turned on.
-var mirroredDrainKinds = []string{bookkeeping.KindDrain, bookkeeping.KindPermits}
+var mirroredDrainKinds = []string{storage.KindDrain, storage.KindPermits}
 
 // ReadRecords reads all records and brings them to one revision: the lists are read one after the
 // other, then all changes since the first are applied.
@@ -51,7 +51,7 @@
 	if err := s.readResults(call, 4*txnOps); err != nil {
 		return nil, err
 	}
-	registry := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: bookkeeping.DrainRegistryKey, Timeout: snapshotCallTimeout})
+	registry := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: storage.DrainRegistryKey, Timeout: snapshotCallTimeout})
 	switch registry.Outcome {
 	case protocol.OK:
 		s.DrainRegistryVersion = registry.Item.Version
@@ -67,7 +67,7 @@
 	firstRevision, started := uint64(0), false
 	for _, kind := range slices.Concat(mirroredKinds, mirroredDrainKinds) {
 		for after, more := "", true; more; {
-			page := call(&protocol.StoreCall{Op: protocol.StoreList, Key: bookkeeping.Key(kind, ""), After: after, Limit: snapshotPageSize, Timeout: snapshotCallTimeout})
+			page := call(&protocol.StoreCall{Op: protocol.StoreList, Key: storage.Key(kind, ""), After: after, Limit: snapshotPageSize, Timeout: snapshotCallTimeout})
 			if page.Outcome != protocol.OK {
 				return 0, fmt.Errorf("%w: %v", ErrStoreUnavailable, page.Outcome)
 			}
@@ -92,7 +92,7 @@
 		n := min(len(ids), mostConditions)
 		txn := protocol.Transaction{}
 		for _, id := range ids[:n] {
-			txn.If = append(txn.If, protocol.Compare{Key: bookkeeping.Key(bookkeeping.KindJobResult, id)})
+			txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
 		}
 		ids = ids[n:]
 		compared := call(&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: snapshotCallTimeout})
@@ -113,13 +113,13 @@
 // catchUpWatch applies all changes since a revision.
 func (r *RecordSnapshot) catchUp(call StoreCaller, sinceRevision uint64) error {
 	r.mirror.WatchedRevision = sinceRevision
-	watch := call(&protocol.StoreCall{Op: protocol.StoreWatch, Key: bookkeeping.KeyPrefix, FromRevision: sinceRevision, Timeout: snapshotCallTimeout})
+	watch := call(&protocol.StoreCall{Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: sinceRevision, Timeout: snapshotCallTimeout})
 	if watch.Outcome != protocol.OK {
 		return fmt.Errorf("%w: %v", ErrStoreUnavailable, watch.Outcome)
 	}
 	r.mirror.ApplyEvents(watch.Events, watch.Revision)
 	for _, event := range watch.Events {
-		if event.Put == bookkeeping.DrainRegistryKey {
+		if event.Put == storage.DrainRegistryKey {
 			r.DrainRegistryVersion = max(r.DrainRegistryVersion, event.Version)
 		}
 	}
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TestOverloadAnswersImmediately: past what the store lets through, every request has an immediate
@@ -30,7 +30,7 @@
 		}
 		c.sendRequest("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
 		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, back)
-		if n := core.storeQueue.Len(bookkeeping.PriorityUserRequest); n > core.maxQueuedUserCalls()+1 {
+		if n := core.storeQueue.Len(storage.PriorityUserRequest); n > core.maxQueuedUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
 		if len(core.pendingReads) > maxWaitingReaders {
@@ -78,12 +78,12 @@
 func TestLateCommitOfRepeatedSubmissionIsOneJob(t *testing.T) {
 	c := newCluster(t, 15).startWithLeader()
 	id, j := c.newSubmission()
-	c.fleet.Jobs[id] = standin.JobBehavior{Team: "free", CPUs: 2, RunTime: 2 * second}
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: "free", CPUs: 2, RunTime: 2 * second}
 	body := protocol.MustMarshal(j)
 	first := true
-	c.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+	c.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 		for _, operation := range txn.Then {
-			if first && operation.Put == bookkeeping.Key(bookkeeping.KindOpenJob, id) {
+			if first && operation.Put == storage.Key(storage.KindOpenJob, id) {
 				first = false
 				return 6 * second
 			}
--- a/internal/coordination/result_cache.go
+++ b/internal/coordination/result_cache.go
@@ -1,20 +1,20 @@
 package coordination
 
-import "pipitgap/internal/bookkeeping"
+import "pipitgap/internal/storage"
 
 // ResultCache remembers final answers, the oldest forgotten first: whatever is
 // forgotten is read from the store again.
 type ResultCache struct {
 	capacity       int
-	statuses       map[string]bookkeeping.JobState
+	statuses       map[string]storage.JobState
 	insertionOrder []string
 }
 
 func NewResultCache(most int) *ResultCache {
-	return &ResultCache{capacity: most, statuses: map[string]bookkeeping.JobState{}}
+	return &ResultCache{capacity: most, statuses: map[string]storage.JobState{}}
 }
 
-func (f *ResultCache) Add(id string, status bookkeeping.JobState) {
+func (f *ResultCache) Add(id string, status storage.JobState) {
 	if _, ok := f.statuses[id]; ok {
 		return
 	}
@@ -28,7 +28,7 @@
 	}
 }
 
-func (f *ResultCache) Get(id string) (bookkeeping.JobState, bool) {
+func (f *ResultCache) Get(id string) (storage.JobState, bool) {
 	status, ok := f.statuses[id]
 	return status, ok
 }
--- a/internal/coordination/runtime_estimates.go
+++ b/internal/coordination/runtime_estimates.go
@@ -3,10 +3,10 @@
 import (
 	"math"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // recordExit learns from how an attempt ended.
@@ -32,7 +32,7 @@
 		c.log.Debug("task failed", "task", task.String(), "attempt", taskReport.Attempt, "machine", machine.ID)
 	case protocol.CauseUnknown, protocol.CauseMachineFull, protocol.CauseBusy:
 		tracking := c.trackingOf(job.ID)
-		tracking.placeNotBefore = max(tracking.placeNotBefore, c.now()+500*micros.Millisecond)
+		tracking.placeNotBefore = max(tracking.placeNotBefore, c.now()+500*monotime.Millisecond)
 		c.log.Debug("task start refused", "task", task.String(), "attempt", taskReport.Attempt,
 			"machine", machine.ID, "reason", taskReport.Cause)
 	}
@@ -40,7 +40,7 @@
 
 // updateEstimateBias follows how far the owners' estimates of a class are off just now: on
 // some days they are mostly too high or mostly too low.
-func (c *Controller) updateEstimateBias(spec *bookkeeping.JobSpec, ran float64) {
+func (c *Controller) updateEstimateBias(spec *storage.JobSpec, ran float64) {
 	if spec.EstimateS <= 0 || ran <= 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 }
 
 // expectedRunSeconds is a task's estimate, corrected by what was learned.
-func (c *Controller) expectedRunSeconds(spec *bookkeeping.JobSpec) float64 {
+func (c *Controller) expectedRunSeconds(spec *storage.JobSpec) float64 {
 	return spec.EstimateS * math.Exp(min(max(c.estimateBias[spec.Class], -1), 1))
 }
 
@@ -57,19 +57,19 @@
 type jobTracking struct {
 	failedMachines   int             // machines of ours that it has failed on, with nothing completed since
 	excludedMachines map[string]bool // those that it isn't tried on again
-	lastFailureAt    micros.Micros
-	retryAt          micros.Micros // if it fails everywhere: its next try
-	backoffDelay     micros.Micros // the pause before that
-	trialDemandAt    micros.Micros // when it was last demand, for a try, see mayAsk
-	placeNotBefore   micros.Micros // not to be placed before
-	startedHighWater int           // tasks that it had begun when it last got on
-	startedTarget    int           // tasks that it is to have begun before it is starved no more
-	progressAt       micros.Micros // when that was
-	recordChangedAt  micros.Micros // when its record last changed: who is to place its tasks
-	reassignedAt     micros.Micros // when its tasks were last handed to another partition
-	finalSeenAt      micros.Micros // when its answer was seen; 0: before we looked
-	stolenTasks      int           // tasks that we have just taken over from other partitions
-	stolenUntil      micros.Micros
+	lastFailureAt    monotime.Micros
+	retryAt          monotime.Micros // if it fails everywhere: its next try
+	backoffDelay     monotime.Micros // the pause before that
+	trialDemandAt    monotime.Micros // when it was last demand, for a try, see mayAsk
+	placeNotBefore   monotime.Micros // not to be placed before
+	startedHighWater int             // tasks that it had begun when it last got on
+	startedTarget    int             // tasks that it is to have begun before it is starved no more
+	progressAt       monotime.Micros // when that was
+	recordChangedAt  monotime.Micros // when its record last changed: who is to place its tasks
+	reassignedAt     monotime.Micros // when its tasks were last handed to another partition
+	finalSeenAt      monotime.Micros // when its answer was seen; 0: before we looked
+	stolenTasks      int             // tasks that we have just taken over from other partitions
+	stolenUntil      monotime.Micros
 }
 
 func (c *Controller) trackingOf(id string) *jobTracking {
@@ -82,7 +82,7 @@
 }
 
 // backOff backs a job that fails everywhere off, longer each time.
-func (s *jobTracking) backOff(now micros.Micros, settings config.Settings) {
+func (s *jobTracking) backOff(now monotime.Micros, settings config.Settings) {
 	if s.backoffDelay == 0 {
 		s.backoffDelay = settings.BackoffFirst.Micros()
 	} else {
--- a/internal/coordination/scale_out_plan.go
+++ b/internal/coordination/scale_out_plan.go
@@ -4,7 +4,7 @@
 	"math"
 	"sort"
 
-	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/storage"
 )
 
 // offer is something that can be rented.
@@ -23,7 +23,7 @@
 
 // taskDemand is a number of like tasks that found no room.
 type taskDemand struct {
-	spec            *bookkeeping.JobSpec
+	spec            *storage.JobSpec
 	need            Resources
 	tasks           int
 	jobID           string
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -4,7 +4,7 @@
 	"math"
 	"sort"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -16,7 +16,7 @@
 
 // scavengerStartDelay is how long idle-time work waits for such room before one ordinary machine
 // may be rented for it: it must begin at some time, wherever nothing else is to be had.
-const scavengerStartDelay = micros.Minute
+const scavengerStartDelay = monotime.Minute
 
 // isScavenger tells whether a job is idle-time work.
 func (c *Controller) isScavenger(job *Job) bool {
@@ -31,7 +31,7 @@
 // spotOnly tells whether a job is held to spot machines and to what is there in any case:
 // idle-time work, once it has begun or as long as it needn't have.
 func (c *Controller) spotOnly(job *Job) bool {
-	return c.isScavenger(job) && (job.DoneTasks+job.AssignedTasks > 0 || micros.Micros(c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay)
+	return c.isScavenger(job) && (job.DoneTasks+job.AssignedTasks > 0 || monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay)
 }
 
 // isPreemptible tells whether a job's tasks give way to arrays of higher priority: nobody has an aim
@@ -51,7 +51,7 @@
 // preemptScavengers stops work that gives way, so that up to want tasks of a job get room on
 // our machines: one look at each, as many tasks on each as it can make room for. It
 // tells whether room is being made.
-func (c *Controller) preemptScavengers(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, now micros.Micros) bool {
+func (c *Controller) preemptScavengers(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, now monotime.Micros) bool {
 	if pending := c.preemptions[job.ID]; pending != nil && now < pending.expiresAt {
 		return true
 	}
@@ -109,6 +109,6 @@
 		return false
 	}
 	c.schedulingNeeded = true
-	c.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout + micros.FromSeconds(save), on}
+	c.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout + monotime.FromSeconds(save), on}
 	return true
 }
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -3,10 +3,10 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
+	"pipitgap/internal/fake"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TestPreemptibleWorkCountsAsRoom: room that lower work gives way to is room, for higher work alone,
@@ -51,23 +51,23 @@
 	core := c.startWithLeader().nodes["n-0"].controller
 	core.mirror.UseByTeam["free"] = Resources{CPUs: 32}
 	core.mirror.UseByTeam["other"] = Resources{CPUs: 32}
-	saving := func(change func(*bookkeeping.JobSpec)) *Job {
+	saving := func(change func(*storage.JobSpec)) *Job {
 		job := &Job{ID: "j-1", TaskResources: Resources{CPUs: 16}}
-		job.Record.Spec = bookkeeping.JobSpec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
+		job.Record.Spec = storage.JobSpec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
 		change(&job.Record.Spec)
 		return job
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(*bookkeeping.JobSpec)
+		change func(*storage.JobSpec)
 		want   bool
 	}{
-		{"nobody has an aim for it", func(*bookkeeping.JobSpec) {}, true},
-		{"an aim of its class", func(spec *bookkeeping.JobSpec) { spec.Class = "survey" }, false},
-		{"a deadline", func(spec *bookkeeping.JobSpec) { spec.DeadlineS = 100 }, false},
-		{"it saves nothing", func(spec *bookkeeping.JobSpec) { spec.CheckpointS = 0 }, false},
-		{"a service", func(spec *bookkeeping.JobSpec) { spec.Service = true }, false},
-		{"within its team's guarantee", func(spec *bookkeeping.JobSpec) { spec.Team = "other" }, false},
+		{"nobody has an aim for it", func(*storage.JobSpec) {}, true},
+		{"an aim of its class", func(spec *storage.JobSpec) { spec.Class = "survey" }, false},
+		{"a deadline", func(spec *storage.JobSpec) { spec.DeadlineS = 100 }, false},
+		{"it saves nothing", func(spec *storage.JobSpec) { spec.CheckpointS = 0 }, false},
+		{"a service", func(spec *storage.JobSpec) { spec.Service = true }, false},
+		{"within its team's guarantee", func(spec *storage.JobSpec) { spec.Team = "other" }, false},
 	} {
 		if got := core.isPreemptible(saving(tc.change)); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
@@ -90,7 +90,7 @@
 			c.settings.ScaleDownDelay = config.Duration(8 * second)
 			for _, typ := range testTypes {
 				for _, z := range typ.Zones {
-					c.cloud.Capacity[standin.OfferKey(typ.Name, z, true)] = tc.spot
+					c.cloud.Capacity[fake.OfferKey(typ.Name, z, true)] = tc.spot
 				}
 			}
 			c.startWithLeader()
--- a/internal/coordination/scheduling_units_test.go
+++ b/internal/coordination/scheduling_units_test.go
@@ -5,14 +5,14 @@
 	"reflect"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 func newDemand(cpus float64, count int, spot, service bool) *taskDemand {
-	spec := &bookkeeping.JobSpec{CPUs: cpus, MemoryGB: 1, Spot: spot, Service: service, EstimateS: 10}
+	spec := &storage.JobSpec{CPUs: cpus, MemoryGB: 1, Spot: spot, Service: service, EstimateS: 10}
 	return &taskDemand{spec: spec, need: Resources{CPUs: cpus, MemoryGB: 1}, tasks: count, expectedSeconds: 10, slackSeconds: 20}
 }
 
@@ -118,7 +118,7 @@
 // first; what got nothing for long before any of that.
 func TestQueueOrder(t *testing.T) {
 	makeJob := func(id string, priority int, at int64) *Job {
-		return &Job{ID: id, Record: bookkeeping.OpenJob{AcceptedAt: at, Spec: bookkeeping.JobSpec{Priority: priority}}}
+		return &Job{ID: id, Record: storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Priority: priority}}}
 	}
 	cases := []struct {
 		name string
@@ -155,11 +155,11 @@
 	core := c.nodes["n-0"].controller
 	c.sim.Run(500 * second)
 	core.machineTypes = map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}}
-	core.mirror.Machines["i-1"] = &Machine{ID: "i-1", Record: &bookkeeping.ShardMachine{Type: "m16", State: bookkeeping.MachineOpen}}
+	core.mirror.Machines["i-1"] = &Machine{ID: "i-1", Record: &storage.ShardMachine{Type: "m16", State: storage.MachineOpen}}
 	add := func(team string, age, cpus float64, tasks int) string {
 		id := fmt.Sprintf("j-%06d", len(core.mirror.Jobs))
-		core.mirror.Jobs[id] = &Job{ID: id, TaskStates: make([]uint8, tasks), TaskResources: Resources{CPUs: cpus}, Record: bookkeeping.OpenJob{
-			AcceptedAt: core.env.WallClock() - int64(age*float64(second)), Spec: bookkeeping.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}}}
+		core.mirror.Jobs[id] = &Job{ID: id, TaskStates: make([]uint8, tasks), TaskResources: Resources{CPUs: cpus}, Record: storage.OpenJob{
+			AcceptedAt: core.env.WallClock() - int64(age*float64(second)), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}}}
 		core.trackingOf(id).progressAt = core.now() // not hungry
 		return id
 	}
@@ -206,11 +206,11 @@
 	c := newCluster(t, 23)
 	c.start("n-0")
 	core := c.nodes["n-0"].controller
-	job := &Job{ID: "j-1", TaskResources: Resources{CPUs: 2}, Record: bookkeeping.OpenJob{Spec: bookkeeping.JobSpec{CPUs: 2}}}
-	update := NewShardUpdate("p", nil, &bookkeeping.Shard{})
+	job := &Job{ID: "j-1", TaskResources: Resources{CPUs: 2}, Record: storage.OpenJob{Spec: storage.JobSpec{CPUs: 2}}}
+	update := NewShardUpdate("p", nil, &storage.Shard{})
 	var candidates []*candidateMachine
 	for i := 0; i < 4*sampleAboveMachines; i++ {
-		machine := &Machine{ID: TaskID{"i", i}.String(), CachedImages: map[string]bool{}, Record: &bookkeeping.ShardMachine{Type: "m8", Zone: "a"}}
+		machine := &Machine{ID: TaskID{"i", i}.String(), CachedImages: map[string]bool{}, Record: &storage.ShardMachine{Type: "m8", Zone: "a"}}
 		candidates = append(candidates, &candidateMachine{machine: machine, record: machine.Record, update: update, freeResources: Resources{CPUs: 1}})
 	}
 	zones := newZoneConstraint(core.mirror, job)
@@ -247,12 +247,12 @@
 	for _, tc := range []struct {
 		typ  string
 		spot bool
-		want micros.Micros
+		want monotime.Micros
 	}{
 		{"both", true, 20 * second}, {"both", false, 5 * second}, {"no spot", false, 20 * second},
 		{"no gain", false, 20 * second}, {"no gain", true, 20 * second}, {"unknown", false, 20 * second},
 	} {
-		if got := core.scaleInDelay(&bookkeeping.ShardMachine{Type: tc.typ, Spot: tc.spot}); got != tc.want {
+		if got := core.scaleInDelay(&storage.ShardMachine{Type: tc.typ, Spot: tc.spot}); got != tc.want {
 			t.Errorf("%s, spot %v: %v s", tc.typ, tc.spot, got.Seconds())
 		}
 	}
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Shards whose owner has gone, and how shards change hands.
@@ -12,13 +12,13 @@
 	// while all controllers use up what there is that is never: one that was back claimed
 	// its six shards after 3.6 s. Where nothing else must change along, each goes by itself.
 	maxShardsWhenThrottled = 1
-	recentThrottleWindow   = 2 * micros.Second
+	recentThrottleWindow   = 2 * monotime.Second
 	maxCommitBytes         = 56 << 10 // bytes of a commit, as the state service counts them
 )
 
 // claimOrphanedShards claims the shards of our earlier lives, and those of controllers that
 // have gone and whose successor we are: whole shards, many to a commit.
-func (c *Controller) claimOrphanedShards(now micros.Micros) {
+func (c *Controller) claimOrphanedShards(now monotime.Micros) {
 	if c.storeUnavailable || !c.holdsLease(now) {
 		return
 	}
@@ -43,7 +43,7 @@
 
 // isSuccessorFor tells whether we are to claim a shard whose owner has gone: an earlier
 // incarnation of ours, or another controller and we are its successor.
-func (c *Controller) isSuccessorFor(shard *Shard, controllers []string, now micros.Micros) bool {
+func (c *Controller) isSuccessorFor(shard *Shard, controllers []string, now monotime.Micros) bool {
 	owner := shard.Record.Owner
 	if owner == c.node {
 		return shard.Record.Incarnation != c.incarnation
@@ -51,7 +51,7 @@
 	if c.isMember(owner) {
 		return false
 	}
-	return now-c.absentSince(owner, now) > micros.Second && rendezvousOwner(shard.Name, controllers) == c.node
+	return now-c.absentSince(owner, now) > monotime.Second && rendezvousOwner(shard.Name, controllers) == c.node
 }
 
 // claimShards takes over shards of one owner, as many as a commit takes.
@@ -61,7 +61,7 @@
 	for _, shard := range shards {
 		c.shardClaimsInFlight[shard.Name] = true
 	}
-	c.commitTxn(bookkeeping.PriorityClaim, txn, func(result protocol.StoreResult) {
+	c.commitTxn(storage.PriorityClaim, txn, func(result protocol.StoreResult) {
 		machines := 0
 		for _, shard := range shards {
 			delete(c.shardClaimsInFlight, shard.Name)
@@ -105,7 +105,7 @@
 		}
 		bytes += size
 		taken++
-		key := bookkeeping.Key(bookkeeping.KindShard, shard.Name)
+		key := storage.Key(storage.KindShard, shard.Name)
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: shard.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 		for team, r := range shard.UseByTeam {
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -6,51 +6,51 @@
 	"sort"
 	"strings"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Bounds of shards and turns.
 const (
-	maxInFlightCommitWait    = 600 * micros.Millisecond // a commit in flight holds the next pass up for so long
-	claimRequestTimeout      = 2500 * micros.Millisecond
+	maxInFlightCommitWait    = 600 * monotime.Millisecond // a commit in flight holds the next pass up for so long
+	claimRequestTimeout      = 2500 * monotime.Millisecond
 	bytesPerMachine          = 60 // bytes that a machine takes in a shard, with its partition of the jobs' ids
 	bytesPerCPU              = 7  // and what tasks on each of its CPUs take: 14 for one of 2 CPUs
-	staleEntriesRewriteDelay = 5 * micros.Second
+	staleEntriesRewriteDelay = 5 * monotime.Second
 	maxShardFill             = 0.95 // of a value: up to this a shard is filled
 )
 
 // shardTracker is what we note about one of our shards beside the mirror.
 type shardTracker struct {
-	commitInFlightSince micros.Micros // a commit of ours is in flight since then; 0: none
+	commitInFlightSince monotime.Micros // a commit of ours is in flight since then; 0: none
 	// What commits in flight or without an answer may yet bring about. Each was
 	// conditional on a version of the shard, and only once the mirror shows another
 	// is it settled whether it came about. Until then nothing later that is said of
 	// the shard clears it: a second commit that fails may fail because of the first.
 	updatesInDoubt []*ShardUpdate
-	staleSince     micros.Micros // since when it holds entries of jobs that are over, or marks that aren't true any more
+	staleSince     monotime.Micros // since when it holds entries of jobs that are over, or marks that aren't true any more
 }
 
 // claimRequest is a machine's worker that waits to be claimed by us.
 type claimRequest struct {
 	report      protocol.Heartbeat
 	fromShard   *Shard // of another partition, if it has lost its owner
-	requestedAt micros.Micros
+	requestedAt monotime.Micros
 	callbacks   []func(ok bool)
 }
 
 // observedClaim is since when we know of the claim that a shard is held under.
 type observedClaim struct {
 	number, incarnation uint64
-	observedAt          micros.Micros
+	observedAt          monotime.Micros
 }
 
 // ShardUpdate is a shard as it will be written.
 type ShardUpdate struct {
 	Name              string
 	Previous          *Shard // nil: a new shard
-	Next              *bookkeeping.Shard
+	Next              *storage.Shard
 	Changed           bool
 	MaxBytes          int                  // bytes that it may come to take
 	PlannedBytes      int                  // and those that its machines will need once they are full
@@ -102,7 +102,7 @@
 	}
 }
 
-func NewShardUpdate(name string, previous *Shard, next *bookkeeping.Shard) *ShardUpdate {
+func NewShardUpdate(name string, previous *Shard, next *storage.Shard) *ShardUpdate {
 	return &ShardUpdate{Name: name, Previous: previous, Next: next, ComparedKeys: map[string]bool{}, FreedByMachine: map[string]Resources{}, FreedByTeam: map[string]Resources{},
 		AssignedByMachine: map[string]Resources{}, AssignedByTeam: map[string]Resources{}, AssignedTasks: map[TaskID]bool{}, AssignedJobs: map[string]bool{},
 		CompletedTaskJobs: map[string]bool{}, ReleasedTasks: map[TaskID]bool{}, AdmittedMachines: map[string]*claimRequest{}, MachinesToSync: map[string]bool{}}
@@ -148,7 +148,7 @@
 func (c *Controller) onShardChange(name string) {
 	shard := c.mirror.Shards[name]
 	if tracker := c.shardTrackers[name]; tracker != nil {
-		tracker.resolveUpdates(c.mirror.VersionOf(bookkeeping.Key(bookkeeping.KindShard, name)))
+		tracker.resolveUpdates(c.mirror.VersionOf(storage.Key(storage.KindShard, name)))
 	}
 	if shard == nil {
 		delete(c.shardTrackers, name)
@@ -172,7 +172,7 @@
 // changed is written once. However many tasks start and end, that is what it
 // costs; when there is more to write than the state service takes, passes come
 // less often and each carries more.
-func (c *Controller) runSchedulingPass(now micros.Micros) {
+func (c *Controller) runSchedulingPass(now monotime.Micros) {
 	if c.storeUnavailable || !c.holdsLease(now) || c.quotaWriteInFlight {
 		return // assignments depend on the shares being written just now
 	}
@@ -196,7 +196,7 @@
 	for _, name := range sortedKeys(c.newShards) {
 		if tracker := c.trackerOf(name); tracker.commitInFlightSince == 0 {
 			update := NewShardUpdate(name, nil, c.newShards[name])
-			update.Changed, update.Next.Machines, update.Next.Jobs = true, map[string]*bookkeeping.ShardMachine{}, map[string]*bookkeeping.ShardJob{}
+			update.Changed, update.Next.Machines, update.Next.Jobs = true, map[string]*storage.ShardMachine{}, map[string]*storage.ShardJob{}
 			update.MaxBytes = update.Next.MaxEncodedSize()
 			updates = append(updates, update)
 		}
@@ -214,12 +214,12 @@
 			}
 		}
 	}
-	c.nextSchedulingPassAt = now + max(2*fastTickInterval, micros.FromSeconds(float64(written)/c.shardWriteRate()))
+	c.nextSchedulingPassAt = now + max(2*fastTickInterval, monotime.FromSeconds(float64(written)/c.shardWriteRate()))
 }
 
 // prepareShardUpdate prepares the next version of a shard: outcomes, machines proven gone,
 // states, and entries of jobs that are over.
-func (c *Controller) prepareShardUpdate(shard *Shard, now micros.Micros) *ShardUpdate {
+func (c *Controller) prepareShardUpdate(shard *Shard, now monotime.Micros) *ShardUpdate {
 	update := NewShardUpdate(shard.Name, shard, shard.Record.Clone())
 	tracker := c.trackerOf(shard.Name)
 	update.Changed = len(tracker.updatesInDoubt) > 0 // writing it anew settles what became of that
@@ -302,7 +302,7 @@
 // plannedShardBytes is the room that a shard's machines will need once they are full. Going by
 // what they take while they are empty put a third more of them into a shard than it
 // had room for the tasks of: they stood half empty beside waiting tasks.
-func (c *Controller) plannedShardBytes(shardRecord *bookkeeping.Shard) int {
+func (c *Controller) plannedShardBytes(shardRecord *storage.Shard) int {
 	n := 0
 	for _, machineRecord := range shardRecord.Machines {
 		n += c.shardBytesForMachine(machineRecord.Type)
@@ -311,9 +311,9 @@
 }
 
 // commitShardUpdate commits an update.
-func (c *Controller) commitShardUpdate(update *ShardUpdate, now micros.Micros) {
+func (c *Controller) commitShardUpdate(update *ShardUpdate, now monotime.Micros) {
 	tracker := c.trackerOf(update.Name)
-	key := bookkeeping.Key(bookkeeping.KindShard, update.Name)
+	key := storage.Key(storage.KindShard, update.Name)
 	if update.Previous == nil && len(update.Next.Machines) == 0 && len(tracker.updatesInDoubt) == 0 {
 		delete(c.newShards, update.Name)
 		return
@@ -331,7 +331,7 @@
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
 	tracker.commitInFlightSince, tracker.updatesInDoubt = max(now, 1), append(tracker.updatesInDoubt, update)
-	c.commitTxn(bookkeeping.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+	c.commitTxn(storage.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		tracker.commitInFlightSince = 0
 		c.schedulingNeeded = true
 		if len(update.Txn.Then) > 0 {
@@ -366,16 +366,16 @@
 			c.log.Debug("shard compare-and-swap conflict", "shard", update.Name, "failed_keys", result.Failed)
 			for _, k := range result.Failed {
 				// The next pass would decide on the same outdated record.
-				if kind, name, _ := bookkeeping.SplitKey(k); kind == bookkeeping.KindOpenJob {
+				if kind, name, _ := storage.SplitKey(k); kind == storage.KindOpenJob {
 					c.trackingOf(name).placeNotBefore = max(c.trackingOf(name).placeNotBefore, c.now()+c.minWatchInterval)
 				}
 			}
 			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+c.minWatchInterval/2)
 		case protocol.Rejected:
 			c.log.Error("shard rejected by state service", "shard", update.Name)
-			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+micros.Second)
+			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+monotime.Second)
 		default:
-			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+300*micros.Millisecond)
+			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+300*monotime.Millisecond)
 		}
 	})
 }
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -3,11 +3,11 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // shortLeases are those of a platform that reports often, and whose controllers take
@@ -27,7 +27,7 @@
 		st := &cfg.Facts.State
 		st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps = 200, 40, 16, 32
 	}
-	s.store = standin.NewStateStore(s.sim, 200, 40, 32)
+	s.store = fake.NewStateStore(s.sim, 200, 40, 32)
 	s.disconnectionSeen = map[string]bool{}
 	s.refuseConnections = true
 	for offer := range s.cloud.Capacity {
@@ -63,7 +63,7 @@
 }
 
 // crashAllExcept ends all controllers but one, which then has all machines.
-func crashAllExcept(stays string, at, duration micros.Micros) fault {
+func crashAllExcept(stays string, at, duration monotime.Micros) fault {
 	return fault{at, "all but one crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
 			if node != stays {
@@ -187,8 +187,8 @@
 	if len(names) < 2 {
 		t.Fatalf("the machines of n-1 in the zone stand in %d shards", len(names))
 	}
-	busy := bookkeeping.Key(bookkeeping.KindShard, names[0])
-	s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+	busy := storage.Key(storage.KindShard, names[0])
+	s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 		for _, cond := range txn.If {
 			if cond.Key == busy {
 				s.store.Rewrite(busy)
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -10,21 +10,21 @@
 	"testing"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 )
 
-const second = micros.Second
+const second = monotime.Second
 
 // cluster is three controllers (or more) on stand-ins, under one simulated clock.
 type cluster struct {
 	t                   testing.TB
-	sim                 *standin.SimClock
-	store               *standin.StateStore
-	cloud               *standin.Cloud
-	fleet               *standin.WorkerFleet
-	checker             *standin.Checker
+	sim                 *fake.SimClock
+	store               *fake.StateStore
+	cloud               *fake.Cloud
+	fleet               *fake.WorkerFleet
+	checker             *fake.Checker
 	nodeNames           []string
 	nodes               map[string]*simController
 	settings            config.Settings
@@ -35,17 +35,17 @@
 	zonesPartitioned    bool            // the zones can't reach each other
 	controllerDownSeen  map[string]bool // if set, machines that have noticed a controller's end: it says nothing to them from then on
 	disconnectionSeen   map[string]bool // if set, machines that have noticed a cut: what they try from then on is refused
-	commandDelay        func(worker *standin.Worker, req *protocol.CommandRequest) micros.Micros
+	commandDelay        func(worker *fake.Worker, req *protocol.CommandRequest) monotime.Micros
 	nextSubmission      int
-	onReport            func(worker *standin.Worker, node string, body []byte) // sees every report on its way
-	adjustFacts         func(*config.Config)                                   // changes what the platform hands over
-	onAccepted          func(id string)                                        // a job that was sent is accepted
-	refuseConnections   bool                                                   // controllers that are down refuse connections, rather than say nothing
-	pausedWork          map[string]*[]func()                                   // controllers that stand still: what waits for them
-	onCall              func(string)                                           // sees every call of a controller, in words
-	wire                func(node, kind, text string)                          // sees every call, hint and answer of a controller in wire form
-	commandCount        int                                                    // direct commands, and questions to workers
-	largestResponse     int                                                    // bytes of an answer, at most
+	onReport            func(worker *fake.Worker, node string, body []byte) // sees every report on its way
+	adjustFacts         func(*config.Config)                                // changes what the platform hands over
+	onAccepted          func(id string)                                     // a job that was sent is accepted
+	refuseConnections   bool                                                // controllers that are down refuse connections, rather than say nothing
+	pausedWork          map[string]*[]func()                                // controllers that stand still: what waits for them
+	onCall              func(string)                                        // sees every call of a controller, in words
+	wire                func(node, kind, text string)                       // sees every call, hint and answer of a controller in wire form
+	commandCount        int                                                 // direct commands, and questions to workers
+	largestResponse     int                                                 // bytes of an answer, at most
 }
 
 // simController is one controller; its env drops whatever belongs to an earlier life.
@@ -87,7 +87,7 @@
 
 // pause stops a controller for a while: its clocks run on, and all that comes to
 // it waits.
-func (c *cluster) pause(node string, duration micros.Micros) {
+func (c *cluster) pause(node string, duration monotime.Micros) {
 	wait := &[]func(){}
 	c.pausedWork[node] = wait
 	c.sim.After(duration, func() {
@@ -113,10 +113,10 @@
 	}
 }
 
-func (e *simEnv) Now() micros.Micros { return e.node.cluster.sim.Now() }
-func (e *simEnv) WallClock() int64   { return int64(e.node.cluster.sim.Now()) + 1_000_000_000_000 }
-func (e *simEnv) Rand() *rand.Rand   { return e.random }
-func (e *simEnv) After(duration micros.Micros, f func()) {
+func (e *simEnv) Now() monotime.Micros { return e.node.cluster.sim.Now() }
+func (e *simEnv) WallClock() int64     { return int64(e.node.cluster.sim.Now()) + 1_000_000_000_000 }
+func (e *simEnv) Rand() *rand.Rand     { return e.random }
+func (e *simEnv) After(duration monotime.Micros, f func()) {
 	e.node.cluster.sim.After(duration, e.whileAlive(f))
 }
 func (e *simEnv) CallStore(c *protocol.StoreCall, callback func(protocol.StoreResult)) {
@@ -131,7 +131,7 @@
 	e.node.cluster.cloud.Call(c, func(result protocol.CloudResult) { e.whileAlive(func() { back(result) })() })
 }
 
-func (e *simEnv) SendCommands(endpoint string, req *protocol.CommandRequest, within micros.Micros, callback func(protocol.CommandResult)) {
+func (e *simEnv) SendCommands(endpoint string, req *protocol.CommandRequest, within monotime.Micros, callback func(protocol.CommandResult)) {
 	c := e.node.cluster
 	c.commandCount++
 	e.reportCall(endpoint, req)
@@ -146,7 +146,7 @@
 	c.sim.After(within, func() { answer(protocol.CommandResult{}) })
 	if worker := c.fleet.ByEndpoint[endpoint]; worker != nil && !worker.Machine.Gone {
 		id := worker.Machine.ID
-		delay := 2 * micros.Millisecond
+		delay := 2 * monotime.Millisecond
 		if c.commandDelay != nil {
 			delay += c.commandDelay(worker, req)
 		}
@@ -157,7 +157,7 @@
 			} else {
 				result = worker.Execute(req)
 			}
-			c.sim.After(2*micros.Millisecond, func() { answer(result) })
+			c.sim.After(2*monotime.Millisecond, func() { answer(result) })
 		}
 		c.sim.After(delay, func() {
 			switch {
@@ -178,7 +178,7 @@
 		return
 	}
 	frame := PeerFrame(&status)
-	c.sim.After(2*micros.Millisecond, func() {
+	c.sim.After(2*monotime.Millisecond, func() {
 		if controller := c.nodes[node]; controller.controller != nil {
 			c.runWhenResumed(node, func() {
 				if controller.controller != nil {
@@ -195,22 +195,22 @@
 }
 
 func newCluster(t testing.TB, seed uint64) *cluster {
-	sim := standin.NewSimClock(seed)
+	sim := fake.NewSimClock(seed)
 	c := &cluster{t: t, sim: sim, nodeNames: []string{"n-0", "n-1", "n-2"}, nodes: map[string]*simController{},
 		settings: config.Defaults(), disconnectedPairs: map[string]bool{}, unreachableMachines: map[string]bool{}, mutedMachines: map[string]bool{}, pausedWork: map[string]*[]func(){},
 		teams: []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 12}}}
-	c.store = standin.NewStateStore(sim, 200, 50, 12)
-	c.cloud = standin.NewCloud(sim, testTypes)
+	c.store = fake.NewStateStore(sim, 200, 50, 12)
+	c.cloud = fake.NewCloud(sim, testTypes)
 	for _, typ := range testTypes {
 		for _, z := range typ.Zones {
-			c.cloud.Capacity[standin.OfferKey(typ.Name, z, false)] = 6
-			c.cloud.Capacity[standin.OfferKey(typ.Name, z, true)] = 3
+			c.cloud.Capacity[fake.OfferKey(typ.Name, z, false)] = 6
+			c.cloud.Capacity[fake.OfferKey(typ.Name, z, true)] = 3
 		}
 	}
-	c.checker = standin.NewChecker(sim, 32*second)
+	c.checker = fake.NewChecker(sim, 32*second)
 	c.checker.Limits["tight"] = 12
-	c.fleet = standin.NewWorkerFleet(sim, 2*second, 12*second, c.nodeNames, c.checker)
-	c.cloud.OnMachineUp = func(rented *standin.Machine) {
+	c.fleet = fake.NewWorkerFleet(sim, 2*second, 12*second, c.nodeNames, c.checker)
+	c.cloud.OnMachineUp = func(rented *fake.Machine) {
 		for _, typ := range testTypes {
 			if typ.Name == rented.Type {
 				c.fleet.MachineUp(rented, typ.CPUs)
@@ -218,9 +218,9 @@
 		}
 	}
 	c.cloud.OnMachineGone = c.fleet.MachineDown
-	c.fleet.SendHeartbeat = func(worker *standin.Worker, node string, body []byte, back func(int, []byte)) {
+	c.fleet.SendHeartbeat = func(worker *fake.Worker, node string, body []byte, back func(int, []byte)) {
 		if c.cannotReach(worker, node) && c.disconnectionSeen[worker.Machine.ID] {
-			c.sim.After(2*micros.Millisecond, func() { back(0, nil) })
+			c.sim.After(2*monotime.Millisecond, func() { back(0, nil) })
 			return
 		}
 		if c.cannotReach(worker, node) || c.mutedMachines[worker.Machine.ID] {
@@ -235,19 +235,19 @@
 		unavailable := c.nodes[node].controller == nil
 		if unavailable && c.controllerDownSeen != nil && !c.controllerDownSeen[worker.Machine.ID] {
 			c.controllerDownSeen[worker.Machine.ID] = true // its open connection is reset, new ones say nothing
-			c.sim.After(2*micros.Millisecond, func() { back(0, nil) })
+			c.sim.After(2*monotime.Millisecond, func() { back(0, nil) })
 			return
 		}
 		if c.refuseConnections && unavailable {
-			c.sim.After(2*micros.Millisecond, func() { back(0, nil) })
+			c.sim.After(2*monotime.Millisecond, func() { back(0, nil) })
 			return
 		}
-		c.sim.After(2*micros.Millisecond, func() {
+		c.sim.After(2*monotime.Millisecond, func() {
 			c.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(response Response) {
 				if c.unreachableMachines[worker.Machine.ID] {
 					return
 				}
-				c.sim.After(2*micros.Millisecond, func() { back(response.Status, response.Body) })
+				c.sim.After(2*monotime.Millisecond, func() { back(response.Status, response.Body) })
 			})
 		})
 	}
@@ -266,7 +266,7 @@
 }
 
 // cannotReach tells whether a machine and a controller can't reach each other.
-func (c *cluster) cannotReach(worker *standin.Worker, node string) bool {
+func (c *cluster) cannotReach(worker *fake.Worker, node string) bool {
 	return c.disconnectedPairs[worker.Machine.ID+"-"+node] || c.zonesPartitioned && worker.Machine.Zone != zoneOfController(node)
 }
 
@@ -356,10 +356,10 @@
 }
 
 // submit has a job accepted, retrying like a user.
-func (c *cluster) submit(run micros.Micros, options ...jobOption) string {
+func (c *cluster) submit(run monotime.Micros, options ...jobOption) string {
 	c.t.Helper()
 	id, j := c.newSubmission(options...)
-	c.fleet.Jobs[id] = standin.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
 	body := protocol.MustMarshal(j)
 	for i := 0; i < 30; i++ {
 		response := c.requestAndWait(c.nodeNames[i%len(c.nodeNames)], "POST", protocol.JobsPath, body)
@@ -380,7 +380,7 @@
 }
 
 // requireFinished waits until a job is told done, and checks that it is.
-func (c *cluster) requireFinished(id string, within micros.Micros) {
+func (c *cluster) requireFinished(id string, within monotime.Micros) {
 	c.t.Helper()
 	i := 0
 	ok := c.sim.RunUntil(within, func() bool {
@@ -418,6 +418,6 @@
 }
 
 // randomDuration is some time up to d.
-func (c *cluster) randomDuration(duration micros.Micros) micros.Micros {
-	return micros.Micros(c.sim.Rand.Int64N(int64(duration)))
+func (c *cluster) randomDuration(duration monotime.Micros) monotime.Micros {
+	return monotime.Micros(c.sim.Rand.Int64N(int64(duration)))
 }
--- a/internal/coordination/simulated_scenario_test.go
+++ b/internal/coordination/simulated_scenario_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 )
 
 // scenario plays users, jobs and faults on a cluster; the checker watches every step.
@@ -37,7 +37,7 @@
 }
 
 // addUser has a new user submit a job.
-func (s *scenario) addUser(run micros.Micros, options ...jobOption) *simUser {
+func (s *scenario) addUser(run monotime.Micros, options ...jobOption) *simUser {
 	u := s.newUser(run, options...)
 	u.eagerQueries = s.eagerQueries
 	s.users = append(s.users, u)
@@ -56,12 +56,12 @@
 }
 
 // pollFor looks every few milliseconds for a condition, for a time at most.
-func (s *scenario) pollFor(most micros.Micros, ok func() bool, then func()) {
+func (s *scenario) pollFor(most monotime.Micros, ok func() bool, then func()) {
 	if ok() || most <= 0 {
 		then()
 		return
 	}
-	s.sim.After(20*micros.Millisecond, func() { s.pollFor(most-20*micros.Millisecond, ok, then) })
+	s.sim.After(20*monotime.Millisecond, func() { s.pollFor(most-20*monotime.Millisecond, ok, then) })
 }
 
 func (s *scenario) restartController(node string) {
@@ -78,7 +78,7 @@
 }
 
 // runFaults runs the faults and then the aftermath.
-func (s *scenario) runFaults(faults []fault, lasting micros.Micros) {
+func (s *scenario) runFaults(faults []fault, lasting monotime.Micros) {
 	s.start(s.nodeNames...)
 	s.sim.Run(3 * second)
 	s.submitUsualJobs()
@@ -106,7 +106,7 @@
 	for _, worker := range s.fleet.Workers {
 		worker.Partitioned = false
 	}
-	s.checker.WatchWaiting(func() []standin.FreeMachine { return s.fleet.FreeMachines(machineMemoryGB) })
+	s.checker.WatchWaiting(func() []fake.FreeMachine { return s.fleet.FreeMachines(machineMemoryGB) })
 }
 
 func machineMemoryGB(machineType string) float64 {
@@ -121,7 +121,7 @@
 // checkAcceptedJobsKnown looks for accepted jobs about which no question was answered for too long.
 func (s *scenario) checkAcceptedJobsKnown() {
 	for _, u := range s.users {
-		if u.accepted && !u.finished && s.sim.Now()-u.answeredAt > standin.MaxUnanswered {
+		if u.accepted && !u.finished && s.sim.Now()-u.answeredAt > fake.MaxUnanswered {
 			s.checker.ReportUnanswered(u.id)
 		}
 		if !u.accepted {
@@ -130,7 +130,7 @@
 		if n := s.checker.MaxCompletions(u.id); n > maxCompletions {
 			s.t.Errorf("job %s: a task has completed %d times", u.id, n)
 		}
-		if at, complete := s.checker.IsJobCompleted(u.id); complete && !u.finished && s.sim.Now()-at > standin.MaxUnanswered {
+		if at, complete := s.checker.IsJobCompleted(u.id); complete && !u.finished && s.sim.Now()-at > fake.MaxUnanswered {
 			s.t.Errorf("job %s: all tasks have completed by %.0f s, its user isn't told", u.id, at.Seconds())
 		}
 	}
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 )
 
 // How long users wait for answers, and how often they ask, by the protocol.
@@ -23,24 +23,24 @@
 	eagerQueries bool // asks everywhere at once whenever something has changed
 	accepted     bool
 	finished     bool
-	answeredAt   micros.Micros // when a question was last answered with 200
+	answeredAt   monotime.Micros // when a question was last answered with 200
 	cancelling   bool
 }
 
 // newUser begins with the submission of a job whose tasks run for a time; 0: a service.
-func (c *cluster) newUser(run micros.Micros, options ...jobOption) *simUser {
+func (c *cluster) newUser(run monotime.Micros, options ...jobOption) *simUser {
 	id, j := c.newSubmission(options...)
 	if run == 0 {
 		j.Service = true
 	}
-	c.fleet.Jobs[id] = standin.JobBehavior{Team: j.Team, CPUs: j.CPUs, MemoryGB: j.MemoryGB, RunTime: run}
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, MemoryGB: j.MemoryGB, RunTime: run}
 	u := &simUser{cluster: c, id: id, body: protocol.MustMarshal(j)}
 	u.submit()
 	return u
 }
 
 // send asks a node and calls back once, with a status of 0 when no answer came in time.
-func (u *simUser) send(node, method, target string, body []byte, within micros.Micros, back func(status int, state string)) {
+func (u *simUser) send(node, method, target string, body []byte, within monotime.Micros, back func(status int, state string)) {
 	answered := false
 	answer := func(status int, state string) {
 		if !answered {
@@ -117,7 +117,7 @@
 		return
 	}
 	for i := range 4 {
-		u.cluster.sim.After(micros.Micros(1+3*i)*micros.Millisecond, func() {
+		u.cluster.sim.After(monotime.Micros(1+3*i)*monotime.Millisecond, func() {
 			for _, node := range u.cluster.nodeNames {
 				u.send(node, "GET", u.jobPath(), nil, pollTimeout, u.recordAnswer)
 				u.send(node, "POST", protocol.JobsPath, u.body, submitTimeout, u.recordAnswer)
--- a/internal/coordination/store_calls.go
+++ b/internal/coordination/store_calls.go
@@ -1,9 +1,9 @@
 package coordination
 
 import (
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // updateStoreBudgets sets this controller's part of the state service's limits. Load is
@@ -17,7 +17,7 @@
 	switch refused := c.counters.callsThrottled - c.throttledSeen; {
 	case refused > 0:
 		c.budgetMultiplier = max(1, c.budgetMultiplier*0.6)
-	case c.storeQueue.Len(bookkeeping.PriorityUserRequest)+c.storeQueue.Len(bookkeeping.PriorityShardUpdate)+c.storeQueue.Len(bookkeeping.PriorityJobResult) > 1:
+	case c.storeQueue.Len(storage.PriorityUserRequest)+c.storeQueue.Len(storage.PriorityShardUpdate)+c.storeQueue.Len(storage.PriorityJobResult) > 1:
 		c.budgetMultiplier = min(most, c.budgetMultiplier*1.3)
 	default:
 		c.budgetMultiplier = max(1, c.budgetMultiplier*0.9)
@@ -32,7 +32,7 @@
 	c.storeQueue.Reads.Rate, c.storeQueue.Reads.Burst = st.RPS*share, max(2, st.RPS*share/2)
 	c.storeQueue.Writes.Rate, c.storeQueue.Writes.Burst = st.WriteRPS*share, max(float64(st.TxnOps), st.WriteRPS*share/2)
 	// All watches together use at most a quarter of the store's requests.
-	c.minWatchInterval = max(50*micros.Millisecond, micros.FromSeconds(float64(live)/(st.RPS*0.25)))
+	c.minWatchInterval = max(50*monotime.Millisecond, monotime.FromSeconds(float64(live)/(st.RPS*0.25)))
 }
 
 // waitingUserCallsThreshold is how many calls of users may wait before shards make room for them.
@@ -54,14 +54,14 @@
 }
 
 func (c *Controller) userCallsWaiting() bool {
-	return c.storeQueue.Len(bookkeeping.PriorityUserRequest) > waitingUserCallsThreshold
+	return c.storeQueue.Len(storage.PriorityUserRequest) > waitingUserCallsThreshold
 }
 
-func (c *Controller) callStore(priority bookkeeping.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult)) {
+func (c *Controller) callStore(priority storage.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	if call.Timeout == 0 {
 		call.Timeout = storeTimeout
 	}
-	c.storeQueue.Add(bookkeeping.Call{StoreCall: call, Priority: priority, QueuedAt: c.now(), OnResult: callback})
+	c.storeQueue.Add(storage.Call{StoreCall: call, Priority: priority, QueuedAt: c.now(), OnResult: callback})
 	c.dispatchStoreCalls()
 }
 
@@ -73,7 +73,7 @@
 		if !ok {
 			if delay > 0 && !c.queueTimerArmed {
 				c.queueTimerArmed = true
-				c.env.After(max(delay, micros.Millisecond), func() { c.queueTimerArmed = false; c.dispatchStoreCalls() })
+				c.env.After(max(delay, monotime.Millisecond), func() { c.queueTimerArmed = false; c.dispatchStoreCalls() })
 			}
 			return
 		}
@@ -82,7 +82,7 @@
 			if result.Outcome == protocol.Throttled {
 				c.counters.callsThrottled++
 				c.lastThrottledAt = c.now()
-				if c.now()-queued.QueuedAt < 3*micros.Second {
+				if c.now()-queued.QueuedAt < 3*monotime.Second {
 					c.storeQueue.Requeue(queued, c.now())
 					c.dispatchStoreCalls()
 					return
@@ -107,8 +107,8 @@
 }
 
 // logStoreAvailability logs the beginning and the end of an outage, as this node sees it.
-func (c *Controller) logStoreAvailability(now micros.Micros) {
-	unavailable := c.lastStoreFailureAt > c.lastStoreSuccessAt && now-c.lastStoreSuccessAt > micros.Second
+func (c *Controller) logStoreAvailability(now monotime.Micros) {
+	unavailable := c.lastStoreFailureAt > c.lastStoreSuccessAt && now-c.lastStoreSuccessAt > monotime.Second
 	if unavailable == c.storeUnavailable {
 		return
 	}
@@ -124,13 +124,13 @@
 // storeUnreachableOnlyHere tells whether this node can't use the store while another can:
 // then it must hand its users and workers to the others. In an outage that all
 // share it goes on answering workers, or every lease would lapse.
-func (c *Controller) storeUnreachableOnlyHere(now micros.Micros) (peer string, alone bool) {
-	if !c.storeUnavailable || now-c.lastStoreSuccessAt < 2*micros.Second {
+func (c *Controller) storeUnreachableOnlyHere(now monotime.Micros) (peer string, alone bool) {
+	if !c.storeUnavailable || now-c.lastStoreSuccessAt < 2*monotime.Second {
 		return "", false
 	}
 	for _, node := range sortedKeys(c.peerStatuses.statuses) {
 		at := c.peerStatuses.statuses[node].storeReachableAt
-		if at != 0 && now-at < 1500*micros.Millisecond && at > c.lastStoreSuccessAt+1500*micros.Millisecond {
+		if at != 0 && now-at < 1500*monotime.Millisecond && at > c.lastStoreSuccessAt+1500*monotime.Millisecond {
 			return node, true
 		}
 	}
@@ -139,8 +139,8 @@
 
 // isIsolated tells whether we reach neither the store nor any other controller:
 // then it is we who are cut off, and users are better served elsewhere.
-func (c *Controller) isIsolated(now micros.Micros) bool {
-	if !c.storeUnavailable || now-c.lastStoreSuccessAt < 2*micros.Second || len(c.cfg.Peers) == 0 {
+func (c *Controller) isIsolated(now monotime.Micros) bool {
+	if !c.storeUnavailable || now-c.lastStoreSuccessAt < 2*monotime.Second || len(c.cfg.Peers) == 0 {
 		return false
 	}
 	for _, peer := range c.cfg.Peers {
@@ -156,7 +156,7 @@
 // whoever does has taken our machines over. One that has been round and comes back
 // within its lease has found nobody: it is we who are left, or its zone is cut off with
 // us, and it is answered as before.
-func (c *Controller) shouldRedirectAway(agent *Agent, now micros.Micros) bool {
+func (c *Controller) shouldRedirectAway(agent *Agent, now monotime.Micros) bool {
 	if !c.isIsolated(now) || now-c.leaseRenewalSentAt < c.durations.membershipTTL+takeoverDuration {
 		return false
 	}
@@ -167,7 +167,7 @@
 
 // commitTxn makes a conditional change; on success it is in the mirror before
 // back is called.
-func (c *Controller) commitTxn(priority bookkeeping.Priority, txn protocol.Transaction, callback func(protocol.StoreResult)) {
+func (c *Controller) commitTxn(priority storage.Priority, txn protocol.Transaction, callback func(protocol.StoreResult)) {
 	c.callStore(priority, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK {
 			c.mirror.ApplyCommit(&txn, result.Revision)
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"log/slog"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 type activityCounters struct {
@@ -29,7 +29,7 @@
 			" starved %v within_guarantee %v waiting %d pending_here %d"+
 			" backoff_ms %d update_in_flight %v mirror_stale %v)",
 			job.ID, job.Record.Spec.Class, job.Record.Spec.Team,
-			micros.Micros(c.env.WallClock()-job.Record.AcceptedAt).Seconds(), slack, missed, c.isStarved(job, c.now()), c.withinGuarantee(job), job.UnassignedTasks(), job.PendingInPartition(c.node),
+			monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt).Seconds(), slack, missed, c.isStarved(job, c.now()), c.withinGuarantee(job), job.UnassignedTasks(), job.PendingInPartition(c.node),
 			max(0, c.trackingOf(job.ID).placeNotBefore-c.now()).Milliseconds(), c.recordWritesInFlight[job.ID], c.mirror.WatchedRevision < job.Version)
 	}
 	shares := ""
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -5,27 +5,27 @@
 	"math"
 	"sort"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Bounds of how tasks move between parts.
 const (
-	minTasksPerRange        = 24                // tasks
-	maxTaskRangesPerJob     = 40                // of one job; what a value holds
-	ownerGracePeriod        = 3 * micros.Second // an owner that seems to have room gets so long to use it
-	reassignmentGracePeriod = 1 * micros.Second // and one that has just taken tasks over: they went round without a start
+	minTasksPerRange        = 24                  // tasks
+	maxTaskRangesPerJob     = 40                  // of one job; what a value holds
+	ownerGracePeriod        = 3 * monotime.Second // an owner that seems to have room gets so long to use it
+	reassignmentGracePeriod = 1 * monotime.Second // and one that has just taken tasks over: they went round without a start
 )
 
 // assignTaskRanges divides a new job among the partitions: whole to the one with most room, or
 // what the parts have room for, and the rest evenly. A job too large for any part
 // is so spread over all of them, and what binds stays in its own record.
-func (c *Controller) assignTaskRanges(spec *bookkeeping.JobSpec) []bookkeeping.TaskRange {
+func (c *Controller) assignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
 	n := spec.Tasks
 	controllers := c.connectedControllers()
 	if n == 1 || spec.OneZone || spec.Spread || len(controllers) == 0 {
-		return []bookkeeping.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
+		return []storage.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
 	}
 	capacities := c.capacityByPartition()
 	backlog := c.backlogCPUs()
@@ -44,7 +44,7 @@
 		partitions[i].room = max(0, partitions[i].room)
 	}
 	if n <= partitions[0].room || spec.Service {
-		return []bookkeeping.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
+		return []storage.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
 	}
 	left := n
 	for i := range partitions {
@@ -59,11 +59,11 @@
 		partitions[i].size += k
 		left -= k
 	}
-	var out []bookkeeping.TaskRange
+	var out []storage.TaskRange
 	at := 0
 	for _, p := range partitions {
 		if p.size > 0 {
-			out = append(out, bookkeeping.TaskRange{First: at, End: at + p.size, Partition: p.name})
+			out = append(out, storage.TaskRange{First: at, End: at + p.size, Partition: p.name})
 			at += p.size
 		}
 	}
@@ -95,7 +95,7 @@
 // reassignTaskRanges changes which parts place a job's tasks. Whatever a range's owner assigned
 // before stands in the shards by then, whatever it would assign after fails on the
 // record's version; so the new owner may begin once its mirror has come that far.
-func (c *Controller) reassignTaskRanges(job *Job, ranges []bookkeeping.TaskRange) bool {
+func (c *Controller) reassignTaskRanges(job *Job, ranges []storage.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
 	// handing a job to and fro without ever starting it.
@@ -109,8 +109,8 @@
 		return false
 	}
 	c.recordWritesInFlight[job.ID] = true
-	key := bookkeeping.Key(bookkeeping.KindOpenJob, job.ID)
-	c.commitTxn(bookkeeping.PriorityShardUpdate, protocol.Transaction{
+	key := storage.Key(storage.KindOpenJob, job.ID)
+	c.commitTxn(storage.PriorityShardUpdate, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Put: key, Value: value}},
 	}, func(result protocol.StoreResult) {
@@ -126,15 +126,15 @@
 // nextAllowedAt tells when something that costs a change may be done again, if all
 // controllers together may spend that partition of the store's changes on it: what is
 // spent here the shards lack.
-func (c *Controller) nextAllowedAt(fraction float64) micros.Micros {
-	return c.now() + micros.FromSeconds(float64(c.budgetSharers)/(fraction*c.cfg.Facts.State.WriteRPS))
+func (c *Controller) nextAllowedAt(fraction float64) monotime.Micros {
+	return c.now() + monotime.FromSeconds(float64(c.budgetSharers)/(fraction*c.cfg.Facts.State.WriteRPS))
 }
 
 // adoptOrphanedTasks takes over the waiting tasks of parts that have gone, or don't reach
 // their machines. Each job has
 // one successor for that, whether it has room for them or not: only their owner makes
 // room for services by stopping others' work, or rents for nobody else to place.
-func (c *Controller) adoptOrphanedTasks(jobs []*Job, now micros.Micros) {
+func (c *Controller) adoptOrphanedTasks(jobs []*Job, now monotime.Micros) {
 	controllers := c.connectedControllers()
 	for _, job := range jobs {
 		if now < c.nextOrphanedTasksTakeoverAt {
@@ -145,8 +145,8 @@
 		}
 		ranges := job.Record.TaskRanges
 		for _, taskRange := range job.Record.TaskRanges {
-			if !c.isMember(taskRange.Partition) && now-c.absentSince(taskRange.Partition, now) > micros.Second || c.isCutOffFromWorkers(taskRange.Partition, now) {
-				ranges = bookkeeping.AssignRange(ranges, taskRange.First, taskRange.End, c.node)
+			if !c.isMember(taskRange.Partition) && now-c.absentSince(taskRange.Partition, now) > monotime.Second || c.isCutOffFromWorkers(taskRange.Partition, now) {
+				ranges = storage.AssignRange(ranges, taskRange.First, taskRange.End, c.node)
 			}
 		}
 		if len(ranges) != len(job.Record.TaskRanges) || !sameTaskRanges(ranges, job.Record.TaskRanges) {
@@ -158,7 +158,7 @@
 }
 
 // absentSince tells since when a controller is missed.
-func (c *Controller) absentSince(node string, now micros.Micros) micros.Micros {
+func (c *Controller) absentSince(node string, now monotime.Micros) monotime.Micros {
 	at, ok := c.missingSince[node]
 	if !ok {
 		c.missingSince[node], at = now, now
@@ -166,7 +166,7 @@
 	return at
 }
 
-func sameTaskRanges(a, b []bookkeeping.TaskRange) bool {
+func sameTaskRanges(a, b []storage.TaskRange) bool {
 	for i := range a {
 		if a[i] != b[i] {
 			return false
@@ -179,7 +179,7 @@
 // that have gone, have no room for them, or haven't used what they seem to have.
 // That hands tasks on in one write, at the time when there is room, and lets each
 // part's room go to the most urgent tasks of all.
-func (c *Controller) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]Resources, now micros.Micros) {
+func (c *Controller) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]Resources, now monotime.Micros) {
 	freeCPUs := reserved.totalCPUs()
 	for _, candidate := range candidates {
 		if !candidate.heldBack && candidate.reservedForJob == "" {
@@ -257,7 +257,7 @@
 		if n == 0 || whole && n > room && c.isMember(taskRange.Partition) {
 			continue
 		}
-		if !c.reassignTaskRanges(job, bookkeeping.AssignRange(job.Record.TaskRanges, first, taskRange.End, c.node)) {
+		if !c.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, first, taskRange.End, c.node)) {
 			return 0
 		}
 		c.nextWorkStealAt = c.nextAllowedAt(0.1)
@@ -267,7 +267,7 @@
 }
 
 // reserveRoom keeps room for tasks that are about to be ours from what is less urgent.
-func reserveRoom(taskResources Resources, spec *bookkeeping.JobSpec, candidates []*candidateMachine, n int) {
+func reserveRoom(taskResources Resources, spec *storage.JobSpec, candidates []*candidateMachine, n int) {
 	for _, candidate := range candidates {
 		if n <= 0 {
 			return
@@ -286,7 +286,7 @@
 		if taskRange.Partition != c.node {
 			continue
 		}
-		if !c.reassignTaskRanges(job, bookkeeping.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to)) {
+		if !c.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to)) {
 			return false
 		}
 		c.nextWorkStealAt = c.nextAllowedAt(0.1)
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -3,11 +3,11 @@
 import (
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TestQuotaLeft: what a partition may still assign within a team's limit.
@@ -30,21 +30,21 @@
 		c := newCluster(t, 33)
 		c.start("n-0")
 		core := c.nodes["n-0"].controller
-		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindPartition, "n-0"), protocol.MustMarshal(&bookkeeping.Partition{
-			QuotaShares: map[string]bookkeeping.Resources{"tight": {CPUs: 10}}}), 3)
-		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindOpenJob, "j-1"), protocol.MustMarshal(&bookkeeping.OpenJob{
-			Spec: bookkeeping.JobSpec{Team: "tight", Tasks: 4, CPUs: 2}, TaskRanges: []bookkeeping.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
+		core.mirror.ApplyPut(storage.Key(storage.KindPartition, "n-0"), protocol.MustMarshal(&storage.Partition{
+			QuotaShares: map[string]storage.Resources{"tight": {CPUs: 10}}}), 3)
+		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
+			Spec: storage.JobSpec{Team: "tight", Tasks: 4, CPUs: 2}, TaskRanges: []storage.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
 		inc := tc.incarnation
 		if inc == 0 {
 			inc = core.incarnation
 		}
-		shard := &bookkeeping.Shard{Owner: tc.owner, Incarnation: inc, Claim: 1,
-			Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
-		shard.AddMachine("i-1", bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: bookkeeping.MachineOpen})
-		shard.Assign("j-1", bookkeeping.Attempt{Task: 0, Machine: "i-1", Number: 1})
-		shard.Assign("j-1", bookkeeping.Attempt{Task: 1, Machine: "i-1", Number: 1})
+		shard := &storage.Shard{Owner: tc.owner, Incarnation: inc, Claim: 1,
+			Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
+		shard.AddMachine("i-1", storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: storage.MachineOpen})
+		shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
+		shard.Assign("j-1", storage.Attempt{Task: 1, Machine: "i-1", Number: 1})
 		encoded, _ := shard.Encode()
-		core.mirror.ApplyPut(bookkeeping.Key(bookkeeping.KindShard, "p"), encoded, 5)
+		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
 			update := NewShardUpdate("p", core.mirror.Shards["p"], shard)
 			addTeamUse(update.AssignedByTeam, "tight", Resources{CPUs: 2}, 1)
@@ -87,7 +87,7 @@
 func TestOrphanedServicePreemptsLowerPriority(t *testing.T) {
 	c := newCluster(t, 34)
 	clear(c.cloud.Capacity)
-	c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 6
+	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 6
 	c.startWithLeader()
 	array := c.submit(400*second, withTasks(90)) // more than fits: no room stays free
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(array) == 24 }) {
@@ -127,7 +127,7 @@
 		t.Fatal("no service was placed by n-1")
 	}
 	c.kill("n-1")
-	c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = -100
+	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = -100
 	if !c.sim.RunUntil(60*second, all) {
 		t.Error("a service of the part that has gone is still down")
 	}
@@ -142,17 +142,17 @@
 	core := c.nodes["n-0"].controller
 	now := c.sim.Now()
 	id, array := "j-900000", "j-900001"
-	for name, spec := range map[string]bookkeeping.JobSpec{
+	for name, spec := range map[string]storage.JobSpec{
 		id:    {Team: "free", Service: true, Priority: 2, Tasks: 1, CPUs: 4},
 		array: {Team: "free", Priority: 1, Tasks: 4, CPUs: 2, Spot: true},
 	} {
 		core.mirror.Jobs[name] = &Job{ID: name, Version: 1, TaskStates: make([]uint8, spec.Tasks), TaskResources: Resources{CPUs: spec.CPUs},
-			Record: bookkeeping.OpenJob{Spec: spec, TaskRanges: []bookkeeping.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}}}}
+			Record: storage.OpenJob{Spec: spec, TaskRanges: []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}}}}
 	}
 	core.acceptedRevisions[id] = 1
-	other := &Shard{Name: "n-1.1", Record: &bookkeeping.Shard{Owner: "n-1"}, UseByTeam: map[string]Resources{}}
+	other := &Shard{Name: "n-1.1", Record: &storage.Shard{Owner: "n-1"}, UseByTeam: map[string]Resources{}}
 	core.mirror.Machines["i-9"] = &Machine{ID: "i-9", Shard: other, Used: Resources{CPUs: 8}, Attempts: map[TaskID]uint64{},
-		Record: &bookkeeping.ShardMachine{Type: "m8", Zone: "a", State: bookkeeping.MachineOpen}}
+		Record: &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen}}
 	for i := 0; i < 4; i++ {
 		core.mirror.Machines["i-9"].Attempts[TaskID{array, i}] = 1
 	}
@@ -176,17 +176,17 @@
 func TestUrgentJobIsStolenFirst(t *testing.T) {
 	c := newCluster(t, 300)
 	clear(c.cloud.Capacity)
-	c.cloud.Capacity[standin.OfferKey("m8", "a", false)] = 9
+	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 9
 	c.adjustFacts = func(cfg *config.Config) {
 		cfg.Facts.Objectives = []config.Objective{{Kind: "deadline", Class: "batch", Times: 1}}
 	}
 	c.startWithLeader()
 	give := func(id string, partitions ...string) {
 		core := c.nodes["n-0"].controller
-		var ranges []bookkeeping.TaskRange
+		var ranges []storage.TaskRange
 		n := core.mirror.Jobs[id].Record.Spec.Tasks
 		for i, p := range partitions {
-			ranges = append(ranges, bookkeeping.TaskRange{First: n * i / len(partitions), End: n * (i + 1) / len(partitions), Partition: p})
+			ranges = append(ranges, storage.TaskRange{First: n * i / len(partitions), End: n * (i + 1) / len(partitions), Partition: p})
 		}
 		if !c.sim.RunUntil(5*second, func() bool { return core.reassignTaskRanges(core.mirror.Jobs[id], ranges) }) {
 			t.Fatalf("%s can't be given to %v", id, partitions)
@@ -217,14 +217,14 @@
 	now := c.sim.Now()
 	mk := func(id string, service bool, cpus float64) *Job {
 		job := &Job{ID: id, Version: 1, TaskStates: make([]uint8, 1), TaskResources: Resources{CPUs: cpus},
-			Record: bookkeeping.OpenJob{Spec: bookkeeping.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus}}}
+			Record: storage.OpenJob{Spec: storage.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus}}}
 		core.mirror.Jobs[id] = job
 		return job
 	}
 	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
 	cand := func(id string) *candidateMachine {
-		return &candidateMachine{machine: &Machine{ID: id, CachedImages: map[string]bool{}}, record: &bookkeeping.ShardMachine{Type: "m8", Zone: "a"},
-			update: NewShardUpdate("n-0.1", nil, &bookkeeping.Shard{Jobs: map[string]*bookkeeping.ShardJob{}}), freeResources: Resources{CPUs: 2}}
+		return &candidateMachine{machine: &Machine{ID: id, CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"},
+			update: NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}), freeResources: Resources{CPUs: 2}}
 	}
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
 	core.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
@@ -269,7 +269,7 @@
 				t.Fatalf("%s has no share", gone)
 			}
 			sent := 0
-			s.store.DelayCommit = func(txn *protocol.Transaction) micros.Micros {
+			s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 				if !changesQuotaShares(txn, true) {
 					return 0
 				}
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strings"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Bounds of what waits for the store on behalf of users; past them the answer
@@ -32,8 +32,8 @@
 	c.counters.requestsDeferred++
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
 		c.log.Debug("request deferred", "status", status, "reason", text,
-			"user_calls", c.storeQueue.Len(bookkeeping.PriorityUserRequest),
-			"shard_calls", c.storeQueue.Len(bookkeeping.PriorityShardUpdate),
+			"user_calls", c.storeQueue.Len(storage.PriorityUserRequest),
+			"shard_calls", c.storeQueue.Len(storage.PriorityShardUpdate),
 			"waiting_readers", len(c.pendingReads))
 	}
 	response := errorResponse(status, text)
@@ -107,9 +107,9 @@
 	return Response{Status: 200}
 }
 
-func acceptedResponse(id string, status bookkeeping.JobState) Response {
+func acceptedResponse(id string, status storage.JobState) Response {
 	w := protocol.JobDone
-	if status == bookkeeping.JobCancelled {
+	if status == storage.JobCancelled {
 		w = protocol.JobCancelled
 	}
 	return Response{Status: 200, Body: protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: w})}
@@ -127,9 +127,9 @@
 	return Response{Status: 200, Body: protocol.MustMarshal(&jobStatus)}
 }
 
-func (c *Controller) finalStatusResponse(id string, status bookkeeping.JobState) Response {
+func (c *Controller) finalStatusResponse(id string, status storage.JobState) Response {
 	jobStatus := protocol.JobStatusReply{ID: id, Status: protocol.JobDone}
-	if status == bookkeeping.JobCancelled {
+	if status == storage.JobCancelled {
 		jobStatus.Status = protocol.JobCancelled
 	}
 	return Response{Status: 200, Body: protocol.MustMarshal(&jobStatus)}
@@ -152,7 +152,7 @@
 	if response, rejected := c.rejectIfUnavailable(); rejected {
 		return response, true
 	}
-	if c.storeQueue.Len(bookkeeping.PriorityUserRequest) >= c.maxQueuedUserCalls() {
+	if c.storeQueue.Len(storage.PriorityUserRequest) >= c.maxQueuedUserCalls() {
 		return c.retryLater(429, "too many requests"), true
 	}
 	return Response{}, false
@@ -194,7 +194,7 @@
 		respond(c.retryLater(503, "machine types not known yet"))
 		return
 	}
-	spec := bookkeeping.JobSpecOf(submission)
+	spec := storage.JobSpecOf(submission)
 	if why := c.unsatisfiableReason(&spec); why != "" {
 		c.lookUpJobOr(submission.ID, errorResponse(422, why), respond)
 		return
@@ -204,7 +204,7 @@
 		return
 	}
 	c.countSubmission(&spec)
-	if c.isRateLimited(&spec) && c.storeQueue.Len(bookkeeping.PriorityBurst) >= c.maxQueuedBurstCalls() {
+	if c.isRateLimited(&spec) && c.storeQueue.Len(storage.PriorityBurst) >= c.maxQueuedBurstCalls() {
 		response := c.retryLater(429, "too many jobs of this team")
 		response.RetryAfter += 1 + int(c.env.Rand().Int64N(3))
 		respond(response)
@@ -224,7 +224,7 @@
 }
 
 // unsatisfiableReason tells why a job can never run, or "".
-func (c *Controller) unsatisfiableReason(spec *bookkeeping.JobSpec) string {
+func (c *Controller) unsatisfiableReason(spec *storage.JobSpec) string {
 	team, ok := c.teamLimits(spec.Team)
 	if !ok {
 		return "unknown team"
@@ -272,20 +272,20 @@
 	return available
 }
 
-func (c *Controller) acceptJob(id string, spec bookkeeping.JobSpec, respond func(Response)) {
-	record := bookkeeping.OpenJob{Spec: spec, AcceptedAt: c.env.WallClock(), TaskRanges: c.assignTaskRanges(&spec)}
+func (c *Controller) acceptJob(id string, spec storage.JobSpec, respond func(Response)) {
+	record := storage.OpenJob{Spec: spec, AcceptedAt: c.env.WallClock(), TaskRanges: c.assignTaskRanges(&spec)}
 	value := protocol.MustMarshal(&record)
 	// The stored form is counted as JSON: about twice the packed one here.
 	if len(value)*2 > c.maxValueBytes() {
 		c.lookUpJobOr(id, errorResponse(400, "names too long to be kept"), respond)
 		return
 	}
-	openKey := bookkeeping.Key(bookkeeping.KindOpenJob, id)
+	openKey := storage.Key(storage.KindOpenJob, id)
 	txn := protocol.Transaction{
-		If:   []protocol.Compare{{Key: openKey, Version: 0}, {Key: bookkeeping.Key(bookkeeping.KindJobResult, id), Version: 0}},
+		If:   []protocol.Compare{{Key: openKey, Version: 0}, {Key: storage.Key(storage.KindJobResult, id), Version: 0}},
 		Then: []protocol.Op{{Put: openKey, Value: value}},
 	}
-	c.commitTxn(c.priorityClassOf(&spec, bookkeeping.PriorityUserRequest), txn, func(result protocol.StoreResult) {
+	c.commitTxn(c.priorityClassOf(&spec, storage.PriorityUserRequest), txn, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
 			c.counters.jobsAccepted++
@@ -327,7 +327,7 @@
 			respond(c.finalStatusResponse(id, status))
 			return
 		}
-		if c.storeQueue.Len(bookkeeping.PriorityUserRequest) >= c.maxQueuedUserCalls() {
+		if c.storeQueue.Len(storage.PriorityUserRequest) >= c.maxQueuedUserCalls() {
 			respond(c.retryLater(429, "too many requests"))
 			return
 		}
@@ -348,8 +348,8 @@
 
 // readFinalStatus answers with a job's final state, or goes on if the store has none.
 func (c *Controller) readFinalStatus(id string, respond func(Response), none func()) {
-	c.readRecord(bookkeeping.KindJobResult, id, respond, none, func(value protocol.Raw) {
-		var result bookkeeping.JobResult
+	c.readRecord(storage.KindJobResult, id, respond, none, func(value protocol.Raw) {
+		var result storage.JobResult
 		if protocol.Unmarshal(value, &result) != nil {
 			respond(c.retryLater(503, "final state can't be read"))
 			return
@@ -361,15 +361,15 @@
 
 // readOpenRecord answers for a job that has an open record, or goes on if it has none.
 func (c *Controller) readOpenRecord(id string, respond func(Response), none func()) {
-	c.readRecord(bookkeeping.KindOpenJob, id, respond, none, func(protocol.Raw) {
+	c.readRecord(storage.KindOpenJob, id, respond, none, func(protocol.Raw) {
 		respond(Response{Status: 200, Body: protocol.MustMarshal(&protocol.JobStatusReply{ID: id, Status: protocol.JobPending})})
 	})
 }
 
 // readRecord reads a job's record of a kind; without the store it answers at once.
 func (c *Controller) readRecord(kind, id string, respond func(Response), none func(), found func(protocol.Raw)) {
-	call := &protocol.StoreCall{Op: protocol.StoreGet, Key: bookkeeping.Key(kind, id)}
-	c.callStore(bookkeeping.PriorityUserRequest, call, func(result protocol.StoreResult) {
+	call := &protocol.StoreCall{Op: protocol.StoreGet, Key: storage.Key(kind, id)}
+	c.callStore(storage.PriorityUserRequest, call, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
 			found(result.Item.Value)
@@ -436,16 +436,16 @@
 // cancelJob writes the answer of a job that has been accepted, unless it has one: done
 // and cancelled exclude each other by that, and every assignment asks for it.
 func (c *Controller) cancelJob(id string, respond func(Response)) {
-	key := bookkeeping.Key(bookkeeping.KindJobResult, id)
-	c.commitTxn(bookkeeping.PriorityCancellation, protocol.Transaction{
+	key := storage.Key(storage.KindJobResult, id)
+	c.commitTxn(storage.PriorityCancellation, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&bookkeeping.JobResult{State: bookkeeping.JobCancelled})}},
+		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})}},
 	}, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
 			c.log.Debug("job cancelled", "job", id)
 			c.cancellations.Add(cancellation.Committed{Job: id, Revision: result.Revision})
-			respond(acceptedResponse(id, bookkeeping.JobCancelled))
+			respond(acceptedResponse(id, storage.JobCancelled))
 		case protocol.Conflict:
 			c.lookUpJob(id, func(rep Response) {
 				if status, ok := c.mirror.Results.Get(id); ok {
@@ -463,7 +463,7 @@
 
 // typeAndZoneAllowed tells whether a job's tasks may run on a type in a zone; a zone of ""
 // leaves the zone open.
-func typeAndZoneAllowed(spec *bookkeeping.JobSpec, typeName, zone string) bool {
+func typeAndZoneAllowed(spec *storage.JobSpec, typeName, zone string) bool {
 	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, typeName) {
 		return false
 	}
--- a/internal/coordination/user_requests_test.go
+++ b/internal/coordination/user_requests_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // TestJobsRunToCompletion: accepted, rented for, run, told done, machines given back.
@@ -15,7 +15,7 @@
 	cases := []struct {
 		name string
 		job  jobOption
-		run  micros.Micros
+		run  monotime.Micros
 	}{
 		{"one task", jobWith(), 3 * second},
 		{"more tasks than a row", jobWith(withTasks(70), withCPUs(1)), 3 * second},
@@ -39,7 +39,7 @@
 			}
 			c.sim.Run(60 * second)
 			for _, kind := range []string{"open", "page", "ask"} {
-				if keys := c.store.Keys(bookkeeping.KeyPrefix + kind); len(keys) > 0 {
+				if keys := c.store.Keys(storage.KeyPrefix + kind); len(keys) > 0 {
 					t.Errorf("records left behind: %v", keys)
 				}
 			}
@@ -182,10 +182,10 @@
 func TestCancelInEveryState(t *testing.T) {
 	cases := []struct {
 		name string
-		wait micros.Micros // before the abort
-		run  micros.Micros
+		wait monotime.Micros // before the abort
+		run  monotime.Micros
 	}{
-		{"at once", 0, 0}, {"racing the start", 13 * second, 0}, {"running", 30 * second, 0}, {"racing done", 14500 * micros.Millisecond, second},
+		{"at once", 0, 0}, {"racing the start", 13 * second, 0}, {"running", 30 * second, 0}, {"racing done", 14500 * monotime.Millisecond, second},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -210,7 +210,7 @@
 			if n := c.fleet.Running(id); n > 0 {
 				t.Errorf("%d tasks of a job that is over", n)
 			}
-			if keys := c.store.Keys(bookkeeping.KeyPrefix + "open"); len(keys) > 0 {
+			if keys := c.store.Keys(storage.KeyPrefix + "open"); len(keys) > 0 {
 				t.Errorf("left behind: %v", keys)
 			}
 			c.requireNoViolations()
@@ -233,8 +233,8 @@
 		}
 	})
 	c.sim.Run(2 * second)
-	var kept bookkeeping.JobResult
-	if !c.store.Read(bookkeeping.Key(bookkeeping.KindJobResult, id), &kept) || kept.State != bookkeeping.JobDone {
+	var kept storage.JobResult
+	if !c.store.Read(storage.Key(storage.KindJobResult, id), &kept) || kept.State != storage.JobDone {
 		t.Errorf("the store holds %+v", kept)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -12,7 +12,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/coordination"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/transport"
 )
@@ -28,7 +28,7 @@
 // environment is the core's environment in a running daemon. It belongs to the core's
 // goroutine; only its mailbox is spoken to from others.
 type environment struct {
-	clock               func() micros.Micros
+	clock               func() monotime.Micros
 	random              *rand.Rand
 	mailbox             chan func()
 	store               *transport.Client
@@ -40,11 +40,11 @@
 	timers              timerHeap
 }
 
-func (w *environment) Now() micros.Micros { return w.clock() }
-func (w *environment) WallClock() int64   { return time.Now().UnixMicro() }
-func (w *environment) Rand() *rand.Rand   { return w.random }
+func (w *environment) Now() monotime.Micros { return w.clock() }
+func (w *environment) WallClock() int64     { return time.Now().UnixMicro() }
+func (w *environment) Rand() *rand.Rand     { return w.random }
 
-func (w *environment) After(d micros.Micros, f func()) { w.timers.schedule(w.clock()+d, f) }
+func (w *environment) After(d monotime.Micros, f func()) { w.timers.schedule(w.clock()+d, f) }
 
 func (w *environment) CallStore(c *protocol.StoreCall, back func(protocol.StoreResult)) {
 	go func() {
@@ -61,11 +61,11 @@
 }
 
 func (w *environment) SendCommands(
-	endpoint string, req *protocol.CommandRequest, within micros.Micros, back func(protocol.CommandResult),
+	endpoint string, req *protocol.CommandRequest, within monotime.Micros, back func(protocol.CommandResult),
 ) {
 	if w.commandsInFlight >= w.maxCommandsInFlight {
 		// Guards the socket limit; the worker's next report brings the commands.
-		w.After(micros.Millisecond, func() { back(protocol.CommandResult{}) })
+		w.After(monotime.Millisecond, func() { back(protocol.CommandResult{}) })
 		return
 	}
 	client := w.workers.client(endpoint)
@@ -92,7 +92,7 @@
 	quota := cfg.Facts.Quota
 	debug.SetMemoryLimit(int64(quota.MemoryMB * 0.55 * (1 << 20)))
 
-	clock := micros.NewClock()
+	clock := monotime.NewClock()
 	e := &environment{
 		clock:   clock,
 		random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
@@ -118,8 +118,8 @@
 		// A fifth of the sockets is left for outbound calls and for what the
 		// loop has accepted but not yet closed.
 		MaxConns:       max(16, sockets*8/10-32),
-		IdleTimeout:    60 * micros.Second,
-		RequestTimeout: 10 * micros.Second,
+		IdleTimeout:    60 * monotime.Second,
+		RequestTimeout: 10 * monotime.Second,
 		OnRequest: func(r *transport.Request) {
 			f := func() {
 				core.HandleRequest(r.Message.Method, r.Message.Target, r.Message.Body, func(reply coordination.Response) {
@@ -159,7 +159,7 @@
 			return fmt.Errorf("server on %s: %w", cfg.PublicAddr, err)
 		}
 		e.timers.runDue(clock())
-		if now := clock(); now-summary > 30*micros.Second {
+		if now := clock(); now-summary > 30*monotime.Second {
 			summary = now
 			log.Info("summary", "counts", core.Summary())
 			core.LogQueue()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/transport"
 )
@@ -41,7 +41,7 @@
 	client := transport.NewClient(cfg.PublicAddr, 1, 1024)
 	up := false
 	for i := 0; i < 400 && !up; i++ {
-		_, err := client.Do("GET", "/healthz", nil, 5*micros.Second)
+		_, err := client.Do("GET", "/healthz", nil, 5*monotime.Second)
 		up = err == nil
 		if !up {
 			time.Sleep(10 * time.Millisecond) // until the listener is there
@@ -60,7 +60,7 @@
 		{"POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
-		m, err := client.Do(tc.method, tc.target, tc.body, 10*micros.Second)
+		m, err := client.Do(tc.method, tc.target, tc.body, 10*monotime.Second)
 		if err != nil || m.Status != tc.want {
 			t.Errorf("%s %s: %+v %v, want %d", tc.method, tc.target, m, err, tc.want)
 			continue
@@ -87,7 +87,7 @@
 	if most := 140*8/10 - 32; answered == 0 || answered > most {
 		t.Errorf("%d connections answered, at most %d are to be kept", answered, most)
 	}
-	if m, err := client.Do("GET", "/healthz", nil, 10*micros.Second); err != nil || m.Status != 503 {
+	if m, err := client.Do("GET", "/healthz", nil, 10*monotime.Second); err != nil || m.Status != 503 {
 		t.Errorf("after the flood: %+v %v", m, err)
 	}
 	select {
@@ -102,7 +102,7 @@
 func TestTimersRunInOrderOfTime(t *testing.T) {
 	var timers timerHeap
 	got := ""
-	add := func(at micros.Micros, name string) { timers.schedule(at, func() { got += name }) }
+	add := func(at monotime.Micros, name string) { timers.schedule(at, func() { got += name }) }
 	add(30, "c")
 	add(10, "a")
 	add(10, "b")
@@ -115,7 +115,7 @@
 		t.Errorf("ran %q", got)
 	}
 	timers.runDue(30)
-	if got != "ab-dc" || timers.untilNext(30) != micros.Minute {
+	if got != "ab-dc" || timers.untilNext(30) != monotime.Minute {
 		t.Errorf("ran %q", got)
 	}
 }
--- a/internal/daemon/frame_size_test.go
+++ b/internal/daemon/frame_size_test.go
@@ -7,7 +7,7 @@
 
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/coordination"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // TestPeerStatusFitsFrame: whatever has been cancelled, each status fits into a frame between
@@ -22,7 +22,7 @@
 			failing[id] = i
 		}
 	}
-	messages := relay.MessagesFor("n-1", micros.Minute, 1, true)
+	messages := relay.MessagesFor("n-1", monotime.Minute, 1, true)
 	if len(messages) < 5 {
 		t.Fatalf("%d messages", len(messages))
 	}
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -3,7 +3,7 @@
 import (
 	"container/heap"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // timerHeap holds the core's timers on the core's own goroutine, so that one
@@ -14,7 +14,7 @@
 }
 
 type timerItem struct {
-	due      micros.Micros
+	due      monotime.Micros
 	seq      uint64
 	callback func()
 }
@@ -38,22 +38,22 @@
 	return x
 }
 
-func (h *timerHeap) schedule(at micros.Micros, f func()) {
+func (h *timerHeap) schedule(at monotime.Micros, f func()) {
 	h.seq++
 	heap.Push(&h.items, timerItem{at, h.seq, f})
 }
 
 // untilNext tells how long until the next timer is due.
-func (h *timerHeap) untilNext(now micros.Micros) micros.Micros {
+func (h *timerHeap) untilNext(now monotime.Micros) monotime.Micros {
 	if len(h.items) == 0 {
-		return micros.Minute
+		return monotime.Minute
 	}
 	return max(0, h.items[0].due-now)
 }
 
 // runDue runs what is due now. What that adds runs the next time, even if it is due:
 // a timer that sets itself anew for now must not keep the mailbox waiting.
-func (h *timerHeap) runDue(now micros.Micros) {
+func (h *timerHeap) runDue(now monotime.Micros) {
 	var due []func()
 	for len(h.items) > 0 && h.items[0].due <= now {
 		due = append(due, heap.Pop(&h.items).(timerItem).callback)
--- a/internal/daemon/worker_pool_test.go
+++ b/internal/daemon/worker_pool_test.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/transport"
 )
 
@@ -51,7 +51,7 @@
 	client := transport.NewClient(listener.Addr().String(), 1, 1024)
 	done := make(chan error)
 	go func() {
-		_, err := client.Do("GET", "/show", nil, 20*micros.Second)
+		_, err := client.Do("GET", "/show", nil, 20*monotime.Second)
 		done <- err
 	}()
 	<-asked
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/storage"
 )
 
 // Controller is who decides: what it owns, and what it knows of the others.
@@ -20,14 +20,14 @@
 // Decision is what a controller is to do now. Nothing of it has been done.
 type Decision struct {
 	// Granted are permits to add, by team.
-	Granted map[string][]bookkeeping.Permit
+	Granted map[string][]storage.Permit
 	// Stop are permits that stand and may be used now: their replicas are on own machines.
-	Stop []bookkeeping.Permit
+	Stop []storage.Permit
 	// Revoked are permits of own machines that must not be used. One that its owner has begun to
 	// use stays until it is over.
-	Revoked []bookkeeping.Permit
+	Revoked []storage.Permit
 	// Completed are permits that are fulfilled or without a purpose, by team.
-	Completed map[string][]bookkeeping.Permit
+	Completed map[string][]storage.Permit
 	// StopArrays are own machines whose other tasks may be stopped now.
 	StopArrays []string
 	// Blocked says what a drain waits for.
@@ -58,8 +58,8 @@
 }
 
 // permitBytes is what a permit takes in a record at most.
-func permitBytes(permit *bookkeeping.Permit) int {
-	return bookkeeping.PermitBytes + len(permit.Drain) + len(permit.Job) + len(permit.From) + len(permit.To)
+func permitBytes(permit *storage.Permit) int {
+	return storage.PermitBytes + len(permit.Drain) + len(permit.Job) + len(permit.From) + len(permit.To)
 }
 
 // decider works out one decision; its snapshot moves on with every permit that it grants.
@@ -87,7 +87,7 @@
 	d := &decider{
 		policy: p, snapshot: s, controller: c, availability: p.availabilityByScope(s),
 		noRoom: map[placementKey]bool{}, recordBytes: map[string]int{},
-		decision: &Decision{Granted: map[string][]bookkeeping.Permit{}, Completed: map[string][]bookkeeping.Permit{}},
+		decision: &Decision{Granted: map[string][]storage.Permit{}, Completed: map[string][]storage.Permit{}},
 	}
 	for _, team := range sortedKeys(s.permits) {
 		for i := range s.permits[team].Permits {
@@ -101,7 +101,7 @@
 }
 
 // reviewPermit decides what becomes of a permit.
-func (d *decider) reviewPermit(team string, permit *bookkeeping.Permit) {
+func (d *decider) reviewPermit(team string, permit *storage.Permit) {
 	d.recordBytes[team] += permitBytes(permit)
 	if d.completed(permit) {
 		if d.controller.Responsible(team) {
@@ -122,7 +122,7 @@
 
 // completed tells whether nothing is left to wait for: the service has ended, or the replica runs
 // by another attempt.
-func (d *decider) completed(permit *bookkeeping.Permit) bool {
+func (d *decider) completed(permit *storage.Permit) bool {
 	if _, known := d.snapshot.jobs[permit.Job]; !known {
 		return true
 	}
@@ -131,7 +131,7 @@
 }
 
 // holdsAttempt tells whether the attempt that a permit is for is still on a machine.
-func holdsAttempt(m *Machine, permit *bookkeeping.Permit) bool {
+func holdsAttempt(m *Machine, permit *storage.Permit) bool {
 	for _, r := range m.Replicas {
 		if r.Job == permit.Job && r.Task == permit.Task && r.Attempt == permit.Attempt {
 			return true
@@ -142,7 +142,7 @@
 
 // stillAllowed tells whether a permit that stands may be used now. The budget is looked at once
 // more: machines may have been lost since the permit was granted, or it was granted late.
-func (d *decider) stillAllowed(permit *bookkeeping.Permit, from *Machine) bool {
+func (d *decider) stillAllowed(permit *storage.Permit, from *Machine) bool {
 	record, ok := d.snapshot.drainCovering(from)
 	if !ok || record.Name != permit.Drain || !d.stepsAllowed(record) {
 		return false
@@ -158,7 +158,7 @@
 
 // stepsAllowed tells whether a drain may begin steps.
 func (d *decider) stepsAllowed(record *DrainRecord) bool {
-	return record.State == bookkeeping.DrainActive && !d.snapshot.deadlinePassed(record)
+	return record.State == storage.DrainActive && !d.snapshot.deadlinePassed(record)
 }
 
 // deadlinePassed tells whether a drain is past its deadline.
@@ -170,24 +170,24 @@
 // paused at its deadline. The record of one that ended long ago is dropped: next is nil then.
 // expecting: machines that it covers may still come up; kept: how long a record is kept,
 // microseconds.
-func (s *Snapshot) NextState(record *DrainRecord, expecting bool, kept int64) (next *bookkeeping.Drain, changed bool) {
+func (s *Snapshot) NextState(record *DrainRecord, expecting bool, kept int64) (next *storage.Drain, changed bool) {
 	rec := record.Drain
 	switch rec.State {
-	case bookkeeping.DrainDone, bookkeeping.DrainAborted:
+	case storage.DrainDone, storage.DrainAborted:
 		return nil, s.Wall-rec.EndedAt > kept
-	case bookkeeping.DrainActive:
+	case storage.DrainActive:
 	default:
 		return nil, false
 	}
 	switch {
 	case !expecting && len(s.Selected(&rec)) == 0:
-		rec.State, rec.Reason, rec.EndedAt = bookkeeping.DrainDone, "", s.Wall
+		rec.State, rec.Reason, rec.EndedAt = storage.DrainDone, "", s.Wall
 		if rec.ClosesOffers() {
-			rec.State = bookkeeping.DrainDrained
+			rec.State = storage.DrainDrained
 			rec.Reason = "nothing is left; nothing is rented there until the drain is aborted"
 		}
 	case s.deadlinePassed(record):
-		rec.State, rec.Reason = bookkeeping.DrainPaused, "the deadline has passed"
+		rec.State, rec.Reason = storage.DrainPaused, "the deadline has passed"
 	default:
 		return nil, false
 	}
@@ -201,7 +201,7 @@
 	for _, id := range s.Selected(&record.Drain) {
 		m, _ := s.Machine(id)
 		switch {
-		case m.State == bookkeeping.MachineRemoving || len(m.Replicas) == 0 && len(m.ArrayUsage) == 0:
+		case m.State == storage.MachineRemoving || len(m.Replicas) == 0 && len(m.ArrayUsage) == 0:
 		case m.hasPermits():
 			begun = append(begun, id)
 		default:
@@ -224,7 +224,7 @@
 
 // advance decides on the next permits of a drain.
 func (d *decider) advance(record *DrainRecord) {
-	if record.State != bookkeeping.DrainActive {
+	if record.State != storage.DrainActive {
 		return
 	}
 	for _, id := range d.snapshot.MachinesInStep(record) {
@@ -239,7 +239,7 @@
 
 // emptyMachine decides on a machine of the present step.
 func (d *decider) emptyMachine(record *DrainRecord, m *Machine) {
-	if m.State != bookkeeping.MachineCordoned {
+	if m.State != storage.MachineCordoned {
 		d.blockMachine(record, m)
 		return
 	}
@@ -273,9 +273,9 @@
 // blockMachine says why nothing can be moved off a machine that isn't cordoned.
 func (d *decider) blockMachine(record *DrainRecord, m *Machine) {
 	switch m.State {
-	case bookkeeping.MachineUnreachable:
+	case storage.MachineUnreachable:
 		d.block(record, m, nil, BlockedByCordon, "the machine is out of reach")
-	case bookkeeping.MachineOpen:
+	case storage.MachineOpen:
 		d.block(record, m, nil, BlockedByCordon, "the machine isn't cordoned yet")
 	}
 }
@@ -284,27 +284,27 @@
 // or what it waits for.
 func (d *decider) evaluateReplica(
 	record *DrainRecord, m *Machine, replica *Replica, job *Job,
-) (bookkeeping.Permit, BlockKind, string) {
+) (storage.Permit, BlockKind, string) {
 	if replica.Starting {
-		return bookkeeping.Permit{}, BlockedByStarting, "it is still starting"
+		return storage.Permit{}, BlockedByStarting, "it is still starting"
 	}
 	for _, scope := range d.policy.scopesOf(job) {
 		if reason, ok := d.availability[scope].allowsStop(m.ID); !ok {
-			return bookkeeping.Permit{}, BlockedByBudget, reason
+			return storage.Permit{}, BlockedByBudget, reason
 		}
 	}
 	to, ok := d.roomFor(job, m)
 	if !ok {
-		return bookkeeping.Permit{}, BlockedByCapacity,
+		return storage.Permit{}, BlockedByCapacity,
 			fmt.Sprintf("no machine outside the drain has room for %g CPUs, %g accelerators, %g GB",
 				job.PerTask.CPUs, job.PerTask.GPUs, job.PerTask.MemoryGB)
 	}
-	permit := bookkeeping.Permit{
+	permit := storage.Permit{
 		Drain: record.Name, Job: replica.Job, Task: replica.Task, Attempt: replica.Attempt,
 		From: m.ID, To: to.ID, GrantedAt: d.snapshot.Wall,
 	}
 	if d.recordBytes[job.Team]+permitBytes(&permit) > d.controller.RecordBytes {
-		return bookkeeping.Permit{}, BlockedByPermits,
+		return storage.Permit{}, BlockedByPermits,
 			fmt.Sprintf("team %s has as many permits as its record holds", job.Team)
 	}
 	return permit, "", ""
@@ -325,7 +325,7 @@
 }
 
 // grant adds a permit to the decision, and takes it into account for the next ones.
-func (d *decider) grant(job *Job, permit bookkeeping.Permit) {
+func (d *decider) grant(job *Job, permit storage.Permit) {
 	d.decision.Granted[job.Team] = append(d.decision.Granted[job.Team], permit)
 	d.recordBytes[job.Team] += permitBytes(&permit)
 	for _, scope := range d.policy.scopesOf(job) {
--- a/internal/drain/destination.go
+++ b/internal/drain/destination.go
@@ -1,6 +1,6 @@
 package drain
 
-import "pipitgap/internal/bookkeeping"
+import "pipitgap/internal/storage"
 
 // destination finds a machine for a replica that is to be moved: where room is free, the
 // tightest fit; else where array tasks of lower priority give way.
@@ -29,7 +29,7 @@
 
 // takesReplicas tells whether new tasks may go to a machine.
 func (s *Snapshot) takesReplicas(m *Machine, live func(node string) bool) bool {
-	if m.State != bookkeeping.MachineOpen || !live(m.Owner) {
+	if m.State != storage.MachineOpen || !live(m.Owner) {
 		return false
 	}
 	_, covered := s.drainCovering(m)
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
+	"pipitgap/internal/storage"
 )
 
 // fleetSpec describes a small fleet: replicas by machine, as job names.
@@ -16,10 +16,10 @@
 	machines map[string][]string // machine: the jobs of its replicas
 	zones    map[string]string   // machine: its zone; "a" unless given
 	jobs     map[string]Job
-	drains   map[string]bookkeeping.Drain
-	permits  map[string][]bookkeeping.Permit
+	drains   map[string]storage.Drain
+	permits  map[string][]storage.Permit
 	starting map[string]bool // machines whose replicas are starting
-	state    map[string]bookkeeping.MachineState
+	state    map[string]storage.MachineState
 }
 
 const machineCPUs = 8
@@ -29,7 +29,7 @@
 	b := NewBuilder(100, 1000)
 	next := map[string]int{}
 	for _, id := range sortedKeys(f.machines) {
-		m := &Machine{ID: id, Type: "m8", Zone: "a", State: bookkeeping.MachineOpen, Owner: "n-0", Free: Resources{CPUs: machineCPUs, MemoryGB: 64}}
+		m := &Machine{ID: id, Type: "m8", Zone: "a", State: storage.MachineOpen, Owner: "n-0", Free: Resources{CPUs: machineCPUs, MemoryGB: 64}}
 		if zone := f.zones[id]; zone != "" {
 			m.Zone = zone
 		}
@@ -53,7 +53,7 @@
 		b.AddDrain(name, 50, d)
 	}
 	for team, permits := range f.permits {
-		b.AddPermits(team, 60, bookkeeping.Permits{Permits: permits})
+		b.AddPermits(team, 60, storage.Permits{Permits: permits})
 	}
 	return b.Build()
 }
@@ -62,8 +62,8 @@
 	return Job{Team: team, Class: "web", PerTask: Resources{CPUs: 2, MemoryGB: 4}, Priority: 3}
 }
 
-func zoneDrain(zone string) bookkeeping.Drain {
-	return bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: zone}, MaxParallel: 5}
+func zoneDrain(zone string) storage.Drain {
+	return storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone}, MaxParallel: 5}
 }
 
 func policyOf(reserve int, budgets ...config.DisruptionBudget) *Policy {
@@ -82,12 +82,12 @@
 // cordonedZone is machines of zone a that are cordoned, and two with room in zone b.
 func cordonedZone(replicas ...string) *fleetSpec {
 	f := &fleetSpec{machines: map[string][]string{"i-8": nil, "i-9": nil}, zones: map[string]string{"i-8": "b", "i-9": "b"},
-		jobs: map[string]Job{"j-1": job("t")}, drains: map[string]bookkeeping.Drain{"rack": zoneDrain("a")},
-		state: map[string]bookkeeping.MachineState{}, permits: map[string][]bookkeeping.Permit{}, starting: map[string]bool{}}
+		jobs: map[string]Job{"j-1": job("t")}, drains: map[string]storage.Drain{"rack": zoneDrain("a")},
+		state: map[string]storage.MachineState{}, permits: map[string][]storage.Permit{}, starting: map[string]bool{}}
 	for i, on := range replicas {
 		id := fmt.Sprintf("i-%d", i+1)
 		f.machines[id] = strings.Fields(on)
-		f.state[id] = bookkeeping.MachineCordoned
+		f.state[id] = storage.MachineCordoned
 	}
 	return f
 }
@@ -125,12 +125,12 @@
 		}(), 0, BlockedByBudget},
 		{"permits count as missing", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := cordonedZone(four...)
-			f.permits["t"] = []bookkeeping.Permit{{Drain: "rack", Job: "j-1", Task: 3, Attempt: 7, From: "i-3", To: "i-8"}}
+			f.permits["t"] = []storage.Permit{{Drain: "rack", Job: "j-1", Task: 3, Attempt: 7, From: "i-3", To: "i-8"}}
 			return f
 		}(), 0, BlockedByBudget},
 		{"a machine out of reach counts as lost", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := cordonedZone(four...)
-			f.state["i-3"] = bookkeeping.MachineUnreachable
+			f.state["i-3"] = storage.MachineUnreachable
 			return f
 		}(), 0, BlockedByBudget},
 		{"no room", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
@@ -162,7 +162,7 @@
 		{"paused", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
 			d := zoneDrain("a")
-			d.State = bookkeeping.DrainPaused
+			d.State = storage.DrainPaused
 			f.drains["rack"] = d
 			return f
 		}(), 0, ""},
@@ -176,7 +176,7 @@
 		{"not cordoned yet", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
 			for id := range f.state {
-				f.state[id] = bookkeeping.MachineOpen
+				f.state[id] = storage.MachineOpen
 			}
 			return f
 		}(), 0, BlockedByCordon},
@@ -212,7 +212,7 @@
 
 // TestGrantedPermitsAreStoppedRevokedOrCompleted: what becomes of a permit, by what the records show.
 func TestGrantedPermitsAreStoppedRevokedOrCompleted(t *testing.T) {
-	permit := bookkeeping.Permit{Drain: "rack", Job: "j-1", Task: 0, Attempt: 7, From: "i-1", To: "i-8"}
+	permit := storage.Permit{Drain: "rack", Job: "j-1", Task: 0, Attempt: 7, From: "i-1", To: "i-8"}
 	cases := []struct {
 		name             string
 		change           func(*fleetSpec)
@@ -220,10 +220,10 @@
 		minimum          int
 	}{
 		{"usable", func(*fleetSpec) {}, 1, 0, 0, 2},
-		{"the budget doesn't hold any more", func(f *fleetSpec) { f.state["i-3"] = bookkeeping.MachineUnreachable }, 0, 1, 0, 2},
+		{"the budget doesn't hold any more", func(f *fleetSpec) { f.state["i-3"] = storage.MachineUnreachable }, 0, 1, 0, 2},
 		{"the drain was aborted", func(f *fleetSpec) {
 			d := zoneDrain("a")
-			d.State = bookkeeping.DrainAborted
+			d.State = storage.DrainAborted
 			f.drains["rack"] = d
 		}, 0, 1, 0, 2},
 		{"stopped, not started again", func(f *fleetSpec) { f.machines["i-1"] = nil }, 0, 0, 0, 0},
@@ -235,7 +235,7 @@
 	}
 	for _, tc := range cases {
 		f := cordonedZone("j-1", "j-1", "j-1")
-		f.permits["t"] = []bookkeeping.Permit{permit}
+		f.permits["t"] = []storage.Permit{permit}
 		tc.change(f)
 		if tc.name == "starting at its new place" {
 			f.permits["t"][0].Attempt = 6
@@ -248,7 +248,7 @@
 	f := cordonedZone("j-1", "j-1", "j-1")
 	moved := permit
 	moved.Attempt = 6 // task 0 runs by attempt 7 now
-	f.permits["t"] = []bookkeeping.Permit{moved}
+	f.permits["t"] = []storage.Permit{moved}
 	if d := policyOf(0, minAvailable("t", 2)).Decide(f.build(), nodeZero()); len(d.Completed["t"]) != 1 {
 		t.Errorf("replaced: %+v", d)
 	}
@@ -339,23 +339,23 @@
 	f := cordonedZone("j-1", "j-1")
 	f.zones["i-2"] = "b"
 	s := f.build()
-	byName := func(ids ...string) bookkeeping.Drain {
-		return bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Machines: ids}}
+	byName := func(ids ...string) storage.Drain {
+		return storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Machines: ids}}
 	}
-	of := func(sel bookkeeping.Selector, through string) bookkeeping.Drain {
-		return bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: sel, LastMachine: through}
+	of := func(sel storage.Selector, through string) storage.Drain {
+		return storage.Drain{State: storage.DrainActive, Selector: sel, LastMachine: through}
 	}
 	cases := []struct {
 		name string
-		a, b bookkeeping.Drain
+		a, b storage.Drain
 		want bool
 	}{
 		{"other zones", zoneDrain("a"), zoneDrain("b"), false},
 		{"a machine of the zone", zoneDrain("a"), byName("i-1"), true},
 		{"a machine of the other zone", zoneDrain("a"), byName("i-2"), false},
-		{"a type that may come up in the zone", zoneDrain("c"), of(bookkeeping.Selector{Type: "m16"}, ""), true},
-		{"other kinds", of(bookkeeping.Selector{CapacityType: bookkeeping.SpotCapacity}, ""), of(bookkeeping.Selector{CapacityType: bookkeeping.OnDemandCapacity}, ""), false},
-		{"only older machines", of(bookkeeping.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
+		{"a type that may come up in the zone", zoneDrain("c"), of(storage.Selector{Type: "m16"}, ""), true},
+		{"other kinds", of(storage.Selector{CapacityType: storage.SpotCapacity}, ""), of(storage.Selector{CapacityType: storage.OnDemandCapacity}, ""), false},
+		{"only older machines", of(storage.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
 	}
 	for _, tc := range cases {
 		if got := s.Overlaps(&tc.a, &tc.b); got != tc.want {
@@ -369,7 +369,7 @@
 	if !ClosesOffer(&closing, "m8", "a", true) || ClosesOffer(&closing, "m8", "b", true) {
 		t.Error("a drain of a zone closes that zone alone")
 	}
-	replacing := of(bookkeeping.Selector{Zone: "a"}, "i-5")
+	replacing := of(storage.Selector{Zone: "a"}, "i-5")
 	if ClosesOffer(&replacing, "m8", "a", true) {
 		t.Error("a drain that lets the same be rented closes nothing")
 	}
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/storage"
 )
 
 // Move is a replica that goes from one machine to another.
@@ -43,7 +43,7 @@
 }
 
 // Plan works out the steps of a drain, changing nothing.
-func (p *Policy) Plan(s *Snapshot, name string, d bookkeeping.Drain) *Plan {
+func (p *Policy) Plan(s *Snapshot, name string, d storage.Drain) *Plan {
 	planner := &planner{policy: p, snapshot: s.withDrain(name, d), record: DrainRecord{Drain: d, Name: name}}
 	plan := &Plan{Machines: s.Selected(&d)}
 	planner.cordon(plan.Machines)
@@ -59,7 +59,7 @@
 }
 
 // withDrain gives a snapshot in which a drain stands.
-func (s *Snapshot) withDrain(name string, d bookkeeping.Drain) *Snapshot {
+func (s *Snapshot) withDrain(name string, d storage.Drain) *Snapshot {
 	next := *s
 	next.drains = slices.DeleteFunc(slices.Clone(s.drains), func(o DrainRecord) bool { return o.Name == name })
 	next.drains = append(next.drains, DrainRecord{Drain: d, Name: name})
@@ -69,9 +69,9 @@
 func (p *planner) cordon(machines []string) {
 	for _, id := range machines {
 		m, _ := p.snapshot.Machine(id)
-		if m.State == bookkeeping.MachineOpen {
+		if m.State == storage.MachineOpen {
 			cordoned := *m
-			cordoned.State = bookkeeping.MachineCordoned
+			cordoned.State = storage.MachineCordoned
 			p.snapshot = p.snapshot.withMachine(&cordoned)
 		}
 	}
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, id := range p.snapshot.Selected(&p.record.Drain) {
-		if m, _ := p.snapshot.Machine(id); m.State == bookkeeping.MachineCordoned && len(m.Replicas) == 0 {
+		if m, _ := p.snapshot.Machine(id); m.State == storage.MachineCordoned && len(m.Replicas) == 0 {
 			for _, work := range m.ArrayUsage {
 				step.Stopped += work.Tasks
 			}
@@ -103,7 +103,7 @@
 
 // decide joins the decisions of all controllers, each of which takes the others' into account.
 func (p *planner) decide() *Decision {
-	all := &Decision{Granted: map[string][]bookkeeping.Permit{}}
+	all := &Decision{Granted: map[string][]storage.Permit{}}
 	everybody := func(string) bool { return true }
 	tried := p.snapshot
 	for _, node := range p.owners() {
@@ -130,7 +130,7 @@
 }
 
 // move carries a permit out: the replica is stopped and runs at its new place.
-func (p *planner) move(team string, permit bookkeeping.Permit) Move {
+func (p *planner) move(team string, permit storage.Permit) Move {
 	job := p.snapshot.jobs[permit.Job]
 	from, _ := p.snapshot.Machine(permit.From)
 	emptier := *from
@@ -178,7 +178,7 @@
 		if !ClosesOffer(&p.record.Drain, like.Type, zone, like.Spot) {
 			p.rented++
 			return &Machine{ID: fmt.Sprintf("new-%d", p.rented), Type: like.Type, Zone: zone, Spot: like.Spot,
-				State: bookkeeping.MachineOpen, Owner: like.Owner, Free: t.Capacity}, true
+				State: storage.MachineOpen, Owner: like.Owner, Free: t.Capacity}, true
 		}
 	}
 	return nil, false
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -5,7 +5,7 @@
 
 	"github.com/benbjohnson/immutable"
 
-	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/storage"
 )
 
 // Resources is what a task takes, or what is free on a machine.
@@ -44,7 +44,7 @@
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool
-	State          bookkeeping.MachineState
+	State          storage.MachineState
 	Owner          string
 	Free           Resources // used by no task, and held under no permit
 	Replicas       []Replica
@@ -60,7 +60,7 @@
 
 // reachable tells whether what runs on a machine counts as available.
 func (m *Machine) reachable() bool {
-	return m.State == bookkeeping.MachineOpen || m.State == bookkeeping.MachineCordoned
+	return m.State == storage.MachineOpen || m.State == storage.MachineCordoned
 }
 
 // freeWithPreemption is what is free on a machine once array tasks of lower priority have given way.
@@ -103,14 +103,14 @@
 
 // DrainRecord is a drain with the version of its record.
 type DrainRecord struct {
-	bookkeeping.Drain
+	storage.Drain
 	Name    string
 	Version uint64
 }
 
 // TeamPermits are a team's permits with the version of their record; 0: there is none yet.
 type TeamPermits struct {
-	Permits []bookkeeping.Permit
+	Permits []storage.Permit
 	Version uint64
 }
 
@@ -191,7 +191,7 @@
 
 // withPermit gives a snapshot in which a permit stands: its replica is to be stopped, and room
 // is held for the next attempt.
-func (s *Snapshot) withPermit(p bookkeeping.Permit) *Snapshot {
+func (s *Snapshot) withPermit(p storage.Permit) *Snapshot {
 	next := s
 	if from, ok := s.Machine(p.From); ok {
 		marked := *from
@@ -250,12 +250,12 @@
 func (b *Builder) AddType(t TypeCapacity) { b.snapshot.types[t.Name] = t }
 
 // AddDrain adds a drain.
-func (b *Builder) AddDrain(name string, version uint64, d bookkeeping.Drain) {
+func (b *Builder) AddDrain(name string, version uint64, d storage.Drain) {
 	b.snapshot.drains = append(b.snapshot.drains, DrainRecord{Drain: d, Name: name, Version: version})
 }
 
 // AddPermits adds a team's permits.
-func (b *Builder) AddPermits(team string, version uint64, p bookkeeping.Permits) {
+func (b *Builder) AddPermits(team string, version uint64, p storage.Permits) {
 	b.snapshot.permits[team] = TeamPermits{Permits: p.Permits, Version: version}
 }
 
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -3,20 +3,20 @@
 import (
 	"math"
 
-	"pipitgap/internal/bookkeeping"
+	"pipitgap/internal/storage"
 )
 
 // Progress is where a drain stands.
 type Progress struct {
-	Name      string                 `json:"name"`
-	State     bookkeeping.DrainState `json:"state"`
-	Reason    string                 `json:"reason,omitempty"`
-	Revision  uint64                 `json:"revision"`
-	Machines  []MachineProgress      `json:"machines"`
-	Permits   int                    `json:"permits"` // moves under way
-	Blocked   []Blockage             `json:"blocked,omitempty"`
-	StartedAt int64                  `json:"started_at_us"`
-	EndedAt   int64                  `json:"ended_at_us,omitempty"`
+	Name      string             `json:"name"`
+	State     storage.DrainState `json:"state"`
+	Reason    string             `json:"reason,omitempty"`
+	Revision  uint64             `json:"revision"`
+	Machines  []MachineProgress  `json:"machines"`
+	Permits   int                `json:"permits"` // moves under way
+	Blocked   []Blockage         `json:"blocked,omitempty"`
+	StartedAt int64              `json:"started_at_us"`
+	EndedAt   int64              `json:"ended_at_us,omitempty"`
 }
 
 // MachineProgress is a machine of a drain that hasn't been given back.
@@ -29,12 +29,12 @@
 }
 
 // stateNames are the words for the states of a machine.
-var stateNames = map[bookkeeping.MachineState]string{
-	bookkeeping.MachineOpen:        "open",
-	bookkeeping.MachineUnreachable: "out of reach",
-	bookkeeping.MachineCordoned:    "cordoned",
-	bookkeeping.MachineDraining:    "about to be taken by the cloud",
-	bookkeeping.MachineRemoving:    "being given back",
+var stateNames = map[storage.MachineState]string{
+	storage.MachineOpen:        "open",
+	storage.MachineUnreachable: "out of reach",
+	storage.MachineCordoned:    "cordoned",
+	storage.MachineDraining:    "about to be taken by the cloud",
+	storage.MachineRemoving:    "being given back",
 }
 
 // Progress tells where a drain stands, and what it waits for.
@@ -45,7 +45,7 @@
 		return progress
 	}
 	step := map[string]bool{}
-	if record.State == bookkeeping.DrainActive {
+	if record.State == storage.DrainActive {
 		for _, id := range s.MachinesInStep(record) {
 			step[id] = true
 		}
--- a/internal/standin/checker.go
+++ b/internal/fake/checker.go
@@ -1,11 +1,11 @@
-package standin
+package fake
 
 import (
 	"fmt"
 	"sort"
 	"strings"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -28,7 +28,7 @@
 
 // Violation is an invariant that was broken.
 type Violation struct {
-	At        micros.Micros
+	At        monotime.Micros
 	Invariant Invariant
 	Detail    string
 }
@@ -40,17 +40,17 @@
 
 const (
 	// MaxUnanswered is how long an accepted job may go unanswered once all troubles are over.
-	MaxUnanswered = 75 * micros.Second
+	MaxUnanswered = 75 * monotime.Second
 	// MaxWaitBesideRoom is how long a task may wait beside room that it may use.
-	MaxWaitBesideRoom = 90 * micros.Second
-	waitCheckInterval = 5 * micros.Second
+	MaxWaitBesideRoom = 90 * monotime.Second
+	waitCheckInterval = 5 * monotime.Second
 )
 
 // Checker watches a simulated deployment from outside: what machines run, and what
 // users are told. It never reads a controller's state.
 type Checker struct {
 	Clock        *SimClock
-	CancelWithin micros.Micros      // tasks of a cancelled job must be gone within this time
+	CancelWithin monotime.Micros    // tasks of a cancelled job must be gone within this time
 	Limits       map[string]float64 // CPUs a team may use; none: no limit
 	Violations   []Violation
 	// LateStarts counts starts after a confirmed cancellation, within the time allowed.
@@ -61,8 +61,8 @@
 	usedCPUs       map[string]float64             // CPUs by team
 	completedTasks map[string]bool                // completed tasks
 
-	completions    map[string]int           // by task: how often
-	lastCompletion map[string]micros.Micros // by job: when a task of it last did
+	completions    map[string]int             // by task: how often
+	lastCompletion map[string]monotime.Micros // by job: when a task of it last did
 }
 
 // observedJob is a job as its users know it.
@@ -73,18 +73,18 @@
 	wellFormed   bool // at least once
 	unrunnable   bool // it fits no machine, or not into its team's limit
 	cancelSent   bool
-	acceptedAt   micros.Micros // when a user was first told so; 0: not yet
-	finalAt      micros.Micros // when a user was first told how it ended
+	acceptedAt   monotime.Micros // when a user was first told so; 0: not yet
+	finalAt      monotime.Micros // when a user was first told how it ended
 	finalState   string
-	cancelledAt  micros.Micros
-	waitingSince map[int]micros.Micros // tasks that wait beside room, and since when
+	cancelledAt  monotime.Micros
+	waitingSince map[int]monotime.Micros // tasks that wait beside room, and since when
 }
 
 // NewChecker begins to watch.
-func NewChecker(sim *SimClock, cancelIn micros.Micros) *Checker {
+func NewChecker(sim *SimClock, cancelIn monotime.Micros) *Checker {
 	return &Checker{Clock: sim, CancelWithin: cancelIn, Limits: map[string]float64{}, jobs: map[string]*observedJob{},
 		liveAttempts: map[string]map[string]*Machine{}, usedCPUs: map[string]float64{}, completedTasks: map[string]bool{},
-		completions: map[string]int{}, lastCompletion: map[string]micros.Micros{}}
+		completions: map[string]int{}, lastCompletion: map[string]monotime.Micros{}}
 }
 
 func (k *Checker) violate(rule Invariant, format string, args ...any) {
@@ -94,7 +94,7 @@
 func (k *Checker) job(id string) *observedJob {
 	job := k.jobs[id]
 	if job == nil {
-		job = &observedJob{id: id, waitingSince: map[int]micros.Micros{}}
+		job = &observedJob{id: id, waitingSince: map[int]monotime.Micros{}}
 		k.jobs[id] = job
 	}
 	return job
@@ -144,7 +144,7 @@
 
 // IsJobCompleted tells whether all tasks of a job have completed and none runs again, and when the last
 // did. A result is lost with its machine, so a task may have to run again.
-func (k *Checker) IsJobCompleted(job string) (at micros.Micros, complete bool) {
+func (k *Checker) IsJobCompleted(job string) (at monotime.Micros, complete bool) {
 	j := k.jobs[job]
 	if j == nil || !j.submitted || len(k.liveAttempts[job]) > 0 {
 		return 0, false
@@ -214,7 +214,7 @@
 	job     string
 	method  string
 	cancels bool
-	sentAt  micros.Micros
+	sentAt  monotime.Micros
 }
 
 // UserRequest notes that a user sends a request; nil for a request that is no user's.
--- a/internal/standin/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -1,13 +1,13 @@
-package standin
+package fake
 
 import (
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
-const second = micros.Second
+const second = monotime.Second
 
 // checkerScenario is a checker with one accepted job of two tasks and a few machines.
 type checkerScenario struct {
--- a/internal/standin/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,10 +1,10 @@
-package standin
+package fake
 
 import (
 	"fmt"
 	"sort"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -13,8 +13,8 @@
 	Clock      *SimClock
 	Types      []protocol.MachineType
 	Capacity   map[string]int // "type/zone/spot"
-	ListLag    micros.Micros
-	BootTime   micros.Micros
+	ListLag    monotime.Micros
+	BootTime   monotime.Micros
 	NeverBoots map[string]bool
 
 	Unavailable bool
@@ -37,15 +37,15 @@
 type Machine struct {
 	ID, Endpoint, Type, Zone string
 	Spot                     bool
-	RentedAt                 micros.Micros
+	RentedAt                 monotime.Micros
 	Up, Gone                 bool
-	GoneAt                   micros.Micros
+	GoneAt                   monotime.Micros
 }
 
 // NewCloud starts a cloud without machines.
 func NewCloud(sim *SimClock, types []protocol.MachineType) *Cloud {
-	return &Cloud{Clock: sim, Types: types, Capacity: map[string]int{}, ListLag: 3 * micros.Second,
-		BootTime: 10 * micros.Second, NeverBoots: map[string]bool{}, Machines: map[string]*Machine{},
+	return &Cloud{Clock: sim, Types: types, Capacity: map[string]int{}, ListLag: 3 * monotime.Second,
+		BootTime: 10 * monotime.Second, NeverBoots: map[string]bool{}, Machines: map[string]*Machine{},
 		Calls: map[protocol.CloudOp]int{}, RentedByName: map[string][]string{}}
 }
 
@@ -54,13 +54,13 @@
 
 // Call performs a call.
 func (c *Cloud) Call(call *protocol.CloudCall, back func(protocol.CloudResult)) {
-	c.Clock.After(50*micros.Millisecond, func() {
+	c.Clock.After(50*monotime.Millisecond, func() {
 		result, lost := c.handle(call)
 		if lost {
 			c.Clock.After(call.Timeout, func() { back(protocol.CloudResult{}) })
 			return
 		}
-		c.Clock.After(50*micros.Millisecond, func() { back(result) })
+		c.Clock.After(50*monotime.Millisecond, func() { back(result) })
 	})
 }
 
--- a/internal/standin/loopback/clock.go
+++ b/internal/fake/loopback/clock.go
@@ -4,15 +4,15 @@
 	"sync"
 	"time"
 
-	"pipitgap/internal/micros"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 )
 
 // RealTimeClock plays a simulation in step with the wall clock. All that touches the simulation goes
 // through Do.
 type RealTimeClock struct {
 	mu        sync.Mutex
-	simulated *standin.SimClock
+	simulated *fake.SimClock
 	startedAt time.Time
 	stop      chan struct{}
 	done      sync.WaitGroup
@@ -22,7 +22,7 @@
 const tickInterval = 2 * time.Millisecond
 
 // NewRealTimeClock starts the clock.
-func NewRealTimeClock(sim *standin.SimClock) *RealTimeClock {
+func NewRealTimeClock(sim *fake.SimClock) *RealTimeClock {
 	c := &RealTimeClock{simulated: sim, startedAt: time.Now(), stop: make(chan struct{})}
 	c.done.Add(1)
 	go c.run()
@@ -47,14 +47,14 @@
 func (c *RealTimeClock) Do(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if behind := micros.FromDuration(time.Since(c.startedAt)) - c.simulated.Now(); behind > 0 {
+	if behind := monotime.FromDuration(time.Since(c.startedAt)) - c.simulated.Now(); behind > 0 {
 		c.simulated.Run(behind)
 	}
 	f()
 }
 
 // Advance has time pass at once.
-func (c *RealTimeClock) Advance(d micros.Micros) {
+func (c *RealTimeClock) Advance(d monotime.Micros) {
 	c.mu.Lock()
 	c.startedAt = c.startedAt.Add(-d.Duration())
 	c.mu.Unlock()
--- a/internal/standin/loopback/cloud.go
+++ b/internal/fake/loopback/cloud.go
@@ -3,14 +3,14 @@
 import (
 	"net/http"
 
+	"pipitgap/internal/fake"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 )
 
 // cloudHandler answers as the cloud does.
 type cloudHandler struct {
 	clock *RealTimeClock
-	cloud *standin.Cloud
+	cloud *fake.Cloud
 }
 
 func (h *cloudHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/loopback/conformance_test.go
+++ b/internal/fake/loopback/conformance_test.go
@@ -5,9 +5,9 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 	"pipitgap/internal/transport"
 )
 
@@ -16,7 +16,7 @@
 	name string
 	call func(*protocol.StoreCall) protocol.StoreResult
 	// advance has time pass.
-	advance func(micros.Micros)
+	advance func(monotime.Micros)
 	// setOutage begins or ends an outage.
 	setOutage func(bool)
 	// setHistory sets how many changes are kept.
@@ -25,14 +25,14 @@
 
 // simulatedState is the stand-in as the simulated tests use it.
 func simulatedState() *stateService {
-	sim := standin.NewSimClock(1)
-	store := standin.NewStateStore(sim, 1000, 1000, 4)
+	sim := fake.NewSimClock(1)
+	store := fake.NewStateStore(sim, 1000, 1000, 4)
 	return &stateService{
 		name: "simulated",
 		call: func(c *protocol.StoreCall) protocol.StoreResult {
 			var result *protocol.StoreResult
 			store.Call("n-0", c, func(r protocol.StoreResult) { result = &r })
-			sim.RunUntil(20*micros.Second, func() bool { return result != nil })
+			sim.RunUntil(20*monotime.Second, func() bool { return result != nil })
 			return *result
 		},
 		advance:    sim.Run,
@@ -43,8 +43,8 @@
 
 // loopbackState is the same over HTTP, as controllers on loopback reach it.
 func loopbackState(t *testing.T) *stateService {
-	sim := standin.NewSimClock(1)
-	store := standin.NewStateStore(sim, 1000, 1000, 4)
+	sim := fake.NewSimClock(1)
+	store := fake.NewStateStore(sim, 1000, 1000, 4)
 	clock := NewRealTimeClock(sim)
 	server, err := newServer("n-0", &stateHandler{clock, store, "n-0"}, &faultInjector{})
 	if err != nil {
@@ -62,19 +62,19 @@
 }
 
 func get(key string) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreGet, Key: key, Timeout: 2 * micros.Second}
+	return &protocol.StoreCall{Op: protocol.StoreGet, Key: key, Timeout: 2 * monotime.Second}
 }
 
 func list(prefix, after string, limit int) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreList, Key: prefix, After: after, Limit: limit, Timeout: 2 * micros.Second}
+	return &protocol.StoreCall{Op: protocol.StoreList, Key: prefix, After: after, Limit: limit, Timeout: 2 * monotime.Second}
 }
 
 func commit(txn protocol.Transaction) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: 2 * micros.Second}
+	return &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: 2 * monotime.Second}
 }
 
-func watch(prefix string, from uint64, block micros.Micros) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreWatch, Key: prefix, FromRevision: from, MaxBlock: block, Timeout: block + 2*micros.Second}
+func watch(prefix string, from uint64, block monotime.Micros) *protocol.StoreCall {
+	return &protocol.StoreCall{Op: protocol.StoreWatch, Key: prefix, FromRevision: from, MaxBlock: block, Timeout: block + 2*monotime.Second}
 }
 
 func put(key, value string, lease uint64) protocol.Op {
@@ -104,8 +104,8 @@
 	what        string
 	call        *protocol.StoreCall
 	wantSummary string
-	advanceBy   micros.Micros // time to pass before
-	down        int           // 1: an outage begins before, 2: it ends
+	advanceBy   monotime.Micros // time to pass before
+	down        int             // 1: an outage begins before, 2: it ends
 }
 
 // conformance is the protocol of the state service, call by call.
@@ -123,21 +123,21 @@
 	{what: "a list in pages", call: list("a/", "", 1), wantSummary: "ok revision 2 failed [] more true a/1@2"},
 	{what: "the next page", call: list("a/", "a/1", 1), wantSummary: "ok revision 2 failed [] more false a/2@1"},
 	{what: "changes since a revision", call: watch("a/", 1, 0), wantSummary: "ok revision 2 failed [] more false +a/1-@2"},
-	{what: "no changes in time", call: watch("a/", 2, 100*micros.Millisecond), wantSummary: "ok revision 2 failed [] more false"},
+	{what: "no changes in time", call: watch("a/", 2, 100*monotime.Millisecond), wantSummary: "ok revision 2 failed [] more false"},
 	{what: "a deletion", call: commit(protocol.Transaction{Then: []protocol.Op{{Delete: "a/2"}}}), wantSummary: "ok revision 3 failed [] more false"},
 	{what: "the deletion is seen", call: watch("a/", 2, 0), wantSummary: "ok revision 3 failed [] more false +-a/2@3"},
 	{what: "too many changes", call: commit(protocol.Transaction{Then: []protocol.Op{put("b", "1", 0), put("c", "1", 0), put("d", "1", 0), put("e", "1", 0), put("f", "1", 0)}}),
 		wantSummary: "rejected"},
 	{what: "a large value", call: commit(protocol.Transaction{Then: []protocol.Op{put("b/1", strings.Repeat("x", 9000), 0)}}), wantSummary: "ok revision 4 failed [] more false"},
 	{what: "a large answer", call: list("b/", "", 10), wantSummary: "ok revision 4 failed [] more false b/1@4"},
-	{what: "a lease", call: &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: 5 * micros.Second, Timeout: micros.Second}, wantSummary: "ok revision 0 failed [] more false lease 1"},
+	{what: "a lease", call: &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: 5 * monotime.Second, Timeout: monotime.Second}, wantSummary: "ok revision 0 failed [] more false lease 1"},
 	{what: "a key with a lease", call: commit(protocol.Transaction{Then: []protocol.Op{put("l/1", "x", 1)}}), wantSummary: "ok revision 5 failed [] more false"},
 	{what: "a lease that there isn't", call: commit(protocol.Transaction{Then: []protocol.Op{put("l/2", "x", 9)}}), wantSummary: "rejected"},
-	{what: "a renewal", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: micros.Second}, advanceBy: 3 * micros.Second, wantSummary: "ok"},
-	{what: "the key stays", call: get("l/1"), advanceBy: 3 * micros.Second, wantSummary: "ok revision 0 failed [] more false item l/1@5 lease 1 a178"},
-	{what: "the key goes with its lease", call: get("l/1"), advanceBy: 4 * micros.Second, wantSummary: "not found"},
+	{what: "a renewal", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second}, advanceBy: 3 * monotime.Second, wantSummary: "ok"},
+	{what: "the key stays", call: get("l/1"), advanceBy: 3 * monotime.Second, wantSummary: "ok revision 0 failed [] more false item l/1@5 lease 1 a178"},
+	{what: "the key goes with its lease", call: get("l/1"), advanceBy: 4 * monotime.Second, wantSummary: "not found"},
 	{what: "its end is a change", call: watch("l/", 5, 0), wantSummary: "ok revision 6 failed [] more false +-l/1@6"},
-	{what: "a lease that has ended", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: micros.Second}, wantSummary: "not found"},
+	{what: "a lease that has ended", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second}, wantSummary: "not found"},
 	{what: "an outage", call: get("a/1"), down: 1, wantSummary: "unavailable"},
 	{what: "a commit in an outage", call: commit(protocol.Transaction{Then: []protocol.Op{put("a/9", "x", 0)}}), wantSummary: "unavailable"},
 	{what: "after the outage", call: get("a/9"), down: 2, wantSummary: "not found"},
--- a/internal/standin/loopback/deployment.go
+++ b/internal/fake/loopback/deployment.go
@@ -14,9 +14,9 @@
 	"github.com/BurntSushi/toml"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 	"pipitgap/internal/transport"
 )
 
@@ -28,10 +28,10 @@
 	Zones             []string
 	Types             []protocol.MachineType
 	Teams             []config.Team
-	BootTime          micros.Micros // of a machine
-	HeartbeatInterval micros.Micros
-	LeaseTime         micros.Micros
-	CancelWithin      micros.Micros
+	BootTime          monotime.Micros // of a machine
+	HeartbeatInterval monotime.Micros
+	LeaseTime         monotime.Micros
+	CancelWithin      monotime.Micros
 	StateRPS          float64
 	StateWriteRPS     float64
 }
@@ -39,11 +39,11 @@
 // Deployment is controllers as processes with stand-ins for all that they speak to.
 type Deployment struct {
 	Clock       *RealTimeClock
-	SimClock    *standin.SimClock
-	Store       *standin.StateStore
-	Cloud       *standin.Cloud
-	Fleet       *standin.WorkerFleet
-	Checker     *standin.Checker
+	SimClock    *fake.SimClock
+	Store       *fake.StateStore
+	Cloud       *fake.Cloud
+	Fleet       *fake.WorkerFleet
+	Checker     *fake.Checker
 	Controllers []string
 
 	t             testing.TB
@@ -74,17 +74,17 @@
 // NewDeployment makes a deployment and starts its controllers. All ends with the test.
 func NewDeployment(t testing.TB, seed uint64, options Options) *Deployment {
 	t.Helper()
-	sim := standin.NewSimClock(seed)
+	sim := fake.NewSimClock(seed)
 	d := &Deployment{t: t, SimClock: sim, options: options, directory: t.TempDir(), processes: map[string]*Process{},
 		publicAddrs: map[string]string{}, peerAddrs: map[string]string{}, stateServers: map[string]*Server{}, injector: &faultInjector{}}
-	d.Checker = standin.NewChecker(sim, options.CancelWithin)
-	d.Store = standin.NewStateStore(sim, options.StateRPS, options.StateWriteRPS, maxTransactionOps)
-	d.Cloud = standin.NewCloud(sim, options.Types)
-	d.Cloud.BootTime, d.Cloud.ListLag = options.BootTime, listLagS*micros.Second
+	d.Checker = fake.NewChecker(sim, options.CancelWithin)
+	d.Store = fake.NewStateStore(sim, options.StateRPS, options.StateWriteRPS, maxTransactionOps)
+	d.Cloud = fake.NewCloud(sim, options.Types)
+	d.Cloud.BootTime, d.Cloud.ListLag = options.BootTime, listLagS*monotime.Second
 	for i := range options.Controllers {
 		d.Controllers = append(d.Controllers, fmt.Sprintf("n-%d", i))
 	}
-	d.Fleet = standin.NewWorkerFleet(sim, options.HeartbeatInterval, options.LeaseTime, d.Controllers, d.Checker)
+	d.Fleet = fake.NewWorkerFleet(sim, options.HeartbeatInterval, options.LeaseTime, d.Controllers, d.Checker)
 	d.Clock = NewRealTimeClock(sim)
 	t.Cleanup(d.close)
 	d.serveFakes()
@@ -135,7 +135,7 @@
 		d.workerServers = append(d.workerServers, server)
 		return server.Addr
 	}
-	d.Cloud.OnMachineUp = func(m *standin.Machine) {
+	d.Cloud.OnMachineUp = func(m *fake.Machine) {
 		for _, t := range d.options.Types {
 			if t.Name == m.Type {
 				d.Fleet.MachineUp(m, t.CPUs)
@@ -255,11 +255,11 @@
 
 // UserRequest makes a user's request of a controller; status 0: there was no answer.
 func (d *Deployment) UserRequest(node, method, target string, body []byte) (status int, reply []byte) {
-	var question *standin.PendingRequest
+	var question *fake.PendingRequest
 	d.Clock.Do(func() { question = d.Checker.UserRequest(method, target, body) })
 	client := transport.NewClient(d.publicAddrs[node], 1, maxHeartbeatReply)
 	defer client.Close()
-	message, err := client.Do(method, target, body, 5*micros.Second)
+	message, err := client.Do(method, target, body, 5*monotime.Second)
 	if err != nil {
 		return 0, nil
 	}
--- a/internal/standin/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/operator"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 var (
@@ -101,7 +101,7 @@
 func newDrainScenario(t *testing.T, settings string, teams []TeamServices) *drainScenario {
 	options := Options{Binary: binary, Controllers: 3, Settings: []string{settingsFile(t, settings)}, Zones: []string{"a", "b"},
 		Types:    []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 2}},
-		BootTime: 2 * micros.Second, HeartbeatInterval: micros.Second, LeaseTime: 10 * micros.Second, CancelWithin: 30 * micros.Second, StateRPS: 400, StateWriteRPS: 100}
+		BootTime: 2 * monotime.Second, HeartbeatInterval: monotime.Second, LeaseTime: 10 * monotime.Second, CancelWithin: 30 * monotime.Second, StateRPS: 400, StateWriteRPS: 100}
 	return &drainScenario{Services: NewServices(t, 1, options, teams), t: t}
 }
 
@@ -155,7 +155,7 @@
 	d.t.Helper()
 	var p *drain.Progress
 	for deadline := time.Now().Add(within); time.Now().Before(deadline); time.Sleep(time.Second) {
-		if p = d.progress(name); p.State != bookkeeping.DrainActive {
+		if p = d.progress(name); p.State != storage.DrainActive {
 			return
 		}
 	}
@@ -187,7 +187,7 @@
 	if left := s.MachinesInZone("a"); len(left) > 0 {
 		t.Errorf("left in zone a: %v", left)
 	}
-	if got := s.progress("rack").State; got != bookkeeping.DrainDrained {
+	if got := s.progress("rack").State; got != storage.DrainDrained {
 		t.Errorf("rack is %s", got)
 	}
 	moved, most := s.Restarts()
@@ -235,23 +235,23 @@
 	s.mustRun(4, "start", "other", "--type", "m8")
 	s.mustRun(0, "pause", "rack")
 	s.mustRun(0, "pause", "rack")
-	if p := s.progress("rack"); p.State != bookkeeping.DrainPaused || len(p.Machines) != zone {
+	if p := s.progress("rack"); p.State != storage.DrainPaused || len(p.Machines) != zone {
 		t.Errorf("paused: %+v", p)
 	}
 	s.mustRun(0, "resume", "rack")
 	s.mustRun(0, "abort", "rack")
 	s.mustRun(0, "abort", "rack")
 	s.mustRun(4, "resume", "rack")
-	if p := s.progress("rack"); p.State != bookkeeping.DrainAborted {
+	if p := s.progress("rack"); p.State != storage.DrainAborted {
 		t.Errorf("aborted: %+v", p)
 	}
 	var list []operator.DrainSummary
-	if err := json.Unmarshal([]byte(s.mustRun(0, "list", "--json")), &list); err != nil || len(list) != 1 || list[0].State != bookkeeping.DrainAborted {
+	if err := json.Unmarshal([]byte(s.mustRun(0, "list", "--json")), &list); err != nil || len(list) != 1 || list[0].State != storage.DrainAborted {
 		t.Errorf("list: %v %+v", err, list)
 	}
 	s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--at-once")
 	s.waitFor("rack", 90*time.Second)
-	if p := s.progress("rack"); p.State != bookkeeping.DrainDrained || len(s.MachinesInZone("a")) > 0 {
+	if p := s.progress("rack"); p.State != storage.DrainDrained || len(s.MachinesInZone("a")) > 0 {
 		t.Errorf("drained: %+v", p)
 	}
 	s.mustRun(0, "abort", "rack") // the zone may be used again
--- a/internal/standin/loopback/abrupt_test.go
+++ b/internal/fake/loopback/process_cleanup_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -30,7 +30,7 @@
 	d := NewDeployment(t, 1, Options{Binary: program, Controllers: 2, Zones: []string{"a"},
 		Types:             []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}, BootS: 2}},
 		Teams:             []config.Team{{Name: "t"}},
-		HeartbeatInterval: micros.Second, LeaseTime: 10 * micros.Second, CancelWithin: 30 * micros.Second, StateRPS: 100, StateWriteRPS: 50})
+		HeartbeatInterval: monotime.Second, LeaseTime: 10 * monotime.Second, CancelWithin: 30 * monotime.Second, StateRPS: 100, StateWriteRPS: 50})
 	for _, node := range d.Controllers {
 		os.Stdout.WriteString(pidPrefix + strconv.Itoa(d.Process(node).pid()) + "\n")
 	}
--- a/internal/standin/loopback/services.go
+++ b/internal/fake/loopback/services.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // TeamServices is the services of a team: so many, with so many replicas of two CPUs each.
@@ -53,7 +53,7 @@
 	s.Clock.Do(func() {
 		for _, machineType := range options.Types {
 			for _, zone := range options.Zones {
-				s.Cloud.Capacity[standin.OfferKey(machineType.Name, zone, false)] = zoneCapacity
+				s.Cloud.Capacity[fake.OfferKey(machineType.Name, zone, false)] = zoneCapacity
 			}
 		}
 	})
@@ -84,7 +84,7 @@
 			id := fmt.Sprintf("j-%06d", next)
 			d.replicas[id] = team.Replicas
 			d.Clock.Do(func() {
-				d.Fleet.Jobs[id] = standin.JobBehavior{Team: team.Team, CPUs: 2, Service: true, PullTime: micros.Second, CheckpointTime: micros.Second / 2}
+				d.Fleet.Jobs[id] = fake.JobBehavior{Team: team.Team, CPUs: 2, Service: true, PullTime: monotime.Second, CheckpointTime: monotime.Second / 2}
 			})
 			body := protocol.MustMarshal(&protocol.Submission{
 				ID: id, Class: "web", Team: team.Team, Service: true, Priority: protocol.Production, Tasks: team.Replicas,
@@ -172,8 +172,8 @@
 
 // Leader reads from the state service who leads.
 func (d *Services) Leader() string {
-	var lead bookkeeping.Leader
-	d.Clock.Do(func() { d.Store.Read(bookkeeping.LeaderKey, &lead) })
+	var lead storage.Leader
+	d.Clock.Do(func() { d.Store.Read(storage.LeaderKey, &lead) })
 	return lead.Node
 }
 
