--- a/internal/standin/loopback/state.go
+++ b/internal/fake/loopback/state_service.go
@@ -6,20 +6,20 @@
 	"strings"
 	"testing"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 )
 
 // stateHandler answers as the state service does, for one caller.
 type stateHandler struct {
 	clock  *RealTimeClock
-	store  *standin.StateStore
+	store  *fake.StateStore
 	caller string
 }
 
 // ServeState serves a store on loopback until the test ends, and returns its address.
-func ServeState(t testing.TB, sim *standin.SimClock, store *standin.StateStore) string {
+func ServeState(t testing.TB, sim *fake.SimClock, store *fake.StateStore) string {
 	t.Helper()
 	const caller = "operator"
 	clock := NewRealTimeClock(sim)
@@ -33,7 +33,7 @@
 }
 
 // noTimeout is the time that a call may take: its caller's own deadline ends it sooner.
-const noTimeout = 10 * micros.Minute
+const noTimeout = 10 * monotime.Minute
 
 func (h *stateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, ok := stateCall(r)
@@ -66,7 +66,7 @@
 		var lease protocol.LeaseRequest
 		call.Op = protocol.StoreGrantLease
 		ok := readMessage(r, &lease)
-		call.TTL = micros.Micros(lease.TTLMillis) * micros.Millisecond
+		call.TTL = monotime.Micros(lease.TTLMillis) * monotime.Millisecond
 		return call, ok && lease.TTLMillis >= 100
 	case r.Method == "POST" && strings.HasPrefix(path, "/leases/") && strings.HasSuffix(path, "/touch"):
 		id, err := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"), 10, 64)
@@ -76,7 +76,7 @@
 		from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 		block, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
 		call.Op, call.Key, call.FromRevision = protocol.StoreWatch, query.Get("under"), from
-		call.MaxBlock = micros.Micros(block) * micros.Millisecond
+		call.MaxBlock = monotime.Micros(block) * monotime.Millisecond
 		return call, err == nil
 	}
 	return nil, false
--- a/internal/standin/loopback/workers.go
+++ b/internal/fake/loopback/workers.go
@@ -4,16 +4,16 @@
 	"net/http"
 	"sync"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
 	"pipitgap/internal/transport"
 )
 
 // workerHandler answers direct commands as a machine's worker does.
 type workerHandler struct {
 	clock    *RealTimeClock
-	fleet    *standin.WorkerFleet
+	fleet    *fake.WorkerFleet
 	endpoint func() string
 }
 
@@ -52,7 +52,7 @@
 }
 
 // executeRequest carries a batch out, or without one gives the worker's report.
-func executeRequest(worker *standin.Worker, request *protocol.CommandRequest) protocol.CommandResult {
+func executeRequest(worker *fake.Worker, request *protocol.CommandRequest) protocol.CommandResult {
 	if request == nil {
 		return protocol.CommandResult{Status: http.StatusOK, Heartbeat: *worker.Heartbeat()}
 	}
@@ -71,7 +71,7 @@
 const (
 	heartbeatConnections = 32
 	maxHeartbeatReply    = 64 << 10
-	heartbeatTimeout     = 4 * micros.Second
+	heartbeatTimeout     = 4 * monotime.Second
 )
 
 func (p *heartbeatSender) client(node string) *transport.Client {
@@ -84,7 +84,7 @@
 }
 
 // send carries one report; it is called on the simulation.
-func (p *heartbeatSender) send(_ *standin.Worker, node string, body []byte, back func(status int, reply []byte)) {
+func (p *heartbeatSender) send(_ *fake.Worker, node string, body []byte, back func(status int, reply []byte)) {
 	client := p.client(node)
 	go func() {
 		message, err := client.Do("POST", protocol.HeartbeatPath, body, heartbeatTimeout)
--- a/internal/standin/sim.go
+++ b/internal/fake/sim.go
@@ -1,25 +1,25 @@
-// Package standin holds stand-ins for the state service, the cloud and the
+// Package fake holds stand-ins for the state service, the cloud and the
 // workers, written from the protocol, under a simulated clock. Tests drive the
 // coordination with them; nothing here is part of the service.
-package standin
+package fake
 
 import (
 	"container/heap"
 	"math/rand/v2"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // SimClock is a simulated clock with events in order of time, then of their making.
 type SimClock struct {
-	now   micros.Micros
+	now   monotime.Micros
 	seq   uint64
 	queue eventHeap
 	Rand  *rand.Rand
 }
 
 type event struct {
-	at       micros.Micros
+	at       monotime.Micros
 	seq      uint64
 	callback func()
 }
@@ -43,16 +43,16 @@
 func NewSimClock(seed uint64) *SimClock { return &SimClock{Rand: rand.New(rand.NewPCG(seed, 7))} }
 
 // Now reads the clock.
-func (s *SimClock) Now() micros.Micros { return s.now }
+func (s *SimClock) Now() monotime.Micros { return s.now }
 
 // After has f called d later.
-func (s *SimClock) After(d micros.Micros, f func()) {
+func (s *SimClock) After(d monotime.Micros, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, f})
 }
 
 // Run plays the events of the next d.
-func (s *SimClock) Run(d micros.Micros) {
+func (s *SimClock) Run(d monotime.Micros) {
 	end := s.now + d
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := heap.Pop(&s.queue).(event)
@@ -63,8 +63,8 @@
 }
 
 // RunUntil plays events until ok or until d has passed, and tells which.
-func (s *SimClock) RunUntil(d micros.Micros, ok func() bool) bool {
-	for end := s.now + d; s.now < end; s.Run(50 * micros.Millisecond) {
+func (s *SimClock) RunUntil(d monotime.Micros, ok func() bool) bool {
+	for end := s.now + d; s.now < end; s.Run(50 * monotime.Millisecond) {
 		if ok() {
 			return true
 		}
@@ -74,8 +74,8 @@
 
 // AfterCondition has f called as soon as ok holds, or not at all if that takes longer than d. Unlike
 // RunUntil it may be called from an event.
-func (s *SimClock) AfterCondition(ok func() bool, d micros.Micros, f func()) {
-	const look = 50 * micros.Millisecond
+func (s *SimClock) AfterCondition(ok func() bool, d monotime.Micros, f func()) {
+	const look = 50 * monotime.Millisecond
 	if ok() {
 		f()
 		return
--- a/internal/standin/store.go
+++ b/internal/fake/store.go
@@ -1,11 +1,11 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
 	"sort"
 	"strings"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -26,16 +26,16 @@
 	watches           []*watch
 	readTokens        float64
 	writeTokens       float64
-	refilledAt        micros.Micros
+	refilledAt        monotime.Micros
 
 	Down           bool            // 503 for all
 	RefusedCallers map[string]bool // 503 for these callers alone
 	// LoseResponse, if set, tells whether a commit that was applied gets no answer.
 	LoseResponse func(*protocol.Transaction) bool
 	// DelayCommit, if set, has a commit applied that much later, with no answer.
-	DelayCommit func(*protocol.Transaction) micros.Micros
+	DelayCommit func(*protocol.Transaction) monotime.Micros
 	// DelayResponse, if set, has answers come that much later.
-	DelayResponse func() micros.Micros
+	DelayResponse func() monotime.Micros
 	Throttled     int
 	// Calls counts what was let through by kind, Changes the puts and deletes,
 	// Conflicts the commits that changed nothing.
@@ -51,8 +51,8 @@
 }
 
 type lease struct {
-	ttl       micros.Micros
-	expiresAt micros.Micros
+	ttl       monotime.Micros
+	expiresAt monotime.Micros
 }
 
 type watch struct {
@@ -74,7 +74,7 @@
 
 // Outage has the store refuse everything for a while; afterwards every lease
 // has its full time again.
-func (s *StateStore) Outage(d micros.Micros) {
+func (s *StateStore) Outage(d monotime.Micros) {
 	s.Down = true
 	s.Clock.After(d, func() {
 		s.Down = false
@@ -108,7 +108,7 @@
 			}
 		}
 	}
-	s.Clock.After(50*micros.Millisecond, s.expireLeases)
+	s.Clock.After(50*monotime.Millisecond, s.expireLeases)
 }
 
 func (s *StateStore) takeTokens(writes int) bool {
@@ -133,7 +133,7 @@
 	answer := func(result protocol.StoreResult) {
 		if !answered {
 			answered = true
-			s.Clock.After(2*micros.Millisecond, func() { back(result) })
+			s.Clock.After(2*monotime.Millisecond, func() { back(result) })
 		}
 	}
 	s.Clock.After(call.Timeout, func() { answer(protocol.StoreResult{}) })
@@ -142,7 +142,7 @@
 		late := s.DelayResponse()
 		reply = func(result protocol.StoreResult) { s.Clock.After(late, func() { answer(result) }) }
 	}
-	s.Clock.After(2*micros.Millisecond, func() { s.handle(caller, &call, reply) })
+	s.Clock.After(2*monotime.Millisecond, func() { s.handle(caller, &call, reply) })
 }
 
 func (s *StateStore) handle(caller string, call *protocol.StoreCall, answer func(protocol.StoreResult)) {
--- a/internal/standin/worker.go
+++ b/internal/fake/workers.go
@@ -1,9 +1,9 @@
-package standin
+package fake
 
 import (
 	"sort"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -12,18 +12,18 @@
 	Team           string
 	CPUs           float64
 	MemoryGB       float64
-	RunTime        micros.Micros // 0: runs until it is stopped
+	RunTime        monotime.Micros // 0: runs until it is stopped
 	Fails          bool
 	Service        bool
-	PullTime       micros.Micros // how long a machine fetches its image before a task runs
-	CheckpointTime micros.Micros // how long a task saves when it is stopped
+	PullTime       monotime.Micros // how long a machine fetches its image before a task runs
+	CheckpointTime monotime.Micros // how long a task saves when it is stopped
 }
 
 // WorkerFleet is all workers; what they run is reported to the checker.
 type WorkerFleet struct {
 	Clock             *SimClock
-	HeartbeatInterval micros.Micros
-	LeaseTime         micros.Micros
+	HeartbeatInterval monotime.Micros
+	LeaseTime         monotime.Micros
 	Controllers       []string
 	Jobs              map[string]JobBehavior
 	Workers           map[string]*Worker
@@ -34,7 +34,7 @@
 	// OnStop, if set, is told of every running task that is stopped by a command, just after.
 	OnStop func(task string, w *Worker)
 
-	TaskRunTime map[string]micros.Micros // tasks that run for another time than their job's others
+	TaskRunTime map[string]monotime.Micros // tasks that run for another time than their job's others
 	Checker     *Checker
 	Starts      map[string]int
 	Finished    map[string]bool
@@ -50,7 +50,7 @@
 	FencingToken    uint64
 	Attempts        map[string]*Attempt
 	controller      int
-	leaseRenewedAt  micros.Micros
+	leaseRenewedAt  monotime.Micros
 	FailsTasks      bool // every task fails
 	Partitioned     bool // cut from everything, goes on working
 	Paused          bool
@@ -69,9 +69,9 @@
 }
 
 // NewWorkerFleet starts without workers.
-func NewWorkerFleet(sim *SimClock, report, lease micros.Micros, nodes []string, check *Checker) *WorkerFleet {
+func NewWorkerFleet(sim *SimClock, report, lease monotime.Micros, nodes []string, check *Checker) *WorkerFleet {
 	return &WorkerFleet{Clock: sim, HeartbeatInterval: report, LeaseTime: lease, Controllers: nodes, Jobs: map[string]JobBehavior{},
-		Workers: map[string]*Worker{}, ByEndpoint: map[string]*Worker{}, Checker: check, TaskRunTime: map[string]micros.Micros{},
+		Workers: map[string]*Worker{}, ByEndpoint: map[string]*Worker{}, Checker: check, TaskRunTime: map[string]monotime.Micros{},
 		Starts: map[string]int{}, Finished: map[string]bool{}}
 }
 
@@ -143,7 +143,7 @@
 		w.Sequence = 0
 		w.leaseRenewedAt = w.fleet.Clock.Now()
 	}
-	w.fleet.Clock.After(100*micros.Millisecond, w.watchLease)
+	w.fleet.Clock.After(100*monotime.Millisecond, w.watchLease)
 }
 
 // Heartbeat is the worker's report now.
@@ -163,7 +163,7 @@
 		return
 	}
 	f := w.fleet
-	next := f.HeartbeatInterval + micros.Micros(f.Clock.Rand.Int64N(int64(f.HeartbeatInterval/2))) - f.HeartbeatInterval/4
+	next := f.HeartbeatInterval + monotime.Micros(f.Clock.Rand.Int64N(int64(f.HeartbeatInterval/2))) - f.HeartbeatInterval/4
 	if !w.inFlight && !w.Paused {
 		w.sendHeartbeat()
 	}
@@ -176,7 +176,7 @@
 		return
 	}
 	w.heartbeatQueued = true
-	w.fleet.Clock.After(500*micros.Millisecond, func() {
+	w.fleet.Clock.After(500*monotime.Millisecond, func() {
 		w.heartbeatQueued = false
 		if !w.gone && !w.inFlight && !w.Paused {
 			w.sendHeartbeat()
@@ -210,17 +210,17 @@
 			for i, n := range f.Controllers {
 				if n == r.Leader && i != w.controller {
 					w.controller = i
-					f.Clock.After(200*micros.Millisecond, w.retryHeartbeat)
+					f.Clock.After(200*monotime.Millisecond, w.retryHeartbeat)
 					return
 				}
 			}
 			fallthrough
 		default:
 			w.controller = (w.controller + 1) % len(f.Controllers)
-			f.Clock.After(micros.Second, w.retryHeartbeat)
+			f.Clock.After(monotime.Second, w.retryHeartbeat)
 		}
 	}
-	f.Clock.After(4*micros.Second, func() { finish(0, nil) })
+	f.Clock.After(4*monotime.Second, func() { finish(0, nil) })
 	if w.Partitioned {
 		return
 	}
@@ -243,7 +243,7 @@
 
 // Pause stops a machine for a while: it neither reports nor executes, and its lease runs
 // on. Commands that come meanwhile are executed when it goes on.
-func (w *Worker) Pause(d micros.Micros) {
+func (w *Worker) Pause(d monotime.Micros) {
 	w.Paused = true
 	w.fleet.Clock.After(d, func() {
 		w.Paused = false
@@ -334,7 +334,7 @@
 		run = own
 	}
 	if w.FailsTasks || job.Fails {
-		run = 500 * micros.Millisecond
+		run = 500 * monotime.Millisecond
 	}
 	if run == 0 {
 		return
--- a/internal/micros/micros.go
+++ b/internal/monotime/monotime.go
@@ -1,6 +1,6 @@
-// Package micros holds the one time type of the service: whole microseconds.
+// Package monotime holds the one time type of the service: whole microseconds.
 // Seconds and milliseconds exist only at the wire and in settings files.
-package micros
+package monotime
 
 import (
 	"math"
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -7,11 +7,11 @@
 	"slices"
 	"strings"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/coordination"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // Why a command is refused. Each has an exit status of its own kind, see cmd/pipitgap.
@@ -34,12 +34,12 @@
 // StartRequest is what an operator asks for.
 type StartRequest struct {
 	Name         string
-	Selector     bookkeeping.Selector
-	Replace      bool          // rent room before it is needed
-	AllowSimilar bool          // machines like the selected ones may be rented meanwhile
-	RemoveAtOnce bool          // give empty machines back without a delay
-	MaxParallel  int           // machines being emptied at a time
-	Deadline     micros.Micros // no step begins so long after the start; 0: never
+	Selector     storage.Selector
+	Replace      bool            // rent room before it is needed
+	AllowSimilar bool            // machines like the selected ones may be rented meanwhile
+	RemoveAtOnce bool            // give empty machines back without a delay
+	MaxParallel  int             // machines being emptied at a time
+	Deadline     monotime.Micros // no step begins so long after the start; 0: never
 	DryRun       bool
 }
 
@@ -100,7 +100,7 @@
 	case drain.SelectorEmpty(&r.Selector):
 		return fmt.Errorf("%w: select machines by name, zone, type or kind", ErrBadRequest)
 	case len(r.Selector.Machines) > 0 &&
-		(r.Selector.Zone != "" || r.Selector.Type != "" || r.Selector.CapacityType != bookkeeping.AnyCapacity):
+		(r.Selector.Zone != "" || r.Selector.Type != "" || r.Selector.CapacityType != storage.AnyCapacity):
 		return fmt.Errorf("%w: select machines either by name or by zone, type and kind", ErrBadRequest)
 	case r.MaxParallel < 1:
 		return fmt.Errorf("%w: at least one machine must be emptied at a time", ErrBadRequest)
@@ -112,7 +112,7 @@
 
 // checkSelector looks for names that nobody knows.
 func (d *DrainOperator) checkSelector(
-	s *bookkeeping.Selector, reading *coordination.RecordSnapshot, fleet *drain.Snapshot,
+	s *storage.Selector, reading *coordination.RecordSnapshot, fleet *drain.Snapshot,
 ) error {
 	if s.Zone != "" && !slices.Contains(d.Zones, s.Zone) {
 		return fmt.Errorf("%w: zone %q", ErrNotFound, s.Zone)
@@ -133,11 +133,11 @@
 }
 
 // record is the drain that a request asks for.
-func (r *StartRequest) record(reading *coordination.RecordSnapshot, wall int64) bookkeeping.Drain {
+func (r *StartRequest) record(reading *coordination.RecordSnapshot, wall int64) storage.Drain {
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
-	record := bookkeeping.Drain{
-		State: bookkeeping.DrainActive, Selector: selector, Replace: r.Replace, RemoveAtOnce: r.RemoveAtOnce,
+	record := storage.Drain{
+		State: storage.DrainActive, Selector: selector, Replace: r.Replace, RemoveAtOnce: r.RemoveAtOnce,
 		MaxParallel: r.MaxParallel, StartedAt: wall,
 	}
 	if r.AllowSimilar && len(selector.Machines) == 0 {
@@ -150,14 +150,14 @@
 }
 
 // sameRequest tells whether two drains were asked for in the same words, whenever that was.
-func sameRequest(a, b *bookkeeping.Drain) bool {
-	lasts := func(d *bookkeeping.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
+func sameRequest(a, b *storage.Drain) bool {
+	lasts := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
 	return reflect.DeepEqual(a.Selector, b.Selector) && a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
 		a.MaxParallel == b.MaxParallel && (a.LastMachine == "") == (b.LastMachine == "") && lasts(a) == lasts(b)
 }
 
 // checkOverlap looks for another unfinished drain about the same machines.
-func checkOverlap(fleet *drain.Snapshot, name string, record *bookkeeping.Drain) error {
+func checkOverlap(fleet *drain.Snapshot, name string, record *storage.Drain) error {
 	for _, other := range fleet.Drains() {
 		if other.Name != name && other.State.Unfinished() && fleet.Overlaps(record, &other.Drain) {
 			return fmt.Errorf("%w: drain %q (%s) of %s",
@@ -169,7 +169,7 @@
 
 // startTransaction writes a drain, on the condition that no other was started since the reading.
 func (d *DrainOperator) startTransaction(
-	reading *coordination.RecordSnapshot, name string, existing *drain.DrainRecord, record *bookkeeping.Drain,
+	reading *coordination.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
 ) (*protocol.Transaction, error) {
 	value := protocol.MustMarshal(record)
 	if 2*len(value) > d.MaxValueBytes { // it is counted in its JSON form
@@ -180,15 +180,15 @@
 	if existing != nil {
 		version = existing.Version
 	}
-	key := bookkeeping.Key(bookkeeping.KindDrain, name)
+	key := storage.Key(storage.KindDrain, name)
 	return &protocol.Transaction{
 		If: []protocol.Compare{
 			{Key: key, Version: version},
-			{Key: bookkeeping.DrainRegistryKey, Version: reading.DrainRegistryVersion},
+			{Key: storage.DrainRegistryKey, Version: reading.DrainRegistryVersion},
 		},
 		Then: []protocol.Op{
 			{Put: key, Value: value},
-			{Put: bookkeeping.DrainRegistryKey, Value: protocol.MustMarshal(name)},
+			{Put: storage.DrainRegistryKey, Value: protocol.MustMarshal(name)},
 		},
 	}, nil
 }
@@ -218,11 +218,11 @@
 
 // DrainSummary is a drain in a list.
 type DrainSummary struct {
-	Name         string                 `json:"name"`
-	State        bookkeeping.DrainState `json:"state"`
-	Reason       string                 `json:"reason,omitempty"`
-	Selection    string                 `json:"selects"`
-	MachinesLeft int                    `json:"machines_left"`
+	Name         string             `json:"name"`
+	State        storage.DrainState `json:"state"`
+	Reason       string             `json:"reason,omitempty"`
+	Selection    string             `json:"selects"`
+	MachinesLeft int                `json:"machines_left"`
 }
 
 // List lists all drains, also those that ended within the last day.
@@ -247,11 +247,11 @@
 
 // Pause has a drain begin no further step. What is under way ends.
 func (d *DrainOperator) Pause(name string) (changed bool, err error) {
-	return d.transition(name, func(record *bookkeeping.Drain) error {
+	return d.transition(name, func(record *storage.Drain) error {
 		switch record.State {
-		case bookkeeping.DrainActive:
-			record.State, record.Reason = bookkeeping.DrainPaused, "paused by an operator"
-		case bookkeeping.DrainPaused:
+		case storage.DrainActive:
+			record.State, record.Reason = storage.DrainPaused, "paused by an operator"
+		case storage.DrainPaused:
 		default:
 			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
 		}
@@ -260,13 +260,13 @@
 }
 
 // Resume has a paused drain go on. One that was paused at its deadline needs a new one, or none.
-func (d *DrainOperator) Resume(name string, deadline micros.Micros) (changed bool, err error) {
+func (d *DrainOperator) Resume(name string, deadline monotime.Micros) (changed bool, err error) {
 	wall := d.WallClock()
-	return d.transition(name, func(record *bookkeeping.Drain) error {
+	return d.transition(name, func(record *storage.Drain) error {
 		switch record.State {
-		case bookkeeping.DrainActive:
+		case storage.DrainActive:
 			return nil
-		case bookkeeping.DrainPaused:
+		case storage.DrainPaused:
 		default:
 			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
 		}
@@ -276,7 +276,7 @@
 		case record.DeadlineAt != 0 && record.DeadlineAt <= wall:
 			return fmt.Errorf("%w: its deadline has passed; give a new one with --deadline", ErrBadRequest)
 		}
-		record.State, record.Reason = bookkeeping.DrainActive, ""
+		record.State, record.Reason = storage.DrainActive, ""
 		return nil
 	})
 }
@@ -285,13 +285,13 @@
 // be rented again.
 func (d *DrainOperator) Abort(name string) (changed bool, err error) {
 	wall := d.WallClock()
-	return d.transition(name, func(record *bookkeeping.Drain) error {
+	return d.transition(name, func(record *storage.Drain) error {
 		switch record.State {
-		case bookkeeping.DrainActive, bookkeeping.DrainPaused:
-			record.State, record.Reason = bookkeeping.DrainAborted, "aborted by an operator"
-		case bookkeeping.DrainDrained:
-			record.State, record.Reason = bookkeeping.DrainDone, "ended by an operator"
-		case bookkeeping.DrainAborted:
+		case storage.DrainActive, storage.DrainPaused:
+			record.State, record.Reason = storage.DrainAborted, "aborted by an operator"
+		case storage.DrainDrained:
+			record.State, record.Reason = storage.DrainDone, "ended by an operator"
+		case storage.DrainAborted:
 			return nil
 		default:
 			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
@@ -302,7 +302,7 @@
 }
 
 // transition changes the state of a drain; what changes nothing is no change.
-func (d *DrainOperator) transition(name string, to func(*bookkeeping.Drain) error) (changed bool, err error) {
+func (d *DrainOperator) transition(name string, to func(*storage.Drain) error) (changed bool, err error) {
 	err = d.transact(func(reading *coordination.RecordSnapshot) (*protocol.Transaction, error) {
 		record, ok := reading.DrainSnapshot(d.WallClock()).Drain(name)
 		if !ok {
@@ -316,7 +316,7 @@
 			return nil, nil
 		}
 		changed = true
-		key := bookkeeping.Key(bookkeeping.KindDrain, name)
+		key := storage.Key(storage.KindDrain, name)
 		return &protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: record.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
@@ -326,7 +326,7 @@
 }
 
 // describeSelector says in words what a selector selects.
-func describeSelector(s *bookkeeping.Selector) string {
+func describeSelector(s *storage.Selector) string {
 	if n := len(s.Machines); n > 0 {
 		return fmt.Sprintf("%d machines by name", n)
 	}
--- a/internal/operator/drains_test.go
+++ b/internal/operator/drains_test.go
@@ -4,34 +4,34 @@
 	"errors"
 	"testing"
 
-	"pipitgap/internal/bookkeeping"
 	"pipitgap/internal/config"
 	"pipitgap/internal/coordination"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/standin"
+	"pipitgap/internal/storage"
 )
 
 // fixture is a state service with a small fleet's records, and operators.
 type fixture struct {
 	t          *testing.T
-	sim        *standin.SimClock
-	store      *standin.StateStore
+	sim        *fake.SimClock
+	store      *fake.StateStore
 	beforeCall func(*protocol.StoreCall) // called before each call
 }
 
 func newFixture(t *testing.T) *fixture {
-	b := &fixture{t: t, sim: standin.NewSimClock(1)}
-	b.store = standin.NewStateStore(b.sim, 1000, 1000, 12)
-	shard := &bookkeeping.Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*bookkeeping.ShardMachine{}, Jobs: map[string]*bookkeeping.ShardJob{}}
+	b := &fixture{t: t, sim: fake.NewSimClock(1)}
+	b.store = fake.NewStateStore(b.sim, 1000, 1000, 12)
+	shard := &storage.Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		shard.AddMachine(id, bookkeeping.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:9000", State: bookkeeping.MachineOpen})
+		shard.AddMachine(id, storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:9000", State: storage.MachineOpen})
 	}
-	shard.AddMachine("i-4", bookkeeping.ShardMachine{Type: "m8", Zone: "b", Endpoint: "10.0.0.1:9000", State: bookkeeping.MachineOpen, Spot: true})
+	shard.AddMachine("i-4", storage.ShardMachine{Type: "m8", Zone: "b", Endpoint: "10.0.0.1:9000", State: storage.MachineOpen, Spot: true})
 	raw, _ := shard.Encode()
-	b.put(bookkeeping.Key(bookkeeping.KindShard, "s"), raw)
-	b.put(bookkeeping.Key(bookkeeping.KindMachineType, "m8"), protocol.MustMarshal(&bookkeeping.MachineType{CPUs: 8, MemoryGB: 64, Zones: []string{"a", "b"}}))
+	b.put(storage.Key(storage.KindShard, "s"), raw)
+	b.put(storage.Key(storage.KindMachineType, "m8"), protocol.MustMarshal(&storage.MachineType{CPUs: 8, MemoryGB: 64, Zones: []string{"a", "b"}}))
 	return b
 }
 
@@ -45,13 +45,13 @@
 func (b *fixture) callStore(c *protocol.StoreCall) protocol.StoreResult {
 	var result *protocol.StoreResult
 	b.store.Call("operator", c, func(r protocol.StoreResult) { result = &r })
-	b.sim.RunUntil(20*micros.Second, func() bool { return result != nil })
+	b.sim.RunUntil(20*monotime.Second, func() bool { return result != nil })
 	return *result
 }
 
 func (b *fixture) put(key string, value protocol.Raw) {
 	b.t.Helper()
-	r := b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: micros.Second, Transaction: protocol.Transaction{Then: []protocol.Op{{Put: key, Value: value}}}})
+	r := b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: protocol.Transaction{Then: []protocol.Op{{Put: key, Value: value}}}})
 	if r.Outcome != protocol.OK {
 		b.t.Fatal(r.Outcome)
 	}
@@ -66,7 +66,7 @@
 }
 
 func zoneRequest(name, zone string) StartRequest {
-	return StartRequest{Name: name, Selector: bookkeeping.Selector{Zone: zone}, MaxParallel: 2}
+	return StartRequest{Name: name, Selector: storage.Selector{Zone: zone}, MaxParallel: 2}
 }
 
 // isCommit tells whether a call writes a drain.
@@ -131,10 +131,10 @@
 		{"a deadline that has passed", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Deadline = -1 }), ErrBadRequest},
 		{"unknown zone", zoneRequest("x", "c"), ErrNotFound},
 		{"unknown type", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Type = "m9" }), ErrNotFound},
-		{"unknown machine", StartRequest{Name: "x", MaxParallel: 1, Selector: bookkeeping.Selector{Machines: []string{"i-9"}}}, ErrNotFound},
-		{"no such machine in the zone", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.CapacityType = bookkeeping.OnDemandCapacity }), ErrNothingSelected},
+		{"unknown machine", StartRequest{Name: "x", MaxParallel: 1, Selector: storage.Selector{Machines: []string{"i-9"}}}, ErrNotFound},
+		{"no such machine in the zone", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.CapacityType = storage.OnDemandCapacity }), ErrNothingSelected},
 		{"name in use", zoneRequest("rack", "b"), ErrNameInUse},
-		{"overlap", StartRequest{Name: "x", MaxParallel: 1, Selector: bookkeeping.Selector{Machines: []string{"i-1"}}}, ErrDrainsOverlap},
+		{"overlap", StartRequest{Name: "x", MaxParallel: 1, Selector: storage.Selector{Machines: []string{"i-1"}}}, ErrDrainsOverlap},
 	}
 	revision := b.store.Revision
 	for _, tc := range cases {
@@ -165,18 +165,18 @@
 	b := newFixture(t)
 	d := b.drains()
 	request := zoneRequest("rack", "a")
-	request.Deadline = 5 * micros.Second
+	request.Deadline = 5 * monotime.Second
 	if _, err := d.Start(request); err != nil {
 		t.Fatal(err)
 	}
 	if changed, err := d.Pause("rack"); !changed || err != nil {
 		t.Error(changed, err)
 	}
-	b.sim.Run(10 * micros.Second)
+	b.sim.Run(10 * monotime.Second)
 	if _, err := d.Resume("rack", 0); !errors.Is(err, ErrBadRequest) {
 		t.Errorf("past the deadline: %v", err)
 	}
-	if changed, err := d.Resume("rack", 5*micros.Second); !changed || err != nil {
+	if changed, err := d.Resume("rack", 5*monotime.Second); !changed || err != nil {
 		t.Error(changed, err)
 	}
 	if changed, err := d.Resume("rack", 0); changed || err != nil {
@@ -192,7 +192,7 @@
 		t.Errorf("the name is free again: %v", err)
 	}
 	progress, teams, err := d.Status("rack")
-	if err != nil || progress.State != bookkeeping.DrainActive || len(progress.Machines) != 1 || len(teams) != 0 {
+	if err != nil || progress.State != storage.DrainActive || len(progress.Machines) != 1 || len(teams) != 0 {
 		t.Errorf("%+v %v %v", progress, teams, err)
 	}
 	list, err := d.List()
@@ -211,9 +211,9 @@
 		}
 		// A drain changes its name between any two lists: the old one goes as the new one comes.
 		n++
-		old, next := bookkeeping.Key(bookkeeping.KindDrain, string(rune('a'+n-1))), bookkeeping.Key(bookkeeping.KindDrain, string(rune('a'+n)))
-		b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: micros.Second, Transaction: protocol.Transaction{Then: []protocol.Op{
-			{Put: next, Value: protocol.MustMarshal(&bookkeeping.Drain{State: bookkeeping.DrainActive, Selector: bookkeeping.Selector{Zone: "a"}})}, {Delete: old}}}})
+		old, next := storage.Key(storage.KindDrain, string(rune('a'+n-1))), storage.Key(storage.KindDrain, string(rune('a'+n)))
+		b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: protocol.Transaction{Then: []protocol.Op{
+			{Put: next, Value: protocol.MustMarshal(&storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}})}, {Delete: old}}}})
 	}
 	for range 3 {
 		n = 0
--- a/internal/operator/transactions.go
+++ b/internal/operator/transactions.go
@@ -4,16 +4,16 @@
 	"fmt"
 
 	"pipitgap/internal/coordination"
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
 // Operator carries out commands on one deployment's state service.
 type Operator struct {
 	Call              coordination.StoreCaller
-	Sleep             func(micros.Micros) // pauses before a call is repeated
-	WallClock         func() int64        // time of day, microseconds
-	MaxTransactionOps int                 // changes that a commit may hold
+	Sleep             func(monotime.Micros) // pauses before a call is repeated
+	WallClock         func() int64          // time of day, microseconds
+	MaxTransactionOps int                   // changes that a commit may hold
 	// MaxValueBytes is how large a value may be.
 	MaxValueBytes int
 	Zones         []string
@@ -22,7 +22,7 @@
 // Bounds of how a command repeats its calls.
 const (
 	maxAttempts   = 5
-	retryInterval = 400 * micros.Millisecond
+	retryInterval = 400 * monotime.Millisecond
 )
 
 // readRecords reads all records at one revision. A state service that is busy or changes faster than it
@@ -88,4 +88,4 @@
 		coordination.ErrStoreUnavailable, last)
 }
 
-const commitTimeout = 5 * micros.Second
+const commitTimeout = 5 * monotime.Second
--- a/internal/protocol/calls.go
+++ b/internal/protocol/calls.go
@@ -5,7 +5,7 @@
 	"net/url"
 	"strconv"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/transport"
 )
 
@@ -53,10 +53,10 @@
 	Limit        int
 	Transaction  Transaction
 	Lease        uint64
-	TTL          micros.Micros
+	TTL          monotime.Micros
 	FromRevision uint64
-	MaxBlock     micros.Micros
-	Timeout      micros.Micros // deadline
+	MaxBlock     monotime.Micros
+	Timeout      monotime.Micros // deadline
 }
 
 // Writes tells how many puts and deletes a call is counted for.
@@ -183,7 +183,7 @@
 	Rent    RentRequest
 	Delete  []string
 	After   string
-	Timeout micros.Micros
+	Timeout monotime.Micros
 }
 
 // CloudResult answers it.
@@ -245,7 +245,7 @@
 
 // CallWorker sends a command batch to a worker; without one it only asks for the
 // worker's report.
-func CallWorker(client *transport.Client, req *CommandRequest, within micros.Micros) CommandResult {
+func CallWorker(client *transport.Client, req *CommandRequest, within monotime.Micros) CommandResult {
 	var message *transport.Message
 	var err error
 	if req == nil {
--- a/internal/bookkeeping/drains.go
+++ b/internal/storage/drains.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 // DrainState is where a drain stands.
 type DrainState string
--- a/internal/bookkeeping/queue.go
+++ b/internal/storage/queue.go
@@ -1,7 +1,7 @@
-package bookkeeping
+package storage
 
 import (
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
@@ -10,12 +10,12 @@
 	Rate       float64 // a second
 	Burst      float64
 	tokens     float64
-	refilledAt micros.Micros
+	refilledAt monotime.Micros
 	started    bool
 }
 
 // WaitTime tells how long to wait until n tokens are there.
-func (b *TokenBucket) WaitTime(now micros.Micros, n float64) micros.Micros {
+func (b *TokenBucket) WaitTime(now monotime.Micros, n float64) monotime.Micros {
 	if !b.started {
 		b.started, b.tokens, b.refilledAt = true, b.Burst, now
 	}
@@ -27,7 +27,7 @@
 	if b.tokens >= n {
 		return 0
 	}
-	return micros.FromSeconds((n-b.tokens)/b.Rate) + 1
+	return monotime.FromSeconds((n-b.tokens)/b.Rate) + 1
 }
 
 // Take uses n tokens; the bucket may go into debt.
@@ -61,7 +61,7 @@
 // sooner than that, a flood must not keep tasks from starting and ending. From then
 // on they go in turns: shards that always waited longer kept every user of the one
 // controller that was left waiting for five seconds.
-const shardMaxWait = 300 * micros.Millisecond
+const shardMaxWait = 300 * monotime.Millisecond
 
 // shardTurnsPerBurstCall is how many shards go before a swarm's call while both wait: it must not
 // wait for ever either, but tasks that start and end come first.
@@ -82,7 +82,7 @@
 type Call struct {
 	*protocol.StoreCall
 	Priority Priority
-	QueuedAt micros.Micros
+	QueuedAt monotime.Micros
 	OnResult func(protocol.StoreResult)
 }
 
@@ -92,7 +92,7 @@
 	Reads, Writes        TokenBucket
 	InFlight             int
 	MaxInFlight          int
-	pausedUntil          micros.Micros
+	pausedUntil          monotime.Micros
 	userWentLast         bool // of users and shards, a user's call went last
 	shardWentLast        bool // of shards and answers, a shard went last
 	shardCallsSinceBurst int  // of these since a swarm's call went
@@ -103,18 +103,18 @@
 func (q *Queue) Add(call Call) { q.waiting[call.Priority] = append(q.waiting[call.Priority], call) }
 
 // Requeue puts a call that was throttled in front again and pauses the queue.
-func (q *Queue) Requeue(call Call, now micros.Micros) {
+func (q *Queue) Requeue(call Call, now monotime.Micros) {
 	q.waiting[call.Priority] = append([]Call{call}, q.waiting[call.Priority]...)
 	q.Reads.Empty()
 	q.Writes.Empty()
-	q.pausedUntil = now + 100*micros.Millisecond
+	q.pausedUntil = now + 100*monotime.Millisecond
 }
 
 // Len counts the calls of a rank.
 func (q *Queue) Len(priority Priority) int { return len(q.waiting[priority]) }
 
 // OldestWait tells how long the first call of a rank has waited.
-func (q *Queue) OldestWait(priority Priority, now micros.Micros) micros.Micros {
+func (q *Queue) OldestWait(priority Priority, now monotime.Micros) monotime.Micros {
 	if len(q.waiting[priority]) == 0 {
 		return 0
 	}
@@ -124,7 +124,7 @@
 // Next gives a call that may be made now, or how long to wait for one (0 with
 // no call: nothing waits, or too much is in flight). Lease touches go into
 // debt rather than wait: the service must not lose its membership to its load.
-func (q *Queue) Next(now micros.Micros) (call Call, ok bool, wait micros.Micros) {
+func (q *Queue) Next(now monotime.Micros) (call Call, ok bool, wait monotime.Micros) {
 	for r := range q.waiting {
 		if w := q.nextShardWork(); Priority(r) == PriorityUserRequest && q.OldestWait(w, now) > shardMaxWait &&
 			(q.userWentLast || len(q.waiting[PriorityUserRequest]) == 0) {
--- a/internal/bookkeeping/records.go
+++ b/internal/storage/records.go
@@ -1,7 +1,7 @@
-// Package bookkeeping is what the service keeps in the state service: its
+// Package storage is what the service keeps in the state service: its
 // records, the mirror of them that every controller holds, and the budgets that
 // pace the calls.
-package bookkeeping
+package storage
 
 import (
 	"strings"
--- a/internal/bookkeeping/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -1,4 +1,4 @@
-package bookkeeping
+package storage
 
 import (
 	"reflect"
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -5,7 +5,7 @@
 	"net"
 	"time"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // Client makes HTTP requests to one address over a bounded pool of kept
@@ -36,7 +36,7 @@
 // Do sends a request and waits for the whole response, at most timeout. After
 // an error other than ErrNotSent the request may have been executed, or may
 // yet be.
-func (cl *Client) Do(method, target string, body []byte, timeout micros.Micros) (*Message, error) {
+func (cl *Client) Do(method, target string, body []byte, timeout monotime.Micros) (*Message, error) {
 	deadline := time.Now().Add(timeout.Duration())
 	var cc *clientConn
 	select {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -7,7 +7,7 @@
 
 	"github.com/tidwall/evio"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // Response is an answer on its way to a connection.
@@ -27,12 +27,12 @@
 // Server accepts users, workers and peers on evio's loop. The loop's goroutine
 // owns all connections; answers come to it as messages, carried by Wake.
 type Server struct {
-	Now            func() micros.Micros
+	Now            func() monotime.Micros
 	MaxConns       int
 	OnRequest      func(*Request)
 	OnPeerFrame    func(frame []byte)
-	IdleTimeout    micros.Micros // a connection without traffic is closed after this
-	RequestTimeout micros.Micros // a request must be complete within this
+	IdleTimeout    monotime.Micros // a connection without traffic is closed after this
+	RequestTimeout monotime.Micros // a request must be complete within this
 
 	conns map[evio.Conn]*serverConn
 }
@@ -42,9 +42,9 @@
 	eventConn          evio.Conn
 	parser             Parser
 	frames             frameReader
-	lastTraffic        micros.Micros // last traffic
-	partialSince       micros.Micros // when the first byte of a half request came
-	busy               bool          // a request is being worked on
+	lastTraffic        monotime.Micros // last traffic
+	partialSince       monotime.Micros // when the first byte of a half request came
+	busy               bool            // a request is being worked on
 	closing            bool
 	closeAfterResponse bool // close after the answer under way
 	responses          chan Response
@@ -107,7 +107,7 @@
 
 // timedOut tells whether the connection has been silent or half done for too long
 // (evio has no timeouts of its own).
-func (sc *serverConn) timedOut(now micros.Micros) bool {
+func (sc *serverConn) timedOut(now monotime.Micros) bool {
 	if sc.busy {
 		return now-sc.lastTraffic > sc.server.IdleTimeout
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"pipitgap/internal/micros"
+	"pipitgap/internal/monotime"
 )
 
 // TestServerAnswersDefinitely drives the evio server over loopback: definite answers for what is
@@ -22,7 +22,7 @@
 		return listener.Addr().String()
 	}
 	public, peer := free(), free()
-	s := &Server{Now: micros.NewClock(), MaxConns: 4, IdleTimeout: micros.Minute, RequestTimeout: 300 * micros.Millisecond,
+	s := &Server{Now: monotime.NewClock(), MaxConns: 4, IdleTimeout: monotime.Minute, RequestTimeout: 300 * monotime.Millisecond,
 		OnRequest:   func(r *Request) { r.Respond(Response{Status: 200, Body: []byte(r.Message.Target)}) },
 		OnPeerFrame: func([]byte) {}}
 	go func() { _ = s.Serve(public, peer) }()
@@ -114,14 +114,14 @@
 		}
 	}()
 	cl := NewClient(listener.Addr().String(), 1, 1024)
-	if message, err := cl.Do("GET", "/x", nil, 10*micros.Second); err != nil || string(message.Body) != "hello" {
+	if message, err := cl.Do("GET", "/x", nil, 10*monotime.Second); err != nil || string(message.Body) != "hello" {
 		t.Errorf("%+v %v", message, err)
 	}
-	if _, err := cl.Do("GET", "/silent", nil, 200*micros.Millisecond); err == nil {
+	if _, err := cl.Do("GET", "/silent", nil, 200*monotime.Millisecond); err == nil {
 		t.Error("a silent peer has no answer")
 	}
 	gone := NewClient("127.0.0.1:1", 1, 1024)
-	if _, err := gone.Do("GET", "/", nil, micros.Second); err == nil {
+	if _, err := gone.Do("GET", "/", nil, monotime.Second); err == nil {
 		t.Error("nobody listens there")
 	}
 }
