--- a/internal/coordination/burst_limit.go
+++ b/internal/coordination/burst_limit.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -59,7 +60,7 @@
 // that starts and ends, have waited for longer than a burst takes.
 func (c *Controller) storeContended() bool {
 	now := c.now()
-	return c.userCallsWaiting() || max(c.storeQueue.OldestWait(storage.PriorityShardUpdate, now), c.storeQueue.OldestWait(storage.PriorityJobResult, now)) > contendedQueueAge || c.storeQueue.Len(storage.PriorityBurst) > 0
+	return c.userCallsWaiting() || max(c.storeQueue.OldestWait(ratelimit.PriorityShardUpdate, now), c.storeQueue.OldestWait(ratelimit.PriorityJobResult, now)) > contendedQueueAge || c.storeQueue.Len(ratelimit.PriorityBurst) > 0
 }
 
 // countSubmission notes a submission for its team.
@@ -74,9 +75,9 @@
 }
 
 // priorityClassOf tells in which rank changes of a job's record go.
-func (c *Controller) priorityClassOf(spec *storage.JobSpec, otherwise storage.Priority) storage.Priority {
+func (c *Controller) priorityClassOf(spec *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority {
 	if c.isRateLimited(spec) {
-		return storage.PriorityBurst
+		return ratelimit.PriorityBurst
 	}
 	return otherwise
 }
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -35,7 +36,7 @@
 			}
 		}
 		if tc.contended {
-			core.storeQueue.Add(storage.Call{StoreCall: &protocol.StoreCall{}, Priority: storage.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
+			core.storeQueue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
 		}
 		if got := core.isRateLimited(&storage.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -10,6 +10,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -59,7 +60,7 @@
 	controllers []string // every controller's name, ours included
 
 	mirror          *Mirror
-	storeQueue      storage.Queue
+	storeQueue      ratelimit.Queue
 	queueTimerArmed bool // a timer will run the queue
 
 	mirrorReady                bool   // the mirror is complete
@@ -143,7 +144,7 @@
 	manySilentLogged        bool                       // many silent machines have been logged
 	unloggedRemovals        map[string][]string        // machines to be removed, by reason, not yet logged
 	nextSlowTickAt          monotime.Micros
-	cloudRateLimiter        storage.TokenBucket
+	cloudRateLimiter        ratelimit.TokenBucket
 	drains                  *drains // nil: the settings don't turn them on
 	counters                activityCounters
 }
@@ -173,7 +174,7 @@
 	c.updateStoreBudgets(len(c.controllers))
 	c.durations = newPlatformDurations(cfg.Facts.Workers)
 	// The leader alone calls the cloud, but for the catalogue.
-	c.cloudRateLimiter = storage.TokenBucket{Rate: cfg.Facts.Cloud.RPS * 0.8, Burst: max(1, cfg.Facts.Cloud.RPS)}
+	c.cloudRateLimiter = ratelimit.TokenBucket{Rate: cfg.Facts.Cloud.RPS * 0.8, Burst: max(1, cfg.Facts.Cloud.RPS)}
 	c.leader = newLeaderState(0)
 	c.drains = newDrains(c, settings.Drains)
 	return c
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -5,7 +5,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/storage"
+	"pipitgap/internal/ratelimit"
 )
 
 // TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at most.
@@ -42,7 +42,7 @@
 		t.Errorf("afterwards: %v, usually %v", got, usual)
 	}
 	for i := 0; i <= waitingUserCallsThreshold; i++ {
-		core.storeQueue.Add(storage.Call{StoreCall: &protocol.StoreCall{}, Priority: storage.PriorityUserRequest})
+		core.storeQueue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityUserRequest})
 	}
 	if got := core.shardWriteRate(); got >= usual/4 {
 		t.Errorf("many users here: %v, usually %v", got, usual)
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/drain"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -242,7 +243,7 @@
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
 	}
 	d.permitCommitInFlight[team] = true
-	c.commitTxn(storage.PriorityBackground, txn, func(result protocol.StoreResult) {
+	c.commitTxn(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
 		delete(d.permitCommitInFlight, team)
 		switch result.Outcome {
 		case protocol.OK:
@@ -360,7 +361,7 @@
 		if next != nil {
 			operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
 		}
-		d.core.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
+		d.core.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: record.Version}},
 			Then: []protocol.Op{operation},
 		}, func(result protocol.StoreResult) {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -288,7 +289,7 @@
 				record.Own[k] = v
 			}
 		}
-		c.commitTxn(storage.PriorityBackground, protocol.Transaction{
+		c.commitTxn(ratelimit.PriorityBackground, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: request.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, func(protocol.StoreResult) { delete(c.recordWritesInFlight, key) })
--- a/internal/coordination/job_completion.go
+++ b/internal/coordination/job_completion.go
@@ -4,6 +4,7 @@
 	"sort"
 
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -23,7 +24,7 @@
 	id := job.ID
 	c.recordWritesInFlight[id] = true
 	openKey, jobKey := storage.Key(storage.KindOpenJob, id), storage.Key(storage.KindJobResult, id)
-	c.commitTxn(c.priorityClassOf(&job.Record.Spec, storage.PriorityJobResult), protocol.Transaction{
+	c.commitTxn(c.priorityClassOf(&job.Record.Spec, ratelimit.PriorityJobResult), protocol.Transaction{
 		If: []protocol.Compare{{Key: jobKey}},
 		Then: []protocol.Op{
 			{Put: jobKey, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobDone})},
@@ -43,7 +44,7 @@
 func (c *Controller) purgeCancelledJob(job *Job) {
 	c.recordWritesInFlight[job.ID] = true
 	key := storage.Key(storage.KindOpenJob, job.ID)
-	c.commitTxn(storage.PriorityBackground, protocol.Transaction{
+	c.commitTxn(ratelimit.PriorityBackground, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Delete: key}},
 	}, func(protocol.StoreResult) { delete(c.recordWritesInFlight, job.ID) })
--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -7,6 +7,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -90,7 +91,7 @@
 }
 
 // commitAsLeader makes a change conditional on our lead, one at a time a key.
-func (c *Controller) commitAsLeader(priority storage.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
+func (c *Controller) commitAsLeader(priority ratelimit.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
 	if c.leader.commitInFlight[busyKey] {
 		return
 	}
@@ -126,7 +127,7 @@
 			continue
 		}
 		key := storage.Key(storage.KindMachineType, name)
-		c.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
+		c.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: have.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
@@ -183,7 +184,7 @@
 	name := fmt.Sprintf("%d-%d", c.leader.term, c.leader.requestSequence)
 	key := storage.Key(storage.KindScaleIn, name)
 	record := storage.ScaleInRequest{Machines: ids[:n], StateSince: c.env.WallClock()}
-	c.commitAsLeader(storage.PriorityBackground, "removals", protocol.Transaction{
+	c.commitAsLeader(ratelimit.PriorityBackground, "removals", protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: 0}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 	}, func(result protocol.StoreResult) {
@@ -223,7 +224,7 @@
 					"tries", record.Attempts, "outcome", result.Outcome.String())
 			}
 		}
-		c.commitAsLeader(storage.PriorityShardUpdate, key, protocol.Transaction{
+		c.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: removal.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, func(result protocol.StoreResult) {
@@ -246,7 +247,7 @@
 		}
 	}
 	key := storage.Key(storage.KindScaleIn, name)
-	c.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
+	c.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: removal.Version}},
 		Then: []protocol.Op{{Delete: key}},
 	}, nil)
@@ -358,7 +359,7 @@
 		record := storage.ScaleOutRequest{Phase: storage.ScaleOutProvisioning, MachineType: listed.Type, Zone: listed.Zone, Spot: listed.Spot, Count: 1,
 			Machines: []string{id}, Live: c.connectedControllers(), PhaseSince: c.env.WallClock()}
 		c.log.Info("unrequested machine found", "machine", id, "machine_type", listed.Type, "zone", listed.Zone)
-		c.commitAsLeader(storage.PriorityBackground, key, protocol.Transaction{
+		c.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: 0}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
@@ -384,7 +385,7 @@
 		case storage.ScaleOutNoCapacity:
 			if age > c.settings.OfferQuarantine.Micros() {
 				leader.offerRecoveries++
-				c.commitAsLeader(storage.PriorityBackground, key, drop, nil)
+				c.commitAsLeader(ratelimit.PriorityBackground, key, drop, nil)
 			}
 		case storage.ScaleOutProvisioning:
 			missing := c.missingMachines(request)
@@ -397,7 +398,7 @@
 			}
 			switch {
 			case len(missing) == 0 && c.mirror.WatchedRevision >= request.Version:
-				c.commitAsLeader(storage.PriorityBackground, key, drop, nil)
+				c.commitAsLeader(ratelimit.PriorityBackground, key, drop, nil)
 			case age > c.settings.ReadinessTimeout.Micros():
 				// With the request goes the right to claim them.
 				leader.requestSequence++
@@ -405,7 +406,7 @@
 				drop.If = append(drop.If, protocol.Compare{Key: removal, Version: 0})
 				drop.Then = append(drop.Then, protocol.Op{Put: removal,
 					Value: protocol.MustMarshal(&storage.ScaleInRequest{Machines: missing, StateSince: wall})})
-				c.commitAsLeader(storage.PriorityBackground, key, drop, func(result protocol.StoreResult) {
+				c.commitAsLeader(ratelimit.PriorityBackground, key, drop, func(result protocol.StoreResult) {
 					if result.Outcome == protocol.OK {
 						c.log.Info("machines not ready in time, scale-in requested", "scale_out", name,
 							"machines", len(missing), "machine_type", request.Record.MachineType, "zone", request.Record.Zone)
@@ -415,7 +416,7 @@
 				// Those who were to claim them have gone, or can't: name others.
 				record := request.Record
 				record.Live, record.Own = connected, nil
-				c.commitAsLeader(storage.PriorityShardUpdate, key, protocol.Transaction{
+				c.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
 					If:   []protocol.Compare{{Key: key, Version: request.Version}},
 					Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 				}, nil)
@@ -480,7 +481,7 @@
 			unmetRequest := storage.ScaleOutRequest{Phase: storage.ScaleOutNoCapacity, MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot, PhaseSince: record.PhaseSince}
 			txn.Then = append(txn.Then, protocol.Op{Put: key + "-rest", Value: protocol.MustMarshal(&unmetRequest)})
 		}
-		c.commitAsLeader(storage.PriorityShardUpdate, key, txn, nil)
+		c.commitAsLeader(ratelimit.PriorityShardUpdate, key, txn, nil)
 	})
 }
 
@@ -492,7 +493,7 @@
 	name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
 	key := storage.Key(storage.KindScaleOut, name)
 	record := storage.ScaleOutRequest{Phase: storage.ScaleOutPending, MachineType: o.machineType, Zone: o.zone, Spot: o.spot, Count: n, PhaseSince: c.env.WallClock()}
-	c.commitAsLeader(storage.PriorityShardUpdate, key, protocol.Transaction{
+	c.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: 0}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 	}, func(result protocol.StoreResult) {
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -32,7 +33,7 @@
 	c.leaseGrantInFlight = true
 	sentAt := c.now()
 	call := &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: c.durations.membershipTTL, Timeout: leaseKeepAliveTimeout}
-	c.callStore(storage.PriorityLease, call, func(result protocol.StoreResult) {
+	c.callStore(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
 		c.leaseGrantInFlight = false
 		if result.Outcome != protocol.OK {
 			c.leaseGrantInFlight = true
@@ -54,7 +55,7 @@
 	c.leaseRenewalInFlight = true
 	sentAt, lease := now, c.leaseID
 	call := &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: lease, Timeout: leaseKeepAliveTimeout}
-	c.callStore(storage.PriorityLease, call, func(result protocol.StoreResult) {
+	c.callStore(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
 		c.leaseRenewalInFlight = false
 		switch result.Outcome {
 		case protocol.OK:
@@ -100,7 +101,7 @@
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: partition.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: protocol.MustMarshal(&partition.Record)})
 	}
-	c.commitTxn(storage.PriorityLease, txn, func(result protocol.StoreResult) {
+	c.commitTxn(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
 		c.memberWriteInFlight = false
 		if result.Outcome == protocol.Rejected && c.leaseID == lease {
 			c.leaseID = 0
@@ -155,7 +156,7 @@
 		Then: []protocol.Op{{Put: storage.LeaderKey, Lease: c.leaseID,
 			Value: protocol.MustMarshal(&storage.Leader{Node: c.node, Incarnation: c.incarnation})}},
 	}
-	c.commitTxn(storage.PriorityLease, txn, func(result protocol.StoreResult) {
+	c.commitTxn(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
 		c.electionInFlight = false
 		if result.Outcome == protocol.OK {
 			c.log.Info("leader elected", "term", result.Revision)
@@ -172,7 +173,7 @@
 			Node:                  c.node,
 			Incarnation:           c.incarnation,
 			StateServiceReachable: ok,
-			WaitingUserRequests:   c.storeQueue.Len(storage.PriorityUserRequest),
+			WaitingUserRequests:   c.storeQueue.Len(ratelimit.PriorityUserRequest),
 			WorkerReach:           c.workerReach(),
 			FailingJobs:           failing,
 			TeamsShortOfQuota:     c.teamsLackingQuota(now),
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -35,7 +36,7 @@
 		}
 		call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.Key(kinds[k], ""), After: after, Limit: 500}
 		listSentAt := c.now()
-		c.callStore(storage.PriorityClaim, call, func(result protocol.StoreResult) {
+		c.callStore(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 			if result.Outcome != protocol.OK {
 				delay := 200*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
 				c.env.After(delay, func() { readList(k, after) })
@@ -76,7 +77,7 @@
 	for _, id := range ids[:n] {
 		txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
 	}
-	c.callStore(storage.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
+	c.callStore(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
 		switch {
 		case result.Outcome == protocol.OK:
 			c.loadResults(mirror, ids[n:], done)
@@ -84,7 +85,7 @@
 			left := len(result.Failed)
 			bad := false
 			for _, key := range result.Failed {
-				c.callStore(storage.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
+				c.callStore(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
 					if result.Outcome == protocol.OK {
 						mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
 					} else {
@@ -208,7 +209,7 @@
 	c.watchInFlight = true
 	mirror := c.mirror
 	call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.LeaderKey, Limit: 1}
-	c.callStore(storage.PriorityClaim, call, func(result protocol.StoreResult) {
+	c.callStore(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 		c.watchInFlight = false
 		switch {
 		case mirror != c.mirror || c.mirrorLoading:
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -268,7 +269,7 @@
 	}
 	c.quotaWriteInFlight = true
 	doubt := quotaSharesInDoubt{version, next}
-	c.commitTxn(storage.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+	c.commitTxn(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		c.quotaWriteInFlight = false
 		c.schedulingNeeded = true
 		if result.Outcome == protocol.Unknown {
@@ -302,7 +303,7 @@
 		}
 		key := partitionKey(node)
 		c.recordWritesInFlight[key] = true
-		c.commitTxn(storage.PriorityShardUpdate, protocol.Transaction{
+		c.commitTxn(ratelimit.PriorityShardUpdate, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: partition.Version}, {Key: storage.Key(storage.KindMember, node)}},
 			Then: []protocol.Op{{Delete: key}},
 		}, func(result protocol.StoreResult) {
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -3,6 +3,7 @@
 import (
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -211,7 +212,7 @@
 	txn, taken := c.buildShardTransfer(shards, successor, member.Record.Incarnation)
 	txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindMember, successor), Version: member.Version})
 	c.quotaWriteInFlight = true
-	c.commitTxn(storage.PriorityClaim, txn, func(result protocol.StoreResult) {
+	c.commitTxn(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
 		c.quotaWriteInFlight = false
 		c.schedulingNeeded = true
 		if result.Outcome == protocol.OK {
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -30,7 +31,7 @@
 		}
 		c.sendRequest("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
 		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, back)
-		if n := core.storeQueue.Len(storage.PriorityUserRequest); n > core.maxQueuedUserCalls()+1 {
+		if n := core.storeQueue.Len(ratelimit.PriorityUserRequest); n > core.maxQueuedUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
 		if len(core.pendingReads) > maxWaitingReaders {
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -3,6 +3,7 @@
 import (
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -61,7 +62,7 @@
 	for _, shard := range shards {
 		c.shardClaimsInFlight[shard.Name] = true
 	}
-	c.commitTxn(storage.PriorityClaim, txn, func(result protocol.StoreResult) {
+	c.commitTxn(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
 		machines := 0
 		for _, shard := range shards {
 			delete(c.shardClaimsInFlight, shard.Name)
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -8,6 +8,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -331,7 +332,7 @@
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
 	tracker.commitInFlightSince, tracker.updatesInDoubt = max(now, 1), append(tracker.updatesInDoubt, update)
-	c.commitTxn(storage.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+	c.commitTxn(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		tracker.commitInFlightSince = 0
 		c.schedulingNeeded = true
 		if len(update.Txn.Then) > 0 {
--- a/internal/coordination/store_calls.go
+++ b/internal/coordination/store_calls.go
@@ -3,7 +3,7 @@
 import (
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/storage"
+	"pipitgap/internal/ratelimit"
 )
 
 // updateStoreBudgets sets this controller's part of the state service's limits. Load is
@@ -17,7 +17,7 @@
 	switch refused := c.counters.callsThrottled - c.throttledSeen; {
 	case refused > 0:
 		c.budgetMultiplier = max(1, c.budgetMultiplier*0.6)
-	case c.storeQueue.Len(storage.PriorityUserRequest)+c.storeQueue.Len(storage.PriorityShardUpdate)+c.storeQueue.Len(storage.PriorityJobResult) > 1:
+	case c.storeQueue.Len(ratelimit.PriorityUserRequest)+c.storeQueue.Len(ratelimit.PriorityShardUpdate)+c.storeQueue.Len(ratelimit.PriorityJobResult) > 1:
 		c.budgetMultiplier = min(most, c.budgetMultiplier*1.3)
 	default:
 		c.budgetMultiplier = max(1, c.budgetMultiplier*0.9)
@@ -54,14 +54,14 @@
 }
 
 func (c *Controller) userCallsWaiting() bool {
-	return c.storeQueue.Len(storage.PriorityUserRequest) > waitingUserCallsThreshold
+	return c.storeQueue.Len(ratelimit.PriorityUserRequest) > waitingUserCallsThreshold
 }
 
-func (c *Controller) callStore(priority storage.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult)) {
+func (c *Controller) callStore(priority ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	if call.Timeout == 0 {
 		call.Timeout = storeTimeout
 	}
-	c.storeQueue.Add(storage.Call{StoreCall: call, Priority: priority, QueuedAt: c.now(), OnResult: callback})
+	c.storeQueue.Add(ratelimit.Call{StoreCall: call, Priority: priority, QueuedAt: c.now(), OnResult: callback})
 	c.dispatchStoreCalls()
 }
 
@@ -167,7 +167,7 @@
 
 // commitTxn makes a conditional change; on success it is in the mirror before
 // back is called.
-func (c *Controller) commitTxn(priority storage.Priority, txn protocol.Transaction, callback func(protocol.StoreResult)) {
+func (c *Controller) commitTxn(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult)) {
 	c.callStore(priority, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK {
 			c.mirror.ApplyCommit(&txn, result.Revision)
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -7,6 +7,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -110,7 +111,7 @@
 	}
 	c.recordWritesInFlight[job.ID] = true
 	key := storage.Key(storage.KindOpenJob, job.ID)
-	c.commitTxn(storage.PriorityShardUpdate, protocol.Transaction{
+	c.commitTxn(ratelimit.PriorityShardUpdate, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Put: key, Value: value}},
 	}, func(result protocol.StoreResult) {
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -9,6 +9,7 @@
 
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
@@ -32,8 +33,8 @@
 	c.counters.requestsDeferred++
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
 		c.log.Debug("request deferred", "status", status, "reason", text,
-			"user_calls", c.storeQueue.Len(storage.PriorityUserRequest),
-			"shard_calls", c.storeQueue.Len(storage.PriorityShardUpdate),
+			"user_calls", c.storeQueue.Len(ratelimit.PriorityUserRequest),
+			"shard_calls", c.storeQueue.Len(ratelimit.PriorityShardUpdate),
 			"waiting_readers", len(c.pendingReads))
 	}
 	response := errorResponse(status, text)
@@ -152,7 +153,7 @@
 	if response, rejected := c.rejectIfUnavailable(); rejected {
 		return response, true
 	}
-	if c.storeQueue.Len(storage.PriorityUserRequest) >= c.maxQueuedUserCalls() {
+	if c.storeQueue.Len(ratelimit.PriorityUserRequest) >= c.maxQueuedUserCalls() {
 		return c.retryLater(429, "too many requests"), true
 	}
 	return Response{}, false
@@ -204,7 +205,7 @@
 		return
 	}
 	c.countSubmission(&spec)
-	if c.isRateLimited(&spec) && c.storeQueue.Len(storage.PriorityBurst) >= c.maxQueuedBurstCalls() {
+	if c.isRateLimited(&spec) && c.storeQueue.Len(ratelimit.PriorityBurst) >= c.maxQueuedBurstCalls() {
 		response := c.retryLater(429, "too many jobs of this team")
 		response.RetryAfter += 1 + int(c.env.Rand().Int64N(3))
 		respond(response)
@@ -285,7 +286,7 @@
 		If:   []protocol.Compare{{Key: openKey, Version: 0}, {Key: storage.Key(storage.KindJobResult, id), Version: 0}},
 		Then: []protocol.Op{{Put: openKey, Value: value}},
 	}
-	c.commitTxn(c.priorityClassOf(&spec, storage.PriorityUserRequest), txn, func(result protocol.StoreResult) {
+	c.commitTxn(c.priorityClassOf(&spec, ratelimit.PriorityUserRequest), txn, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
 			c.counters.jobsAccepted++
@@ -327,7 +328,7 @@
 			respond(c.finalStatusResponse(id, status))
 			return
 		}
-		if c.storeQueue.Len(storage.PriorityUserRequest) >= c.maxQueuedUserCalls() {
+		if c.storeQueue.Len(ratelimit.PriorityUserRequest) >= c.maxQueuedUserCalls() {
 			respond(c.retryLater(429, "too many requests"))
 			return
 		}
@@ -369,7 +370,7 @@
 // readRecord reads a job's record of a kind; without the store it answers at once.
 func (c *Controller) readRecord(kind, id string, respond func(Response), none func(), found func(protocol.Raw)) {
 	call := &protocol.StoreCall{Op: protocol.StoreGet, Key: storage.Key(kind, id)}
-	c.callStore(storage.PriorityUserRequest, call, func(result protocol.StoreResult) {
+	c.callStore(ratelimit.PriorityUserRequest, call, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
 			found(result.Item.Value)
@@ -437,7 +438,7 @@
 // and cancelled exclude each other by that, and every assignment asks for it.
 func (c *Controller) cancelJob(id string, respond func(Response)) {
 	key := storage.Key(storage.KindJobResult, id)
-	c.commitTxn(storage.PriorityCancellation, protocol.Transaction{
+	c.commitTxn(ratelimit.PriorityCancellation, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})}},
 	}, func(result protocol.StoreResult) {
--- a/internal/storage/queue.go
+++ b/internal/ratelimit/queue.go
@@ -1,4 +1,6 @@
-package storage
+// Package ratelimit paces calls of a service with limited rates: token buckets, and a queue that hands out
+// calls by priority class. It holds no clock and makes no calls.
+package ratelimit
 
 import (
 	"pipitgap/internal/monotime"
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,6 +1,5 @@
-// Package storage is what the service keeps in the state service: its
-// records, the mirror of them that every controller holds, and the budgets that
-// pace the calls.
+// Package storage defines the records that the controllers keep in the state service: their keys, their fields and
+// their encodings. It is the only package that knows the stored names.
 package storage
 
 import (
