--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -7,6 +7,17 @@
 	"pipitgap/internal/protocol"
 )
 
+// agentManager owns what is known of the workers whose machines this controller has claimed.
+type agentManager struct {
+	c *Controller
+
+	nextDesignationChangeAt monotime.Micros            // when a machine's claimant may be changed again
+	orphanContacts          map[string]*orphanContact  // workers of other partitions that came to us
+	zoneUnreachableAt       map[string]monotime.Micros // when a zone had last fallen silent as a whole
+	manySilentLogged        bool                       // many silent machines have been logged
+	unloggedRemovals        map[string][]string        // machines to be removed, by reason, not yet logged
+}
+
 // AttemptID names an attempt on a machine.
 type AttemptID struct {
 	Task    TaskID
@@ -115,13 +126,13 @@
 }
 
 // updateAgentOwnership follows a change of the shard that a machine stands in.
-func (c *Controller) updateAgentOwnership(machine *Machine) {
-	mine := machine.Shard != nil && c.ownsShard(machine.Shard)
+func (am *agentManager) updateAgentOwnership(machine *Machine) {
+	mine := machine.Shard != nil && am.c.shards.ownsShard(machine.Shard)
 	switch {
 	case !mine:
 		machine.Agent = nil
 	case machine.Agent == nil || machine.Agent.ClaimNumber != machine.Claim():
-		now := c.now()
+		now := am.c.now()
 		machine.Agent = &Agent{
 			ClaimNumber: machine.Claim(), RequestedToken: machine.Claim() << 32, LastHeartbeatAt: now, LastAnsweredAt: now, LastReachedAt: now,
 			ReportedAttempts: map[AttemptID]protocol.TaskStatus{}, PendingOutcomes: map[AttemptID]AttemptOutcome{}, SentCommands: map[AttemptID]*CommandRecord{},
@@ -129,3 +140,12 @@
 		}
 	}
 }
+
+func newAgentManager(c *Controller) *agentManager {
+	return &agentManager{
+		c:                 c,
+		orphanContacts:    map[string]*orphanContact{},
+		zoneUnreachableAt: map[string]monotime.Micros{},
+		unloggedRemovals:  map[string][]string{},
+	}
+}
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -114,12 +114,12 @@
 		if tc.killed != 0 {
 			machine.Agent.CommandRecordOf(AttemptID{task, 1}).KillToken = tc.killed
 		}
-		core.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1, FencingToken: tc.token, Tasks: tc.tasks})
+		core.agents.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1, FencingToken: tc.token, Tasks: tc.tasks})
 		if got := machine.Agent.HasOutcome(AttemptID{task, 1}); got != tc.settled {
 			t.Errorf("%s: settled %v", tc.name, got)
 		}
 		said := ""
-		for _, command := range core.nextCommands(machine, second) {
+		for _, command := range core.agents.nextCommands(machine, second) {
 			said += command.Op
 		}
 		if said != tc.says {
@@ -128,8 +128,8 @@
 		// Once a release is on its way the attempt must not be started again,
 		// though the worker, in a new session, doesn't have it.
 		machine.Agent.RecordOutcome(AttemptID{task, 1}, OutcomeRetry)
-		core.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 2, Sequence: 1, FencingToken: base + 9})
-		for _, command := range core.nextCommands(machine, 10*second) {
+		core.agents.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 2, Sequence: 1, FencingToken: base + 9})
+		for _, command := range core.agents.nextCommands(machine, 10*second) {
 			if command.Op == protocol.CmdRun {
 				t.Errorf("%s: started again while its release is on its way", tc.name)
 			}
@@ -256,7 +256,7 @@
 					if m := core.mirror.Machines[machine]; m == nil {
 						s += node + " unknown; "
 					} else if m.Agent != nil {
-						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), m.Agent.LastReachedAt, m.Agent.LastAnsweredAt, core.schedulable(m, c.sim.Now()))
+						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), m.Agent.LastReachedAt, m.Agent.LastAnsweredAt, core.scheduler.schedulable(m, c.sim.Now()))
 					}
 				}
 				return s
@@ -284,7 +284,7 @@
 			}
 			if tc.name == "after the owner restarted" {
 				for _, node := range c.nodeNames {
-					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil && m.Agent != nil && (m.Agent.ClaimAcknowledged || c.nodes[node].controller.schedulable(m, c.sim.Now())) {
+					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil && m.Agent != nil && (m.Agent.ClaimAcknowledged || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
 						t.Errorf("%s takes it for alive", node)
 					}
 				}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -10,6 +10,15 @@
 	"pipitgap/internal/storage"
 )
 
+// autoscaler rents and returns machines while this controller is the leader.
+type autoscaler struct {
+	c *Controller
+
+	term                    leaderTermState
+	emptySince              map[string]monotime.Micros // own machines, since when they are empty
+	nextEmptyMachineCheckAt monotime.Micros
+}
+
 // Bounds of a pass.
 const (
 	maxMachinesPerPass = 600 // machines rented in a pass
@@ -17,9 +26,9 @@
 )
 
 // quarantinedOffers lists the offers that are sidelined.
-func (c *Controller) quarantinedOffers() map[offer]bool {
+func (as *autoscaler) quarantinedOffers() map[offer]bool {
 	out := map[offer]bool{}
-	for _, request := range c.mirror.ScaleOuts {
+	for _, request := range as.c.mirror.ScaleOuts {
 		if request.Record.Phase == storage.ScaleOutNoCapacity {
 			out[offer{request.Record.MachineType, request.Record.Zone, request.Record.Spot}] = true
 		}
@@ -29,38 +38,38 @@
 
 // demandAndSupply lists the unplaced tasks that teams' limits let run, and the room
 // there is for them: machines that are there, and open requests.
-func (c *Controller) demandAndSupply(now monotime.Micros) ([]*taskDemand, []*machineBin) {
-	waiting := append(c.unplacedDemand(now), c.drains.replacementDemands()...)
-	return waiting, append(c.machineBins(), c.requestedBins()...)
+func (as *autoscaler) demandAndSupply(now monotime.Micros) ([]*taskDemand, []*machineBin) {
+	waiting := append(as.unplacedDemand(now), as.c.drains.replacementDemands()...)
+	return waiting, append(as.machineBins(), as.requestedBins()...)
 }
 
 // unplacedDemand lists the tasks without room that teams' limits let run.
-func (c *Controller) unplacedDemand(now monotime.Micros) []*taskDemand {
+func (as *autoscaler) unplacedDemand(now monotime.Micros) []*taskDemand {
 	var out []*taskDemand
 	teamLeft := map[string]Resources{}
-	for i, job := range c.orderedQueue() {
+	for i, job := range as.c.scheduler.orderedQueue() {
 		spec := &job.Record.Spec
-		if s := c.jobStates[job.ID]; s != nil && now < s.placeNotBefore {
+		if s := as.c.scheduler.jobStates[job.ID]; s != nil && now < s.placeNotBefore {
 			continue
 		}
-		mistaken := c.isCrashLooping(job)
-		if mistaken && !c.mayScaleOutForTrial(job, now) {
+		mistaken := as.c.scheduler.isCrashLooping(job)
+		if mistaken && !as.c.scheduler.mayScaleOutForTrial(job, now) {
 			continue // it is tried in what room there is
 		}
 		left, ok := teamLeft[spec.Team]
 		if !ok {
-			team, _ := c.teamLimits(spec.Team)
-			left = team.remaining(c.mirror.UseByTeam[spec.Team])
+			team, _ := as.c.quota.teamLimits(spec.Team)
+			left = team.remaining(as.c.mirror.UseByTeam[spec.Team])
 		}
 		n := min(job.UnassignedTasks(), job.TaskResources.CountIn(left))
 		teamLeft[spec.Team] = left.AddScaled(job.TaskResources, -float64(n))
 		if n == 0 {
 			continue
 		}
-		slack, _ := c.slackOf(job, c.env.WallClock())
-		demand := &taskDemand{spec: spec, need: job.TaskResources, tasks: n, jobID: job.ID, queueIndex: i, zoneConstraint: newZoneConstraint(c.mirror, job),
-			slackSeconds: slack, expectedSeconds: c.expectedRunSeconds(spec), spotOnly: c.spotOnly(job)}
-		if !demand.spotOnly && c.isScavenger(job) || mistaken {
+		slack, _ := as.slackOf(job, as.c.env.WallClock())
+		demand := &taskDemand{spec: spec, need: job.TaskResources, tasks: n, jobID: job.ID, queueIndex: i, zoneConstraint: newZoneConstraint(as.c.mirror, job),
+			slackSeconds: slack, expectedSeconds: as.c.scheduler.expectedRunSeconds(spec), spotOnly: as.c.scheduler.spotOnly(job)}
+		if !demand.spotOnly && as.c.scheduler.isScavenger(job) || mistaken {
 			demand.tasks, demand.crashLoopTrial = 1, mistaken
 		}
 		out = append(out, demand)
@@ -69,35 +78,35 @@
 }
 
 // machineBins lists the machines that may get tasks.
-func (c *Controller) machineBins() []*machineBin {
+func (as *autoscaler) machineBins() []*machineBin {
 	var out []*machineBin
-	for _, id := range sortedKeys(c.mirror.Machines) {
-		machine := c.mirror.Machines[id]
+	for _, id := range sortedKeys(as.c.mirror.Machines) {
+		machine := as.c.mirror.Machines[id]
 		if machine.Record == nil || machine.Record.State != storage.MachineOpen {
 			continue
 		}
-		machineType, ok := c.machineTypes[machine.Record.Type]
+		machineType, ok := as.c.catalog.machineTypes[machine.Record.Type]
 		if !ok {
 			continue
 		}
 		size := machineCapacity(&machineType)
 		bin := &machineBin{machineType: machine.Record.Type, zone: machine.Record.Zone, spot: machine.Record.Spot, capacity: size, free: size.AddScaled(machine.Used, -1), machineID: id}
-		c.estimateRoom(bin, machine)
+		as.estimateRoom(bin, machine)
 		out = append(out, bin)
 	}
 	return out
 }
 
 // requestedBins lists the machines that open requests will bring: they are supply.
-func (c *Controller) requestedBins() []*machineBin {
+func (as *autoscaler) requestedBins() []*machineBin {
 	var out []*machineBin
-	for _, name := range sortedKeys(c.mirror.ScaleOuts) {
-		request := c.mirror.ScaleOuts[name]
-		machineType, ok := c.machineTypes[request.Record.MachineType]
+	for _, name := range sortedKeys(as.c.mirror.ScaleOuts) {
+		request := as.c.mirror.ScaleOuts[name]
+		machineType, ok := as.c.catalog.machineTypes[request.Record.MachineType]
 		if !ok || request.Record.Phase == storage.ScaleOutNoCapacity {
 			continue
 		}
-		coming, late := c.expectedMachines(request, machineType.BootS)
+		coming, late := as.expectedMachines(request, machineType.BootS)
 		for range coming {
 			out = append(out, &machineBin{machineType: request.Record.MachineType, zone: request.Record.Zone, spot: request.Record.Spot, capacity: machineCapacity(&machineType), free: machineCapacity(&machineType),
 				arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS, overdue: late})
@@ -108,27 +117,27 @@
 
 // expectedMachines tells how many machines a request may be relied on to bring, and whether they
 // are late already.
-func (c *Controller) expectedMachines(request *ScaleOutEntry, bootS float64) (machines int, late bool) {
+func (as *autoscaler) expectedMachines(request *ScaleOutEntry, bootS float64) (machines int, late bool) {
 	if request.Record.Phase != storage.ScaleOutProvisioning {
 		return request.Record.Count, false
 	}
-	if c.settings.OverdueBootFactor > 0 {
-		boots := monotime.Micros(c.env.WallClock()-request.Record.PhaseSince).Seconds() / max(bootS, 1)
-		if boots > 1.5*c.settings.OverdueBootFactor {
+	if as.c.settings.OverdueBootFactor > 0 {
+		boots := monotime.Micros(as.c.env.WallClock()-request.Record.PhaseSince).Seconds() / max(bootS, 1)
+		if boots > 1.5*as.c.settings.OverdueBootFactor {
 			return 0, false // those that are missing are slow or dead: no longer to be relied on
 		}
-		late = boots > c.settings.OverdueBootFactor
+		late = boots > as.c.settings.OverdueBootFactor
 	}
-	return len(c.missingMachines(request)), late
+	return len(as.missingMachines(request)), late
 }
 
 // estimateRoom estimates what a machine can give to waiting tasks: what its
 // services hold is out, and its other tasks are taken to be half through.
-func (c *Controller) estimateRoom(bin *machineBin, machine *Machine) {
-	machineType := c.machineTypes[bin.machineType]
+func (as *autoscaler) estimateRoom(bin *machineBin, machine *Machine) {
+	machineType := as.c.catalog.machineTypes[bin.machineType]
 	bin.arrayCPUs, bin.bootSeconds = machineType.CPUs, machineType.BootS
 	for task := range machine.Attempts {
-		job := c.mirror.Jobs[task.Job]
+		job := as.c.mirror.Jobs[task.Job]
 		if job == nil {
 			continue
 		}
@@ -136,7 +145,7 @@
 			bin.arrayCPUs -= job.TaskResources.CPUs
 		} else {
 			bin.preemptibleByServices = bin.preemptibleByServices.AddScaled(job.TaskResources, 1)
-			if c.isPreemptible(job) {
+			if as.c.scheduler.isPreemptible(job) {
 				if bin.preemptibleByPriority == nil {
 					bin.preemptibleByPriority = map[int]Resources{}
 				}
@@ -144,7 +153,7 @@
 				bin.preemptibleByPriority[priority] = bin.preemptibleByPriority[priority].AddScaled(job.TaskResources, 1)
 				continue // it isn't waited for, it gives way
 			}
-			lasts := c.expectedRunSeconds(&job.Record.Spec)
+			lasts := as.c.scheduler.expectedRunSeconds(&job.Record.Spec)
 			bin.committedCPUSeconds += roundToUnit(job.TaskResources.CPUs * lasts / 2)
 			bin.running = append(bin.running, runningTask{roundToUnit(job.TaskResources.CPUs), roundToUnit(lasts)})
 		}
@@ -158,11 +167,11 @@
 // seconds from its submission, the shortest first: multiples of its deadline and the
 // times within which its class is to be finished, less its run; the times within
 // which its class is to have started. Without any of them it has no such time.
-func (c *Controller) latestStarts(spec *storage.JobSpec) []float64 {
-	run := estimateMargin * c.expectedRunSeconds(spec)
+func (as *autoscaler) latestStarts(spec *storage.JobSpec) []float64 {
+	run := estimateMargin * as.c.scheduler.expectedRunSeconds(spec)
 	var out []float64
 	due := false
-	for _, o := range c.cfg.Facts.Objectives {
+	for _, o := range as.c.cfg.Facts.Objectives {
 		switch {
 		case o.Class != spec.Class || spec.Service:
 		case o.Kind == "finished":
@@ -186,9 +195,9 @@
 
 // slackOf tells how many seconds a job's waiting tasks may still wait and meet the
 // first of its aims that can still be met, and how many can't.
-func (c *Controller) slackOf(job *Job, wall int64) (seconds float64, missed int) {
+func (as *autoscaler) slackOf(job *Job, wall int64) (seconds float64, missed int) {
 	age := monotime.Micros(wall - job.Record.AcceptedAt).Seconds()
-	begins := c.latestStarts(&job.Record.Spec)
+	begins := as.latestStarts(&job.Record.Spec)
 	for missed < len(begins) && begins[missed] < age {
 		missed++
 	}
@@ -196,21 +205,21 @@
 }
 
 // availableOffers lists what may be rented now.
-func (c *Controller) availableOffers() []*pricedOffer {
-	heard := c.zoneReachability()
-	c.updateUnreachableZones(heard)
-	unmet, inZone := c.quarantinedOffers(), c.machinesByZone()
+func (as *autoscaler) availableOffers() []*pricedOffer {
+	heard := as.zoneReachability()
+	as.updateUnreachableZones(heard)
+	unmet, inZone := as.quarantinedOffers(), as.machinesByZone()
 	var out []*pricedOffer
-	for _, name := range sortedKeys(c.machineTypes) {
-		machineType := c.machineTypes[name]
+	for _, name := range sortedKeys(as.c.catalog.machineTypes) {
+		machineType := as.c.catalog.machineTypes[name]
 		for _, zone := range machineType.Zones {
-			if c.leader.unreachableZones[zone] {
+			if as.term.unreachableZones[zone] {
 				continue // what is rented there would wait, paid for, until it is back
 			}
 			for _, spot := range []bool{true, false} {
 				o := offer{name, zone, spot}
 				price := effectivePrice(&machineType, spot)
-				if unmet[o] || price <= 0 || c.drains.closesOffer(o) {
+				if unmet[o] || price <= 0 || as.c.drains.closesOffer(o) {
 					continue
 				}
 				out = append(out, &pricedOffer{offer: o, capacity: machineCapacity(&machineType), price: price, zoneMachines: inZone[zone]})
@@ -231,9 +240,9 @@
 }
 
 // zoneReachability counts each zone's machines, and which of them are silent.
-func (c *Controller) zoneReachability() map[string]*silenceCount {
+func (as *autoscaler) zoneReachability() map[string]*silenceCount {
 	heard := map[string]*silenceCount{}
-	for _, machine := range c.mirror.Machines {
+	for _, machine := range as.c.mirror.Machines {
 		if machine.Record == nil {
 			continue
 		}
@@ -246,14 +255,14 @@
 }
 
 // machinesByZone counts the machines that are there or requested.
-func (c *Controller) machinesByZone() map[string]int {
+func (as *autoscaler) machinesByZone() map[string]int {
 	count := map[string]int{}
-	for _, machine := range c.mirror.Machines {
+	for _, machine := range as.c.mirror.Machines {
 		if machine.Record != nil {
 			count[machine.Record.Zone]++
 		}
 	}
-	for _, request := range c.mirror.ScaleOuts {
+	for _, request := range as.c.mirror.ScaleOuts {
 		if request.Record.Phase != storage.ScaleOutNoCapacity {
 			count[request.Record.Zone] += request.Record.Count
 		}
@@ -262,18 +271,18 @@
 }
 
 // updateUnreachableZones follows which zones have fallen silent as a whole.
-func (c *Controller) updateUnreachableZones(heard map[string]*silenceCount) {
-	for zone := range c.leader.unreachableZones {
+func (as *autoscaler) updateUnreachableZones(heard map[string]*silenceCount) {
+	for zone := range as.term.unreachableZones {
 		if !heard[zone].isUnreachable() {
-			delete(c.leader.unreachableZones, zone)
-			c.leader.offerRecoveries++
-			c.log.Info("zone unreachable", "state", conditionEnd, "zone", zone)
+			delete(as.term.unreachableZones, zone)
+			as.term.offerRecoveries++
+			as.c.log.Info("zone unreachable", "state", conditionEnd, "zone", zone)
 		}
 	}
 	for _, zone := range sortedKeys(heard) {
-		if zoneSilence := heard[zone]; zoneSilence.isUnreachable() && !c.leader.unreachableZones[zone] {
-			c.leader.unreachableZones[zone] = true
-			c.log.Info("zone unreachable", "state", conditionBegin, "zone", zone,
+		if zoneSilence := heard[zone]; zoneSilence.isUnreachable() && !as.term.unreachableZones[zone] {
+			as.term.unreachableZones[zone] = true
+			as.c.log.Info("zone unreachable", "state", conditionBegin, "zone", zone,
 				"machines", zoneSilence.machines, "machines_unreachable", zoneSilence.silent)
 		}
 	}
@@ -281,51 +290,51 @@
 
 // autoscalingPass is the design's: demand net of room and open requests, then rentals,
 // then empty machines.
-func (c *Controller) autoscalingPass(now monotime.Micros) {
-	if c.machineTypes == nil {
+func (as *autoscaler) autoscalingPass(now monotime.Micros) {
+	if as.c.catalog.machineTypes == nil {
 		return
 	}
-	demands, bins := c.unmetDemand(now)
-	c.forgetPlacedJobs(demands)
-	wanted := c.eligibleDemand(demands, now)
+	demands, bins := as.unmetDemand(now)
+	as.forgetPlacedJobs(demands)
+	wanted := as.eligibleDemand(demands, now)
 	before := map[string]int{}
 	for _, demand := range wanted {
 		before[demand.jobID] = demand.tasks
 	}
-	chosen := c.planScaleOut(wanted, bins)
+	chosen := as.planScaleOut(wanted, bins)
 	for _, demand := range wanted {
-		c.updateBackoff(demand, demand.tasks < before[demand.jobID], now)
+		as.updateBackoff(demand, demand.tasks < before[demand.jobID], now)
 	}
 	for _, o := range sortedOffers(chosen) {
 		for n := chosen[o]; n > 0; n -= maxMachinesPerScaleOut {
-			c.requestScaleOut(o, min(n, maxMachinesPerScaleOut))
+			as.requestScaleOut(o, min(n, maxMachinesPerScaleOut))
 		}
 	}
 }
 
 // unmetDemand is what finds no room in the machines that are there or requested, headroom
 // included.
-func (c *Controller) unmetDemand(now monotime.Micros) ([]*taskDemand, []*machineBin) {
-	demands, bins := c.demandAndSupply(now)
+func (as *autoscaler) unmetDemand(now monotime.Micros) ([]*taskDemand, []*machineBin) {
+	demands, bins := as.demandAndSupply(now)
 	for _, demand := range demands {
 		if demand.crashLoopTrial {
-			c.trackingOf(demand.jobID).trialDemandAt = max(now, 1)
+			as.c.scheduler.trackingOf(demand.jobID).trialDemandAt = max(now, 1)
 		}
 	}
 	largestFirst(demands)
 	fillBins(demands, bins)
 	absorbByPreemption(demands, bins)
-	reserve := c.serviceHeadroom()
+	reserve := as.serviceHeadroom()
 	reserveHeadroom(reserve, bins, map[string]bool{})
-	absorbDemand(demands, bins, c.settings.ExpectedCapacity, false)
+	absorbDemand(demands, bins, as.c.settings.ExpectedCapacity, false)
 	return append(demands, reserve...), bins
 }
 
 // eligibleDemand leaves out what is met, and jobs that have backed off.
-func (c *Controller) eligibleDemand(demands []*taskDemand, now monotime.Micros) []*taskDemand {
+func (as *autoscaler) eligibleDemand(demands []*taskDemand, now monotime.Micros) []*taskDemand {
 	var wanted []*taskDemand
 	for _, demand := range demands {
-		if demand.tasks > 0 && !c.inBackoff(demand.jobID, now) {
+		if demand.tasks > 0 && !as.inBackoff(demand.jobID, now) {
 			wanted = append(wanted, demand)
 		}
 	}
@@ -333,26 +342,26 @@
 }
 
 // inBackoff tells whether nothing is rented for a job for now.
-func (c *Controller) inBackoff(job string, now monotime.Micros) bool {
-	backoff := c.leader.unplaceableJobs[job]
+func (as *autoscaler) inBackoff(job string, now monotime.Micros) bool {
+	backoff := as.term.unplaceableJobs[job]
 	if backoff == nil {
 		return false
 	}
 	if backoff.suspended {
-		return backoff.offerRecoveries == c.leader.offerRecoveries
+		return backoff.offerRecoveries == as.term.offerRecoveries
 	}
 	return now < backoff.retryAt
 }
 
 // forgetPlacedJobs drops the notes about jobs that wait no more.
-func (c *Controller) forgetPlacedJobs(demands []*taskDemand) {
+func (as *autoscaler) forgetPlacedJobs(demands []*taskDemand) {
 	waiting := map[string]bool{}
 	for _, demand := range demands {
 		waiting[demand.jobID] = waiting[demand.jobID] || demand.tasks > 0
 	}
-	for id := range c.leader.unplaceableJobs {
+	for id := range as.term.unplaceableJobs {
 		if !waiting[id] {
-			delete(c.leader.unplaceableJobs, id)
+			delete(as.term.unplaceableJobs, id)
 		}
 	}
 }
@@ -360,14 +369,14 @@
 // serviceHeadroom is room that is kept for services yet to come: a partition of what each
 // class of services uses now. A service that finds room starts within its image
 // fetch, one that doesn't waits for a boot.
-func (c *Controller) serviceHeadroom() []*taskDemand {
-	if c.settings.ServiceHeadroom == 0 {
+func (as *autoscaler) serviceHeadroom() []*taskDemand {
+	if as.c.settings.ServiceHeadroom == 0 {
 		return nil
 	}
 	count := map[string]int{}
 	like := map[string]*Job{}
-	for _, id := range sortedKeys(c.mirror.Jobs) {
-		if job := c.mirror.Jobs[id]; job.IsOpen() && job.Record.Spec.Service && !c.isCrashLooping(job) {
+	for _, id := range sortedKeys(as.c.mirror.Jobs) {
+		if job := as.c.mirror.Jobs[id]; job.IsOpen() && job.Record.Spec.Service && !as.c.scheduler.isCrashLooping(job) {
 			k := job.Record.Spec.Class
 			count[k] += job.Record.Spec.Tasks
 			like[k] = job
@@ -377,7 +386,7 @@
 	for _, k := range sortedKeys(like) {
 		spec := like[k].Record.Spec
 		spec.OneZone, spec.Spread, spec.Zone, spec.MachineTypes = false, false, "", nil
-		n := int(math.Ceil(float64(count[k]) * c.settings.ServiceHeadroom))
+		n := int(math.Ceil(float64(count[k]) * as.c.settings.ServiceHeadroom))
 		out = append(out, &taskDemand{spec: &spec, need: like[k].TaskResources, tasks: n, jobID: "headroom " + k, queueIndex: math.MaxInt32})
 	}
 	return out
@@ -386,17 +395,17 @@
 // planScaleOut plans in two steps: first spot machines for the tasks that may use
 // them, and what the others need; then, for spot tasks that are left and would
 // wait beyond the longer horizon, ordinary machines.
-func (c *Controller) planScaleOut(wanted []*taskDemand, bins []*machineBin) map[offer]int {
+func (as *autoscaler) planScaleOut(wanted []*taskDemand, bins []*machineBin) map[offer]int {
 	chosen := map[offer]int{}
-	offers := c.availableOffers()
+	offers := as.availableOffers()
 	planOffers(wanted, offers, maxMachinesPerPass, func(demand *taskDemand, o *pricedOffer) bool { return o.spot == demand.spec.Spot }, chosen)
 	for _, o := range sortedOffers(chosen) {
-		machineType := c.machineTypes[o.machineType]
+		machineType := as.c.catalog.machineTypes[o.machineType]
 		for n := chosen[o]; n > 0; n-- {
 			bins = append(bins, &machineBin{machineType: o.machineType, zone: o.zone, spot: o.spot, capacity: machineCapacity(&machineType), arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS})
 		}
 	}
-	absorbDemand(wanted, bins, c.settings.ExpectedOnDemandCapacity, true)
+	absorbDemand(wanted, bins, as.c.settings.ExpectedOnDemandCapacity, true)
 	planOffers(wanted, offers, maxMachinesPerPass, func(demand *taskDemand, o *pricedOffer) bool { return o.spot || !demand.spotOnly }, chosen)
 	return chosen
 }
@@ -414,8 +423,8 @@
 // updateBackoff follows a job whose tasks no offer can take: after several passes it
 // pauses, longer each time, and at the ceiling it leaves the demand until an
 // offer recovers.
-func (c *Controller) updateBackoff(demand *taskDemand, met bool, now monotime.Micros) {
-	leader := &c.leader
+func (as *autoscaler) updateBackoff(demand *taskDemand, met bool, now monotime.Micros) {
+	leader := &as.term
 	if met {
 		delete(leader.unplaceableJobs, demand.jobID)
 		return
@@ -430,17 +439,17 @@
 		backoff.offerRecoveries = leader.offerRecoveries
 		return
 	}
-	if backoff.unmetPasses < c.settings.BackoffPasses {
+	if backoff.unmetPasses < as.c.settings.BackoffPasses {
 		return
 	}
 	if backoff.delay == 0 {
-		backoff.delay = c.settings.BackoffFirst.Micros()
+		backoff.delay = as.c.settings.BackoffFirst.Micros()
 	} else {
 		backoff.delay *= 2
 	}
-	if backoff.delay >= c.settings.BackoffMax.Micros() {
+	if backoff.delay >= as.c.settings.BackoffMax.Micros() {
 		backoff.suspended, backoff.offerRecoveries = true, leader.offerRecoveries
-		c.log.Info("job removed from demand, insufficient capacity", "job", demand.jobID, "tasks", demand.tasks)
+		as.c.log.Info("job removed from demand, insufficient capacity", "job", demand.jobID, "tasks", demand.tasks)
 		return
 	}
 	backoff.retryAt = now + backoff.delay
@@ -449,9 +458,9 @@
 // scaleInDelay is how long an empty machine stays closed before it is given back: the delay
 // for what is cheapest, less for a dearer kind of the same type, by its price. What is
 // kept for the next burst is better kept where it costs least.
-func (c *Controller) scaleInDelay(record *storage.ShardMachine) monotime.Micros {
-	delay := c.settings.ScaleDownDelay.Micros()
-	if machineType := c.machineTypes[record.Type]; !record.Spot && machineType.SpotPrice > 0 && machineType.SpotPrice < machineType.OnDemandPrice {
+func (as *autoscaler) scaleInDelay(record *storage.ShardMachine) monotime.Micros {
+	delay := as.c.settings.ScaleDownDelay.Micros()
+	if machineType := as.c.catalog.machineTypes[record.Type]; !record.Spot && machineType.SpotPrice > 0 && machineType.SpotPrice < machineType.OnDemandPrice {
 		return monotime.Micros(float64(delay) * machineType.SpotPrice / machineType.OnDemandPrice)
 	}
 	return delay
@@ -462,55 +471,59 @@
 // only a matter of the part that places on them: a waiting task reopens one
 // without a write. Each part does so for its own machines, as it alone writes its
 // shards, and the leader deletes them.
-func (c *Controller) scaleInEmpty(now monotime.Micros) {
-	if c.machineTypes == nil {
+func (as *autoscaler) scaleInEmpty(now monotime.Micros) {
+	if as.c.catalog.machineTypes == nil {
 		return
 	}
 	needed := map[string]bool{}
-	moving := c.drains.replacementDemands()
-	if c.settings.ServiceHeadroom > 0 || len(moving) > 0 {
-		_, bins := c.demandAndSupply(now)
-		reserveHeadroom(append(c.serviceHeadroom(), moving...), bins, needed)
+	moving := as.c.drains.replacementDemands()
+	if as.c.settings.ServiceHeadroom > 0 || len(moving) > 0 {
+		_, bins := as.demandAndSupply(now)
+		reserveHeadroom(append(as.serviceHeadroom(), moving...), bins, needed)
 	}
-	for id := range c.drains.reservations() {
+	for id := range as.c.drains.reservations() {
 		needed[id] = true
 	}
 	synced := map[string]bool{}
-	for _, id := range sortedKeys(c.mirror.Machines) {
-		machine := c.mirror.Machines[id]
+	for _, id := range sortedKeys(as.c.mirror.Machines) {
+		machine := as.c.mirror.Machines[id]
 		if machine.Agent == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == storage.MachineOpen && !machine.Agent.FailureProne || machine.Agent.RemovalReason != "" {
 			continue
 		}
 		switch machine.Record.State {
 		case storage.MachineOpen:
 			synced[id] = true
-			at, ok := c.emptySince[id]
+			at, ok := as.emptySince[id]
 			if !ok {
-				c.emptySince[id] = now
+				as.emptySince[id] = now
 				continue
 			}
-			closed, ok := c.jobsClosedAt[id]
-			if !ok && now-at >= 2*c.settings.AutoscalingInterval.Micros() {
-				c.jobsClosedAt[id] = now
-			} else if ok && now-closed >= c.scaleInDelay(machine.Record) {
-				c.requestRemoval(machine, removalReasonIdle)
+			closed, ok := as.c.api.jobsClosedAt[id]
+			if !ok && now-at >= 2*as.c.settings.AutoscalingInterval.Micros() {
+				as.c.api.jobsClosedAt[id] = now
+			} else if ok && now-closed >= as.scaleInDelay(machine.Record) {
+				as.c.agents.requestRemoval(machine, removalReasonIdle)
 			}
 		case storage.MachineCordoned:
 			synced[id] = true
-			if _, ok := c.emptySince[id]; !ok {
-				c.emptySince[id] = now
+			if _, ok := as.emptySince[id]; !ok {
+				as.emptySince[id] = now
 			}
-			if c.drains.mayScaleIn(machine, now-c.emptySince[id]) {
-				c.requestRemoval(machine, removalReasonDrained)
+			if as.c.drains.mayScaleIn(machine, now-as.emptySince[id]) {
+				as.c.agents.requestRemoval(machine, removalReasonDrained)
 			}
 		case storage.MachineDraining:
-			c.requestRemoval(machine, removalReasonDrained)
+			as.c.agents.requestRemoval(machine, removalReasonDrained)
 		}
 	}
-	for id := range c.emptySince {
+	for id := range as.emptySince {
 		if !synced[id] {
-			delete(c.emptySince, id)
-			delete(c.jobsClosedAt, id)
+			delete(as.emptySince, id)
+			delete(as.c.api.jobsClosedAt, id)
 		}
 	}
 }
+
+func newAutoscaler(c *Controller) *autoscaler {
+	return &autoscaler{c: c, term: newLeaderState(0), emptySince: map[string]monotime.Micros{}}
+}
--- a/internal/coordination/burst_limit.go
+++ b/internal/coordination/burst_limit.go
@@ -37,14 +37,14 @@
 // isRateLimited tells whether a submission is to go after the others while changes are short:
 // one of many that a team has sent lately, of the lowest priority, or while other teams
 // send theirs too.
-func (c *Controller) isRateLimited(spec *storage.JobSpec) bool {
-	if spec.Priority > int(protocol.Standard) || !c.storeContended() {
+func (u *userAPI) isRateLimited(spec *storage.JobSpec) bool {
+	if spec.Priority > int(protocol.Standard) || !u.storeContended() {
 		return false
 	}
-	now := c.now()
+	now := u.c.now()
 	mine, all := 0.0, 0.0
-	for _, team := range sortedKeys(c.submissionRates) {
-		n := c.submissionRates[team].decayedCount(now)
+	for _, team := range sortedKeys(u.submissionRates) {
+		n := u.submissionRates[team].decayedCount(now)
 		all += n
 		if team == spec.Team {
 			mine = n
@@ -54,29 +54,29 @@
 }
 
 // maxQueuedBurstCalls is how many calls of swarms may wait.
-func (c *Controller) maxQueuedBurstCalls() int { return max(2, c.maxQueuedUserCalls()/4) }
+func (u *userAPI) maxQueuedBurstCalls() int { return max(2, u.maxQueuedUserCalls()/4) }
 
 // storeContended tells whether the store's changes are short: users wait, or shards and answers, with all
 // that starts and ends, have waited for longer than a burst takes.
-func (c *Controller) storeContended() bool {
-	now := c.now()
-	return c.userCallsWaiting() || max(c.storeQueue.OldestWait(ratelimit.PriorityShardUpdate, now), c.storeQueue.OldestWait(ratelimit.PriorityJobResult, now)) > contendedQueueAge || c.storeQueue.Len(ratelimit.PriorityBurst) > 0
+func (u *userAPI) storeContended() bool {
+	now := u.c.now()
+	return u.c.store.userCallsWaiting() || max(u.c.store.queue.OldestWait(ratelimit.PriorityShardUpdate, now), u.c.store.queue.OldestWait(ratelimit.PriorityJobResult, now)) > contendedQueueAge || u.c.store.queue.Len(ratelimit.PriorityBurst) > 0
 }
 
 // countSubmission notes a submission for its team.
-func (c *Controller) countSubmission(spec *storage.JobSpec) {
-	a := c.submissionRates[spec.Team]
+func (u *userAPI) countSubmission(spec *storage.JobSpec) {
+	a := u.submissionRates[spec.Team]
 	if a == nil {
 		a = &submissionRate{}
-		c.submissionRates[spec.Team] = a
+		u.submissionRates[spec.Team] = a
 	}
-	a.decayedCount(c.now())
+	a.decayedCount(u.c.now())
 	a.decayingCount++
 }
 
 // priorityClassOf tells in which rank changes of a job's record go.
-func (c *Controller) priorityClassOf(spec *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority {
-	if c.isRateLimited(spec) {
+func (u *userAPI) priorityClassOf(spec *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority {
+	if u.isRateLimited(spec) {
 		return ratelimit.PriorityBurst
 	}
 	return otherwise
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -32,13 +32,13 @@
 		core := newCluster(t, 1).startWithLeader().nodes["n-0"].controller
 		for team, n := range tc.sent {
 			for i := 0; i < n; i++ {
-				core.countSubmission(&storage.JobSpec{Team: team})
+				core.api.countSubmission(&storage.JobSpec{Team: team})
 			}
 		}
 		if tc.contended {
-			core.storeQueue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
+			core.store.queue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
 		}
-		if got := core.isRateLimited(&storage.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
+		if got := core.api.isRateLimited(&storage.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
 	}
@@ -318,12 +318,12 @@
 		service   bool
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
 		update := NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
-		update.MaxBytes = int(tc.partition * float64(core.assignmentShardBytes()))
+		update.MaxBytes = int(tc.partition * float64(core.scheduler.assignmentShardBytes()))
 		candidates := []*candidateMachine{{machine: &Machine{ID: "i-1", CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"}, update: update, freeResources: Resources{CPUs: 8, MemoryGB: 64}}}
 		for _, service := range []bool{false, true} {
 			job := &Job{ID: "j-900000", TaskResources: Resources{CPUs: 0.25}, TaskStates: make([]uint8, 1),
 				Record: storage.OpenJob{Spec: storage.JobSpec{Tasks: 1, CPUs: 0.25, Service: service, Priority: int(protocol.BestEffort)}}}
-			if got := core.chooseMachine(job, candidates, newZoneConstraint(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
+			if got := core.scheduler.chooseMachine(job, candidates, newZoneConstraint(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
 				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
 			}
 		}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -46,33 +46,33 @@
 
 // schedulable tells whether new tasks may go to a machine of ours: it is open, its
 // worker has lately shown that our answers reach it, and nothing speaks against it.
-func (c *Controller) schedulable(machine *Machine, now monotime.Micros) bool {
+func (sc *scheduler) schedulable(machine *Machine, now monotime.Micros) bool {
 	agent := machine.Agent
 	if agent == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || agent.LeaseExpired || agent.InterruptionNoticed || agent.RemovalReason != "" || !agent.IsReachable() {
 		return false
 	}
-	if _, doubtful := c.machineFault(agent); doubtful {
+	if _, doubtful := sc.machineFault(agent); doubtful {
 		return false
 	}
-	return now-agent.LastReachedAt < c.durations.placementSilenceLimit
+	return now-agent.LastReachedAt < sc.c.durations.placementSilenceLimit
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
-func (c *Controller) candidateMachines(updates []*ShardUpdate, now monotime.Micros) []*candidateMachine {
+func (sc *scheduler) candidateMachines(updates []*ShardUpdate, now monotime.Micros) []*candidateMachine {
 	var out []*candidateMachine
 	for _, update := range updates {
 		for _, id := range sortedKeys(update.Next.Machines) {
-			record, machine := update.Next.Machines[id], c.mirror.Machines[id]
-			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen || !c.schedulable(machine, now) {
+			record, machine := update.Next.Machines[id], sc.c.mirror.Machines[id]
+			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen || !sc.schedulable(machine, now) {
 				continue
 			}
-			machineType, ok := c.machineTypes[record.Type]
+			machineType, ok := sc.c.catalog.machineTypes[record.Type]
 			if !ok {
 				continue
 			}
 			free := machineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(update.FreedByMachine[id], 1).AddScaled(update.AssignedByMachine[id], -1)
-			_, closed := c.jobsClosedAt[id]
-			candidate := &candidateMachine{machine: machine, record: record, update: update, freeResources: free, serviceCPUs: c.serviceCPUs(machine), taskCount: len(machine.Attempts), closing: closed}
+			_, closed := sc.c.api.jobsClosedAt[id]
+			candidate := &candidateMachine{machine: machine, record: record, update: update, freeResources: free, serviceCPUs: sc.serviceCPUs(machine), taskCount: len(machine.Attempts), closing: closed}
 			out, update.Candidates = append(out, candidate), append(update.Candidates, candidate)
 		}
 	}
@@ -103,10 +103,10 @@
 
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
 // it still waits and the room may be about to be there.
-func (c *Controller) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
+func (sc *scheduler) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
 	jobByMachine := map[string]string{}
-	for id, pending := range c.preemptions {
-		if job := c.mirror.Jobs[id]; job != nil && job.IsOpen() && job.UnassignedTasks() > 0 && now < pending.expiresAt {
+	for id, pending := range sc.preemptions {
+		if job := sc.c.mirror.Jobs[id]; job != nil && job.IsOpen() && job.UnassignedTasks() > 0 && now < pending.expiresAt {
 			for m := range pending.machines {
 				jobByMachine[m] = id
 			}
@@ -118,23 +118,23 @@
 }
 
 // assignmentShardBytes is how large a shard may get by assignments.
-func (c *Controller) assignmentShardBytes() int {
-	return int(maxShardFill * float64(c.maxValueBytes()))
+func (sc *scheduler) assignmentShardBytes() int {
+	return int(maxShardFill * float64(sc.c.maxValueBytes()))
 }
 
 // shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks
 // as its shard has bytes for: thousands of tiny ones filled the shards, and others found
 // no machine beside room for all of them.
-func (c *Controller) shardBytesFor(spec *storage.JobSpec) int {
+func (sc *scheduler) shardBytesFor(spec *storage.JobSpec) int {
 	if !spec.Service && spec.Priority == int(protocol.BestEffort) {
-		return c.assignmentShardBytes() * 8 / 10
+		return sc.assignmentShardBytes() * 8 / 10
 	}
-	return c.assignmentShardBytes()
+	return sc.assignmentShardBytes()
 }
 
 // noteQuotaShortage notes that a partition's share of a team's limit keeps tasks waiting.
-func (c *Controller) noteQuotaShortage(team string, taskResources Resources, tasks int, available Resources, usable bool) {
-	s, ok := c.quotaShortages[team]
+func (q *quotaManager) noteShortage(team string, taskResources Resources, tasks int, available Resources, usable bool) {
+	s, ok := q.shortages[team]
 	s.hasMachineRoom = s.hasMachineRoom || usable
 	least := Resources{CPUs: max(0, taskResources.CPUs-available.CPUs), GPUs: max(0, taskResources.GPUs-available.GPUs)}
 	if math.IsInf(available.CPUs, 1) {
@@ -147,13 +147,13 @@
 		s.perTask = least
 	}
 	s.total = s.total.AddScaled(taskResources, float64(tasks))
-	c.quotaShortages[team] = s
+	q.shortages[team] = s
 }
 
 // holdMachinesFor keeps the machines nearest to having room for a job from what is less
 // urgent in this pass. Else smaller tasks fill every gap as it opens, and a job
 // of larger ones waits for as long as there are any.
-func (c *Controller) holdMachinesFor(job *Job, candidates []*candidateMachine, zones *zoneConstraint, n int) {
+func (sc *scheduler) holdMachinesFor(job *Job, candidates []*candidateMachine, zones *zoneConstraint, n int) {
 	held := 0
 	for _, candidate := range candidates {
 		if candidate.heldBack {
@@ -168,7 +168,7 @@
 			if candidate.heldBack || candidate.reservedForJob != "" || !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) {
 				continue
 			}
-			machineType := c.machineTypes[candidate.record.Type]
+			machineType := sc.c.catalog.machineTypes[candidate.record.Type]
 			if job.TaskResources.FitsIn(machineCapacity(&machineType)) && (best == nil || candidate.freeResources.CPUs > best.freeResources.CPUs) {
 				best = candidate
 			}
@@ -182,7 +182,7 @@
 
 // waitedForImage tells whether a job has waited too long to go on looking for a better
 // place.
-func (c *Controller) waitedForImage(job *Job, wall int64) bool {
+func (sc *scheduler) waitedForImage(job *Job, wall int64) bool {
 	return wall-job.Record.AcceptedAt > int64(2*monotime.Second)
 }
 
@@ -191,14 +191,14 @@
 // and at all before it says that there is no room.
 // given: only shards that give back enough of the team's share.
 // idle: ordinary machines only where services keep them in any case.
-func (c *Controller) chooseMachine(job *Job, candidates []*candidateMachine, zones *zoneConstraint, fencedUpdate, preferredUpdate *ShardUpdate, sample, freedQuotaOnly, spotOnly bool) *candidateMachine {
+func (sc *scheduler) chooseMachine(job *Job, candidates []*candidateMachine, zones *zoneConstraint, fencedUpdate, preferredUpdate *ShardUpdate, sample, freedQuotaOnly, spotOnly bool) *candidateMachine {
 	var best *candidateMachine
 	bestScore := math.Inf(1)
 	spec := &job.Record.Spec
-	tracking := c.jobStates[job.ID]
-	limit, conds := c.shardBytesFor(spec)-len(job.ID)-32, 4*c.cfg.Facts.State.TxnOps-4
+	tracking := sc.jobStates[job.ID]
+	limit, conds := sc.shardBytesFor(spec)-len(job.ID)-32, 4*sc.c.cfg.Facts.State.TxnOps-4
 	consider := func(candidate *candidateMachine) {
-		c.counters.machinesExamined++
+		sc.c.counters.machinesExamined++
 		if !job.TaskResources.FitsIn(candidate.freeResources) || !candidate.availableTo(job) || !machineAllowed(spec, candidate.record) || !zones.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine ||
 			fencedUpdate != nil && candidate.update != fencedUpdate || freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedByTeam[spec.Team]) || candidate.update.MaxBytes > limit || len(candidate.update.Txn.If) >= conds && !candidate.update.AssignedJobs[job.ID] {
 			return
@@ -224,7 +224,7 @@
 		if spec.Service {
 			// Services last: kept together they leave other machines to empty. But
 			// not too many: all of them go down with their machine.
-			if most := c.servicePackingTarget(c.machineTypes[candidate.record.Type].CPUs); candidate.serviceCPUs <= most {
+			if most := sc.servicePackingTarget(sc.c.catalog.machineTypes[candidate.record.Type].CPUs); candidate.serviceCPUs <= most {
 				score -= 8 * candidate.serviceCPUs
 			} else {
 				score += 8 * (candidate.serviceCPUs - most)
@@ -246,7 +246,7 @@
 	}
 	if sample && len(candidates) > candidateSampleSize {
 		for i := 0; i < candidateSampleSize; i++ {
-			consider(candidates[c.env.Rand().IntN(len(candidates))])
+			consider(candidates[sc.c.env.Rand().IntN(len(candidates))])
 		}
 		if best != nil {
 			return best
@@ -259,10 +259,10 @@
 }
 
 // serviceCPUs tells what services hold of a machine.
-func (c *Controller) serviceCPUs(machine *Machine) float64 {
+func (sc *scheduler) serviceCPUs(machine *Machine) float64 {
 	n := 0.0
 	for task := range machine.Attempts {
-		if job := c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
+		if job := sc.c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
 			n += job.TaskResources.CPUs
 		}
 	}
@@ -285,8 +285,8 @@
 )
 
 // servicePackingTarget is up to how many of a machine's CPUs services are drawn to it.
-func (c *Controller) servicePackingTarget(cpus float64) float64 {
-	return min(max(cpus/servicePackingDivisor, servicePackingFleetFraction*c.serviceCPUsAssigned), servicePackingMaxFraction*cpus)
+func (sc *scheduler) servicePackingTarget(cpus float64) float64 {
+	return min(max(cpus/servicePackingDivisor, servicePackingFleetFraction*sc.serviceCPUsAssigned), servicePackingMaxFraction*cpus)
 }
 
 // lessPreferredPenalty is what it costs a machine to be closing, or an ordinary one for a task
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -13,9 +13,9 @@
 
 // admitClaimRequests puts machines that have come up, or come over to us, into shards; it
 // opens a new shard when no other has the room.
-func (c *Controller) admitClaimRequests(updates []*ShardUpdate, now monotime.Micros) []*ShardUpdate {
+func (sm *shardManager) admitClaimRequests(updates []*ShardUpdate, now monotime.Micros) []*ShardUpdate {
 	inDoubt := map[string]bool{}
-	for _, tracker := range c.shardTrackers {
+	for _, tracker := range sm.trackers {
 		for _, update := range tracker.updatesInDoubt {
 			for id := range update.AdmittedMachines {
 				inDoubt[id] = true
@@ -24,78 +24,78 @@
 	}
 	// Only as the member that we are now: what an earlier life of ours or a lapsed
 	// membership sent off must not put a machine into a second shard.
-	member := c.mirror.Members[c.node]
-	if member.Version == 0 || member.Record.Incarnation != c.incarnation || c.mirror.WatchedRevision < member.Version {
+	member := sm.c.mirror.Members[sm.c.node]
+	if member.Version == 0 || member.Record.Incarnation != sm.c.incarnation || sm.c.mirror.WatchedRevision < member.Version {
 		return updates
 	}
 	var takeoverUpdate *ShardUpdate // our shard that takes machines from other partitions
 	moved := map[string]bool{}      // the shards that it takes from
-	for _, id := range c.orderedClaimRequests() {
-		pendingClaim := c.claimRequests[id]
-		machine := c.mirror.Machines[id]
+	for _, id := range sm.orderedClaimRequests() {
+		pendingClaim := sm.claimRequests[id]
+		machine := sm.c.mirror.Machines[id]
 		known := machine != nil && machine.Record != nil
-		if now-pendingClaim.requestedAt > claimRequestTimeout || known && machine.Agent != nil || c.mirror.ScaleInOfMachine[id] != "" {
-			c.completeClaimRequest(id, known && machine.Agent != nil)
+		if now-pendingClaim.requestedAt > claimRequestTimeout || known && machine.Agent != nil || sm.c.mirror.ScaleInOfMachine[id] != "" {
+			sm.completeClaimRequest(id, known && machine.Agent != nil)
 			continue
 		}
 		if inDoubt[id] {
 			continue
 		}
-		request := c.mirror.ScaleOuts[c.mirror.ScaleOutOfMachine[id]]
+		request := sm.c.mirror.ScaleOuts[sm.c.mirror.ScaleOutOfMachine[id]]
 		switch {
-		case known && (pendingClaim.fromShard == nil || !c.isMember(machine.Owner()) || pendingClaim.fromShard.Name != machine.Shard.Name || c.shardClaimsInFlight[machine.Shard.Name]):
+		case known && (pendingClaim.fromShard == nil || !sm.c.membership.isMember(machine.Owner()) || pendingClaim.fromShard.Name != machine.Shard.Name || sm.claimsInFlight[machine.Shard.Name]):
 			continue // somebody else has it
-		case !known && (request == nil || c.designatedController(request, id) != c.node || c.mirror.WatchedRevision < request.Version):
+		case !known && (request == nil || sm.c.agents.designatedController(request, id) != sm.c.node || sm.c.mirror.WatchedRevision < request.Version):
 			continue
 		}
-		need := c.shardBytesForMachine(pendingClaim.report.Type)
+		need := sm.shardBytesForMachine(pendingClaim.report.Type)
 		moving := 0
 		if known {
 			moving = 40 * len(machine.Attempts)
 		}
 		// One commit a pass takes machines over, from a few shards: each changes our
 		// shares of the teams' limits, so of several but one could be made.
-		if known && !moved[machine.Shard.Name] && len(moved) >= c.takeoverLimiter.sourceLimit {
+		if known && !moved[machine.Shard.Name] && len(moved) >= sm.takeoverLimiter.sourceLimit {
 			continue
 		}
 		update := takeoverUpdate
 		if !known || update == nil {
 			update = nil
 			for _, other := range updates {
-				if other.PlannedBytes+need <= c.assignmentShardBytes() && other.MaxBytes+moving+bytesPerMachine <= c.assignmentShardBytes() && (update == nil || other.PlannedBytes < update.PlannedBytes) {
+				if other.PlannedBytes+need <= sm.c.scheduler.assignmentShardBytes() && other.MaxBytes+moving+bytesPerMachine <= sm.c.scheduler.assignmentShardBytes() && (update == nil || other.PlannedBytes < update.PlannedBytes) {
 					update = other
 				}
 			}
 		}
-		if update == nil || update.PlannedBytes+need > c.assignmentShardBytes() || update.MaxBytes+moving+bytesPerMachine > c.assignmentShardBytes() {
+		if update == nil || update.PlannedBytes+need > sm.c.scheduler.assignmentShardBytes() || update.MaxBytes+moving+bytesPerMachine > sm.c.scheduler.assignmentShardBytes() {
 			if known && takeoverUpdate != nil {
 				continue // the rest the next time
 			}
-			c.shardSequence++
-			name := fmt.Sprintf("%s.%x.%d", c.node, c.incarnation, c.shardSequence)
-			next := &storage.Shard{Owner: c.node, Incarnation: c.incarnation, Claim: 1,
+			sm.shardSequence++
+			name := fmt.Sprintf("%s.%x.%d", sm.c.node, sm.c.incarnation, sm.shardSequence)
+			next := &storage.Shard{Owner: sm.c.node, Incarnation: sm.c.incarnation, Claim: 1,
 				Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
-			c.newShards[name] = next
+			sm.newShards[name] = next
 			update = NewShardUpdate(name, nil, next)
 			update.MaxBytes = update.Next.MaxEncodedSize()
 			updates = append(updates, update)
 		}
-		if len(update.Txn.If) > 3*c.cfg.Facts.State.TxnOps {
+		if len(update.Txn.If) > 3*sm.c.cfg.Facts.State.TxnOps {
 			continue
 		}
 		update.Changed = true
 		update.MaxBytes += bytesPerMachine + moving
 		update.PlannedBytes += need
 		update.AdmittedMachines[id] = pendingClaim
-		update.AddCompare(storage.Key(storage.KindMember, c.node), member.Version)
+		update.AddCompare(storage.Key(storage.KindMember, sm.c.node), member.Version)
 		if known {
 			takeoverUpdate, moved[machine.Shard.Name] = update, true
-			c.moveMachine(update, machine, &pendingClaim.report)
+			sm.moveMachine(update, machine, &pendingClaim.report)
 			continue
 		}
 		update.Next.AddMachine(id, storage.ShardMachine{Type: pendingClaim.report.Type, Zone: pendingClaim.report.Zone, Spot: pendingClaim.report.Spot,
 			Endpoint: pendingClaim.report.Endpoint, State: storage.MachineOpen, Claim: pendingClaim.report.FencingToken>>32 + 1})
-		update.AddCompare(storage.Key(storage.KindScaleOut, c.mirror.ScaleOutOfMachine[id]), request.Version)
+		update.AddCompare(storage.Key(storage.KindScaleOut, sm.c.mirror.ScaleOutOfMachine[id]), request.Version)
 	}
 	return updates
 }
@@ -135,11 +135,11 @@
 
 // orderedClaimRequests lists the machines that wait to be claimed; last those that stand in
 // shards on which the commit before has failed.
-func (c *Controller) orderedClaimRequests() []string {
-	ids := sortedKeys(c.claimRequests)
+func (sm *shardManager) orderedClaimRequests() []string {
+	ids := sortedKeys(sm.claimRequests)
 	last := func(id string) bool {
-		fromShard := c.claimRequests[id].fromShard
-		return fromShard != nil && c.takeoverLimiter.conflictedKeys[storage.Key(storage.KindShard, fromShard.Name)]
+		fromShard := sm.claimRequests[id].fromShard
+		return fromShard != nil && sm.takeoverLimiter.conflictedKeys[storage.Key(storage.KindShard, fromShard.Name)]
 	}
 	sort.SliceStable(ids, func(a, b int) bool { return !last(ids[a]) && last(ids[b]) })
 	return ids
@@ -147,7 +147,7 @@
 
 // moveMachine takes a machine with all that is on it out of another partition's shard and
 // puts it into an update, in one commit that both shards must agree to.
-func (c *Controller) moveMachine(update *ShardUpdate, machine *Machine, report *protocol.Heartbeat) {
+func (sm *shardManager) moveMachine(update *ShardUpdate, machine *Machine, report *protocol.Heartbeat) {
 	fromShard := machine.Shard
 	key := storage.Key(storage.KindShard, fromShard.Name)
 	at := -1
@@ -169,7 +169,7 @@
 		before, _ := fromShard.Record.FindAttempt(task.Job, task.Index)
 		left.Release(task.Job, task.Index, false)
 		update.Next.Assign(task.Job, storage.Attempt{Task: task.Index, Machine: machine.ID, Number: attempt, Starting: before.Starting})
-		if job := c.mirror.Jobs[task.Job]; job != nil {
+		if job := sm.c.mirror.Jobs[task.Job]; job != nil {
 			addTeamUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
 	}
@@ -180,13 +180,13 @@
 		update.AddCompare(key, fromShard.Version)
 		update.Txn.Then = append(update.Txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
-	c.transferQuotaShares(&update.Txn, update.ComparedKeys, fromShard.Record.Owner, c.node, useByTeam)
+	sm.c.quota.transferQuotaShares(&update.Txn, update.ComparedKeys, fromShard.Record.Owner, sm.c.node, useByTeam)
 }
 
 // completeClaimRequest tells those who wait for a machine's claim.
-func (c *Controller) completeClaimRequest(id string, ok bool) {
-	if pendingClaim := c.claimRequests[id]; pendingClaim != nil {
-		delete(c.claimRequests, id)
+func (sm *shardManager) completeClaimRequest(id string, ok bool) {
+	if pendingClaim := sm.claimRequests[id]; pendingClaim != nil {
+		delete(sm.claimRequests, id)
 		for _, f := range pendingClaim.callbacks {
 			f(ok)
 		}
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -47,8 +47,8 @@
 			c.submit(0, withTasks(4))
 			c.sim.Run(10 * second)
 			core := c.leaderNode().controller
-			if got := len(core.quarantinedOffers()) > 0; got != tc.want {
-				t.Errorf("sidelined: %v, want %v", core.quarantinedOffers(), tc.want)
+			if got := len(core.autoscaler.quarantinedOffers()) > 0; got != tc.want {
+				t.Errorf("sidelined: %v, want %v", core.autoscaler.quarantinedOffers(), tc.want)
 			}
 		})
 	}
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -13,7 +13,7 @@
 // nextCommands works out what a worker must be told, reaps and kills before runs.
 // A batch that isn't empty gets a token of its own, above all earlier ones, so
 // a late copy of an earlier batch can't undo it.
-func (c *Controller) nextCommands(machine *Machine, now monotime.Micros) []protocol.Command {
+func (am *agentManager) nextCommands(machine *Machine, now monotime.Micros) []protocol.Command {
 	agent := machine.Agent
 	commands := []protocol.Command{}
 	const again = monotime.Second
@@ -53,7 +53,7 @@
 	var kills, runs []AttemptID
 	for task, attempt := range machine.Attempts {
 		key := AttemptID{task, attempt}
-		job := c.mirror.Jobs[task.Job]
+		job := am.c.mirror.Jobs[task.Job]
 		if job == nil {
 			continue
 		}
@@ -76,7 +76,7 @@
 				record.KillToken = token
 			}
 			graceSeconds := 0.0
-			if job := c.mirror.Jobs[key.Task.Job]; job.IsOpen() && job.Record.Spec.CheckpointS > 0 {
+			if job := am.c.mirror.Jobs[key.Task.Job]; job.IsOpen() && job.Record.Spec.CheckpointS > 0 {
 				graceSeconds = job.Record.Spec.SaveS // its progress is worth saving
 			}
 			add(protocol.CmdKill, key, graceSeconds)
@@ -109,18 +109,18 @@
 }
 
 // syncCommandsOfJob tells every worker of ours that has tasks of a job.
-func (c *Controller) syncCommandsOfJob(job *Job) {
+func (am *agentManager) syncCommandsOfJob(job *Job) {
 	synced := map[string]bool{}
-	for _, name := range sortedKeys(c.mirror.Shards) {
-		shard := c.mirror.Shards[name]
+	for _, name := range sortedKeys(am.c.mirror.Shards) {
+		shard := am.c.mirror.Shards[name]
 		entry := shard.Record.Jobs[job.ID]
-		if entry == nil || !c.ownsShard(shard) {
+		if entry == nil || !am.c.shards.ownsShard(shard) {
 			continue
 		}
 		for _, held := range entry.Attempts {
-			if machine := c.mirror.Machines[held.Machine]; !synced[held.Machine] && machine != nil && machine.Agent != nil {
+			if machine := am.c.mirror.Machines[held.Machine]; !synced[held.Machine] && machine != nil && machine.Agent != nil {
 				synced[held.Machine] = true
-				c.syncCommands(machine)
+				am.syncCommands(machine)
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 
 // syncCommands tells a worker directly what its next report would bring it. One batch
 // is in flight at a time.
-func (c *Controller) syncCommands(machine *Machine) {
+func (am *agentManager) syncCommands(machine *Machine) {
 	agent := machine.Agent
 	if agent == nil || agent.Incarnation == 0 || agent.LeaseExpired || machine.Record == nil {
 		return
@@ -137,13 +137,13 @@
 		agent.ResyncNeeded = true
 		return
 	}
-	commands := c.nextCommands(machine, c.now())
+	commands := am.nextCommands(machine, am.c.now())
 	if len(commands) == 0 {
 		return
 	}
 	agent.CommandInFlight = true
 	req := &protocol.CommandRequest{FencingToken: agent.Token(), Incarnation: agent.Incarnation, Commands: commands}
-	c.env.SendCommands(machine.Record.Endpoint, req, commandTimeout, func(result protocol.CommandResult) {
+	am.c.env.SendCommands(machine.Record.Endpoint, req, commandTimeout, func(result protocol.CommandResult) {
 		agent.CommandInFlight = false
 		if machine.Agent != agent {
 			return // the claim has moved on
@@ -160,11 +160,11 @@
 		report := &result.Heartbeat
 		if result.Status != 0 && report.Machine == machine.ID && report.Valid() &&
 			(report.Incarnation > agent.Incarnation || report.Incarnation == agent.Incarnation && report.Sequence > agent.Sequence) {
-			c.applyReport(machine, report)
+			am.applyReport(machine, report)
 		}
 		if agent.ResyncNeeded && result.Status == 200 {
 			agent.ResyncNeeded = false
-			c.syncCommands(machine)
+			am.syncCommands(machine)
 		}
 	})
 }
@@ -173,21 +173,21 @@
 // proves nothing before the worker has seen our token. It isn't told anything yet
 // if its machine was another controller's, who may still be answering it: a
 // higher token would have it drop those answers and its lease would end.
-func (c *Controller) probeAgent(machine *Machine, syncAfterwards bool) {
+func (am *agentManager) probeAgent(machine *Machine, syncAfterwards bool) {
 	if machine == nil || machine.Agent == nil || machine.Record == nil {
 		return
 	}
 	agent := machine.Agent
-	c.env.SendCommands(machine.Record.Endpoint, nil, commandTimeout, func(result protocol.CommandResult) {
+	am.c.env.SendCommands(machine.Record.Endpoint, nil, commandTimeout, func(result protocol.CommandResult) {
 		report := &result.Heartbeat
 		if machine.Agent != agent || result.Status != 200 || report.Machine != machine.ID || !report.Valid() ||
 			report.Incarnation < agent.Incarnation || report.Incarnation == agent.Incarnation && report.Sequence <= agent.Sequence {
 			return
 		}
-		c.applyReport(machine, report)
+		am.applyReport(machine, report)
 		if syncAfterwards {
-			c.syncCommands(machine)
+			am.syncCommands(machine)
 		}
-		c.schedulingNeeded = true
+		am.c.scheduler.passNeeded = true
 	})
 }
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -28,23 +28,23 @@
 func TestShardWriteRateYieldsToWaitingUsers(t *testing.T) {
 	c := newCluster(t, 8).startWithLeader()
 	core := c.nodes["n-0"].controller
-	usual := core.shardWriteRate()
+	usual := core.store.shardWriteRate()
 	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: waitingUserCallsThreshold})
-	if got := core.shardWriteRate(); got != usual {
+	if got := core.store.shardWriteRate(); got != usual {
 		t.Errorf("a few users at a peer: %v, usually %v", got, usual)
 	}
 	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: waitingUserCallsThreshold + 1})
-	if got := core.shardWriteRate(); got >= usual/2 {
+	if got := core.store.shardWriteRate(); got >= usual/2 {
 		t.Errorf("many users at a peer: %v, usually %v", got, usual)
 	}
 	c.sim.Run(3 * slowTickInterval)
-	if got := core.shardWriteRate(); got != usual {
+	if got := core.store.shardWriteRate(); got != usual {
 		t.Errorf("afterwards: %v, usually %v", got, usual)
 	}
 	for i := 0; i <= waitingUserCallsThreshold; i++ {
-		core.storeQueue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityUserRequest})
+		core.store.queue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityUserRequest})
 	}
-	if got := core.shardWriteRate(); got >= usual/4 {
+	if got := core.store.shardWriteRate(); got >= usual/4 {
 		t.Errorf("many users here: %v, usually %v", got, usual)
 	}
 }
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -39,7 +39,7 @@
 // blockages lists what drains wait for, as the records have it.
 func (s *drainScenario) blockages() []drain.Blockage {
 	core := s.leaderNode().controller
-	return core.drains.policy.Decide(core.drainSnapshot(), &drain.Controller{Live: core.isMember, Responsible: func(string) bool { return false }}).Blocked
+	return core.drains.policy.Decide(core.drainSnapshot(), &drain.Controller{Live: core.membership.isMember, Responsible: func(string) bool { return false }}).Blocked
 }
 
 // TestAbortedDrainLeavesNoPermit: at any moment, also as the last replica stops, and with permits that are
--- a/internal/coordination/drain_snapshot.go
+++ b/internal/coordination/drain_snapshot.go
@@ -9,13 +9,13 @@
 // drainSnapshot gives the mirror in the form in which drains are decided, with what we know of our own
 // machines beyond the records.
 func (c *Controller) drainSnapshot() *drain.Snapshot {
-	b := c.mirror.drainSnapshotBuilder(c.env.WallClock(), c.machineTypes, c.isCrashLooping)
+	b := c.mirror.drainSnapshotBuilder(c.env.WallClock(), c.catalog.machineTypes, c.scheduler.isCrashLooping)
 	for _, id := range sortedKeys(c.mirror.Machines) {
 		machine := c.mirror.Machines[id]
 		if machine.Record == nil {
 			continue
 		}
-		entry := c.mirror.drainSnapshotMachine(machine, c.machineTypes)
+		entry := c.mirror.drainSnapshotMachine(machine, c.catalog.machineTypes)
 		switch {
 		case machine.Agent == nil && machine.Owner() == c.node:
 			entry.Owner = "" // an earlier life of ours, whose shard isn't claimed again yet
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -93,7 +93,7 @@
 	if !covered || rec.State == storage.DrainPaused {
 		return false
 	}
-	return rec.RemoveAtOnce || empty >= d.core.scaleInDelay(machine.Record)
+	return rec.RemoveAtOnce || empty >= d.core.autoscaler.scaleInDelay(machine.Record)
 }
 
 // reconcile takes the next steps of all drains. It decides on a fresh mirror only: what has
@@ -103,7 +103,7 @@
 		return
 	}
 	c := d.core
-	if c.storeUnavailable || c.machineTypes == nil || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+	if c.store.unavailable || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) || now-c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	snapshot := c.drainSnapshot()
@@ -118,7 +118,7 @@
 	d.evictUnpermitted(decision.StopArrays, now)
 	d.writePermits(decision, now)
 	d.replacementDemand = d.computeReplacementDemand(snapshot)
-	if c.isLeader(now) {
+	if c.membership.isLeader(now) {
 		d.settleDrains(snapshot)
 	}
 	d.nextRunAt = nextDue(now, c.now(), slowTickInterval)
@@ -144,14 +144,14 @@
 // controller is what a decision must know of us.
 func (d *drains) controller() *drain.Controller {
 	c := d.core
-	controllers := c.liveControllers()
+	controllers := c.membership.liveControllers()
 	return &drain.Controller{
 		Node: c.node,
-		Live: c.isMember,
+		Live: c.membership.isMember,
 		Responsible: func(team string) bool {
 			return rendezvousOwner(storage.KindPermits+"/"+team, controllers) == c.node
 		},
-		RecordBytes: c.assignmentShardBytes(),
+		RecordBytes: c.scheduler.assignmentShardBytes(),
 	}
 }
 
@@ -165,7 +165,7 @@
 	machine.Agent.StoppingAttempts[key] = true
 	d.core.log.Info("replica evicted for drain", "drain", permit.Drain, "task", key.Task.String(),
 		"from_machine", permit.From, "to_machine", permit.To)
-	d.core.syncCommands(machine)
+	d.core.agents.syncCommands(machine)
 }
 
 // permitUnused tells whether a permit surely hasn't been used and can't be by anything still on its
@@ -208,7 +208,7 @@
 		}
 		if !d.permitCommitInFlight[team] {
 			d.writeTeamPermits(team, ended[team], decision.Granted[team])
-			d.nextPermitWriteAt = d.core.nextAllowedAt(permitWriteFraction)
+			d.nextPermitWriteAt = d.core.store.nextAllowedAt(permitWriteFraction)
 		}
 	}
 }
@@ -218,10 +218,10 @@
 // service takes submissions waited for more than a second.
 func (d *drains) hasSpareWrites(now monotime.Micros) bool {
 	c := d.core
-	if c.userCallsWaiting() || c.peerStatuses.userCallsWaiting(now) {
+	if c.store.userCallsWaiting() || c.peerStatuses.userCallsWaiting(now) {
 		return false
 	}
-	return c.storeQueue.Writes.WaitTime(now, spareWriteFraction*c.storeQueue.Writes.Burst) == 0
+	return c.store.queue.Writes.WaitTime(now, spareWriteFraction*c.store.queue.Writes.Burst) == 0
 }
 
 // writeTeamPermits changes a team's permits, on the condition that nobody else has. One that is written
@@ -243,7 +243,7 @@
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
 	}
 	d.permitCommitInFlight[team] = true
-	c.commitTxn(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
+	c.replica.commit(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
 		delete(d.permitCommitInFlight, team)
 		switch result.Outcome {
 		case protocol.OK:
@@ -289,13 +289,13 @@
 	}
 	if stopped > 0 {
 		d.core.log.Info("tasks evicted for drain", "machine", machine.ID, "tasks", stopped)
-		d.core.syncCommands(machine)
+		d.core.agents.syncCommands(machine)
 	}
 }
 
 // needsPermit tells whether a job's tasks are stopped under permits only.
 func (d *drains) needsPermit(job *Job) bool {
-	return job.Record.Spec.Service && !d.core.isCrashLooping(job)
+	return job.Record.Spec.Service && !d.core.scheduler.isCrashLooping(job)
 }
 
 // endsSoon tells whether an array task is expected to end soon. An estimate that was
@@ -305,7 +305,7 @@
 	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
 		return false
 	}
-	left := monotime.FromSeconds(d.core.expectedRunSeconds(&job.Record.Spec)) - (now - at)
+	left := monotime.FromSeconds(d.core.scheduler.expectedRunSeconds(&job.Record.Spec)) - (now - at)
 	return left <= d.settings.ArrayWait.Micros()
 }
 
@@ -361,7 +361,7 @@
 		if next != nil {
 			operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
 		}
-		d.core.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
+		d.core.autoscaler.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: record.Version}},
 			Then: []protocol.Op{operation},
 		}, func(result protocol.StoreResult) {
@@ -379,7 +379,7 @@
 		if request.Record.Phase == storage.ScaleOutNoCapacity {
 			continue
 		}
-		for _, id := range d.core.missingMachines(request) {
+		for _, id := range d.core.autoscaler.missingMachines(request) {
 			if drain.Covers(rec, id, request.Record.MachineType, request.Record.Zone, request.Record.Spot) {
 				return true
 			}
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -32,28 +32,28 @@
 // attributeFailures tells what a job's failures are worth as evidence. That some task of it is
 // done stands in the shards for all controllers; on how many machines it has failed
 // the others tell in their hints.
-func (c *Controller) attributeFailures(id string) failureAttribution {
-	job := c.mirror.Jobs[id]
+func (sc *scheduler) attributeFailures(id string) failureAttribution {
+	job := sc.c.mirror.Jobs[id]
 	if job == nil {
-		if status, ok := c.mirror.Results.Get(id); ok && status == storage.JobDone {
+		if status, ok := sc.c.mirror.Results.Get(id); ok && status == storage.JobDone {
 			return machineAtFault
 		}
 		return jobAtFault // cancelled, or forgotten: no evidence
 	}
-	tracking := c.jobStates[id]
+	tracking := sc.jobStates[id]
 	switch {
 	case !job.IsOpen():
 		return jobAtFault
 	case job.DoneTasks > 0:
 		return machineAtFault
-	case tracking != nil && tracking.lastFailureAt != 0 && job.Record.Spec.Service && job.AssignedTasks > 0 && c.now()-tracking.lastFailureAt > healthyReplicaAfter:
+	case tracking != nil && tracking.lastFailureAt != 0 && job.Record.Spec.Service && job.AssignedTasks > 0 && sc.c.now()-tracking.lastFailureAt > healthyReplicaAfter:
 		return machineAtFault
 	}
 	n := 0
 	if tracking != nil {
 		n = tracking.failedMachines
 	}
-	n += c.peerStatuses.failedMachines(id)
+	n += sc.c.peerStatuses.failedMachines(id)
 	if n >= jobFaultMachines {
 		return jobAtFault
 	}
@@ -61,21 +61,21 @@
 }
 
 // isCrashLooping tells whether an open job is held to an occasional try.
-func (c *Controller) isCrashLooping(job *Job) bool {
-	return c.attributeFailures(job.ID) == jobAtFault && job.IsOpen()
+func (sc *scheduler) isCrashLooping(job *Job) bool {
+	return sc.attributeFailures(job.ID) == jobAtFault && job.IsOpen()
 }
 
 // machineFault weighs a machine's failures since something last completed there. faulty:
 // jobs that run elsewhere fail on it; doubtful: so many failed there, of jobs that
 // nothing is known of yet, that it gets no more until it is.
-func (c *Controller) machineFault(agent *Agent) (faulty, doubtful bool) {
+func (sc *scheduler) machineFault(agent *Agent) (faulty, doubtful bool) {
 	const samples, drag = 6, 1.1 // three times as long as expected, again and again
 	if agent.SlowdownSamples >= samples && agent.LogSlowdown > drag {
 		return true, true
 	}
 	against, open := 0, 0
 	for id, n := range agent.FailuresByJob {
-		switch c.attributeFailures(id) {
+		switch sc.attributeFailures(id) {
 		case machineAtFault:
 			against += n
 		case faultUnknown:
@@ -86,23 +86,23 @@
 }
 
 // recordFailure learns from a task that failed.
-func (c *Controller) recordFailure(machine *Machine, job *Job) {
+func (sc *scheduler) recordFailure(machine *Machine, job *Job) {
 	machine.Agent.FailuresByJob[job.ID]++
-	tracking := c.trackingOf(job.ID)
-	tracking.lastFailureAt = c.now()
+	tracking := sc.trackingOf(job.ID)
+	tracking.lastFailureAt = sc.c.now()
 	if !tracking.excludedMachines[machine.ID] {
 		tracking.excludedMachines[machine.ID] = true
 		tracking.failedMachines++
 	}
-	if c.attributeFailures(job.ID) == jobAtFault && c.now() >= tracking.retryAt {
-		tracking.backOff(c.now(), c.settings)
+	if sc.attributeFailures(job.ID) == jobAtFault && sc.c.now() >= tracking.retryAt {
+		tracking.backOff(sc.c.now(), sc.c.settings)
 	}
 }
 
 // clearFailuresOn takes back what a faulty machine's failures have said of jobs.
-func (c *Controller) clearFailuresOn(machine *Machine) {
+func (sc *scheduler) clearFailuresOn(machine *Machine) {
 	for id := range machine.Agent.FailuresByJob {
-		if tracking := c.jobStates[id]; tracking != nil && tracking.excludedMachines[machine.ID] {
+		if tracking := sc.jobStates[id]; tracking != nil && tracking.excludedMachines[machine.ID] {
 			delete(tracking.excludedMachines, machine.ID)
 			tracking.failedMachines = max(0, tracking.failedMachines-1)
 			tracking.retryAt, tracking.backoffDelay = 0, 0
@@ -112,15 +112,15 @@
 
 // crashLoopTrials tells how many tasks of a job that fails everywhere may be placed now: one
 // at a time, the next after a pause that grows.
-func (c *Controller) crashLoopTrials(job *Job, now monotime.Micros) int {
-	tracking := c.trackingOf(job.ID)
+func (sc *scheduler) crashLoopTrials(job *Job, now monotime.Micros) int {
+	tracking := sc.trackingOf(job.ID)
 	if tracking.backoffDelay == 0 { // learned from another controller
-		tracking.backOff(now, c.settings)
+		tracking.backOff(now, sc.c.settings)
 	}
 	if job.AssignedTasks > 0 || now < tracking.retryAt {
 		return 0
 	}
-	if tracking.backoffDelay >= c.settings.BackoffMax.Micros() {
+	if tracking.backoffDelay >= sc.c.settings.BackoffMax.Micros() {
 		clear(tracking.excludedMachines) // it has been everywhere
 	}
 	return 1
@@ -129,17 +129,17 @@
 // mayScaleOutForTrial tells whether a machine may be rented for a try of a job that fails everywhere,
 // if there is no room at all: once in the longest pause. It may be the machines' fault
 // after all, and where nothing else keeps any it would wait for ever.
-func (c *Controller) mayScaleOutForTrial(job *Job, now monotime.Micros) bool {
-	at := c.trackingOf(job.ID).trialDemandAt
-	return job.AssignedTasks == 0 && (at == 0 || now-at >= c.settings.BackoffMax.Micros())
+func (sc *scheduler) mayScaleOutForTrial(job *Job, now monotime.Micros) bool {
+	at := sc.trackingOf(job.ID).trialDemandAt
+	return job.AssignedTasks == 0 && (at == 0 || now-at >= sc.c.settings.BackoffMax.Micros())
 }
 
 // failingJobs lists the jobs that fail here, for the others.
-func (c *Controller) failingJobs() map[string]int {
+func (sc *scheduler) failingJobs() map[string]int {
 	var out map[string]int
-	for _, id := range sortedKeys(c.jobStates) {
-		n := c.jobStates[id].failedMachines
-		if job := c.mirror.Jobs[id]; n == 0 || job == nil || !job.IsOpen() || job.DoneTasks > 0 || len(out) >= maxReportedFailingJobs {
+	for _, id := range sortedKeys(sc.jobStates) {
+		n := sc.jobStates[id].failedMachines
+		if job := sc.c.mirror.Jobs[id]; n == 0 || job == nil || !job.IsOpen() || job.DoneTasks > 0 || len(out) >= maxReportedFailingJobs {
 			continue
 		}
 		if out == nil {
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -22,8 +22,8 @@
 	mr.putJob("others", 4, next)
 	mr.Results.Add("ended", storage.JobDone)
 	mr.Results.Add("dropped", storage.JobCancelled)
-	core.trackingOf("here").failedMachines = 3
-	core.trackingOf("others").failedMachines = 1
+	core.scheduler.trackingOf("here").failedMachines = 3
+	core.scheduler.trackingOf("others").failedMachines = 1
 	core.peerStatuses.status("n-1").failingJobs, core.peerStatuses.status("n-2").failingJobs = map[string]int{"others": 1}, map[string]int{"others": 1}
 	for _, tc := range []struct {
 		name             string
@@ -41,7 +41,7 @@
 		{"of two that fail everywhere", map[string]int{"here": 4, "others": 4, "runs": 1}, false, false},
 		{"of one that was cancelled", map[string]int{"dropped": 4}, false, false},
 	} {
-		faulty, doubtful := core.machineFault(&Agent{FailuresByJob: tc.failures})
+		faulty, doubtful := core.scheduler.machineFault(&Agent{FailuresByJob: tc.failures})
 		if faulty != tc.faulty || doubtful != tc.doubtful {
 			t.Errorf("%s: faulty %v, doubtful %v", tc.name, faulty, doubtful)
 		}
@@ -186,7 +186,7 @@
 		for _, worker := range c.fleet.Workers {
 			worker.FailsTasks = true
 		}
-		return c.nodes["n-0"].controller.attributeFailures(id) == jobAtFault
+		return c.nodes["n-0"].controller.scheduler.attributeFailures(id) == jobAtFault
 	})
 	c.sim.Run(2 * second)
 	c.requireFinished(id, 400*second)
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -16,12 +16,12 @@
 	claimNumber     uint64 // under which its owner held it
 }
 
-func (c *Controller) redirectResponse(to string) Response {
+func (am *agentManager) redirectResponse(to string) Response {
 	return Response{Status: 421, Body: protocol.MustMarshal(&protocol.Redirect{Leader: to})}
 }
 
 // handleHeartbeat answers a worker's report.
-func (c *Controller) handleHeartbeat(body []byte, respond func(Response)) {
+func (am *agentManager) handleHeartbeat(body []byte, respond func(Response)) {
 	var report protocol.Heartbeat
 	if err := protocol.Unmarshal(body, &report); err != nil {
 		respond(errorResponse(400, err.Error()))
@@ -31,58 +31,58 @@
 		respond(errorResponse(400, "report lacks a field"))
 		return
 	}
-	now := c.now()
-	if peer, alone := c.storeUnreachableOnlyHere(now); alone {
-		respond(c.redirectResponse(peer))
+	now := am.c.now()
+	if peer, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone {
+		respond(am.redirectResponse(peer))
 		return
 	}
-	if !c.mirrorReady {
+	if !am.c.replica.ready {
 		respond(errorResponse(503, "records not read yet"))
 		return
 	}
-	if c.mirrorStale(now) {
+	if am.c.reachability.mirrorStale(now) {
 		// It may have waited here for as long as we stood still.
 		respond(errorResponse(503, "stood still"))
 		return
 	}
-	if c.mustSuspendLeaseRenewal(now) {
+	if am.c.cancellations.mustSuspendLeaseRenewal(now) {
 		respond(errorResponse(503, "cut off from the state service"))
 		return
 	}
-	machine := c.mirror.Machines[report.Machine]
-	if c.log.Enabled(context.Background(), slog.LevelDebug) {
+	machine := am.c.mirror.Machines[report.Machine]
+	if am.c.log.Enabled(context.Background(), slog.LevelDebug) {
 		reply := respond
 		respond = func(response Response) {
-			c.log.Debug("heartbeat", "machine", report.Machine, "agent_incarnation", report.Incarnation, "seq", report.Sequence,
+			am.c.log.Debug("heartbeat", "machine", report.Machine, "agent_incarnation", report.Incarnation, "seq", report.Sequence,
 				"fencing_token", report.FencingToken, "tasks", len(report.Tasks), "status", response.Status,
-				"waited_ms", (c.now() - now).Milliseconds())
+				"waited_ms", (am.c.now() - now).Milliseconds())
 			reply(response)
 		}
 	}
 	switch {
-	case machine != nil && machine.Agent != nil && c.shouldRedirectAway(machine.Agent, now):
+	case machine != nil && machine.Agent != nil && am.c.reachability.shouldRedirectAway(machine.Agent, now):
 		respond(errorResponse(503, "cut off from all others"))
 	case machine != nil && machine.Agent != nil:
-		respond(c.answerHeartbeat(machine, &report))
-	case c.mirror.ScaleInOfMachine[report.Machine] != "":
+		respond(am.answerHeartbeat(machine, &report))
+	case am.c.mirror.ScaleInOfMachine[report.Machine] != "":
 		// Deleted, or about to be: a report that was held back on its way must not
 		// bring it to life again. Tasks were assigned to such ghosts.
 		respond(errorResponse(503, "machine is being given back"))
 	case machine != nil && machine.Record != nil:
-		c.handleOrphanedWorker(machine, &report, respond, now)
+		am.handleOrphanedWorker(machine, &report, respond, now)
 	default:
-		c.handleUnclaimedWorker(&report, respond, now)
+		am.handleUnclaimedWorker(&report, respond, now)
 	}
 }
 
 // recordOrphanContact notes a worker of another partition, and tells when this run of visits began. A
 // new claim begins it anew: an owner that was gone for a moment and has claimed its
 // machines again must have the time to be found by them.
-func (c *Controller) recordOrphanContact(id string, claimNumber uint64, now monotime.Micros) monotime.Micros {
-	contact := c.orphanContacts[id]
+func (am *agentManager) recordOrphanContact(id string, claimNumber uint64, now monotime.Micros) monotime.Micros {
+	contact := am.orphanContacts[id]
 	if contact == nil || now-contact.lastAt > 20*monotime.Second || contact.claimNumber != claimNumber {
 		contact = &orphanContact{firstAt: now, claimNumber: claimNumber}
-		c.orphanContacts[id] = contact
+		am.orphanContacts[id] = contact
 	}
 	contact.lastAt = now
 	return contact.firstAt
@@ -92,107 +92,107 @@
 // node that answers; one that comes to us has lost its owner, unless this is a
 // copy of an old report. We take the machine over if its owner can't be the one
 // who will be back for it in a moment, and the worker itself confirms its report.
-func (c *Controller) handleOrphanedWorker(machine *Machine, report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
+func (am *agentManager) handleOrphanedWorker(machine *Machine, report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
 	owner := machine.Owner()
-	member, live := c.mirror.Members[owner]
-	firstContactAt := c.recordOrphanContact(machine.ID, machine.Claim(), now)
+	member, live := am.c.mirror.Members[owner]
+	firstContactAt := am.recordOrphanContact(machine.ID, machine.Claim(), now)
 	adopt := false
 	switch {
-	case owner == c.node:
-		c.claimOrphanedShards(now) // an earlier life of ours
-		c.requestClaim(report, nil, respond)
+	case owner == am.c.node:
+		am.c.shards.claimOrphanedShards(now) // an earlier life of ours
+		am.requestClaim(report, nil, respond)
 		return
 	case !live:
-		if destination := rendezvousOwner(machine.Shard.Name, c.connectedControllers()); destination != c.node {
-			respond(c.redirectResponse(destination))
+		if destination := rendezvousOwner(machine.Shard.Name, am.c.reachability.connectedControllers()); destination != am.c.node {
+			respond(am.redirectResponse(destination))
 			return
 		}
-		c.claimOrphanedShards(now)
-		c.requestClaim(report, nil, respond)
+		am.c.shards.claimOrphanedShards(now)
+		am.requestClaim(report, nil, respond)
 		return
 	case member.Record.Incarnation != machine.Shard.Record.Incarnation:
-		respond(c.redirectResponse(owner)) // it has just come back and claims its shards
+		respond(am.redirectResponse(owner)) // it has just come back and claims its shards
 		return
-	case c.heardFromRecently(owner, now):
+	case am.c.reachability.heardFromRecently(owner, now):
 		// It lives, or did a moment ago. A worker that had it for long and lost it
 		// needn't be sent there again, its lease may not last for another round. One
 		// that goes round because its owner was gone for a moment must find it: that
 		// the owner has spoken to it since doesn't tell that it reports there.
-		if now-firstContactAt > c.durations.adoptionDelay || report.FencingToken >= machine.Claim()<<32 && now-c.claimsObserved[machine.Shard.Name].observedAt > c.durations.workerLease {
+		if now-firstContactAt > am.c.durations.adoptionDelay || report.FencingToken >= machine.Claim()<<32 && now-am.c.shards.claimsObserved[machine.Shard.Name].observedAt > am.c.durations.workerLease {
 			// If it crashed just now, all its machines come, and it is back before they
 			// would all have changed their shards: so its next word is waited for.
 			claimNumber := machine.Claim()
-			c.env.After(slowTickInterval+2*fastTickInterval, func() {
-				machine := c.mirror.Machines[report.Machine]
-				silent := c.peerStatuses.status(owner).lastHeardAt <= now
-				if silent && !c.mustAdoptBeforeLeaseEnds(owner, c.now()) || machine == nil || machine.Record == nil || machine.Agent != nil || machine.Claim() != claimNumber || machine.Owner() != owner {
-					respond(c.redirectResponse(""))
+			am.c.env.After(slowTickInterval+2*fastTickInterval, func() {
+				machine := am.c.mirror.Machines[report.Machine]
+				silent := am.c.peerStatuses.status(owner).lastHeardAt <= now
+				if silent && !am.mustAdoptBeforeLeaseEnds(owner, am.c.now()) || machine == nil || machine.Record == nil || machine.Agent != nil || machine.Claim() != claimNumber || machine.Owner() != owner {
+					respond(am.redirectResponse(""))
 					return
 				}
-				c.takeOverMachine(machine, report, respond)
+				am.takeOverMachine(machine, report, respond)
 			})
 			return
 		}
 	default:
 		// Crashed, perhaps back in a moment; or cut off, then its membership ends.
-		adopt = now-firstContactAt > c.durations.adoptionDelay || c.mustAdoptBeforeLeaseEnds(owner, now)
+		adopt = now-firstContactAt > am.c.durations.adoptionDelay || am.mustAdoptBeforeLeaseEnds(owner, now)
 	}
 	if !adopt {
-		if c.heardFromRecently(owner, now) {
-			respond(c.redirectResponse(owner))
+		if am.c.reachability.heardFromRecently(owner, now) {
+			respond(am.redirectResponse(owner))
 		} else {
-			respond(c.redirectResponse(""))
+			respond(am.redirectResponse(""))
 		}
 		return
 	}
-	c.takeOverMachine(machine, report, respond)
+	am.takeOverMachine(machine, report, respond)
 }
 
 // takeOverMachine has a machine of another partition claimed by us, if its worker itself confirms
 // its report.
-func (c *Controller) takeOverMachine(machine *Machine, report *protocol.Heartbeat, respond func(Response)) {
+func (am *agentManager) takeOverMachine(machine *Machine, report *protocol.Heartbeat, respond func(Response)) {
 	fromShard, owner := machine.Shard, machine.Owner()
-	c.verifyReport(report, true, func(ok bool) {
+	am.verifyReport(report, true, func(ok bool) {
 		if !ok {
-			respond(c.redirectResponse(owner))
+			respond(am.redirectResponse(owner))
 			return
 		}
-		c.requestClaim(report, fromShard, respond)
+		am.requestClaim(report, fromShard, respond)
 	})
 }
 
 // heardFromRecently tells whether a peer spoke to us lately.
-func (c *Controller) heardFromRecently(peer string, now monotime.Micros) bool {
-	p := c.peerStatuses.status(peer)
+func (rc *reachability) heardFromRecently(peer string, now monotime.Micros) bool {
+	p := rc.c.peerStatuses.status(peer)
 	return p.hasReported && now-p.lastHeardAt < 3*slowTickInterval
 }
 
 // silentFor tells for how long a peer hasn't spoken to us.
-func (c *Controller) silentFor(peer string, now monotime.Micros) monotime.Micros {
-	return now - c.peerStatuses.status(peer).lastHeardAt
+func (rc *reachability) silentFor(peer string, now monotime.Micros) monotime.Micros {
+	return now - rc.c.peerStatuses.status(peer).lastHeardAt
 }
 
 // mustAdoptBeforeLeaseEnds tells whether a worker that has lost a silent owner must be adopted now: if it
 // goes round all controllers once more, waiting at each that says nothing, its lease may
 // end on the way. Whoever is still a member for longer than that takes lives, but won't be
 // found on another round either.
-func (c *Controller) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
+func (am *agentManager) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
 	round := workerRetryPause
-	for _, peer := range c.cfg.Peers {
+	for _, peer := range am.c.cfg.Peers {
 		round += workerRetryPause
-		if !c.heardFromRecently(peer.Node, now) {
+		if !am.c.reachability.heardFromRecently(peer.Node, now) {
 			round += workerAnswerTimeout
 		}
 	}
-	unheard := c.silentFor(owner, now)
-	return unheard > c.durations.membershipTTL || unheard+round > c.durations.workerLease-c.durations.heartbeatInterval
+	unheard := am.c.reachability.silentFor(owner, now)
+	return unheard > am.c.durations.membershipTTL || unheard+round > am.c.durations.workerLease-am.c.durations.heartbeatInterval
 }
 
 // verifyReport asks a worker itself whether it stands where a report says. Copies of
 // reports come late, and a machine may be heard that can't be reached: neither may
 // cause a claim. exact: nothing may have passed since.
-func (c *Controller) verifyReport(report *protocol.Heartbeat, requireNextSequence bool, callback func(ok bool)) {
-	c.env.SendCommands(report.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+func (am *agentManager) verifyReport(report *protocol.Heartbeat, requireNextSequence bool, callback func(ok bool)) {
+	am.c.env.SendCommands(report.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
 		current := &result.Heartbeat
 		callback(result.Status == 200 && current.Machine == report.Machine && current.Incarnation == report.Incarnation && current.Sequence > report.Sequence &&
 			(!requireNextSequence || current.Sequence <= report.Sequence+1))
@@ -202,29 +202,29 @@
 // requestClaim has a machine taken into our shards by the next pass; from is the shard of
 // another partition that it stands in. Without one, and in a shard already, it waits for
 // the claim that is on its way.
-func (c *Controller) requestClaim(report *protocol.Heartbeat, fromShard *Shard, respond func(Response)) {
-	pendingClaim := c.claimRequests[report.Machine]
+func (am *agentManager) requestClaim(report *protocol.Heartbeat, fromShard *Shard, respond func(Response)) {
+	pendingClaim := am.c.shards.claimRequests[report.Machine]
 	if pendingClaim == nil {
-		pendingClaim = &claimRequest{requestedAt: c.now()}
-		c.claimRequests[report.Machine] = pendingClaim
+		pendingClaim = &claimRequest{requestedAt: am.c.now()}
+		am.c.shards.claimRequests[report.Machine] = pendingClaim
 	}
 	pendingClaim.report, pendingClaim.fromShard = *report, fromShard
 	pendingClaim.callbacks = append(pendingClaim.callbacks, func(ok bool) {
-		if machine := c.mirror.Machines[report.Machine]; ok && machine != nil && machine.Agent != nil {
-			respond(c.answerHeartbeat(machine, report))
+		if machine := am.c.mirror.Machines[report.Machine]; ok && machine != nil && machine.Agent != nil {
+			respond(am.answerHeartbeat(machine, report))
 			return
 		}
-		if machine := c.mirror.Machines[report.Machine]; machine != nil && machine.Record != nil && machine.Owner() != c.node && c.isMember(machine.Owner()) {
-			respond(c.redirectResponse(machine.Owner()))
+		if machine := am.c.mirror.Machines[report.Machine]; machine != nil && machine.Record != nil && machine.Owner() != am.c.node && am.c.membership.isMember(machine.Owner()) {
+			respond(am.redirectResponse(machine.Owner()))
 			return
 		}
 		respond(errorResponse(503, "claim not made"))
 	})
-	c.schedulingNeeded = true
+	am.c.scheduler.passNeeded = true
 }
 
 // designatedController names the controller that may claim a machine that comes up.
-func (c *Controller) designatedController(request *ScaleOutEntry, id string) string {
+func (am *agentManager) designatedController(request *ScaleOutEntry, id string) string {
 	if to := request.Record.Own[id]; to != "" {
 		return to
 	}
@@ -232,74 +232,74 @@
 }
 
 // handleUnclaimedWorker answers a worker whose machine no part has claimed yet.
-func (c *Controller) handleUnclaimedWorker(report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
-	name := c.mirror.ScaleOutOfMachine[report.Machine]
-	request := c.mirror.ScaleOuts[name]
+func (am *agentManager) handleUnclaimedWorker(report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
+	name := am.c.mirror.ScaleOutOfMachine[report.Machine]
+	request := am.c.mirror.ScaleOuts[name]
 	if request == nil {
 		// Its request isn't written yet, or it is one that nobody expects: the
 		// leader finds it in the cloud's list.
-		respond(c.redirectResponse(""))
+		respond(am.redirectResponse(""))
 		return
 	}
-	to := c.designatedController(request, report.Machine)
-	if to == c.node {
-		if c.mirror.WatchedRevision < request.Version {
-			respond(c.redirectResponse(""))
+	to := am.designatedController(request, report.Machine)
+	if to == am.c.node {
+		if am.c.mirror.WatchedRevision < request.Version {
+			respond(am.redirectResponse(""))
 			return
 		}
-		c.verifyReport(report, false, func(ok bool) {
+		am.verifyReport(report, false, func(ok bool) {
 			if !ok {
-				respond(c.redirectResponse(""))
+				respond(am.redirectResponse(""))
 				return
 			}
-			c.requestClaim(report, nil, respond)
+			am.requestClaim(report, nil, respond)
 		})
 		return
 	}
 	// It has nothing on it yet, so there is no hurry; a request that is rewritten
 	// makes the claims of all its other machines fail.
-	if firstContactAt := c.recordOrphanContact(report.Machine, 0, now); now-firstContactAt < c.durations.workerLease/2 {
-		if c.isMember(to) && !c.isCutOffFromWorkers(to, now) {
-			respond(c.redirectResponse(to))
+	if firstContactAt := am.recordOrphanContact(report.Machine, 0, now); now-firstContactAt < am.c.durations.workerLease/2 {
+		if am.c.membership.isMember(to) && !am.c.reachability.isCutOffFromWorkers(to, now) {
+			respond(am.redirectResponse(to))
 		} else {
-			respond(c.redirectResponse("")) // the leader is about to name another
+			respond(am.redirectResponse("")) // the leader is about to name another
 		}
 		return
 	}
 	// It was sent there and has come back: it can't reach it. Say in the request
 	// that it is ours; once that is written, nobody else's claim can follow.
-	respond(c.redirectResponse(""))
+	respond(am.redirectResponse(""))
 	key := storage.Key(storage.KindScaleOut, name)
-	if c.recordWritesInFlight[key] || now < c.nextDesignationChangeAt {
+	if am.c.recordWritesInFlight[key] || now < am.nextDesignationChangeAt {
 		return
 	}
-	c.nextDesignationChangeAt = now + 2*monotime.Second
-	c.recordWritesInFlight[key] = true
+	am.nextDesignationChangeAt = now + 2*monotime.Second
+	am.c.recordWritesInFlight[key] = true
 	id := report.Machine
-	c.verifyReport(report, false, func(ok bool) {
-		request := c.mirror.ScaleOuts[name]
+	am.verifyReport(report, false, func(ok bool) {
+		request := am.c.mirror.ScaleOuts[name]
 		if !ok || request == nil {
-			delete(c.recordWritesInFlight, key)
+			delete(am.c.recordWritesInFlight, key)
 			return
 		}
 		record := request.Record
-		record.Own = map[string]string{id: c.node}
+		record.Own = map[string]string{id: am.c.node}
 		for k, v := range request.Record.Own {
 			if k != id {
 				record.Own[k] = v
 			}
 		}
-		c.commitTxn(ratelimit.PriorityBackground, protocol.Transaction{
+		am.c.replica.commit(ratelimit.PriorityBackground, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: request.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
-		}, func(protocol.StoreResult) { delete(c.recordWritesInFlight, key) })
+		}, func(protocol.StoreResult) { delete(am.c.recordWritesInFlight, key) })
 	})
 }
 
 // answerHeartbeat applies a worker's check-in and gives the answer.
-func (c *Controller) answerHeartbeat(machine *Machine, report *protocol.Heartbeat) Response {
+func (am *agentManager) answerHeartbeat(machine *Machine, report *protocol.Heartbeat) Response {
 	agent := machine.Agent
-	now := c.now()
+	now := am.c.now()
 	if report.Incarnation < agent.LastHeartbeatIncarnation || report.Incarnation == agent.LastHeartbeatIncarnation && report.Sequence <= agent.LastHeartbeatSequence || report.Incarnation < agent.Incarnation {
 		return errorResponse(503, "seen before") // a late copy
 	}
@@ -307,7 +307,7 @@
 	agent.LastHeartbeatIncarnation, agent.LastHeartbeatSequence, agent.LastHeartbeatAt = report.Incarnation, report.Sequence, now
 	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
 	if report.Incarnation > agent.Incarnation || report.Sequence > agent.Sequence {
-		c.applyReport(machine, report)
+		am.applyReport(machine, report)
 	}
 	agent.LastAnsweredAt = now
 	if report.FencingToken < agent.LastAnsweredToken {
@@ -315,8 +315,8 @@
 	} else {
 		agent.UnacknowledgedHeartbeats = 0
 	}
-	commands := c.nextCommands(machine, now)
-	if agent.ClaimAcknowledged && (jumped || sincePrevious > c.durations.placementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) && agent.RequestedToken <= report.FencingToken {
+	commands := am.nextCommands(machine, now)
+	if agent.ClaimAcknowledged && (jumped || sincePrevious > am.c.durations.placementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) && agent.RequestedToken <= report.FencingToken {
 		// It was away, or shows no effect of what we say: it must show a token that
 		// only this answer can have brought it.
 		if len(commands) == 0 {
@@ -329,9 +329,9 @@
 }
 
 // applyReport takes over a report that is newer than what we know.
-func (c *Controller) applyReport(machine *Machine, report *protocol.Heartbeat) {
+func (am *agentManager) applyReport(machine *Machine, report *protocol.Heartbeat) {
 	agent := machine.Agent
-	now := c.now()
+	now := am.c.now()
 	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
 	if report.Incarnation > agent.Incarnation {
 		// A session has its lease from its own beginning, answered or not: what
@@ -362,18 +362,18 @@
 		agent.LastReachedAt = now
 		if agent.LeaseExpired {
 			agent.LeaseExpired = false
-			c.log.Info("machines lost", "state", conditionEnd, "machine", machine.ID)
+			am.c.log.Info("machines lost", "state", conditionEnd, "machine", machine.ID)
 		}
 	}
 	// With a new session all that was there before is gone. That it has one though
 	// we answered its last reports in time shows that our answers don't reach it:
 	// then its tasks are better run elsewhere.
-	answersNotArriving := jumped && now-agent.LastAnsweredAt < c.durations.workerLease-workerAnswerTimeout
+	answersNotArriving := jumped && now-agent.LastAnsweredAt < am.c.durations.workerLease-workerAnswerTimeout
 	var ended []AttemptID
 	for task, attempt := range machine.Attempts {
 		key := AttemptID{task, attempt}
 		taskReport, reported := agent.ReportedAttempts[key]
-		job := c.mirror.Jobs[task.Job]
+		job := am.c.mirror.Jobs[task.Job]
 		if job == nil {
 			continue
 		}
@@ -392,15 +392,15 @@
 	}
 	sortAttempts(ended)
 	for _, key := range ended {
-		taskReport, job, outcome := agent.ReportedAttempts[key], c.mirror.Jobs[key.Task.Job], OutcomeRetry
+		taskReport, job, outcome := agent.ReportedAttempts[key], am.c.mirror.Jobs[key.Task.Job], OutcomeRetry
 		if taskReport.Cause == protocol.CauseDone && !job.Record.Spec.Service {
 			outcome = OutcomeCompleted
 		}
-		c.recordExit(machine, job, key.Task, &taskReport)
+		am.c.scheduler.recordExit(machine, job, key.Task, &taskReport)
 		agent.RecordOutcome(key, outcome)
 	}
 	if len(agent.PendingOutcomes) > 0 {
-		c.schedulingNeeded = true
+		am.c.scheduler.passNeeded = true
 	}
 	for key, taskReport := range agent.ReportedAttempts {
 		if _, ok := agent.RunningSince[key]; !ok && taskReport.State == protocol.StateRunning {
--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -42,20 +42,24 @@
 	}{
 		{"silence", func(*cluster, *Controller, *Machine) {}, true},
 		{"a newer check-in", func(c *cluster, core *Controller, machine *Machine) {
-			core.answerHeartbeat(machine, report(1, 9, base+9))
+			core.agents.answerHeartbeat(machine, report(1, 9, base+9))
 		}, false},
 		{"a late copy of an older check-in", func(c *cluster, core *Controller, machine *Machine) {
-			core.answerHeartbeat(machine, report(1, 4, base))
+			core.agents.answerHeartbeat(machine, report(1, 4, base))
 		}, true},
 		{"a late copy of the last check-in", func(c *cluster, core *Controller, machine *Machine) {
-			core.answerHeartbeat(machine, report(1, 5, base))
+			core.agents.answerHeartbeat(machine, report(1, 5, base))
 		}, true},
-		{"a direct answer of the same session", func(c *cluster, core *Controller, machine *Machine) { core.applyReport(machine, report(1, 9, base)) }, true},
-		{"a direct answer of a new session", func(c *cluster, core *Controller, machine *Machine) { core.applyReport(machine, report(2, 1, base)) }, false},
+		{"a direct answer of the same session", func(c *cluster, core *Controller, machine *Machine) {
+			core.agents.applyReport(machine, report(1, 9, base))
+		}, true},
+		{"a direct answer of a new session", func(c *cluster, core *Controller, machine *Machine) {
+			core.agents.applyReport(machine, report(2, 1, base))
+		}, false},
 	}
 	for _, tc := range cases {
 		c, core, machine := newClusterOwningMachine(t, 30)
-		core.answerHeartbeat(machine, report(1, 5, base))
+		core.agents.answerHeartbeat(machine, report(1, 5, base))
 		c.sim.Run(10 * second)
 		tc.after(c, core, machine)
 		c.sim.Run(4 * second)
@@ -95,11 +99,11 @@
 		c, core, machine := newClusterOwningMachine(t, 31)
 		for _, s := range tc.steps {
 			c.sim.Run(monotime.Micros(s.pause) * second)
-			core.answerHeartbeat(machine, &protocol.Heartbeat{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Incarnation: s.session, Sequence: s.seq, FencingToken: s.token,
+			core.agents.answerHeartbeat(machine, &protocol.Heartbeat{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Incarnation: s.session, Sequence: s.seq, FencingToken: s.token,
 				Tasks: []protocol.TaskStatus{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}}})
 		}
 		machine.Agent.RemovalReason = ""
-		if got := core.schedulable(machine, c.sim.Now()); got != tc.usable {
+		if got := core.scheduler.schedulable(machine, c.sim.Now()); got != tc.usable {
 			t.Errorf("%s: usable %v", tc.name, got)
 		}
 	}
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -145,7 +145,7 @@
 	got["changes, alone"] = c.store.Changes - changes
 	core := c.nodes["n-0"].controller
 	for _, shard := range core.mirror.Shards {
-		if !core.ownsShard(shard) {
+		if !core.shards.ownsShard(shard) {
 			got["pages of others"]++
 		}
 	}
--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -63,46 +63,46 @@
 }
 
 // reconcileAsLeader does the leader's share; it is called every slow tick.
-func (c *Controller) reconcileAsLeader(now monotime.Micros) {
-	if now >= c.nextEmptyMachineCheckAt {
-		c.nextEmptyMachineCheckAt = now + c.settings.AutoscalingInterval.Micros()
-		c.scaleInEmpty(now)
+func (as *autoscaler) reconcileAsLeader(now monotime.Micros) {
+	if now >= as.nextEmptyMachineCheckAt {
+		as.nextEmptyMachineCheckAt = now + as.c.settings.AutoscalingInterval.Micros()
+		as.scaleInEmpty(now)
 	}
-	if !c.isLeader(now) || c.storeUnavailable {
+	if !as.c.membership.isLeader(now) || as.c.store.unavailable {
 		return
 	}
-	leader := &c.leader
-	if leader.term != c.mirror.LeaderVersion {
-		c.leader = newLeaderState(c.mirror.LeaderVersion)
+	leader := &as.term
+	if leader.term != as.c.mirror.LeaderVersion {
+		as.term = newLeaderState(as.c.mirror.LeaderVersion)
 	}
-	c.persistCatalog()
-	c.reconcileScaleIns(now)
+	as.persistCatalog()
+	as.reconcileScaleIns(now)
 	if now >= leader.nextListAt && !leader.listInFlight {
-		c.listMachines(now)
+		as.listMachines(now)
 	}
 	if !leader.inventoryRebuilt {
 		return
 	}
-	c.reconcileScaleOuts(now)
+	as.reconcileScaleOuts(now)
 	if now >= leader.nextPassAt {
-		c.autoscalingPass(now)
-		leader.nextPassAt = nextDue(now, c.now(), c.settings.AutoscalingInterval.Micros())
+		as.autoscalingPass(now)
+		leader.nextPassAt = nextDue(now, as.c.now(), as.c.settings.AutoscalingInterval.Micros())
 	}
 }
 
 // commitAsLeader makes a change conditional on our lead, one at a time a key.
-func (c *Controller) commitAsLeader(priority ratelimit.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
-	if c.leader.commitInFlight[busyKey] {
+func (as *autoscaler) commitAsLeader(priority ratelimit.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
+	if as.term.commitInFlight[busyKey] {
 		return
 	}
-	c.leader.commitInFlight[busyKey] = true
-	term := c.leader.term
-	txn.If = append(txn.If, c.leadershipCompare())
-	c.commitTxn(priority, txn, func(result protocol.StoreResult) {
-		if term != c.leader.term {
+	as.term.commitInFlight[busyKey] = true
+	term := as.term.term
+	txn.If = append(txn.If, as.c.membership.leadershipCompare())
+	as.c.replica.commit(priority, txn, func(result protocol.StoreResult) {
+		if term != as.term.term {
 			return
 		}
-		delete(c.leader.commitInFlight, busyKey)
+		delete(as.term.commitInFlight, busyKey)
 		if callback != nil {
 			callback(result)
 		}
@@ -112,13 +112,13 @@
 // persistCatalog keeps the cloud's catalogue in the store, so that a controller that
 // starts during an outage of the cloud can accept and place. Prices move all the
 // time and are not worth a write.
-func (c *Controller) persistCatalog() {
-	if c.catalogFetchedAt == 0 {
+func (as *autoscaler) persistCatalog() {
+	if as.c.catalog.fetchedAt == 0 {
 		return
 	}
-	for _, name := range sortedKeys(c.machineTypes) {
-		machineType := c.machineTypes[name]
-		have := c.mirror.MachineTypes[name]
+	for _, name := range sortedKeys(as.c.catalog.machineTypes) {
+		machineType := as.c.catalog.machineTypes[name]
+		have := as.c.mirror.MachineTypes[name]
 		record := storage.MachineType{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB, CacheGB: machineType.CacheGB, FetchGBPerS: machineType.FetchGBPerS,
 			OnDemandPrice: machineType.OnDemandPrice, SpotPrice: machineType.SpotPrice, BootS: machineType.BootS, Zones: machineType.Zones}
 		same := record
@@ -127,7 +127,7 @@
 			continue
 		}
 		key := storage.Key(storage.KindMachineType, name)
-		c.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
+		as.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: have.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
@@ -139,17 +139,17 @@
 // reconcileScaleIns has machines deleted: those that their parts want to be rid of, and
 // such as nobody has. Many go by one record and one call; the record is written
 // before the call, and says afterwards that they are gone.
-func (c *Controller) reconcileScaleIns(now monotime.Micros) {
-	leader := &c.leader
+func (as *autoscaler) reconcileScaleIns(now monotime.Micros) {
+	leader := &as.term
 	if now >= leader.nextScaleInAt {
 		var removable []string
-		for _, id := range sortedKeys(c.mirror.Machines) {
-			if machine := c.mirror.Machines[id]; machine.Record != nil && machine.Record.State == storage.MachineRemoving && c.mirror.ScaleInOfMachine[id] == "" {
+		for _, id := range sortedKeys(as.c.mirror.Machines) {
+			if machine := as.c.mirror.Machines[id]; machine.Record != nil && machine.Record.State == storage.MachineRemoving && as.c.mirror.ScaleInOfMachine[id] == "" {
 				removable = append(removable, id)
 			}
 		}
 		for _, id := range sortedKeys(leader.failedMachines) {
-			if c.mirror.ScaleInOfMachine[id] != "" {
+			if as.c.mirror.ScaleInOfMachine[id] != "" {
 				delete(leader.failedMachines, id)
 				continue
 			}
@@ -157,79 +157,79 @@
 		}
 		if len(removable) > 0 {
 			leader.nextScaleInAt = now + scaleInInterval
-			c.requestScaleIn(removable)
+			as.requestScaleIn(removable)
 		}
 	}
-	for _, name := range sortedKeys(c.mirror.ScaleIns) {
-		removal := c.mirror.ScaleIns[name]
+	for _, name := range sortedKeys(as.c.mirror.ScaleIns) {
+		removal := as.c.mirror.ScaleIns[name]
 		if removal.Record.Gone {
-			c.forgetScaleIn(name, removal)
+			as.forgetScaleIn(name, removal)
 			continue
 		}
-		if leader.scaleInInFlight[name] || now < leader.scaleInRetryAt[name] || c.cloudRateLimiter.WaitTime(now, 1) > 0 {
+		if leader.scaleInInFlight[name] || now < leader.scaleInRetryAt[name] || as.c.catalog.rateLimiter.WaitTime(now, 1) > 0 {
 			continue
 		}
-		c.deleteMachines(name, removal)
+		as.deleteMachines(name, removal)
 	}
 }
 
 // requestScaleIn writes the record of a removal, as many machines as it can hold.
-func (c *Controller) requestScaleIn(ids []string) {
+func (as *autoscaler) requestScaleIn(ids []string) {
 	size, n := 64, 0
-	for n < len(ids) && n < maxMachinesPerScaleIn && size+len(ids[n])+3 < c.maxValueBytes() {
+	for n < len(ids) && n < maxMachinesPerScaleIn && size+len(ids[n])+3 < as.c.maxValueBytes() {
 		size += len(ids[n]) + 3
 		n++
 	}
-	c.leader.requestSequence++
-	name := fmt.Sprintf("%d-%d", c.leader.term, c.leader.requestSequence)
+	as.term.requestSequence++
+	name := fmt.Sprintf("%d-%d", as.term.term, as.term.requestSequence)
 	key := storage.Key(storage.KindScaleIn, name)
-	record := storage.ScaleInRequest{Machines: ids[:n], StateSince: c.env.WallClock()}
-	c.commitAsLeader(ratelimit.PriorityBackground, "removals", protocol.Transaction{
+	record := storage.ScaleInRequest{Machines: ids[:n], StateSince: as.c.env.WallClock()}
+	as.commitAsLeader(ratelimit.PriorityBackground, "removals", protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: 0}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 	}, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK {
-			c.reconcileScaleIns(c.now())
+			as.reconcileScaleIns(as.c.now())
 		}
 	})
 }
 
-func (c *Controller) deleteMachines(name string, removal *ScaleInEntry) {
-	leader := &c.leader
-	c.cloudRateLimiter.Take(1)
+func (as *autoscaler) deleteMachines(name string, removal *ScaleInEntry) {
+	leader := &as.term
+	as.c.catalog.rateLimiter.Take(1)
 	leader.scaleInInFlight[name] = true
 	term := leader.term
-	c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudDelete, Delete: removal.Record.Machines, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
-		if term != c.leader.term {
+	as.c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudDelete, Delete: removal.Record.Machines, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
+		if term != as.term.term {
 			return
 		}
-		c.noteCloudOutcome(result.Outcome)
-		delete(c.leader.scaleInInFlight, name)
-		c.leader.scaleInRetryAt[name] = c.now() + cloudRetryDelay
+		as.noteCloudOutcome(result.Outcome)
+		delete(as.term.scaleInInFlight, name)
+		as.term.scaleInRetryAt[name] = as.c.now() + cloudRetryDelay
 		key := storage.Key(storage.KindScaleIn, name)
 		record := removal.Record
 		switch result.Outcome {
 		case protocol.OK:
 			// The proof that they and all on them are gone.
-			record.Gone, record.StateSince = true, c.env.WallClock()
+			record.Gone, record.StateSince = true, as.c.env.WallClock()
 		case protocol.Throttled, protocol.Unavailable:
 			return // the cloud's own trouble counts for nothing
 		default:
 			// A few quick tries, then it is flagged and tried on a long back-off.
 			record.Attempts++
-			if record.Attempts >= c.settings.ScaleInAttempts {
+			if record.Attempts >= as.c.settings.ScaleInAttempts {
 				record.Failed = true
-				c.leader.scaleInRetryAt[name] = c.now() + c.settings.ScaleInRetryInterval.Micros()
-				c.log.Error("machine deletion failed", "scale_in", name, "machines", len(record.Machines),
+				as.term.scaleInRetryAt[name] = as.c.now() + as.c.settings.ScaleInRetryInterval.Micros()
+				as.c.log.Error("machine deletion failed", "scale_in", name, "machines", len(record.Machines),
 					"tries", record.Attempts, "outcome", result.Outcome.String())
 			}
 		}
-		c.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
+		as.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: removal.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, func(result protocol.StoreResult) {
 			if result.Outcome == protocol.OK && record.Gone {
-				c.log.Info("machines deleted", "scale_in", name, "machines", len(record.Machines))
+				as.c.log.Info("machines deleted", "scale_in", name, "machines", len(record.Machines))
 			}
 		})
 	})
@@ -237,31 +237,31 @@
 
 // forgetScaleIn drops a record whose machines are in no shard any more, once no
 // late report of theirs is to be expected.
-func (c *Controller) forgetScaleIn(name string, removal *ScaleInEntry) {
-	if monotime.Micros(c.env.WallClock()-removal.Record.StateSince) < deletedMachineRetention {
+func (as *autoscaler) forgetScaleIn(name string, removal *ScaleInEntry) {
+	if monotime.Micros(as.c.env.WallClock()-removal.Record.StateSince) < deletedMachineRetention {
 		return
 	}
 	for _, id := range removal.Record.Machines {
-		if machine := c.mirror.Machines[id]; machine != nil {
+		if machine := as.c.mirror.Machines[id]; machine != nil {
 			return
 		}
 	}
 	key := storage.Key(storage.KindScaleIn, name)
-	c.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
+	as.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: removal.Version}},
 		Then: []protocol.Op{{Delete: key}},
 	}, nil)
 }
 
 // noteCloudOutcome logs the beginning and the end of the cloud's trouble.
-func (c *Controller) noteCloudOutcome(outcome protocol.Outcome) {
+func (as *autoscaler) noteCloudOutcome(outcome protocol.Outcome) {
 	bad := outcome == protocol.Unavailable || outcome == protocol.Unknown
-	if bad != c.leader.cloudTrouble && outcome != protocol.Throttled {
-		c.leader.cloudTrouble = bad
+	if bad != as.term.cloudTrouble && outcome != protocol.Throttled {
+		as.term.cloudTrouble = bad
 		if bad {
-			c.log.Info("cloud unavailable", "state", conditionBegin, "outcome", outcome.String())
+			as.c.log.Info("cloud unavailable", "state", conditionBegin, "outcome", outcome.String())
 		} else {
-			c.log.Info("cloud unavailable", "state", conditionEnd)
+			as.c.log.Info("cloud unavailable", "state", conditionEnd)
 		}
 	}
 }
@@ -270,52 +270,52 @@
 
 // listMachines reads the cloud's list to its end. It finds failed machines and
 // such as nobody expected; an absent machine proves nothing, the list lags.
-func (c *Controller) listMachines(now monotime.Micros) {
-	leader := &c.leader
+func (as *autoscaler) listMachines(now monotime.Micros) {
+	leader := &as.term
 	leader.listInFlight = true
 	term := leader.term
 	var listPage func(after string)
 	listPage = func(after string) {
-		if term != c.leader.term {
+		if term != as.term.term {
 			return
 		}
-		if !c.isLeader(c.now()) { // what was listed is another leader's by now
-			c.leader.listInFlight = false
+		if !as.c.membership.isLeader(as.c.now()) { // what was listed is another leader's by now
+			as.term.listInFlight = false
 			return
 		}
-		if delay := c.cloudRateLimiter.WaitTime(c.now(), 1); delay > 0 {
-			c.env.After(delay, func() { listPage(after) })
+		if delay := as.c.catalog.rateLimiter.WaitTime(as.c.now(), 1); delay > 0 {
+			as.c.env.After(delay, func() { listPage(after) })
 			return
 		}
-		c.cloudRateLimiter.Take(1)
-		c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudList, After: after, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
-			if term != c.leader.term {
+		as.c.catalog.rateLimiter.Take(1)
+		as.c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudList, After: after, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
+			if term != as.term.term {
 				return
 			}
-			c.noteCloudOutcome(result.Outcome)
+			as.noteCloudOutcome(result.Outcome)
 			if result.Outcome != protocol.OK {
-				c.leader.listInFlight = false
-				c.leader.nextListAt = c.now() + cloudRetryDelay
+				as.term.listInFlight = false
+				as.term.nextListAt = as.c.now() + cloudRetryDelay
 				return
 			}
-			if !c.isLeader(c.now()) {
-				c.leader.listInFlight = false
+			if !as.c.membership.isLeader(as.c.now()) {
+				as.term.listInFlight = false
 				return
 			}
 			for i := range result.Listed {
-				c.inspectListed(&result.Listed[i])
+				as.inspectListed(&result.Listed[i])
 			}
 			if result.More && len(result.Listed) > 0 {
 				listPage(result.Listed[len(result.Listed)-1].ID)
 				return
 			}
-			c.leader.listInFlight = false
-			c.leader.nextListAt = c.now() + listInterval
-			c.adoptUnknownMachines()
-			if !c.leader.inventoryRebuilt {
-				c.leader.inventoryRebuilt = true
-				c.log.Info("inventory rebuilt, scale-out enabled", "machines", len(c.mirror.Machines),
-					"scale_outs", len(c.mirror.ScaleOuts))
+			as.term.listInFlight = false
+			as.term.nextListAt = as.c.now() + listInterval
+			as.adoptUnknownMachines()
+			if !as.term.inventoryRebuilt {
+				as.term.inventoryRebuilt = true
+				as.c.log.Info("inventory rebuilt, scale-out enabled", "machines", len(as.c.mirror.Machines),
+					"scale_outs", len(as.c.mirror.ScaleOuts))
 			}
 		})
 	}
@@ -323,43 +323,43 @@
 }
 
 // inspectListed looks at one machine of the list.
-func (c *Controller) inspectListed(listed *protocol.ListedMachine) {
-	leader := &c.leader
-	if !protocol.ValidKeyPart(listed.ID) || c.mirror.ScaleInOfMachine[listed.ID] != "" {
+func (as *autoscaler) inspectListed(listed *protocol.ListedMachine) {
+	leader := &as.term
+	if !protocol.ValidKeyPart(listed.ID) || as.c.mirror.ScaleInOfMachine[listed.ID] != "" {
 		return
 	}
-	if machine := c.mirror.Machines[listed.ID]; machine != nil && machine.Record != nil {
+	if machine := as.c.mirror.Machines[listed.ID]; machine != nil && machine.Record != nil {
 		if listed.State == "failed" {
 			leader.failedMachines[listed.ID] = "failed"
 		}
 		return
 	}
-	lag := monotime.FromSeconds(2*c.cfg.Facts.Cloud.ListLagS) + 5*monotime.Second
+	lag := monotime.FromSeconds(2*as.c.cfg.Facts.Cloud.ListLagS) + 5*monotime.Second
 	switch {
 	case listed.State == "failed":
 		leader.failedMachines[listed.ID] = "failed before it was up"
-	case c.mirror.ScaleOutOfMachine[listed.ID] == "" && monotime.FromSeconds(listed.AgeS) > lag:
+	case as.c.mirror.ScaleOutOfMachine[listed.ID] == "" && monotime.FromSeconds(listed.AgeS) > lag:
 		leader.unknownMachines[listed.ID] = listed
 	}
 }
 
 // adoptUnknownMachines writes requests for machines that nobody asked for, so that they are
 // claimed like any other when they are up, or given back when they don't come up.
-func (c *Controller) adoptUnknownMachines() {
-	leader := &c.leader
+func (as *autoscaler) adoptUnknownMachines() {
+	leader := &as.term
 	for _, id := range sortedKeys(leader.unknownMachines) {
 		listed := leader.unknownMachines[id]
 		delete(leader.unknownMachines, id)
-		if c.mirror.ScaleOutOfMachine[id] != "" || c.mirror.ScaleInOfMachine[id] != "" {
+		if as.c.mirror.ScaleOutOfMachine[id] != "" || as.c.mirror.ScaleInOfMachine[id] != "" {
 			continue
 		}
 		leader.requestSequence++
 		name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
 		key := storage.Key(storage.KindScaleOut, name)
 		record := storage.ScaleOutRequest{Phase: storage.ScaleOutProvisioning, MachineType: listed.Type, Zone: listed.Zone, Spot: listed.Spot, Count: 1,
-			Machines: []string{id}, Live: c.connectedControllers(), PhaseSince: c.env.WallClock()}
-		c.log.Info("unrequested machine found", "machine", id, "machine_type", listed.Type, "zone", listed.Zone)
-		c.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
+			Machines: []string{id}, Live: as.c.reachability.connectedControllers(), PhaseSince: as.c.env.WallClock()}
+		as.c.log.Info("unrequested machine found", "machine", id, "machine_type", listed.Type, "zone", listed.Zone)
+		as.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: 0}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, nil)
@@ -369,46 +369,46 @@
 // ---- requests ----
 
 // reconcileScaleOuts moves rental requests on.
-func (c *Controller) reconcileScaleOuts(now monotime.Micros) {
-	leader := &c.leader
-	wall := c.env.WallClock()
-	for _, name := range sortedKeys(c.mirror.ScaleOuts) {
-		request := c.mirror.ScaleOuts[name]
+func (as *autoscaler) reconcileScaleOuts(now monotime.Micros) {
+	leader := &as.term
+	wall := as.c.env.WallClock()
+	for _, name := range sortedKeys(as.c.mirror.ScaleOuts) {
+		request := as.c.mirror.ScaleOuts[name]
 		key := storage.Key(storage.KindScaleOut, name)
 		age := monotime.Micros(wall - request.Record.PhaseSince)
 		drop := protocol.Transaction{If: []protocol.Compare{{Key: key, Version: request.Version}}, Then: []protocol.Op{{Delete: key}}}
 		switch request.Record.Phase {
 		case storage.ScaleOutPending:
-			if !leader.scaleOutInFlight[name] && now >= leader.scaleOutRetryAt[name] && c.cloudRateLimiter.WaitTime(now, 1) == 0 {
-				c.callScaleOut(name, request)
+			if !leader.scaleOutInFlight[name] && now >= leader.scaleOutRetryAt[name] && as.c.catalog.rateLimiter.WaitTime(now, 1) == 0 {
+				as.callScaleOut(name, request)
 			}
 		case storage.ScaleOutNoCapacity:
-			if age > c.settings.OfferQuarantine.Micros() {
+			if age > as.c.settings.OfferQuarantine.Micros() {
 				leader.offerRecoveries++
-				c.commitAsLeader(ratelimit.PriorityBackground, key, drop, nil)
+				as.commitAsLeader(ratelimit.PriorityBackground, key, drop, nil)
 			}
 		case storage.ScaleOutProvisioning:
-			missing := c.missingMachines(request)
-			connected := c.connectedControllers()
+			missing := as.missingMachines(request)
+			connected := as.c.reachability.connectedControllers()
 			orphans := false
 			for _, id := range missing {
-				if !slices.Contains(connected, c.designatedController(request, id)) {
+				if !slices.Contains(connected, as.c.agents.designatedController(request, id)) {
 					orphans = true
 				}
 			}
 			switch {
-			case len(missing) == 0 && c.mirror.WatchedRevision >= request.Version:
-				c.commitAsLeader(ratelimit.PriorityBackground, key, drop, nil)
-			case age > c.settings.ReadinessTimeout.Micros():
+			case len(missing) == 0 && as.c.mirror.WatchedRevision >= request.Version:
+				as.commitAsLeader(ratelimit.PriorityBackground, key, drop, nil)
+			case age > as.c.settings.ReadinessTimeout.Micros():
 				// With the request goes the right to claim them.
 				leader.requestSequence++
 				removal := storage.Key(storage.KindScaleIn, fmt.Sprintf("%d-%d", leader.term, leader.requestSequence))
 				drop.If = append(drop.If, protocol.Compare{Key: removal, Version: 0})
 				drop.Then = append(drop.Then, protocol.Op{Put: removal,
 					Value: protocol.MustMarshal(&storage.ScaleInRequest{Machines: missing, StateSince: wall})})
-				c.commitAsLeader(ratelimit.PriorityBackground, key, drop, func(result protocol.StoreResult) {
+				as.commitAsLeader(ratelimit.PriorityBackground, key, drop, func(result protocol.StoreResult) {
 					if result.Outcome == protocol.OK {
-						c.log.Info("machines not ready in time, scale-in requested", "scale_out", name,
+						as.c.log.Info("machines not ready in time, scale-in requested", "scale_out", name,
 							"machines", len(missing), "machine_type", request.Record.MachineType, "zone", request.Record.Zone)
 					}
 				})
@@ -416,7 +416,7 @@
 				// Those who were to claim them have gone, or can't: name others.
 				record := request.Record
 				record.Live, record.Own = connected, nil
-				c.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
+				as.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
 					If:   []protocol.Compare{{Key: key, Version: request.Version}},
 					Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 				}, nil)
@@ -426,10 +426,10 @@
 }
 
 // missingMachines lists the machines of a request that haven't come up.
-func (c *Controller) missingMachines(request *ScaleOutEntry) []string {
+func (as *autoscaler) missingMachines(request *ScaleOutEntry) []string {
 	var out []string
 	for _, id := range request.Record.Machines {
-		if machine := c.mirror.Machines[id]; (machine == nil || machine.Record == nil) && c.mirror.ScaleInOfMachine[id] == "" {
+		if machine := as.c.mirror.Machines[id]; (machine == nil || machine.Record == nil) && as.c.mirror.ScaleInOfMachine[id] == "" {
 			out = append(out, id)
 		}
 	}
@@ -438,39 +438,39 @@
 
 // callScaleOut makes the cloud call of a request. Its name was written before, so a new
 // leader repeats the very same call and the cloud gives the same answer.
-func (c *Controller) callScaleOut(name string, request *ScaleOutEntry) {
-	leader := &c.leader
+func (as *autoscaler) callScaleOut(name string, request *ScaleOutEntry) {
+	leader := &as.term
 	leader.scaleOutInFlight[name] = true
-	c.cloudRateLimiter.Take(1)
+	as.c.catalog.rateLimiter.Take(1)
 	term := leader.term
 	call := &protocol.CloudCall{Op: protocol.CloudRent, Timeout: cloudTimeout, Rent: protocol.RentRequest{
 		Name: name, Type: request.Record.MachineType, Zone: request.Record.Zone, Spot: request.Record.Spot, Count: request.Record.Count}}
-	c.env.CallCloud(call, func(result protocol.CloudResult) {
-		if term != c.leader.term {
+	as.c.env.CallCloud(call, func(result protocol.CloudResult) {
+		if term != as.term.term {
 			return
 		}
-		delete(c.leader.scaleOutInFlight, name)
-		c.leader.scaleOutRetryAt[name] = c.now() + cloudRetryDelay
-		c.noteCloudOutcome(result.Outcome)
+		delete(as.term.scaleOutInFlight, name)
+		as.term.scaleOutRetryAt[name] = as.c.now() + cloudRetryDelay
+		as.noteCloudOutcome(result.Outcome)
 		record := request.Record
 		switch {
 		case result.Outcome == protocol.OK && len(result.Rented) > 0:
-			record.Phase, record.Machines, record.Live = storage.ScaleOutProvisioning, result.Rented, c.connectedControllers()
-			c.log.Info("scale-out completed", "scale_out", name, "machine_type", record.MachineType, "zone", record.Zone,
+			record.Phase, record.Machines, record.Live = storage.ScaleOutProvisioning, result.Rented, as.c.reachability.connectedControllers()
+			as.c.log.Info("scale-out completed", "scale_out", name, "machine_type", record.MachineType, "zone", record.Zone,
 				"spot", record.Spot, "requested", record.Count, "machines", len(result.Rented))
 		case result.Outcome == protocol.OK, result.Outcome == protocol.NoCapacity:
 			record.Phase = storage.ScaleOutNoCapacity
-			c.log.Info("insufficient capacity, offer quarantined", "machine_type", record.MachineType,
+			as.c.log.Info("insufficient capacity, offer quarantined", "machine_type", record.MachineType,
 				"zone", record.Zone, "spot", record.Spot)
 		case result.Outcome == protocol.Rejected:
-			c.log.Error("scale-out request rejected", "scale_out", name, "machine_type", record.MachineType)
+			as.c.log.Error("scale-out request rejected", "scale_out", name, "machine_type", record.MachineType)
 			record.Phase = storage.ScaleOutNoCapacity
 		default:
 			// Throttled, troubled or unknown: says nothing about the offer. The
 			// same name is asked again.
 			return
 		}
-		record.PhaseSince = c.env.WallClock()
+		record.PhaseSince = as.c.env.WallClock()
 		key := storage.Key(storage.KindScaleOut, name)
 		txn := protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: request.Version}},
@@ -481,24 +481,24 @@
 			unmetRequest := storage.ScaleOutRequest{Phase: storage.ScaleOutNoCapacity, MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot, PhaseSince: record.PhaseSince}
 			txn.Then = append(txn.Then, protocol.Op{Put: key + "-rest", Value: protocol.MustMarshal(&unmetRequest)})
 		}
-		c.commitAsLeader(ratelimit.PriorityShardUpdate, key, txn, nil)
+		as.commitAsLeader(ratelimit.PriorityShardUpdate, key, txn, nil)
 	})
 }
 
 // requestScaleOut writes a request; its cloud call follows once it is written. The name
 // holds the term, so no other leader ever uses it.
-func (c *Controller) requestScaleOut(o offer, n int) {
-	leader := &c.leader
+func (as *autoscaler) requestScaleOut(o offer, n int) {
+	leader := &as.term
 	leader.requestSequence++
 	name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
 	key := storage.Key(storage.KindScaleOut, name)
-	record := storage.ScaleOutRequest{Phase: storage.ScaleOutPending, MachineType: o.machineType, Zone: o.zone, Spot: o.spot, Count: n, PhaseSince: c.env.WallClock()}
-	c.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
+	record := storage.ScaleOutRequest{Phase: storage.ScaleOutPending, MachineType: o.machineType, Zone: o.zone, Spot: o.spot, Count: n, PhaseSince: as.c.env.WallClock()}
+	as.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: 0}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 	}, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK {
-			c.reconcileScaleOuts(c.now())
+			as.reconcileScaleOuts(as.c.now())
 		}
 	})
 }
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -15,56 +15,56 @@
 
 // checkMachines looks after the machines that are ours: leases that have ended,
 // silence, notices, faults.
-func (c *Controller) checkMachines(now monotime.Micros) {
-	c.expireContactsAndClaimRequests(now)
+func (am *agentManager) checkMachines(now monotime.Micros) {
+	am.expireContactsAndClaimRequests(now)
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
-	if _, alone := c.storeUnreachableOnlyHere(now); alone || c.storeUnavailable || now-c.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.unavailable || now-am.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	check := &machineHealthCheck{now: now}
-	c.countSilentMachines(check)
-	for _, id := range sortedKeys(c.mirror.Machines) {
-		if machine := c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
-			c.checkMachine(machine, check)
+	am.countSilentMachines(check)
+	for _, id := range sortedKeys(am.c.mirror.Machines) {
+		if machine := am.c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
+			am.checkMachine(machine, check)
 		}
 	}
-	c.logMachineCheck(check)
-	c.logRemovals()
+	am.logMachineCheck(check)
+	am.logRemovals()
 }
 
 // expireContactsAndClaimRequests forgets workers of other partitions that haven't come for long, and machines
 // that have waited for a claim for too long.
-func (c *Controller) expireContactsAndClaimRequests(now monotime.Micros) {
-	for id, contact := range c.orphanContacts {
+func (am *agentManager) expireContactsAndClaimRequests(now monotime.Micros) {
+	for id, contact := range am.orphanContacts {
 		if now-contact.lastAt > monotime.Minute {
-			delete(c.orphanContacts, id)
+			delete(am.orphanContacts, id)
 		}
 	}
-	for _, id := range sortedKeys(c.claimRequests) {
-		if now-c.claimRequests[id].requestedAt > claimRequestTimeout {
-			c.completeClaimRequest(id, false)
+	for _, id := range sortedKeys(am.c.shards.claimRequests) {
+		if now-am.c.shards.claimRequests[id].requestedAt > claimRequestTimeout {
+			am.c.shards.completeClaimRequest(id, false)
 		}
 	}
 }
 
 // agentSilence is how long a machine has been silent; while we stood still nobody could be heard.
-func (c *Controller) agentSilence(agent *Agent, now monotime.Micros) monotime.Micros {
-	return now - max(agent.LastReachedAt, c.resumedFromPauseAt)
+func (am *agentManager) agentSilence(agent *Agent, now monotime.Micros) monotime.Micros {
+	return now - max(agent.LastReachedAt, am.c.reachability.resumedFromPauseAt)
 }
 
 // countSilentMachines counts the silent machines, by zone too, and judges from that whether it is
 // we, or a zone, that is cut off. A machine that we have claimed but not heard yet may still
 // be looking for us: it has until its lease must have ended.
-func (c *Controller) countSilentMachines(check *machineHealthCheck) {
+func (am *agentManager) countSilentMachines(check *machineHealthCheck) {
 	now := check.now
 	zones, overall := map[string]*silenceCount{}, silenceCount{}
-	for _, machine := range c.mirror.Machines {
+	for _, machine := range am.c.mirror.Machines {
 		if machine.Agent == nil || machine.Record == nil {
 			continue
 		}
 		check.owned++
-		silent := c.agentSilence(machine.Agent, now) > 2*c.durations.heartbeatInterval
+		silent := am.agentSilence(machine.Agent, now) > 2*am.c.durations.heartbeatInterval
 		if silent {
 			check.silent++
 		}
@@ -76,81 +76,81 @@
 		zoneSilence.add(silent, machine.Agent.Incarnation == 0)
 		overall.add(silent, machine.Agent.Incarnation == 0)
 	}
-	if now-c.resumedFromPauseAt > c.durations.suspicionTimeout || c.resumedFromPauseAt == 0 {
-		c.updateReachability(overall, now)
+	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.suspicionTimeout || am.c.reachability.resumedFromPauseAt == 0 {
+		am.c.reachability.updateReachability(overall, now)
 	}
 	check.silent = max(check.silent, 1) - 1 // one alone may always be the one
 	for zone, zoneSilence := range zones {
 		if zoneSilence.isUnreachable() {
-			c.zoneUnreachableAt[zone] = now
+			am.zoneUnreachableAt[zone] = now
 		}
 	}
 }
 
 // checkMachine looks after one machine.
-func (c *Controller) checkMachine(machine *Machine, check *machineHealthCheck) {
+func (am *agentManager) checkMachine(machine *Machine, check *machineHealthCheck) {
 	agent, now := machine.Agent, check.now
-	if !agent.LeaseExpired && agent.ClaimAcknowledged && now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > c.durations.leaseExpiryProof {
+	if !agent.LeaseExpired && agent.ClaimAcknowledged && now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > am.c.durations.leaseExpiryProof {
 		check.leasesExpired++
 		check.tasksLost += len(machine.Attempts)
-		c.expireMachineLease(machine)
+		am.expireMachineLease(machine)
 	}
-	faulty, doubtful := c.machineFault(agent)
+	faulty, doubtful := am.c.scheduler.machineFault(agent)
 	if doubtful != agent.FailureProne {
 		agent.FailureProne = doubtful
-		c.schedulingNeeded = true
+		am.c.scheduler.passNeeded = true
 	}
-	if quiet := c.agentSilence(agent, now) > c.durations.suspicionTimeout || faulty; quiet != agent.Suspect {
+	if quiet := am.agentSilence(agent, now) > am.c.durations.suspicionTimeout || faulty; quiet != agent.Suspect {
 		agent.Suspect = quiet
-		c.schedulingNeeded = true
+		am.c.scheduler.passNeeded = true
 	}
-	reason := c.removalReason(machine, check)
+	reason := am.removalReason(machine, check)
 	switch {
 	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason != "":
 	case reason != "":
-		c.requestRemoval(machine, reason)
+		am.requestRemoval(machine, reason)
 	case faulty:
-		c.clearFailuresOn(machine)
-		c.requestRemoval(machine, "faulty")
+		am.c.scheduler.clearFailuresOn(machine)
+		am.requestRemoval(machine, "faulty")
 	case agent.InterruptionNoticed && machine.Record.State != storage.MachineDraining && len(agent.StoppingAttempts) == 0:
 		check.interruptionNoticed++
-		c.vacateInterruptedMachine(machine)
+		am.vacateInterruptedMachine(machine)
 	}
 }
 
 // expireMachineLease settles all that was on a machine whose lease has ended.
-func (c *Controller) expireMachineLease(machine *Machine) {
+func (am *agentManager) expireMachineLease(machine *Machine) {
 	machine.Agent.LeaseExpired, machine.Agent.ClaimAcknowledged = true, false
 	for task, attempt := range machine.Attempts {
 		machine.Agent.RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
 	}
-	c.schedulingNeeded = true
+	am.c.scheduler.passNeeded = true
 }
 
 // removalReason tells why a silent machine is to be deleted, or "" if it isn't.
-func (c *Controller) removalReason(machine *Machine, check *machineHealthCheck) string {
-	agent, silent := machine.Agent, c.agentSilence(machine.Agent, check.now)
+func (am *agentManager) removalReason(machine *Machine, check *machineHealthCheck) string {
+	agent, silent := machine.Agent, am.agentSilence(machine.Agent, check.now)
 	// A zone that is cut off comes back with its machines, each within a lease: to
 	// delete them for their silence would have its room wait for boots then. Not
 	// so where services are: a deletion lets them start elsewhere.
-	at, cut := c.zoneUnreachableAt[machine.Record.Zone]
-	cut = cut && check.now-at < c.durations.workerLease && !c.holdsService(machine)
+	at, cut := am.zoneUnreachableAt[machine.Record.Zone]
+	cut = cut && check.now-at < am.c.durations.workerLease && !am.holdsService(machine)
 	// Cancelled tasks there must be gone in time. Until then its lease may end, or
 	// another controller reach it: a machine with all its tasks for one that was
 	// cancelled a moment before the trouble is dear.
-	giveUp, overdue := c.durations.leaseExpiryProof+2*c.durations.heartbeatInterval, c.durations.cancellationDeadline/2
+	giveUp, overdue := am.c.durations.leaseExpiryProof+2*am.c.durations.heartbeatInterval, am.c.durations.cancellationDeadline/2
 	if cut {
-		giveUp, overdue = 3*c.durations.leaseExpiryProof, 3*c.durations.cancellationDeadline/4
+		giveUp, overdue = 3*am.c.durations.leaseExpiryProof, 3*am.c.durations.cancellationDeadline/4
 	}
 	switch {
 	case silent > giveUp:
 		return "unreachable"
-	case silent > c.durations.suspicionTimeout && c.holdsCancelled(machine, overdue):
+	case silent > am.c.durations.suspicionTimeout && am.holdsCancelled(machine, overdue):
 		// Its cancelled tasks must be gone in time, whoever is to blame.
 		return "cancelled tasks unreachable"
-	case agent.InterruptionNoticed && silent > c.durations.placementSilenceLimit:
+	case agent.InterruptionNoticed && silent > am.c.durations.placementSilenceLimit:
 		return "spot interruption"
-	case silent > c.durations.suspicionTimeout && 3*check.silent <= check.owned && agent.ClaimAcknowledged && !cut:
+	case silent > am.c.durations.suspicionTimeout && 3*check.silent <= check.owned && agent.ClaimAcknowledged && !cut:
 		// Deleting it proves its tasks gone long before its lease would. Not
 		// when many are silent: then it is we who are cut off.
 		return "unreachable"
@@ -159,28 +159,28 @@
 }
 
 // logMachineCheck writes one line for each trouble, however many machines share it.
-func (c *Controller) logMachineCheck(check *machineHealthCheck) {
+func (am *agentManager) logMachineCheck(check *machineHealthCheck) {
 	if check.leasesExpired > 0 {
-		c.log.Info("machines lost", "state", conditionBegin, "machines", check.leasesExpired, "tasks", check.tasksLost)
+		am.c.log.Info("machines lost", "state", conditionBegin, "machines", check.leasesExpired, "tasks", check.tasksLost)
 	}
 	if check.interruptionNoticed > 0 {
-		c.log.Info("spot interruption notice", "machines", check.interruptionNoticed)
+		am.c.log.Info("spot interruption notice", "machines", check.interruptionNoticed)
 	}
 	many := check.silent >= 3
-	if many == c.manySilentLogged {
+	if many == am.manySilentLogged {
 		return
 	}
-	c.manySilentLogged = many
+	am.manySilentLogged = many
 	if many {
-		c.log.Info("machines unreachable", "state", conditionBegin,
+		am.c.log.Info("machines unreachable", "state", conditionBegin,
 			"machines", check.silent+1, "machines_owned", check.owned)
 	} else {
-		c.log.Info("machines unreachable", "state", conditionEnd, "machines_owned", check.owned)
+		am.c.log.Info("machines unreachable", "state", conditionEnd, "machines_owned", check.owned)
 	}
 }
 
 // desiredMachineState is the state that a machine of ours should stand in.
-func (c *Controller) desiredMachineState(machine *Machine) storage.MachineState {
+func (am *agentManager) desiredMachineState(machine *Machine) storage.MachineState {
 	agent := machine.Agent
 	if (agent.RemovalReason == removalReasonIdle || agent.RemovalReason == removalReasonDrained) && len(machine.Attempts) > 0 {
 		agent.RemovalReason = "" // the recheck: it got tasks meanwhile
@@ -192,7 +192,7 @@
 		return storage.MachineDraining
 	case agent.Suspect:
 		return storage.MachineUnreachable
-	case c.drains.isCordoned(machine):
+	case am.c.drains.isCordoned(machine):
 		return storage.MachineCordoned
 	}
 	return storage.MachineOpen
@@ -205,26 +205,26 @@
 )
 
 // requestRemoval has a machine given back: our shard says so, and the leader deletes it.
-func (c *Controller) requestRemoval(machine *Machine, reason string) {
+func (am *agentManager) requestRemoval(machine *Machine, reason string) {
 	machine.Agent.RemovalReason = reason
-	c.schedulingNeeded = true
-	c.unloggedRemovals[reason] = append(c.unloggedRemovals[reason], machine.ID)
+	am.c.scheduler.passNeeded = true
+	am.unloggedRemovals[reason] = append(am.unloggedRemovals[reason], machine.ID)
 }
 
 // logRemovals writes one line a reason, however many machines share it.
-func (c *Controller) logRemovals() {
-	for _, reason := range sortedKeys(c.unloggedRemovals) {
-		ids := c.unloggedRemovals[reason]
+func (am *agentManager) logRemovals() {
+	for _, reason := range sortedKeys(am.unloggedRemovals) {
+		ids := am.unloggedRemovals[reason]
 		tasks := 0
 		for _, id := range ids {
-			if machine := c.mirror.Machines[id]; machine != nil {
+			if machine := am.c.mirror.Machines[id]; machine != nil {
 				tasks += len(machine.Attempts)
 			}
 		}
-		c.log.Info("machines marked for scale-in", "reason", reason, "machines", len(ids),
+		am.c.log.Info("machines marked for scale-in", "reason", reason, "machines", len(ids),
 			"tasks", tasks, "first_machine", ids[0])
 	}
-	clear(c.unloggedRemovals)
+	clear(am.unloggedRemovals)
 }
 
 // silenceCount counts a zone's machines of ours, and which of them are silent.
@@ -250,9 +250,9 @@
 // holdsCancelled tells whether the store holds tasks there of jobs that were
 // cancelled longer ago than since. What a controller hasn't seen being cancelled
 // itself was so for an unknown time: long enough.
-func (c *Controller) holdsCancelled(machine *Machine, since monotime.Micros) bool {
+func (am *agentManager) holdsCancelled(machine *Machine, since monotime.Micros) bool {
 	for task := range machine.Attempts {
-		if job := c.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() && c.now()-c.trackingOf(task.Job).finalSeenAt >= since {
+		if job := am.c.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() && am.c.now()-am.c.scheduler.trackingOf(task.Job).finalSeenAt >= since {
 			return true
 		}
 	}
@@ -260,9 +260,9 @@
 }
 
 // holdsService tells whether the store holds replicas of services there.
-func (c *Controller) holdsService(machine *Machine) bool {
+func (am *agentManager) holdsService(machine *Machine) bool {
 	for task := range machine.Attempts {
-		if job := c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
+		if job := am.c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
 			return true
 		}
 	}
@@ -271,15 +271,15 @@
 
 // vacateInterruptedMachine stops what gains by it before a noticed machine goes: services start
 // elsewhere now rather than later, checkpointed work is saved.
-func (c *Controller) vacateInterruptedMachine(machine *Machine) {
+func (am *agentManager) vacateInterruptedMachine(machine *Machine) {
 	agent := machine.Agent
 	for task, attempt := range machine.Attempts {
-		job := c.mirror.Jobs[task.Job]
+		job := am.c.mirror.Jobs[task.Job]
 		if job != nil && job.IsOpen() && (job.Record.Spec.Service || job.Record.Spec.CheckpointS > 0) {
 			agent.StoppingAttempts[AttemptID{task, attempt}] = true
 		}
 	}
 	if len(agent.StoppingAttempts) > 0 {
-		c.syncCommands(machine)
+		am.syncCommands(machine)
 	}
 }
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -8,6 +8,21 @@
 	"pipitgap/internal/storage"
 )
 
+// membership holds this controller's lease and member record, takes part in elections, and knows which controllers are members.
+type membership struct {
+	c *Controller
+
+	leaseID              uint64
+	leaseRenewalSentAt   monotime.Micros // send time of the last touch that succeeded
+	leaseGrantedAt       monotime.Micros // when the lease was granted
+	leaseGrantInFlight   bool
+	leaseRenewalInFlight bool
+	nextLeaseRenewalAt   monotime.Micros
+	memberWriteInFlight  bool
+	electionInFlight     bool
+	missingSince         map[string]monotime.Micros
+}
+
 // PeerStatus is what a controller sends to the others about itself. Nothing is decided by it: it
 // speeds things up, and tells a common outage from the sender's own. See PeerFrame for its wire form.
 type PeerStatus struct {
@@ -26,53 +41,53 @@
 	Cancellations cancellation.RoundMessage
 }
 
-func (c *Controller) grantLease() {
-	if c.leaseGrantInFlight {
+func (m *membership) grantLease() {
+	if m.leaseGrantInFlight {
 		return
 	}
-	c.leaseGrantInFlight = true
-	sentAt := c.now()
-	call := &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: c.durations.membershipTTL, Timeout: leaseKeepAliveTimeout}
-	c.callStore(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
-		c.leaseGrantInFlight = false
+	m.leaseGrantInFlight = true
+	sentAt := m.c.now()
+	call := &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: m.c.durations.membershipTTL, Timeout: leaseKeepAliveTimeout}
+	m.c.store.call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
+		m.leaseGrantInFlight = false
 		if result.Outcome != protocol.OK {
-			c.leaseGrantInFlight = true
-			delay := 300*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
-			c.env.After(delay, func() { c.leaseGrantInFlight = false; c.grantLease() })
+			m.leaseGrantInFlight = true
+			delay := 300*monotime.Millisecond + monotime.Micros(m.c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
+			m.c.env.After(delay, func() { m.leaseGrantInFlight = false; m.grantLease() })
 			return
 		}
-		c.leaseID, c.leaseRenewalSentAt, c.nextLeaseRenewalAt = result.Lease, sentAt, sentAt+c.durations.membershipTTL/4
-		c.leaseGrantedAt = c.now()
-		c.whenMirrorCurrent(func(bool) {}) // the mirror catches up at once, see leading
-		c.ensureMemberRecord()
+		m.leaseID, m.leaseRenewalSentAt, m.nextLeaseRenewalAt = result.Lease, sentAt, sentAt+m.c.durations.membershipTTL/4
+		m.leaseGrantedAt = m.c.now()
+		m.c.replica.whenCurrent(func(bool) {}) // the mirror catches up at once, see leading
+		m.ensureMemberRecord()
 	})
 }
 
-func (c *Controller) renewLease(now monotime.Micros) {
-	if c.leaseID == 0 || c.leaseRenewalInFlight || now < c.nextLeaseRenewalAt {
+func (m *membership) renewLease(now monotime.Micros) {
+	if m.leaseID == 0 || m.leaseRenewalInFlight || now < m.nextLeaseRenewalAt {
 		return
 	}
-	c.leaseRenewalInFlight = true
-	sentAt, lease := now, c.leaseID
+	m.leaseRenewalInFlight = true
+	sentAt, lease := now, m.leaseID
 	call := &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: lease, Timeout: leaseKeepAliveTimeout}
-	c.callStore(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
-		c.leaseRenewalInFlight = false
+	m.c.store.call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
+		m.leaseRenewalInFlight = false
 		switch result.Outcome {
 		case protocol.OK:
-			c.leaseRenewalSentAt, c.nextLeaseRenewalAt = sentAt, sentAt+c.durations.membershipTTL/4
+			m.leaseRenewalSentAt, m.nextLeaseRenewalAt = sentAt, sentAt+m.c.durations.membershipTTL/4
 		case protocol.NotFound:
-			c.log.Info("controller lease expired")
-			c.leaseID = 0
-			c.grantLease()
+			m.c.log.Info("controller lease expired")
+			m.leaseID = 0
+			m.grantLease()
 		default:
-			c.nextLeaseRenewalAt = c.now() + 300*monotime.Millisecond
+			m.nextLeaseRenewalAt = m.c.now() + 300*monotime.Millisecond
 		}
 	})
 }
 
 // holdsLease tells whether our lease can't have ended yet, by the steady clock.
-func (c *Controller) holdsLease(now monotime.Micros) bool {
-	return c.leaseID != 0 && now-c.leaseRenewalSentAt < c.durations.membershipTTL-c.durations.membershipTTL/100
+func (m *membership) holdsLease(now monotime.Micros) bool {
+	return m.leaseID != 0 && now-m.leaseRenewalSentAt < m.c.durations.membershipTTL-m.c.durations.membershipTTL/100
 }
 
 // ensureMemberRecord writes our member record if the store's isn't ours: an earlier
@@ -80,105 +95,105 @@
 // of the teams' limits gets a new version with it: whoever dropped that part while we were
 // away, by a commit that is carried out only after we have been back and gone again, asks
 // for the one before.
-func (c *Controller) ensureMemberRecord() {
-	if !c.mirrorReady || c.leaseID == 0 || c.memberWriteInFlight {
+func (m *membership) ensureMemberRecord() {
+	if !m.c.replica.ready || m.leaseID == 0 || m.memberWriteInFlight {
 		return
 	}
-	have := c.mirror.Members[c.node]
-	if have.Version != 0 && have.Record.Incarnation == c.incarnation {
+	have := m.c.mirror.Members[m.c.node]
+	if have.Version != 0 && have.Record.Incarnation == m.c.incarnation {
 		return
 	}
-	c.memberWriteInFlight = true
-	key := storage.Key(storage.KindMember, c.node)
-	lease := c.leaseID
+	m.memberWriteInFlight = true
+	key := storage.Key(storage.KindMember, m.c.node)
+	lease := m.leaseID
 	txn := protocol.Transaction{
 		If: []protocol.Compare{{Key: key, Version: have.Version}},
 		Then: []protocol.Op{{Put: key, Lease: lease,
-			Value: protocol.MustMarshal(&storage.Member{Incarnation: c.incarnation, Zone: c.cfg.Area})}},
+			Value: protocol.MustMarshal(&storage.Member{Incarnation: m.c.incarnation, Zone: m.c.cfg.Area})}},
 	}
-	if partition := c.mirror.Partitions[c.node]; partition != nil {
-		key := partitionKey(c.node)
+	if partition := m.c.mirror.Partitions[m.c.node]; partition != nil {
+		key := partitionKey(m.c.node)
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: partition.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: protocol.MustMarshal(&partition.Record)})
 	}
-	c.commitTxn(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
-		c.memberWriteInFlight = false
-		if result.Outcome == protocol.Rejected && c.leaseID == lease {
-			c.leaseID = 0
-			c.grantLease()
+	m.c.replica.commit(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
+		m.memberWriteInFlight = false
+		if result.Outcome == protocol.Rejected && m.leaseID == lease {
+			m.leaseID = 0
+			m.grantLease()
 		}
 	})
 }
 
 // liveControllers lists the controllers that the store holds as members, in order. Our own
 // membership counts only while our lease is surely held.
-func (c *Controller) liveControllers() []string {
-	out := make([]string, 0, len(c.controllers))
-	for _, node := range c.controllers {
-		if _, ok := c.mirror.Members[node]; ok {
+func (m *membership) liveControllers() []string {
+	out := make([]string, 0, len(m.c.controllers))
+	for _, node := range m.c.controllers {
+		if _, ok := m.c.mirror.Members[node]; ok {
 			out = append(out, node)
 		}
 	}
 	return out
 }
 
-func (c *Controller) isMember(node string) bool {
-	_, ok := c.mirror.Members[node]
+func (m *membership) isMember(node string) bool {
+	_, ok := m.c.mirror.Members[node]
 	return ok
 }
 
 // isLeader tells whether we lead, by the mirror and our lease. Commits of the
 // leader are conditional on the lead record as well. A mirror from before our lease may
 // show a lead that we had under an earlier one.
-func (c *Controller) isLeader(now monotime.Micros) bool {
-	return c.mirrorReady && c.mirror.LeaderVersion != 0 && c.mirror.Leader.Node == c.node && c.mirror.Leader.Incarnation == c.incarnation &&
-		c.holdsLease(now) && c.mirrorFreshAt >= c.leaseGrantedAt
+func (m *membership) isLeader(now monotime.Micros) bool {
+	return m.c.replica.ready && m.c.mirror.LeaderVersion != 0 && m.c.mirror.Leader.Node == m.c.node && m.c.mirror.Leader.Incarnation == m.c.incarnation &&
+		m.holdsLease(now) && m.c.replica.freshAt >= m.leaseGrantedAt
 }
 
-func (c *Controller) leadershipCompare() protocol.Compare {
-	return protocol.Compare{Key: storage.LeaderKey, Version: c.mirror.LeaderVersion}
+func (m *membership) leadershipCompare() protocol.Compare {
+	return protocol.Compare{Key: storage.LeaderKey, Version: m.c.mirror.LeaderVersion}
 }
 
 // campaign takes the lead when nobody has it, or when our own earlier
 // incarnation still holds it.
-func (c *Controller) campaign(now monotime.Micros) {
-	if c.electionInFlight || !c.holdsLease(now) || c.storeUnavailable {
+func (m *membership) campaign(now monotime.Micros) {
+	if m.electionInFlight || !m.holdsLease(now) || m.c.store.unavailable {
 		return
 	}
-	mr := c.mirror
-	mine := mr.LeaderVersion != 0 && mr.Leader.Node == c.node
-	if mr.LeaderVersion != 0 && !(mine && mr.Leader.Incarnation != c.incarnation) {
+	mr := m.c.mirror
+	mine := mr.LeaderVersion != 0 && mr.Leader.Node == m.c.node
+	if mr.LeaderVersion != 0 && !(mine && mr.Leader.Incarnation != m.c.incarnation) {
 		return
 	}
-	c.electionInFlight = true
+	m.electionInFlight = true
 	txn := protocol.Transaction{
 		If: []protocol.Compare{{Key: storage.LeaderKey, Version: mr.LeaderVersion}},
-		Then: []protocol.Op{{Put: storage.LeaderKey, Lease: c.leaseID,
-			Value: protocol.MustMarshal(&storage.Leader{Node: c.node, Incarnation: c.incarnation})}},
+		Then: []protocol.Op{{Put: storage.LeaderKey, Lease: m.leaseID,
+			Value: protocol.MustMarshal(&storage.Leader{Node: m.c.node, Incarnation: m.c.incarnation})}},
 	}
-	c.commitTxn(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
-		c.electionInFlight = false
+	m.c.replica.commit(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
+		m.electionInFlight = false
 		if result.Outcome == protocol.OK {
-			c.log.Info("leader elected", "term", result.Revision)
+			m.c.log.Info("leader elected", "term", result.Revision)
 		}
 	})
 }
 
 // sendPeerStatus sends our status to the peers.
 func (c *Controller) sendPeerStatus(now monotime.Micros) {
-	ok := !c.storeUnavailable && now-c.lastStoreSuccessAt < 1500*monotime.Millisecond
-	failing := c.failingJobs()
+	ok := !c.store.unavailable && now-c.store.lastSuccessAt < 1500*monotime.Millisecond
+	failing := c.scheduler.failingJobs()
 	for _, peer := range c.cfg.Peers {
 		status := PeerStatus{
 			Node:                  c.node,
 			Incarnation:           c.incarnation,
 			StateServiceReachable: ok,
-			WaitingUserRequests:   c.storeQueue.Len(ratelimit.PriorityUserRequest),
-			WorkerReach:           c.workerReach(),
+			WaitingUserRequests:   c.store.queue.Len(ratelimit.PriorityUserRequest),
+			WorkerReach:           c.reachability.workerReach(),
 			FailingJobs:           failing,
-			TeamsShortOfQuota:     c.teamsLackingQuota(now),
+			TeamsShortOfQuota:     c.quota.teamsLackingQuota(now),
 		}
-		for _, m := range c.cancellations.MessagesFor(peer.Node, now, c.mirror.WatchedRevision, c.mirrorLoaded) {
+		for _, m := range c.cancellations.relay.MessagesFor(peer.Node, now, c.mirror.WatchedRevision, c.replica.loaded) {
 			status.Cancellations = m
 			c.env.SendPeerStatus(peer.Node, status)
 		}
@@ -188,7 +203,7 @@
 // OnPeerStatus handles the status that a peer has sent.
 func (c *Controller) OnPeerStatus(status PeerStatus) {
 	now := c.now()
-	c.detectPause(now)
+	c.reachability.detectPause(now)
 	c.peerStatuses.update(&status, now)
-	c.applyPeerCancellations(c.cancellations.Receive(status.Node, status.Cancellations))
+	c.cancellations.applyPeerCancellations(c.cancellations.relay.Receive(status.Node, status.Cancellations))
 }
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -9,41 +9,61 @@
 	"pipitgap/internal/storage"
 )
 
+// mirrorReplica keeps the mirror up to date: it loads all records, watches for changes, and tells readers when the mirror is current.
+type mirrorReplica struct {
+	c *Controller
+
+	ready              bool   // the mirror is complete
+	loadedRevision     uint64 // the watch must reach this before the mirror is complete
+	loading            bool
+	loaded             bool // a first load is done, the watch may go on from it
+	minWatchInterval   monotime.Micros
+	nextWatchAt        monotime.Micros
+	watchInFlight      bool
+	lastWatchSuccessAt monotime.Micros // last answer of the watch
+	backlogMeasuredAt  monotime.Micros // when the changes since then were last found to be few
+	freshAt            monotime.Micros // when the watch was sent that last answered
+	pendingReads       []pendingRead   // answers that wait for a mirror no older than their request
+	catchUpInFlight    bool            // a watch that doesn't wait is in flight for them
+	nextCatchUpAt      monotime.Micros
+	watchSentAt        monotime.Micros // when the watch in flight was sent
+}
+
 // loadMirror reads every record but the answers of finished jobs. The watch then goes
 // on from before the first list, so nothing falls between the lists.
-func (c *Controller) loadMirror() {
-	if c.mirrorLoading {
+func (r *mirrorReplica) load() {
+	if r.loading {
 		return
 	}
-	c.mirrorLoading, c.mirrorReady = true, false
+	r.loading, r.ready = true, false
 	kinds := mirroredKinds
-	if c.drains != nil {
+	if r.c.drains != nil {
 		kinds = slices.Concat(mirroredKinds, mirroredDrainKinds)
 	}
 	mirror := newMirror(func(string, string) {})
-	mirror.Results = c.mirror.Results
+	mirror.Results = r.c.mirror.Results
 	var firstRevision, lastRevision uint64
 	var sentAt monotime.Micros // when the first list was asked for
 	started := false
 	var readList func(k int, after string)
 	readList = func(k int, after string) {
 		if k == len(kinds) {
-			c.loadResults(mirror, sortedKeys(mirror.Jobs), func() {
-				c.mirrorFreshAt = max(c.mirrorFreshAt, sentAt)
-				c.installMirror(mirror, firstRevision, lastRevision)
+			r.loadResults(mirror, sortedKeys(mirror.Jobs), func() {
+				r.freshAt = max(r.freshAt, sentAt)
+				r.install(mirror, firstRevision, lastRevision)
 			})
 			return
 		}
 		call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.Key(kinds[k], ""), After: after, Limit: 500}
-		listSentAt := c.now()
-		c.callStore(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
+		listSentAt := r.c.now()
+		r.c.store.call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 			if result.Outcome != protocol.OK {
-				delay := 200*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
-				c.env.After(delay, func() { readList(k, after) })
+				delay := 200*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
+				r.c.env.After(delay, func() { readList(k, after) })
 				return
 			}
 			if !started { // the revision of an empty store is 0
-				started, firstRevision, c.backlogMeasuredAt = true, result.Revision, c.now()
+				started, firstRevision, r.backlogMeasuredAt = true, result.Revision, r.c.now()
 				sentAt = listSentAt
 			}
 			lastRevision = max(lastRevision, result.Revision)
@@ -63,29 +83,29 @@
 // loadResults finds which of the listed jobs have an answer already: cancelled
 // ones whose attempts aren't all gone. The answers themselves can't be listed, they
 // are kept for ever; comparing tells which of the few dozen named exist.
-func (c *Controller) loadResults(mirror *Mirror, ids []string, done func()) {
+func (r *mirrorReplica) loadResults(mirror *Mirror, ids []string, done func()) {
 	if len(ids) == 0 {
 		done()
 		return
 	}
 	again := func() {
-		delay := 200*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
-		c.env.After(delay, func() { c.loadResults(mirror, ids, done) })
+		delay := 200*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
+		r.c.env.After(delay, func() { r.loadResults(mirror, ids, done) })
 	}
-	n := min(len(ids), 4*c.cfg.Facts.State.TxnOps)
+	n := min(len(ids), 4*r.c.cfg.Facts.State.TxnOps)
 	txn := protocol.Transaction{}
 	for _, id := range ids[:n] {
 		txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
 	}
-	c.callStore(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
+	r.c.store.call(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
 		switch {
 		case result.Outcome == protocol.OK:
-			c.loadResults(mirror, ids[n:], done)
+			r.loadResults(mirror, ids[n:], done)
 		case result.Outcome == protocol.Conflict && len(result.Failed) > 0:
 			left := len(result.Failed)
 			bad := false
 			for _, key := range result.Failed {
-				c.callStore(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
+				r.c.store.call(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
 					if result.Outcome == protocol.OK {
 						mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
 					} else {
@@ -98,7 +118,7 @@
 						again()
 						return
 					}
-					c.loadResults(mirror, ids[n:], done)
+					r.loadResults(mirror, ids[n:], done)
 				})
 			}
 		default:
@@ -108,36 +128,36 @@
 }
 
 // installMirror makes a loaded mirror the core's own.
-func (c *Controller) installMirror(mirror *Mirror, firstRevision, lastRevision uint64) {
-	for id, machine := range c.mirror.Machines {
+func (r *mirrorReplica) install(mirror *Mirror, firstRevision, lastRevision uint64) {
+	for id, machine := range r.c.mirror.Machines {
 		if machine.Agent != nil && mirror.Machines[id] != nil {
 			mirror.Machines[id].Agent = machine.Agent
 		}
 	}
-	mirror.WatchedRevision, mirror.NewestRevision, mirror.OnChange = firstRevision, max(lastRevision, c.mirror.NewestRevision), c.onMirrorChange
-	c.mirror = mirror
-	c.mirrorLoading, c.mirrorLoaded, c.loadedRevision = false, true, lastRevision
-	c.reconcileCancellations()
+	mirror.WatchedRevision, mirror.NewestRevision, mirror.OnChange = firstRevision, max(lastRevision, r.c.mirror.NewestRevision), r.c.onMirrorChange
+	r.c.mirror = mirror
+	r.loading, r.loaded, r.loadedRevision = false, true, lastRevision
+	r.c.cancellations.reconcileCancellations()
 	for _, name := range sortedKeys(mirror.Shards) {
-		c.onShardChange(name)
+		r.c.shards.onShardChange(name)
 	}
-	c.nextWatchAt = 0
-	c.log.Info("mirror loaded", "jobs", len(mirror.Jobs), "machines", len(mirror.Machines),
+	r.nextWatchAt = 0
+	r.c.log.Info("mirror loaded", "jobs", len(mirror.Jobs), "machines", len(mirror.Machines),
 		"shards", len(mirror.Shards), "revision", lastRevision)
 	if firstRevision >= lastRevision {
-		c.markMirrorReady()
+		r.markReady()
 	}
 }
 
-func (c *Controller) markMirrorReady() {
-	c.lastWatchSuccessAt = c.now()
-	if c.machineTypes == nil && len(c.mirror.MachineTypes) > 0 {
+func (r *mirrorReplica) markReady() {
+	r.lastWatchSuccessAt = r.c.now()
+	if r.c.catalog.machineTypes == nil && len(r.c.mirror.MachineTypes) > 0 {
 		// The cloud may be out: what was known of it before still holds.
-		c.machineTypes = c.mirror.Catalog()
+		r.c.catalog.machineTypes = r.c.mirror.Catalog()
 	}
-	c.mirrorReady, c.schedulingNeeded = true, true
-	c.log.Info("mirror ready", "revision", c.mirror.WatchedRevision)
-	c.nextSlowTickAt = 0
+	r.ready, r.c.scheduler.passNeeded = true, true
+	r.c.log.Info("mirror ready", "revision", r.c.mirror.WatchedRevision)
+	r.c.nextSlowTickAt = 0
 }
 
 // pendingRead waits for the mirror to be as new as its question.
@@ -150,44 +170,44 @@
 // asked, or with false if the store can't be asked. One answer of the watch serves
 // all that wait: confirming each answer by itself cost a request for every few
 // dozen, and users of a thousand jobs ask a few hundred times a second.
-func (c *Controller) whenMirrorCurrent(callback func(ok bool)) {
-	c.pendingReads = append(c.pendingReads, pendingRead{c.now(), callback})
-	if c.watchInFlight && c.now() >= c.nextCatchUpAt && !c.catchUpInFlight {
-		c.catchUpWatch()
+func (r *mirrorReplica) whenCurrent(callback func(ok bool)) {
+	r.pendingReads = append(r.pendingReads, pendingRead{r.c.now(), callback})
+	if r.watchInFlight && r.c.now() >= r.nextCatchUpAt && !r.catchUpInFlight {
+		r.catchUpWatch()
 	}
 }
 
 // completePendingReads serves those who came before a watch was sent that has answered.
-func (c *Controller) completePendingReads(sentAt monotime.Micros, ok bool) {
+func (r *mirrorReplica) completePendingReads(sentAt monotime.Micros, ok bool) {
 	n := 0
-	for n < len(c.pendingReads) && c.pendingReads[n].requestedAt <= sentAt {
+	for n < len(r.pendingReads) && r.pendingReads[n].requestedAt <= sentAt {
 		n++
 	}
-	served := c.pendingReads[:n:n]
-	c.pendingReads = c.pendingReads[n:]
+	served := r.pendingReads[:n:n]
+	r.pendingReads = r.pendingReads[n:]
 	for _, a := range served {
 		a.callback(ok)
 	}
 }
 
-func (c *Controller) maintainWatch(now monotime.Micros) {
-	if c.mirrorLoading || !c.mirrorLoaded {
+func (r *mirrorReplica) maintainWatch(now monotime.Micros) {
+	if r.loading || !r.loaded {
 		return
 	}
-	if !c.watchInFlight && now >= c.nextWatchAt {
-		if now-max(c.lastWatchSuccessAt, c.backlogMeasuredAt) > c.maxWatchGap() {
-			c.measureWatchBacklog(now)
+	if !r.watchInFlight && now >= r.nextWatchAt {
+		if now-max(r.lastWatchSuccessAt, r.backlogMeasuredAt) > r.maxWatchGap() {
+			r.measureWatchBacklog(now)
 			return
 		}
-		c.watchInFlight = true
+		r.watchInFlight = true
 		longPoll := watchLongPoll
-		if len(c.pendingReads) > 0 {
+		if len(r.pendingReads) > 0 {
 			longPoll = 0
 		}
-		c.watchSentAt = now
-		c.sendWatch(now, longPoll, func() { c.watchInFlight = false })
-	} else if c.watchInFlight && len(c.pendingReads) > 0 && c.watchSentAt < c.pendingReads[0].requestedAt && now >= c.nextCatchUpAt && !c.catchUpInFlight {
-		c.catchUpWatch() // the one in flight was sent before they asked
+		r.watchSentAt = now
+		r.sendWatch(now, longPoll, func() { r.watchInFlight = false })
+	} else if r.watchInFlight && len(r.pendingReads) > 0 && r.watchSentAt < r.pendingReads[0].requestedAt && now >= r.nextCatchUpAt && !r.catchUpInFlight {
+		r.catchUpWatch() // the one in flight was sent before they asked
 	}
 }
 
@@ -196,95 +216,95 @@
 // from a state service of 80 changes a second and 16 KiB a value, the answer was
 // larger than is ever read, and the same was asked for again until the service
 // had forgotten where it began.
-func (c *Controller) maxWatchGap() monotime.Micros {
-	return max(2*watchLongPoll, monotime.FromSeconds(float64(c.maxWatchEvents())/c.cfg.Facts.State.WriteRPS))
+func (r *mirrorReplica) maxWatchGap() monotime.Micros {
+	return max(2*watchLongPoll, monotime.FromSeconds(float64(r.maxWatchEvents())/r.c.cfg.Facts.State.WriteRPS))
 }
 
 // maxWatchEvents is how many changes a watch may bring, each as large as a value may be.
-func (c *Controller) maxWatchEvents() int { return max(16, maxWatchBytes/c.maxValueBytes()) }
+func (r *mirrorReplica) maxWatchEvents() int { return max(16, maxWatchBytes/r.c.maxValueBytes()) }
 
 // measureWatchBacklog asks how far the store has come. When that is too far for a watch to
 // catch up with, all records are read anew, in answers of bounded size.
-func (c *Controller) measureWatchBacklog(now monotime.Micros) {
-	c.watchInFlight = true
-	mirror := c.mirror
+func (r *mirrorReplica) measureWatchBacklog(now monotime.Micros) {
+	r.watchInFlight = true
+	mirror := r.c.mirror
 	call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.LeaderKey, Limit: 1}
-	c.callStore(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
-		c.watchInFlight = false
+	r.c.store.call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
+		r.watchInFlight = false
 		switch {
-		case mirror != c.mirror || c.mirrorLoading:
+		case mirror != r.c.mirror || r.loading:
 			return
 		case result.Outcome != protocol.OK:
-			c.nextWatchAt = c.now() + 300*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
-			c.completePendingReads(now, false)
-		case result.Revision > mirror.WatchedRevision+uint64(c.maxWatchEvents()):
-			c.log.Info("watch too far behind, mirror reload", "revisions", result.Revision-mirror.WatchedRevision)
-			c.loadMirror()
-			c.completePendingReads(now, false)
+			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
+			r.completePendingReads(now, false)
+		case result.Revision > mirror.WatchedRevision+uint64(r.maxWatchEvents()):
+			r.c.log.Info("watch too far behind, mirror reload", "revisions", result.Revision-mirror.WatchedRevision)
+			r.load()
+			r.completePendingReads(now, false)
 		default:
-			c.backlogMeasuredAt = c.now()
-			c.maintainWatch(c.now())
+			r.backlogMeasuredAt = r.c.now()
+			r.maintainWatch(r.c.now())
 		}
 	})
 }
 
 // catchUpWatch asks for the changes so far, beside a watch that waits for the next.
-func (c *Controller) catchUpWatch() {
-	if c.now()-max(c.lastWatchSuccessAt, c.backlogMeasuredAt) > c.maxWatchGap() {
+func (r *mirrorReplica) catchUpWatch() {
+	if r.c.now()-max(r.lastWatchSuccessAt, r.backlogMeasuredAt) > r.maxWatchGap() {
 		return // it could bring too much, see measureWatchBacklog
 	}
-	c.catchUpInFlight = true
-	c.sendWatch(c.now(), 0, func() { c.catchUpInFlight = false })
-	c.nextCatchUpAt = c.now() + c.minWatchInterval
+	r.catchUpInFlight = true
+	r.sendWatch(r.c.now(), 0, func() { r.catchUpInFlight = false })
+	r.nextCatchUpAt = r.c.now() + r.minWatchInterval
 }
 
-func (c *Controller) sendWatch(now, longPoll monotime.Micros, ended func()) {
-	c.nextWatchAt = now + c.minWatchInterval
-	mirror := c.mirror
+func (r *mirrorReplica) sendWatch(now, longPoll monotime.Micros, ended func()) {
+	r.nextWatchAt = now + r.minWatchInterval
+	mirror := r.c.mirror
 	call := &protocol.StoreCall{
 		Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: mirror.WatchedRevision,
 		MaxBlock: longPoll, Timeout: longPoll + 2*monotime.Second,
 	}
-	c.storeQueue.Reads.Take(1)
-	c.env.CallStore(call, func(result protocol.StoreResult) {
+	r.c.store.queue.Reads.Take(1)
+	r.c.env.CallStore(call, func(result protocol.StoreResult) {
 		ended()
-		c.detectPause(c.now())
-		if mirror != c.mirror {
-			c.completePendingReads(now, false)
+		r.c.reachability.detectPause(r.c.now())
+		if mirror != r.c.mirror {
+			r.completePendingReads(now, false)
 			return
 		}
 		switch result.Outcome {
 		case protocol.OK:
-			c.recordStoreOutcome(result.Outcome)
-			c.mirrorFreshAt, c.lastWatchSuccessAt = max(c.mirrorFreshAt, now), c.now()
-			if now < c.resumedFromPauseAt {
-				c.lastWatchSuccessAt = now // it waited here while we stood still
+			r.c.store.recordOutcome(result.Outcome)
+			r.freshAt, r.lastWatchSuccessAt = max(r.freshAt, now), r.c.now()
+			if now < r.c.reachability.resumedFromPauseAt {
+				r.lastWatchSuccessAt = now // it waited here while we stood still
 			}
-			c.mirror.ApplyEvents(result.Events, result.Revision)
-			if !c.mirrorReady && c.mirror.WatchedRevision >= c.loadedRevision {
-				c.markMirrorReady()
+			r.c.mirror.ApplyEvents(result.Events, result.Revision)
+			if !r.ready && r.c.mirror.WatchedRevision >= r.loadedRevision {
+				r.markReady()
 			}
-			c.completePendingReads(now, c.mirrorReady)
-			if len(result.Events) > 0 && c.mirrorReady {
-				c.runFastTick(c.now())
+			r.completePendingReads(now, r.ready)
+			if len(result.Events) > 0 && r.ready {
+				r.c.runFastTick(r.c.now())
 			}
 		case protocol.Compacted:
-			c.log.Info("watch compacted, mirror reload")
-			c.loadMirror()
-			c.completePendingReads(now, false)
+			r.c.log.Info("watch compacted, mirror reload")
+			r.load()
+			r.completePendingReads(now, false)
 		case protocol.Throttled:
-			c.nextWatchAt = max(c.nextWatchAt, c.now()+100*monotime.Millisecond)
-			c.nextCatchUpAt = c.nextWatchAt
+			r.nextWatchAt = max(r.nextWatchAt, r.c.now()+100*monotime.Millisecond)
+			r.nextCatchUpAt = r.nextWatchAt
 		default:
-			c.recordStoreOutcome(result.Outcome)
-			c.nextWatchAt = c.now() + 300*monotime.Millisecond + monotime.Micros(c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
-			c.nextCatchUpAt = c.nextWatchAt
-			c.completePendingReads(now, false)
+			r.c.store.recordOutcome(result.Outcome)
+			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
+			r.nextCatchUpAt = r.nextWatchAt
+			r.completePendingReads(now, false)
 		}
 	})
 }
 
 // hastenWatch has the other side of a conflict looked at soon.
-func (c *Controller) hastenWatch() {
-	c.nextWatchAt = min(c.nextWatchAt, max(c.now(), c.watchSentAt+50*monotime.Millisecond))
+func (r *mirrorReplica) hastenWatch() {
+	r.nextWatchAt = min(r.nextWatchAt, max(r.c.now(), r.watchSentAt+50*monotime.Millisecond))
 }
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -18,14 +18,14 @@
 	priority int
 }
 
-func (c *Controller) capacityByPartition() *partitionCapacity {
-	fc := &partitionCapacity{core: c, partitions: map[string][]*candidateMachine{}, preemptionTargets: map[preemptorClass]string{}}
-	reserved := c.drains.reservations()
-	for _, machine := range c.mirror.Machines {
-		if machine.Record == nil || machine.Record.State != storage.MachineOpen || !c.isMember(machine.Owner()) {
+func (sc *scheduler) capacityByPartition() *partitionCapacity {
+	fc := &partitionCapacity{core: sc.c, partitions: map[string][]*candidateMachine{}, preemptionTargets: map[preemptorClass]string{}}
+	reserved := sc.c.drains.reservations()
+	for _, machine := range sc.c.mirror.Machines {
+		if machine.Record == nil || machine.Record.State != storage.MachineOpen || !sc.c.membership.isMember(machine.Owner()) {
 			continue
 		}
-		machineType, ok := c.machineTypes[machine.Record.Type]
+		machineType, ok := sc.c.catalog.machineTypes[machine.Record.Type]
 		if !ok {
 			continue
 		}
@@ -49,16 +49,16 @@
 // partitionForNewJob names the part with most room for a new job; for a service, one that
 // has its image too comes first. If none has room: the part that could make
 // most, or ours.
-func (c *Controller) partitionForNewJob(spec *storage.JobSpec) string {
-	fc := c.capacityByPartition()
-	best, most := c.node, 0
+func (sc *scheduler) partitionForNewJob(spec *storage.JobSpec) string {
+	fc := sc.capacityByPartition()
+	best, most := sc.c.node, 0
 	for _, score := range []func(string) int{
 		func(node string) int { return fc.tasksFittingWithImage(spec, node) },
 		func(node string) int { return fc.machinesAfterPreemption(spec, node, true) },
 		func(node string) int { return fc.tasksFitting(spec, node) },
 		func(node string) int { return fc.machinesAfterPreemption(spec, node, false) },
 	} {
-		for _, node := range append([]string{c.node}, c.connectedControllers()...) {
+		for _, node := range append([]string{sc.c.node}, sc.c.reachability.connectedControllers()...) {
 			if r := score(node); r > most {
 				best, most = node, r
 			}
@@ -120,7 +120,7 @@
 	}
 	most, partition := 0, ""
 	defer func() { p.preemptionTargets[preemptor] = partition }()
-	for _, node := range p.core.liveControllers() {
+	for _, node := range p.core.membership.liveControllers() {
 		if node == excluded {
 			continue
 		}
@@ -128,7 +128,7 @@
 		for _, candidate := range p.partitions[node] {
 			free := candidate.freeResources
 			for task := range candidate.machine.Attempts {
-				if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.IsOpen() && p.core.mayPreempt(job, victim) {
+				if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.IsOpen() && p.core.scheduler.mayPreempt(job, victim) {
 					free = free.AddScaled(victim.TaskResources, 1)
 				}
 			}
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -5,6 +5,21 @@
 	"pipitgap/internal/storage"
 )
 
+// scheduler orders the open jobs, places their tasks on machines and preempts what must give way.
+type scheduler struct {
+	c *Controller
+
+	nextPassAt                  monotime.Micros
+	serviceCPUsAssigned         float64 // CPUs that all services hold
+	nextOrphanedTasksTakeoverAt monotime.Micros
+	jobsInPass                  map[string]bool // jobs with tasks assigned by the pass under way
+	nextWorkStealAt             monotime.Micros // when tasks may change their part again
+	passNeeded                  bool            // a pass may find something to do
+	jobStates                   map[string]*jobTracking
+	estimateBias                map[string]float64 // by class: log of run time over estimate, lately
+	preemptions                 map[string]*pendingPreemption
+}
+
 // placement is the part of a scheduling pass that gives waiting tasks to machines.
 type placement struct {
 	core                                   *Controller
@@ -55,34 +70,34 @@
 
 // placeTasks gives pending tasks of our shares to machines of the updates; where
 // nothing has room it makes some, or looks who could.
-func (c *Controller) placeTasks(updates []*ShardUpdate, now monotime.Micros) {
-	if c.machineTypes == nil || !c.holdsLease(now) {
+func (sc *scheduler) placeTasks(updates []*ShardUpdate, now monotime.Micros) {
+	if sc.c.catalog.machineTypes == nil || !sc.c.membership.holdsLease(now) {
 		return
 	}
-	jobs := c.orderedQueue()
+	jobs := sc.orderedQueue()
 	if len(jobs) == 0 {
 		return
 	}
-	c.jobsInPass = map[string]bool{}
-	c.serviceCPUsAssigned = c.totalServiceCPUs()
-	p := &placement{core: c, now: now, wallNow: c.env.WallClock(), candidates: c.candidateMachines(updates, now), tasksInDoubt: c.tasksInDoubt(),
+	sc.jobsInPass = map[string]bool{}
+	sc.serviceCPUsAssigned = sc.totalServiceCPUs()
+	p := &placement{core: sc.c, now: now, wallNow: sc.c.env.WallClock(), candidates: sc.candidateMachines(updates, now), tasksInDoubt: sc.c.shards.tasksInDoubt(),
 		quotaLeft: map[string]Resources{}, noRoomFor: map[taskShape]bool{}, hasRoomFor: map[taskShape]bool{}, fittingByShape: map[taskShape][]*candidateMachine{}}
-	c.reservePreemptedRoom(p.candidates, now)
-	p.reservations = c.drains.reserveOnCandidates(p.candidates, updates)
+	sc.reservePreemptedRoom(p.candidates, now)
+	p.reservations = sc.c.drains.reserveOnCandidates(p.candidates, updates)
 	p.sampling = len(p.candidates) > sampleAboveMachines && len(p.candidates)*len(jobs) > sampleAboveComparisons
 	for _, job := range jobs {
 		p.reservations.release(job)
 		p.placeJob(job)
 		p.reservations.reserveAgain(job)
 	}
-	c.adoptOrphanedTasks(jobs, now)
-	c.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
+	sc.adoptOrphanedTasks(jobs, now)
+	sc.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
 }
 
 // totalServiceCPUs is what all services hold.
-func (c *Controller) totalServiceCPUs() float64 {
+func (sc *scheduler) totalServiceCPUs() float64 {
 	served := 0.0
-	for _, job := range c.mirror.Jobs {
+	for _, job := range sc.c.mirror.Jobs {
 		if job.Record.Spec.Service && job.IsOpen() {
 			served += float64(job.AssignedTasks) * job.TaskResources.CPUs
 		}
@@ -115,28 +130,28 @@
 // beginJob prepares the placement of a job's tasks; nil if it isn't its time.
 func (p *placement) beginJob(job *Job) *jobPlacement {
 	c := p.core
-	spec, tracking := &job.Record.Spec, c.trackingOf(job.ID)
-	jobPlan := &jobPlacement{placement: p, job: job, spec: spec, tracking: tracking, spotOnly: c.spotOnly(job), crashLooping: c.isCrashLooping(job),
+	spec, tracking := &job.Record.Spec, c.scheduler.trackingOf(job.ID)
+	jobPlan := &jobPlacement{placement: p, job: job, spec: spec, tracking: tracking, spotOnly: c.scheduler.spotOnly(job), crashLooping: c.scheduler.isCrashLooping(job),
 		oneCommitAtATime: spec.OneZone || spec.Spread, maxTasks: spec.Tasks}
 	tries := 0
 	if jobPlan.crashLooping {
-		if tries = c.crashLoopTrials(job, p.now); tries == 0 {
+		if tries = c.scheduler.crashLoopTrials(job, p.now); tries == 0 {
 			return nil
 		}
 	}
-	if p.now < tracking.placeNotBefore || c.recordWritesInFlight[job.ID] || c.mirror.WatchedRevision < job.Version && c.acceptedRevisions[job.ID] != job.Version {
+	if p.now < tracking.placeNotBefore || c.recordWritesInFlight[job.ID] || c.mirror.WatchedRevision < job.Version && c.api.acceptedRevisions[job.ID] != job.Version {
 		if p.now < tracking.stolenUntil { // on its way to us: its room is still its own
 			reserveRoom(job.TaskResources, spec, p.candidates, tracking.stolenTasks)
 		}
 		return nil
 	}
-	jobPlan.teamLimit, _ = c.teamLimits(spec.Team)
+	jobPlan.teamLimit, _ = c.quota.teamLimits(spec.Team)
 	available, known := p.quotaLeft[spec.Team]
 	if !known {
-		available = c.quotaLeft(spec.Team)
+		available = c.quota.quotaLeft(spec.Team)
 	}
 	jobPlan.quotaRoom = available
-	if c.isStarved(job, p.now) {
+	if c.scheduler.isStarved(job, p.now) {
 		jobPlan.maxTasks = max(1, tracking.startedTarget-job.DoneTasks-job.AssignedTasks)
 	}
 	if jobPlan.crashLooping {
@@ -144,14 +159,14 @@
 	}
 	jobPlan.zoneConstraint = newZoneConstraint(c.mirror, job)
 	jobPlan.shape, jobPlan.teamShape = shapeOf(spec, ""), shapeOf(spec, spec.Team)
-	made := c.preemptions[job.ID]
+	made := c.scheduler.preemptions[job.ID]
 	jobPlan.preempting = made != nil && p.now < made.expiresAt
 	// Without a share of the team's limit only what a shard gives back counts.
 	within := job.TaskResources.FitsIn(available)
 	jobPlan.hasReservation = p.reservations.hasReservationFor(job)
 	jobPlan.noRoom = p.noRoomFor[jobPlan.shape] && within && !jobPlan.preempting && !jobPlan.hasReservation
 	jobPlan.quotaShort = p.noRoomFor[jobPlan.teamShape] && !within && !jobPlan.preempting && !jobPlan.hasReservation
-	jobPlan.shardBytesLimit = c.shardBytesFor(spec)
+	jobPlan.shardBytesLimit = c.scheduler.shardBytesFor(spec)
 	return jobPlan
 }
 
@@ -216,14 +231,14 @@
 	// What a shard's own attempts give back can be used by the same write.
 	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
 	if p.needsNewMachine(task, freedQuotaOnly) {
-		p.chosenMachine = c.chooseMachine(job, p.searchSpace(), p.zoneConstraint, p.fencedUpdate, p.preferredUpdate, p.sampling, freedQuotaOnly, p.spotOnly)
+		p.chosenMachine = c.scheduler.chooseMachine(job, p.searchSpace(), p.zoneConstraint, p.fencedUpdate, p.preferredUpdate, p.sampling, freedQuotaOnly, p.spotOnly)
 	}
 	if p.chosenMachine == nil {
 		p.noteNoMachine(freedQuotaOnly)
 		return
 	}
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
-	if p.spec.Service && !withImage && !c.waitedForImage(job, p.wallNow) && c.preemptFor(job, 1, p.zoneConstraint, p.candidates, true, p.now) {
+	if p.spec.Service && !withImage && !c.scheduler.waitedForImage(job, p.wallNow) && c.scheduler.preemptFor(job, 1, p.zoneConstraint, p.candidates, true, p.now) {
 		// Room is being made beside the image: sooner than a fetch.
 		p.maxTasks = 0
 		return
@@ -275,13 +290,13 @@
 	}
 	p.lastAssigned = storage.Attempt{Task: task, Machine: machine, Number: c.mirror.NewestRevision, Starting: starting}
 	update.Changed = true
-	c.jobsInPass[job.ID] = true
+	c.scheduler.jobsInPass[job.ID] = true
 	update.Next.Assign(job.ID, p.lastAssigned)
 	update.AssignedTasks[TaskID{job.ID, task}] = true
 	update.AssignedByMachine[machine] = update.AssignedByMachine[machine].AddScaled(job.TaskResources, 1)
 	addTeamUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
 	update.MachinesToSync[machine] = true
-	delete(c.jobsClosedAt, machine)
+	delete(c.api.jobsClosedAt, machine)
 	candidate.closing = false
 	candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
 	candidate.taskCount++
@@ -305,7 +320,7 @@
 	if _, asked := p.hasRoomFor[p.shape]; !asked {
 		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
 	}
-	p.core.noteQuotaShortage(p.spec.Team, p.job.TaskResources, p.pendingTasks, p.quotaRoom, p.hasRoomFor[p.shape])
+	p.core.quota.noteShortage(p.spec.Team, p.job.TaskResources, p.pendingTasks, p.quotaRoom, p.hasRoomFor[p.shape])
 }
 
 // urgentInOtherPartition tells whether the job waits at other partitions only and has an aim that it
@@ -313,7 +328,7 @@
 // their deadlines in a partition without a gap while others gave theirs to tasks that had time.
 func (p *jobPlacement) urgentInOtherPartition() bool {
 	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass && !p.noRoomFor[p.shape] && p.job.UnassignedTasks() > 0 &&
-		p.core.canMeetObjective(p.job, p.wallNow)
+		p.core.scheduler.canMeetObjective(p.job, p.wallNow)
 }
 
 // stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room
@@ -325,10 +340,10 @@
 		p.holdMachinesFor(job.UnassignedTasks())
 		return
 	}
-	if p.now < c.nextWorkStealAt {
+	if p.now < c.scheduler.nextWorkStealAt {
 		return // others use the room until a change may be spent
 	}
-	n := c.stealTasksOfJob(job, p.candidates, p.quotaLeft, p.freePartitionCapacity(), p.wallNow)
+	n := c.scheduler.stealTasksOfJob(job, p.candidates, p.quotaLeft, p.freePartitionCapacity(), p.wallNow)
 	p.tracking.stolenTasks, p.tracking.stolenUntil = n, p.now+monotime.Second
 	p.reassignedThisPass = n > 0
 	reserveRoom(job.TaskResources, p.spec, p.candidates, min(n, job.UnassignedTasks()))
@@ -337,13 +352,13 @@
 // holdMachinesFor keeps machines for our part of so many waiting tasks of the job.
 func (p *jobPlacement) holdMachinesFor(tasks int) {
 	all := len(p.core.controllers)
-	p.core.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, (tasks+all-1)/all)
+	p.core.scheduler.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, (tasks+all-1)/all)
 }
 
 // freePartitionCapacity is the free room of all partitions.
 func (p *placement) freePartitionCapacity() *partitionCapacity {
 	if p.partitionCapacity == nil {
-		p.partitionCapacity = p.core.capacityByPartition()
+		p.partitionCapacity = p.core.scheduler.capacityByPartition()
 	}
 	return p.partitionCapacity
 }
@@ -353,7 +368,7 @@
 	if !p.preemptibleChecked {
 		p.preemptibleChecked = true
 		for _, job := range p.core.mirror.Jobs {
-			if job.AssignedTasks > 0 && p.core.isPreemptible(job) {
+			if job.AssignedTasks > 0 && p.core.scheduler.isPreemptible(job) {
 				p.preemptibleRunning = true
 				break
 			}
@@ -370,20 +385,29 @@
 	want := p.pendingTasks
 	if !p.spec.Service {
 		p.holdMachinesFor(p.pendingTasks)
-		if n := min(p.pendingTasks, job.TaskResources.CountIn(p.quotaRoom)); n > 0 && p.anyPreemptible() && c.preemptScavengers(job, n, p.zoneConstraint, p.candidates, p.now) {
+		if n := min(p.pendingTasks, job.TaskResources.CountIn(p.quotaRoom)); n > 0 && p.anyPreemptible() && c.scheduler.preemptScavengers(job, n, p.zoneConstraint, p.candidates, p.now) {
 			return
 		}
-		if p.wallNow-job.Record.AcceptedAt <= int64(guaranteePreemptionDelay) || !c.entitledToGuarantee(job) {
+		if p.wallNow-job.Record.AcceptedAt <= int64(guaranteePreemptionDelay) || !c.scheduler.entitledToGuarantee(job) {
 			return
 		}
 		want = min(p.pendingTasks, guaranteePreemptionBatch)
 	}
 	// Each hand-over costs a change, and so does taking tasks over, which comes
 	// after: a service that only tried its turn in between never had it.
-	if c.preemptFor(job, want, p.zoneConstraint, p.candidates, false, p.now) || p.now-p.tracking.reassignedAt <= reassignmentInterval || p.now < c.nextWorkStealAt {
+	if c.scheduler.preemptFor(job, want, p.zoneConstraint, p.candidates, false, p.now) || p.now-p.tracking.reassignedAt <= reassignmentInterval || p.now < c.scheduler.nextWorkStealAt {
 		return
 	}
-	if to := p.freePartitionCapacity().bestPreemptionTarget(job, c.node); to != "" && c.handOverTasks(job, to) {
+	if to := p.freePartitionCapacity().bestPreemptionTarget(job, c.node); to != "" && c.scheduler.handOverTasks(job, to) {
 		p.tracking.reassignedAt = p.now
 	}
 }
+
+func newScheduler(c *Controller) *scheduler {
+	return &scheduler{
+		c:            c,
+		jobStates:    map[string]*jobTracking{},
+		estimateBias: map[string]float64{},
+		preemptions:  map[string]*pendingPreemption{},
+	}
+}
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -34,8 +34,8 @@
 // an array gains little by it and the work thrown away is paid for. It tells
 // whether room is being made. With beside, only machines that have the job's
 // image count, and only a small loss is worth it.
-func (c *Controller) preemptFor(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, withImage bool, now monotime.Micros) bool {
-	pending := c.preemptions[job.ID]
+func (sc *scheduler) preemptFor(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, withImage bool, now monotime.Micros) bool {
+	pending := sc.preemptions[job.ID]
 	if pending != nil && now < pending.expiresAt {
 		return true
 	}
@@ -49,13 +49,13 @@
 		for i := 0; i < min(len(candidates), sampleAboveMachines); i++ {
 			candidate := candidates[i]
 			if len(candidates) > sampleAboveMachines {
-				candidate = candidates[c.env.Rand().IntN(len(candidates))]
+				candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
 			}
 			machine := candidate.machine
 			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) || len(machine.Agent.StoppingAttempts) > 0 || !candidate.availableTo(job) {
 				continue
 			}
-			victims, loss, ok := c.selectVictims(machine, job, candidate.freeResources, now)
+			victims, loss, ok := sc.selectVictims(machine, job, candidate.freeResources, now)
 			if !ok {
 				continue
 			}
@@ -74,17 +74,17 @@
 		}
 		for _, victim := range bestVictims {
 			best.machine.Agent.StoppingAttempts[victim.attempt] = true
-			c.log.Debug("task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
+			sc.c.log.Debug("task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
 				"machine", best.machine.ID, "for_job", job.ID)
 		}
 		best.reservedForJob, on[best.machine.ID] = job.ID, true
-		c.syncCommands(best.machine)
+		sc.c.agents.syncCommands(best.machine)
 	}
 	if made == 0 {
 		return false
 	}
-	c.schedulingNeeded = true
-	c.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout, on}
+	sc.passNeeded = true
+	sc.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout, on}
 	return true
 }
 
@@ -93,38 +93,38 @@
 // gets its own. The protocol would let that be of any priority; of a higher one it
 // would be placed again first, and the two would stop each other for ever. Services with a
 // disruption budget aren't stopped for others.
-func (c *Controller) mayPreempt(job, victim *Job) bool {
-	if c.drains.protectsFromPreemption(victim) {
+func (sc *scheduler) mayPreempt(job, victim *Job) bool {
+	if sc.c.drains.protectsFromPreemption(victim) {
 		return false
 	}
 	if victim.Record.Spec.Priority < job.Record.Spec.Priority && job.Record.Spec.Service {
 		return true
 	}
-	return victim.Record.Spec.Team != job.Record.Spec.Team && !victim.Record.Spec.Service && victim.Record.Spec.Priority <= job.Record.Spec.Priority && c.entitledToGuarantee(job) && c.exceedsGuarantee(victim.Record.Spec.Team, Resources{})
+	return victim.Record.Spec.Team != job.Record.Spec.Team && !victim.Record.Spec.Service && victim.Record.Spec.Priority <= job.Record.Spec.Priority && sc.entitledToGuarantee(job) && sc.exceedsGuarantee(victim.Record.Spec.Team, Resources{})
 }
 
 // entitledToGuarantee tells whether a job's next task is owed to its team: the team has a
 // guarantee and the task lies within it.
-func (c *Controller) entitledToGuarantee(job *Job) bool {
-	team, _ := c.teamLimits(job.Record.Spec.Team)
-	return (team.guaranteedCPUs > 0 || team.guaranteedGPUs > 0) && c.withinGuarantee(job)
+func (sc *scheduler) entitledToGuarantee(job *Job) bool {
+	team, _ := sc.c.quota.teamLimits(job.Record.Spec.Team)
+	return (team.guaranteedCPUs > 0 || team.guaranteedGPUs > 0) && sc.withinGuarantee(job)
 }
 
 // exceedsGuarantee tells whether a team uses more than its guarantee, less what is to be
 // stopped of it.
-func (c *Controller) exceedsGuarantee(name string, less Resources) bool {
-	team, _ := c.teamLimits(name)
-	use := c.mirror.UseByTeam[name].AddScaled(less, -1)
+func (sc *scheduler) exceedsGuarantee(name string, less Resources) bool {
+	team, _ := sc.c.quota.teamLimits(name)
+	use := sc.c.mirror.UseByTeam[name].AddScaled(less, -1)
 	return use.CPUs > team.guaranteedCPUs+resourceTolerance || use.GPUs > team.guaranteedGPUs+resourceTolerance
 }
 
 // selectVictims picks the tasks of a machine whose stop makes room for one task of
 // a job, with least work lost.
-func (c *Controller) selectVictims(machine *Machine, job *Job, free Resources, now monotime.Micros) (victims []preemptionVictim, loss float64, ok bool) {
+func (sc *scheduler) selectVictims(machine *Machine, job *Job, free Resources, now monotime.Micros) (victims []preemptionVictim, loss float64, ok bool) {
 	var possible []preemptionVictim
 	for task, attempt := range machine.Attempts {
-		victim := c.mirror.Jobs[task.Job]
-		if victim == nil || !victim.IsOpen() || !c.mayPreempt(job, victim) || machine.Agent.HasOutcome(AttemptID{task, attempt}) {
+		victim := sc.c.mirror.Jobs[task.Job]
+		if victim == nil || !victim.IsOpen() || !sc.mayPreempt(job, victim) || machine.Agent.HasOutcome(AttemptID{task, attempt}) {
 			continue
 		}
 		key := AttemptID{task, attempt}
@@ -151,9 +151,9 @@
 		if job.TaskResources.FitsIn(free) {
 			break
 		}
-		if spec := &c.mirror.Jobs[victim.attempt.Task.Job].Record.Spec; !job.Record.Spec.Service || spec.Priority >= job.Record.Spec.Priority {
+		if spec := &sc.c.mirror.Jobs[victim.attempt.Task.Job].Record.Spec; !job.Record.Spec.Service || spec.Priority >= job.Record.Spec.Priority {
 			// Only what its team has beyond its guarantee may go.
-			if !c.exceedsGuarantee(spec.Team, taken[spec.Team]) {
+			if !sc.exceedsGuarantee(spec.Team, taken[spec.Team]) {
 				continue
 			}
 			taken[spec.Team] = taken[spec.Team].AddScaled(victim.need, 1)
--- a/internal/coordination/queue_order.go
+++ b/internal/coordination/queue_order.go
@@ -63,22 +63,22 @@
 }
 
 // orderedQueue lists jobs with unplaced tasks, the most urgent first.
-func (c *Controller) orderedQueue() []*Job {
+func (sc *scheduler) orderedQueue() []*Job {
 	var entries []queueEntry
-	wall, now := c.env.WallClock(), c.now()
-	for _, job := range c.mirror.Jobs {
+	wall, now := sc.c.env.WallClock(), sc.c.now()
+	for _, job := range sc.c.mirror.Jobs {
 		if job.IsOpen() && job.UnassignedTasks() > 0 {
-			slack, missed := c.slackOf(job, wall)
-			work := float64(job.UnassignedTasks()) * job.TaskResources.CPUs * c.expectedRunSeconds(&job.Record.Spec)
+			slack, missed := sc.c.autoscaler.slackOf(job, wall)
+			work := float64(job.UnassignedTasks()) * job.TaskResources.CPUs * sc.expectedRunSeconds(&job.Record.Spec)
 			urgent := missed >= lateAfterMissedObjectives && slack >= 0 && slack < deadlineBoostWindowSeconds
-			entry := queueEntry{job, slack, work, missed, urgent, c.withinGuarantee(job), c.isStarved(job, now), c.isCrashLooping(job)}
+			entry := queueEntry{job, slack, work, missed, urgent, sc.withinGuarantee(job), sc.isStarved(job, now), sc.isCrashLooping(job)}
 			if entry.crashLooping {
 				entry.deadlineBoost, entry.withinGuarantee, entry.starved = false, false, false
 			}
 			entries = append(entries, entry)
 		}
 	}
-	c.limitDeadlineBoost(entries, wall)
+	sc.limitDeadlineBoost(entries, wall)
 	sort.Slice(entries, func(a, b int) bool { return entries[a].goesBefore(entries[b]) })
 	out := make([]*Job, len(entries))
 	for i := range entries {
@@ -91,7 +91,7 @@
 // as far as late jobs hold no more than a partition of what the team can use. After a burst
 // most that waits is late; were all of it to go first, all that comes after would be
 // late too. What they hold counts, not what waits: others become urgent as these go.
-func (c *Controller) limitDeadlineBoost(entries []queueEntry, wall int64) {
+func (sc *scheduler) limitDeadlineBoost(entries []queueEntry, wall int64) {
 	var lateEntries []*queueEntry
 	for i := range entries {
 		if entries[i].deadlineBoost {
@@ -102,15 +102,15 @@
 		return
 	}
 	fleetCPUs := 0.0
-	for _, machine := range c.mirror.Machines {
+	for _, machine := range sc.c.mirror.Machines {
 		if machine.Record != nil && machine.Record.State == storage.MachineOpen {
-			fleetCPUs += c.machineTypes[machine.Record.Type].CPUs
+			fleetCPUs += sc.c.catalog.machineTypes[machine.Record.Type].CPUs
 		}
 	}
 	lateCPUsByTeam := map[string]float64{}
-	for _, job := range c.mirror.Jobs {
+	for _, job := range sc.c.mirror.Jobs {
 		if job.AssignedTasks > 0 && !job.Record.Spec.Service {
-			if _, missed := c.slackOf(job, wall); missed >= lateAfterMissedObjectives {
+			if _, missed := sc.c.autoscaler.slackOf(job, wall); missed >= lateAfterMissedObjectives {
 				lateCPUsByTeam[job.Record.Spec.Team] += float64(job.AssignedTasks) * job.TaskResources.CPUs
 			}
 		}
@@ -124,7 +124,7 @@
 	for _, entry := range lateEntries {
 		name := entry.job.Record.Spec.Team
 		usableCPUs := fleetCPUs
-		if team, _ := c.teamLimits(name); team.maxCPUs > 0 {
+		if team, _ := sc.c.quota.teamLimits(name); team.maxCPUs > 0 {
 			usableCPUs = min(usableCPUs, team.maxCPUs)
 		}
 		if lateCPUsByTeam[name] > deadlineBoostMaxFraction*usableCPUs {
@@ -137,24 +137,24 @@
 
 // canMeetObjective tells whether a job has an aim that it can still meet if it doesn't wait
 // for long.
-func (c *Controller) canMeetObjective(job *Job, wall int64) bool {
-	slack, _ := c.slackOf(job, wall)
+func (sc *scheduler) canMeetObjective(job *Job, wall int64) bool {
+	slack, _ := sc.c.autoscaler.slackOf(job, wall)
 	return slack >= 0 && !math.IsInf(slack, 1)
 }
 
 // isStarved tells whether an array has got nothing for a long time: under lasting
 // load those that are late already, large or of low priority would never have
 // their turn, and a class, a team or the largest jobs would go unserved.
-func (c *Controller) isStarved(job *Job, now monotime.Micros) bool {
+func (sc *scheduler) isStarved(job *Job, now monotime.Micros) bool {
 	if job.Record.Spec.Service {
 		return false
 	}
-	tracking := c.trackingOf(job.ID)
+	tracking := sc.trackingOf(job.ID)
 	got := job.DoneTasks + job.AssignedTasks
 	if tracking.progressAt == 0 { // first seen: it may have waited before we began
 		tracking.progressAt = max(1, now)
 		if got == 0 {
-			tracking.progressAt = max(1, now-monotime.Micros(min(max(0, c.env.WallClock()-job.Record.AcceptedAt), int64(2*starvedAfter))))
+			tracking.progressAt = max(1, now-monotime.Micros(min(max(0, sc.c.env.WallClock()-job.Record.AcceptedAt), int64(2*starvedAfter))))
 		}
 	}
 	if got > tracking.startedHighWater {
@@ -165,7 +165,7 @@
 	}
 	after := starvedAfter
 	if tracking.startedHighWater > 0 {
-		if c.isScavenger(job) {
+		if sc.isScavenger(job) {
 			return false
 		}
 		after = starvedAgainAfter
@@ -174,15 +174,15 @@
 		return false
 	}
 	tracking.startedTarget = got + max(1, job.UnassignedTasks()/starvedTaskDivisor)
-	if c.isScavenger(job) {
+	if sc.isScavenger(job) {
 		tracking.startedTarget = got + 1 // that it begins; the rest is for idle time
 	}
 	return true
 }
 
 // withinGuarantee tells whether one more task of a job lies within its team's guarantee.
-func (c *Controller) withinGuarantee(job *Job) bool {
-	team, _ := c.teamLimits(job.Record.Spec.Team)
-	use := c.mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
+func (sc *scheduler) withinGuarantee(job *Job) bool {
+	team, _ := sc.c.quota.teamLimits(job.Record.Spec.Team)
+	use := sc.c.mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
 	return use.CPUs <= team.guaranteedCPUs+resourceTolerance && use.GPUs <= team.guaranteedGPUs+resourceTolerance
 }
