--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -10,6 +10,16 @@
 	"pipitgap/internal/storage"
 )
 
+// quotaManager owns this controller's shares of the teams' limits.
+type quotaManager struct {
+	c *Controller
+
+	writeInFlight bool
+	shortages     map[string]quotaShortage // what assignments lacked of a team's share
+	sharesInDoubt []quotaSharesInDoubt
+	lackingSince  map[string]monotime.Micros // teams of whose limit we lack a task's worth
+}
+
 // What a partition may use of the teams' limits.
 
 // quotaShortage is what assignments lacked of a partition's share.
@@ -19,8 +29,8 @@
 }
 
 // quotaShareOf is what a partition may use of a team's limit, by its record.
-func (c *Controller) quotaShareOf(partition, team string) Resources {
-	if p := c.mirror.Partitions[partition]; p != nil {
+func (q *quotaManager) quotaShareOf(partition, team string) Resources {
+	if p := q.c.mirror.Partitions[partition]; p != nil {
 		share := p.Record.QuotaShares[team]
 		return Resources{roundToUnit(share.CPUs), roundToUnit(share.GPUs), math.Inf(1)}
 	}
@@ -36,10 +46,10 @@
 }
 
 // ownQuotaShare is what we may use of a team's limit, whatever becomes of commits in doubt.
-func (c *Controller) ownQuotaShare(team string) Resources {
-	share := c.quotaShareOf(c.node, team)
-	version := c.mirror.VersionOf(partitionKey(c.node))
-	for _, inDoubt := range c.quotaSharesInDoubt {
+func (q *quotaManager) ownQuotaShare(team string) Resources {
+	share := q.quotaShareOf(q.c.node, team)
+	version := q.c.mirror.VersionOf(partitionKey(q.c.node))
+	for _, inDoubt := range q.sharesInDoubt {
 		if inDoubt.version == version {
 			share.CPUs = min(share.CPUs, roundToUnit(inDoubt.record.QuotaShares[team].CPUs))
 			share.GPUs = min(share.GPUs, roundToUnit(inDoubt.record.QuotaShares[team].GPUs))
@@ -50,22 +60,22 @@
 
 // resolveQuotaSharesInDoubt forgets commits in doubt that were conditional on another version than
 // that of our record now.
-func (c *Controller) resolveQuotaSharesInDoubt() {
-	version := c.mirror.VersionOf(partitionKey(c.node))
-	c.quotaSharesInDoubt = slices.DeleteFunc(c.quotaSharesInDoubt, func(inDoubt quotaSharesInDoubt) bool { return inDoubt.version != version })
+func (q *quotaManager) resolveQuotaSharesInDoubt() {
+	version := q.c.mirror.VersionOf(partitionKey(q.c.node))
+	q.sharesInDoubt = slices.DeleteFunc(q.sharesInDoubt, func(inDoubt quotaSharesInDoubt) bool { return inDoubt.version != version })
 }
 
 // ownQuotaUse is what attempts in our shards take of a team's limit, at most. What a
 // commit in doubt may have assigned counts as well, and so do shards of an earlier
 // life of ours that we haven't claimed again yet: they are within the same share.
-func (c *Controller) ownQuotaUse(team string) Resources {
+func (q *quotaManager) ownQuotaUse(team string) Resources {
 	use := Resources{}
-	for _, shard := range c.mirror.Shards {
-		if shard.Record.Owner == c.node {
+	for _, shard := range q.c.mirror.Shards {
+		if shard.Record.Owner == q.c.node {
 			use = use.AddScaled(shard.UseByTeam[team], 1)
 		}
 	}
-	for _, tracker := range c.shardTrackers {
+	for _, tracker := range q.c.shards.trackers {
 		for _, update := range tracker.updatesInDoubt {
 			use = use.AddScaled(update.AssignedByTeam[team], 1)
 		}
@@ -74,13 +84,13 @@
 }
 
 // quotaLeft is what this part may still assign for a team.
-func (c *Controller) quotaLeft(team string) Resources {
-	limit, _ := c.teamLimits(team)
+func (q *quotaManager) quotaLeft(team string) Resources {
+	limit, _ := q.teamLimits(team)
 	available := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
 	if !limit.hasLimit() {
 		return available
 	}
-	have, use := c.ownQuotaShare(team), c.ownQuotaUse(team)
+	have, use := q.ownQuotaShare(team), q.ownQuotaUse(team)
 	if limit.maxCPUs > 0 {
 		available.CPUs = have.CPUs - use.CPUs
 	}
@@ -91,10 +101,10 @@
 }
 
 // unallocatedQuota is what no part has of a team's limit.
-func (c *Controller) unallocatedQuota(team string) Resources {
-	limit, _ := c.teamLimits(team)
+func (q *quotaManager) unallocatedQuota(team string) Resources {
+	limit, _ := q.teamLimits(team)
 	available := limit.remaining(Resources{})
-	for _, partition := range c.mirror.Partitions {
+	for _, partition := range q.c.mirror.Partitions {
 		share := partition.Record.QuotaShares[team]
 		available = available.AddScaled(NewResources(share.CPUs, share.GPUs, 0), -1)
 	}
@@ -120,30 +130,30 @@
 // we don't use of a team whose limit is nearly handed out. A raise depends on the
 // records of all partitions, a lowering on ours alone; either changes our record, on
 // which our assignments depend.
-func (c *Controller) adjustQuotaShares(now monotime.Micros) {
-	if c.quotaWriteInFlight || c.storeUnavailable || !c.holdsLease(now) {
+func (q *quotaManager) adjustQuotaShares(now monotime.Micros) {
+	if q.writeInFlight || q.c.store.unavailable || !q.c.membership.holdsLease(now) {
 		return
 	}
-	for _, tracker := range c.shardTrackers {
+	for _, tracker := range q.c.shards.trackers {
 		if tracker.commitInFlightSince != 0 {
 			return
 		}
 	}
-	next, version := c.copyOwnQuotaShares()
-	c.resolveQuotaSharesInDoubt()
-	raised, changed := false, len(c.quotaSharesInDoubt) > 0 // writing them anew settles what became of those
+	next, version := q.copyOwnQuotaShares()
+	q.resolveQuotaSharesInDoubt()
+	raised, changed := false, len(q.sharesInDoubt) > 0 // writing them anew settles what became of those
 	lacking := map[string]monotime.Micros{}
-	for i := range c.cfg.Facts.Teams {
-		team := c.cfg.Facts.Teams[i].Name
-		limit, _ := c.teamLimits(team)
+	for i := range q.c.cfg.Facts.Teams {
+		team := q.c.cfg.Facts.Teams[i].Name
+		limit, _ := q.teamLimits(team)
 		if !limit.hasLimit() {
 			continue
 		}
 		before := next.QuotaShares[team]
-		after, lacks := c.desiredQuotaShare(team, limit, before, now)
+		after, lacks := q.desiredQuotaShare(team, limit, before, now)
 		if lacks {
 			lacking[team] = now
-			if since, lacked := c.quotaLackingSince[team]; lacked {
+			if since, lacked := q.lackingSince[team]; lacked {
 				lacking[team] = since
 			}
 		}
@@ -154,17 +164,17 @@
 		raised = raised || after.CPUs > before.CPUs+resourceTolerance || after.GPUs > before.GPUs+resourceTolerance
 		changed = true
 	}
-	c.quotaLackingSince = lacking
-	clear(c.quotaShortages)
+	q.lackingSince = lacking
+	clear(q.shortages)
 	if changed {
-		c.writeQuotaShares(next, version, raised)
+		q.writeQuotaShares(next, version, raised)
 	}
 }
 
 // copyOwnQuotaShares copies our record of shares and gives its version.
-func (c *Controller) copyOwnQuotaShares() (next storage.Partition, version uint64) {
+func (q *quotaManager) copyOwnQuotaShares() (next storage.Partition, version uint64) {
 	next.QuotaShares = map[string]storage.Resources{}
-	if own := c.mirror.Partitions[c.node]; own != nil {
+	if own := q.c.mirror.Partitions[q.c.node]; own != nil {
 		version = own.Version
 		for team, share := range own.Record.QuotaShares {
 			next.QuotaShares[team] = share
@@ -175,37 +185,37 @@
 
 // desiredQuotaShare is what our share of a team's limit should become, and whether we lack a
 // task's worth of it that can't be had.
-func (c *Controller) desiredQuotaShare(team string, limit teamLimits, current storage.Resources, now monotime.Micros) (want storage.Resources, lacks bool) {
-	unallocated := c.unallocatedQuota(team)
-	shortage, wants := c.quotaShortages[team]
-	at, heard := c.peerStatuses.quotaLackReportedAt[team]
+func (q *quotaManager) desiredQuotaShare(team string, limit teamLimits, current storage.Resources, now monotime.Micros) (want storage.Resources, lacks bool) {
+	unallocated := q.unallocatedQuota(team)
+	shortage, wants := q.shortages[team]
+	at, heard := q.c.peerStatuses.quotaLackReportedAt[team]
 	contested := heard && now-at < quotaLackReportValidity
 	switch {
 	case wants && (unallocated.CPUs+resourceTolerance < shortage.perTask.CPUs || unallocated.GPUs+resourceTolerance < shortage.perTask.GPUs):
 		// Not enough for a single task here, and what we have left over may be
 		// what another partition lacks: several such rests add up to a task.
-		return c.loweredQuotaShare(team, current, Resources{}), shortage.hasMachineRoom
-	case c.workersUnreachableSince != 0:
-		return c.loweredQuotaShare(team, current, Resources{}), false // nothing can start here
+		return q.loweredQuotaShare(team, current, Resources{}), shortage.hasMachineRoom
+	case q.c.reachability.workersUnreachableSince != 0:
+		return q.loweredQuotaShare(team, current, Resources{}), false // nothing can start here
 	case contested && !shortage.hasMachineRoom:
 		// Another part could start tasks at once; here they would wait for machines.
-		return c.loweredQuotaShare(team, current, Resources{}), false
+		return q.loweredQuotaShare(team, current, Resources{}), false
 	case wants:
-		return c.raisedQuotaShare(limit, current, shortage, unallocated), false
+		return q.raisedQuotaShare(limit, current, shortage, unallocated), false
 	}
 	if unallocated.CPUs > lowUnallocatedFraction*limit.maxCPUs && (limit.maxGPUs == 0 || unallocated.GPUs > lowUnallocatedFraction*limit.maxGPUs) {
 		return current, false
 	}
-	fraction := unusedQuotaFraction / float64(c.budgetSharers)
-	return c.loweredQuotaShare(team, current, Resources{CPUs: fraction * limit.maxCPUs, GPUs: fraction * limit.maxGPUs}), false
+	fraction := unusedQuotaFraction / float64(q.c.store.budgetSharers)
+	return q.loweredQuotaShare(team, current, Resources{CPUs: fraction * limit.maxCPUs, GPUs: fraction * limit.maxGPUs}), false
 }
 
 // teamsLackingQuota lists the teams of whose limit we have lacked a task's worth for so long
 // that the others should give back what they don't use.
-func (c *Controller) teamsLackingQuota(now monotime.Micros) []string {
+func (q *quotaManager) teamsLackingQuota(now monotime.Micros) []string {
 	var out []string
-	for _, team := range sortedKeys(c.quotaLackingSince) {
-		if now-c.quotaLackingSince[team] >= quotaLackReportDelay {
+	for _, team := range sortedKeys(q.lackingSince) {
+		if now-q.lackingSince[team] >= quotaLackReportDelay {
 			out = append(out, team)
 		}
 	}
@@ -214,8 +224,8 @@
 
 // raisedQuotaShare takes what is lacking, and half of an even part of what is left: a raise
 // costs a change, and what one part has no other can use.
-func (c *Controller) raisedQuotaShare(limit teamLimits, current storage.Resources, shortage quotaShortage, unallocated Resources) storage.Resources {
-	fraction := 1 / (2 * float64(c.budgetSharers))
+func (q *quotaManager) raisedQuotaShare(limit teamLimits, current storage.Resources, shortage quotaShortage, unallocated Resources) storage.Resources {
+	fraction := 1 / (2 * float64(q.c.store.budgetSharers))
 	grow := func(have, short, left float64) float64 {
 		grown := roundToUnit(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
 		if grown > have+resourceTolerance {
@@ -234,8 +244,8 @@
 
 // loweredQuotaShare gives back what is more than twice a margin above what we use, down to
 // the margin.
-func (c *Controller) loweredQuotaShare(team string, current storage.Resources, margin Resources) storage.Resources {
-	use := c.ownQuotaUse(team)
+func (q *quotaManager) loweredQuotaShare(team string, current storage.Resources, margin Resources) storage.Resources {
+	use := q.ownQuotaUse(team)
 	lower := storage.Resources{
 		CPUs: max(0, min(current.CPUs, use.CPUs+margin.CPUs)),
 		GPUs: max(0, min(current.GPUs, use.GPUs+margin.GPUs)),
@@ -247,33 +257,33 @@
 }
 
 // writeQuotaShares commits our record. A raise asks for the records of all partitions.
-func (c *Controller) writeQuotaShares(next storage.Partition, version uint64, raised bool) {
-	key := partitionKey(c.node)
+func (q *quotaManager) writeQuotaShares(next storage.Partition, version uint64, raised bool) {
+	key := partitionKey(q.c.node)
 	txn := protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: version}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
 	}
 	if raised {
 		names := map[string]bool{}
-		for _, node := range c.controllers {
+		for _, node := range q.c.controllers {
 			names[node] = true
 		}
-		for node := range c.mirror.Partitions {
+		for node := range q.c.mirror.Partitions {
 			names[node] = true
 		}
 		for _, node := range sortedKeys(names) {
-			if node != c.node {
-				txn.If = append(txn.If, protocol.Compare{Key: partitionKey(node), Version: c.mirror.VersionOf(partitionKey(node))})
+			if node != q.c.node {
+				txn.If = append(txn.If, protocol.Compare{Key: partitionKey(node), Version: q.c.mirror.VersionOf(partitionKey(node))})
 			}
 		}
 	}
-	c.quotaWriteInFlight = true
+	q.writeInFlight = true
 	doubt := quotaSharesInDoubt{version, next}
-	c.commitTxn(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
-		c.quotaWriteInFlight = false
-		c.schedulingNeeded = true
+	q.c.replica.commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+		q.writeInFlight = false
+		q.c.scheduler.passNeeded = true
 		if result.Outcome == protocol.Unknown {
-			c.quotaSharesInDoubt = append(c.quotaSharesInDoubt, doubt)
+			q.sharesInDoubt = append(q.sharesInDoubt, doubt)
 		}
 	})
 }
@@ -283,34 +293,34 @@
 // but for what it had kept for later, and a team at its limit lacked that for as long as
 // the controller was away. Whatever it may yet write asks for the record that is dropped,
 // and it must not have come back: one that is cut off from its machines lowers its own.
-func (c *Controller) releaseDepartedQuotaShares(now monotime.Micros) {
-	if c.storeUnavailable || c.quotaWriteInFlight || !c.holdsLease(now) {
+func (q *quotaManager) releaseDepartedQuotaShares(now monotime.Micros) {
+	if q.c.store.unavailable || q.writeInFlight || !q.c.membership.holdsLease(now) {
 		return
 	}
-	connected := c.connectedControllers()
-	for _, node := range sortedKeys(c.mirror.Partitions) {
-		partition := c.mirror.Partitions[node]
-		if node == c.node || rendezvousOwner(node, connected) != c.node || c.recordWritesInFlight[partitionKey(node)] || c.mirror.WatchedRevision < partition.Version ||
-			c.isMember(node) || now-c.absentSince(node, now) <= monotime.Second {
+	connected := q.c.reachability.connectedControllers()
+	for _, node := range sortedKeys(q.c.mirror.Partitions) {
+		partition := q.c.mirror.Partitions[node]
+		if node == q.c.node || rendezvousOwner(node, connected) != q.c.node || q.c.recordWritesInFlight[partitionKey(node)] || q.c.mirror.WatchedRevision < partition.Version ||
+			q.c.membership.isMember(node) || now-q.c.membership.absentSince(node, now) <= monotime.Second {
 			continue
 		}
 		left := false
-		for _, shard := range c.mirror.Shards {
+		for _, shard := range q.c.mirror.Shards {
 			left = left || shard.Record.Owner == node
 		}
 		if left {
 			continue
 		}
 		key := partitionKey(node)
-		c.recordWritesInFlight[key] = true
-		c.commitTxn(ratelimit.PriorityShardUpdate, protocol.Transaction{
+		q.c.recordWritesInFlight[key] = true
+		q.c.replica.commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: partition.Version}, {Key: storage.Key(storage.KindMember, node)}},
 			Then: []protocol.Op{{Delete: key}},
 		}, func(result protocol.StoreResult) {
-			delete(c.recordWritesInFlight, key)
-			c.schedulingNeeded = true
+			delete(q.c.recordWritesInFlight, key)
+			q.c.scheduler.passNeeded = true
 			if result.Outcome == protocol.OK {
-				c.log.Info("quota shares released", "node", node)
+				q.c.log.Info("quota shares released", "node", node)
 			}
 		})
 	}
@@ -320,8 +330,8 @@
 
 // transferQuotaShares has the shares of the teams' limits follow attempts that go over
 // from one part's shards into another's.
-func (c *Controller) transferQuotaShares(txn *protocol.Transaction, comparedKeys map[string]bool, from, to string, useByTeam map[string]Resources) {
-	departed, own := c.mirror.Partitions[from], c.mirror.Partitions[to]
+func (q *quotaManager) transferQuotaShares(txn *protocol.Transaction, comparedKeys map[string]bool, from, to string, useByTeam map[string]Resources) {
+	departed, own := q.c.mirror.Partitions[from], q.c.mirror.Partitions[to]
 	if departed == nil {
 		return // it never had any: none of its teams has a limit
 	}
@@ -348,7 +358,7 @@
 	}
 	moved := false
 	for _, team := range sortedKeys(useByTeam) {
-		if limit, _ := c.teamLimits(team); !limit.hasLimit() {
+		if limit, _ := q.teamLimits(team); !limit.hasLimit() {
 			continue
 		}
 		moved = true
@@ -371,8 +381,12 @@
 		}
 		if !comparedKeys[key] {
 			comparedKeys[key] = true
-			txn.If = append(txn.If, protocol.Compare{Key: key, Version: c.mirror.VersionOf(key)})
+			txn.If = append(txn.If, protocol.Compare{Key: key, Version: q.c.mirror.VersionOf(key)})
 		}
 		txn.Then = append(txn.Then, operation)
 	}
 }
+
+func newQuotaManager(c *Controller) *quotaManager {
+	return &quotaManager{c: c, shortages: map[string]quotaShortage{}, lackingSince: map[string]monotime.Micros{}}
+}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -7,6 +7,19 @@
 	"pipitgap/internal/storage"
 )
 
+// reachability judges whether this controller reaches its workers, the state service and the other controllers, and whether its process was paused.
+type reachability struct {
+	c *Controller
+
+	workersUnreachableSince monotime.Micros // since when our workers are out of reach; 0: they aren't
+	hearsMostWorkers        bool            // most of them were heard lately
+	probesInFlight          int             // questions to silent machines in flight, see suspect
+	lastProbeSuccessAt      monotime.Micros // when one last answered
+	nextProbeAt             monotime.Micros
+	lastActivityAt          monotime.Micros // when it was last seen to run
+	resumedFromPauseAt      monotime.Micros // when we last went on after standing still
+}
+
 // What a controller holds is worth something only while it reaches it. This file asks
 // of oneself: whom do I reach, and how old is what I know? A controller whose workers
 // have all fallen silent, while others hear theirs, hands its machines over and takes no
@@ -32,27 +45,27 @@
 
 // detectPause notes that the process stood still since the last tick, or whatever else
 // came, while its clocks ran. It is asked before anything that comes in is taken.
-func (c *Controller) detectPause(now monotime.Micros) {
-	if c.lastActivityAt != 0 && now-c.lastActivityAt > pauseThreshold {
-		c.resumedFromPauseAt = now
-		c.log.Info("process pause detected", "duration_ms", (now - c.lastActivityAt).Milliseconds())
+func (rc *reachability) detectPause(now monotime.Micros) {
+	if rc.lastActivityAt != 0 && now-rc.lastActivityAt > pauseThreshold {
+		rc.resumedFromPauseAt = now
+		rc.c.log.Info("process pause detected", "duration_ms", (now - rc.lastActivityAt).Milliseconds())
 	}
-	c.lastActivityAt = now
+	rc.lastActivityAt = now
 }
 
 // mirrorStale tells whether we stood still and haven't heard from the store since: what we
 // hold may be others', and what comes in may have waited for long. In an outage the
 // wait is short, or the workers' leases would lapse.
-func (c *Controller) mirrorStale(now monotime.Micros) bool {
-	return c.resumedFromPauseAt > c.mirrorFreshAt && now-c.resumedFromPauseAt < staleAfterPause
+func (rc *reachability) mirrorStale(now monotime.Micros) bool {
+	return rc.resumedFromPauseAt > rc.c.replica.freshAt && now-rc.resumedFromPauseAt < staleAfterPause
 }
 
 // workerReach tells whether we reach our workers.
-func (c *Controller) workerReach() WorkerReach {
+func (rc *reachability) workerReach() WorkerReach {
 	switch {
-	case c.workersUnreachableSince != 0:
+	case rc.workersUnreachableSince != 0:
 		return WorkersUnreachable
-	case c.hearsMostWorkers:
+	case rc.hearsMostWorkers:
 		return WorkersReachable
 	}
 	return WorkersUnknown
@@ -60,100 +73,100 @@
 
 // updateReachability judges from the silence of our machines whether it is we who are cut off
 // from them. Without a fresh mirror, or just after standing still, silence says nothing.
-func (c *Controller) updateReachability(overall silenceCount, now monotime.Micros) {
-	c.hearsMostWorkers = overall.machines > 0 && 2*overall.silent < overall.machines
+func (rc *reachability) updateReachability(overall silenceCount, now monotime.Micros) {
+	rc.hearsMostWorkers = overall.machines > 0 && 2*overall.silent < overall.machines
 	switch {
-	case overall.isUnreachable() && c.workersUnreachableSince == 0:
-		c.probeSilentMachines(now)
-	case c.workersUnreachableSince != 0 && c.hearsMostWorkers:
-		c.markWorkersReachable(now)
+	case overall.isUnreachable() && rc.workersUnreachableSince == 0:
+		rc.probeSilentMachines(now)
+	case rc.workersUnreachableSince != 0 && rc.hearsMostWorkers:
+		rc.markWorkersReachable(now)
 	}
-	if c.workersUnreachableSince == 0 {
+	if rc.workersUnreachableSince == 0 {
 		return
 	}
-	c.handOffShards(now)
-	c.probeReachability(now)
+	rc.c.shards.handOffShards(now)
+	rc.probeReachability(now)
 }
 
 // probeSilentMachines asks a few of our silent machines themselves. They are silent too while their
 // workers go round after a crash of several controllers, each for seconds at one that
 // hangs: those that had just claimed them again gave them away once more.
-func (c *Controller) probeSilentMachines(now monotime.Micros) {
-	if c.reachabilityProbesInFlight > 0 || now-c.lastProbeSuccessAt < probeValidity {
+func (rc *reachability) probeSilentMachines(now monotime.Micros) {
+	if rc.probesInFlight > 0 || now-rc.lastProbeSuccessAt < probeValidity {
 		return
 	}
 	var machines []*Machine
-	for _, id := range sortedKeys(c.mirror.Machines) {
-		if machine := c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
+	for _, id := range sortedKeys(rc.c.mirror.Machines) {
+		if machine := rc.c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
 			machines = append(machines, machine)
 		}
 	}
 	n := min(len(machines), initialProbeCount)
-	c.reachabilityProbesInFlight = n
+	rc.probesInFlight = n
 	answered := false
 	for i := 0; i < n; i++ {
-		k := i + c.env.Rand().IntN(len(machines)-i)
+		k := i + rc.c.env.Rand().IntN(len(machines)-i)
 		machines[i], machines[k] = machines[k], machines[i]
 		machine := machines[i]
-		c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
-			c.reachabilityProbesInFlight--
+		rc.c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+			rc.probesInFlight--
 			if result.Status == 200 && result.Heartbeat.Machine == machine.ID {
-				answered, c.lastProbeSuccessAt = true, c.now()
+				answered, rc.lastProbeSuccessAt = true, rc.c.now()
 			}
-			if c.reachabilityProbesInFlight == 0 && !answered && c.workersUnreachableSince == 0 {
-				c.workersUnreachableSince = c.now()
-				c.log.Info("workers unreachable", "state", conditionBegin, "machines", len(machines))
-				c.handOffShards(c.now())
+			if rc.probesInFlight == 0 && !answered && rc.workersUnreachableSince == 0 {
+				rc.workersUnreachableSince = rc.c.now()
+				rc.c.log.Info("workers unreachable", "state", conditionBegin, "machines", len(machines))
+				rc.c.shards.handOffShards(rc.c.now())
 			}
 		})
 	}
 }
 
-func (c *Controller) markWorkersReachable(now monotime.Micros) {
-	c.workersUnreachableSince = 0
-	c.schedulingNeeded = true
-	c.log.Info("workers unreachable", "state", conditionEnd)
+func (rc *reachability) markWorkersReachable(now monotime.Micros) {
+	rc.workersUnreachableSince = 0
+	rc.c.scheduler.passNeeded = true
+	rc.c.log.Info("workers unreachable", "state", conditionEnd)
 }
 
 // probeReachability asks some machine, whosever it is, whether we reach workers again. A report
 // that comes in wouldn't do: copies come late.
-func (c *Controller) probeReachability(now monotime.Micros) {
-	if now < c.nextReachabilityProbeAt {
+func (rc *reachability) probeReachability(now monotime.Micros) {
+	if now < rc.nextProbeAt {
 		return
 	}
-	c.nextReachabilityProbeAt = now + reachabilityProbeInterval
-	ids := sortedKeys(c.mirror.Machines)
+	rc.nextProbeAt = now + reachabilityProbeInterval
+	ids := sortedKeys(rc.c.mirror.Machines)
 	if len(ids) == 0 {
-		c.markWorkersReachable(now)
+		rc.markWorkersReachable(now)
 		return
 	}
-	machine := c.mirror.Machines[ids[c.env.Rand().IntN(len(ids))]]
+	machine := rc.c.mirror.Machines[ids[rc.c.env.Rand().IntN(len(ids))]]
 	if machine.Record == nil {
-		c.nextReachabilityProbeAt = now
+		rc.nextProbeAt = now
 		return
 	}
-	since := c.workersUnreachableSince
-	c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
-		if result.Status == 200 && result.Heartbeat.Machine == machine.ID && c.workersUnreachableSince == since && since != 0 {
-			c.markWorkersReachable(c.now())
+	since := rc.workersUnreachableSince
+	rc.c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+		if result.Status == 200 && result.Heartbeat.Machine == machine.ID && rc.workersUnreachableSince == since && since != 0 {
+			rc.markWorkersReachable(rc.c.now())
 		}
 	})
 }
 
 // isCutOffFromWorkers tells whether a controller lives, but is known not to reach workers.
-func (c *Controller) isCutOffFromWorkers(node string, now monotime.Micros) bool {
-	if node == c.node {
-		return c.workersUnreachableSince != 0
+func (rc *reachability) isCutOffFromWorkers(node string, now monotime.Micros) bool {
+	if node == rc.c.node {
+		return rc.workersUnreachableSince != 0
 	}
-	return c.heardFromRecently(node, now) && c.peerStatuses.status(node).reachability == WorkersUnreachable
+	return rc.heardFromRecently(node, now) && rc.c.peerStatuses.status(node).reachability == WorkersUnreachable
 }
 
 // connectedControllers lists the live controllers that are good for machines and waiting tasks.
-func (c *Controller) connectedControllers() []string {
-	controllers, now := c.liveControllers(), c.now()
+func (rc *reachability) connectedControllers() []string {
+	controllers, now := rc.c.membership.liveControllers(), rc.c.now()
 	var out []string
 	for _, node := range controllers {
-		if !c.isCutOffFromWorkers(node, now) {
+		if !rc.isCutOffFromWorkers(node, now) {
 			out = append(out, node)
 		}
 	}
@@ -166,20 +179,20 @@
 // handOffShards gives our shards to controllers that say they hear their workers. Ours
 // turn to them when we don't answer; their claims one by one, each against our own
 // writes, took longer than the leases of most.
-func (c *Controller) handOffShards(now monotime.Micros) {
-	if c.quotaWriteInFlight || c.storeUnavailable || !c.holdsLease(now) || now-c.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+func (sm *shardManager) handOffShards(now monotime.Micros) {
+	if sm.c.quota.writeInFlight || sm.c.store.unavailable || !sm.c.membership.holdsLease(now) || now-sm.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	var to, others []string
 	alone := true
-	for _, node := range c.liveControllers() {
-		if node == c.node {
+	for _, node := range sm.c.membership.liveControllers() {
+		if node == sm.c.node {
 			continue
 		}
 		others = append(others, node)
-		if c.heardFromRecently(node, now) {
+		if sm.c.reachability.heardFromRecently(node, now) {
 			alone = false
-			if c.peerStatuses.status(node).reachability == WorkersReachable {
+			if sm.c.peerStatuses.status(node).reachability == WorkersReachable {
 				to = append(to, node)
 			}
 		}
@@ -192,9 +205,9 @@
 	}
 	successor := ""
 	var shards []*Shard
-	for _, name := range sortedKeys(c.mirror.Shards) {
-		shard := c.mirror.Shards[name]
-		if tracker := c.trackerOf(name); !c.ownsShard(shard) || tracker.commitInFlightSince != 0 || len(tracker.updatesInDoubt) > 0 || c.mirror.WatchedRevision < shard.Version {
+	for _, name := range sortedKeys(sm.c.mirror.Shards) {
+		shard := sm.c.mirror.Shards[name]
+		if tracker := sm.trackerOf(name); !sm.ownsShard(shard) || tracker.commitInFlightSince != 0 || len(tracker.updatesInDoubt) > 0 || sm.c.mirror.WatchedRevision < shard.Version {
 			continue
 		}
 		destination := rendezvousOwner(name, to)
@@ -208,16 +221,16 @@
 	if len(shards) == 0 {
 		return
 	}
-	member := c.mirror.Members[successor]
-	txn, taken := c.buildShardTransfer(shards, successor, member.Record.Incarnation)
+	member := sm.c.mirror.Members[successor]
+	txn, taken := sm.buildShardTransfer(shards, successor, member.Record.Incarnation)
 	txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindMember, successor), Version: member.Version})
-	c.quotaWriteInFlight = true
-	c.commitTxn(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
-		c.quotaWriteInFlight = false
-		c.schedulingNeeded = true
+	sm.c.quota.writeInFlight = true
+	sm.c.replica.commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
+		sm.c.quota.writeInFlight = false
+		sm.c.scheduler.passNeeded = true
 		if result.Outcome == protocol.OK {
-			c.log.Info("shards transferred", "to_node", successor, "shards", taken)
-			c.handOffShards(c.now())
+			sm.c.log.Info("shards transferred", "to_node", successor, "shards", taken)
+			sm.handOffShards(sm.c.now())
 		}
 	})
 }
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -134,7 +134,7 @@
 			}
 			if tc.workers && !tc.peers {
 				for _, n := range c.nodeNames {
-					if slices.Contains(c.nodes[n].controller.connectedControllers(), node) {
+					if slices.Contains(c.nodes[n].controller.reachability.connectedControllers(), node) {
 						t.Errorf("%s would give it machines and tasks", n)
 					}
 				}
@@ -153,7 +153,7 @@
 			if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 200 {
 				t.Errorf("not healthy after its return: %d", response.Status)
 			}
-			if c.nodes[node].controller.workersUnreachableSince != 0 {
+			if c.nodes[node].controller.reachability.workersUnreachableSince != 0 {
 				t.Error("it doesn't know that it reaches workers again")
 			}
 			if n := c.restartedTasks(service); n > 0 {
@@ -184,7 +184,7 @@
 			c.sim.Run(5 * second)
 			node, most := "", 0.0
 			for _, n := range c.nodeNames {
-				if a := c.nodes[n].controller.quotaShareOf(n, "tight").CPUs; a > most && c.ownedMachines(n) >= 3 {
+				if a := c.nodes[n].controller.quota.quotaShareOf(n, "tight").CPUs; a > most && c.ownedMachines(n) >= 3 {
 					node, most = n, a
 				}
 			}
@@ -202,7 +202,7 @@
 				other = c.nodeNames[1]
 			}
 			core := c.nodes[other].controller
-			if a := core.quotaShareOf(node, "tight").CPUs; a > 0 {
+			if a := core.quota.quotaShareOf(node, "tight").CPUs; a > 0 {
 				t.Errorf("it still has %v CPUs", a)
 			}
 			c.requireFinished(first, 60*second)
@@ -302,7 +302,7 @@
 			if n := c.cloud.MachineCount(); n < machines {
 				t.Errorf("%d machines left of %d", n, machines)
 			}
-			if c.nodes[node].controller.workersUnreachableSince != 0 || c.nodes[node].controller.mirror.Members[node].Version == 0 {
+			if c.nodes[node].controller.reachability.workersUnreachableSince != 0 || c.nodes[node].controller.mirror.Members[node].Version == 0 {
 				t.Error("it doesn't take part again")
 			}
 			c.requireNoViolations()
@@ -353,7 +353,7 @@
 	}
 	n := 0
 	for len(shards) > 0 {
-		txn, taken := core.buildShardTransfer(shards, "n-0", 1)
+		txn, taken := core.shards.buildShardTransfer(shards, "n-0", 1)
 		size := 0
 		for _, operation := range txn.Then {
 			size += len(operation.Value)
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -31,11 +31,11 @@
 		}
 		c.sendRequest("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
 		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, back)
-		if n := core.storeQueue.Len(ratelimit.PriorityUserRequest); n > core.maxQueuedUserCalls()+1 {
+		if n := core.store.queue.Len(ratelimit.PriorityUserRequest); n > core.api.maxQueuedUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
-		if len(core.pendingReads) > maxWaitingReaders {
-			t.Fatalf("%d polls wait", len(core.pendingReads))
+		if len(core.replica.pendingReads) > maxWaitingReaders {
+			t.Fatalf("%d polls wait", len(core.replica.pendingReads))
 		}
 	}
 	c.sim.Run(10 * second)
--- a/internal/coordination/runtime_estimates.go
+++ b/internal/coordination/runtime_estimates.go
@@ -10,7 +10,7 @@
 )
 
 // recordExit learns from how an attempt ended.
-func (c *Controller) recordExit(machine *Machine, job *Job, task TaskID, taskReport *protocol.TaskStatus) {
+func (sc *scheduler) recordExit(machine *Machine, job *Job, task TaskID, taskReport *protocol.TaskStatus) {
 	agent := machine.Agent
 	if agent.HasOutcome(AttemptID{task, taskReport.Attempt}) {
 		return
@@ -18,39 +18,39 @@
 	switch taskReport.Cause {
 	case protocol.CauseDone:
 		if at, ok := agent.RunningSince[AttemptID{task, taskReport.Attempt}]; ok && !job.Record.Spec.Service {
-			agent.recordSpeed((c.now() - at).Seconds(), c.expectedRunSeconds(&job.Record.Spec))
-			c.updateEstimateBias(&job.Record.Spec, (c.now() - at).Seconds())
+			agent.recordSpeed((sc.c.now() - at).Seconds(), sc.expectedRunSeconds(&job.Record.Spec))
+			sc.updateEstimateBias(&job.Record.Spec, (sc.c.now() - at).Seconds())
 		}
 		clear(agent.FailuresByJob)
-		if tracking := c.jobStates[job.ID]; tracking != nil {
+		if tracking := sc.jobStates[job.ID]; tracking != nil {
 			tracking.failedMachines, tracking.backoffDelay, tracking.retryAt = 0, 0, 0
 			clear(tracking.excludedMachines)
 		}
 	case protocol.CauseError:
-		c.counters.jobsFailed++
-		c.recordFailure(machine, job)
-		c.log.Debug("task failed", "task", task.String(), "attempt", taskReport.Attempt, "machine", machine.ID)
+		sc.c.counters.jobsFailed++
+		sc.recordFailure(machine, job)
+		sc.c.log.Debug("task failed", "task", task.String(), "attempt", taskReport.Attempt, "machine", machine.ID)
 	case protocol.CauseUnknown, protocol.CauseMachineFull, protocol.CauseBusy:
-		tracking := c.trackingOf(job.ID)
-		tracking.placeNotBefore = max(tracking.placeNotBefore, c.now()+500*monotime.Millisecond)
-		c.log.Debug("task start refused", "task", task.String(), "attempt", taskReport.Attempt,
+		tracking := sc.trackingOf(job.ID)
+		tracking.placeNotBefore = max(tracking.placeNotBefore, sc.c.now()+500*monotime.Millisecond)
+		sc.c.log.Debug("task start refused", "task", task.String(), "attempt", taskReport.Attempt,
 			"machine", machine.ID, "reason", taskReport.Cause)
 	}
 }
 
 // updateEstimateBias follows how far the owners' estimates of a class are off just now: on
 // some days they are mostly too high or mostly too low.
-func (c *Controller) updateEstimateBias(spec *storage.JobSpec, ran float64) {
+func (sc *scheduler) updateEstimateBias(spec *storage.JobSpec, ran float64) {
 	if spec.EstimateS <= 0 || ran <= 0 {
 		return
 	}
 	const weight = 0.05
-	c.estimateBias[spec.Class] += weight * (math.Log(ran/spec.EstimateS) - c.estimateBias[spec.Class])
+	sc.estimateBias[spec.Class] += weight * (math.Log(ran/spec.EstimateS) - sc.estimateBias[spec.Class])
 }
 
 // expectedRunSeconds is a task's estimate, corrected by what was learned.
-func (c *Controller) expectedRunSeconds(spec *storage.JobSpec) float64 {
-	return spec.EstimateS * math.Exp(min(max(c.estimateBias[spec.Class], -1), 1))
+func (sc *scheduler) expectedRunSeconds(spec *storage.JobSpec) float64 {
+	return spec.EstimateS * math.Exp(min(max(sc.estimateBias[spec.Class], -1), 1))
 }
 
 // jobTracking is what a controller notes about a job beside the store.
@@ -72,11 +72,11 @@
 	stolenUntil      monotime.Micros
 }
 
-func (c *Controller) trackingOf(id string) *jobTracking {
-	s := c.jobStates[id]
+func (sc *scheduler) trackingOf(id string) *jobTracking {
+	s := sc.jobStates[id]
 	if s == nil {
 		s = &jobTracking{excludedMachines: map[string]bool{}}
-		c.jobStates[id] = s
+		sc.jobStates[id] = s
 	}
 	return s
 }
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -19,40 +19,40 @@
 const scavengerStartDelay = monotime.Minute
 
 // isScavenger tells whether a job is idle-time work.
-func (c *Controller) isScavenger(job *Job) bool {
+func (sc *scheduler) isScavenger(job *Job) bool {
 	spec := &job.Record.Spec
 	if spec.Service || !spec.Spot || spec.Priority != int(protocol.BestEffort) || spec.DeadlineS > 0 {
 		return false
 	}
-	team, _ := c.teamLimits(spec.Team)
-	return team.guaranteedCPUs == 0 && team.guaranteedGPUs == 0 && math.IsInf(c.latestStarts(spec)[0], 1)
+	team, _ := sc.c.quota.teamLimits(spec.Team)
+	return team.guaranteedCPUs == 0 && team.guaranteedGPUs == 0 && math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1)
 }
 
 // spotOnly tells whether a job is held to spot machines and to what is there in any case:
 // idle-time work, once it has begun or as long as it needn't have.
-func (c *Controller) spotOnly(job *Job) bool {
-	return c.isScavenger(job) && (job.DoneTasks+job.AssignedTasks > 0 || monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay)
+func (sc *scheduler) spotOnly(job *Job) bool {
+	return sc.isScavenger(job) && (job.DoneTasks+job.AssignedTasks > 0 || monotime.Micros(sc.c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay)
 }
 
 // isPreemptible tells whether a job's tasks give way to arrays of higher priority: nobody has an aim
 // for them, their work can be saved, and their team uses more than it is owed. Work with an
 // aim of its own is late for it if it is stopped, and begins again only when as much room is
 // free at once: small urgent tasks had stopped tasks of whole machines hundreds of times.
-func (c *Controller) isPreemptible(job *Job) bool {
+func (sc *scheduler) isPreemptible(job *Job) bool {
 	spec := &job.Record.Spec
-	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() && math.IsInf(c.latestStarts(spec)[0], 1) && c.exceedsGuarantee(spec.Team, Resources{})
+	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() && math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1) && sc.exceedsGuarantee(spec.Team, Resources{})
 }
 
 // preemptibleBy tells whether a running task may be stopped for any of higher priority.
-func (c *Controller) preemptibleBy(job, victim *Job) bool {
-	return victim.Record.Spec.Priority < job.Record.Spec.Priority && c.isPreemptible(victim)
+func (sc *scheduler) preemptibleBy(job, victim *Job) bool {
+	return victim.Record.Spec.Priority < job.Record.Spec.Priority && sc.isPreemptible(victim)
 }
 
 // preemptScavengers stops work that gives way, so that up to want tasks of a job get room on
 // our machines: one look at each, as many tasks on each as it can make room for. It
 // tells whether room is being made.
-func (c *Controller) preemptScavengers(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, now monotime.Micros) bool {
-	if pending := c.preemptions[job.ID]; pending != nil && now < pending.expiresAt {
+func (sc *scheduler) preemptScavengers(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, now monotime.Micros) bool {
+	if pending := sc.preemptions[job.ID]; pending != nil && now < pending.expiresAt {
 		return true
 	}
 	made, on, save := 0, map[string]bool{}, 0.0
@@ -67,8 +67,8 @@
 		var victims []preemptionVictim
 		for task, attempt := range machine.Attempts {
 			key := AttemptID{task, attempt}
-			victim := c.mirror.Jobs[task.Job]
-			if victim == nil || !c.preemptibleBy(job, victim) || machine.Agent.HasOutcome(key) {
+			victim := sc.c.mirror.Jobs[task.Job]
+			if victim == nil || !sc.preemptibleBy(job, victim) || machine.Agent.HasOutcome(key) {
 				continue
 			}
 			if taskReport, reported := machine.Agent.ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
@@ -99,16 +99,16 @@
 		for _, victim := range victims[:taken] {
 			machine.Agent.StoppingAttempts[victim.attempt] = true
 			save = max(save, victim.lostCPUSeconds)
-			c.log.Debug("scavenger task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
+			sc.c.log.Debug("scavenger task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
 				"machine", machine.ID, "for_job", job.ID)
 		}
 		candidate.reservedForJob, on[machine.ID] = job.ID, true
-		c.syncCommands(machine)
+		sc.c.agents.syncCommands(machine)
 	}
 	if made == 0 {
 		return false
 	}
-	c.schedulingNeeded = true
-	c.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout + monotime.FromSeconds(save), on}
+	sc.passNeeded = true
+	sc.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout + monotime.FromSeconds(save), on}
 	return true
 }
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -19,7 +19,7 @@
 		now := c.sim.Now()
 		var own []*Shard
 		for _, name := range sortedKeys(core.mirror.Shards) {
-			if shard := core.mirror.Shards[name]; core.ownsShard(shard) {
+			if shard := core.mirror.Shards[name]; core.shards.ownsShard(shard) {
 				own = append(own, shard)
 			}
 		}
@@ -27,13 +27,13 @@
 			name string
 			run  func()
 		}{
-			{"order of jobs", func() { core.orderedQueue() }},
-			{"demand and room", func() { core.demandAndSupply(now) }},
-			{"offers", func() { core.availableOffers() }},
-			{"free capacity", func() { core.capacityByPartition() }},
+			{"order of jobs", func() { core.scheduler.orderedQueue() }},
+			{"demand and room", func() { core.autoscaler.demandAndSupply(now) }},
+			{"offers", func() { core.autoscaler.availableOffers() }},
+			{"free capacity", func() { core.scheduler.capacityByPartition() }},
 			{"shard updates", func() {
 				for _, shard := range own {
-					core.prepareShardUpdate(shard, now)
+					core.shards.prepareShardUpdate(shard, now)
 				}
 			}},
 			{"encoding shards", func() {
--- a/internal/coordination/scheduling_units_test.go
+++ b/internal/coordination/scheduling_units_test.go
@@ -154,13 +154,13 @@
 	c.start("n-0")
 	core := c.nodes["n-0"].controller
 	c.sim.Run(500 * second)
-	core.machineTypes = map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}}
+	core.catalog.machineTypes = map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}}
 	core.mirror.Machines["i-1"] = &Machine{ID: "i-1", Record: &storage.ShardMachine{Type: "m16", State: storage.MachineOpen}}
 	add := func(team string, age, cpus float64, tasks int) string {
 		id := fmt.Sprintf("j-%06d", len(core.mirror.Jobs))
 		core.mirror.Jobs[id] = &Job{ID: id, TaskStates: make([]uint8, tasks), TaskResources: Resources{CPUs: cpus}, Record: storage.OpenJob{
 			AcceptedAt: core.env.WallClock() - int64(age*float64(second)), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}}}
-		core.trackingOf(id).progressAt = core.now() // not hungry
+		core.scheduler.trackingOf(id).progressAt = core.now() // not hungry
 		return id
 	}
 	fresh := add("free", 5, 2, 1)
@@ -170,7 +170,7 @@
 	passed, waiting := add("free", 249, 1, 1), add("free", 80, 1, 1)
 	finish := add("free", 215, 1, 2) // its start is missed, not its end
 	place := map[string]int{}
-	for i, job := range core.orderedQueue() {
+	for i, job := range core.scheduler.orderedQueue() {
 		place[job.ID] = i
 	}
 	for _, tc := range []struct{ first, then string }{{small, fresh}, {finish, fresh}, {fresh, large}, {fresh, tight}, {fresh, passed}, {fresh, waiting}} {
@@ -214,12 +214,12 @@
 		candidates = append(candidates, &candidateMachine{machine: machine, record: machine.Record, update: update, freeResources: Resources{CPUs: 1}})
 	}
 	zones := newZoneConstraint(core.mirror, job)
-	if candidate := core.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != nil {
+	if candidate := core.scheduler.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != nil {
 		t.Errorf("%s has no room", candidate.machine.ID)
 	}
 	only := candidates[len(candidates)/3]
 	only.freeResources = Resources{CPUs: 2}
-	if candidate := core.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != only {
+	if candidate := core.scheduler.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != only {
 		t.Error("the one machine with room was not found")
 	}
 	for _, candidate := range candidates {
@@ -227,7 +227,7 @@
 	}
 	synced := map[string]bool{}
 	for i := 0; i < 20; i++ {
-		synced[core.chooseMachine(job, candidates, zones, nil, nil, true, false, false).machine.ID] = true
+		synced[core.scheduler.chooseMachine(job, candidates, zones, nil, nil, true, false, false).machine.ID] = true
 	}
 	if len(synced) < 5 {
 		t.Errorf("20 choices among equals fell on %d machines: no sample", len(synced))
@@ -239,7 +239,7 @@
 func TestScaleInDelayByPrice(t *testing.T) {
 	core := newCluster(t, 12).startWithLeader().nodes["n-0"].controller
 	core.settings.ScaleDownDelay = config.Duration(20 * second)
-	core.machineTypes = map[string]protocol.MachineType{
+	core.catalog.machineTypes = map[string]protocol.MachineType{
 		"both":    {Name: "both", CPUs: 8, OnDemandPrice: 1, SpotPrice: 0.25},
 		"no spot": {Name: "no spot", CPUs: 8, OnDemandPrice: 1},
 		"no gain": {Name: "no gain", CPUs: 8, OnDemandPrice: 1, SpotPrice: 1.5},
@@ -252,7 +252,7 @@
 		{"both", true, 20 * second}, {"both", false, 5 * second}, {"no spot", false, 20 * second},
 		{"no gain", false, 20 * second}, {"no gain", true, 20 * second}, {"unknown", false, 20 * second},
 	} {
-		if got := core.scaleInDelay(&storage.ShardMachine{Type: tc.typ, Spot: tc.spot}); got != tc.want {
+		if got := core.autoscaler.scaleInDelay(&storage.ShardMachine{Type: tc.typ, Spot: tc.spot}); got != tc.want {
 			t.Errorf("%s, spot %v: %v s", tc.typ, tc.spot, got.Seconds())
 		}
 	}
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -19,23 +19,23 @@
 
 // claimOrphanedShards claims the shards of our earlier lives, and those of controllers that
 // have gone and whose successor we are: whole shards, many to a commit.
-func (c *Controller) claimOrphanedShards(now monotime.Micros) {
-	if c.storeUnavailable || !c.holdsLease(now) {
+func (sm *shardManager) claimOrphanedShards(now monotime.Micros) {
+	if sm.c.store.unavailable || !sm.c.membership.holdsLease(now) {
 		return
 	}
-	controllers := c.connectedControllers()
+	controllers := sm.c.reachability.connectedControllers()
 	orphaned := map[string][]*Shard{}
-	for _, name := range sortedKeys(c.mirror.Shards) {
-		shard := c.mirror.Shards[name]
-		if owner := shard.Record.Owner; !c.shardClaimsInFlight[name] && c.isSuccessorFor(shard, controllers, now) && c.mirror.WatchedRevision >= shard.Version {
+	for _, name := range sortedKeys(sm.c.mirror.Shards) {
+		shard := sm.c.mirror.Shards[name]
+		if owner := shard.Record.Owner; !sm.claimsInFlight[name] && sm.isSuccessorFor(shard, controllers, now) && sm.c.mirror.WatchedRevision >= shard.Version {
 			orphaned[owner] = append(orphaned[owner], shard)
 		}
 	}
 	for _, owner := range sortedKeys(orphaned) {
 		shards := orphaned[owner]
 		for len(shards) > 0 {
-			shards = shards[c.claimShards(owner, shards):]
-			if owner != c.node {
+			shards = shards[sm.claimShards(owner, shards):]
+			if owner != sm.c.node {
 				break // one commit at a time, the shares must not conflict
 			}
 		}
@@ -44,38 +44,38 @@
 
 // isSuccessorFor tells whether we are to claim a shard whose owner has gone: an earlier
 // incarnation of ours, or another controller and we are its successor.
-func (c *Controller) isSuccessorFor(shard *Shard, controllers []string, now monotime.Micros) bool {
+func (sm *shardManager) isSuccessorFor(shard *Shard, controllers []string, now monotime.Micros) bool {
 	owner := shard.Record.Owner
-	if owner == c.node {
-		return shard.Record.Incarnation != c.incarnation
+	if owner == sm.c.node {
+		return shard.Record.Incarnation != sm.c.incarnation
 	}
-	if c.isMember(owner) {
+	if sm.c.membership.isMember(owner) {
 		return false
 	}
-	return now-c.absentSince(owner, now) > monotime.Second && rendezvousOwner(shard.Name, controllers) == c.node
+	return now-sm.c.membership.absentSince(owner, now) > monotime.Second && rendezvousOwner(shard.Name, controllers) == sm.c.node
 }
 
 // claimShards takes over shards of one owner, as many as a commit takes.
-func (c *Controller) claimShards(owner string, shards []*Shard) int {
-	txn, n := c.buildShardTransfer(shards, c.node, c.incarnation)
+func (sm *shardManager) claimShards(owner string, shards []*Shard) int {
+	txn, n := sm.buildShardTransfer(shards, sm.c.node, sm.c.incarnation)
 	shards = shards[:n]
 	for _, shard := range shards {
-		c.shardClaimsInFlight[shard.Name] = true
+		sm.claimsInFlight[shard.Name] = true
 	}
-	c.commitTxn(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
+	sm.c.replica.commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
 		machines := 0
 		for _, shard := range shards {
-			delete(c.shardClaimsInFlight, shard.Name)
+			delete(sm.claimsInFlight, shard.Name)
 			if result.Outcome != protocol.OK {
 				continue
 			}
 			for _, id := range sortedKeys(shard.Record.Machines) {
 				machines++
-				c.probeAgent(c.mirror.Machines[id], owner == c.node)
+				sm.c.agents.probeAgent(sm.c.mirror.Machines[id], owner == sm.c.node)
 			}
 		}
 		if result.Outcome == protocol.OK {
-			c.log.Info("shards claimed", "from_node", owner, "shards", len(shards), "machines", machines)
+			sm.c.log.Info("shards claimed", "from_node", owner, "shards", len(shards), "machines", machines)
 		}
 	})
 	return n
@@ -85,12 +85,12 @@
 // conditional write that raises their claim numbers, so that tokens of any earlier
 // owner are outranked, with the shares of the teams' limits that their attempts use.
 // As many shards as a commit takes go at once.
-func (c *Controller) buildShardTransfer(shards []*Shard, to string, incarnation uint64) (txn protocol.Transaction, taken int) {
+func (sm *shardManager) buildShardTransfer(shards []*Shard, to string, incarnation uint64) (txn protocol.Transaction, taken int) {
 	useByTeam := map[string]Resources{}
 	bytes := 0
 	from := shards[0].Record.Owner
-	most := c.cfg.Facts.State.TxnOps - 2 // two partitions' shares follow
-	if from == to || c.now()-c.lastThrottledAt < recentThrottleWindow {
+	most := sm.c.cfg.Facts.State.TxnOps - 2 // two partitions' shares follow
+	if from == to || sm.c.now()-sm.c.store.lastThrottledAt < recentThrottleWindow {
 		most = min(most, maxShardsWhenThrottled)
 	}
 	for _, shard := range shards {
@@ -114,7 +114,7 @@
 		}
 	}
 	if from != to {
-		c.transferQuotaShares(&txn, map[string]bool{}, from, to, useByTeam)
+		sm.c.quota.transferQuotaShares(&txn, map[string]bool{}, from, to, useByTeam)
 	}
 	return txn, taken
 }
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -12,6 +12,19 @@
 	"pipitgap/internal/storage"
 )
 
+// shardManager owns the shards of this controller: their updates in doubt, claims of machines, and how shards change hands.
+type shardManager struct {
+	c *Controller
+
+	trackers        map[string]*shardTracker
+	newShards       map[string]*storage.Shard // new shards that the mirror hasn't yet
+	shardSequence   int
+	takeoverLimiter takeoverLimiter
+	claimRequests   map[string]*claimRequest
+	claimsObserved  map[string]observedClaim
+	claimsInFlight  map[string]bool // shards being taken over
+}
+
 // Bounds of shards and turns.
 const (
 	maxInFlightCommitWait    = 600 * monotime.Millisecond // a commit in flight holds the next pass up for so long
@@ -110,15 +123,15 @@
 }
 
 // ownsShard tells whether a shard is ours, in this life of ours.
-func (c *Controller) ownsShard(shard *Shard) bool {
-	return shard.Record.Owner == c.node && shard.Record.Incarnation == c.incarnation
+func (sm *shardManager) ownsShard(shard *Shard) bool {
+	return shard.Record.Owner == sm.c.node && shard.Record.Incarnation == sm.c.incarnation
 }
 
-func (c *Controller) trackerOf(name string) *shardTracker {
-	tracker := c.shardTrackers[name]
+func (sm *shardManager) trackerOf(name string) *shardTracker {
+	tracker := sm.trackers[name]
 	if tracker == nil {
 		tracker = &shardTracker{}
-		c.shardTrackers[name] = tracker
+		sm.trackers[name] = tracker
 	}
 	return tracker
 }
@@ -146,24 +159,24 @@
 
 // onShardChange follows a change of a shard: whose machines they are now, and that
 // what was in doubt about the version before is settled.
-func (c *Controller) onShardChange(name string) {
-	shard := c.mirror.Shards[name]
-	if tracker := c.shardTrackers[name]; tracker != nil {
-		tracker.resolveUpdates(c.mirror.VersionOf(storage.Key(storage.KindShard, name)))
+func (sm *shardManager) onShardChange(name string) {
+	shard := sm.c.mirror.Shards[name]
+	if tracker := sm.trackers[name]; tracker != nil {
+		tracker.resolveUpdates(sm.c.mirror.VersionOf(storage.Key(storage.KindShard, name)))
 	}
 	if shard == nil {
-		delete(c.shardTrackers, name)
-		delete(c.claimsObserved, name)
+		delete(sm.trackers, name)
+		delete(sm.claimsObserved, name)
 		return
 	}
-	delete(c.newShards, name)
-	if seen := c.claimsObserved[name]; seen.number != shard.Record.Claim || seen.incarnation != shard.Record.Incarnation {
-		c.claimsObserved[name] = observedClaim{shard.Record.Claim, shard.Record.Incarnation, c.now()}
+	delete(sm.newShards, name)
+	if seen := sm.claimsObserved[name]; seen.number != shard.Record.Claim || seen.incarnation != shard.Record.Incarnation {
+		sm.claimsObserved[name] = observedClaim{shard.Record.Claim, shard.Record.Incarnation, sm.c.now()}
 	}
-	mine := c.ownsShard(shard)
+	mine := sm.ownsShard(shard)
 	for id := range shard.Record.Machines {
-		if machine := c.mirror.Machines[id]; machine != nil && (mine || machine.Agent != nil) {
-			c.updateAgentOwnership(machine)
+		if machine := sm.c.mirror.Machines[id]; machine != nil && (mine || machine.Agent != nil) {
+			sm.c.agents.updateAgentOwnership(machine)
 		}
 	}
 }
@@ -173,37 +186,37 @@
 // changed is written once. However many tasks start and end, that is what it
 // costs; when there is more to write than the state service takes, passes come
 // less often and each carries more.
-func (c *Controller) runSchedulingPass(now monotime.Micros) {
-	if c.storeUnavailable || !c.holdsLease(now) || c.quotaWriteInFlight {
+func (sc *scheduler) runPass(now monotime.Micros) {
+	if sc.c.store.unavailable || !sc.c.membership.holdsLease(now) || sc.c.quota.writeInFlight {
 		return // assignments depend on the shares being written just now
 	}
-	for name, tracker := range c.shardTrackers {
+	for name, tracker := range sc.c.shards.trackers {
 		if tracker.commitInFlightSince != 0 && now-tracker.commitInFlightSince < maxInFlightCommitWait {
 			return // placing on some shards only would miss what the others have
 		}
-		if tracker.commitInFlightSince == 0 && len(tracker.updatesInDoubt) == 0 && c.mirror.Shards[name] == nil && c.newShards[name] == nil {
-			delete(c.shardTrackers, name)
+		if tracker.commitInFlightSince == 0 && len(tracker.updatesInDoubt) == 0 && sc.c.mirror.Shards[name] == nil && sc.c.shards.newShards[name] == nil {
+			delete(sc.c.shards.trackers, name)
 		}
 	}
-	c.schedulingNeeded = false
+	sc.passNeeded = false
 	var updates []*ShardUpdate
-	for _, name := range sortedKeys(c.mirror.Shards) {
-		if shard := c.mirror.Shards[name]; c.ownsShard(shard) && c.trackerOf(name).commitInFlightSince == 0 {
-			update := c.prepareShardUpdate(shard, now)
-			update.PlannedBytes = c.plannedShardBytes(update.Next)
+	for _, name := range sortedKeys(sc.c.mirror.Shards) {
+		if shard := sc.c.mirror.Shards[name]; sc.c.shards.ownsShard(shard) && sc.c.shards.trackerOf(name).commitInFlightSince == 0 {
+			update := sc.c.shards.prepareShardUpdate(shard, now)
+			update.PlannedBytes = sc.c.shards.plannedShardBytes(update.Next)
 			updates = append(updates, update)
 		}
 	}
-	for _, name := range sortedKeys(c.newShards) {
-		if tracker := c.trackerOf(name); tracker.commitInFlightSince == 0 {
-			update := NewShardUpdate(name, nil, c.newShards[name])
+	for _, name := range sortedKeys(sc.c.shards.newShards) {
+		if tracker := sc.c.shards.trackerOf(name); tracker.commitInFlightSince == 0 {
+			update := NewShardUpdate(name, nil, sc.c.shards.newShards[name])
 			update.Changed, update.Next.Machines, update.Next.Jobs = true, map[string]*storage.ShardMachine{}, map[string]*storage.ShardJob{}
 			update.MaxBytes = update.Next.MaxEncodedSize()
 			updates = append(updates, update)
 		}
 	}
-	updates = c.admitClaimRequests(updates, now)
-	c.placeTasks(updates, now)
+	updates = sc.c.shards.admitClaimRequests(updates, now)
+	sc.placeTasks(updates, now)
 	written := 0
 	// Those that take machines over change our shares of the teams' limits, which the
 	// others' assignments ask for: they go last, or all others would fail.
@@ -211,39 +224,39 @@
 		for _, update := range updates {
 			if update.Changed && (len(update.Txn.Then) > 0) == moving {
 				written++
-				c.commitShardUpdate(update, now)
+				sc.c.shards.commitShardUpdate(update, now)
 			}
 		}
 	}
-	c.nextSchedulingPassAt = now + max(2*fastTickInterval, monotime.FromSeconds(float64(written)/c.shardWriteRate()))
+	sc.nextPassAt = now + max(2*fastTickInterval, monotime.FromSeconds(float64(written)/sc.c.store.shardWriteRate()))
 }
 
 // prepareShardUpdate prepares the next version of a shard: outcomes, machines proven gone,
 // states, and entries of jobs that are over.
-func (c *Controller) prepareShardUpdate(shard *Shard, now monotime.Micros) *ShardUpdate {
+func (sm *shardManager) prepareShardUpdate(shard *Shard, now monotime.Micros) *ShardUpdate {
 	update := NewShardUpdate(shard.Name, shard, shard.Record.Clone())
-	tracker := c.trackerOf(shard.Name)
+	tracker := sm.trackerOf(shard.Name)
 	update.Changed = len(tracker.updatesInDoubt) > 0 // writing it anew settles what became of that
 	release := func(machine *Machine, task TaskID, done bool) {
 		update.Changed = true
 		update.ReleasedTasks[task] = true
-		update.UnpermittedLosses = c.drains.recordLoss(update.UnpermittedLosses, machine, task)
+		update.UnpermittedLosses = sm.c.drains.recordLoss(update.UnpermittedLosses, machine, task)
 		update.Next.Release(task.Job, task.Index, done)
 		if done {
 			update.CompletedTaskJobs[task.Job] = true
 		}
-		if job := c.mirror.Jobs[task.Job]; job != nil {
+		if job := sm.c.mirror.Jobs[task.Job]; job != nil {
 			update.FreedByMachine[machine.ID] = update.FreedByMachine[machine.ID].AddScaled(job.TaskResources, 1)
 			update.FreedByTeam[job.Record.Spec.Team] = update.FreedByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
 		}
 	}
 	marked := false
 	for _, id := range sortedKeys(shard.Record.Machines) {
-		machine := c.mirror.Machines[id]
+		machine := sm.c.mirror.Machines[id]
 		if machine == nil || machine.Shard != shard {
 			continue
 		}
-		if removal := c.mirror.ScaleIns[c.mirror.ScaleInOfMachine[id]]; removal != nil && removal.Record.Gone {
+		if removal := sm.c.mirror.ScaleIns[sm.c.mirror.ScaleInOfMachine[id]]; removal != nil && removal.Record.Gone {
 			for task := range machine.Attempts {
 				release(machine, task, false)
 			}
@@ -262,22 +275,22 @@
 			}
 			release(machine, key.Task, outcome == OutcomeCompleted)
 		}
-		if want := c.desiredMachineState(machine); want != machine.Record.State {
+		if want := sm.c.agents.desiredMachineState(machine); want != machine.Record.State {
 			update.Next.SetMachineState(id, want)
 			update.Changed = true
 		}
-		if c.drains.updateStartingMarks(update.Next, machine, now) {
+		if sm.c.drains.updateStartingMarks(update.Next, machine, now) {
 			marked = true
 		}
 	}
 	stale := 0
-	if marked && c.drains.hasWork() {
+	if marked && sm.c.drains.hasWork() {
 		update.Changed = true // a drain waits for that
 	} else if marked {
 		stale++
 	}
 	for id, entry := range shard.Record.Jobs {
-		if c.mirror.Jobs[id] == nil && len(entry.Attempts) == 0 && c.mirror.WatchedRevision >= shard.Version {
+		if sm.c.mirror.Jobs[id] == nil && len(entry.Attempts) == 0 && sm.c.mirror.WatchedRevision >= shard.Version {
 			delete(update.Next.Jobs, id)
 			stale++
 		}
@@ -296,27 +309,27 @@
 func (c *Controller) maxValueBytes() int { return int(c.cfg.Facts.State.ValueKB * 1024) }
 
 // shardBytesForMachine is the room that a machine of a type needs in a shard.
-func (c *Controller) shardBytesForMachine(typeName string) int {
-	return bytesPerMachine + bytesPerCPU*int(c.machineTypes[typeName].CPUs)
+func (sm *shardManager) shardBytesForMachine(typeName string) int {
+	return bytesPerMachine + bytesPerCPU*int(sm.c.catalog.machineTypes[typeName].CPUs)
 }
 
 // plannedShardBytes is the room that a shard's machines will need once they are full. Going by
 // what they take while they are empty put a third more of them into a shard than it
 // had room for the tasks of: they stood half empty beside waiting tasks.
-func (c *Controller) plannedShardBytes(shardRecord *storage.Shard) int {
+func (sm *shardManager) plannedShardBytes(shardRecord *storage.Shard) int {
 	n := 0
 	for _, machineRecord := range shardRecord.Machines {
-		n += c.shardBytesForMachine(machineRecord.Type)
+		n += sm.shardBytesForMachine(machineRecord.Type)
 	}
 	return n
 }
 
 // commitShardUpdate commits an update.
-func (c *Controller) commitShardUpdate(update *ShardUpdate, now monotime.Micros) {
-	tracker := c.trackerOf(update.Name)
+func (sm *shardManager) commitShardUpdate(update *ShardUpdate, now monotime.Micros) {
+	tracker := sm.trackerOf(update.Name)
 	key := storage.Key(storage.KindShard, update.Name)
 	if update.Previous == nil && len(update.Next.Machines) == 0 && len(tracker.updatesInDoubt) == 0 {
-		delete(c.newShards, update.Name)
+		delete(sm.newShards, update.Name)
 		return
 	}
 	txn := update.Txn
@@ -325,67 +338,67 @@
 		txn.Then = append(txn.Then, protocol.Op{Delete: key})
 	} else {
 		encoded, size := update.Next.Encode()
-		if size > c.maxValueBytes() {
+		if size > sm.c.maxValueBytes() {
 			// The bound on what is assigned keeps this from happening.
-			c.log.Error("shard exceeds value size limit", "shard", update.Name, "bytes", size)
+			sm.c.log.Error("shard exceeds value size limit", "shard", update.Name, "bytes", size)
 		}
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
 	tracker.commitInFlightSince, tracker.updatesInDoubt = max(now, 1), append(tracker.updatesInDoubt, update)
-	c.commitTxn(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+	sm.c.replica.commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		tracker.commitInFlightSince = 0
-		c.schedulingNeeded = true
+		sm.c.scheduler.passNeeded = true
 		if len(update.Txn.Then) > 0 {
-			c.takeoverLimiter.recordOutcome(result)
+			sm.takeoverLimiter.recordOutcome(result)
 		}
 		if result.Outcome != protocol.Unknown && result.Outcome != protocol.OK {
 			tracker.removeUpdate(update)
 		}
 		switch result.Outcome {
 		case protocol.OK:
-			c.counters.tasksPlaced += len(update.AssignedTasks)
-			c.drains.countCommittedLosses(update.UnpermittedLosses)
+			sm.c.counters.tasksPlaced += len(update.AssignedTasks)
+			sm.c.drains.countCommittedLosses(update.UnpermittedLosses)
 			for _, id := range sortedKeys(update.CompletedTaskJobs) {
-				c.completeJobIfDone(id)
+				sm.c.api.completeJobIfDone(id)
 			}
 			for _, id := range sortedKeys(update.AdmittedMachines) {
-				c.completeClaimRequest(id, true)
+				sm.completeClaimRequest(id, true)
 			}
 			for _, id := range sortedKeys(update.MachinesToSync) {
-				if machine := c.mirror.Machines[id]; machine != nil {
-					c.syncCommands(machine)
+				if machine := sm.c.mirror.Machines[id]; machine != nil {
+					sm.c.agents.syncCommands(machine)
 				}
 			}
-			if c.log.Enabled(context.Background(), slog.LevelDebug) {
-				c.log.Debug("shard committed", "shard", update.Name,
+			if sm.c.log.Enabled(context.Background(), slog.LevelDebug) {
+				sm.c.log.Debug("shard committed", "shard", update.Name,
 					"assigned", update.describeTasks(update.AssignedTasks), "released", update.describeTasks(update.ReleasedTasks),
 					"machines_claimed", len(update.AdmittedMachines), "max_bytes", update.MaxBytes)
 			}
 		case protocol.Unknown:
-			tracker.resolveUpdates(c.mirror.VersionOf(key))
+			tracker.resolveUpdates(sm.c.mirror.VersionOf(key))
 		case protocol.Conflict:
-			c.log.Debug("shard compare-and-swap conflict", "shard", update.Name, "failed_keys", result.Failed)
+			sm.c.log.Debug("shard compare-and-swap conflict", "shard", update.Name, "failed_keys", result.Failed)
 			for _, k := range result.Failed {
 				// The next pass would decide on the same outdated record.
 				if kind, name, _ := storage.SplitKey(k); kind == storage.KindOpenJob {
-					c.trackingOf(name).placeNotBefore = max(c.trackingOf(name).placeNotBefore, c.now()+c.minWatchInterval)
+					sm.c.scheduler.trackingOf(name).placeNotBefore = max(sm.c.scheduler.trackingOf(name).placeNotBefore, sm.c.now()+sm.c.replica.minWatchInterval)
 				}
 			}
-			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+c.minWatchInterval/2)
+			sm.c.scheduler.nextPassAt = max(sm.c.scheduler.nextPassAt, sm.c.now()+sm.c.replica.minWatchInterval/2)
 		case protocol.Rejected:
-			c.log.Error("shard rejected by state service", "shard", update.Name)
-			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+monotime.Second)
+			sm.c.log.Error("shard rejected by state service", "shard", update.Name)
+			sm.c.scheduler.nextPassAt = max(sm.c.scheduler.nextPassAt, sm.c.now()+monotime.Second)
 		default:
-			c.nextSchedulingPassAt = max(c.nextSchedulingPassAt, c.now()+300*monotime.Millisecond)
+			sm.c.scheduler.nextPassAt = max(sm.c.scheduler.nextPassAt, sm.c.now()+300*monotime.Millisecond)
 		}
 	})
 }
 
 // tasksInDoubt lists the tasks that a commit in doubt or in flight may have given
 // to a machine: until that is settled no other may.
-func (c *Controller) tasksInDoubt() map[TaskID]bool {
+func (sm *shardManager) tasksInDoubt() map[TaskID]bool {
 	out := map[TaskID]bool{}
-	for _, tracker := range c.shardTrackers {
+	for _, tracker := range sm.trackers {
 		for _, update := range tracker.updatesInDoubt {
 			for task := range update.AssignedTasks {
 				out[task] = true
@@ -394,3 +407,15 @@
 	}
 	return out
 }
+
+func newShardManager(c *Controller) *shardManager {
+	return &shardManager{
+		c:               c,
+		trackers:        map[string]*shardTracker{},
+		newShards:       map[string]*storage.Shard{},
+		takeoverLimiter: newTakeoverLimiter(c.cfg.Facts.State.TxnOps),
+		claimRequests:   map[string]*claimRequest{},
+		claimsObserved:  map[string]observedClaim{},
+		claimsInFlight:  map[string]bool{},
+	}
+}
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -221,9 +221,9 @@
 		outcome protocol.Outcome
 		want    int
 	}{{ok, 4}, {conflict, 2}, {conflict, 1}, {conflict, 1}, {protocol.Unknown, 1}, {ok, 2}, {ok, 4}, {ok, 4}} {
-		core.takeoverLimiter.recordOutcome(protocol.StoreResult{Outcome: step.outcome})
-		if core.takeoverLimiter.sourceLimit != step.want {
-			t.Errorf("step %d: from %d shards, want %d", i, core.takeoverLimiter.sourceLimit, step.want)
+		core.shards.takeoverLimiter.recordOutcome(protocol.StoreResult{Outcome: step.outcome})
+		if core.shards.takeoverLimiter.sourceLimit != step.want {
+			t.Errorf("step %d: from %d shards, want %d", i, core.shards.takeoverLimiter.sourceLimit, step.want)
 		}
 	}
 }
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -20,24 +20,24 @@
 		return
 	}
 	s := ""
-	for i, job := range c.orderedQueue() {
+	for i, job := range c.scheduler.orderedQueue() {
 		if i == 12 {
 			break
 		}
-		slack, missed := c.slackOf(job, c.env.WallClock())
+		slack, missed := c.autoscaler.slackOf(job, c.env.WallClock())
 		s += fmt.Sprintf(" %s(%s %s age %.0f slack %.0f missed %d"+
 			" starved %v within_guarantee %v waiting %d pending_here %d"+
 			" backoff_ms %d update_in_flight %v mirror_stale %v)",
 			job.ID, job.Record.Spec.Class, job.Record.Spec.Team,
-			monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt).Seconds(), slack, missed, c.isStarved(job, c.now()), c.withinGuarantee(job), job.UnassignedTasks(), job.PendingInPartition(c.node),
-			max(0, c.trackingOf(job.ID).placeNotBefore-c.now()).Milliseconds(), c.recordWritesInFlight[job.ID], c.mirror.WatchedRevision < job.Version)
+			monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt).Seconds(), slack, missed, c.scheduler.isStarved(job, c.now()), c.scheduler.withinGuarantee(job), job.UnassignedTasks(), job.PendingInPartition(c.node),
+			max(0, c.scheduler.trackingOf(job.ID).placeNotBefore-c.now()).Milliseconds(), c.recordWritesInFlight[job.ID], c.mirror.WatchedRevision < job.Version)
 	}
 	shares := ""
 	for i := range c.cfg.Facts.Teams {
 		team := c.cfg.Facts.Teams[i].Name
-		if limit, _ := c.teamLimits(team); limit.hasLimit() {
+		if limit, _ := c.quota.teamLimits(team); limit.hasLimit() {
 			shares += fmt.Sprintf(" %s share %.0f unused %.0f unassigned %.0f", team,
-				c.quotaShareOf(c.node, team).CPUs, c.quotaLeft(team).CPUs, c.unallocatedQuota(team).CPUs)
+				c.quota.quotaShareOf(c.node, team).CPUs, c.quota.quotaLeft(team).CPUs, c.quota.unallocatedQuota(team).CPUs)
 		}
 	}
 	c.log.Debug("queue head", "queue", s, "quota_shares", shares)
@@ -47,7 +47,7 @@
 func (c *Controller) Summary() string {
 	shards, waiting, running, used, all := 0, 0, 0, 0.0, 0.0
 	for _, shard := range c.mirror.Shards {
-		if c.ownsShard(shard) {
+		if c.shards.ownsShard(shard) {
 			shards++
 		}
 	}
@@ -60,7 +60,7 @@
 	for _, machine := range c.mirror.Machines {
 		if machine.Record != nil {
 			used += machine.Used.CPUs
-			all += c.machineTypes[machine.Record.Type].CPUs
+			all += c.catalog.machineTypes[machine.Record.Type].CPUs
 		}
 	}
 	s := fmt.Sprintf("jobs %d waiting %d running %d machines %d cpus %.0f/%.0f members %d shards %d"+
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -22,14 +22,14 @@
 // assignTaskRanges divides a new job among the partitions: whole to the one with most room, or
 // what the parts have room for, and the rest evenly. A job too large for any part
 // is so spread over all of them, and what binds stays in its own record.
-func (c *Controller) assignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
+func (sc *scheduler) assignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
 	n := spec.Tasks
-	controllers := c.connectedControllers()
+	controllers := sc.c.reachability.connectedControllers()
 	if n == 1 || spec.OneZone || spec.Spread || len(controllers) == 0 {
-		return []storage.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
+		return []storage.TaskRange{{First: 0, End: n, Partition: sc.partitionForNewJob(spec)}}
 	}
-	capacities := c.capacityByPartition()
-	backlog := c.backlogCPUs()
+	capacities := sc.capacityByPartition()
+	backlog := sc.backlogCPUs()
 	type partition struct {
 		name       string
 		room, size int
@@ -45,7 +45,7 @@
 		partitions[i].room = max(0, partitions[i].room)
 	}
 	if n <= partitions[0].room || spec.Service {
-		return []storage.TaskRange{{First: 0, End: n, Partition: c.partitionForNewJob(spec)}}
+		return []storage.TaskRange{{First: 0, End: n, Partition: sc.partitionForNewJob(spec)}}
 	}
 	left := n
 	for i := range partitions {
@@ -72,10 +72,10 @@
 }
 
 // backlogCPUs is the CPUs that each partition's waiting tasks will take.
-func (c *Controller) backlogCPUs() map[string]float64 {
+func (sc *scheduler) backlogCPUs() map[string]float64 {
 	out := map[string]float64{}
-	for _, job := range c.mirror.Jobs {
-		if !job.IsOpen() || job.UnassignedTasks() == 0 || c.isCrashLooping(job) {
+	for _, job := range sc.c.mirror.Jobs {
+		if !job.IsOpen() || job.UnassignedTasks() == 0 || sc.isCrashLooping(job) {
 			continue
 		}
 		for _, taskRange := range job.Record.TaskRanges {
@@ -96,29 +96,29 @@
 // reassignTaskRanges changes which parts place a job's tasks. Whatever a range's owner assigned
 // before stands in the shards by then, whatever it would assign after fails on the
 // record's version; so the new owner may begin once its mirror has come that far.
-func (c *Controller) reassignTaskRanges(job *Job, ranges []storage.TaskRange) bool {
+func (sc *scheduler) reassignTaskRanges(job *Job, ranges []storage.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
 	// handing a job to and fro without ever starting it.
-	if c.recordWritesInFlight[job.ID] || c.jobsInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
+	if sc.c.recordWritesInFlight[job.ID] || sc.jobsInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
 		return false
 	}
 	record := job.Record
 	record.TaskRanges = ranges
 	value := protocol.MustMarshal(&record)
-	if 2*len(value) > c.maxValueBytes() {
+	if 2*len(value) > sc.c.maxValueBytes() {
 		return false
 	}
-	c.recordWritesInFlight[job.ID] = true
+	sc.c.recordWritesInFlight[job.ID] = true
 	key := storage.Key(storage.KindOpenJob, job.ID)
-	c.commitTxn(ratelimit.PriorityShardUpdate, protocol.Transaction{
+	sc.c.replica.commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Put: key, Value: value}},
 	}, func(result protocol.StoreResult) {
-		delete(c.recordWritesInFlight, job.ID)
-		c.schedulingNeeded = true
+		delete(sc.c.recordWritesInFlight, job.ID)
+		sc.passNeeded = true
 		if result.Outcome == protocol.OK {
-			c.log.Debug("task ranges reassigned", "job", job.ID, "ranges", fmt.Sprint(ranges))
+			sc.c.log.Debug("task ranges reassigned", "job", job.ID, "ranges", fmt.Sprint(ranges))
 		}
 	})
 	return true
@@ -127,42 +127,42 @@
 // nextAllowedAt tells when something that costs a change may be done again, if all
 // controllers together may spend that partition of the store's changes on it: what is
 // spent here the shards lack.
-func (c *Controller) nextAllowedAt(fraction float64) monotime.Micros {
-	return c.now() + monotime.FromSeconds(float64(c.budgetSharers)/(fraction*c.cfg.Facts.State.WriteRPS))
+func (cl *storeClient) nextAllowedAt(fraction float64) monotime.Micros {
+	return cl.c.now() + monotime.FromSeconds(float64(cl.budgetSharers)/(fraction*cl.c.cfg.Facts.State.WriteRPS))
 }
 
 // adoptOrphanedTasks takes over the waiting tasks of parts that have gone, or don't reach
 // their machines. Each job has
 // one successor for that, whether it has room for them or not: only their owner makes
 // room for services by stopping others' work, or rents for nobody else to place.
-func (c *Controller) adoptOrphanedTasks(jobs []*Job, now monotime.Micros) {
-	controllers := c.connectedControllers()
+func (sc *scheduler) adoptOrphanedTasks(jobs []*Job, now monotime.Micros) {
+	controllers := sc.c.reachability.connectedControllers()
 	for _, job := range jobs {
-		if now < c.nextOrphanedTasksTakeoverAt {
+		if now < sc.nextOrphanedTasksTakeoverAt {
 			return
 		}
-		if c.recordWritesInFlight[job.ID] || c.mirror.WatchedRevision < job.Version || rendezvousOwner(job.ID, controllers) != c.node {
+		if sc.c.recordWritesInFlight[job.ID] || sc.c.mirror.WatchedRevision < job.Version || rendezvousOwner(job.ID, controllers) != sc.c.node {
 			continue
 		}
 		ranges := job.Record.TaskRanges
 		for _, taskRange := range job.Record.TaskRanges {
-			if !c.isMember(taskRange.Partition) && now-c.absentSince(taskRange.Partition, now) > monotime.Second || c.isCutOffFromWorkers(taskRange.Partition, now) {
-				ranges = storage.AssignRange(ranges, taskRange.First, taskRange.End, c.node)
+			if !sc.c.membership.isMember(taskRange.Partition) && now-sc.c.membership.absentSince(taskRange.Partition, now) > monotime.Second || sc.c.reachability.isCutOffFromWorkers(taskRange.Partition, now) {
+				ranges = storage.AssignRange(ranges, taskRange.First, taskRange.End, sc.c.node)
 			}
 		}
 		if len(ranges) != len(job.Record.TaskRanges) || !sameTaskRanges(ranges, job.Record.TaskRanges) {
-			if c.reassignTaskRanges(job, ranges) {
-				c.nextOrphanedTasksTakeoverAt = c.nextAllowedAt(0.4)
+			if sc.reassignTaskRanges(job, ranges) {
+				sc.nextOrphanedTasksTakeoverAt = sc.c.store.nextAllowedAt(0.4)
 			}
 		}
 	}
 }
 
 // absentSince tells since when a controller is missed.
-func (c *Controller) absentSince(node string, now monotime.Micros) monotime.Micros {
-	at, ok := c.missingSince[node]
+func (m *membership) absentSince(node string, now monotime.Micros) monotime.Micros {
+	at, ok := m.missingSince[node]
 	if !ok {
-		c.missingSince[node], at = now, now
+		m.missingSince[node], at = now, now
 	}
 	return at
 }
@@ -180,25 +180,25 @@
 // that have gone, have no room for them, or haven't used what they seem to have.
 // That hands tasks on in one write, at the time when there is room, and lets each
 // part's room go to the most urgent tasks of all.
-func (c *Controller) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]Resources, now monotime.Micros) {
+func (sc *scheduler) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]Resources, now monotime.Micros) {
 	freeCPUs := reserved.totalCPUs()
 	for _, candidate := range candidates {
 		if !candidate.heldBack && candidate.reservedForJob == "" {
 			freeCPUs += max(0, candidate.freeResources.CPUs)
 		}
 	}
-	if freeCPUs < resourceTolerance || now < c.nextWorkStealAt {
+	if freeCPUs < resourceTolerance || now < sc.nextWorkStealAt {
 		return
 	}
-	capacities := c.capacityByPartition()
-	wall := c.env.WallClock()
+	capacities := sc.capacityByPartition()
+	wall := sc.c.env.WallClock()
 	for _, job := range jobs {
-		if now < c.nextWorkStealAt {
+		if now < sc.nextWorkStealAt {
 			return
 		}
 		if job.TaskResources.CPUs <= freeCPUs+resourceTolerance {
 			reserved.release(job)
-			c.stealTasksOfJob(job, candidates, quotaLeftByTeam, capacities, wall)
+			sc.stealTasksOfJob(job, candidates, quotaLeftByTeam, capacities, wall)
 			reserved.reserveAgain(job)
 		}
 	}
@@ -217,10 +217,10 @@
 
 // stealTasksOfJob takes over as many of a job's tasks that wait at other partitions as we have room
 // for, and tells how many.
-func (c *Controller) stealTasksOfJob(job *Job, candidates []*candidateMachine, quotaLeftByTeam map[string]Resources, capacities *partitionCapacity, wall int64) int {
+func (sc *scheduler) stealTasksOfJob(job *Job, candidates []*candidateMachine, quotaLeftByTeam map[string]Resources, capacities *partitionCapacity, wall int64) int {
 	spec := &job.Record.Spec
-	if len(job.Record.TaskRanges) == 1 && job.Record.TaskRanges[0].Partition == c.node ||
-		c.recordWritesInFlight[job.ID] || c.now() < c.trackingOf(job.ID).placeNotBefore || c.mirror.WatchedRevision < job.Version || c.isCrashLooping(job) {
+	if len(job.Record.TaskRanges) == 1 && job.Record.TaskRanges[0].Partition == sc.c.node ||
+		sc.c.recordWritesInFlight[job.ID] || sc.c.now() < sc.trackingOf(job.ID).placeNotBefore || sc.c.mirror.WatchedRevision < job.Version || sc.isCrashLooping(job) {
 		return 0
 	}
 	room := tasksThatFit(job, candidates)
@@ -229,13 +229,13 @@
 	}
 	quota, ok := quotaLeftByTeam[spec.Team]
 	if !ok {
-		quota = c.quotaLeft(spec.Team)
+		quota = sc.c.quota.quotaLeft(spec.Team)
 		quotaLeftByTeam[spec.Team] = quota
 	}
 	if n := job.TaskResources.CountIn(quota); n < room {
 		// A part with machines but without a share of the team's limit would leave
 		// the tasks for ever to one with a share but without machines.
-		c.noteQuotaShortage(spec.Team, job.TaskResources, min(room-n, job.UnassignedTasks()), quota, true)
+		sc.c.quota.noteShortage(spec.Team, job.TaskResources, min(room-n, job.UnassignedTasks()), quota, true)
 		room = n
 	}
 	if room == 0 {
@@ -244,8 +244,8 @@
 	whole := spec.OneZone || spec.Spread
 	for k := len(job.Record.TaskRanges) - 1; k >= 0; k-- {
 		taskRange := job.Record.TaskRanges[k]
-		if taskRange.Partition == c.node || c.isMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
-			(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || c.now()-c.trackingOf(job.ID).recordChangedAt < reassignmentGracePeriod) {
+		if taskRange.Partition == sc.c.node || sc.c.membership.isMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
+			(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || sc.c.now()-sc.trackingOf(job.ID).recordChangedAt < reassignmentGracePeriod) {
 			continue
 		}
 		n, first := 0, taskRange.End
@@ -255,13 +255,13 @@
 				n++
 			}
 		}
-		if n == 0 || whole && n > room && c.isMember(taskRange.Partition) {
+		if n == 0 || whole && n > room && sc.c.membership.isMember(taskRange.Partition) {
 			continue
 		}
-		if !c.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, first, taskRange.End, c.node)) {
+		if !sc.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, first, taskRange.End, sc.c.node)) {
 			return 0
 		}
-		c.nextWorkStealAt = c.nextAllowedAt(0.1)
+		sc.nextWorkStealAt = sc.c.store.nextAllowedAt(0.1)
 		return n
 	}
 	return 0
@@ -282,15 +282,15 @@
 }
 
 // handOverTasks gives our waiting tasks of a job to a partition that can make room.
-func (c *Controller) handOverTasks(job *Job, to string) bool {
+func (sc *scheduler) handOverTasks(job *Job, to string) bool {
 	for _, taskRange := range job.Record.TaskRanges {
-		if taskRange.Partition != c.node {
+		if taskRange.Partition != sc.c.node {
 			continue
 		}
-		if !c.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to)) {
+		if !sc.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to)) {
 			return false
 		}
-		c.nextWorkStealAt = c.nextAllowedAt(0.1)
+		sc.nextWorkStealAt = sc.c.store.nextAllowedAt(0.1)
 		return true
 	}
 	return false
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -48,12 +48,12 @@
 		if tc.inDoubtUpdates {
 			update := NewShardUpdate("p", core.mirror.Shards["p"], shard)
 			addTeamUse(update.AssignedByTeam, "tight", Resources{CPUs: 2}, 1)
-			core.trackerOf("p").updatesInDoubt = []*ShardUpdate{update}
+			core.shards.trackerOf("p").updatesInDoubt = []*ShardUpdate{update}
 		}
-		if got := core.quotaLeft("tight").CPUs; got != tc.left {
+		if got := core.quota.quotaLeft("tight").CPUs; got != tc.left {
 			t.Errorf("%s: %v left, want %v", tc.name, got, tc.left)
 		}
-		if got := core.unallocatedQuota("tight").CPUs; got != 2 {
+		if got := core.quota.unallocatedQuota("tight").CPUs; got != 2 {
 			t.Errorf("%s: %v in the pool", tc.name, got)
 		}
 	}
@@ -149,22 +149,22 @@
 		core.mirror.Jobs[name] = &Job{ID: name, Version: 1, TaskStates: make([]uint8, spec.Tasks), TaskResources: Resources{CPUs: spec.CPUs},
 			Record: storage.OpenJob{Spec: spec, TaskRanges: []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}}}}
 	}
-	core.acceptedRevisions[id] = 1
+	core.api.acceptedRevisions[id] = 1
 	other := &Shard{Name: "n-1.1", Record: &storage.Shard{Owner: "n-1"}, UseByTeam: map[string]Resources{}}
 	core.mirror.Machines["i-9"] = &Machine{ID: "i-9", Shard: other, Used: Resources{CPUs: 8}, Attempts: map[TaskID]uint64{},
 		Record: &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen}}
 	for i := 0; i < 4; i++ {
 		core.mirror.Machines["i-9"].Attempts[TaskID{array, i}] = 1
 	}
-	core.nextWorkStealAt = now + second
-	core.placeTasks(nil, now)
+	core.scheduler.nextWorkStealAt = now + second
+	core.scheduler.placeTasks(nil, now)
 	if core.recordWritesInFlight[id] {
 		t.Error("handed on before a change may be spent on it")
 	}
-	core.placeTasks(nil, now+second/2)
+	core.scheduler.placeTasks(nil, now+second/2)
 	c.sim.Run(second)
-	core.nextWorkStealAt = c.sim.Now()
-	core.placeTasks(nil, c.sim.Now())
+	core.scheduler.nextWorkStealAt = c.sim.Now()
+	core.scheduler.placeTasks(nil, c.sim.Now())
 	if !core.recordWritesInFlight[id] {
 		t.Error("not handed on at the first turn that may")
 	}
@@ -188,7 +188,7 @@
 		for i, p := range partitions {
 			ranges = append(ranges, storage.TaskRange{First: n * i / len(partitions), End: n * (i + 1) / len(partitions), Partition: p})
 		}
-		if !c.sim.RunUntil(5*second, func() bool { return core.reassignTaskRanges(core.mirror.Jobs[id], ranges) }) {
+		if !c.sim.RunUntil(5*second, func() bool { return core.scheduler.reassignTaskRanges(core.mirror.Jobs[id], ranges) }) {
 			t.Fatalf("%s can't be given to %v", id, partitions)
 		}
 		c.sim.Run(second / 10)
@@ -227,11 +227,11 @@
 			update: NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}), freeResources: Resources{CPUs: 2}}
 	}
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
-	core.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
-	core.reservePreemptedRoom(candidates, now)
+	core.scheduler.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
+	core.scheduler.reservePreemptedRoom(candidates, now)
 	zones := newZoneConstraint(core.mirror, array)
 	for i := 0; i < 4; i++ {
-		if candidate := core.chooseMachine(array, candidates, zones, nil, nil, false, false, false); candidate != candidates[1] {
+		if candidate := core.scheduler.chooseMachine(array, candidates, zones, nil, nil, false, false, false); candidate != candidates[1] {
 			t.Fatal("an array's task goes where room is being made for a service, or nowhere")
 		}
 	}
@@ -239,10 +239,10 @@
 		t.Errorf("room for %d tasks of others, want 1", n)
 	}
 	candidates[0].freeResources = Resources{CPUs: 4} // the stopped ones are gone
-	if candidate := core.chooseMachine(service, candidates, zones, nil, nil, false, false, false); candidate != candidates[0] {
+	if candidate := core.scheduler.chooseMachine(service, candidates, zones, nil, nil, false, false, false); candidate != candidates[0] {
 		t.Error("the service doesn't get the room that was made for it")
 	}
-	core.reservePreemptedRoom(candidates, now+2*second)
+	core.scheduler.reservePreemptedRoom(candidates, now+2*second)
 	if candidates[0].reservedForJob != "" {
 		t.Error("room is kept for longer than it takes to be made")
 	}
@@ -282,7 +282,7 @@
 			if !s.sim.RunUntil(30*second, func() bool { return sent > 0 }) {
 				t.Fatal("nobody drops the shares of the one that has gone")
 			}
-			member := func() bool { return s.nodes[s.nodeNames[0]].controller.isMember(gone) }
+			member := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.isMember(gone) }
 			if tc.back {
 				s.start(gone)
 				s.sim.RunUntil(4*second, member)
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -8,11 +8,21 @@
 	"strings"
 
 	"pipitgap/internal/cancellation"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
 )
 
+// userAPI answers users: submissions, status requests and cancellations.
+type userAPI struct {
+	c *Controller
+
+	submissionRates   map[string]*submissionRate // by team, its submissions of late
+	acceptedRevisions map[string]uint64
+	jobsClosedAt      map[string]monotime.Micros
+}
+
 // Bounds of what waits for the store on behalf of users; past them the answer
 // is an immediate 429.
 const (
@@ -22,26 +32,26 @@
 
 // maxQueuedUserCalls bounds what waits in the queue to well under the time that a user
 // waits for an answer.
-func (c *Controller) maxQueuedUserCalls() int { return max(4, int(c.storeQueue.Writes.Rate*0.75)) }
+func (u *userAPI) maxQueuedUserCalls() int { return max(4, int(u.c.store.queue.Writes.Rate*0.75)) }
 
 func errorResponse(status int, text string) Response {
 	return Response{Status: status, Body: protocol.MustMarshal(&protocol.ErrorBody{Error: text})}
 }
 
 // retryLater is the immediate answer to what can't be taken now.
-func (c *Controller) retryLater(status int, text string) Response {
-	c.counters.requestsDeferred++
-	if c.log.Enabled(context.Background(), slog.LevelDebug) {
-		c.log.Debug("request deferred", "status", status, "reason", text,
-			"user_calls", c.storeQueue.Len(ratelimit.PriorityUserRequest),
-			"shard_calls", c.storeQueue.Len(ratelimit.PriorityShardUpdate),
-			"waiting_readers", len(c.pendingReads))
+func (u *userAPI) retryLater(status int, text string) Response {
+	u.c.counters.requestsDeferred++
+	if u.c.log.Enabled(context.Background(), slog.LevelDebug) {
+		u.c.log.Debug("request deferred", "status", status, "reason", text,
+			"user_calls", u.c.store.queue.Len(ratelimit.PriorityUserRequest),
+			"shard_calls", u.c.store.queue.Len(ratelimit.PriorityShardUpdate),
+			"waiting_readers", len(u.c.replica.pendingReads))
 	}
 	response := errorResponse(status, text)
 	response.RetryAfter = 1
-	if c.storeUnavailable {
+	if u.c.store.unavailable {
 		// Spread over a few seconds: the return must not be a stampede.
-		response.RetryAfter = 1 + int(c.env.Rand().Int64N(3))
+		response.RetryAfter = 1 + int(u.c.env.Rand().Int64N(3))
 	}
 	return response
 }
@@ -49,7 +59,7 @@
 // HandleRequest answers a request of a user or a worker. The answer may come later,
 // but never because it is held back: only as long as the store takes.
 func (c *Controller) HandleRequest(method, target string, body []byte, respond func(Response)) {
-	c.detectPause(c.now())
+	c.reachability.detectPause(c.now())
 	path, query, _ := strings.Cut(target, "?")
 	if query != "" && path != "/healthz" {
 		respond(errorResponse(400, "no parameters are known here"))
@@ -64,21 +74,21 @@
 	switch {
 	case path == "/healthz":
 		if only("GET") {
-			respond(c.healthResponse())
+			respond(c.api.healthResponse())
 		}
 	case path == protocol.HeartbeatPath:
 		if only("POST") {
-			c.handleHeartbeat(body, respond)
+			c.agents.handleHeartbeat(body, respond)
 		}
 	case path == protocol.JobsPath:
 		if only("POST") {
-			c.handleSubmit(body, respond)
+			c.api.handleSubmit(body, respond)
 		}
 	case strings.HasPrefix(path, protocol.JobsPath+"/"):
 		id, cancel, _ := protocol.ParseJobPath(path)
 		if cancel {
 			if only("POST") {
-				c.handleAbort(id, respond)
+				c.api.handleAbort(id, respond)
 			}
 			return
 		}
@@ -87,7 +97,7 @@
 			return
 		}
 		if only("GET") {
-			c.handleStatus(id, respond)
+			c.api.handleStatus(id, respond)
 		}
 	default:
 		respond(errorResponse(404, "no such path"))
@@ -96,14 +106,14 @@
 
 // healthResponse: a node that can't take requests while others can says so. In an
 // outage that all share it stays healthy, so that no time is lost afterwards.
-func (c *Controller) healthResponse() Response {
-	if !c.mirrorReady {
-		return c.retryLater(503, "records not read yet")
+func (u *userAPI) healthResponse() Response {
+	if !u.c.replica.ready {
+		return u.retryLater(503, "records not read yet")
 	}
-	now := c.now()
-	_, alone := c.storeUnreachableOnlyHere(now)
-	if alone || c.isIsolated(now) {
-		return c.retryLater(503, "state service out of reach")
+	now := u.c.now()
+	_, alone := u.c.reachability.storeUnreachableOnlyHere(now)
+	if alone || u.c.reachability.isIsolated(now) {
+		return u.retryLater(503, "state service out of reach")
 	}
 	return Response{Status: 200}
 }
@@ -117,9 +127,9 @@
 }
 
 // jobStatusResponse is the answer about a job that the mirror holds.
-func (c *Controller) jobStatusResponse(job *Job) Response {
+func (u *userAPI) jobStatusResponse(job *Job) Response {
 	if !job.IsOpen() {
-		return c.finalStatusResponse(job.ID, job.FinalStatus)
+		return u.finalStatusResponse(job.ID, job.FinalStatus)
 	}
 	jobStatus := protocol.JobStatusReply{ID: job.ID, Status: protocol.JobPending, Done: job.DoneTasks, Running: job.AssignedTasks}
 	if job.AssignedTasks > 0 {
@@ -128,7 +138,7 @@
 	return Response{Status: 200, Body: protocol.MustMarshal(&jobStatus)}
 }
 
-func (c *Controller) finalStatusResponse(id string, status storage.JobState) Response {
+func (u *userAPI) finalStatusResponse(id string, status storage.JobState) Response {
 	jobStatus := protocol.JobStatusReply{ID: id, Status: protocol.JobDone}
 	if status == storage.JobCancelled {
 		jobStatus.Status = protocol.JobCancelled
@@ -138,85 +148,85 @@
 
 // rejectIfUnavailable tells whether the store can't be asked for users at all; then the
 // answer is immediate.
-func (c *Controller) rejectIfUnavailable() (Response, bool) {
+func (u *userAPI) rejectIfUnavailable() (Response, bool) {
 	switch {
-	case !c.mirrorReady:
-		return c.retryLater(503, "records not read yet"), true
-	case c.storeUnavailable:
-		return c.retryLater(503, "state service out of reach"), true
+	case !u.c.replica.ready:
+		return u.retryLater(503, "records not read yet"), true
+	case u.c.store.unavailable:
+		return u.retryLater(503, "state service out of reach"), true
 	}
 	return Response{}, false
 }
 
 // rejectIfOverloaded tells whether the store can't take more for users.
-func (c *Controller) rejectIfOverloaded() (Response, bool) {
-	if response, rejected := c.rejectIfUnavailable(); rejected {
+func (u *userAPI) rejectIfOverloaded() (Response, bool) {
+	if response, rejected := u.rejectIfUnavailable(); rejected {
 		return response, true
 	}
-	if c.storeQueue.Len(ratelimit.PriorityUserRequest) >= c.maxQueuedUserCalls() {
-		return c.retryLater(429, "too many requests"), true
+	if u.c.store.queue.Len(ratelimit.PriorityUserRequest) >= u.maxQueuedUserCalls() {
+		return u.retryLater(429, "too many requests"), true
 	}
 	return Response{}, false
 }
 
-func (c *Controller) handleSubmit(body []byte, respond func(Response)) {
+func (u *userAPI) handleSubmit(body []byte, respond func(Response)) {
 	submission, bad := protocol.ParseSubmission(body)
 	if submission.ID == "" {
 		respond(errorResponse(400, bad.Error()))
 		return
 	}
-	if status, ok := c.mirror.Results.Get(submission.ID); ok {
-		respond(c.finalStatusResponse(submission.ID, status))
+	if status, ok := u.c.mirror.Results.Get(submission.ID); ok {
+		respond(u.finalStatusResponse(submission.ID, status))
 		return
 	}
 	if bad != nil {
 		// A known job is known, whatever its repeated submission looks like. Only
 		// a node that can't ask gives the verdict on the text alone.
-		if _, rejected := c.rejectIfOverloaded(); rejected {
-			if !c.mirrorReady || c.mirror.Jobs[submission.ID] != nil {
-				respond(c.retryLater(503, "state service out of reach"))
+		if _, rejected := u.rejectIfOverloaded(); rejected {
+			if !u.c.replica.ready || u.c.mirror.Jobs[submission.ID] != nil {
+				respond(u.retryLater(503, "state service out of reach"))
 				return
 			}
 			respond(errorResponse(400, bad.Error()))
 			return
 		}
-		c.lookUpJobOr(submission.ID, errorResponse(400, bad.Error()), respond)
+		u.lookUpJobOr(submission.ID, errorResponse(400, bad.Error()), respond)
 		return
 	}
-	if response, rejected := c.rejectIfOverloaded(); rejected {
+	if response, rejected := u.rejectIfOverloaded(); rejected {
 		respond(response)
 		return
 	}
-	if c.mirror.Jobs[submission.ID] != nil {
-		c.handleStatus(submission.ID, respond)
+	if u.c.mirror.Jobs[submission.ID] != nil {
+		u.handleStatus(submission.ID, respond)
 		return
 	}
-	if c.machineTypes == nil {
-		respond(c.retryLater(503, "machine types not known yet"))
+	if u.c.catalog.machineTypes == nil {
+		respond(u.retryLater(503, "machine types not known yet"))
 		return
 	}
 	spec := storage.JobSpecOf(submission)
-	if why := c.unsatisfiableReason(&spec); why != "" {
-		c.lookUpJobOr(submission.ID, errorResponse(422, why), respond)
+	if why := u.unsatisfiableReason(&spec); why != "" {
+		u.lookUpJobOr(submission.ID, errorResponse(422, why), respond)
 		return
 	}
-	if len(c.mirror.Jobs) >= maxOpenJobs {
-		respond(c.retryLater(429, "too many unfinished jobs"))
+	if len(u.c.mirror.Jobs) >= maxOpenJobs {
+		respond(u.retryLater(429, "too many unfinished jobs"))
 		return
 	}
-	c.countSubmission(&spec)
-	if c.isRateLimited(&spec) && c.storeQueue.Len(ratelimit.PriorityBurst) >= c.maxQueuedBurstCalls() {
-		response := c.retryLater(429, "too many jobs of this team")
-		response.RetryAfter += 1 + int(c.env.Rand().Int64N(3))
+	u.countSubmission(&spec)
+	if u.isRateLimited(&spec) && u.c.store.queue.Len(ratelimit.PriorityBurst) >= u.maxQueuedBurstCalls() {
+		response := u.retryLater(429, "too many jobs of this team")
+		response.RetryAfter += 1 + int(u.c.env.Rand().Int64N(3))
 		respond(response)
 		return
 	}
-	c.acceptJob(submission.ID, spec, respond)
+	u.acceptJob(submission.ID, spec, respond)
 }
 
 // lookUpJobOr answers with the job's state if the store knows it, else with other.
-func (c *Controller) lookUpJobOr(id string, other Response, respond func(Response)) {
-	c.lookUpJob(id, func(response Response) {
+func (u *userAPI) lookUpJobOr(id string, other Response, respond func(Response)) {
+	u.lookUpJob(id, func(response Response) {
 		if response.Status == 404 {
 			response = other
 		}
@@ -225,8 +235,8 @@
 }
 
 // unsatisfiableReason tells why a job can never run, or "".
-func (c *Controller) unsatisfiableReason(spec *storage.JobSpec) string {
-	team, ok := c.teamLimits(spec.Team)
+func (u *userAPI) unsatisfiableReason(spec *storage.JobSpec) string {
+	team, ok := u.c.quota.teamLimits(spec.Team)
 	if !ok {
 		return "unknown team"
 	}
@@ -238,8 +248,8 @@
 		return "needs more than the team's limit"
 	}
 	taskResources := TaskResources(spec)
-	for _, name := range sortedKeys(c.machineTypes) {
-		machineType := c.machineTypes[name]
+	for _, name := range sortedKeys(u.c.catalog.machineTypes) {
+		machineType := u.c.catalog.machineTypes[name]
 		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) && taskResources.FitsIn(machineCapacity(&machineType)) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
 			return ""
 		}
@@ -247,9 +257,9 @@
 	return "a task fits no allowed machine type"
 }
 
-func (c *Controller) teamLimits(name string) (team teamLimits, ok bool) {
-	for i := range c.cfg.Facts.Teams {
-		teamConfig := &c.cfg.Facts.Teams[i]
+func (q *quotaManager) teamLimits(name string) (team teamLimits, ok bool) {
+	for i := range q.c.cfg.Facts.Teams {
+		teamConfig := &q.c.cfg.Facts.Teams[i]
 		if teamConfig.Name == name {
 			return teamLimits{guaranteedCPUs: teamConfig.CPUs, maxCPUs: teamConfig.CPUsMax, guaranteedGPUs: teamConfig.GPUs, maxGPUs: teamConfig.GPUsMax}, true
 		}
@@ -273,12 +283,12 @@
 	return available
 }
 
-func (c *Controller) acceptJob(id string, spec storage.JobSpec, respond func(Response)) {
-	record := storage.OpenJob{Spec: spec, AcceptedAt: c.env.WallClock(), TaskRanges: c.assignTaskRanges(&spec)}
+func (u *userAPI) acceptJob(id string, spec storage.JobSpec, respond func(Response)) {
+	record := storage.OpenJob{Spec: spec, AcceptedAt: u.c.env.WallClock(), TaskRanges: u.c.scheduler.assignTaskRanges(&spec)}
 	value := protocol.MustMarshal(&record)
 	// The stored form is counted as JSON: about twice the packed one here.
-	if len(value)*2 > c.maxValueBytes() {
-		c.lookUpJobOr(id, errorResponse(400, "names too long to be kept"), respond)
+	if len(value)*2 > u.c.maxValueBytes() {
+		u.lookUpJobOr(id, errorResponse(400, "names too long to be kept"), respond)
 		return
 	}
 	openKey := storage.Key(storage.KindOpenJob, id)
@@ -286,148 +296,148 @@
 		If:   []protocol.Compare{{Key: openKey, Version: 0}, {Key: storage.Key(storage.KindJobResult, id), Version: 0}},
 		Then: []protocol.Op{{Put: openKey, Value: value}},
 	}
-	c.commitTxn(c.priorityClassOf(&spec, ratelimit.PriorityUserRequest), txn, func(result protocol.StoreResult) {
+	u.c.replica.commit(u.priorityClassOf(&spec, ratelimit.PriorityUserRequest), txn, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
-			c.counters.jobsAccepted++
+			u.c.counters.jobsAccepted++
 			// Nobody can have placed any of it yet.
-			c.acceptedRevisions[id] = result.Revision
-			c.log.Debug("job accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks,
+			u.acceptedRevisions[id] = result.Revision
+			u.c.log.Debug("job accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks,
 				"estimate_s", spec.EstimateS, "ranges", len(record.TaskRanges))
 			respond(Response{Status: 201, Body: protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: protocol.JobPending})})
-			c.runFastTick(c.now())
+			u.c.runFastTick(u.c.now())
 		case protocol.Conflict:
-			c.lookUpJob(id, respond)
+			u.lookUpJob(id, respond)
 		case protocol.Rejected:
-			c.log.Error("job acceptance rejected by state service", "job", id)
-			respond(c.retryLater(503, "not kept"))
+			u.c.log.Error("job acceptance rejected by state service", "job", id)
+			respond(u.retryLater(503, "not kept"))
 		default:
 			// Unknown: perhaps accepted, perhaps not. The user asks again.
-			respond(c.retryLater(503, "state service out of reach"))
+			respond(u.retryLater(503, "state service out of reach"))
 		}
 	})
 }
 
 // lookUpJob answers from a mirror as new as the question. What it doesn't hold is over, or
 // was never accepted: the store itself is asked.
-func (c *Controller) lookUpJob(id string, respond func(Response)) {
-	if len(c.pendingReads) >= maxWaitingReaders {
-		respond(c.retryLater(429, "too many requests"))
+func (u *userAPI) lookUpJob(id string, respond func(Response)) {
+	if len(u.c.replica.pendingReads) >= maxWaitingReaders {
+		respond(u.retryLater(429, "too many requests"))
 		return
 	}
-	c.whenMirrorCurrent(func(ok bool) {
+	u.c.replica.whenCurrent(func(ok bool) {
 		if !ok {
-			respond(c.retryLater(503, "state service out of reach"))
+			respond(u.retryLater(503, "state service out of reach"))
 			return
 		}
-		if job := c.mirror.Jobs[id]; job != nil {
-			respond(c.jobStatusResponse(job))
+		if job := u.c.mirror.Jobs[id]; job != nil {
+			respond(u.jobStatusResponse(job))
 			return
 		}
-		if status, ok := c.mirror.Results.Get(id); ok {
-			respond(c.finalStatusResponse(id, status))
+		if status, ok := u.c.mirror.Results.Get(id); ok {
+			respond(u.finalStatusResponse(id, status))
 			return
 		}
-		if c.storeQueue.Len(ratelimit.PriorityUserRequest) >= c.maxQueuedUserCalls() {
-			respond(c.retryLater(429, "too many requests"))
+		if u.c.store.queue.Len(ratelimit.PriorityUserRequest) >= u.maxQueuedUserCalls() {
+			respond(u.retryLater(429, "too many requests"))
 			return
 		}
-		c.readJob(id, respond)
+		u.readJob(id, respond)
 	})
 }
 
 // readJob asks the store for a job's final answer, then for its open record, so that a
 // record which this mirror can't read is still known, and once more for the final
 // answer: the job may have ended between the two.
-func (c *Controller) readJob(id string, respond func(Response)) {
-	c.readFinalStatus(id, respond, func() {
-		c.readOpenRecord(id, respond, func() {
-			c.readFinalStatus(id, respond, func() { respond(errorResponse(404, "no such job")) })
+func (u *userAPI) readJob(id string, respond func(Response)) {
+	u.readFinalStatus(id, respond, func() {
+		u.readOpenRecord(id, respond, func() {
+			u.readFinalStatus(id, respond, func() { respond(errorResponse(404, "no such job")) })
 		})
 	})
 }
 
 // readFinalStatus answers with a job's final state, or goes on if the store has none.
-func (c *Controller) readFinalStatus(id string, respond func(Response), none func()) {
-	c.readRecord(storage.KindJobResult, id, respond, none, func(value protocol.Raw) {
+func (u *userAPI) readFinalStatus(id string, respond func(Response), none func()) {
+	u.readRecord(storage.KindJobResult, id, respond, none, func(value protocol.Raw) {
 		var result storage.JobResult
 		if protocol.Unmarshal(value, &result) != nil {
-			respond(c.retryLater(503, "final state can't be read"))
+			respond(u.retryLater(503, "final state can't be read"))
 			return
 		}
-		c.mirror.Results.Add(id, result.State)
-		respond(c.finalStatusResponse(id, result.State))
+		u.c.mirror.Results.Add(id, result.State)
+		respond(u.finalStatusResponse(id, result.State))
 	})
 }
 
 // readOpenRecord answers for a job that has an open record, or goes on if it has none.
-func (c *Controller) readOpenRecord(id string, respond func(Response), none func()) {
-	c.readRecord(storage.KindOpenJob, id, respond, none, func(protocol.Raw) {
+func (u *userAPI) readOpenRecord(id string, respond func(Response), none func()) {
+	u.readRecord(storage.KindOpenJob, id, respond, none, func(protocol.Raw) {
 		respond(Response{Status: 200, Body: protocol.MustMarshal(&protocol.JobStatusReply{ID: id, Status: protocol.JobPending})})
 	})
 }
 
 // readRecord reads a job's record of a kind; without the store it answers at once.
-func (c *Controller) readRecord(kind, id string, respond func(Response), none func(), found func(protocol.Raw)) {
+func (u *userAPI) readRecord(kind, id string, respond func(Response), none func(), found func(protocol.Raw)) {
 	call := &protocol.StoreCall{Op: protocol.StoreGet, Key: storage.Key(kind, id)}
-	c.callStore(ratelimit.PriorityUserRequest, call, func(result protocol.StoreResult) {
+	u.c.store.call(ratelimit.PriorityUserRequest, call, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
 			found(result.Item.Value)
 		case protocol.NotFound:
 			none()
 		default:
-			respond(c.retryLater(503, "state service out of reach"))
+			respond(u.retryLater(503, "state service out of reach"))
 		}
 	})
 }
 
-func (c *Controller) handleStatus(id string, respond func(Response)) {
+func (u *userAPI) handleStatus(id string, respond func(Response)) {
 	if !protocol.ValidJobID(id) {
 		respond(errorResponse(404, "no such job"))
 		return
 	}
-	if status, ok := c.mirror.Results.Get(id); ok {
-		respond(c.finalStatusResponse(id, status))
+	if status, ok := u.c.mirror.Results.Get(id); ok {
+		respond(u.finalStatusResponse(id, status))
 		return
 	}
-	if job := c.mirror.Jobs[id]; job != nil && !job.IsOpen() {
-		respond(c.finalStatusResponse(id, job.FinalStatus))
+	if job := u.c.mirror.Jobs[id]; job != nil && !job.IsOpen() {
+		respond(u.finalStatusResponse(id, job.FinalStatus))
 		return
 	}
-	if response, rejected := c.rejectIfUnavailable(); rejected {
+	if response, rejected := u.rejectIfUnavailable(); rejected {
 		respond(response)
 		return
 	}
-	c.lookUpJob(id, respond)
+	u.lookUpJob(id, respond)
 }
 
-func (c *Controller) handleAbort(id string, respond func(Response)) {
+func (u *userAPI) handleAbort(id string, respond func(Response)) {
 	if !protocol.ValidJobID(id) {
 		respond(errorResponse(404, "no such job"))
 		return
 	}
-	if status, ok := c.mirror.Results.Get(id); ok {
+	if status, ok := u.c.mirror.Results.Get(id); ok {
 		respond(acceptedResponse(id, status))
 		return
 	}
-	if response, rejected := c.rejectIfUnavailable(); rejected {
+	if response, rejected := u.rejectIfUnavailable(); rejected {
 		respond(response)
 		return
 	}
-	if c.mirror.Jobs[id] != nil {
-		c.cancelJob(id, respond)
+	if u.c.mirror.Jobs[id] != nil {
+		u.cancelJob(id, respond)
 		return
 	}
 	// The mirror doesn't hold it: it is over, was never accepted, or is new.
-	c.lookUpJob(id, func(response Response) {
-		switch status, over := c.mirror.Results.Get(id); {
+	u.lookUpJob(id, func(response Response) {
+		switch status, over := u.c.mirror.Results.Get(id); {
 		case over:
 			respond(acceptedResponse(id, status))
-		case response.Status == 200 && c.mirror.Jobs[id] != nil:
-			c.cancelJob(id, respond)
+		case response.Status == 200 && u.c.mirror.Jobs[id] != nil:
+			u.cancelJob(id, respond)
 		case response.Status == 200:
-			respond(c.retryLater(503, "changing just now"))
+			respond(u.retryLater(503, "changing just now"))
 		default:
 			respond(response)
 		}
@@ -436,28 +446,28 @@
 
 // cancelJob writes the answer of a job that has been accepted, unless it has one: done
 // and cancelled exclude each other by that, and every assignment asks for it.
-func (c *Controller) cancelJob(id string, respond func(Response)) {
+func (u *userAPI) cancelJob(id string, respond func(Response)) {
 	key := storage.Key(storage.KindJobResult, id)
-	c.commitTxn(ratelimit.PriorityCancellation, protocol.Transaction{
+	u.c.replica.commit(ratelimit.PriorityCancellation, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})}},
 	}, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
-			c.log.Debug("job cancelled", "job", id)
-			c.cancellations.Add(cancellation.Committed{Job: id, Revision: result.Revision})
+			u.c.log.Debug("job cancelled", "job", id)
+			u.c.cancellations.relay.Add(cancellation.Committed{Job: id, Revision: result.Revision})
 			respond(acceptedResponse(id, storage.JobCancelled))
 		case protocol.Conflict:
-			c.lookUpJob(id, func(rep Response) {
-				if status, ok := c.mirror.Results.Get(id); ok {
+			u.lookUpJob(id, func(rep Response) {
+				if status, ok := u.c.mirror.Results.Get(id); ok {
 					rep = acceptedResponse(id, status)
 				} else if rep.Status == 200 {
-					rep = c.retryLater(503, "changing just now")
+					rep = u.retryLater(503, "changing just now")
 				}
 				respond(rep)
 			})
 		default:
-			respond(c.retryLater(503, "state service out of reach"))
+			respond(u.retryLater(503, "state service out of reach"))
 		}
 	})
 }
@@ -474,3 +484,12 @@
 func machineCapacity(machineType *protocol.MachineType) Resources {
 	return NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
+
+func newUserAPI(c *Controller) *userAPI {
+	return &userAPI{
+		c:                 c,
+		submissionRates:   map[string]*submissionRate{},
+		acceptedRevisions: map[string]uint64{},
+		jobsClosedAt:      map[string]monotime.Micros{},
+	}
+}
