--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -11,6 +11,7 @@
 type agentManager struct {
 	c *Controller
 
+	byMachine               map[string]*Agent          // of the machines that this controller has claimed
 	nextDesignationChangeAt monotime.Micros            // when a machine's claimant may be changed again
 	orphanContacts          map[string]*orphanContact  // workers of other partitions that came to us
 	zoneUnreachableAt       map[string]monotime.Micros // when a zone had last fallen silent as a whole
@@ -130,10 +131,10 @@
 	mine := machine.Shard != nil && am.c.shards.ownsShard(machine.Shard)
 	switch {
 	case !mine:
-		machine.Agent = nil
-	case machine.Agent == nil || machine.Agent.ClaimNumber != machine.Claim():
+		delete(am.byMachine, machine.ID)
+	case am.agentOf(machine) == nil || am.agentOf(machine).ClaimNumber != machine.Claim():
 		now := am.c.now()
-		machine.Agent = &Agent{
+		am.byMachine[machine.ID] = &Agent{
 			ClaimNumber: machine.Claim(), RequestedToken: machine.Claim() << 32, LastHeartbeatAt: now, LastAnsweredAt: now, LastReachedAt: now,
 			ReportedAttempts: map[AttemptID]protocol.TaskStatus{}, PendingOutcomes: map[AttemptID]AttemptOutcome{}, SentCommands: map[AttemptID]*CommandRecord{},
 			StoppingAttempts: map[AttemptID]bool{}, RunningSince: map[AttemptID]monotime.Micros{}, FailuresByJob: map[string]int{},
@@ -144,8 +145,24 @@
 func newAgentManager(c *Controller) *agentManager {
 	return &agentManager{
 		c:                 c,
+		byMachine:         map[string]*Agent{},
 		orphanContacts:    map[string]*orphanContact{},
 		zoneUnreachableAt: map[string]monotime.Micros{},
 		unloggedRemovals:  map[string][]string{},
 	}
 }
+
+// agentOf gives what is known of a machine's worker, or nil if the machine isn't claimed by this controller.
+func (am *agentManager) agentOf(machine *Machine) *Agent { return am.byMachine[machine.ID] }
+
+// release forgets the worker of a machine that no longer stands in a shard.
+func (am *agentManager) release(machine string) { delete(am.byMachine, machine) }
+
+// keepOnly forgets the workers of machines that a newly loaded mirror hasn't.
+func (am *agentManager) keepOnly(mirror *Mirror) {
+	for id := range am.byMachine {
+		if mirror.Machines[id] == nil {
+			delete(am.byMachine, id)
+		}
+	}
+}
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -58,7 +58,7 @@
 		old.Sequence = 1
 		old.Tasks = []protocol.TaskStatus{{Task: id + "/0", Attempt: worker.Attempts[id+"/0"].Number, State: protocol.StateExited, Cause: protocol.CauseError}}
 		for _, node := range c.nodeNames {
-			if machine := c.nodes[node].controller.mirror.Machines[wid]; machine != nil && machine.Agent != nil {
+			if machine := c.nodes[node].controller.mirror.Machines[wid]; machine != nil && c.nodes[node].controller.agents.agentOf(machine) != nil {
 				c.requestAndWait(node, "POST", protocol.HeartbeatPath, protocol.MustMarshal(&old))
 			}
 		}
@@ -112,10 +112,10 @@
 		core.mirror.WatchedRevision = 8
 		machine := core.mirror.Machines["i-1"]
 		if tc.killed != 0 {
-			machine.Agent.CommandRecordOf(AttemptID{task, 1}).KillToken = tc.killed
+			core.agents.agentOf(machine).CommandRecordOf(AttemptID{task, 1}).KillToken = tc.killed
 		}
 		core.agents.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1, FencingToken: tc.token, Tasks: tc.tasks})
-		if got := machine.Agent.HasOutcome(AttemptID{task, 1}); got != tc.settled {
+		if got := core.agents.agentOf(machine).HasOutcome(AttemptID{task, 1}); got != tc.settled {
 			t.Errorf("%s: settled %v", tc.name, got)
 		}
 		said := ""
@@ -127,7 +127,7 @@
 		}
 		// Once a release is on its way the attempt must not be started again,
 		// though the worker, in a new session, doesn't have it.
-		machine.Agent.RecordOutcome(AttemptID{task, 1}, OutcomeRetry)
+		core.agents.agentOf(machine).RecordOutcome(AttemptID{task, 1}, OutcomeRetry)
 		core.agents.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 2, Sequence: 1, FencingToken: base + 9})
 		for _, command := range core.agents.nextCommands(machine, 10*second) {
 			if command.Op == protocol.CmdRun {
@@ -212,7 +212,7 @@
 		}},
 		{"after another controller claimed the machine", func(c *cluster, id string, worker *fake.Worker) {
 			for _, node := range c.nodeNames {
-				if machine := c.nodes[node].controller.mirror.Machines[id]; machine != nil && machine.Agent != nil {
+				if machine := c.nodes[node].controller.mirror.Machines[id]; machine != nil && c.nodes[node].controller.agents.agentOf(machine) != nil {
 					c.disconnectedPairs[id+"-"+node] = true
 				}
 			}
@@ -255,8 +255,8 @@
 					core := c.nodes[node].controller
 					if m := core.mirror.Machines[machine]; m == nil {
 						s += node + " unknown; "
-					} else if m.Agent != nil {
-						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), m.Agent.LastReachedAt, m.Agent.LastAnsweredAt, core.scheduler.schedulable(m, c.sim.Now()))
+					} else if core.agents.agentOf(m) != nil {
+						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.agentOf(m).LastReachedAt, core.agents.agentOf(m).LastAnsweredAt, core.scheduler.schedulable(m, c.sim.Now()))
 					}
 				}
 				return s
@@ -284,7 +284,7 @@
 			}
 			if tc.name == "after the owner restarted" {
 				for _, node := range c.nodeNames {
-					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil && m.Agent != nil && (m.Agent.ClaimAcknowledged || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
+					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil && c.nodes[node].controller.agents.agentOf(m) != nil && (c.nodes[node].controller.agents.agentOf(m).ClaimAcknowledged || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
 						t.Errorf("%s takes it for alive", node)
 					}
 				}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -487,7 +487,7 @@
 	synced := map[string]bool{}
 	for _, id := range sortedKeys(as.c.mirror.Machines) {
 		machine := as.c.mirror.Machines[id]
-		if machine.Agent == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == storage.MachineOpen && !machine.Agent.FailureProne || machine.Agent.RemovalReason != "" {
+		if as.c.agents.agentOf(machine) == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == storage.MachineOpen && !as.c.agents.agentOf(machine).FailureProne || as.c.agents.agentOf(machine).RemovalReason != "" {
 			continue
 		}
 		switch machine.Record.State {
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -47,7 +47,7 @@
 // schedulable tells whether new tasks may go to a machine of ours: it is open, its
 // worker has lately shown that our answers reach it, and nothing speaks against it.
 func (sc *scheduler) schedulable(machine *Machine, now monotime.Micros) bool {
-	agent := machine.Agent
+	agent := sc.c.agents.agentOf(machine)
 	if agent == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || agent.LeaseExpired || agent.InterruptionNoticed || agent.RemovalReason != "" || !agent.IsReachable() {
 		return false
 	}
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -34,8 +34,8 @@
 		pendingClaim := sm.claimRequests[id]
 		machine := sm.c.mirror.Machines[id]
 		known := machine != nil && machine.Record != nil
-		if now-pendingClaim.requestedAt > claimRequestTimeout || known && machine.Agent != nil || sm.c.mirror.ScaleInOfMachine[id] != "" {
-			sm.completeClaimRequest(id, known && machine.Agent != nil)
+		if now-pendingClaim.requestedAt > claimRequestTimeout || known && sm.c.agents.agentOf(machine) != nil || sm.c.mirror.ScaleInOfMachine[id] != "" {
+			sm.completeClaimRequest(id, known && sm.c.agents.agentOf(machine) != nil)
 			continue
 		}
 		if inDoubt[id] {
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -14,7 +14,7 @@
 // A batch that isn't empty gets a token of its own, above all earlier ones, so
 // a late copy of an earlier batch can't undo it.
 func (am *agentManager) nextCommands(machine *Machine, now monotime.Micros) []protocol.Command {
-	agent := machine.Agent
+	agent := am.agentOf(machine)
 	commands := []protocol.Command{}
 	const again = monotime.Second
 	token := agent.Token() + 1
@@ -118,7 +118,7 @@
 			continue
 		}
 		for _, held := range entry.Attempts {
-			if machine := am.c.mirror.Machines[held.Machine]; !synced[held.Machine] && machine != nil && machine.Agent != nil {
+			if machine := am.c.mirror.Machines[held.Machine]; !synced[held.Machine] && machine != nil && am.agentOf(machine) != nil {
 				synced[held.Machine] = true
 				am.syncCommands(machine)
 			}
@@ -129,7 +129,7 @@
 // syncCommands tells a worker directly what its next report would bring it. One batch
 // is in flight at a time.
 func (am *agentManager) syncCommands(machine *Machine) {
-	agent := machine.Agent
+	agent := am.agentOf(machine)
 	if agent == nil || agent.Incarnation == 0 || agent.LeaseExpired || machine.Record == nil {
 		return
 	}
@@ -145,7 +145,7 @@
 	req := &protocol.CommandRequest{FencingToken: agent.Token(), Incarnation: agent.Incarnation, Commands: commands}
 	am.c.env.SendCommands(machine.Record.Endpoint, req, commandTimeout, func(result protocol.CommandResult) {
 		agent.CommandInFlight = false
-		if machine.Agent != agent {
+		if am.agentOf(machine) != agent {
 			return // the claim has moved on
 		}
 		if result.Status != 200 {
@@ -174,13 +174,13 @@
 // if its machine was another controller's, who may still be answering it: a
 // higher token would have it drop those answers and its lease would end.
 func (am *agentManager) probeAgent(machine *Machine, syncAfterwards bool) {
-	if machine == nil || machine.Agent == nil || machine.Record == nil {
+	if machine == nil || am.agentOf(machine) == nil || machine.Record == nil {
 		return
 	}
-	agent := machine.Agent
+	agent := am.agentOf(machine)
 	am.c.env.SendCommands(machine.Record.Endpoint, nil, commandTimeout, func(result protocol.CommandResult) {
 		report := &result.Heartbeat
-		if machine.Agent != agent || result.Status != 200 || report.Machine != machine.ID || !report.Valid() ||
+		if am.agentOf(machine) != agent || result.Status != 200 || report.Machine != machine.ID || !report.Valid() ||
 			report.Incarnation < agent.Incarnation || report.Incarnation == agent.Incarnation && report.Sequence <= agent.Sequence {
 			return
 		}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -90,7 +90,7 @@
 		peerStatuses:         newPeerTable(),
 		recordWritesInFlight: map[string]bool{},
 	}
-	c.mirror = newMirror(c.onMirrorChange)
+	c.mirror = newMirror()
 	c.store = newStoreClient(c)
 	c.replica = &mirrorReplica{c: c}
 	c.store.updateBudgets(len(c.controllers))
@@ -99,6 +99,7 @@
 	c.catalog = newMachineCatalog(c)
 	c.shards = newShardManager(c)
 	c.agents = newAgentManager(c)
+	c.mirror.OnChange, c.mirror.OnMachineReleased = c.onMirrorChange, c.agents.release
 	c.cancellations = newCancellationTracker(c)
 	c.quota = newQuotaManager(c)
 	c.api = newUserAPI(c)
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -37,9 +37,9 @@
 	}
 	cause := lossTaskExited
 	switch {
-	case machine.Agent != nil && machine.Agent.InterruptionNoticed:
+	case d.core.agents.agentOf(machine) != nil && d.core.agents.agentOf(machine).InterruptionNoticed:
 		cause = lossSpotReclaimed
-	case machine.Agent == nil || machine.Agent.LeaseExpired || machine.Agent.RemovalReason != "" || d.core.mirror.ScaleInOfMachine[machine.ID] != "":
+	case d.core.agents.agentOf(machine) == nil || d.core.agents.agentOf(machine).LeaseExpired || d.core.agents.agentOf(machine).RemovalReason != "" || d.core.mirror.ScaleInOfMachine[machine.ID] != "":
 		cause = lossMachineFailed
 	}
 	return append(losses, replicaLoss{job.Record.Spec.Team, cause})
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -255,7 +255,7 @@
 		core.mirror.ApplyPut(storage.Key(storage.KindDrain, "rack"), protocol.MustMarshal(&rec), core.mirror.NewestRevision+1)
 		for _, id := range sortedKeys(core.mirror.Machines) {
 			machine := core.mirror.Machines[id]
-			if machine.Agent == nil || machine.Record.Zone != "a" {
+			if core.agents.agentOf(machine) == nil || machine.Record.Zone != "a" {
 				continue
 			}
 			for _, task := range sortedTaskIDs(machine.Attempts) {
--- a/internal/coordination/drain_snapshot.go
+++ b/internal/coordination/drain_snapshot.go
@@ -17,14 +17,14 @@
 		}
 		entry := c.mirror.drainSnapshotMachine(machine, c.catalog.machineTypes)
 		switch {
-		case machine.Agent == nil && machine.Owner() == c.node:
+		case c.agents.agentOf(machine) == nil && machine.Owner() == c.node:
 			entry.Owner = "" // an earlier life of ours, whose shard isn't claimed again yet
-		case machine.Agent == nil:
-		case machine.Agent.RemovalReason != "":
+		case c.agents.agentOf(machine) == nil:
+		case c.agents.agentOf(machine).RemovalReason != "":
 			entry.State = storage.MachineRemoving
-		case machine.Agent.InterruptionNoticed:
+		case c.agents.agentOf(machine).InterruptionNoticed:
 			entry.State = storage.MachineDraining
-		case machine.Agent.Suspect:
+		case c.agents.agentOf(machine).Suspect:
 			entry.State = storage.MachineUnreachable
 		}
 		b.AddMachine(entry)
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -159,10 +159,10 @@
 func (d *drains) stopReplica(permit storage.Permit) {
 	machine := d.core.mirror.Machines[permit.From]
 	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
-	if machine == nil || machine.Agent == nil || machine.Agent.StoppingAttempts[key] {
+	if machine == nil || d.core.agents.agentOf(machine) == nil || d.core.agents.agentOf(machine).StoppingAttempts[key] {
 		return
 	}
-	machine.Agent.StoppingAttempts[key] = true
+	d.core.agents.agentOf(machine).StoppingAttempts[key] = true
 	d.core.log.Info("replica evicted for drain", "drain", permit.Drain, "task", key.Task.String(),
 		"from_machine", permit.From, "to_machine", permit.To)
 	d.core.agents.syncCommands(machine)
@@ -174,10 +174,10 @@
 func (d *drains) permitUnused(permit storage.Permit) bool {
 	machine := d.core.mirror.Machines[permit.From]
 	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
-	if machine == nil || machine.Agent == nil {
+	if machine == nil || d.core.agents.agentOf(machine) == nil {
 		return false
 	}
-	agent := machine.Agent
+	agent := d.core.agents.agentOf(machine)
 	if told := agent.SentCommands[key]; agent.StoppingAttempts[key] || agent.HasOutcome(key) || told != nil && told.KillToken != 0 {
 		return false
 	}
@@ -266,7 +266,7 @@
 			startedAt = now
 		}
 		since[id] = startedAt
-		if machine := d.core.mirror.Machines[id]; machine != nil && machine.Agent != nil {
+		if machine := d.core.mirror.Machines[id]; machine != nil && d.core.agents.agentOf(machine) != nil {
 			d.evictUnpermittedOn(machine, startedAt, now)
 		}
 	}
@@ -281,10 +281,10 @@
 	for task, attempt := range machine.Attempts {
 		key := AttemptID{task, attempt}
 		job := d.core.mirror.Jobs[task.Job]
-		if job == nil || !job.IsOpen() || machine.Agent.StoppingAttempts[key] || machine.Agent.HasOutcome(key) || d.needsPermit(job) || d.endsSoon(machine, key, job, startedAt, now) {
+		if job == nil || !job.IsOpen() || d.core.agents.agentOf(machine).StoppingAttempts[key] || d.core.agents.agentOf(machine).HasOutcome(key) || d.needsPermit(job) || d.endsSoon(machine, key, job, startedAt, now) {
 			continue
 		}
-		machine.Agent.StoppingAttempts[key] = true
+		d.core.agents.agentOf(machine).StoppingAttempts[key] = true
 		stopped++
 	}
 	if stopped > 0 {
@@ -301,7 +301,7 @@
 // endsSoon tells whether an array task is expected to end soon. An estimate that was
 // wrong is believed for twice the time.
 func (d *drains) endsSoon(machine *Machine, key AttemptID, job *Job, startedAt, now monotime.Micros) bool {
-	at, running := machine.Agent.RunningSince[key]
+	at, running := d.core.agents.agentOf(machine).RunningSince[key]
 	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
 		return false
 	}
@@ -313,8 +313,11 @@
 // as running is starting, one that has run for long enough isn't. It tells whether anything
 // has changed.
 func (d *drains) updateStartingMarks(next *storage.Shard, machine *Machine, now monotime.Micros) bool {
-	agent := machine.Agent
-	if d == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || !agent.IsReachable() {
+	if d == nil {
+		return false
+	}
+	agent := d.core.agents.agentOf(machine)
+	if agent.Incarnation == 0 || !agent.ClaimAcknowledged || !agent.IsReachable() {
 		return false
 	}
 	changed := false
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -87,7 +87,7 @@
 
 // recordFailure learns from a task that failed.
 func (sc *scheduler) recordFailure(machine *Machine, job *Job) {
-	machine.Agent.FailuresByJob[job.ID]++
+	sc.c.agents.agentOf(machine).FailuresByJob[job.ID]++
 	tracking := sc.trackingOf(job.ID)
 	tracking.lastFailureAt = sc.c.now()
 	if !tracking.excludedMachines[machine.ID] {
@@ -101,7 +101,7 @@
 
 // clearFailuresOn takes back what a faulty machine's failures have said of jobs.
 func (sc *scheduler) clearFailuresOn(machine *Machine) {
-	for id := range machine.Agent.FailuresByJob {
+	for id := range sc.c.agents.agentOf(machine).FailuresByJob {
 		if tracking := sc.jobStates[id]; tracking != nil && tracking.excludedMachines[machine.ID] {
 			delete(tracking.excludedMachines, machine.ID)
 			tracking.failedMachines = max(0, tracking.failedMachines-1)
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -60,9 +60,9 @@
 		}
 	}
 	switch {
-	case machine != nil && machine.Agent != nil && am.c.reachability.shouldRedirectAway(machine.Agent, now):
+	case machine != nil && am.agentOf(machine) != nil && am.c.reachability.shouldRedirectAway(am.agentOf(machine), now):
 		respond(errorResponse(503, "cut off from all others"))
-	case machine != nil && machine.Agent != nil:
+	case machine != nil && am.agentOf(machine) != nil:
 		respond(am.answerHeartbeat(machine, &report))
 	case am.c.mirror.ScaleInOfMachine[report.Machine] != "":
 		// Deleted, or about to be: a report that was held back on its way must not
@@ -125,7 +125,7 @@
 			am.c.env.After(slowTickInterval+2*fastTickInterval, func() {
 				machine := am.c.mirror.Machines[report.Machine]
 				silent := am.c.peerStatuses.status(owner).lastHeardAt <= now
-				if silent && !am.mustAdoptBeforeLeaseEnds(owner, am.c.now()) || machine == nil || machine.Record == nil || machine.Agent != nil || machine.Claim() != claimNumber || machine.Owner() != owner {
+				if silent && !am.mustAdoptBeforeLeaseEnds(owner, am.c.now()) || machine == nil || machine.Record == nil || am.agentOf(machine) != nil || machine.Claim() != claimNumber || machine.Owner() != owner {
 					respond(am.redirectResponse(""))
 					return
 				}
@@ -210,7 +210,7 @@
 	}
 	pendingClaim.report, pendingClaim.fromShard = *report, fromShard
 	pendingClaim.callbacks = append(pendingClaim.callbacks, func(ok bool) {
-		if machine := am.c.mirror.Machines[report.Machine]; ok && machine != nil && machine.Agent != nil {
+		if machine := am.c.mirror.Machines[report.Machine]; ok && machine != nil && am.agentOf(machine) != nil {
 			respond(am.answerHeartbeat(machine, report))
 			return
 		}
@@ -298,7 +298,7 @@
 
 // answerHeartbeat applies a worker's check-in and gives the answer.
 func (am *agentManager) answerHeartbeat(machine *Machine, report *protocol.Heartbeat) Response {
-	agent := machine.Agent
+	agent := am.agentOf(machine)
 	now := am.c.now()
 	if report.Incarnation < agent.LastHeartbeatIncarnation || report.Incarnation == agent.LastHeartbeatIncarnation && report.Sequence <= agent.LastHeartbeatSequence || report.Incarnation < agent.Incarnation {
 		return errorResponse(503, "seen before") // a late copy
@@ -330,7 +330,7 @@
 
 // applyReport takes over a report that is newer than what we know.
 func (am *agentManager) applyReport(machine *Machine, report *protocol.Heartbeat) {
-	agent := machine.Agent
+	agent := am.agentOf(machine)
 	now := am.c.now()
 	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
 	if report.Incarnation > agent.Incarnation {
--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -63,11 +63,11 @@
 		c.sim.Run(10 * second)
 		tc.after(c, core, machine)
 		c.sim.Run(4 * second)
-		if machine.Agent.LeaseExpired != tc.lost {
-			t.Errorf("%s: lost %v", tc.name, machine.Agent.LeaseExpired)
+		if core.agents.agentOf(machine).LeaseExpired != tc.lost {
+			t.Errorf("%s: lost %v", tc.name, core.agents.agentOf(machine).LeaseExpired)
 		}
 		c.sim.Run(13 * second)
-		if !machine.Agent.LeaseExpired || !machine.Agent.HasOutcome(AttemptID{TaskID{"j-1", 0}, 1}) {
+		if !core.agents.agentOf(machine).LeaseExpired || !core.agents.agentOf(machine).HasOutcome(AttemptID{TaskID{"j-1", 0}, 1}) {
 			t.Errorf("%s: never lost", tc.name)
 		}
 	}
@@ -102,7 +102,7 @@
 			core.agents.answerHeartbeat(machine, &protocol.Heartbeat{Machine: "i-1", Endpoint: "10.1.0.1:9000", Type: "m8", Zone: "a", Incarnation: s.session, Sequence: s.seq, FencingToken: s.token,
 				Tasks: []protocol.TaskStatus{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}}})
 		}
-		machine.Agent.RemovalReason = ""
+		core.agents.agentOf(machine).RemovalReason = ""
 		if got := core.scheduler.schedulable(machine, c.sim.Now()); got != tc.usable {
 			t.Errorf("%s: usable %v", tc.name, got)
 		}
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -25,7 +25,7 @@
 	check := &machineHealthCheck{now: now}
 	am.countSilentMachines(check)
 	for _, id := range sortedKeys(am.c.mirror.Machines) {
-		if machine := am.c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
+		if machine := am.c.mirror.Machines[id]; am.agentOf(machine) != nil && machine.Record != nil {
 			am.checkMachine(machine, check)
 		}
 	}
@@ -60,11 +60,11 @@
 	now := check.now
 	zones, overall := map[string]*silenceCount{}, silenceCount{}
 	for _, machine := range am.c.mirror.Machines {
-		if machine.Agent == nil || machine.Record == nil {
+		if am.agentOf(machine) == nil || machine.Record == nil {
 			continue
 		}
 		check.owned++
-		silent := am.agentSilence(machine.Agent, now) > 2*am.c.durations.heartbeatInterval
+		silent := am.agentSilence(am.agentOf(machine), now) > 2*am.c.durations.heartbeatInterval
 		if silent {
 			check.silent++
 		}
@@ -73,8 +73,8 @@
 			zoneSilence = &silenceCount{}
 			zones[machine.Record.Zone] = zoneSilence
 		}
-		zoneSilence.add(silent, machine.Agent.Incarnation == 0)
-		overall.add(silent, machine.Agent.Incarnation == 0)
+		zoneSilence.add(silent, am.agentOf(machine).Incarnation == 0)
+		overall.add(silent, am.agentOf(machine).Incarnation == 0)
 	}
 	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.suspicionTimeout || am.c.reachability.resumedFromPauseAt == 0 {
 		am.c.reachability.updateReachability(overall, now)
@@ -89,7 +89,7 @@
 
 // checkMachine looks after one machine.
 func (am *agentManager) checkMachine(machine *Machine, check *machineHealthCheck) {
-	agent, now := machine.Agent, check.now
+	agent, now := am.agentOf(machine), check.now
 	if !agent.LeaseExpired && agent.ClaimAcknowledged && now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > am.c.durations.leaseExpiryProof {
 		check.leasesExpired++
 		check.tasksLost += len(machine.Attempts)
@@ -120,16 +120,16 @@
 
 // expireMachineLease settles all that was on a machine whose lease has ended.
 func (am *agentManager) expireMachineLease(machine *Machine) {
-	machine.Agent.LeaseExpired, machine.Agent.ClaimAcknowledged = true, false
+	am.agentOf(machine).LeaseExpired, am.agentOf(machine).ClaimAcknowledged = true, false
 	for task, attempt := range machine.Attempts {
-		machine.Agent.RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
+		am.agentOf(machine).RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
 	}
 	am.c.scheduler.passNeeded = true
 }
 
 // removalReason tells why a silent machine is to be deleted, or "" if it isn't.
 func (am *agentManager) removalReason(machine *Machine, check *machineHealthCheck) string {
-	agent, silent := machine.Agent, am.agentSilence(machine.Agent, check.now)
+	agent, silent := am.agentOf(machine), am.agentSilence(am.agentOf(machine), check.now)
 	// A zone that is cut off comes back with its machines, each within a lease: to
 	// delete them for their silence would have its room wait for boots then. Not
 	// so where services are: a deletion lets them start elsewhere.
@@ -181,7 +181,7 @@
 
 // desiredMachineState is the state that a machine of ours should stand in.
 func (am *agentManager) desiredMachineState(machine *Machine) storage.MachineState {
-	agent := machine.Agent
+	agent := am.agentOf(machine)
 	if (agent.RemovalReason == removalReasonIdle || agent.RemovalReason == removalReasonDrained) && len(machine.Attempts) > 0 {
 		agent.RemovalReason = "" // the recheck: it got tasks meanwhile
 	}
@@ -206,7 +206,7 @@
 
 // requestRemoval has a machine given back: our shard says so, and the leader deletes it.
 func (am *agentManager) requestRemoval(machine *Machine, reason string) {
-	machine.Agent.RemovalReason = reason
+	am.agentOf(machine).RemovalReason = reason
 	am.c.scheduler.passNeeded = true
 	am.unloggedRemovals[reason] = append(am.unloggedRemovals[reason], machine.ID)
 }
@@ -272,7 +272,7 @@
 // vacateInterruptedMachine stops what gains by it before a noticed machine goes: services start
 // elsewhere now rather than later, checkpointed work is saved.
 func (am *agentManager) vacateInterruptedMachine(machine *Machine) {
-	agent := machine.Agent
+	agent := am.agentOf(machine)
 	for task, attempt := range machine.Attempts {
 		job := am.c.mirror.Jobs[task.Job]
 		if job != nil && job.IsOpen() && (job.Record.Spec.Service || job.Record.Spec.CheckpointS > 0) {
--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -137,7 +137,6 @@
 	Used         Resources
 	Attempts     map[TaskID]uint64 // attempts that the store holds here
 	CachedImages map[string]bool   // images that tasks have brought here, as far as we saw
-	Agent        *Agent            // only while it is ours
 }
 
 func (m *Machine) Owner() string { return m.Shard.Record.Owner }
@@ -167,14 +166,16 @@
 	ownDeletions      map[string]uint64       // own deletions ahead of the watch
 	Results           *ResultCache
 	OnChange          func(kind, name string)
+	OnMachineReleased func(id string) // called when a machine no longer stands in a shard
 }
 
-func newMirror(touched func(kind, name string)) *Mirror {
+func newMirror() *Mirror {
 	return &Mirror{
 		Jobs: map[string]*Job{}, Shards: map[string]*Shard{}, Machines: map[string]*Machine{}, UseByTeam: map[string]Resources{},
 		Partitions: map[string]*PartitionEntry{}, ScaleOuts: map[string]*ScaleOutEntry{}, ScaleOutOfMachine: map[string]string{},
 		ScaleIns: map[string]*ScaleInEntry{}, ScaleInOfMachine: map[string]string{}, MachineTypes: map[string]MachineTypeEntry{},
-		Members: map[string]MemberEntry{}, Drains: map[string]DrainEntry{}, PermitsByTeam: map[string]PermitsEntry{}, ownDeletions: map[string]uint64{}, Results: NewResultCache(20000), OnChange: touched,
+		Members: map[string]MemberEntry{}, Drains: map[string]DrainEntry{}, PermitsByTeam: map[string]PermitsEntry{}, ownDeletions: map[string]uint64{}, Results: NewResultCache(20000),
+		OnChange: func(string, string) {}, OnMachineReleased: func(string) {},
 	}
 }
 
@@ -266,7 +267,8 @@
 	for id := range previous.Record.Machines {
 		machine := v.Machines[id]
 		if (next == nil || next.Record.Machines[id] == nil) && machine != nil && machine.Shard == previous {
-			machine.Shard, machine.Record, machine.Agent = nil, nil, nil
+			machine.Shard, machine.Record = nil, nil
+			v.OnMachineReleased(id)
 			v.removeMachineIfUnused(machine)
 		}
 	}
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -40,7 +40,7 @@
 	if r.c.drains != nil {
 		kinds = slices.Concat(mirroredKinds, mirroredDrainKinds)
 	}
-	mirror := newMirror(func(string, string) {})
+	mirror := newMirror()
 	mirror.Results = r.c.mirror.Results
 	var firstRevision, lastRevision uint64
 	var sentAt monotime.Micros // when the first list was asked for
@@ -129,12 +129,9 @@
 
 // installMirror makes a loaded mirror the core's own.
 func (r *mirrorReplica) install(mirror *Mirror, firstRevision, lastRevision uint64) {
-	for id, machine := range r.c.mirror.Machines {
-		if machine.Agent != nil && mirror.Machines[id] != nil {
-			mirror.Machines[id].Agent = machine.Agent
-		}
-	}
-	mirror.WatchedRevision, mirror.NewestRevision, mirror.OnChange = firstRevision, max(lastRevision, r.c.mirror.NewestRevision), r.c.onMirrorChange
+	r.c.agents.keepOnly(mirror)
+	mirror.WatchedRevision, mirror.NewestRevision = firstRevision, max(lastRevision, r.c.mirror.NewestRevision)
+	mirror.OnChange, mirror.OnMachineReleased = r.c.onMirrorChange, r.c.agents.release
 	r.c.mirror = mirror
 	r.loading, r.loaded, r.loadedRevision = false, true, lastRevision
 	r.c.cancellations.reconcileCancellations()
--- a/internal/coordination/mirror_test.go
+++ b/internal/coordination/mirror_test.go
@@ -87,7 +87,7 @@
 		{[]string{"job", "page", "page drops, by the watch", "a late answer to an own commit"}, 0, true},
 	}
 	for _, tc := range cases {
-		mr := newMirror(func(string, string) {})
+		mr := newMirror()
 		for _, s := range tc.order {
 			steps[s](mr)
 		}
@@ -117,7 +117,7 @@
 		return m.HeapAlloc
 	}
 	before := measure()
-	mr := newMirror(func(string, string) {})
+	mr := newMirror()
 	for i := 0; i < maxOpenJobs; i++ {
 		id := fmt.Sprintf("j-%06d", i)
 		mr.putJob(id, 64, uint64(3*i+1))
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -52,7 +52,7 @@
 				candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
 			}
 			machine := candidate.machine
-			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) || len(machine.Agent.StoppingAttempts) > 0 || !candidate.availableTo(job) {
+			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) || len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 || !candidate.availableTo(job) {
 				continue
 			}
 			victims, loss, ok := sc.selectVictims(machine, job, candidate.freeResources, now)
@@ -73,7 +73,7 @@
 			break
 		}
 		for _, victim := range bestVictims {
-			best.machine.Agent.StoppingAttempts[victim.attempt] = true
+			sc.c.agents.agentOf(best.machine).StoppingAttempts[victim.attempt] = true
 			sc.c.log.Debug("task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
 				"machine", best.machine.ID, "for_job", job.ID)
 		}
@@ -124,15 +124,15 @@
 	var possible []preemptionVictim
 	for task, attempt := range machine.Attempts {
 		victim := sc.c.mirror.Jobs[task.Job]
-		if victim == nil || !victim.IsOpen() || !sc.mayPreempt(job, victim) || machine.Agent.HasOutcome(AttemptID{task, attempt}) {
+		if victim == nil || !victim.IsOpen() || !sc.mayPreempt(job, victim) || sc.c.agents.agentOf(machine).HasOutcome(AttemptID{task, attempt}) {
 			continue
 		}
 		key := AttemptID{task, attempt}
-		if taskReport, reported := machine.Agent.ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
+		if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
 			continue
 		}
 		ran := 0.0
-		if at, ok := machine.Agent.RunningSince[key]; ok {
+		if at, ok := sc.c.agents.agentOf(machine).RunningSince[key]; ok {
 			ran = (now - at).Seconds()
 		}
 		if cp := victim.Record.Spec.CheckpointS; cp > 0 {
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -97,7 +97,7 @@
 	}
 	var machines []*Machine
 	for _, id := range sortedKeys(rc.c.mirror.Machines) {
-		if machine := rc.c.mirror.Machines[id]; machine.Agent != nil && machine.Record != nil {
+		if machine := rc.c.mirror.Machines[id]; rc.c.agents.agentOf(machine) != nil && machine.Record != nil {
 			machines = append(machines, machine)
 		}
 	}
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -123,7 +123,7 @@
 				unheard := 0
 				for _, n := range c.nodeNames {
 					for _, machine := range c.nodes[n].controller.mirror.Machines {
-						if n != node && machine.Agent != nil && !machine.Agent.ClaimAcknowledged {
+						if n != node && c.nodes[n].controller.agents.agentOf(machine) != nil && !c.nodes[n].controller.agents.agentOf(machine).ClaimAcknowledged {
 							unheard++
 						}
 					}
@@ -255,7 +255,7 @@
 	c.kill("n-1", "n-2")
 	mine := 0
 	for _, machine := range c.nodes[node].controller.mirror.Machines {
-		if machine.Agent != nil {
+		if c.nodes[node].controller.agents.agentOf(machine) != nil {
 			mine += len(machine.Attempts)
 		}
 	}
@@ -317,20 +317,20 @@
 	core := c.nodes["n-0"].controller
 	var machine *Machine
 	for _, id := range sortedKeys(core.mirror.Machines) {
-		if o := core.mirror.Machines[id]; o.Agent != nil {
+		if o := core.mirror.Machines[id]; core.agents.agentOf(o) != nil {
 			machine = o
 		}
 	}
 	worker := c.fleet.Workers[machine.ID]
 	body := protocol.MustMarshal(worker.Heartbeat())
-	alive := machine.Agent.LastReachedAt
+	alive := core.agents.agentOf(machine).LastReachedAt
 	got := 0
 	c.pause(core.node, 5*second)
 	c.sendRequest(core.node, "POST", protocol.HeartbeatPath, body, func(response Response) { got = response.Status })
 	c.sim.Run(5 * second)
 	core.tick() // the first thing that it does
 	c.sim.Run(monotime.Millisecond)
-	if got == 200 || machine.Agent != nil && machine.Agent.LastReachedAt > alive {
+	if got == 200 || core.agents.agentOf(machine) != nil && core.agents.agentOf(machine).LastReachedAt > alive {
 		t.Errorf("answered %d", got)
 	}
 }
--- a/internal/coordination/record_snapshot.go
+++ b/internal/coordination/record_snapshot.go
@@ -43,7 +43,7 @@
 // ReadRecords reads all records and brings them to one revision: the lists are read one after the
 // other, then all changes since the first are applied.
 func ReadRecords(call StoreCaller, txnOps int) (*RecordSnapshot, error) {
-	s := &RecordSnapshot{mirror: newMirror(func(string, string) {}), machineTypes: map[string]protocol.MachineType{}}
+	s := &RecordSnapshot{mirror: newMirror(), machineTypes: map[string]protocol.MachineType{}}
 	firstRevision, err := s.readLists(call)
 	if err != nil {
 		return nil, err
--- a/internal/coordination/runtime_estimates.go
+++ b/internal/coordination/runtime_estimates.go
@@ -11,7 +11,7 @@
 
 // recordExit learns from how an attempt ended.
 func (sc *scheduler) recordExit(machine *Machine, job *Job, task TaskID, taskReport *protocol.TaskStatus) {
-	agent := machine.Agent
+	agent := sc.c.agents.agentOf(machine)
 	if agent.HasOutcome(AttemptID{task, taskReport.Attempt}) {
 		return
 	}
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -61,17 +61,17 @@
 			break
 		}
 		machine := candidate.machine
-		if candidate.heldBack || !candidate.availableTo(job) || len(machine.Agent.StoppingAttempts) > 0 || !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) {
+		if candidate.heldBack || !candidate.availableTo(job) || len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 || !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) {
 			continue
 		}
 		var victims []preemptionVictim
 		for task, attempt := range machine.Attempts {
 			key := AttemptID{task, attempt}
 			victim := sc.c.mirror.Jobs[task.Job]
-			if victim == nil || !sc.preemptibleBy(job, victim) || machine.Agent.HasOutcome(key) {
+			if victim == nil || !sc.preemptibleBy(job, victim) || sc.c.agents.agentOf(machine).HasOutcome(key) {
 				continue
 			}
-			if taskReport, reported := machine.Agent.ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
+			if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
 				continue
 			}
 			victims = append(victims, preemptionVictim{key, victim.TaskResources, victim.Record.Spec.SaveS})
@@ -97,7 +97,7 @@
 			continue
 		}
 		for _, victim := range victims[:taken] {
-			machine.Agent.StoppingAttempts[victim.attempt] = true
+			sc.c.agents.agentOf(machine).StoppingAttempts[victim.attempt] = true
 			save = max(save, victim.lostCPUSeconds)
 			sc.c.log.Debug("scavenger task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
 				"machine", machine.ID, "for_job", job.ID)
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -175,7 +175,7 @@
 	}
 	mine := sm.ownsShard(shard)
 	for id := range shard.Record.Machines {
-		if machine := sm.c.mirror.Machines[id]; machine != nil && (mine || machine.Agent != nil) {
+		if machine := sm.c.mirror.Machines[id]; machine != nil && (mine || sm.c.agents.agentOf(machine) != nil) {
 			sm.c.agents.updateAgentOwnership(machine)
 		}
 	}
@@ -264,7 +264,7 @@
 			update.Changed = true
 			continue
 		}
-		agent := machine.Agent
+		agent := sm.c.agents.agentOf(machine)
 		if agent == nil {
 			continue
 		}
