--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -7,6 +7,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -46,7 +47,7 @@
 // unplacedDemand lists the tasks without room that teams' limits let run.
 func (as *autoscaler) unplacedDemand(now monotime.Micros) []*taskDemand {
 	var out []*taskDemand
-	teamLeft := map[string]Resources{}
+	teamLeft := map[string]resources.Vector{}
 	for i, job := range as.c.scheduler.orderedQueue() {
 		spec := &job.Record.Spec
 		if s := as.c.scheduler.jobStates[job.ID]; s != nil && now < s.placeNotBefore {
@@ -147,15 +148,15 @@
 			bin.preemptibleByServices = bin.preemptibleByServices.AddScaled(job.TaskResources, 1)
 			if as.c.scheduler.isPreemptible(job) {
 				if bin.preemptibleByPriority == nil {
-					bin.preemptibleByPriority = map[int]Resources{}
+					bin.preemptibleByPriority = map[int]resources.Vector{}
 				}
 				priority := job.Record.Spec.Priority
 				bin.preemptibleByPriority[priority] = bin.preemptibleByPriority[priority].AddScaled(job.TaskResources, 1)
 				continue // it isn't waited for, it gives way
 			}
 			lasts := as.c.scheduler.expectedRunSeconds(&job.Record.Spec)
-			bin.committedCPUSeconds += roundToUnit(job.TaskResources.CPUs * lasts / 2)
-			bin.running = append(bin.running, runningTask{roundToUnit(job.TaskResources.CPUs), roundToUnit(lasts)})
+			bin.committedCPUSeconds += resources.Round(job.TaskResources.CPUs * lasts / 2)
+			bin.running = append(bin.running, runningTask{resources.Round(job.TaskResources.CPUs), resources.Round(lasts)})
 		}
 	}
 }
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -9,6 +9,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -319,9 +320,9 @@
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
 		update := NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
 		update.MaxBytes = int(tc.partition * float64(core.scheduler.assignmentShardBytes()))
-		candidates := []*candidateMachine{{machine: &Machine{ID: "i-1", CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"}, update: update, freeResources: Resources{CPUs: 8, MemoryGB: 64}}}
+		candidates := []*candidateMachine{{machine: &Machine{ID: "i-1", CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"}, update: update, freeResources: resources.Vector{CPUs: 8, MemoryGB: 64}}}
 		for _, service := range []bool{false, true} {
-			job := &Job{ID: "j-900000", TaskResources: Resources{CPUs: 0.25}, TaskStates: make([]uint8, 1),
+			job := &Job{ID: "j-900000", TaskResources: resources.Vector{CPUs: 0.25}, TaskStates: make([]uint8, 1),
 				Record: storage.OpenJob{Spec: storage.JobSpec{Tasks: 1, CPUs: 0.25, Service: service, Priority: int(protocol.BestEffort)}}}
 			if got := core.scheduler.chooseMachine(job, candidates, newZoneConstraint(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
 				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -29,7 +30,7 @@
 	machine        *Machine
 	record         *storage.ShardMachine
 	update         *ShardUpdate // nil where only the room counts
-	freeResources  Resources
+	freeResources  resources.Vector
 	serviceCPUs    float64 // CPUs that services hold, this pass's too
 	taskCount      int
 	closing        bool   // closing: reopened if nothing else has room
@@ -88,7 +89,7 @@
 // within which team's limit if that is what is short. Of thousands of waiting tasks
 // most are like another: each pass looks at all machines once for all of these.
 type taskShape struct {
-	need                     Resources
+	need                     resources.Vector
 	spot                     bool
 	zone, allowedTypes, team string
 }
@@ -133,10 +134,10 @@
 }
 
 // noteQuotaShortage notes that a partition's share of a team's limit keeps tasks waiting.
-func (q *quotaManager) noteShortage(team string, taskResources Resources, tasks int, available Resources, usable bool) {
+func (q *quotaManager) noteShortage(team string, taskResources resources.Vector, tasks int, available resources.Vector, usable bool) {
 	s, ok := q.shortages[team]
 	s.hasMachineRoom = s.hasMachineRoom || usable
-	least := Resources{CPUs: max(0, taskResources.CPUs-available.CPUs), GPUs: max(0, taskResources.GPUs-available.GPUs)}
+	least := resources.Vector{CPUs: max(0, taskResources.CPUs-available.CPUs), GPUs: max(0, taskResources.GPUs-available.GPUs)}
 	if math.IsInf(available.CPUs, 1) {
 		least.CPUs = 0
 	}
@@ -176,7 +177,7 @@
 		if best == nil {
 			return
 		}
-		best.heldBack, best.freeResources = true, Resources{}
+		best.heldBack, best.freeResources = true, resources.Vector{}
 	}
 }
 
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -164,7 +165,7 @@
 	record.Claim = max(machine.Claim(), update.Next.Claim) + 1
 	delete(left.Machines, machine.ID)
 	update.Next.AddMachine(machine.ID, record)
-	useByTeam := map[string]Resources{}
+	useByTeam := map[string]resources.Vector{}
 	for task, attempt := range machine.Attempts {
 		before, _ := fromShard.Record.FindAttempt(task.Job, task.Index)
 		left.Release(task.Job, task.Index, false)
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -2,17 +2,18 @@
 
 import (
 	"pipitgap/internal/drain"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
 // Room for replicas that drains move: what is held for them, and what is rented.
 
 // reservations is the room that permits hold for the next attempts of their replicas, by machine.
-func (d *drains) reservations() map[string]Resources {
+func (d *drains) reservations() map[string]resources.Vector {
 	if d == nil {
 		return nil
 	}
-	held := map[string]Resources{}
+	held := map[string]resources.Vector{}
 	d.forEachReservation(func(permit *storage.Permit, job *Job) {
 		held[permit.To] = held[permit.To].AddScaled(job.TaskResources, 1)
 	})
@@ -50,7 +51,7 @@
 type drainReservation struct {
 	candidate *candidateMachine
 	task      TaskID
-	need      Resources
+	need      resources.Vector
 }
 
 // reserveOnCandidates takes the room that is held for replicas off what the candidates have.
--- a/internal/coordination/drain_snapshot.go
+++ b/internal/coordination/drain_snapshot.go
@@ -3,6 +3,7 @@
 import (
 	"pipitgap/internal/drain"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -89,6 +90,6 @@
 	m.ArrayUsage = append(m.ArrayUsage, drain.ArrayUsage{Priority: priority, Tasks: 1, Resources: drainResources(job.TaskResources)})
 }
 
-func drainResources(r Resources) drain.Resources {
+func drainResources(r resources.Vector) drain.Resources {
 	return drain.Resources{CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB}
 }
--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -6,12 +6,12 @@
 import (
 	"cmp"
 	"maps"
-	"math"
 	"slices"
 	"strconv"
 	"strings"
 
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -24,58 +24,20 @@
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
 func ParseTaskID(s string) (TaskID, bool) {
-	job, node, ok := strings.Cut(s, "/")
+	job, index, ok := strings.Cut(s, "/")
 	if !ok {
 		return TaskID{}, false
 	}
-	i, err := strconv.Atoi(node)
+	i, err := strconv.Atoi(index)
 	if err != nil || i < 0 {
 		return TaskID{}, false
 	}
 	return TaskID{job, i}, true
 }
 
-// Resources is what tasks take and machines have.
-type Resources struct{ CPUs, GPUs, MemoryGB float64 }
-
-// resourceUnit is what amounts are whole multiples of: then their sums are exact, whatever the
-// order in which maps are walked, and the same day takes the same course.
-const resourceUnit = 1.0 / (1 << 30)
-
-func roundToUnit(x float64) float64 { return math.Round(x/resourceUnit) * resourceUnit }
-
-func NewResources(cpus, gpus, mem float64) Resources {
-	return Resources{roundToUnit(cpus), roundToUnit(gpus), roundToUnit(mem)}
-}
-
 // TaskResources is what each task of a job takes.
-func TaskResources(spec *storage.JobSpec) Resources {
-	return NewResources(spec.CPUs, spec.GPUs, spec.MemoryGB)
-}
-
-func (a Resources) AddScaled(b Resources, n float64) Resources {
-	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
-}
-
-// resourceTolerance keeps sums of decimal amounts from refusing an exact fit.
-const resourceTolerance = 1e-6
-
-func (a Resources) FitsIn(available Resources) bool {
-	return a.CPUs <= available.CPUs+resourceTolerance && a.GPUs <= available.GPUs+resourceTolerance && a.MemoryGB <= available.MemoryGB+resourceTolerance
-}
-
-// CountIn tells how many of a fit into room.
-func (a Resources) CountIn(available Resources) int {
-	n := math.Inf(1)
-	for _, p := range [][2]float64{{a.CPUs, available.CPUs}, {a.GPUs, available.GPUs}, {a.MemoryGB, available.MemoryGB}} {
-		if p[0] > 0 {
-			n = min(n, math.Floor((p[1]+resourceTolerance)/p[0]))
-		}
-	}
-	if n > protocol.MaxTasks {
-		return protocol.MaxTasks
-	}
-	return max(0, int(n))
+func TaskResources(spec *storage.JobSpec) resources.Vector {
+	return resources.New(spec.CPUs, spec.GPUs, spec.MemoryGB)
 }
 
 // Job is an unfinished job in the mirror.
@@ -83,7 +45,7 @@
 	ID            string
 	Record        storage.OpenJob
 	Version       uint64
-	TaskResources Resources
+	TaskResources resources.Vector
 	FinalStatus   storage.JobState // the answer, if it has one
 	FinalRevision uint64           // its version
 	TaskStates    []uint8          // of each task, 0: pending; see assignedUnit
@@ -126,7 +88,7 @@
 	Name      string
 	Record    *storage.Shard
 	Version   uint64
-	UseByTeam map[string]Resources // by team, what its attempts take
+	UseByTeam map[string]resources.Vector // by team, what its attempts take
 }
 
 // Machine is a claimed machine in the mirror, with what its tasks take.
@@ -134,7 +96,7 @@
 	ID           string
 	Shard        *Shard
 	Record       *storage.ShardMachine // nil: only its attempts are known still
-	Used         Resources
+	Used         resources.Vector
 	Attempts     map[TaskID]uint64 // attempts that the store holds here
 	CachedImages map[string]bool   // images that tasks have brought here, as far as we saw
 }
@@ -151,7 +113,7 @@
 	Jobs              map[string]*Job
 	Shards            map[string]*Shard
 	Machines          map[string]*Machine
-	UseByTeam         map[string]Resources
+	UseByTeam         map[string]resources.Vector
 	Partitions        map[string]*PartitionEntry
 	ScaleOuts         map[string]*ScaleOutEntry
 	ScaleOutOfMachine map[string]string // machine: the request that it came with
@@ -171,7 +133,7 @@
 
 func newMirror() *Mirror {
 	return &Mirror{
-		Jobs: map[string]*Job{}, Shards: map[string]*Shard{}, Machines: map[string]*Machine{}, UseByTeam: map[string]Resources{},
+		Jobs: map[string]*Job{}, Shards: map[string]*Shard{}, Machines: map[string]*Machine{}, UseByTeam: map[string]resources.Vector{},
 		Partitions: map[string]*PartitionEntry{}, ScaleOuts: map[string]*ScaleOutEntry{}, ScaleOutOfMachine: map[string]string{},
 		ScaleIns: map[string]*ScaleInEntry{}, ScaleInOfMachine: map[string]string{}, MachineTypes: map[string]MachineTypeEntry{},
 		Members: map[string]MemberEntry{}, Drains: map[string]DrainEntry{}, PermitsByTeam: map[string]PermitsEntry{}, ownDeletions: map[string]uint64{}, Results: NewResultCache(20000),
@@ -279,7 +241,7 @@
 	if previous != nil {
 		next.UseByTeam = previous.UseByTeam
 	} else {
-		next.UseByTeam = map[string]Resources{}
+		next.UseByTeam = map[string]resources.Vector{}
 	}
 	v.Shards[next.Name] = next
 	for id, record := range next.Record.Machines {
@@ -323,7 +285,7 @@
 		}
 		machine.Used = machine.Used.AddScaled(job.TaskResources, float64(sign))
 		if len(machine.Attempts) == 0 {
-			machine.Used = Resources{} // no rounding left behind
+			machine.Used = resources.Vector{} // no rounding left behind
 		}
 		addTeamUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
 		addTeamUse(v.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
@@ -362,9 +324,9 @@
 	return false
 }
 
-func addTeamUse(useByTeam map[string]Resources, team string, taskResources Resources, sign int) {
+func addTeamUse(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
 	total := useByTeam[team].AddScaled(taskResources, float64(sign))
-	if total.CPUs < resourceTolerance && total.GPUs < resourceTolerance && total.MemoryGB < resourceTolerance {
+	if total.CPUs < resources.Tolerance && total.GPUs < resources.Tolerance && total.MemoryGB < resources.Tolerance {
 		delete(useByTeam, team)
 	} else {
 		useByTeam[team] = total
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -29,7 +30,7 @@
 	sampling                               bool                              // look at some of the candidates only
 	fittingByShape                         map[taskShape][]*candidateMachine // if so, those with room for a task, as last looked at: room only shrinks in a pass
 	tasksInDoubt                           map[TaskID]bool                   // tasks that a commit in doubt may have assigned
-	quotaLeft                              map[string]Resources
+	quotaLeft                              map[string]resources.Vector
 	noRoomFor                              map[taskShape]bool // what no machine has room for: room only shrinks in a pass
 	hasRoomFor                             map[taskShape]bool // of what lacks a share of its team's limit: whether it could start here
 	partitionCapacity                      *partitionCapacity // of all partitions, made when it is first needed
@@ -47,11 +48,11 @@
 	teamLimit        teamLimits
 	spotOnly         bool // held to spot machines, see bound
 	crashLooping     bool
-	oneCommitAtATime bool      // its tasks go out by one commit at a time
-	preempting       bool      // machines are kept for it
-	hasReservation   bool      // room is held for replicas of it that are being moved
-	quotaRoom        Resources // of our share of its team's limit
-	maxTasks         int       // tasks that it may be given
+	oneCommitAtATime bool             // its tasks go out by one commit at a time
+	preempting       bool             // machines are kept for it
+	hasReservation   bool             // room is held for replicas of it that are being moved
+	quotaRoom        resources.Vector // of our share of its team's limit
+	maxTasks         int              // tasks that it may be given
 	zoneConstraint   *zoneConstraint
 	shape            taskShape // what is like its tasks,
 	teamShape        taskShape // and within the same team's limit
@@ -81,7 +82,7 @@
 	sc.jobsInPass = map[string]bool{}
 	sc.serviceCPUsAssigned = sc.totalServiceCPUs()
 	p := &placement{core: sc.c, now: now, wallNow: sc.c.env.WallClock(), candidates: sc.candidateMachines(updates, now), tasksInDoubt: sc.c.shards.tasksInDoubt(),
-		quotaLeft: map[string]Resources{}, noRoomFor: map[taskShape]bool{}, hasRoomFor: map[taskShape]bool{}, fittingByShape: map[taskShape][]*candidateMachine{}}
+		quotaLeft: map[string]resources.Vector{}, noRoomFor: map[taskShape]bool{}, hasRoomFor: map[taskShape]bool{}, fittingByShape: map[taskShape][]*candidateMachine{}}
 	sc.reservePreemptedRoom(p.candidates, now)
 	p.reservations = sc.c.drains.reserveOnCandidates(p.candidates, updates)
 	p.sampling = len(p.candidates) > sampleAboveMachines && len(p.candidates)*len(jobs) > sampleAboveComparisons
@@ -184,7 +185,7 @@
 // fittingCandidates lists the candidates with room for a task of a kind. Where samples are looked
 // at, most of which are full, each task would have all machines looked at again: with a
 // thousand of them 270 for each task that was placed.
-func (p *placement) fittingCandidates(kind taskShape, taskResources Resources) []*candidateMachine {
+func (p *placement) fittingCandidates(kind taskShape, taskResources resources.Vector) []*candidateMachine {
 	searched, seen := p.fittingByShape[kind]
 	if !seen {
 		searched = p.candidates
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 )
 
 // preemptionTimeout is how long room that was made for a job is waited for before
@@ -25,7 +26,7 @@
 // preemptionVictim is a running task of lower priority.
 type preemptionVictim struct {
 	attempt        AttemptID
-	need           Resources
+	need           resources.Vector
 	lostCPUSeconds float64 // CPU seconds of work that stopping it throws away
 }
 
@@ -100,7 +101,7 @@
 	if victim.Record.Spec.Priority < job.Record.Spec.Priority && job.Record.Spec.Service {
 		return true
 	}
-	return victim.Record.Spec.Team != job.Record.Spec.Team && !victim.Record.Spec.Service && victim.Record.Spec.Priority <= job.Record.Spec.Priority && sc.entitledToGuarantee(job) && sc.exceedsGuarantee(victim.Record.Spec.Team, Resources{})
+	return victim.Record.Spec.Team != job.Record.Spec.Team && !victim.Record.Spec.Service && victim.Record.Spec.Priority <= job.Record.Spec.Priority && sc.entitledToGuarantee(job) && sc.exceedsGuarantee(victim.Record.Spec.Team, resources.Vector{})
 }
 
 // entitledToGuarantee tells whether a job's next task is owed to its team: the team has a
@@ -112,15 +113,15 @@
 
 // exceedsGuarantee tells whether a team uses more than its guarantee, less what is to be
 // stopped of it.
-func (sc *scheduler) exceedsGuarantee(name string, less Resources) bool {
+func (sc *scheduler) exceedsGuarantee(name string, less resources.Vector) bool {
 	team, _ := sc.c.quota.teamLimits(name)
 	use := sc.c.mirror.UseByTeam[name].AddScaled(less, -1)
-	return use.CPUs > team.guaranteedCPUs+resourceTolerance || use.GPUs > team.guaranteedGPUs+resourceTolerance
+	return use.CPUs > team.guaranteedCPUs+resources.Tolerance || use.GPUs > team.guaranteedGPUs+resources.Tolerance
 }
 
 // selectVictims picks the tasks of a machine whose stop makes room for one task of
 // a job, with least work lost.
-func (sc *scheduler) selectVictims(machine *Machine, job *Job, free Resources, now monotime.Micros) (victims []preemptionVictim, loss float64, ok bool) {
+func (sc *scheduler) selectVictims(machine *Machine, job *Job, free resources.Vector, now monotime.Micros) (victims []preemptionVictim, loss float64, ok bool) {
 	var possible []preemptionVictim
 	for task, attempt := range machine.Attempts {
 		victim := sc.c.mirror.Jobs[task.Job]
@@ -146,7 +147,7 @@
 		}
 		return possible[a].attempt.Task.String() < possible[b].attempt.Task.String()
 	})
-	taken := map[string]Resources{}
+	taken := map[string]resources.Vector{}
 	for _, victim := range possible {
 		if job.TaskResources.FitsIn(free) {
 			break
--- a/internal/coordination/queue_order.go
+++ b/internal/coordination/queue_order.go
@@ -5,6 +5,7 @@
 	"sort"
 
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -184,5 +185,5 @@
 func (sc *scheduler) withinGuarantee(job *Job) bool {
 	team, _ := sc.c.quota.teamLimits(job.Record.Spec.Team)
 	use := sc.c.mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
-	return use.CPUs <= team.guaranteedCPUs+resourceTolerance && use.GPUs <= team.guaranteedGPUs+resourceTolerance
+	return use.CPUs <= team.guaranteedCPUs+resources.Tolerance && use.GPUs <= team.guaranteedGPUs+resources.Tolerance
 }
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -24,17 +25,17 @@
 
 // quotaShortage is what assignments lacked of a partition's share.
 type quotaShortage struct {
-	perTask, total Resources // for one task, and for all
-	hasMachineRoom bool      // a machine has room for one of them
+	perTask, total resources.Vector // for one task, and for all
+	hasMachineRoom bool             // a machine has room for one of them
 }
 
 // quotaShareOf is what a partition may use of a team's limit, by its record.
-func (q *quotaManager) quotaShareOf(partition, team string) Resources {
+func (q *quotaManager) quotaShareOf(partition, team string) resources.Vector {
 	if p := q.c.mirror.Partitions[partition]; p != nil {
 		share := p.Record.QuotaShares[team]
-		return Resources{roundToUnit(share.CPUs), roundToUnit(share.GPUs), math.Inf(1)}
+		return resources.Vector{resources.Round(share.CPUs), resources.Round(share.GPUs), math.Inf(1)}
 	}
-	return Resources{MemoryGB: math.Inf(1)}
+	return resources.Vector{MemoryGB: math.Inf(1)}
 }
 
 // quotaSharesInDoubt are shares of ours that a commit without an answer may yet bring about:
@@ -46,13 +47,13 @@
 }
 
 // ownQuotaShare is what we may use of a team's limit, whatever becomes of commits in doubt.
-func (q *quotaManager) ownQuotaShare(team string) Resources {
+func (q *quotaManager) ownQuotaShare(team string) resources.Vector {
 	share := q.quotaShareOf(q.c.node, team)
 	version := q.c.mirror.VersionOf(partitionKey(q.c.node))
 	for _, inDoubt := range q.sharesInDoubt {
 		if inDoubt.version == version {
-			share.CPUs = min(share.CPUs, roundToUnit(inDoubt.record.QuotaShares[team].CPUs))
-			share.GPUs = min(share.GPUs, roundToUnit(inDoubt.record.QuotaShares[team].GPUs))
+			share.CPUs = min(share.CPUs, resources.Round(inDoubt.record.QuotaShares[team].CPUs))
+			share.GPUs = min(share.GPUs, resources.Round(inDoubt.record.QuotaShares[team].GPUs))
 		}
 	}
 	return share
@@ -68,8 +69,8 @@
 // ownQuotaUse is what attempts in our shards take of a team's limit, at most. What a
 // commit in doubt may have assigned counts as well, and so do shards of an earlier
 // life of ours that we haven't claimed again yet: they are within the same share.
-func (q *quotaManager) ownQuotaUse(team string) Resources {
-	use := Resources{}
+func (q *quotaManager) ownQuotaUse(team string) resources.Vector {
+	use := resources.Vector{}
 	for _, shard := range q.c.mirror.Shards {
 		if shard.Record.Owner == q.c.node {
 			use = use.AddScaled(shard.UseByTeam[team], 1)
@@ -84,9 +85,9 @@
 }
 
 // quotaLeft is what this part may still assign for a team.
-func (q *quotaManager) quotaLeft(team string) Resources {
+func (q *quotaManager) quotaLeft(team string) resources.Vector {
 	limit, _ := q.teamLimits(team)
-	available := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
+	available := resources.Vector{math.Inf(1), math.Inf(1), math.Inf(1)}
 	if !limit.hasLimit() {
 		return available
 	}
@@ -101,12 +102,12 @@
 }
 
 // unallocatedQuota is what no part has of a team's limit.
-func (q *quotaManager) unallocatedQuota(team string) Resources {
+func (q *quotaManager) unallocatedQuota(team string) resources.Vector {
 	limit, _ := q.teamLimits(team)
-	available := limit.remaining(Resources{})
+	available := limit.remaining(resources.Vector{})
 	for _, partition := range q.c.mirror.Partitions {
 		share := partition.Record.QuotaShares[team]
-		available = available.AddScaled(NewResources(share.CPUs, share.GPUs, 0), -1)
+		available = available.AddScaled(resources.New(share.CPUs, share.GPUs, 0), -1)
 	}
 	return available
 }
@@ -161,7 +162,7 @@
 			continue
 		}
 		next.QuotaShares[team] = after
-		raised = raised || after.CPUs > before.CPUs+resourceTolerance || after.GPUs > before.GPUs+resourceTolerance
+		raised = raised || after.CPUs > before.CPUs+resources.Tolerance || after.GPUs > before.GPUs+resources.Tolerance
 		changed = true
 	}
 	q.lackingSince = lacking
@@ -173,7 +174,7 @@
 
 // copyOwnQuotaShares copies our record of shares and gives its version.
 func (q *quotaManager) copyOwnQuotaShares() (next storage.Partition, version uint64) {
-	next.QuotaShares = map[string]storage.Resources{}
+	next.QuotaShares = map[string]storage.QuotaShare{}
 	if own := q.c.mirror.Partitions[q.c.node]; own != nil {
 		version = own.Version
 		for team, share := range own.Record.QuotaShares {
@@ -185,21 +186,21 @@
 
 // desiredQuotaShare is what our share of a team's limit should become, and whether we lack a
 // task's worth of it that can't be had.
-func (q *quotaManager) desiredQuotaShare(team string, limit teamLimits, current storage.Resources, now monotime.Micros) (want storage.Resources, lacks bool) {
+func (q *quotaManager) desiredQuotaShare(team string, limit teamLimits, current storage.QuotaShare, now monotime.Micros) (want storage.QuotaShare, lacks bool) {
 	unallocated := q.unallocatedQuota(team)
 	shortage, wants := q.shortages[team]
 	at, heard := q.c.peerStatuses.quotaLackReportedAt[team]
 	contested := heard && now-at < quotaLackReportValidity
 	switch {
-	case wants && (unallocated.CPUs+resourceTolerance < shortage.perTask.CPUs || unallocated.GPUs+resourceTolerance < shortage.perTask.GPUs):
+	case wants && (unallocated.CPUs+resources.Tolerance < shortage.perTask.CPUs || unallocated.GPUs+resources.Tolerance < shortage.perTask.GPUs):
 		// Not enough for a single task here, and what we have left over may be
 		// what another partition lacks: several such rests add up to a task.
-		return q.loweredQuotaShare(team, current, Resources{}), shortage.hasMachineRoom
+		return q.loweredQuotaShare(team, current, resources.Vector{}), shortage.hasMachineRoom
 	case q.c.reachability.workersUnreachableSince != 0:
-		return q.loweredQuotaShare(team, current, Resources{}), false // nothing can start here
+		return q.loweredQuotaShare(team, current, resources.Vector{}), false // nothing can start here
 	case contested && !shortage.hasMachineRoom:
 		// Another part could start tasks at once; here they would wait for machines.
-		return q.loweredQuotaShare(team, current, Resources{}), false
+		return q.loweredQuotaShare(team, current, resources.Vector{}), false
 	case wants:
 		return q.raisedQuotaShare(limit, current, shortage, unallocated), false
 	}
@@ -207,7 +208,7 @@
 		return current, false
 	}
 	fraction := unusedQuotaFraction / float64(q.c.store.budgetSharers)
-	return q.loweredQuotaShare(team, current, Resources{CPUs: fraction * limit.maxCPUs, GPUs: fraction * limit.maxGPUs}), false
+	return q.loweredQuotaShare(team, current, resources.Vector{CPUs: fraction * limit.maxCPUs, GPUs: fraction * limit.maxGPUs}), false
 }
 
 // teamsLackingQuota lists the teams of whose limit we have lacked a task's worth for so long
@@ -224,11 +225,11 @@
 
 // raisedQuotaShare takes what is lacking, and half of an even part of what is left: a raise
 // costs a change, and what one part has no other can use.
-func (q *quotaManager) raisedQuotaShare(limit teamLimits, current storage.Resources, shortage quotaShortage, unallocated Resources) storage.Resources {
+func (q *quotaManager) raisedQuotaShare(limit teamLimits, current storage.QuotaShare, shortage quotaShortage, unallocated resources.Vector) storage.QuotaShare {
 	fraction := 1 / (2 * float64(q.c.store.budgetSharers))
 	grow := func(have, short, left float64) float64 {
-		grown := roundToUnit(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
-		if grown > have+resourceTolerance {
+		grown := resources.Round(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
+		if grown > have+resources.Tolerance {
 			return grown
 		}
 		return have
@@ -244,13 +245,13 @@
 
 // loweredQuotaShare gives back what is more than twice a margin above what we use, down to
 // the margin.
-func (q *quotaManager) loweredQuotaShare(team string, current storage.Resources, margin Resources) storage.Resources {
+func (q *quotaManager) loweredQuotaShare(team string, current storage.QuotaShare, margin resources.Vector) storage.QuotaShare {
 	use := q.ownQuotaUse(team)
-	lower := storage.Resources{
+	lower := storage.QuotaShare{
 		CPUs: max(0, min(current.CPUs, use.CPUs+margin.CPUs)),
 		GPUs: max(0, min(current.GPUs, use.GPUs+margin.GPUs)),
 	}
-	if lower.CPUs < current.CPUs-resourceTolerance-margin.CPUs || lower.GPUs < current.GPUs-resourceTolerance-margin.GPUs {
+	if lower.CPUs < current.CPUs-resources.Tolerance-margin.CPUs || lower.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
 		return lower
 	}
 	return current
@@ -330,13 +331,13 @@
 
 // transferQuotaShares has the shares of the teams' limits follow attempts that go over
 // from one part's shards into another's.
-func (q *quotaManager) transferQuotaShares(txn *protocol.Transaction, comparedKeys map[string]bool, from, to string, useByTeam map[string]Resources) {
+func (q *quotaManager) transferQuotaShares(txn *protocol.Transaction, comparedKeys map[string]bool, from, to string, useByTeam map[string]resources.Vector) {
 	departed, own := q.c.mirror.Partitions[from], q.c.mirror.Partitions[to]
 	if departed == nil {
 		return // it never had any: none of its teams has a limit
 	}
 	keys := []string{storage.Key(storage.KindPartition, from), storage.Key(storage.KindPartition, to)}
-	next := []storage.Partition{{QuotaShares: map[string]storage.Resources{}}, {QuotaShares: map[string]storage.Resources{}}}
+	next := []storage.Partition{{QuotaShares: map[string]storage.QuotaShare{}}, {QuotaShares: map[string]storage.QuotaShare{}}}
 	for i, partition := range []*PartitionEntry{departed, own} {
 		if partition != nil {
 			for k, v := range partition.Record.QuotaShares {
@@ -372,7 +373,7 @@
 	}
 	for k, key := range keys {
 		if next[k].QuotaShares == nil {
-			next[k].QuotaShares = map[string]storage.Resources{}
+			next[k].QuotaShares = map[string]storage.QuotaShare{}
 		}
 		operation := protocol.Op{Put: key, Value: protocol.MustMarshal(&next[k])}
 		if puts[k] >= 0 {
--- a/internal/coordination/scale_out_plan.go
+++ b/internal/coordination/scale_out_plan.go
@@ -4,6 +4,7 @@
 	"math"
 	"sort"
 
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -16,7 +17,7 @@
 // pricedOffer is what the planner knows of an offer.
 type pricedOffer struct {
 	offer
-	capacity     Resources
+	capacity     resources.Vector
 	price        float64
 	zoneMachines int // machines of ours in that zone, for ties
 }
@@ -24,7 +25,7 @@
 // taskDemand is a number of like tasks that found no room.
 type taskDemand struct {
 	spec            *storage.JobSpec
-	need            Resources
+	need            resources.Vector
 	tasks           int
 	jobID           string
 	queueIndex      int // place in the order of urgency
@@ -39,17 +40,17 @@
 type machineBin struct {
 	machineType, zone     string
 	spot                  bool
-	capacity              Resources // the machine's
-	free                  Resources
-	arrayCPUs             float64           // CPUs that services leave to other tasks
-	committedCPUSeconds   float64           // CPU seconds of those that are spoken for
-	running               []runningTask     // what runs there and will end by itself
-	promisedCPUs          float64           // CPUs released by those that are spoken for
-	bootSeconds           float64           // boot time of its type, seconds
-	preemptibleByServices Resources         // taken by tasks that a service may preempt
-	machineID             string            // "" for a requested one
-	overdue               bool              // requested, and not up when it should be
-	preemptibleByPriority map[int]Resources // by priority, what tasks take that give way to higher ones
+	capacity              resources.Vector // the machine's
+	free                  resources.Vector
+	arrayCPUs             float64                  // CPUs that services leave to other tasks
+	committedCPUSeconds   float64                  // CPU seconds of those that are spoken for
+	running               []runningTask            // what runs there and will end by itself
+	promisedCPUs          float64                  // CPUs released by those that are spoken for
+	bootSeconds           float64                  // boot time of its type, seconds
+	preemptibleByServices resources.Vector         // taken by tasks that a service may preempt
+	machineID             string                   // "" for a requested one
+	overdue               bool                     // requested, and not up when it should be
+	preemptibleByPriority map[int]resources.Vector // by priority, what tasks take that give way to higher ones
 }
 
 // runningTask is a task, or several like it, that will end by itself.
@@ -64,7 +65,7 @@
 func (b *machineBin) expectedReleases(within float64) float64 {
 	cpus := 0.0
 	for _, r := range b.running {
-		cpus += roundToUnit(r.cpus * min(1, within/max(estimateMargin*r.expectedSeconds, 1)))
+		cpus += resources.Round(r.cpus * min(1, within/max(estimateMargin*r.expectedSeconds, 1)))
 	}
 	return cpus
 }
@@ -146,15 +147,15 @@
 				continue
 			}
 			left := demand.need // of each, what hasn't been taken from what is free
-			left = Resources{left.CPUs * float64(n), left.GPUs * float64(n), left.MemoryGB * float64(n)}
-			partition := func(r Resources) Resources {
-				return Resources{min(r.CPUs, left.CPUs), min(r.GPUs, left.GPUs), min(r.MemoryGB, left.MemoryGB)}
+			left = resources.Vector{left.CPUs * float64(n), left.GPUs * float64(n), left.MemoryGB * float64(n)}
+			partition := func(r resources.Vector) resources.Vector {
+				return resources.Vector{min(r.CPUs, left.CPUs), min(r.GPUs, left.GPUs), min(r.MemoryGB, left.MemoryGB)}
 			}
 			t := partition(bin.free)
 			bin.free, left = bin.free.AddScaled(t, -1), left.AddScaled(t, -1)
 			for p := 0; p < demand.spec.Priority; p++ {
 				t := partition(bin.preemptibleByPriority[p])
-				if t != (Resources{}) {
+				if t != (resources.Vector{}) {
 					bin.preemptibleByPriority[p], left = bin.preemptibleByPriority[p].AddScaled(t, -1), left.AddScaled(t, -1)
 				}
 			}
@@ -165,7 +166,7 @@
 }
 
 // tasksFitting counts the demand's tasks that free room in a zone can take.
-func (d *taskDemand) tasksFitting(free Resources, zone string) int {
+func (d *taskDemand) tasksFitting(free resources.Vector, zone string) int {
 	n := min(d.tasks, d.need.CountIn(free))
 	if d.zoneConstraint != nil {
 		n = min(n, d.zoneConstraint.remaining(zone))
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 )
 
 // Idle-time work is what nobody has an aim for: arrays of the lowest priority that may
@@ -40,7 +41,7 @@
 // free at once: small urgent tasks had stopped tasks of whole machines hundreds of times.
 func (sc *scheduler) isPreemptible(job *Job) bool {
 	spec := &job.Record.Spec
-	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() && math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1) && sc.exceedsGuarantee(spec.Team, Resources{})
+	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() && math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1) && sc.exceedsGuarantee(spec.Team, resources.Vector{})
 }
 
 // preemptibleBy tells whether a running task may be stopped for any of higher priority.
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -15,7 +16,7 @@
 	at := func(demand *taskDemand, priority int) *taskDemand { demand.spec.Priority = priority; return demand }
 	yielding := func(freeCPUs, idle float64) *machineBin {
 		bin := newBin("a", true, freeCPUs)
-		bin.preemptibleByPriority = map[int]Resources{0: {CPUs: idle, MemoryGB: 2 * idle}}
+		bin.preemptibleByPriority = map[int]resources.Vector{0: {CPUs: idle, MemoryGB: 2 * idle}}
 		return bin
 	}
 	for _, tc := range []struct {
@@ -49,10 +50,10 @@
 		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "survey", WithinS: 50, Share: 0.9}}
 	}
 	core := c.startWithLeader().nodes["n-0"].controller
-	core.mirror.UseByTeam["free"] = Resources{CPUs: 32}
-	core.mirror.UseByTeam["other"] = Resources{CPUs: 32}
+	core.mirror.UseByTeam["free"] = resources.Vector{CPUs: 32}
+	core.mirror.UseByTeam["other"] = resources.Vector{CPUs: 32}
 	saving := func(change func(*storage.JobSpec)) *Job {
-		job := &Job{ID: "j-1", TaskResources: Resources{CPUs: 16}}
+		job := &Job{ID: "j-1", TaskResources: resources.Vector{CPUs: 16}}
 		job.Record.Spec = storage.JobSpec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
 		change(&job.Record.Spec)
 		return job
--- a/internal/coordination/scheduling_units_test.go
+++ b/internal/coordination/scheduling_units_test.go
@@ -8,17 +8,18 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
 func newDemand(cpus float64, count int, spot, service bool) *taskDemand {
 	spec := &storage.JobSpec{CPUs: cpus, MemoryGB: 1, Spot: spot, Service: service, EstimateS: 10}
-	return &taskDemand{spec: spec, need: Resources{CPUs: cpus, MemoryGB: 1}, tasks: count, expectedSeconds: 10, slackSeconds: 20}
+	return &taskDemand{spec: spec, need: resources.Vector{CPUs: cpus, MemoryGB: 1}, tasks: count, expectedSeconds: 10, slackSeconds: 20}
 }
 
 func newBin(zone string, spot bool, freeCPUs float64) *machineBin {
-	size := Resources{CPUs: 8, MemoryGB: 64}
-	return &machineBin{machineType: "m8", zone: zone, spot: spot, capacity: size, free: Resources{CPUs: freeCPUs, MemoryGB: 64}, arrayCPUs: 8, bootSeconds: 10, committedCPUSeconds: 10 * (8 - freeCPUs)}
+	size := resources.Vector{CPUs: 8, MemoryGB: 64}
+	return &machineBin{machineType: "m8", zone: zone, spot: spot, capacity: size, free: resources.Vector{CPUs: freeCPUs, MemoryGB: 64}, arrayCPUs: 8, bootSeconds: 10, committedCPUSeconds: 10 * (8 - freeCPUs)}
 }
 
 // newFullBins are machines that a task fills, each at an unknown point of its run.
@@ -46,9 +47,9 @@
 		var out []*pricedOffer
 		for _, z := range []string{"a", "b"} {
 			out = append(out,
-				&pricedOffer{offer: offer{"m8", z, false}, capacity: Resources{CPUs: 8, MemoryGB: 64}, price: 1, zoneMachines: map[string]int{"a": 1}[z]},
-				&pricedOffer{offer: offer{"m8", z, true}, capacity: Resources{CPUs: 8, MemoryGB: 64}, price: 0.4, zoneMachines: map[string]int{"a": 1}[z]},
-				&pricedOffer{offer: offer{"m16", z, false}, capacity: Resources{CPUs: 16, MemoryGB: 128}, price: 1.9, zoneMachines: map[string]int{"a": 1}[z]})
+				&pricedOffer{offer: offer{"m8", z, false}, capacity: resources.Vector{CPUs: 8, MemoryGB: 64}, price: 1, zoneMachines: map[string]int{"a": 1}[z]},
+				&pricedOffer{offer: offer{"m8", z, true}, capacity: resources.Vector{CPUs: 8, MemoryGB: 64}, price: 0.4, zoneMachines: map[string]int{"a": 1}[z]},
+				&pricedOffer{offer: offer{"m16", z, false}, capacity: resources.Vector{CPUs: 16, MemoryGB: 128}, price: 1.9, zoneMachines: map[string]int{"a": 1}[z]})
 		}
 		return out
 	}
@@ -158,7 +159,7 @@
 	core.mirror.Machines["i-1"] = &Machine{ID: "i-1", Record: &storage.ShardMachine{Type: "m16", State: storage.MachineOpen}}
 	add := func(team string, age, cpus float64, tasks int) string {
 		id := fmt.Sprintf("j-%06d", len(core.mirror.Jobs))
-		core.mirror.Jobs[id] = &Job{ID: id, TaskStates: make([]uint8, tasks), TaskResources: Resources{CPUs: cpus}, Record: storage.OpenJob{
+		core.mirror.Jobs[id] = &Job{ID: id, TaskStates: make([]uint8, tasks), TaskResources: resources.Vector{CPUs: cpus}, Record: storage.OpenJob{
 			AcceptedAt: core.env.WallClock() - int64(age*float64(second)), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}}}
 		core.scheduler.trackingOf(id).progressAt = core.now() // not hungry
 		return id
@@ -206,24 +207,24 @@
 	c := newCluster(t, 23)
 	c.start("n-0")
 	core := c.nodes["n-0"].controller
-	job := &Job{ID: "j-1", TaskResources: Resources{CPUs: 2}, Record: storage.OpenJob{Spec: storage.JobSpec{CPUs: 2}}}
+	job := &Job{ID: "j-1", TaskResources: resources.Vector{CPUs: 2}, Record: storage.OpenJob{Spec: storage.JobSpec{CPUs: 2}}}
 	update := NewShardUpdate("p", nil, &storage.Shard{})
 	var candidates []*candidateMachine
 	for i := 0; i < 4*sampleAboveMachines; i++ {
 		machine := &Machine{ID: TaskID{"i", i}.String(), CachedImages: map[string]bool{}, Record: &storage.ShardMachine{Type: "m8", Zone: "a"}}
-		candidates = append(candidates, &candidateMachine{machine: machine, record: machine.Record, update: update, freeResources: Resources{CPUs: 1}})
+		candidates = append(candidates, &candidateMachine{machine: machine, record: machine.Record, update: update, freeResources: resources.Vector{CPUs: 1}})
 	}
 	zones := newZoneConstraint(core.mirror, job)
 	if candidate := core.scheduler.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != nil {
 		t.Errorf("%s has no room", candidate.machine.ID)
 	}
 	only := candidates[len(candidates)/3]
-	only.freeResources = Resources{CPUs: 2}
+	only.freeResources = resources.Vector{CPUs: 2}
 	if candidate := core.scheduler.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != only {
 		t.Error("the one machine with room was not found")
 	}
 	for _, candidate := range candidates {
-		candidate.freeResources = Resources{CPUs: 8}
+		candidate.freeResources = resources.Vector{CPUs: 8}
 	}
 	synced := map[string]bool{}
 	for i := 0; i < 20; i++ {
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -86,7 +87,7 @@
 // owner are outranked, with the shares of the teams' limits that their attempts use.
 // As many shards as a commit takes go at once.
 func (sm *shardManager) buildShardTransfer(shards []*Shard, to string, incarnation uint64) (txn protocol.Transaction, taken int) {
-	useByTeam := map[string]Resources{}
+	useByTeam := map[string]resources.Vector{}
 	bytes := 0
 	from := shards[0].Record.Owner
 	most := sm.c.cfg.Facts.State.TxnOps - 2 // two partitions' shares follow
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -9,6 +9,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -70,10 +71,10 @@
 	PlannedBytes      int                  // and those that its machines will need once they are full
 	Txn               protocol.Transaction // what else the commit asks and changes
 	ComparedKeys      map[string]bool
-	FreedByMachine    map[string]Resources // by machine: released by this pass
-	FreedByTeam       map[string]Resources // by team: the same, and not yet used again
-	AssignedByMachine map[string]Resources // by machine: assigned by this pass
-	AssignedByTeam    map[string]Resources // by team: assigned by this pass
+	FreedByMachine    map[string]resources.Vector // by machine: released by this pass
+	FreedByTeam       map[string]resources.Vector // by team: the same, and not yet used again
+	AssignedByMachine map[string]resources.Vector // by machine: assigned by this pass
+	AssignedByTeam    map[string]resources.Vector // by team: assigned by this pass
 	AssignedTasks     map[TaskID]bool
 	AssignedJobs      map[string]bool
 	CompletedTaskJobs map[string]bool // jobs with tasks completed
@@ -117,8 +118,8 @@
 }
 
 func NewShardUpdate(name string, previous *Shard, next *storage.Shard) *ShardUpdate {
-	return &ShardUpdate{Name: name, Previous: previous, Next: next, ComparedKeys: map[string]bool{}, FreedByMachine: map[string]Resources{}, FreedByTeam: map[string]Resources{},
-		AssignedByMachine: map[string]Resources{}, AssignedByTeam: map[string]Resources{}, AssignedTasks: map[TaskID]bool{}, AssignedJobs: map[string]bool{},
+	return &ShardUpdate{Name: name, Previous: previous, Next: next, ComparedKeys: map[string]bool{}, FreedByMachine: map[string]resources.Vector{}, FreedByTeam: map[string]resources.Vector{},
+		AssignedByMachine: map[string]resources.Vector{}, AssignedByTeam: map[string]resources.Vector{}, AssignedTasks: map[TaskID]bool{}, AssignedJobs: map[string]bool{},
 		CompletedTaskJobs: map[string]bool{}, ReleasedTasks: map[TaskID]bool{}, AdmittedMachines: map[string]*claimRequest{}, MachinesToSync: map[string]bool{}}
 }
 
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -180,14 +181,14 @@
 // that have gone, have no room for them, or haven't used what they seem to have.
 // That hands tasks on in one write, at the time when there is room, and lets each
 // part's room go to the most urgent tasks of all.
-func (sc *scheduler) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]Resources, now monotime.Micros) {
+func (sc *scheduler) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]resources.Vector, now monotime.Micros) {
 	freeCPUs := reserved.totalCPUs()
 	for _, candidate := range candidates {
 		if !candidate.heldBack && candidate.reservedForJob == "" {
 			freeCPUs += max(0, candidate.freeResources.CPUs)
 		}
 	}
-	if freeCPUs < resourceTolerance || now < sc.nextWorkStealAt {
+	if freeCPUs < resources.Tolerance || now < sc.nextWorkStealAt {
 		return
 	}
 	capacities := sc.capacityByPartition()
@@ -196,7 +197,7 @@
 		if now < sc.nextWorkStealAt {
 			return
 		}
-		if job.TaskResources.CPUs <= freeCPUs+resourceTolerance {
+		if job.TaskResources.CPUs <= freeCPUs+resources.Tolerance {
 			reserved.release(job)
 			sc.stealTasksOfJob(job, candidates, quotaLeftByTeam, capacities, wall)
 			reserved.reserveAgain(job)
@@ -217,7 +218,7 @@
 
 // stealTasksOfJob takes over as many of a job's tasks that wait at other partitions as we have room
 // for, and tells how many.
-func (sc *scheduler) stealTasksOfJob(job *Job, candidates []*candidateMachine, quotaLeftByTeam map[string]Resources, capacities *partitionCapacity, wall int64) int {
+func (sc *scheduler) stealTasksOfJob(job *Job, candidates []*candidateMachine, quotaLeftByTeam map[string]resources.Vector, capacities *partitionCapacity, wall int64) int {
 	spec := &job.Record.Spec
 	if len(job.Record.TaskRanges) == 1 && job.Record.TaskRanges[0].Partition == sc.c.node ||
 		sc.c.recordWritesInFlight[job.ID] || sc.c.now() < sc.trackingOf(job.ID).placeNotBefore || sc.c.mirror.WatchedRevision < job.Version || sc.isCrashLooping(job) {
@@ -268,7 +269,7 @@
 }
 
 // reserveRoom keeps room for tasks that are about to be ours from what is less urgent.
-func reserveRoom(taskResources Resources, spec *storage.JobSpec, candidates []*candidateMachine, n int) {
+func reserveRoom(taskResources resources.Vector, spec *storage.JobSpec, candidates []*candidateMachine, n int) {
 	for _, candidate := range candidates {
 		if n <= 0 {
 			return
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -31,7 +32,7 @@
 		c.start("n-0")
 		core := c.nodes["n-0"].controller
 		core.mirror.ApplyPut(storage.Key(storage.KindPartition, "n-0"), protocol.MustMarshal(&storage.Partition{
-			QuotaShares: map[string]storage.Resources{"tight": {CPUs: 10}}}), 3)
+			QuotaShares: map[string]storage.QuotaShare{"tight": {CPUs: 10}}}), 3)
 		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
 			Spec: storage.JobSpec{Team: "tight", Tasks: 4, CPUs: 2}, TaskRanges: []storage.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
 		inc := tc.incarnation
@@ -47,7 +48,7 @@
 		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
 			update := NewShardUpdate("p", core.mirror.Shards["p"], shard)
-			addTeamUse(update.AssignedByTeam, "tight", Resources{CPUs: 2}, 1)
+			addTeamUse(update.AssignedByTeam, "tight", resources.Vector{CPUs: 2}, 1)
 			core.shards.trackerOf("p").updatesInDoubt = []*ShardUpdate{update}
 		}
 		if got := core.quota.quotaLeft("tight").CPUs; got != tc.left {
@@ -146,12 +147,12 @@
 		id:    {Team: "free", Service: true, Priority: 2, Tasks: 1, CPUs: 4},
 		array: {Team: "free", Priority: 1, Tasks: 4, CPUs: 2, Spot: true},
 	} {
-		core.mirror.Jobs[name] = &Job{ID: name, Version: 1, TaskStates: make([]uint8, spec.Tasks), TaskResources: Resources{CPUs: spec.CPUs},
+		core.mirror.Jobs[name] = &Job{ID: name, Version: 1, TaskStates: make([]uint8, spec.Tasks), TaskResources: resources.Vector{CPUs: spec.CPUs},
 			Record: storage.OpenJob{Spec: spec, TaskRanges: []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}}}}
 	}
 	core.api.acceptedRevisions[id] = 1
-	other := &Shard{Name: "n-1.1", Record: &storage.Shard{Owner: "n-1"}, UseByTeam: map[string]Resources{}}
-	core.mirror.Machines["i-9"] = &Machine{ID: "i-9", Shard: other, Used: Resources{CPUs: 8}, Attempts: map[TaskID]uint64{},
+	other := &Shard{Name: "n-1.1", Record: &storage.Shard{Owner: "n-1"}, UseByTeam: map[string]resources.Vector{}}
+	core.mirror.Machines["i-9"] = &Machine{ID: "i-9", Shard: other, Used: resources.Vector{CPUs: 8}, Attempts: map[TaskID]uint64{},
 		Record: &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen}}
 	for i := 0; i < 4; i++ {
 		core.mirror.Machines["i-9"].Attempts[TaskID{array, i}] = 1
@@ -216,7 +217,7 @@
 	core := c.nodes["n-0"].controller
 	now := c.sim.Now()
 	mk := func(id string, service bool, cpus float64) *Job {
-		job := &Job{ID: id, Version: 1, TaskStates: make([]uint8, 1), TaskResources: Resources{CPUs: cpus},
+		job := &Job{ID: id, Version: 1, TaskStates: make([]uint8, 1), TaskResources: resources.Vector{CPUs: cpus},
 			Record: storage.OpenJob{Spec: storage.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus}}}
 		core.mirror.Jobs[id] = job
 		return job
@@ -224,7 +225,7 @@
 	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
 	cand := func(id string) *candidateMachine {
 		return &candidateMachine{machine: &Machine{ID: id, CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"},
-			update: NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}), freeResources: Resources{CPUs: 2}}
+			update: NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}), freeResources: resources.Vector{CPUs: 2}}
 	}
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
 	core.scheduler.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
@@ -238,7 +239,7 @@
 	if n := tasksThatFit(array, candidates); n != 1 {
 		t.Errorf("room for %d tasks of others, want 1", n)
 	}
-	candidates[0].freeResources = Resources{CPUs: 4} // the stopped ones are gone
+	candidates[0].freeResources = resources.Vector{CPUs: 4} // the stopped ones are gone
 	if candidate := core.scheduler.chooseMachine(service, candidates, zones, nil, nil, false, false, false); candidate != candidates[0] {
 		t.Error("the service doesn't get the room that was made for it")
 	}
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -11,6 +11,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -244,7 +245,7 @@
 	if spec.Service {
 		n = float64(spec.Tasks)
 	}
-	if team.maxCPUs > 0 && spec.CPUs*n > team.maxCPUs+resourceTolerance || team.maxGPUs > 0 && spec.GPUs*n > team.maxGPUs+resourceTolerance {
+	if team.maxCPUs > 0 && spec.CPUs*n > team.maxCPUs+resources.Tolerance || team.maxGPUs > 0 && spec.GPUs*n > team.maxGPUs+resources.Tolerance {
 		return "needs more than the team's limit"
 	}
 	taskResources := TaskResources(spec)
@@ -272,13 +273,13 @@
 func (t teamLimits) hasLimit() bool { return t.maxCPUs > 0 || t.maxGPUs > 0 }
 
 // remaining tells what the team may still use.
-func (t teamLimits) remaining(used Resources) Resources {
-	available := Resources{math.Inf(1), math.Inf(1), math.Inf(1)}
+func (t teamLimits) remaining(used resources.Vector) resources.Vector {
+	available := resources.Vector{math.Inf(1), math.Inf(1), math.Inf(1)}
 	if t.maxCPUs > 0 {
-		available.CPUs = roundToUnit(t.maxCPUs) - used.CPUs
+		available.CPUs = resources.Round(t.maxCPUs) - used.CPUs
 	}
 	if t.maxGPUs > 0 {
-		available.GPUs = roundToUnit(t.maxGPUs) - used.GPUs
+		available.GPUs = resources.Round(t.maxGPUs) - used.GPUs
 	}
 	return available
 }
@@ -481,8 +482,8 @@
 	return spec.Zone == "" || zone == "" || spec.Zone == zone
 }
 
-func machineCapacity(machineType *protocol.MachineType) Resources {
-	return NewResources(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
+func machineCapacity(machineType *protocol.MachineType) resources.Vector {
+	return resources.New(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
 
 func newUserAPI(c *Controller) *userAPI {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -146,11 +146,11 @@
 // is at most the team's limit. A share is raised on the condition that no part's
 // record has changed, so assignments need no common record.
 type Partition struct {
-	QuotaShares map[string]Resources `msgpack:"s"`
+	QuotaShares map[string]QuotaShare `msgpack:"s"`
 }
 
-// Resources is a share of a team's limit.
-type Resources struct {
+// QuotaShare is a share of a team's limit.
+type QuotaShare struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
 	_msgpack   struct{} `msgpack:",as_array"`
 	CPUs, GPUs float64
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -35,7 +35,7 @@
 		{file: "open-sparse", key: Key(KindOpenJob, "j-000018"), sparse: true,
 			value: &OpenJob{Spec: least, AcceptedAt: at}},
 		{file: "partition", key: Key(KindPartition, "n-0"),
-			value: &Partition{QuotaShares: map[string]Resources{"wren": {CPUs: 12.5, GPUs: 3}}}},
+			value: &Partition{QuotaShares: map[string]QuotaShare{"wren": {CPUs: 12.5, GPUs: 3}}}},
 		{file: "type", key: Key(KindMachineType, "m8"), value: &MachineType{CPUs: 8, GPUs: 1, MemoryGB: 64, CacheGB: 120,
 			FetchGBPerS: 0.25, OnDemandPrice: 1.75, SpotPrice: 0.5, BootS: 45, Zones: []string{"rack-a", "rack-b"}}},
 		{file: "rental", key: Key(KindScaleOut, "a-1-4"), value: &ScaleOutRequest{Phase: ScaleOutProvisioning, MachineType: "m8",
