--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -42,10 +42,10 @@
 var layers = [][]row{
 	{{path: "internal/monotime"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
 		{path: "internal/peerwire/cancellation"}},
-	{{path: "internal/resources", planned: true}, {path: "internal/peerwire"}},
+	{{path: "internal/sortedmap"}, {path: "internal/peerwire"}},
 	{{path: "internal/config"}, {path: "internal/transport"}},
 	{{path: "internal/protocol"}},
-	{{path: "internal/ratelimit"}, {path: "internal/fake", kind: fake}},
+	{{path: "internal/resources"}, {path: "internal/ratelimit"}, {path: "internal/fake", kind: fake}},
 	{{path: "internal/storage"}},
 	{{path: "internal/cancellation", kind: decision}, {path: "internal/drain", kind: decision},
 		{path: "internal/quota", kind: decision, planned: true}},
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -49,7 +50,7 @@
 		t.Fatal("not started")
 	}
 	c.sim.Run(5 * second)
-	for _, wid := range sortedKeys(c.fleet.Workers) {
+	for _, wid := range sortedmap.Keys(c.fleet.Workers) {
 		worker := c.fleet.Workers[wid]
 		if len(worker.Attempts) == 0 {
 			continue
@@ -148,7 +149,7 @@
 			t.Fatal("not started")
 		}
 		// All workers go to n-0 first, then n-0 and they are cut off.
-		for _, w := range sortedKeys(c.fleet.Workers) {
+		for _, w := range sortedmap.Keys(c.fleet.Workers) {
 			c.disconnectedPairs[w+"-n-1"], c.disconnectedPairs[w+"-n-2"] = true, true
 		}
 		c.sim.Run(12 * second)
@@ -241,7 +242,7 @@
 			}
 			c.sim.Run(2 * second)
 			machine := ""
-			for _, wid := range sortedKeys(c.fleet.Workers) {
+			for _, wid := range sortedmap.Keys(c.fleet.Workers) {
 				if len(c.fleet.Workers[wid].Attempts) > 0 {
 					machine = wid
 				}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -81,7 +82,7 @@
 // machineBins lists the machines that may get tasks.
 func (as *autoscaler) machineBins() []*machineBin {
 	var out []*machineBin
-	for _, id := range sortedKeys(as.c.mirror.Machines) {
+	for _, id := range sortedmap.Keys(as.c.mirror.Machines) {
 		machine := as.c.mirror.Machines[id]
 		if machine.Record == nil || machine.Record.State != storage.MachineOpen {
 			continue
@@ -101,7 +102,7 @@
 // requestedBins lists the machines that open requests will bring: they are supply.
 func (as *autoscaler) requestedBins() []*machineBin {
 	var out []*machineBin
-	for _, name := range sortedKeys(as.c.mirror.ScaleOuts) {
+	for _, name := range sortedmap.Keys(as.c.mirror.ScaleOuts) {
 		request := as.c.mirror.ScaleOuts[name]
 		machineType, ok := as.c.catalog.machineTypes[request.Record.MachineType]
 		if !ok || request.Record.Phase == storage.ScaleOutNoCapacity {
@@ -211,7 +212,7 @@
 	as.updateUnreachableZones(heard)
 	unmet, inZone := as.quarantinedOffers(), as.machinesByZone()
 	var out []*pricedOffer
-	for _, name := range sortedKeys(as.c.catalog.machineTypes) {
+	for _, name := range sortedmap.Keys(as.c.catalog.machineTypes) {
 		machineType := as.c.catalog.machineTypes[name]
 		for _, zone := range machineType.Zones {
 			if as.term.unreachableZones[zone] {
@@ -280,7 +281,7 @@
 			as.c.log.Info("zone unreachable", "state", conditionEnd, "zone", zone)
 		}
 	}
-	for _, zone := range sortedKeys(heard) {
+	for _, zone := range sortedmap.Keys(heard) {
 		if zoneSilence := heard[zone]; zoneSilence.isUnreachable() && !as.term.unreachableZones[zone] {
 			as.term.unreachableZones[zone] = true
 			as.c.log.Info("zone unreachable", "state", conditionBegin, "zone", zone,
@@ -376,7 +377,7 @@
 	}
 	count := map[string]int{}
 	like := map[string]*Job{}
-	for _, id := range sortedKeys(as.c.mirror.Jobs) {
+	for _, id := range sortedmap.Keys(as.c.mirror.Jobs) {
 		if job := as.c.mirror.Jobs[id]; job.IsOpen() && job.Record.Spec.Service && !as.c.scheduler.isCrashLooping(job) {
 			k := job.Record.Spec.Class
 			count[k] += job.Record.Spec.Tasks
@@ -384,7 +385,7 @@
 		}
 	}
 	var out []*taskDemand
-	for _, k := range sortedKeys(like) {
+	for _, k := range sortedmap.Keys(like) {
 		spec := like[k].Record.Spec
 		spec.OneZone, spec.Spread, spec.Zone, spec.MachineTypes = false, false, "", nil
 		n := int(math.Ceil(float64(count[k]) * as.c.settings.ServiceHeadroom))
@@ -486,7 +487,7 @@
 		needed[id] = true
 	}
 	synced := map[string]bool{}
-	for _, id := range sortedKeys(as.c.mirror.Machines) {
+	for _, id := range sortedmap.Keys(as.c.mirror.Machines) {
 		machine := as.c.mirror.Machines[id]
 		if as.c.agents.agentOf(machine) == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == storage.MachineOpen && !as.c.agents.agentOf(machine).FailureProne || as.c.agents.agentOf(machine).RemovalReason != "" {
 			continue
--- a/internal/coordination/burst_limit.go
+++ b/internal/coordination/burst_limit.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -43,7 +44,7 @@
 	}
 	now := u.c.now()
 	mine, all := 0.0, 0.0
-	for _, team := range sortedKeys(u.submissionRates) {
+	for _, team := range sortedmap.Keys(u.submissionRates) {
 		n := u.submissionRates[team].decayedCount(now)
 		all += n
 		if team == spec.Team {
--- a/internal/coordination/cancellations.go
+++ b/internal/coordination/cancellations.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/cancellation"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -54,7 +55,7 @@
 // anew: the mirror gets what was committed after the lists, the relay keeps nothing of
 // jobs that are gone.
 func (ct *cancellationTracker) reconcileCancellations() {
-	for _, id := range sortedKeys(ct.c.mirror.Jobs) {
+	for _, id := range sortedmap.Keys(ct.c.mirror.Jobs) {
 		ct.recordCancellation(ct.c.mirror.Jobs[id])
 	}
 	ct.relay.Prune(ct.c.mirror.WatchedRevision, func(id string) bool {
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -62,7 +63,7 @@
 func (sc *scheduler) candidateMachines(updates []*ShardUpdate, now monotime.Micros) []*candidateMachine {
 	var out []*candidateMachine
 	for _, update := range updates {
-		for _, id := range sortedKeys(update.Next.Machines) {
+		for _, id := range sortedmap.Keys(update.Next.Machines) {
 			record, machine := update.Next.Machines[id], sc.c.mirror.Machines[id]
 			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen || !sc.schedulable(machine, now) {
 				continue
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -137,7 +138,7 @@
 // orderedClaimRequests lists the machines that wait to be claimed; last those that stand in
 // shards on which the commit before has failed.
 func (sm *shardManager) orderedClaimRequests() []string {
-	ids := sortedKeys(sm.claimRequests)
+	ids := sortedmap.Keys(sm.claimRequests)
 	last := func(id string) bool {
 		fromShard := sm.claimRequests[id].fromShard
 		return fromShard != nil && sm.takeoverLimiter.conflictedKeys[storage.Key(storage.KindShard, fromShard.Name)]
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -84,7 +85,7 @@
 	id := c.submit(second)
 	c.sim.Run(20 * second)
 	c.requireFinished(id, 60*second)
-	worker := c.fleet.Workers[sortedKeys(c.fleet.Workers)[0]]
+	worker := c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[0]]
 	late := protocol.MustMarshal(worker.Heartbeat())
 	if !c.sim.RunUntil(60*second, func() bool { return c.cloud.MachineCount() == 0 }) {
 		t.Fatal("the machine was not given back")
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 )
 
 // maxCommandsPerBatch bounds a batch to well under 64 KiB; the rest follows in the next.
@@ -111,7 +112,7 @@
 // syncCommandsOfJob tells every worker of ours that has tasks of a job.
 func (am *agentManager) syncCommandsOfJob(job *Job) {
 	synced := map[string]bool{}
-	for _, name := range sortedKeys(am.c.mirror.Shards) {
+	for _, name := range sortedmap.Keys(am.c.mirror.Shards) {
 		shard := am.c.mirror.Shards[name]
 		entry := shard.Record.Jobs[job.ID]
 		if entry == nil || !am.c.shards.ownsShard(shard) {
--- a/internal/coordination/controller_restart_test.go
+++ b/internal/coordination/controller_restart_test.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -88,7 +89,7 @@
 			c.commandDelay = nil
 		}},
 		{"machines silent beyond their lease and back", func(c *cluster) {
-			for i, id := range sortedKeys(c.fleet.Workers) {
+			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.fleet.Workers[id].Partitioned = i%2 == 0
 			}
 			c.sim.Run(14 * second)
@@ -97,21 +98,21 @@
 			}
 		}},
 		{"machines whose reports don't arrive, but that are reached", func(c *cluster) {
-			for i, id := range sortedKeys(c.fleet.Workers) {
+			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.mutedMachines[id] = i%2 == 0
 			}
 			c.sim.Run(16 * second)
 			clear(c.mutedMachines)
 		}},
 		{"machines that are heard, but that nothing reaches", func(c *cluster) {
-			for i, id := range sortedKeys(c.fleet.Workers) {
+			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.unreachableMachines[id] = i%2 == 0
 			}
 			c.sim.Run(40 * second)
 			clear(c.unreachableMachines)
 		}},
 		{"machines hang within their lease and resume", func(c *cluster) {
-			for i, id := range sortedKeys(c.fleet.Workers) {
+			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.fleet.Workers[id].Paused = i%2 == 0
 			}
 			c.sim.Run(8 * second)
@@ -120,7 +121,7 @@
 			}
 		}},
 		{"machines die", func(c *cluster) {
-			for i, id := range sortedKeys(c.fleet.Workers) {
+			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				if i%2 == 0 {
 					c.fleet.Workers[id].Partitioned = true
 					c.fleet.MachineDown(c.cloud.Machines[id])
@@ -128,10 +129,10 @@
 			}
 		}},
 		{"a sick machine", func(c *cluster) {
-			c.fleet.Workers[sortedKeys(c.fleet.Workers)[0]].FailsTasks = true
+			c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[0]].FailsTasks = true
 		}},
 		{"workers cut from their owner only", func(c *cluster) {
-			for _, id := range sortedKeys(c.fleet.Workers) {
+			for _, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.disconnectedPairs[id+"-n-0"] = true
 			}
 			c.sim.Run(30 * second)
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -17,6 +17,8 @@
 	"strings"
 	"testing"
 
+	"pipitgap/internal/sortedmap"
+
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 
@@ -349,14 +351,14 @@
 		c.sendService()
 		switch s {
 		case 8:
-			c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].FailsTasks = true
+			c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[3]].FailsTasks = true
 			c.sendRequest("n-0", "POST", protocol.CancelPath(arrays[2]), nil, func(Response) {})
 		case 12:
 			c.kill("n-1")
 		case 14:
 			c.start("n-1")
 		case 18:
-			for _, id := range sortedKeys(c.fleet.Workers)[:4] {
+			for _, id := range sortedmap.Keys(c.fleet.Workers)[:4] {
 				c.fleet.Workers[id].Partitioned = true
 			}
 		case 22:
@@ -470,7 +472,7 @@
 // takeSpotBack announces the end of two spot machines in their reports, and ends them.
 func (s *scenario) takeSpotBack() {
 	left := 2
-	for _, id := range sortedKeys(s.fleet.Workers) {
+	for _, id := range sortedmap.Keys(s.fleet.Workers) {
 		worker := s.fleet.Workers[id]
 		if left == 0 || !worker.Machine.Spot || worker.Machine.Gone {
 			continue
--- a/internal/coordination/determinism_test.go
+++ b/internal/coordination/determinism_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 )
 
 // TestSameSeedGivesSameCourse: the same seed plays the same day, call by call. Decisions that hung on
@@ -27,14 +28,14 @@
 			c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
 			switch s {
 			case 8:
-				c.fleet.Workers[sortedKeys(c.fleet.Workers)[3]].FailsTasks = true
+				c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[3]].FailsTasks = true
 				c.sendRequest("n-0", "POST", protocol.CancelPath(last[2]), nil, func(Response) {})
 			case 12:
 				c.kill("n-1")
 			case 14:
 				c.start("n-1")
 			case 18:
-				for _, id := range sortedKeys(c.fleet.Workers)[:4] {
+				for _, id := range sortedmap.Keys(c.fleet.Workers)[:4] {
 					c.fleet.Workers[id].Partitioned = true
 				}
 			case 22:
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -9,6 +9,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -61,7 +62,7 @@
 		c.sim.After(submissionIntervalPerMachine*second/monotime.Micros(machines), submit)
 	}
 	submit()
-	ids := sortedKeys(c.cloud.Machines)
+	ids := sortedmap.Keys(c.cloud.Machines)
 	through := ids[len(ids)/4] // of the zone's, half of all: an eighth of the fleet
 	before, begun := c.store.Changes, time.Now()
 	if draining {
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/sortedmap"
 )
 
 // What disruption budgets don't cover: replicas that are lost, or stopped for another reason
@@ -65,7 +66,7 @@
 	}
 	if now := d.core.now(); now-d.lossesLoggedAt >= lossLogInterval {
 		d.lossesLoggedAt = now
-		for _, cause := range sortedKeys(d.unpermittedLosses) {
+		for _, cause := range sortedmap.Keys(d.unpermittedLosses) {
 			d.core.log.Info("replicas lost outside of permits",
 				"reason", string(cause), "replicas_total", d.unpermittedLosses[cause])
 		}
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -253,7 +254,7 @@
 		core := s.nodes[node].controller
 		rec := storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 9}
 		core.mirror.ApplyPut(storage.Key(storage.KindDrain, "rack"), protocol.MustMarshal(&rec), core.mirror.NewestRevision+1)
-		for _, id := range sortedKeys(core.mirror.Machines) {
+		for _, id := range sortedmap.Keys(core.mirror.Machines) {
 			machine := core.mirror.Machines[id]
 			if core.agents.agentOf(machine) == nil || machine.Record.Zone != "a" {
 				continue
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -3,6 +3,7 @@
 import (
 	"pipitgap/internal/drain"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -23,7 +24,7 @@
 // forEachReservation calls f for every permit whose replica hasn't found its new place yet.
 func (d *drains) forEachReservation(f func(*storage.Permit, *Job)) {
 	mirror := d.core.mirror
-	for _, team := range sortedKeys(mirror.PermitsByTeam) {
+	for _, team := range sortedmap.Keys(mirror.PermitsByTeam) {
 		permits := mirror.PermitsByTeam[team].Record.Permits
 		for i := range permits {
 			permit := &permits[i]
@@ -158,7 +159,7 @@
 		}
 	}
 	var out []*taskDemand
-	for _, id := range sortedKeys(count) {
+	for _, id := range sortedmap.Keys(count) {
 		if job := d.core.mirror.Jobs[id]; job != nil && job.IsOpen() {
 			out = append(out, &taskDemand{spec: &job.Record.Spec, need: job.TaskResources, tasks: count[id], jobID: id})
 		}
--- a/internal/coordination/drain_snapshot.go
+++ b/internal/coordination/drain_snapshot.go
@@ -3,7 +3,7 @@
 import (
 	"pipitgap/internal/drain"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -11,7 +11,7 @@
 // machines beyond the records.
 func (c *Controller) drainSnapshot() *drain.Snapshot {
 	b := c.mirror.drainSnapshotBuilder(c.env.WallClock(), c.catalog.machineTypes, c.scheduler.isCrashLooping)
-	for _, id := range sortedKeys(c.mirror.Machines) {
+	for _, id := range sortedmap.Keys(c.mirror.Machines) {
 		machine := c.mirror.Machines[id]
 		if machine.Record == nil {
 			continue
@@ -38,12 +38,12 @@
 	b := drain.NewBuilder(v.WatchedRevision, wall)
 	for id, job := range v.Jobs {
 		if spec := &job.Record.Spec; spec.Service && job.IsOpen() {
-			b.AddJob(&drain.Job{ID: id, Team: spec.Team, Class: spec.Class, Replicas: spec.Tasks, PerTask: drainResources(job.TaskResources), Priority: spec.Priority,
+			b.AddJob(&drain.Job{ID: id, Team: spec.Team, Class: spec.Class, Replicas: spec.Tasks, PerTask: job.TaskResources, Priority: spec.Priority,
 				Types: spec.MachineTypes, Zone: spec.Zone, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Failing: failing(job)})
 		}
 	}
 	for name, machineType := range types {
-		b.AddType(drain.TypeCapacity{Name: name, Capacity: drainResources(machineCapacity(&machineType)), Zones: machineType.Zones})
+		b.AddType(drain.TypeCapacity{Name: name, Capacity: machineCapacity(&machineType), Zones: machineType.Zones})
 	}
 	for name, drainEntry := range v.Drains {
 		b.AddDrain(name, drainEntry.Version, drainEntry.Record)
@@ -61,7 +61,7 @@
 		out.State = storage.MachineRemoving
 	}
 	if machineType, ok := types[machine.Record.Type]; ok {
-		out.Free = drainResources(machineCapacity(&machineType).AddScaled(machine.Used, -1))
+		out.Free = machineCapacity(&machineType).AddScaled(machine.Used, -1)
 	}
 	for _, task := range sortedTaskIDs(machine.Attempts) {
 		job := v.Jobs[task.Job]
@@ -83,13 +83,9 @@
 	for i := range m.ArrayUsage {
 		if m.ArrayUsage[i].Priority == priority {
 			m.ArrayUsage[i].Tasks++
-			m.ArrayUsage[i].Resources = m.ArrayUsage[i].Resources.Plus(drainResources(job.TaskResources))
+			m.ArrayUsage[i].Resources = m.ArrayUsage[i].Resources.Plus(job.TaskResources)
 			return
 		}
 	}
-	m.ArrayUsage = append(m.ArrayUsage, drain.ArrayUsage{Priority: priority, Tasks: 1, Resources: drainResources(job.TaskResources)})
-}
-
-func drainResources(r resources.Vector) drain.Resources {
-	return drain.Resources{CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB}
+	m.ArrayUsage = append(m.ArrayUsage, drain.ArrayUsage{Priority: priority, Tasks: 1, Resources: job.TaskResources})
 }
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -59,7 +60,7 @@
 	if d == nil || machine.Record == nil {
 		return nil, false
 	}
-	for _, name := range sortedKeys(d.core.mirror.Drains) {
+	for _, name := range sortedmap.Keys(d.core.mirror.Drains) {
 		rec := d.core.mirror.Drains[name].Record
 		if rec.State.Unfinished() && drain.Covers(&rec, machine.ID, machine.Record.Type, machine.Record.Zone, machine.Record.Spot) {
 			return &rec, true
@@ -202,7 +203,7 @@
 	for team := range ended {
 		changed[team] = true
 	}
-	for _, team := range sortedKeys(changed) {
+	for _, team := range sortedmap.Keys(changed) {
 		if now < d.nextPermitWriteAt {
 			return
 		}
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -132,7 +133,7 @@
 // sample takes every team's running count, again and again.
 func (s *drainScenario) sample() {
 	s.samples++
-	for _, team := range sortedKeys(s.floors) {
+	for _, team := range sortedmap.Keys(s.floors) {
 		n := s.fleet.RunningReplicas(team)
 		if low, ok := s.lowestRunning[team]; !ok || n < low {
 			s.lowestRunning[team] = n
@@ -205,7 +206,7 @@
 // machinesInZone lists the machines that are there in a zone.
 func (s *drainScenario) machinesInZone(zone string) []string {
 	var out []string
-	for _, id := range sortedKeys(s.cloud.Machines) {
+	for _, id := range sortedmap.Keys(s.cloud.Machines) {
 		if rented := s.cloud.Machines[id]; rented.Zone == zone && !rented.Gone {
 			out = append(out, id)
 		}
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -137,7 +138,7 @@
 // failingJobs lists the jobs that fail here, for the others.
 func (sc *scheduler) failingJobs() map[string]int {
 	var out map[string]int
-	for _, id := range sortedKeys(sc.jobStates) {
+	for _, id := range sortedmap.Keys(sc.jobStates) {
 		n := sc.jobStates[id].failedMachines
 		if job := sc.c.mirror.Jobs[id]; n == 0 || job == nil || !job.IsOpen() || job.DoneTasks > 0 || len(out) >= maxReportedFailingJobs {
 			continue
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -76,7 +77,7 @@
 			}
 			c.sim.Run(2 * second)
 			sick, moved := map[string]bool{}, 0
-			for _, id := range sortedKeys(c.fleet.Workers) {
+			for _, id := range sortedmap.Keys(c.fleet.Workers) {
 				if worker := c.fleet.Workers[id]; len(sick) < tc.sick && !worker.Machine.Gone && len(worker.Attempts) < 4 {
 					worker.FailsTasks, sick[id] = true, true
 					for task := range worker.Attempts {
@@ -159,7 +160,7 @@
 		t.Fatal("the service isn't up")
 	}
 	n := 0
-	for _, id := range sortedKeys(c.fleet.Workers) {
+	for _, id := range sortedmap.Keys(c.fleet.Workers) {
 		if worker := c.fleet.Workers[id]; n < 3 && !worker.Machine.Gone {
 			worker.FailsTasks = true
 			n++
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -106,7 +107,7 @@
 // pickMachines picks some of those that are up.
 func (s *scenario) pickMachines(n int) []*fake.Worker {
 	var up []*fake.Worker
-	for _, id := range sortedKeys(s.fleet.Workers) {
+	for _, id := range sortedmap.Keys(s.fleet.Workers) {
 		if worker := s.fleet.Workers[id]; !worker.Machine.Gone {
 			up = append(up, worker)
 		}
@@ -281,7 +282,7 @@
 // machinesOf lists the machines that hold tasks of a job.
 func (s *scenario) machinesOf(job string) []*fake.Worker {
 	var out []*fake.Worker
-	for _, id := range sortedKeys(s.fleet.Workers) {
+	for _, id := range sortedmap.Keys(s.fleet.Workers) {
 		worker := s.fleet.Workers[id]
 		holds := false
 		for task := range worker.Attempts {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -126,7 +127,7 @@
 // unknownJobs counts jobs of which a controller picked at random doesn't know.
 func (c *cluster) unknownJobs() int {
 	unknown := 0
-	for i, id := range sortedKeys(c.fleet.Jobs) {
+	for i, id := range sortedmap.Keys(c.fleet.Jobs) {
 		if i%20 != 0 {
 			continue
 		}
@@ -170,7 +171,7 @@
 			if base == nil {
 				base = per
 			}
-			for _, what := range sortedKeys(per) {
+			for _, what := range sortedmap.Keys(per) {
 				if per[what] > 1.5*base[what] {
 					t.Errorf("%s: %.1f, %.1f at %d machines", what, per[what], base[what], sizes[0])
 				}
--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -116,7 +117,7 @@
 	if as.c.catalog.fetchedAt == 0 {
 		return
 	}
-	for _, name := range sortedKeys(as.c.catalog.machineTypes) {
+	for _, name := range sortedmap.Keys(as.c.catalog.machineTypes) {
 		machineType := as.c.catalog.machineTypes[name]
 		have := as.c.mirror.MachineTypes[name]
 		record := storage.MachineType{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB, CacheGB: machineType.CacheGB, FetchGBPerS: machineType.FetchGBPerS,
@@ -143,12 +144,12 @@
 	leader := &as.term
 	if now >= leader.nextScaleInAt {
 		var removable []string
-		for _, id := range sortedKeys(as.c.mirror.Machines) {
+		for _, id := range sortedmap.Keys(as.c.mirror.Machines) {
 			if machine := as.c.mirror.Machines[id]; machine.Record != nil && machine.Record.State == storage.MachineRemoving && as.c.mirror.ScaleInOfMachine[id] == "" {
 				removable = append(removable, id)
 			}
 		}
-		for _, id := range sortedKeys(leader.failedMachines) {
+		for _, id := range sortedmap.Keys(leader.failedMachines) {
 			if as.c.mirror.ScaleInOfMachine[id] != "" {
 				delete(leader.failedMachines, id)
 				continue
@@ -160,7 +161,7 @@
 			as.requestScaleIn(removable)
 		}
 	}
-	for _, name := range sortedKeys(as.c.mirror.ScaleIns) {
+	for _, name := range sortedmap.Keys(as.c.mirror.ScaleIns) {
 		removal := as.c.mirror.ScaleIns[name]
 		if removal.Record.Gone {
 			as.forgetScaleIn(name, removal)
@@ -347,7 +348,7 @@
 // claimed like any other when they are up, or given back when they don't come up.
 func (as *autoscaler) adoptUnknownMachines() {
 	leader := &as.term
-	for _, id := range sortedKeys(leader.unknownMachines) {
+	for _, id := range sortedmap.Keys(leader.unknownMachines) {
 		listed := leader.unknownMachines[id]
 		delete(leader.unknownMachines, id)
 		if as.c.mirror.ScaleOutOfMachine[id] != "" || as.c.mirror.ScaleInOfMachine[id] != "" {
@@ -372,7 +373,7 @@
 func (as *autoscaler) reconcileScaleOuts(now monotime.Micros) {
 	leader := &as.term
 	wall := as.c.env.WallClock()
-	for _, name := range sortedKeys(as.c.mirror.ScaleOuts) {
+	for _, name := range sortedmap.Keys(as.c.mirror.ScaleOuts) {
 		request := as.c.mirror.ScaleOuts[name]
 		key := storage.Key(storage.KindScaleOut, name)
 		age := monotime.Micros(wall - request.Record.PhaseSince)
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -24,7 +25,7 @@
 	}
 	check := &machineHealthCheck{now: now}
 	am.countSilentMachines(check)
-	for _, id := range sortedKeys(am.c.mirror.Machines) {
+	for _, id := range sortedmap.Keys(am.c.mirror.Machines) {
 		if machine := am.c.mirror.Machines[id]; am.agentOf(machine) != nil && machine.Record != nil {
 			am.checkMachine(machine, check)
 		}
@@ -41,7 +42,7 @@
 			delete(am.orphanContacts, id)
 		}
 	}
-	for _, id := range sortedKeys(am.c.shards.claimRequests) {
+	for _, id := range sortedmap.Keys(am.c.shards.claimRequests) {
 		if now-am.c.shards.claimRequests[id].requestedAt > claimRequestTimeout {
 			am.c.shards.completeClaimRequest(id, false)
 		}
@@ -213,7 +214,7 @@
 
 // logRemovals writes one line a reason, however many machines share it.
 func (am *agentManager) logRemovals() {
-	for _, reason := range sortedKeys(am.unloggedRemovals) {
+	for _, reason := range sortedmap.Keys(am.unloggedRemovals) {
 		ids := am.unloggedRemovals[reason]
 		tasks := 0
 		for _, id := range ids {
--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -377,10 +377,6 @@
 	return machine
 }
 
-// sortedKeys gives a map's keys in order: decisions must not depend on the
-// order of a map.
-func sortedKeys[K ~string, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
-
 // sortedTaskIDs gives the tasks of a machine in order.
 func sortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
 	return slices.SortedFunc(maps.Keys(attempts), func(a, b TaskID) int {
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -48,7 +49,7 @@
 	var readList func(k int, after string)
 	readList = func(k int, after string) {
 		if k == len(kinds) {
-			r.loadResults(mirror, sortedKeys(mirror.Jobs), func() {
+			r.loadResults(mirror, sortedmap.Keys(mirror.Jobs), func() {
 				r.freshAt = max(r.freshAt, sentAt)
 				r.install(mirror, firstRevision, lastRevision)
 			})
@@ -135,7 +136,7 @@
 	r.c.mirror = mirror
 	r.loading, r.loaded, r.loadedRevision = false, true, lastRevision
 	r.c.cancellations.reconcileCancellations()
-	for _, name := range sortedKeys(mirror.Shards) {
+	for _, name := range sortedmap.Keys(mirror.Shards) {
 		r.c.shards.onShardChange(name)
 	}
 	r.nextWatchAt = 0
--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -127,7 +128,7 @@
 			}
 			c.sim.Run(40 * second)
 			var cut []*fake.Worker
-			for i, id := range sortedKeys(c.fleet.Workers) {
+			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				if worker := c.fleet.Workers[id]; tc.silent(worker.Machine, i) {
 					cut = append(cut, worker)
 					worker.Partitioned = true
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -33,7 +34,7 @@
 func (q *quotaManager) quotaShareOf(partition, team string) resources.Vector {
 	if p := q.c.mirror.Partitions[partition]; p != nil {
 		share := p.Record.QuotaShares[team]
-		return resources.Vector{resources.Round(share.CPUs), resources.Round(share.GPUs), math.Inf(1)}
+		return resources.Vector{CPUs: resources.Round(share.CPUs), GPUs: resources.Round(share.GPUs), MemoryGB: math.Inf(1)}
 	}
 	return resources.Vector{MemoryGB: math.Inf(1)}
 }
@@ -87,7 +88,7 @@
 // quotaLeft is what this part may still assign for a team.
 func (q *quotaManager) quotaLeft(team string) resources.Vector {
 	limit, _ := q.teamLimits(team)
-	available := resources.Vector{math.Inf(1), math.Inf(1), math.Inf(1)}
+	available := resources.Vector{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	if !limit.hasLimit() {
 		return available
 	}
@@ -215,7 +216,7 @@
 // that the others should give back what they don't use.
 func (q *quotaManager) teamsLackingQuota(now monotime.Micros) []string {
 	var out []string
-	for _, team := range sortedKeys(q.lackingSince) {
+	for _, team := range sortedmap.Keys(q.lackingSince) {
 		if now-q.lackingSince[team] >= quotaLackReportDelay {
 			out = append(out, team)
 		}
@@ -272,7 +273,7 @@
 		for node := range q.c.mirror.Partitions {
 			names[node] = true
 		}
-		for _, node := range sortedKeys(names) {
+		for _, node := range sortedmap.Keys(names) {
 			if node != q.c.node {
 				txn.If = append(txn.If, protocol.Compare{Key: partitionKey(node), Version: q.c.mirror.VersionOf(partitionKey(node))})
 			}
@@ -299,7 +300,7 @@
 		return
 	}
 	connected := q.c.reachability.connectedControllers()
-	for _, node := range sortedKeys(q.c.mirror.Partitions) {
+	for _, node := range sortedmap.Keys(q.c.mirror.Partitions) {
 		partition := q.c.mirror.Partitions[node]
 		if node == q.c.node || rendezvousOwner(node, connected) != q.c.node || q.c.recordWritesInFlight[partitionKey(node)] || q.c.mirror.WatchedRevision < partition.Version ||
 			q.c.membership.isMember(node) || now-q.c.membership.absentSince(node, now) <= monotime.Second {
@@ -358,7 +359,7 @@
 		}
 	}
 	moved := false
-	for _, team := range sortedKeys(useByTeam) {
+	for _, team := range sortedmap.Keys(useByTeam) {
 		if limit, _ := q.teamLimits(team); !limit.hasLimit() {
 			continue
 		}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -96,7 +97,7 @@
 		return
 	}
 	var machines []*Machine
-	for _, id := range sortedKeys(rc.c.mirror.Machines) {
+	for _, id := range sortedmap.Keys(rc.c.mirror.Machines) {
 		if machine := rc.c.mirror.Machines[id]; rc.c.agents.agentOf(machine) != nil && machine.Record != nil {
 			machines = append(machines, machine)
 		}
@@ -135,7 +136,7 @@
 		return
 	}
 	rc.nextProbeAt = now + reachabilityProbeInterval
-	ids := sortedKeys(rc.c.mirror.Machines)
+	ids := sortedmap.Keys(rc.c.mirror.Machines)
 	if len(ids) == 0 {
 		rc.markWorkersReachable(now)
 		return
@@ -205,7 +206,7 @@
 	}
 	successor := ""
 	var shards []*Shard
-	for _, name := range sortedKeys(sm.c.mirror.Shards) {
+	for _, name := range sortedmap.Keys(sm.c.mirror.Shards) {
 		shard := sm.c.mirror.Shards[name]
 		if tracker := sm.trackerOf(name); !sm.ownsShard(shard) || tracker.commitInFlightSince != 0 || len(tracker.updatesInDoubt) > 0 || sm.c.mirror.WatchedRevision < shard.Version {
 			continue
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -9,6 +9,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -316,7 +317,7 @@
 	c, _ := newBusyCluster(t, 1300)
 	core := c.nodes["n-0"].controller
 	var machine *Machine
-	for _, id := range sortedKeys(core.mirror.Machines) {
+	for _, id := range sortedmap.Keys(core.mirror.Machines) {
 		if o := core.mirror.Machines[id]; core.agents.agentOf(o) != nil {
 			machine = o
 		}
--- a/internal/coordination/record_snapshot.go
+++ b/internal/coordination/record_snapshot.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/drain"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -87,7 +88,7 @@
 // readResults finds which of the listed jobs are over: answers can't be listed, so the versions
 // of as many as a commit can name are compared at a time.
 func (r *RecordSnapshot) readResults(call StoreCaller, mostConditions int) error {
-	ids := sortedKeys(r.mirror.Jobs)
+	ids := sortedmap.Keys(r.mirror.Jobs)
 	for len(ids) > 0 {
 		n := min(len(ids), mostConditions)
 		txn := protocol.Transaction{}
@@ -130,7 +131,7 @@
 // DrainSnapshot gives the reading in the form in which drains are decided.
 func (r *RecordSnapshot) DrainSnapshot(wall int64) *drain.Snapshot {
 	b := r.mirror.drainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
-	for _, id := range sortedKeys(r.mirror.Machines) {
+	for _, id := range sortedmap.Keys(r.mirror.Machines) {
 		if machine := r.mirror.Machines[id]; machine.Record != nil {
 			b.AddMachine(r.mirror.drainSnapshotMachine(machine, r.machineTypes))
 		}
--- a/internal/coordination/scale_out_plan.go
+++ b/internal/coordination/scale_out_plan.go
@@ -147,9 +147,9 @@
 				continue
 			}
 			left := demand.need // of each, what hasn't been taken from what is free
-			left = resources.Vector{left.CPUs * float64(n), left.GPUs * float64(n), left.MemoryGB * float64(n)}
+			left = resources.Vector{CPUs: left.CPUs * float64(n), GPUs: left.GPUs * float64(n), MemoryGB: left.MemoryGB * float64(n)}
 			partition := func(r resources.Vector) resources.Vector {
-				return resources.Vector{min(r.CPUs, left.CPUs), min(r.GPUs, left.GPUs), min(r.MemoryGB, left.MemoryGB)}
+				return resources.Vector{CPUs: min(r.CPUs, left.CPUs), GPUs: min(r.GPUs, left.GPUs), MemoryGB: min(r.MemoryGB, left.MemoryGB)}
 			}
 			t := partition(bin.free)
 			bin.free, left = bin.free.AddScaled(t, -1), left.AddScaled(t, -1)
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"pipitgap/internal/sortedmap"
 )
 
 // BenchmarkSchedulingPasses measures the parts of the passes that grow with the fleet, in a full
@@ -18,7 +20,7 @@
 		core := c.leaderNode().controller
 		now := c.sim.Now()
 		var own []*Shard
-		for _, name := range sortedKeys(core.mirror.Shards) {
+		for _, name := range sortedmap.Keys(core.mirror.Shards) {
 			if shard := core.mirror.Shards[name]; core.shards.ownsShard(shard) {
 				own = append(own, shard)
 			}
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -5,6 +5,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -26,13 +27,13 @@
 	}
 	controllers := sm.c.reachability.connectedControllers()
 	orphaned := map[string][]*Shard{}
-	for _, name := range sortedKeys(sm.c.mirror.Shards) {
+	for _, name := range sortedmap.Keys(sm.c.mirror.Shards) {
 		shard := sm.c.mirror.Shards[name]
 		if owner := shard.Record.Owner; !sm.claimsInFlight[name] && sm.isSuccessorFor(shard, controllers, now) && sm.c.mirror.WatchedRevision >= shard.Version {
 			orphaned[owner] = append(orphaned[owner], shard)
 		}
 	}
-	for _, owner := range sortedKeys(orphaned) {
+	for _, owner := range sortedmap.Keys(orphaned) {
 		shards := orphaned[owner]
 		for len(shards) > 0 {
 			shards = shards[sm.claimShards(owner, shards):]
@@ -70,7 +71,7 @@
 			if result.Outcome != protocol.OK {
 				continue
 			}
-			for _, id := range sortedKeys(shard.Record.Machines) {
+			for _, id := range sortedmap.Keys(shard.Record.Machines) {
 				machines++
 				sm.c.agents.probeAgent(sm.c.mirror.Machines[id], owner == sm.c.node)
 			}
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -10,6 +10,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -201,14 +202,14 @@
 	}
 	sc.passNeeded = false
 	var updates []*ShardUpdate
-	for _, name := range sortedKeys(sc.c.mirror.Shards) {
+	for _, name := range sortedmap.Keys(sc.c.mirror.Shards) {
 		if shard := sc.c.mirror.Shards[name]; sc.c.shards.ownsShard(shard) && sc.c.shards.trackerOf(name).commitInFlightSince == 0 {
 			update := sc.c.shards.prepareShardUpdate(shard, now)
 			update.PlannedBytes = sc.c.shards.plannedShardBytes(update.Next)
 			updates = append(updates, update)
 		}
 	}
-	for _, name := range sortedKeys(sc.c.shards.newShards) {
+	for _, name := range sortedmap.Keys(sc.c.shards.newShards) {
 		if tracker := sc.c.shards.trackerOf(name); tracker.commitInFlightSince == 0 {
 			update := NewShardUpdate(name, nil, sc.c.shards.newShards[name])
 			update.Changed, update.Next.Machines, update.Next.Jobs = true, map[string]*storage.ShardMachine{}, map[string]*storage.ShardJob{}
@@ -252,7 +253,7 @@
 		}
 	}
 	marked := false
-	for _, id := range sortedKeys(shard.Record.Machines) {
+	for _, id := range sortedmap.Keys(shard.Record.Machines) {
 		machine := sm.c.mirror.Machines[id]
 		if machine == nil || machine.Shard != shard {
 			continue
@@ -359,13 +360,13 @@
 		case protocol.OK:
 			sm.c.counters.tasksPlaced += len(update.AssignedTasks)
 			sm.c.drains.countCommittedLosses(update.UnpermittedLosses)
-			for _, id := range sortedKeys(update.CompletedTaskJobs) {
+			for _, id := range sortedmap.Keys(update.CompletedTaskJobs) {
 				sm.c.api.completeJobIfDone(id)
 			}
-			for _, id := range sortedKeys(update.AdmittedMachines) {
+			for _, id := range sortedmap.Keys(update.AdmittedMachines) {
 				sm.completeClaimRequest(id, true)
 			}
-			for _, id := range sortedKeys(update.MachinesToSync) {
+			for _, id := range sortedmap.Keys(update.MachinesToSync) {
 				if machine := sm.c.mirror.Machines[id]; machine != nil {
 					sm.c.agents.syncCommands(machine)
 				}
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -183,7 +184,7 @@
 			perShard[machine.Shard.Name]++
 		}
 	}
-	names := sortedKeys(perShard)
+	names := sortedmap.Keys(perShard)
 	if len(names) < 2 {
 		t.Fatalf("the machines of n-1 in the zone stand in %d shards", len(names))
 	}
--- a/internal/coordination/store_calls.go
+++ b/internal/coordination/store_calls.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
 )
 
 // storeClient paces the calls of the state service: a queue by priority, this controller's part of the limits, and whether the service answers.
@@ -143,7 +144,7 @@
 	if !rc.c.store.unavailable || now-rc.c.store.lastSuccessAt < 2*monotime.Second {
 		return "", false
 	}
-	for _, node := range sortedKeys(rc.c.peerStatuses.statuses) {
+	for _, node := range sortedmap.Keys(rc.c.peerStatuses.statuses) {
 		at := rc.c.peerStatuses.statuses[node].storeReachableAt
 		if at != 0 && now-at < 1500*monotime.Millisecond && at > rc.c.store.lastSuccessAt+1500*monotime.Millisecond {
 			return node, true
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -12,6 +12,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -249,7 +250,7 @@
 		return "needs more than the team's limit"
 	}
 	taskResources := TaskResources(spec)
-	for _, name := range sortedKeys(u.c.catalog.machineTypes) {
+	for _, name := range sortedmap.Keys(u.c.catalog.machineTypes) {
 		machineType := u.c.catalog.machineTypes[name]
 		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) && taskResources.FitsIn(machineCapacity(&machineType)) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
 			return ""
@@ -274,7 +275,7 @@
 
 // remaining tells what the team may still use.
 func (t teamLimits) remaining(used resources.Vector) resources.Vector {
-	available := resources.Vector{math.Inf(1), math.Inf(1), math.Inf(1)}
+	available := resources.Vector{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 	if t.maxCPUs > 0 {
 		available.CPUs = resources.Round(t.maxCPUs) - used.CPUs
 	}
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/sortedmap"
 )
 
 // Policy is what the operators' settings say of drains.
@@ -79,7 +80,7 @@
 // availabilityByScope counts all scopes of a snapshot.
 func (p *Policy) availabilityByScope(s *Snapshot) map[Scope]*Availability {
 	counted := map[Scope]*Availability{}
-	for _, id := range sortedKeys(s.jobs) {
+	for _, id := range sortedmap.Keys(s.jobs) {
 		job := s.jobs[id]
 		if job.Failing {
 			continue
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 
+	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -75,7 +77,7 @@
 
 // placementKey is what decides whether a replica finds room, but for zone rules.
 type placementKey struct {
-	need  Resources
+	need  resources.Vector
 	types string
 	zone  string
 	spot  bool
@@ -89,7 +91,7 @@
 		noRoom: map[placementKey]bool{}, recordBytes: map[string]int{},
 		decision: &Decision{Granted: map[string][]storage.Permit{}, Completed: map[string][]storage.Permit{}},
 	}
-	for _, team := range sortedKeys(s.permits) {
+	for _, team := range sortedmap.Keys(s.permits) {
 		for i := range s.permits[team].Permits {
 			d.reviewPermit(team, &s.permits[team].Permits[i])
 		}
--- a/internal/drain/destination.go
+++ b/internal/drain/destination.go
@@ -12,11 +12,11 @@
 			return true
 		}
 		switch {
-		case job.PerTask.FitsInto(m.Free):
+		case job.PerTask.FitsIn(m.Free):
 			if free == nil || m.Free.CPUs < free.Free.CPUs {
 				free = m
 			}
-		case displacing == nil && job.PerTask.FitsInto(m.freeWithPreemption(job.Priority)):
+		case displacing == nil && job.PerTask.FitsIn(m.freeWithPreemption(job.Priority)):
 			displacing = m
 		}
 		return true
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -8,6 +8,8 @@
 	"testing"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -28,8 +30,8 @@
 func (f *fleetSpec) build() *Snapshot {
 	b := NewBuilder(100, 1000)
 	next := map[string]int{}
-	for _, id := range sortedKeys(f.machines) {
-		m := &Machine{ID: id, Type: "m8", Zone: "a", State: storage.MachineOpen, Owner: "n-0", Free: Resources{CPUs: machineCPUs, MemoryGB: 64}}
+	for _, id := range sortedmap.Keys(f.machines) {
+		m := &Machine{ID: id, Type: "m8", Zone: "a", State: storage.MachineOpen, Owner: "n-0", Free: resources.Vector{CPUs: machineCPUs, MemoryGB: 64}}
 		if zone := f.zones[id]; zone != "" {
 			m.Zone = zone
 		}
@@ -48,7 +50,7 @@
 		job.Replicas = max(job.Replicas, next[id])
 		b.AddJob(&job)
 	}
-	b.AddType(TypeCapacity{Name: "m8", Capacity: Resources{CPUs: machineCPUs, MemoryGB: 64}, Zones: []string{"a", "b"}})
+	b.AddType(TypeCapacity{Name: "m8", Capacity: resources.Vector{CPUs: machineCPUs, MemoryGB: 64}, Zones: []string{"a", "b"}})
 	for name, d := range f.drains {
 		b.AddDrain(name, 50, d)
 	}
@@ -59,7 +61,7 @@
 }
 
 func job(team string) Job {
-	return Job{Team: team, Class: "web", PerTask: Resources{CPUs: 2, MemoryGB: 4}, Priority: 3}
+	return Job{Team: team, Class: "web", PerTask: resources.Vector{CPUs: 2, MemoryGB: 4}, Priority: 3}
 }
 
 func zoneDrain(zone string) storage.Drain {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"slices"
 
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -84,7 +85,7 @@
 	if p.record.Replace && p.scaleOutFor(decision.Blocked, &step) {
 		decision = p.decide()
 	}
-	for _, team := range sortedKeys(decision.Granted) {
+	for _, team := range sortedmap.Keys(decision.Granted) {
 		for _, permit := range decision.Granted[team] {
 			step.Moves = append(step.Moves, p.move(team, permit))
 		}
@@ -126,7 +127,7 @@
 		owners[m.Owner] = true
 		return true
 	})
-	return sortedKeys(owners)
+	return sortedmap.Keys(owners)
 }
 
 // move carries a permit out: the replica is stopped and runs at its new place.
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -3,34 +3,14 @@
 import (
 	"slices"
 
+	"pipitgap/internal/sortedmap"
+
 	"github.com/benbjohnson/immutable"
 
+	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
-// Resources is what a task takes, or what is free on a machine.
-type Resources struct{ CPUs, GPUs, MemoryGB float64 }
-
-// roundingSlack keeps sums of decimal amounts from refusing an exact fit.
-const roundingSlack = 1e-6
-
-// Plus adds two amounts.
-func (r Resources) Plus(o Resources) Resources {
-	return Resources{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
-}
-
-// Minus takes an amount off another.
-func (r Resources) Minus(o Resources) Resources {
-	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
-}
-
-// FitsInto tells whether so much finds room in what is free.
-func (r Resources) FitsInto(free Resources) bool {
-	return r.CPUs <= free.CPUs+roundingSlack &&
-		r.GPUs <= free.GPUs+roundingSlack &&
-		r.MemoryGB <= free.MemoryGB+roundingSlack
-}
-
 // Replica is an attempt of a service's task on a machine.
 type Replica struct {
 	Job         string
@@ -46,7 +26,7 @@
 	Spot           bool
 	State          storage.MachineState
 	Owner          string
-	Free           Resources // used by no task, and held under no permit
+	Free           resources.Vector // used by no task, and held under no permit
 	Replicas       []Replica
 	ArrayUsage     []ArrayUsage // what array tasks use, by priority
 }
@@ -55,7 +35,7 @@
 type ArrayUsage struct {
 	Priority  int
 	Tasks     int
-	Resources Resources
+	Resources resources.Vector
 }
 
 // reachable tells whether what runs on a machine counts as available.
@@ -64,7 +44,7 @@
 }
 
 // freeWithPreemption is what is free on a machine once array tasks of lower priority have given way.
-func (m *Machine) freeWithPreemption(priority int) Resources {
+func (m *Machine) freeWithPreemption(priority int) resources.Vector {
 	free := m.Free
 	for _, work := range m.ArrayUsage {
 		if work.Priority < priority {
@@ -78,7 +58,7 @@
 type Job struct {
 	ID, Team, Class string
 	Replicas        int
-	PerTask         Resources
+	PerTask         resources.Vector
 	Priority        int
 	Types           []string // allowed machine types; nil: any
 	Zone            string   // the only allowed zone; "": any
@@ -97,7 +77,7 @@
 // TypeCapacity is an entry of the cloud's catalogue.
 type TypeCapacity struct {
 	Name     string
-	Capacity Resources
+	Capacity resources.Vector
 	Zones    []string
 }
 
@@ -265,7 +245,7 @@
 	s.machines = b.machines.Map()
 	slices.SortFunc(s.drains, func(x, y DrainRecord) int { return compareNames(x.Name, y.Name) })
 	next := &s
-	for _, team := range sortedKeys(s.permits) {
+	for _, team := range sortedmap.Keys(s.permits) {
 		for _, p := range s.permits[team].Permits {
 			if _, r, held := next.replicaOf(p.Job, p.Task); !held || r.Attempt == p.Attempt {
 				next = next.withPermit(p)
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
@@ -55,7 +56,7 @@
 		progress.Machines = append(progress.Machines, MachineProgress{ID: id, State: stateNames[m.State],
 			Replicas: len(m.Replicas), ArrayTasks: m.arrayTasks(), BeingEmptied: step[id]})
 	}
-	for _, team := range sortedKeys(s.permits) {
+	for _, team := range sortedmap.Keys(s.permits) {
 		for _, permit := range s.permits[team].Permits {
 			if permit.Drain == record.Name {
 				progress.Permits++
@@ -99,7 +100,7 @@
 		byName[scope.String()] = a
 	}
 	var out []TeamStatus
-	for _, name := range sortedKeys(byName) {
+	for _, name := range sortedmap.Keys(byName) {
 		a := byName[name]
 		out = append(out, TeamStatus{
 			Team: a.Scope.Team, Class: a.Scope.Class, Budgeted: a.Budgeted, Desired: a.Desired,
--- /dev/null
+++ b/internal/sortedmap/sortedmap.go
@@ -0,0 +1,12 @@
+// Package sortedmap walks maps in the order of their keys. Decisions must not depend on the order of a map: the same
+// input has to give the same calls of the state service, the cloud and the workers.
+package sortedmap
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// Keys gives the keys of a map in order.
+func Keys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/sortedmap"
 )
 
 // MachineState is where a machine stands.
@@ -199,7 +200,7 @@
 	kinds := map[machineKind]int{}
 	var text []byte
 	lastID, lastEndpoint := "", ""
-	for _, id := range sortedKeys(p.Machines) {
+	for _, id := range sortedmap.Keys(p.Machines) {
 		m := p.Machines[id]
 		k := machineKind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 		n, ok := kinds[k]
@@ -223,7 +224,7 @@
 	}
 	record.Machines = string(text)
 	text, lastID = text[:0:0], ""
-	for _, id := range sortedKeys(p.Jobs) {
+	for _, id := range sortedmap.Keys(p.Jobs) {
 		if len(text) > 0 {
 			text = append(text, ';')
 		}
@@ -447,12 +448,3 @@
 	}
 	return strings.Split(s, ";")
 }
-
-func sortedKeys[V any](m map[string]V) []string {
-	out := make([]string, 0, len(m))
-	for k := range m {
-		out = append(out, k)
-	}
-	sort.Strings(out)
-	return out
-}
