--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -91,7 +91,7 @@
 		if !ok {
 			continue
 		}
-		size := machineCapacity(&machineType)
+		size := MachineCapacity(&machineType)
 		bin := &machineBin{machineType: machine.Record.Type, zone: machine.Record.Zone, spot: machine.Record.Spot, capacity: size, free: size.AddScaled(machine.Used, -1), machineID: id}
 		as.estimateRoom(bin, machine)
 		out = append(out, bin)
@@ -110,7 +110,7 @@
 		}
 		coming, late := as.expectedMachines(request, machineType.BootS)
 		for range coming {
-			out = append(out, &machineBin{machineType: request.Record.MachineType, zone: request.Record.Zone, spot: request.Record.Spot, capacity: machineCapacity(&machineType), free: machineCapacity(&machineType),
+			out = append(out, &machineBin{machineType: request.Record.MachineType, zone: request.Record.Zone, spot: request.Record.Spot, capacity: MachineCapacity(&machineType), free: MachineCapacity(&machineType),
 				arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS, overdue: late})
 		}
 	}
@@ -224,7 +224,7 @@
 				if unmet[o] || price <= 0 || as.c.drains.closesOffer(o) {
 					continue
 				}
-				out = append(out, &pricedOffer{offer: o, capacity: machineCapacity(&machineType), price: price, zoneMachines: inZone[zone]})
+				out = append(out, &pricedOffer{offer: o, capacity: MachineCapacity(&machineType), price: price, zoneMachines: inZone[zone]})
 			}
 		}
 	}
@@ -404,7 +404,7 @@
 	for _, o := range sortedOffers(chosen) {
 		machineType := as.c.catalog.machineTypes[o.machineType]
 		for n := chosen[o]; n > 0; n-- {
-			bins = append(bins, &machineBin{machineType: o.machineType, zone: o.zone, spot: o.spot, capacity: machineCapacity(&machineType), arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS})
+			bins = append(bins, &machineBin{machineType: o.machineType, zone: o.zone, spot: o.spot, capacity: MachineCapacity(&machineType), arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS})
 		}
 	}
 	absorbDemand(wanted, bins, as.c.settings.ExpectedOnDemandCapacity, true)
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -72,7 +72,7 @@
 			if !ok {
 				continue
 			}
-			free := machineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(update.FreedByMachine[id], 1).AddScaled(update.AssignedByMachine[id], -1)
+			free := MachineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(update.FreedByMachine[id], 1).AddScaled(update.AssignedByMachine[id], -1)
 			_, closed := sc.c.api.jobsClosedAt[id]
 			candidate := &candidateMachine{machine: machine, record: record, update: update, freeResources: free, serviceCPUs: sc.serviceCPUs(machine), taskCount: len(machine.Attempts), closing: closed}
 			out, update.Candidates = append(out, candidate), append(update.Candidates, candidate)
@@ -171,7 +171,7 @@
 				continue
 			}
 			machineType := sc.c.catalog.machineTypes[candidate.record.Type]
-			if job.TaskResources.FitsIn(machineCapacity(&machineType)) && (best == nil || candidate.freeResources.CPUs > best.freeResources.CPUs) {
+			if job.TaskResources.FitsIn(MachineCapacity(&machineType)) && (best == nil || candidate.freeResources.CPUs > best.freeResources.CPUs) {
 				best = candidate
 			}
 		}
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -172,7 +172,7 @@
 		left.Release(task.Job, task.Index, false)
 		update.Next.Assign(task.Job, storage.Attempt{Task: task.Index, Machine: machine.ID, Number: attempt, Starting: before.Starting})
 		if job := sm.c.mirror.Jobs[task.Job]; job != nil {
-			addTeamUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
+			AddUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
 	}
 	encoded, _ := left.Encode()
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -90,7 +90,7 @@
 		peerStatuses:         newPeerTable(),
 		recordWritesInFlight: map[string]bool{},
 	}
-	c.mirror = newMirror()
+	c.mirror = New()
 	c.store = newStoreClient(c)
 	c.replica = &mirrorReplica{c: c}
 	c.store.updateBudgets(len(c.controllers))
--- a/internal/coordination/mirror.go
+++ b/internal/coordination/mirror.go
@@ -131,7 +131,10 @@
 	OnMachineReleased func(id string) // called when a machine no longer stands in a shard
 }
 
-func newMirror() *Mirror {
+// MaxOpenJobs is how many unfinished jobs a mirror is to hold; users' submissions beyond are refused.
+const MaxOpenJobs = 5000
+
+func New() *Mirror {
 	return &Mirror{
 		Jobs: map[string]*Job{}, Shards: map[string]*Shard{}, Machines: map[string]*Machine{}, UseByTeam: map[string]resources.Vector{},
 		Partitions: map[string]*PartitionEntry{}, ScaleOuts: map[string]*ScaleOutEntry{}, ScaleOutOfMachine: map[string]string{},
@@ -143,19 +146,19 @@
 
 // ApplyPut applies one change, see apply.
 func (v *Mirror) ApplyPut(key string, value protocol.Raw, version uint64) {
-	v.applyRevision([]protocol.Event{{Put: key, Value: value, Version: version}}, false)
+	v.ApplyRevision([]protocol.Event{{Put: key, Value: value, Version: version}}, false)
 }
 
 // ApplyDelete applies a deletion.
 func (v *Mirror) ApplyDelete(key string, version uint64, ownCommit bool) {
-	v.applyRevision([]protocol.Event{{Delete: key, Version: version}}, ownCommit)
+	v.ApplyRevision([]protocol.Event{{Delete: key, Version: version}}, ownCommit)
 }
 
-// applyRevision brings the changes of one revision into the mirror, each unless the
+// ApplyRevision brings the changes of one revision into the mirror, each unless the
 // mirror is newer already. Pages are taken out before any is put in: a machine
 // that moves from one to another must not be counted out after it was counted in.
 // own: it is a commit of ours, which may be ahead of the watch.
-func (v *Mirror) applyRevision(events []protocol.Event, ownCommit bool) {
+func (v *Mirror) ApplyRevision(events []protocol.Event, ownCommit bool) {
 	type change struct {
 		kind, name string
 		e          protocol.Event
@@ -287,8 +290,8 @@
 		if len(machine.Attempts) == 0 {
 			machine.Used = resources.Vector{} // no rounding left behind
 		}
-		addTeamUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
-		addTeamUse(v.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+		AddUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+		AddUse(v.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
 		v.removeMachineIfUnused(machine)
 	}
 	entry.Completed.Each(func(i int) {
@@ -324,7 +327,7 @@
 	return false
 }
 
-func addTeamUse(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
+func AddUse(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
 	total := useByTeam[team].AddScaled(taskResources, float64(sign))
 	if total.CPUs < resources.Tolerance && total.GPUs < resources.Tolerance && total.MemoryGB < resources.Tolerance {
 		delete(useByTeam, team)
@@ -346,7 +349,7 @@
 	for _, operation := range txn.Then {
 		events = append(events, protocol.Event{Put: operation.Put, Value: operation.Value, Delete: operation.Delete, Version: revision})
 	}
-	v.applyRevision(events, true)
+	v.ApplyRevision(events, true)
 }
 
 // ApplyEvents brings the result of a watch into the mirror.
@@ -356,7 +359,7 @@
 		for n < len(events) && events[n].Version == events[0].Version {
 			n++
 		}
-		v.applyRevision(events[:n], false)
+		v.ApplyRevision(events[:n], false)
 		events = events[n:]
 	}
 	v.WatchedRevision = max(v.WatchedRevision, revision)
@@ -377,8 +380,8 @@
 	return machine
 }
 
-// sortedTaskIDs gives the tasks of a machine in order.
-func sortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
+// SortedTaskIDs gives the tasks of a machine in order.
+func SortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
 	return slices.SortedFunc(maps.Keys(attempts), func(a, b TaskID) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
 	})
--- /dev/null
+++ b/internal/coordination/mirror_drains.go
@@ -0,0 +1,69 @@
+package coordination
+
+import (
+	"pipitgap/internal/drain"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/storage"
+)
+
+// DrainSnapshotBuilder begins a snapshot with all but the machines.
+func (v *Mirror) DrainSnapshotBuilder(wall int64, types map[string]protocol.MachineType, failing func(*Job) bool) *drain.Builder {
+	b := drain.NewBuilder(v.WatchedRevision, wall)
+	for id, job := range v.Jobs {
+		if spec := &job.Record.Spec; spec.Service && job.IsOpen() {
+			b.AddJob(&drain.Job{ID: id, Team: spec.Team, Class: spec.Class, Replicas: spec.Tasks, PerTask: job.TaskResources, Priority: spec.Priority,
+				Types: spec.MachineTypes, Zone: spec.Zone, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Failing: failing(job)})
+		}
+	}
+	for name, machineType := range types {
+		b.AddType(drain.TypeCapacity{Name: name, Capacity: MachineCapacity(&machineType), Zones: machineType.Zones})
+	}
+	for name, drainEntry := range v.Drains {
+		b.AddDrain(name, drainEntry.Version, drainEntry.Record)
+	}
+	for team, permits := range v.PermitsByTeam {
+		b.AddPermits(team, permits.Version, permits.Record)
+	}
+	return b
+}
+
+// DrainSnapshotMachine gives a machine as the records have it.
+func (v *Mirror) DrainSnapshotMachine(machine *Machine, types map[string]protocol.MachineType) *drain.Machine {
+	out := &drain.Machine{ID: machine.ID, Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot, State: machine.Record.State, Owner: machine.Owner()}
+	if v.ScaleInOfMachine[machine.ID] != "" {
+		out.State = storage.MachineRemoving
+	}
+	if machineType, ok := types[machine.Record.Type]; ok {
+		out.Free = MachineCapacity(&machineType).AddScaled(machine.Used, -1)
+	}
+	for _, task := range SortedTaskIDs(machine.Attempts) {
+		job := v.Jobs[task.Job]
+		switch {
+		case job == nil || !job.IsOpen():
+		case job.Record.Spec.Service:
+			held, _ := machine.Shard.Record.FindAttempt(task.Job, task.Index)
+			out.Replicas = append(out.Replicas, drain.Replica{Job: task.Job, Task: task.Index, Attempt: machine.Attempts[task], Starting: held.Starting})
+		default:
+			addArrayTask(out, job)
+		}
+	}
+	return out
+}
+
+// addArrayTask adds an array task to what a machine holds.
+func addArrayTask(m *drain.Machine, job *Job) {
+	priority := job.Record.Spec.Priority
+	for i := range m.ArrayUsage {
+		if m.ArrayUsage[i].Priority == priority {
+			m.ArrayUsage[i].Tasks++
+			m.ArrayUsage[i].Resources = m.ArrayUsage[i].Resources.Plus(job.TaskResources)
+			return
+		}
+	}
+	m.ArrayUsage = append(m.ArrayUsage, drain.ArrayUsage{Priority: priority, Tasks: 1, Resources: job.TaskResources})
+}
+
+func MachineCapacity(machineType *protocol.MachineType) resources.Vector {
+	return resources.New(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
+}
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -37,11 +37,11 @@
 		return
 	}
 	r.loading, r.ready = true, false
-	kinds := mirroredKinds
+	kinds := Kinds
 	if r.c.drains != nil {
-		kinds = slices.Concat(mirroredKinds, mirroredDrainKinds)
+		kinds = slices.Concat(Kinds, DrainKinds)
 	}
-	mirror := newMirror()
+	mirror := New()
 	mirror.Results = r.c.mirror.Results
 	var firstRevision, lastRevision uint64
 	var sentAt monotime.Micros // when the first list was asked for
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -29,7 +29,7 @@
 		if !ok {
 			continue
 		}
-		fc.partitions[machine.Owner()] = append(fc.partitions[machine.Owner()], &candidateMachine{machine: machine, record: machine.Record, freeResources: machineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(reserved[machine.ID], -1)})
+		fc.partitions[machine.Owner()] = append(fc.partitions[machine.Owner()], &candidateMachine{machine: machine, record: machine.Record, freeResources: MachineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(reserved[machine.ID], -1)})
 	}
 	return fc
 }
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -295,7 +295,7 @@
 	update.Next.Assign(job.ID, p.lastAssigned)
 	update.AssignedTasks[TaskID{job.ID, task}] = true
 	update.AssignedByMachine[machine] = update.AssignedByMachine[machine].AddScaled(job.TaskResources, 1)
-	addTeamUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
+	AddUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
 	update.MachinesToSync[machine] = true
 	delete(c.api.jobsClosedAt, machine)
 	candidate.closing = false
--- a/internal/coordination/record_snapshot.go
+++ b/internal/coordination/record_snapshot.go
@@ -32,19 +32,19 @@
 	snapshotCallTimeout = 5 * monotime.Second
 )
 
-// mirroredKinds are the records that every mirror holds; the answers of finished jobs aren't.
-var mirroredKinds = []string{
+// Kinds are the records that every mirror holds; the answers of finished jobs aren't.
+var Kinds = []string{
 	storage.KindScaleOut, storage.KindLeader, storage.KindMember, storage.KindOpenJob,
 	storage.KindShard, storage.KindPartition, storage.KindScaleIn, storage.KindMachineType,
 }
 
-// mirroredDrainKinds are those that a mirror holds as well where drains are turned on.
-var mirroredDrainKinds = []string{storage.KindDrain, storage.KindPermits}
+// DrainKinds are those that a mirror holds as well where drains are turned on.
+var DrainKinds = []string{storage.KindDrain, storage.KindPermits}
 
 // ReadRecords reads all records and brings them to one revision: the lists are read one after the
 // other, then all changes since the first are applied.
 func ReadRecords(call StoreCaller, txnOps int) (*RecordSnapshot, error) {
-	s := &RecordSnapshot{mirror: newMirror(), machineTypes: map[string]protocol.MachineType{}}
+	s := &RecordSnapshot{mirror: New(), machineTypes: map[string]protocol.MachineType{}}
 	firstRevision, err := s.readLists(call)
 	if err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 // readLists reads all lists and gives the revision of the first.
 func (r *RecordSnapshot) readLists(call StoreCaller) (uint64, error) {
 	firstRevision, started := uint64(0), false
-	for _, kind := range slices.Concat(mirroredKinds, mirroredDrainKinds) {
+	for _, kind := range slices.Concat(Kinds, DrainKinds) {
 		for after, more := "", true; more; {
 			page := call(&protocol.StoreCall{Op: protocol.StoreList, Key: storage.Key(kind, ""), After: after, Limit: snapshotPageSize, Timeout: snapshotCallTimeout})
 			if page.Outcome != protocol.OK {
@@ -130,10 +130,10 @@
 
 // DrainSnapshot gives the reading in the form in which drains are decided.
 func (r *RecordSnapshot) DrainSnapshot(wall int64) *drain.Snapshot {
-	b := r.mirror.drainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
+	b := r.mirror.DrainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
 	for _, id := range sortedmap.Keys(r.mirror.Machines) {
 		if machine := r.mirror.Machines[id]; machine.Record != nil {
-			b.AddMachine(r.mirror.drainSnapshotMachine(machine, r.machineTypes))
+			b.AddMachine(r.mirror.DrainSnapshotMachine(machine, r.machineTypes))
 		}
 	}
 	return b.Build()
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -112,7 +112,7 @@
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: shard.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 		for team, r := range shard.UseByTeam {
-			addTeamUse(useByTeam, team, r, 1)
+			AddUse(useByTeam, team, r, 1)
 		}
 	}
 	if from != to {
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -29,7 +29,6 @@
 // is an immediate 429.
 const (
 	maxWaitingReaders = 2048
-	maxOpenJobs       = 5000
 )
 
 // maxQueuedUserCalls bounds what waits in the queue to well under the time that a user
@@ -212,7 +211,7 @@
 		u.lookUpJobOr(submission.ID, errorResponse(422, why), respond)
 		return
 	}
-	if len(u.c.mirror.Jobs) >= maxOpenJobs {
+	if len(u.c.mirror.Jobs) >= MaxOpenJobs {
 		respond(u.retryLater(429, "too many unfinished jobs"))
 		return
 	}
@@ -252,7 +251,7 @@
 	taskResources := TaskResources(spec)
 	for _, name := range sortedmap.Keys(u.c.catalog.machineTypes) {
 		machineType := u.c.catalog.machineTypes[name]
-		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) && taskResources.FitsIn(machineCapacity(&machineType)) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
+		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) && taskResources.FitsIn(MachineCapacity(&machineType)) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
 			return ""
 		}
 	}
@@ -483,10 +482,6 @@
 	return spec.Zone == "" || zone == "" || spec.Zone == zone
 }
 
-func machineCapacity(machineType *protocol.MachineType) resources.Vector {
-	return resources.New(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
-}
-
 func newUserAPI(c *Controller) *userAPI {
 	return &userAPI{
 		c:                 c,
