--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -69,8 +69,11 @@
 			Endpoint: "10.0.0.1:9000", State: state}
 	}
 	service := func(team string, tasks int, cpus float64) *storage.OpenJob {
-		return &storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Class: "high", Team: team, Service: true,
-			Priority: 3, Tasks: tasks, CPUs: cpus, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 60}}
+		return &storage.OpenJob{
+			AcceptedAt: at,
+			Spec: storage.JobSpec{Class: "high", Team: team, Service: true,
+				Priority: 3, Tasks: tasks, CPUs: cpus, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 60},
+		}
 	}
 	array := &storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Class: "low", Team: "pipit", Priority: 1,
 		Tasks: 2, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: 1, EstimateS: 60}}
@@ -173,8 +176,11 @@
 	store := fake.NewStateStore(sim, perSecond, perSecond, txnOps)
 	written := protocol.Outcome(0)
 	txn := protocol.Transaction{Then: commandRecords()}
-	store.Call("setup", &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: txn},
-		func(r protocol.StoreResult) { written = r.Outcome })
+	store.Call(
+		"setup",
+		&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: txn},
+		func(r protocol.StoreResult) { written = r.Outcome },
+	)
 	if sim.Run(monotime.Second); written != protocol.OK {
 		t.Fatal(written)
 	}
--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 	"time"
 
-	"pipitgap/internal/coordination"
 	"pipitgap/internal/drain"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/operator"
 	"pipitgap/internal/protocol"
@@ -38,7 +38,7 @@
 		{exitRefused, []error{
 			operator.ErrNameInUse, operator.ErrDrainsOverlap, operator.ErrDrainEnded, operator.ErrContention,
 		}},
-		{exitUnreachable, []error{coordination.ErrStoreUnavailable}},
+		{exitUnreachable, []error{mirror.ErrStoreUnavailable}},
 	}
 	for _, kind := range kinds {
 		for _, of := range kind.of {
@@ -228,8 +228,17 @@
 
 func printTeams(w io.Writer, teams []drain.TeamStatus) {
 	for _, t := range teams {
-		fmt.Fprintf(w, "team %s\t%s\t%d of %d available\t%d must stay\t%d on its %d fullest machines (reserve)\n",
-			t.Team, t.Class, t.Available, t.Desired, t.MinAvailable, t.WorstLoss, t.ReserveMachines)
+		fmt.Fprintf(
+			w,
+			"team %s\t%s\t%d of %d available\t%d must stay\t%d on its %d fullest machines (reserve)\n",
+			t.Team,
+			t.Class,
+			t.Available,
+			t.Desired,
+			t.MinAvailable,
+			t.WorstLoss,
+			t.ReserveMachines,
+		)
 	}
 }
 
@@ -271,7 +280,15 @@
 	}
 	return c.print(list, func(w io.Writer) {
 		for _, d := range list {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d machines left\t%s\n", d.Name, d.State, d.Selection, d.MachinesLeft, d.Reason)
+			fmt.Fprintf(
+				w,
+				"%s\t%s\t%s\t%d machines left\t%s\n",
+				d.Name,
+				d.State,
+				d.Selection,
+				d.MachinesLeft,
+				d.Reason,
+			)
 		}
 	})
 }
--- a/cmd/pipitgap/json_test.go
+++ b/cmd/pipitgap/json_test.go
@@ -59,7 +59,12 @@
 	teams := []drain.TeamStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5,
 		MinAvailable: 4, ReserveMachines: 1, WorstLoss: 2}}
 	return map[string]any{
-		"start":         operator.StartResult{Name: "rack-a-out", AlreadyStarted: true, Machines: machines, Plan: plan},
+		"start": operator.StartResult{
+			Name:           "rack-a-out",
+			AlreadyStarted: true,
+			Machines:       machines,
+			Plan:           plan,
+		},
 		"start-no-plan": operator.StartResult{Name: "rack-a-out", Machines: machines},
 		"status": statusOutput{Drain: &drain.Progress{Name: "rack-a-out", State: storage.DrainActive,
 			Reason: "resumed", Revision: 40_001,
--- a/cmd/pipitgap/main.go
+++ b/cmd/pipitgap/main.go
@@ -98,7 +98,9 @@
 			}
 			os.Exit(status)
 		}))
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))}))
+	log := slog.New(
+		slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))}),
+	)
 	slog.SetDefault(log)
 	if err := parsed.Run(log); err != nil {
 		if parsed.Selected().Name == serveCommand {
--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -37,8 +37,9 @@
 	planned bool
 }
 
-// layers has every package of the tree, the lowest layer first. A package imports packages of lower layers only:
-// neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above all it imports.
+// layers has every package of the tree, the lowest layer first. A package imports packages of lower layers
+// only: neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above
+// all it imports.
 var layers = [][]row{
 	{{path: "internal/monotime"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
 		{path: "internal/peerwire/cancellation"}},
@@ -47,11 +48,12 @@
 	{{path: "internal/protocol"}},
 	{{path: "internal/resources"}, {path: "internal/ratelimit"}, {path: "internal/fake", kind: fake}},
 	{{path: "internal/storage"}},
+	{{path: "internal/storage/storagetest", kind: fake}},
 	{{path: "internal/cancellation", kind: decision}, {path: "internal/drain", kind: decision},
 		{path: "internal/quota", kind: decision, planned: true}},
 	{{path: "internal/scheduling", kind: decision, planned: true}},
 	{{path: "internal/autoscaling", kind: decision, planned: true}},
-	{{path: "internal/mirror", planned: true}},
+	{{path: "internal/mirror"}},
 	{{path: "internal/membership", planned: true}},
 	{{path: "internal/agents", planned: true}},
 	{{path: "internal/shards", planned: true}},
@@ -103,17 +105,20 @@
 	t.Helper()
 	var files []string
 	for _, top := range []string{"cmd", "internal"} {
-		err := filepath.WalkDir(filepath.Join(moduleRoot, top), func(path string, entry fs.DirEntry, err error) error {
-			switch {
-			case err != nil:
-				return err
-			case entry.IsDir() && entry.Name() == "testdata":
-				return fs.SkipDir
-			case !entry.IsDir() && strings.HasSuffix(path, ".go"):
-				files = append(files, path)
-			}
-			return nil
-		})
+		err := filepath.WalkDir(
+			filepath.Join(moduleRoot, top),
+			func(path string, entry fs.DirEntry, err error) error {
+				switch {
+				case err != nil:
+					return err
+				case entry.IsDir() && entry.Name() == "testdata":
+					return fs.SkipDir
+				case !entry.IsDir() && strings.HasSuffix(path, ".go"):
+					files = append(files, path)
+				}
+				return nil
+			},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +147,11 @@
 		t.Fatal(err)
 	}
 	file := belowRoot(t, path)
-	s := source{pkg: filepath.ToSlash(filepath.Dir(file)), file: file, test: strings.HasSuffix(file, "_test.go")}
+	s := source{
+		pkg:  filepath.ToSlash(filepath.Dir(file)),
+		file: file,
+		test: strings.HasSuffix(file, "_test.go"),
+	}
 	for _, spec := range parsed.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
@@ -157,7 +166,9 @@
 func violations(places map[string]place, s source) []string {
 	from, ok := places[s.pkg]
 	if !ok {
-		return []string{s.file + ": " + s.pkg + " has no row in layers: add it to the lowest layer above all it imports"}
+		return []string{
+			s.file + ": " + s.pkg + " has no row in layers: add it to the lowest layer above all it imports",
+		}
 	}
 	var found []string
 	for _, imported := range s.imports {
@@ -248,7 +259,11 @@
 func TestViolations(t *testing.T) {
 	places, err := placesByPath([][]row{
 		{{path: "internal/low"}},
-		{{path: "internal/one", kind: decision}, {path: "internal/two"}, {path: "internal/doubles", kind: fake}},
+		{
+			{path: "internal/one", kind: decision},
+			{path: "internal/two"},
+			{path: "internal/doubles", kind: fake},
+		},
 		{{path: actorPath}},
 		{{path: "internal/harness", kind: fake}},
 	})
@@ -268,8 +283,20 @@
 		{"sideways", "internal/two", false, "pipitgap/internal/one", "not in a layer below"},
 		{"up in a test", "internal/low", true, "pipitgap/internal/two", "not in a layer below"},
 		{"own package in a test", "internal/low", true, "pipitgap/internal/low", ""},
-		{"decision imports the actor", "internal/one", false, "pipitgap/" + actorPath, "must not import the actor"},
-		{"decision's test imports the actor", "internal/one", true, "pipitgap/" + actorPath, "must not import the actor"},
+		{
+			"decision imports the actor",
+			"internal/one",
+			false,
+			"pipitgap/" + actorPath,
+			"must not import the actor",
+		},
+		{
+			"decision's test imports the actor",
+			"internal/one",
+			true,
+			"pipitgap/" + actorPath,
+			"must not import the actor",
+		},
 		{"decision imports the network", "internal/one", false, "net/http", "must not import net/http"},
 		{"decision imports the clock", "internal/one", false, "time", "must not import time"},
 		{"decision imports a package of like name", "internal/one", false, "iter", ""},
@@ -278,13 +305,22 @@
 		{"code imports a fake", actorPath, false, "pipitgap/internal/doubles", "is for tests"},
 		{"test imports a fake", "internal/low", true, "pipitgap/internal/harness", ""},
 		{"fake imports a lower fake", "internal/harness", false, "pipitgap/internal/doubles", ""},
-		{"fake imports a higher fake", "internal/doubles", false, "pipitgap/internal/harness", "not in a layer below"},
+		{
+			"fake imports a higher fake",
+			"internal/doubles",
+			false,
+			"pipitgap/internal/harness",
+			"not in a layer below",
+		},
 		{"unknown package is imported", actorPath, false, "pipitgap/internal/new", "has no row in layers"},
 		{"unknown package imports", "internal/new", false, "fmt", "add it to the lowest layer"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			found := violations(places, source{pkg: c.pkg, file: "f.go", test: c.test, imports: []string{c.imported}})
+			found := violations(
+				places,
+				source{pkg: c.pkg, file: "f.go", test: c.test, imports: []string{c.imported}},
+			)
 			switch {
 			case c.want == "" && len(found) > 0:
 				t.Errorf("reported: %v", found)
--- a/internal/architecture/style_test.go
+++ b/internal/architecture/style_test.go
@@ -12,7 +12,8 @@
 	"unicode/utf8"
 )
 
-// Lines are to wrap at about 110 columns; a tab counts as tabColumns. What is wider than widestLine is a fault.
+// Lines are to wrap at about 110 columns; a tab counts as tabColumns. What is wider than widestLine is a
+// fault.
 const (
 	widestLine = 120
 	tabColumns = 4
@@ -173,7 +174,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			file, err := parser.ParseFile(token.NewFileSet(), "f.go", "package p\n\n"+c.code, parser.ParseComments)
+			file, err := parser.ParseFile(
+				token.NewFileSet(),
+				"f.go",
+				"package p\n\n"+c.code,
+				parser.ParseComments,
+			)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/cancellation/relay_test.go
+++ b/internal/cancellation/relay_test.go
@@ -47,9 +47,19 @@
 		received int
 	}{
 		{"nothing heard", func(*relayPair) int { return 0 }, 0, 0},
-		{"one round trip", func(p *relayPair) int { p.deliverToConfirmer(told, 50); return len(p.deliverToHolder(true)) }, told, 0},
+		{
+			"one round trip",
+			func(p *relayPair) int { p.deliverToConfirmer(told, 50); return len(p.deliverToHolder(true)) },
+			told,
+			0,
+		},
 		{"a word that echoes nothing", func(p *relayPair) int { return len(p.deliverToHolder(true)) }, 0, 0},
-		{"a peer that hasn't read its records", func(p *relayPair) int { p.deliverToConfirmer(told, 50); return len(p.deliverToHolder(false)) }, 0, 0},
+		{
+			"a peer that hasn't read its records",
+			func(p *relayPair) int { p.deliverToConfirmer(told, 50); return len(p.deliverToHolder(false)) },
+			0,
+			0,
+		},
 		{"a cancellation goes along", func(p *relayPair) int {
 			p.deliverToConfirmer(told, 50)
 			p.confirmer.Add(Committed{"j-1", 60})
@@ -127,7 +137,10 @@
 	if got := holder.ConfirmedUntil(0, 900); got != 500 {
 		t.Errorf("known until %d", got)
 	}
-	if holder.Receive("stranger", RoundMessage{RecordsLoaded: true, MessagesInRound: 1, EchoedIncarnation: 1, EchoedClock: 800}) != nil {
+	if holder.Receive(
+		"stranger",
+		RoundMessage{RecordsLoaded: true, MessagesInRound: 1, EchoedIncarnation: 1, EchoedClock: 800},
+	) != nil {
 		t.Error("a stranger is listened to")
 	}
 }
@@ -136,7 +149,10 @@
 // confirmer is gone; what is over everywhere is forgotten.
 func TestReceivedCancellationsAreRelayed(t *testing.T) {
 	third := NewRelay(3, []string{"confirmer", "holder"})
-	third.Receive("confirmer", RoundMessage{MessagesInRound: 1, Committed: []Committed{{"j-1", 60}, {"j-2", 61}}})
+	third.Receive(
+		"confirmer",
+		RoundMessage{MessagesInRound: 1, Committed: []Committed{{"j-1", 60}, {"j-2", 61}}},
+	)
 	third.Forget("j-2")
 	ms := third.MessagesFor("holder", 5, 0, true)
 	if len(ms) != 1 || !slices.Equal(ms[0].Committed, []Committed{{"j-1", 60}}) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,8 +39,9 @@
 // Workers are the durations of the workers' protocol.
 type Workers struct {
 	HeartbeatIntervalS float64 `toml:"report_s"` // between two reports
-	LeaseS             float64 `toml:"lease_s"`  // without an answered report a worker ends its tasks after this
-	CancelWithinS      float64 `toml:"cancel_s"` // a cancelled job's tasks must be gone after this
+	// without an answered report a worker ends its tasks after this
+	LeaseS        float64 `toml:"lease_s"`
+	CancelWithinS float64 `toml:"cancel_s"` // a cancelled job's tasks must be gone after this
 }
 
 // Config is what the platform hands over.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -74,7 +74,8 @@
 	}
 	for _, tc := range cases {
 		_, err := Load(writeFile(t, strings.Replace(validConfig, tc.old, tc.new, 1)))
-		if tc.field == "" && err != nil || tc.field != "" && (err == nil || !strings.Contains(err.Error(), tc.field)) {
+		if tc.field == "" && err != nil ||
+			tc.field != "" && (err == nil || !strings.Contains(err.Error(), tc.field)) {
 			t.Errorf("%s: %v", tc.name, err)
 		}
 	}
@@ -113,14 +114,44 @@
 		{"wrong type", "removal_tries: many", "removal_tries", "want integer"},
 		{"out of range", "expected_room: 11", "expected_room", "maximum"},
 		{"unknown key in a section", "drains: {pace: 3}", "drains", "pace"},
-		{"both bounds", "drains: {budgets: [{team: t, min_available: 1, max_unavailable: 1}]}", "drains.budgets.0", "oneOf"},
+		{
+			"both bounds",
+			"drains: {budgets: [{team: t, min_available: 1, max_unavailable: 1}]}",
+			"drains.budgets.0",
+			"oneOf",
+		},
 		{"no bound", "drains: {budgets: [{team: t}]}", "drains.budgets.0", "missing"},
 		{"no team", "drains: {budgets: [{min_available: 1}]}", "drains.budgets.0", "team"},
-		{"negative", "drains: {budgets: [{team: t, min_available: -1}]}", "drains.budgets.0.min_available", "minimum"},
-		{"too much", "drains: {budgets: [{team: t, min_available: 101%}]}", "drains.budgets.0.min_available", "pattern"},
-		{"unreachable", "drains: {budgets: [{team: t, min_available: 100%}]}", "drains.budgets[0].min_available", "no replica"},
-		{"nothing may move", "drains: {budgets: [{team: t, max_unavailable: 0%}]}", "drains.budgets[0].max_unavailable", "no replica"},
-		{"twice", "drains: {budgets: [{team: t, min_available: 1}, {team: t, max_unavailable: 1}]}", "drains.budgets[1]", "budgets[0]"},
+		{
+			"negative",
+			"drains: {budgets: [{team: t, min_available: -1}]}",
+			"drains.budgets.0.min_available",
+			"minimum",
+		},
+		{
+			"too much",
+			"drains: {budgets: [{team: t, min_available: 101%}]}",
+			"drains.budgets.0.min_available",
+			"pattern",
+		},
+		{
+			"unreachable",
+			"drains: {budgets: [{team: t, min_available: 100%}]}",
+			"drains.budgets[0].min_available",
+			"no replica",
+		},
+		{
+			"nothing may move",
+			"drains: {budgets: [{team: t, max_unavailable: 0%}]}",
+			"drains.budgets[0].max_unavailable",
+			"no replica",
+		},
+		{
+			"twice",
+			"drains: {budgets: [{team: t, min_available: 1}, {team: t, max_unavailable: 1}]}",
+			"drains.budgets[1]",
+			"budgets[0]",
+		},
 		{"not YAML", "drains: [", "", ""},
 	}
 	for _, tc := range cases {
@@ -140,7 +171,10 @@
 
 // TestLaterSettingsFilesOverride: later files replace what earlier ones set, and nothing else.
 func TestLaterSettingsFilesOverride(t *testing.T) {
-	first := writeFile(t, "scale_down_delay: 20s\ndrains: {max_parallel: 3, budgets: [{team: t, min_available: 75%}]}")
+	first := writeFile(
+		t,
+		"scale_down_delay: 20s\ndrains: {max_parallel: 3, budgets: [{team: t, min_available: 75%}]}",
+	)
 	second := writeFile(t, "removal_tries: 7\ndrains: {array_wait: 1m}")
 	settings, err := LoadSettings(first, second)
 	if err != nil {
@@ -150,7 +184,8 @@
 		t.Errorf("settings %+v", settings)
 	}
 	d := settings.Drains
-	if d == nil || d.MaxParallel != 3 || d.ArrayWait.Micros() != monotime.Minute || len(d.Budgets) != 1 || *d.DefaultReserveMachines != 1 {
+	if d == nil || d.MaxParallel != 3 || d.ArrayWait.Micros() != monotime.Minute || len(d.Budgets) != 1 ||
+		*d.DefaultReserveMachines != 1 {
 		t.Fatalf("drains %+v", d)
 	}
 	if err := settings.CheckTeams([]Team{{Name: "t"}}); err != nil {
@@ -167,7 +202,8 @@
 	}
 }
 
-// TestLoadSettingsWithoutWorkingDirectory: the working folder has gone, as under a service manager that cleans up.
+// TestLoadSettingsWithoutWorkingDirectory: the working folder has gone, as under a service manager that
+// cleans up.
 func TestLoadSettingsWithoutWorkingDirectory(t *testing.T) {
 	path := writeFile(t, "removal_tries: 7")
 	folder := filepath.Join(t.TempDir(), "gone")
@@ -191,7 +227,11 @@
 	}{
 		{"min_available: 3", 10, 3}, {"min_available: 3", 2, 3},
 		{"min_available: 75%", 10, 8}, {"min_available: 75%", 1, 1}, {"min_available: 0%", 10, 0},
-		{"max_unavailable: 2", 10, 8}, {"max_unavailable: 25%", 10, 8}, {"max_unavailable: 10%", 9, 9}, {"max_unavailable: 100%", 9, 0},
+		{
+			"max_unavailable: 2",
+			10,
+			8,
+		}, {"max_unavailable: 25%", 10, 8}, {"max_unavailable: 10%", 9, 9}, {"max_unavailable: 100%", 9, 0},
 	}
 	for _, tc := range cases {
 		settings, err := LoadSettings(writeFile(t, "drains: {budgets: [{team: t, "+tc.text+"}]}"))
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -14,15 +14,17 @@
 
 // Settings are the operators' own. The defaults are the design's starting values.
 type Settings struct {
-	AutoscalingInterval  Duration `yaml:"pass_interval"`    // the leader's autoscaler pass
-	OfferQuarantine      Duration `yaml:"unmet_ttl"`        // how long a refused offer stays sidelined
-	ReadinessTimeout     Duration `yaml:"readiness_wait"`   // a machine not up by then is given back
-	ScaleDownDelay       Duration `yaml:"scale_down_delay"` // between closing an empty machine and its removal
-	BackoffFirst         Duration `yaml:"backoff_first"`    // first pause of an unplaceable job
-	BackoffMax           Duration `yaml:"backoff_most"`     // its ceiling
-	BackoffPasses        int      `yaml:"backoff_passes"`   // passes without room before the first pause
-	ScaleInAttempts      int      `yaml:"removal_tries"`    // quick deletions before a removal is flagged failed
-	ScaleInRetryInterval Duration `yaml:"removal_pause"`    // pause between deletions of a flagged machine
+	AutoscalingInterval Duration `yaml:"pass_interval"`  // the leader's autoscaler pass
+	OfferQuarantine     Duration `yaml:"unmet_ttl"`      // how long a refused offer stays sidelined
+	ReadinessTimeout    Duration `yaml:"readiness_wait"` // a machine not up by then is given back
+	// between closing an empty machine and its removal
+	ScaleDownDelay Duration `yaml:"scale_down_delay"`
+	BackoffFirst   Duration `yaml:"backoff_first"`  // first pause of an unplaceable job
+	BackoffMax     Duration `yaml:"backoff_most"`   // its ceiling
+	BackoffPasses  int      `yaml:"backoff_passes"` // passes without room before the first pause
+	// quick deletions before a removal is flagged failed
+	ScaleInAttempts      int      `yaml:"removal_tries"`
+	ScaleInRetryInterval Duration `yaml:"removal_pause"` // pause between deletions of a flagged machine
 	// ExpectedCapacity is the part of a type's boot time within which room that
 	// running tasks will free counts as supply. The design counts none of it.
 	ExpectedCapacity float64 `yaml:"expected_room"`
@@ -100,7 +102,10 @@
 		field string
 		value Duration
 	}{
-		{"pass_interval", s.AutoscalingInterval}, {"unmet_ttl", s.OfferQuarantine}, {"readiness_wait", s.ReadinessTimeout},
+		{
+			"pass_interval",
+			s.AutoscalingInterval,
+		}, {"unmet_ttl", s.OfferQuarantine}, {"readiness_wait", s.ReadinessTimeout},
 		{"scale_down_delay", s.ScaleDownDelay}, {"backoff_first", s.BackoffFirst},
 		{"backoff_most", s.BackoffMax}, {"removal_pause", s.ScaleInRetryInterval},
 	}
--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -3,6 +3,7 @@
 import (
 	"hash/fnv"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
@@ -21,7 +22,7 @@
 
 // AttemptID names an attempt on a machine.
 type AttemptID struct {
-	Task    TaskID
+	Task    mirror.TaskID
 	Attempt uint64
 }
 
@@ -52,14 +53,19 @@
 	// answered: it says nothing, and its answer would renew no lease.
 	LastHeartbeatIncarnation, LastHeartbeatSequence uint64
 	LastHeartbeatAt                                 monotime.Micros
-	LastAnsweredAt                                  monotime.Micros // when we last answered one: its lease may run from there
-	IncarnationSeenAt                               monotime.Micros // when we learned of its session: that may have begun then
-	LastReachedAt                                   monotime.Micros // when it last showed that our answers reach it
-	RedirectedAt                                    monotime.Micros // when it was last told to look for another controller, see shouldRedirectAway
-	RequestedToken                                  uint64          // the token that it must show for that
-	LastAnsweredToken                               uint64          // the token of our last answer
-	UnacknowledgedHeartbeats                        int             // check-ins in a row without it
-	LeaseExpired                                    bool            // its lease has surely ended since LastAnsweredAt
+	// when we last answered one: its lease may run from there
+	LastAnsweredAt monotime.Micros
+	// when we learned of its session: that may have begun then
+	IncarnationSeenAt monotime.Micros
+	// when it last showed that our answers reach it
+	LastReachedAt monotime.Micros
+	// when it was last told to look for another controller, see shouldRedirectAway
+	RedirectedAt             monotime.Micros
+	RequestedToken           uint64 // the token that it must show for that
+	LastAnsweredToken        uint64 // the token of our last answer
+	UnacknowledgedHeartbeats int    // check-ins in a row without it
+	// its lease has surely ended since LastAnsweredAt
+	LeaseExpired bool
 
 	PendingOutcomes     map[AttemptID]AttemptOutcome // not yet in the store
 	SentCommands        map[AttemptID]*CommandRecord
@@ -72,12 +78,16 @@
 	RunningSince        map[AttemptID]monotime.Micros // first seen running
 	FailureProne        bool                          // too much failed here, see blame
 	FailuresByJob       map[string]int                // by job, since something last completed here
-	LogSlowdown         float64                       // how much longer than expected tasks run here: log, smoothed
-	SlowdownSamples     int
+	// how much longer than expected tasks run here: log, smoothed
+	LogSlowdown     float64
+	SlowdownSamples int
 }
 
+// BaseToken is the lowest fencing token of the claim under which the machine is held.
 func (w *Agent) BaseToken() uint64 { return w.ClaimNumber << 32 }
-func (w *Agent) Token() uint64     { return w.ClaimNumber<<32 | w.TokenCounter }
+
+// Token is the fencing token of the last batch of commands.
+func (w *Agent) Token() uint64 { return w.ClaimNumber<<32 | w.TokenCounter }
 
 // IsReachable tells whether the worker's last report showed that it takes up our
 // answers. A machine that is heard needn't be one that hears.
@@ -127,7 +137,7 @@
 }
 
 // updateAgentOwnership follows a change of the shard that a machine stands in.
-func (am *agentManager) updateAgentOwnership(machine *Machine) {
+func (am *agentManager) updateAgentOwnership(machine *mirror.Machine) {
 	mine := machine.Shard != nil && am.c.shards.ownsShard(machine.Shard)
 	switch {
 	case !mine:
@@ -153,15 +163,15 @@
 }
 
 // agentOf gives what is known of a machine's worker, or nil if the machine isn't claimed by this controller.
-func (am *agentManager) agentOf(machine *Machine) *Agent { return am.byMachine[machine.ID] }
+func (am *agentManager) agentOf(machine *mirror.Machine) *Agent { return am.byMachine[machine.ID] }
 
 // release forgets the worker of a machine that no longer stands in a shard.
 func (am *agentManager) release(machine string) { delete(am.byMachine, machine) }
 
 // keepOnly forgets the workers of machines that a newly loaded mirror hasn't.
-func (am *agentManager) keepOnly(mirror *Mirror) {
+func (am *agentManager) keepOnly(loaded *mirror.Mirror) {
 	for id := range am.byMachine {
-		if mirror.Machines[id] == nil {
+		if loaded.Machines[id] == nil {
 			delete(am.byMachine, id)
 		}
 	}
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
@@ -57,9 +58,17 @@
 		}
 		old := *worker.Heartbeat()
 		old.Sequence = 1
-		old.Tasks = []protocol.TaskStatus{{Task: id + "/0", Attempt: worker.Attempts[id+"/0"].Number, State: protocol.StateExited, Cause: protocol.CauseError}}
+		old.Tasks = []protocol.TaskStatus{
+			{
+				Task:    id + "/0",
+				Attempt: worker.Attempts[id+"/0"].Number,
+				State:   protocol.StateExited,
+				Cause:   protocol.CauseError,
+			},
+		}
 		for _, node := range c.nodeNames {
-			if machine := c.nodes[node].controller.mirror.Machines[wid]; machine != nil && c.nodes[node].controller.agents.agentOf(machine) != nil {
+			if machine := c.nodes[node].controller.mirror.Machines[wid]; machine != nil &&
+				c.nodes[node].controller.agents.agentOf(machine) != nil {
 				c.requestAndWait(node, "POST", protocol.HeartbeatPath, protocol.MustMarshal(&old))
 			}
 		}
@@ -74,8 +83,13 @@
 // TestReportsProveAttemptsGone: what a report proves, and what must not be said to a worker.
 func TestReportsProveAttemptsGone(t *testing.T) {
 	const base = 3 << 32
-	task := TaskID{"j-1", 0}
-	exited := protocol.TaskStatus{Task: "j-1/0", Attempt: 1, State: protocol.StateExited, Cause: protocol.CauseDone}
+	task := mirror.TaskID{Job: "j-1", Index: 0}
+	exited := protocol.TaskStatus{
+		Task:    "j-1/0",
+		Attempt: 1,
+		State:   protocol.StateExited,
+		Cause:   protocol.CauseDone,
+	}
 	running := protocol.TaskStatus{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}
 	cases := []struct {
 		name      string
@@ -87,7 +101,15 @@
 		says      string // the command that follows, if any
 	}{
 		{"exited", base, []protocol.TaskStatus{exited}, false, 0, true, ""},
-		{"exited, by a report from before our claim", base - 1, []protocol.TaskStatus{exited}, false, 0, false, ""},
+		{
+			"exited, by a report from before our claim",
+			base - 1,
+			[]protocol.TaskStatus{exited},
+			false,
+			0,
+			false,
+			"",
+		},
 		{"running", base, []protocol.TaskStatus{running}, false, 0, false, ""},
 		{"absent", base, nil, false, 0, false, protocol.CmdRun},
 		{"cancelled, running", base, []protocol.TaskStatus{running}, true, 0, false, protocol.CmdKill},
@@ -100,22 +122,46 @@
 		c.start("n-0")
 		core := c.nodes["n-0"].controller
 		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
-			Spec: storage.JobSpec{Tasks: 1, CPUs: 1}, TaskRanges: []storage.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 5)
+			Spec: storage.JobSpec{
+				Tasks: 1,
+				CPUs:  1,
+			}, TaskRanges: []storage.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 5)
 		shard := &storage.Shard{Owner: "n-0", Incarnation: core.incarnation, Claim: 3,
 			Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
-		shard.AddMachine("i-1", storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: storage.MachineOpen})
+		shard.AddMachine(
+			"i-1",
+			storage.ShardMachine{
+				Type:     "m8",
+				Zone:     "a",
+				Endpoint: "10.1.0.1:9000",
+				State:    storage.MachineOpen,
+			},
+		)
 		shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
 		encoded, _ := shard.Encode()
 		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 7)
 		if tc.cancelled {
-			core.mirror.ApplyPut(storage.Key(storage.KindJobResult, "j-1"), protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}), 8)
+			core.mirror.ApplyPut(
+				storage.Key(storage.KindJobResult, "j-1"),
+				protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}),
+				8,
+			)
 		}
 		core.mirror.WatchedRevision = 8
 		machine := core.mirror.Machines["i-1"]
 		if tc.killed != 0 {
 			core.agents.agentOf(machine).CommandRecordOf(AttemptID{task, 1}).KillToken = tc.killed
 		}
-		core.agents.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 1, Sequence: 1, FencingToken: tc.token, Tasks: tc.tasks})
+		core.agents.applyReport(
+			machine,
+			&protocol.Heartbeat{
+				Machine:      "i-1",
+				Incarnation:  1,
+				Sequence:     1,
+				FencingToken: tc.token,
+				Tasks:        tc.tasks,
+			},
+		)
 		if got := core.agents.agentOf(machine).HasOutcome(AttemptID{task, 1}); got != tc.settled {
 			t.Errorf("%s: settled %v", tc.name, got)
 		}
@@ -129,7 +175,10 @@
 		// Once a release is on its way the attempt must not be started again,
 		// though the worker, in a new session, doesn't have it.
 		core.agents.agentOf(machine).RecordOutcome(AttemptID{task, 1}, OutcomeRetry)
-		core.agents.applyReport(machine, &protocol.Heartbeat{Machine: "i-1", Incarnation: 2, Sequence: 1, FencingToken: base + 9})
+		core.agents.applyReport(
+			machine,
+			&protocol.Heartbeat{Machine: "i-1", Incarnation: 2, Sequence: 1, FencingToken: base + 9},
+		)
 		for _, command := range core.agents.nextCommands(machine, 10*second) {
 			if command.Op == protocol.CmdRun {
 				t.Errorf("%s: started again while its release is on its way", tc.name)
@@ -138,9 +187,9 @@
 	}
 }
 
-// TestControllerCutOffWithWorkersStopsCancelledTasks: a controller cut off with all workers, from the store and
-// from the others, must not keep tasks alive that a user has cancelled meanwhile;
-// in an outage that all share it must keep them.
+// TestControllerCutOffWithWorkersStopsCancelledTasks: a controller cut off with all workers, from the store
+// and from the others, must not keep tasks alive that a user has cancelled meanwhile; in an outage that all
+// share it must keep them.
 func TestControllerCutOffWithWorkersStopsCancelledTasks(t *testing.T) {
 	for _, cloudToo := range []bool{false, true} {
 		c := newCluster(t, 20).startWithLeader()
@@ -213,7 +262,8 @@
 		}},
 		{"after another controller claimed the machine", func(c *cluster, id string, worker *fake.Worker) {
 			for _, node := range c.nodeNames {
-				if machine := c.nodes[node].controller.mirror.Machines[id]; machine != nil && c.nodes[node].controller.agents.agentOf(machine) != nil {
+				if machine := c.nodes[node].controller.mirror.Machines[id]; machine != nil &&
+					c.nodes[node].controller.agents.agentOf(machine) != nil {
 					c.disconnectedPairs[id+"-"+node] = true
 				}
 			}
@@ -285,7 +335,9 @@
 			}
 			if tc.name == "after the owner restarted" {
 				for _, node := range c.nodeNames {
-					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil && c.nodes[node].controller.agents.agentOf(m) != nil && (c.nodes[node].controller.agents.agentOf(m).ClaimAcknowledged || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
+					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil &&
+						c.nodes[node].controller.agents.agentOf(m) != nil &&
+						(c.nodes[node].controller.agents.agentOf(m).ClaimAcknowledged || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
 						t.Errorf("%s takes it for alive", node)
 					}
 				}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -5,6 +5,7 @@
 	"math"
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
@@ -69,8 +70,17 @@
 			continue
 		}
 		slack, _ := as.slackOf(job, as.c.env.WallClock())
-		demand := &taskDemand{spec: spec, need: job.TaskResources, tasks: n, jobID: job.ID, queueIndex: i, zoneConstraint: newZoneConstraint(as.c.mirror, job),
-			slackSeconds: slack, expectedSeconds: as.c.scheduler.expectedRunSeconds(spec), spotOnly: as.c.scheduler.spotOnly(job)}
+		demand := &taskDemand{
+			spec:            spec,
+			need:            job.TaskResources,
+			tasks:           n,
+			jobID:           job.ID,
+			queueIndex:      i,
+			zoneConstraint:  newZoneConstraint(as.c.mirror, job),
+			slackSeconds:    slack,
+			expectedSeconds: as.c.scheduler.expectedRunSeconds(spec),
+			spotOnly:        as.c.scheduler.spotOnly(job),
+		}
 		if !demand.spotOnly && as.c.scheduler.isScavenger(job) || mistaken {
 			demand.tasks, demand.crashLoopTrial = 1, mistaken
 		}
@@ -91,8 +101,15 @@
 		if !ok {
 			continue
 		}
-		size := MachineCapacity(&machineType)
-		bin := &machineBin{machineType: machine.Record.Type, zone: machine.Record.Zone, spot: machine.Record.Spot, capacity: size, free: size.AddScaled(machine.Used, -1), machineID: id}
+		size := mirror.MachineCapacity(&machineType)
+		bin := &machineBin{
+			machineType: machine.Record.Type,
+			zone:        machine.Record.Zone,
+			spot:        machine.Record.Spot,
+			capacity:    size,
+			free:        size.AddScaled(machine.Used, -1),
+			machineID:   id,
+		}
 		as.estimateRoom(bin, machine)
 		out = append(out, bin)
 	}
@@ -110,8 +127,19 @@
 		}
 		coming, late := as.expectedMachines(request, machineType.BootS)
 		for range coming {
-			out = append(out, &machineBin{machineType: request.Record.MachineType, zone: request.Record.Zone, spot: request.Record.Spot, capacity: MachineCapacity(&machineType), free: MachineCapacity(&machineType),
-				arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS, overdue: late})
+			out = append(
+				out,
+				&machineBin{
+					machineType: request.Record.MachineType,
+					zone:        request.Record.Zone,
+					spot:        request.Record.Spot,
+					capacity:    mirror.MachineCapacity(&machineType),
+					free:        mirror.MachineCapacity(&machineType),
+					arrayCPUs:   machineType.CPUs,
+					bootSeconds: machineType.BootS,
+					overdue:     late,
+				},
+			)
 		}
 	}
 	return out
@@ -119,7 +147,10 @@
 
 // expectedMachines tells how many machines a request may be relied on to bring, and whether they
 // are late already.
-func (as *autoscaler) expectedMachines(request *ScaleOutEntry, bootS float64) (machines int, late bool) {
+func (as *autoscaler) expectedMachines(
+	request *mirror.ScaleOutEntry,
+	bootS float64,
+) (machines int, late bool) {
 	if request.Record.Phase != storage.ScaleOutProvisioning {
 		return request.Record.Count, false
 	}
@@ -135,7 +166,7 @@
 
 // estimateRoom estimates what a machine can give to waiting tasks: what its
 // services hold is out, and its other tasks are taken to be half through.
-func (as *autoscaler) estimateRoom(bin *machineBin, machine *Machine) {
+func (as *autoscaler) estimateRoom(bin *machineBin, machine *mirror.Machine) {
 	machineType := as.c.catalog.machineTypes[bin.machineType]
 	bin.arrayCPUs, bin.bootSeconds = machineType.CPUs, machineType.BootS
 	for task := range machine.Attempts {
@@ -197,7 +228,7 @@
 
 // slackOf tells how many seconds a job's waiting tasks may still wait and meet the
 // first of its aims that can still be met, and how many can't.
-func (as *autoscaler) slackOf(job *Job, wall int64) (seconds float64, missed int) {
+func (as *autoscaler) slackOf(job *mirror.Job, wall int64) (seconds float64, missed int) {
 	age := monotime.Micros(wall - job.Record.AcceptedAt).Seconds()
 	begins := as.latestStarts(&job.Record.Spec)
 	for missed < len(begins) && begins[missed] < age {
@@ -224,7 +255,15 @@
 				if unmet[o] || price <= 0 || as.c.drains.closesOffer(o) {
 					continue
 				}
-				out = append(out, &pricedOffer{offer: o, capacity: MachineCapacity(&machineType), price: price, zoneMachines: inZone[zone]})
+				out = append(
+					out,
+					&pricedOffer{
+						offer:        o,
+						capacity:     mirror.MachineCapacity(&machineType),
+						price:        price,
+						zoneMachines: inZone[zone],
+					},
+				)
 			}
 		}
 	}
@@ -251,7 +290,10 @@
 		if heard[machine.Record.Zone] == nil {
 			heard[machine.Record.Zone] = &silenceCount{}
 		}
-		heard[machine.Record.Zone].add(machine.Record.State == storage.MachineUnreachable, machine.Record.State != storage.MachineOpen)
+		heard[machine.Record.Zone].add(
+			machine.Record.State == storage.MachineUnreachable,
+			machine.Record.State != storage.MachineOpen,
+		)
 	}
 	return heard
 }
@@ -376,9 +418,10 @@
 		return nil
 	}
 	count := map[string]int{}
-	like := map[string]*Job{}
+	like := map[string]*mirror.Job{}
 	for _, id := range sortedmap.Keys(as.c.mirror.Jobs) {
-		if job := as.c.mirror.Jobs[id]; job.IsOpen() && job.Record.Spec.Service && !as.c.scheduler.isCrashLooping(job) {
+		if job := as.c.mirror.Jobs[id]; job.IsOpen() && job.Record.Spec.Service &&
+			!as.c.scheduler.isCrashLooping(job) {
 			k := job.Record.Spec.Class
 			count[k] += job.Record.Spec.Tasks
 			like[k] = job
@@ -389,7 +432,16 @@
 		spec := like[k].Record.Spec
 		spec.OneZone, spec.Spread, spec.Zone, spec.MachineTypes = false, false, "", nil
 		n := int(math.Ceil(float64(count[k]) * as.c.settings.ServiceHeadroom))
-		out = append(out, &taskDemand{spec: &spec, need: like[k].TaskResources, tasks: n, jobID: "headroom " + k, queueIndex: math.MaxInt32})
+		out = append(
+			out,
+			&taskDemand{
+				spec:       &spec,
+				need:       like[k].TaskResources,
+				tasks:      n,
+				jobID:      "headroom " + k,
+				queueIndex: math.MaxInt32,
+			},
+		)
 	}
 	return out
 }
@@ -400,15 +452,37 @@
 func (as *autoscaler) planScaleOut(wanted []*taskDemand, bins []*machineBin) map[offer]int {
 	chosen := map[offer]int{}
 	offers := as.availableOffers()
-	planOffers(wanted, offers, maxMachinesPerPass, func(demand *taskDemand, o *pricedOffer) bool { return o.spot == demand.spec.Spot }, chosen)
+	planOffers(
+		wanted,
+		offers,
+		maxMachinesPerPass,
+		func(demand *taskDemand, o *pricedOffer) bool { return o.spot == demand.spec.Spot },
+		chosen,
+	)
 	for _, o := range sortedOffers(chosen) {
 		machineType := as.c.catalog.machineTypes[o.machineType]
 		for n := chosen[o]; n > 0; n-- {
-			bins = append(bins, &machineBin{machineType: o.machineType, zone: o.zone, spot: o.spot, capacity: MachineCapacity(&machineType), arrayCPUs: machineType.CPUs, bootSeconds: machineType.BootS})
+			bins = append(
+				bins,
+				&machineBin{
+					machineType: o.machineType,
+					zone:        o.zone,
+					spot:        o.spot,
+					capacity:    mirror.MachineCapacity(&machineType),
+					arrayCPUs:   machineType.CPUs,
+					bootSeconds: machineType.BootS,
+				},
+			)
 		}
 	}
 	absorbDemand(wanted, bins, as.c.settings.ExpectedOnDemandCapacity, true)
-	planOffers(wanted, offers, maxMachinesPerPass, func(demand *taskDemand, o *pricedOffer) bool { return o.spot || !demand.spotOnly }, chosen)
+	planOffers(
+		wanted,
+		offers,
+		maxMachinesPerPass,
+		func(demand *taskDemand, o *pricedOffer) bool { return o.spot || !demand.spotOnly },
+		chosen,
+	)
 	return chosen
 }
 
@@ -451,7 +525,13 @@
 	}
 	if backoff.delay >= as.c.settings.BackoffMax.Micros() {
 		backoff.suspended, backoff.offerRecoveries = true, leader.offerRecoveries
-		as.c.log.Info("job removed from demand, insufficient capacity", "job", demand.jobID, "tasks", demand.tasks)
+		as.c.log.Info(
+			"job removed from demand, insufficient capacity",
+			"job",
+			demand.jobID,
+			"tasks",
+			demand.tasks,
+		)
 		return
 	}
 	backoff.retryAt = now + backoff.delay
@@ -462,7 +542,8 @@
 // kept for the next burst is better kept where it costs least.
 func (as *autoscaler) scaleInDelay(record *storage.ShardMachine) monotime.Micros {
 	delay := as.c.settings.ScaleDownDelay.Micros()
-	if machineType := as.c.catalog.machineTypes[record.Type]; !record.Spot && machineType.SpotPrice > 0 && machineType.SpotPrice < machineType.OnDemandPrice {
+	if machineType := as.c.catalog.machineTypes[record.Type]; !record.Spot && machineType.SpotPrice > 0 &&
+		machineType.SpotPrice < machineType.OnDemandPrice {
 		return monotime.Micros(float64(delay) * machineType.SpotPrice / machineType.OnDemandPrice)
 	}
 	return delay
@@ -489,7 +570,10 @@
 	synced := map[string]bool{}
 	for _, id := range sortedmap.Keys(as.c.mirror.Machines) {
 		machine := as.c.mirror.Machines[id]
-		if as.c.agents.agentOf(machine) == nil || machine.Record == nil || len(machine.Attempts) > 0 || needed[id] && machine.Record.State == storage.MachineOpen && !as.c.agents.agentOf(machine).FailureProne || as.c.agents.agentOf(machine).RemovalReason != "" {
+		if as.c.agents.agentOf(machine) == nil || machine.Record == nil || len(machine.Attempts) > 0 ||
+			needed[id] && machine.Record.State == storage.MachineOpen &&
+				!as.c.agents.agentOf(machine).FailureProne ||
+			as.c.agents.agentOf(machine).RemovalReason != "" {
 			continue
 		}
 		switch machine.Record.State {
--- a/internal/coordination/burst_limit.go
+++ b/internal/coordination/burst_limit.go
@@ -51,7 +51,8 @@
 			mine = n
 		}
 	}
-	return mine >= minBurstSubmissions && (spec.Priority == int(protocol.BestEffort) || mine < all-1 && mine > burstFraction*all)
+	return mine >= minBurstSubmissions &&
+		(spec.Priority == int(protocol.BestEffort) || mine < all-1 && mine > burstFraction*all)
 }
 
 // maxQueuedBurstCalls is how many calls of swarms may wait.
@@ -61,7 +62,12 @@
 // that starts and ends, have waited for longer than a burst takes.
 func (u *userAPI) storeContended() bool {
 	now := u.c.now()
-	return u.c.store.userCallsWaiting() || max(u.c.store.queue.OldestWait(ratelimit.PriorityShardUpdate, now), u.c.store.queue.OldestWait(ratelimit.PriorityJobResult, now)) > contendedQueueAge || u.c.store.queue.Len(ratelimit.PriorityBurst) > 0
+	return u.c.store.userCallsWaiting() ||
+		max(
+			u.c.store.queue.OldestWait(ratelimit.PriorityShardUpdate, now),
+			u.c.store.queue.OldestWait(ratelimit.PriorityJobResult, now),
+		) > contendedQueueAge ||
+		u.c.store.queue.Len(ratelimit.PriorityBurst) > 0
 }
 
 // countSubmission notes a submission for its team.
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -37,7 +38,13 @@
 			}
 		}
 		if tc.contended {
-			core.store.queue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityShardUpdate, QueuedAt: core.now() - 2*second})
+			core.store.queue.Add(
+				ratelimit.Call{
+					StoreCall: &protocol.StoreCall{},
+					Priority:  ratelimit.PriorityShardUpdate,
+					QueuedAt:  core.now() - 2*second,
+				},
+			)
 		}
 		if got := core.api.isRateLimited(&storage.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
@@ -103,22 +110,41 @@
 	const seconds = 40
 	for s := 0; s < seconds; s++ {
 		for i := 0; i < 30; i++ {
-			id := c.submitWithRetry(2*second, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25),
-				withMemoryGB(0.5), withSpot(true), withEstimateS(2))
+			id := c.submitWithRetry(
+				2*second,
+				withTeam("guest"),
+				withPriority(protocol.BestEffort),
+				withCPUs(0.25),
+				withMemoryGB(0.5),
+				withSpot(true),
+				withEstimateS(2),
+			)
 			swarming = append(swarming, id)
 		}
-		id := c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
+		id := c.submitWithRetry(
+			0,
+			withTeam("home"),
+			withService(true),
+			withPriority(protocol.High),
+			withCPUs(1),
+		)
 		services, sentAt[id] = append(services, id), c.sim.Now()
 		_, j := c.newSubmission(withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25))
 		startedAt := c.sim.Now()
-		c.sendRequest(c.nodeNames[s%3], "POST", protocol.JobsPath, protocol.MustMarshal(j), func(response Response) {
-			if response.Status == 429 {
-				refused++
-				if response.RetryAfter == 0 || c.sim.Now() != startedAt {
-					silent++
+		c.sendRequest(
+			c.nodeNames[s%3],
+			"POST",
+			protocol.JobsPath,
+			protocol.MustMarshal(j),
+			func(response Response) {
+				if response.Status == 429 {
+					refused++
+					if response.RetryAfter == 0 || c.sim.Now() != startedAt {
+						silent++
+					}
 				}
-			}
-		})
+			},
+		)
 		c.sim.After(c.cloud.BootTime+8*second, func() { started += c.fleet.Running(id) })
 		c.sim.Run(second)
 	}
@@ -135,7 +161,17 @@
 			served++
 		}
 	}
-	t.Logf("of %d services %d accepted late, %d run; of %d guests %d accepted; %d refused; %d changes; a machine waited %v s for its claim", len(services), late, started, len(swarming), served, refused, c.store.Changes-changes, longest.Seconds())
+	t.Logf(
+		"of %d services %d accepted late, %d run; of %d guests %d accepted; %d refused; %d changes; a machine waited %v s for its claim",
+		len(services),
+		late,
+		started,
+		len(swarming),
+		served,
+		refused,
+		c.store.Changes-changes,
+		longest.Seconds(),
+	)
 	if longest > 5*second {
 		t.Errorf("a machine that was up waited %v s for its claim", longest.Seconds())
 	}
@@ -183,7 +219,13 @@
 	value, waits := 0, 0
 	for s := 0; s < 100; s++ {
 		if s%5 == 0 {
-			id := c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1))
+			id := c.submitWithRetry(
+				0,
+				withTeam("home"),
+				withService(true),
+				withPriority(protocol.High),
+				withCPUs(1),
+			)
 			c.sim.After(4*second, func() {
 				if c.fleet.Running(id) == 0 {
 					waits++
@@ -205,7 +247,16 @@
 		}
 	}
 	changes = c.store.Changes - changes
-	t.Logf("%d tasks done, %d changes, %d requests; largest value %d, report %d, answer %d; %d services waited", done, changes, requests, value, largest, c.largestResponse, waits)
+	t.Logf(
+		"%d tasks done, %d changes, %d requests; largest value %d, report %d, answer %d; %d services waited",
+		done,
+		changes,
+		requests,
+		value,
+		largest,
+		c.largestResponse,
+		waits,
+	)
 	for _, tc := range []struct {
 		what           string
 		n, least, most int
@@ -261,17 +312,23 @@
 		for s := 0; s < 100; s++ {
 			for i := 0; i < 80; i++ {
 				startedAt := c.sim.Now()
-				c.sendRequest(c.nodeNames[i%2], "GET", protocol.JobPath(ids[i%len(ids)]), nil, func(response Response) {
-					switch {
-					case response.Status == 200 || response.Status == 429 && response.RetryAfter > 0:
-						answered++
-						if c.sim.Now()-startedAt > second {
-							late++
+				c.sendRequest(
+					c.nodeNames[i%2],
+					"GET",
+					protocol.JobPath(ids[i%len(ids)]),
+					nil,
+					func(response Response) {
+						switch {
+						case response.Status == 200 || response.Status == 429 && response.RetryAfter > 0:
+							answered++
+							if c.sim.Now()-startedAt > second {
+								late++
+							}
+						default:
+							t.Errorf("answered %d", response.Status)
 						}
-					default:
-						t.Errorf("answered %d", response.Status)
-					}
-				})
+					},
+				)
 			}
 			c.sim.Run(100 * monotime.Millisecond)
 		}
@@ -291,7 +348,14 @@
 	}
 	startedAt := c.sim.Now()
 	requests, answered, late := storm(open)
-	t.Logf("%d questions, %d answered, %d late; %d requests, %d for jobs that are over", 8000, answered, late, requests, calm)
+	t.Logf(
+		"%d questions, %d answered, %d late; %d requests, %d for jobs that are over",
+		8000,
+		answered,
+		late,
+		requests,
+		calm,
+	)
 	if answered < 8000 || late > 0 {
 		t.Errorf("%d answered, %d late", answered, late)
 	}
@@ -320,10 +384,28 @@
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
 		update := NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
 		update.MaxBytes = int(tc.partition * float64(core.scheduler.assignmentShardBytes()))
-		candidates := []*candidateMachine{{machine: &Machine{ID: "i-1", CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"}, update: update, freeResources: resources.Vector{CPUs: 8, MemoryGB: 64}}}
+		candidates := []*candidateMachine{
+			{
+				machine:       &mirror.Machine{ID: "i-1", CachedImages: map[string]bool{}},
+				record:        &storage.ShardMachine{Type: "m8", Zone: "a"},
+				update:        update,
+				freeResources: resources.Vector{CPUs: 8, MemoryGB: 64},
+			},
+		}
 		for _, service := range []bool{false, true} {
-			job := &Job{ID: "j-900000", TaskResources: resources.Vector{CPUs: 0.25}, TaskStates: make([]uint8, 1),
-				Record: storage.OpenJob{Spec: storage.JobSpec{Tasks: 1, CPUs: 0.25, Service: service, Priority: int(protocol.BestEffort)}}}
+			job := &mirror.Job{
+				ID:            "j-900000",
+				TaskResources: resources.Vector{CPUs: 0.25},
+				TaskStates:    make([]uint8, 1),
+				Record: storage.OpenJob{
+					Spec: storage.JobSpec{
+						Tasks:    1,
+						CPUs:     0.25,
+						Service:  service,
+						Priority: int(protocol.BestEffort),
+					},
+				},
+			}
 			if got := core.scheduler.chooseMachine(job, candidates, newZoneConstraint(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
 				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
 			}
--- a/internal/coordination/cancellations.go
+++ b/internal/coordination/cancellations.go
@@ -2,13 +2,15 @@
 
 import (
 	"pipitgap/internal/cancellation"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
-// cancellationTracker exchanges committed cancellations with the other controllers and decides whether leases may be renewed.
+// cancellationTracker exchanges committed cancellations with the other controllers and decides whether leases
+// may be renewed.
 type cancellationTracker struct {
 	c *Controller
 
@@ -29,7 +31,7 @@
 }
 
 // recordCancellation keeps a cancellation that our mirror holds for the peers.
-func (ct *cancellationTracker) recordCancellation(job *Job) {
+func (ct *cancellationTracker) recordCancellation(job *mirror.Job) {
 	if job != nil && job.FinalStatus == storage.JobCancelled && job.FinalRevision != 0 {
 		ct.relay.Add(cancellation.Committed{Job: job.ID, Revision: job.FinalRevision})
 	}
@@ -48,7 +50,11 @@
 
 func (ct *cancellationTracker) applyCancellation(cancelled cancellation.Committed) {
 	key := storage.Key(storage.KindJobResult, cancelled.Job)
-	ct.c.mirror.ApplyPut(key, protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}), cancelled.Revision)
+	ct.c.mirror.ApplyPut(
+		key,
+		protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}),
+		cancelled.Revision,
+	)
 }
 
 // reconcileCancellations brings mirror and relay together when all records were read
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -4,6 +4,7 @@
 	"math"
 	"strings"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
@@ -13,22 +14,25 @@
 
 // Bounds of one placement pass.
 const (
-	sampleAboveMachines        = 48    // with more machines than this, and
-	sampleAboveComparisons     = 20000 // more jobs times machines than this, a sample is looked at
-	candidateSampleSize        = 24
-	reassignmentInterval       = 1 * monotime.Second
-	maxTasksPerMachine         = 300 // tasks on a machine: what a report of 64 KiB can name
-	starvedAfter               = 100 * monotime.Second
-	starvedAgainAfter          = 45 * monotime.Second // the same once it has begun
-	lateAfterMissedObjectives  = 2                    // past so many aims a job waits behind all that are in time
-	deadlineBoostMaxFraction   = 0.3                  // of what a team can use may be held by late jobs
-	deadlineBoostWindowSeconds = 40.0                 // seconds before its next aim in which it goes before them again
-	starvedTaskDivisor         = 4                    // a job that got nothing for so long gets one of so many parts of it
+	sampleAboveMachines    = 48    // with more machines than this, and
+	sampleAboveComparisons = 20000 // more jobs times machines than this, a sample is looked at
+	candidateSampleSize    = 24
+	reassignmentInterval   = 1 * monotime.Second
+	maxTasksPerMachine     = 300 // tasks on a machine: what a report of 64 KiB can name
+	starvedAfter           = 100 * monotime.Second
+	starvedAgainAfter      = 45 * monotime.Second // the same once it has begun
+	// past so many aims a job waits behind all that are in time
+	lateAfterMissedObjectives = 2
+	deadlineBoostMaxFraction  = 0.3 // of what a team can use may be held by late jobs
+	// seconds before its next aim in which it goes before them again
+	deadlineBoostWindowSeconds = 40.0
+	// a job that got nothing for so long gets one of so many parts of it
+	starvedTaskDivisor = 4
 )
 
 // candidateMachine is a machine with the room that a pass still has on it.
 type candidateMachine struct {
-	machine        *Machine
+	machine        *mirror.Machine
 	record         *storage.ShardMachine
 	update         *ShardUpdate // nil where only the room counts
 	freeResources  resources.Vector
@@ -42,15 +46,18 @@
 // availableTo tells whether a job may use what is free on a machine. Room that is being
 // made is the job's it is made for: others' tasks took what was free there before the
 // stopped ones were gone, and a service had tasks stopped three times over.
-func (cd *candidateMachine) availableTo(job *Job) bool {
+func (cd *candidateMachine) availableTo(job *mirror.Job) bool {
 	return cd.reservedForJob == "" || cd.reservedForJob == job.ID
 }
 
 // schedulable tells whether new tasks may go to a machine of ours: it is open, its
 // worker has lately shown that our answers reach it, and nothing speaks against it.
-func (sc *scheduler) schedulable(machine *Machine, now monotime.Micros) bool {
+func (sc *scheduler) schedulable(machine *mirror.Machine, now monotime.Micros) bool {
 	agent := sc.c.agents.agentOf(machine)
-	if agent == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || agent.LeaseExpired || agent.InterruptionNoticed || agent.RemovalReason != "" || !agent.IsReachable() {
+	if agent == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || agent.LeaseExpired ||
+		agent.InterruptionNoticed ||
+		agent.RemovalReason != "" ||
+		!agent.IsReachable() {
 		return false
 	}
 	if _, doubtful := sc.machineFault(agent); doubtful {
@@ -65,16 +72,28 @@
 	for _, update := range updates {
 		for _, id := range sortedmap.Keys(update.Next.Machines) {
 			record, machine := update.Next.Machines[id], sc.c.mirror.Machines[id]
-			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen || !sc.schedulable(machine, now) {
+			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen ||
+				!sc.schedulable(machine, now) {
 				continue
 			}
 			machineType, ok := sc.c.catalog.machineTypes[record.Type]
 			if !ok {
 				continue
 			}
-			free := MachineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(update.FreedByMachine[id], 1).AddScaled(update.AssignedByMachine[id], -1)
+			free := mirror.MachineCapacity(&machineType).
+				AddScaled(machine.Used, -1).
+				AddScaled(update.FreedByMachine[id], 1).
+				AddScaled(update.AssignedByMachine[id], -1)
 			_, closed := sc.c.api.jobsClosedAt[id]
-			candidate := &candidateMachine{machine: machine, record: record, update: update, freeResources: free, serviceCPUs: sc.serviceCPUs(machine), taskCount: len(machine.Attempts), closing: closed}
+			candidate := &candidateMachine{
+				machine:       machine,
+				record:        record,
+				update:        update,
+				freeResources: free,
+				serviceCPUs:   sc.serviceCPUs(machine),
+				taskCount:     len(machine.Attempts),
+				closing:       closed,
+			}
 			out, update.Candidates = append(out, candidate), append(update.Candidates, candidate)
 		}
 	}
@@ -83,7 +102,8 @@
 
 // machineAllowed tells whether a job's tasks may run on a machine.
 func machineAllowed(spec *storage.JobSpec, machineRecord *storage.ShardMachine) bool {
-	return typeAndZoneAllowed(spec, machineRecord.Type, machineRecord.Zone) && (spec.Spot || !machineRecord.Spot)
+	return typeAndZoneAllowed(spec, machineRecord.Type, machineRecord.Zone) &&
+		(spec.Spot || !machineRecord.Spot)
 }
 
 // taskShape is what decides on which machines a task may run and whether it fits, and
@@ -100,7 +120,13 @@
 	if spec.MachineTypes != nil {
 		types = "=" + strings.Join(spec.MachineTypes, " ")
 	}
-	return taskShape{need: TaskResources(spec), spot: spec.Spot, zone: spec.Zone, allowedTypes: types, team: team}
+	return taskShape{
+		need:         mirror.TaskResources(spec),
+		spot:         spec.Spot,
+		zone:         spec.Zone,
+		allowedTypes: types,
+		team:         team,
+	}
 }
 
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
@@ -108,7 +134,8 @@
 func (sc *scheduler) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
 	jobByMachine := map[string]string{}
 	for id, pending := range sc.preemptions {
-		if job := sc.c.mirror.Jobs[id]; job != nil && job.IsOpen() && job.UnassignedTasks() > 0 && now < pending.expiresAt {
+		if job := sc.c.mirror.Jobs[id]; job != nil && job.IsOpen() && job.UnassignedTasks() > 0 &&
+			now < pending.expiresAt {
 			for m := range pending.machines {
 				jobByMachine[m] = id
 			}
@@ -135,10 +162,19 @@
 }
 
 // noteQuotaShortage notes that a partition's share of a team's limit keeps tasks waiting.
-func (q *quotaManager) noteShortage(team string, taskResources resources.Vector, tasks int, available resources.Vector, usable bool) {
+func (q *quotaManager) noteShortage(
+	team string,
+	taskResources resources.Vector,
+	tasks int,
+	available resources.Vector,
+	usable bool,
+) {
 	s, ok := q.shortages[team]
 	s.hasMachineRoom = s.hasMachineRoom || usable
-	least := resources.Vector{CPUs: max(0, taskResources.CPUs-available.CPUs), GPUs: max(0, taskResources.GPUs-available.GPUs)}
+	least := resources.Vector{
+		CPUs: max(0, taskResources.CPUs-available.CPUs),
+		GPUs: max(0, taskResources.GPUs-available.GPUs),
+	}
 	if math.IsInf(available.CPUs, 1) {
 		least.CPUs = 0
 	}
@@ -155,7 +191,12 @@
 // holdMachinesFor keeps the machines nearest to having room for a job from what is less
 // urgent in this pass. Else smaller tasks fill every gap as it opens, and a job
 // of larger ones waits for as long as there are any.
-func (sc *scheduler) holdMachinesFor(job *Job, candidates []*candidateMachine, zones *zoneConstraint, n int) {
+func (sc *scheduler) holdMachinesFor(
+	job *mirror.Job,
+	candidates []*candidateMachine,
+	zones *zoneConstraint,
+	n int,
+) {
 	held := 0
 	for _, candidate := range candidates {
 		if candidate.heldBack {
@@ -167,11 +208,14 @@
 	for ; n > 0; n-- {
 		var best *candidateMachine
 		for _, candidate := range candidates {
-			if candidate.heldBack || candidate.reservedForJob != "" || !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) {
+			if candidate.heldBack || candidate.reservedForJob != "" ||
+				!machineAllowed(&job.Record.Spec, candidate.record) ||
+				!zones.allows(candidate.record.Zone) {
 				continue
 			}
 			machineType := sc.c.catalog.machineTypes[candidate.record.Type]
-			if job.TaskResources.FitsIn(MachineCapacity(&machineType)) && (best == nil || candidate.freeResources.CPUs > best.freeResources.CPUs) {
+			if job.TaskResources.FitsIn(mirror.MachineCapacity(&machineType)) &&
+				(best == nil || candidate.freeResources.CPUs > best.freeResources.CPUs) {
 				best = candidate
 			}
 		}
@@ -184,7 +228,7 @@
 
 // waitedForImage tells whether a job has waited too long to go on looking for a better
 // place.
-func (sc *scheduler) waitedForImage(job *Job, wall int64) bool {
+func (sc *scheduler) waitedForImage(job *mirror.Job, wall int64) bool {
 	return wall-job.Record.AcceptedAt > int64(2*monotime.Second)
 }
 
@@ -193,7 +237,13 @@
 // and at all before it says that there is no room.
 // given: only shards that give back enough of the team's share.
 // idle: ordinary machines only where services keep them in any case.
-func (sc *scheduler) chooseMachine(job *Job, candidates []*candidateMachine, zones *zoneConstraint, fencedUpdate, preferredUpdate *ShardUpdate, sample, freedQuotaOnly, spotOnly bool) *candidateMachine {
+func (sc *scheduler) chooseMachine(
+	job *mirror.Job,
+	candidates []*candidateMachine,
+	zones *zoneConstraint,
+	fencedUpdate, preferredUpdate *ShardUpdate,
+	sample, freedQuotaOnly, spotOnly bool,
+) *candidateMachine {
 	var best *candidateMachine
 	bestScore := math.Inf(1)
 	spec := &job.Record.Spec
@@ -202,10 +252,14 @@
 	consider := func(candidate *candidateMachine) {
 		sc.c.counters.machinesExamined++
 		if !job.TaskResources.FitsIn(candidate.freeResources) || !candidate.availableTo(job) || !machineAllowed(spec, candidate.record) || !zones.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine ||
-			fencedUpdate != nil && candidate.update != fencedUpdate || freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedByTeam[spec.Team]) || candidate.update.MaxBytes > limit || len(candidate.update.Txn.If) >= conds && !candidate.update.AssignedJobs[job.ID] {
+			fencedUpdate != nil && candidate.update != fencedUpdate ||
+			freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedByTeam[spec.Team]) ||
+			candidate.update.MaxBytes > limit ||
+			len(candidate.update.Txn.If) >= conds && !candidate.update.AssignedJobs[job.ID] {
 			return
 		}
-		if tracking != nil && tracking.excludedMachines[candidate.machine.ID] || spotOnly && !candidate.record.Spot && candidate.serviceCPUs == 0 {
+		if tracking != nil && tracking.excludedMachines[candidate.machine.ID] ||
+			spotOnly && !candidate.record.Spot && candidate.serviceCPUs == 0 {
 			return
 		}
 		score := candidate.freeResources.CPUs
@@ -261,7 +315,7 @@
 }
 
 // serviceCPUs tells what services hold of a machine.
-func (sc *scheduler) serviceCPUs(machine *Machine) float64 {
+func (sc *scheduler) serviceCPUs(machine *mirror.Machine) float64 {
 	n := 0.0
 	for task := range machine.Attempts {
 		if job := sc.c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
@@ -288,7 +342,10 @@
 
 // servicePackingTarget is up to how many of a machine's CPUs services are drawn to it.
 func (sc *scheduler) servicePackingTarget(cpus float64) float64 {
-	return min(max(cpus/servicePackingDivisor, servicePackingFleetFraction*sc.serviceCPUsAssigned), servicePackingMaxFraction*cpus)
+	return min(
+		max(cpus/servicePackingDivisor, servicePackingFleetFraction*sc.serviceCPUsAssigned),
+		servicePackingMaxFraction*cpus,
+	)
 }
 
 // lessPreferredPenalty is what it costs a machine to be closing, or an ordinary one for a task
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -23,23 +23,26 @@
 	}
 	mc.fetchInFlight = true
 	mc.rateLimiter.Take(1)
-	mc.c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudCatalog, Timeout: 3 * monotime.Second}, func(result protocol.CloudResult) {
-		mc.fetchInFlight = false
-		if result.Outcome != protocol.OK || len(result.Types) == 0 {
-			return
-		}
-		mc.fetchedAt = mc.c.now()
-		types := map[string]protocol.MachineType{}
-		for _, machineType := range result.Types {
-			if machineType.Name != "" && machineType.CPUs > 0 && machineType.OnDemandPrice > 0 {
-				types[machineType.Name] = machineType
+	mc.c.env.CallCloud(
+		&protocol.CloudCall{Op: protocol.CloudCatalog, Timeout: 3 * monotime.Second},
+		func(result protocol.CloudResult) {
+			mc.fetchInFlight = false
+			if result.Outcome != protocol.OK || len(result.Types) == 0 {
+				return
 			}
-		}
-		if len(types) > 0 {
-			mc.machineTypes = types
-			mc.c.scheduler.passNeeded = true
-		}
-	})
+			mc.fetchedAt = mc.c.now()
+			types := map[string]protocol.MachineType{}
+			for _, machineType := range result.Types {
+				if machineType.Name != "" && machineType.CPUs > 0 && machineType.OnDemandPrice > 0 {
+					types[machineType.Name] = machineType
+				}
+			}
+			if len(types) > 0 {
+				mc.machineTypes = types
+				mc.c.scheduler.passNeeded = true
+			}
+		},
+	)
 }
 
 // cloudRateFraction is the part of the cloud's rate limit that is used: the leader alone calls the cloud, but
@@ -48,5 +51,8 @@
 
 func newMachineCatalog(c *Controller) *machineCatalog {
 	rps := c.cfg.Facts.Cloud.RPS
-	return &machineCatalog{c: c, rateLimiter: ratelimit.TokenBucket{Rate: rps * cloudRateFraction, Burst: max(1, rps)}}
+	return &machineCatalog{
+		c:           c,
+		rateLimiter: ratelimit.TokenBucket{Rate: rps * cloudRateFraction, Burst: max(1, rps)},
+	}
 }
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
@@ -27,7 +28,8 @@
 	// Only as the member that we are now: what an earlier life of ours or a lapsed
 	// membership sent off must not put a machine into a second shard.
 	member := sm.c.mirror.Members[sm.c.node]
-	if member.Version == 0 || member.Record.Incarnation != sm.c.incarnation || sm.c.mirror.WatchedRevision < member.Version {
+	if member.Version == 0 || member.Record.Incarnation != sm.c.incarnation ||
+		sm.c.mirror.WatchedRevision < member.Version {
 		return updates
 	}
 	var takeoverUpdate *ShardUpdate // our shard that takes machines from other partitions
@@ -36,7 +38,9 @@
 		pendingClaim := sm.claimRequests[id]
 		machine := sm.c.mirror.Machines[id]
 		known := machine != nil && machine.Record != nil
-		if now-pendingClaim.requestedAt > claimRequestTimeout || known && sm.c.agents.agentOf(machine) != nil || sm.c.mirror.ScaleInOfMachine[id] != "" {
+		if now-pendingClaim.requestedAt > claimRequestTimeout ||
+			known && sm.c.agents.agentOf(machine) != nil ||
+			sm.c.mirror.ScaleInOfMachine[id] != "" {
 			sm.completeClaimRequest(id, known && sm.c.agents.agentOf(machine) != nil)
 			continue
 		}
@@ -64,12 +68,15 @@
 		if !known || update == nil {
 			update = nil
 			for _, other := range updates {
-				if other.PlannedBytes+need <= sm.c.scheduler.assignmentShardBytes() && other.MaxBytes+moving+bytesPerMachine <= sm.c.scheduler.assignmentShardBytes() && (update == nil || other.PlannedBytes < update.PlannedBytes) {
+				if other.PlannedBytes+need <= sm.c.scheduler.assignmentShardBytes() &&
+					other.MaxBytes+moving+bytesPerMachine <= sm.c.scheduler.assignmentShardBytes() &&
+					(update == nil || other.PlannedBytes < update.PlannedBytes) {
 					update = other
 				}
 			}
 		}
-		if update == nil || update.PlannedBytes+need > sm.c.scheduler.assignmentShardBytes() || update.MaxBytes+moving+bytesPerMachine > sm.c.scheduler.assignmentShardBytes() {
+		if update == nil || update.PlannedBytes+need > sm.c.scheduler.assignmentShardBytes() ||
+			update.MaxBytes+moving+bytesPerMachine > sm.c.scheduler.assignmentShardBytes() {
 			if known && takeoverUpdate != nil {
 				continue // the rest the next time
 			}
@@ -95,9 +102,21 @@
 			sm.moveMachine(update, machine, &pendingClaim.report)
 			continue
 		}
-		update.Next.AddMachine(id, storage.ShardMachine{Type: pendingClaim.report.Type, Zone: pendingClaim.report.Zone, Spot: pendingClaim.report.Spot,
-			Endpoint: pendingClaim.report.Endpoint, State: storage.MachineOpen, Claim: pendingClaim.report.FencingToken>>32 + 1})
-		update.AddCompare(storage.Key(storage.KindScaleOut, sm.c.mirror.ScaleOutOfMachine[id]), request.Version)
+		update.Next.AddMachine(
+			id,
+			storage.ShardMachine{
+				Type:     pendingClaim.report.Type,
+				Zone:     pendingClaim.report.Zone,
+				Spot:     pendingClaim.report.Spot,
+				Endpoint: pendingClaim.report.Endpoint,
+				State:    storage.MachineOpen,
+				Claim:    pendingClaim.report.FencingToken>>32 + 1,
+			},
+		)
+		update.AddCompare(
+			storage.Key(storage.KindScaleOut, sm.c.mirror.ScaleOutOfMachine[id]),
+			request.Version,
+		)
 	}
 	return updates
 }
@@ -141,7 +160,8 @@
 	ids := sortedmap.Keys(sm.claimRequests)
 	last := func(id string) bool {
 		fromShard := sm.claimRequests[id].fromShard
-		return fromShard != nil && sm.takeoverLimiter.conflictedKeys[storage.Key(storage.KindShard, fromShard.Name)]
+		return fromShard != nil &&
+			sm.takeoverLimiter.conflictedKeys[storage.Key(storage.KindShard, fromShard.Name)]
 	}
 	sort.SliceStable(ids, func(a, b int) bool { return !last(ids[a]) && last(ids[b]) })
 	return ids
@@ -149,7 +169,11 @@
 
 // moveMachine takes a machine with all that is on it out of another partition's shard and
 // puts it into an update, in one commit that both shards must agree to.
-func (sm *shardManager) moveMachine(update *ShardUpdate, machine *Machine, report *protocol.Heartbeat) {
+func (sm *shardManager) moveMachine(
+	update *ShardUpdate,
+	machine *mirror.Machine,
+	report *protocol.Heartbeat,
+) {
 	fromShard := machine.Shard
 	key := storage.Key(storage.KindShard, fromShard.Name)
 	at := -1
@@ -170,9 +194,17 @@
 	for task, attempt := range machine.Attempts {
 		before, _ := fromShard.Record.FindAttempt(task.Job, task.Index)
 		left.Release(task.Job, task.Index, false)
-		update.Next.Assign(task.Job, storage.Attempt{Task: task.Index, Machine: machine.ID, Number: attempt, Starting: before.Starting})
+		update.Next.Assign(
+			task.Job,
+			storage.Attempt{
+				Task:     task.Index,
+				Machine:  machine.ID,
+				Number:   attempt,
+				Starting: before.Starting,
+			},
+		)
 		if job := sm.c.mirror.Jobs[task.Job]; job != nil {
-			AddUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
+			mirror.AddUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
 	}
 	encoded, _ := left.Encode()
@@ -182,7 +214,13 @@
 		update.AddCompare(key, fromShard.Version)
 		update.Txn.Then = append(update.Txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
-	sm.c.quota.transferQuotaShares(&update.Txn, update.ComparedKeys, fromShard.Record.Owner, sm.c.node, useByTeam)
+	sm.c.quota.transferQuotaShares(
+		&update.Txn,
+		update.ComparedKeys,
+		fromShard.Record.Owner,
+		sm.c.node,
+		useByTeam,
+	)
 }
 
 // completeClaimRequest tells those who wait for a machine's claim.
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -76,8 +76,8 @@
 	c.requireNoViolations()
 }
 
-// TestLateReportDoesNotReviveDeletedMachine: a report of a machine that was deleted, held back on its way, must
-// not bring the machine to life again.
+// TestLateReportDoesNotReviveDeletedMachine: a report of a machine that was deleted, held back on its way,
+// must not bring the machine to life again.
 func TestLateReportDoesNotReviveDeletedMachine(t *testing.T) {
 	c := newCluster(t, 19)
 	c.settings.ScaleDownDelay = 0
@@ -134,10 +134,12 @@
 		c.start(c.nodeNames...)
 		c.sim.Run(3 * second)
 		for _, node := range c.nodeNames {
-			if code, jobStatus := c.jobStatus(node, done); code != 200 || jobStatus.Status != protocol.JobDone {
+			if code, jobStatus := c.jobStatus(node, done); code != 200 ||
+				jobStatus.Status != protocol.JobDone {
 				t.Errorf("done job: %d %+v", code, jobStatus)
 			}
-			if code, jobStatus := c.jobStatus(node, gone); code != 200 || jobStatus.Status != protocol.JobCancelled {
+			if code, jobStatus := c.jobStatus(node, gone); code != 200 ||
+				jobStatus.Status != protocol.JobCancelled {
 				t.Errorf("cancelled job: %d %+v", code, jobStatus)
 			}
 			response := c.requestAndWait(node, "POST", protocol.CancelPath(done), nil)
--- a/internal/coordination/combined_failures_test.go
+++ b/internal/coordination/combined_failures_test.go
@@ -45,22 +45,102 @@
 	}{
 		{"alone", defaultLeases, throttledThenStoreOutage(2 * second)},
 		{"a second apart", defaultLeases, throttledThenStoreOutage(second)},
-		{"longer leases", leaseDurations{4 * second, 22 * second, 42 * second}, throttledThenStoreOutage(2 * second)},
-		{"still longer leases", leaseDurations{5 * second, 28 * second, 53 * second}, throttledThenStoreOutage(2 * second)},
-		{"short leases and many reports", leaseDurations{8 * second / 10, 10 * second, 30 * second}, throttledThenStoreOutage(2 * second)},
-		{"just after an election", defaultLeases, throttledThenStoreOutage(2*second, crashController(64*second, leaderController, 3*second))},
-		{"in an election", defaultLeases, throttledThenStoreOutage(2*second, crashController(69*second, leaderController, second/2))},
-		{"two are refused", defaultLeases, throttledThenStoreOutage(2*second, storeRejectsController(70*second, followerController(1), 14*second))},
-		{"the confirmer restarts in the gap", defaultLeases, throttledThenStoreOutage(2*second, crashController(72*second, followerController(1), 3*second), crashController(72*second, followerController(2), 3*second))},
-		{"one restarts before all have heard", defaultLeases, throttledThenStoreOutage(second, crashController(71*second, followerController(1), second/2))},
-		{"the holder loses its peers", defaultLeases, throttledThenStoreOutage(2*second, peerPartition(71*second, leaderController, 60*second))},
-		{"another loses its peers", defaultLeases, throttledThenStoreOutage(2*second, peerPartition(71*second, followerController(1), 60*second))},
-		{"peers cut for a moment", defaultLeases, throttledThenStoreOutage(2*second, peerPartition(70*second, leaderController, 10*second))},
-		{"machines hang", defaultLeases, throttledThenStoreOutage(2*second, cancelRunningJobs(71*second, 4, 10*second))},
-		{"machines change hands", defaultLeases, throttledThenStoreOutage(2*second, storeRejectsController(60*second, followerController(1), 9*second), crashController(66*second, followerController(2), 20*second))},
-		{"late commands", defaultLeases, throttledThenStoreOutage(2*second, delayedCommands(60*second, 0.5, 60*second))},
-		{"the holder stands still", defaultLeases, throttledThenStoreOutage(2*second, processPause(73*second, leaderController, 8*second))},
-		{"twice", defaultLeases, throttledThenStoreOutage(2*second, storeRejectsController(147*second, leaderController, 14*second), cancelRunningJobs(147*second+second/2, 6, 0), storeOutage(148*second+second/2, 54*second))},
+		{
+			"longer leases",
+			leaseDurations{4 * second, 22 * second, 42 * second},
+			throttledThenStoreOutage(2 * second),
+		},
+		{
+			"still longer leases",
+			leaseDurations{5 * second, 28 * second, 53 * second},
+			throttledThenStoreOutage(2 * second),
+		},
+		{
+			"short leases and many reports",
+			leaseDurations{8 * second / 10, 10 * second, 30 * second},
+			throttledThenStoreOutage(2 * second),
+		},
+		{
+			"just after an election",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, crashController(64*second, leaderController, 3*second)),
+		},
+		{
+			"in an election",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, crashController(69*second, leaderController, second/2)),
+		},
+		{
+			"two are refused",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				storeRejectsController(70*second, followerController(1), 14*second),
+			),
+		},
+		{
+			"the confirmer restarts in the gap",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				crashController(72*second, followerController(1), 3*second),
+				crashController(72*second, followerController(2), 3*second),
+			),
+		},
+		{
+			"one restarts before all have heard",
+			defaultLeases,
+			throttledThenStoreOutage(second, crashController(71*second, followerController(1), second/2)),
+		},
+		{
+			"the holder loses its peers",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, peerPartition(71*second, leaderController, 60*second)),
+		},
+		{
+			"another loses its peers",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, peerPartition(71*second, followerController(1), 60*second)),
+		},
+		{
+			"peers cut for a moment",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, peerPartition(70*second, leaderController, 10*second)),
+		},
+		{
+			"machines hang",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, cancelRunningJobs(71*second, 4, 10*second)),
+		},
+		{
+			"machines change hands",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				storeRejectsController(60*second, followerController(1), 9*second),
+				crashController(66*second, followerController(2), 20*second),
+			),
+		},
+		{
+			"late commands",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, delayedCommands(60*second, 0.5, 60*second)),
+		},
+		{
+			"the holder stands still",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, processPause(73*second, leaderController, 8*second)),
+		},
+		{
+			"twice",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				storeRejectsController(147*second, leaderController, 14*second),
+				cancelRunningJobs(147*second+second/2, 6, 0),
+				storeOutage(148*second+second/2, 54*second),
+			),
+		},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -118,59 +198,188 @@
 	fastBoot := func(s *scenario) { s.cloud.BootTime = second }
 	cases := []combinedFailure{
 		{name: "users look closely while the leader changes", eagerQueries: true, faults: []fault{
-			submitAtRate(50*second, second/2, 30*second, submitSingleTask), crashController(60*second, leaderController, 2*second), cancelRunningJobs(60*second, 3, 0), crashController(70*second, leaderController, 5*second), cancelRunningJobs(70*second, 3, 0)}},
+			submitAtRate(
+				50*second,
+				second/2,
+				30*second,
+				submitSingleTask,
+			), crashController(60*second, leaderController, 2*second), cancelRunningJobs(60*second, 3, 0), crashController(70*second, leaderController, 5*second), cancelRunningJobs(70*second, 3, 0)}},
 		{name: "users look closely, the leader is refused", eagerQueries: true, faults: []fault{
-			submitAtRate(50*second, second/2, 30*second, submitSingleTask), storeRejectsController(60*second, leaderController, 8*second), cancelRunningJobs(60*second, 3, 0), storeAndPeerPartition(75*second, leaderController, 12*second), cancelRunningJobs(76*second, 3, 0)}},
+			submitAtRate(
+				50*second,
+				second/2,
+				30*second,
+				submitSingleTask,
+			), storeRejectsController(60*second, leaderController, 8*second), cancelRunningJobs(60*second, 3, 0), storeAndPeerPartition(75*second, leaderController, 12*second), cancelRunningJobs(76*second, 3, 0)}},
 		{name: "answers are lost, users look closely", eagerQueries: true, faults: []fault{
-			submitAtRate(50*second, second/2, 40*second, submitSingleTask), lostCommitAnswers(50*second, 0.3, 50*second), cancelRunningJobs(60*second, 4, 0), crashController(75*second, leaderController, second)}},
+			submitAtRate(
+				50*second,
+				second/2,
+				40*second,
+				submitSingleTask,
+			), lostCommitAnswers(50*second, 0.3, 50*second), cancelRunningJobs(60*second, 4, 0), crashController(75*second, leaderController, second)}},
 		{name: "writes come late, users look closely", eagerQueries: true, faults: []fault{
-			submitAtRate(50*second, second/2, 40*second, submitSingleTask), delayedCommits(50*second, 0.2, 50*second), cancelRunningJobs(60*second, 4, 0), crashController(75*second, leaderController, second)}},
-		{name: "full teams, cancellations, hanging machines, a new leader", prepare: fillTeamLimits, faults: []fault{
-			cancelTeamJobs(60*second, "tight", 2, 10*second), crashController(61*second, leaderController, 4*second), cancelTeamJobs(90*second, "tight", 2, 20*second), crashController(90*second, leaderController, second/2),
-			cancelTeamJobs(120*second, "tight", 2, 9*second), crashAllControllers(121*second, second/2)}},
-		{name: "full teams, cancellations, machines cut off, a new leader", prepare: fillTeamLimits, faults: []fault{
-			machinesPartitioned(60*second, 10, 25*second), cancelTeamJobs(60*second+second/2, "tight", 2, 0), crashController(61*second, leaderController, 4*second), machinesPartitioned(100*second, 10, 8*second),
-			cancelTeamJobs(101*second, "tight", 2, 0), crashController(102*second, leaderController, second)}},
-		{name: "full teams, cancellations, lost answers, new leaders", prepare: fillTeamLimits, faults: []fault{
-			lostCommitAnswers(55*second, 0.4, 60*second), cancelTeamJobs(60*second, "tight", 2, 5*second), crashController(61*second, leaderController, second), cancelTeamJobs(75*second, "tight", 1, 0), crashController(76*second, leaderController, 10*second),
-			delayedCommits(100*second, 0.3, 40*second), cancelTeamJobs(105*second, "tight", 2, 15*second), crashController(106*second, leaderController, second)}},
+			submitAtRate(
+				50*second,
+				second/2,
+				40*second,
+				submitSingleTask,
+			), delayedCommits(50*second, 0.2, 50*second), cancelRunningJobs(60*second, 4, 0), crashController(75*second, leaderController, second)}},
+		{
+			name:    "full teams, cancellations, hanging machines, a new leader",
+			prepare: fillTeamLimits,
+			faults: []fault{
+				cancelTeamJobs(
+					60*second,
+					"tight",
+					2,
+					10*second,
+				), crashController(61*second, leaderController, 4*second), cancelTeamJobs(90*second, "tight", 2, 20*second), crashController(90*second, leaderController, second/2),
+				cancelTeamJobs(120*second, "tight", 2, 9*second), crashAllControllers(121*second, second/2)},
+		},
+		{
+			name:    "full teams, cancellations, machines cut off, a new leader",
+			prepare: fillTeamLimits,
+			faults: []fault{
+				machinesPartitioned(
+					60*second,
+					10,
+					25*second,
+				), cancelTeamJobs(60*second+second/2, "tight", 2, 0), crashController(61*second, leaderController, 4*second), machinesPartitioned(100*second, 10, 8*second),
+				cancelTeamJobs(
+					101*second,
+					"tight",
+					2,
+					0,
+				), crashController(102*second, leaderController, second)},
+		},
+		{
+			name:    "full teams, cancellations, lost answers, new leaders",
+			prepare: fillTeamLimits,
+			faults: []fault{
+				lostCommitAnswers(
+					55*second,
+					0.4,
+					60*second,
+				), cancelTeamJobs(60*second, "tight", 2, 5*second), crashController(61*second, leaderController, second), cancelTeamJobs(75*second, "tight", 1, 0), crashController(76*second, leaderController, 10*second),
+				delayedCommits(
+					100*second,
+					0.3,
+					40*second,
+				), cancelTeamJobs(105*second, "tight", 2, 15*second), crashController(106*second, leaderController, second)},
+		},
 		{name: "full teams, their shares are written late", prepare: fillTeamLimits, faults: []fault{
-			delayedQuotaWrites(45*second, 100*second), submitAtRate(45*second, second, 90*second, func(s *scenario) {
-				s.addUser(2*second+s.randomDuration(8*second), withTasks(1+s.sim.Rand.IntN(3)), withCPUs(1), withTeam("tight"),
-					withSpot(true))
+			delayedQuotaWrites(
+				45*second,
+				100*second,
+			), submitAtRate(45*second, second, 90*second, func(s *scenario) {
+				s.addUser(
+					2*second+s.randomDuration(8*second),
+					withTasks(1+s.sim.Rand.IntN(3)),
+					withCPUs(1),
+					withTeam("tight"),
+					withSpot(true),
+				)
 			}), cancelTeamJobs(60*second, "tight", 4, 0), cancelTeamJobs(90*second, "tight", 4, 0)}},
 		{name: "cancellations while work changes hands", faults: []fault{
-			crashController(60*second, followerController(1), 20*second), cancelRunningJobs(66*second, 3, 0), cancelRunningJobs(68*second, 3, 0), cancelRunningJobs(69*second, 3, 0), cancelRunningJobs(82*second, 3, 0)}},
+			crashController(
+				60*second,
+				followerController(1),
+				20*second,
+			), cancelRunningJobs(66*second, 3, 0), cancelRunningJobs(68*second, 3, 0), cancelRunningJobs(69*second, 3, 0), cancelRunningJobs(82*second, 3, 0)}},
 		{name: "cancellations while a cut-off controller's work changes hands", faults: []fault{
-			storeAndPeerPartition(60*second, followerController(1), 30*second), cancelRunningJobs(66*second, 3, 0), cancelRunningJobs(69*second, 3, 0), cancelRunningJobs(72*second, 3, 0)}},
+			storeAndPeerPartition(
+				60*second,
+				followerController(1),
+				30*second,
+			), cancelRunningJobs(66*second, 3, 0), cancelRunningJobs(69*second, 3, 0), cancelRunningJobs(72*second, 3, 0)}},
 		{name: "machines up at once, late writes, the leader ends", prepare: fastBoot, faults: []fault{
-			delayedCommits(45*second, 0.2, 60*second), submitAtRate(50*second, 2*second, 40*second, submitSingleTask), crashController(60*second, leaderController, 3*second), crashController(80*second, leaderController, second)}},
+			delayedCommits(
+				45*second,
+				0.2,
+				60*second,
+			), submitAtRate(50*second, 2*second, 40*second, submitSingleTask), crashController(60*second, leaderController, 3*second), crashController(80*second, leaderController, second)}},
 		{name: "machines up at once, lost answers, the leader ends", prepare: fastBoot, faults: []fault{
-			lostCommitAnswers(45*second, 0.3, 60*second), submitAtRate(50*second, 2*second, 40*second, submitSingleTask), crashController(60*second, leaderController, 3*second), crashController(80*second, leaderController, second)}},
+			lostCommitAnswers(
+				45*second,
+				0.3,
+				60*second,
+			), submitAtRate(50*second, 2*second, 40*second, submitSingleTask), crashController(60*second, leaderController, 3*second), crashController(80*second, leaderController, second)}},
 		{name: "old reports reach the next leader", faults: []fault{
-			duplicateReportsToNextLeader(45*second, 0.5, 40*second), crashController(62*second, leaderController, 10*second), cancelRunningJobs(62*second, 3, 0), duplicateReportsToNextLeader(90*second, 0.5, 40*second), crashController(110*second, leaderController, second/2)}},
+			duplicateReportsToNextLeader(
+				45*second,
+				0.5,
+				40*second,
+			), crashController(62*second, leaderController, 10*second), cancelRunningJobs(62*second, 3, 0), duplicateReportsToNextLeader(90*second, 0.5, 40*second), crashController(110*second, leaderController, second/2)}},
 		{name: "late reports from earlier sessions", faults: []fault{
-			duplicateReports(45*second, 0.3, 60*second), machinesPartitioned(55*second, 5, 15*second), crashController(72*second, leaderController, 3*second), cancelRunningJobs(73*second, 3, 0)}},
+			duplicateReports(
+				45*second,
+				0.3,
+				60*second,
+			), machinesPartitioned(55*second, 5, 15*second), crashController(72*second, leaderController, 3*second), cancelRunningJobs(73*second, 3, 0)}},
 		{name: "four one-task jobs a second, a quarter cancelled", eagerQueries: true, faults: []fault{
 			submitAtRate(45*second, second/4, 100*second, submitSingleTask)}},
 		{name: "four one-task jobs a second, the leader ends", faults: []fault{
-			submitAtRate(45*second, second/4, 100*second, submitSingleTask), crashController(70*second, leaderController, 3*second), storeOutage(100*second, 10*second)}},
+			submitAtRate(
+				45*second,
+				second/4,
+				100*second,
+				submitSingleTask,
+			), crashController(70*second, leaderController, 3*second), storeOutage(100*second, 10*second)}},
 		{name: "ten new leaders in two minutes, and an outage", faults: []fault{
-			crashController(45*second, leaderController, 5*second), crashController(57*second, leaderController, second/2), crashController(70*second, leaderController, 8*second), storeOutage(75*second, 15*second), crashController(78*second, leaderController, 3*second),
-			crashController(80*second, followerController(1), 3*second), crashController(95*second, leaderController, 9*second), crashController(108*second, leaderController, second), crashController(120*second, leaderController, 6*second), crashController(133*second, leaderController, second/4), cancelRunningJobs(96*second, 4, 0)}},
+			crashController(
+				45*second,
+				leaderController,
+				5*second,
+			), crashController(57*second, leaderController, second/2), crashController(70*second, leaderController, 8*second), storeOutage(75*second, 15*second), crashController(78*second, leaderController, 3*second),
+			crashController(
+				80*second,
+				followerController(1),
+				3*second,
+			), crashController(95*second, leaderController, 9*second), crashController(108*second, leaderController, second), crashController(120*second, leaderController, 6*second), crashController(133*second, leaderController, second/4), cancelRunningJobs(96*second, 4, 0)}},
 		{name: "all end, one returns within a second", faults: []fault{
-			crashAllControllers(60*second, 20*second), crashController(61*second, leaderController, second), cancelRunningJobs(82*second, 4, 0), crashAllControllers(100*second, second/2)}},
+			crashAllControllers(
+				60*second,
+				20*second,
+			), crashController(61*second, leaderController, second), cancelRunningJobs(82*second, 4, 0), crashAllControllers(100*second, second/2)}},
 		{name: "all are away for longer than a lease", faults: []fault{
-			cancelRunningJobs(59*second, 4, 0), crashAllControllers(60*second, 16*second), duplicateReports(50*second, 0.2, 60*second)}},
+			cancelRunningJobs(
+				59*second,
+				4,
+				0,
+			), crashAllControllers(60*second, 16*second), duplicateReports(50*second, 0.2, 60*second)}},
 		{name: "a late command of a deposed leader", faults: []fault{
-			delayedCommands(50*second, 0.5, 60*second), storeAndPeerPartition(60*second, leaderController, 20*second), cancelRunningJobs(66*second, 4, 0), cancelRunningJobs(72*second, 4, 0), crashController(90*second, leaderController, 2*second)}},
+			delayedCommands(
+				50*second,
+				0.5,
+				60*second,
+			), storeAndPeerPartition(60*second, leaderController, 20*second), cancelRunningJobs(66*second, 4, 0), cancelRunningJobs(72*second, 4, 0), crashController(90*second, leaderController, 2*second)}},
 		{name: "machines are deaf to the new leader", faults: []fault{
-			machinesUnreachable(58*second, 6, 30*second), crashController(60*second, leaderController, 12*second), cancelRunningJobs(64*second, 5, 0)}},
-		{name: "machines are mute", faults: []fault{machinesMuted(60*second, 6, 25*second), cancelRunningJobs(62*second, 5, 0), crashController(70*second, leaderController, 3*second)}},
-		{name: "cancelled at the end of the last task", eagerQueries: true, faults: []fault{submitAtRate(50*second, second/2, 40*second, func(s *scenario) {
-			u := s.addUser(4*second, withCPUs(1), withSpot(true))
-			s.pollFor(60*second, func() bool { return s.fleet.Finished[u.id+"/0"] }, func() { s.sim.After(s.randomDuration(second/2), u.cancel) })
-		})}},
+			machinesUnreachable(
+				58*second,
+				6,
+				30*second,
+			), crashController(60*second, leaderController, 12*second), cancelRunningJobs(64*second, 5, 0)}},
+		{
+			name: "machines are mute",
+			faults: []fault{
+				machinesMuted(60*second, 6, 25*second),
+				cancelRunningJobs(62*second, 5, 0),
+				crashController(70*second, leaderController, 3*second),
+			},
+		},
+		{
+			name:         "cancelled at the end of the last task",
+			eagerQueries: true,
+			faults: []fault{submitAtRate(50*second, second/2, 40*second, func(s *scenario) {
+				u := s.addUser(4*second, withCPUs(1), withSpot(true))
+				s.pollFor(
+					60*second,
+					func() bool { return s.fleet.Finished[u.id+"/0"] },
+					func() { s.sim.After(s.randomDuration(second/2), u.cancel) },
+				)
+			})},
+		},
 		{name: "small jobs end far apart across a change of leader", prepare: func(s *scenario) {
 			for i := range 4 {
 				u := s.addUser(25*second, withTasks(2+i%2), withCPUs(1))
@@ -184,17 +393,38 @@
 			}
 		}, faults: []fault{machinesVanish(50*second, 4), zonePartition(60*second, 20*second), cancelRunningJobs(62*second, 4, 0), machinesVanish(90*second, 4)}},
 		{name: "a zone is cut off for longer than a lease", faults: []fault{
-			zonePartition(60*second, 25*second), cancelRunningJobs(62*second, 4, 0), cancelRunningJobs(75*second, 4, 0), crashController(80*second, leaderController, 3*second)}},
+			zonePartition(
+				60*second,
+				25*second,
+			), cancelRunningJobs(62*second, 4, 0), cancelRunningJobs(75*second, 4, 0), crashController(80*second, leaderController, 3*second)}},
 		{name: "zones cut, then no store for anybody", faults: []fault{
-			zonePartition(60*second, 60*second), cancelRunningJobs(60*second, 4, 0), cancelRunningJobs(65*second, 4, 0), storeOutage(66*second, 45*second)}},
+			zonePartition(
+				60*second,
+				60*second,
+			), cancelRunningJobs(60*second, 4, 0), cancelRunningJobs(65*second, 4, 0), storeOutage(66*second, 45*second)}},
 		{name: "more work than room, answers are slow", prepare: func(s *scenario) {
 			for i := range 8 {
-				priorities := []protocol.Priority{protocol.Standard, protocol.High, protocol.BestEffort, protocol.Production}
-				s.addUser(20*second, withTasks(30), withCPUs(2), withPriority(priorities[i%4]), withSpot(i%2 == 0))
+				priorities := []protocol.Priority{
+					protocol.Standard,
+					protocol.High,
+					protocol.BestEffort,
+					protocol.Production,
+				}
+				s.addUser(
+					20*second,
+					withTasks(30),
+					withCPUs(2),
+					withPriority(priorities[i%4]),
+					withSpot(i%2 == 0),
+				)
 			}
 		}, faults: []fault{slowStoreReplies(45*second, second, 60*second), cancelRunningJobs(60*second, 4, 0), crashController(70*second, leaderController, 3*second)}},
 		{name: "the store is slow to answer and refuses the leader", eagerQueries: true, faults: []fault{
-			delayedCommits(60*second, 0.1, 20*second), storeRejectsController(70*second, leaderController, 6*second), cancelRunningJobs(71*second, 4, 0), storeOutage(78*second, 40*second), cancelRunningJobs(80*second, 4, 0)}},
+			delayedCommits(
+				60*second,
+				0.1,
+				20*second,
+			), storeRejectsController(70*second, leaderController, 6*second), cancelRunningJobs(71*second, 4, 0), storeOutage(78*second, 40*second), cancelRunningJobs(80*second, 4, 0)}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
@@ -14,7 +15,7 @@
 // nextCommands works out what a worker must be told, reaps and kills before runs.
 // A batch that isn't empty gets a token of its own, above all earlier ones, so
 // a late copy of an earlier batch can't undo it.
-func (am *agentManager) nextCommands(machine *Machine, now monotime.Micros) []protocol.Command {
+func (am *agentManager) nextCommands(machine *mirror.Machine, now monotime.Micros) []protocol.Command {
 	agent := am.agentOf(machine)
 	commands := []protocol.Command{}
 	const again = monotime.Second
@@ -110,7 +111,7 @@
 }
 
 // syncCommandsOfJob tells every worker of ours that has tasks of a job.
-func (am *agentManager) syncCommandsOfJob(job *Job) {
+func (am *agentManager) syncCommandsOfJob(job *mirror.Job) {
 	synced := map[string]bool{}
 	for _, name := range sortedmap.Keys(am.c.mirror.Shards) {
 		shard := am.c.mirror.Shards[name]
@@ -119,7 +120,8 @@
 			continue
 		}
 		for _, held := range entry.Attempts {
-			if machine := am.c.mirror.Machines[held.Machine]; !synced[held.Machine] && machine != nil && am.agentOf(machine) != nil {
+			if machine := am.c.mirror.Machines[held.Machine]; !synced[held.Machine] && machine != nil &&
+				am.agentOf(machine) != nil {
 				synced[held.Machine] = true
 				am.syncCommands(machine)
 			}
@@ -129,7 +131,7 @@
 
 // syncCommands tells a worker directly what its next report would bring it. One batch
 // is in flight at a time.
-func (am *agentManager) syncCommands(machine *Machine) {
+func (am *agentManager) syncCommands(machine *mirror.Machine) {
 	agent := am.agentOf(machine)
 	if agent == nil || agent.Incarnation == 0 || agent.LeaseExpired || machine.Record == nil {
 		return
@@ -143,7 +145,11 @@
 		return
 	}
 	agent.CommandInFlight = true
-	req := &protocol.CommandRequest{FencingToken: agent.Token(), Incarnation: agent.Incarnation, Commands: commands}
+	req := &protocol.CommandRequest{
+		FencingToken: agent.Token(),
+		Incarnation:  agent.Incarnation,
+		Commands:     commands,
+	}
 	am.c.env.SendCommands(machine.Record.Endpoint, req, commandTimeout, func(result protocol.CommandResult) {
 		agent.CommandInFlight = false
 		if am.agentOf(machine) != agent {
@@ -152,7 +158,7 @@
 		if result.Status != 200 {
 			// Not executed, or not known to be: say it again with a new token.
 			for _, command := range commands {
-				if task, ok := ParseTaskID(command.Task); ok {
+				if task, ok := mirror.ParseTaskID(command.Task); ok {
 					record := agent.CommandRecordOf(AttemptID{task, command.Attempt})
 					record.RunSentAt, record.KillSentAt, record.ReapSentAt = 0, 0, 0
 				}
@@ -174,7 +180,7 @@
 // proves nothing before the worker has seen our token. It isn't told anything yet
 // if its machine was another controller's, who may still be answering it: a
 // higher token would have it drop those answers and its lease would end.
-func (am *agentManager) probeAgent(machine *Machine, syncAfterwards bool) {
+func (am *agentManager) probeAgent(machine *mirror.Machine, syncAfterwards bool) {
 	if machine == nil || am.agentOf(machine) == nil || machine.Record == nil {
 		return
 	}
@@ -182,7 +188,8 @@
 	am.c.env.SendCommands(machine.Record.Endpoint, nil, commandTimeout, func(result protocol.CommandResult) {
 		report := &result.Heartbeat
 		if am.agentOf(machine) != agent || result.Status != 200 || report.Machine != machine.ID || !report.Valid() ||
-			report.Incarnation < agent.Incarnation || report.Incarnation == agent.Incarnation && report.Sequence <= agent.Sequence {
+			report.Incarnation < agent.Incarnation ||
+			report.Incarnation == agent.Incarnation && report.Sequence <= agent.Sequence {
 			return
 		}
 		am.applyReport(machine, report)
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -6,6 +6,7 @@
 	"sort"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/storage"
@@ -20,7 +21,12 @@
 	After(monotime.Micros, func())
 	CallStore(*protocol.StoreCall, func(protocol.StoreResult))
 	CallCloud(*protocol.CloudCall, func(protocol.CloudResult))
-	SendCommands(endpoint string, req *protocol.CommandRequest, within monotime.Micros, callback func(protocol.CommandResult))
+	SendCommands(
+		endpoint string,
+		req *protocol.CommandRequest,
+		within monotime.Micros,
+		callback func(protocol.CommandResult),
+	)
 	SendPeerStatus(node string, status PeerStatus)
 }
 
@@ -56,7 +62,7 @@
 	incarnation uint64
 	controllers []string // every controller's name, ours included
 
-	mirror *Mirror
+	mirror *mirror.Mirror
 
 	peerStatuses *PeerTable
 
@@ -81,7 +87,12 @@
 }
 
 // NewController makes the actor's state.
-func NewController(cfg *config.Config, settings config.Settings, env Environment, log *slog.Logger) *Controller {
+func NewController(
+	cfg *config.Config,
+	settings config.Settings,
+	env Environment,
+	log *slog.Logger,
+) *Controller {
 	c := &Controller{
 		cfg: cfg, settings: settings, env: env, log: log, node: cfg.Node,
 		incarnation:          env.Rand().Uint64()>>16 | 1,
@@ -90,7 +101,7 @@
 		peerStatuses:         newPeerTable(),
 		recordWritesInFlight: map[string]bool{},
 	}
-	c.mirror = New()
+	c.mirror = mirror.New()
 	c.store = newStoreClient(c)
 	c.replica = &mirrorReplica{c: c}
 	c.store.updateBudgets(len(c.controllers))
@@ -123,7 +134,13 @@
 func (c *Controller) Start() {
 	c.log.Info("controller starting", "node", c.node, "incarnation", c.incarnation)
 	for _, warning := range c.durations.warnings() {
-		c.log.Warn("platform durations not covered", "field", warning.field, "consequence", warning.consequence)
+		c.log.Warn(
+			"platform durations not covered",
+			"field",
+			warning.field,
+			"consequence",
+			warning.consequence,
+		)
 	}
 	c.membership.grantLease()
 	c.replica.load()
--- a/internal/coordination/controller_restart_test.go
+++ b/internal/coordination/controller_restart_test.go
@@ -177,9 +177,9 @@
 	}
 }
 
-// TestImmediateRestartWithOldLeaseKeepsInvariants: controllers back within a fraction of a second, in the middle of
-// an election or of anything, with their old leases and incarnations still in the
-// store and what they had sent applied late.
+// TestImmediateRestartWithOldLeaseKeepsInvariants: controllers back within a fraction of a second, in the
+// middle of an election or of anything, with their old leases and incarnations still in the store and what
+// they had sent applied late.
 func TestImmediateRestartWithOldLeaseKeepsInvariants(t *testing.T) {
 	for seed := uint64(0); seed < 8; seed++ {
 		c := newCluster(t, 900+seed).startWithLeader()
@@ -236,8 +236,19 @@
 	c.sim.Run(2 * second)
 	c.start(c.nodeNames...)
 	c.sim.Run(8 * second)
-	c.store.Call("test", &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: second, Transaction: protocol.Transaction{Then: []protocol.Op{
-		{Put: storage.Key(storage.KindOpenJob, odd), Value: protocol.MustMarshal("another layout")}}}}, func(protocol.StoreResult) {})
+	c.store.Call(
+		"test",
+		&protocol.StoreCall{
+			Op:      protocol.StoreCommit,
+			Timeout: second,
+			Transaction: protocol.Transaction{Then: []protocol.Op{
+				{
+					Put:   storage.Key(storage.KindOpenJob, odd),
+					Value: protocol.MustMarshal("another layout"),
+				}}},
+		},
+		func(protocol.StoreResult) {},
+	)
 	for _, seconds := range []int{20, 60} {
 		c.sim.Run(monotime.Micros(seconds) * second)
 		for _, node := range c.nodeNames {
@@ -260,7 +271,13 @@
 		c := newCluster(t, 61).startWithLeader()
 		c.refuseConnections = true
 		for i := 0; i < 6; i++ {
-			c.submitWithRetry(0, withService(true), withTasks(4), withCPUs(4), withTeam([]string{"free", "tight"}[i%2]))
+			c.submitWithRetry(
+				0,
+				withService(true),
+				withTasks(4),
+				withCPUs(4),
+				withTeam([]string{"free", "tight"}[i%2]),
+			)
 		}
 		c.sim.Run(45 * second)
 		owners := func() map[string]string {
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -8,7 +8,8 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at most.
+// TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at
+// most.
 func TestTickWorkTakesAtMostATenthOfTheTime(t *testing.T) {
 	cases := []struct{ begun, ended, interval, want monotime.Micros }{
 		{0, 0, 100, 100},
@@ -29,11 +30,19 @@
 	c := newCluster(t, 8).startWithLeader()
 	core := c.nodes["n-0"].controller
 	usual := core.store.shardWriteRate()
-	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: waitingUserCallsThreshold})
+	core.OnPeerStatus(
+		PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: waitingUserCallsThreshold},
+	)
 	if got := core.store.shardWriteRate(); got != usual {
 		t.Errorf("a few users at a peer: %v, usually %v", got, usual)
 	}
-	core.OnPeerStatus(PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: waitingUserCallsThreshold + 1})
+	core.OnPeerStatus(
+		PeerStatus{
+			Node:                  "n-1",
+			StateServiceReachable: true,
+			WaitingUserRequests:   waitingUserCallsThreshold + 1,
+		},
+	)
 	if got := core.store.shardWriteRate(); got >= usual/2 {
 		t.Errorf("many users at a peer: %v, usually %v", got, usual)
 	}
@@ -42,7 +51,9 @@
 		t.Errorf("afterwards: %v, usually %v", got, usual)
 	}
 	for i := 0; i <= waitingUserCallsThreshold; i++ {
-		core.store.queue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityUserRequest})
+		core.store.queue.Add(
+			ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: ratelimit.PriorityUserRequest},
+		)
 	}
 	if got := core.store.shardWriteRate(); got >= usual/4 {
 		t.Errorf("many users here: %v, usually %v", got, usual)
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -37,9 +37,21 @@
 const coursesFile = "testdata/courses.txt"
 
 var (
-	coursesQuick  = flag.Bool("courses-quick", false, "play only the first seed of each scenario of TestCourses")
-	coursesRecord = flag.String("courses-record", "", "write the hashes of TestCourses to this file instead of comparing them")
-	coursesText   = flag.String("courses-text", "", "write the full text of each course of TestCourses to this directory")
+	coursesQuick = flag.Bool(
+		"courses-quick",
+		false,
+		"play only the first seed of each scenario of TestCourses",
+	)
+	coursesRecord = flag.String(
+		"courses-record",
+		"",
+		"write the hashes of TestCourses to this file instead of comparing them",
+	)
+	coursesText = flag.String(
+		"courses-text",
+		"",
+		"write the full text of each course of TestCourses to this directory",
+	)
 )
 
 // recorder hashes one course and counts its lines.
@@ -155,7 +167,9 @@
 	case protocol.CloudRent:
 		text = "rent " + canonical(protocol.MustMarshal(&c.Rent))
 	case protocol.CloudDelete:
-		text = "delete " + canonical(protocol.MustMarshal(&protocol.DeleteMachinesRequest{Machines: c.Delete}))
+		text = "delete " + canonical(
+			protocol.MustMarshal(&protocol.DeleteMachinesRequest{Machines: c.Delete}),
+		)
 	case protocol.CloudList:
 		text = fmt.Sprintf("list after %q", c.After)
 	}
@@ -174,8 +188,15 @@
 // wirePeerStatus renders what a controller tells another, field by field.
 func wirePeerStatus(status *PeerStatus) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %d store %t users %d reach %d", status.Node, status.Incarnation, status.StateServiceReachable,
-		status.WaitingUserRequests, int(status.WorkerReach))
+	fmt.Fprintf(
+		&b,
+		"%s %d store %t users %d reach %d",
+		status.Node,
+		status.Incarnation,
+		status.StateServiceReachable,
+		status.WaitingUserRequests,
+		int(status.WorkerReach),
+	)
 	for _, job := range slices.Sorted(maps.Keys(status.FailingJobs)) {
 		fmt.Fprintf(&b, " failing %s:%d", job, status.FailingJobs[job])
 	}
@@ -183,8 +204,18 @@
 		fmt.Fprintf(&b, " lacks %s", team)
 	}
 	m := &status.Cancellations
-	fmt.Fprintf(&b, " cancellations %d %d %d %d %d %t %d %d", m.Incarnation, int64(m.Clock), m.EchoedIncarnation,
-		int64(m.EchoedClock), m.MirrorRevision, m.RecordsLoaded, m.Round, m.MessagesInRound)
+	fmt.Fprintf(
+		&b,
+		" cancellations %d %d %d %d %d %t %d %d",
+		m.Incarnation,
+		int64(m.Clock),
+		m.EchoedIncarnation,
+		int64(m.EchoedClock),
+		m.MirrorRevision,
+		m.RecordsLoaded,
+		m.Round,
+		m.MessagesInRound,
+	)
 	for _, c := range m.Committed {
 		fmt.Fprintf(&b, " %s:%d", c.Job, c.Revision)
 	}
@@ -193,7 +224,14 @@
 
 // wireAnswer renders the answer to a user or a worker.
 func wireAnswer(method, target string, response Response) string {
-	return fmt.Sprintf("%s %s %d retry %d %s", method, target, response.Status, response.RetryAfter, canonical(response.Body))
+	return fmt.Sprintf(
+		"%s %s %d retry %d %s",
+		method,
+		target,
+		response.Status,
+		response.RetryAfter,
+		canonical(response.Body),
+	)
 }
 
 // courseScenario plays one course for each of its seeds. play must have the recorder watch the
@@ -303,7 +341,12 @@
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	s := newScenario(t, seed)
 	r.watch(s.cluster)
-	leases := []leaseDurations{defaultLeases, {4 * second, 22 * second, 42 * second}, {5 * second, 28 * second, 53 * second}, {8 * second / 10, 10 * second, 30 * second}}
+	leases := []leaseDurations{
+		defaultLeases,
+		{4 * second, 22 * second, 42 * second},
+		{5 * second, 28 * second, 53 * second},
+		{8 * second / 10, 10 * second, 30 * second},
+	}
 	leases[rnd.IntN(len(leases))].apply(s)
 	s.eagerQueries = rnd.IntN(2) == 0
 	if rnd.IntN(2) == 0 {
@@ -332,9 +375,16 @@
 	s := newShortLeaseScenario(t, 4000+seed)
 	r.watch(s.cluster)
 	s.submitWholeMachineJobs()
-	faults := []fault{submitAtRate(50*second, second, 50*second, submitSmallUrgentArray), crashAllExcept(s.nodeNames[seed%3], 80*second, slowRestartDelay)}
+	faults := []fault{
+		submitAtRate(50*second, second, 50*second, submitSmallUrgentArray),
+		crashAllExcept(s.nodeNames[seed%3], 80*second, slowRestartDelay),
+	}
 	if seed%2 == 0 {
-		faults = append(faults, zonePartition(110*second, 12*second), slowStoreReplies(60*second, second, 20*second))
+		faults = append(
+			faults,
+			zonePartition(110*second, 12*second),
+			slowStoreReplies(60*second, second, 20*second),
+		)
 	}
 	s.runFaults(faults, 150*second)
 }
@@ -420,7 +470,11 @@
 		cancelRunningJobs(100*second, 2, 0),
 	}
 	if seed%2 == 0 {
-		faults = append(faults, crashController(86*second, leaderController, 3*second), machinesHang(104*second, 2, 10*second))
+		faults = append(
+			faults,
+			crashController(86*second, leaderController, 3*second),
+			machinesHang(104*second, 2, 10*second),
+		)
 	} else {
 		faults = append(faults, crashAllControllers(110*second, 2*second), machinesVanish(95*second, 1))
 	}
@@ -460,11 +514,19 @@
 		begin(110*second, "no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
 		begin(112*second, "still more work", (*scenario).addSpotJobs),
 		begin(113*second, "spot machines are taken back", (*scenario).takeSpotBack),
-		begin(125*second, "capacity is back", func(s *scenario) { s.cloud.Capacity[fake.OfferKey("m16", "a", false)] = 12 }),
+		begin(
+			125*second,
+			"capacity is back",
+			func(s *scenario) { s.cloud.Capacity[fake.OfferKey("m16", "a", false)] = 12 },
+		),
 		cancelRunningJobs(115*second, 3, 0),
 	}
 	if seed%2 == 0 {
-		faults = append(faults, crashController(61*second, leaderController, 3*second), crashController(112*second, leaderController, 10*second))
+		faults = append(
+			faults,
+			crashController(61*second, leaderController, 3*second),
+			crashController(112*second, leaderController, 10*second),
+		)
 	}
 	s.runFaults(faults, 170*second)
 }
@@ -500,7 +562,12 @@
 		{at: 115 * second, name: "requests with mistakes", inject: (*scenario).sendMistakes},
 	}
 	if seed%2 == 0 {
-		faults = append(faults, zonePartition(75*second, 20*second), machinesMuted(110*second, 2, 20*second), machinesUnreachable(112*second, 2, 20*second))
+		faults = append(
+			faults,
+			zonePartition(75*second, 20*second),
+			machinesMuted(110*second, 2, 20*second),
+			machinesUnreachable(112*second, 2, 20*second),
+		)
 	}
 	s.runFaults(faults, 160*second)
 }
@@ -525,8 +592,18 @@
 	s := newScenario(t, 8000+seed)
 	r.watch(s.cluster)
 	fillTeamLimits(s)
-	faults := []fault{delayedQuotaWrites(45*second, 60*second), cancelTeamJobs(60*second, "tight", 2, 0), machinesVanish(70*second, 2),
-		duplicateReportsToNextLeader(75*second, 0.3, 40*second), crashController(80*second, leaderController, 12*second), crashController(90*second, followerController(1), 3*second)}
+	faults := []fault{
+		delayedQuotaWrites(45*second, 60*second),
+		cancelTeamJobs(60*second, "tight", 2, 0),
+		machinesVanish(70*second, 2),
+		duplicateReportsToNextLeader(
+			75*second,
+			0.3,
+			40*second,
+		),
+		crashController(80*second, leaderController, 12*second),
+		crashController(90*second, followerController(1), 3*second),
+	}
 	s.runFaults(faults, 150*second)
 }
 
@@ -562,8 +639,15 @@
 }
 
 func (c *cluster) sendArray(spot bool) string {
-	return c.submitWithRetry(20*second, withTeam("home"), withTasks(9), withCPUs(1.1), withSpot(spot), withEstimateS(30),
-		withCheckpointS(3))
+	return c.submitWithRetry(
+		20*second,
+		withTeam("home"),
+		withTasks(9),
+		withCPUs(1.1),
+		withSpot(spot),
+		withEstimateS(30),
+		withCheckpointS(3),
+	)
 }
 
 func (c *cluster) sendService() {
@@ -572,7 +656,14 @@
 
 func (c *cluster) sendLargeArrays() {
 	c.submitWithRetry(25*second, withTasks(60), withCPUs(2), withSpot(true), withEstimateS(20))
-	c.submitWithRetry(8*second, withTeam("tight"), withTasks(40), withCPUs(1), withEstimateS(10), withDeadlineS(60))
+	c.submitWithRetry(
+		8*second,
+		withTeam("tight"),
+		withTasks(40),
+		withCPUs(1),
+		withEstimateS(10),
+		withDeadlineS(60),
+	)
 }
 
 func (s *scenario) addBorrowers() {
--- a/internal/coordination/determinism_test.go
+++ b/internal/coordination/determinism_test.go
@@ -20,12 +20,25 @@
 		var last []string
 		for s := 0; s < 40; s++ {
 			for i := 0; i < 10; i++ {
-				c.submitWithRetry(2*second, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
-					withMemoryGB(0.7), withSpot(true), withEstimateS(2))
+				c.submitWithRetry(
+					2*second,
+					withTeam("guest"),
+					withPriority(protocol.BestEffort),
+					withCPUs(0.3),
+					withMemoryGB(0.7),
+					withSpot(true),
+					withEstimateS(2),
+				)
 			}
 			last = append(last, c.submitWithRetry(20*second, withTeam("home"), withTasks(9), withCPUs(1.1),
 				withSpot(s%2 == 0), withEstimateS(30), withCheckpointS(3)))
-			c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
+			c.submitWithRetry(
+				0,
+				withTeam("home"),
+				withService(true),
+				withPriority(protocol.High),
+				withCPUs(1.3),
+			)
 			switch s {
 			case 8:
 				c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[3]].FailsTasks = true
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -39,7 +39,10 @@
 // blockages lists what drains wait for, as the records have it.
 func (s *drainScenario) blockages() []drain.Blockage {
 	core := s.leaderNode().controller
-	return core.drains.policy.Decide(core.drainSnapshot(), &drain.Controller{Live: core.membership.isMember, Responsible: func(string) bool { return false }}).Blocked
+	return core.drains.policy.Decide(
+		core.drainSnapshot(),
+		&drain.Controller{Live: core.membership.isMember, Responsible: func(string) bool { return false }},
+	).Blocked
 }
 
 // TestAbortedDrainLeavesNoPermit: at any moment, also as the last replica stops, and with permits that are
@@ -64,14 +67,19 @@
 			stopped := s.stoppedReplicas
 			s.sim.Run(20 * second)
 			s.store.DelayCommit = nil
-			if !s.sim.RunUntil(90*second, func() bool { return s.storedPermits() == 0 && s.allReplicasRun() }) {
+			if !s.sim.RunUntil(
+				90*second,
+				func() bool { return s.storedPermits() == 0 && s.allReplicasRun() },
+			) {
 				t.Errorf("%d permits are left, running %v", s.storedPermits(), s.runningByTeam())
 			}
 			if s.stoppedReplicas != stopped {
 				t.Errorf("%d replicas were stopped until the abort, %d in all", stopped, s.stoppedReplicas)
 			}
 			for _, id := range s.machinesInZone("a") {
-				if machine := s.leaderNode().controller.mirror.Machines[id]; machine != nil && machine.Record != nil && machine.Record.State == storage.MachineCordoned {
+				if machine := s.leaderNode().controller.mirror.Machines[id]; machine != nil &&
+					machine.Record != nil &&
+					machine.Record.State == storage.MachineCordoned {
 					t.Errorf("%s is still cordoned", id)
 				}
 			}
@@ -83,7 +91,9 @@
 // TestDrainBlockedByBudgetMovesNothing: a budget that leaves nothing to move is said, and nothing is moved.
 func TestDrainBlockedByBudgetMovesNothing(t *testing.T) {
 	s := newDrainScenario(t, 31)
-	s.settings.Drains.Budgets = []config.DisruptionBudget{{Team: "intake", MinAvailable: &config.CountOrPercent{Value: 1}}}
+	s.settings.Drains.Budgets = []config.DisruptionBudget{
+		{Team: "intake", MinAvailable: &config.CountOrPercent{Value: 1}},
+	}
 	s.startWithLeader()
 	id := s.submitService("intake", 1)
 	s.sim.RunUntil(60*second, s.allReplicasRun)
@@ -117,7 +127,10 @@
 	s.sim.RunUntil(30*second, s.allReplicasRun)
 	s.sim.Run(10 * second)
 	moved, _ := s.countMoves()
-	s.putDrain("rack", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 4})
+	s.putDrain(
+		"rack",
+		storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 4},
+	)
 	s.sim.Run(40 * second)
 	if again, _ := s.countMoves(); again != moved {
 		t.Errorf("%d moves without room", again-moved)
@@ -137,7 +150,10 @@
 func TestDrainPausesAtDeadlineAndResumes(t *testing.T) {
 	s := newDrainScenario(t, 33).startServices()
 	s.drainZone("rack", "a")
-	s.updateDrain("rack", func(d *storage.Drain) { d.DeadlineAt = int64(s.sim.Now()) + 1_000_000_000_000 + int64(6*second) })
+	s.updateDrain(
+		"rack",
+		func(d *storage.Drain) { d.DeadlineAt = int64(s.sim.Now()) + 1_000_000_000_000 + int64(6*second) },
+	)
 	s.sim.Run(20 * second)
 	if got := s.drainState("rack"); got != storage.DrainPaused {
 		t.Fatalf("past its deadline the drain is %s", got)
@@ -146,14 +162,20 @@
 	left := len(s.machinesInZone("a"))
 	s.sim.Run(30 * second)
 	if again, _ := s.countMoves(); again != moved || len(s.machinesInZone("a")) != left || left == 0 {
-		t.Errorf("%d moves and %d of %d machines while it is paused", again-moved, len(s.machinesInZone("a")), left)
+		t.Errorf(
+			"%d moves and %d of %d machines while it is paused",
+			again-moved,
+			len(s.machinesInZone("a")),
+			left,
+		)
 	}
 	s.updateDrain("rack", func(d *storage.Drain) { d.State, d.DeadlineAt = storage.DrainActive, 0 })
 	s.waitDrainEnds("rack", 200*second)
 	s.reportBudgetViolations()
 }
 
-// TestDrainRecordIgnoredWhenDisabled: without the settings a drain's record changes nothing, and nothing is marked.
+// TestDrainRecordIgnoredWhenDisabled: without the settings a drain's record changes nothing, and nothing is
+// marked.
 func TestDrainRecordIgnoredWhenDisabled(t *testing.T) {
 	s := newDrainScenario(t, 34)
 	s.settings.Drains = nil
@@ -178,18 +200,30 @@
 	}
 }
 
-// TestDrainWaitsForArrayTasksEndingSoon: array tasks that are about to end are waited for, others are stopped.
+// TestDrainWaitsForArrayTasksEndingSoon: array tasks that are about to end are waited for, others are
+// stopped.
 func TestDrainWaitsForArrayTasksEndingSoon(t *testing.T) {
 	s := newDrainScenario(t, 35)
 	s.startWithLeader()
 	short := s.submit(25*second, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(25))
 	long := s.submit(400*second, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(400))
-	s.sim.RunUntil(60*second, func() bool { return s.fleet.Running(short) == 16 && s.fleet.Running(long) == 16 })
+	s.sim.RunUntil(
+		60*second,
+		func() bool { return s.fleet.Running(short) == 16 && s.fleet.Running(long) == 16 },
+	)
 	s.sim.Run(17 * second) // less is left of the short ones than they are waited for
 	s.floors["other"] = 0
 	s.sample()
 	s.drainZone("rack", "a")
-	s.putDrain("rack2", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "b", Type: "m16"}, MaxParallel: 9, LastMachine: "i-9"})
+	s.putDrain(
+		"rack2",
+		storage.Drain{
+			State:       storage.DrainActive,
+			Selector:    storage.Selector{Zone: "b", Type: "m16"},
+			MaxParallel: 9,
+			LastMachine: "i-9",
+		},
+	)
 	s.sim.Run(60 * second)
 	again := func(id string) int {
 		n := 0
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -84,7 +84,8 @@
 	task := fmt.Sprintf("%s/%d", permit.Job, permit.Task)
 	s.sim.AfterCondition(func() bool {
 		worker := s.fleet.Workers[permit.To]
-		return worker != nil && worker.Attempts[task] != nil && worker.Attempts[task].State == protocol.StateRunning
+		return worker != nil && worker.Attempts[task] != nil &&
+			worker.Attempts[task].State == protocol.StateRunning
 	}, 20*second, func() { s.killMachine(permit.To) })
 }
 
@@ -109,12 +110,36 @@
 	{"a machine of the drain dies", killSomeMachine("a"), noLeaseLoss},
 	{"a machine elsewhere dies", killSomeMachine("b"), noLeaseLoss},
 	{"the machine just moved to dies", killDestination, noLeaseLoss},
-	{"the leader ends for good", func(s *drainScenario) { s.kill(drainLeaderName(s)) }, leaseLossWithNewController},
-	{"the leader restarts", func(s *drainScenario) { s.restart(drainLeaderName(s), 2*second) }, leaseLossWithNewController},
-	{"the leader stands still and wakes late", func(s *drainScenario) { s.pause(drainLeaderName(s), 15*second) }, leaseLossWithNewController},
-	{"another controller stands still", func(s *drainScenario) { s.pause(s.nodeNames[s.sim.Rand.IntN(3)], 6*second) }, leaseLossWithNewController},
-	{"an outage shorter than a lease", func(s *drainScenario) { s.store.Outage(7 * second) }, leaseLossInOutage},
-	{"an outage longer than a lease", func(s *drainScenario) { s.store.Outage(25 * second) }, leaseLossInOutage},
+	{
+		"the leader ends for good",
+		func(s *drainScenario) { s.kill(drainLeaderName(s)) },
+		leaseLossWithNewController,
+	},
+	{
+		"the leader restarts",
+		func(s *drainScenario) { s.restart(drainLeaderName(s), 2*second) },
+		leaseLossWithNewController,
+	},
+	{
+		"the leader stands still and wakes late",
+		func(s *drainScenario) { s.pause(drainLeaderName(s), 15*second) },
+		leaseLossWithNewController,
+	},
+	{
+		"another controller stands still",
+		func(s *drainScenario) { s.pause(s.nodeNames[s.sim.Rand.IntN(3)], 6*second) },
+		leaseLossWithNewController,
+	},
+	{
+		"an outage shorter than a lease",
+		func(s *drainScenario) { s.store.Outage(7 * second) },
+		leaseLossInOutage,
+	},
+	{
+		"an outage longer than a lease",
+		func(s *drainScenario) { s.store.Outage(25 * second) },
+		leaseLossInOutage,
+	},
 	{"permits are written late", func(s *drainScenario) {
 		s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 			if changesPermits(txn) && s.sim.Rand.IntN(2) == 0 {
@@ -146,7 +171,11 @@
 	}, noLeaseLoss},
 	{"everything fails on the next machine that comes up", func(s *drainScenario) {
 		next := fmt.Sprintf("i-%06d", len(s.cloud.Machines)+1)
-		s.sim.AfterCondition(func() bool { return s.fleet.Workers[next] != nil }, 60*second, func() { s.fleet.Workers[next].FailsTasks = true })
+		s.sim.AfterCondition(
+			func() bool { return s.fleet.Workers[next] != nil },
+			60*second,
+			func() { s.fleet.Workers[next].FailsTasks = true },
+		)
 	}, noLeaseLoss},
 	{"a machine vanishes and returns", func(s *drainScenario) {
 		if id := s.loadedMachine("a"); id != "" {
@@ -172,14 +201,35 @@
 		s.sim.After(20*second, func() { s.floors["intake"] = tighter })
 	}, leaseLossWithNewController},
 	{"another drain replaces a type in the other zone", func(s *drainScenario) {
-		s.putDrain("types", storage.Drain{State: storage.DrainActive, Replace: true, RemoveAtOnce: true, MaxParallel: 3, LastMachine: s.newestMachine(),
-			Selector: storage.Selector{Zone: "b", Type: "m16"}, StartedAt: int64(s.sim.Now())})
+		s.putDrain(
+			"types",
+			storage.Drain{
+				State:        storage.DrainActive,
+				Replace:      true,
+				RemoveAtOnce: true,
+				MaxParallel:  3,
+				LastMachine:  s.newestMachine(),
+				Selector:     storage.Selector{Zone: "b", Type: "m16"},
+				StartedAt:    int64(s.sim.Now()),
+			},
+		)
 	}, noLeaseLoss},
 	{"a service of a higher priority comes", func(s *drainScenario) {
-		id, body := s.newSubmission(withService(true), withTasks(6), withTeam("other"), withPriority(protocol.Production),
-			withCPUs(6))
+		id, body := s.newSubmission(
+			withService(true),
+			withTasks(6),
+			withTeam("other"),
+			withPriority(protocol.Production),
+			withCPUs(6),
+		)
 		s.fleet.Jobs[id] = serviceInfo("other", 6)
-		s.sendRequest(s.nodeNames[0], "POST", protocol.JobsPath, protocol.MustMarshal(body), func(Response) {})
+		s.sendRequest(
+			s.nodeNames[0],
+			"POST",
+			protocol.JobsPath,
+			protocol.MustMarshal(body),
+			func(Response) {},
+		)
 	}, noLeaseLoss},
 }
 
@@ -210,12 +260,17 @@
 			rnd := rand.New(rand.NewPCG(seed, 5))
 			s := newDrainScenario(t, seed)
 			reserve := 2
-			s.settings.Drains = &config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 4,
-				ArrayWait: config.Duration(10 * second), MinReady: config.Duration(3 * second),
+			s.settings.Drains = &config.DrainSettings{
+				DefaultMaxUnavailable:  1,
+				DefaultReserveMachines: &reserve,
+				MaxParallel:            4,
+				ArrayWait:              config.Duration(10 * second),
+				MinReady:               config.Duration(3 * second),
 				Budgets: []config.DisruptionBudget{
 					{Team: "intake", MinAvailable: &config.CountOrPercent{Value: 9}},
 					{Team: "payout", MaxUnavailable: &config.CountOrPercent{Value: 12}},
-				}}
+				},
+			}
 			s.startServices()
 			s.floors["intake"], s.floors["payout"] = 9, 3
 			s.drainZone("rack", "a")
@@ -233,7 +288,10 @@
 			s.reportBudgetViolations()
 			if t.Failed() {
 				t.Logf("faults: %s", strings.Join(names, "; "))
-				t.Logf("again: go test ./internal/coordination -run TestRandomDrains -drain-scenarios 1 -drain-seed %d", seed)
+				t.Logf(
+					"again: go test ./internal/coordination -run TestRandomDrains -drain-scenarios 1 -drain-seed %d",
+					seed,
+				)
 			}
 		})
 	}
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -13,7 +13,11 @@
 	"pipitgap/internal/storage"
 )
 
-var drainFleetSize = flag.Int("drain-fleet", 200, "machines of the fleet an eighth of which is drained; 4000 in the long form")
+var drainFleetSize = flag.Int(
+	"drain-fleet",
+	200,
+	"machines of the fleet an eighth of which is drained; 4000 in the long form",
+)
 
 // submissionIntervalPerMachine spaces the submissions: 12.5 a second for a thousand machines and a hundred
 // changes of the state service a second.
@@ -36,10 +40,21 @@
 func playDrainSize(t *testing.T, machines int, draining bool) *drainCosts {
 	c := newClusterOfSize(t, machines)
 	none := 0
-	c.settings.Drains = &config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &none, MaxParallel: machines / 16,
-		ArrayWait: config.Duration(10 * second), MinReady: config.Duration(3 * second)}
+	c.settings.Drains = &config.DrainSettings{
+		DefaultMaxUnavailable:  1,
+		DefaultReserveMachines: &none,
+		MaxParallel:            machines / 16,
+		ArrayWait:              config.Duration(10 * second),
+		MinReady:               config.Duration(3 * second),
+	}
 	for i := range 6 {
-		c.settings.Drains.Budgets = append(c.settings.Drains.Budgets, config.DisruptionBudget{Team: fmt.Sprint("team", i), MinAvailable: &config.CountOrPercent{Value: 70, Percent: true}})
+		c.settings.Drains.Budgets = append(
+			c.settings.Drains.Budgets,
+			config.DisruptionBudget{
+				Team:         fmt.Sprint("team", i),
+				MinAvailable: &config.CountOrPercent{Value: 70, Percent: true},
+			},
+		)
 	}
 	c.start(c.nodeNames...)
 	c.sim.Run(3 * second)
@@ -57,7 +72,12 @@
 	}
 	var submit func()
 	submit = func() {
-		id := c.submitWithRetry(10*second, withTeam(fmt.Sprint("team", len(sentAt)%6)), withCPUs(1), withEstimateS(10))
+		id := c.submitWithRetry(
+			10*second,
+			withTeam(fmt.Sprint("team", len(sentAt)%6)),
+			withCPUs(1),
+			withEstimateS(10),
+		)
 		sentAt[id] = c.sim.Now()
 		c.sim.After(submissionIntervalPerMachine*second/monotime.Micros(machines), submit)
 	}
@@ -66,8 +86,15 @@
 	through := ids[len(ids)/4] // of the zone's, half of all: an eighth of the fleet
 	before, begun := c.store.Changes, time.Now()
 	if draining {
-		rec := storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, LastMachine: through, Replace: true,
-			RemoveAtOnce: true, MaxParallel: machines / 16, StartedAt: 1}
+		rec := storage.Drain{
+			State:        storage.DrainActive,
+			Selector:     storage.Selector{Zone: "a"},
+			LastMachine:  through,
+			Replace:      true,
+			RemoveAtOnce: true,
+			MaxParallel:  machines / 16,
+			StartedAt:    1,
+		}
 		s := &drainScenario{cluster: c}
 		s.putDrain("eighth", rec)
 	}
@@ -104,7 +131,13 @@
 	t.Logf("%d machines without a drain: %+v", *drainFleetSize, *without)
 	t.Logf("with one: %+v", *with)
 	if with.accepted < without.accepted*95/100 || with.p99Latency > 2*without.p99Latency+second/2 {
-		t.Errorf("%d submissions, 99%% within %.3f s; without a drain %d, %.3f s", with.accepted, with.p99Latency.Seconds(), without.accepted, without.p99Latency.Seconds())
+		t.Errorf(
+			"%d submissions, 99%% within %.3f s; without a drain %d, %.3f s",
+			with.accepted,
+			with.p99Latency.Seconds(),
+			without.accepted,
+			without.p99Latency.Seconds(),
+		)
 	}
 	// A tenth of the changes of all controllers together, and a fifth more for those that are uneven.
 	most := int(permitWriteFraction * 1.2 * 100 * float64(*drainFleetSize) / 1000 * 120)
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
 )
@@ -28,12 +29,13 @@
 const lossLogInterval = 10 * monotime.Second
 
 // recordLoss adds a release to the losses of a shard's update, if it is one.
-func (d *drains) recordLoss(losses []replicaLoss, machine *Machine, task TaskID) []replicaLoss {
+func (d *drains) recordLoss(losses []replicaLoss, machine *mirror.Machine, task mirror.TaskID) []replicaLoss {
 	if d == nil {
 		return losses
 	}
 	job := d.core.mirror.Jobs[task.Job]
-	if job == nil || !job.IsOpen() || !d.tracksStart(&job.Record.Spec) || d.hasPermit(job, task, machine.Attempts[task]) {
+	if job == nil || !job.IsOpen() || !d.tracksStart(&job.Record.Spec) ||
+		d.hasPermit(job, task, machine.Attempts[task]) {
 		return losses
 	}
 	cause := lossTaskExited
@@ -47,7 +49,7 @@
 }
 
 // hasPermit tells whether an attempt was to be stopped under a permit.
-func (d *drains) hasPermit(job *Job, task TaskID, attempt uint64) bool {
+func (d *drains) hasPermit(job *mirror.Job, task mirror.TaskID, attempt uint64) bool {
 	for _, permit := range d.core.mirror.PermitsByTeam[job.Record.Spec.Team].Record.Permits {
 		if permit.Job == task.Job && permit.Task == task.Index && permit.Attempt == attempt {
 			return true
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
@@ -17,7 +18,9 @@
 func (s *drainScenario) setIntakeMaxUnavailable(replicas int) {
 	none := 0
 	s.settings.Drains.DefaultReserveMachines = &none
-	s.settings.Drains.Budgets = []config.DisruptionBudget{{Team: "intake", MaxUnavailable: &config.CountOrPercent{Value: replicas}}}
+	s.settings.Drains.Budgets = []config.DisruptionBudget{
+		{Team: "intake", MaxUnavailable: &config.CountOrPercent{Value: replicas}},
+	}
 }
 
 // exhaustCapacity has the cloud refuse every rental from now on.
@@ -61,8 +64,18 @@
 			if seed%2 == 0 {
 				s.store.LoseResponse = func(txn *protocol.Transaction) bool { return changesPermits(txn) && s.sim.Rand.IntN(3) == 0 }
 			}
-			s.putDrain("all", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Type: "m8"}, Replace: true,
-				RemoveAtOnce: true, MaxParallel: 20, LastMachine: s.newestMachine(), StartedAt: 1})
+			s.putDrain(
+				"all",
+				storage.Drain{
+					State:        storage.DrainActive,
+					Selector:     storage.Selector{Type: "m8"},
+					Replace:      true,
+					RemoveAtOnce: true,
+					MaxParallel:  20,
+					LastMachine:  s.newestMachine(),
+					StartedAt:    1,
+				},
+			)
 			s.sim.Run(120 * second)
 			if s.stoppedReplicas < 3 {
 				t.Errorf("only %d replicas were moved", s.stoppedReplicas)
@@ -96,7 +109,14 @@
 				}
 				return 0
 			}
-			s.putDrain("rack", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 20})
+			s.putDrain(
+				"rack",
+				storage.Drain{
+					State:       storage.DrainActive,
+					Selector:    storage.Selector{Zone: "a"},
+					MaxParallel: 20,
+				},
+			)
 			s.sim.Run(2 * second)
 			for range 3 { // more than are replaced by what room there is
 				if id := s.machineWith("intake", "b"); id != "" {
@@ -118,7 +138,7 @@
 			continue
 		}
 		for task := range worker.Attempts {
-			if ref, _ := ParseTaskID(task); s.fleet.Jobs[ref.Job].Team == team {
+			if ref, _ := mirror.ParseTaskID(task); s.fleet.Jobs[ref.Job].Team == team {
 				return id
 			}
 		}
@@ -141,7 +161,10 @@
 			covered := s.newestMachine()
 			var spares []string
 			for _, zone := range []string{"a", "b"} {
-				spares = append(spares, s.submitService("other", 2, withCPUs(6), withTypes("m8"), withZone(zone)))
+				spares = append(
+					spares,
+					s.submitService("other", 2, withCPUs(6), withTypes("m8"), withZone(zone)),
+				)
 			}
 			s.sim.RunUntil(60*second, s.allReplicasRun)
 			s.sim.Run(10 * second)
@@ -152,8 +175,11 @@
 			s.floors["intake"] = 7
 			s.fleet.OnStop = s.checkStop
 			replace := func(name, zone string) {
-				s.putDrain(name, storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone},
-					MaxParallel: 20, LastMachine: covered})
+				s.putDrain(
+					name,
+					storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone},
+						MaxParallel: 20, LastMachine: covered},
+				)
 			}
 			replace("rack", "a")
 			s.sim.RunUntil(40*second, func() bool { return s.storedPermits() > 0 })
@@ -181,7 +207,8 @@
 	}
 }
 
-// TestReservationOfMovedReplicaIsKept: a service that comes while a replica is being moved doesn't get its room.
+// TestReservationOfMovedReplicaIsKept: a service that comes while a replica is being moved doesn't get its
+// room.
 func TestReservationOfMovedReplicaIsKept(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -199,19 +226,42 @@
 			s.exhaustCapacity()
 			s.cancelJob(spare)
 			s.sim.Run(3 * second)
-			s.putDrain("rack", storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 20})
+			s.putDrain(
+				"rack",
+				storage.Drain{
+					State:       storage.DrainActive,
+					Selector:    storage.Selector{Zone: "a"},
+					MaxParallel: 20,
+				},
+			)
 			s.sim.RunUntil(20*second, func() bool { return s.storedPermits() > 0 })
-			_, body := s.newSubmission(withService(true), withTasks(1), withTeam("other"), withPriority(protocol.Production),
-				withCPUs(6), withZone("b"))
+			_, body := s.newSubmission(
+				withService(true),
+				withTasks(1),
+				withTeam("other"),
+				withPriority(protocol.Production),
+				withCPUs(6),
+				withZone("b"),
+			)
 			id := body.ID
 			s.fleet.Jobs[id] = serviceInfo("other", 6)
-			s.sendRequest(s.nodeNames[1], "POST", protocol.JobsPath, protocol.MustMarshal(body), func(Response) {})
+			s.sendRequest(
+				s.nodeNames[1],
+				"POST",
+				protocol.JobsPath,
+				protocol.MustMarshal(body),
+				func(Response) {},
+			)
 			if s.storedPermits() == 0 {
 				t.Fatal("no permit")
 			}
 			s.sim.Run(15 * second)
 			if s.fleet.RunningReplicas("intake") < 3 {
-				t.Errorf("intake runs %d of 3, the newcomer %d", s.fleet.RunningReplicas("intake"), s.fleet.Running(id))
+				t.Errorf(
+					"intake runs %d of 3, the newcomer %d",
+					s.fleet.RunningReplicas("intake"),
+					s.fleet.Running(id),
+				)
 			}
 			s.requireNoViolations()
 		})
@@ -227,8 +277,13 @@
 	s.sim.RunUntil(60*second, s.allReplicasRun)
 	s.sim.Run(10 * second)
 	s.exhaustCapacity()
-	id, body := s.newSubmission(withService(true), withTasks(8), withTeam("payout"), withPriority(protocol.Production),
-		withCPUs(6))
+	id, body := s.newSubmission(
+		withService(true),
+		withTasks(8),
+		withTeam("payout"),
+		withPriority(protocol.Production),
+		withCPUs(6),
+	)
 	s.fleet.Jobs[id] = serviceInfo("payout", 6)
 	s.sendRequest(s.nodeNames[1], "POST", protocol.JobsPath, protocol.MustMarshal(body), func(Response) {})
 	s.sim.Run(30 * second)
@@ -245,24 +300,50 @@
 // been lost since isn't known.
 func TestPermitIsNotUsedInOutage(t *testing.T) {
 	s := newDrainScenario(t, 41).startServices()
-	s.putDrain("idle", storage.Drain{State: storage.DrainPaused, Selector: storage.Selector{Machines: []string{"i-none"}}})
+	s.putDrain(
+		"idle",
+		storage.Drain{State: storage.DrainPaused, Selector: storage.Selector{Machines: []string{"i-none"}}},
+	)
 	s.sim.Run(10 * second) // with a drain there, the records come to say which replicas run
 	s.store.Outage(20 * second)
 	s.sim.Run(4 * second)
 	used := 0
 	for _, node := range s.nodeNames {
 		core := s.nodes[node].controller
-		rec := storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 9}
-		core.mirror.ApplyPut(storage.Key(storage.KindDrain, "rack"), protocol.MustMarshal(&rec), core.mirror.NewestRevision+1)
+		rec := storage.Drain{
+			State:       storage.DrainActive,
+			Selector:    storage.Selector{Zone: "a"},
+			MaxParallel: 9,
+		}
+		core.mirror.ApplyPut(
+			storage.Key(storage.KindDrain, "rack"),
+			protocol.MustMarshal(&rec),
+			core.mirror.NewestRevision+1,
+		)
 		for _, id := range sortedmap.Keys(core.mirror.Machines) {
 			machine := core.mirror.Machines[id]
 			if core.agents.agentOf(machine) == nil || machine.Record.Zone != "a" {
 				continue
 			}
-			for _, task := range SortedTaskIDs(machine.Attempts) {
+			for _, task := range mirror.SortedTaskIDs(machine.Attempts) {
 				if job := core.mirror.Jobs[task.Job]; job.Record.Spec.Team == "payout" {
-					permits := storage.Permits{Permits: []storage.Permit{{Drain: "rack", Job: task.Job, Task: task.Index, Attempt: machine.Attempts[task], From: id, To: id}}}
-					core.mirror.ApplyPut(storage.Key(storage.KindPermits, "payout"), protocol.MustMarshal(&permits), core.mirror.NewestRevision+1)
+					permits := storage.Permits{
+						Permits: []storage.Permit{
+							{
+								Drain:   "rack",
+								Job:     task.Job,
+								Task:    task.Index,
+								Attempt: machine.Attempts[task],
+								From:    id,
+								To:      id,
+							},
+						},
+					}
+					core.mirror.ApplyPut(
+						storage.Key(storage.KindPermits, "payout"),
+						protocol.MustMarshal(&permits),
+						core.mirror.NewestRevision+1,
+					)
 					used++
 				}
 			}
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/drain"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
@@ -15,25 +16,26 @@
 		return nil
 	}
 	held := map[string]resources.Vector{}
-	d.forEachReservation(func(permit *storage.Permit, job *Job) {
+	d.forEachReservation(func(permit *storage.Permit, job *mirror.Job) {
 		held[permit.To] = held[permit.To].AddScaled(job.TaskResources, 1)
 	})
 	return held
 }
 
 // forEachReservation calls f for every permit whose replica hasn't found its new place yet.
-func (d *drains) forEachReservation(f func(*storage.Permit, *Job)) {
-	mirror := d.core.mirror
-	for _, team := range sortedmap.Keys(mirror.PermitsByTeam) {
-		permits := mirror.PermitsByTeam[team].Record.Permits
+func (d *drains) forEachReservation(f func(*storage.Permit, *mirror.Job)) {
+	records := d.core.mirror
+	for _, team := range sortedmap.Keys(records.PermitsByTeam) {
+		permits := records.PermitsByTeam[team].Record.Permits
 		for i := range permits {
 			permit := &permits[i]
-			job := mirror.Jobs[permit.Job]
+			job := records.Jobs[permit.Job]
 			if job == nil || !job.IsOpen() || permit.Task >= len(job.TaskStates) {
 				continue
 			}
-			from := mirror.Machines[permit.From]
-			here := from != nil && from.Attempts[TaskID{permit.Job, permit.Task}] == permit.Attempt
+			from := records.Machines[permit.From]
+			here := from != nil &&
+				from.Attempts[mirror.TaskID{Job: permit.Job, Index: permit.Task}] == permit.Attempt
 			if here || job.TaskStates[permit.Task] == 0 {
 				f(permit, job)
 			}
@@ -51,12 +53,15 @@
 // drainReservation is room for one replica.
 type drainReservation struct {
 	candidate *candidateMachine
-	task      TaskID
+	task      mirror.TaskID
 	need      resources.Vector
 }
 
 // reserveOnCandidates takes the room that is held for replicas off what the candidates have.
-func (d *drains) reserveOnCandidates(candidates []*candidateMachine, updates []*ShardUpdate) *drainReservations {
+func (d *drains) reserveOnCandidates(
+	candidates []*candidateMachine,
+	updates []*ShardUpdate,
+) *drainReservations {
 	if d == nil {
 		return nil
 	}
@@ -65,17 +70,24 @@
 		byMachine[candidate.machine.ID] = candidate
 	}
 	r := &drainReservations{byJob: map[string][]drainReservation{}, updates: updates}
-	d.forEachReservation(func(permit *storage.Permit, job *Job) {
+	d.forEachReservation(func(permit *storage.Permit, job *mirror.Job) {
 		if candidate := byMachine[permit.To]; candidate != nil {
 			candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
-			r.byJob[job.ID] = append(r.byJob[job.ID], drainReservation{candidate, TaskID{permit.Job, permit.Task}, job.TaskResources})
+			r.byJob[job.ID] = append(
+				r.byJob[job.ID],
+				drainReservation{
+					candidate,
+					mirror.TaskID{Job: permit.Job, Index: permit.Task},
+					job.TaskResources,
+				},
+			)
 		}
 	})
 	return r
 }
 
 // hasReservationFor tells whether room is held for replicas of a job.
-func (r *drainReservations) hasReservationFor(job *Job) bool {
+func (r *drainReservations) hasReservationFor(job *mirror.Job) bool {
 	return r != nil && len(r.byJob[job.ID]) > 0
 }
 
@@ -93,7 +105,7 @@
 }
 
 // release gives a job the room that is held for it.
-func (r *drainReservations) release(job *Job) {
+func (r *drainReservations) release(job *mirror.Job) {
 	if r == nil {
 		return
 	}
@@ -104,7 +116,7 @@
 
 // reserveAgain takes again what the job hasn't used. A replica that has found a place, wherever
 // that is, needs nothing held any more.
-func (r *drainReservations) reserveAgain(job *Job) {
+func (r *drainReservations) reserveAgain(job *mirror.Job) {
 	if r == nil {
 		return
 	}
@@ -120,7 +132,7 @@
 }
 
 // assignedThisPass tells whether a task is assigned by the pass under way.
-func (r *drainReservations) assignedThisPass(task TaskID) bool {
+func (r *drainReservations) assignedThisPass(task mirror.TaskID) bool {
 	for _, update := range r.updates {
 		if update.AssignedTasks[task] {
 			return true
@@ -161,7 +173,10 @@
 	var out []*taskDemand
 	for _, id := range sortedmap.Keys(count) {
 		if job := d.core.mirror.Jobs[id]; job != nil && job.IsOpen() {
-			out = append(out, &taskDemand{spec: &job.Record.Spec, need: job.TaskResources, tasks: count[id], jobID: id})
+			out = append(
+				out,
+				&taskDemand{spec: &job.Record.Spec, need: job.TaskResources, tasks: count[id], jobID: id},
+			)
 		}
 	}
 	return out
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -19,12 +20,13 @@
 	settings             *config.DrainSettings
 	policy               *drain.Policy
 	nextRunAt            monotime.Micros
-	nextPermitWriteAt    monotime.Micros            // when a change may be spent on permits again
-	permitCommitInFlight map[string]bool            // teams whose permits have a commit in flight
-	evictingSince        map[string]monotime.Micros // own machines whose array tasks are being stopped, and since when
-	replacementDemand    []*taskDemand              // what the leader rents room for
-	unpermittedLosses    map[lossCause]int          // replicas lost outside of permits
-	lossesLoggedAt       monotime.Micros
+	nextPermitWriteAt    monotime.Micros // when a change may be spent on permits again
+	permitCommitInFlight map[string]bool // teams whose permits have a commit in flight
+	// own machines whose array tasks are being stopped, and since when
+	evictingSince     map[string]monotime.Micros
+	replacementDemand []*taskDemand     // what the leader rents room for
+	unpermittedLosses map[lossCause]int // replicas lost outside of permits
+	lossesLoggedAt    monotime.Micros
 }
 
 // Bounds of what drains cost.
@@ -43,26 +45,34 @@
 	if settings == nil {
 		return nil
 	}
-	return &drains{core: c, settings: settings, policy: drain.NewPolicy(settings), permitCommitInFlight: map[string]bool{},
-		evictingSince: map[string]monotime.Micros{}, unpermittedLosses: map[lossCause]int{}}
+	return &drains{
+		core:                 c,
+		settings:             settings,
+		policy:               drain.NewPolicy(settings),
+		permitCommitInFlight: map[string]bool{},
+		evictingSince:        map[string]monotime.Micros{},
+		unpermittedLosses:    map[lossCause]int{},
+	}
 }
 
 // tracksStart tells whether it is recorded of a job's attempts whether they run.
 func (d *drains) tracksStart(spec *storage.JobSpec) bool { return d != nil && spec.Service }
 
 // protectsFromPreemption tells whether a job's tasks aren't stopped to make room for others.
-func (d *drains) protectsFromPreemption(job *Job) bool {
-	return d != nil && job.Record.Spec.Service && d.policy.Budgeted(job.Record.Spec.Team, job.Record.Spec.Class)
+func (d *drains) protectsFromPreemption(job *mirror.Job) bool {
+	return d != nil && job.Record.Spec.Service &&
+		d.policy.Budgeted(job.Record.Spec.Team, job.Record.Spec.Class)
 }
 
 // drainCovering gives the unfinished drain that a machine belongs to.
-func (d *drains) drainCovering(machine *Machine) (*storage.Drain, bool) {
+func (d *drains) drainCovering(machine *mirror.Machine) (*storage.Drain, bool) {
 	if d == nil || machine.Record == nil {
 		return nil, false
 	}
 	for _, name := range sortedmap.Keys(d.core.mirror.Drains) {
 		rec := d.core.mirror.Drains[name].Record
-		if rec.State.Unfinished() && drain.Covers(&rec, machine.ID, machine.Record.Type, machine.Record.Zone, machine.Record.Spot) {
+		if rec.State.Unfinished() &&
+			drain.Covers(&rec, machine.ID, machine.Record.Type, machine.Record.Zone, machine.Record.Spot) {
 			return &rec, true
 		}
 	}
@@ -70,7 +80,7 @@
 }
 
 // isCordoned tells whether a machine gets no new tasks because of a drain.
-func (d *drains) isCordoned(machine *Machine) bool {
+func (d *drains) isCordoned(machine *mirror.Machine) bool {
 	_, covered := d.drainCovering(machine)
 	return covered
 }
@@ -89,7 +99,7 @@
 }
 
 // mayScaleIn tells whether a drained machine that has been empty for so long is to be given back.
-func (d *drains) mayScaleIn(machine *Machine, empty monotime.Micros) bool {
+func (d *drains) mayScaleIn(machine *mirror.Machine, empty monotime.Micros) bool {
 	rec, covered := d.drainCovering(machine)
 	if !covered || rec.State == storage.DrainPaused {
 		return false
@@ -104,7 +114,8 @@
 		return
 	}
 	c := d.core
-	if c.store.unavailable || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) || now-c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+	if c.store.unavailable || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) ||
+		now-c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	snapshot := c.drainSnapshot()
@@ -159,8 +170,9 @@
 // stopReplica uses a permit that stands.
 func (d *drains) stopReplica(permit storage.Permit) {
 	machine := d.core.mirror.Machines[permit.From]
-	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
-	if machine == nil || d.core.agents.agentOf(machine) == nil || d.core.agents.agentOf(machine).StoppingAttempts[key] {
+	key := AttemptID{mirror.TaskID{Job: permit.Job, Index: permit.Task}, permit.Attempt}
+	if machine == nil || d.core.agents.agentOf(machine) == nil ||
+		d.core.agents.agentOf(machine).StoppingAttempts[key] {
 		return
 	}
 	d.core.agents.agentOf(machine).StoppingAttempts[key] = true
@@ -174,15 +186,17 @@
 // seen our claim, which outranks every command of the owners before us.
 func (d *drains) permitUnused(permit storage.Permit) bool {
 	machine := d.core.mirror.Machines[permit.From]
-	key := AttemptID{TaskID{permit.Job, permit.Task}, permit.Attempt}
+	key := AttemptID{mirror.TaskID{Job: permit.Job, Index: permit.Task}, permit.Attempt}
 	if machine == nil || d.core.agents.agentOf(machine) == nil {
 		return false
 	}
 	agent := d.core.agents.agentOf(machine)
-	if told := agent.SentCommands[key]; agent.StoppingAttempts[key] || agent.HasOutcome(key) || told != nil && told.KillToken != 0 {
+	if told := agent.SentCommands[key]; agent.StoppingAttempts[key] || agent.HasOutcome(key) ||
+		told != nil && told.KillToken != 0 {
 		return false
 	}
-	return agent.ClaimAcknowledged && agent.AcknowledgedToken >= agent.BaseToken() && agent.ReportedAttempts[key].State == protocol.StateRunning
+	return agent.ClaimAcknowledged && agent.AcknowledgedToken >= agent.BaseToken() &&
+		agent.ReportedAttempts[key].State == protocol.StateRunning
 }
 
 // writePermits writes what changes of one team's permits: one commit a team, spaced.
@@ -249,7 +263,15 @@
 		switch result.Outcome {
 		case protocol.OK:
 			c.counters.permitWrites++
-			c.log.Debug("eviction permits committed", "team", team, "granted", len(granted), "ended", len(ended))
+			c.log.Debug(
+				"eviction permits committed",
+				"team",
+				team,
+				"granted",
+				len(granted),
+				"ended",
+				len(ended),
+			)
 		case protocol.Rejected:
 			c.log.Error("eviction permits rejected by state service", "team", team)
 		}
@@ -277,12 +299,15 @@
 }
 
 // evictUnpermittedOn stops what needs no permit on a machine.
-func (d *drains) evictUnpermittedOn(machine *Machine, startedAt, now monotime.Micros) {
+func (d *drains) evictUnpermittedOn(machine *mirror.Machine, startedAt, now monotime.Micros) {
 	stopped := 0
 	for task, attempt := range machine.Attempts {
 		key := AttemptID{task, attempt}
 		job := d.core.mirror.Jobs[task.Job]
-		if job == nil || !job.IsOpen() || d.core.agents.agentOf(machine).StoppingAttempts[key] || d.core.agents.agentOf(machine).HasOutcome(key) || d.needsPermit(job) || d.endsSoon(machine, key, job, startedAt, now) {
+		if job == nil || !job.IsOpen() || d.core.agents.agentOf(machine).StoppingAttempts[key] ||
+			d.core.agents.agentOf(machine).HasOutcome(key) ||
+			d.needsPermit(job) ||
+			d.endsSoon(machine, key, job, startedAt, now) {
 			continue
 		}
 		d.core.agents.agentOf(machine).StoppingAttempts[key] = true
@@ -295,13 +320,18 @@
 }
 
 // needsPermit tells whether a job's tasks are stopped under permits only.
-func (d *drains) needsPermit(job *Job) bool {
+func (d *drains) needsPermit(job *mirror.Job) bool {
 	return job.Record.Spec.Service && !d.core.scheduler.isCrashLooping(job)
 }
 
 // endsSoon tells whether an array task is expected to end soon. An estimate that was
 // wrong is believed for twice the time.
-func (d *drains) endsSoon(machine *Machine, key AttemptID, job *Job, startedAt, now monotime.Micros) bool {
+func (d *drains) endsSoon(
+	machine *mirror.Machine,
+	key AttemptID,
+	job *mirror.Job,
+	startedAt, now monotime.Micros,
+) bool {
 	at, running := d.core.agents.agentOf(machine).RunningSince[key]
 	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
 		return false
@@ -313,7 +343,7 @@
 // updateStartingMarks keeps the marks of a machine's replicas true: one that the worker doesn't report
 // as running is starting, one that has run for long enough isn't. It tells whether anything
 // has changed.
-func (d *drains) updateStartingMarks(next *storage.Shard, machine *Machine, now monotime.Micros) bool {
+func (d *drains) updateStartingMarks(next *storage.Shard, machine *mirror.Machine, now monotime.Micros) bool {
 	if d == nil {
 		return false
 	}
@@ -331,7 +361,8 @@
 		if !ok || held.Number != attempt || held.Machine != machine.ID {
 			continue
 		}
-		if starting := d.countsAsStarting(agent, AttemptID{task, attempt}, held.Starting, now); starting != held.Starting && d.markFits(next, starting) {
+		if starting := d.countsAsStarting(agent, AttemptID{task, attempt}, held.Starting, now); starting != held.Starting &&
+			d.markFits(next, starting) {
 			next.MarkStarting(task.Job, task.Index, starting)
 			changed = true
 		}
@@ -370,8 +401,15 @@
 			Then: []protocol.Op{operation},
 		}, func(result protocol.StoreResult) {
 			if result.Outcome == protocol.OK && next != nil {
-				d.core.log.Info("drain state changed", "drain", record.Name, "drain_state", string(next.State),
-					"reason", next.Reason)
+				d.core.log.Info(
+					"drain state changed",
+					"drain",
+					record.Name,
+					"drain_state",
+					string(next.State),
+					"reason",
+					next.Reason,
+				)
 			}
 		})
 	}
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -6,6 +6,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
@@ -30,7 +31,12 @@
 
 // newDrainScenario starts a fleet with three teams' services; two have budgets.
 func newDrainScenario(t testing.TB, seed uint64) *drainScenario {
-	s := &drainScenario{cluster: newCluster(t, seed), floors: map[string]int{}, services: map[string]int{}, lowestRunning: map[string]int{}}
+	s := &drainScenario{
+		cluster:       newCluster(t, seed),
+		floors:        map[string]int{},
+		services:      map[string]int{},
+		lowestRunning: map[string]int{},
+	}
 	s.teams = []config.Team{{Name: "intake"}, {Name: "payout"}, {Name: "other"}}
 	for offer := range s.cloud.Capacity {
 		s.cloud.Capacity[offer] = 40
@@ -61,7 +67,13 @@
 // submitService has a service accepted and waits until all of its replicas run.
 func (s *drainScenario) submitService(team string, replicas int, options ...jobOption) string {
 	s.t.Helper()
-	usual := jobWith(withService(true), withTasks(replicas), withTeam(team), withPriority(protocol.Production), withCPUs(2))
+	usual := jobWith(
+		withService(true),
+		withTasks(replicas),
+		withTeam(team),
+		withPriority(protocol.Production),
+		withCPUs(2),
+	)
 	id, body := s.newSubmission(usual, jobWith(options...))
 	s.fleet.Jobs[id] = serviceInfo(team, body.CPUs)
 	s.services[id] = replicas
@@ -74,7 +86,13 @@
 
 // serviceInfo is what a worker knows of a service: it fetches an image and saves when it stops.
 func serviceInfo(team string, cpus float64) fake.JobBehavior {
-	return fake.JobBehavior{Team: team, CPUs: cpus, Service: true, PullTime: 2 * second, CheckpointTime: second / 2}
+	return fake.JobBehavior{
+		Team:           team,
+		CPUs:           cpus,
+		Service:        true,
+		PullTime:       2 * second,
+		CheckpointTime: second / 2,
+	}
 }
 
 // startServices starts everything and waits until all replicas run.
@@ -102,14 +120,18 @@
 // checkStop looks at every stop of a replica by a command: whatever was lost before, it must
 // leave the team at its floor.
 func (s *drainScenario) checkStop(task string, worker *fake.Worker) {
-	ref, _ := ParseTaskID(task)
+	ref, _ := mirror.ParseTaskID(task)
 	if s.fleet.Jobs[ref.Job].Service {
 		s.stoppedReplicas++
 	}
 	team := s.fleet.Jobs[ref.Job].Team
-	if floor, budgeted := s.floors[team]; budgeted && s.fleet.Jobs[ref.Job].Service && s.fleet.RunningReplicas(team) < floor {
-		s.stopsBelowFloor = append(s.stopsBelowFloor, fmt.Sprintf("%.1f s: %s is stopped on %s, %s runs %d, floor %d",
-			s.sim.Now().Seconds(), task, worker.Machine.ID, team, s.fleet.RunningReplicas(team), floor))
+	if floor, budgeted := s.floors[team]; budgeted && s.fleet.Jobs[ref.Job].Service &&
+		s.fleet.RunningReplicas(team) < floor {
+		s.stopsBelowFloor = append(
+			s.stopsBelowFloor,
+			fmt.Sprintf("%.1f s: %s is stopped on %s, %s runs %d, floor %d",
+				s.sim.Now().Seconds(), task, worker.Machine.ID, team, s.fleet.RunningReplicas(team), floor),
+		)
 	}
 }
 
@@ -139,7 +161,10 @@
 			s.lowestRunning[team] = n
 		}
 		if n < s.floors[team] {
-			s.floorViolations = append(s.floorViolations, fmt.Sprintf("%.0f s: %s runs %d, floor %d", s.sim.Now().Seconds(), team, n, s.floors[team]))
+			s.floorViolations = append(
+				s.floorViolations,
+				fmt.Sprintf("%.0f s: %s runs %d, floor %d", s.sim.Now().Seconds(), team, n, s.floors[team]),
+			)
 		}
 	}
 	s.sim.After(sampleInterval, s.sample)
@@ -148,7 +173,11 @@
 // commit makes a change as an operator's command does.
 func (s *drainScenario) commit(txn protocol.Transaction) protocol.StoreResult {
 	var result *protocol.StoreResult
-	s.store.Call("operator", &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: 2 * second}, func(r protocol.StoreResult) { result = &r })
+	s.store.Call(
+		"operator",
+		&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: 2 * second},
+		func(r protocol.StoreResult) { result = &r },
+	)
 	s.sim.RunUntil(3*second, func() bool { return result != nil })
 	return *result
 }
@@ -158,7 +187,9 @@
 	s.t.Helper()
 	key := storage.Key(storage.KindDrain, name)
 	for range 60 {
-		if s.commit(protocol.Transaction{Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&d)}}}).Outcome == protocol.OK {
+		if s.commit(
+			protocol.Transaction{Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&d)}}},
+		).Outcome == protocol.OK {
 			return
 		}
 		s.sim.Run(second)
@@ -169,8 +200,11 @@
 // drainZone starts a drain of a zone with replacement.
 func (s *drainScenario) drainZone(name, zone string) {
 	s.t.Helper()
-	s.putDrain(name, storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone}, Replace: true,
-		MaxParallel: 4, StartedAt: int64(s.sim.Now())})
+	s.putDrain(
+		name,
+		storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone}, Replace: true,
+			MaxParallel: 4, StartedAt: int64(s.sim.Now())},
+	)
 }
 
 func (s *drainScenario) drainState(name string) storage.DrainState {
@@ -184,7 +218,14 @@
 	s.t.Helper()
 	ended := func() bool { return s.drainState(name) != storage.DrainActive && s.allReplicasRun() }
 	if !s.sim.RunUntil(within, ended) {
-		s.t.Errorf("drain %s is %s after %v s, running %v, in zone a %v", name, s.drainState(name), within.Seconds(), s.runningByTeam(), s.machinesInZone("a"))
+		s.t.Errorf(
+			"drain %s is %s after %v s, running %v, in zone a %v",
+			name,
+			s.drainState(name),
+			within.Seconds(),
+			s.runningByTeam(),
+			s.machinesInZone("a"),
+		)
 		for _, node := range s.nodeNames {
 			if core := s.nodes[node].controller; core != nil {
 				d := core.drains.policy.Decide(core.drainSnapshot(), core.drains.controller())
--- a/internal/coordination/durations.go
+++ b/internal/coordination/durations.go
@@ -34,16 +34,26 @@
 // platformDurations is what follows from the platform's report interval, lease and cancellation time.
 type platformDurations struct {
 	heartbeatInterval, workerLease, cancellationDeadline monotime.Micros
-	membershipTTL                                        monotime.Micros // how long a controller stays a member without renewing
-	suspicionTimeout                                     monotime.Micros // silence of a machine that says that something is wrong: three reports
-	placementSilenceLimit                                monotime.Micros // silence up to which a machine gets new tasks: two reports
-	leaseExpiryProof                                     monotime.Micros // after so long without an answer a worker's lease has surely ended
-	renewalWindow                                        monotime.Micros // age of the knowledge of cancellations up to which leases are renewed
-	adoptionDelay                                        monotime.Micros // a worker that has come to us for so long has lost its owner
+	// how long a controller stays a member without renewing
+	membershipTTL monotime.Micros
+	// silence of a machine that says that something is wrong: three reports
+	suspicionTimeout monotime.Micros
+	// silence up to which a machine gets new tasks: two reports
+	placementSilenceLimit monotime.Micros
+	// after so long without an answer a worker's lease has surely ended
+	leaseExpiryProof monotime.Micros
+	// age of the knowledge of cancellations up to which leases are renewed
+	renewalWindow monotime.Micros
+	// a worker that has come to us for so long has lost its owner
+	adoptionDelay monotime.Micros
 }
 
 func newPlatformDurations(w config.Workers) platformDurations {
-	d := platformDurations{heartbeatInterval: monotime.FromSeconds(w.HeartbeatIntervalS), workerLease: monotime.FromSeconds(w.LeaseS), cancellationDeadline: monotime.FromSeconds(w.CancelWithinS)}
+	d := platformDurations{
+		heartbeatInterval:    monotime.FromSeconds(w.HeartbeatIntervalS),
+		workerLease:          monotime.FromSeconds(w.LeaseS),
+		cancellationDeadline: monotime.FromSeconds(w.CancelWithinS),
+	}
 	d.membershipTTL = min(max(d.workerLease/2, minMembershipTTL), maxMembershipTTL)
 	d.suspicionTimeout = 3*d.heartbeatInterval + monotime.Second/2
 	d.placementSilenceLimit = 2*d.heartbeatInterval + monotime.Second
--- a/internal/coordination/durations_test.go
+++ b/internal/coordination/durations_test.go
@@ -25,7 +25,12 @@
 	} {
 		derived := newPlatformDurations(tc.workers)
 		if derived.membershipTTL.Seconds() != tc.membership || derived.renewalWindow.Seconds() != tc.renewal {
-			t.Errorf("%s: membership %v s, renewal %v s", tc.name, derived.membershipTTL.Seconds(), derived.renewalWindow.Seconds())
+			t.Errorf(
+				"%s: membership %v s, renewal %v s",
+				tc.name,
+				derived.membershipTTL.Seconds(),
+				derived.renewalWindow.Seconds(),
+			)
 		}
 		warned := derived.warnings()
 		if len(warned) != len(tc.warned) {
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
@@ -15,8 +16,9 @@
 
 // Bounds of the judgement.
 const (
-	jobFaultMachines       = 3                    // machines that a job has failed on, with nothing completed
-	machineFaultFailures   = 2                    // failures that a machine has had since something completed there
+	jobFaultMachines = 3 // machines that a job has failed on, with nothing completed
+	// failures that a machine has had since something completed there
+	machineFaultFailures   = 2
 	healthyReplicaAfter    = 10 * monotime.Second // a service that has run for so long has no mistake
 	maxReportedFailingJobs = 64                   // jobs that a hint tells of
 )
@@ -62,7 +64,7 @@
 }
 
 // isCrashLooping tells whether an open job is held to an occasional try.
-func (sc *scheduler) isCrashLooping(job *Job) bool {
+func (sc *scheduler) isCrashLooping(job *mirror.Job) bool {
 	return sc.attributeFailures(job.ID) == jobAtFault && job.IsOpen()
 }
 
@@ -87,7 +89,7 @@
 }
 
 // recordFailure learns from a task that failed.
-func (sc *scheduler) recordFailure(machine *Machine, job *Job) {
+func (sc *scheduler) recordFailure(machine *mirror.Machine, job *mirror.Job) {
 	sc.c.agents.agentOf(machine).FailuresByJob[job.ID]++
 	tracking := sc.trackingOf(job.ID)
 	tracking.lastFailureAt = sc.c.now()
@@ -101,7 +103,7 @@
 }
 
 // clearFailuresOn takes back what a faulty machine's failures have said of jobs.
-func (sc *scheduler) clearFailuresOn(machine *Machine) {
+func (sc *scheduler) clearFailuresOn(machine *mirror.Machine) {
 	for id := range sc.c.agents.agentOf(machine).FailuresByJob {
 		if tracking := sc.jobStates[id]; tracking != nil && tracking.excludedMachines[machine.ID] {
 			delete(tracking.excludedMachines, machine.ID)
@@ -113,7 +115,7 @@
 
 // crashLoopTrials tells how many tasks of a job that fails everywhere may be placed now: one
 // at a time, the next after a pause that grows.
-func (sc *scheduler) crashLoopTrials(job *Job, now monotime.Micros) int {
+func (sc *scheduler) crashLoopTrials(job *mirror.Job, now monotime.Micros) int {
 	tracking := sc.trackingOf(job.ID)
 	if tracking.backoffDelay == 0 { // learned from another controller
 		tracking.backOff(now, sc.c.settings)
@@ -130,7 +132,7 @@
 // mayScaleOutForTrial tells whether a machine may be rented for a try of a job that fails everywhere,
 // if there is no room at all: once in the longest pause. It may be the machines' fault
 // after all, and where nothing else keeps any it would wait for ever.
-func (sc *scheduler) mayScaleOutForTrial(job *Job, now monotime.Micros) bool {
+func (sc *scheduler) mayScaleOutForTrial(job *mirror.Job, now monotime.Micros) bool {
 	at := sc.trackingOf(job.ID).trialDemandAt
 	return job.AssignedTasks == 0 && (at == 0 || now-at >= sc.c.settings.BackoffMax.Micros())
 }
@@ -140,7 +142,8 @@
 	var out map[string]int
 	for _, id := range sortedmap.Keys(sc.jobStates) {
 		n := sc.jobStates[id].failedMachines
-		if job := sc.c.mirror.Jobs[id]; n == 0 || job == nil || !job.IsOpen() || job.DoneTasks > 0 || len(out) >= maxReportedFailingJobs {
+		if job := sc.c.mirror.Jobs[id]; n == 0 || job == nil || !job.IsOpen() || job.DoneTasks > 0 ||
+			len(out) >= maxReportedFailingJobs {
 			continue
 		}
 		if out == nil {
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -26,7 +26,11 @@
 	mr.Results.Add("dropped", storage.JobCancelled)
 	core.scheduler.trackingOf("here").failedMachines = 3
 	core.scheduler.trackingOf("others").failedMachines = 1
-	core.peerStatuses.status("n-1").failingJobs, core.peerStatuses.status("n-2").failingJobs = map[string]int{"others": 1}, map[string]int{"others": 1}
+	core.peerStatuses.status("n-1").failingJobs, core.peerStatuses.status("n-2").failingJobs = map[string]int{
+		"others": 1,
+	}, map[string]int{
+		"others": 1,
+	}
 	for _, tc := range []struct {
 		name             string
 		failures         map[string]int
@@ -79,7 +83,8 @@
 			c.sim.Run(2 * second)
 			sick, moved := map[string]bool{}, 0
 			for _, id := range sortedmap.Keys(c.fleet.Workers) {
-				if worker := c.fleet.Workers[id]; len(sick) < tc.sick && !worker.Machine.Gone && len(worker.Attempts) < 4 {
+				if worker := c.fleet.Workers[id]; len(sick) < tc.sick && !worker.Machine.Gone &&
+					len(worker.Attempts) < 4 {
 					worker.FailsTasks, sick[id] = true, true
 					for task := range worker.Attempts {
 						if jobIDOfTask(task) == keep {
@@ -177,8 +182,8 @@
 	c.requireNoViolations()
 }
 
-// TestCrashLoopingJobIsRetriedOnNewMachine: a job that failed on all machines there were is tried again though none
-// is left and nothing else would have any rented: it may have been the machines.
+// TestCrashLoopingJobIsRetriedOnNewMachine: a job that failed on all machines there were is tried again
+// though none is left and nothing else would have any rented: it may have been the machines.
 func TestCrashLoopingJobIsRetriedOnNewMachine(t *testing.T) {
 	c := newCluster(t, 960)
 	c.settings.ScaleDownDelay, c.settings.ServiceHeadroom = config.Duration(5*second), 0.3
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -266,7 +266,8 @@
 	return fault{at, "cancellations of " + team, func(s *scenario) {
 		left := n
 		for _, u := range s.users {
-			if left > 0 && u.accepted && !u.finished && !u.cancelling && s.fleet.Jobs[u.id].Team == team && s.checker.LiveAttempts(u.id) > 0 {
+			if left > 0 && u.accepted && !u.finished && !u.cancelling && s.fleet.Jobs[u.id].Team == team &&
+				s.checker.LiveAttempts(u.id) > 0 {
 				left--
 				for _, worker := range s.machinesOf(u.id) {
 					if hangFor > 0 && !worker.Paused {
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -61,9 +61,16 @@
 // submitLongArrays submits long arrays of as many CPUs as the machines have.
 func (c *cluster) submitLongArrays(machines int) {
 	for i := range machines / 10 {
-		c.submitWithRetry(300*second, withClass("long"), withTeam(fmt.Sprint("team", i%6)), withTasks(40), withCPUs(4),
+		c.submitWithRetry(
+			300*second,
+			withClass("long"),
+			withTeam(fmt.Sprint("team", i%6)),
+			withTasks(40),
+			withCPUs(4),
 			withMemoryGB(8),
-			withEstimateS(300), withSpot(true))
+			withEstimateS(300),
+			withSpot(true),
+		)
 	}
 }
 
@@ -139,10 +146,10 @@
 	return unknown
 }
 
-// TestCostsPerMachineDoNotGrowWithFleet: what a machine costs in changes, requests and shards doesn't grow with the
-// fleet, nor does what a task costs in commands and machines looked at, and no message or
-// value does, up to 4,200 machines. With 4,200 a task had 270 machines looked at, when samples
-// of full machines were followed by a look at all of them, for each task.
+// TestCostsPerMachineDoNotGrowWithFleet: what a machine costs in changes, requests and shards doesn't grow
+// with the fleet, nor does what a task costs in commands and machines looked at, and no message or value
+// does, up to 4,200 machines. With 4,200 a task had 270 machines looked at, when samples of full machines
+// were followed by a look at all of them, for each task.
 func TestCostsPerMachineDoNotGrowWithFleet(t *testing.T) {
 	sizes := []int{500, 1000, 2000, 4200}
 	var base map[string]float64
@@ -154,10 +161,21 @@
 				t.Errorf("only %d machines", got.machines)
 			}
 			if got.running < got.services*95/100 || got.unanswered > 0 {
-				t.Errorf("%d of %d services run, %d jobs are unknown", got.running, got.services, got.unanswered)
+				t.Errorf(
+					"%d of %d services run, %d jobs are unknown",
+					got.running,
+					got.services,
+					got.unanswered,
+				)
 			}
-			if got.largestValueBytes > 4096 || got.largestHeartbeatBytes > 64<<10 || got.largestReplyBytes > 64<<10 {
-				t.Errorf("largest value %d, report %d, response %d bytes", got.largestValueBytes, got.largestHeartbeatBytes, got.largestReplyBytes)
+			if got.largestValueBytes > 4096 || got.largestHeartbeatBytes > 64<<10 ||
+				got.largestReplyBytes > 64<<10 {
+				t.Errorf(
+					"largest value %d, report %d, response %d bytes",
+					got.largestValueBytes,
+					got.largestHeartbeatBytes,
+					got.largestReplyBytes,
+				)
 			}
 			if got.machinesExamined > 100*got.tasksPlaced {
 				t.Errorf("%d machines looked at for %d tasks", got.machinesExamined, got.tasksPlaced)
--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -20,8 +20,14 @@
 	for _, node := range c.nodeNames {
 		c.nodes[node] = &simController{cluster: c, name: node}
 	}
-	c.teams = []config.Team{{Name: "free", CPUs: 1000, CPUsMax: 3500}, {Name: "tight", CPUs: 800, CPUsMax: 2500}, {Name: "third", CPUs: 800, CPUsMax: 3500}}
-	c.settings.ScaleDownDelay, c.settings.ExpectedCapacity, c.settings.ExpectedOnDemandCapacity = config.Duration(15*second), 0.2, 1.75
+	c.teams = []config.Team{
+		{Name: "free", CPUs: 1000, CPUsMax: 3500},
+		{Name: "tight", CPUs: 800, CPUsMax: 2500},
+		{Name: "third", CPUs: 800, CPUsMax: 3500},
+	}
+	c.settings.ScaleDownDelay, c.settings.ExpectedCapacity, c.settings.ExpectedOnDemandCapacity = config.Duration(
+		15*second,
+	), 0.2, 1.75
 	c.settings.OverdueBootFactor, c.settings.ServiceHeadroom = 0.75, 0.3
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
@@ -40,17 +46,23 @@
 	var try func()
 	try = func() {
 		settled := false
-		c.sendRequest(c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))], "POST", protocol.JobsPath, body, func(response Response) {
-			if settled {
-				return
-			}
-			settled = true
-			if response.Status != 200 && response.Status != 201 {
-				c.sim.After(second, try)
-			} else if c.onAccepted != nil {
-				c.onAccepted(id)
-			}
-		})
+		c.sendRequest(
+			c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))],
+			"POST",
+			protocol.JobsPath,
+			body,
+			func(response Response) {
+				if settled {
+					return
+				}
+				settled = true
+				if response.Status != 200 && response.Status != 201 {
+					c.sim.After(second, try)
+				} else if c.onAccepted != nil {
+					c.onAccepted(id)
+				}
+			},
+		)
 		c.sim.After(5*second, func() {
 			if !settled {
 				settled = true
@@ -73,9 +85,17 @@
 	c.sim.Run(3 * second)
 	teams := []string{"free", "tight", "third"}
 	for i := 0; i < 400; i++ {
-		c.submitWithRetry(0, withTeam(teams[i%3]), withService(true), withPriority(protocol.High), withCPUs(1),
+		c.submitWithRetry(
+			0,
+			withTeam(teams[i%3]),
+			withService(true),
+			withPriority(protocol.High),
+			withCPUs(1),
 			withMemoryGB(6),
-			withImage(fmt.Sprint("svc", i%16)), withImageGB(1.8), withEstimateS(0))
+			withImage(fmt.Sprint("svc", i%16)),
+			withImageGB(1.8),
+			withEstimateS(0),
+		)
 	}
 	arrays := func(n int) {
 		for i := 0; i < n; i++ {
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -53,9 +54,23 @@
 	if am.c.log.Enabled(context.Background(), slog.LevelDebug) {
 		reply := respond
 		respond = func(response Response) {
-			am.c.log.Debug("heartbeat", "machine", report.Machine, "agent_incarnation", report.Incarnation, "seq", report.Sequence,
-				"fencing_token", report.FencingToken, "tasks", len(report.Tasks), "status", response.Status,
-				"waited_ms", (am.c.now() - now).Milliseconds())
+			am.c.log.Debug(
+				"heartbeat",
+				"machine",
+				report.Machine,
+				"agent_incarnation",
+				report.Incarnation,
+				"seq",
+				report.Sequence,
+				"fencing_token",
+				report.FencingToken,
+				"tasks",
+				len(report.Tasks),
+				"status",
+				response.Status,
+				"waited_ms",
+				(am.c.now() - now).Milliseconds(),
+			)
 			reply(response)
 		}
 	}
@@ -78,7 +93,11 @@
 // recordOrphanContact notes a worker of another partition, and tells when this run of visits began. A
 // new claim begins it anew: an owner that was gone for a moment and has claimed its
 // machines again must have the time to be found by them.
-func (am *agentManager) recordOrphanContact(id string, claimNumber uint64, now monotime.Micros) monotime.Micros {
+func (am *agentManager) recordOrphanContact(
+	id string,
+	claimNumber uint64,
+	now monotime.Micros,
+) monotime.Micros {
 	contact := am.orphanContacts[id]
 	if contact == nil || now-contact.lastAt > 20*monotime.Second || contact.claimNumber != claimNumber {
 		contact = &orphanContact{firstAt: now, claimNumber: claimNumber}
@@ -92,7 +111,12 @@
 // node that answers; one that comes to us has lost its owner, unless this is a
 // copy of an old report. We take the machine over if its owner can't be the one
 // who will be back for it in a moment, and the worker itself confirms its report.
-func (am *agentManager) handleOrphanedWorker(machine *Machine, report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
+func (am *agentManager) handleOrphanedWorker(
+	machine *mirror.Machine,
+	report *protocol.Heartbeat,
+	respond func(Response),
+	now monotime.Micros,
+) {
 	owner := machine.Owner()
 	member, live := am.c.mirror.Members[owner]
 	firstContactAt := am.recordOrphanContact(machine.ID, machine.Claim(), now)
@@ -118,14 +142,20 @@
 		// needn't be sent there again, its lease may not last for another round. One
 		// that goes round because its owner was gone for a moment must find it: that
 		// the owner has spoken to it since doesn't tell that it reports there.
-		if now-firstContactAt > am.c.durations.adoptionDelay || report.FencingToken >= machine.Claim()<<32 && now-am.c.shards.claimsObserved[machine.Shard.Name].observedAt > am.c.durations.workerLease {
+		if now-firstContactAt > am.c.durations.adoptionDelay ||
+			report.FencingToken >= machine.Claim()<<32 &&
+				now-am.c.shards.claimsObserved[machine.Shard.Name].observedAt > am.c.durations.workerLease {
 			// If it crashed just now, all its machines come, and it is back before they
 			// would all have changed their shards: so its next word is waited for.
 			claimNumber := machine.Claim()
 			am.c.env.After(slowTickInterval+2*fastTickInterval, func() {
 				machine := am.c.mirror.Machines[report.Machine]
 				silent := am.c.peerStatuses.status(owner).lastHeardAt <= now
-				if silent && !am.mustAdoptBeforeLeaseEnds(owner, am.c.now()) || machine == nil || machine.Record == nil || am.agentOf(machine) != nil || machine.Claim() != claimNumber || machine.Owner() != owner {
+				if silent && !am.mustAdoptBeforeLeaseEnds(owner, am.c.now()) || machine == nil ||
+					machine.Record == nil ||
+					am.agentOf(machine) != nil ||
+					machine.Claim() != claimNumber ||
+					machine.Owner() != owner {
 					respond(am.redirectResponse(""))
 					return
 				}
@@ -150,7 +180,11 @@
 
 // takeOverMachine has a machine of another partition claimed by us, if its worker itself confirms
 // its report.
-func (am *agentManager) takeOverMachine(machine *Machine, report *protocol.Heartbeat, respond func(Response)) {
+func (am *agentManager) takeOverMachine(
+	machine *mirror.Machine,
+	report *protocol.Heartbeat,
+	respond func(Response),
+) {
 	fromShard, owner := machine.Shard, machine.Owner()
 	am.verifyReport(report, true, func(ok bool) {
 		if !ok {
@@ -185,24 +219,35 @@
 		}
 	}
 	unheard := am.c.reachability.silentFor(owner, now)
-	return unheard > am.c.durations.membershipTTL || unheard+round > am.c.durations.workerLease-am.c.durations.heartbeatInterval
+	return unheard > am.c.durations.membershipTTL ||
+		unheard+round > am.c.durations.workerLease-am.c.durations.heartbeatInterval
 }
 
 // verifyReport asks a worker itself whether it stands where a report says. Copies of
 // reports come late, and a machine may be heard that can't be reached: neither may
 // cause a claim. exact: nothing may have passed since.
-func (am *agentManager) verifyReport(report *protocol.Heartbeat, requireNextSequence bool, callback func(ok bool)) {
+func (am *agentManager) verifyReport(
+	report *protocol.Heartbeat,
+	requireNextSequence bool,
+	callback func(ok bool),
+) {
 	am.c.env.SendCommands(report.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
 		current := &result.Heartbeat
-		callback(result.Status == 200 && current.Machine == report.Machine && current.Incarnation == report.Incarnation && current.Sequence > report.Sequence &&
-			(!requireNextSequence || current.Sequence <= report.Sequence+1))
+		callback(
+			result.Status == 200 && current.Machine == report.Machine && current.Incarnation == report.Incarnation && current.Sequence > report.Sequence &&
+				(!requireNextSequence || current.Sequence <= report.Sequence+1),
+		)
 	})
 }
 
 // requestClaim has a machine taken into our shards by the next pass; from is the shard of
 // another partition that it stands in. Without one, and in a shard already, it waits for
 // the claim that is on its way.
-func (am *agentManager) requestClaim(report *protocol.Heartbeat, fromShard *Shard, respond func(Response)) {
+func (am *agentManager) requestClaim(
+	report *protocol.Heartbeat,
+	fromShard *mirror.Shard,
+	respond func(Response),
+) {
 	pendingClaim := am.c.shards.claimRequests[report.Machine]
 	if pendingClaim == nil {
 		pendingClaim = &claimRequest{requestedAt: am.c.now()}
@@ -210,11 +255,14 @@
 	}
 	pendingClaim.report, pendingClaim.fromShard = *report, fromShard
 	pendingClaim.callbacks = append(pendingClaim.callbacks, func(ok bool) {
-		if machine := am.c.mirror.Machines[report.Machine]; ok && machine != nil && am.agentOf(machine) != nil {
+		if machine := am.c.mirror.Machines[report.Machine]; ok && machine != nil &&
+			am.agentOf(machine) != nil {
 			respond(am.answerHeartbeat(machine, report))
 			return
 		}
-		if machine := am.c.mirror.Machines[report.Machine]; machine != nil && machine.Record != nil && machine.Owner() != am.c.node && am.c.membership.isMember(machine.Owner()) {
+		if machine := am.c.mirror.Machines[report.Machine]; machine != nil && machine.Record != nil &&
+			machine.Owner() != am.c.node &&
+			am.c.membership.isMember(machine.Owner()) {
 			respond(am.redirectResponse(machine.Owner()))
 			return
 		}
@@ -224,7 +272,7 @@
 }
 
 // designatedController names the controller that may claim a machine that comes up.
-func (am *agentManager) designatedController(request *ScaleOutEntry, id string) string {
+func (am *agentManager) designatedController(request *mirror.ScaleOutEntry, id string) string {
 	if to := request.Record.Own[id]; to != "" {
 		return to
 	}
@@ -232,7 +280,11 @@
 }
 
 // handleUnclaimedWorker answers a worker whose machine no part has claimed yet.
-func (am *agentManager) handleUnclaimedWorker(report *protocol.Heartbeat, respond func(Response), now monotime.Micros) {
+func (am *agentManager) handleUnclaimedWorker(
+	report *protocol.Heartbeat,
+	respond func(Response),
+	now monotime.Micros,
+) {
 	name := am.c.mirror.ScaleOutOfMachine[report.Machine]
 	request := am.c.mirror.ScaleOuts[name]
 	if request == nil {
@@ -297,10 +349,13 @@
 }
 
 // answerHeartbeat applies a worker's check-in and gives the answer.
-func (am *agentManager) answerHeartbeat(machine *Machine, report *protocol.Heartbeat) Response {
+func (am *agentManager) answerHeartbeat(machine *mirror.Machine, report *protocol.Heartbeat) Response {
 	agent := am.agentOf(machine)
 	now := am.c.now()
-	if report.Incarnation < agent.LastHeartbeatIncarnation || report.Incarnation == agent.LastHeartbeatIncarnation && report.Sequence <= agent.LastHeartbeatSequence || report.Incarnation < agent.Incarnation {
+	if report.Incarnation < agent.LastHeartbeatIncarnation ||
+		report.Incarnation == agent.LastHeartbeatIncarnation &&
+			report.Sequence <= agent.LastHeartbeatSequence ||
+		report.Incarnation < agent.Incarnation {
 		return errorResponse(503, "seen before") // a late copy
 	}
 	sincePrevious := now - agent.LastHeartbeatAt
@@ -316,7 +371,9 @@
 		agent.UnacknowledgedHeartbeats = 0
 	}
 	commands := am.nextCommands(machine, now)
-	if agent.ClaimAcknowledged && (jumped || sincePrevious > am.c.durations.placementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) && agent.RequestedToken <= report.FencingToken {
+	if agent.ClaimAcknowledged &&
+		(jumped || sincePrevious > am.c.durations.placementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) &&
+		agent.RequestedToken <= report.FencingToken {
 		// It was away, or shows no effect of what we say: it must show a token that
 		// only this answer can have brought it.
 		if len(commands) == 0 {
@@ -325,11 +382,16 @@
 		agent.RequestedToken = agent.Token()
 	}
 	agent.LastAnsweredToken = agent.Token()
-	return Response{Status: 200, Body: protocol.MustMarshal(&protocol.HeartbeatReply{FencingToken: agent.Token(), Commands: commands})}
+	return Response{
+		Status: 200,
+		Body: protocol.MustMarshal(
+			&protocol.HeartbeatReply{FencingToken: agent.Token(), Commands: commands},
+		),
+	}
 }
 
 // applyReport takes over a report that is newer than what we know.
-func (am *agentManager) applyReport(machine *Machine, report *protocol.Heartbeat) {
+func (am *agentManager) applyReport(machine *mirror.Machine, report *protocol.Heartbeat) {
 	agent := am.agentOf(machine)
 	now := am.c.now()
 	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
@@ -344,7 +406,7 @@
 	clear(agent.ReportedAttempts)
 	for i := range report.Tasks {
 		taskReport := &report.Tasks[i]
-		if task, ok := ParseTaskID(taskReport.Task); ok {
+		if task, ok := mirror.ParseTaskID(taskReport.Task); ok {
 			agent.ReportedAttempts[AttemptID{task, taskReport.Attempt}] = *taskReport
 		}
 	}
@@ -385,7 +447,8 @@
 		case !reported && (!job.IsOpen() || agent.StoppingAttempts[key]):
 			// Absent after a kill that outranks every batch with its run: it
 			// isn't there and can't start any more.
-			if record := agent.SentCommands[key]; record != nil && record.KillToken != 0 && report.FencingToken >= record.KillToken {
+			if record := agent.SentCommands[key]; record != nil && record.KillToken != 0 &&
+				report.FencingToken >= record.KillToken {
 				agent.RecordOutcome(key, OutcomeRetry)
 			}
 		}
--- a/internal/coordination/job_completion.go
+++ b/internal/coordination/job_completion.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
@@ -20,7 +21,7 @@
 // completeJob closes a job whose tasks are all done, unless it has an answer already: the
 // answer is kept for ever, the description goes. The shards drop what they hold of
 // it with their next changes.
-func (u *userAPI) completeJob(job *Job) {
+func (u *userAPI) completeJob(job *mirror.Job) {
 	id := job.ID
 	u.c.recordWritesInFlight[id] = true
 	openKey, jobKey := storage.Key(storage.KindOpenJob, id), storage.Key(storage.KindJobResult, id)
@@ -41,7 +42,7 @@
 
 // purgeCancelledJob drops the description of a cancelled job that has nothing left anywhere.
 // No attempt can follow: each depends on the job having no answer.
-func (u *userAPI) purgeCancelledJob(job *Job) {
+func (u *userAPI) purgeCancelledJob(job *mirror.Job) {
 	u.c.recordWritesInFlight[job.ID] = true
 	key := storage.Key(storage.KindOpenJob, job.ID)
 	u.c.replica.commit(ratelimit.PriorityBackground, protocol.Transaction{
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -35,8 +35,12 @@
 		f.State.RPS, f.State.WriteRPS = 400, 100
 		f.Cloud.RPS = 9
 		f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.55, 320, 2800
-		f.Objectives = []config.Objective{{Kind: "deadline", Class: "wide", Times: 1}, {Kind: "deadline", Class: "wide", Times: 1.5},
-			{Kind: "deadline", Class: "deep", Times: 1}, {Kind: "deadline", Class: "deep", Times: 1.5}}
+		f.Objectives = []config.Objective{
+			{Kind: "deadline", Class: "wide", Times: 1},
+			{Kind: "deadline", Class: "wide", Times: 1.5},
+			{Kind: "deadline", Class: "deep", Times: 1},
+			{Kind: "deadline", Class: "deep", Times: 1.5},
+		}
 	}
 	return c
 }
@@ -51,10 +55,19 @@
 	}
 	array := func(class string, team, tasks int, cores, mem, guess, due float64) {
 		run := monotime.Micros(guess * float64(second) * (0.5 + c.sim.Rand.Float64()))
-		c.submitWithRetry(run, withClass(class), withTeam(fmt.Sprint("team", team)), withTasks(tasks), withCPUs(cores),
+		c.submitWithRetry(
+			run,
+			withClass(class),
+			withTeam(fmt.Sprint("team", team)),
+			withTasks(tasks),
+			withCPUs(cores),
 			withMemoryGB(mem),
-			withImage(fmt.Sprint(class, c.sim.Rand.IntN(12))), withImageGB(0.7), withEstimateS(guess),
-			withSpot(true), withDeadlineS(due))
+			withImage(fmt.Sprint(class, c.sim.Rand.IntN(12))),
+			withImageGB(0.7),
+			withEstimateS(guess),
+			withSpot(true),
+			withDeadlineS(due),
+		)
 	}
 	for i := 0; i < deep; i++ {
 		array("deep", 1, 5+c.sim.Rand.IntN(60), 4, 23, 20, 50)
@@ -75,7 +88,8 @@
 		c.sendRequest(node, "GET", protocol.JobPath(id), nil, func(response Response) {
 			answered[response.Status]++
 			var jobStatus protocol.JobStatusReply
-			over = protocol.Unmarshal(response.Body, &jobStatus) == nil && jobStatus.Status == protocol.JobDone
+			over = protocol.Unmarshal(response.Body, &jobStatus) == nil &&
+				jobStatus.Status == protocol.JobDone
 		})
 	})
 	c.sim.After(5*second, func() {
