--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -5,6 +5,7 @@
 	"reflect"
 	"slices"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -14,13 +15,14 @@
 
 // Bounds of the leader's work.
 const (
-	listInterval            = 10 * monotime.Second
-	cloudTimeout            = 4 * monotime.Second
-	cloudRetryDelay         = 1 * monotime.Second
-	maxMachinesPerScaleOut  = 50  // machines a request
-	maxMachinesPerScaleIn   = 100 // machines a deletion
-	scaleInInterval         = 1 * monotime.Second
-	deletedMachineRetention = 10 * monotime.Minute // late reports of deleted machines are expected for so long
+	listInterval           = 10 * monotime.Second
+	cloudTimeout           = 4 * monotime.Second
+	cloudRetryDelay        = 1 * monotime.Second
+	maxMachinesPerScaleOut = 50  // machines a request
+	maxMachinesPerScaleIn  = 100 // machines a deletion
+	scaleInInterval        = 1 * monotime.Second
+	// late reports of deleted machines are expected for so long
+	deletedMachineRetention = 10 * monotime.Minute
 )
 
 // leaderTermState is what a leader knows beside the store. A new term starts anew:
@@ -92,7 +94,12 @@
 }
 
 // commitAsLeader makes a change conditional on our lead, one at a time a key.
-func (as *autoscaler) commitAsLeader(priority ratelimit.Priority, busyKey string, txn protocol.Transaction, callback func(protocol.StoreResult)) {
+func (as *autoscaler) commitAsLeader(
+	priority ratelimit.Priority,
+	busyKey string,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
 	if as.term.commitInFlight[busyKey] {
 		return
 	}
@@ -120,8 +127,17 @@
 	for _, name := range sortedmap.Keys(as.c.catalog.machineTypes) {
 		machineType := as.c.catalog.machineTypes[name]
 		have := as.c.mirror.MachineTypes[name]
-		record := storage.MachineType{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB, CacheGB: machineType.CacheGB, FetchGBPerS: machineType.FetchGBPerS,
-			OnDemandPrice: machineType.OnDemandPrice, SpotPrice: machineType.SpotPrice, BootS: machineType.BootS, Zones: machineType.Zones}
+		record := storage.MachineType{
+			CPUs:          machineType.CPUs,
+			GPUs:          machineType.GPUs,
+			MemoryGB:      machineType.MemoryGB,
+			CacheGB:       machineType.CacheGB,
+			FetchGBPerS:   machineType.FetchGBPerS,
+			OnDemandPrice: machineType.OnDemandPrice,
+			SpotPrice:     machineType.SpotPrice,
+			BootS:         machineType.BootS,
+			Zones:         machineType.Zones,
+		}
 		same := record
 		same.OnDemandPrice, same.SpotPrice = have.Record.OnDemandPrice, have.Record.SpotPrice
 		if have.Version != 0 && reflect.DeepEqual(same, have.Record) || !protocol.ValidKeyPart(name) {
@@ -145,7 +161,9 @@
 	if now >= leader.nextScaleInAt {
 		var removable []string
 		for _, id := range sortedmap.Keys(as.c.mirror.Machines) {
-			if machine := as.c.mirror.Machines[id]; machine.Record != nil && machine.Record.State == storage.MachineRemoving && as.c.mirror.ScaleInOfMachine[id] == "" {
+			if machine := as.c.mirror.Machines[id]; machine.Record != nil &&
+				machine.Record.State == storage.MachineRemoving &&
+				as.c.mirror.ScaleInOfMachine[id] == "" {
 				removable = append(removable, id)
 			}
 		}
@@ -167,7 +185,8 @@
 			as.forgetScaleIn(name, removal)
 			continue
 		}
-		if leader.scaleInInFlight[name] || now < leader.scaleInRetryAt[name] || as.c.catalog.rateLimiter.WaitTime(now, 1) > 0 {
+		if leader.scaleInInFlight[name] || now < leader.scaleInRetryAt[name] ||
+			as.c.catalog.rateLimiter.WaitTime(now, 1) > 0 {
 			continue
 		}
 		as.deleteMachines(name, removal)
@@ -195,50 +214,62 @@
 	})
 }
 
-func (as *autoscaler) deleteMachines(name string, removal *ScaleInEntry) {
+func (as *autoscaler) deleteMachines(name string, removal *mirror.ScaleInEntry) {
 	leader := &as.term
 	as.c.catalog.rateLimiter.Take(1)
 	leader.scaleInInFlight[name] = true
 	term := leader.term
-	as.c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudDelete, Delete: removal.Record.Machines, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
-		if term != as.term.term {
-			return
-		}
-		as.noteCloudOutcome(result.Outcome)
-		delete(as.term.scaleInInFlight, name)
-		as.term.scaleInRetryAt[name] = as.c.now() + cloudRetryDelay
-		key := storage.Key(storage.KindScaleIn, name)
-		record := removal.Record
-		switch result.Outcome {
-		case protocol.OK:
-			// The proof that they and all on them are gone.
-			record.Gone, record.StateSince = true, as.c.env.WallClock()
-		case protocol.Throttled, protocol.Unavailable:
-			return // the cloud's own trouble counts for nothing
-		default:
-			// A few quick tries, then it is flagged and tried on a long back-off.
-			record.Attempts++
-			if record.Attempts >= as.c.settings.ScaleInAttempts {
-				record.Failed = true
-				as.term.scaleInRetryAt[name] = as.c.now() + as.c.settings.ScaleInRetryInterval.Micros()
-				as.c.log.Error("machine deletion failed", "scale_in", name, "machines", len(record.Machines),
-					"tries", record.Attempts, "outcome", result.Outcome.String())
+	as.c.env.CallCloud(
+		&protocol.CloudCall{Op: protocol.CloudDelete, Delete: removal.Record.Machines, Timeout: cloudTimeout},
+		func(result protocol.CloudResult) {
+			if term != as.term.term {
+				return
 			}
-		}
-		as.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
-			If:   []protocol.Compare{{Key: key, Version: removal.Version}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
-		}, func(result protocol.StoreResult) {
-			if result.Outcome == protocol.OK && record.Gone {
-				as.c.log.Info("machines deleted", "scale_in", name, "machines", len(record.Machines))
+			as.noteCloudOutcome(result.Outcome)
+			delete(as.term.scaleInInFlight, name)
+			as.term.scaleInRetryAt[name] = as.c.now() + cloudRetryDelay
+			key := storage.Key(storage.KindScaleIn, name)
+			record := removal.Record
+			switch result.Outcome {
+			case protocol.OK:
+				// The proof that they and all on them are gone.
+				record.Gone, record.StateSince = true, as.c.env.WallClock()
+			case protocol.Throttled, protocol.Unavailable:
+				return // the cloud's own trouble counts for nothing
+			default:
+				// A few quick tries, then it is flagged and tried on a long back-off.
+				record.Attempts++
+				if record.Attempts >= as.c.settings.ScaleInAttempts {
+					record.Failed = true
+					as.term.scaleInRetryAt[name] = as.c.now() + as.c.settings.ScaleInRetryInterval.Micros()
+					as.c.log.Error(
+						"machine deletion failed",
+						"scale_in",
+						name,
+						"machines",
+						len(record.Machines),
+						"tries",
+						record.Attempts,
+						"outcome",
+						result.Outcome.String(),
+					)
+				}
 			}
-		})
-	})
+			as.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
+				If:   []protocol.Compare{{Key: key, Version: removal.Version}},
+				Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
+			}, func(result protocol.StoreResult) {
+				if result.Outcome == protocol.OK && record.Gone {
+					as.c.log.Info("machines deleted", "scale_in", name, "machines", len(record.Machines))
+				}
+			})
+		},
+	)
 }
 
 // forgetScaleIn drops a record whose machines are in no shard any more, once no
 // late report of theirs is to be expected.
-func (as *autoscaler) forgetScaleIn(name string, removal *ScaleInEntry) {
+func (as *autoscaler) forgetScaleIn(name string, removal *mirror.ScaleInEntry) {
 	if monotime.Micros(as.c.env.WallClock()-removal.Record.StateSince) < deletedMachineRetention {
 		return
 	}
@@ -289,36 +320,44 @@
 			return
 		}
 		as.c.catalog.rateLimiter.Take(1)
-		as.c.env.CallCloud(&protocol.CloudCall{Op: protocol.CloudList, After: after, Timeout: cloudTimeout}, func(result protocol.CloudResult) {
-			if term != as.term.term {
-				return
-			}
-			as.noteCloudOutcome(result.Outcome)
-			if result.Outcome != protocol.OK {
-				as.term.listInFlight = false
-				as.term.nextListAt = as.c.now() + cloudRetryDelay
-				return
-			}
-			if !as.c.membership.isLeader(as.c.now()) {
+		as.c.env.CallCloud(
+			&protocol.CloudCall{Op: protocol.CloudList, After: after, Timeout: cloudTimeout},
+			func(result protocol.CloudResult) {
+				if term != as.term.term {
+					return
+				}
+				as.noteCloudOutcome(result.Outcome)
+				if result.Outcome != protocol.OK {
+					as.term.listInFlight = false
+					as.term.nextListAt = as.c.now() + cloudRetryDelay
+					return
+				}
+				if !as.c.membership.isLeader(as.c.now()) {
+					as.term.listInFlight = false
+					return
+				}
+				for i := range result.Listed {
+					as.inspectListed(&result.Listed[i])
+				}
+				if result.More && len(result.Listed) > 0 {
+					listPage(result.Listed[len(result.Listed)-1].ID)
+					return
+				}
 				as.term.listInFlight = false
-				return
-			}
-			for i := range result.Listed {
-				as.inspectListed(&result.Listed[i])
-			}
-			if result.More && len(result.Listed) > 0 {
-				listPage(result.Listed[len(result.Listed)-1].ID)
-				return
-			}
-			as.term.listInFlight = false
-			as.term.nextListAt = as.c.now() + listInterval
-			as.adoptUnknownMachines()
-			if !as.term.inventoryRebuilt {
-				as.term.inventoryRebuilt = true
-				as.c.log.Info("inventory rebuilt, scale-out enabled", "machines", len(as.c.mirror.Machines),
-					"scale_outs", len(as.c.mirror.ScaleOuts))
-			}
-		})
+				as.term.nextListAt = as.c.now() + listInterval
+				as.adoptUnknownMachines()
+				if !as.term.inventoryRebuilt {
+					as.term.inventoryRebuilt = true
+					as.c.log.Info(
+						"inventory rebuilt, scale-out enabled",
+						"machines",
+						len(as.c.mirror.Machines),
+						"scale_outs",
+						len(as.c.mirror.ScaleOuts),
+					)
+				}
+			},
+		)
 	}
 	listPage("")
 }
@@ -357,9 +396,27 @@
 		leader.requestSequence++
 		name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
 		key := storage.Key(storage.KindScaleOut, name)
-		record := storage.ScaleOutRequest{Phase: storage.ScaleOutProvisioning, MachineType: listed.Type, Zone: listed.Zone, Spot: listed.Spot, Count: 1,
-			Machines: []string{id}, Live: as.c.reachability.connectedControllers(), PhaseSince: as.c.env.WallClock()}
-		as.c.log.Info("unrequested machine found", "machine", id, "machine_type", listed.Type, "zone", listed.Zone)
+		record := storage.ScaleOutRequest{
+			Phase:       storage.ScaleOutProvisioning,
+			MachineType: listed.Type,
+			Zone:        listed.Zone,
+			Spot:        listed.Spot,
+			Count:       1,
+			Machines: []string{
+				id,
+			},
+			Live:       as.c.reachability.connectedControllers(),
+			PhaseSince: as.c.env.WallClock(),
+		}
+		as.c.log.Info(
+			"unrequested machine found",
+			"machine",
+			id,
+			"machine_type",
+			listed.Type,
+			"zone",
+			listed.Zone,
+		)
 		as.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: 0}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
@@ -377,10 +434,14 @@
 		request := as.c.mirror.ScaleOuts[name]
 		key := storage.Key(storage.KindScaleOut, name)
 		age := monotime.Micros(wall - request.Record.PhaseSince)
-		drop := protocol.Transaction{If: []protocol.Compare{{Key: key, Version: request.Version}}, Then: []protocol.Op{{Delete: key}}}
+		drop := protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: request.Version}},
+			Then: []protocol.Op{{Delete: key}},
+		}
 		switch request.Record.Phase {
 		case storage.ScaleOutPending:
-			if !leader.scaleOutInFlight[name] && now >= leader.scaleOutRetryAt[name] && as.c.catalog.rateLimiter.WaitTime(now, 1) == 0 {
+			if !leader.scaleOutInFlight[name] && now >= leader.scaleOutRetryAt[name] &&
+				as.c.catalog.rateLimiter.WaitTime(now, 1) == 0 {
 				as.callScaleOut(name, request)
 			}
 		case storage.ScaleOutNoCapacity:
@@ -403,14 +464,28 @@
 			case age > as.c.settings.ReadinessTimeout.Micros():
 				// With the request goes the right to claim them.
 				leader.requestSequence++
-				removal := storage.Key(storage.KindScaleIn, fmt.Sprintf("%d-%d", leader.term, leader.requestSequence))
+				removal := storage.Key(
+					storage.KindScaleIn,
+					fmt.Sprintf("%d-%d", leader.term, leader.requestSequence),
+				)
 				drop.If = append(drop.If, protocol.Compare{Key: removal, Version: 0})
 				drop.Then = append(drop.Then, protocol.Op{Put: removal,
-					Value: protocol.MustMarshal(&storage.ScaleInRequest{Machines: missing, StateSince: wall})})
+					Value: protocol.MustMarshal(
+						&storage.ScaleInRequest{Machines: missing, StateSince: wall},
+					)})
 				as.commitAsLeader(ratelimit.PriorityBackground, key, drop, func(result protocol.StoreResult) {
 					if result.Outcome == protocol.OK {
-						as.c.log.Info("machines not ready in time, scale-in requested", "scale_out", name,
-							"machines", len(missing), "machine_type", request.Record.MachineType, "zone", request.Record.Zone)
+						as.c.log.Info(
+							"machines not ready in time, scale-in requested",
+							"scale_out",
+							name,
+							"machines",
+							len(missing),
+							"machine_type",
+							request.Record.MachineType,
+							"zone",
+							request.Record.Zone,
+						)
 					}
 				})
 			case orphans && len(connected) > 0:
@@ -427,10 +502,11 @@
 }
 
 // missingMachines lists the machines of a request that haven't come up.
-func (as *autoscaler) missingMachines(request *ScaleOutEntry) []string {
+func (as *autoscaler) missingMachines(request *mirror.ScaleOutEntry) []string {
 	var out []string
 	for _, id := range request.Record.Machines {
-		if machine := as.c.mirror.Machines[id]; (machine == nil || machine.Record == nil) && as.c.mirror.ScaleInOfMachine[id] == "" {
+		if machine := as.c.mirror.Machines[id]; (machine == nil || machine.Record == nil) &&
+			as.c.mirror.ScaleInOfMachine[id] == "" {
 			out = append(out, id)
 		}
 	}
@@ -439,7 +515,7 @@
 
 // callScaleOut makes the cloud call of a request. Its name was written before, so a new
 // leader repeats the very same call and the cloud gives the same answer.
-func (as *autoscaler) callScaleOut(name string, request *ScaleOutEntry) {
+func (as *autoscaler) callScaleOut(name string, request *mirror.ScaleOutEntry) {
 	leader := &as.term
 	leader.scaleOutInFlight[name] = true
 	as.c.catalog.rateLimiter.Take(1)
@@ -457,14 +533,33 @@
 		switch {
 		case result.Outcome == protocol.OK && len(result.Rented) > 0:
 			record.Phase, record.Machines, record.Live = storage.ScaleOutProvisioning, result.Rented, as.c.reachability.connectedControllers()
-			as.c.log.Info("scale-out completed", "scale_out", name, "machine_type", record.MachineType, "zone", record.Zone,
-				"spot", record.Spot, "requested", record.Count, "machines", len(result.Rented))
+			as.c.log.Info(
+				"scale-out completed",
+				"scale_out",
+				name,
+				"machine_type",
+				record.MachineType,
+				"zone",
+				record.Zone,
+				"spot",
+				record.Spot,
+				"requested",
+				record.Count,
+				"machines",
+				len(result.Rented),
+			)
 		case result.Outcome == protocol.OK, result.Outcome == protocol.NoCapacity:
 			record.Phase = storage.ScaleOutNoCapacity
 			as.c.log.Info("insufficient capacity, offer quarantined", "machine_type", record.MachineType,
 				"zone", record.Zone, "spot", record.Spot)
 		case result.Outcome == protocol.Rejected:
-			as.c.log.Error("scale-out request rejected", "scale_out", name, "machine_type", record.MachineType)
+			as.c.log.Error(
+				"scale-out request rejected",
+				"scale_out",
+				name,
+				"machine_type",
+				record.MachineType,
+			)
 			record.Phase = storage.ScaleOutNoCapacity
 		default:
 			// Throttled, troubled or unknown: says nothing about the offer. The
@@ -479,8 +574,17 @@
 		}
 		if record.Phase == storage.ScaleOutProvisioning && len(result.Rented) < record.Count {
 			// Partly filled: the rest isn't to be had for now.
-			unmetRequest := storage.ScaleOutRequest{Phase: storage.ScaleOutNoCapacity, MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot, PhaseSince: record.PhaseSince}
-			txn.Then = append(txn.Then, protocol.Op{Put: key + "-rest", Value: protocol.MustMarshal(&unmetRequest)})
+			unmetRequest := storage.ScaleOutRequest{
+				Phase:       storage.ScaleOutNoCapacity,
+				MachineType: record.MachineType,
+				Zone:        record.Zone,
+				Spot:        record.Spot,
+				PhaseSince:  record.PhaseSince,
+			}
+			txn.Then = append(
+				txn.Then,
+				protocol.Op{Put: key + "-rest", Value: protocol.MustMarshal(&unmetRequest)},
+			)
 		}
 		as.commitAsLeader(ratelimit.PriorityShardUpdate, key, txn, nil)
 	})
@@ -493,7 +597,14 @@
 	leader.requestSequence++
 	name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
 	key := storage.Key(storage.KindScaleOut, name)
-	record := storage.ScaleOutRequest{Phase: storage.ScaleOutPending, MachineType: o.machineType, Zone: o.zone, Spot: o.spot, Count: n, PhaseSince: as.c.env.WallClock()}
+	record := storage.ScaleOutRequest{
+		Phase:       storage.ScaleOutPending,
+		MachineType: o.machineType,
+		Zone:        o.zone,
+		Spot:        o.spot,
+		Count:       n,
+		PhaseSince:  as.c.env.WallClock(),
+	}
 	as.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: 0}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
@@ -20,7 +21,8 @@
 	am.expireContactsAndClaimRequests(now)
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
-	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.unavailable || now-am.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.unavailable ||
+		now-am.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	check := &machineHealthCheck{now: now}
@@ -77,7 +79,8 @@
 		zoneSilence.add(silent, am.agentOf(machine).Incarnation == 0)
 		overall.add(silent, am.agentOf(machine).Incarnation == 0)
 	}
-	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.suspicionTimeout || am.c.reachability.resumedFromPauseAt == 0 {
+	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.suspicionTimeout ||
+		am.c.reachability.resumedFromPauseAt == 0 {
 		am.c.reachability.updateReachability(overall, now)
 	}
 	check.silent = max(check.silent, 1) - 1 // one alone may always be the one
@@ -89,9 +92,10 @@
 }
 
 // checkMachine looks after one machine.
-func (am *agentManager) checkMachine(machine *Machine, check *machineHealthCheck) {
+func (am *agentManager) checkMachine(machine *mirror.Machine, check *machineHealthCheck) {
 	agent, now := am.agentOf(machine), check.now
-	if !agent.LeaseExpired && agent.ClaimAcknowledged && now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > am.c.durations.leaseExpiryProof {
+	if !agent.LeaseExpired && agent.ClaimAcknowledged &&
+		now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > am.c.durations.leaseExpiryProof {
 		check.leasesExpired++
 		check.tasksLost += len(machine.Attempts)
 		am.expireMachineLease(machine)
@@ -120,7 +124,7 @@
 }
 
 // expireMachineLease settles all that was on a machine whose lease has ended.
-func (am *agentManager) expireMachineLease(machine *Machine) {
+func (am *agentManager) expireMachineLease(machine *mirror.Machine) {
 	am.agentOf(machine).LeaseExpired, am.agentOf(machine).ClaimAcknowledged = true, false
 	for task, attempt := range machine.Attempts {
 		am.agentOf(machine).RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
@@ -129,7 +133,7 @@
 }
 
 // removalReason tells why a silent machine is to be deleted, or "" if it isn't.
-func (am *agentManager) removalReason(machine *Machine, check *machineHealthCheck) string {
+func (am *agentManager) removalReason(machine *mirror.Machine, check *machineHealthCheck) string {
 	agent, silent := am.agentOf(machine), am.agentSilence(am.agentOf(machine), check.now)
 	// A zone that is cut off comes back with its machines, each within a lease: to
 	// delete them for their silence would have its room wait for boots then. Not
@@ -162,7 +166,15 @@
 // logMachineCheck writes one line for each trouble, however many machines share it.
 func (am *agentManager) logMachineCheck(check *machineHealthCheck) {
 	if check.leasesExpired > 0 {
-		am.c.log.Info("machines lost", "state", conditionBegin, "machines", check.leasesExpired, "tasks", check.tasksLost)
+		am.c.log.Info(
+			"machines lost",
+			"state",
+			conditionBegin,
+			"machines",
+			check.leasesExpired,
+			"tasks",
+			check.tasksLost,
+		)
 	}
 	if check.interruptionNoticed > 0 {
 		am.c.log.Info("spot interruption notice", "machines", check.interruptionNoticed)
@@ -181,9 +193,10 @@
 }
 
 // desiredMachineState is the state that a machine of ours should stand in.
-func (am *agentManager) desiredMachineState(machine *Machine) storage.MachineState {
+func (am *agentManager) desiredMachineState(machine *mirror.Machine) storage.MachineState {
 	agent := am.agentOf(machine)
-	if (agent.RemovalReason == removalReasonIdle || agent.RemovalReason == removalReasonDrained) && len(machine.Attempts) > 0 {
+	if (agent.RemovalReason == removalReasonIdle || agent.RemovalReason == removalReasonDrained) &&
+		len(machine.Attempts) > 0 {
 		agent.RemovalReason = "" // the recheck: it got tasks meanwhile
 	}
 	switch {
@@ -206,7 +219,7 @@
 )
 
 // requestRemoval has a machine given back: our shard says so, and the leader deletes it.
-func (am *agentManager) requestRemoval(machine *Machine, reason string) {
+func (am *agentManager) requestRemoval(machine *mirror.Machine, reason string) {
 	am.agentOf(machine).RemovalReason = reason
 	am.c.scheduler.passNeeded = true
 	am.unloggedRemovals[reason] = append(am.unloggedRemovals[reason], machine.ID)
@@ -251,9 +264,10 @@
 // holdsCancelled tells whether the store holds tasks there of jobs that were
 // cancelled longer ago than since. What a controller hasn't seen being cancelled
 // itself was so for an unknown time: long enough.
-func (am *agentManager) holdsCancelled(machine *Machine, since monotime.Micros) bool {
+func (am *agentManager) holdsCancelled(machine *mirror.Machine, since monotime.Micros) bool {
 	for task := range machine.Attempts {
-		if job := am.c.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() && am.c.now()-am.c.scheduler.trackingOf(task.Job).finalSeenAt >= since {
+		if job := am.c.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
+			am.c.now()-am.c.scheduler.trackingOf(task.Job).finalSeenAt >= since {
 			return true
 		}
 	}
@@ -261,7 +275,7 @@
 }
 
 // holdsService tells whether the store holds replicas of services there.
-func (am *agentManager) holdsService(machine *Machine) bool {
+func (am *agentManager) holdsService(machine *mirror.Machine) bool {
 	for task := range machine.Attempts {
 		if job := am.c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
 			return true
@@ -272,7 +286,7 @@
 
 // vacateInterruptedMachine stops what gains by it before a noticed machine goes: services start
 // elsewhere now rather than later, checkpointed work is saved.
-func (am *agentManager) vacateInterruptedMachine(machine *Machine) {
+func (am *agentManager) vacateInterruptedMachine(machine *mirror.Machine) {
 	agent := am.agentOf(machine)
 	for task, attempt := range machine.Attempts {
 		job := am.c.mirror.Jobs[task.Job]
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -8,7 +8,8 @@
 	"pipitgap/internal/storage"
 )
 
-// membership holds this controller's lease and member record, takes part in elections, and knows which controllers are members.
+// membership holds this controller's lease and member record, takes part in elections, and knows which
+// controllers are members.
 type membership struct {
 	c *Controller
 
@@ -47,12 +48,18 @@
 	}
 	m.leaseGrantInFlight = true
 	sentAt := m.c.now()
-	call := &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: m.c.durations.membershipTTL, Timeout: leaseKeepAliveTimeout}
+	call := &protocol.StoreCall{
+		Op:      protocol.StoreGrantLease,
+		TTL:     m.c.durations.membershipTTL,
+		Timeout: leaseKeepAliveTimeout,
+	}
 	m.c.store.call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
 		m.leaseGrantInFlight = false
 		if result.Outcome != protocol.OK {
 			m.leaseGrantInFlight = true
-			delay := 300*monotime.Millisecond + monotime.Micros(m.c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
+			delay := 300*monotime.Millisecond + monotime.Micros(
+				m.c.env.Rand().Int64N(int64(400*monotime.Millisecond)),
+			)
 			m.c.env.After(delay, func() { m.leaseGrantInFlight = false; m.grantLease() })
 			return
 		}
@@ -87,7 +94,8 @@
 
 // holdsLease tells whether our lease can't have ended yet, by the steady clock.
 func (m *membership) holdsLease(now monotime.Micros) bool {
-	return m.leaseID != 0 && now-m.leaseRenewalSentAt < m.c.durations.membershipTTL-m.c.durations.membershipTTL/100
+	return m.leaseID != 0 &&
+		now-m.leaseRenewalSentAt < m.c.durations.membershipTTL-m.c.durations.membershipTTL/100
 }
 
 // ensureMemberRecord writes our member record if the store's isn't ours: an earlier
@@ -147,7 +155,8 @@
 // show a lead that we had under an earlier one.
 func (m *membership) isLeader(now monotime.Micros) bool {
 	return m.c.replica.ready && m.c.mirror.LeaderVersion != 0 && m.c.mirror.Leader.Node == m.c.node && m.c.mirror.Leader.Incarnation == m.c.incarnation &&
-		m.holdsLease(now) && m.c.replica.freshAt >= m.leaseGrantedAt
+		m.holdsLease(now) &&
+		m.c.replica.freshAt >= m.leaseGrantedAt
 }
 
 func (m *membership) leadershipCompare() protocol.Compare {
--- a/internal/coordination/membership_test.go
+++ b/internal/coordination/membership_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestRenewedLeaseNeedsFreshMirrorToLead: a leader that comes back to the state service with a new lease isn't
-// the leader by a mirror from before that lease: it listed machines and called some idle
-// that were others' by then.
+// TestRenewedLeaseNeedsFreshMirrorToLead: a leader that comes back to the state service with a new lease
+// isn't the leader by a mirror from before that lease: it listed machines and called some idle that were
+// others' by then.
 func TestRenewedLeaseNeedsFreshMirrorToLead(t *testing.T) {
 	for seed := range uint64(3) {
 		c := newCluster(t, 620+seed).startWithLeader()
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -10,7 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// mirrorReplica keeps the mirror up to date: it loads all records, watches for changes, and tells readers when the mirror is current.
+// mirrorReplica keeps the mirror up to date: it loads all records, watches for changes, and tells readers
+// when the mirror is current.
 type mirrorReplica struct {
 	c *Controller
 
@@ -37,29 +39,36 @@
 		return
 	}
 	r.loading, r.ready = true, false
-	kinds := Kinds
+	kinds := mirror.Kinds
 	if r.c.drains != nil {
-		kinds = slices.Concat(Kinds, DrainKinds)
+		kinds = slices.Concat(mirror.Kinds, mirror.DrainKinds)
 	}
-	mirror := New()
-	mirror.Results = r.c.mirror.Results
+	loaded := mirror.New()
+	loaded.Results = r.c.mirror.Results
 	var firstRevision, lastRevision uint64
 	var sentAt monotime.Micros // when the first list was asked for
 	started := false
 	var readList func(k int, after string)
 	readList = func(k int, after string) {
 		if k == len(kinds) {
-			r.loadResults(mirror, sortedmap.Keys(mirror.Jobs), func() {
+			r.loadResults(loaded, sortedmap.Keys(loaded.Jobs), func() {
 				r.freshAt = max(r.freshAt, sentAt)
-				r.install(mirror, firstRevision, lastRevision)
+				r.install(loaded, firstRevision, lastRevision)
 			})
 			return
 		}
-		call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.Key(kinds[k], ""), After: after, Limit: 500}
+		call := &protocol.StoreCall{
+			Op:    protocol.StoreList,
+			Key:   storage.Key(kinds[k], ""),
+			After: after,
+			Limit: 500,
+		}
 		listSentAt := r.c.now()
 		r.c.store.call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 			if result.Outcome != protocol.OK {
-				delay := 200*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
+				delay := 200*monotime.Millisecond + monotime.Micros(
+					r.c.env.Rand().Int64N(int64(400*monotime.Millisecond)),
+				)
 				r.c.env.After(delay, func() { readList(k, after) })
 				return
 			}
@@ -69,7 +78,7 @@
 			}
 			lastRevision = max(lastRevision, result.Revision)
 			for _, item := range result.Items {
-				mirror.ApplyPut(item.Key, item.Value, item.Version)
+				loaded.ApplyPut(item.Key, item.Value, item.Version)
 			}
 			if result.More && len(result.Items) > 0 {
 				readList(k, result.Items[len(result.Items)-1].Key)
@@ -84,64 +93,77 @@
 // loadResults finds which of the listed jobs have an answer already: cancelled
 // ones whose attempts aren't all gone. The answers themselves can't be listed, they
 // are kept for ever; comparing tells which of the few dozen named exist.
-func (r *mirrorReplica) loadResults(mirror *Mirror, ids []string, done func()) {
+func (r *mirrorReplica) loadResults(loaded *mirror.Mirror, ids []string, done func()) {
 	if len(ids) == 0 {
 		done()
 		return
 	}
 	again := func() {
-		delay := 200*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(400*monotime.Millisecond)))
-		r.c.env.After(delay, func() { r.loadResults(mirror, ids, done) })
+		delay := 200*monotime.Millisecond + monotime.Micros(
+			r.c.env.Rand().Int64N(int64(400*monotime.Millisecond)),
+		)
+		r.c.env.After(delay, func() { r.loadResults(loaded, ids, done) })
 	}
 	n := min(len(ids), 4*r.c.cfg.Facts.State.TxnOps)
 	txn := protocol.Transaction{}
 	for _, id := range ids[:n] {
 		txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
 	}
-	r.c.store.call(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
-		switch {
-		case result.Outcome == protocol.OK:
-			r.loadResults(mirror, ids[n:], done)
-		case result.Outcome == protocol.Conflict && len(result.Failed) > 0:
-			left := len(result.Failed)
-			bad := false
-			for _, key := range result.Failed {
-				r.c.store.call(ratelimit.PriorityClaim, &protocol.StoreCall{Op: protocol.StoreGet, Key: key}, func(result protocol.StoreResult) {
-					if result.Outcome == protocol.OK {
-						mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
-					} else {
-						bad = true
-					}
-					if left--; left > 0 {
-						return
-					}
-					if bad {
-						again()
-						return
-					}
-					r.loadResults(mirror, ids[n:], done)
-				})
+	r.c.store.call(
+		ratelimit.PriorityClaim,
+		&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn},
+		func(result protocol.StoreResult) {
+			switch {
+			case result.Outcome == protocol.OK:
+				r.loadResults(loaded, ids[n:], done)
+			case result.Outcome == protocol.Conflict && len(result.Failed) > 0:
+				left := len(result.Failed)
+				bad := false
+				for _, key := range result.Failed {
+					r.c.store.call(
+						ratelimit.PriorityClaim,
+						&protocol.StoreCall{Op: protocol.StoreGet, Key: key},
+						func(result protocol.StoreResult) {
+							if result.Outcome == protocol.OK {
+								loaded.ApplyPut(key, result.Item.Value, result.Item.Version)
+							} else {
+								bad = true
+							}
+							if left--; left > 0 {
+								return
+							}
+							if bad {
+								again()
+								return
+							}
+							r.loadResults(loaded, ids[n:], done)
+						},
+					)
+				}
+			default:
+				again()
 			}
-		default:
-			again()
-		}
-	})
+		},
+	)
 }
 
 // installMirror makes a loaded mirror the core's own.
-func (r *mirrorReplica) install(mirror *Mirror, firstRevision, lastRevision uint64) {
-	r.c.agents.keepOnly(mirror)
-	mirror.WatchedRevision, mirror.NewestRevision = firstRevision, max(lastRevision, r.c.mirror.NewestRevision)
-	mirror.OnChange, mirror.OnMachineReleased = r.c.onMirrorChange, r.c.agents.release
-	r.c.mirror = mirror
+func (r *mirrorReplica) install(loaded *mirror.Mirror, firstRevision, lastRevision uint64) {
+	r.c.agents.keepOnly(loaded)
+	loaded.WatchedRevision, loaded.NewestRevision = firstRevision, max(
+		lastRevision,
+		r.c.mirror.NewestRevision,
+	)
+	loaded.OnChange, loaded.OnMachineReleased = r.c.onMirrorChange, r.c.agents.release
+	r.c.mirror = loaded
 	r.loading, r.loaded, r.loadedRevision = false, true, lastRevision
 	r.c.cancellations.reconcileCancellations()
-	for _, name := range sortedmap.Keys(mirror.Shards) {
+	for _, name := range sortedmap.Keys(loaded.Shards) {
 		r.c.shards.onShardChange(name)
 	}
 	r.nextWatchAt = 0
-	r.c.log.Info("mirror loaded", "jobs", len(mirror.Jobs), "machines", len(mirror.Machines),
-		"shards", len(mirror.Shards), "revision", lastRevision)
+	r.c.log.Info("mirror loaded", "jobs", len(loaded.Jobs), "machines", len(loaded.Machines),
+		"shards", len(loaded.Shards), "revision", lastRevision)
 	if firstRevision >= lastRevision {
 		r.markReady()
 	}
@@ -215,7 +237,10 @@
 // larger than is ever read, and the same was asked for again until the service
 // had forgotten where it began.
 func (r *mirrorReplica) maxWatchGap() monotime.Micros {
-	return max(2*watchLongPoll, monotime.FromSeconds(float64(r.maxWatchEvents())/r.c.cfg.Facts.State.WriteRPS))
+	return max(
+		2*watchLongPoll,
+		monotime.FromSeconds(float64(r.maxWatchEvents())/r.c.cfg.Facts.State.WriteRPS),
+	)
 }
 
 // maxWatchEvents is how many changes a watch may bring, each as large as a value may be.
@@ -225,18 +250,24 @@
 // catch up with, all records are read anew, in answers of bounded size.
 func (r *mirrorReplica) measureWatchBacklog(now monotime.Micros) {
 	r.watchInFlight = true
-	mirror := r.c.mirror
+	current := r.c.mirror
 	call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.LeaderKey, Limit: 1}
 	r.c.store.call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 		r.watchInFlight = false
 		switch {
-		case mirror != r.c.mirror || r.loading:
+		case current != r.c.mirror || r.loading:
 			return
 		case result.Outcome != protocol.OK:
-			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
+			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(
+				r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)),
+			)
 			r.completePendingReads(now, false)
-		case result.Revision > mirror.WatchedRevision+uint64(r.maxWatchEvents()):
-			r.c.log.Info("watch too far behind, mirror reload", "revisions", result.Revision-mirror.WatchedRevision)
+		case result.Revision > current.WatchedRevision+uint64(r.maxWatchEvents()):
+			r.c.log.Info(
+				"watch too far behind, mirror reload",
+				"revisions",
+				result.Revision-current.WatchedRevision,
+			)
 			r.load()
 			r.completePendingReads(now, false)
 		default:
@@ -258,16 +289,16 @@
 
 func (r *mirrorReplica) sendWatch(now, longPoll monotime.Micros, ended func()) {
 	r.nextWatchAt = now + r.minWatchInterval
-	mirror := r.c.mirror
+	current := r.c.mirror
 	call := &protocol.StoreCall{
-		Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: mirror.WatchedRevision,
+		Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: current.WatchedRevision,
 		MaxBlock: longPoll, Timeout: longPoll + 2*monotime.Second,
 	}
 	r.c.store.queue.Reads.Take(1)
 	r.c.env.CallStore(call, func(result protocol.StoreResult) {
 		ended()
 		r.c.reachability.detectPause(r.c.now())
-		if mirror != r.c.mirror {
+		if current != r.c.mirror {
 			r.completePendingReads(now, false)
 			return
 		}
@@ -295,7 +326,9 @@
 			r.nextCatchUpAt = r.nextWatchAt
 		default:
 			r.c.store.recordOutcome(result.Outcome)
-			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)))
+			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(
+				r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)),
+			)
 			r.nextCatchUpAt = r.nextWatchAt
 			r.completePendingReads(now, false)
 		}
--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -11,14 +11,20 @@
 	"pipitgap/internal/storage"
 )
 
-// TestIsolatedControllersAnswerUsersAndDiscardState: controllers that lose the store and the others, but not their
-// workers, answer users at once, keep services for a while, and on their return
-// apply nothing that they held. The leader may be among them.
+// TestIsolatedControllersAnswerUsersAndDiscardState: controllers that lose the store and the others, but not
+// their workers, answer users at once, keep services for a while, and on their return apply nothing that they
+// held. The leader may be among them.
 func TestIsolatedControllersAnswerUsersAndDiscardState(t *testing.T) {
 	for i, nodes := range [][]string{{"n-0"}, {"n-1"}, {"n-2"}, {"n-0", "n-1"}, {"n-1", "n-2"}} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
 			c := newCluster(t, uint64(800+i)).startWithLeader()
-			service := c.submit(0, withService(true), withTasks(6), withPriority(protocol.Production), withCPUs(4))
+			service := c.submit(
+				0,
+				withService(true),
+				withTasks(6),
+				withPriority(protocol.Production),
+				withCPUs(4),
+			)
 			array := c.submit(10*second, withTasks(40), withSpot(true))
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 6 }) {
 				t.Fatal("not started")
@@ -44,8 +50,17 @@
 					{"POST", protocol.CancelPath(service), nil},
 				} {
 					startedAt := c.sim.Now()
-					if response := c.requestAndWait(node, q.method, q.target, q.body); response.Status != 503 || response.RetryAfter < 1 || c.sim.Now()-startedAt > second/2 {
-						t.Errorf("%s answers %s %s with %d after %d us", node, q.method, q.target, response.Status, c.sim.Now()-startedAt)
+					if response := c.requestAndWait(node, q.method, q.target, q.body); response.Status != 503 ||
+						response.RetryAfter < 1 ||
+						c.sim.Now()-startedAt > second/2 {
+						t.Errorf(
+							"%s answers %s %s with %d after %d us",
+							node,
+							q.method,
+							q.target,
+							response.Status,
+							c.sim.Now()-startedAt,
+						)
 					}
 				}
 			}
@@ -92,7 +107,8 @@
 			if freedQuotaOnly := c.store.Calls[protocol.StoreList] > lists+3; freedQuotaOnly != tc.again {
 				t.Errorf("read again: %v, want %v", freedQuotaOnly, tc.again)
 			}
-			if got, want := len(core.mirror.Jobs), len(c.store.Keys(storage.Key(storage.KindOpenJob, ""))); got != want || want == 0 {
+			if got, want := len(core.mirror.Jobs), len(c.store.Keys(storage.Key(storage.KindOpenJob, ""))); got != want ||
+				want == 0 {
 				t.Errorf("the mirror has %d jobs, the store %d", got, want)
 			}
 		})
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/storage"
 )
 
@@ -19,24 +20,38 @@
 }
 
 func (sc *scheduler) capacityByPartition() *partitionCapacity {
-	fc := &partitionCapacity{core: sc.c, partitions: map[string][]*candidateMachine{}, preemptionTargets: map[preemptorClass]string{}}
+	fc := &partitionCapacity{
+		core:              sc.c,
+		partitions:        map[string][]*candidateMachine{},
+		preemptionTargets: map[preemptorClass]string{},
+	}
 	reserved := sc.c.drains.reservations()
 	for _, machine := range sc.c.mirror.Machines {
-		if machine.Record == nil || machine.Record.State != storage.MachineOpen || !sc.c.membership.isMember(machine.Owner()) {
+		if machine.Record == nil || machine.Record.State != storage.MachineOpen ||
+			!sc.c.membership.isMember(machine.Owner()) {
 			continue
 		}
 		machineType, ok := sc.c.catalog.machineTypes[machine.Record.Type]
 		if !ok {
 			continue
 		}
-		fc.partitions[machine.Owner()] = append(fc.partitions[machine.Owner()], &candidateMachine{machine: machine, record: machine.Record, freeResources: MachineCapacity(&machineType).AddScaled(machine.Used, -1).AddScaled(reserved[machine.ID], -1)})
+		fc.partitions[machine.Owner()] = append(
+			fc.partitions[machine.Owner()],
+			&candidateMachine{
+				machine: machine,
+				record:  machine.Record,
+				freeResources: mirror.MachineCapacity(&machineType).
+					AddScaled(machine.Used, -1).
+					AddScaled(reserved[machine.ID], -1),
+			},
+		)
 	}
 	return fc
 }
 
 // tasksFitting counts the tasks of a job that fit into a partition.
 func (p *partitionCapacity) tasksFitting(spec *storage.JobSpec, partition string) int {
-	taskResources := TaskResources(spec)
+	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
 		if machineAllowed(spec, candidate.record) {
@@ -75,7 +90,7 @@
 	if !spec.Service {
 		return 0
 	}
-	taskResources := TaskResources(spec)
+	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
 		if candidate.machine.CachedImages[spec.Image] && machineAllowed(spec, candidate.record) {
@@ -87,19 +102,25 @@
 
 // machinesAfterPreemption counts the machines of a partition on which a service would fit if tasks
 // of lower priority were stopped; with beside, only those that have its image.
-func (p *partitionCapacity) machinesAfterPreemption(spec *storage.JobSpec, partition string, withImage bool) int {
+func (p *partitionCapacity) machinesAfterPreemption(
+	spec *storage.JobSpec,
+	partition string,
+	withImage bool,
+) int {
 	if !spec.Service {
 		return 0
 	}
-	taskResources := TaskResources(spec)
+	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
-		if !machineAllowed(spec, candidate.record) || withImage && !candidate.machine.CachedImages[spec.Image] {
+		if !machineAllowed(spec, candidate.record) ||
+			withImage && !candidate.machine.CachedImages[spec.Image] {
 			continue
 		}
 		free := candidate.freeResources
 		for task := range candidate.machine.Attempts {
-			if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.Record.Spec.Priority < spec.Priority {
+			if victim := p.core.mirror.Jobs[task.Job]; victim != nil &&
+				victim.Record.Spec.Priority < spec.Priority {
 				free = free.AddScaled(victim.TaskResources, 1)
 			}
 		}
@@ -112,7 +133,7 @@
 
 // bestPreemptionTarget names the other partition that could make room for a job on most
 // machines by stopping what may be stopped for it, or "".
-func (p *partitionCapacity) bestPreemptionTarget(job *Job, excluded string) string {
+func (p *partitionCapacity) bestPreemptionTarget(job *mirror.Job, excluded string) string {
 	spec := &job.Record.Spec
 	preemptor := preemptorClass{shapeOf(spec, spec.Team), spec.Service, spec.Priority}
 	if partition, ok := p.preemptionTargets[preemptor]; ok {
@@ -128,7 +149,8 @@
 		for _, candidate := range p.partitions[node] {
 			free := candidate.freeResources
 			for task := range candidate.machine.Attempts {
-				if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.IsOpen() && p.core.scheduler.mayPreempt(job, victim) {
+				if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.IsOpen() &&
+					p.core.scheduler.mayPreempt(job, victim) {
 					free = free.AddScaled(victim.TaskResources, 1)
 				}
 			}
--- a/internal/coordination/peer_status.go
+++ b/internal/coordination/peer_status.go
@@ -7,8 +7,9 @@
 // PeerTable is what the other controllers have said of themselves lately. Nothing of it decides
 // anything: the store does.
 type PeerTable struct {
-	statuses            map[string]*peerState
-	quotaLackReportedAt map[string]monotime.Micros // by team: when a peer last said that it lacks some of the limit
+	statuses map[string]*peerState
+	// by team: when a peer last said that it lacks some of the limit
+	quotaLackReportedAt map[string]monotime.Micros
 }
 
 // peerState is what one of them has said.
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
@@ -23,17 +24,23 @@
 
 // placement is the part of a scheduling pass that gives waiting tasks to machines.
 type placement struct {
-	core                                   *Controller
-	now                                    monotime.Micros
-	wallNow                                int64
-	candidates                             []*candidateMachine
-	sampling                               bool                              // look at some of the candidates only
-	fittingByShape                         map[taskShape][]*candidateMachine // if so, those with room for a task, as last looked at: room only shrinks in a pass
-	tasksInDoubt                           map[TaskID]bool                   // tasks that a commit in doubt may have assigned
-	quotaLeft                              map[string]resources.Vector
-	noRoomFor                              map[taskShape]bool // what no machine has room for: room only shrinks in a pass
-	hasRoomFor                             map[taskShape]bool // of what lacks a share of its team's limit: whether it could start here
-	partitionCapacity                      *partitionCapacity // of all partitions, made when it is first needed
+	core       *Controller
+	now        monotime.Micros
+	wallNow    int64
+	candidates []*candidateMachine
+	// look at some of the candidates only
+	sampling bool
+	// if so, those with room for a task, as last looked at: room only shrinks in a pass
+	fittingByShape map[taskShape][]*candidateMachine
+	// tasks that a commit in doubt may have assigned
+	tasksInDoubt map[mirror.TaskID]bool
+	quotaLeft    map[string]resources.Vector
+	// what no machine has room for: room only shrinks in a pass
+	noRoomFor map[taskShape]bool
+	// of what lacks a share of its team's limit: whether it could start here
+	hasRoomFor map[taskShape]bool
+	// of all partitions, made when it is first needed
+	partitionCapacity                      *partitionCapacity
 	preemptibleRunning, preemptibleChecked bool               // whether any running work gives way to arrays
 	reassignedThisPass                     bool               // a job that waits elsewhere has room kept here
 	reservations                           *drainReservations // room held for replicas that are being moved
@@ -42,7 +49,7 @@
 // jobPlacement is what a placement does for one job.
 type jobPlacement struct {
 	*placement
-	job              *Job
+	job              *mirror.Job
 	spec             *storage.JobSpec
 	tracking         *jobTracking
 	teamLimit        teamLimits
@@ -81,11 +88,21 @@
 	}
 	sc.jobsInPass = map[string]bool{}
 	sc.serviceCPUsAssigned = sc.totalServiceCPUs()
-	p := &placement{core: sc.c, now: now, wallNow: sc.c.env.WallClock(), candidates: sc.candidateMachines(updates, now), tasksInDoubt: sc.c.shards.tasksInDoubt(),
-		quotaLeft: map[string]resources.Vector{}, noRoomFor: map[taskShape]bool{}, hasRoomFor: map[taskShape]bool{}, fittingByShape: map[taskShape][]*candidateMachine{}}
+	p := &placement{
+		core:           sc.c,
+		now:            now,
+		wallNow:        sc.c.env.WallClock(),
+		candidates:     sc.candidateMachines(updates, now),
+		tasksInDoubt:   sc.c.shards.tasksInDoubt(),
+		quotaLeft:      map[string]resources.Vector{},
+		noRoomFor:      map[taskShape]bool{},
+		hasRoomFor:     map[taskShape]bool{},
+		fittingByShape: map[taskShape][]*candidateMachine{},
+	}
 	sc.reservePreemptedRoom(p.candidates, now)
 	p.reservations = sc.c.drains.reserveOnCandidates(p.candidates, updates)
-	p.sampling = len(p.candidates) > sampleAboveMachines && len(p.candidates)*len(jobs) > sampleAboveComparisons
+	p.sampling = len(p.candidates) > sampleAboveMachines &&
+		len(p.candidates)*len(jobs) > sampleAboveComparisons
 	for _, job := range jobs {
 		p.reservations.release(job)
 		p.placeJob(job)
@@ -107,7 +124,7 @@
 }
 
 // placeJob places a job's tasks, and sees to room for those that find none.
-func (p *placement) placeJob(job *Job) {
+func (p *placement) placeJob(job *mirror.Job) {
 	jobPlan := p.beginJob(job)
 	if jobPlan == nil {
 		return
@@ -129,18 +146,27 @@
 }
 
 // beginJob prepares the placement of a job's tasks; nil if it isn't its time.
-func (p *placement) beginJob(job *Job) *jobPlacement {
+func (p *placement) beginJob(job *mirror.Job) *jobPlacement {
 	c := p.core
 	spec, tracking := &job.Record.Spec, c.scheduler.trackingOf(job.ID)
-	jobPlan := &jobPlacement{placement: p, job: job, spec: spec, tracking: tracking, spotOnly: c.scheduler.spotOnly(job), crashLooping: c.scheduler.isCrashLooping(job),
-		oneCommitAtATime: spec.OneZone || spec.Spread, maxTasks: spec.Tasks}
+	jobPlan := &jobPlacement{
+		placement:        p,
+		job:              job,
+		spec:             spec,
+		tracking:         tracking,
+		spotOnly:         c.scheduler.spotOnly(job),
+		crashLooping:     c.scheduler.isCrashLooping(job),
+		oneCommitAtATime: spec.OneZone || spec.Spread,
+		maxTasks:         spec.Tasks,
+	}
 	tries := 0
 	if jobPlan.crashLooping {
 		if tries = c.scheduler.crashLoopTrials(job, p.now); tries == 0 {
 			return nil
 		}
 	}
-	if p.now < tracking.placeNotBefore || c.recordWritesInFlight[job.ID] || c.mirror.WatchedRevision < job.Version && c.api.acceptedRevisions[job.ID] != job.Version {
+	if p.now < tracking.placeNotBefore || c.recordWritesInFlight[job.ID] ||
+		c.mirror.WatchedRevision < job.Version && c.api.acceptedRevisions[job.ID] != job.Version {
 		if p.now < tracking.stolenUntil { // on its way to us: its room is still its own
 			reserveRoom(job.TaskResources, spec, p.candidates, tracking.stolenTasks)
 		}
@@ -166,7 +192,8 @@
 	within := job.TaskResources.FitsIn(available)
 	jobPlan.hasReservation = p.reservations.hasReservationFor(job)
 	jobPlan.noRoom = p.noRoomFor[jobPlan.shape] && within && !jobPlan.preempting && !jobPlan.hasReservation
-	jobPlan.quotaShort = p.noRoomFor[jobPlan.teamShape] && !within && !jobPlan.preempting && !jobPlan.hasReservation
+	jobPlan.quotaShort = p.noRoomFor[jobPlan.teamShape] && !within && !jobPlan.preempting &&
+		!jobPlan.hasReservation
 	jobPlan.shardBytesLimit = c.scheduler.shardBytesFor(spec)
 	return jobPlan
 }
@@ -212,7 +239,7 @@
 			if job.TaskStates[i] != 0 {
 				continue
 			}
-			if p.tasksInDoubt[TaskID{job.ID, i}] {
+			if p.tasksInDoubt[mirror.TaskID{Job: job.ID, Index: i}] {
 				if p.oneCommitAtATime {
 					return
 				}
@@ -232,14 +259,24 @@
 	// What a shard's own attempts give back can be used by the same write.
 	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
 	if p.needsNewMachine(task, freedQuotaOnly) {
-		p.chosenMachine = c.scheduler.chooseMachine(job, p.searchSpace(), p.zoneConstraint, p.fencedUpdate, p.preferredUpdate, p.sampling, freedQuotaOnly, p.spotOnly)
+		p.chosenMachine = c.scheduler.chooseMachine(
+			job,
+			p.searchSpace(),
+			p.zoneConstraint,
+			p.fencedUpdate,
+			p.preferredUpdate,
+			p.sampling,
+			freedQuotaOnly,
+			p.spotOnly,
+		)
 	}
 	if p.chosenMachine == nil {
 		p.noteNoMachine(freedQuotaOnly)
 		return
 	}
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
-	if p.spec.Service && !withImage && !c.scheduler.waitedForImage(job, p.wallNow) && c.scheduler.preemptFor(job, 1, p.zoneConstraint, p.candidates, true, p.now) {
+	if p.spec.Service && !withImage && !c.scheduler.waitedForImage(job, p.wallNow) &&
+		c.scheduler.preemptFor(job, 1, p.zoneConstraint, p.candidates, true, p.now) {
 		// Room is being made beside the image: sooner than a fetch.
 		p.maxTasks = 0
 		return
@@ -252,14 +289,20 @@
 // needsNewMachine tells whether a task can't just follow the one before.
 func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
 	candidate, taskResources := p.chosenMachine, p.job.TaskResources
-	return candidate == nil || freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedByTeam[p.spec.Team]) || p.spec.Service || !taskResources.FitsIn(candidate.freeResources) ||
-		!p.zoneConstraint.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine || candidate.update.MaxBytes+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
+	return candidate == nil ||
+		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedByTeam[p.spec.Team]) ||
+		p.spec.Service ||
+		!taskResources.FitsIn(candidate.freeResources) ||
+		!p.zoneConstraint.allows(candidate.record.Zone) ||
+		candidate.taskCount >= maxTasksPerMachine ||
+		candidate.update.MaxBytes+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
 // noteNoMachine notes that no machine takes a task of the job, also for others like it.
 func (p *jobPlacement) noteNoMachine(freedQuotaOnly bool) {
 	p.quotaShort, p.noRoom = freedQuotaOnly, !freedQuotaOnly
-	if p.oneCommitAtATime || p.preempting || p.hasReservation || p.spotOnly || len(p.tracking.excludedMachines) > 0 {
+	if p.oneCommitAtATime || p.preempting || p.hasReservation || p.spotOnly ||
+		len(p.tracking.excludedMachines) > 0 {
 		return
 	}
 	p.noRoomFor[p.shape] = p.noRoomFor[p.shape] || p.noRoom
@@ -289,13 +332,18 @@
 	if starting {
 		update.MaxBytes += storage.MaxStartingBytes
 	}
-	p.lastAssigned = storage.Attempt{Task: task, Machine: machine, Number: c.mirror.NewestRevision, Starting: starting}
+	p.lastAssigned = storage.Attempt{
+		Task:     task,
+		Machine:  machine,
+		Number:   c.mirror.NewestRevision,
+		Starting: starting,
+	}
 	update.Changed = true
 	c.scheduler.jobsInPass[job.ID] = true
 	update.Next.Assign(job.ID, p.lastAssigned)
-	update.AssignedTasks[TaskID{job.ID, task}] = true
+	update.AssignedTasks[mirror.TaskID{Job: job.ID, Index: task}] = true
 	update.AssignedByMachine[machine] = update.AssignedByMachine[machine].AddScaled(job.TaskResources, 1)
-	AddUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
+	mirror.AddUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
 	update.MachinesToSync[machine] = true
 	delete(c.api.jobsClosedAt, machine)
 	candidate.closing = false
@@ -321,14 +369,22 @@
 	if _, asked := p.hasRoomFor[p.shape]; !asked {
 		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
 	}
-	p.core.quota.noteShortage(p.spec.Team, p.job.TaskResources, p.pendingTasks, p.quotaRoom, p.hasRoomFor[p.shape])
+	p.core.quota.noteShortage(
+		p.spec.Team,
+		p.job.TaskResources,
+		p.pendingTasks,
+		p.quotaRoom,
+		p.hasRoomFor[p.shape],
+	)
 }
 
 // urgentInOtherPartition tells whether the job waits at other partitions only and has an aim that it
 // can still meet. It goes before what is less urgent here: small jobs of large tasks sat out
 // their deadlines in a partition without a gap while others gave theirs to tasks that had time.
 func (p *jobPlacement) urgentInOtherPartition() bool {
-	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass && !p.noRoomFor[p.shape] && p.job.UnassignedTasks() > 0 &&
+	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass &&
+		!p.noRoomFor[p.shape] &&
+		p.job.UnassignedTasks() > 0 &&
 		p.core.scheduler.canMeetObjective(p.job, p.wallNow)
 }
 
@@ -386,20 +442,25 @@
 	want := p.pendingTasks
 	if !p.spec.Service {
 		p.holdMachinesFor(p.pendingTasks)
-		if n := min(p.pendingTasks, job.TaskResources.CountIn(p.quotaRoom)); n > 0 && p.anyPreemptible() && c.scheduler.preemptScavengers(job, n, p.zoneConstraint, p.candidates, p.now) {
+		if n := min(p.pendingTasks, job.TaskResources.CountIn(p.quotaRoom)); n > 0 && p.anyPreemptible() &&
+			c.scheduler.preemptScavengers(job, n, p.zoneConstraint, p.candidates, p.now) {
 			return
 		}
-		if p.wallNow-job.Record.AcceptedAt <= int64(guaranteePreemptionDelay) || !c.scheduler.entitledToGuarantee(job) {
+		if p.wallNow-job.Record.AcceptedAt <= int64(guaranteePreemptionDelay) ||
+			!c.scheduler.entitledToGuarantee(job) {
 			return
 		}
 		want = min(p.pendingTasks, guaranteePreemptionBatch)
 	}
 	// Each hand-over costs a change, and so does taking tasks over, which comes
 	// after: a service that only tried its turn in between never had it.
-	if c.scheduler.preemptFor(job, want, p.zoneConstraint, p.candidates, false, p.now) || p.now-p.tracking.reassignedAt <= reassignmentInterval || p.now < c.scheduler.nextWorkStealAt {
+	if c.scheduler.preemptFor(job, want, p.zoneConstraint, p.candidates, false, p.now) ||
+		p.now-p.tracking.reassignedAt <= reassignmentInterval ||
+		p.now < c.scheduler.nextWorkStealAt {
 		return
 	}
-	if to := p.freePartitionCapacity().bestPreemptionTarget(job, c.node); to != "" && c.scheduler.handOverTasks(job, to) {
+	if to := p.freePartitionCapacity().bestPreemptionTarget(job, c.node); to != "" &&
+		c.scheduler.handOverTasks(job, to) {
 		p.tracking.reassignedAt = p.now
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
@@ -35,7 +36,14 @@
 // an array gains little by it and the work thrown away is paid for. It tells
 // whether room is being made. With beside, only machines that have the job's
 // image count, and only a small loss is worth it.
-func (sc *scheduler) preemptFor(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, withImage bool, now monotime.Micros) bool {
+func (sc *scheduler) preemptFor(
+	job *mirror.Job,
+	want int,
+	zones *zoneConstraint,
+	candidates []*candidateMachine,
+	withImage bool,
+	now monotime.Micros,
+) bool {
 	pending := sc.preemptions[job.ID]
 	if pending != nil && now < pending.expiresAt {
 		return true
@@ -53,7 +61,9 @@
 				candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
 			}
 			machine := candidate.machine
-			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) || len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 || !candidate.availableTo(job) {
+			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) ||
+				len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 ||
+				!candidate.availableTo(job) {
 				continue
 			}
 			victims, loss, ok := sc.selectVictims(machine, job, candidate.freeResources, now)
@@ -63,7 +73,8 @@
 			if !machine.CachedImages[job.Record.Spec.Image] {
 				loss += 8 * job.Record.Spec.ImageGB
 			}
-			if withImage && (!machine.CachedImages[job.Record.Spec.Image] || loss > imageFetchLossPerCPU*job.TaskResources.CPUs) {
+			if withImage &&
+				(!machine.CachedImages[job.Record.Spec.Image] || loss > imageFetchLossPerCPU*job.TaskResources.CPUs) {
 				continue
 			}
 			if best == nil || loss < bestLoss {
@@ -75,8 +86,17 @@
 		}
 		for _, victim := range bestVictims {
 			sc.c.agents.agentOf(best.machine).StoppingAttempts[victim.attempt] = true
-			sc.c.log.Debug("task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
-				"machine", best.machine.ID, "for_job", job.ID)
+			sc.c.log.Debug(
+				"task preempted",
+				"task",
+				victim.attempt.Task.String(),
+				"attempt",
+				victim.attempt.Attempt,
+				"machine",
+				best.machine.ID,
+				"for_job",
+				job.ID,
+			)
 		}
 		best.reservedForJob, on[best.machine.ID] = job.ID, true
 		sc.c.agents.syncCommands(best.machine)
@@ -94,19 +114,22 @@
 // gets its own. The protocol would let that be of any priority; of a higher one it
 // would be placed again first, and the two would stop each other for ever. Services with a
 // disruption budget aren't stopped for others.
-func (sc *scheduler) mayPreempt(job, victim *Job) bool {
+func (sc *scheduler) mayPreempt(job, victim *mirror.Job) bool {
 	if sc.c.drains.protectsFromPreemption(victim) {
 		return false
 	}
 	if victim.Record.Spec.Priority < job.Record.Spec.Priority && job.Record.Spec.Service {
 		return true
 	}
-	return victim.Record.Spec.Team != job.Record.Spec.Team && !victim.Record.Spec.Service && victim.Record.Spec.Priority <= job.Record.Spec.Priority && sc.entitledToGuarantee(job) && sc.exceedsGuarantee(victim.Record.Spec.Team, resources.Vector{})
+	return victim.Record.Spec.Team != job.Record.Spec.Team && !victim.Record.Spec.Service &&
+		victim.Record.Spec.Priority <= job.Record.Spec.Priority &&
+		sc.entitledToGuarantee(job) &&
+		sc.exceedsGuarantee(victim.Record.Spec.Team, resources.Vector{})
 }
 
 // entitledToGuarantee tells whether a job's next task is owed to its team: the team has a
 // guarantee and the task lies within it.
-func (sc *scheduler) entitledToGuarantee(job *Job) bool {
+func (sc *scheduler) entitledToGuarantee(job *mirror.Job) bool {
 	team, _ := sc.c.quota.teamLimits(job.Record.Spec.Team)
 	return (team.guaranteedCPUs > 0 || team.guaranteedGPUs > 0) && sc.withinGuarantee(job)
 }
@@ -116,20 +139,28 @@
 func (sc *scheduler) exceedsGuarantee(name string, less resources.Vector) bool {
 	team, _ := sc.c.quota.teamLimits(name)
 	use := sc.c.mirror.UseByTeam[name].AddScaled(less, -1)
-	return use.CPUs > team.guaranteedCPUs+resources.Tolerance || use.GPUs > team.guaranteedGPUs+resources.Tolerance
+	return use.CPUs > team.guaranteedCPUs+resources.Tolerance ||
+		use.GPUs > team.guaranteedGPUs+resources.Tolerance
 }
 
 // selectVictims picks the tasks of a machine whose stop makes room for one task of
 // a job, with least work lost.
-func (sc *scheduler) selectVictims(machine *Machine, job *Job, free resources.Vector, now monotime.Micros) (victims []preemptionVictim, loss float64, ok bool) {
+func (sc *scheduler) selectVictims(
+	machine *mirror.Machine,
+	job *mirror.Job,
+	free resources.Vector,
+	now monotime.Micros,
+) (victims []preemptionVictim, loss float64, ok bool) {
 	var possible []preemptionVictim
 	for task, attempt := range machine.Attempts {
 		victim := sc.c.mirror.Jobs[task.Job]
-		if victim == nil || !victim.IsOpen() || !sc.mayPreempt(job, victim) || sc.c.agents.agentOf(machine).HasOutcome(AttemptID{task, attempt}) {
+		if victim == nil || !victim.IsOpen() || !sc.mayPreempt(job, victim) ||
+			sc.c.agents.agentOf(machine).HasOutcome(AttemptID{task, attempt}) {
 			continue
 		}
 		key := AttemptID{task, attempt}
-		if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
+		if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported &&
+			taskReport.State == protocol.StateExited {
 			continue
 		}
 		ran := 0.0
@@ -139,7 +170,10 @@
 		if cp := victim.Record.Spec.CheckpointS; cp > 0 {
 			ran = min(ran, cp)
 		}
-		possible = append(possible, preemptionVictim{key, victim.TaskResources, ran * victim.TaskResources.CPUs})
+		possible = append(
+			possible,
+			preemptionVictim{key, victim.TaskResources, ran * victim.TaskResources.CPUs},
+		)
 	}
 	sort.Slice(possible, func(a, b int) bool {
 		if possible[a].lostCPUSeconds != possible[b].lostCPUSeconds {
@@ -152,7 +186,8 @@
 		if job.TaskResources.FitsIn(free) {
 			break
 		}
-		if spec := &sc.c.mirror.Jobs[victim.attempt.Task.Job].Record.Spec; !job.Record.Spec.Service || spec.Priority >= job.Record.Spec.Priority {
+		if spec := &sc.c.mirror.Jobs[victim.attempt.Task.Job].Record.Spec; !job.Record.Spec.Service ||
+			spec.Priority >= job.Record.Spec.Priority {
 			// Only what its team has beyond its guarantee may go.
 			if !sc.exceedsGuarantee(spec.Team, taken[spec.Team]) {
 				continue
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
@@ -123,6 +124,6 @@
 }
 
 func jobIDOfTask(task string) string {
-	ref, _ := ParseTaskID(task)
+	ref, _ := mirror.ParseTaskID(task)
 	return ref.Job
 }
--- a/internal/coordination/queue_order.go
+++ b/internal/coordination/queue_order.go
@@ -4,6 +4,7 @@
 	"math"
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
@@ -11,7 +12,7 @@
 
 // queueEntry is a job's place in the order of urgency.
 type queueEntry struct {
-	job               *Job
+	job               *mirror.Job
 	slackSeconds      float64 // seconds that it may still wait
 	waitingCPUSeconds float64 // CPU seconds that wait
 	missedObjectives  int     // aims that it can't meet any more
@@ -64,15 +65,28 @@
 }
 
 // orderedQueue lists jobs with unplaced tasks, the most urgent first.
-func (sc *scheduler) orderedQueue() []*Job {
+func (sc *scheduler) orderedQueue() []*mirror.Job {
 	var entries []queueEntry
 	wall, now := sc.c.env.WallClock(), sc.c.now()
 	for _, job := range sc.c.mirror.Jobs {
 		if job.IsOpen() && job.UnassignedTasks() > 0 {
 			slack, missed := sc.c.autoscaler.slackOf(job, wall)
-			work := float64(job.UnassignedTasks()) * job.TaskResources.CPUs * sc.expectedRunSeconds(&job.Record.Spec)
+			work := float64(
+				job.UnassignedTasks(),
+			) * job.TaskResources.CPUs * sc.expectedRunSeconds(
+				&job.Record.Spec,
+			)
 			urgent := missed >= lateAfterMissedObjectives && slack >= 0 && slack < deadlineBoostWindowSeconds
-			entry := queueEntry{job, slack, work, missed, urgent, sc.withinGuarantee(job), sc.isStarved(job, now), sc.isCrashLooping(job)}
+			entry := queueEntry{
+				job,
+				slack,
+				work,
+				missed,
+				urgent,
+				sc.withinGuarantee(job),
+				sc.isStarved(job, now),
+				sc.isCrashLooping(job),
+			}
 			if entry.crashLooping {
 				entry.deadlineBoost, entry.withinGuarantee, entry.starved = false, false, false
 			}
@@ -81,7 +95,7 @@
 	}
 	sc.limitDeadlineBoost(entries, wall)
 	sort.Slice(entries, func(a, b int) bool { return entries[a].goesBefore(entries[b]) })
-	out := make([]*Job, len(entries))
+	out := make([]*mirror.Job, len(entries))
 	for i := range entries {
 		out[i] = entries[i].job
 	}
@@ -138,7 +152,7 @@
 
 // canMeetObjective tells whether a job has an aim that it can still meet if it doesn't wait
 // for long.
-func (sc *scheduler) canMeetObjective(job *Job, wall int64) bool {
+func (sc *scheduler) canMeetObjective(job *mirror.Job, wall int64) bool {
 	slack, _ := sc.c.autoscaler.slackOf(job, wall)
 	return slack >= 0 && !math.IsInf(slack, 1)
 }
@@ -146,7 +160,7 @@
 // isStarved tells whether an array has got nothing for a long time: under lasting
 // load those that are late already, large or of low priority would never have
 // their turn, and a class, a team or the largest jobs would go unserved.
-func (sc *scheduler) isStarved(job *Job, now monotime.Micros) bool {
+func (sc *scheduler) isStarved(job *mirror.Job, now monotime.Micros) bool {
 	if job.Record.Spec.Service {
 		return false
 	}
@@ -155,7 +169,12 @@
 	if tracking.progressAt == 0 { // first seen: it may have waited before we began
 		tracking.progressAt = max(1, now)
 		if got == 0 {
-			tracking.progressAt = max(1, now-monotime.Micros(min(max(0, sc.c.env.WallClock()-job.Record.AcceptedAt), int64(2*starvedAfter))))
+			tracking.progressAt = max(
+				1,
+				now-monotime.Micros(
+					min(max(0, sc.c.env.WallClock()-job.Record.AcceptedAt), int64(2*starvedAfter)),
+				),
+			)
 		}
 	}
 	if got > tracking.startedHighWater {
@@ -182,8 +201,9 @@
 }
 
 // withinGuarantee tells whether one more task of a job lies within its team's guarantee.
-func (sc *scheduler) withinGuarantee(job *Job) bool {
+func (sc *scheduler) withinGuarantee(job *mirror.Job) bool {
 	team, _ := sc.c.quota.teamLimits(job.Record.Spec.Team)
 	use := sc.c.mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
-	return use.CPUs <= team.guaranteedCPUs+resources.Tolerance && use.GPUs <= team.guaranteedGPUs+resources.Tolerance
+	return use.CPUs <= team.guaranteedCPUs+resources.Tolerance &&
+		use.GPUs <= team.guaranteedGPUs+resources.Tolerance
 }
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -34,7 +35,11 @@
 func (q *quotaManager) quotaShareOf(partition, team string) resources.Vector {
 	if p := q.c.mirror.Partitions[partition]; p != nil {
 		share := p.Record.QuotaShares[team]
-		return resources.Vector{CPUs: resources.Round(share.CPUs), GPUs: resources.Round(share.GPUs), MemoryGB: math.Inf(1)}
+		return resources.Vector{
+			CPUs:     resources.Round(share.CPUs),
+			GPUs:     resources.Round(share.GPUs),
+			MemoryGB: math.Inf(1),
+		}
 	}
 	return resources.Vector{MemoryGB: math.Inf(1)}
 }
@@ -64,7 +69,10 @@
 // that of our record now.
 func (q *quotaManager) resolveQuotaSharesInDoubt() {
 	version := q.c.mirror.VersionOf(partitionKey(q.c.node))
-	q.sharesInDoubt = slices.DeleteFunc(q.sharesInDoubt, func(inDoubt quotaSharesInDoubt) bool { return inDoubt.version != version })
+	q.sharesInDoubt = slices.DeleteFunc(
+		q.sharesInDoubt,
+		func(inDoubt quotaSharesInDoubt) bool { return inDoubt.version != version },
+	)
 }
 
 // ownQuotaUse is what attempts in our shards take of a team's limit, at most. What a
@@ -163,7 +171,8 @@
 			continue
 		}
 		next.QuotaShares[team] = after
-		raised = raised || after.CPUs > before.CPUs+resources.Tolerance || after.GPUs > before.GPUs+resources.Tolerance
+		raised = raised || after.CPUs > before.CPUs+resources.Tolerance ||
+			after.GPUs > before.GPUs+resources.Tolerance
 		changed = true
 	}
 	q.lackingSince = lacking
@@ -187,7 +196,12 @@
 
 // desiredQuotaShare is what our share of a team's limit should become, and whether we lack a
 // task's worth of it that can't be had.
-func (q *quotaManager) desiredQuotaShare(team string, limit teamLimits, current storage.QuotaShare, now monotime.Micros) (want storage.QuotaShare, lacks bool) {
+func (q *quotaManager) desiredQuotaShare(
+	team string,
+	limit teamLimits,
+	current storage.QuotaShare,
+	now monotime.Micros,
+) (want storage.QuotaShare, lacks bool) {
 	unallocated := q.unallocatedQuota(team)
 	shortage, wants := q.shortages[team]
 	at, heard := q.c.peerStatuses.quotaLackReportedAt[team]
@@ -205,11 +219,16 @@
 	case wants:
 		return q.raisedQuotaShare(limit, current, shortage, unallocated), false
 	}
-	if unallocated.CPUs > lowUnallocatedFraction*limit.maxCPUs && (limit.maxGPUs == 0 || unallocated.GPUs > lowUnallocatedFraction*limit.maxGPUs) {
+	if unallocated.CPUs > lowUnallocatedFraction*limit.maxCPUs &&
+		(limit.maxGPUs == 0 || unallocated.GPUs > lowUnallocatedFraction*limit.maxGPUs) {
 		return current, false
 	}
 	fraction := unusedQuotaFraction / float64(q.c.store.budgetSharers)
-	return q.loweredQuotaShare(team, current, resources.Vector{CPUs: fraction * limit.maxCPUs, GPUs: fraction * limit.maxGPUs}), false
+	return q.loweredQuotaShare(
+		team,
+		current,
+		resources.Vector{CPUs: fraction * limit.maxCPUs, GPUs: fraction * limit.maxGPUs},
+	), false
 }
 
 // teamsLackingQuota lists the teams of whose limit we have lacked a task's worth for so long
@@ -226,7 +245,12 @@
 
 // raisedQuotaShare takes what is lacking, and half of an even part of what is left: a raise
 // costs a change, and what one part has no other can use.
-func (q *quotaManager) raisedQuotaShare(limit teamLimits, current storage.QuotaShare, shortage quotaShortage, unallocated resources.Vector) storage.QuotaShare {
+func (q *quotaManager) raisedQuotaShare(
+	limit teamLimits,
+	current storage.QuotaShare,
+	shortage quotaShortage,
+	unallocated resources.Vector,
+) storage.QuotaShare {
 	fraction := 1 / (2 * float64(q.c.store.budgetSharers))
 	grow := func(have, short, left float64) float64 {
 		grown := resources.Round(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
@@ -246,13 +270,18 @@
 
 // loweredQuotaShare gives back what is more than twice a margin above what we use, down to
 // the margin.
-func (q *quotaManager) loweredQuotaShare(team string, current storage.QuotaShare, margin resources.Vector) storage.QuotaShare {
+func (q *quotaManager) loweredQuotaShare(
+	team string,
+	current storage.QuotaShare,
+	margin resources.Vector,
+) storage.QuotaShare {
 	use := q.ownQuotaUse(team)
 	lower := storage.QuotaShare{
 		CPUs: max(0, min(current.CPUs, use.CPUs+margin.CPUs)),
 		GPUs: max(0, min(current.GPUs, use.GPUs+margin.GPUs)),
 	}
-	if lower.CPUs < current.CPUs-resources.Tolerance-margin.CPUs || lower.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
+	if lower.CPUs < current.CPUs-resources.Tolerance-margin.CPUs ||
+		lower.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
 		return lower
 	}
 	return current
@@ -275,7 +304,13 @@
 		}
 		for _, node := range sortedmap.Keys(names) {
 			if node != q.c.node {
-				txn.If = append(txn.If, protocol.Compare{Key: partitionKey(node), Version: q.c.mirror.VersionOf(partitionKey(node))})
+				txn.If = append(
+					txn.If,
+					protocol.Compare{
+						Key:     partitionKey(node),
+						Version: q.c.mirror.VersionOf(partitionKey(node)),
+					},
+				)
 			}
 		}
 	}
@@ -302,8 +337,11 @@
 	connected := q.c.reachability.connectedControllers()
 	for _, node := range sortedmap.Keys(q.c.mirror.Partitions) {
 		partition := q.c.mirror.Partitions[node]
-		if node == q.c.node || rendezvousOwner(node, connected) != q.c.node || q.c.recordWritesInFlight[partitionKey(node)] || q.c.mirror.WatchedRevision < partition.Version ||
-			q.c.membership.isMember(node) || now-q.c.membership.absentSince(node, now) <= monotime.Second {
+		if node == q.c.node || rendezvousOwner(node, connected) != q.c.node ||
+			q.c.recordWritesInFlight[partitionKey(node)] ||
+			q.c.mirror.WatchedRevision < partition.Version ||
+			q.c.membership.isMember(node) ||
+			now-q.c.membership.absentSince(node, now) <= monotime.Second {
 			continue
 		}
 		left := false
@@ -316,7 +354,10 @@
 		key := partitionKey(node)
 		q.c.recordWritesInFlight[key] = true
 		q.c.replica.commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
-			If:   []protocol.Compare{{Key: key, Version: partition.Version}, {Key: storage.Key(storage.KindMember, node)}},
+			If: []protocol.Compare{
+				{Key: key, Version: partition.Version},
+				{Key: storage.Key(storage.KindMember, node)},
+			},
 			Then: []protocol.Op{{Delete: key}},
 		}, func(result protocol.StoreResult) {
 			delete(q.c.recordWritesInFlight, key)
@@ -332,14 +373,22 @@
 
 // transferQuotaShares has the shares of the teams' limits follow attempts that go over
 // from one part's shards into another's.
-func (q *quotaManager) transferQuotaShares(txn *protocol.Transaction, comparedKeys map[string]bool, from, to string, useByTeam map[string]resources.Vector) {
+func (q *quotaManager) transferQuotaShares(
+	txn *protocol.Transaction,
+	comparedKeys map[string]bool,
+	from, to string,
+	useByTeam map[string]resources.Vector,
+) {
 	departed, own := q.c.mirror.Partitions[from], q.c.mirror.Partitions[to]
 	if departed == nil {
 		return // it never had any: none of its teams has a limit
 	}
 	keys := []string{storage.Key(storage.KindPartition, from), storage.Key(storage.KindPartition, to)}
-	next := []storage.Partition{{QuotaShares: map[string]storage.QuotaShare{}}, {QuotaShares: map[string]storage.QuotaShare{}}}
-	for i, partition := range []*PartitionEntry{departed, own} {
+	next := []storage.Partition{
+		{QuotaShares: map[string]storage.QuotaShare{}},
+		{QuotaShares: map[string]storage.QuotaShare{}},
+	}
+	for i, partition := range []*mirror.PartitionEntry{departed, own} {
 		if partition != nil {
 			for k, v := range partition.Record.QuotaShares {
 				next[i].QuotaShares[k] = v
@@ -390,5 +439,9 @@
 }
 
 func newQuotaManager(c *Controller) *quotaManager {
-	return &quotaManager{c: c, shortages: map[string]quotaShortage{}, lackingSince: map[string]monotime.Micros{}}
+	return &quotaManager{
+		c:            c,
+		shortages:    map[string]quotaShortage{},
+		lackingSince: map[string]monotime.Micros{},
+	}
 }
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -73,7 +73,11 @@
 	}
 	if rnd.IntN(2) == 0 {
 		at := span(warmUp, lastFaultAt)
-		faults = append(faults, cancelTeamJobs(at, "tight", 1+rnd.IntN(3), span(second, 20*second)), crashController(at+span(0, 3*second), controller(), span(second/10, 5*second)))
+		faults = append(
+			faults,
+			cancelTeamJobs(at, "tight", 1+rnd.IntN(3), span(second, 20*second)),
+			crashController(at+span(0, 3*second), controller(), span(second/10, 5*second)),
+		)
 	}
 	for range 2 + rnd.IntN(3) {
 		near := faults[rnd.IntN(len(faults))].at
@@ -81,7 +85,10 @@
 		if rnd.IntN(3) == 0 {
 			hangFor = span(second, 15*second)
 		}
-		faults = append(faults, cancelRunningJobs(max(warmUp, near+span(-2*second, 5*second)), 1+rnd.IntN(4), hangFor))
+		faults = append(
+			faults,
+			cancelRunningJobs(max(warmUp, near+span(-2*second, 5*second)), 1+rnd.IntN(4), hangFor),
+		)
 	}
 	return faults
 }
@@ -89,7 +96,12 @@
 // TestRandomFaults plays random combinations of faults. A failing seed is played again
 // with -run TestRandomFaults -scenarios 1 -scenario-seed SEED.
 func TestRandomFaults(t *testing.T) {
-	leases := []leaseDurations{defaultLeases, {4 * second, 22 * second, 42 * second}, {5 * second, 28 * second, 53 * second}, {8 * second / 10, 10 * second, 30 * second}}
+	leases := []leaseDurations{
+		defaultLeases,
+		{4 * second, 22 * second, 42 * second},
+		{5 * second, 28 * second, 53 * second},
+		{8 * second / 10, 10 * second, 30 * second},
+	}
 	for i := range uint64(*scenarioCount) {
 		seed := *scenarioSeed + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -104,7 +116,10 @@
 			s.runFaults(faults, scenarioLength)
 			if t.Failed() {
 				t.Logf("faults: %s", describeFaults(faults))
-				t.Logf("again: go test ./internal/coordination -run TestRandomFaults -scenarios 1 -scenario-seed %d", seed)
+				t.Logf(
+					"again: go test ./internal/coordination -run TestRandomFaults -scenarios 1 -scenario-seed %d",
+					seed,
+				)
 			}
 		})
 	}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -8,7 +9,8 @@
 	"pipitgap/internal/storage"
 )
 
-// reachability judges whether this controller reaches its workers, the state service and the other controllers, and whether its process was paused.
+// reachability judges whether this controller reaches its workers, the state service and the other
+// controllers, and whether its process was paused.
 type reachability struct {
 	c *Controller
 
@@ -40,8 +42,9 @@
 	pauseThreshold            = 3 * monotime.Second / 2 // a tick so late means that the process stood still
 	staleAfterPause           = monotime.Second / 2     // after that it waits so long for word from the store
 	reachabilityProbeInterval = 2 * monotime.Second
-	initialProbeCount         = 3                   // silent machines that are asked before we take ourselves for cut off
-	probeValidity             = 3 * monotime.Second // one that answers proves the contrary for so long
+	// silent machines that are asked before we take ourselves for cut off
+	initialProbeCount = 3
+	probeValidity     = 3 * monotime.Second // one that answers proves the contrary for so long
 )
 
 // detectPause notes that the process stood still since the last tick, or whatever else
@@ -96,7 +99,7 @@
 	if rc.probesInFlight > 0 || now-rc.lastProbeSuccessAt < probeValidity {
 		return
 	}
-	var machines []*Machine
+	var machines []*mirror.Machine
 	for _, id := range sortedmap.Keys(rc.c.mirror.Machines) {
 		if machine := rc.c.mirror.Machines[id]; rc.c.agents.agentOf(machine) != nil && machine.Record != nil {
 			machines = append(machines, machine)
@@ -109,17 +112,22 @@
 		k := i + rc.c.env.Rand().IntN(len(machines)-i)
 		machines[i], machines[k] = machines[k], machines[i]
 		machine := machines[i]
-		rc.c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
-			rc.probesInFlight--
-			if result.Status == 200 && result.Heartbeat.Machine == machine.ID {
-				answered, rc.lastProbeSuccessAt = true, rc.c.now()
-			}
-			if rc.probesInFlight == 0 && !answered && rc.workersUnreachableSince == 0 {
-				rc.workersUnreachableSince = rc.c.now()
-				rc.c.log.Info("workers unreachable", "state", conditionBegin, "machines", len(machines))
-				rc.c.shards.handOffShards(rc.c.now())
-			}
-		})
+		rc.c.env.SendCommands(
+			machine.Record.Endpoint,
+			nil,
+			probeTimeout,
+			func(result protocol.CommandResult) {
+				rc.probesInFlight--
+				if result.Status == 200 && result.Heartbeat.Machine == machine.ID {
+					answered, rc.lastProbeSuccessAt = true, rc.c.now()
+				}
+				if rc.probesInFlight == 0 && !answered && rc.workersUnreachableSince == 0 {
+					rc.workersUnreachableSince = rc.c.now()
+					rc.c.log.Info("workers unreachable", "state", conditionBegin, "machines", len(machines))
+					rc.c.shards.handOffShards(rc.c.now())
+				}
+			},
+		)
 	}
 }
 
@@ -148,7 +156,9 @@
 	}
 	since := rc.workersUnreachableSince
 	rc.c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
-		if result.Status == 200 && result.Heartbeat.Machine == machine.ID && rc.workersUnreachableSince == since && since != 0 {
+		if result.Status == 200 && result.Heartbeat.Machine == machine.ID &&
+			rc.workersUnreachableSince == since &&
+			since != 0 {
 			rc.markWorkersReachable(rc.c.now())
 		}
 	})
@@ -159,7 +169,8 @@
 	if node == rc.c.node {
 		return rc.workersUnreachableSince != 0
 	}
-	return rc.heardFromRecently(node, now) && rc.c.peerStatuses.status(node).reachability == WorkersUnreachable
+	return rc.heardFromRecently(node, now) &&
+		rc.c.peerStatuses.status(node).reachability == WorkersUnreachable
 }
 
 // connectedControllers lists the live controllers that are good for machines and waiting tasks.
@@ -181,7 +192,8 @@
 // turn to them when we don't answer; their claims one by one, each against our own
 // writes, took longer than the leases of most.
 func (sm *shardManager) handOffShards(now monotime.Micros) {
-	if sm.c.quota.writeInFlight || sm.c.store.unavailable || !sm.c.membership.holdsLease(now) || now-sm.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+	if sm.c.quota.writeInFlight || sm.c.store.unavailable || !sm.c.membership.holdsLease(now) ||
+		now-sm.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	var to, others []string
@@ -205,10 +217,12 @@
 		return // nobody hears any
 	}
 	successor := ""
-	var shards []*Shard
+	var shards []*mirror.Shard
 	for _, name := range sortedmap.Keys(sm.c.mirror.Shards) {
 		shard := sm.c.mirror.Shards[name]
-		if tracker := sm.trackerOf(name); !sm.ownsShard(shard) || tracker.commitInFlightSince != 0 || len(tracker.updatesInDoubt) > 0 || sm.c.mirror.WatchedRevision < shard.Version {
+		if tracker := sm.trackerOf(name); !sm.ownsShard(shard) || tracker.commitInFlightSince != 0 ||
+			len(tracker.updatesInDoubt) > 0 ||
+			sm.c.mirror.WatchedRevision < shard.Version {
 			continue
 		}
 		destination := rendezvousOwner(name, to)
@@ -224,7 +238,10 @@
 	}
 	member := sm.c.mirror.Members[successor]
 	txn, taken := sm.buildShardTransfer(shards, successor, member.Record.Incarnation)
-	txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindMember, successor), Version: member.Version})
+	txn.If = append(
+		txn.If,
+		protocol.Compare{Key: storage.Key(storage.KindMember, successor), Version: member.Version},
+	)
 	sm.c.quota.writeInFlight = true
 	sm.c.replica.commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
 		sm.c.quota.writeInFlight = false
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -7,6 +7,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
@@ -87,12 +88,11 @@
 	return func() { c.disconnectedPairs = old }
 }
 
-// TestPartiallyReachableControllerHandsOffMachines: a controller that loses its workers, the store, the others, or
-// several of these at once, with and without the lead, loses no replica: its machines
-// are others' before their leases end, new ones are claimed by others, what waits there
-// goes on elsewhere; and when it is back it takes part again. Its workers used to be
-// taken over one by one, against its own writes, and most of their leases ended; cut off
-// with its workers it kept them for as long as cancellations allow.
+// TestPartiallyReachableControllerHandsOffMachines: a controller that loses its workers, the store, the
+// others, or several of these at once, with and without the lead, loses no replica: its machines are others'
+// before their leases end, new ones are claimed by others, what waits there goes on elsewhere; and when it is
+// back it takes part again. Its workers used to be taken over one by one, against its own writes, and most of
+// their leases ended; cut off with its workers it kept them for as long as cancellations allow.
 func TestPartiallyReachableControllerHandsOffMachines(t *testing.T) {
 	for i, tc := range []struct {
 		name                  string
@@ -124,7 +124,8 @@
 				unheard := 0
 				for _, n := range c.nodeNames {
 					for _, machine := range c.nodes[n].controller.mirror.Machines {
-						if n != node && c.nodes[n].controller.agents.agentOf(machine) != nil && !c.nodes[n].controller.agents.agentOf(machine).ClaimAcknowledged {
+						if n != node && c.nodes[n].controller.agents.agentOf(machine) != nil &&
+							!c.nodes[n].controller.agents.agentOf(machine).ClaimAcknowledged {
 							unheard++
 						}
 					}
@@ -185,7 +186,8 @@
 			c.sim.Run(5 * second)
 			node, most := "", 0.0
 			for _, n := range c.nodeNames {
-				if a := c.nodes[n].controller.quota.quotaShareOf(n, "tight").CPUs; a > most && c.ownedMachines(n) >= 3 {
+				if a := c.nodes[n].controller.quota.quotaShareOf(n, "tight").CPUs; a > most &&
+					c.ownedMachines(n) >= 3 {
 					node, most = n, a
 				}
 			}
@@ -303,7 +305,8 @@
 			if n := c.cloud.MachineCount(); n < machines {
 				t.Errorf("%d machines left of %d", n, machines)
 			}
-			if c.nodes[node].controller.reachability.workersUnreachableSince != 0 || c.nodes[node].controller.mirror.Members[node].Version == 0 {
+			if c.nodes[node].controller.reachability.workersUnreachableSince != 0 ||
+				c.nodes[node].controller.mirror.Members[node].Version == 0 {
 				t.Error("it doesn't take part again")
 			}
 			c.requireNoViolations()
@@ -311,12 +314,12 @@
 	}
 }
 
-// TestHeartbeatAfterPauseWaitsForFreshMirror: what comes in just after standing still may have waited for all that
-// time; it is not answered before the store has said what is still ours.
+// TestHeartbeatAfterPauseWaitsForFreshMirror: what comes in just after standing still may have waited for all
+// that time; it is not answered before the store has said what is still ours.
 func TestHeartbeatAfterPauseWaitsForFreshMirror(t *testing.T) {
 	c, _ := newBusyCluster(t, 1300)
 	core := c.nodes["n-0"].controller
-	var machine *Machine
+	var machine *mirror.Machine
 	for _, id := range sortedmap.Keys(core.mirror.Machines) {
 		if o := core.mirror.Machines[id]; core.agents.agentOf(o) != nil {
 			machine = o
@@ -327,11 +330,18 @@
 	alive := core.agents.agentOf(machine).LastReachedAt
 	got := 0
 	c.pause(core.node, 5*second)
-	c.sendRequest(core.node, "POST", protocol.HeartbeatPath, body, func(response Response) { got = response.Status })
+	c.sendRequest(
+		core.node,
+		"POST",
+		protocol.HeartbeatPath,
+		body,
+		func(response Response) { got = response.Status },
+	)
 	c.sim.Run(5 * second)
 	core.tick() // the first thing that it does
 	c.sim.Run(monotime.Millisecond)
-	if got == 200 || core.agents.agentOf(machine) != nil && core.agents.agentOf(machine).LastReachedAt > alive {
+	if got == 200 ||
+		core.agents.agentOf(machine) != nil && core.agents.agentOf(machine).LastReachedAt > alive {
 		t.Errorf("answered %d", got)
 	}
 }
@@ -344,13 +354,26 @@
 	c.adjustFacts = func(cfg *config.Config) { cfg.Facts.State.TxnOps, cfg.Facts.State.ValueKB = 20, 16 }
 	c.startWithLeader()
 	core := c.nodes["n-0"].controller
-	var shards []*Shard
+	var shards []*mirror.Shard
 	for i := 0; i < 12; i++ {
-		record := &storage.Shard{Owner: "n-9", Claim: 1, Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
+		record := &storage.Shard{
+			Owner:    "n-9",
+			Claim:    1,
+			Machines: map[string]*storage.ShardMachine{},
+			Jobs:     map[string]*storage.ShardJob{},
+		}
 		for k := 0; k < 300; k++ {
-			record.AddMachine(fmt.Sprintf("i-%02d%04d", i, k), storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: fmt.Sprintf("10.0.%d.%d:9000", i, k), State: storage.MachineOpen})
+			record.AddMachine(
+				fmt.Sprintf("i-%02d%04d", i, k),
+				storage.ShardMachine{
+					Type:     "m8",
+					Zone:     "a",
+					Endpoint: fmt.Sprintf("10.0.%d.%d:9000", i, k),
+					State:    storage.MachineOpen,
+				},
+			)
 		}
-		shards = append(shards, &Shard{Name: fmt.Sprint("p", i), Record: record, Version: 1})
+		shards = append(shards, &mirror.Shard{Name: fmt.Sprint("p", i), Record: record, Version: 1})
 	}
 	n := 0
 	for len(shards) > 0 {
@@ -382,7 +405,8 @@
 		for _, shard := range c.nodes["n-2"].controller.mirror.Shards {
 			if shard.Record.Owner == node {
 				shards++
-				if core := c.nodes[node].controller; core != nil && shard.Record.Incarnation == core.incarnation {
+				if core := c.nodes[node].controller; core != nil &&
+					shard.Record.Incarnation == core.incarnation {
 					mine++
 				}
 			}
@@ -399,7 +423,13 @@
 	}
 	var noise func()
 	noise = func() {
-		call := &protocol.StoreCall{Op: protocol.StoreCommit, Timeout: second, Transaction: protocol.Transaction{Then: []protocol.Op{{Put: "noise", Value: protocol.MustMarshal(1)}}}}
+		call := &protocol.StoreCall{
+			Op:      protocol.StoreCommit,
+			Timeout: second,
+			Transaction: protocol.Transaction{
+				Then: []protocol.Op{{Put: "noise", Value: protocol.MustMarshal(1)}},
+			},
+		}
 		c.store.Call("noise", call, func(protocol.StoreResult) {})
 		c.sim.After(15*monotime.Millisecond, noise)
 	}
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -57,7 +57,8 @@
 	c.store.Outage(20 * second)
 	c.sim.Run(5 * second)
 	for _, node := range c.nodeNames {
-		if response := c.requestAndWait(node, "POST", protocol.JobsPath, body); response.Status != 503 || response.RetryAfter < 1 {
+		if response := c.requestAndWait(node, "POST", protocol.JobsPath, body); response.Status != 503 ||
+			response.RetryAfter < 1 {
 			t.Errorf("submission to %s in an outage: %+v", node, response)
 		}
 		if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 200 {
--- a/internal/coordination/runtime_estimates.go
+++ b/internal/coordination/runtime_estimates.go
@@ -4,13 +4,19 @@
 	"math"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/storage"
 )
 
 // recordExit learns from how an attempt ended.
-func (sc *scheduler) recordExit(machine *Machine, job *Job, task TaskID, taskReport *protocol.TaskStatus) {
+func (sc *scheduler) recordExit(
+	machine *mirror.Machine,
+	job *mirror.Job,
+	task mirror.TaskID,
+	taskReport *protocol.TaskStatus,
+) {
 	agent := sc.c.agents.agentOf(machine)
 	if agent.HasOutcome(AttemptID{task, taskReport.Attempt}) {
 		return
@@ -29,7 +35,15 @@
 	case protocol.CauseError:
 		sc.c.counters.jobsFailed++
 		sc.recordFailure(machine, job)
-		sc.c.log.Debug("task failed", "task", task.String(), "attempt", taskReport.Attempt, "machine", machine.ID)
+		sc.c.log.Debug(
+			"task failed",
+			"task",
+			task.String(),
+			"attempt",
+			taskReport.Attempt,
+			"machine",
+			machine.ID,
+		)
 	case protocol.CauseUnknown, protocol.CauseMachineFull, protocol.CauseBusy:
 		tracking := sc.trackingOf(job.ID)
 		tracking.placeNotBefore = max(tracking.placeNotBefore, sc.c.now()+500*monotime.Millisecond)
--- a/internal/coordination/scale_out_plan.go
+++ b/internal/coordination/scale_out_plan.go
@@ -42,15 +42,16 @@
 	spot                  bool
 	capacity              resources.Vector // the machine's
 	free                  resources.Vector
-	arrayCPUs             float64                  // CPUs that services leave to other tasks
-	committedCPUSeconds   float64                  // CPU seconds of those that are spoken for
-	running               []runningTask            // what runs there and will end by itself
-	promisedCPUs          float64                  // CPUs released by those that are spoken for
-	bootSeconds           float64                  // boot time of its type, seconds
-	preemptibleByServices resources.Vector         // taken by tasks that a service may preempt
-	machineID             string                   // "" for a requested one
-	overdue               bool                     // requested, and not up when it should be
-	preemptibleByPriority map[int]resources.Vector // by priority, what tasks take that give way to higher ones
+	arrayCPUs             float64          // CPUs that services leave to other tasks
+	committedCPUSeconds   float64          // CPU seconds of those that are spoken for
+	running               []runningTask    // what runs there and will end by itself
+	promisedCPUs          float64          // CPUs released by those that are spoken for
+	bootSeconds           float64          // boot time of its type, seconds
+	preemptibleByServices resources.Vector // taken by tasks that a service may preempt
+	machineID             string           // "" for a requested one
+	overdue               bool             // requested, and not up when it should be
+	// by priority, what tasks take that give way to higher ones
+	preemptibleByPriority map[int]resources.Vector
 }
 
 // runningTask is a task, or several like it, that will end by itself.
@@ -77,9 +78,14 @@
 // own aim lets them wait, at most part: an ordinary machine is dear for them.
 func absorbDemand(demands []*taskDemand, bins []*machineBin, part float64, later bool) {
 	byUrgency := append([]*taskDemand(nil), demands...)
-	sort.SliceStable(byUrgency, func(a, b int) bool { return byUrgency[a].queueIndex < byUrgency[b].queueIndex })
+	sort.SliceStable(
+		byUrgency,
+		func(a, b int) bool { return byUrgency[a].queueIndex < byUrgency[b].queueIndex },
+	)
 	for _, demand := range byUrgency {
-		if later && !demand.spec.Spot || demand.spec.Service || demand.need.CPUs <= 0 || demand.zoneConstraint != nil && (demand.zoneConstraint.oneZone || demand.zoneConstraint.spreadZones) {
+		if later && !demand.spec.Spot || demand.spec.Service || demand.need.CPUs <= 0 ||
+			demand.zoneConstraint != nil &&
+				(demand.zoneConstraint.oneZone || demand.zoneConstraint.spreadZones) {
 			continue
 		}
 		expected := 0.0
@@ -87,7 +93,8 @@
 			if expected >= float64(demand.tasks) {
 				break
 			}
-			if !demand.allowsMachine(bin.machineType, bin.zone, bin.spot) || !demand.need.FitsIn(bin.capacity) {
+			if !demand.allowsMachine(bin.machineType, bin.zone, bin.spot) ||
+				!demand.need.FitsIn(bin.capacity) {
 				continue
 			}
 			horizon := part * bin.bootSeconds
@@ -133,7 +140,8 @@
 			if demand.tasks == 0 {
 				break
 			}
-			if len(bin.preemptibleByPriority) == 0 || !demand.allowsMachine(bin.machineType, bin.zone, bin.spot) {
+			if len(bin.preemptibleByPriority) == 0 ||
+				!demand.allowsMachine(bin.machineType, bin.zone, bin.spot) {
 				continue
 			}
 			available := bin.free
@@ -147,16 +155,30 @@
 				continue
 			}
 			left := demand.need // of each, what hasn't been taken from what is free
-			left = resources.Vector{CPUs: left.CPUs * float64(n), GPUs: left.GPUs * float64(n), MemoryGB: left.MemoryGB * float64(n)}
+			left = resources.Vector{
+				CPUs:     left.CPUs * float64(n),
+				GPUs:     left.GPUs * float64(n),
+				MemoryGB: left.MemoryGB * float64(n),
+			}
 			partition := func(r resources.Vector) resources.Vector {
-				return resources.Vector{CPUs: min(r.CPUs, left.CPUs), GPUs: min(r.GPUs, left.GPUs), MemoryGB: min(r.MemoryGB, left.MemoryGB)}
+				return resources.Vector{
+					CPUs:     min(r.CPUs, left.CPUs),
+					GPUs:     min(r.GPUs, left.GPUs),
+					MemoryGB: min(r.MemoryGB, left.MemoryGB),
+				}
 			}
 			t := partition(bin.free)
 			bin.free, left = bin.free.AddScaled(t, -1), left.AddScaled(t, -1)
 			for p := 0; p < demand.spec.Priority; p++ {
 				t := partition(bin.preemptibleByPriority[p])
 				if t != (resources.Vector{}) {
-					bin.preemptibleByPriority[p], left = bin.preemptibleByPriority[p].AddScaled(t, -1), left.AddScaled(t, -1)
+					bin.preemptibleByPriority[p], left = bin.preemptibleByPriority[p].AddScaled(
+						t,
+						-1,
+					), left.AddScaled(
+						t,
+						-1,
+					)
 				}
 			}
 			bin.committedCPUSeconds += float64(n) * demand.need.CPUs * demand.expectedSeconds
@@ -216,7 +238,8 @@
 				if demand.tasks == 0 {
 					break
 				}
-				if bin.spot != spot || !demand.allowsMachine(bin.machineType, bin.zone, bin.spot) || bin.overdue && demand.spec.Service {
+				if bin.spot != spot || !demand.allowsMachine(bin.machineType, bin.zone, bin.spot) ||
+					bin.overdue && demand.spec.Service {
 					continue
 				}
 				n := demand.tasksFitting(bin.free, bin.zone)
@@ -245,7 +268,8 @@
 					break
 				}
 				available := bin.free.AddScaled(bin.preemptibleByServices, 1)
-				if (available == bin.capacity) != empty || !demand.allowsMachine(bin.machineType, bin.zone, bin.spot) {
+				if (available == bin.capacity) != empty ||
+					!demand.allowsMachine(bin.machineType, bin.zone, bin.spot) {
 					continue
 				}
 				n := demand.tasksFitting(available, bin.zone)
@@ -261,11 +285,16 @@
 }
 
 // packMachine is what one machine of an offer would carry.
-func packMachine(o *pricedOffer, demands []*taskDemand, only func(*taskDemand, *pricedOffer) bool) (take []int, cpus float64) {
+func packMachine(
+	o *pricedOffer,
+	demands []*taskDemand,
+	only func(*taskDemand, *pricedOffer) bool,
+) (take []int, cpus float64) {
 	free := o.capacity
 	take = make([]int, len(demands))
 	for i, demand := range demands {
-		if demand.tasks == 0 || !demand.allowsMachine(o.machineType, o.zone, o.spot) || only != nil && !only(demand, o) {
+		if demand.tasks == 0 || !demand.allowsMachine(o.machineType, o.zone, o.spot) ||
+			only != nil && !only(demand, o) {
 			continue
 		}
 		n := demand.tasksFitting(free, o.zone)
@@ -280,7 +309,13 @@
 // with the best price for the CPUs that would be used, ties to the zone with
 // fewest machines. What remains of the demands can't be met now.
 // only, if set, says which demands may use an offer.
-func planOffers(demands []*taskDemand, offers []*pricedOffer, most int, only func(*taskDemand, *pricedOffer) bool, chosen map[offer]int) {
+func planOffers(
+	demands []*taskDemand,
+	offers []*pricedOffer,
+	most int,
+	only func(*taskDemand, *pricedOffer) bool,
+	chosen map[offer]int,
+) {
 	for n := 0; n < most; n++ {
 		var best *pricedOffer
 		var bestTake []int
@@ -291,7 +326,8 @@
 				continue
 			}
 			cost := o.price / cpus
-			if best == nil || cost < bestCost-1e-9 || cost < bestCost+1e-9 && o.zoneMachines < best.zoneMachines {
+			if best == nil || cost < bestCost-1e-9 ||
+				cost < bestCost+1e-9 && o.zoneMachines < best.zoneMachines {
 				best, bestTake, bestCost = o, take, cost
 			}
 		}
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -4,6 +4,7 @@
 	"math"
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
@@ -20,39 +21,49 @@
 const scavengerStartDelay = monotime.Minute
 
 // isScavenger tells whether a job is idle-time work.
-func (sc *scheduler) isScavenger(job *Job) bool {
+func (sc *scheduler) isScavenger(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	if spec.Service || !spec.Spot || spec.Priority != int(protocol.BestEffort) || spec.DeadlineS > 0 {
 		return false
 	}
 	team, _ := sc.c.quota.teamLimits(spec.Team)
-	return team.guaranteedCPUs == 0 && team.guaranteedGPUs == 0 && math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1)
+	return team.guaranteedCPUs == 0 && team.guaranteedGPUs == 0 &&
+		math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1)
 }
 
 // spotOnly tells whether a job is held to spot machines and to what is there in any case:
 // idle-time work, once it has begun or as long as it needn't have.
-func (sc *scheduler) spotOnly(job *Job) bool {
-	return sc.isScavenger(job) && (job.DoneTasks+job.AssignedTasks > 0 || monotime.Micros(sc.c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay)
+func (sc *scheduler) spotOnly(job *mirror.Job) bool {
+	return sc.isScavenger(job) &&
+		(job.DoneTasks+job.AssignedTasks > 0 || monotime.Micros(sc.c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay)
 }
 
 // isPreemptible tells whether a job's tasks give way to arrays of higher priority: nobody has an aim
 // for them, their work can be saved, and their team uses more than it is owed. Work with an
 // aim of its own is late for it if it is stopped, and begins again only when as much room is
 // free at once: small urgent tasks had stopped tasks of whole machines hundreds of times.
-func (sc *scheduler) isPreemptible(job *Job) bool {
+func (sc *scheduler) isPreemptible(job *mirror.Job) bool {
 	spec := &job.Record.Spec
-	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() && math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1) && sc.exceedsGuarantee(spec.Team, resources.Vector{})
+	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() &&
+		math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1) &&
+		sc.exceedsGuarantee(spec.Team, resources.Vector{})
 }
 
 // preemptibleBy tells whether a running task may be stopped for any of higher priority.
-func (sc *scheduler) preemptibleBy(job, victim *Job) bool {
+func (sc *scheduler) preemptibleBy(job, victim *mirror.Job) bool {
 	return victim.Record.Spec.Priority < job.Record.Spec.Priority && sc.isPreemptible(victim)
 }
 
 // preemptScavengers stops work that gives way, so that up to want tasks of a job get room on
 // our machines: one look at each, as many tasks on each as it can make room for. It
 // tells whether room is being made.
-func (sc *scheduler) preemptScavengers(job *Job, want int, zones *zoneConstraint, candidates []*candidateMachine, now monotime.Micros) bool {
+func (sc *scheduler) preemptScavengers(
+	job *mirror.Job,
+	want int,
+	zones *zoneConstraint,
+	candidates []*candidateMachine,
+	now monotime.Micros,
+) bool {
 	if pending := sc.preemptions[job.ID]; pending != nil && now < pending.expiresAt {
 		return true
 	}
@@ -62,17 +73,22 @@
 			break
 		}
 		machine := candidate.machine
-		if candidate.heldBack || !candidate.availableTo(job) || len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 || !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) {
+		if candidate.heldBack || !candidate.availableTo(job) ||
+			len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 ||
+			!machineAllowed(&job.Record.Spec, candidate.record) ||
+			!zones.allows(candidate.record.Zone) {
 			continue
 		}
 		var victims []preemptionVictim
 		for task, attempt := range machine.Attempts {
 			key := AttemptID{task, attempt}
 			victim := sc.c.mirror.Jobs[task.Job]
-			if victim == nil || !sc.preemptibleBy(job, victim) || sc.c.agents.agentOf(machine).HasOutcome(key) {
+			if victim == nil || !sc.preemptibleBy(job, victim) ||
+				sc.c.agents.agentOf(machine).HasOutcome(key) {
 				continue
 			}
-			if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported && taskReport.State == protocol.StateExited {
+			if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported &&
+				taskReport.State == protocol.StateExited {
 				continue
 			}
 			victims = append(victims, preemptionVictim{key, victim.TaskResources, victim.Record.Spec.SaveS})
@@ -100,8 +116,17 @@
 		for _, victim := range victims[:taken] {
 			sc.c.agents.agentOf(machine).StoppingAttempts[victim.attempt] = true
 			save = max(save, victim.lostCPUSeconds)
-			sc.c.log.Debug("scavenger task preempted", "task", victim.attempt.Task.String(), "attempt", victim.attempt.Attempt,
-				"machine", machine.ID, "for_job", job.ID)
+			sc.c.log.Debug(
+				"scavenger task preempted",
+				"task",
+				victim.attempt.Task.String(),
+				"attempt",
+				victim.attempt.Attempt,
+				"machine",
+				machine.ID,
+				"for_job",
+				job.ID,
+			)
 		}
 		candidate.reservedForJob, on[machine.ID] = job.ID, true
 		sc.c.agents.syncCommands(machine)
@@ -110,6 +135,10 @@
 		return false
 	}
 	sc.passNeeded = true
-	sc.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout + monotime.FromSeconds(save), on}
+	sc.preemptions[job.ID] = &pendingPreemption{
+		made,
+		now + preemptionTimeout + monotime.FromSeconds(save),
+		on,
+	}
 	return true
 }
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
@@ -41,8 +42,8 @@
 	}
 }
 
-// TestOnlyWorkWithoutObjectiveIsPreemptible: only work that nobody has an aim for gives way to arrays. Small urgent tasks
-// had stopped tasks of whole machines, with an aim of their own, hundreds of times a day.
+// TestOnlyWorkWithoutObjectiveIsPreemptible: only work that nobody has an aim for gives way to arrays. Small
+// urgent tasks had stopped tasks of whole machines, with an aim of their own, hundreds of times a day.
 func TestOnlyWorkWithoutObjectiveIsPreemptible(t *testing.T) {
 	c := newCluster(t, 790)
 	c.teams = []config.Team{{Name: "free", CPUs: 4, CPUsMax: 200}, {Name: "other", CPUs: 100, CPUsMax: 200}}
@@ -52,8 +53,8 @@
 	core := c.startWithLeader().nodes["n-0"].controller
 	core.mirror.UseByTeam["free"] = resources.Vector{CPUs: 32}
 	core.mirror.UseByTeam["other"] = resources.Vector{CPUs: 32}
-	saving := func(change func(*storage.JobSpec)) *Job {
-		job := &Job{ID: "j-1", TaskResources: resources.Vector{CPUs: 16}}
+	saving := func(change func(*storage.JobSpec)) *mirror.Job {
+		job := &mirror.Job{ID: "j-1", TaskResources: resources.Vector{CPUs: 16}}
 		job.Record.Spec = storage.JobSpec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
 		change(&job.Record.Spec)
 		return job
@@ -95,8 +96,17 @@
 				}
 			}
 			c.startWithLeader()
-			swarms := c.submit(600*second, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(60),
-				withCPUs(4), withSpot(true), withEstimateS(300), withCheckpointS(30), withSaveS(1))
+			swarms := c.submit(
+				600*second,
+				withTeam("guest"),
+				withPriority(protocol.BestEffort),
+				withTasks(60),
+				withCPUs(4),
+				withSpot(true),
+				withEstimateS(300),
+				withCheckpointS(30),
+				withSaveS(1),
+			)
 			c.sim.Run(100 * second)
 			ordinary := 0
 			for _, rented := range c.cloud.Machines {
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/sortedmap"
 )
 
@@ -19,7 +20,7 @@
 		c.sim.Run(45 * second)
 		core := c.leaderNode().controller
 		now := c.sim.Now()
-		var own []*Shard
+		var own []*mirror.Shard
 		for _, name := range sortedmap.Keys(core.mirror.Shards) {
 			if shard := core.mirror.Shards[name]; core.shards.ownsShard(shard) {
 				own = append(own, shard)
--- a/internal/coordination/scheduling_units_test.go
+++ b/internal/coordination/scheduling_units_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
@@ -14,12 +15,27 @@
 
 func newDemand(cpus float64, count int, spot, service bool) *taskDemand {
 	spec := &storage.JobSpec{CPUs: cpus, MemoryGB: 1, Spot: spot, Service: service, EstimateS: 10}
-	return &taskDemand{spec: spec, need: resources.Vector{CPUs: cpus, MemoryGB: 1}, tasks: count, expectedSeconds: 10, slackSeconds: 20}
+	return &taskDemand{
+		spec:            spec,
+		need:            resources.Vector{CPUs: cpus, MemoryGB: 1},
+		tasks:           count,
+		expectedSeconds: 10,
+		slackSeconds:    20,
+	}
 }
 
 func newBin(zone string, spot bool, freeCPUs float64) *machineBin {
 	size := resources.Vector{CPUs: 8, MemoryGB: 64}
-	return &machineBin{machineType: "m8", zone: zone, spot: spot, capacity: size, free: resources.Vector{CPUs: freeCPUs, MemoryGB: 64}, arrayCPUs: 8, bootSeconds: 10, committedCPUSeconds: 10 * (8 - freeCPUs)}
+	return &machineBin{
+		machineType:         "m8",
+		zone:                zone,
+		spot:                spot,
+		capacity:            size,
+		free:                resources.Vector{CPUs: freeCPUs, MemoryGB: 64},
+		arrayCPUs:           8,
+		bootSeconds:         10,
+		committedCPUSeconds: 10 * (8 - freeCPUs),
+	}
 }
 
 // newFullBins are machines that a task fills, each at an unknown point of its run.
@@ -46,10 +62,27 @@
 	offers := func() []*pricedOffer {
 		var out []*pricedOffer
 		for _, z := range []string{"a", "b"} {
-			out = append(out,
-				&pricedOffer{offer: offer{"m8", z, false}, capacity: resources.Vector{CPUs: 8, MemoryGB: 64}, price: 1, zoneMachines: map[string]int{"a": 1}[z]},
-				&pricedOffer{offer: offer{"m8", z, true}, capacity: resources.Vector{CPUs: 8, MemoryGB: 64}, price: 0.4, zoneMachines: map[string]int{"a": 1}[z]},
-				&pricedOffer{offer: offer{"m16", z, false}, capacity: resources.Vector{CPUs: 16, MemoryGB: 128}, price: 1.9, zoneMachines: map[string]int{"a": 1}[z]})
+			out = append(
+				out,
+				&pricedOffer{
+					offer:        offer{"m8", z, false},
+					capacity:     resources.Vector{CPUs: 8, MemoryGB: 64},
+					price:        1,
+					zoneMachines: map[string]int{"a": 1}[z],
+				},
+				&pricedOffer{
+					offer:        offer{"m8", z, true},
+					capacity:     resources.Vector{CPUs: 8, MemoryGB: 64},
+					price:        0.4,
+					zoneMachines: map[string]int{"a": 1}[z],
+				},
+				&pricedOffer{
+					offer:        offer{"m16", z, false},
+					capacity:     resources.Vector{CPUs: 16, MemoryGB: 128},
+					price:        1.9,
+					zoneMachines: map[string]int{"a": 1}[z],
+				},
+			)
 		}
 		return out
 	}
@@ -61,23 +94,98 @@
 		want      map[offer]int
 	}{
 		{"no demand", nil, nil, 0, map[offer]int{}},
-		{"room is there", []*taskDemand{newDemand(2, 4, false, false)}, []*machineBin{newBin("a", false, 8)}, 0, map[offer]int{}},
-		{"an open request is supply", []*taskDemand{newDemand(8, 1, false, true)}, []*machineBin{newBin("a", false, 8)}, 0, map[offer]int{}},
-		{"cheapest for what is used, fewest in the zone", []*taskDemand{newDemand(4, 2, false, true)}, nil, 0, map[offer]int{{"m8", "b", false}: 1}},
-		{"larger when filled", []*taskDemand{newDemand(16, 1, false, true)}, nil, 0, map[offer]int{{"m16", "b", false}: 1}},
-		{"spot where allowed", []*taskDemand{newDemand(8, 2, true, false)}, nil, 0, map[offer]int{{"m8", "b", true}: 1, {"m8", "a", true}: 1}},
-		{"what fits nothing isn't rented for", []*taskDemand{newDemand(64, 1, false, true)}, nil, 0, map[offer]int{}},
+		{
+			"room is there",
+			[]*taskDemand{newDemand(2, 4, false, false)},
+			[]*machineBin{newBin("a", false, 8)},
+			0,
+			map[offer]int{},
+		},
+		{
+			"an open request is supply",
+			[]*taskDemand{newDemand(8, 1, false, true)},
+			[]*machineBin{newBin("a", false, 8)},
+			0,
+			map[offer]int{},
+		},
+		{
+			"cheapest for what is used, fewest in the zone",
+			[]*taskDemand{newDemand(4, 2, false, true)},
+			nil,
+			0,
+			map[offer]int{{"m8", "b", false}: 1},
+		},
+		{
+			"larger when filled",
+			[]*taskDemand{newDemand(16, 1, false, true)},
+			nil,
+			0,
+			map[offer]int{{"m16", "b", false}: 1},
+		},
+		{
+			"spot where allowed",
+			[]*taskDemand{newDemand(8, 2, true, false)},
+			nil,
+			0,
+			map[offer]int{{"m8", "b", true}: 1, {"m8", "a", true}: 1},
+		},
+		{
+			"what fits nothing isn't rented for",
+			[]*taskDemand{newDemand(64, 1, false, true)},
+			nil,
+			0,
+			map[offer]int{},
+		},
 		// Arrays that may use spot must not fill the ordinary room of services.
 		{"strict demands first", []*taskDemand{newDemand(4, 2, true, false), newDemand(1, 8, false, true)},
 			[]*machineBin{newBin("a", false, 8), newBin("a", true, 8)}, 0, map[offer]int{}},
-		{"room freed in time is supply", []*taskDemand{newDemand(8, 1, true, false)}, []*machineBin{newBin("a", true, 0)}, 2, map[offer]int{}},
-		{"not for services", []*taskDemand{newDemand(8, 1, false, true)}, []*machineBin{newBin("a", false, 0)}, 2, map[offer]int{{"m8", "b", false}: 1}},
+		{
+			"room freed in time is supply",
+			[]*taskDemand{newDemand(8, 1, true, false)},
+			[]*machineBin{newBin("a", true, 0)},
+			2,
+			map[offer]int{},
+		},
+		{
+			"not for services",
+			[]*taskDemand{newDemand(8, 1, false, true)},
+			[]*machineBin{newBin("a", false, 0)},
+			2,
+			map[offer]int{{"m8", "b", false}: 1},
+		},
 		// Where tasks fill their machines and run for longer than a boot, none of them is over
 		// for sure when a machine would be up, but some of them are: machines were rented.
-		{"long tasks release room on some of many machines", []*taskDemand{withRunTime(newDemand(8, 2, true, false), 100)}, newFullBins(13, 100), 2, map[offer]int{}},
-		{"and on no more than those", []*taskDemand{withRunTime(newDemand(8, 3, true, false), 100)}, newFullBins(13, 100), 2, map[offer]int{{"m8", "b", true}: 1}},
-		{"and for one demand only", []*taskDemand{withRunTime(newDemand(8, 2, true, false), 100), withRunTime(newDemand(8, 1, true, false), 100)}, newFullBins(13, 100), 2, map[offer]int{{"m8", "b", true}: 1}},
-		{"not beyond the horizon", []*taskDemand{newDemand(8, 1, true, false)}, []*machineBin{newBin("a", true, 0)}, 0.5, map[offer]int{{"m8", "b", true}: 1}},
+		{
+			"long tasks release room on some of many machines",
+			[]*taskDemand{withRunTime(newDemand(8, 2, true, false), 100)},
+			newFullBins(13, 100),
+			2,
+			map[offer]int{},
+		},
+		{
+			"and on no more than those",
+			[]*taskDemand{withRunTime(newDemand(8, 3, true, false), 100)},
+			newFullBins(13, 100),
+			2,
+			map[offer]int{{"m8", "b", true}: 1},
+		},
+		{
+			"and for one demand only",
+			[]*taskDemand{
+				withRunTime(newDemand(8, 2, true, false), 100),
+				withRunTime(newDemand(8, 1, true, false), 100),
+			},
+			newFullBins(13, 100),
+			2,
+			map[offer]int{{"m8", "b", true}: 1},
+		},
+		{
+			"not beyond the horizon",
+			[]*taskDemand{newDemand(8, 1, true, false)},
+			[]*machineBin{newBin("a", true, 0)},
+			0.5,
+			map[offer]int{{"m8", "b", true}: 1},
+		},
 	}
 	for _, tc := range cases {
 		largestFirst(tc.ds)
@@ -102,8 +210,18 @@
 	}{
 		{"free room", nil, []*machineBin{newBin("a", false, 8)}, 0},
 		{"only spot room", nil, []*machineBin{newBin("a", true, 8)}, 2},
-		{"arrays meant for a requested machine", []*taskDemand{newDemand(2, 4, true, false)}, []*machineBin{newBin("a", false, 8)}, 0},
-		{"services hold it", []*taskDemand{newDemand(8, 1, false, true)}, []*machineBin{newBin("a", false, 8)}, 2},
+		{
+			"arrays meant for a requested machine",
+			[]*taskDemand{newDemand(2, 4, true, false)},
+			[]*machineBin{newBin("a", false, 8)},
+			0,
+		},
+		{
+			"services hold it",
+			[]*taskDemand{newDemand(8, 1, false, true)},
+			[]*machineBin{newBin("a", false, 8)},
+			2,
+		},
 	}
 	for _, tc := range cases {
 		fillBins(tc.ds, tc.bins)
@@ -118,22 +236,66 @@
 // TestQueueOrder: higher priority, then what can still meet its aims, the least work
 // first; what got nothing for long before any of that.
 func TestQueueOrder(t *testing.T) {
-	makeJob := func(id string, priority int, at int64) *Job {
-		return &Job{ID: id, Record: storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Priority: priority}}}
+	makeJob := func(id string, priority int, at int64) *mirror.Job {
+		return &mirror.Job{
+			ID:     id,
+			Record: storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Priority: priority}},
+		}
 	}
 	cases := []struct {
 		name string
 		a, b queueEntry
 	}{
-		{"priority", queueEntry{job: makeJob("b", 3, 9), slackSeconds: 90}, queueEntry{job: makeJob("a", 2, 1), slackSeconds: 1}},
-		{"priority, though late", queueEntry{job: makeJob("b", 3, 9), missedObjectives: 2}, queueEntry{job: makeJob("a", 2, 1)}},
-		{"least work", queueEntry{job: makeJob("b", 1, 9), slackSeconds: 9, waitingCPUSeconds: 1}, queueEntry{job: makeJob("a", 1, 1), slackSeconds: 2, waitingCPUSeconds: 2}},
-		{"in time before late", queueEntry{job: makeJob("b", 1, 9), waitingCPUSeconds: 9}, queueEntry{job: makeJob("a", 1, 1), waitingCPUSeconds: 1, missedObjectives: 1}},
-		{"hungry before the like of higher priority", queueEntry{job: makeJob("b", 0, 9), starved: true}, queueEntry{job: makeJob("a", 1, 1)}},
-		{"just late before long late", queueEntry{job: makeJob("b", 1, 9), slackSeconds: -5}, queueEntry{job: makeJob("a", 1, 1), slackSeconds: -50, missedObjectives: 2}},
-		{"oldest of the long late", queueEntry{job: makeJob("b", 1, 1), slackSeconds: -5, missedObjectives: 2}, queueEntry{job: makeJob("a", 1, 2), slackSeconds: -50, missedObjectives: 2}},
-		{"urgent before in time", queueEntry{job: makeJob("b", 1, 9), deadlineBoost: true, missedObjectives: 2, waitingCPUSeconds: 9}, queueEntry{job: makeJob("a", 1, 1), waitingCPUSeconds: 1}},
-		{"priority before urgent", queueEntry{job: makeJob("b", 2, 9)}, queueEntry{job: makeJob("a", 1, 1), deadlineBoost: true, missedObjectives: 2}},
+		{
+			"priority",
+			queueEntry{job: makeJob("b", 3, 9), slackSeconds: 90},
+			queueEntry{job: makeJob("a", 2, 1), slackSeconds: 1},
+		},
+		{
+			"priority, though late",
+			queueEntry{job: makeJob("b", 3, 9), missedObjectives: 2},
+			queueEntry{job: makeJob("a", 2, 1)},
+		},
+		{
+			"least work",
+			queueEntry{job: makeJob("b", 1, 9), slackSeconds: 9, waitingCPUSeconds: 1},
+			queueEntry{job: makeJob("a", 1, 1), slackSeconds: 2, waitingCPUSeconds: 2},
+		},
+		{
+			"in time before late",
+			queueEntry{job: makeJob("b", 1, 9), waitingCPUSeconds: 9},
+			queueEntry{job: makeJob("a", 1, 1), waitingCPUSeconds: 1, missedObjectives: 1},
+		},
+		{
+			"hungry before the like of higher priority",
+			queueEntry{job: makeJob("b", 0, 9), starved: true},
+			queueEntry{job: makeJob("a", 1, 1)},
+		},
+		{
+			"just late before long late",
+			queueEntry{job: makeJob("b", 1, 9), slackSeconds: -5},
+			queueEntry{job: makeJob("a", 1, 1), slackSeconds: -50, missedObjectives: 2},
+		},
+		{
+			"oldest of the long late",
+			queueEntry{job: makeJob("b", 1, 1), slackSeconds: -5, missedObjectives: 2},
+			queueEntry{job: makeJob("a", 1, 2), slackSeconds: -50, missedObjectives: 2},
+		},
+		{
+			"urgent before in time",
+			queueEntry{
+				job:               makeJob("b", 1, 9),
+				deadlineBoost:     true,
+				missedObjectives:  2,
+				waitingCPUSeconds: 9,
+			},
+			queueEntry{job: makeJob("a", 1, 1), waitingCPUSeconds: 1},
+		},
+		{
+			"priority before urgent",
+			queueEntry{job: makeJob("b", 2, 9)},
+			queueEntry{job: makeJob("a", 1, 1), deadlineBoost: true, missedObjectives: 2},
+		},
 		{"id at last", queueEntry{job: makeJob("a", 1, 1)}, queueEntry{job: makeJob("b", 1, 1)}},
 	}
 	for _, tc := range cases {
@@ -149,24 +311,53 @@
 	c := newCluster(t, 3)
 	c.teams = []config.Team{{Name: "free"}, {Name: "tight", CPUsMax: 12}}
 	c.adjustFacts = func(cfg *config.Config) {
-		cfg.Facts.Objectives = []config.Objective{{Kind: "deadline", Class: "x", Times: 1}, {Kind: "deadline", Class: "x", Times: 1.5},
-			{Kind: "wait", Class: "x", WithinS: 150}, {Kind: "finished", Class: "x", WithinS: 250}}
+		cfg.Facts.Objectives = []config.Objective{
+			{Kind: "deadline", Class: "x", Times: 1},
+			{Kind: "deadline", Class: "x", Times: 1.5},
+			{Kind: "wait", Class: "x", WithinS: 150},
+			{Kind: "finished", Class: "x", WithinS: 250},
+		}
 	}
 	c.start("n-0")
 	core := c.nodes["n-0"].controller
 	c.sim.Run(500 * second)
 	core.catalog.machineTypes = map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}}
-	core.mirror.Machines["i-1"] = &Machine{ID: "i-1", Record: &storage.ShardMachine{Type: "m16", State: storage.MachineOpen}}
+	core.mirror.Machines["i-1"] = &mirror.Machine{
+		ID:     "i-1",
+		Record: &storage.ShardMachine{Type: "m16", State: storage.MachineOpen},
+	}
 	add := func(team string, age, cpus float64, tasks int) string {
 		id := fmt.Sprintf("j-%06d", len(core.mirror.Jobs))
-		core.mirror.Jobs[id] = &Job{ID: id, TaskStates: make([]uint8, tasks), TaskResources: resources.Vector{CPUs: cpus}, Record: storage.OpenJob{
-			AcceptedAt: core.env.WallClock() - int64(age*float64(second)), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}}}
+		core.mirror.Jobs[id] = &mirror.Job{
+			ID:            id,
+			TaskStates:    make([]uint8, tasks),
+			TaskResources: resources.Vector{CPUs: cpus},
+			Record: storage.OpenJob{
+				AcceptedAt: core.env.WallClock() - int64(
+					age*float64(second),
+				), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}},
+		}
 		core.scheduler.trackingOf(id).progressAt = core.now() // not hungry
 		return id
 	}
 	fresh := add("free", 5, 2, 1)
-	small, large := add("free", 120, 2, 4), add("free", 120, 2, 40) // the small one holds a partition of 16 CPUs
-	tight := add("tight", 130, 2, 8)                                // another late one of its team holds 8 of 12 CPUs
+	small, large := add(
+		"free",
+		120,
+		2,
+		4,
+	), add(
+		"free",
+		120,
+		2,
+		40,
+	) // the small one holds a partition of 16 CPUs
+	tight := add(
+		"tight",
+		130,
+		2,
+		8,
+	) // another late one of its team holds 8 of 12 CPUs
 	core.mirror.Jobs[add("tight", 130, 2, 8)].AssignedTasks = 4
 	passed, waiting := add("free", 249, 1, 1), add("free", 80, 1, 1)
 	finish := add("free", 215, 1, 2) // its start is missed, not its end
@@ -181,13 +372,13 @@
 	}
 }
 
-// TestRendezvousOwnerIsStableAndBalanced: machines spread over the live controllers, and only those of one that
-// has gone move.
+// TestRendezvousOwnerIsStableAndBalanced: machines spread over the live controllers, and only those of one
+// that has gone move.
 func TestRendezvousOwnerIsStableAndBalanced(t *testing.T) {
 	all := []string{"n-0", "n-1", "n-2"}
 	count := map[string]int{}
 	for i := 0; i < 300; i++ {
-		id := TaskID{"i", i}.String()
+		id := mirror.TaskID{Job: "i", Index: i}.String()
 		destination := rendezvousOwner(id, all)
 		count[destination]++
 		if destination != "n-1" && rendezvousOwner(id, []string{"n-0", "n-2"}) != destination {
@@ -207,12 +398,28 @@
 	c := newCluster(t, 23)
 	c.start("n-0")
 	core := c.nodes["n-0"].controller
-	job := &Job{ID: "j-1", TaskResources: resources.Vector{CPUs: 2}, Record: storage.OpenJob{Spec: storage.JobSpec{CPUs: 2}}}
+	job := &mirror.Job{
+		ID:            "j-1",
+		TaskResources: resources.Vector{CPUs: 2},
+		Record:        storage.OpenJob{Spec: storage.JobSpec{CPUs: 2}},
+	}
 	update := NewShardUpdate("p", nil, &storage.Shard{})
 	var candidates []*candidateMachine
 	for i := 0; i < 4*sampleAboveMachines; i++ {
-		machine := &Machine{ID: TaskID{"i", i}.String(), CachedImages: map[string]bool{}, Record: &storage.ShardMachine{Type: "m8", Zone: "a"}}
-		candidates = append(candidates, &candidateMachine{machine: machine, record: machine.Record, update: update, freeResources: resources.Vector{CPUs: 1}})
+		machine := &mirror.Machine{
+			ID:           mirror.TaskID{Job: "i", Index: i}.String(),
+			CachedImages: map[string]bool{},
+			Record:       &storage.ShardMachine{Type: "m8", Zone: "a"},
+		}
+		candidates = append(
+			candidates,
+			&candidateMachine{
+				machine:       machine,
+				record:        machine.Record,
+				update:        update,
+				freeResources: resources.Vector{CPUs: 1},
+			},
+		)
 	}
 	zones := newZoneConstraint(core.mirror, job)
 	if candidate := core.scheduler.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != nil {
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -26,10 +27,12 @@
 		return
 	}
 	controllers := sm.c.reachability.connectedControllers()
-	orphaned := map[string][]*Shard{}
+	orphaned := map[string][]*mirror.Shard{}
 	for _, name := range sortedmap.Keys(sm.c.mirror.Shards) {
 		shard := sm.c.mirror.Shards[name]
-		if owner := shard.Record.Owner; !sm.claimsInFlight[name] && sm.isSuccessorFor(shard, controllers, now) && sm.c.mirror.WatchedRevision >= shard.Version {
+		if owner := shard.Record.Owner; !sm.claimsInFlight[name] &&
+			sm.isSuccessorFor(shard, controllers, now) &&
+			sm.c.mirror.WatchedRevision >= shard.Version {
 			orphaned[owner] = append(orphaned[owner], shard)
 		}
 	}
@@ -46,7 +49,7 @@
 
 // isSuccessorFor tells whether we are to claim a shard whose owner has gone: an earlier
 // incarnation of ours, or another controller and we are its successor.
-func (sm *shardManager) isSuccessorFor(shard *Shard, controllers []string, now monotime.Micros) bool {
+func (sm *shardManager) isSuccessorFor(shard *mirror.Shard, controllers []string, now monotime.Micros) bool {
 	owner := shard.Record.Owner
 	if owner == sm.c.node {
 		return shard.Record.Incarnation != sm.c.incarnation
@@ -54,11 +57,12 @@
 	if sm.c.membership.isMember(owner) {
 		return false
 	}
-	return now-sm.c.membership.absentSince(owner, now) > monotime.Second && rendezvousOwner(shard.Name, controllers) == sm.c.node
+	return now-sm.c.membership.absentSince(owner, now) > monotime.Second &&
+		rendezvousOwner(shard.Name, controllers) == sm.c.node
 }
 
 // claimShards takes over shards of one owner, as many as a commit takes.
-func (sm *shardManager) claimShards(owner string, shards []*Shard) int {
+func (sm *shardManager) claimShards(owner string, shards []*mirror.Shard) int {
 	txn, n := sm.buildShardTransfer(shards, sm.c.node, sm.c.incarnation)
 	shards = shards[:n]
 	for _, shard := range shards {
@@ -87,7 +91,11 @@
 // conditional write that raises their claim numbers, so that tokens of any earlier
 // owner are outranked, with the shares of the teams' limits that their attempts use.
 // As many shards as a commit takes go at once.
-func (sm *shardManager) buildShardTransfer(shards []*Shard, to string, incarnation uint64) (txn protocol.Transaction, taken int) {
+func (sm *shardManager) buildShardTransfer(
+	shards []*mirror.Shard,
+	to string,
+	incarnation uint64,
+) (txn protocol.Transaction, taken int) {
 	useByTeam := map[string]resources.Vector{}
 	bytes := 0
 	from := shards[0].Record.Owner
@@ -112,7 +120,7 @@
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: shard.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 		for team, r := range shard.UseByTeam {
-			AddUse(useByTeam, team, r, 1)
+			mirror.AddUse(useByTeam, team, r, 1)
 		}
 	}
 	if from != to {
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -6,6 +6,7 @@
 	"sort"
 	"strings"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -14,7 +15,8 @@
 	"pipitgap/internal/storage"
 )
 
-// shardManager owns the shards of this controller: their updates in doubt, claims of machines, and how shards change hands.
+// shardManager owns the shards of this controller: their updates in doubt, claims of machines, and how shards
+// change hands.
 type shardManager struct {
 	c *Controller
 
@@ -29,10 +31,12 @@
 
 // Bounds of shards and turns.
 const (
-	maxInFlightCommitWait    = 600 * monotime.Millisecond // a commit in flight holds the next pass up for so long
-	claimRequestTimeout      = 2500 * monotime.Millisecond
-	bytesPerMachine          = 60 // bytes that a machine takes in a shard, with its partition of the jobs' ids
-	bytesPerCPU              = 7  // and what tasks on each of its CPUs take: 14 for one of 2 CPUs
+	// a commit in flight holds the next pass up for so long
+	maxInFlightCommitWait = 600 * monotime.Millisecond
+	claimRequestTimeout   = 2500 * monotime.Millisecond
+	// bytes that a machine takes in a shard, with its partition of the jobs' ids
+	bytesPerMachine          = 60
+	bytesPerCPU              = 7 // and what tasks on each of its CPUs take: 14 for one of 2 CPUs
 	staleEntriesRewriteDelay = 5 * monotime.Second
 	maxShardFill             = 0.95 // of a value: up to this a shard is filled
 )
@@ -45,13 +49,14 @@
 	// is it settled whether it came about. Until then nothing later that is said of
 	// the shard clears it: a second commit that fails may fail because of the first.
 	updatesInDoubt []*ShardUpdate
-	staleSince     monotime.Micros // since when it holds entries of jobs that are over, or marks that aren't true any more
+	// since when it holds entries of jobs that are over, or marks that aren't true any more
+	staleSince monotime.Micros
 }
 
 // claimRequest is a machine's worker that waits to be claimed by us.
 type claimRequest struct {
 	report      protocol.Heartbeat
-	fromShard   *Shard // of another partition, if it has lost its owner
+	fromShard   *mirror.Shard // of another partition, if it has lost its owner
 	requestedAt monotime.Micros
 	callbacks   []func(ok bool)
 }
@@ -65,7 +70,7 @@
 // ShardUpdate is a shard as it will be written.
 type ShardUpdate struct {
 	Name              string
-	Previous          *Shard // nil: a new shard
+	Previous          *mirror.Shard // nil: a new shard
 	Next              *storage.Shard
 	Changed           bool
 	MaxBytes          int                  // bytes that it may come to take
@@ -76,16 +81,17 @@
 	FreedByTeam       map[string]resources.Vector // by team: the same, and not yet used again
 	AssignedByMachine map[string]resources.Vector // by machine: assigned by this pass
 	AssignedByTeam    map[string]resources.Vector // by team: assigned by this pass
-	AssignedTasks     map[TaskID]bool
+	AssignedTasks     map[mirror.TaskID]bool
 	AssignedJobs      map[string]bool
-	CompletedTaskJobs map[string]bool // jobs with tasks completed
-	ReleasedTasks     map[TaskID]bool // attempts released
+	CompletedTaskJobs map[string]bool        // jobs with tasks completed
+	ReleasedTasks     map[mirror.TaskID]bool // attempts released
 	AdmittedMachines  map[string]*claimRequest
 	MachinesToSync    map[string]bool     // machines with something new to do
 	Candidates        []*candidateMachine // those of its machines that may get tasks
 	UnpermittedLosses []replicaLoss       // replicas that this update releases outside of permits
 }
 
+// PreviousVersion is the version that the update is conditional on; 0 for a new shard.
 func (d *ShardUpdate) PreviousVersion() uint64 {
 	if d.Previous == nil {
 		return 0
@@ -94,7 +100,7 @@
 }
 
 // describeTasks names tasks for the log, with the machines they are given to.
-func (d *ShardUpdate) describeTasks(tasks map[TaskID]bool) string {
+func (d *ShardUpdate) describeTasks(tasks map[mirror.TaskID]bool) string {
 	var out []string
 	for task := range tasks {
 		s := task.String()
@@ -111,6 +117,7 @@
 	return strings.Join(out, " ")
 }
 
+// AddCompare has the commit ask for a version of another record too.
 func (d *ShardUpdate) AddCompare(key string, version uint64) {
 	if !d.ComparedKeys[key] {
 		d.ComparedKeys[key] = true
@@ -118,14 +125,28 @@
 	}
 }
 
-func NewShardUpdate(name string, previous *Shard, next *storage.Shard) *ShardUpdate {
-	return &ShardUpdate{Name: name, Previous: previous, Next: next, ComparedKeys: map[string]bool{}, FreedByMachine: map[string]resources.Vector{}, FreedByTeam: map[string]resources.Vector{},
-		AssignedByMachine: map[string]resources.Vector{}, AssignedByTeam: map[string]resources.Vector{}, AssignedTasks: map[TaskID]bool{}, AssignedJobs: map[string]bool{},
-		CompletedTaskJobs: map[string]bool{}, ReleasedTasks: map[TaskID]bool{}, AdmittedMachines: map[string]*claimRequest{}, MachinesToSync: map[string]bool{}}
+// NewShardUpdate prepares an update of a shard; previous is nil for a new one.
+func NewShardUpdate(name string, previous *mirror.Shard, next *storage.Shard) *ShardUpdate {
+	return &ShardUpdate{
+		Name:              name,
+		Previous:          previous,
+		Next:              next,
+		ComparedKeys:      map[string]bool{},
+		FreedByMachine:    map[string]resources.Vector{},
+		FreedByTeam:       map[string]resources.Vector{},
+		AssignedByMachine: map[string]resources.Vector{},
+		AssignedByTeam:    map[string]resources.Vector{},
+		AssignedTasks:     map[mirror.TaskID]bool{},
+		AssignedJobs:      map[string]bool{},
+		CompletedTaskJobs: map[string]bool{},
+		ReleasedTasks:     map[mirror.TaskID]bool{},
+		AdmittedMachines:  map[string]*claimRequest{},
+		MachinesToSync:    map[string]bool{},
+	}
 }
 
 // ownsShard tells whether a shard is ours, in this life of ours.
-func (sm *shardManager) ownsShard(shard *Shard) bool {
+func (sm *shardManager) ownsShard(shard *mirror.Shard) bool {
 	return shard.Record.Owner == sm.c.node && shard.Record.Incarnation == sm.c.incarnation
 }
 
@@ -172,12 +193,14 @@
 		return
 	}
 	delete(sm.newShards, name)
-	if seen := sm.claimsObserved[name]; seen.number != shard.Record.Claim || seen.incarnation != shard.Record.Incarnation {
+	if seen := sm.claimsObserved[name]; seen.number != shard.Record.Claim ||
+		seen.incarnation != shard.Record.Incarnation {
 		sm.claimsObserved[name] = observedClaim{shard.Record.Claim, shard.Record.Incarnation, sm.c.now()}
 	}
 	mine := sm.ownsShard(shard)
 	for id := range shard.Record.Machines {
-		if machine := sm.c.mirror.Machines[id]; machine != nil && (mine || sm.c.agents.agentOf(machine) != nil) {
+		if machine := sm.c.mirror.Machines[id]; machine != nil &&
+			(mine || sm.c.agents.agentOf(machine) != nil) {
 			sm.c.agents.updateAgentOwnership(machine)
 		}
 	}
@@ -196,14 +219,17 @@
 		if tracker.commitInFlightSince != 0 && now-tracker.commitInFlightSince < maxInFlightCommitWait {
 			return // placing on some shards only would miss what the others have
 		}
-		if tracker.commitInFlightSince == 0 && len(tracker.updatesInDoubt) == 0 && sc.c.mirror.Shards[name] == nil && sc.c.shards.newShards[name] == nil {
+		if tracker.commitInFlightSince == 0 && len(tracker.updatesInDoubt) == 0 &&
+			sc.c.mirror.Shards[name] == nil &&
+			sc.c.shards.newShards[name] == nil {
 			delete(sc.c.shards.trackers, name)
 		}
 	}
 	sc.passNeeded = false
 	var updates []*ShardUpdate
 	for _, name := range sortedmap.Keys(sc.c.mirror.Shards) {
-		if shard := sc.c.mirror.Shards[name]; sc.c.shards.ownsShard(shard) && sc.c.shards.trackerOf(name).commitInFlightSince == 0 {
+		if shard := sc.c.mirror.Shards[name]; sc.c.shards.ownsShard(shard) &&
+			sc.c.shards.trackerOf(name).commitInFlightSince == 0 {
 			update := sc.c.shards.prepareShardUpdate(shard, now)
 			update.PlannedBytes = sc.c.shards.plannedShardBytes(update.Next)
 			updates = append(updates, update)
@@ -230,16 +256,19 @@
 			}
 		}
 	}
-	sc.nextPassAt = now + max(2*fastTickInterval, monotime.FromSeconds(float64(written)/sc.c.store.shardWriteRate()))
+	sc.nextPassAt = now + max(
+		2*fastTickInterval,
+		monotime.FromSeconds(float64(written)/sc.c.store.shardWriteRate()),
+	)
 }
 
 // prepareShardUpdate prepares the next version of a shard: outcomes, machines proven gone,
 // states, and entries of jobs that are over.
-func (sm *shardManager) prepareShardUpdate(shard *Shard, now monotime.Micros) *ShardUpdate {
+func (sm *shardManager) prepareShardUpdate(shard *mirror.Shard, now monotime.Micros) *ShardUpdate {
 	update := NewShardUpdate(shard.Name, shard, shard.Record.Clone())
 	tracker := sm.trackerOf(shard.Name)
 	update.Changed = len(tracker.updatesInDoubt) > 0 // writing it anew settles what became of that
-	release := func(machine *Machine, task TaskID, done bool) {
+	release := func(machine *mirror.Machine, task mirror.TaskID, done bool) {
 		update.Changed = true
 		update.ReleasedTasks[task] = true
 		update.UnpermittedLosses = sm.c.drains.recordLoss(update.UnpermittedLosses, machine, task)
@@ -248,8 +277,14 @@
 			update.CompletedTaskJobs[task.Job] = true
 		}
 		if job := sm.c.mirror.Jobs[task.Job]; job != nil {
-			update.FreedByMachine[machine.ID] = update.FreedByMachine[machine.ID].AddScaled(job.TaskResources, 1)
-			update.FreedByTeam[job.Record.Spec.Team] = update.FreedByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
+			update.FreedByMachine[machine.ID] = update.FreedByMachine[machine.ID].AddScaled(
+				job.TaskResources,
+				1,
+			)
+			update.FreedByTeam[job.Record.Spec.Team] = update.FreedByTeam[job.Record.Spec.Team].AddScaled(
+				job.TaskResources,
+				1,
+			)
 		}
 	}
 	marked := false
@@ -258,7 +293,8 @@
 		if machine == nil || machine.Shard != shard {
 			continue
 		}
-		if removal := sm.c.mirror.ScaleIns[sm.c.mirror.ScaleInOfMachine[id]]; removal != nil && removal.Record.Gone {
+		if removal := sm.c.mirror.ScaleIns[sm.c.mirror.ScaleInOfMachine[id]]; removal != nil &&
+			removal.Record.Gone {
 			for task := range machine.Attempts {
 				release(machine, task, false)
 			}
@@ -292,7 +328,8 @@
 		stale++
 	}
 	for id, entry := range shard.Record.Jobs {
-		if sm.c.mirror.Jobs[id] == nil && len(entry.Attempts) == 0 && sm.c.mirror.WatchedRevision >= shard.Version {
+		if sm.c.mirror.Jobs[id] == nil && len(entry.Attempts) == 0 &&
+			sm.c.mirror.WatchedRevision >= shard.Version {
 			delete(update.Next.Jobs, id)
 			stale++
 		}
@@ -372,21 +409,43 @@
 				}
 			}
 			if sm.c.log.Enabled(context.Background(), slog.LevelDebug) {
-				sm.c.log.Debug("shard committed", "shard", update.Name,
-					"assigned", update.describeTasks(update.AssignedTasks), "released", update.describeTasks(update.ReleasedTasks),
-					"machines_claimed", len(update.AdmittedMachines), "max_bytes", update.MaxBytes)
+				sm.c.log.Debug(
+					"shard committed",
+					"shard",
+					update.Name,
+					"assigned",
+					update.describeTasks(update.AssignedTasks),
+					"released",
+					update.describeTasks(update.ReleasedTasks),
+					"machines_claimed",
+					len(update.AdmittedMachines),
+					"max_bytes",
+					update.MaxBytes,
+				)
 			}
 		case protocol.Unknown:
 			tracker.resolveUpdates(sm.c.mirror.VersionOf(key))
 		case protocol.Conflict:
-			sm.c.log.Debug("shard compare-and-swap conflict", "shard", update.Name, "failed_keys", result.Failed)
+			sm.c.log.Debug(
+				"shard compare-and-swap conflict",
+				"shard",
+				update.Name,
+				"failed_keys",
+				result.Failed,
+			)
 			for _, k := range result.Failed {
 				// The next pass would decide on the same outdated record.
 				if kind, name, _ := storage.SplitKey(k); kind == storage.KindOpenJob {
-					sm.c.scheduler.trackingOf(name).placeNotBefore = max(sm.c.scheduler.trackingOf(name).placeNotBefore, sm.c.now()+sm.c.replica.minWatchInterval)
+					sm.c.scheduler.trackingOf(name).placeNotBefore = max(
+						sm.c.scheduler.trackingOf(name).placeNotBefore,
+						sm.c.now()+sm.c.replica.minWatchInterval,
+					)
 				}
 			}
-			sm.c.scheduler.nextPassAt = max(sm.c.scheduler.nextPassAt, sm.c.now()+sm.c.replica.minWatchInterval/2)
+			sm.c.scheduler.nextPassAt = max(
+				sm.c.scheduler.nextPassAt,
+				sm.c.now()+sm.c.replica.minWatchInterval/2,
+			)
 		case protocol.Rejected:
 			sm.c.log.Error("shard rejected by state service", "shard", update.Name)
 			sm.c.scheduler.nextPassAt = max(sm.c.scheduler.nextPassAt, sm.c.now()+monotime.Second)
@@ -398,8 +457,8 @@
 
 // tasksInDoubt lists the tasks that a commit in doubt or in flight may have given
 // to a machine: until that is settled no other may.
-func (sm *shardManager) tasksInDoubt() map[TaskID]bool {
-	out := map[TaskID]bool{}
+func (sm *shardManager) tasksInDoubt() map[mirror.TaskID]bool {
+	out := map[mirror.TaskID]bool{}
 	for _, tracker := range sm.trackers {
 		for _, update := range tracker.updatesInDoubt {
 			for task := range update.AssignedTasks {
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -13,7 +13,11 @@
 
 // shortLeases are those of a platform that reports often, and whose controllers take
 // nearly as long to be back as a lease lasts.
-var shortLeases = leaseDurations{heartbeatInterval: 8 * second / 10, leaseTime: 10 * second, cancelTime: 30 * second}
+var shortLeases = leaseDurations{
+	heartbeatInterval: 8 * second / 10,
+	leaseTime:         10 * second,
+	cancelTime:        30 * second,
+}
 
 const slowRestartDelay = 8 * second
 
@@ -40,16 +44,31 @@
 // submitWholeMachineJobs are arrays of tasks that fill a machine each, beside many small ones.
 func (s *scenario) submitWholeMachineJobs() {
 	for range 4 {
-		s.addUser(300*second, withTasks(8), withCPUs(16), withMemoryGB(53), withSpot(true), withEstimateS(300),
-			withCheckpointS(15), withSaveS(4))
+		s.addUser(
+			300*second,
+			withTasks(8),
+			withCPUs(16),
+			withMemoryGB(53),
+			withSpot(true),
+			withEstimateS(300),
+			withCheckpointS(15),
+			withSaveS(4),
+		)
 	}
 }
 
 // submitSmallUrgentArray is an urgent array of small tasks: with a few of them a second every shard is
 // written in every pass.
 func submitSmallUrgentArray(s *scenario) {
-	s.addUser(4*second+s.randomDuration(8*second), withTasks(12), withCPUs(2), withSpot(true), withPriority(protocol.High),
-		withEstimateS(8), withDeadlineS(40))
+	s.addUser(
+		4*second+s.randomDuration(8*second),
+		withTasks(12),
+		withCPUs(2),
+		withSpot(true),
+		withPriority(protocol.High),
+		withEstimateS(8),
+		withDeadlineS(40),
+	)
 }
 
 // expiredLeases counts how often a lease has ended on machines that are up.
@@ -74,10 +93,10 @@
 	}}
 }
 
-// TestSlowRestartsExpireNoAdoptableLeases: controllers that end and are back only when the leases are about to
-// end. Their workers reach one that is left once, and not again in time: it waited for the
-// memberships to end, and most leases ended with them. Where all have ended, leases may
-// end before anybody is back, but nothing runs twice.
+// TestSlowRestartsExpireNoAdoptableLeases: controllers that end and are back only when the leases are about
+// to end. Their workers reach one that is left once, and not again in time: it waited for the memberships to
+// end, and most leases ended with them. Where all have ended, leases may end before anybody is back, but
+// nothing runs twice.
 func TestSlowRestartsExpireNoAdoptableLeases(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -103,7 +122,8 @@
 				s.sim.Run(58*second - s.sim.Now())
 				before, machines := s.expiredLeases(), len(s.pickMachines(1000))
 				s.sim.Run(45 * second)
-				if ended := s.expiredLeases() - before; float64(ended) > tc.mostEnded*float64(machines) || machines < 20 {
+				if ended := s.expiredLeases() - before; float64(ended) > tc.mostEnded*float64(machines) ||
+					machines < 20 {
 					t.Errorf("seed %d: %d leases of %d machines ended", seed, ended, machines)
 				}
 				s.sim.Run(60 * second)
@@ -148,8 +168,14 @@
 					s.sim.After(f.at-s.sim.Now(), func() { f.inject(s) })
 				}
 				s.sim.Run(85*second - s.sim.Now())
-				if most := s.maxMachinesOfOneController(); len(tc.faults) > 0 && 3*most < 2*len(s.pickMachines(1000)) {
-					t.Fatalf("seed %d: no controller has more than %d of %d machines", seed, most, len(s.pickMachines(1000)))
+				if most := s.maxMachinesOfOneController(); len(tc.faults) > 0 &&
+					3*most < 2*len(s.pickMachines(1000)) {
+					t.Fatalf(
+						"seed %d: no controller has more than %d of %d machines",
+						seed,
+						most,
+						len(s.pickMachines(1000)),
+					)
 				}
 				before, machines := s.expiredLeases(), len(s.pickMachines(1000))
 				s.sim.Run(40 * second)
@@ -224,7 +250,12 @@
 	}{{ok, 4}, {conflict, 2}, {conflict, 1}, {conflict, 1}, {protocol.Unknown, 1}, {ok, 2}, {ok, 4}, {ok, 4}} {
 		core.shards.takeoverLimiter.recordOutcome(protocol.StoreResult{Outcome: step.outcome})
 		if core.shards.takeoverLimiter.sourceLimit != step.want {
-			t.Errorf("step %d: from %d shards, want %d", i, core.shards.takeoverLimiter.sourceLimit, step.want)
+			t.Errorf(
+				"step %d: from %d shards, want %d",
+				i,
+				core.shards.takeoverLimiter.sourceLimit,
+				step.want,
+			)
 		}
 	}
 }
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -33,19 +33,27 @@
 	unreachableMachines map[string]bool // machines whose reports arrive, but nothing reaches them
 	mutedMachines       map[string]bool // machines that are reached, but whose reports don't arrive
 	zonesPartitioned    bool            // the zones can't reach each other
-	controllerDownSeen  map[string]bool // if set, machines that have noticed a controller's end: it says nothing to them from then on
-	disconnectionSeen   map[string]bool // if set, machines that have noticed a cut: what they try from then on is refused
-	commandDelay        func(worker *fake.Worker, req *protocol.CommandRequest) monotime.Micros
-	nextSubmission      int
-	onReport            func(worker *fake.Worker, node string, body []byte) // sees every report on its way
-	adjustFacts         func(*config.Config)                                // changes what the platform hands over
-	onAccepted          func(id string)                                     // a job that was sent is accepted
-	refuseConnections   bool                                                // controllers that are down refuse connections, rather than say nothing
-	pausedWork          map[string]*[]func()                                // controllers that stand still: what waits for them
-	onCall              func(string)                                        // sees every call of a controller, in words
-	wire                func(node, kind, text string)                       // sees every call, hint and answer of a controller in wire form
-	commandCount        int                                                 // direct commands, and questions to workers
-	largestResponse     int                                                 // bytes of an answer, at most
+	// if set, machines that have noticed a controller's end: it says nothing to them from then on
+	controllerDownSeen map[string]bool
+	// if set, machines that have noticed a cut: what they try from then on is refused
+	disconnectionSeen map[string]bool
+	commandDelay      func(worker *fake.Worker, req *protocol.CommandRequest) monotime.Micros
+	nextSubmission    int
+	onReport          func(worker *fake.Worker, node string, body []byte) // sees every report on its way
+	// changes what the platform hands over
+	adjustFacts func(*config.Config)
+	onAccepted  func(id string) // a job that was sent is accepted
+	// controllers that are down refuse connections, rather than say nothing
+	refuseConnections bool
+	// controllers that stand still: what waits for them
+	pausedWork map[string]*[]func()
+	// sees every call of a controller, in words
+	onCall func(string)
+	// sees every call, hint and answer of a controller in wire form
+	wire func(node, kind, text string)
+	// direct commands, and questions to workers
+	commandCount    int
+	largestResponse int // bytes of an answer, at most
 }
 
 // simController is one controller; its env drops whatever belongs to an earlier life.
@@ -122,16 +130,28 @@
 func (e *simEnv) CallStore(c *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	e.reportCall("store", c)
 	e.record("store", func() string { return wireStoreCall(c) })
-	e.node.cluster.store.Call(e.node.name, c, func(result protocol.StoreResult) { e.whileAlive(func() { callback(result) })() })
+	e.node.cluster.store.Call(
+		e.node.name,
+		c,
+		func(result protocol.StoreResult) { e.whileAlive(func() { callback(result) })() },
+	)
 }
 
 func (e *simEnv) CallCloud(c *protocol.CloudCall, back func(protocol.CloudResult)) {
 	e.reportCall("cloud", c)
 	e.record("cloud", func() string { return wireCloudCall(c) })
-	e.node.cluster.cloud.Call(c, func(result protocol.CloudResult) { e.whileAlive(func() { back(result) })() })
+	e.node.cluster.cloud.Call(
+		c,
+		func(result protocol.CloudResult) { e.whileAlive(func() { back(result) })() },
+	)
 }
 
-func (e *simEnv) SendCommands(endpoint string, req *protocol.CommandRequest, within monotime.Micros, callback func(protocol.CommandResult)) {
+func (e *simEnv) SendCommands(
+	endpoint string,
+	req *protocol.CommandRequest,
+	within monotime.Micros,
+	callback func(protocol.CommandResult),
+) {
 	c := e.node.cluster
 	c.commandCount++
 	e.reportCall(endpoint, req)
@@ -174,7 +194,8 @@
 func (e *simEnv) SendPeerStatus(node string, status PeerStatus) {
 	c := e.node.cluster
 	e.record("hint", func() string { return node + " " + wirePeerStatus(&status) })
-	if c.disconnectedPairs[e.node.name+"-"+node] || c.disconnectedPairs[node+"-"+e.node.name] || c.zonesPartitioned && zoneOfController(e.node.name) != zoneOfController(node) {
+	if c.disconnectedPairs[e.node.name+"-"+node] || c.disconnectedPairs[node+"-"+e.node.name] ||
+		c.zonesPartitioned && zoneOfController(e.node.name) != zoneOfController(node) {
 		return
 	}
 	frame := PeerFrame(&status)
@@ -190,15 +211,40 @@
 }
 
 var testTypes = []protocol.MachineType{
-	{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10},
-	{Name: "m16", CPUs: 16, MemoryGB: 128, OnDemandPrice: 2.2, SpotPrice: 0.9, Zones: []string{"a", "b"}, BootS: 10},
+	{
+		Name:          "m8",
+		CPUs:          8,
+		MemoryGB:      64,
+		OnDemandPrice: 1,
+		SpotPrice:     0.4,
+		Zones:         []string{"a", "b"},
+		BootS:         10,
+	},
+	{
+		Name:          "m16",
+		CPUs:          16,
+		MemoryGB:      128,
+		OnDemandPrice: 2.2,
+		SpotPrice:     0.9,
+		Zones:         []string{"a", "b"},
+		BootS:         10,
+	},
 }
 
 func newCluster(t testing.TB, seed uint64) *cluster {
 	sim := fake.NewSimClock(seed)
-	c := &cluster{t: t, sim: sim, nodeNames: []string{"n-0", "n-1", "n-2"}, nodes: map[string]*simController{},
-		settings: config.Defaults(), disconnectedPairs: map[string]bool{}, unreachableMachines: map[string]bool{}, mutedMachines: map[string]bool{}, pausedWork: map[string]*[]func(){},
-		teams: []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 12}}}
+	c := &cluster{
+		t:                   t,
+		sim:                 sim,
+		nodeNames:           []string{"n-0", "n-1", "n-2"},
+		nodes:               map[string]*simController{},
+		settings:            config.Defaults(),
+		disconnectedPairs:   map[string]bool{},
+		unreachableMachines: map[string]bool{},
+		mutedMachines:       map[string]bool{},
+		pausedWork:          map[string]*[]func(){},
+		teams:               []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 12}},
+	}
 	c.store = fake.NewStateStore(sim, 200, 50, 12)
 	c.cloud = fake.NewCloud(sim, testTypes)
 	for _, typ := range testTypes {
@@ -225,7 +271,8 @@
 		}
 		if c.cannotReach(worker, node) || c.mutedMachines[worker.Machine.ID] {
 			if c.disconnectionSeen != nil {
-				c.disconnectionSeen[worker.Machine.ID] = true // its open connection says nothing, new ones are reset
+				// its open connection says nothing, new ones are reset
+				c.disconnectionSeen[worker.Machine.ID] = true
 			}
 			return
 		}
@@ -234,7 +281,8 @@
 		}
 		unavailable := c.nodes[node].controller == nil
 		if unavailable && c.controllerDownSeen != nil && !c.controllerDownSeen[worker.Machine.ID] {
-			c.controllerDownSeen[worker.Machine.ID] = true // its open connection is reset, new ones say nothing
+			// its open connection is reset, new ones say nothing
+			c.controllerDownSeen[worker.Machine.ID] = true
 			c.sim.After(2*monotime.Millisecond, func() { back(0, nil) })
 			return
 		}
@@ -267,7 +315,8 @@
 
 // cannotReach tells whether a machine and a controller can't reach each other.
 func (c *cluster) cannotReach(worker *fake.Worker, node string) bool {
-	return c.disconnectedPairs[worker.Machine.ID+"-"+node] || c.zonesPartitioned && worker.Machine.Zone != zoneOfController(node)
+	return c.disconnectedPairs[worker.Machine.ID+"-"+node] ||
+		c.zonesPartitioned && worker.Machine.Zone != zoneOfController(node)
 }
 
 func (c *cluster) nodeConfig(node string) *config.Config {
@@ -295,12 +344,17 @@
 	for _, name := range nodes {
 		controller := c.nodes[name]
 		controller.incarnation++
-		env := &simEnv{node: controller, incarnation: controller.incarnation, random: rand.New(rand.NewPCG(uint64(controller.incarnation), c.sim.Rand.Uint64()))}
+		env := &simEnv{
+			node:        controller,
+			incarnation: controller.incarnation,
+			random:      rand.New(rand.NewPCG(uint64(controller.incarnation), c.sim.Rand.Uint64())),
+		}
 		out := io.Discard
 		if os.Getenv("PIPITGAP_TEST_LOG") != "" {
 			out = os.Stderr
 		}
-		log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", name)
+		log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug})).
+			With("node", name)
 		controller.controller = NewController(c.nodeConfig(name), c.settings, env, log)
 		controller.controller.Start()
 	}
--- a/internal/coordination/simulated_scenario_test.go
+++ b/internal/coordination/simulated_scenario_test.go
@@ -130,7 +130,8 @@
 		if n := s.checker.MaxCompletions(u.id); n > maxCompletions {
 			s.t.Errorf("job %s: a task has completed %d times", u.id, n)
 		}
-		if at, complete := s.checker.IsJobCompleted(u.id); complete && !u.finished && s.sim.Now()-at > fake.MaxUnanswered {
+		if at, complete := s.checker.IsJobCompleted(u.id); complete && !u.finished &&
+			s.sim.Now()-at > fake.MaxUnanswered {
 			s.t.Errorf("job %s: all tasks have completed by %.0f s, its user isn't told", u.id, at.Seconds())
 		}
 	}
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -40,7 +40,12 @@
 }
 
 // send asks a node and calls back once, with a status of 0 when no answer came in time.
-func (u *simUser) send(node, method, target string, body []byte, within monotime.Micros, back func(status int, state string)) {
+func (u *simUser) send(
+	node, method, target string,
+	body []byte,
+	within monotime.Micros,
+	back func(status int, state string),
+) {
 	answered := false
 	answer := func(status int, state string) {
 		if !answered {
@@ -90,12 +95,19 @@
 		return
 	}
 	u.cancelling = true
-	u.send(u.randomNode(), "POST", protocol.CancelPath(u.id), nil, submitTimeout, func(status int, state string) {
-		u.recordAnswer(status, state)
-		if status != 200 {
-			u.cluster.sim.After(retryAfter, u.cancel)
-		}
-	})
+	u.send(
+		u.randomNode(),
+		"POST",
+		protocol.CancelPath(u.id),
+		nil,
+		submitTimeout,
+		func(status int, state string) {
+			u.recordAnswer(status, state)
+			if status != 200 {
+				u.cluster.sim.After(retryAfter, u.cancel)
+			}
+		},
+	)
 }
 
 // recordAnswer takes an answer about the job.
--- a/internal/coordination/store_calls.go
+++ b/internal/coordination/store_calls.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// storeClient paces the calls of the state service: a queue by priority, this controller's part of the limits, and whether the service answers.
+// storeClient paces the calls of the state service: a queue by priority, this controller's part of the
+// limits, and whether the service answers.
 type storeClient struct {
 	c *Controller
 
@@ -46,9 +47,15 @@
 	st := cl.c.cfg.Facts.State
 	share := min(1, budgetOversubscription*cl.budgetMultiplier/float64(live))
 	cl.queue.Reads.Rate, cl.queue.Reads.Burst = st.RPS*share, max(2, st.RPS*share/2)
-	cl.queue.Writes.Rate, cl.queue.Writes.Burst = st.WriteRPS*share, max(float64(st.TxnOps), st.WriteRPS*share/2)
+	cl.queue.Writes.Rate, cl.queue.Writes.Burst = st.WriteRPS*share, max(
+		float64(st.TxnOps),
+		st.WriteRPS*share/2,
+	)
 	// All watches together use at most a quarter of the store's requests.
-	cl.c.replica.minWatchInterval = max(50*monotime.Millisecond, monotime.FromSeconds(float64(live)/(st.RPS*0.25)))
+	cl.c.replica.minWatchInterval = max(
+		50*monotime.Millisecond,
+		monotime.FromSeconds(float64(live)/(st.RPS*0.25)),
+	)
 }
 
 // waitingUserCallsThreshold is how many calls of users may wait before shards make room for them.
@@ -73,11 +80,17 @@
 	return cl.queue.Len(ratelimit.PriorityUserRequest) > waitingUserCallsThreshold
 }
 
-func (cl *storeClient) call(priority ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult)) {
+func (cl *storeClient) call(
+	priority ratelimit.Priority,
+	call *protocol.StoreCall,
+	callback func(protocol.StoreResult),
+) {
 	if call.Timeout == 0 {
 		call.Timeout = storeTimeout
 	}
-	cl.queue.Add(ratelimit.Call{StoreCall: call, Priority: priority, QueuedAt: cl.c.now(), OnResult: callback})
+	cl.queue.Add(
+		ratelimit.Call{StoreCall: call, Priority: priority, QueuedAt: cl.c.now(), OnResult: callback},
+	)
 	cl.dispatch()
 }
 
@@ -89,7 +102,10 @@
 		if !ok {
 			if delay > 0 && !cl.timerArmed {
 				cl.timerArmed = true
-				cl.c.env.After(max(delay, monotime.Millisecond), func() { cl.timerArmed = false; cl.dispatch() })
+				cl.c.env.After(
+					max(delay, monotime.Millisecond),
+					func() { cl.timerArmed = false; cl.dispatch() },
+				)
 			}
 			return
 		}
@@ -146,7 +162,8 @@
 	}
 	for _, node := range sortedmap.Keys(rc.c.peerStatuses.statuses) {
 		at := rc.c.peerStatuses.statuses[node].storeReachableAt
-		if at != 0 && now-at < 1500*monotime.Millisecond && at > rc.c.store.lastSuccessAt+1500*monotime.Millisecond {
+		if at != 0 && now-at < 1500*monotime.Millisecond &&
+			at > rc.c.store.lastSuccessAt+1500*monotime.Millisecond {
 			return node, true
 		}
 	}
@@ -156,7 +173,8 @@
 // isIsolated tells whether we reach neither the store nor any other controller:
 // then it is we who are cut off, and users are better served elsewhere.
 func (rc *reachability) isIsolated(now monotime.Micros) bool {
-	if !rc.c.store.unavailable || now-rc.c.store.lastSuccessAt < 2*monotime.Second || len(rc.c.cfg.Peers) == 0 {
+	if !rc.c.store.unavailable || now-rc.c.store.lastSuccessAt < 2*monotime.Second ||
+		len(rc.c.cfg.Peers) == 0 {
 		return false
 	}
 	for _, peer := range rc.c.cfg.Peers {
@@ -173,7 +191,8 @@
 // within its lease has found nobody: it is we who are left, or its zone is cut off with
 // us, and it is answered as before.
 func (rc *reachability) shouldRedirectAway(agent *Agent, now monotime.Micros) bool {
-	if !rc.isIsolated(now) || now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.membershipTTL+takeoverDuration {
+	if !rc.isIsolated(now) ||
+		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.membershipTTL+takeoverDuration {
 		return false
 	}
 	back := agent.RedirectedAt != 0 && now-agent.RedirectedAt < rc.c.durations.workerLease
@@ -183,16 +202,24 @@
 
 // commitTxn makes a conditional change; on success it is in the mirror before
 // back is called.
-func (r *mirrorReplica) commit(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult)) {
-	r.c.store.call(priority, &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}, func(result protocol.StoreResult) {
-		if result.Outcome == protocol.OK {
-			r.c.mirror.ApplyCommit(&txn, result.Revision)
-		} else if result.Outcome == protocol.Conflict {
-			r.c.counters.commitConflicts++
-			r.hastenWatch()
-		}
-		callback(result)
-	})
+func (r *mirrorReplica) commit(
+	priority ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	r.c.store.call(
+		priority,
+		&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn},
+		func(result protocol.StoreResult) {
+			if result.Outcome == protocol.OK {
+				r.c.mirror.ApplyCommit(&txn, result.Revision)
+			} else if result.Outcome == protocol.Conflict {
+				r.c.counters.commitConflicts++
+				r.hastenWatch()
+			}
+			callback(result)
+		},
+	)
 }
 
 // maxStoreCallsInFlight bounds how many calls of the state service wait for an answer at a time.
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -10,8 +10,9 @@
 
 type activityCounters struct {
 	jobsAccepted, requestsDeferred, tasksPlaced, jobsCompleted, jobsFailed, commitConflicts, callsThrottled int
-	machinesExamined                                                                                        int // machines, by placement
-	permitWrites                                                                                            int
+	// machines, by placement
+	machinesExamined int
+	permitWrites     int
 }
 
 // LogQueue tells at debug which jobs wait at the front, and why.
@@ -25,19 +26,43 @@
 			break
 		}
 		slack, missed := c.autoscaler.slackOf(job, c.env.WallClock())
-		s += fmt.Sprintf(" %s(%s %s age %.0f slack %.0f missed %d"+
-			" starved %v within_guarantee %v waiting %d pending_here %d"+
-			" backoff_ms %d update_in_flight %v mirror_stale %v)",
-			job.ID, job.Record.Spec.Class, job.Record.Spec.Team,
-			monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt).Seconds(), slack, missed, c.scheduler.isStarved(job, c.now()), c.scheduler.withinGuarantee(job), job.UnassignedTasks(), job.PendingInPartition(c.node),
-			max(0, c.scheduler.trackingOf(job.ID).placeNotBefore-c.now()).Milliseconds(), c.recordWritesInFlight[job.ID], c.mirror.WatchedRevision < job.Version)
+		s += fmt.Sprintf(
+			" %s(%s %s age %.0f slack %.0f missed %d"+
+				" starved %v within_guarantee %v waiting %d pending_here %d"+
+				" backoff_ms %d update_in_flight %v mirror_stale %v)",
+			job.ID,
+			job.Record.Spec.Class,
+			job.Record.Spec.Team,
+			monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt).
+				Seconds(),
+			slack,
+			missed,
+			c.scheduler.isStarved(job, c.now()),
+			c.scheduler.withinGuarantee(job),
+			job.UnassignedTasks(),
+			job.PendingInPartition(c.node),
+			max(
+				0,
+				c.scheduler.trackingOf(job.ID).placeNotBefore-c.now(),
+			).Milliseconds(),
+			c.recordWritesInFlight[job.ID],
+			c.mirror.WatchedRevision < job.Version,
+		)
 	}
 	shares := ""
 	for i := range c.cfg.Facts.Teams {
 		team := c.cfg.Facts.Teams[i].Name
 		if limit, _ := c.quota.teamLimits(team); limit.hasLimit() {
-			shares += fmt.Sprintf(" %s share %.0f unused %.0f unassigned %.0f", team,
-				c.quota.quotaShareOf(c.node, team).CPUs, c.quota.quotaLeft(team).CPUs, c.quota.unallocatedQuota(team).CPUs)
+			shares += fmt.Sprintf(
+				" %s share %.0f unused %.0f unassigned %.0f",
+				team,
+				c.quota.quotaShareOf(
+					c.node,
+					team,
+				).CPUs,
+				c.quota.quotaLeft(team).CPUs,
+				c.quota.unallocatedQuota(team).CPUs,
+			)
 		}
 	}
 	c.log.Debug("queue head", "queue", s, "quota_shares", shares)
@@ -63,16 +88,37 @@
 			all += c.catalog.machineTypes[machine.Record.Type].CPUs
 		}
 	}
-	s := fmt.Sprintf("jobs %d waiting %d running %d machines %d cpus %.0f/%.0f members %d shards %d"+
-		" accepted %d deferred %d placed %d done %d conflicts %d throttled %d",
-		len(c.mirror.Jobs), waiting, running, len(c.mirror.Machines), used, all, len(c.mirror.Members), shards,
-		c.counters.jobsAccepted, c.counters.requestsDeferred, c.counters.tasksPlaced, c.counters.jobsCompleted, c.counters.commitConflicts, c.counters.callsThrottled)
+	s := fmt.Sprintf(
+		"jobs %d waiting %d running %d machines %d cpus %.0f/%.0f members %d shards %d"+
+			" accepted %d deferred %d placed %d done %d conflicts %d throttled %d",
+		len(
+			c.mirror.Jobs,
+		),
+		waiting,
+		running,
+		len(c.mirror.Machines),
+		used,
+		all,
+		len(c.mirror.Members),
+		shards,
+		c.counters.jobsAccepted,
+		c.counters.requestsDeferred,
+		c.counters.tasksPlaced,
+		c.counters.jobsCompleted,
+		c.counters.commitConflicts,
+		c.counters.callsThrottled,
+	)
 	if c.drains != nil {
 		s += fmt.Sprintf(" permit_writes %d", c.counters.permitWrites)
 	}
 	for i := range c.cfg.Facts.Teams {
 		if teamConfig := &c.cfg.Facts.Teams[i]; teamConfig.CPUsMax > 0 {
-			s += fmt.Sprintf(" %s %.0f/%.0f", teamConfig.Name, c.mirror.UseByTeam[teamConfig.Name].CPUs, teamConfig.CPUsMax)
+			s += fmt.Sprintf(
+				" %s %.0f/%.0f",
+				teamConfig.Name,
+				c.mirror.UseByTeam[teamConfig.Name].CPUs,
+				teamConfig.CPUsMax,
+			)
 		}
 	}
 	return s
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -5,6 +5,7 @@
 	"math"
 	"sort"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -14,10 +15,11 @@
 
 // Bounds of how tasks move between parts.
 const (
-	minTasksPerRange        = 24                  // tasks
-	maxTaskRangesPerJob     = 40                  // of one job; what a value holds
-	ownerGracePeriod        = 3 * monotime.Second // an owner that seems to have room gets so long to use it
-	reassignmentGracePeriod = 1 * monotime.Second // and one that has just taken tasks over: they went round without a start
+	minTasksPerRange    = 24                  // tasks
+	maxTaskRangesPerJob = 40                  // of one job; what a value holds
+	ownerGracePeriod    = 3 * monotime.Second // an owner that seems to have room gets so long to use it
+	// and one that has just taken tasks over: they went round without a start
+	reassignmentGracePeriod = 1 * monotime.Second
 )
 
 // assignTaskRanges divides a new job among the partitions: whole to the one with most room, or
@@ -97,7 +99,7 @@
 // reassignTaskRanges changes which parts place a job's tasks. Whatever a range's owner assigned
 // before stands in the shards by then, whatever it would assign after fails on the
 // record's version; so the new owner may begin once its mirror has come that far.
-func (sc *scheduler) reassignTaskRanges(job *Job, ranges []storage.TaskRange) bool {
+func (sc *scheduler) reassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
 	// handing a job to and fro without ever starting it.
@@ -129,25 +131,30 @@
 // controllers together may spend that partition of the store's changes on it: what is
 // spent here the shards lack.
 func (cl *storeClient) nextAllowedAt(fraction float64) monotime.Micros {
-	return cl.c.now() + monotime.FromSeconds(float64(cl.budgetSharers)/(fraction*cl.c.cfg.Facts.State.WriteRPS))
+	return cl.c.now() + monotime.FromSeconds(
+		float64(cl.budgetSharers)/(fraction*cl.c.cfg.Facts.State.WriteRPS),
+	)
 }
 
 // adoptOrphanedTasks takes over the waiting tasks of parts that have gone, or don't reach
 // their machines. Each job has
 // one successor for that, whether it has room for them or not: only their owner makes
 // room for services by stopping others' work, or rents for nobody else to place.
-func (sc *scheduler) adoptOrphanedTasks(jobs []*Job, now monotime.Micros) {
+func (sc *scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
 	controllers := sc.c.reachability.connectedControllers()
 	for _, job := range jobs {
 		if now < sc.nextOrphanedTasksTakeoverAt {
 			return
 		}
-		if sc.c.recordWritesInFlight[job.ID] || sc.c.mirror.WatchedRevision < job.Version || rendezvousOwner(job.ID, controllers) != sc.c.node {
+		if sc.c.recordWritesInFlight[job.ID] || sc.c.mirror.WatchedRevision < job.Version ||
+			rendezvousOwner(job.ID, controllers) != sc.c.node {
 			continue
 		}
 		ranges := job.Record.TaskRanges
 		for _, taskRange := range job.Record.TaskRanges {
-			if !sc.c.membership.isMember(taskRange.Partition) && now-sc.c.membership.absentSince(taskRange.Partition, now) > monotime.Second || sc.c.reachability.isCutOffFromWorkers(taskRange.Partition, now) {
+			if !sc.c.membership.isMember(taskRange.Partition) &&
+				now-sc.c.membership.absentSince(taskRange.Partition, now) > monotime.Second ||
+				sc.c.reachability.isCutOffFromWorkers(taskRange.Partition, now) {
 				ranges = storage.AssignRange(ranges, taskRange.First, taskRange.End, sc.c.node)
 			}
 		}
@@ -181,7 +188,13 @@
 // that have gone, have no room for them, or haven't used what they seem to have.
 // That hands tasks on in one write, at the time when there is room, and lets each
 // part's room go to the most urgent tasks of all.
-func (sc *scheduler) stealWork(jobs []*Job, candidates []*candidateMachine, reserved *drainReservations, quotaLeftByTeam map[string]resources.Vector, now monotime.Micros) {
+func (sc *scheduler) stealWork(
+	jobs []*mirror.Job,
+	candidates []*candidateMachine,
+	reserved *drainReservations,
+	quotaLeftByTeam map[string]resources.Vector,
+	now monotime.Micros,
+) {
 	freeCPUs := reserved.totalCPUs()
 	for _, candidate := range candidates {
 		if !candidate.heldBack && candidate.reservedForJob == "" {
@@ -206,10 +219,11 @@
 }
 
 // tasksThatFit counts the tasks of a job that the room not kept for others can take.
-func tasksThatFit(job *Job, candidates []*candidateMachine) int {
+func tasksThatFit(job *mirror.Job, candidates []*candidateMachine) int {
 	room := 0
 	for _, candidate := range candidates {
-		if !candidate.heldBack && candidate.availableTo(job) && machineAllowed(&job.Record.Spec, candidate.record) {
+		if !candidate.heldBack && candidate.availableTo(job) &&
+			machineAllowed(&job.Record.Spec, candidate.record) {
 			room += job.TaskResources.CountIn(candidate.freeResources)
 		}
 	}
@@ -218,7 +232,13 @@
 
 // stealTasksOfJob takes over as many of a job's tasks that wait at other partitions as we have room
 // for, and tells how many.
-func (sc *scheduler) stealTasksOfJob(job *Job, candidates []*candidateMachine, quotaLeftByTeam map[string]resources.Vector, capacities *partitionCapacity, wall int64) int {
+func (sc *scheduler) stealTasksOfJob(
+	job *mirror.Job,
+	candidates []*candidateMachine,
+	quotaLeftByTeam map[string]resources.Vector,
+	capacities *partitionCapacity,
+	wall int64,
+) int {
 	spec := &job.Record.Spec
 	if len(job.Record.TaskRanges) == 1 && job.Record.TaskRanges[0].Partition == sc.c.node ||
 		sc.c.recordWritesInFlight[job.ID] || sc.c.now() < sc.trackingOf(job.ID).placeNotBefore || sc.c.mirror.WatchedRevision < job.Version || sc.isCrashLooping(job) {
@@ -245,8 +265,9 @@
 	whole := spec.OneZone || spec.Spread
 	for k := len(job.Record.TaskRanges) - 1; k >= 0; k-- {
 		taskRange := job.Record.TaskRanges[k]
-		if taskRange.Partition == sc.c.node || sc.c.membership.isMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
-			(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || sc.c.now()-sc.trackingOf(job.ID).recordChangedAt < reassignmentGracePeriod) {
+		if taskRange.Partition == sc.c.node ||
+			sc.c.membership.isMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
+				(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || sc.c.now()-sc.trackingOf(job.ID).recordChangedAt < reassignmentGracePeriod) {
 			continue
 		}
 		n, first := 0, taskRange.End
@@ -259,7 +280,10 @@
 		if n == 0 || whole && n > room && sc.c.membership.isMember(taskRange.Partition) {
 			continue
 		}
-		if !sc.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, first, taskRange.End, sc.c.node)) {
+		if !sc.reassignTaskRanges(
+			job,
+			storage.AssignRange(job.Record.TaskRanges, first, taskRange.End, sc.c.node),
+		) {
 			return 0
 		}
 		sc.nextWorkStealAt = sc.c.store.nextAllowedAt(0.1)
@@ -269,7 +293,12 @@
 }
 
 // reserveRoom keeps room for tasks that are about to be ours from what is less urgent.
-func reserveRoom(taskResources resources.Vector, spec *storage.JobSpec, candidates []*candidateMachine, n int) {
+func reserveRoom(
+	taskResources resources.Vector,
+	spec *storage.JobSpec,
+	candidates []*candidateMachine,
+	n int,
+) {
 	for _, candidate := range candidates {
 		if n <= 0 {
 			return
@@ -283,12 +312,15 @@
 }
 
 // handOverTasks gives our waiting tasks of a job to a partition that can make room.
-func (sc *scheduler) handOverTasks(job *Job, to string) bool {
+func (sc *scheduler) handOverTasks(job *mirror.Job, to string) bool {
 	for _, taskRange := range job.Record.TaskRanges {
 		if taskRange.Partition != sc.c.node {
 			continue
 		}
-		if !sc.reassignTaskRanges(job, storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to)) {
+		if !sc.reassignTaskRanges(
+			job,
+			storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to),
+		) {
 			return false
 		}
 		sc.nextWorkStealAt = sc.c.store.nextAllowedAt(0.1)
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
@@ -31,24 +32,40 @@
 		c := newCluster(t, 33)
 		c.start("n-0")
 		core := c.nodes["n-0"].controller
-		core.mirror.ApplyPut(storage.Key(storage.KindPartition, "n-0"), protocol.MustMarshal(&storage.Partition{
-			QuotaShares: map[string]storage.QuotaShare{"tight": {CPUs: 10}}}), 3)
+		core.mirror.ApplyPut(
+			storage.Key(storage.KindPartition, "n-0"),
+			protocol.MustMarshal(&storage.Partition{
+				QuotaShares: map[string]storage.QuotaShare{"tight": {CPUs: 10}}}),
+			3,
+		)
 		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
-			Spec: storage.JobSpec{Team: "tight", Tasks: 4, CPUs: 2}, TaskRanges: []storage.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
+			Spec: storage.JobSpec{
+				Team:  "tight",
+				Tasks: 4,
+				CPUs:  2,
+			}, TaskRanges: []storage.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
 		inc := tc.incarnation
 		if inc == 0 {
 			inc = core.incarnation
 		}
 		shard := &storage.Shard{Owner: tc.owner, Incarnation: inc, Claim: 1,
 			Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
-		shard.AddMachine("i-1", storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.1.0.1:9000", State: storage.MachineOpen})
+		shard.AddMachine(
+			"i-1",
+			storage.ShardMachine{
+				Type:     "m8",
+				Zone:     "a",
+				Endpoint: "10.1.0.1:9000",
+				State:    storage.MachineOpen,
+			},
+		)
 		shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
 		shard.Assign("j-1", storage.Attempt{Task: 1, Machine: "i-1", Number: 1})
 		encoded, _ := shard.Encode()
 		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
 			update := NewShardUpdate("p", core.mirror.Shards["p"], shard)
-			AddUse(update.AssignedByTeam, "tight", resources.Vector{CPUs: 2}, 1)
+			mirror.AddUse(update.AssignedByTeam, "tight", resources.Vector{CPUs: 2}, 1)
 			core.shards.trackerOf("p").updatesInDoubt = []*ShardUpdate{update}
 		}
 		if got := core.quota.quotaLeft("tight").CPUs; got != tc.left {
@@ -67,7 +84,10 @@
 		c := newCluster(t, 600+seed).startWithLeader()
 		var ids []string
 		for i := 0; i < 8; i++ {
-			ids = append(ids, c.submit(4*second, withTasks(14), withCPUs(1), withTeam("tight"), withSpot(true)))
+			ids = append(
+				ids,
+				c.submit(4*second, withTasks(14), withCPUs(1), withTeam("tight"), withSpot(true)),
+			)
 		}
 		for i := 0; i < 6; i++ {
 			c.sim.Run(2*second + c.randomDuration(6*second))
@@ -96,7 +116,10 @@
 	}
 	var services []string
 	for i := 0; i < 3; i++ {
-		services = append(services, c.submit(0, withService(true), withPriority(protocol.Production), withCPUs(4)))
+		services = append(
+			services,
+			c.submit(0, withService(true), withPriority(protocol.Production), withCPUs(4)),
+		)
 	}
 	all := func() bool {
 		for _, id := range services {
@@ -147,15 +170,32 @@
 		id:    {Team: "free", Service: true, Priority: 2, Tasks: 1, CPUs: 4},
 		array: {Team: "free", Priority: 1, Tasks: 4, CPUs: 2, Spot: true},
 	} {
-		core.mirror.Jobs[name] = &Job{ID: name, Version: 1, TaskStates: make([]uint8, spec.Tasks), TaskResources: resources.Vector{CPUs: spec.CPUs},
-			Record: storage.OpenJob{Spec: spec, TaskRanges: []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}}}}
+		core.mirror.Jobs[name] = &mirror.Job{
+			ID:            name,
+			Version:       1,
+			TaskStates:    make([]uint8, spec.Tasks),
+			TaskResources: resources.Vector{CPUs: spec.CPUs},
+			Record: storage.OpenJob{
+				Spec:       spec,
+				TaskRanges: []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}},
+			},
+		}
 	}
 	core.api.acceptedRevisions[id] = 1
-	other := &Shard{Name: "n-1.1", Record: &storage.Shard{Owner: "n-1"}, UseByTeam: map[string]resources.Vector{}}
-	core.mirror.Machines["i-9"] = &Machine{ID: "i-9", Shard: other, Used: resources.Vector{CPUs: 8}, Attempts: map[TaskID]uint64{},
-		Record: &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen}}
+	other := &mirror.Shard{
+		Name:      "n-1.1",
+		Record:    &storage.Shard{Owner: "n-1"},
+		UseByTeam: map[string]resources.Vector{},
+	}
+	core.mirror.Machines["i-9"] = &mirror.Machine{
+		ID:       "i-9",
+		Shard:    other,
+		Used:     resources.Vector{CPUs: 8},
+		Attempts: map[mirror.TaskID]uint64{},
+		Record:   &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen},
+	}
 	for i := 0; i < 4; i++ {
-		core.mirror.Machines["i-9"].Attempts[TaskID{array, i}] = 1
+		core.mirror.Machines["i-9"].Attempts[mirror.TaskID{Job: array, Index: i}] = 1
 	}
 	core.scheduler.nextWorkStealAt = now + second
 	core.scheduler.placeTasks(nil, now)
@@ -187,9 +227,19 @@
 		var ranges []storage.TaskRange
 		n := core.mirror.Jobs[id].Record.Spec.Tasks
 		for i, p := range partitions {
-			ranges = append(ranges, storage.TaskRange{First: n * i / len(partitions), End: n * (i + 1) / len(partitions), Partition: p})
+			ranges = append(
+				ranges,
+				storage.TaskRange{
+					First:     n * i / len(partitions),
+					End:       n * (i + 1) / len(partitions),
+					Partition: p,
+				},
+			)
 		}
-		if !c.sim.RunUntil(5*second, func() bool { return core.scheduler.reassignTaskRanges(core.mirror.Jobs[id], ranges) }) {
+		if !c.sim.RunUntil(
+			5*second,
+			func() bool { return core.scheduler.reassignTaskRanges(core.mirror.Jobs[id], ranges) },
+		) {
 			t.Fatalf("%s can't be given to %v", id, partitions)
 		}
 		c.sim.Run(second / 10)
@@ -216,16 +266,31 @@
 	c := newCluster(t, 9).startWithLeader()
 	core := c.nodes["n-0"].controller
 	now := c.sim.Now()
-	mk := func(id string, service bool, cpus float64) *Job {
-		job := &Job{ID: id, Version: 1, TaskStates: make([]uint8, 1), TaskResources: resources.Vector{CPUs: cpus},
-			Record: storage.OpenJob{Spec: storage.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus}}}
+	mk := func(id string, service bool, cpus float64) *mirror.Job {
+		job := &mirror.Job{
+			ID:            id,
+			Version:       1,
+			TaskStates:    make([]uint8, 1),
+			TaskResources: resources.Vector{CPUs: cpus},
+			Record: storage.OpenJob{
+				Spec: storage.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus},
+			},
+		}
 		core.mirror.Jobs[id] = job
 		return job
 	}
 	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
 	cand := func(id string) *candidateMachine {
-		return &candidateMachine{machine: &Machine{ID: id, CachedImages: map[string]bool{}}, record: &storage.ShardMachine{Type: "m8", Zone: "a"},
-			update: NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}), freeResources: resources.Vector{CPUs: 2}}
+		return &candidateMachine{
+			machine: &mirror.Machine{ID: id, CachedImages: map[string]bool{}},
+			record:  &storage.ShardMachine{Type: "m8", Zone: "a"},
+			update: NewShardUpdate(
+				"n-0.1",
+				nil,
+				&storage.Shard{Jobs: map[string]*storage.ShardJob{}},
+			),
+			freeResources: resources.Vector{CPUs: 2},
+		}
 	}
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
 	core.scheduler.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"pipitgap/internal/cancellation"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -128,11 +129,16 @@
 }
 
 // jobStatusResponse is the answer about a job that the mirror holds.
-func (u *userAPI) jobStatusResponse(job *Job) Response {
+func (u *userAPI) jobStatusResponse(job *mirror.Job) Response {
 	if !job.IsOpen() {
 		return u.finalStatusResponse(job.ID, job.FinalStatus)
 	}
-	jobStatus := protocol.JobStatusReply{ID: job.ID, Status: protocol.JobPending, Done: job.DoneTasks, Running: job.AssignedTasks}
+	jobStatus := protocol.JobStatusReply{
+		ID:      job.ID,
+		Status:  protocol.JobPending,
+		Done:    job.DoneTasks,
+		Running: job.AssignedTasks,
+	}
 	if job.AssignedTasks > 0 {
 		jobStatus.Status = protocol.JobRunning
 	}
@@ -211,7 +217,7 @@
 		u.lookUpJobOr(submission.ID, errorResponse(422, why), respond)
 		return
 	}
-	if len(u.c.mirror.Jobs) >= MaxOpenJobs {
+	if len(u.c.mirror.Jobs) >= mirror.MaxOpenJobs {
 		respond(u.retryLater(429, "too many unfinished jobs"))
 		return
 	}
@@ -245,13 +251,16 @@
 	if spec.Service {
 		n = float64(spec.Tasks)
 	}
-	if team.maxCPUs > 0 && spec.CPUs*n > team.maxCPUs+resources.Tolerance || team.maxGPUs > 0 && spec.GPUs*n > team.maxGPUs+resources.Tolerance {
+	if team.maxCPUs > 0 && spec.CPUs*n > team.maxCPUs+resources.Tolerance ||
+		team.maxGPUs > 0 && spec.GPUs*n > team.maxGPUs+resources.Tolerance {
 		return "needs more than the team's limit"
 	}
-	taskResources := TaskResources(spec)
+	taskResources := mirror.TaskResources(spec)
 	for _, name := range sortedmap.Keys(u.c.catalog.machineTypes) {
 		machineType := u.c.catalog.machineTypes[name]
-		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) && taskResources.FitsIn(MachineCapacity(&machineType)) && (spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
+		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) &&
+			taskResources.FitsIn(mirror.MachineCapacity(&machineType)) &&
+			(spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
 			return ""
 		}
 	}
@@ -262,7 +271,12 @@
 	for i := range q.c.cfg.Facts.Teams {
 		teamConfig := &q.c.cfg.Facts.Teams[i]
 		if teamConfig.Name == name {
-			return teamLimits{guaranteedCPUs: teamConfig.CPUs, maxCPUs: teamConfig.CPUsMax, guaranteedGPUs: teamConfig.GPUs, maxGPUs: teamConfig.GPUsMax}, true
+			return teamLimits{
+				guaranteedCPUs: teamConfig.CPUs,
+				maxCPUs:        teamConfig.CPUsMax,
+				guaranteedGPUs: teamConfig.GPUs,
+				maxGPUs:        teamConfig.GPUsMax,
+			}, true
 		}
 	}
 	return teamLimits{}, false
@@ -285,7 +299,11 @@
 }
 
 func (u *userAPI) acceptJob(id string, spec storage.JobSpec, respond func(Response)) {
-	record := storage.OpenJob{Spec: spec, AcceptedAt: u.c.env.WallClock(), TaskRanges: u.c.scheduler.assignTaskRanges(&spec)}
+	record := storage.OpenJob{
+		Spec:       spec,
+		AcceptedAt: u.c.env.WallClock(),
+		TaskRanges: u.c.scheduler.assignTaskRanges(&spec),
+	}
 	value := protocol.MustMarshal(&record)
 	// The stored form is counted as JSON: about twice the packed one here.
 	if len(value)*2 > u.c.maxValueBytes() {
@@ -294,29 +312,43 @@
 	}
 	openKey := storage.Key(storage.KindOpenJob, id)
 	txn := protocol.Transaction{
-		If:   []protocol.Compare{{Key: openKey, Version: 0}, {Key: storage.Key(storage.KindJobResult, id), Version: 0}},
+		If: []protocol.Compare{
+			{Key: openKey, Version: 0},
+			{Key: storage.Key(storage.KindJobResult, id), Version: 0},
+		},
 		Then: []protocol.Op{{Put: openKey, Value: value}},
 	}
-	u.c.replica.commit(u.priorityClassOf(&spec, ratelimit.PriorityUserRequest), txn, func(result protocol.StoreResult) {
-		switch result.Outcome {
-		case protocol.OK:
-			u.c.counters.jobsAccepted++
-			// Nobody can have placed any of it yet.
-			u.acceptedRevisions[id] = result.Revision
-			u.c.log.Debug("job accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks,
-				"estimate_s", spec.EstimateS, "ranges", len(record.TaskRanges))
-			respond(Response{Status: 201, Body: protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: protocol.JobPending})})
-			u.c.runFastTick(u.c.now())
-		case protocol.Conflict:
-			u.lookUpJob(id, respond)
-		case protocol.Rejected:
-			u.c.log.Error("job acceptance rejected by state service", "job", id)
-			respond(u.retryLater(503, "not kept"))
-		default:
-			// Unknown: perhaps accepted, perhaps not. The user asks again.
-			respond(u.retryLater(503, "state service out of reach"))
-		}
-	})
+	u.c.replica.commit(
+		u.priorityClassOf(&spec, ratelimit.PriorityUserRequest),
+		txn,
+		func(result protocol.StoreResult) {
+			switch result.Outcome {
+			case protocol.OK:
+				u.c.counters.jobsAccepted++
+				// Nobody can have placed any of it yet.
+				u.acceptedRevisions[id] = result.Revision
+				u.c.log.Debug("job accepted", "job", id, "class", spec.Class, "tasks", spec.Tasks,
+					"estimate_s", spec.EstimateS, "ranges", len(record.TaskRanges))
+				respond(
+					Response{
+						Status: 201,
+						Body: protocol.MustMarshal(
+							&protocol.AcceptedReply{ID: id, Status: protocol.JobPending},
+						),
+					},
+				)
+				u.c.runFastTick(u.c.now())
+			case protocol.Conflict:
+				u.lookUpJob(id, respond)
+			case protocol.Rejected:
+				u.c.log.Error("job acceptance rejected by state service", "job", id)
+				respond(u.retryLater(503, "not kept"))
+			default:
+				// Unknown: perhaps accepted, perhaps not. The user asks again.
+				respond(u.retryLater(503, "state service out of reach"))
+			}
+		},
+	)
 }
 
 // lookUpJob answers from a mirror as new as the question. What it doesn't hold is over, or
@@ -374,7 +406,12 @@
 // readOpenRecord answers for a job that has an open record, or goes on if it has none.
 func (u *userAPI) readOpenRecord(id string, respond func(Response), none func()) {
 	u.readRecord(storage.KindOpenJob, id, respond, none, func(protocol.Raw) {
-		respond(Response{Status: 200, Body: protocol.MustMarshal(&protocol.JobStatusReply{ID: id, Status: protocol.JobPending})})
+		respond(
+			Response{
+				Status: 200,
+				Body:   protocol.MustMarshal(&protocol.JobStatusReply{ID: id, Status: protocol.JobPending}),
+			},
+		)
 	})
 }
 
@@ -450,8 +487,10 @@
 func (u *userAPI) cancelJob(id string, respond func(Response)) {
 	key := storage.Key(storage.KindJobResult, id)
 	u.c.replica.commit(ratelimit.PriorityCancellation, protocol.Transaction{
-		If:   []protocol.Compare{{Key: key}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})}},
+		If: []protocol.Compare{{Key: key}},
+		Then: []protocol.Op{
+			{Put: key, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})},
+		},
 	}, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
--- a/internal/coordination/user_requests_test.go
+++ b/internal/coordination/user_requests_test.go
@@ -185,7 +185,11 @@
 		wait monotime.Micros // before the abort
 		run  monotime.Micros
 	}{
-		{"at once", 0, 0}, {"racing the start", 13 * second, 0}, {"running", 30 * second, 0}, {"racing done", 14500 * monotime.Millisecond, second},
+		{
+			"at once",
+			0,
+			0,
+		}, {"racing the start", 13 * second, 0}, {"running", 30 * second, 0}, {"racing done", 14500 * monotime.Millisecond, second},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -203,7 +207,8 @@
 			}
 			for k := 0; k < 12; k++ {
 				c.sim.Run(5 * second)
-				if code, jobStatus := c.jobStatus(c.nodeNames[k%3], id); code != 200 || jobStatus.Status != a.Status {
+				if code, jobStatus := c.jobStatus(c.nodeNames[k%3], id); code != 200 ||
+					jobStatus.Status != a.Status {
 					t.Fatalf("told %s, then %d %s", a.Status, code, jobStatus.Status)
 				}
 			}
--- a/internal/coordination/zone_constraint.go
+++ b/internal/coordination/zone_constraint.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/protocol"
 )
 
@@ -13,9 +14,14 @@
 	tasksByZone          map[string]int
 }
 
-func newZoneConstraint(mr *Mirror, job *Job) *zoneConstraint {
+func newZoneConstraint(mr *mirror.Mirror, job *mirror.Job) *zoneConstraint {
 	spec := &job.Record.Spec
-	z := &zoneConstraint{oneZone: spec.OneZone, spreadZones: spec.Spread, maxPerZone: (spec.Tasks + 1) / 2, tasksByZone: map[string]int{}}
+	z := &zoneConstraint{
+		oneZone:     spec.OneZone,
+		spreadZones: spec.Spread,
+		maxPerZone:  (spec.Tasks + 1) / 2,
+		tasksByZone: map[string]int{},
+	}
 	if !z.oneZone && !z.spreadZones {
 		return z
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -112,7 +112,13 @@
 	}
 	// Of the fifth of the sockets that is not for what comes in, half keeps
 	// connections to workers, a quarter carries commands to them.
-	e.workers.maxClients, e.maxCommandsInFlight = max(2, sockets/10), max(2, min(maxWorkerCommands, sockets/20))
+	e.workers.maxClients, e.maxCommandsInFlight = max(
+		2,
+		sockets/10,
+	), max(
+		2,
+		min(maxWorkerCommands, sockets/20),
+	)
 	server := &transport.Server{
 		Now: clock,
 		// A fifth of the sockets is left for outbound calls and for what the
@@ -122,9 +128,20 @@
 		RequestTimeout: 10 * monotime.Second,
 		OnRequest: func(r *transport.Request) {
 			f := func() {
-				core.HandleRequest(r.Message.Method, r.Message.Target, r.Message.Body, func(reply coordination.Response) {
-					r.Respond(transport.Response{Status: reply.Status, RetryAfter: reply.RetryAfter, Body: reply.Body})
-				})
+				core.HandleRequest(
+					r.Message.Method,
+					r.Message.Target,
+					r.Message.Body,
+					func(reply coordination.Response) {
+						r.Respond(
+							transport.Response{
+								Status:     reply.Status,
+								RetryAfter: reply.RetryAfter,
+								Body:       reply.Body,
+							},
+						)
+					},
+				)
 			}
 			select {
 			case e.mailbox <- f:
@@ -145,7 +162,15 @@
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(cfg.PublicAddr, cfg.PeerBind) }()
-	log.Info("listening", "public_addr", cfg.PublicAddr, "peer_addr", cfg.PeerBind, "max_connections", server.MaxConns)
+	log.Info(
+		"listening",
+		"public_addr",
+		cfg.PublicAddr,
+		"peer_addr",
+		cfg.PeerBind,
+		"max_connections",
+		server.MaxConns,
+	)
 	core.Start()
 	summary := clock()
 	timer := time.NewTimer(time.Hour)
--- a/internal/daemon/worker_pool_test.go
+++ b/internal/daemon/worker_pool_test.go
@@ -19,7 +19,8 @@
 		p.client(fmt.Sprint("127.0.0.1:", i+1))
 	}
 	first := p.client("127.0.0.1:1")
-	if p.client("127.0.0.1:9"); p.clients["127.0.0.1:2"] != nil || p.clients["127.0.0.1:1"] == nil || len(p.clients) != 3 {
+	if p.client("127.0.0.1:9"); p.clients["127.0.0.1:2"] != nil || p.clients["127.0.0.1:1"] == nil ||
+		len(p.clients) != 3 {
 		t.Errorf("kept %d, want all but the one used longest ago", len(p.clients))
 	}
 	if p.client("127.0.0.1:1") != first {
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -48,7 +48,9 @@
 
 // defaultBudget is the pace at which services without a budget are moved.
 func (p *Policy) defaultBudget() *config.DisruptionBudget {
-	return &config.DisruptionBudget{MaxUnavailable: &config.CountOrPercent{Value: p.settings.DefaultMaxUnavailable}}
+	return &config.DisruptionBudget{
+		MaxUnavailable: &config.CountOrPercent{Value: p.settings.DefaultMaxUnavailable},
+	}
 }
 
 // scopesOf lists what a job counts in: its team's budget and its class's, or the default
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -172,7 +172,11 @@
 // paused at its deadline. The record of one that ended long ago is dropped: next is nil then.
 // expecting: machines that it covers may still come up; kept: how long a record is kept,
 // microseconds.
-func (s *Snapshot) NextState(record *DrainRecord, expecting bool, kept int64) (next *storage.Drain, changed bool) {
+func (s *Snapshot) NextState(
+	record *DrainRecord,
+	expecting bool,
+	kept int64,
+) (next *storage.Drain, changed bool) {
 	rec := record.Drain
 	switch rec.State {
 	case storage.DrainDone, storage.DrainAborted:
