--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -31,7 +31,14 @@
 	b := NewBuilder(100, 1000)
 	next := map[string]int{}
 	for _, id := range sortedmap.Keys(f.machines) {
-		m := &Machine{ID: id, Type: "m8", Zone: "a", State: storage.MachineOpen, Owner: "n-0", Free: resources.Vector{CPUs: machineCPUs, MemoryGB: 64}}
+		m := &Machine{
+			ID:    id,
+			Type:  "m8",
+			Zone:  "a",
+			State: storage.MachineOpen,
+			Owner: "n-0",
+			Free:  resources.Vector{CPUs: machineCPUs, MemoryGB: 64},
+		}
 		if zone := f.zones[id]; zone != "" {
 			m.Zone = zone
 		}
@@ -39,7 +46,10 @@
 			m.State = state
 		}
 		for _, job := range f.machines[id] {
-			m.Replicas = append(m.Replicas, Replica{Job: job, Task: next[job], Attempt: 7, Starting: f.starting[id]})
+			m.Replicas = append(
+				m.Replicas,
+				Replica{Job: job, Task: next[job], Attempt: 7, Starting: f.starting[id]},
+			)
 			next[job]++
 			m.Free = m.Free.Minus(f.jobs[job].PerTask)
 		}
@@ -50,7 +60,13 @@
 		job.Replicas = max(job.Replicas, next[id])
 		b.AddJob(&job)
 	}
-	b.AddType(TypeCapacity{Name: "m8", Capacity: resources.Vector{CPUs: machineCPUs, MemoryGB: 64}, Zones: []string{"a", "b"}})
+	b.AddType(
+		TypeCapacity{
+			Name:     "m8",
+			Capacity: resources.Vector{CPUs: machineCPUs, MemoryGB: 64},
+			Zones:    []string{"a", "b"},
+		},
+	)
 	for name, d := range f.drains {
 		b.AddDrain(name, 50, d)
 	}
@@ -69,7 +85,14 @@
 }
 
 func policyOf(reserve int, budgets ...config.DisruptionBudget) *Policy {
-	return NewPolicy(&config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 5, Budgets: budgets})
+	return NewPolicy(
+		&config.DrainSettings{
+			DefaultMaxUnavailable:  1,
+			DefaultReserveMachines: &reserve,
+			MaxParallel:            5,
+			Budgets:                budgets,
+		},
+	)
 }
 
 func minAvailable(team string, n int) config.DisruptionBudget {
@@ -83,9 +106,15 @@
 
 // cordonedZone is machines of zone a that are cordoned, and two with room in zone b.
 func cordonedZone(replicas ...string) *fleetSpec {
-	f := &fleetSpec{machines: map[string][]string{"i-8": nil, "i-9": nil}, zones: map[string]string{"i-8": "b", "i-9": "b"},
-		jobs: map[string]Job{"j-1": job("t")}, drains: map[string]storage.Drain{"rack": zoneDrain("a")},
-		state: map[string]storage.MachineState{}, permits: map[string][]storage.Permit{}, starting: map[string]bool{}}
+	f := &fleetSpec{
+		machines: map[string][]string{"i-8": nil, "i-9": nil},
+		zones:    map[string]string{"i-8": "b", "i-9": "b"},
+		jobs:     map[string]Job{"j-1": job("t")},
+		drains:   map[string]storage.Drain{"rack": zoneDrain("a")},
+		state:    map[string]storage.MachineState{},
+		permits:  map[string][]storage.Permit{},
+		starting: map[string]bool{},
+	}
 	for i, on := range replicas {
 		id := fmt.Sprintf("i-%d", i+1)
 		f.machines[id] = strings.Fields(on)
@@ -113,12 +142,50 @@
 		blocked BlockKind
 	}{
 		{"two may be missing", policyOf(0, minAvailable("t", 2)), cordonedZone(four...), 2, BlockedByBudget},
-		{"the reserve counts the fullest machine that is left", policyOf(1, minAvailable("t", 2)), cordonedZone(four...), 1, BlockedByBudget},
-		{"the reserve takes all", policyOf(2, minAvailable("t", 2)), cordonedZone(four...), 0, BlockedByBudget},
+		{
+			"the reserve counts the fullest machine that is left",
+			policyOf(1, minAvailable("t", 2)),
+			cordonedZone(four...),
+			1,
+			BlockedByBudget,
+		},
+		{
+			"the reserve takes all",
+			policyOf(2, minAvailable("t", 2)),
+			cordonedZone(four...),
+			0,
+			BlockedByBudget,
+		},
 		{"the default pace", policyOf(1), cordonedZone(four...), 1, BlockedByBudget},
-		{"a budget of the class", policyOf(0, config.DisruptionBudget{Team: "t", Class: "web", MinAvailable: &config.CountOrPercent{Value: 3}}), cordonedZone(four...), 1, BlockedByBudget},
-		{"the tighter of two budgets", policyOf(0, minAvailable("t", 1), config.DisruptionBudget{Team: "t", Class: "web", MinAvailable: &config.CountOrPercent{Value: 3}}),
-			cordonedZone(four...), 1, BlockedByBudget},
+		{
+			"a budget of the class",
+			policyOf(
+				0,
+				config.DisruptionBudget{
+					Team:         "t",
+					Class:        "web",
+					MinAvailable: &config.CountOrPercent{Value: 3},
+				},
+			),
+			cordonedZone(four...),
+			1,
+			BlockedByBudget,
+		},
+		{
+			"the tighter of two budgets",
+			policyOf(
+				0,
+				minAvailable("t", 1),
+				config.DisruptionBudget{
+					Team:         "t",
+					Class:        "web",
+					MinAvailable: &config.CountOrPercent{Value: 3},
+				},
+			),
+			cordonedZone(four...),
+			1,
+			BlockedByBudget,
+		},
 		{"unreachable", policyOf(0, minAvailable("t", 4)), cordonedZone(four...), 0, BlockedByBudget},
 		{"starting replicas count as missing", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := cordonedZone(four...)
@@ -127,7 +194,9 @@
 		}(), 0, BlockedByBudget},
 		{"permits count as missing", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := cordonedZone(four...)
-			f.permits["t"] = []storage.Permit{{Drain: "rack", Job: "j-1", Task: 3, Attempt: 7, From: "i-3", To: "i-8"}}
+			f.permits["t"] = []storage.Permit{
+				{Drain: "rack", Job: "j-1", Task: 3, Attempt: 7, From: "i-3", To: "i-8"},
+			}
 			return f
 		}(), 0, BlockedByBudget},
 		{"a machine out of reach counts as lost", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
@@ -141,11 +210,17 @@
 			delete(f.machines, "i-9")
 			return f
 		}(), 0, BlockedByCapacity},
-		{"what the drain covers is no place, cordoned or not", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
-			f.zones["i-8"], f.zones["i-9"] = "a", "a"
-			return f
-		}(), 0, BlockedByCapacity},
+		{
+			"what the drain covers is no place, cordoned or not",
+			policyOf(0, minAvailable("t", 0)),
+			func() *fleetSpec {
+				f := cordonedZone(four...)
+				f.zones["i-8"], f.zones["i-9"] = "a", "a"
+				return f
+			}(),
+			0,
+			BlockedByCapacity,
+		},
 		{"the job must stay in one zone", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
 			j := f.jobs["j-1"]
@@ -222,7 +297,14 @@
 		minimum          int
 	}{
 		{"usable", func(*fleetSpec) {}, 1, 0, 0, 2},
-		{"the budget doesn't hold any more", func(f *fleetSpec) { f.state["i-3"] = storage.MachineUnreachable }, 0, 1, 0, 2},
+		{
+			"the budget doesn't hold any more",
+			func(f *fleetSpec) { f.state["i-3"] = storage.MachineUnreachable },
+			0,
+			1,
+			0,
+			2,
+		},
 		{"the drain was aborted", func(f *fleetSpec) {
 			d := zoneDrain("a")
 			d.State = storage.DrainAborted
@@ -233,7 +315,14 @@
 			f.machines["i-1"], f.machines["i-0"], f.zones["i-0"] = nil, []string{"j-1"}, "b"
 			f.starting["i-0"] = true
 		}, 0, 0, 0, 0},
-		{"the service has ended", func(f *fleetSpec) { delete(f.jobs, "j-1"); f.machines["i-1"] = nil }, 0, 0, 1, 0},
+		{
+			"the service has ended",
+			func(f *fleetSpec) { delete(f.jobs, "j-1"); f.machines["i-1"] = nil },
+			0,
+			0,
+			1,
+			0,
+		},
 	}
 	for _, tc := range cases {
 		f := cordonedZone("j-1", "j-1", "j-1")
@@ -244,7 +333,13 @@
 		}
 		d := policyOf(0, minAvailable("t", tc.minimum)).Decide(f.build(), nodeZero())
 		if len(d.Stop) != tc.stop || len(d.Revoked) != tc.back || len(d.Completed["t"]) != tc.over {
-			t.Errorf("%s: stop %d, return %d, over %d", tc.name, len(d.Stop), len(d.Revoked), len(d.Completed["t"]))
+			t.Errorf(
+				"%s: stop %d, return %d, over %d",
+				tc.name,
+				len(d.Stop),
+				len(d.Revoked),
+				len(d.Completed["t"]),
+			)
 		}
 	}
 	f := cordonedZone("j-1", "j-1", "j-1")
@@ -286,13 +381,17 @@
 	}
 	delete(f.machines, "i-8")
 	delete(f.machines, "i-9")
-	if plan := policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a")); len(plan.Blocked) == 0 || len(plan.Steps) > 0 {
+	if plan := policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a")); len(
+		plan.Blocked,
+	) == 0 ||
+		len(plan.Steps) > 0 {
 		t.Errorf("without room: %+v", plan)
 	}
 	d := zoneDrain("a")
 	d.Replace = true
 	plan = policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", d)
-	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].ScaleOut) == 0 || !strings.Contains(plan.Steps[0].ScaleOut[0], "zone b") {
+	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].ScaleOut) == 0 ||
+		!strings.Contains(plan.Steps[0].ScaleOut[0], "zone b") {
 		t.Errorf("with replacement: %+v", plan)
 	}
 }
@@ -330,7 +429,15 @@
 		}
 		for id, n := range left {
 			if len(d.Granted["t"]) > 0 && total-n < minimum {
-				t.Errorf("seed %d: %d permits leave %d, and %d without %s; %d must stay", seed, len(d.Granted["t"]), total, total-n, id, minimum)
+				t.Errorf(
+					"seed %d: %d permits leave %d, and %d without %s; %d must stay",
+					seed,
+					len(d.Granted["t"]),
+					total,
+					total-n,
+					id,
+					minimum,
+				)
 			}
 		}
 	}
@@ -356,7 +463,12 @@
 		{"a machine of the zone", zoneDrain("a"), byName("i-1"), true},
 		{"a machine of the other zone", zoneDrain("a"), byName("i-2"), false},
 		{"a type that may come up in the zone", zoneDrain("c"), of(storage.Selector{Type: "m16"}, ""), true},
-		{"other kinds", of(storage.Selector{CapacityType: storage.SpotCapacity}, ""), of(storage.Selector{CapacityType: storage.OnDemandCapacity}, ""), false},
+		{
+			"other kinds",
+			of(storage.Selector{CapacityType: storage.SpotCapacity}, ""),
+			of(storage.Selector{CapacityType: storage.OnDemandCapacity}, ""),
+			false,
+		},
 		{"only older machines", of(storage.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
 	}
 	for _, tc := range cases {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -62,7 +62,10 @@
 // withDrain gives a snapshot in which a drain stands.
 func (s *Snapshot) withDrain(name string, d storage.Drain) *Snapshot {
 	next := *s
-	next.drains = slices.DeleteFunc(slices.Clone(s.drains), func(o DrainRecord) bool { return o.Name == name })
+	next.drains = slices.DeleteFunc(
+		slices.Clone(s.drains),
+		func(o DrainRecord) bool { return o.Name == name },
+	)
 	next.drains = append(next.drains, DrainRecord{Drain: d, Name: name})
 	return &next
 }
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -75,5 +75,6 @@
 // compatible tells whether a machine can be matched by two selectors of whole zones, types and kinds.
 func compatible(a, b *storage.Selector) bool {
 	agree := func(x, y string) bool { return x == "" || y == "" || x == y }
-	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) && agree(string(a.CapacityType), string(b.CapacityType))
+	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) &&
+		agree(string(a.CapacityType), string(b.CapacityType))
 }
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -177,7 +177,8 @@
 		marked := *from
 		marked.Replicas = slices.Clone(from.Replicas)
 		for i := range marked.Replicas {
-			if replica := &marked.Replicas[i]; replica.Job == p.Job && replica.Task == p.Task && replica.Attempt == p.Attempt {
+			if replica := &marked.Replicas[i]; replica.Job == p.Job && replica.Task == p.Task &&
+				replica.Attempt == p.Attempt {
 				replica.UnderPermit = true
 			}
 		}
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -63,7 +63,11 @@
 			}
 		}
 	}
-	nobody := &Controller{Live: live, Responsible: func(string) bool { return false }, RecordBytes: math.MaxInt}
+	nobody := &Controller{
+		Live:        live,
+		Responsible: func(string) bool { return false },
+		RecordBytes: math.MaxInt,
+	}
 	for _, b := range p.Decide(s, nobody).Blocked {
 		if b.Drain == record.Name {
 			progress.Blocked = append(progress.Blocked, b)
@@ -104,7 +108,8 @@
 		a := byName[name]
 		out = append(out, TeamStatus{
 			Team: a.Scope.Team, Class: a.Scope.Class, Budgeted: a.Budgeted, Desired: a.Desired,
-			Available: a.Available, MinAvailable: a.MinAvailable, ReserveMachines: a.ReserveMachines, WorstLoss: a.worstLoss()})
+			Available:    a.Available,
+			MinAvailable: a.MinAvailable, ReserveMachines: a.ReserveMachines, WorstLoss: a.worstLoss()})
 	}
 	return out
 }
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -82,9 +82,17 @@
 
 // NewChecker begins to watch.
 func NewChecker(sim *SimClock, cancelIn monotime.Micros) *Checker {
-	return &Checker{Clock: sim, CancelWithin: cancelIn, Limits: map[string]float64{}, jobs: map[string]*observedJob{},
-		liveAttempts: map[string]map[string]*Machine{}, usedCPUs: map[string]float64{}, completedTasks: map[string]bool{},
-		completions: map[string]int{}, lastCompletion: map[string]monotime.Micros{}}
+	return &Checker{
+		Clock:          sim,
+		CancelWithin:   cancelIn,
+		Limits:         map[string]float64{},
+		jobs:           map[string]*observedJob{},
+		liveAttempts:   map[string]map[string]*Machine{},
+		usedCPUs:       map[string]float64{},
+		completedTasks: map[string]bool{},
+		completions:    map[string]int{},
+		lastCompletion: map[string]monotime.Micros{},
+	}
 }
 
 func (k *Checker) violate(rule Invariant, format string, args ...any) {
@@ -178,7 +186,14 @@
 		return
 	}
 	if !offerAllowed(spec, machine) {
-		k.violate(WrongPlace, "%s starts on %s in %s, spot %v", task, machine.Type, machine.Zone, machine.Spot)
+		k.violate(
+			WrongPlace,
+			"%s starts on %s in %s, spot %v",
+			task,
+			machine.Type,
+			machine.Zone,
+			machine.Spot,
+		)
 	}
 	same, others := 0, 0
 	for other, host := range k.liveAttempts[job.id] {
@@ -288,7 +303,8 @@
 	}
 	over := state == protocol.JobDone || state == protocol.JobCancelled
 	switch {
-	case !over && job.finalState != "" && job.finalAt <= q.sentAt, over && job.finalState != "" && job.finalState != state:
+	case !over && job.finalState != "" && job.finalAt <= q.sentAt,
+		over && job.finalState != "" && job.finalState != state:
 		k.violate(StaleAnswer, "%s was %s, is called %s", job.id, job.finalState, state)
 	case state == protocol.JobCancelled && !job.cancelSent:
 		k.violate(StaleAnswer, "%s is called cancelled, nobody cancelled it", job.id)
@@ -376,7 +392,8 @@
 	now := k.Clock.Now()
 	for i := range job.spec.Tasks {
 		task := fmt.Sprintf("%s/%d", job.id, i)
-		if k.liveAttempts[job.id][task] != nil || k.completedTasks[task] || job.cancelSent || !k.hasCapacity(job, free) {
+		if k.liveAttempts[job.id][task] != nil || k.completedTasks[task] || job.cancelSent ||
+			!k.hasCapacity(job, free) {
 			delete(job.waitingSince, i)
 			continue
 		}
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -35,7 +35,11 @@
 func newCheckerScenario(more func(*protocol.Submission)) *checkerScenario {
 	sim := NewSimClock(1)
 	s := &checkerScenario{Checker: NewChecker(sim, 30*second), sim: sim,
-		machine: &Machine{ID: "i-1", Type: "m8", Zone: "a"}, otherMachine: &Machine{ID: "i-2", Type: "m8", Zone: "b"}}
+		machine: &Machine{
+			ID:   "i-1",
+			Type: "m8",
+			Zone: "a",
+		}, otherMachine: &Machine{ID: "i-2", Type: "m8", Zone: "b"}}
 	s.Limits["tight"] = 8
 	sim.Run(second)
 	s.request("POST", protocol.JobsPath, submission("j-1", more), 201, protocol.JobPending)
@@ -62,7 +66,8 @@
 	d.request("POST", protocol.CancelPath("j-1"), nil, 200, protocol.JobCancelled)
 }
 
-// TestCheckerReportsExactlyTheViolations: each kind of violation is caught, and what is allowed isn't taken for one.
+// TestCheckerReportsExactlyTheViolations: each kind of violation is caught, and what is allowed isn't taken
+// for one.
 func TestCheckerReportsExactlyTheViolations(t *testing.T) {
 	cases := []struct {
 		name string
@@ -86,7 +91,12 @@
 			s.TaskEnded("j-1/0", s.machine, "tight", 4)
 			s.begin("j-1/0", s.otherMachine)
 		}, ""},
-		{"two attempts", nil, func(s *checkerScenario) { s.begin("j-1/0", s.machine); s.begin("j-1/0", s.otherMachine) }, RanTwice},
+		{
+			"two attempts",
+			nil,
+			func(s *checkerScenario) { s.begin("j-1/0", s.machine); s.begin("j-1/0", s.otherMachine) },
+			RanTwice,
+		},
 		{"over the limit", nil, func(s *checkerScenario) {
 			s.begin("j-1/0", s.machine)
 			s.begin("j-1/1", s.machine)
@@ -94,7 +104,12 @@
 		}, QuotaExceeded},
 		{"another zone", inZoneB, func(s *checkerScenario) { s.begin("j-1/0", s.machine) }, WrongPlace},
 		{"another type", onlyM16, func(s *checkerScenario) { s.begin("j-1/0", s.machine) }, WrongPlace},
-		{"a spot machine", nil, func(s *checkerScenario) { s.machine.Spot = true; s.begin("j-1/0", s.machine) }, WrongPlace},
+		{
+			"a spot machine",
+			nil,
+			func(s *checkerScenario) { s.machine.Spot = true; s.begin("j-1/0", s.machine) },
+			WrongPlace,
+		},
 		{"two zones", func(spec *protocol.Submission) { spec.OneZone = true }, func(s *checkerScenario) {
 			s.begin("j-1/0", s.machine)
 			s.begin("j-1/1", s.otherMachine)
@@ -119,20 +134,35 @@
 			s.cancel()
 			s.sim.Run(31 * second)
 		}, RanCancelled},
-		{"running after cancelled", nil, func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobRunning) }, StaleAnswer},
+		{
+			"running after cancelled",
+			nil,
+			func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobRunning) },
+			StaleAnswer,
+		},
 		{"an answer that was on its way", nil, func(s *checkerScenario) {
 			q := s.UserRequest("GET", protocol.JobPath("j-1"), nil)
 			s.cancel()
 			q.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobRunning}))
 		}, ""},
-		{"done after cancelled", nil, func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobDone) }, StaleAnswer},
+		{
+			"done after cancelled",
+			nil,
+			func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobDone) },
+			StaleAnswer,
+		},
 		{"cancelled by nobody", nil, func(s *checkerScenario) { s.poll(protocol.JobCancelled) }, StaleAnswer},
 		{"cancelled on the way", nil, func(s *checkerScenario) {
 			q := s.UserRequest("POST", protocol.CancelPath("j-2"), nil)
 			s.request("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
 			q.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobCancelled}))
 		}, ""},
-		{"done too early", nil, func(s *checkerScenario) { s.TaskCompleted("j-1/0"); s.poll(protocol.JobDone) }, DoneTooEarly},
+		{
+			"done too early",
+			nil,
+			func(s *checkerScenario) { s.TaskCompleted("j-1/0"); s.poll(protocol.JobDone) },
+			DoneTooEarly,
+		},
 		{"unknown after accepted", nil, func(s *checkerScenario) {
 			s.request("GET", protocol.JobPath("j-1"), nil, 404, "")
 		}, JobLost},
@@ -156,7 +186,12 @@
 		{"malformed, once it is known", nil, func(s *checkerScenario) {
 			s.request("POST", protocol.JobsPath, submission("j-1", withoutTasks), 200, protocol.JobPending)
 		}, ""},
-		{"left beside room", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 64}) }, TaskStarved},
+		{
+			"left beside room",
+			nil,
+			func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 64}) },
+			TaskStarved,
+		},
 		{"no room", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 3, 64}) }, ""},
 		{"no memory", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 7}) }, ""},
 		{"room elsewhere", inZoneB, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 64}) }, ""},
@@ -169,7 +204,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s := newCheckerScenario(tc.more)
 			tc.do(s)
-			if tc.want == "" && len(s.Violations) > 0 || tc.want != "" && (len(s.Violations) == 0 || s.Violations[0].Invariant != tc.want) {
+			if tc.want == "" && len(s.Violations) > 0 ||
+				tc.want != "" && (len(s.Violations) == 0 || s.Violations[0].Invariant != tc.want) {
 				t.Errorf("broken: %v, want %q", s.Violations, tc.want)
 			}
 		})
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -115,8 +115,18 @@
 			if machine.Up {
 				state = "running"
 			}
-			result.Listed = append(result.Listed, protocol.ListedMachine{ID: id, Endpoint: machine.Endpoint, Type: machine.Type, Zone: machine.Zone,
-				Spot: machine.Spot, State: state, AgeS: (seen - machine.RentedAt).Seconds()})
+			result.Listed = append(
+				result.Listed,
+				protocol.ListedMachine{
+					ID:       id,
+					Endpoint: machine.Endpoint,
+					Type:     machine.Type,
+					Zone:     machine.Zone,
+					Spot:     machine.Spot,
+					State:    state,
+					AgeS:     (seen - machine.RentedAt).Seconds(),
+				},
+			)
 		}
 	}
 	return result, false
@@ -125,7 +135,13 @@
 // AddMachine rents a machine, whoever asked for it.
 func (c *Cloud) AddMachine(typ, zone string, spot bool) *Machine {
 	c.machinesMade++
-	machine := &Machine{ID: fmt.Sprintf("i-%06d", c.machinesMade), Type: typ, Zone: zone, Spot: spot, RentedAt: c.Clock.Now()}
+	machine := &Machine{
+		ID:       fmt.Sprintf("i-%06d", c.machinesMade),
+		Type:     typ,
+		Zone:     zone,
+		Spot:     spot,
+		RentedAt: c.Clock.Now(),
+	}
 	machine.Endpoint = fmt.Sprintf("10.1.%d.%d:9000", c.machinesMade/256, c.machinesMade%256)
 	if c.NextEndpoint != nil {
 		machine.Endpoint = c.NextEndpoint()
--- a/internal/fake/loopback/conformance_test.go
+++ b/internal/fake/loopback/conformance_test.go
@@ -66,7 +66,13 @@
 }
 
 func list(prefix, after string, limit int) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreList, Key: prefix, After: after, Limit: limit, Timeout: 2 * monotime.Second}
+	return &protocol.StoreCall{
+		Op:      protocol.StoreList,
+		Key:     prefix,
+		After:   after,
+		Limit:   limit,
+		Timeout: 2 * monotime.Second,
+	}
 }
 
 func commit(txn protocol.Transaction) *protocol.StoreCall {
@@ -74,7 +80,13 @@
 }
 
 func watch(prefix string, from uint64, block monotime.Micros) *protocol.StoreCall {
-	return &protocol.StoreCall{Op: protocol.StoreWatch, Key: prefix, FromRevision: from, MaxBlock: block, Timeout: block + 2*monotime.Second}
+	return &protocol.StoreCall{
+		Op:           protocol.StoreWatch,
+		Key:          prefix,
+		FromRevision: from,
+		MaxBlock:     block,
+		Timeout:      block + 2*monotime.Second,
+	}
 }
 
 func put(key, value string, lease uint64) protocol.Op {
@@ -85,7 +97,13 @@
 func resultSummary(r protocol.StoreResult) string {
 	s := fmt.Sprintf("%v revision %d failed %v more %v", r.Outcome, r.Revision, r.Failed, r.More)
 	if r.Item.Key != "" {
-		s += fmt.Sprintf(" item %s@%d lease %d %x", r.Item.Key, r.Item.Version, r.Item.Lease, []byte(r.Item.Value))
+		s += fmt.Sprintf(
+			" item %s@%d lease %d %x",
+			r.Item.Key,
+			r.Item.Version,
+			r.Item.Lease,
+			[]byte(r.Item.Value),
+		)
 	}
 	for _, i := range r.Items {
 		s += fmt.Sprintf(" %s@%d", i.Key, i.Version)
@@ -112,34 +130,156 @@
 var conformance = []callStep{
 	{what: "a key that isn't there", call: get("a/1"), wantSummary: "not found revision 0"},
 	{what: "a list of nothing", call: list("a/", "", 10), wantSummary: "ok revision 0"},
-	{what: "creating two keys", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1"}}, Then: []protocol.Op{put("a/1", "x", 0), put("a/2", "y", 0)}}),
-		wantSummary: "ok revision 1 failed [] more false"},
-	{what: "creating one that is there", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1"}, {Key: "a/3"}}, Then: []protocol.Op{put("a/3", "z", 0)}}),
-		wantSummary: "conflict revision 1 failed [a/1] more false"},
-	{what: "reading", call: get("a/1"), wantSummary: "ok revision 0 failed [] more false item a/1@1 lease 0 a178"},
-	{what: "a condition on the version", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1", Version: 1}}, Then: []protocol.Op{put("a/1", "w", 0)}}),
-		wantSummary: "ok revision 2 failed [] more false"},
-	{what: "comparing alone", call: commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1", Version: 2}}}), wantSummary: "ok revision 2 failed [] more false"},
-	{what: "a list in pages", call: list("a/", "", 1), wantSummary: "ok revision 2 failed [] more true a/1@2"},
-	{what: "the next page", call: list("a/", "a/1", 1), wantSummary: "ok revision 2 failed [] more false a/2@1"},
-	{what: "changes since a revision", call: watch("a/", 1, 0), wantSummary: "ok revision 2 failed [] more false +a/1-@2"},
-	{what: "no changes in time", call: watch("a/", 2, 100*monotime.Millisecond), wantSummary: "ok revision 2 failed [] more false"},
-	{what: "a deletion", call: commit(protocol.Transaction{Then: []protocol.Op{{Delete: "a/2"}}}), wantSummary: "ok revision 3 failed [] more false"},
-	{what: "the deletion is seen", call: watch("a/", 2, 0), wantSummary: "ok revision 3 failed [] more false +-a/2@3"},
-	{what: "too many changes", call: commit(protocol.Transaction{Then: []protocol.Op{put("b", "1", 0), put("c", "1", 0), put("d", "1", 0), put("e", "1", 0), put("f", "1", 0)}}),
-		wantSummary: "rejected"},
-	{what: "a large value", call: commit(protocol.Transaction{Then: []protocol.Op{put("b/1", strings.Repeat("x", 9000), 0)}}), wantSummary: "ok revision 4 failed [] more false"},
-	{what: "a large answer", call: list("b/", "", 10), wantSummary: "ok revision 4 failed [] more false b/1@4"},
-	{what: "a lease", call: &protocol.StoreCall{Op: protocol.StoreGrantLease, TTL: 5 * monotime.Second, Timeout: monotime.Second}, wantSummary: "ok revision 0 failed [] more false lease 1"},
-	{what: "a key with a lease", call: commit(protocol.Transaction{Then: []protocol.Op{put("l/1", "x", 1)}}), wantSummary: "ok revision 5 failed [] more false"},
-	{what: "a lease that there isn't", call: commit(protocol.Transaction{Then: []protocol.Op{put("l/2", "x", 9)}}), wantSummary: "rejected"},
-	{what: "a renewal", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second}, advanceBy: 3 * monotime.Second, wantSummary: "ok"},
-	{what: "the key stays", call: get("l/1"), advanceBy: 3 * monotime.Second, wantSummary: "ok revision 0 failed [] more false item l/1@5 lease 1 a178"},
-	{what: "the key goes with its lease", call: get("l/1"), advanceBy: 4 * monotime.Second, wantSummary: "not found"},
-	{what: "its end is a change", call: watch("l/", 5, 0), wantSummary: "ok revision 6 failed [] more false +-l/1@6"},
-	{what: "a lease that has ended", call: &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second}, wantSummary: "not found"},
+	{
+		what: "creating two keys",
+		call: commit(
+			protocol.Transaction{
+				If:   []protocol.Compare{{Key: "a/1"}},
+				Then: []protocol.Op{put("a/1", "x", 0), put("a/2", "y", 0)},
+			},
+		),
+		wantSummary: "ok revision 1 failed [] more false",
+	},
+	{
+		what: "creating one that is there",
+		call: commit(
+			protocol.Transaction{
+				If:   []protocol.Compare{{Key: "a/1"}, {Key: "a/3"}},
+				Then: []protocol.Op{put("a/3", "z", 0)},
+			},
+		),
+		wantSummary: "conflict revision 1 failed [a/1] more false",
+	},
+	{
+		what:        "reading",
+		call:        get("a/1"),
+		wantSummary: "ok revision 0 failed [] more false item a/1@1 lease 0 a178",
+	},
+	{
+		what: "a condition on the version",
+		call: commit(
+			protocol.Transaction{
+				If:   []protocol.Compare{{Key: "a/1", Version: 1}},
+				Then: []protocol.Op{put("a/1", "w", 0)},
+			},
+		),
+		wantSummary: "ok revision 2 failed [] more false",
+	},
+	{
+		what:        "comparing alone",
+		call:        commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1", Version: 2}}}),
+		wantSummary: "ok revision 2 failed [] more false",
+	},
+	{
+		what:        "a list in pages",
+		call:        list("a/", "", 1),
+		wantSummary: "ok revision 2 failed [] more true a/1@2",
+	},
+	{
+		what:        "the next page",
+		call:        list("a/", "a/1", 1),
+		wantSummary: "ok revision 2 failed [] more false a/2@1",
+	},
+	{
+		what:        "changes since a revision",
+		call:        watch("a/", 1, 0),
+		wantSummary: "ok revision 2 failed [] more false +a/1-@2",
+	},
+	{
+		what:        "no changes in time",
+		call:        watch("a/", 2, 100*monotime.Millisecond),
+		wantSummary: "ok revision 2 failed [] more false",
+	},
+	{
+		what:        "a deletion",
+		call:        commit(protocol.Transaction{Then: []protocol.Op{{Delete: "a/2"}}}),
+		wantSummary: "ok revision 3 failed [] more false",
+	},
+	{
+		what:        "the deletion is seen",
+		call:        watch("a/", 2, 0),
+		wantSummary: "ok revision 3 failed [] more false +-a/2@3",
+	},
+	{
+		what: "too many changes",
+		call: commit(
+			protocol.Transaction{
+				Then: []protocol.Op{
+					put("b", "1", 0),
+					put("c", "1", 0),
+					put("d", "1", 0),
+					put("e", "1", 0),
+					put("f", "1", 0),
+				},
+			},
+		),
+		wantSummary: "rejected",
+	},
+	{
+		what: "a large value",
+		call: commit(
+			protocol.Transaction{Then: []protocol.Op{put("b/1", strings.Repeat("x", 9000), 0)}},
+		),
+		wantSummary: "ok revision 4 failed [] more false",
+	},
+	{
+		what:        "a large answer",
+		call:        list("b/", "", 10),
+		wantSummary: "ok revision 4 failed [] more false b/1@4",
+	},
+	{
+		what: "a lease",
+		call: &protocol.StoreCall{
+			Op:      protocol.StoreGrantLease,
+			TTL:     5 * monotime.Second,
+			Timeout: monotime.Second,
+		},
+		wantSummary: "ok revision 0 failed [] more false lease 1",
+	},
+	{
+		what:        "a key with a lease",
+		call:        commit(protocol.Transaction{Then: []protocol.Op{put("l/1", "x", 1)}}),
+		wantSummary: "ok revision 5 failed [] more false",
+	},
+	{
+		what:        "a lease that there isn't",
+		call:        commit(protocol.Transaction{Then: []protocol.Op{put("l/2", "x", 9)}}),
+		wantSummary: "rejected",
+	},
+	{
+		what:        "a renewal",
+		call:        &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second},
+		advanceBy:   3 * monotime.Second,
+		wantSummary: "ok",
+	},
+	{
+		what:        "the key stays",
+		call:        get("l/1"),
+		advanceBy:   3 * monotime.Second,
+		wantSummary: "ok revision 0 failed [] more false item l/1@5 lease 1 a178",
+	},
+	{
+		what:        "the key goes with its lease",
+		call:        get("l/1"),
+		advanceBy:   4 * monotime.Second,
+		wantSummary: "not found",
+	},
+	{
+		what:        "its end is a change",
+		call:        watch("l/", 5, 0),
+		wantSummary: "ok revision 6 failed [] more false +-l/1@6",
+	},
+	{
+		what:        "a lease that has ended",
+		call:        &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second},
+		wantSummary: "not found",
+	},
 	{what: "an outage", call: get("a/1"), down: 1, wantSummary: "unavailable"},
-	{what: "a commit in an outage", call: commit(protocol.Transaction{Then: []protocol.Op{put("a/9", "x", 0)}}), wantSummary: "unavailable"},
+	{
+		what:        "a commit in an outage",
+		call:        commit(protocol.Transaction{Then: []protocol.Op{put("a/9", "x", 0)}}),
+		wantSummary: "unavailable",
+	},
 	{what: "after the outage", call: get("a/9"), down: 2, wantSummary: "not found"},
 }
 
--- a/internal/fake/loopback/deployment.go
+++ b/internal/fake/loopback/deployment.go
@@ -75,8 +75,17 @@
 func NewDeployment(t testing.TB, seed uint64, options Options) *Deployment {
 	t.Helper()
 	sim := fake.NewSimClock(seed)
-	d := &Deployment{t: t, SimClock: sim, options: options, directory: t.TempDir(), processes: map[string]*Process{},
-		publicAddrs: map[string]string{}, peerAddrs: map[string]string{}, stateServers: map[string]*Server{}, injector: &faultInjector{}}
+	d := &Deployment{
+		t:            t,
+		SimClock:     sim,
+		options:      options,
+		directory:    t.TempDir(),
+		processes:    map[string]*Process{},
+		publicAddrs:  map[string]string{},
+		peerAddrs:    map[string]string{},
+		stateServers: map[string]*Server{},
+		injector:     &faultInjector{},
+	}
 	d.Checker = fake.NewChecker(sim, options.CancelWithin)
 	d.Store = fake.NewStateStore(sim, options.StateRPS, options.StateWriteRPS, maxTransactionOps)
 	d.Cloud = fake.NewCloud(sim, options.Types)
@@ -219,7 +228,12 @@
 
 // writeConfig writes the platform's settings as a caller sees them.
 func (d *Deployment) writeConfig(caller string) string {
-	cfg := config.Config{Node: caller, Area: d.options.Zones[0], PublicAddr: d.publicAddrs[caller], PeerBind: d.peerAddrs[caller]}
+	cfg := config.Config{
+		Node:       caller,
+		Area:       d.options.Zones[0],
+		PublicAddr: d.publicAddrs[caller],
+		PeerBind:   d.peerAddrs[caller],
+	}
 	if caller == operatorCaller { // a command listens nowhere, but its settings must be whole
 		cfg.PublicAddr, cfg.PeerBind = d.publicAddrs[d.Controllers[0]], d.peerAddrs[d.Controllers[0]]
 	}
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -21,9 +21,17 @@
 )
 
 var (
-	longForm       = flag.Bool("long", false, "play the long form: more workers, several drains, random faults")
+	longForm = flag.Bool(
+		"long",
+		false,
+		"play the long form: more workers, several drains, random faults",
+	)
 	longRounds     = flag.Int("rounds", 4, "rounds of the long form")
-	withoutBudgets = flag.Bool("at-once", false, "measure drains without budgets instead: everything may be moved at once")
+	withoutBudgets = flag.Bool(
+		"at-once",
+		false,
+		"measure drains without budgets instead: everything may be moved at once",
+	)
 )
 
 // binary is the program under test, built once.
@@ -99,9 +107,29 @@
 
 // newDrainScenario starts controllers and services and waits until all replicas run.
 func newDrainScenario(t *testing.T, settings string, teams []TeamServices) *drainScenario {
-	options := Options{Binary: binary, Controllers: 3, Settings: []string{settingsFile(t, settings)}, Zones: []string{"a", "b"},
-		Types:    []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 2}},
-		BootTime: 2 * monotime.Second, HeartbeatInterval: monotime.Second, LeaseTime: 10 * monotime.Second, CancelWithin: 30 * monotime.Second, StateRPS: 400, StateWriteRPS: 100}
+	options := Options{
+		Binary:      binary,
+		Controllers: 3,
+		Settings:    []string{settingsFile(t, settings)},
+		Zones:       []string{"a", "b"},
+		Types: []protocol.MachineType{
+			{
+				Name:          "m8",
+				CPUs:          8,
+				MemoryGB:      64,
+				OnDemandPrice: 1,
+				SpotPrice:     0.4,
+				Zones:         []string{"a", "b"},
+				BootS:         2,
+			},
+		},
+		BootTime:          2 * monotime.Second,
+		HeartbeatInterval: monotime.Second,
+		LeaseTime:         10 * monotime.Second,
+		CancelWithin:      30 * monotime.Second,
+		StateRPS:          400,
+		StateWriteRPS:     100,
+	}
 	return &drainScenario{Services: NewServices(t, 1, options, teams), t: t}
 }
 
@@ -115,7 +143,14 @@
 			continue
 		}
 		low := slices.Min(samples)
-		d.t.Logf("%s: %d samples, lowest %d of %d, floor %d", team.Team, len(samples), low, team.Services*team.Replicas, team.MinAvailable)
+		d.t.Logf(
+			"%s: %d samples, lowest %d of %d, floor %d",
+			team.Team,
+			len(samples),
+			low,
+			team.Services*team.Replicas,
+			team.MinAvailable,
+		)
 		if low < team.MinAvailable {
 			d.t.Errorf("%s ran %d, its floor is %d: %v", team.Team, low, team.MinAvailable, samples)
 		}
@@ -162,8 +197,8 @@
 	d.t.Errorf("drain %s is %s with %d machines left: %+v", name, p.State, len(p.Machines), p.Blocked)
 }
 
-// TestDrainKeepsBudgetsThroughFailures: a zone is drained; half way a second team's replacement starts, a machine
-// dies and the leader is killed. No sample of any team is below its budget.
+// TestDrainKeepsBudgetsThroughFailures: a zone is drained; half way a second team's replacement starts, a
+// machine dies and the leader is killed. No sample of any team is below its budget.
 func TestDrainKeepsBudgetsThroughFailures(t *testing.T) {
 	s := newDrainScenario(t, budgets, shortTeams)
 	machines := len(s.MachinesInZone("a"))
@@ -171,7 +206,10 @@
 		t.Errorf("only %d workers", all)
 	}
 	s.mustRun(0, "start", "rack", "--zone", "a", "--replace")
-	s.Eventually(60*time.Second, func() bool { return s.Cloud.MachineCount() > 0 && s.MachinesGoneInZone("a") >= machines/3 })
+	s.Eventually(
+		60*time.Second,
+		func() bool { return s.Cloud.MachineCount() > 0 && s.MachinesGoneInZone("a") >= machines/3 },
+	)
 	second := s.MachinesRunning("payout", "b", 4)
 	s.mustRun(0, append([]string{"start", "payout-machines", "--replace", "--at-once"}, byName(second)...)...)
 	if dying := s.MachinesRunning("intake", "b", 1); len(dying) == 1 {
@@ -203,7 +241,8 @@
 	return words
 }
 
-// TestDrainCommandsReportStatesAndMistakes: what operators see of a drain, also of mistaken and repeated commands.
+// TestDrainCommandsReportStatesAndMistakes: what operators see of a drain, also of mistaken and repeated
+// commands.
 func TestDrainCommandsReportStatesAndMistakes(t *testing.T) {
 	s := newDrainScenario(t, looseBudgets, []TeamServices{{"intake", 2, 8, 8}, {"payout", 2, 8, 4}})
 	zone := len(s.MachinesInZone("a"))
@@ -215,7 +254,9 @@
 	var started operator.StartResult
 	out := s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--dry-run", "--json")
 	err := json.Unmarshal([]byte(out), &started)
-	if err != nil || started.Plan == nil || len(started.Plan.Machines) != zone || len(started.Plan.Steps) == 0 || len(started.Plan.Blocked) > 0 {
+	if err != nil || started.Plan == nil || len(started.Plan.Machines) != zone ||
+		len(started.Plan.Steps) == 0 ||
+		len(started.Plan.Blocked) > 0 {
 		t.Errorf("dry run: %v %s", err, out)
 	}
 	s.mustRun(3, "status", "rack")
@@ -246,7 +287,8 @@
 		t.Errorf("aborted: %+v", p)
 	}
 	var list []operator.DrainSummary
-	if err := json.Unmarshal([]byte(s.mustRun(0, "list", "--json")), &list); err != nil || len(list) != 1 || list[0].State != storage.DrainAborted {
+	if err := json.Unmarshal([]byte(s.mustRun(0, "list", "--json")), &list); err != nil || len(list) != 1 ||
+		list[0].State != storage.DrainAborted {
 		t.Errorf("list: %v %+v", err, list)
 	}
 	s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--at-once")
@@ -306,8 +348,14 @@
 			t.Errorf("running %v", s.Running())
 		}
 		moved, _ := s.Restarts()
-		t.Logf("%s: %d machines, %d restarts, %.0f s, %d changes of the state service", name, machines, moved-movedBefore,
-			time.Since(begun).Seconds(), s.StoreChanges()-changes)
+		t.Logf(
+			"%s: %d machines, %d restarts, %.0f s, %d changes of the state service",
+			name,
+			machines,
+			moved-movedBefore,
+			time.Since(begun).Seconds(),
+			s.StoreChanges()-changes,
+		)
 		time.Sleep(5 * time.Second)
 	}
 	if *withoutBudgets {
--- a/internal/fake/loopback/process_cleanup_test.go
+++ b/internal/fake/loopback/process_cleanup_test.go
@@ -28,7 +28,17 @@
 		t.Skip("only as a child of TestNothingLeftBehind")
 	}
 	d := NewDeployment(t, 1, Options{Binary: program, Controllers: 2, Zones: []string{"a"},
-		Types:             []protocol.MachineType{{Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 1, Zones: []string{"a"}, BootS: 2}},
+		Types: []protocol.MachineType{
+			{
+				Name:          "m8",
+				CPUs:          8,
+				MemoryGB:      64,
+				OnDemandPrice: 1,
+				SpotPrice:     1,
+				Zones:         []string{"a"},
+				BootS:         2,
+			},
+		},
 		Teams:             []config.Team{{Name: "t"}},
 		HeartbeatInterval: monotime.Second, LeaseTime: 10 * monotime.Second, CancelWithin: 30 * monotime.Second, StateRPS: 100, StateWriteRPS: 50})
 	for _, node := range d.Controllers {
--- a/internal/fake/loopback/services.go
+++ b/internal/fake/loopback/services.go
@@ -49,7 +49,14 @@
 	for _, team := range teams {
 		options.Teams = append(options.Teams, config.Team{Name: team.Team})
 	}
-	s := &Services{Deployment: NewDeployment(t, seed, options), Teams: teams, t: t, replicas: map[string]int{}, samples: map[string][]int{}, stop: make(chan struct{})}
+	s := &Services{
+		Deployment: NewDeployment(t, seed, options),
+		Teams:      teams,
+		t:          t,
+		replicas:   map[string]int{},
+		samples:    map[string][]int{},
+		stop:       make(chan struct{}),
+	}
 	s.Clock.Do(func() {
 		for _, machineType := range options.Types {
 			for _, zone := range options.Zones {
@@ -84,7 +91,13 @@
 			id := fmt.Sprintf("j-%06d", next)
 			d.replicas[id] = team.Replicas
 			d.Clock.Do(func() {
-				d.Fleet.Jobs[id] = fake.JobBehavior{Team: team.Team, CPUs: 2, Service: true, PullTime: monotime.Second, CheckpointTime: monotime.Second / 2}
+				d.Fleet.Jobs[id] = fake.JobBehavior{
+					Team:           team.Team,
+					CPUs:           2,
+					Service:        true,
+					PullTime:       monotime.Second,
+					CheckpointTime: monotime.Second / 2,
+				}
 			})
 			body := protocol.MustMarshal(&protocol.Submission{
 				ID: id, Class: "web", Team: team.Team, Service: true, Priority: protocol.Production, Tasks: team.Replicas,
--- a/internal/fake/loopback/state_service.go
+++ b/internal/fake/loopback/state_service.go
@@ -69,7 +69,11 @@
 		call.TTL = monotime.Micros(lease.TTLMillis) * monotime.Millisecond
 		return call, ok && lease.TTLMillis >= 100
 	case r.Method == "POST" && strings.HasPrefix(path, "/leases/") && strings.HasSuffix(path, "/touch"):
-		id, err := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"), 10, 64)
+		id, err := strconv.ParseUint(
+			strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"),
+			10,
+			64,
+		)
 		call.Op, call.Lease = protocol.StoreKeepAlive, id
 		return call, err == nil
 	case r.Method == "GET" && path == "/watch":
@@ -99,7 +103,11 @@
 	case protocol.StoreGet:
 		return status, &result.Item
 	case protocol.StoreList:
-		return status, &protocol.KeyValueList{Items: result.Items, More: result.More, Revision: result.Revision}
+		return status, &protocol.KeyValueList{
+			Items:    result.Items,
+			More:     result.More,
+			Revision: result.Revision,
+		}
 	case protocol.StoreCommit:
 		return status, &protocol.TransactionReply{Revision: result.Revision, Failed: result.Failed}
 	case protocol.StoreGrantLease:
--- a/internal/fake/loopback/workers.go
+++ b/internal/fake/loopback/workers.go
@@ -84,7 +84,12 @@
 }
 
 // send carries one report; it is called on the simulation.
-func (p *heartbeatSender) send(_ *fake.Worker, node string, body []byte, back func(status int, reply []byte)) {
+func (p *heartbeatSender) send(
+	_ *fake.Worker,
+	node string,
+	body []byte,
+	back func(status int, reply []byte),
+) {
 	client := p.client(node)
 	go func() {
 		message, err := client.Do("POST", protocol.HeartbeatPath, body, heartbeatTimeout)
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -102,7 +102,10 @@
 				}
 				for _, k := range gone {
 					delete(s.keyValues, k)
-					s.history = append(s.history, historyEntry{s.Revision, protocol.Event{Delete: k, Version: s.Revision}})
+					s.history = append(
+						s.history,
+						historyEntry{s.Revision, protocol.Event{Delete: k, Version: s.Revision}},
+					)
 				}
 				s.answerWatches()
 			}
@@ -224,7 +227,10 @@
 		return true
 	}
 	result := protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
-	begin := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > watcher.call.FromRevision })
+	begin := sort.Search(
+		len(s.history),
+		func(i int) bool { return s.history[i].revision > watcher.call.FromRevision },
+	)
 	for _, l := range s.history[begin:] {
 		if strings.HasPrefix(l.event.Put+l.event.Delete, watcher.call.Key) {
 			result.Events = append(result.Events, l.event)
@@ -295,11 +301,20 @@
 	for _, op := range txn.Then {
 		s.ChangesByKind["+"+recordKind(op.Put+op.Delete)]++
 		if op.Put != "" {
-			s.keyValues[op.Put] = protocol.KeyValue{Key: op.Put, Value: op.Value, Version: s.Revision, Lease: op.Lease}
-			s.history = append(s.history, historyEntry{s.Revision, protocol.Event{Put: op.Put, Value: op.Value, Version: s.Revision}})
+			s.keyValues[op.Put] = protocol.KeyValue{
+				Key:     op.Put,
+				Value:   op.Value,
+				Version: s.Revision,
+				Lease:   op.Lease,
+			}
+			s.history = append(
+				s.history,
+				historyEntry{s.Revision, protocol.Event{Put: op.Put, Value: op.Value, Version: s.Revision}},
+			)
 		} else if _, ok := s.keyValues[op.Delete]; ok {
 			delete(s.keyValues, op.Delete)
-			s.history = append(s.history, historyEntry{s.Revision, protocol.Event{Delete: op.Delete, Version: s.Revision}})
+			deletion := protocol.Event{Delete: op.Delete, Version: s.Revision}
+			s.history = append(s.history, historyEntry{s.Revision, deletion})
 		}
 	}
 	if len(txn.Then) > 0 {
--- a/internal/fake/workers.go
+++ b/internal/fake/workers.go
@@ -69,10 +69,25 @@
 }
 
 // NewWorkerFleet starts without workers.
-func NewWorkerFleet(sim *SimClock, report, lease monotime.Micros, nodes []string, check *Checker) *WorkerFleet {
-	return &WorkerFleet{Clock: sim, HeartbeatInterval: report, LeaseTime: lease, Controllers: nodes, Jobs: map[string]JobBehavior{},
-		Workers: map[string]*Worker{}, ByEndpoint: map[string]*Worker{}, Checker: check, TaskRunTime: map[string]monotime.Micros{},
-		Starts: map[string]int{}, Finished: map[string]bool{}}
+func NewWorkerFleet(
+	sim *SimClock,
+	report, lease monotime.Micros,
+	nodes []string,
+	check *Checker,
+) *WorkerFleet {
+	return &WorkerFleet{
+		Clock:             sim,
+		HeartbeatInterval: report,
+		LeaseTime:         lease,
+		Controllers:       nodes,
+		Jobs:              map[string]JobBehavior{},
+		Workers:           map[string]*Worker{},
+		ByEndpoint:        map[string]*Worker{},
+		Checker:           check,
+		TaskRunTime:       map[string]monotime.Micros{},
+		Starts:            map[string]int{},
+		Finished:          map[string]bool{},
+	}
 }
 
 // MachineUp starts a machine's worker.
@@ -116,7 +131,8 @@
 
 func (w *Worker) dropAttempts() {
 	for _, t := range w.taskNames() {
-		if attempt := w.Attempts[t]; attempt.State == protocol.StateRunning || attempt.State == protocol.StateFlushing {
+		if attempt := w.Attempts[t]; attempt.State == protocol.StateRunning ||
+			attempt.State == protocol.StateFlushing {
 			w.taskEnded(t)
 		}
 		w.Attempts[t].generation++
@@ -150,10 +166,14 @@
 func (w *Worker) Heartbeat() *protocol.Heartbeat {
 	w.Sequence++
 	r := &protocol.Heartbeat{Machine: w.Machine.ID, Endpoint: w.Machine.Endpoint, Type: w.Machine.Type,
-		Zone: w.Machine.Zone, Spot: w.Machine.Spot, Incarnation: w.Incarnation, Sequence: w.Sequence, FencingToken: w.FencingToken}
+		Zone: w.Machine.Zone, Spot: w.Machine.Spot,
+		Incarnation: w.Incarnation, Sequence: w.Sequence, FencingToken: w.FencingToken}
 	for _, t := range w.taskNames() {
 		attempt := w.Attempts[t]
-		r.Tasks = append(r.Tasks, protocol.TaskStatus{Task: t, Attempt: attempt.Number, State: attempt.State, Cause: attempt.Cause})
+		r.Tasks = append(
+			r.Tasks,
+			protocol.TaskStatus{Task: t, Attempt: attempt.Number, State: attempt.State, Cause: attempt.Cause},
+		)
 	}
 	return r
 }
@@ -163,7 +183,9 @@
 		return
 	}
 	f := w.fleet
-	next := f.HeartbeatInterval + monotime.Micros(f.Clock.Rand.Int64N(int64(f.HeartbeatInterval/2))) - f.HeartbeatInterval/4
+	next := f.HeartbeatInterval + monotime.Micros(
+		f.Clock.Rand.Int64N(int64(f.HeartbeatInterval/2)),
+	) - f.HeartbeatInterval/4
 	if !w.inFlight && !w.Paused {
 		w.sendHeartbeat()
 	}
@@ -198,7 +220,8 @@
 		switch status {
 		case 200:
 			var r protocol.HeartbeatReply
-			if protocol.Unmarshal(reply, &r) != nil || r.FencingToken < w.FencingToken || session != w.Incarnation {
+			if protocol.Unmarshal(reply, &r) != nil || r.FencingToken < w.FencingToken ||
+				session != w.Incarnation {
 				return
 			}
 			w.leaseRenewedAt = sent
@@ -399,7 +422,8 @@
 			continue
 		}
 		for task, attempt := range w.Attempts {
-			if job := f.Jobs[jobOf(task)]; job.Service && job.Team == team && attempt.State == protocol.StateRunning {
+			if job := f.Jobs[jobOf(task)]; job.Service && job.Team == team &&
+				attempt.State == protocol.StateRunning {
 				n++
 			}
 		}
--- a/internal/coordination/mirror_drains.go
+++ b/internal/mirror/drain_snapshot.go
@@ -1,4 +1,4 @@
-package coordination
+package mirror
 
 import (
 	"pipitgap/internal/drain"
@@ -8,16 +8,36 @@
 )
 
 // DrainSnapshotBuilder begins a snapshot with all but the machines.
-func (v *Mirror) DrainSnapshotBuilder(wall int64, types map[string]protocol.MachineType, failing func(*Job) bool) *drain.Builder {
+func (v *Mirror) DrainSnapshotBuilder(
+	wall int64,
+	types map[string]protocol.MachineType,
+	failing func(*Job) bool,
+) *drain.Builder {
 	b := drain.NewBuilder(v.WatchedRevision, wall)
 	for id, job := range v.Jobs {
 		if spec := &job.Record.Spec; spec.Service && job.IsOpen() {
-			b.AddJob(&drain.Job{ID: id, Team: spec.Team, Class: spec.Class, Replicas: spec.Tasks, PerTask: job.TaskResources, Priority: spec.Priority,
-				Types: spec.MachineTypes, Zone: spec.Zone, OneZone: spec.OneZone, Spread: spec.Spread, Spot: spec.Spot, Failing: failing(job)})
+			b.AddJob(
+				&drain.Job{
+					ID:       id,
+					Team:     spec.Team,
+					Class:    spec.Class,
+					Replicas: spec.Tasks,
+					PerTask:  job.TaskResources,
+					Priority: spec.Priority,
+					Types:    spec.MachineTypes,
+					Zone:     spec.Zone,
+					OneZone:  spec.OneZone,
+					Spread:   spec.Spread,
+					Spot:     spec.Spot,
+					Failing:  failing(job),
+				},
+			)
 		}
 	}
 	for name, machineType := range types {
-		b.AddType(drain.TypeCapacity{Name: name, Capacity: MachineCapacity(&machineType), Zones: machineType.Zones})
+		b.AddType(
+			drain.TypeCapacity{Name: name, Capacity: MachineCapacity(&machineType), Zones: machineType.Zones},
+		)
 	}
 	for name, drainEntry := range v.Drains {
 		b.AddDrain(name, drainEntry.Version, drainEntry.Record)
@@ -29,8 +49,18 @@
 }
 
 // DrainSnapshotMachine gives a machine as the records have it.
-func (v *Mirror) DrainSnapshotMachine(machine *Machine, types map[string]protocol.MachineType) *drain.Machine {
-	out := &drain.Machine{ID: machine.ID, Type: machine.Record.Type, Zone: machine.Record.Zone, Spot: machine.Record.Spot, State: machine.Record.State, Owner: machine.Owner()}
+func (v *Mirror) DrainSnapshotMachine(
+	machine *Machine,
+	types map[string]protocol.MachineType,
+) *drain.Machine {
+	out := &drain.Machine{
+		ID:    machine.ID,
+		Type:  machine.Record.Type,
+		Zone:  machine.Record.Zone,
+		Spot:  machine.Record.Spot,
+		State: machine.Record.State,
+		Owner: machine.Owner(),
+	}
 	if v.ScaleInOfMachine[machine.ID] != "" {
 		out.State = storage.MachineRemoving
 	}
@@ -43,7 +73,15 @@
 		case job == nil || !job.IsOpen():
 		case job.Record.Spec.Service:
 			held, _ := machine.Shard.Record.FindAttempt(task.Job, task.Index)
-			out.Replicas = append(out.Replicas, drain.Replica{Job: task.Job, Task: task.Index, Attempt: machine.Attempts[task], Starting: held.Starting})
+			out.Replicas = append(
+				out.Replicas,
+				drain.Replica{
+					Job:      task.Job,
+					Task:     task.Index,
+					Attempt:  machine.Attempts[task],
+					Starting: held.Starting,
+				},
+			)
 		default:
 			addArrayTask(out, job)
 		}
@@ -61,9 +99,13 @@
 			return
 		}
 	}
-	m.ArrayUsage = append(m.ArrayUsage, drain.ArrayUsage{Priority: priority, Tasks: 1, Resources: job.TaskResources})
+	m.ArrayUsage = append(
+		m.ArrayUsage,
+		drain.ArrayUsage{Priority: priority, Tasks: 1, Resources: job.TaskResources},
+	)
 }
 
+// MachineCapacity is what a machine of a type has.
 func MachineCapacity(machineType *protocol.MachineType) resources.Vector {
 	return resources.New(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
--- a/internal/coordination/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,7 +1,8 @@
-// Package coordination decides: membership, leadership, claims on machines,
-// placement, the autoscaler and the answers to users. One actor owns all of its
-// state; see Core.
-package coordination
+// Package mirror holds a local replica of the records in the state service, with the sums that decisions
+// need: which tasks are assigned and done, what each machine and team uses. A Mirror is written by one
+// goroutine, which applies the changes of a watch in order and its own commits ahead of the watch; versions
+// keep each record from going back.
+package mirror
 
 import (
 	"cmp"
@@ -21,8 +22,10 @@
 	Index int
 }
 
+// String gives the form in which workers are told a task: the job, a slash and the index.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
+// ParseTaskID reads the form that String gives; ok is false for anything else.
 func ParseTaskID(s string) (TaskID, bool) {
 	job, index, ok := strings.Cut(s, "/")
 	if !ok {
@@ -60,6 +63,7 @@
 	doneUnit     = 16
 )
 
+// IsOpen tells whether the job has no final answer yet.
 func (j *Job) IsOpen() bool { return j.FinalStatus == "" }
 
 // UnassignedTasks counts the tasks without an attempt.
@@ -101,7 +105,10 @@
 	CachedImages map[string]bool   // images that tasks have brought here, as far as we saw
 }
 
+// Owner is the controller that holds the machine's shard.
 func (m *Machine) Owner() string { return m.Shard.Record.Owner }
+
+// Claim is the number under which the machine is claimed; fencing tokens begin with it.
 func (m *Machine) Claim() uint64 { return m.Shard.Record.ClaimOf(m.Record) }
 
 // Mirror is the mirror of the store with the sums that decisions need. Changes
@@ -134,13 +141,29 @@
 // MaxOpenJobs is how many unfinished jobs a mirror is to hold; users' submissions beyond are refused.
 const MaxOpenJobs = 5000
 
+// rememberedResults is how many results of ended jobs a mirror keeps; older ones are read from the state service.
+const rememberedResults = 20000
+
+// New makes an empty mirror.
 func New() *Mirror {
 	return &Mirror{
-		Jobs: map[string]*Job{}, Shards: map[string]*Shard{}, Machines: map[string]*Machine{}, UseByTeam: map[string]resources.Vector{},
-		Partitions: map[string]*PartitionEntry{}, ScaleOuts: map[string]*ScaleOutEntry{}, ScaleOutOfMachine: map[string]string{},
-		ScaleIns: map[string]*ScaleInEntry{}, ScaleInOfMachine: map[string]string{}, MachineTypes: map[string]MachineTypeEntry{},
-		Members: map[string]MemberEntry{}, Drains: map[string]DrainEntry{}, PermitsByTeam: map[string]PermitsEntry{}, ownDeletions: map[string]uint64{}, Results: NewResultCache(20000),
-		OnChange: func(string, string) {}, OnMachineReleased: func(string) {},
+		Jobs:              map[string]*Job{},
+		Shards:            map[string]*Shard{},
+		Machines:          map[string]*Machine{},
+		UseByTeam:         map[string]resources.Vector{},
+		Partitions:        map[string]*PartitionEntry{},
+		ScaleOuts:         map[string]*ScaleOutEntry{},
+		ScaleOutOfMachine: map[string]string{},
+		ScaleIns:          map[string]*ScaleInEntry{},
+		ScaleInOfMachine:  map[string]string{},
+		MachineTypes:      map[string]MachineTypeEntry{},
+		Members:           map[string]MemberEntry{},
+		Drains:            map[string]DrainEntry{},
+		PermitsByTeam:     map[string]PermitsEntry{},
+		ownDeletions:      map[string]uint64{},
+		Results:           NewResultCache(rememberedResults),
+		OnChange:          func(string, string) {},
+		OnMachineReleased: func(string) {},
 	}
 }
 
@@ -180,7 +203,9 @@
 		if event.Put == "" && ownCommit && event.Version > v.WatchedRevision {
 			v.ownDeletions[key] = event.Version
 		}
-		if have := v.VersionOf(key); event.Version < have || event.Put != "" && (event.Version <= have || event.Version <= v.ownDeletions[key]) || event.Put == "" && have == 0 {
+		if have := v.VersionOf(key); event.Version < have ||
+			event.Put != "" && (event.Version <= have || event.Version <= v.ownDeletions[key]) ||
+			event.Put == "" && have == 0 {
 			continue
 		}
 		if event.Put != "" {
@@ -327,9 +352,11 @@
 	return false
 }
 
+// AddUse adds what a task takes to a team's use, or takes it off where sign is -1; a team without use is removed.
 func AddUse(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
 	total := useByTeam[team].AddScaled(taskResources, float64(sign))
-	if total.CPUs < resources.Tolerance && total.GPUs < resources.Tolerance && total.MemoryGB < resources.Tolerance {
+	if total.CPUs < resources.Tolerance && total.GPUs < resources.Tolerance &&
+		total.MemoryGB < resources.Tolerance {
 		delete(useByTeam, team)
 	} else {
 		useByTeam[team] = total
@@ -347,7 +374,15 @@
 func (v *Mirror) ApplyCommit(txn *protocol.Transaction, revision uint64) {
 	events := make([]protocol.Event, 0, len(txn.Then))
 	for _, operation := range txn.Then {
-		events = append(events, protocol.Event{Put: operation.Put, Value: operation.Value, Delete: operation.Delete, Version: revision})
+		events = append(
+			events,
+			protocol.Event{
+				Put:     operation.Put,
+				Value:   operation.Value,
+				Delete:  operation.Delete,
+				Version: revision,
+			},
+		)
 	}
 	v.ApplyRevision(events, true)
 }
--- a/internal/coordination/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -1,4 +1,4 @@
-package coordination
+package mirror
 
 import (
 	"fmt"
@@ -22,26 +22,56 @@
 		"old page": func(mr *Mirror) { mr.ApplyPut(p, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
 		"drops":    func(mr *Mirror) { mr.ApplyDelete(p, 9, true); mr.ApplyDelete(open, 9, true) },
 		"late": func(mr *Mirror) {
-			mr.ApplyEvents([]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}}, 8)
+			mr.ApplyEvents(
+				[]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
+				8,
+			)
 		},
 		"move": func(mr *Mirror) {
-			mr.ApplyEvents([]protocol.Event{{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8}, {Put: p, Value: bare, Version: 8}}, 8)
+			mr.ApplyEvents(
+				[]protocol.Event{
+					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: p, Value: bare, Version: 8},
+				},
+				8,
+			)
 		},
 		"move, the other order": func(mr *Mirror) {
-			mr.ApplyEvents([]protocol.Event{{Put: p, Value: bare, Version: 8}, {Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8}}, 8)
+			mr.ApplyEvents(
+				[]protocol.Event{
+					{Put: p, Value: bare, Version: 8},
+					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+				},
+				8,
+			)
 		},
 		"own move": func(mr *Mirror) {
-			mr.ApplyRevision([]protocol.Event{{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8}, {Put: p, Value: bare, Version: 8}}, true)
+			mr.ApplyRevision(
+				[]protocol.Event{
+					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: p, Value: bare, Version: 8},
+				},
+				true,
+			)
 		},
 		"drops, by the watch": func(mr *Mirror) {
 			mr.ApplyEvents([]protocol.Event{{Delete: p, Version: 9}, {Delete: open, Version: 9}}, 9)
 		},
 		"page drops, by the watch": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: p, Version: 9}}, 9) },
 		"an older answer of the watch": func(mr *Mirror) {
-			mr.ApplyEvents([]protocol.Event{{Put: open, Value: storagetest.OpenJob(6), Version: 5}, {Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}}, 6)
+			mr.ApplyEvents(
+				[]protocol.Event{
+					{Put: open, Value: storagetest.OpenJob(6), Version: 5},
+					{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6},
+				},
+				6,
+			)
 		},
 		"a late answer to an own commit": func(mr *Mirror) {
-			mr.ApplyRevision([]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}}, true)
+			mr.ApplyRevision(
+				[]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
+				true,
+			)
 		},
 	}
 	cases := []struct {
@@ -74,8 +104,18 @@
 		if job := mr.Jobs["j-1"]; job != nil {
 			held, done = job.AssignedTasks, job.DoneTasks
 		}
-		if cpus := float64(2 * tc.held); mr.UseByTeam["t"].CPUs != cpus || machine != cpus || held != tc.held || held > 0 && done != 2 || mr.Machines["i-2"] != nil {
-			t.Errorf("%v: team %v, machine %v, held %d, done %d", tc.order, mr.UseByTeam["t"], machine, held, done)
+		if cpus := float64(2 * tc.held); mr.UseByTeam["t"].CPUs != cpus || machine != cpus ||
+			held != tc.held ||
+			held > 0 && done != 2 ||
+			mr.Machines["i-2"] != nil {
+			t.Errorf(
+				"%v: team %v, machine %v, held %d, done %d",
+				tc.order,
+				mr.UseByTeam["t"],
+				machine,
+				held,
+				done,
+			)
 		}
 		if tc.held == 0 && (mr.Shards["p"] != nil || (len(mr.Jobs) > 0) != tc.jobLeft) {
 			t.Errorf("%v: a dropped job or page is back", tc.order)
@@ -97,7 +137,11 @@
 	for i := 0; i < MaxOpenJobs; i++ {
 		id := fmt.Sprintf("j-%06d", i)
 		putJob(mr, id, 64, uint64(3*i+1))
-		mr.ApplyPut(storage.Key(storage.KindShard, id), storagetest.Shard(fmt.Sprintf("i-%06d", i), id, 32, 32), uint64(3*i+2))
+		mr.ApplyPut(
+			storage.Key(storage.KindShard, id),
+			storagetest.Shard(fmt.Sprintf("i-%06d", i), id, 32, 32),
+			uint64(3*i+2),
+		)
 	}
 	for i := 0; i < 200_000; i++ {
 		mr.Results.Add(fmt.Sprintf("j-%09d", i), storage.JobDone)
--- a/internal/coordination/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -1,4 +1,4 @@
-package coordination
+package mirror
 
 import (
 	"errors"
@@ -52,7 +52,13 @@
 	if err := s.readResults(call, 4*txnOps); err != nil {
 		return nil, err
 	}
-	registry := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: storage.DrainRegistryKey, Timeout: snapshotCallTimeout})
+	registry := call(
+		&protocol.StoreCall{
+			Op:      protocol.StoreGet,
+			Key:     storage.DrainRegistryKey,
+			Timeout: snapshotCallTimeout,
+		},
+	)
 	switch registry.Outcome {
 	case protocol.OK:
 		s.DrainRegistryVersion = registry.Item.Version
@@ -68,7 +74,15 @@
 	firstRevision, started := uint64(0), false
 	for _, kind := range slices.Concat(Kinds, DrainKinds) {
 		for after, more := "", true; more; {
-			page := call(&protocol.StoreCall{Op: protocol.StoreList, Key: storage.Key(kind, ""), After: after, Limit: snapshotPageSize, Timeout: snapshotCallTimeout})
+			page := call(
+				&protocol.StoreCall{
+					Op:      protocol.StoreList,
+					Key:     storage.Key(kind, ""),
+					After:   after,
+					Limit:   snapshotPageSize,
+					Timeout: snapshotCallTimeout,
+				},
+			)
 			if page.Outcome != protocol.OK {
 				return 0, fmt.Errorf("%w: %v", ErrStoreUnavailable, page.Outcome)
 			}
@@ -96,7 +110,9 @@
 			txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
 		}
 		ids = ids[n:]
-		compared := call(&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: snapshotCallTimeout})
+		compared := call(
+			&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: snapshotCallTimeout},
+		)
 		if compared.Outcome != protocol.OK && compared.Outcome != protocol.Conflict {
 			return fmt.Errorf("%w: %v", ErrStoreUnavailable, compared.Outcome)
 		}
@@ -114,7 +130,14 @@
 // catchUpWatch applies all changes since a revision.
 func (r *RecordSnapshot) catchUp(call StoreCaller, sinceRevision uint64) error {
 	r.mirror.WatchedRevision = sinceRevision
-	watch := call(&protocol.StoreCall{Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: sinceRevision, Timeout: snapshotCallTimeout})
+	watch := call(
+		&protocol.StoreCall{
+			Op:           protocol.StoreWatch,
+			Key:          storage.KeyPrefix,
+			FromRevision: sinceRevision,
+			Timeout:      snapshotCallTimeout,
+		},
+	)
 	if watch.Outcome != protocol.OK {
 		return fmt.Errorf("%w: %v", ErrStoreUnavailable, watch.Outcome)
 	}
--- a/internal/coordination/mirror_records.go
+++ b/internal/mirror/records.go
@@ -1,4 +1,4 @@
-package coordination
+package mirror
 
 import (
 	"pipitgap/internal/protocol"
@@ -7,36 +7,43 @@
 
 // The mirror's records but for the shards.
 
+// PartitionEntry is a partition's record and its version.
 type PartitionEntry struct {
 	Record  storage.Partition
 	Version uint64
 }
 
+// ScaleOutEntry is the record of a scale-out request and its version.
 type ScaleOutEntry struct {
 	Record  storage.ScaleOutRequest
 	Version uint64
 }
 
+// ScaleInEntry is the record of a scale-in request and its version.
 type ScaleInEntry struct {
 	Record  storage.ScaleInRequest
 	Version uint64
 }
 
+// MachineTypeEntry is the record of a machine type and its version.
 type MachineTypeEntry struct {
 	Record  storage.MachineType
 	Version uint64
 }
 
+// MemberEntry is a controller's member record and its version.
 type MemberEntry struct {
 	Record  storage.Member
 	Version uint64
 }
 
+// DrainEntry is the record of a drain and its version.
 type DrainEntry struct {
 	Record  storage.Drain
 	Version uint64
 }
 
+// PermitsEntry is the record of a team's permits and its version.
 type PermitsEntry struct {
 	Record  storage.Permits
 	Version uint64
@@ -97,7 +104,8 @@
 	case storage.KindOpenJob:
 		job := v.Jobs[name]
 		var record storage.OpenJob
-		if protocol.Unmarshal(event.Value, &record) != nil || record.Spec.Tasks <= 0 || record.Spec.Tasks > protocol.MaxTasks ||
+		if protocol.Unmarshal(event.Value, &record) != nil || record.Spec.Tasks <= 0 ||
+			record.Spec.Tasks > protocol.MaxTasks ||
 			job != nil && record.Spec.Tasks != job.Record.Spec.Tasks {
 			return
 		}
@@ -105,8 +113,13 @@
 			job.Record, job.Version = record, event.Version
 			return
 		}
-		job = &Job{ID: name, Record: record, Version: event.Version, TaskStates: make([]uint8, record.Spec.Tasks),
-			TaskResources: TaskResources(&record.Spec)}
+		job = &Job{
+			ID:            name,
+			Record:        record,
+			Version:       event.Version,
+			TaskStates:    make([]uint8, record.Spec.Tasks),
+			TaskResources: TaskResources(&record.Spec),
+		}
 		job.FinalStatus, _ = v.Results.Get(name)
 		v.Jobs[name] = job
 		for _, shard := range v.Shards { // it may have been seen before its job
@@ -209,8 +222,18 @@
 	types := map[string]protocol.MachineType{}
 	for name, entry := range v.MachineTypes {
 		r := entry.Record
-		types[name] = protocol.MachineType{Name: name, CPUs: r.CPUs, GPUs: r.GPUs, MemoryGB: r.MemoryGB, CacheGB: r.CacheGB,
-			FetchGBPerS: r.FetchGBPerS, OnDemandPrice: r.OnDemandPrice, SpotPrice: r.SpotPrice, BootS: r.BootS, Zones: r.Zones}
+		types[name] = protocol.MachineType{
+			Name:          name,
+			CPUs:          r.CPUs,
+			GPUs:          r.GPUs,
+			MemoryGB:      r.MemoryGB,
+			CacheGB:       r.CacheGB,
+			FetchGBPerS:   r.FetchGBPerS,
+			OnDemandPrice: r.OnDemandPrice,
+			SpotPrice:     r.SpotPrice,
+			BootS:         r.BootS,
+			Zones:         r.Zones,
+		}
 	}
 	return types
 }
--- a/internal/coordination/result_cache.go
+++ b/internal/mirror/result_cache.go
@@ -1,4 +1,4 @@
-package coordination
+package mirror
 
 import "pipitgap/internal/storage"
 
@@ -10,10 +10,12 @@
 	insertionOrder []string
 }
 
+// NewResultCache makes a cache of at least so many results.
 func NewResultCache(most int) *ResultCache {
 	return &ResultCache{capacity: most, statuses: map[string]storage.JobState{}}
 }
 
+// Add remembers the final state of a job; the first one stays.
 func (f *ResultCache) Add(id string, status storage.JobState) {
 	if _, ok := f.statuses[id]; ok {
 		return
@@ -28,6 +30,7 @@
 	}
 }
 
+// Get gives the final state of a job, if it is remembered.
 func (f *ResultCache) Get(id string) (storage.JobState, bool) {
 	status, ok := f.statuses[id]
 	return status, ok
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 
-	"pipitgap/internal/coordination"
 	"pipitgap/internal/drain"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/storage"
@@ -58,7 +58,7 @@
 	}
 	answer := &StartResult{Name: request.Name}
 	wall := d.WallClock()
-	err := d.transact(func(reading *coordination.RecordSnapshot) (*protocol.Transaction, error) {
+	err := d.transact(func(reading *mirror.RecordSnapshot) (*protocol.Transaction, error) {
 		fleet := reading.DrainSnapshot(wall)
 		if err := d.checkSelector(&request.Selector, reading, fleet); err != nil {
 			return nil, err
@@ -75,7 +75,11 @@
 			return nil, nil
 		}
 		if len(answer.Machines) == 0 {
-			return nil, fmt.Errorf("%w: no machine matches %s", ErrNothingSelected, describeSelector(&request.Selector))
+			return nil, fmt.Errorf(
+				"%w: no machine matches %s",
+				ErrNothingSelected,
+				describeSelector(&request.Selector),
+			)
 		}
 		if err := checkOverlap(fleet, request.Name, &record); err != nil {
 			return nil, err
@@ -112,7 +116,7 @@
 
 // checkSelector looks for names that nobody knows.
 func (d *DrainOperator) checkSelector(
-	s *storage.Selector, reading *coordination.RecordSnapshot, fleet *drain.Snapshot,
+	s *storage.Selector, reading *mirror.RecordSnapshot, fleet *drain.Snapshot,
 ) error {
 	if s.Zone != "" && !slices.Contains(d.Zones, s.Zone) {
 		return fmt.Errorf("%w: zone %q", ErrNotFound, s.Zone)
@@ -133,7 +137,7 @@
 }
 
 // record is the drain that a request asks for.
-func (r *StartRequest) record(reading *coordination.RecordSnapshot, wall int64) storage.Drain {
+func (r *StartRequest) record(reading *mirror.RecordSnapshot, wall int64) storage.Drain {
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
 	record := storage.Drain{
@@ -153,7 +157,8 @@
 func sameRequest(a, b *storage.Drain) bool {
 	lasts := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
 	return reflect.DeepEqual(a.Selector, b.Selector) && a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
-		a.MaxParallel == b.MaxParallel && (a.LastMachine == "") == (b.LastMachine == "") && lasts(a) == lasts(b)
+		a.MaxParallel == b.MaxParallel && (a.LastMachine == "") == (b.LastMachine == "") &&
+		lasts(a) == lasts(b)
 }
 
 // checkOverlap looks for another unfinished drain about the same machines.
@@ -169,12 +174,14 @@
 
 // startTransaction writes a drain, on the condition that no other was started since the reading.
 func (d *DrainOperator) startTransaction(
-	reading *coordination.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
+	reading *mirror.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
 ) (*protocol.Transaction, error) {
 	value := protocol.MustMarshal(record)
 	if 2*len(value) > d.MaxValueBytes { // it is counted in its JSON form
-		return nil, fmt.Errorf("%w: so many machines don't fit into a record; drain them in parts, or by zone and type",
-			ErrBadRequest)
+		return nil, fmt.Errorf(
+			"%w: so many machines don't fit into a record; drain them in parts, or by zone and type",
+			ErrBadRequest,
+		)
 	}
 	version := uint64(0)
 	if existing != nil {
@@ -235,7 +242,8 @@
 	drains := []DrainSummary{}
 	for _, record := range fleet.Drains() {
 		listed := DrainSummary{
-			Name: record.Name, State: record.State, Reason: record.Reason, Selection: describeSelector(&record.Selector),
+			Name: record.Name, State: record.State,
+			Reason: record.Reason, Selection: describeSelector(&record.Selector),
 		}
 		if record.State.Unfinished() {
 			listed.MachinesLeft = len(fleet.Selected(&record.Drain))
@@ -303,7 +311,7 @@
 
 // transition changes the state of a drain; what changes nothing is no change.
 func (d *DrainOperator) transition(name string, to func(*storage.Drain) error) (changed bool, err error) {
-	err = d.transact(func(reading *coordination.RecordSnapshot) (*protocol.Transaction, error) {
+	err = d.transact(func(reading *mirror.RecordSnapshot) (*protocol.Transaction, error) {
 		record, ok := reading.DrainSnapshot(d.WallClock()).Drain(name)
 		if !ok {
 			return nil, fmt.Errorf("%w: drain %q", ErrNotFound, name)
--- a/internal/operator/drains_test.go
+++ b/internal/operator/drains_test.go
@@ -5,9 +5,9 @@
 	"testing"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/coordination"
 	"pipitgap/internal/drain"
 	"pipitgap/internal/fake"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/storage"
@@ -24,14 +24,40 @@
 func newFixture(t *testing.T) *fixture {
 	b := &fixture{t: t, sim: fake.NewSimClock(1)}
 	b.store = fake.NewStateStore(b.sim, 1000, 1000, 12)
-	shard := &storage.Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
+	shard := &storage.Shard{
+		Owner:       "n-0",
+		Incarnation: 1,
+		Claim:       1,
+		Machines:    map[string]*storage.ShardMachine{},
+		Jobs:        map[string]*storage.ShardJob{},
+	}
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
-		shard.AddMachine(id, storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:9000", State: storage.MachineOpen})
+		shard.AddMachine(
+			id,
+			storage.ShardMachine{
+				Type:     "m8",
+				Zone:     "a",
+				Endpoint: "10.0.0.1:9000",
+				State:    storage.MachineOpen,
+			},
+		)
 	}
-	shard.AddMachine("i-4", storage.ShardMachine{Type: "m8", Zone: "b", Endpoint: "10.0.0.1:9000", State: storage.MachineOpen, Spot: true})
+	shard.AddMachine(
+		"i-4",
+		storage.ShardMachine{
+			Type:     "m8",
+			Zone:     "b",
+			Endpoint: "10.0.0.1:9000",
+			State:    storage.MachineOpen,
+			Spot:     true,
+		},
+	)
 	raw, _ := shard.Encode()
 	b.put(storage.Key(storage.KindShard, "s"), raw)
-	b.put(storage.Key(storage.KindMachineType, "m8"), protocol.MustMarshal(&storage.MachineType{CPUs: 8, MemoryGB: 64, Zones: []string{"a", "b"}}))
+	b.put(
+		storage.Key(storage.KindMachineType, "m8"),
+		protocol.MustMarshal(&storage.MachineType{CPUs: 8, MemoryGB: 64, Zones: []string{"a", "b"}}),
+	)
 	return b
 }
 
@@ -51,7 +77,13 @@
 
 func (b *fixture) put(key string, value protocol.Raw) {
 	b.t.Helper()
-	r := b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: protocol.Transaction{Then: []protocol.Op{{Put: key, Value: value}}}})
+	r := b.callStore(
+		&protocol.StoreCall{
+			Op:          protocol.StoreCommit,
+			Timeout:     monotime.Second,
+			Transaction: protocol.Transaction{Then: []protocol.Op{{Put: key, Value: value}}},
+		},
+	)
 	if r.Outcome != protocol.OK {
 		b.t.Fatal(r.Outcome)
 	}
@@ -60,8 +92,17 @@
 func (b *fixture) drains() *DrainOperator {
 	reserve := 1
 	return &DrainOperator{
-		Operator: &Operator{Call: b.call, Sleep: b.sim.Run, WallClock: func() int64 { return int64(b.sim.Now()) + 1 }, MaxTransactionOps: 12, MaxValueBytes: 4096, Zones: []string{"a", "b"}},
-		Policy:   drain.NewPolicy(&config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 3}),
+		Operator: &Operator{
+			Call:              b.call,
+			Sleep:             b.sim.Run,
+			WallClock:         func() int64 { return int64(b.sim.Now()) + 1 },
+			MaxTransactionOps: 12,
+			MaxValueBytes:     4096,
+			Zones:             []string{"a", "b"},
+		},
+		Policy: drain.NewPolicy(
+			&config.DrainSettings{DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 3},
+		),
 	}
 }
 
@@ -94,7 +135,8 @@
 	}
 }
 
-// TestStartIsIdempotentAfterLostAnswer: a start whose answer is lost is found to have been made, and isn't made twice.
+// TestStartIsIdempotentAfterLostAnswer: a start whose answer is lost is found to have been made, and isn't
+// made twice.
 func TestStartIsIdempotentAfterLostAnswer(t *testing.T) {
 	b := newFixture(t)
 	lost := 0
@@ -126,15 +168,46 @@
 	}{
 		{"no name", zoneRequest("", "a"), ErrBadRequest},
 		{"nothing selected", StartRequest{Name: "x", MaxParallel: 1}, ErrBadRequest},
-		{"by name and zone", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Machines = []string{"i-4"} }), ErrBadRequest},
-		{"none at a time", with(zoneRequest("x", "b"), func(r *StartRequest) { r.MaxParallel = 0 }), ErrBadRequest},
-		{"a deadline that has passed", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Deadline = -1 }), ErrBadRequest},
+		{
+			"by name and zone",
+			with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Machines = []string{"i-4"} }),
+			ErrBadRequest,
+		},
+		{
+			"none at a time",
+			with(zoneRequest("x", "b"), func(r *StartRequest) { r.MaxParallel = 0 }),
+			ErrBadRequest,
+		},
+		{
+			"a deadline that has passed",
+			with(zoneRequest("x", "b"), func(r *StartRequest) { r.Deadline = -1 }),
+			ErrBadRequest,
+		},
 		{"unknown zone", zoneRequest("x", "c"), ErrNotFound},
-		{"unknown type", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Type = "m9" }), ErrNotFound},
-		{"unknown machine", StartRequest{Name: "x", MaxParallel: 1, Selector: storage.Selector{Machines: []string{"i-9"}}}, ErrNotFound},
-		{"no such machine in the zone", with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.CapacityType = storage.OnDemandCapacity }), ErrNothingSelected},
+		{
+			"unknown type",
+			with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Type = "m9" }),
+			ErrNotFound,
+		},
+		{
+			"unknown machine",
+			StartRequest{Name: "x", MaxParallel: 1, Selector: storage.Selector{Machines: []string{"i-9"}}},
+			ErrNotFound,
+		},
+		{
+			"no such machine in the zone",
+			with(
+				zoneRequest("x", "b"),
+				func(r *StartRequest) { r.Selector.CapacityType = storage.OnDemandCapacity },
+			),
+			ErrNothingSelected,
+		},
 		{"name in use", zoneRequest("rack", "b"), ErrNameInUse},
-		{"overlap", StartRequest{Name: "x", MaxParallel: 1, Selector: storage.Selector{Machines: []string{"i-1"}}}, ErrDrainsOverlap},
+		{
+			"overlap",
+			StartRequest{Name: "x", MaxParallel: 1, Selector: storage.Selector{Machines: []string{"i-1"}}},
+			ErrDrainsOverlap,
+		},
 	}
 	revision := b.store.Revision
 	for _, tc := range cases {
@@ -155,7 +228,7 @@
 		t.Error("something was written")
 	}
 	b.store.Down = true
-	if _, err := b.drains().List(); !errors.Is(err, coordination.ErrStoreUnavailable) {
+	if _, err := b.drains().List(); !errors.Is(err, mirror.ErrStoreUnavailable) {
 		t.Errorf("in an outage: %v", err)
 	}
 }
@@ -201,7 +274,8 @@
 	}
 }
 
-// TestListReadsOneConsistentRevision: what changes while the lists are read is in the answer, or nothing of it.
+// TestListReadsOneConsistentRevision: what changes while the lists are read is in the answer, or nothing of
+// it.
 func TestListReadsOneConsistentRevision(t *testing.T) {
 	b := newFixture(t)
 	n := 0
@@ -211,9 +285,26 @@
 		}
 		// A drain changes its name between any two lists: the old one goes as the new one comes.
 		n++
-		old, next := storage.Key(storage.KindDrain, string(rune('a'+n-1))), storage.Key(storage.KindDrain, string(rune('a'+n)))
-		b.callStore(&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: protocol.Transaction{Then: []protocol.Op{
-			{Put: next, Value: protocol.MustMarshal(&storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}})}, {Delete: old}}}})
+		old, next := storage.Key(
+			storage.KindDrain,
+			string(rune('a'+n-1)),
+		), storage.Key(
+			storage.KindDrain,
+			string(rune('a'+n)),
+		)
+		b.callStore(
+			&protocol.StoreCall{
+				Op:      protocol.StoreCommit,
+				Timeout: monotime.Second,
+				Transaction: protocol.Transaction{Then: []protocol.Op{
+					{
+						Put: next,
+						Value: protocol.MustMarshal(
+							&storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}},
+						),
+					}, {Delete: old}}},
+			},
+		)
 	}
 	for range 3 {
 		n = 0
--- a/internal/operator/transactions.go
+++ b/internal/operator/transactions.go
@@ -3,14 +3,14 @@
 import (
 	"fmt"
 
-	"pipitgap/internal/coordination"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
 // Operator carries out commands on one deployment's state service.
 type Operator struct {
-	Call              coordination.StoreCaller
+	Call              mirror.StoreCaller
 	Sleep             func(monotime.Micros) // pauses before a call is repeated
 	WallClock         func() int64          // time of day, microseconds
 	MaxTransactionOps int                   // changes that a commit may hold
@@ -27,14 +27,14 @@
 
 // readRecords reads all records at one revision. A state service that is busy or changes faster than it
 // is read is asked again a few times.
-func (o *Operator) readRecords() (*coordination.RecordSnapshot, error) {
+func (o *Operator) readRecords() (*mirror.RecordSnapshot, error) {
 	var err error
 	for try := range maxAttempts {
 		if try > 0 {
 			o.Sleep(retryInterval)
 		}
-		var reading *coordination.RecordSnapshot
-		if reading, err = coordination.ReadRecords(o.call, o.MaxTransactionOps); err == nil {
+		var reading *mirror.RecordSnapshot
+		if reading, err = mirror.ReadRecords(o.call, o.MaxTransactionOps); err == nil {
 			return reading, nil
 		}
 	}
@@ -58,7 +58,7 @@
 // transact decides on a reading and commits what comes of it. What another has changed meanwhile,
 // or what nobody knows the outcome of, is read and decided anew: so decide must find its own
 // change in a reading and be content with it.
-func (o *Operator) transact(decide func(*coordination.RecordSnapshot) (*protocol.Transaction, error)) error {
+func (o *Operator) transact(decide func(*mirror.RecordSnapshot) (*protocol.Transaction, error)) error {
 	var last protocol.Outcome
 	for try := range maxAttempts {
 		if try > 0 {
@@ -72,12 +72,14 @@
 		if err != nil || txn == nil {
 			return err
 		}
-		result := o.call(&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: *txn, Timeout: commitTimeout})
+		result := o.call(
+			&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: *txn, Timeout: commitTimeout},
+		)
 		if result.Outcome == protocol.OK {
 			return nil
 		}
 		if result.Outcome == protocol.Rejected {
-			return fmt.Errorf("%w: it rejects the change", coordination.ErrStoreUnavailable)
+			return fmt.Errorf("%w: it rejects the change", mirror.ErrStoreUnavailable)
 		}
 		last = result.Outcome
 	}
@@ -85,7 +87,7 @@
 		return ErrContention
 	}
 	return fmt.Errorf("%w: the change may or may not have been made (%v); repeating the command is safe",
-		coordination.ErrStoreUnavailable, last)
+		mirror.ErrStoreUnavailable, last)
 }
 
 const commitTimeout = 5 * monotime.Second
--- a/internal/protocol/calls.go
+++ b/internal/protocol/calls.go
@@ -126,12 +126,22 @@
 		message, err = client.Do("POST", "/commit", MustMarshal(&call.Transaction), call.Timeout)
 	case StoreGrantLease:
 		out = &grant
-		message, err = client.Do("POST", "/leases", MustMarshal(&LeaseRequest{TTLMillis: call.TTL.Milliseconds()}), call.Timeout)
+		message, err = client.Do(
+			"POST",
+			"/leases",
+			MustMarshal(&LeaseRequest{TTLMillis: call.TTL.Milliseconds()}),
+			call.Timeout,
+		)
 	case StoreKeepAlive:
 		message, err = client.Do("POST", fmt.Sprintf("/leases/%d/touch", call.Lease), nil, call.Timeout)
 	case StoreWatch:
 		out = &watch
-		t := fmt.Sprintf("/watch?under=%s&from=%d&block_ms=%d", call.Key, call.FromRevision, call.MaxBlock.Milliseconds())
+		t := fmt.Sprintf(
+			"/watch?under=%s&from=%d&block_ms=%d",
+			call.Key,
+			call.FromRevision,
+			call.MaxBlock.Milliseconds(),
+		)
 		message, err = client.Do("GET", t, nil, call.Timeout)
 	}
 	result := StoreResult{Outcome: outcomeOf(message, err)}
@@ -211,7 +221,12 @@
 		out = &rent
 		message, err = client.Do("POST", "/rentals", MustMarshal(&call.Rent), call.Timeout)
 	case CloudDelete:
-		message, err = client.Do("POST", "/rentals/delete", MustMarshal(&DeleteMachinesRequest{Machines: call.Delete}), call.Timeout)
+		message, err = client.Do(
+			"POST",
+			"/rentals/delete",
+			MustMarshal(&DeleteMachinesRequest{Machines: call.Delete}),
+			call.Timeout,
+		)
 	case CloudList:
 		out = &list
 		t := "/rentals?limit=500"
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -100,7 +100,8 @@
 	f.Add([]byte{0x81, 0xc0, 0xc0})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		submission, err := ParseSubmission(in)
-		if err == nil && (submission.Tasks < 1 || submission.Tasks > MaxTasks || submission.CPUs < 0 || math.IsNaN(submission.CPUs) || !ValidJobID(submission.ID)) {
+		if err == nil &&
+			(submission.Tasks < 1 || submission.Tasks > MaxTasks || submission.CPUs < 0 || math.IsNaN(submission.CPUs) || !ValidJobID(submission.ID)) {
 			t.Fatalf("accepted %+v", submission)
 		}
 		var r Heartbeat
@@ -110,8 +111,8 @@
 	})
 }
 
-// TestSubmissionEncoding: a submission is read back as it was written, with every field set and with none of the
-// optional ones, and its fields are just those that are documented.
+// TestSubmissionEncoding: a submission is read back as it was written, with every field set and with none of
+// the optional ones, and its fields are just those that are documented.
 func TestSubmissionEncoding(t *testing.T) {
 	full := Submission{
 		ID: "j-000412", Class: "train", Team: "vision", Service: true, Priority: High, Tasks: 16, CPUs: 8, GPUs: 1,
--- a/internal/protocol/wire_names_test.go
+++ b/internal/protocol/wire_names_test.go
@@ -14,14 +14,16 @@
 	"testing"
 )
 
-// ordinary are the names of the protocol that are the field's own terms or everyday words. Other code uses them
-// in its own right, also as whole literals: in stored keys, settings, commands and their output, names of test
-// cases. A literal alone can't tell which is meant.
-var ordinary = wordSet("ask busy cancelled cause done error exited failed full id kill log name number path " +
-	"pending rate run running status stopped unknown value")
+// ordinary are the names of the protocol that are the field's own terms or everyday words. Other code uses
+// them in its own right, also as whole literals: in stored keys, settings, commands and their output, names
+// of test cases. A literal alone can't tell which is meant.
+var ordinary = wordSet(
+	"ask busy cancelled cause done error exited failed full id kill log name number path " +
+		"pending rate run running status stopped unknown value",
+)
 
-// inSentences are the names that other code uses as words of its messages and of its settings, never as a literal
-// of their own: these are refused only as a whole literal.
+// inSentences are the names that other code uses as words of its messages and of its settings, never as a
+// literal of their own: these are refused only as a whole literal.
 var inSentences = wordSet("accelerators apart calls cores kept rank shape write")
 
 func wordSet(words string) map[string]bool {
@@ -74,8 +76,8 @@
 	return words, paths
 }
 
-// TestWireNames: the themed names of the protocol stand in string literals of this package only, so that other
-// code and its tests speak the terms of the field.
+// TestWireNames: the themed names of the protocol stand in string literals of this package only, so that
+// other code and its tests speak the terms of the field.
 func TestWireNames(t *testing.T) {
 	words, paths := wireNames(t)
 	for _, known := range []string{"crew", "pips", "plumage", "perch_s", "breeds", "grove", "borrowed", "lane", "sweep", "daemon"} {
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -74,7 +74,8 @@
 // each, and the next shards, with all that starts and the machines that had come up,
 // waited behind them for five seconds.
 func (q *Queue) nextShardWork() Priority {
-	if len(q.waiting[PriorityJobResult]) > 0 && (q.shardWentLast || len(q.waiting[PriorityShardUpdate]) == 0) {
+	if len(q.waiting[PriorityJobResult]) > 0 &&
+		(q.shardWentLast || len(q.waiting[PriorityShardUpdate]) == 0) {
 		return PriorityJobResult
 	}
 	return PriorityShardUpdate
@@ -128,7 +129,8 @@
 // debt rather than wait: the service must not lose its membership to its load.
 func (q *Queue) Next(now monotime.Micros) (call Call, ok bool, wait monotime.Micros) {
 	for r := range q.waiting {
-		if w := q.nextShardWork(); Priority(r) == PriorityUserRequest && q.OldestWait(w, now) > shardMaxWait &&
+		if w := q.nextShardWork(); Priority(r) == PriorityUserRequest &&
+			q.OldestWait(w, now) > shardMaxWait &&
 			(q.userWentLast || len(q.waiting[PriorityUserRequest]) == 0) {
 			r = int(w)
 		}
@@ -146,7 +148,8 @@
 			if q.InFlight >= q.MaxInFlight {
 				return Call{}, false, 0
 			}
-			if w := max(q.Reads.WaitTime(now, 1), q.Writes.WaitTime(now, float64(call.Writes())), q.pausedUntil-now); w > 0 {
+			budgetWait := max(q.Reads.WaitTime(now, 1), q.Writes.WaitTime(now, float64(call.Writes())))
+			if w := max(budgetWait, q.pausedUntil-now); w > 0 {
 				return Call{}, false, w
 			}
 		}
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -9,7 +9,11 @@
 )
 
 func TestQueueOrdersByPriorityAndRate(t *testing.T) {
-	queue := Queue{Reads: TokenBucket{Rate: 10, Burst: 4}, Writes: TokenBucket{Rate: 2, Burst: 2}, MaxInFlight: 100}
+	queue := Queue{
+		Reads:       TokenBucket{Rate: 10, Burst: 4},
+		Writes:      TokenBucket{Rate: 2, Burst: 2},
+		MaxInFlight: 100,
+	}
 	since := monotime.Micros(0)
 	add := func(priority Priority, writes int) {
 		sc := &protocol.StoreCall{}
@@ -37,14 +41,20 @@
 	if got, _ = drain(500 * monotime.Millisecond); !reflect.DeepEqual(got, []Priority{PriorityCancellation}) {
 		t.Fatalf("%v", got)
 	}
-	if got, _ = drain(1600 * monotime.Millisecond); !reflect.DeepEqual(got, []Priority{PriorityUserRequest, PriorityBackground}) {
+	if got, _ = drain(1600 * monotime.Millisecond); !reflect.DeepEqual(
+		got,
+		[]Priority{PriorityUserRequest, PriorityBackground},
+	) {
 		t.Fatalf("%v", got)
 	}
 	// Users go before shards, but don't keep them waiting for long.
 	since = 3*monotime.Second - shardMaxWait
 	add(PriorityShardUpdate, 1)
 	add(PriorityUserRequest, 1)
-	if got, _ = drain(3 * monotime.Second); !reflect.DeepEqual(got, []Priority{PriorityUserRequest, PriorityShardUpdate}) {
+	if got, _ = drain(3 * monotime.Second); !reflect.DeepEqual(
+		got,
+		[]Priority{PriorityUserRequest, PriorityShardUpdate},
+	) {
 		t.Fatalf("%v", got)
 	}
 	// Past that they take turns: neither keeps the other waiting, however many come.
@@ -53,7 +63,10 @@
 		add(PriorityShardUpdate, 0)
 		add(PriorityUserRequest, 0)
 	}
-	if got, _ = drain(4 * monotime.Second); !reflect.DeepEqual(got, []Priority{PriorityUserRequest, PriorityShardUpdate, PriorityUserRequest, PriorityShardUpdate}) {
+	if got, _ = drain(4 * monotime.Second); !reflect.DeepEqual(
+		got,
+		[]Priority{PriorityUserRequest, PriorityShardUpdate, PriorityUserRequest, PriorityShardUpdate},
+	) {
 		t.Fatalf("%v", got)
 	}
 	// A swarm's call waits for all others, but among shards it has its turn.
@@ -63,10 +76,16 @@
 		add(PriorityShardUpdate, 0)
 	}
 	add(PriorityUserRequest, 0)
-	if got, _ = drain(60 * monotime.Second); !reflect.DeepEqual(got, []Priority{PriorityUserRequest, PriorityBurst, PriorityShardUpdate, PriorityShardUpdate}) {
+	if got, _ = drain(60 * monotime.Second); !reflect.DeepEqual(
+		got,
+		[]Priority{PriorityUserRequest, PriorityBurst, PriorityShardUpdate, PriorityShardUpdate},
+	) {
 		t.Fatalf("%v", got)
 	}
-	if got, _ = drain(61 * monotime.Second); !reflect.DeepEqual(got, []Priority{PriorityBurst, PriorityShardUpdate, PriorityShardUpdate, PriorityBurst}) {
+	if got, _ = drain(61 * monotime.Second); !reflect.DeepEqual(
+		got,
+		[]Priority{PriorityBurst, PriorityShardUpdate, PriorityShardUpdate, PriorityBurst},
+	) {
 		t.Fatalf("%v", got)
 	}
 	drain(62 * monotime.Second)
@@ -79,10 +98,16 @@
 	add(PriorityShardUpdate, 0)
 	add(PriorityShardUpdate, 0)
 	add(PriorityUserRequest, 0)
-	if got, _ = drain(64 * monotime.Second); !reflect.DeepEqual(got, []Priority{PriorityUserRequest, PriorityJobResult, PriorityShardUpdate, PriorityJobResult}) {
+	if got, _ = drain(64 * monotime.Second); !reflect.DeepEqual(
+		got,
+		[]Priority{PriorityUserRequest, PriorityJobResult, PriorityShardUpdate, PriorityJobResult},
+	) {
 		t.Fatalf("%v", got)
 	}
-	if got, _ = drain(65 * monotime.Second); !reflect.DeepEqual(got, []Priority{PriorityShardUpdate, PriorityJobResult, PriorityJobResult}) {
+	if got, _ = drain(65 * monotime.Second); !reflect.DeepEqual(
+		got,
+		[]Priority{PriorityShardUpdate, PriorityJobResult, PriorityJobResult},
+	) {
 		t.Fatalf("%v", got)
 	}
 	// What was throttled goes again before the others of its rank, after a pause.
--- a/internal/sortedmap/sortedmap.go
+++ b/internal/sortedmap/sortedmap.go
@@ -1,5 +1,5 @@
-// Package sortedmap walks maps in the order of their keys. Decisions must not depend on the order of a map: the same
-// input has to give the same calls of the state service, the cloud and the workers.
+// Package sortedmap walks maps in the order of their keys. Decisions must not depend on the order of a map:
+// the same input has to give the same calls of the state service, the cloud and the workers.
 package sortedmap
 
 import (
--- a/internal/storage/drains.go
+++ b/internal/storage/drains.go
@@ -6,9 +6,10 @@
 // States of a drain. An unfinished drain keeps new tasks off the machines that it selects,
 // and what it selects as a whole isn't rented.
 const (
-	DrainActive  DrainState = "active"  // machines are being emptied and given back
-	DrainPaused  DrainState = "paused"  // no further step begins
-	DrainDrained DrainState = "drained" // nothing is left; what was selected stays closed until the drain is aborted
+	DrainActive DrainState = "active" // machines are being emptied and given back
+	DrainPaused DrainState = "paused" // no further step begins
+	// nothing is left; what was selected stays closed until the drain is aborted
+	DrainDrained DrainState = "drained"
 	DrainDone    DrainState = "done"    // nothing is left, and nothing is closed any more
 	DrainAborted DrainState = "aborted" // machines that weren't given back are open again
 )
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,5 +1,5 @@
-// Package storage defines the records that the controllers keep in the state service: their keys, their fields and
-// their encodings. It is the only package that knows the stored names.
+// Package storage defines the records that the controllers keep in the state service: their keys, their
+// fields and their encodings. It is the only package that knows the stored names.
 package storage
 
 import (
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -357,13 +357,16 @@
 		kind, err2 := strconv.ParseInt(columns[3], 36, 32)
 		id, ok1 := expandPrefix(lastID, columns[1])
 		endpoint, ok2 := expandPrefix(lastEndpoint, columns[2])
-		if err1 != nil || err2 != nil || kind < 0 || int(kind) >= len(record.MachineKinds) || !ok1 || !ok2 || id == "" {
+		if err1 != nil || err2 != nil || kind < 0 || int(kind) >= len(record.MachineKinds) || !ok1 || !ok2 ||
+			id == "" {
 			return nil, malformed(entry)
 		}
 		lastID, lastEndpoint = id, endpoint
 		k := record.MachineKinds[kind]
 		m := &ShardMachine{
-			Number: int(num), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Endpoint: endpoint, State: MachineState(columns[4]),
+			Number: int(
+				num,
+			), Type: k.Type, Zone: k.Zone, Spot: k.Spot, Endpoint: endpoint, State: MachineState(columns[4]),
 		}
 		if len(columns) > 5 {
 			c, err := strconv.ParseUint(columns[5], 36, 64)
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -15,12 +15,28 @@
 func TestShardRoundTripAndSizeBound(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for round := 0; round < 40; round++ {
-		s := &Shard{Owner: "gapnode-2", Incarnation: 1 << 47, Claim: 3, Machines: map[string]*ShardMachine{}, Jobs: map[string]*ShardJob{}}
+		s := &Shard{
+			Owner:       "gapnode-2",
+			Incarnation: 1 << 47,
+			Claim:       3,
+			Machines:    map[string]*ShardMachine{},
+			Jobs:        map[string]*ShardJob{},
+		}
 		var ids []string
 		for i := 0; i < 12; i++ {
 			id := fmt.Sprintf("i-%06d", 231+i)
 			ids = append(ids, id)
-			s.AddMachine(id, ShardMachine{Type: "m16", Zone: []string{"rack-a", "rack-b"}[i%2], Spot: i%3 == 0, Endpoint: "10.1.0.232:9000", State: MachineOpen, Claim: uint64(i % 5)})
+			s.AddMachine(
+				id,
+				ShardMachine{
+					Type:     "m16",
+					Zone:     []string{"rack-a", "rack-b"}[i%2],
+					Spot:     i%3 == 0,
+					Endpoint: "10.1.0.232:9000",
+					State:    MachineOpen,
+					Claim:    uint64(i % 5),
+				},
+			)
 		}
 		type key struct {
 			job  string
@@ -31,7 +47,15 @@
 			k := key{fmt.Sprintf("j-%06d", rnd.IntN(7)), rnd.IntN(900)}
 			if !held[k] {
 				held[k] = true
-				s.Assign(k.job, Attempt{Task: k.task, Machine: ids[rnd.IntN(len(ids))], Number: uint64(50000 + i/8), Starting: rnd.IntN(3) == 0})
+				s.Assign(
+					k.job,
+					Attempt{
+						Task:     k.task,
+						Machine:  ids[rnd.IntN(len(ids))],
+						Number:   uint64(50000 + i/8),
+						Starting: rnd.IntN(3) == 0,
+					},
+				)
 			}
 		}
 		bound := s.MaxEncodedSize()
@@ -44,7 +68,8 @@
 					bound += MaxStartingBytes
 				}
 				clone.MarkStarting(k.job, k.task, !a.Starting)
-				if now, still := clone.FindAttempt(k.job, k.task); ok && (!still || !now.SameAs(a) || now.Starting == a.Starting) {
+				if now, still := clone.FindAttempt(k.job, k.task); ok &&
+					(!still || !now.SameAs(a) || now.Starting == a.Starting) {
 					t.Fatalf("%+v is marked as %+v", a, now)
 				}
 				break
@@ -64,7 +89,8 @@
 				t.Fatal(err)
 			}
 			fresh, err := DecodeShard(raw, nil)
-			if err != nil || !reflect.DeepEqual(withoutCaches(got), withoutCaches(fresh)) || !reflect.DeepEqual(withoutCaches(fresh), withoutCaches(clone)) {
+			if err != nil || !reflect.DeepEqual(withoutCaches(got), withoutCaches(fresh)) ||
+				!reflect.DeepEqual(withoutCaches(fresh), withoutCaches(clone)) {
 				t.Fatalf("%v: read %+v, written %+v", err, fresh, clone)
 			}
 			if rnd.IntN(8) == 0 && len(got.Machines) > 6 {
@@ -82,7 +108,15 @@
 					got = clone
 					break
 				}
-				got.AddMachine("i-new", ShardMachine{Type: "m16", Zone: "rack-a", Endpoint: "10.1.0.1:9000", State: MachineUnreachable})
+				got.AddMachine(
+					"i-new",
+					ShardMachine{
+						Type:     "m16",
+						Zone:     "rack-a",
+						Endpoint: "10.1.0.1:9000",
+						State:    MachineUnreachable,
+					},
+				)
 				raw, _ := got.Encode()
 				again, err := DecodeShard(raw, s)
 				if err != nil || !reflect.DeepEqual(withoutCaches(again), withoutCaches(got)) {
@@ -129,9 +163,37 @@
 		want       []TaskRange
 	}{
 		{0, 10, "b", []TaskRange{{First: 0, End: 20, Partition: "b"}}},
-		{4, 10, "c", []TaskRange{{First: 0, End: 4, Partition: "a"}, {First: 4, End: 10, Partition: "c"}, {First: 10, End: 20, Partition: "b"}}},
-		{5, 15, "c", []TaskRange{{First: 0, End: 5, Partition: "a"}, {First: 5, End: 15, Partition: "c"}, {First: 15, End: 20, Partition: "b"}}},
-		{12, 14, "a", []TaskRange{{First: 0, End: 10, Partition: "a"}, {First: 10, End: 12, Partition: "b"}, {First: 12, End: 14, Partition: "a"}, {First: 14, End: 20, Partition: "b"}}},
+		{
+			4,
+			10,
+			"c",
+			[]TaskRange{
+				{First: 0, End: 4, Partition: "a"},
+				{First: 4, End: 10, Partition: "c"},
+				{First: 10, End: 20, Partition: "b"},
+			},
+		},
+		{
+			5,
+			15,
+			"c",
+			[]TaskRange{
+				{First: 0, End: 5, Partition: "a"},
+				{First: 5, End: 15, Partition: "c"},
+				{First: 15, End: 20, Partition: "b"},
+			},
+		},
+		{
+			12,
+			14,
+			"a",
+			[]TaskRange{
+				{First: 0, End: 10, Partition: "a"},
+				{First: 10, End: 12, Partition: "b"},
+				{First: 12, End: 14, Partition: "a"},
+				{First: 14, End: 20, Partition: "b"},
+			},
+		},
 		{0, 20, "c", []TaskRange{{First: 0, End: 20, Partition: "c"}}},
 	}
 	for _, tc := range cases {
--- a/internal/storage/storagetest/records.go
+++ b/internal/storage/storagetest/records.go
@@ -9,14 +9,29 @@
 // OpenJob is the stored form of a job of some tasks.
 func OpenJob(tasks int) protocol.Raw {
 	return protocol.MustMarshal(&storage.OpenJob{
-		Spec:       storage.JobSpec{Team: "t", Tasks: tasks, CPUs: 2, MemoryGB: 4, Image: "img", Class: "batch"},
+		Spec: storage.JobSpec{
+			Team:     "t",
+			Tasks:    tasks,
+			CPUs:     2,
+			MemoryGB: 4,
+			Image:    "img",
+			Class:    "batch",
+		},
 		TaskRanges: []storage.TaskRange{{First: 0, End: tasks, Partition: "n-0"}}})
 }
 
 // Shard holds tasks of a job on one machine, some of them done.
 func Shard(machine, job string, held, done int) protocol.Raw {
-	shardRecord := &storage.Shard{Owner: "n-0", Claim: 1, Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
-	shardRecord.AddMachine(machine, storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1", State: storage.MachineOpen})
+	shardRecord := &storage.Shard{
+		Owner:    "n-0",
+		Claim:    1,
+		Machines: map[string]*storage.ShardMachine{},
+		Jobs:     map[string]*storage.ShardJob{},
+	}
+	shardRecord.AddMachine(
+		machine,
+		storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1", State: storage.MachineOpen},
+	)
 	for i := 0; i < held+done; i++ {
 		shardRecord.Assign(job, storage.Attempt{Task: i, Machine: machine, Number: 1})
 	}
--- a/internal/transport/parser_test.go
+++ b/internal/transport/parser_test.go
@@ -17,15 +17,31 @@
 	}{
 		{name: "get", in: "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"},
 		{name: "post", in: "POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", body: "abc"},
-		{name: "same length twice", in: "POST /a HTTP/1.1\r\nContent-Length: 3\r\ncontent-length: 3\r\n\r\nabc", body: "abc"},
+		{
+			name: "same length twice",
+			in:   "POST /a HTTP/1.1\r\nContent-Length: 3\r\ncontent-length: 3\r\n\r\nabc",
+			body: "abc",
+		},
 		{name: "close", in: "GET / HTTP/1.1\r\nConnection: keep, Close\r\n\r\n", closing: true},
 		{name: "old version", in: "GET / HTTP/1.0\r\n\r\n", closing: true},
 		{name: "half head", in: "GET / HT", more: true},
 		{name: "half body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", more: true},
-		{name: "two lengths", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd", err: ErrMalformed},
-		{name: "length with a sign", in: "POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc", err: ErrMalformed},
+		{
+			name: "two lengths",
+			in:   "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
+			err:  ErrMalformed,
+		},
+		{
+			name: "length with a sign",
+			in:   "POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc",
+			err:  ErrMalformed,
+		},
 		{name: "no length", in: "POST / HTTP/1.1\r\nContent-Length:\r\n\r\n", err: ErrMalformed},
-		{name: "length and coding", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", err: ErrUnsupportedTransferCoding},
+		{
+			name: "length and coding",
+			in:   "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
+			err:  ErrUnsupportedTransferCoding,
+		},
 		{name: "bare line feeds", in: "GET / HTTP/1.1\nHost: x\n\n", err: ErrMalformed},
 		{name: "bare line feed in the head", in: "GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n", err: ErrMalformed},
 		{name: "space before the colon", in: "GET / HTTP/1.1\r\nHost : x\r\n\r\n", err: ErrMalformed},
@@ -36,8 +52,16 @@
 		{name: "two spaces", in: "GET  / HTTP/1.1\r\n\r\n", err: ErrMalformed},
 		{name: "version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrUnsupportedVersion},
 		{name: "no http", in: "hello\r\n\r\n", err: ErrMalformed},
-		{name: "body too large", in: "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", err: ErrBodyTooLarge},
-		{name: "absurd length", in: "POST / HTTP/1.1\r\nContent-Length: 999999999999\r\n\r\n", err: ErrBodyTooLarge},
+		{
+			name: "body too large",
+			in:   "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
+			err:  ErrBodyTooLarge,
+		},
+		{
+			name: "absurd length",
+			in:   "POST / HTTP/1.1\r\nContent-Length: 999999999999\r\n\r\n",
+			err:  ErrBodyTooLarge,
+		},
 		{name: "request line too long", in: "GET /" + long + long, err: ErrURITooLong},
 		{name: "head too long", in: "GET / HTTP/1.1\r\nA: " + long + long, err: ErrHeadTooLarge},
 		{name: "whole head too long", in: "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", err: ErrHeadTooLarge},
@@ -69,7 +93,8 @@
 	p := &Parser{Response: true}
 	p.Feed(AppendResponse(nil, 503, 7, true, []byte("no")))
 	message, err := p.Next()
-	if err != nil || message.Status != 503 || message.RetryAfter != 7 || !message.Close || string(message.Body) != "no" {
+	if err != nil || message.Status != 503 || message.RetryAfter != 7 || !message.Close ||
+		string(message.Body) != "no" {
 		t.Fatalf("%+v %v", message, err)
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -127,7 +127,13 @@
 		select {
 		case response := <-sc.responses:
 			sc.busy, sc.lastTraffic = false, now
-			out := AppendResponse(nil, response.Status, response.RetryAfter, sc.closeAfterResponse, response.Body)
+			out := AppendResponse(
+				nil,
+				response.Status,
+				response.RetryAfter,
+				sc.closeAfterResponse,
+				response.Body,
+			)
 			if sc.closeAfterResponse {
 				sc.closing = true
 				return out, evio.Close
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -22,9 +22,14 @@
 		return listener.Addr().String()
 	}
 	public, peer := free(), free()
-	s := &Server{Now: monotime.NewClock(), MaxConns: 4, IdleTimeout: monotime.Minute, RequestTimeout: 300 * monotime.Millisecond,
-		OnRequest:   func(r *Request) { r.Respond(Response{Status: 200, Body: []byte(r.Message.Target)}) },
-		OnPeerFrame: func([]byte) {}}
+	s := &Server{
+		Now:            monotime.NewClock(),
+		MaxConns:       4,
+		IdleTimeout:    monotime.Minute,
+		RequestTimeout: 300 * monotime.Millisecond,
+		OnRequest:      func(r *Request) { r.Respond(Response{Status: 200, Body: []byte(r.Message.Target)}) },
+		OnPeerFrame:    func([]byte) {},
+	}
 	go func() { _ = s.Serve(public, peer) }()
 	dial := func() net.Conn {
 		for i := 0; ; i++ {
@@ -59,7 +64,8 @@
 		}
 	}
 	// Pipelining is no part of the protocol: the first is answered, then the end.
-	if got := all("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n"); strings.Count(got, "HTTP/1.1 ") != 1 || !strings.HasSuffix(got, "/a") {
+	if got := all("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n"); strings.Count(got, "HTTP/1.1 ") != 1 ||
+		!strings.HasSuffix(got, "/a") {
 		t.Errorf("pipelined: %q", got)
 	}
 	var held []net.Conn
@@ -114,7 +120,8 @@
 		}
 	}()
 	cl := NewClient(listener.Addr().String(), 1, 1024)
-	if message, err := cl.Do("GET", "/x", nil, 10*monotime.Second); err != nil || string(message.Body) != "hello" {
+	if message, err := cl.Do("GET", "/x", nil, 10*monotime.Second); err != nil ||
+		string(message.Body) != "hello" {
 		t.Errorf("%+v %v", message, err)
 	}
 	if _, err := cl.Do("GET", "/silent", nil, 200*monotime.Millisecond); err == nil {
