--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -150,12 +150,7 @@
 // installMirror makes a loaded mirror the core's own.
 func (r *mirrorReplica) install(loaded *mirror.Mirror, firstRevision, lastRevision uint64) {
 	r.c.agents.keepOnly(loaded)
-	loaded.WatchedRevision, loaded.NewestRevision = firstRevision, max(
-		lastRevision,
-		r.c.mirror.NewestRevision,
-	)
-	loaded.OnChange, loaded.OnMachineReleased = r.c.onMirrorChange, r.c.agents.release
-	r.c.mirror = loaded
+	r.c.mirror.Replace(loaded, firstRevision, max(lastRevision, r.c.mirror.NewestRevision))
 	r.loading, r.loaded, r.loadedRevision = false, true, lastRevision
 	r.c.cancellations.reconcileCancellations()
 	for _, name := range sortedmap.Keys(loaded.Shards) {
@@ -250,23 +245,23 @@
 // catch up with, all records are read anew, in answers of bounded size.
 func (r *mirrorReplica) measureWatchBacklog(now monotime.Micros) {
 	r.watchInFlight = true
-	current := r.c.mirror
+	generation := r.c.mirror.Generation()
 	call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.LeaderKey, Limit: 1}
 	r.c.store.call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 		r.watchInFlight = false
 		switch {
-		case current != r.c.mirror || r.loading:
+		case generation != r.c.mirror.Generation() || r.loading:
 			return
 		case result.Outcome != protocol.OK:
 			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(
 				r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)),
 			)
 			r.completePendingReads(now, false)
-		case result.Revision > current.WatchedRevision+uint64(r.maxWatchEvents()):
+		case result.Revision > r.c.mirror.WatchedRevision+uint64(r.maxWatchEvents()):
 			r.c.log.Info(
 				"watch too far behind, mirror reload",
 				"revisions",
-				result.Revision-current.WatchedRevision,
+				result.Revision-r.c.mirror.WatchedRevision,
 			)
 			r.load()
 			r.completePendingReads(now, false)
@@ -289,16 +284,16 @@
 
 func (r *mirrorReplica) sendWatch(now, longPoll monotime.Micros, ended func()) {
 	r.nextWatchAt = now + r.minWatchInterval
-	current := r.c.mirror
+	generation := r.c.mirror.Generation()
 	call := &protocol.StoreCall{
-		Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: current.WatchedRevision,
+		Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: r.c.mirror.WatchedRevision,
 		MaxBlock: longPoll, Timeout: longPoll + 2*monotime.Second,
 	}
 	r.c.store.queue.Reads.Take(1)
 	r.c.env.CallStore(call, func(result protocol.StoreResult) {
 		ended()
 		r.c.reachability.detectPause(r.c.now())
-		if current != r.c.mirror {
+		if generation != r.c.mirror.Generation() {
 			r.completePendingReads(now, false)
 			return
 		}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -136,6 +136,8 @@
 	Results           *ResultCache
 	OnChange          func(kind, name string)
 	OnMachineReleased func(id string) // called when a machine no longer stands in a shard
+
+	generation int // how often it was replaced
 }
 
 // MaxOpenJobs is how many unfinished jobs a mirror is to hold; users' submissions beyond are refused.
@@ -167,6 +169,19 @@
 	}
 }
 
+// Generation changes when the mirror is replaced: what was asked of the state service for an earlier generation must
+// not be applied to a later one.
+func (v *Mirror) Generation() int { return v.generation }
+
+// Replace takes over all records of a mirror that was loaded anew, complete up to the revision watched; newest is the
+// newest revision heard of. The hooks stay, and aren't called. The loaded mirror must not be used afterwards.
+func (v *Mirror) Replace(loaded *Mirror, watched, newest uint64) {
+	onChange, onMachineReleased, generation := v.OnChange, v.OnMachineReleased, v.generation
+	*v = *loaded
+	v.OnChange, v.OnMachineReleased, v.generation = onChange, onMachineReleased, generation+1
+	v.WatchedRevision, v.NewestRevision = watched, newest
+}
+
 // ApplyPut applies one change, see apply.
 func (v *Mirror) ApplyPut(key string, value protocol.Raw, version uint64) {
 	v.ApplyRevision([]protocol.Event{{Put: key, Value: value, Version: version}}, false)
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -247,7 +247,7 @@
 	Commands     []Command `msgpack:"calls"`
 }
 
-// TypeCapacity is an entry of the cloud's catalogue.
+// MachineType is an entry of the cloud's catalogue.
 type MachineType struct {
 	Name          string   `msgpack:"name"`
 	CPUs          float64  `msgpack:"cores"`
