--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -39,7 +39,7 @@
 			}
 			if len(types) > 0 {
 				mc.machineTypes = types
-				mc.c.scheduler.passNeeded = true
+				mc.c.scheduler.requestPass()
 			}
 		},
 	)
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -196,6 +196,6 @@
 		if syncAfterwards {
 			am.syncCommands(machine)
 		}
-		am.c.scheduler.passNeeded = true
+		am.c.scheduler.requestPass()
 	})
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -175,9 +175,9 @@
 	if !c.replica.ready || c.reachability.mirrorStale(now) {
 		return
 	}
-	if c.scheduler.passNeeded && now >= c.scheduler.nextPassAt {
+	if c.scheduler.passDue(now) {
 		c.scheduler.runPass(now)
-		c.scheduler.nextPassAt = max(c.scheduler.nextPassAt, nextDue(now, c.now(), 2*fastTickInterval))
+		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*fastTickInterval))
 	}
 }
 
@@ -199,7 +199,7 @@
 	c.drains.reconcile(now)
 	c.quota.adjustQuotaShares(now)
 	c.api.finalizeJobs()
-	c.scheduler.passNeeded = true
+	c.scheduler.requestPass()
 	c.autoscaler.reconcileAsLeader(now)
 }
 
@@ -207,7 +207,7 @@
 func (c *Controller) onMirrorChange(kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
-		c.scheduler.passNeeded = true
+		c.scheduler.requestPass()
 		job := c.mirror.Jobs[name]
 		if job == nil {
 			delete(c.scheduler.jobStates, name)
@@ -226,10 +226,10 @@
 			c.agents.syncCommandsOfJob(job) // a cancellation reaches the workers at once
 		}
 	case storage.KindShard:
-		c.scheduler.passNeeded = true
+		c.scheduler.requestPass()
 		c.shards.onShardChange(name)
 	case storage.KindScaleOut, storage.KindScaleIn, storage.KindDrain, storage.KindPermits:
-		c.scheduler.passNeeded = true
+		c.scheduler.requestPass()
 	case storage.KindMember:
 		if c.membership.isMember(name) {
 			delete(c.membership.missingSince, name)
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -268,7 +268,7 @@
 		}
 		respond(errorResponse(503, "claim not made"))
 	})
-	am.c.scheduler.passNeeded = true
+	am.c.scheduler.requestPass()
 }
 
 // designatedController names the controller that may claim a machine that comes up.
@@ -463,7 +463,7 @@
 		agent.RecordOutcome(key, outcome)
 	}
 	if len(agent.PendingOutcomes) > 0 {
-		am.c.scheduler.passNeeded = true
+		am.c.scheduler.requestPass()
 	}
 	for key, taskReport := range agent.ReportedAttempts {
 		if _, ok := agent.RunningSince[key]; !ok && taskReport.State == protocol.StateRunning {
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -103,11 +103,11 @@
 	faulty, doubtful := am.c.scheduler.machineFault(agent)
 	if doubtful != agent.FailureProne {
 		agent.FailureProne = doubtful
-		am.c.scheduler.passNeeded = true
+		am.c.scheduler.requestPass()
 	}
 	if quiet := am.agentSilence(agent, now) > am.c.durations.suspicionTimeout || faulty; quiet != agent.Suspect {
 		agent.Suspect = quiet
-		am.c.scheduler.passNeeded = true
+		am.c.scheduler.requestPass()
 	}
 	reason := am.removalReason(machine, check)
 	switch {
@@ -129,7 +129,7 @@
 	for task, attempt := range machine.Attempts {
 		am.agentOf(machine).RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
 	}
-	am.c.scheduler.passNeeded = true
+	am.c.scheduler.requestPass()
 }
 
 // removalReason tells why a silent machine is to be deleted, or "" if it isn't.
@@ -221,7 +221,7 @@
 // requestRemoval has a machine given back: our shard says so, and the leader deletes it.
 func (am *agentManager) requestRemoval(machine *mirror.Machine, reason string) {
 	am.agentOf(machine).RemovalReason = reason
-	am.c.scheduler.passNeeded = true
+	am.c.scheduler.requestPass()
 	am.unloggedRemovals[reason] = append(am.unloggedRemovals[reason], machine.ID)
 }
 
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -170,7 +170,8 @@
 		// The cloud may be out: what was known of it before still holds.
 		r.c.catalog.machineTypes = r.c.mirror.Catalog()
 	}
-	r.ready, r.c.scheduler.passNeeded = true, true
+	r.ready = true
+	r.c.scheduler.requestPass()
 	r.c.log.Info("mirror ready", "revision", r.c.mirror.WatchedRevision)
 	r.c.nextSlowTickAt = 0
 }
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -22,6 +22,15 @@
 	preemptions                 map[string]*pendingPreemption
 }
 
+// requestPass has a pass run at the next fast tick that one is due: something has changed that it may act on.
+func (sc *scheduler) requestPass() { sc.passNeeded = true }
+
+// passDue tells whether a pass has been requested and may run now.
+func (sc *scheduler) passDue(now monotime.Micros) bool { return sc.passNeeded && now >= sc.nextPassAt }
+
+// delayPassUntil lets no pass run before an instant.
+func (sc *scheduler) delayPassUntil(at monotime.Micros) { sc.nextPassAt = max(sc.nextPassAt, at) }
+
 // placement is the part of a scheduling pass that gives waiting tasks to machines.
 type placement struct {
 	core       *Controller
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -104,7 +104,7 @@
 	if made == 0 {
 		return false
 	}
-	sc.passNeeded = true
+	sc.requestPass()
 	sc.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout, on}
 	return true
 }
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -318,7 +318,7 @@
 	doubt := quotaSharesInDoubt{version, next}
 	q.c.replica.commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		q.writeInFlight = false
-		q.c.scheduler.passNeeded = true
+		q.c.scheduler.requestPass()
 		if result.Outcome == protocol.Unknown {
 			q.sharesInDoubt = append(q.sharesInDoubt, doubt)
 		}
@@ -361,7 +361,7 @@
 			Then: []protocol.Op{{Delete: key}},
 		}, func(result protocol.StoreResult) {
 			delete(q.c.recordWritesInFlight, key)
-			q.c.scheduler.passNeeded = true
+			q.c.scheduler.requestPass()
 			if result.Outcome == protocol.OK {
 				q.c.log.Info("quota shares released", "node", node)
 			}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -133,7 +133,7 @@
 
 func (rc *reachability) markWorkersReachable(now monotime.Micros) {
 	rc.workersUnreachableSince = 0
-	rc.c.scheduler.passNeeded = true
+	rc.c.scheduler.requestPass()
 	rc.c.log.Info("workers unreachable", "state", conditionEnd)
 }
 
@@ -245,7 +245,7 @@
 	sm.c.quota.writeInFlight = true
 	sm.c.replica.commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
 		sm.c.quota.writeInFlight = false
-		sm.c.scheduler.passNeeded = true
+		sm.c.scheduler.requestPass()
 		if result.Outcome == protocol.OK {
 			sm.c.log.Info("shards transferred", "to_node", successor, "shards", taken)
 			sm.handOffShards(sm.c.now())
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -134,7 +134,7 @@
 	if made == 0 {
 		return false
 	}
-	sc.passNeeded = true
+	sc.requestPass()
 	sc.preemptions[job.ID] = &pendingPreemption{
 		made,
 		now + preemptionTimeout + monotime.FromSeconds(save),
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -386,7 +386,7 @@
 	tracker.commitInFlightSince, tracker.updatesInDoubt = max(now, 1), append(tracker.updatesInDoubt, update)
 	sm.c.replica.commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		tracker.commitInFlightSince = 0
-		sm.c.scheduler.passNeeded = true
+		sm.c.scheduler.requestPass()
 		if len(update.Txn.Then) > 0 {
 			sm.takeoverLimiter.recordOutcome(result)
 		}
@@ -442,15 +442,12 @@
 					)
 				}
 			}
-			sm.c.scheduler.nextPassAt = max(
-				sm.c.scheduler.nextPassAt,
-				sm.c.now()+sm.c.replica.minWatchInterval/2,
-			)
+			sm.c.scheduler.delayPassUntil(sm.c.now() + sm.c.replica.minWatchInterval/2)
 		case protocol.Rejected:
 			sm.c.log.Error("shard rejected by state service", "shard", update.Name)
-			sm.c.scheduler.nextPassAt = max(sm.c.scheduler.nextPassAt, sm.c.now()+monotime.Second)
+			sm.c.scheduler.delayPassUntil(sm.c.now() + monotime.Second)
 		default:
-			sm.c.scheduler.nextPassAt = max(sm.c.scheduler.nextPassAt, sm.c.now()+300*monotime.Millisecond)
+			sm.c.scheduler.delayPassUntil(sm.c.now() + 300*monotime.Millisecond)
 		}
 	})
 }
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -119,7 +119,7 @@
 		Then: []protocol.Op{{Put: key, Value: value}},
 	}, func(result protocol.StoreResult) {
 		delete(sc.c.recordWritesInFlight, job.ID)
-		sc.passNeeded = true
+		sc.requestPass()
 		if result.Outcome == protocol.OK {
 			sc.c.log.Debug("task ranges reassigned", "job", job.ID, "ranges", fmt.Sprint(ranges))
 		}
