--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -6,6 +6,7 @@
 	"sort"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -41,11 +42,7 @@
 const (
 	storeTimeout           = 2 * monotime.Second
 	leaseKeepAliveTimeout  = 1 * monotime.Second
-	watchLongPoll          = 2 * monotime.Second
-	fastTickInterval       = 50 * monotime.Millisecond
-	slowTickInterval       = 500 * monotime.Millisecond
 	commandTimeout         = 3 * monotime.Second
-	probeTimeout           = 1 * monotime.Second
 	maxWatchBytes          = 4 << 20 // bytes of an answer of the watch, at most about
 	budgetOversubscription = 1.2     // of the even share of the store's limits that each may use
 )
@@ -55,7 +52,7 @@
 type Controller struct {
 	cfg         *config.Config
 	settings    config.Settings
-	durations   platformDurations // what follows from the platform's durations
+	durations   durations.Platform // what follows from the platform's durations
 	env         Environment
 	log         *slog.Logger
 	node        string
@@ -97,7 +94,7 @@
 		cfg: cfg, settings: settings, env: env, log: log, node: cfg.Node,
 		incarnation:          env.Rand().Uint64()>>16 | 1,
 		controllers:          controllerNames(cfg),
-		durations:            newPlatformDurations(cfg.Facts.Workers),
+		durations:            durations.Derive(cfg.Facts.Workers),
 		peerStatuses:         newPeerTable(),
 		recordWritesInFlight: map[string]bool{},
 	}
@@ -133,13 +130,13 @@
 // Start begins the actor's work.
 func (c *Controller) Start() {
 	c.log.Info("controller starting", "node", c.node, "incarnation", c.incarnation)
-	for _, warning := range c.durations.warnings() {
+	for _, warning := range c.durations.Warnings() {
 		c.log.Warn(
 			"platform durations not covered",
 			"field",
-			warning.field,
+			warning.Field,
 			"consequence",
-			warning.consequence,
+			warning.Consequence,
 		)
 	}
 	c.membership.grantLease()
@@ -157,9 +154,9 @@
 	c.runFastTick(now)
 	if now >= c.nextSlowTickAt {
 		c.runSlowTick(now)
-		c.nextSlowTickAt = nextDue(now, c.now(), slowTickInterval)
+		c.nextSlowTickAt = nextDue(now, c.now(), durations.SlowTickInterval)
 	}
-	c.env.After(fastTickInterval, c.tick)
+	c.env.After(durations.FastTickInterval, c.tick)
 }
 
 // nextDue tells when work that ran from begun to ended is due again: after its
@@ -177,7 +174,7 @@
 	}
 	if c.scheduler.passDue(now) {
 		c.scheduler.runPass(now)
-		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*fastTickInterval))
+		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*durations.FastTickInterval))
 	}
 }
 
--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -133,7 +134,7 @@
 	// machines come up and jobs end, shares move by themselves.
 	quotaLackReportDelay = 8 * monotime.Second
 	// quotaLackReportValidity is how long a peer's word that it lacks some of a limit counts.
-	quotaLackReportValidity = 3 * slowTickInterval
+	quotaLackReportValidity = 3 * durations.SlowTickInterval
 )
 
 // adjustQuotaShares raises our shares where assignments lacked some, and gives back what
