--- a/internal/coordination/quota_shares.go
+++ b/internal/coordination/quota_shares.go
@@ -88,7 +88,7 @@
 	}
 	for _, tracker := range q.c.shards.trackers {
 		for _, update := range tracker.updatesInDoubt {
-			use = use.AddScaled(update.AssignedByTeam[team], 1)
+			use = use.AddScaled(update.AssignedToTeam(team), 1)
 		}
 	}
 	return use
