--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -61,8 +61,8 @@
 		}
 		left, ok := teamLeft[spec.Team]
 		if !ok {
-			team, _ := as.c.quota.teamLimits(spec.Team)
-			left = team.remaining(as.c.mirror.UseByTeam[spec.Team])
+			limits, _ := as.c.quota.Limits(spec.Team)
+			left = limits.Remaining(as.c.mirror.UseByTeam[spec.Team])
 		}
 		n := min(job.UnassignedTasks(), job.TaskResources.CountIn(left))
 		teamLeft[spec.Team] = left.AddScaled(job.TaskResources, -float64(n))
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -63,15 +63,15 @@
 	if _, doubtful := sc.machineFault(agent); doubtful {
 		return false
 	}
-	return now-agent.LastReachedAt < sc.c.durations.PlacementSilenceLimit
+	return now-agent.LastReachedAt < sc.c.durations.placementSilenceLimit
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
 func (sc *scheduler) candidateMachines(updates []*ShardUpdate, now monotime.Micros) []*candidateMachine {
 	var out []*candidateMachine
 	for _, update := range updates {
-		for _, id := range sortedmap.Keys(update.Machines()) {
-			record, machine := update.Machines()[id], sc.c.mirror.Machines[id]
+		for _, id := range sortedmap.Keys(update.Next.Machines) {
+			record, machine := update.Next.Machines[id], sc.c.mirror.Machines[id]
 			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen ||
 				!sc.schedulable(machine, now) {
 				continue
@@ -80,18 +80,21 @@
 			if !ok {
 				continue
 			}
-			free := mirror.MachineCapacity(&machineType).AddScaled(machine.Used, -1)
+			free := mirror.MachineCapacity(&machineType).
+				AddScaled(machine.Used, -1).
+				AddScaled(update.FreedByMachine[id], 1).
+				AddScaled(update.AssignedByMachine[id], -1)
 			_, closed := sc.c.api.jobsClosedAt[id]
 			candidate := &candidateMachine{
 				machine:       machine,
 				record:        record,
 				update:        update,
-				freeResources: update.FreeAfter(id, free),
+				freeResources: free,
 				serviceCPUs:   sc.serviceCPUs(machine),
 				taskCount:     len(machine.Attempts),
 				closing:       closed,
 			}
-			out = append(out, candidate)
+			out, update.Candidates = append(out, candidate), append(update.Candidates, candidate)
 		}
 	}
 	return out
@@ -158,33 +161,6 @@
 	return sc.assignmentShardBytes()
 }
 
-// noteQuotaShortage notes that a partition's share of a team's limit keeps tasks waiting.
-func (q *quotaManager) noteShortage(
-	team string,
-	taskResources resources.Vector,
-	tasks int,
-	available resources.Vector,
-	usable bool,
-) {
-	s, ok := q.shortages[team]
-	s.hasMachineRoom = s.hasMachineRoom || usable
-	least := resources.Vector{
-		CPUs: max(0, taskResources.CPUs-available.CPUs),
-		GPUs: max(0, taskResources.GPUs-available.GPUs),
-	}
-	if math.IsInf(available.CPUs, 1) {
-		least.CPUs = 0
-	}
-	if math.IsInf(available.GPUs, 1) {
-		least.GPUs = 0
-	}
-	if !ok || least.CPUs+least.GPUs < s.perTask.CPUs+s.perTask.GPUs {
-		s.perTask = least
-	}
-	s.total = s.total.AddScaled(taskResources, float64(tasks))
-	q.shortages[team] = s
-}
-
 // holdMachinesFor keeps the machines nearest to having room for a job from what is less
 // urgent in this pass. Else smaller tasks fill every gap as it opens, and a job
 // of larger ones waits for as long as there are any.
@@ -232,15 +208,13 @@
 // chooseMachine picks the machine for a task: spot before ordinary where the job may,
 // one that has the image, the tightest fit. Under overload it looks at a sample,
 // and at all before it says that there is no room.
-// preferred: candidates of the shard that the job's last task went to, tried first.
 // given: only shards that give back enough of the team's share.
 // idle: ordinary machines only where services keep them in any case.
 func (sc *scheduler) chooseMachine(
 	job *mirror.Job,
 	candidates []*candidateMachine,
 	zones *zoneConstraint,
-	fencedUpdate *ShardUpdate,
-	preferred []*candidateMachine,
+	fencedUpdate, preferredUpdate *ShardUpdate,
 	sample, freedQuotaOnly, spotOnly bool,
 ) *candidateMachine {
 	var best *candidateMachine
@@ -252,9 +226,9 @@
 		sc.c.counters.machinesExamined++
 		if !job.TaskResources.FitsIn(candidate.freeResources) || !candidate.availableTo(job) || !machineAllowed(spec, candidate.record) || !zones.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine ||
 			fencedUpdate != nil && candidate.update != fencedUpdate ||
-			freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedQuota(spec.Team)) ||
-			candidate.update.MaxBytes() > limit ||
-			candidate.update.Compares() >= conds && !candidate.update.AssignsJob(job.ID) {
+			freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedByTeam[spec.Team]) ||
+			candidate.update.MaxBytes > limit ||
+			len(candidate.update.Txn.If) >= conds && !candidate.update.AssignedJobs[job.ID] {
 			return
 		}
 		if tracking != nil && tracking.excludedMachines[candidate.machine.ID] ||
@@ -289,10 +263,10 @@
 			best, bestScore = candidate, score
 		}
 	}
-	if !spec.Service {
+	if preferredUpdate != nil && !spec.Service {
 		// A job that stands in few shards takes little of each: every shard that names
 		// it spends its id, two conditions, and numbers of tasks that are no ranges.
-		for _, candidate := range preferred {
+		for _, candidate := range preferredUpdate.Candidates {
 			consider(candidate)
 		}
 		if best != nil && bestScore < lessPreferredPenalty {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -6,10 +6,10 @@
 	"sort"
 
 	"pipitgap/internal/config"
-	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/quota/quotashares"
 	"pipitgap/internal/storage"
 )
 
@@ -42,7 +42,11 @@
 const (
 	storeTimeout           = 2 * monotime.Second
 	leaseKeepAliveTimeout  = 1 * monotime.Second
+	watchLongPoll          = 2 * monotime.Second
+	fastTickInterval       = 50 * monotime.Millisecond
+	slowTickInterval       = 500 * monotime.Millisecond
 	commandTimeout         = 3 * monotime.Second
+	probeTimeout           = 1 * monotime.Second
 	maxWatchBytes          = 4 << 20 // bytes of an answer of the watch, at most about
 	budgetOversubscription = 1.2     // of the even share of the store's limits that each may use
 )
@@ -52,7 +56,7 @@
 type Controller struct {
 	cfg         *config.Config
 	settings    config.Settings
-	durations   durations.Platform // what follows from the platform's durations
+	durations   platformDurations // what follows from the platform's durations
 	env         Environment
 	log         *slog.Logger
 	node        string
@@ -77,7 +81,7 @@
 	shards        *shardManager
 	agents        *agentManager
 	cancellations *cancellationTracker
-	quota         *quotaManager
+	quota         *quotashares.Manager
 	api           *userAPI
 	scheduler     *scheduler
 	autoscaler    *autoscaler
@@ -94,7 +98,7 @@
 		cfg: cfg, settings: settings, env: env, log: log, node: cfg.Node,
 		incarnation:          env.Rand().Uint64()>>16 | 1,
 		controllers:          controllerNames(cfg),
-		durations:            durations.Derive(cfg.Facts.Workers),
+		durations:            newPlatformDurations(cfg.Facts.Workers),
 		peerStatuses:         newPeerTable(),
 		recordWritesInFlight: map[string]bool{},
 	}
@@ -130,13 +134,13 @@
 // Start begins the actor's work.
 func (c *Controller) Start() {
 	c.log.Info("controller starting", "node", c.node, "incarnation", c.incarnation)
-	for _, warning := range c.durations.Warnings() {
+	for _, warning := range c.durations.warnings() {
 		c.log.Warn(
 			"platform durations not covered",
 			"field",
-			warning.Field,
+			warning.field,
 			"consequence",
-			warning.Consequence,
+			warning.consequence,
 		)
 	}
 	c.membership.grantLease()
@@ -154,9 +158,9 @@
 	c.runFastTick(now)
 	if now >= c.nextSlowTickAt {
 		c.runSlowTick(now)
-		c.nextSlowTickAt = nextDue(now, c.now(), durations.SlowTickInterval)
+		c.nextSlowTickAt = nextDue(now, c.now(), slowTickInterval)
 	}
-	c.env.After(durations.FastTickInterval, c.tick)
+	c.env.After(fastTickInterval, c.tick)
 }
 
 // nextDue tells when work that ran from begun to ended is due again: after its
@@ -174,7 +178,7 @@
 	}
 	if c.scheduler.passDue(now) {
 		c.scheduler.runPass(now)
-		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*durations.FastTickInterval))
+		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*fastTickInterval))
 	}
 }
 
@@ -191,10 +195,10 @@
 	c.membership.ensureMemberRecord()
 	c.membership.campaign(now)
 	c.shards.claimOrphanedShards(now)
-	c.quota.releaseDepartedQuotaShares(now)
+	c.quota.ReleaseDeparted(now)
 	c.agents.checkMachines(now)
 	c.drains.reconcile(now)
-	c.quota.adjustQuotaShares(now)
+	c.quota.Adjust(now)
 	c.api.finalizeJobs()
 	c.scheduler.requestPass()
 	c.autoscaler.reconcileAsLeader(now)
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -3,7 +3,6 @@
 import (
 	"testing"
 
-	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -47,7 +46,7 @@
 	if got := core.store.shardWriteRate(); got >= usual/2 {
 		t.Errorf("many users at a peer: %v, usually %v", got, usual)
 	}
-	c.sim.Run(3 * durations.SlowTickInterval)
+	c.sim.Run(3 * slowTickInterval)
 	if got := core.store.shardWriteRate(); got != usual {
 		t.Errorf("afterwards: %v, usually %v", got, usual)
 	}
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -5,7 +5,6 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
-	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -116,7 +115,7 @@
 	}
 	c := d.core
 	if c.store.unavailable || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) ||
-		now-c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
+		now-c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	snapshot := c.drainSnapshot()
@@ -134,7 +133,7 @@
 	if c.membership.isLeader(now) {
 		d.settleDrains(snapshot)
 	}
-	d.nextRunAt = nextDue(now, c.now(), durations.SlowTickInterval)
+	d.nextRunAt = nextDue(now, c.now(), slowTickInterval)
 }
 
 // hasWork tells whether there is anything to do for drains.
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -3,7 +3,6 @@
 import (
 	"slices"
 
-	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -217,7 +216,7 @@
 			return
 		}
 		r.watchInFlight = true
-		longPoll := durations.WatchLongPoll
+		longPoll := watchLongPoll
 		if len(r.pendingReads) > 0 {
 			longPoll = 0
 		}
@@ -235,7 +234,7 @@
 // had forgotten where it began.
 func (r *mirrorReplica) maxWatchGap() monotime.Micros {
 	return max(
-		2*durations.WatchLongPoll,
+		2*watchLongPoll,
 		monotime.FromSeconds(float64(r.maxWatchEvents())/r.c.cfg.Facts.State.WriteRPS),
 	)
 }
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -3,6 +3,7 @@
 import (
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/quota"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
@@ -37,8 +38,6 @@
 	now        monotime.Micros
 	wallNow    int64
 	candidates []*candidateMachine
-	// the candidates of each update
-	candidatesByUpdate map[*ShardUpdate][]*candidateMachine
 	// look at some of the candidates only
 	sampling bool
 	// if so, those with room for a task, as last looked at: room only shrinks in a pass
@@ -63,7 +62,7 @@
 	job              *mirror.Job
 	spec             *storage.JobSpec
 	tracking         *jobTracking
-	teamLimit        teamLimits
+	limits           quota.Limits
 	spotOnly         bool // held to spot machines, see bound
 	crashLooping     bool
 	oneCommitAtATime bool             // its tasks go out by one commit at a time
@@ -81,10 +80,10 @@
 
 	fittingAtStart []*candidateMachine // those with room for a task when it was first looked for
 
-	fencedUpdate  *ShardUpdate // the update that takes a fenced job's tasks
-	chosenMachine *candidateMachine
-	preferred     []*candidateMachine // those of the shard that its last task went to
-	lastAssigned  storage.Attempt
+	fencedUpdate    *ShardUpdate // the update that takes a fenced job's tasks
+	chosenMachine   *candidateMachine
+	preferredUpdate *ShardUpdate // the shard that its last tasks went to
+	lastAssigned    storage.Attempt
 }
 
 // placeTasks gives pending tasks of our shares to machines of the updates; where
@@ -110,7 +109,6 @@
 		hasRoomFor:     map[taskShape]bool{},
 		fittingByShape: map[taskShape][]*candidateMachine{},
 	}
-	p.candidatesByUpdate = candidatesByUpdate(p.candidates)
 	sc.reservePreemptedRoom(p.candidates, now)
 	p.reservations = sc.c.drains.reserveOnCandidates(p.candidates, updates)
 	p.sampling = len(p.candidates) > sampleAboveMachines &&
@@ -124,15 +122,6 @@
 	sc.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
 }
 
-// candidatesByUpdate groups candidates by the update of their shard, in their order.
-func candidatesByUpdate(candidates []*candidateMachine) map[*ShardUpdate][]*candidateMachine {
-	grouped := map[*ShardUpdate][]*candidateMachine{}
-	for _, candidate := range candidates {
-		grouped[candidate.update] = append(grouped[candidate.update], candidate)
-	}
-	return grouped
-}
-
 // totalServiceCPUs is what all services hold.
 func (sc *scheduler) totalServiceCPUs() float64 {
 	served := 0.0
@@ -193,10 +182,10 @@
 		}
 		return nil
 	}
-	jobPlan.teamLimit, _ = c.quota.teamLimits(spec.Team)
+	jobPlan.limits, _ = c.quota.Limits(spec.Team)
 	available, known := p.quotaLeft[spec.Team]
 	if !known {
-		available = c.quota.quotaLeft(spec.Team)
+		available = c.quota.Left(spec.Team)
 	}
 	jobPlan.quotaRoom = available
 	if c.scheduler.isStarved(job, p.now) {
@@ -285,7 +274,7 @@
 			p.searchSpace(),
 			p.zoneConstraint,
 			p.fencedUpdate,
-			p.preferred,
+			p.preferredUpdate,
 			p.sampling,
 			freedQuotaOnly,
 			p.spotOnly,
@@ -311,12 +300,12 @@
 func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
 	candidate, taskResources := p.chosenMachine, p.job.TaskResources
 	return candidate == nil ||
-		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedQuota(p.spec.Team)) ||
+		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedByTeam[p.spec.Team]) ||
 		p.spec.Service ||
 		!taskResources.FitsIn(candidate.freeResources) ||
 		!p.zoneConstraint.allows(candidate.record.Zone) ||
 		candidate.taskCount >= maxTasksPerMachine ||
-		candidate.update.MaxBytes()+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
+		candidate.update.MaxBytes+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
 // noteNoMachine notes that no machine takes a task of the job, also for others like it.
@@ -334,20 +323,39 @@
 func (p *jobPlacement) assignToChosen(task int) {
 	c, job, candidate := p.core, p.job, p.chosenMachine
 	update, machine := candidate.update, candidate.machine.ID
-	p.preferred = p.candidatesByUpdate[update]
-	update.BeginJob(job)
-	if p.teamLimit.hasLimit() {
-		update.AddCompare(partitionKey(c.node), c.mirror.VersionOf(partitionKey(c.node)))
+	p.preferredUpdate = update
+	if !update.AssignedJobs[job.ID] {
+		update.AssignedJobs[job.ID] = true
+		update.MaxBytes += len(job.ID) + 4
+		update.AddCompare(storage.Key(storage.KindOpenJob, job.ID), job.Version)
+		update.AddCompare(storage.Key(storage.KindJobResult, job.ID), 0)
+	}
+	if p.limits.Limited() {
+		sharesKey := storage.Key(storage.KindPartition, c.node)
+		update.AddCompare(sharesKey, c.mirror.VersionOf(sharesKey))
+	}
+	if p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1 {
+		update.MaxBytes += storage.MaxTaskBytes(task) + 1 // it joins the range before
+	} else {
+		update.MaxBytes += 2*storage.MaxTaskBytes(task) + 12
+	}
+	starting := c.drains.tracksStart(p.spec)
+	if starting {
+		update.MaxBytes += storage.MaxStartingBytes
 	}
-	joinsRange := p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1
 	p.lastAssigned = storage.Attempt{
 		Task:     task,
 		Machine:  machine,
 		Number:   c.mirror.NewestRevision,
-		Starting: c.drains.tracksStart(p.spec),
+		Starting: starting,
 	}
+	update.Changed = true
 	c.scheduler.jobsInPass[job.ID] = true
-	update.Assign(job, p.lastAssigned, joinsRange)
+	update.Next.Assign(job.ID, p.lastAssigned)
+	update.AssignedTasks[mirror.TaskID{Job: job.ID, Index: task}] = true
+	update.AssignedByMachine[machine] = update.AssignedByMachine[machine].AddScaled(job.TaskResources, 1)
+	mirror.AddUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
+	update.MachinesToSync[machine] = true
 	delete(c.api.jobsClosedAt, machine)
 	candidate.closing = false
 	candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
@@ -356,7 +364,9 @@
 		candidate.serviceCPUs += job.TaskResources.CPUs
 	}
 	candidate.machine.CachedImages[p.spec.Image] = true
-	if !p.teamLimit.hasLimit() || !update.UseFreedQuota(p.spec.Team, job.TaskResources) {
+	if given := update.FreedByTeam[p.spec.Team]; p.limits.Limited() && job.TaskResources.FitsIn(given) {
+		update.FreedByTeam[p.spec.Team] = given.AddScaled(job.TaskResources, -1)
+	} else {
 		p.quotaRoom = p.quotaRoom.AddScaled(job.TaskResources, -1)
 	}
 	p.zoneConstraint.addTasks(candidate.record.Zone, 1)
@@ -370,13 +380,12 @@
 	if _, asked := p.hasRoomFor[p.shape]; !asked {
 		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
 	}
-	p.core.quota.noteShortage(
-		p.spec.Team,
-		p.job.TaskResources,
-		p.pendingTasks,
-		p.quotaRoom,
-		p.hasRoomFor[p.shape],
-	)
+	p.core.quota.NoteShortage(p.spec.Team, quota.UnmetDemand{
+		TaskResources:  p.job.TaskResources,
+		Tasks:          p.pendingTasks,
+		ShareLeft:      p.quotaRoom,
+		HasMachineRoom: p.hasRoomFor[p.shape],
+	})
 }
 
 // urgentInOtherPartition tells whether the job waits at other partitions only and has an aim that it
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -130,17 +130,16 @@
 // entitledToGuarantee tells whether a job's next task is owed to its team: the team has a
 // guarantee and the task lies within it.
 func (sc *scheduler) entitledToGuarantee(job *mirror.Job) bool {
-	team, _ := sc.c.quota.teamLimits(job.Record.Spec.Team)
-	return (team.guaranteedCPUs > 0 || team.guaranteedGPUs > 0) && sc.withinGuarantee(job)
+	limits, _ := sc.c.quota.Limits(job.Record.Spec.Team)
+	return limits.Guaranteed() && sc.withinGuarantee(job)
 }
 
 // exceedsGuarantee tells whether a team uses more than its guarantee, less what is to be
 // stopped of it.
 func (sc *scheduler) exceedsGuarantee(name string, less resources.Vector) bool {
-	team, _ := sc.c.quota.teamLimits(name)
+	limits, _ := sc.c.quota.Limits(name)
 	use := sc.c.mirror.UseByTeam[name].AddScaled(less, -1)
-	return use.CPUs > team.guaranteedCPUs+resources.Tolerance ||
-		use.GPUs > team.guaranteedGPUs+resources.Tolerance
+	return !limits.GuaranteeCovers(use)
 }
 
 // selectVictims picks the tasks of a machine whose stop makes room for one task of
--- a/internal/coordination/queue_order.go
+++ b/internal/coordination/queue_order.go
@@ -6,7 +6,6 @@
 
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
-	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
@@ -139,8 +138,8 @@
 	for _, entry := range lateEntries {
 		name := entry.job.Record.Spec.Team
 		usableCPUs := fleetCPUs
-		if team, _ := sc.c.quota.teamLimits(name); team.maxCPUs > 0 {
-			usableCPUs = min(usableCPUs, team.maxCPUs)
+		if limits, _ := sc.c.quota.Limits(name); limits.MaxCPUs > 0 {
+			usableCPUs = min(usableCPUs, limits.MaxCPUs)
 		}
 		if lateCPUsByTeam[name] > deadlineBoostMaxFraction*usableCPUs {
 			entry.deadlineBoost = false
@@ -202,8 +201,7 @@
 
 // withinGuarantee tells whether one more task of a job lies within its team's guarantee.
 func (sc *scheduler) withinGuarantee(job *mirror.Job) bool {
-	team, _ := sc.c.quota.teamLimits(job.Record.Spec.Team)
+	limits, _ := sc.c.quota.Limits(job.Record.Spec.Team)
 	use := sc.c.mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
-	return use.CPUs <= team.guaranteedCPUs+resources.Tolerance &&
-		use.GPUs <= team.guaranteedGPUs+resources.Tolerance
+	return limits.GuaranteeCovers(use)
 }
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -116,7 +115,7 @@
 		rc.c.env.SendCommands(
 			machine.Record.Endpoint,
 			nil,
-			durations.WorkerProbeTimeout,
+			probeTimeout,
 			func(result protocol.CommandResult) {
 				rc.probesInFlight--
 				if result.Status == 200 && result.Heartbeat.Machine == machine.ID {
@@ -156,7 +155,7 @@
 		return
 	}
 	since := rc.workersUnreachableSince
-	rc.c.env.SendCommands(machine.Record.Endpoint, nil, durations.WorkerProbeTimeout, func(result protocol.CommandResult) {
+	rc.c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
 		if result.Status == 200 && result.Heartbeat.Machine == machine.ID &&
 			rc.workersUnreachableSince == since &&
 			since != 0 {
@@ -193,8 +192,8 @@
 // turn to them when we don't answer; their claims one by one, each against our own
 // writes, took longer than the leases of most.
 func (sm *shardManager) handOffShards(now monotime.Micros) {
-	if sm.c.quota.writeInFlight || sm.c.store.unavailable || !sm.c.membership.holdsLease(now) ||
-		now-sm.c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
+	if sm.c.quota.WriteInFlight() || sm.c.store.unavailable || !sm.c.membership.holdsLease(now) ||
+		now-sm.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
 	var to, others []string
@@ -243,9 +242,9 @@
 		txn.If,
 		protocol.Compare{Key: storage.Key(storage.KindMember, successor), Version: member.Version},
 	)
-	sm.c.quota.writeInFlight = true
+	sm.c.quota.BeginWrite()
 	sm.c.replica.commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
-		sm.c.quota.writeInFlight = false
+		sm.c.quota.EndWrite()
 		sm.c.scheduler.requestPass()
 		if result.Outcome == protocol.OK {
 			sm.c.log.Info("shards transferred", "to_node", successor, "shards", taken)
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -186,7 +186,7 @@
 			c.sim.Run(5 * second)
 			node, most := "", 0.0
 			for _, n := range c.nodeNames {
-				if a := c.nodes[n].controller.quota.quotaShareOf(n, "tight").CPUs; a > most &&
+				if a := c.nodes[n].controller.quota.ShareOf(n, "tight").CPUs; a > most &&
 					c.ownedMachines(n) >= 3 {
 					node, most = n, a
 				}
@@ -205,7 +205,7 @@
 				other = c.nodeNames[1]
 			}
 			core := c.nodes[other].controller
-			if a := core.quota.quotaShareOf(node, "tight").CPUs; a > 0 {
+			if a := core.quota.ShareOf(node, "tight").CPUs; a > 0 {
 				t.Errorf("it still has %v CPUs", a)
 			}
 			c.requireFinished(first, 60*second)
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -26,8 +26,8 @@
 	if spec.Service || !spec.Spot || spec.Priority != int(protocol.BestEffort) || spec.DeadlineS > 0 {
 		return false
 	}
-	team, _ := sc.c.quota.teamLimits(spec.Team)
-	return team.guaranteedCPUs == 0 && team.guaranteedGPUs == 0 &&
+	limits, _ := sc.c.quota.Limits(spec.Team)
+	return !limits.Guaranteed() &&
 		math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1)
 }
 
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -124,7 +124,7 @@
 		}
 	}
 	if from != to {
-		sm.c.quota.transferQuotaShares(&txn, map[string]bool{}, from, to, useByTeam)
+		sm.c.quota.Transfer(&txn, map[string]bool{}, from, to, useByTeam)
 	}
 	return txn, taken
 }
--- a/internal/coordination/store_calls.go
+++ b/internal/coordination/store_calls.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -193,10 +192,10 @@
 // us, and it is answered as before.
 func (rc *reachability) shouldRedirectAway(agent *Agent, now monotime.Micros) bool {
 	if !rc.isIsolated(now) ||
-		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.MembershipTTL+durations.TakeoverDuration {
+		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.membershipTTL+takeoverDuration {
 		return false
 	}
-	back := agent.RedirectedAt != 0 && now-agent.RedirectedAt < rc.c.durations.WorkerLease
+	back := agent.RedirectedAt != 0 && now-agent.RedirectedAt < rc.c.durations.workerLease
 	agent.RedirectedAt = max(now, 1)
 	return !back
 }
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -52,16 +52,13 @@
 	shares := ""
 	for i := range c.cfg.Facts.Teams {
 		team := c.cfg.Facts.Teams[i].Name
-		if limit, _ := c.quota.teamLimits(team); limit.hasLimit() {
+		if limits, _ := c.quota.Limits(team); limits.Limited() {
 			shares += fmt.Sprintf(
 				" %s share %.0f unused %.0f unassigned %.0f",
 				team,
-				c.quota.quotaShareOf(
-					c.node,
-					team,
-				).CPUs,
-				c.quota.quotaLeft(team).CPUs,
-				c.quota.unallocatedQuota(team).CPUs,
+				c.quota.ShareOf(c.node, team).CPUs,
+				c.quota.Left(team).CPUs,
+				c.quota.Unallocated(team).CPUs,
 			)
 		}
 	}
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/quota"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
@@ -248,15 +249,20 @@
 	if room == 0 {
 		return 0
 	}
-	quota, ok := quotaLeftByTeam[spec.Team]
+	shareLeft, ok := quotaLeftByTeam[spec.Team]
 	if !ok {
-		quota = sc.c.quota.quotaLeft(spec.Team)
-		quotaLeftByTeam[spec.Team] = quota
+		shareLeft = sc.c.quota.Left(spec.Team)
+		quotaLeftByTeam[spec.Team] = shareLeft
 	}
-	if n := job.TaskResources.CountIn(quota); n < room {
+	if n := job.TaskResources.CountIn(shareLeft); n < room {
 		// A part with machines but without a share of the team's limit would leave
 		// the tasks for ever to one with a share but without machines.
-		sc.c.quota.noteShortage(spec.Team, job.TaskResources, min(room-n, job.UnassignedTasks()), quota, true)
+		sc.c.quota.NoteShortage(spec.Team, quota.UnmetDemand{
+			TaskResources:  job.TaskResources,
+			Tasks:          min(room-n, job.UnassignedTasks()),
+			ShareLeft:      shareLeft,
+			HasMachineRoom: true,
+		})
 		room = n
 	}
 	if room == 0 {
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -65,13 +65,13 @@
 		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
 			update := NewShardUpdate("p", core.mirror.Shards["p"], shard)
-			update.Assign(core.mirror.Jobs["j-1"], storage.Attempt{Task: 2, Machine: "i-1", Number: 2}, false)
+			mirror.AddUse(update.AssignedByTeam, "tight", resources.Vector{CPUs: 2}, 1)
 			core.shards.trackerOf("p").updatesInDoubt = []*ShardUpdate{update}
 		}
-		if got := core.quota.quotaLeft("tight").CPUs; got != tc.left {
+		if got := core.quota.Left("tight").CPUs; got != tc.left {
 			t.Errorf("%s: %v left, want %v", tc.name, got, tc.left)
 		}
-		if got := core.quota.unallocatedQuota("tight").CPUs; got != 2 {
+		if got := core.quota.Unallocated("tight").CPUs; got != 2 {
 			t.Errorf("%s: %v in the pool", tc.name, got)
 		}
 	}
@@ -330,7 +330,7 @@
 			fillTeamLimits(s)
 			s.sim.Run(40 * second)
 			gone := followerController(1)(s)
-			key := partitionKey(gone)
+			key := storage.Key(storage.KindPartition, gone)
 			if len(s.store.Keys(key)) == 0 {
 				t.Fatalf("%s has no share", gone)
 			}
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"math"
 	"slices"
 	"strings"
 
@@ -12,7 +11,6 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
-	"pipitgap/internal/resources"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
@@ -243,7 +241,7 @@
 
 // unsatisfiableReason tells why a job can never run, or "".
 func (u *userAPI) unsatisfiableReason(spec *storage.JobSpec) string {
-	team, ok := u.c.quota.teamLimits(spec.Team)
+	limits, ok := u.c.quota.Limits(spec.Team)
 	if !ok {
 		return "unknown team"
 	}
@@ -251,8 +249,7 @@
 	if spec.Service {
 		n = float64(spec.Tasks)
 	}
-	if team.maxCPUs > 0 && spec.CPUs*n > team.maxCPUs+resources.Tolerance ||
-		team.maxGPUs > 0 && spec.GPUs*n > team.maxGPUs+resources.Tolerance {
+	if !limits.Permits(spec.CPUs*n, spec.GPUs*n) {
 		return "needs more than the team's limit"
 	}
 	taskResources := mirror.TaskResources(spec)
@@ -267,37 +264,6 @@
 	return "a task fits no allowed machine type"
 }
 
-func (q *quotaManager) teamLimits(name string) (team teamLimits, ok bool) {
-	for i := range q.c.cfg.Facts.Teams {
-		teamConfig := &q.c.cfg.Facts.Teams[i]
-		if teamConfig.Name == name {
-			return teamLimits{
-				guaranteedCPUs: teamConfig.CPUs,
-				maxCPUs:        teamConfig.CPUsMax,
-				guaranteedGPUs: teamConfig.GPUs,
-				maxGPUs:        teamConfig.GPUsMax,
-			}, true
-		}
-	}
-	return teamLimits{}, false
-}
-
-type teamLimits struct{ guaranteedCPUs, maxCPUs, guaranteedGPUs, maxGPUs float64 }
-
-func (t teamLimits) hasLimit() bool { return t.maxCPUs > 0 || t.maxGPUs > 0 }
-
-// remaining tells what the team may still use.
-func (t teamLimits) remaining(used resources.Vector) resources.Vector {
-	available := resources.Vector{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
-	if t.maxCPUs > 0 {
-		available.CPUs = resources.Round(t.maxCPUs) - used.CPUs
-	}
-	if t.maxGPUs > 0 {
-		available.GPUs = resources.Round(t.maxGPUs) - used.GPUs
-	}
-	return available
-}
-
 func (u *userAPI) acceptJob(id string, spec storage.JobSpec, respond func(Response)) {
 	record := storage.OpenJob{
 		Spec:       spec,
--- /dev/null
+++ b/internal/coordination/wiring.go
@@ -0,0 +1,87 @@
+package coordination
+
+import (
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/quota/quotashares"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
+)
+
+// quotaDependencies gives the quota manager what it needs of the other subjects.
+type quotaDependencies struct{ c *Controller }
+
+func newQuotaManager(c *Controller) *quotashares.Manager {
+	dependencies := quotaDependencies{c}
+	return quotashares.New(
+		quotashares.Config{
+			Node:               c.node,
+			Controllers:        c.controllers,
+			Teams:              c.cfg.Facts.Teams,
+			PeerStatusInterval: slowTickInterval,
+		},
+		quotashares.Dependencies{
+			Mirror:      c.mirror,
+			Membership:  dependencies,
+			Store:       dependencies,
+			Shards:      dependencies,
+			Peers:       dependencies,
+			RequestPass: func() { c.scheduler.requestPass() },
+			Log:         c.log,
+		},
+	)
+}
+
+func (d quotaDependencies) HoldsLease(now monotime.Micros) bool {
+	return d.c.membership.holdsLease(now)
+}
+
+func (d quotaDependencies) IsMember(node string) bool { return d.c.membership.isMember(node) }
+
+func (d quotaDependencies) AbsentSince(node string, now monotime.Micros) monotime.Micros {
+	return d.c.membership.absentSince(node, now)
+}
+
+func (d quotaDependencies) Unavailable() bool { return d.c.store.unavailable }
+
+func (d quotaDependencies) BudgetSharers() int { return d.c.store.budgetSharers }
+
+func (d quotaDependencies) Commit(
+	priority ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	d.c.replica.commit(priority, txn, callback)
+}
+
+func (d quotaDependencies) CommitInFlight() bool {
+	for _, tracker := range d.c.shards.trackers {
+		if tracker.commitInFlightSince != 0 {
+			return true
+		}
+	}
+	return false
+}
+
+func (d quotaDependencies) UseInDoubt(team string) resources.Vector {
+	use := resources.Vector{}
+	for _, tracker := range d.c.shards.trackers {
+		for _, update := range tracker.updatesInDoubt {
+			use = use.Plus(update.AssignedByTeam[team])
+		}
+	}
+	return use
+}
+
+func (d quotaDependencies) QuotaLackReportedAt(team string) (at monotime.Micros, ok bool) {
+	at, ok = d.c.peerStatuses.quotaLackReportedAt[team]
+	return at, ok
+}
+
+func (d quotaDependencies) WorkersUnreachable() bool {
+	return d.c.reachability.workersUnreachableSince != 0
+}
+
+func (d quotaDependencies) SuccessorOf(node string) string {
+	return rendezvousOwner(node, d.c.reachability.connectedControllers())
+}
--- /dev/null
+++ b/internal/quota/quotashares/adjust.go
@@ -0,0 +1,140 @@
+package quotashares
+
+import (
+	"maps"
+	"slices"
+
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/quota"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// adjustment is a change of this controller's record in the making.
+type adjustment struct {
+	record  storage.Partition
+	version uint64 // of the record that it replaces
+	changed bool
+	raised  bool // some share grows
+}
+
+// Adjust raises the shares of which assignments lacked some, and lowers those that aren't used where a limit
+// is nearly allocated. It does nothing while a commit in flight may change what it decides on.
+func (m *Manager) Adjust(now monotime.Micros) {
+	if m.writeInFlight || m.deps.Store.Unavailable() || !m.deps.Membership.HoldsLease(now) ||
+		m.deps.Shards.CommitInFlight() {
+		return
+	}
+	next := m.beginAdjustment()
+	lacking := map[string]monotime.Micros{}
+	for i := range m.cfg.Teams {
+		team := m.cfg.Teams[i].Name
+		limits, _ := m.Limits(team)
+		if !limits.Limited() {
+			continue
+		}
+		decision := quota.DecideShare(m.shareInputs(team, limits, next.record.QuotaShares[team], now))
+		if decision.Lacking {
+			lacking[team] = now
+			if since, before := m.lackingSince[team]; before {
+				lacking[team] = since
+			}
+		}
+		next.setShare(team, decision.Share)
+	}
+	m.lackingSince = lacking
+	clear(m.shortages)
+	if next.changed {
+		m.commit(next)
+	}
+}
+
+// beginAdjustment copies this controller's record. Commits in doubt are settled by writing it anew.
+func (m *Manager) beginAdjustment() *adjustment {
+	next := &adjustment{record: storage.Partition{QuotaShares: map[string]storage.QuotaShare{}}}
+	if own := m.deps.Mirror.Partitions[m.cfg.Node]; own != nil {
+		next.version = own.Version
+		maps.Copy(next.record.QuotaShares, own.Record.QuotaShares)
+	}
+	m.resolveInDoubt()
+	next.changed = len(m.inDoubt) > 0
+	return next
+}
+
+// resolveInDoubt forgets commits that were conditional on another version than the record's.
+func (m *Manager) resolveInDoubt() {
+	version := m.ownVersion()
+	m.inDoubt = slices.DeleteFunc(m.inDoubt, func(doubt sharesInDoubt) bool {
+		return doubt.version != version
+	})
+}
+
+func (a *adjustment) setShare(team string, share storage.QuotaShare) {
+	before := a.record.QuotaShares[team]
+	if share == before {
+		return
+	}
+	a.record.QuotaShares[team] = share
+	a.raised = a.raised || quota.Raises(before, share)
+	a.changed = true
+}
+
+func (m *Manager) shareInputs(
+	team string,
+	limits quota.Limits,
+	current storage.QuotaShare,
+	now monotime.Micros,
+) quota.ShareInputs {
+	reportedAt, reported := m.deps.Peers.QuotaLackReportedAt(team)
+	return quota.ShareInputs{
+		Limits:             limits,
+		Current:            current,
+		Use:                m.ownUse(team),
+		Unallocated:        m.Unallocated(team),
+		Shortage:           m.shortages[team],
+		LackedByPeer:       reported && now-reportedAt < lackReportIntervals*m.cfg.PeerStatusInterval,
+		WorkersUnreachable: m.deps.Peers.WorkersUnreachable(),
+		Controllers:        m.deps.Store.BudgetSharers(),
+	}
+}
+
+// commit writes this controller's record. A raise is conditional on the records of all controllers.
+func (m *Manager) commit(next *adjustment) {
+	key := partitionKey(m.cfg.Node)
+	txn := protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: next.version}},
+		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next.record)}},
+	}
+	if next.raised {
+		txn.If = append(txn.If, m.compareOthers()...)
+	}
+	m.writeInFlight = true
+	m.deps.Store.Commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+		m.writeInFlight = false
+		m.deps.RequestPass()
+		if result.Outcome == protocol.Unknown {
+			m.inDoubt = append(m.inDoubt, sharesInDoubt{next.version, next.record})
+		}
+	})
+}
+
+// compareOthers asks for the records of the other controllers as they are: of those of the deployment, and of
+// those that have a record still.
+func (m *Manager) compareOthers() []protocol.Compare {
+	names := map[string]bool{}
+	for _, node := range m.cfg.Controllers {
+		names[node] = true
+	}
+	for node := range m.deps.Mirror.Partitions {
+		names[node] = true
+	}
+	delete(names, m.cfg.Node)
+	var compares []protocol.Compare
+	for _, node := range sortedmap.Keys(names) {
+		key := partitionKey(node)
+		compares = append(compares, protocol.Compare{Key: key, Version: m.deps.Mirror.VersionOf(key)})
+	}
+	return compares
+}
--- /dev/null
+++ b/internal/quota/share.go
@@ -0,0 +1,174 @@
+package quota
+
+import (
+	"math"
+
+	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// Bounds of how shares of the teams' limits change.
+const (
+	// unusedFraction is the part of a team's limit that all controllers together keep beyond what they use:
+	// use goes up and down, and each change of a share is a write.
+	unusedFraction = 0.2
+	// lowUnallocatedFraction is the unallocated part of a limit below which unused shares are lowered.
+	lowUnallocatedFraction = 0.15
+)
+
+// UnmetDemand is tasks of one job that a controller's share keeps waiting.
+type UnmetDemand struct {
+	TaskResources  resources.Vector // of each task
+	Tasks          int
+	ShareLeft      resources.Vector // what is left of the controller's share
+	HasMachineRoom bool             // a machine has room for one of them
+}
+
+// shortPerTask is what the share lacks for a single task.
+func (d UnmetDemand) shortPerTask() resources.Vector {
+	short := resources.Vector{}
+	if !math.IsInf(d.ShareLeft.CPUs, 1) {
+		short.CPUs = max(0, d.TaskResources.CPUs-d.ShareLeft.CPUs)
+	}
+	if !math.IsInf(d.ShareLeft.GPUs, 1) {
+		short.GPUs = max(0, d.TaskResources.GPUs-d.ShareLeft.GPUs)
+	}
+	return short
+}
+
+// Shortage is what a controller's share of a team's limit lacked since the share was last adjusted.
+type Shortage struct {
+	PerTask        resources.Vector // for the task that lacks least
+	Total          resources.Vector // for all tasks
+	HasMachineRoom bool             // a machine has room for one of them
+}
+
+// AddDemand gives the shortage with another job's tasks; before is nil if there was none.
+func AddDemand(before *Shortage, demand UnmetDemand) *Shortage {
+	short := demand.shortPerTask()
+	if before == nil {
+		before = &Shortage{PerTask: short}
+	}
+	after := *before
+	if short.CPUs+short.GPUs < after.PerTask.CPUs+after.PerTask.GPUs {
+		after.PerTask = short
+	}
+	after.Total = after.Total.AddScaled(demand.TaskResources, float64(demand.Tasks))
+	after.HasMachineRoom = after.HasMachineRoom || demand.HasMachineRoom
+	return &after
+}
+
+// ShareInputs is all that the decision about a controller's share of one team's limit depends on.
+type ShareInputs struct {
+	Limits             Limits
+	Current            storage.QuotaShare
+	Use                resources.Vector // what the controller's shards take, at most
+	Unallocated        resources.Vector // what no controller has of the limit
+	Shortage           *Shortage        // nil: the share keeps nothing waiting
+	LackedByPeer       bool             // another controller reported lately that it lacks some of the limit
+	WorkersUnreachable bool             // nothing can start at this controller
+	Controllers        int              // live controllers that divide the limit, at least 1
+}
+
+// ShareDecision is what a share should become.
+type ShareDecision struct {
+	Share storage.QuotaShare
+	// Lacking: what is unallocated isn't enough for a single task that has room on a machine here.
+	Lacking bool
+}
+
+// DecideShare decides what a controller's share of a team's limit should become.
+func DecideShare(in ShareInputs) ShareDecision {
+	shortage := in.Shortage
+	switch {
+	case shortage != nil && in.unallocatedBelow(shortage.PerTask):
+		// Not enough for a single task here, and what is left over here may be what another controller
+		// lacks: several such rests add up to a task.
+		return ShareDecision{Share: in.lowered(resources.Vector{}), Lacking: shortage.HasMachineRoom}
+	case in.WorkersUnreachable:
+		return ShareDecision{Share: in.lowered(resources.Vector{})}
+	case in.LackedByPeer && (shortage == nil || !shortage.HasMachineRoom):
+		// Another controller could start tasks at once; here they would wait for machines.
+		return ShareDecision{Share: in.lowered(resources.Vector{})}
+	case shortage != nil:
+		return ShareDecision{Share: in.raised()}
+	case in.unallocatedSuffices():
+		return ShareDecision{Share: in.Current}
+	}
+	fraction := unusedFraction / float64(in.Controllers)
+	margin := resources.Vector{CPUs: fraction * in.Limits.MaxCPUs, GPUs: fraction * in.Limits.MaxGPUs}
+	return ShareDecision{Share: in.lowered(margin)}
+}
+
+func (in *ShareInputs) unallocatedBelow(need resources.Vector) bool {
+	return in.Unallocated.CPUs+resources.Tolerance < need.CPUs ||
+		in.Unallocated.GPUs+resources.Tolerance < need.GPUs
+}
+
+// unallocatedSuffices tells whether so much is unallocated that shares needn't be lowered.
+func (in *ShareInputs) unallocatedSuffices() bool {
+	return in.Unallocated.CPUs > lowUnallocatedFraction*in.Limits.MaxCPUs &&
+		(in.Limits.MaxGPUs == 0 || in.Unallocated.GPUs > lowUnallocatedFraction*in.Limits.MaxGPUs)
+}
+
+// raised takes what is lacking, and half of an even part of what is left then: a raise costs a write, and
+// what one controller has no other can use.
+func (in *ShareInputs) raised() storage.QuotaShare {
+	fraction := 1 / (2 * float64(in.Controllers))
+	grow := func(have, short, left float64) float64 {
+		grown := resources.Round(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
+		if grown > have+resources.Tolerance {
+			return grown
+		}
+		return have
+	}
+	share := in.Current
+	if in.Limits.MaxCPUs > 0 {
+		share.CPUs = grow(share.CPUs, in.Shortage.Total.CPUs, in.Unallocated.CPUs)
+	}
+	if in.Limits.MaxGPUs > 0 {
+		share.GPUs = grow(share.GPUs, in.Shortage.Total.GPUs, in.Unallocated.GPUs)
+	}
+	return share
+}
+
+// lowered gives up what lies more than twice a margin above what is used, down to the margin: within it
+// the share stays, or each small change of use would cost a write.
+func (in *ShareInputs) lowered(margin resources.Vector) storage.QuotaShare {
+	current := in.Current
+	lower := storage.QuotaShare{
+		CPUs: max(0, min(current.CPUs, in.Use.CPUs+margin.CPUs)),
+		GPUs: max(0, min(current.GPUs, in.Use.GPUs+margin.GPUs)),
+	}
+	if lower.CPUs < current.CPUs-resources.Tolerance-margin.CPUs ||
+		lower.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
+		return lower
+	}
+	return current
+}
+
+// Raises tells whether a share grows, in any resource, from before to after.
+func Raises(before, after storage.QuotaShare) bool {
+	return after.CPUs > before.CPUs+resources.Tolerance || after.GPUs > before.GPUs+resources.Tolerance
+}
+
+// MoveUse has shares follow tasks that go over from one controller's shards into another's: it moves what the
+// tasks take from the one record to the other. It reports whether a team with a limit was among them.
+func MoveUse(
+	from, to *storage.Partition,
+	useByTeam map[string]resources.Vector,
+	limited func(team string) bool,
+) (moved bool) {
+	for _, team := range sortedmap.Keys(useByTeam) {
+		if !limited(team) {
+			continue
+		}
+		moved = true
+		use, source, target := useByTeam[team], from.QuotaShares[team], to.QuotaShares[team]
+		source.CPUs, target.CPUs = max(0, source.CPUs-use.CPUs), target.CPUs+use.CPUs
+		source.GPUs, target.GPUs = max(0, source.GPUs-use.GPUs), target.GPUs+use.GPUs
+		from.QuotaShares[team], to.QuotaShares[team] = source, target
+	}
+	return moved
+}
