--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -41,13 +41,13 @@
 // only: neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above
 // all it imports.
 var layers = [][]row{
-	{{path: "internal/monotime"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
+	{{path: "internal/monotime"}, {path: "internal/logging"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
 		{path: "internal/peerwire/cancellation"}},
 	{{path: "internal/sortedmap"}, {path: "internal/peerwire"}},
 	{{path: "internal/config"}, {path: "internal/transport"}},
 	{{path: "internal/protocol"}},
 	{{path: "internal/resources"}, {path: "internal/ratelimit"}, {path: "internal/fake", kind: fake}},
-	{{path: "internal/storage"}},
+	{{path: "internal/storage"}, {path: "internal/storeclient"}},
 	{{path: "internal/storage/storagetest", kind: fake}},
 	{{path: "internal/cancellation", kind: decision}, {path: "internal/drain", kind: decision},
 		{path: "internal/quota", kind: decision}},
--- a/internal/coordination/burst_limit.go
+++ b/internal/coordination/burst_limit.go
@@ -62,12 +62,12 @@
 // that starts and ends, have waited for longer than a burst takes.
 func (u *userAPI) storeContended() bool {
 	now := u.c.now()
-	return u.c.store.userCallsWaiting() ||
+	return u.c.store.UserCallsWaiting() ||
 		max(
-			u.c.store.queue.OldestWait(ratelimit.PriorityShardUpdate, now),
-			u.c.store.queue.OldestWait(ratelimit.PriorityJobResult, now),
+			u.c.store.OldestWait(ratelimit.PriorityShardUpdate, now),
+			u.c.store.OldestWait(ratelimit.PriorityJobResult, now),
 		) > contendedQueueAge ||
-		u.c.store.queue.Len(ratelimit.PriorityBurst) > 0
+		u.c.store.QueuedCalls(ratelimit.PriorityBurst) > 0
 }
 
 // countSubmission notes a submission for its team.
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -31,21 +31,18 @@
 		{"nobody else", map[string]int{"guest": 50}, protocol.Standard, true, false},
 		{"services that come in a burst", map[string]int{"guest": 50, "home": 10}, protocol.High, true, false},
 	} {
-		core := newCluster(t, 1).startWithLeader().nodes["n-0"].controller
+		c := newCluster(t, 1).startWithLeader()
+		core := c.nodes["n-0"].controller
+		if tc.contended {
+			// More than the answers that may still come of calls made before.
+			c.queueStoreCalls("n-0", ratelimit.PriorityShardUpdate, 10)
+			c.sim.Run(contendedQueueAge + fastTickInterval)
+		}
 		for team, n := range tc.sent {
 			for i := 0; i < n; i++ {
 				core.api.countSubmission(&storage.JobSpec{Team: team})
 			}
 		}
-		if tc.contended {
-			core.store.queue.Add(
-				ratelimit.Call{
-					StoreCall: &protocol.StoreCall{},
-					Priority:  ratelimit.PriorityShardUpdate,
-					QueuedAt:  core.now() - 2*second,
-				},
-			)
-		}
 		if got := core.api.isRateLimited(&storage.JobSpec{Team: "guest", Priority: int(tc.priority)}); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -11,6 +11,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
 	"pipitgap/internal/storage"
+	"pipitgap/internal/storeclient"
 )
 
 // Environment is the world as the core sees it. Every callback comes back as a message
@@ -40,15 +41,13 @@
 
 // Durations of the coordination itself; none depends on the deployment.
 const (
-	storeTimeout           = 2 * monotime.Second
-	leaseKeepAliveTimeout  = 1 * monotime.Second
-	watchLongPoll          = 2 * monotime.Second
-	fastTickInterval       = 50 * monotime.Millisecond
-	slowTickInterval       = 500 * monotime.Millisecond
-	commandTimeout         = 3 * monotime.Second
-	probeTimeout           = 1 * monotime.Second
-	maxWatchBytes          = 4 << 20 // bytes of an answer of the watch, at most about
-	budgetOversubscription = 1.2     // of the even share of the store's limits that each may use
+	leaseKeepAliveTimeout = 1 * monotime.Second
+	watchLongPoll         = 2 * monotime.Second
+	fastTickInterval      = 50 * monotime.Millisecond
+	slowTickInterval      = 500 * monotime.Millisecond
+	commandTimeout        = 3 * monotime.Second
+	probeTimeout          = 1 * monotime.Second
+	maxWatchBytes         = 4 << 20 // bytes of an answer of the watch, at most about
 )
 
 // Controller is the actor that decides. All of its methods run on its own goroutine
@@ -73,7 +72,7 @@
 
 	drains        *drains // nil: the settings don't turn them on
 	counters      activityCounters
-	store         *storeClient
+	store         *storeclient.Client
 	replica       *mirrorReplica
 	membership    *membership
 	reachability  *reachability
@@ -105,7 +104,6 @@
 	c.mirror = mirror.New()
 	c.store = newStoreClient(c)
 	c.replica = &mirrorReplica{c: c}
-	c.store.updateBudgets(len(c.controllers))
 	c.membership = &membership{c: c, missingSince: map[string]monotime.Micros{}}
 	c.reachability = &reachability{c: c}
 	c.catalog = newMachineCatalog(c)
@@ -183,7 +181,7 @@
 }
 
 func (c *Controller) runSlowTick(now monotime.Micros) {
-	c.store.logAvailability(now)
+	c.store.UpdateAvailability(now)
 	c.sendPeerStatus(now)
 	if c.catalog.fetchedAt == 0 || now-c.catalog.fetchedAt > 60*monotime.Second {
 		c.catalog.fetch()
@@ -191,7 +189,7 @@
 	if !c.replica.ready || c.reachability.mirrorStale(now) {
 		return
 	}
-	c.store.updateBudgets(len(c.membership.liveControllers()))
+	c.store.UpdateBudget(len(c.membership.liveControllers()))
 	c.membership.ensureMemberRecord()
 	c.membership.campaign(now)
 	c.shards.claimOrphanedShards(now)
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -114,7 +114,7 @@
 		return
 	}
 	c := d.core
-	if c.store.unavailable || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) ||
+	if c.store.Unavailable() || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) ||
 		now-c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
@@ -223,7 +223,7 @@
 		}
 		if !d.permitCommitInFlight[team] {
 			d.writeTeamPermits(team, ended[team], decision.Granted[team])
-			d.nextPermitWriteAt = d.core.store.nextAllowedAt(permitWriteFraction)
+			d.nextPermitWriteAt = d.core.store.NextWriteAllowedAt(permitWriteFraction)
 		}
 	}
 }
@@ -233,10 +233,10 @@
 // service takes submissions waited for more than a second.
 func (d *drains) hasSpareWrites(now monotime.Micros) bool {
 	c := d.core
-	if c.store.userCallsWaiting() || c.peerStatuses.userCallsWaiting(now) {
+	if c.store.UserCallsWaiting() || c.peerStatuses.userCallsWaiting(now) {
 		return false
 	}
-	return c.store.queue.Writes.WaitTime(now, spareWriteFraction*c.store.queue.Writes.Burst) == 0
+	return c.store.HasSpareWrites(now, spareWriteFraction)
 }
 
 // writeTeamPermits changes a team's permits, on the condition that nobody else has. One that is written
--- a/internal/coordination/job_completion.go
+++ b/internal/coordination/job_completion.go
@@ -55,7 +55,7 @@
 // at once, each of which saw another's unfinished, and cancelled ones whose every
 // attempt is proven gone. Each job has one controller that does so.
 func (u *userAPI) finalizeJobs() {
-	if u.c.store.unavailable {
+	if u.c.store.Unavailable() {
 		return
 	}
 	controllers := u.c.membership.liveControllers()
--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -71,7 +71,7 @@
 		as.nextEmptyMachineCheckAt = now + as.c.settings.AutoscalingInterval.Micros()
 		as.scaleInEmpty(now)
 	}
-	if !as.c.membership.isLeader(now) || as.c.store.unavailable {
+	if !as.c.membership.isLeader(now) || as.c.store.Unavailable() {
 		return
 	}
 	leader := &as.term
--- a/internal/coordination/logging.go
+++ b/internal/coordination/logging.go
@@ -1,17 +1,13 @@
 package coordination
 
-// Values of the log key "state". A condition is logged twice under one message: when it
-// begins and when it ends.
+import "pipitgap/internal/logging"
+
+// Values of the log key "state", see package logging.
 const (
-	conditionBegin = "begin"
-	conditionEnd   = "end"
+	conditionBegin = logging.ConditionBegin
+	conditionEnd   = logging.ConditionEnd
 )
 
 // conditionState returns the value of the log key "state" for a condition that holds now or
 // has just ended.
-func conditionState(holds bool) string {
-	if holds {
-		return conditionBegin
-	}
-	return conditionEnd
-}
+func conditionState(holds bool) string { return logging.ConditionState(holds) }
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -21,7 +21,7 @@
 	am.expireContactsAndClaimRequests(now)
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
-	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.unavailable ||
+	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.Unavailable() ||
 		now-am.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -53,7 +53,7 @@
 		TTL:     m.c.durations.membershipTTL,
 		Timeout: leaseKeepAliveTimeout,
 	}
-	m.c.store.call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
+	m.c.store.Call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
 		m.leaseGrantInFlight = false
 		if result.Outcome != protocol.OK {
 			m.leaseGrantInFlight = true
@@ -77,7 +77,7 @@
 	m.leaseRenewalInFlight = true
 	sentAt, lease := now, m.leaseID
 	call := &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: lease, Timeout: leaseKeepAliveTimeout}
-	m.c.store.call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
+	m.c.store.Call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
 		m.leaseRenewalInFlight = false
 		switch result.Outcome {
 		case protocol.OK:
@@ -166,7 +166,7 @@
 // campaign takes the lead when nobody has it, or when our own earlier
 // incarnation still holds it.
 func (m *membership) campaign(now monotime.Micros) {
-	if m.electionInFlight || !m.holdsLease(now) || m.c.store.unavailable {
+	if m.electionInFlight || !m.holdsLease(now) || m.c.store.Unavailable() {
 		return
 	}
 	mr := m.c.mirror
@@ -190,14 +190,14 @@
 
 // sendPeerStatus sends our status to the peers.
 func (c *Controller) sendPeerStatus(now monotime.Micros) {
-	ok := !c.store.unavailable && now-c.store.lastSuccessAt < 1500*monotime.Millisecond
+	ok := !c.store.Unavailable() && now-c.store.LastSuccessAt() < 1500*monotime.Millisecond
 	failing := c.scheduler.failingJobs()
 	for _, peer := range c.cfg.Peers {
 		status := PeerStatus{
 			Node:                  c.node,
 			Incarnation:           c.incarnation,
 			StateServiceReachable: ok,
-			WaitingUserRequests:   c.store.queue.Len(ratelimit.PriorityUserRequest),
+			WaitingUserRequests:   c.store.QueuedCalls(ratelimit.PriorityUserRequest),
 			WorkerReach:           c.reachability.workerReach(),
 			FailingJobs:           failing,
 			TeamsShortOfQuota:     c.quota.TeamsLacking(now),
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -20,7 +20,6 @@
 	loadedRevision     uint64 // the watch must reach this before the mirror is complete
 	loading            bool
 	loaded             bool // a first load is done, the watch may go on from it
-	minWatchInterval   monotime.Micros
 	nextWatchAt        monotime.Micros
 	watchInFlight      bool
 	lastWatchSuccessAt monotime.Micros // last answer of the watch
@@ -64,7 +63,7 @@
 			Limit: 500,
 		}
 		listSentAt := r.c.now()
-		r.c.store.call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
+		r.c.store.Call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 			if result.Outcome != protocol.OK {
 				delay := 200*monotime.Millisecond + monotime.Micros(
 					r.c.env.Rand().Int64N(int64(400*monotime.Millisecond)),
@@ -109,7 +108,7 @@
 	for _, id := range ids[:n] {
 		txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
 	}
-	r.c.store.call(
+	r.c.store.Call(
 		ratelimit.PriorityClaim,
 		&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn},
 		func(result protocol.StoreResult) {
@@ -120,7 +119,7 @@
 				left := len(result.Failed)
 				bad := false
 				for _, key := range result.Failed {
-					r.c.store.call(
+					r.c.store.Call(
 						ratelimit.PriorityClaim,
 						&protocol.StoreCall{Op: protocol.StoreGet, Key: key},
 						func(result protocol.StoreResult) {
@@ -248,7 +247,7 @@
 	r.watchInFlight = true
 	generation := r.c.mirror.Generation()
 	call := &protocol.StoreCall{Op: protocol.StoreList, Key: storage.LeaderKey, Limit: 1}
-	r.c.store.call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
+	r.c.store.Call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
 		r.watchInFlight = false
 		switch {
 		case generation != r.c.mirror.Generation() || r.loading:
@@ -280,18 +279,17 @@
 	}
 	r.catchUpInFlight = true
 	r.sendWatch(r.c.now(), 0, func() { r.catchUpInFlight = false })
-	r.nextCatchUpAt = r.c.now() + r.minWatchInterval
+	r.nextCatchUpAt = r.c.now() + r.c.store.WatchInterval()
 }
 
 func (r *mirrorReplica) sendWatch(now, longPoll monotime.Micros, ended func()) {
-	r.nextWatchAt = now + r.minWatchInterval
+	r.nextWatchAt = now + r.c.store.WatchInterval()
 	generation := r.c.mirror.Generation()
 	call := &protocol.StoreCall{
 		Op: protocol.StoreWatch, Key: storage.KeyPrefix, FromRevision: r.c.mirror.WatchedRevision,
 		MaxBlock: longPoll, Timeout: longPoll + 2*monotime.Second,
 	}
-	r.c.store.queue.Reads.Take(1)
-	r.c.env.CallStore(call, func(result protocol.StoreResult) {
+	r.c.store.CallAtOnce(call, func(result protocol.StoreResult) {
 		ended()
 		r.c.reachability.detectPause(r.c.now())
 		if generation != r.c.mirror.Generation() {
@@ -300,7 +298,7 @@
 		}
 		switch result.Outcome {
 		case protocol.OK:
-			r.c.store.recordOutcome(result.Outcome)
+			r.c.store.RecordOutcome(result.Outcome)
 			r.freshAt, r.lastWatchSuccessAt = max(r.freshAt, now), r.c.now()
 			if now < r.c.reachability.resumedFromPauseAt {
 				r.lastWatchSuccessAt = now // it waited here while we stood still
@@ -321,7 +319,7 @@
 			r.nextWatchAt = max(r.nextWatchAt, r.c.now()+100*monotime.Millisecond)
 			r.nextCatchUpAt = r.nextWatchAt
 		default:
-			r.c.store.recordOutcome(result.Outcome)
+			r.c.store.RecordOutcome(result.Outcome)
 			r.nextWatchAt = r.c.now() + 300*monotime.Millisecond + monotime.Micros(
 				r.c.env.Rand().Int64N(int64(300*monotime.Millisecond)),
 			)
@@ -331,6 +329,28 @@
 	})
 }
 
+// commitTxn makes a conditional change; on success it is in the mirror before
+// back is called.
+func (r *mirrorReplica) commit(
+	priority ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	r.c.store.Call(
+		priority,
+		&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn},
+		func(result protocol.StoreResult) {
+			if result.Outcome == protocol.OK {
+				r.c.mirror.ApplyCommit(&txn, result.Revision)
+			} else if result.Outcome == protocol.Conflict {
+				r.c.counters.commitConflicts++
+				r.hastenWatch()
+			}
+			callback(result)
+		},
+	)
+}
+
 // hastenWatch has the other side of a conflict looked at soon.
 func (r *mirrorReplica) hastenWatch() {
 	r.nextWatchAt = min(r.nextWatchAt, max(r.c.now(), r.watchSentAt+50*monotime.Millisecond))
--- a/internal/coordination/peer_status.go
+++ b/internal/coordination/peer_status.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/storeclient"
 )
 
 // PeerTable is what the other controllers have said of themselves lately. Nothing of it decides
@@ -41,7 +42,7 @@
 	if status.StateServiceReachable {
 		peer.storeReachableAt = now
 	}
-	if status.WaitingUserRequests > waitingUserCallsThreshold {
+	if status.WaitingUserRequests > storeclient.WaitingUserCallsThreshold {
 		peer.userCallsWaitingAt = now
 	}
 	peer.failingJobs, peer.reachability = status.FailingJobs, status.WorkerReach
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -192,7 +192,7 @@
 // turn to them when we don't answer; their claims one by one, each against our own
 // writes, took longer than the leases of most.
 func (sm *shardManager) handOffShards(now monotime.Micros) {
-	if sm.c.quota.WriteInFlight() || sm.c.store.unavailable || !sm.c.membership.holdsLease(now) ||
+	if sm.c.quota.WriteInFlight() || sm.c.store.Unavailable() || !sm.c.membership.holdsLease(now) ||
 		now-sm.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
 		return
 	}
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -31,7 +31,7 @@
 		}
 		c.sendRequest("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
 		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, back)
-		if n := core.store.queue.Len(ratelimit.PriorityUserRequest); n > core.api.maxQueuedUserCalls()+1 {
+		if n := core.store.QueuedCalls(ratelimit.PriorityUserRequest); n > core.api.maxQueuedUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
 		if len(core.replica.pendingReads) > maxWaitingReaders {
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -23,7 +23,7 @@
 // claimOrphanedShards claims the shards of our earlier lives, and those of controllers that
 // have gone and whose successor we are: whole shards, many to a commit.
 func (sm *shardManager) claimOrphanedShards(now monotime.Micros) {
-	if sm.c.store.unavailable || !sm.c.membership.holdsLease(now) {
+	if sm.c.store.Unavailable() || !sm.c.membership.holdsLease(now) {
 		return
 	}
 	controllers := sm.c.reachability.connectedControllers()
@@ -100,7 +100,7 @@
 	bytes := 0
 	from := shards[0].Record.Owner
 	most := sm.c.cfg.Facts.State.TxnOps - 2 // two partitions' shares follow
-	if from == to || sm.c.now()-sm.c.store.lastThrottledAt < recentThrottleWindow {
+	if from == to || sm.c.store.ThrottledWithin(recentThrottleWindow) {
 		most = min(most, maxShardsWhenThrottled)
 	}
 	for _, shard := range shards {
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -212,7 +212,7 @@
 // costs; when there is more to write than the state service takes, passes come
 // less often and each carries more.
 func (sc *scheduler) runPass(now monotime.Micros) {
-	if sc.c.store.unavailable || !sc.c.membership.holdsLease(now) || sc.c.quota.WriteInFlight() {
+	if sc.c.store.Unavailable() || !sc.c.membership.holdsLease(now) || sc.c.quota.WriteInFlight() {
 		return // assignments depend on the shares being written just now
 	}
 	for name, tracker := range sc.c.shards.trackers {
@@ -258,7 +258,7 @@
 	}
 	sc.nextPassAt = now + max(
 		2*fastTickInterval,
-		monotime.FromSeconds(float64(written)/sc.c.store.shardWriteRate()),
+		monotime.FromSeconds(float64(written)/sc.c.store.ShardWritesPerSecond()),
 	)
 }
 
@@ -438,11 +438,11 @@
 				if kind, name, _ := storage.SplitKey(k); kind == storage.KindOpenJob {
 					sm.c.scheduler.trackingOf(name).placeNotBefore = max(
 						sm.c.scheduler.trackingOf(name).placeNotBefore,
-						sm.c.now()+sm.c.replica.minWatchInterval,
+						sm.c.now()+sm.c.store.WatchInterval(),
 					)
 				}
 			}
-			sm.c.scheduler.delayPassUntil(sm.c.now() + sm.c.replica.minWatchInterval/2)
+			sm.c.scheduler.delayPassUntil(sm.c.now() + sm.c.store.WatchInterval()/2)
 		case protocol.Rejected:
 			sm.c.log.Error("shard rejected by state service", "shard", update.Name)
 			sm.c.scheduler.delayPassUntil(sm.c.now() + monotime.Second)
--- /dev/null
+++ b/internal/coordination/store_reachability.go
@@ -0,0 +1,53 @@
+package coordination
+
+import (
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/sortedmap"
+)
+
+// storeUnreachableOnlyHere tells whether this node can't use the store while another can:
+// then it must hand its users and workers to the others. In an outage that all
+// share it goes on answering workers, or every lease would lapse.
+func (rc *reachability) storeUnreachableOnlyHere(now monotime.Micros) (peer string, alone bool) {
+	if !rc.c.store.Unavailable() || now-rc.c.store.LastSuccessAt() < 2*monotime.Second {
+		return "", false
+	}
+	for _, node := range sortedmap.Keys(rc.c.peerStatuses.statuses) {
+		at := rc.c.peerStatuses.statuses[node].storeReachableAt
+		if at != 0 && now-at < 1500*monotime.Millisecond &&
+			at > rc.c.store.LastSuccessAt()+1500*monotime.Millisecond {
+			return node, true
+		}
+	}
+	return "", false
+}
+
+// isIsolated tells whether we reach neither the store nor any other controller:
+// then it is we who are cut off, and users are better served elsewhere.
+func (rc *reachability) isIsolated(now monotime.Micros) bool {
+	if !rc.c.store.Unavailable() || now-rc.c.store.LastSuccessAt() < 2*monotime.Second ||
+		len(rc.c.cfg.Peers) == 0 {
+		return false
+	}
+	for _, peer := range rc.c.cfg.Peers {
+		if rc.heardFromRecently(peer.Node, now) {
+			return false
+		}
+	}
+	return true
+}
+
+// shouldRedirectAway tells whether a worker of ours is to look for another controller: we reach
+// neither the store nor any other, and our membership has ended for so long that
+// whoever does has taken our machines over. One that has been round and comes back
+// within its lease has found nobody: it is we who are left, or its zone is cut off with
+// us, and it is answered as before.
+func (rc *reachability) shouldRedirectAway(agent *Agent, now monotime.Micros) bool {
+	if !rc.isIsolated(now) ||
+		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.membershipTTL+takeoverDuration {
+		return false
+	}
+	back := agent.RedirectedAt != 0 && now-agent.RedirectedAt < rc.c.durations.workerLease
+	agent.RedirectedAt = max(now, 1)
+	return !back
+}
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -9,7 +9,7 @@
 )
 
 type activityCounters struct {
-	jobsAccepted, requestsDeferred, tasksPlaced, jobsCompleted, jobsFailed, commitConflicts, callsThrottled int
+	jobsAccepted, requestsDeferred, tasksPlaced, jobsCompleted, jobsFailed, commitConflicts int
 	// machines, by placement
 	machinesExamined int
 	permitWrites     int
@@ -103,7 +103,7 @@
 		c.counters.tasksPlaced,
 		c.counters.jobsCompleted,
 		c.counters.commitConflicts,
-		c.counters.callsThrottled,
+		c.store.ThrottledCalls(),
 	)
 	if c.drains != nil {
 		s += fmt.Sprintf(" permit_writes %d", c.counters.permitWrites)
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -128,15 +128,6 @@
 	return true
 }
 
-// nextAllowedAt tells when something that costs a change may be done again, if all
-// controllers together may spend that partition of the store's changes on it: what is
-// spent here the shards lack.
-func (cl *storeClient) nextAllowedAt(fraction float64) monotime.Micros {
-	return cl.c.now() + monotime.FromSeconds(
-		float64(cl.budgetSharers)/(fraction*cl.c.cfg.Facts.State.WriteRPS),
-	)
-}
-
 // adoptOrphanedTasks takes over the waiting tasks of parts that have gone, or don't reach
 // their machines. Each job has
 // one successor for that, whether it has room for them or not: only their owner makes
@@ -161,7 +152,7 @@
 		}
 		if len(ranges) != len(job.Record.TaskRanges) || !sameTaskRanges(ranges, job.Record.TaskRanges) {
 			if sc.reassignTaskRanges(job, ranges) {
-				sc.nextOrphanedTasksTakeoverAt = sc.c.store.nextAllowedAt(0.4)
+				sc.nextOrphanedTasksTakeoverAt = sc.c.store.NextWriteAllowedAt(0.4)
 			}
 		}
 	}
@@ -292,7 +283,7 @@
 		) {
 			return 0
 		}
-		sc.nextWorkStealAt = sc.c.store.nextAllowedAt(0.1)
+		sc.nextWorkStealAt = sc.c.store.NextWriteAllowedAt(0.1)
 		return n
 	}
 	return 0
@@ -329,7 +320,7 @@
 		) {
 			return false
 		}
-		sc.nextWorkStealAt = sc.c.store.nextAllowedAt(0.1)
+		sc.nextWorkStealAt = sc.c.store.NextWriteAllowedAt(0.1)
 		return true
 	}
 	return false
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -32,7 +32,7 @@
 
 // maxQueuedUserCalls bounds what waits in the queue to well under the time that a user
 // waits for an answer.
-func (u *userAPI) maxQueuedUserCalls() int { return max(4, int(u.c.store.queue.Writes.Rate*0.75)) }
+func (u *userAPI) maxQueuedUserCalls() int { return max(4, int(u.c.store.WritesPerSecond()*0.75)) }
 
 func errorResponse(status int, text string) Response {
 	return Response{Status: status, Body: protocol.MustMarshal(&protocol.ErrorBody{Error: text})}
@@ -43,13 +43,13 @@
 	u.c.counters.requestsDeferred++
 	if u.c.log.Enabled(context.Background(), slog.LevelDebug) {
 		u.c.log.Debug("request deferred", "status", status, "reason", text,
-			"user_calls", u.c.store.queue.Len(ratelimit.PriorityUserRequest),
-			"shard_calls", u.c.store.queue.Len(ratelimit.PriorityShardUpdate),
+			"user_calls", u.c.store.QueuedCalls(ratelimit.PriorityUserRequest),
+			"shard_calls", u.c.store.QueuedCalls(ratelimit.PriorityShardUpdate),
 			"waiting_readers", len(u.c.replica.pendingReads))
 	}
 	response := errorResponse(status, text)
 	response.RetryAfter = 1
-	if u.c.store.unavailable {
+	if u.c.store.Unavailable() {
 		// Spread over a few seconds: the return must not be a stampede.
 		response.RetryAfter = 1 + int(u.c.env.Rand().Int64N(3))
 	}
@@ -157,7 +157,7 @@
 	switch {
 	case !u.c.replica.ready:
 		return u.retryLater(503, "records not read yet"), true
-	case u.c.store.unavailable:
+	case u.c.store.Unavailable():
 		return u.retryLater(503, "state service out of reach"), true
 	}
 	return Response{}, false
@@ -168,7 +168,7 @@
 	if response, rejected := u.rejectIfUnavailable(); rejected {
 		return response, true
 	}
-	if u.c.store.queue.Len(ratelimit.PriorityUserRequest) >= u.maxQueuedUserCalls() {
+	if u.c.store.QueuedCalls(ratelimit.PriorityUserRequest) >= u.maxQueuedUserCalls() {
 		return u.retryLater(429, "too many requests"), true
 	}
 	return Response{}, false
@@ -220,7 +220,7 @@
 		return
 	}
 	u.countSubmission(&spec)
-	if u.isRateLimited(&spec) && u.c.store.queue.Len(ratelimit.PriorityBurst) >= u.maxQueuedBurstCalls() {
+	if u.isRateLimited(&spec) && u.c.store.QueuedCalls(ratelimit.PriorityBurst) >= u.maxQueuedBurstCalls() {
 		response := u.retryLater(429, "too many jobs of this team")
 		response.RetryAfter += 1 + int(u.c.env.Rand().Int64N(3))
 		respond(response)
@@ -337,7 +337,7 @@
 			respond(u.finalStatusResponse(id, status))
 			return
 		}
-		if u.c.store.queue.Len(ratelimit.PriorityUserRequest) >= u.maxQueuedUserCalls() {
+		if u.c.store.QueuedCalls(ratelimit.PriorityUserRequest) >= u.maxQueuedUserCalls() {
 			respond(u.retryLater(429, "too many requests"))
 			return
 		}
@@ -384,7 +384,7 @@
 // readRecord reads a job's record of a kind; without the store it answers at once.
 func (u *userAPI) readRecord(kind, id string, respond func(Response), none func(), found func(protocol.Raw)) {
 	call := &protocol.StoreCall{Op: protocol.StoreGet, Key: storage.Key(kind, id)}
-	u.c.store.call(ratelimit.PriorityUserRequest, call, func(result protocol.StoreResult) {
+	u.c.store.Call(ratelimit.PriorityUserRequest, call, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
 			found(result.Item.Value)
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -42,9 +42,9 @@
 	return d.c.membership.absentSince(node, now)
 }
 
-func (d quotaDependencies) Unavailable() bool { return d.c.store.unavailable }
+func (d quotaDependencies) Unavailable() bool { return d.c.store.Unavailable() }
 
-func (d quotaDependencies) BudgetSharers() int { return d.c.store.budgetSharers }
+func (d quotaDependencies) BudgetSharers() int { return d.c.store.BudgetSharers() }
 
 func (d quotaDependencies) Commit(
 	priority ratelimit.Priority,
