--- a/internal/quota/share_test.go
+++ b/internal/quota/share_test.go
@@ -32,17 +32,41 @@
 	}{
 		{"nothing is short, much is unallocated", 16, nil, false, false, 20, false},
 		{"nothing is short, little is unallocated: down to use and margin", 15, nil, false, false, 14, false},
-		{"a shortage takes it all, and a tenth of what is left then", 30, shortage(1, 10, true), false, false, 32, false},
+		{
+			"a shortage takes it all, and a tenth of what is left then",
+			30,
+			shortage(1, 10, true),
+			false,
+			false,
+			32,
+			false,
+		},
 		{"a shortage takes no more than there is", 4, shortage(1, 10, true), false, false, 24, false},
 		{"a shortage without room on machines", 30, shortage(1, 10, false), false, false, 32, false},
-		{"not enough for a task: what isn't used is given up", 3, shortage(4, 10, true), false, false, 10, true},
+		{
+			"not enough for a task: what isn't used is given up",
+			3,
+			shortage(4, 10, true),
+			false,
+			false,
+			10,
+			true,
+		},
 		{"not enough for a task, nor room on a machine", 3, shortage(4, 10, false), false, false, 10, false},
 		{"just enough for a task", 4, shortage(4, 4, true), false, false, 24, false},
 		{"a peer lacks some: what isn't used is given up", 16, nil, true, false, 10, false},
 		{"a peer lacks some, and this one has no room", 30, shortage(1, 10, false), true, false, 10, false},
 		{"a peer lacks some, and this one has room", 30, shortage(1, 10, true), true, false, 32, false},
 		{"its workers are unreachable", 30, shortage(1, 10, true), false, true, 10, false},
-		{"its workers are unreachable and too little is left", 3, shortage(4, 10, true), false, true, 10, true},
+		{
+			"its workers are unreachable and too little is left",
+			3,
+			shortage(4, 10, true),
+			false,
+			true,
+			10,
+			true,
+		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,7 +80,8 @@
 				WorkersUnreachable: c.unreachable,
 				Controllers:        5,
 			})
-			if want := (storage.QuotaShare{CPUs: c.want}); !near(got.Share, want) || got.Lacking != c.lacking {
+			if want := (storage.QuotaShare{CPUs: c.want}); !near(got.Share, want) ||
+				got.Lacking != c.lacking {
 				t.Errorf("got %+v, want %v CPUs, lacking %v", got, c.want, c.lacking)
 			}
 		})
@@ -114,7 +139,9 @@
 
 // TestMoveUse: shares of teams with a limit follow what is used, none below zero; others stay.
 func TestMoveUse(t *testing.T) {
-	from := storage.Partition{QuotaShares: map[string]storage.QuotaShare{"a": {CPUs: 10, GPUs: 1}, "b": {CPUs: 2}}}
+	from := storage.Partition{
+		QuotaShares: map[string]storage.QuotaShare{"a": {CPUs: 10, GPUs: 1}, "b": {CPUs: 2}},
+	}
 	to := storage.Partition{QuotaShares: map[string]storage.QuotaShare{"a": {CPUs: 3}}}
 	limited := func(team string) bool { return team != "free" }
 	use := map[string]resources.Vector{"a": {CPUs: 4, GPUs: 1}, "b": {CPUs: 3}, "free": {CPUs: 5}}
