--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -45,7 +45,7 @@
 		{path: "internal/peerwire/cancellation"}},
 	{{path: "internal/sortedmap"}, {path: "internal/peerwire"}},
 	{{path: "internal/config"}, {path: "internal/transport"}},
-	{{path: "internal/protocol"}},
+	{{path: "internal/protocol"}, {path: "internal/durations", kind: decision}},
 	{{path: "internal/resources"}, {path: "internal/ratelimit"}, {path: "internal/fake", kind: fake}},
 	{{path: "internal/storage"}, {path: "internal/storeclient"}},
 	{{path: "internal/storage/storagetest", kind: fake}},
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/durations"
 	"pipitgap/internal/fake"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -36,7 +37,7 @@
 		if tc.contended {
 			// More than the answers that may still come of calls made before.
 			c.queueStoreCalls("n-0", ratelimit.PriorityShardUpdate, 10)
-			c.sim.Run(contendedQueueAge + fastTickInterval)
+			c.sim.Run(contendedQueueAge + durations.FastTickInterval)
 		}
 		for team, n := range tc.sent {
 			for i := 0; i < n; i++ {
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -63,7 +63,7 @@
 	if _, doubtful := sc.machineFault(agent); doubtful {
 		return false
 	}
-	return now-agent.LastReachedAt < sc.c.durations.placementSilenceLimit
+	return now-agent.LastReachedAt < sc.c.durations.PlacementSilenceLimit
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -6,6 +6,7 @@
 	"sort"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -42,11 +43,7 @@
 // Durations of the coordination itself; none depends on the deployment.
 const (
 	leaseKeepAliveTimeout = 1 * monotime.Second
-	watchLongPoll         = 2 * monotime.Second
-	fastTickInterval      = 50 * monotime.Millisecond
-	slowTickInterval      = 500 * monotime.Millisecond
 	commandTimeout        = 3 * monotime.Second
-	probeTimeout          = 1 * monotime.Second
 	maxWatchBytes         = 4 << 20 // bytes of an answer of the watch, at most about
 )
 
@@ -55,7 +52,7 @@
 type Controller struct {
 	cfg         *config.Config
 	settings    config.Settings
-	durations   platformDurations // what follows from the platform's durations
+	durations   durations.Platform // what follows from the platform's durations
 	env         Environment
 	log         *slog.Logger
 	node        string
@@ -97,7 +94,7 @@
 		cfg: cfg, settings: settings, env: env, log: log, node: cfg.Node,
 		incarnation:          env.Rand().Uint64()>>16 | 1,
 		controllers:          controllerNames(cfg),
-		durations:            newPlatformDurations(cfg.Facts.Workers),
+		durations:            durations.Derive(cfg.Facts.Workers),
 		peerStatuses:         newPeerTable(),
 		recordWritesInFlight: map[string]bool{},
 	}
@@ -132,13 +129,13 @@
 // Start begins the actor's work.
 func (c *Controller) Start() {
 	c.log.Info("controller starting", "node", c.node, "incarnation", c.incarnation)
-	for _, warning := range c.durations.warnings() {
+	for _, warning := range c.durations.Warnings() {
 		c.log.Warn(
 			"platform durations not covered",
 			"field",
-			warning.field,
+			warning.Field,
 			"consequence",
-			warning.consequence,
+			warning.Consequence,
 		)
 	}
 	c.membership.grantLease()
@@ -156,9 +153,9 @@
 	c.runFastTick(now)
 	if now >= c.nextSlowTickAt {
 		c.runSlowTick(now)
-		c.nextSlowTickAt = nextDue(now, c.now(), slowTickInterval)
+		c.nextSlowTickAt = nextDue(now, c.now(), durations.SlowTickInterval)
 	}
-	c.env.After(fastTickInterval, c.tick)
+	c.env.After(durations.FastTickInterval, c.tick)
 }
 
 // nextDue tells when work that ran from begun to ended is due again: after its
@@ -176,7 +173,7 @@
 	}
 	if c.scheduler.passDue(now) {
 		c.scheduler.runPass(now)
-		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*fastTickInterval))
+		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*durations.FastTickInterval))
 	}
 }
 
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -48,7 +49,7 @@
 	if got := core.store.ShardWritesPerSecond(); got >= usual/2 {
 		t.Errorf("many users at a peer: %v, usually %v", got, usual)
 	}
-	c.sim.Run(3 * slowTickInterval)
+	c.sim.Run(3 * durations.SlowTickInterval)
 	if got := core.store.ShardWritesPerSecond(); got != usual {
 		t.Errorf("afterwards: %v, usually %v", got, usual)
 	}
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -115,7 +116,7 @@
 	}
 	c := d.core
 	if c.store.Unavailable() || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) ||
-		now-c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+		now-c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
 		return
 	}
 	snapshot := c.drainSnapshot()
@@ -133,7 +134,7 @@
 	if c.membership.isLeader(now) {
 		d.settleDrains(snapshot)
 	}
-	d.nextRunAt = nextDue(now, c.now(), slowTickInterval)
+	d.nextRunAt = nextDue(now, c.now(), durations.SlowTickInterval)
 }
 
 // hasWork tells whether there is anything to do for drains.
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -142,13 +143,13 @@
 		// needn't be sent there again, its lease may not last for another round. One
 		// that goes round because its owner was gone for a moment must find it: that
 		// the owner has spoken to it since doesn't tell that it reports there.
-		if now-firstContactAt > am.c.durations.adoptionDelay ||
+		if now-firstContactAt > am.c.durations.AdoptionDelay ||
 			report.FencingToken >= machine.Claim()<<32 &&
-				now-am.c.shards.claimsObserved[machine.Shard.Name].observedAt > am.c.durations.workerLease {
+				now-am.c.shards.claimsObserved[machine.Shard.Name].observedAt > am.c.durations.WorkerLease {
 			// If it crashed just now, all its machines come, and it is back before they
 			// would all have changed their shards: so its next word is waited for.
 			claimNumber := machine.Claim()
-			am.c.env.After(slowTickInterval+2*fastTickInterval, func() {
+			am.c.env.After(durations.SlowTickInterval+2*durations.FastTickInterval, func() {
 				machine := am.c.mirror.Machines[report.Machine]
 				silent := am.c.peerStatuses.status(owner).lastHeardAt <= now
 				if silent && !am.mustAdoptBeforeLeaseEnds(owner, am.c.now()) || machine == nil ||
@@ -165,7 +166,7 @@
 		}
 	default:
 		// Crashed, perhaps back in a moment; or cut off, then its membership ends.
-		adopt = now-firstContactAt > am.c.durations.adoptionDelay || am.mustAdoptBeforeLeaseEnds(owner, now)
+		adopt = now-firstContactAt > am.c.durations.AdoptionDelay || am.mustAdoptBeforeLeaseEnds(owner, now)
 	}
 	if !adopt {
 		if am.c.reachability.heardFromRecently(owner, now) {
@@ -198,7 +199,7 @@
 // heardFromRecently tells whether a peer spoke to us lately.
 func (rc *reachability) heardFromRecently(peer string, now monotime.Micros) bool {
 	p := rc.c.peerStatuses.status(peer)
-	return p.hasReported && now-p.lastHeardAt < 3*slowTickInterval
+	return p.hasReported && now-p.lastHeardAt < 3*durations.SlowTickInterval
 }
 
 // silentFor tells for how long a peer hasn't spoken to us.
@@ -211,16 +212,16 @@
 // end on the way. Whoever is still a member for longer than that takes lives, but won't be
 // found on another round either.
 func (am *agentManager) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
-	round := workerRetryPause
+	round := durations.WorkerRetryPause
 	for _, peer := range am.c.cfg.Peers {
-		round += workerRetryPause
+		round += durations.WorkerRetryPause
 		if !am.c.reachability.heardFromRecently(peer.Node, now) {
-			round += workerAnswerTimeout
+			round += durations.WorkerAnswerTimeout
 		}
 	}
 	unheard := am.c.reachability.silentFor(owner, now)
-	return unheard > am.c.durations.membershipTTL ||
-		unheard+round > am.c.durations.workerLease-am.c.durations.heartbeatInterval
+	return unheard > am.c.durations.MembershipTTL ||
+		unheard+round > am.c.durations.WorkerLease-am.c.durations.HeartbeatInterval
 }
 
 // verifyReport asks a worker itself whether it stands where a report says. Copies of
@@ -231,7 +232,7 @@
 	requireNextSequence bool,
 	callback func(ok bool),
 ) {
-	am.c.env.SendCommands(report.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+	am.c.env.SendCommands(report.Endpoint, nil, durations.WorkerProbeTimeout, func(result protocol.CommandResult) {
 		current := &result.Heartbeat
 		callback(
 			result.Status == 200 && current.Machine == report.Machine && current.Incarnation == report.Incarnation && current.Sequence > report.Sequence &&
@@ -310,7 +311,7 @@
 	}
 	// It has nothing on it yet, so there is no hurry; a request that is rewritten
 	// makes the claims of all its other machines fail.
-	if firstContactAt := am.recordOrphanContact(report.Machine, 0, now); now-firstContactAt < am.c.durations.workerLease/2 {
+	if firstContactAt := am.recordOrphanContact(report.Machine, 0, now); now-firstContactAt < am.c.durations.WorkerLease/2 {
 		if am.c.membership.isMember(to) && !am.c.reachability.isCutOffFromWorkers(to, now) {
 			respond(am.redirectResponse(to))
 		} else {
@@ -372,7 +373,7 @@
 	}
 	commands := am.nextCommands(machine, now)
 	if agent.ClaimAcknowledged &&
-		(jumped || sincePrevious > am.c.durations.placementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) &&
+		(jumped || sincePrevious > am.c.durations.PlacementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) &&
 		agent.RequestedToken <= report.FencingToken {
 		// It was away, or shows no effect of what we say: it must show a token that
 		// only this answer can have brought it.
@@ -430,7 +431,7 @@
 	// With a new session all that was there before is gone. That it has one though
 	// we answered its last reports in time shows that our answers don't reach it:
 	// then its tasks are better run elsewhere.
-	answersNotArriving := jumped && now-agent.LastAnsweredAt < am.c.durations.workerLease-workerAnswerTimeout
+	answersNotArriving := jumped && now-agent.LastAnsweredAt < am.c.durations.WorkerLease-durations.WorkerAnswerTimeout
 	var ended []AttemptID
 	for task, attempt := range machine.Attempts {
 		key := AttemptID{task, attempt}
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
@@ -22,7 +23,7 @@
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
 	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.Unavailable() ||
-		now-am.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+		now-am.c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
 		return
 	}
 	check := &machineHealthCheck{now: now}
@@ -67,7 +68,7 @@
 			continue
 		}
 		check.owned++
-		silent := am.agentSilence(am.agentOf(machine), now) > 2*am.c.durations.heartbeatInterval
+		silent := am.agentSilence(am.agentOf(machine), now) > 2*am.c.durations.HeartbeatInterval
 		if silent {
 			check.silent++
 		}
@@ -79,7 +80,7 @@
 		zoneSilence.add(silent, am.agentOf(machine).Incarnation == 0)
 		overall.add(silent, am.agentOf(machine).Incarnation == 0)
 	}
-	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.suspicionTimeout ||
+	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.SuspicionTimeout ||
 		am.c.reachability.resumedFromPauseAt == 0 {
 		am.c.reachability.updateReachability(overall, now)
 	}
@@ -95,7 +96,7 @@
 func (am *agentManager) checkMachine(machine *mirror.Machine, check *machineHealthCheck) {
 	agent, now := am.agentOf(machine), check.now
 	if !agent.LeaseExpired && agent.ClaimAcknowledged &&
-		now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > am.c.durations.leaseExpiryProof {
+		now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > am.c.durations.LeaseExpiryProof {
 		check.leasesExpired++
 		check.tasksLost += len(machine.Attempts)
 		am.expireMachineLease(machine)
@@ -105,7 +106,7 @@
 		agent.FailureProne = doubtful
 		am.c.scheduler.requestPass()
 	}
-	if quiet := am.agentSilence(agent, now) > am.c.durations.suspicionTimeout || faulty; quiet != agent.Suspect {
+	if quiet := am.agentSilence(agent, now) > am.c.durations.SuspicionTimeout || faulty; quiet != agent.Suspect {
 		agent.Suspect = quiet
 		am.c.scheduler.requestPass()
 	}
@@ -139,23 +140,23 @@
 	// delete them for their silence would have its room wait for boots then. Not
 	// so where services are: a deletion lets them start elsewhere.
 	at, cut := am.zoneUnreachableAt[machine.Record.Zone]
-	cut = cut && check.now-at < am.c.durations.workerLease && !am.holdsService(machine)
+	cut = cut && check.now-at < am.c.durations.WorkerLease && !am.holdsService(machine)
 	// Cancelled tasks there must be gone in time. Until then its lease may end, or
 	// another controller reach it: a machine with all its tasks for one that was
 	// cancelled a moment before the trouble is dear.
-	giveUp, overdue := am.c.durations.leaseExpiryProof+2*am.c.durations.heartbeatInterval, am.c.durations.cancellationDeadline/2
+	giveUp, overdue := am.c.durations.LeaseExpiryProof+2*am.c.durations.HeartbeatInterval, am.c.durations.CancellationDeadline/2
 	if cut {
-		giveUp, overdue = 3*am.c.durations.leaseExpiryProof, 3*am.c.durations.cancellationDeadline/4
+		giveUp, overdue = 3*am.c.durations.LeaseExpiryProof, 3*am.c.durations.CancellationDeadline/4
 	}
 	switch {
 	case silent > giveUp:
 		return "unreachable"
-	case silent > am.c.durations.suspicionTimeout && am.holdsCancelled(machine, overdue):
+	case silent > am.c.durations.SuspicionTimeout && am.holdsCancelled(machine, overdue):
 		// Its cancelled tasks must be gone in time, whoever is to blame.
 		return "cancelled tasks unreachable"
-	case agent.InterruptionNoticed && silent > am.c.durations.placementSilenceLimit:
+	case agent.InterruptionNoticed && silent > am.c.durations.PlacementSilenceLimit:
 		return "spot interruption"
-	case silent > am.c.durations.suspicionTimeout && 3*check.silent <= check.owned && agent.ClaimAcknowledged && !cut:
+	case silent > am.c.durations.SuspicionTimeout && 3*check.silent <= check.owned && agent.ClaimAcknowledged && !cut:
 		// Deleting it proves its tasks gone long before its lease would. Not
 		// when many are silent: then it is we who are cut off.
 		return "unreachable"
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -50,7 +50,7 @@
 	sentAt := m.c.now()
 	call := &protocol.StoreCall{
 		Op:      protocol.StoreGrantLease,
-		TTL:     m.c.durations.membershipTTL,
+		TTL:     m.c.durations.MembershipTTL,
 		Timeout: leaseKeepAliveTimeout,
 	}
 	m.c.store.Call(ratelimit.PriorityLease, call, func(result protocol.StoreResult) {
@@ -63,7 +63,7 @@
 			m.c.env.After(delay, func() { m.leaseGrantInFlight = false; m.grantLease() })
 			return
 		}
-		m.leaseID, m.leaseRenewalSentAt, m.nextLeaseRenewalAt = result.Lease, sentAt, sentAt+m.c.durations.membershipTTL/4
+		m.leaseID, m.leaseRenewalSentAt, m.nextLeaseRenewalAt = result.Lease, sentAt, sentAt+m.c.durations.MembershipTTL/4
 		m.leaseGrantedAt = m.c.now()
 		m.c.replica.whenCurrent(func(bool) {}) // the mirror catches up at once, see leading
 		m.ensureMemberRecord()
@@ -81,7 +81,7 @@
 		m.leaseRenewalInFlight = false
 		switch result.Outcome {
 		case protocol.OK:
-			m.leaseRenewalSentAt, m.nextLeaseRenewalAt = sentAt, sentAt+m.c.durations.membershipTTL/4
+			m.leaseRenewalSentAt, m.nextLeaseRenewalAt = sentAt, sentAt+m.c.durations.MembershipTTL/4
 		case protocol.NotFound:
 			m.c.log.Info("controller lease expired")
 			m.leaseID = 0
@@ -95,7 +95,7 @@
 // holdsLease tells whether our lease can't have ended yet, by the steady clock.
 func (m *membership) holdsLease(now monotime.Micros) bool {
 	return m.leaseID != 0 &&
-		now-m.leaseRenewalSentAt < m.c.durations.membershipTTL-m.c.durations.membershipTTL/100
+		now-m.leaseRenewalSentAt < m.c.durations.MembershipTTL-m.c.durations.MembershipTTL/100
 }
 
 // ensureMemberRecord writes our member record if the store's isn't ours: an earlier
--- a/internal/coordination/mirror_sync.go
+++ b/internal/coordination/mirror_sync.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -215,7 +216,7 @@
 			return
 		}
 		r.watchInFlight = true
-		longPoll := watchLongPoll
+		longPoll := durations.WatchLongPoll
 		if len(r.pendingReads) > 0 {
 			longPoll = 0
 		}
@@ -233,7 +234,7 @@
 // had forgotten where it began.
 func (r *mirrorReplica) maxWatchGap() monotime.Micros {
 	return max(
-		2*watchLongPoll,
+		2*durations.WatchLongPoll,
 		monotime.FromSeconds(float64(r.maxWatchEvents())/r.c.cfg.Facts.State.WriteRPS),
 	)
 }
--- a/internal/coordination/peer_status.go
+++ b/internal/coordination/peer_status.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/storeclient"
 )
@@ -54,7 +55,7 @@
 // userCallsWaiting tells whether a peer said lately that many users wait there.
 func (p *PeerTable) userCallsWaiting(now monotime.Micros) bool {
 	for _, status := range p.statuses {
-		if status.userCallsWaitingAt != 0 && now-status.userCallsWaitingAt < 3*slowTickInterval {
+		if status.userCallsWaitingAt != 0 && now-status.userCallsWaitingAt < 3*durations.SlowTickInterval {
 			return true
 		}
 	}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -115,7 +116,7 @@
 		rc.c.env.SendCommands(
 			machine.Record.Endpoint,
 			nil,
-			probeTimeout,
+			durations.WorkerProbeTimeout,
 			func(result protocol.CommandResult) {
 				rc.probesInFlight--
 				if result.Status == 200 && result.Heartbeat.Machine == machine.ID {
@@ -155,7 +156,7 @@
 		return
 	}
 	since := rc.workersUnreachableSince
-	rc.c.env.SendCommands(machine.Record.Endpoint, nil, probeTimeout, func(result protocol.CommandResult) {
+	rc.c.env.SendCommands(machine.Record.Endpoint, nil, durations.WorkerProbeTimeout, func(result protocol.CommandResult) {
 		if result.Status == 200 && result.Heartbeat.Machine == machine.ID &&
 			rc.workersUnreachableSince == since &&
 			since != 0 {
@@ -193,7 +194,7 @@
 // writes, took longer than the leases of most.
 func (sm *shardManager) handOffShards(now monotime.Micros) {
 	if sm.c.quota.WriteInFlight() || sm.c.store.Unavailable() || !sm.c.membership.holdsLease(now) ||
-		now-sm.c.replica.lastWatchSuccessAt > watchLongPoll+monotime.Second {
+		now-sm.c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
 		return
 	}
 	var to, others []string
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -6,6 +6,7 @@
 	"sort"
 	"strings"
 
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -257,7 +258,7 @@
 		}
 	}
 	sc.nextPassAt = now + max(
-		2*fastTickInterval,
+		2*durations.FastTickInterval,
 		monotime.FromSeconds(float64(written)/sc.c.store.ShardWritesPerSecond()),
 	)
 }
--- a/internal/coordination/store_reachability.go
+++ b/internal/coordination/store_reachability.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
 )
@@ -44,10 +45,10 @@
 // us, and it is answered as before.
 func (rc *reachability) shouldRedirectAway(agent *Agent, now monotime.Micros) bool {
 	if !rc.isIsolated(now) ||
-		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.membershipTTL+takeoverDuration {
+		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.MembershipTTL+durations.TakeoverDuration {
 		return false
 	}
-	back := agent.RedirectedAt != 0 && now-agent.RedirectedAt < rc.c.durations.workerLease
+	back := agent.RedirectedAt != 0 && now-agent.RedirectedAt < rc.c.durations.WorkerLease
 	agent.RedirectedAt = max(now, 1)
 	return !back
 }
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
@@ -18,7 +19,7 @@
 			Node:               c.node,
 			Controllers:        c.controllers,
 			Teams:              c.cfg.Facts.Teams,
-			PeerStatusInterval: slowTickInterval,
+			PeerStatusInterval: durations.SlowTickInterval,
 		},
 		quotashares.Dependencies{
 			Mirror:      c.mirror,
--- a/internal/coordination/durations_test.go
+++ b/internal/durations/durations_test.go
@@ -1,4 +1,4 @@
-package coordination
+package durations
 
 import (
 	"testing"
@@ -23,22 +23,22 @@
 		{"nor for another controller", config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelWithinS: 30}, 4, 24, []string{"facts.workers.lease_s", "facts.workers.lease_s"}},
 		{"leases outlast cancellations", config.Workers{HeartbeatIntervalS: 2, LeaseS: 30, CancelWithinS: 20}, 8, 3, []string{"facts.workers.cancel_s"}},
 	} {
-		derived := newPlatformDurations(tc.workers)
-		if derived.membershipTTL.Seconds() != tc.membership || derived.renewalWindow.Seconds() != tc.renewal {
+		derived := Derive(tc.workers)
+		if derived.MembershipTTL.Seconds() != tc.membership || derived.RenewalWindow.Seconds() != tc.renewal {
 			t.Errorf(
 				"%s: membership %v s, renewal %v s",
 				tc.name,
-				derived.membershipTTL.Seconds(),
-				derived.renewalWindow.Seconds(),
+				derived.MembershipTTL.Seconds(),
+				derived.RenewalWindow.Seconds(),
 			)
 		}
-		warned := derived.warnings()
+		warned := derived.Warnings()
 		if len(warned) != len(tc.warned) {
 			t.Errorf("%s: warned %v, want of %v", tc.name, warned, tc.warned)
 			continue
 		}
 		for i, warning := range warned {
-			if warning.field != tc.warned[i] || warning.consequence == "" {
+			if warning.Field != tc.warned[i] || warning.Consequence == "" {
 				t.Errorf("%s: warned %v, want of %v", tc.name, warning, tc.warned[i])
 			}
 		}
