--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -381,7 +381,7 @@
 		service   bool
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
 		update := NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
-		update.MaxBytes = int(tc.partition * float64(core.scheduler.assignmentShardBytes()))
+		update.ReserveBytes(int(tc.partition * float64(core.scheduler.assignmentShardBytes())))
 		candidates := []*candidateMachine{
 			{
 				machine:       &mirror.Machine{ID: "i-1", CachedImages: map[string]bool{}},
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -70,8 +70,8 @@
 func (sc *scheduler) candidateMachines(updates []*ShardUpdate, now monotime.Micros) []*candidateMachine {
 	var out []*candidateMachine
 	for _, update := range updates {
-		for _, id := range sortedmap.Keys(update.Next.Machines) {
-			record, machine := update.Next.Machines[id], sc.c.mirror.Machines[id]
+		for _, id := range sortedmap.Keys(update.Machines()) {
+			record, machine := update.Machines()[id], sc.c.mirror.Machines[id]
 			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen ||
 				!sc.schedulable(machine, now) {
 				continue
@@ -80,21 +80,18 @@
 			if !ok {
 				continue
 			}
-			free := mirror.MachineCapacity(&machineType).
-				AddScaled(machine.Used, -1).
-				AddScaled(update.FreedByMachine[id], 1).
-				AddScaled(update.AssignedByMachine[id], -1)
+			free := mirror.MachineCapacity(&machineType).AddScaled(machine.Used, -1)
 			_, closed := sc.c.api.jobsClosedAt[id]
 			candidate := &candidateMachine{
 				machine:       machine,
 				record:        record,
 				update:        update,
-				freeResources: free,
+				freeResources: update.FreeAfter(id, free),
 				serviceCPUs:   sc.serviceCPUs(machine),
 				taskCount:     len(machine.Attempts),
 				closing:       closed,
 			}
-			out, update.Candidates = append(out, candidate), append(update.Candidates, candidate)
+			out = append(out, candidate)
 		}
 	}
 	return out
@@ -208,13 +205,15 @@
 // chooseMachine picks the machine for a task: spot before ordinary where the job may,
 // one that has the image, the tightest fit. Under overload it looks at a sample,
 // and at all before it says that there is no room.
+// preferred: candidates of the shard that the job's last task went to, tried first.
 // given: only shards that give back enough of the team's share.
 // idle: ordinary machines only where services keep them in any case.
 func (sc *scheduler) chooseMachine(
 	job *mirror.Job,
 	candidates []*candidateMachine,
 	zones *zoneConstraint,
-	fencedUpdate, preferredUpdate *ShardUpdate,
+	fencedUpdate *ShardUpdate,
+	preferred []*candidateMachine,
 	sample, freedQuotaOnly, spotOnly bool,
 ) *candidateMachine {
 	var best *candidateMachine
@@ -226,9 +225,9 @@
 		sc.c.counters.machinesExamined++
 		if !job.TaskResources.FitsIn(candidate.freeResources) || !candidate.availableTo(job) || !machineAllowed(spec, candidate.record) || !zones.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine ||
 			fencedUpdate != nil && candidate.update != fencedUpdate ||
-			freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedByTeam[spec.Team]) ||
-			candidate.update.MaxBytes > limit ||
-			len(candidate.update.Txn.If) >= conds && !candidate.update.AssignedJobs[job.ID] {
+			freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedQuota(spec.Team)) ||
+			candidate.update.MaxBytes() > limit ||
+			candidate.update.Compares() >= conds && !candidate.update.AssignsJob(job.ID) {
 			return
 		}
 		if tracking != nil && tracking.excludedMachines[candidate.machine.ID] ||
@@ -263,10 +262,10 @@
 			best, bestScore = candidate, score
 		}
 	}
-	if preferredUpdate != nil && !spec.Service {
+	if !spec.Service {
 		// A job that stands in few shards takes little of each: every shard that names
 		// it spends its id, two conditions, and numbers of tasks that are no ranges.
-		for _, candidate := range preferredUpdate.Candidates {
+		for _, candidate := range preferred {
 			consider(candidate)
 		}
 		if best != nil && bestScore < lessPreferredPenalty {
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -20,7 +20,7 @@
 	inDoubt := map[string]bool{}
 	for _, tracker := range sm.trackers {
 		for _, update := range tracker.updatesInDoubt {
-			for id := range update.AdmittedMachines {
+			for id := range update.admittedMachines {
 				inDoubt[id] = true
 			}
 		}
@@ -68,15 +68,15 @@
 		if !known || update == nil {
 			update = nil
 			for _, other := range updates {
-				if other.PlannedBytes+need <= sm.c.scheduler.assignmentShardBytes() &&
-					other.MaxBytes+moving+bytesPerMachine <= sm.c.scheduler.assignmentShardBytes() &&
-					(update == nil || other.PlannedBytes < update.PlannedBytes) {
+				if other.plannedBytes+need <= sm.c.scheduler.assignmentShardBytes() &&
+					other.maxBytes+moving+bytesPerMachine <= sm.c.scheduler.assignmentShardBytes() &&
+					(update == nil || other.plannedBytes < update.plannedBytes) {
 					update = other
 				}
 			}
 		}
-		if update == nil || update.PlannedBytes+need > sm.c.scheduler.assignmentShardBytes() ||
-			update.MaxBytes+moving+bytesPerMachine > sm.c.scheduler.assignmentShardBytes() {
+		if update == nil || update.plannedBytes+need > sm.c.scheduler.assignmentShardBytes() ||
+			update.maxBytes+moving+bytesPerMachine > sm.c.scheduler.assignmentShardBytes() {
 			if known && takeoverUpdate != nil {
 				continue // the rest the next time
 			}
@@ -86,23 +86,23 @@
 				Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
 			sm.newShards[name] = next
 			update = NewShardUpdate(name, nil, next)
-			update.MaxBytes = update.Next.MaxEncodedSize()
+			update.maxBytes = update.next.MaxEncodedSize()
 			updates = append(updates, update)
 		}
-		if len(update.Txn.If) > 3*sm.c.cfg.Facts.State.TxnOps {
+		if len(update.txn.If) > 3*sm.c.cfg.Facts.State.TxnOps {
 			continue
 		}
-		update.Changed = true
-		update.MaxBytes += bytesPerMachine + moving
-		update.PlannedBytes += need
-		update.AdmittedMachines[id] = pendingClaim
+		update.changed = true
+		update.maxBytes += bytesPerMachine + moving
+		update.plannedBytes += need
+		update.admittedMachines[id] = true
 		update.AddCompare(storage.Key(storage.KindMember, sm.c.node), member.Version)
 		if known {
 			takeoverUpdate, moved[machine.Shard.Name] = update, true
 			sm.moveMachine(update, machine, &pendingClaim.report)
 			continue
 		}
-		update.Next.AddMachine(
+		update.next.AddMachine(
 			id,
 			storage.ShardMachine{
 				Type:     pendingClaim.report.Type,
@@ -178,7 +178,7 @@
 	key := storage.Key(storage.KindShard, fromShard.Name)
 	at := -1
 	left := fromShard.Record
-	for i, operation := range update.Txn.Then {
+	for i, operation := range update.txn.Then {
 		if operation.Put == key {
 			at = i
 			left, _ = storage.DecodeShard(operation.Value, nil)
@@ -187,14 +187,14 @@
 	left = left.Clone()
 	record := *machine.Record
 	record.Endpoint = report.Endpoint
-	record.Claim = max(machine.Claim(), update.Next.Claim) + 1
+	record.Claim = max(machine.Claim(), update.next.Claim) + 1
 	delete(left.Machines, machine.ID)
-	update.Next.AddMachine(machine.ID, record)
+	update.next.AddMachine(machine.ID, record)
 	useByTeam := map[string]resources.Vector{}
 	for task, attempt := range machine.Attempts {
 		before, _ := fromShard.Record.FindAttempt(task.Job, task.Index)
 		left.Release(task.Job, task.Index, false)
-		update.Next.Assign(
+		update.next.Assign(
 			task.Job,
 			storage.Attempt{
 				Task:     task.Index,
@@ -209,14 +209,14 @@
 	}
 	encoded, _ := left.Encode()
 	if at >= 0 {
-		update.Txn.Then[at].Value = encoded
+		update.txn.Then[at].Value = encoded
 	} else {
 		update.AddCompare(key, fromShard.Version)
-		update.Txn.Then = append(update.Txn.Then, protocol.Op{Put: key, Value: encoded})
+		update.txn.Then = append(update.txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
 	sm.c.quota.Transfer(
-		&update.Txn,
-		update.ComparedKeys,
+		&update.txn,
+		update.comparedKeys,
 		fromShard.Record.Owner,
 		sm.c.node,
 		useByTeam,
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -134,7 +134,7 @@
 // assignedThisPass tells whether a task is assigned by the pass under way.
 func (r *drainReservations) assignedThisPass(task mirror.TaskID) bool {
 	for _, update := range r.updates {
-		if update.AssignedTasks[task] {
+		if update.AssignsTask(task) {
 			return true
 		}
 	}
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -38,6 +38,8 @@
 	now        monotime.Micros
 	wallNow    int64
 	candidates []*candidateMachine
+	// the candidates of each update
+	candidatesByUpdate map[*ShardUpdate][]*candidateMachine
 	// look at some of the candidates only
 	sampling bool
 	// if so, those with room for a task, as last looked at: room only shrinks in a pass
@@ -80,10 +82,10 @@
 
 	fittingAtStart []*candidateMachine // those with room for a task when it was first looked for
 
-	fencedUpdate    *ShardUpdate // the update that takes a fenced job's tasks
-	chosenMachine   *candidateMachine
-	preferredUpdate *ShardUpdate // the shard that its last tasks went to
-	lastAssigned    storage.Attempt
+	fencedUpdate  *ShardUpdate // the update that takes a fenced job's tasks
+	chosenMachine *candidateMachine
+	preferred     []*candidateMachine // those of the shard that its last task went to
+	lastAssigned  storage.Attempt
 }
 
 // placeTasks gives pending tasks of our shares to machines of the updates; where
@@ -109,6 +111,7 @@
 		hasRoomFor:     map[taskShape]bool{},
 		fittingByShape: map[taskShape][]*candidateMachine{},
 	}
+	p.candidatesByUpdate = candidatesByUpdate(p.candidates)
 	sc.reservePreemptedRoom(p.candidates, now)
 	p.reservations = sc.c.drains.reserveOnCandidates(p.candidates, updates)
 	p.sampling = len(p.candidates) > sampleAboveMachines &&
@@ -122,6 +125,15 @@
 	sc.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
 }
 
+// candidatesByUpdate groups candidates by the update of their shard, in their order.
+func candidatesByUpdate(candidates []*candidateMachine) map[*ShardUpdate][]*candidateMachine {
+	grouped := map[*ShardUpdate][]*candidateMachine{}
+	for _, candidate := range candidates {
+		grouped[candidate.update] = append(grouped[candidate.update], candidate)
+	}
+	return grouped
+}
+
 // totalServiceCPUs is what all services hold.
 func (sc *scheduler) totalServiceCPUs() float64 {
 	served := 0.0
@@ -274,7 +286,7 @@
 			p.searchSpace(),
 			p.zoneConstraint,
 			p.fencedUpdate,
-			p.preferredUpdate,
+			p.preferred,
 			p.sampling,
 			freedQuotaOnly,
 			p.spotOnly,
@@ -300,12 +312,12 @@
 func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
 	candidate, taskResources := p.chosenMachine, p.job.TaskResources
 	return candidate == nil ||
-		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedByTeam[p.spec.Team]) ||
+		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedQuota(p.spec.Team)) ||
 		p.spec.Service ||
 		!taskResources.FitsIn(candidate.freeResources) ||
 		!p.zoneConstraint.allows(candidate.record.Zone) ||
 		candidate.taskCount >= maxTasksPerMachine ||
-		candidate.update.MaxBytes+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
+		candidate.update.MaxBytes()+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
 // noteNoMachine notes that no machine takes a task of the job, also for others like it.
@@ -323,39 +335,21 @@
 func (p *jobPlacement) assignToChosen(task int) {
 	c, job, candidate := p.core, p.job, p.chosenMachine
 	update, machine := candidate.update, candidate.machine.ID
-	p.preferredUpdate = update
-	if !update.AssignedJobs[job.ID] {
-		update.AssignedJobs[job.ID] = true
-		update.MaxBytes += len(job.ID) + 4
-		update.AddCompare(storage.Key(storage.KindOpenJob, job.ID), job.Version)
-		update.AddCompare(storage.Key(storage.KindJobResult, job.ID), 0)
-	}
+	p.preferred = p.candidatesByUpdate[update]
+	update.BeginJob(job)
 	if p.limits.Limited() {
 		sharesKey := storage.Key(storage.KindPartition, c.node)
 		update.AddCompare(sharesKey, c.mirror.VersionOf(sharesKey))
 	}
-	if p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1 {
-		update.MaxBytes += storage.MaxTaskBytes(task) + 1 // it joins the range before
-	} else {
-		update.MaxBytes += 2*storage.MaxTaskBytes(task) + 12
-	}
-	starting := c.drains.tracksStart(p.spec)
-	if starting {
-		update.MaxBytes += storage.MaxStartingBytes
-	}
+	joinsRange := p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1
 	p.lastAssigned = storage.Attempt{
 		Task:     task,
 		Machine:  machine,
 		Number:   c.mirror.NewestRevision,
-		Starting: starting,
+		Starting: c.drains.tracksStart(p.spec),
 	}
-	update.Changed = true
 	c.scheduler.jobsInPass[job.ID] = true
-	update.Next.Assign(job.ID, p.lastAssigned)
-	update.AssignedTasks[mirror.TaskID{Job: job.ID, Index: task}] = true
-	update.AssignedByMachine[machine] = update.AssignedByMachine[machine].AddScaled(job.TaskResources, 1)
-	mirror.AddUse(update.AssignedByTeam, p.spec.Team, job.TaskResources, 1)
-	update.MachinesToSync[machine] = true
+	update.Assign(job, p.lastAssigned, joinsRange)
 	delete(c.api.jobsClosedAt, machine)
 	candidate.closing = false
 	candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
@@ -364,9 +358,7 @@
 		candidate.serviceCPUs += job.TaskResources.CPUs
 	}
 	candidate.machine.CachedImages[p.spec.Image] = true
-	if given := update.FreedByTeam[p.spec.Team]; p.limits.Limited() && job.TaskResources.FitsIn(given) {
-		update.FreedByTeam[p.spec.Team] = given.AddScaled(job.TaskResources, -1)
-	} else {
+	if !p.limits.Limited() || !update.UseFreedQuota(p.spec.Team, job.TaskResources) {
 		p.quotaRoom = p.quotaRoom.AddScaled(job.TaskResources, -1)
 	}
 	p.zoneConstraint.addTasks(candidate.record.Zone, 1)
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -3,15 +3,12 @@
 import (
 	"context"
 	"log/slog"
-	"sort"
-	"strings"
 
 	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
-	"pipitgap/internal/resources"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
@@ -68,84 +65,6 @@
 	observedAt          monotime.Micros
 }
 
-// ShardUpdate is a shard as it will be written.
-type ShardUpdate struct {
-	Name              string
-	Previous          *mirror.Shard // nil: a new shard
-	Next              *storage.Shard
-	Changed           bool
-	MaxBytes          int                  // bytes that it may come to take
-	PlannedBytes      int                  // and those that its machines will need once they are full
-	Txn               protocol.Transaction // what else the commit asks and changes
-	ComparedKeys      map[string]bool
-	FreedByMachine    map[string]resources.Vector // by machine: released by this pass
-	FreedByTeam       map[string]resources.Vector // by team: the same, and not yet used again
-	AssignedByMachine map[string]resources.Vector // by machine: assigned by this pass
-	AssignedByTeam    map[string]resources.Vector // by team: assigned by this pass
-	AssignedTasks     map[mirror.TaskID]bool
-	AssignedJobs      map[string]bool
-	CompletedTaskJobs map[string]bool        // jobs with tasks completed
-	ReleasedTasks     map[mirror.TaskID]bool // attempts released
-	AdmittedMachines  map[string]*claimRequest
-	MachinesToSync    map[string]bool     // machines with something new to do
-	Candidates        []*candidateMachine // those of its machines that may get tasks
-	UnpermittedLosses []replicaLoss       // replicas that this update releases outside of permits
-}
-
-// PreviousVersion is the version that the update is conditional on; 0 for a new shard.
-func (d *ShardUpdate) PreviousVersion() uint64 {
-	if d.Previous == nil {
-		return 0
-	}
-	return d.Previous.Version
-}
-
-// describeTasks names tasks for the log, with the machines they are given to.
-func (d *ShardUpdate) describeTasks(tasks map[mirror.TaskID]bool) string {
-	var out []string
-	for task := range tasks {
-		s := task.String()
-		if entry := d.Next.Jobs[task.Job]; entry != nil {
-			for _, held := range entry.Attempts {
-				if held.Task == task.Index {
-					s += "@" + held.Machine
-				}
-			}
-		}
-		out = append(out, s)
-	}
-	sort.Strings(out)
-	return strings.Join(out, " ")
-}
-
-// AddCompare has the commit ask for a version of another record too.
-func (d *ShardUpdate) AddCompare(key string, version uint64) {
-	if !d.ComparedKeys[key] {
-		d.ComparedKeys[key] = true
-		d.Txn.If = append(d.Txn.If, protocol.Compare{Key: key, Version: version})
-	}
-}
-
-// NewShardUpdate prepares an update of a shard; previous is nil for a new one.
-func NewShardUpdate(name string, previous *mirror.Shard, next *storage.Shard) *ShardUpdate {
-	return &ShardUpdate{
-		Name:              name,
-		Previous:          previous,
-		Next:              next,
-		ComparedKeys:      map[string]bool{},
-		FreedByMachine:    map[string]resources.Vector{},
-		FreedByTeam:       map[string]resources.Vector{},
-		AssignedByMachine: map[string]resources.Vector{},
-		AssignedByTeam:    map[string]resources.Vector{},
-		AssignedTasks:     map[mirror.TaskID]bool{},
-		AssignedJobs:      map[string]bool{},
-		CompletedTaskJobs: map[string]bool{},
-		ReleasedTasks:     map[mirror.TaskID]bool{},
-		AdmittedMachines:  map[string]*claimRequest{},
-		MachinesToSync:    map[string]bool{},
-	}
-}
-
 // ownsShard tells whether a shard is ours, in this life of ours.
 func (sm *shardManager) ownsShard(shard *mirror.Shard) bool {
 	return shard.Record.Owner == sm.c.node && shard.Record.Incarnation == sm.c.incarnation
@@ -232,15 +151,15 @@
 		if shard := sc.c.mirror.Shards[name]; sc.c.shards.ownsShard(shard) &&
 			sc.c.shards.trackerOf(name).commitInFlightSince == 0 {
 			update := sc.c.shards.prepareShardUpdate(shard, now)
-			update.PlannedBytes = sc.c.shards.plannedShardBytes(update.Next)
+			update.plannedBytes = sc.c.shards.plannedShardBytes(update.next)
 			updates = append(updates, update)
 		}
 	}
 	for _, name := range sortedmap.Keys(sc.c.shards.newShards) {
 		if tracker := sc.c.shards.trackerOf(name); tracker.commitInFlightSince == 0 {
 			update := NewShardUpdate(name, nil, sc.c.shards.newShards[name])
-			update.Changed, update.Next.Machines, update.Next.Jobs = true, map[string]*storage.ShardMachine{}, map[string]*storage.ShardJob{}
-			update.MaxBytes = update.Next.MaxEncodedSize()
+			update.changed, update.next.Machines, update.next.Jobs = true, map[string]*storage.ShardMachine{}, map[string]*storage.ShardJob{}
+			update.maxBytes = update.next.MaxEncodedSize()
 			updates = append(updates, update)
 		}
 	}
@@ -251,7 +170,7 @@
 	// others' assignments ask for: they go last, or all others would fail.
 	for _, moving := range []bool{false, true} {
 		for _, update := range updates {
-			if update.Changed && (len(update.Txn.Then) > 0) == moving {
+			if update.changed && (update.ChangesOtherRecords()) == moving {
 				written++
 				sc.c.shards.commitShardUpdate(update, now)
 			}
@@ -268,25 +187,11 @@
 func (sm *shardManager) prepareShardUpdate(shard *mirror.Shard, now monotime.Micros) *ShardUpdate {
 	update := NewShardUpdate(shard.Name, shard, shard.Record.Clone())
 	tracker := sm.trackerOf(shard.Name)
-	update.Changed = len(tracker.updatesInDoubt) > 0 // writing it anew settles what became of that
+	update.changed = len(tracker.updatesInDoubt) > 0 // writing it anew settles what became of that
+	var losses []replicaLoss
 	release := func(machine *mirror.Machine, task mirror.TaskID, done bool) {
-		update.Changed = true
-		update.ReleasedTasks[task] = true
-		update.UnpermittedLosses = sm.c.drains.recordLoss(update.UnpermittedLosses, machine, task)
-		update.Next.Release(task.Job, task.Index, done)
-		if done {
-			update.CompletedTaskJobs[task.Job] = true
-		}
-		if job := sm.c.mirror.Jobs[task.Job]; job != nil {
-			update.FreedByMachine[machine.ID] = update.FreedByMachine[machine.ID].AddScaled(
-				job.TaskResources,
-				1,
-			)
-			update.FreedByTeam[job.Record.Spec.Team] = update.FreedByTeam[job.Record.Spec.Team].AddScaled(
-				job.TaskResources,
-				1,
-			)
-		}
+		losses = sm.c.drains.recordLoss(losses, machine, task)
+		update.Release(machine.ID, task, done, sm.c.mirror.Jobs[task.Job])
 	}
 	marked := false
 	for _, id := range sortedmap.Keys(shard.Record.Machines) {
@@ -299,8 +204,8 @@
 			for task := range machine.Attempts {
 				release(machine, task, false)
 			}
-			delete(update.Next.Machines, id)
-			update.Changed = true
+			delete(update.next.Machines, id)
+			update.changed = true
 			continue
 		}
 		agent := sm.c.agents.agentOf(machine)
@@ -315,23 +220,23 @@
 			release(machine, key.Task, outcome == OutcomeCompleted)
 		}
 		if want := sm.c.agents.desiredMachineState(machine); want != machine.Record.State {
-			update.Next.SetMachineState(id, want)
-			update.Changed = true
+			update.next.SetMachineState(id, want)
+			update.changed = true
 		}
-		if sm.c.drains.updateStartingMarks(update.Next, machine, now) {
+		if sm.c.drains.updateStartingMarks(update.next, machine, now) {
 			marked = true
 		}
 	}
 	stale := 0
 	if marked && sm.c.drains.hasWork() {
-		update.Changed = true // a drain waits for that
+		update.changed = true // a drain waits for that
 	} else if marked {
 		stale++
 	}
 	for id, entry := range shard.Record.Jobs {
 		if sm.c.mirror.Jobs[id] == nil && len(entry.Attempts) == 0 &&
 			sm.c.mirror.WatchedRevision >= shard.Version {
-			delete(update.Next.Jobs, id)
+			delete(update.next.Jobs, id)
 			stale++
 		}
 	}
@@ -340,9 +245,10 @@
 	} else if tracker.staleSince == 0 {
 		tracker.staleSince = now
 	} else if now-tracker.staleSince > staleEntriesRewriteDelay {
-		update.Changed = true // else they go along with the next change
+		update.changed = true // else they go along with the next change
 	}
-	update.MaxBytes = update.Next.MaxEncodedSize()
+	update.OnCommitted(func() { sm.c.drains.countCommittedLosses(losses) })
+	update.maxBytes = update.next.MaxEncodedSize()
 	return update
 }
 
@@ -366,21 +272,21 @@
 
 // commitShardUpdate commits an update.
 func (sm *shardManager) commitShardUpdate(update *ShardUpdate, now monotime.Micros) {
-	tracker := sm.trackerOf(update.Name)
-	key := storage.Key(storage.KindShard, update.Name)
-	if update.Previous == nil && len(update.Next.Machines) == 0 && len(tracker.updatesInDoubt) == 0 {
-		delete(sm.newShards, update.Name)
+	tracker := sm.trackerOf(update.name)
+	key := storage.Key(storage.KindShard, update.name)
+	if update.previous == nil && len(update.next.Machines) == 0 && len(tracker.updatesInDoubt) == 0 {
+		delete(sm.newShards, update.name)
 		return
 	}
-	txn := update.Txn
+	txn := update.txn
 	txn.If = append([]protocol.Compare{{Key: key, Version: update.PreviousVersion()}}, txn.If...)
-	if update.Previous != nil && len(update.Next.Machines) == 0 && len(update.Next.Jobs) == 0 {
+	if update.previous != nil && len(update.next.Machines) == 0 && len(update.next.Jobs) == 0 {
 		txn.Then = append(txn.Then, protocol.Op{Delete: key})
 	} else {
-		encoded, size := update.Next.Encode()
+		encoded, size := update.next.Encode()
 		if size > sm.c.maxValueBytes() {
 			// The bound on what is assigned keeps this from happening.
-			sm.c.log.Error("shard exceeds value size limit", "shard", update.Name, "bytes", size)
+			sm.c.log.Error("shard exceeds value size limit", "shard", update.name, "bytes", size)
 		}
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
@@ -388,7 +294,7 @@
 	sm.c.replica.commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		tracker.commitInFlightSince = 0
 		sm.c.scheduler.requestPass()
-		if len(update.Txn.Then) > 0 {
+		if update.ChangesOtherRecords() {
 			sm.takeoverLimiter.recordOutcome(result)
 		}
 		if result.Outcome != protocol.Unknown && result.Outcome != protocol.OK {
@@ -396,15 +302,17 @@
 		}
 		switch result.Outcome {
 		case protocol.OK:
-			sm.c.counters.tasksPlaced += len(update.AssignedTasks)
-			sm.c.drains.countCommittedLosses(update.UnpermittedLosses)
-			for _, id := range sortedmap.Keys(update.CompletedTaskJobs) {
+			sm.c.counters.tasksPlaced += len(update.assignedTasks)
+			for _, callback := range update.committedCallbacks {
+				callback()
+			}
+			for _, id := range sortedmap.Keys(update.completedTaskJobs) {
 				sm.c.api.completeJobIfDone(id)
 			}
-			for _, id := range sortedmap.Keys(update.AdmittedMachines) {
+			for _, id := range sortedmap.Keys(update.admittedMachines) {
 				sm.completeClaimRequest(id, true)
 			}
-			for _, id := range sortedmap.Keys(update.MachinesToSync) {
+			for _, id := range sortedmap.Keys(update.machinesToSync) {
 				if machine := sm.c.mirror.Machines[id]; machine != nil {
 					sm.c.agents.syncCommands(machine)
 				}
@@ -413,15 +321,15 @@
 				sm.c.log.Debug(
 					"shard committed",
 					"shard",
-					update.Name,
+					update.name,
 					"assigned",
-					update.describeTasks(update.AssignedTasks),
+					update.describeTasks(update.assignedTasks),
 					"released",
-					update.describeTasks(update.ReleasedTasks),
+					update.describeTasks(update.releasedTasks),
 					"machines_claimed",
-					len(update.AdmittedMachines),
+					len(update.admittedMachines),
 					"max_bytes",
-					update.MaxBytes,
+					update.maxBytes,
 				)
 			}
 		case protocol.Unknown:
@@ -430,7 +338,7 @@
 			sm.c.log.Debug(
 				"shard compare-and-swap conflict",
 				"shard",
-				update.Name,
+				update.name,
 				"failed_keys",
 				result.Failed,
 			)
@@ -445,7 +353,7 @@
 			}
 			sm.c.scheduler.delayPassUntil(sm.c.now() + sm.c.store.WatchInterval()/2)
 		case protocol.Rejected:
-			sm.c.log.Error("shard rejected by state service", "shard", update.Name)
+			sm.c.log.Error("shard rejected by state service", "shard", update.name)
 			sm.c.scheduler.delayPassUntil(sm.c.now() + monotime.Second)
 		default:
 			sm.c.scheduler.delayPassUntil(sm.c.now() + 300*monotime.Millisecond)
@@ -459,7 +367,7 @@
 	out := map[mirror.TaskID]bool{}
 	for _, tracker := range sm.trackers {
 		for _, update := range tracker.updatesInDoubt {
-			for task := range update.AssignedTasks {
+			for task := range update.assignedTasks {
 				out[task] = true
 			}
 		}
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -65,7 +65,7 @@
 		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
 			update := NewShardUpdate("p", core.mirror.Shards["p"], shard)
-			mirror.AddUse(update.AssignedByTeam, "tight", resources.Vector{CPUs: 2}, 1)
+			update.Assign(core.mirror.Jobs["j-1"], storage.Attempt{Task: 2, Machine: "i-1", Number: 2}, false)
 			core.shards.trackerOf("p").updatesInDoubt = []*ShardUpdate{update}
 		}
 		if got := core.quota.Left("tight").CPUs; got != tc.left {
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -68,7 +68,7 @@
 	use := resources.Vector{}
 	for _, tracker := range d.c.shards.trackers {
 		for _, update := range tracker.updatesInDoubt {
-			use = use.Plus(update.AssignedByTeam[team])
+			use = use.Plus(update.AssignedToTeam(team))
 		}
 	}
 	return use
