--- /dev/null
+++ b/internal/autoscaling/snapshot.go
@@ -0,0 +1,306 @@
+package autoscaling
+
+import (
+	"math"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// overdueLimitFactor times the settings' factor is after how many boot times a requested machine that isn't up is
+// no longer relied on at all.
+const overdueLimitFactor = 1.5
+
+// Snapshot is what demand and supply are read from. It is read only.
+type Snapshot struct {
+	Records      *mirror.Mirror
+	MachineTypes map[string]protocol.MachineType
+	Jobs         JobPolicy
+	Now          monotime.Micros
+	WallClock    int64 // microseconds, as in the records
+
+	ServiceHeadroom   float64 // part of what each class of services uses that is kept free; 0: none
+	OverdueBootFactor float64 // after how many boot times a requested machine is overdue; 0: never
+}
+
+// JobPolicy answers what the scheduler and the quotas say of jobs.
+type JobPolicy interface {
+	// IsDelayed tells whether a job's tasks aren't to be placed yet.
+	IsDelayed(job *mirror.Job, now monotime.Micros) bool
+	// IsCrashLooping tells whether a job fails wherever it runs, and is held to an occasional trial.
+	IsCrashLooping(job *mirror.Job) bool
+	// MayScaleOutForTrial tells whether a machine may be requested for the trial of such a job.
+	MayScaleOutForTrial(job *mirror.Job, now monotime.Micros) bool
+	// IsScavenger tells whether a job runs in its team's idle time only.
+	IsScavenger(job *mirror.Job) bool
+	// IsSpotOnly tells whether no on-demand machine is to be requested for a job.
+	IsSpotOnly(job *mirror.Job) bool
+	// IsPreemptible tells whether tasks of arrays with a higher priority may preempt a job's.
+	IsPreemptible(job *mirror.Job) bool
+	// ExpectedRunSeconds is the expected run of a task.
+	ExpectedRunSeconds(spec *storage.JobSpec) float64
+	// SlackSeconds is how long a job's tasks may wait and still meet the next objective; infinite without one.
+	SlackSeconds(job *mirror.Job, wallClock int64) float64
+	// RemainingQuota is what a team may use beyond what it uses now.
+	RemainingQuota(team string) resources.Vector
+	// Zones is a job's rule on zones as its tasks stand now; each call gives one of its own.
+	Zones(job *mirror.Job) ZoneConstraint
+}
+
+// UnplacedDemand lists the tasks without room that the quotas let run, given the open jobs in the queue's order.
+func (s *Snapshot) UnplacedDemand(queue []*mirror.Job) []*Demand {
+	var out []*Demand
+	quotas := map[string]resources.Vector{}
+	for i, job := range queue {
+		if s.Jobs.IsDelayed(job, s.Now) {
+			continue
+		}
+		crashLooping := s.Jobs.IsCrashLooping(job)
+		if crashLooping && !s.Jobs.MayScaleOutForTrial(job, s.Now) {
+			continue // its trials run on what is free
+		}
+		team := job.Record.Spec.Team
+		quota, ok := quotas[team]
+		if !ok {
+			quota = s.Jobs.RemainingQuota(team)
+		}
+		tasks := min(job.UnassignedTasks(), job.TaskResources.CountIn(quota))
+		quotas[team] = quota.AddScaled(job.TaskResources, -float64(tasks))
+		if tasks == 0 {
+			continue
+		}
+		demand := s.demandOf(job, tasks, i)
+		if !demand.SpotOnly && s.Jobs.IsScavenger(job) || crashLooping {
+			demand.Tasks, demand.CrashLoopTrial = 1, crashLooping
+		}
+		out = append(out, demand)
+	}
+	return out
+}
+
+// demandOf is the demand of a job's tasks.
+func (s *Snapshot) demandOf(job *mirror.Job, tasks, queueIndex int) *Demand {
+	spec := &job.Record.Spec
+	return &Demand{
+		Spec:            spec,
+		Need:            job.TaskResources,
+		Tasks:           tasks,
+		JobID:           job.ID,
+		QueueIndex:      queueIndex,
+		SlackSeconds:    s.Jobs.SlackSeconds(job, s.WallClock),
+		Zones:           s.Jobs.Zones(job),
+		ExpectedSeconds: s.Jobs.ExpectedRunSeconds(spec),
+		SpotOnly:        s.Jobs.IsSpotOnly(job),
+	}
+}
+
+// HeadroomDemand is room that is kept for services yet to come: a part of what each class of services uses now. A
+// service that finds room starts within its image fetch; one that doesn't waits for a boot.
+func (s *Snapshot) HeadroomDemand() []*Demand {
+	if s.ServiceHeadroom == 0 {
+		return nil
+	}
+	tasks := map[string]int{}
+	latest := map[string]*mirror.Job{} // of each class, as the example of its size
+	for _, id := range sortedmap.Keys(s.Records.Jobs) {
+		job := s.Records.Jobs[id]
+		if !job.IsOpen() || !job.Record.Spec.Service || s.Jobs.IsCrashLooping(job) {
+			continue
+		}
+		class := job.Record.Spec.Class
+		tasks[class] += job.Record.Spec.Tasks
+		latest[class] = job
+	}
+	var out []*Demand
+	for _, class := range sortedmap.Keys(latest) {
+		spec := latest[class].Record.Spec
+		spec.OneZone, spec.Spread, spec.Zone, spec.MachineTypes = false, false, "", nil
+		out = append(out, &Demand{
+			Spec:       &spec,
+			Need:       latest[class].TaskResources,
+			Tasks:      int(math.Ceil(float64(tasks[class]) * s.ServiceHeadroom)),
+			JobID:      "headroom " + class,
+			QueueIndex: math.MaxInt32,
+		})
+	}
+	return out
+}
+
+// Bins lists the supply: first the machines that may get tasks, then those that open requests will bring.
+func (s *Snapshot) Bins() []*Bin { return append(s.machineBins(), s.requestedBins()...) }
+
+// machineBins lists the machines that may get tasks.
+func (s *Snapshot) machineBins() []*Bin {
+	var out []*Bin
+	for _, id := range sortedmap.Keys(s.Records.Machines) {
+		machine := s.Records.Machines[id]
+		if machine.Record == nil || machine.Record.State != storage.MachineOpen {
+			continue
+		}
+		machineType, ok := s.MachineTypes[machine.Record.Type]
+		if !ok {
+			continue
+		}
+		capacity := mirror.MachineCapacity(&machineType)
+		bin := &Bin{
+			Offer:       Offer{machine.Record.Type, machine.Record.Zone, machine.Record.Spot},
+			MachineID:   id,
+			Capacity:    capacity,
+			Free:        capacity.AddScaled(machine.Used, -1),
+			ArrayCPUs:   machineType.CPUs,
+			BootSeconds: machineType.BootS,
+		}
+		for task := range machine.Attempts {
+			if job := s.Records.Jobs[task.Job]; job != nil {
+				s.addRunningTask(bin, job)
+			}
+		}
+		out = append(out, bin)
+	}
+	return out
+}
+
+// addRunningTask adds to a bin what a task that runs there holds, and what is expected of it: a service never ends,
+// an array's task is taken to be half through.
+func (s *Snapshot) addRunningTask(bin *Bin, job *mirror.Job) {
+	spec := &job.Record.Spec
+	if spec.Service {
+		bin.ArrayCPUs -= job.TaskResources.CPUs
+		return
+	}
+	bin.PreemptibleByServices = bin.PreemptibleByServices.AddScaled(job.TaskResources, 1)
+	if s.Jobs.IsPreemptible(job) { // its end isn't waited for
+		if bin.PreemptibleByPriority == nil {
+			bin.PreemptibleByPriority = map[int]resources.Vector{}
+		}
+		held := bin.PreemptibleByPriority[spec.Priority]
+		bin.PreemptibleByPriority[spec.Priority] = held.AddScaled(job.TaskResources, 1)
+		return
+	}
+	seconds := s.Jobs.ExpectedRunSeconds(spec)
+	bin.CommittedCPUSeconds += resources.Round(job.TaskResources.CPUs * seconds / 2)
+	bin.Running = append(bin.Running, RunningTask{
+		CPUs:            resources.Round(job.TaskResources.CPUs),
+		ExpectedSeconds: resources.Round(seconds),
+	})
+}
+
+// requestedBins lists the machines that open requests are expected to bring.
+func (s *Snapshot) requestedBins() []*Bin {
+	var out []*Bin
+	for _, name := range sortedmap.Keys(s.Records.ScaleOuts) {
+		request := s.Records.ScaleOuts[name]
+		machineType, ok := s.MachineTypes[request.Record.MachineType]
+		if !ok || request.Record.Phase == storage.ScaleOutNoCapacity {
+			continue
+		}
+		expected := s.expectedMachines(request, machineType.BootS)
+		for range expected.count {
+			out = append(out, &Bin{
+				Offer:       requestedOffer(&request.Record),
+				Capacity:    mirror.MachineCapacity(&machineType),
+				Free:        mirror.MachineCapacity(&machineType),
+				ArrayCPUs:   machineType.CPUs,
+				BootSeconds: machineType.BootS,
+				Overdue:     expected.overdue,
+			})
+		}
+	}
+	return out
+}
+
+// expectedMachines is how many machines a request can be relied on to bring.
+type expectedMachines struct {
+	count   int
+	overdue bool // they should have been up by now
+}
+
+// expectedMachines counts the machines that a request can be relied on to bring, given the type's boot time in seconds.
+func (s *Snapshot) expectedMachines(request *mirror.ScaleOutEntry, bootSeconds float64) expectedMachines {
+	if request.Record.Phase != storage.ScaleOutProvisioning {
+		return expectedMachines{count: request.Record.Count}
+	}
+	overdue := false
+	if s.OverdueBootFactor > 0 {
+		boots := monotime.Micros(s.WallClock-request.Record.PhaseSince).Seconds() / max(bootSeconds, 1)
+		if boots > overdueLimitFactor*s.OverdueBootFactor {
+			return expectedMachines{}
+		}
+		overdue = boots > s.OverdueBootFactor
+	}
+	return expectedMachines{count: len(MissingMachines(s.Records, request)), overdue: overdue}
+}
+
+// MissingMachines lists the machines of a request that haven't come up and aren't being removed.
+func MissingMachines(records *mirror.Mirror, request *mirror.ScaleOutEntry) []string {
+	var out []string
+	for _, id := range request.Record.Machines {
+		machine := records.Machines[id]
+		if (machine == nil || machine.Record == nil) && records.ScaleInOfMachine[id] == "" {
+			out = append(out, id)
+		}
+	}
+	return out
+}
+
+// Offers lists what may be requested now: whatever the cloud has at a price, but for offers that are quarantined or
+// excluded by the caller.
+func (s *Snapshot) Offers(isExcluded func(Offer) bool) []*PricedOffer {
+	quarantined, zoneMachines := QuarantinedOffers(s.Records), s.machinesByZone()
+	var out []*PricedOffer
+	for _, name := range sortedmap.Keys(s.MachineTypes) {
+		machineType := s.MachineTypes[name]
+		for _, zone := range machineType.Zones {
+			for _, spot := range []bool{true, false} {
+				offer := Offer{name, zone, spot}
+				price := effectivePrice(&machineType, spot)
+				if quarantined[offer] || price <= 0 || isExcluded(offer) {
+					continue
+				}
+				out = append(out, &PricedOffer{
+					Offer:        offer,
+					Capacity:     mirror.MachineCapacity(&machineType),
+					Price:        price,
+					ZoneMachines: zoneMachines[zone],
+				})
+			}
+		}
+	}
+	return out
+}
+
+// QuarantinedOffers lists the offers that are left out because of insufficient capacity.
+func QuarantinedOffers(records *mirror.Mirror) map[Offer]bool {
+	out := map[Offer]bool{}
+	for _, request := range records.ScaleOuts {
+		if request.Record.Phase == storage.ScaleOutNoCapacity {
+			out[requestedOffer(&request.Record)] = true
+		}
+	}
+	return out
+}
+
+// requestedOffer is the offer that a request is for.
+func requestedOffer(request *storage.ScaleOutRequest) Offer {
+	return Offer{request.MachineType, request.Zone, request.Spot}
+}
+
+// machinesByZone counts the machines that are up or requested.
+func (s *Snapshot) machinesByZone() map[string]int {
+	count := map[string]int{}
+	for _, machine := range s.Records.Machines {
+		if machine.Record != nil {
+			count[machine.Record.Zone]++
+		}
+	}
+	for _, request := range s.Records.ScaleOuts {
+		if request.Record.Phase != storage.ScaleOutNoCapacity {
+			count[request.Record.Zone] += request.Record.Count
+		}
+	}
+	return count
+}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -1,19 +1,17 @@
 package coordination
 
 import (
-	"fmt"
 	"math"
 	"sort"
 
+	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
-	"pipitgap/internal/protocol"
-	"pipitgap/internal/resources"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
 
-// autoscaler rents and returns machines while this controller is the leader.
+// autoscaler requests machines from the cloud and has them removed while this controller is the leader.
 type autoscaler struct {
 	c *Controller
 
@@ -22,186 +20,131 @@
 	nextEmptyMachineCheckAt monotime.Micros
 }
 
-// Bounds of a pass.
-const (
-	maxMachinesPerPass = 600 // machines rented in a pass
-	bootPenaltySeconds = 60  // seconds: boot time that makes an offer look twice as dear
-)
+func newAutoscaler(c *Controller) *autoscaler {
+	return &autoscaler{c: c, term: newLeaderState(0, &c.settings), emptySince: map[string]monotime.Micros{}}
+}
 
-// quarantinedOffers lists the offers that are sidelined.
-func (as *autoscaler) quarantinedOffers() map[offer]bool {
-	out := map[offer]bool{}
-	for _, request := range as.c.mirror.ScaleOuts {
-		if request.Record.Phase == storage.ScaleOutNoCapacity {
-			out[offer{request.Record.MachineType, request.Record.Zone, request.Record.Spot}] = true
-		}
+// snapshot is what demand and supply are read from.
+func (as *autoscaler) snapshot(now monotime.Micros) *autoscaling.Snapshot {
+	return &autoscaling.Snapshot{
+		Records:           as.c.mirror,
+		MachineTypes:      as.c.catalog.machineTypes,
+		Jobs:              jobPolicy{as.c},
+		Now:               now,
+		WallClock:         as.c.env.WallClock(),
+		ServiceHeadroom:   as.c.settings.ServiceHeadroom,
+		OverdueBootFactor: as.c.settings.OverdueBootFactor,
 	}
-	return out
 }
 
-// demandAndSupply lists the unplaced tasks that teams' limits let run, and the room
-// there is for them: machines that are there, and open requests.
-func (as *autoscaler) demandAndSupply(now monotime.Micros) ([]*taskDemand, []*machineBin) {
-	waiting := append(as.unplacedDemand(now), as.c.drains.replacementDemands()...)
-	return waiting, append(as.machineBins(), as.requestedBins()...)
+// demandAndSupply lists the tasks without room that the quotas let run, those that drains want replaced among them,
+// and the machines that are up or requested.
+func (as *autoscaler) demandAndSupply(snapshot *autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin) {
+	waiting := append(
+		snapshot.UnplacedDemand(as.c.scheduler.orderedQueue()),
+		as.c.drains.replacementDemands()...,
+	)
+	return waiting, snapshot.Bins()
 }
 
-// unplacedDemand lists the tasks without room that teams' limits let run.
-func (as *autoscaler) unplacedDemand(now monotime.Micros) []*taskDemand {
-	var out []*taskDemand
-	teamLeft := map[string]resources.Vector{}
-	for i, job := range as.c.scheduler.orderedQueue() {
-		spec := &job.Record.Spec
-		if s := as.c.scheduler.jobStates[job.ID]; s != nil && now < s.placeNotBefore {
-			continue
-		}
-		mistaken := as.c.scheduler.isCrashLooping(job)
-		if mistaken && !as.c.scheduler.mayScaleOutForTrial(job, now) {
-			continue // it is tried in what room there is
-		}
-		left, ok := teamLeft[spec.Team]
-		if !ok {
-			limits, _ := as.c.quota.Limits(spec.Team)
-			left = limits.Remaining(as.c.mirror.UseByTeam[spec.Team])
-		}
-		n := min(job.UnassignedTasks(), job.TaskResources.CountIn(left))
-		teamLeft[spec.Team] = left.AddScaled(job.TaskResources, -float64(n))
-		if n == 0 {
-			continue
-		}
-		slack, _ := as.slackOf(job, as.c.env.WallClock())
-		demand := &taskDemand{
-			spec:            spec,
-			need:            job.TaskResources,
-			tasks:           n,
-			jobID:           job.ID,
-			queueIndex:      i,
-			zoneConstraint:  newZoneConstraint(as.c.mirror, job),
-			slackSeconds:    slack,
-			expectedSeconds: as.c.scheduler.expectedRunSeconds(spec),
-			spotOnly:        as.c.scheduler.spotOnly(job),
+// autoscalingPass requests machines for the demand that neither the machines nor the open requests can take.
+func (as *autoscaler) autoscalingPass(now monotime.Micros) {
+	if as.c.catalog.machineTypes == nil {
+		return
+	}
+	snapshot := as.snapshot(now)
+	plan := as.newPlan(snapshot)
+	unmet := plan.Unmet()
+	as.term.backoffs.ForgetMet(unmet)
+	wanted := as.term.backoffs.Eligible(unmet, now)
+	tasksBefore := map[string]int{}
+	for _, demand := range wanted {
+		tasksBefore[demand.JobID] = demand.Tasks
+	}
+	scaleOuts := plan.ScaleOuts(wanted, as.availableOffers(snapshot))
+	for _, demand := range wanted {
+		met := demand.Tasks < tasksBefore[demand.JobID]
+		if as.term.backoffs.Update(demand.JobID, met, now) {
+			as.c.log.Info("job removed from demand, insufficient capacity",
+				"job", demand.JobID, "tasks", demand.Tasks)
 		}
-		if !demand.spotOnly && as.c.scheduler.isScavenger(job) || mistaken {
-			demand.tasks, demand.crashLoopTrial = 1, mistaken
+	}
+	for _, scaleOut := range scaleOuts {
+		for n := scaleOut.Machines; n > 0; n -= maxMachinesPerScaleOut {
+			as.requestScaleOut(scaleOut.Offer, min(n, maxMachinesPerScaleOut))
 		}
-		out = append(out, demand)
 	}
-	return out
 }
 
-// machineBins lists the machines that may get tasks.
-func (as *autoscaler) machineBins() []*machineBin {
-	var out []*machineBin
-	for _, id := range sortedmap.Keys(as.c.mirror.Machines) {
-		machine := as.c.mirror.Machines[id]
-		if machine.Record == nil || machine.Record.State != storage.MachineOpen {
-			continue
-		}
-		machineType, ok := as.c.catalog.machineTypes[machine.Record.Type]
-		if !ok {
-			continue
-		}
-		size := mirror.MachineCapacity(&machineType)
-		bin := &machineBin{
-			machineType: machine.Record.Type,
-			zone:        machine.Record.Zone,
-			spot:        machine.Record.Spot,
-			capacity:    size,
-			free:        size.AddScaled(machine.Used, -1),
-			machineID:   id,
+// newPlan reads the inputs of a pass, and notes for which jobs that fail everywhere a trial is planned.
+func (as *autoscaler) newPlan(snapshot *autoscaling.Snapshot) *autoscaling.Plan {
+	demands, bins := as.demandAndSupply(snapshot)
+	for _, demand := range demands {
+		if demand.CrashLoopTrial {
+			as.c.scheduler.trackingOf(demand.JobID).trialDemandAt = max(snapshot.Now, 1)
 		}
-		as.estimateRoom(bin, machine)
-		out = append(out, bin)
 	}
-	return out
+	return &autoscaling.Plan{
+		Waiting:                  demands,
+		Headroom:                 snapshot.HeadroomDemand(),
+		Bins:                     bins,
+		MachineTypes:             as.c.catalog.machineTypes,
+		ExpectedCapacity:         as.c.settings.ExpectedCapacity,
+		ExpectedOnDemandCapacity: as.c.settings.ExpectedOnDemandCapacity,
+	}
+}
+
+// availableOffers lists what may be requested now. What is requested in a zone that is unreachable as a whole would
+// wait, at a cost, until the zone is back.
+func (as *autoscaler) availableOffers(snapshot *autoscaling.Snapshot) []*autoscaling.PricedOffer {
+	as.updateUnreachableZones(as.zoneReachability())
+	return snapshot.Offers(func(offer autoscaling.Offer) bool {
+		return as.term.unreachableZones[offer.Zone] || as.c.drains.closesOffer(offer)
+	})
 }
 
-// requestedBins lists the machines that open requests will bring: they are supply.
-func (as *autoscaler) requestedBins() []*machineBin {
-	var out []*machineBin
-	for _, name := range sortedmap.Keys(as.c.mirror.ScaleOuts) {
-		request := as.c.mirror.ScaleOuts[name]
-		machineType, ok := as.c.catalog.machineTypes[request.Record.MachineType]
-		if !ok || request.Record.Phase == storage.ScaleOutNoCapacity {
+// zoneReachability counts each zone's machines, and how many of them are silent.
+func (as *autoscaler) zoneReachability() map[string]*silenceCount {
+	heard := map[string]*silenceCount{}
+	for _, machine := range as.c.mirror.Machines {
+		if machine.Record == nil {
 			continue
 		}
-		coming, late := as.expectedMachines(request, machineType.BootS)
-		for range coming {
-			out = append(
-				out,
-				&machineBin{
-					machineType: request.Record.MachineType,
-					zone:        request.Record.Zone,
-					spot:        request.Record.Spot,
-					capacity:    mirror.MachineCapacity(&machineType),
-					free:        mirror.MachineCapacity(&machineType),
-					arrayCPUs:   machineType.CPUs,
-					bootSeconds: machineType.BootS,
-					overdue:     late,
-				},
-			)
+		if heard[machine.Record.Zone] == nil {
+			heard[machine.Record.Zone] = &silenceCount{}
 		}
+		heard[machine.Record.Zone].add(
+			machine.Record.State == storage.MachineUnreachable,
+			machine.Record.State != storage.MachineOpen,
+		)
 	}
-	return out
+	return heard
 }
 
-// expectedMachines tells how many machines a request may be relied on to bring, and whether they
-// are late already.
-func (as *autoscaler) expectedMachines(
-	request *mirror.ScaleOutEntry,
-	bootS float64,
-) (machines int, late bool) {
-	if request.Record.Phase != storage.ScaleOutProvisioning {
-		return request.Record.Count, false
-	}
-	if as.c.settings.OverdueBootFactor > 0 {
-		boots := monotime.Micros(as.c.env.WallClock()-request.Record.PhaseSince).Seconds() / max(bootS, 1)
-		if boots > 1.5*as.c.settings.OverdueBootFactor {
-			return 0, false // those that are missing are slow or dead: no longer to be relied on
+// updateUnreachableZones follows which zones are unreachable as a whole.
+func (as *autoscaler) updateUnreachableZones(heard map[string]*silenceCount) {
+	for zone := range as.term.unreachableZones {
+		if !heard[zone].isUnreachable() {
+			delete(as.term.unreachableZones, zone)
+			as.term.backoffs.NoteOfferRecovery()
+			as.c.log.Info("zone unreachable", "state", conditionEnd, "zone", zone)
 		}
-		late = boots > as.c.settings.OverdueBootFactor
 	}
-	return len(as.missingMachines(request)), late
-}
-
-// estimateRoom estimates what a machine can give to waiting tasks: what its
-// services hold is out, and its other tasks are taken to be half through.
-func (as *autoscaler) estimateRoom(bin *machineBin, machine *mirror.Machine) {
-	machineType := as.c.catalog.machineTypes[bin.machineType]
-	bin.arrayCPUs, bin.bootSeconds = machineType.CPUs, machineType.BootS
-	for task := range machine.Attempts {
-		job := as.c.mirror.Jobs[task.Job]
-		if job == nil {
-			continue
-		}
-		if job.Record.Spec.Service {
-			bin.arrayCPUs -= job.TaskResources.CPUs
-		} else {
-			bin.preemptibleByServices = bin.preemptibleByServices.AddScaled(job.TaskResources, 1)
-			if as.c.scheduler.isPreemptible(job) {
-				if bin.preemptibleByPriority == nil {
-					bin.preemptibleByPriority = map[int]resources.Vector{}
-				}
-				priority := job.Record.Spec.Priority
-				bin.preemptibleByPriority[priority] = bin.preemptibleByPriority[priority].AddScaled(job.TaskResources, 1)
-				continue // it isn't waited for, it gives way
-			}
-			lasts := as.c.scheduler.expectedRunSeconds(&job.Record.Spec)
-			bin.committedCPUSeconds += resources.Round(job.TaskResources.CPUs * lasts / 2)
-			bin.running = append(bin.running, runningTask{resources.Round(job.TaskResources.CPUs), resources.Round(lasts)})
+	for _, zone := range sortedmap.Keys(heard) {
+		if zoneSilence := heard[zone]; zoneSilence.isUnreachable() && !as.term.unreachableZones[zone] {
+			as.term.unreachableZones[zone] = true
+			as.c.log.Info("zone unreachable", "state", conditionBegin, "zone", zone,
+				"machines", zoneSilence.machines, "machines_unreachable", zoneSilence.silent)
 		}
 	}
 }
 
-// estimateMargin stretches estimates: they are wrong, and images must be fetched.
-const estimateMargin = 1.2
-
 // latestStarts are the times by which the users' aims would have a job's tasks begin, in
 // seconds from its submission, the shortest first: multiples of its deadline and the
 // times within which its class is to be finished, less its run; the times within
 // which its class is to have started. Without any of them it has no such time.
 func (as *autoscaler) latestStarts(spec *storage.JobSpec) []float64 {
-	run := estimateMargin * as.c.scheduler.expectedRunSeconds(spec)
+	run := autoscaling.EstimateMargin * as.c.scheduler.expectedRunSeconds(spec)
 	var out []float64
 	due := false
 	for _, o := range as.c.cfg.Facts.Objectives {
@@ -237,316 +180,10 @@
 	return begins[min(missed, len(begins)-1)] - age, missed
 }
 
-// availableOffers lists what may be rented now.
-func (as *autoscaler) availableOffers() []*pricedOffer {
-	heard := as.zoneReachability()
-	as.updateUnreachableZones(heard)
-	unmet, inZone := as.quarantinedOffers(), as.machinesByZone()
-	var out []*pricedOffer
-	for _, name := range sortedmap.Keys(as.c.catalog.machineTypes) {
-		machineType := as.c.catalog.machineTypes[name]
-		for _, zone := range machineType.Zones {
-			if as.term.unreachableZones[zone] {
-				continue // what is rented there would wait, paid for, until it is back
-			}
-			for _, spot := range []bool{true, false} {
-				o := offer{name, zone, spot}
-				price := effectivePrice(&machineType, spot)
-				if unmet[o] || price <= 0 || as.c.drains.closesOffer(o) {
-					continue
-				}
-				out = append(
-					out,
-					&pricedOffer{
-						offer:        o,
-						capacity:     mirror.MachineCapacity(&machineType),
-						price:        price,
-						zoneMachines: inZone[zone],
-					},
-				)
-			}
-		}
-	}
-	return out
-}
-
-// effectivePrice is an offer's price, with the boot time on top: that is paid for too, and keeps
-// tasks waiting.
-func effectivePrice(machineType *protocol.MachineType, spot bool) float64 {
-	price := machineType.OnDemandPrice
-	if spot {
-		price = machineType.SpotPrice
-	}
-	return price * (1 + machineType.BootS/bootPenaltySeconds)
-}
-
-// zoneReachability counts each zone's machines, and which of them are silent.
-func (as *autoscaler) zoneReachability() map[string]*silenceCount {
-	heard := map[string]*silenceCount{}
-	for _, machine := range as.c.mirror.Machines {
-		if machine.Record == nil {
-			continue
-		}
-		if heard[machine.Record.Zone] == nil {
-			heard[machine.Record.Zone] = &silenceCount{}
-		}
-		heard[machine.Record.Zone].add(
-			machine.Record.State == storage.MachineUnreachable,
-			machine.Record.State != storage.MachineOpen,
-		)
-	}
-	return heard
-}
-
-// machinesByZone counts the machines that are there or requested.
-func (as *autoscaler) machinesByZone() map[string]int {
-	count := map[string]int{}
-	for _, machine := range as.c.mirror.Machines {
-		if machine.Record != nil {
-			count[machine.Record.Zone]++
-		}
-	}
-	for _, request := range as.c.mirror.ScaleOuts {
-		if request.Record.Phase != storage.ScaleOutNoCapacity {
-			count[request.Record.Zone] += request.Record.Count
-		}
-	}
-	return count
-}
-
-// updateUnreachableZones follows which zones have fallen silent as a whole.
-func (as *autoscaler) updateUnreachableZones(heard map[string]*silenceCount) {
-	for zone := range as.term.unreachableZones {
-		if !heard[zone].isUnreachable() {
-			delete(as.term.unreachableZones, zone)
-			as.term.offerRecoveries++
-			as.c.log.Info("zone unreachable", "state", conditionEnd, "zone", zone)
-		}
-	}
-	for _, zone := range sortedmap.Keys(heard) {
-		if zoneSilence := heard[zone]; zoneSilence.isUnreachable() && !as.term.unreachableZones[zone] {
-			as.term.unreachableZones[zone] = true
-			as.c.log.Info("zone unreachable", "state", conditionBegin, "zone", zone,
-				"machines", zoneSilence.machines, "machines_unreachable", zoneSilence.silent)
-		}
-	}
-}
-
-// autoscalingPass is the design's: demand net of room and open requests, then rentals,
-// then empty machines.
-func (as *autoscaler) autoscalingPass(now monotime.Micros) {
-	if as.c.catalog.machineTypes == nil {
-		return
-	}
-	demands, bins := as.unmetDemand(now)
-	as.forgetPlacedJobs(demands)
-	wanted := as.eligibleDemand(demands, now)
-	before := map[string]int{}
-	for _, demand := range wanted {
-		before[demand.jobID] = demand.tasks
-	}
-	chosen := as.planScaleOut(wanted, bins)
-	for _, demand := range wanted {
-		as.updateBackoff(demand, demand.tasks < before[demand.jobID], now)
-	}
-	for _, o := range sortedOffers(chosen) {
-		for n := chosen[o]; n > 0; n -= maxMachinesPerScaleOut {
-			as.requestScaleOut(o, min(n, maxMachinesPerScaleOut))
-		}
-	}
-}
-
-// unmetDemand is what finds no room in the machines that are there or requested, headroom
-// included.
-func (as *autoscaler) unmetDemand(now monotime.Micros) ([]*taskDemand, []*machineBin) {
-	demands, bins := as.demandAndSupply(now)
-	for _, demand := range demands {
-		if demand.crashLoopTrial {
-			as.c.scheduler.trackingOf(demand.jobID).trialDemandAt = max(now, 1)
-		}
-	}
-	largestFirst(demands)
-	fillBins(demands, bins)
-	absorbByPreemption(demands, bins)
-	reserve := as.serviceHeadroom()
-	reserveHeadroom(reserve, bins, map[string]bool{})
-	absorbDemand(demands, bins, as.c.settings.ExpectedCapacity, false)
-	return append(demands, reserve...), bins
-}
-
-// eligibleDemand leaves out what is met, and jobs that have backed off.
-func (as *autoscaler) eligibleDemand(demands []*taskDemand, now monotime.Micros) []*taskDemand {
-	var wanted []*taskDemand
-	for _, demand := range demands {
-		if demand.tasks > 0 && !as.inBackoff(demand.jobID, now) {
-			wanted = append(wanted, demand)
-		}
-	}
-	return wanted
-}
-
-// inBackoff tells whether nothing is rented for a job for now.
-func (as *autoscaler) inBackoff(job string, now monotime.Micros) bool {
-	backoff := as.term.unplaceableJobs[job]
-	if backoff == nil {
-		return false
-	}
-	if backoff.suspended {
-		return backoff.offerRecoveries == as.term.offerRecoveries
-	}
-	return now < backoff.retryAt
-}
-
-// forgetPlacedJobs drops the notes about jobs that wait no more.
-func (as *autoscaler) forgetPlacedJobs(demands []*taskDemand) {
-	waiting := map[string]bool{}
-	for _, demand := range demands {
-		waiting[demand.jobID] = waiting[demand.jobID] || demand.tasks > 0
-	}
-	for id := range as.term.unplaceableJobs {
-		if !waiting[id] {
-			delete(as.term.unplaceableJobs, id)
-		}
-	}
-}
-
-// serviceHeadroom is room that is kept for services yet to come: a partition of what each
-// class of services uses now. A service that finds room starts within its image
-// fetch, one that doesn't waits for a boot.
-func (as *autoscaler) serviceHeadroom() []*taskDemand {
-	if as.c.settings.ServiceHeadroom == 0 {
-		return nil
-	}
-	count := map[string]int{}
-	like := map[string]*mirror.Job{}
-	for _, id := range sortedmap.Keys(as.c.mirror.Jobs) {
-		if job := as.c.mirror.Jobs[id]; job.IsOpen() && job.Record.Spec.Service &&
-			!as.c.scheduler.isCrashLooping(job) {
-			k := job.Record.Spec.Class
-			count[k] += job.Record.Spec.Tasks
-			like[k] = job
-		}
-	}
-	var out []*taskDemand
-	for _, k := range sortedmap.Keys(like) {
-		spec := like[k].Record.Spec
-		spec.OneZone, spec.Spread, spec.Zone, spec.MachineTypes = false, false, "", nil
-		n := int(math.Ceil(float64(count[k]) * as.c.settings.ServiceHeadroom))
-		out = append(
-			out,
-			&taskDemand{
-				spec:       &spec,
-				need:       like[k].TaskResources,
-				tasks:      n,
-				jobID:      "headroom " + k,
-				queueIndex: math.MaxInt32,
-			},
-		)
-	}
-	return out
-}
-
-// planScaleOut plans in two steps: first spot machines for the tasks that may use
-// them, and what the others need; then, for spot tasks that are left and would
-// wait beyond the longer horizon, ordinary machines.
-func (as *autoscaler) planScaleOut(wanted []*taskDemand, bins []*machineBin) map[offer]int {
-	chosen := map[offer]int{}
-	offers := as.availableOffers()
-	planOffers(
-		wanted,
-		offers,
-		maxMachinesPerPass,
-		func(demand *taskDemand, o *pricedOffer) bool { return o.spot == demand.spec.Spot },
-		chosen,
-	)
-	for _, o := range sortedOffers(chosen) {
-		machineType := as.c.catalog.machineTypes[o.machineType]
-		for n := chosen[o]; n > 0; n-- {
-			bins = append(
-				bins,
-				&machineBin{
-					machineType: o.machineType,
-					zone:        o.zone,
-					spot:        o.spot,
-					capacity:    mirror.MachineCapacity(&machineType),
-					arrayCPUs:   machineType.CPUs,
-					bootSeconds: machineType.BootS,
-				},
-			)
-		}
-	}
-	absorbDemand(wanted, bins, as.c.settings.ExpectedOnDemandCapacity, true)
-	planOffers(
-		wanted,
-		offers,
-		maxMachinesPerPass,
-		func(demand *taskDemand, o *pricedOffer) bool { return o.spot || !demand.spotOnly },
-		chosen,
-	)
-	return chosen
-}
-
-// sortedOffers lists what was chosen always in the same order.
-func sortedOffers(chosen map[offer]int) []offer {
-	var out []offer
-	for o := range chosen {
-		out = append(out, o)
-	}
-	sort.Slice(out, func(a, b int) bool { return fmt.Sprint(out[a]) < fmt.Sprint(out[b]) })
-	return out
-}
-
-// updateBackoff follows a job whose tasks no offer can take: after several passes it
-// pauses, longer each time, and at the ceiling it leaves the demand until an
-// offer recovers.
-func (as *autoscaler) updateBackoff(demand *taskDemand, met bool, now monotime.Micros) {
-	leader := &as.term
-	if met {
-		delete(leader.unplaceableJobs, demand.jobID)
-		return
-	}
-	backoff := leader.unplaceableJobs[demand.jobID]
-	if backoff == nil {
-		backoff = &unplacedBackoff{}
-		leader.unplaceableJobs[demand.jobID] = backoff
-	}
-	backoff.unmetPasses++
-	if backoff.suspended {
-		backoff.offerRecoveries = leader.offerRecoveries
-		return
-	}
-	if backoff.unmetPasses < as.c.settings.BackoffPasses {
-		return
-	}
-	if backoff.delay == 0 {
-		backoff.delay = as.c.settings.BackoffFirst.Micros()
-	} else {
-		backoff.delay *= 2
-	}
-	if backoff.delay >= as.c.settings.BackoffMax.Micros() {
-		backoff.suspended, backoff.offerRecoveries = true, leader.offerRecoveries
-		as.c.log.Info(
-			"job removed from demand, insufficient capacity",
-			"job",
-			demand.jobID,
-			"tasks",
-			demand.tasks,
-		)
-		return
-	}
-	backoff.retryAt = now + backoff.delay
-}
-
-// scaleInDelay is how long an empty machine stays closed before it is given back: the delay
-// for what is cheapest, less for a dearer kind of the same type, by its price. What is
-// kept for the next burst is better kept where it costs least.
+// scaleInDelay is how long an empty machine stays closed before it is removed.
 func (as *autoscaler) scaleInDelay(record *storage.ShardMachine) monotime.Micros {
-	delay := as.c.settings.ScaleDownDelay.Micros()
-	if machineType := as.c.catalog.machineTypes[record.Type]; !record.Spot && machineType.SpotPrice > 0 &&
-		machineType.SpotPrice < machineType.OnDemandPrice {
-		return monotime.Micros(float64(delay) * machineType.SpotPrice / machineType.OnDemandPrice)
-	}
-	return delay
+	machineType := as.c.catalog.machineTypes[record.Type]
+	return autoscaling.ScaleInDelay(machineType, record.Spot, as.c.settings.ScaleDownDelay.Micros())
 }
 
 // scaleInEmpty closes our empty machines, and has them given back after the delay if
@@ -561,8 +198,10 @@
 	needed := map[string]bool{}
 	moving := as.c.drains.replacementDemands()
 	if as.c.settings.ServiceHeadroom > 0 || len(moving) > 0 {
-		_, bins := as.demandAndSupply(now)
-		reserveHeadroom(append(as.serviceHeadroom(), moving...), bins, needed)
+		snapshot := as.snapshot(now)
+		// Computing the demand too is not for nothing: the queue's order follows which jobs are starved.
+		_, bins := as.demandAndSupply(snapshot)
+		needed = autoscaling.MachinesNeeded(append(snapshot.HeadroomDemand(), moving...), bins)
 	}
 	for id := range as.c.drains.reservations() {
 		needed[id] = true
@@ -609,7 +248,3 @@
 		}
 	}
 }
-
-func newAutoscaler(c *Controller) *autoscaler {
-	return &autoscaler{c: c, term: newLeaderState(0), emptySince: map[string]monotime.Micros{}}
-}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -99,7 +99,7 @@
 
 // machineAllowed tells whether a job's tasks may run on a machine.
 func machineAllowed(spec *storage.JobSpec, machineRecord *storage.ShardMachine) bool {
-	return typeAndZoneAllowed(spec, machineRecord.Type, machineRecord.Zone) &&
+	return spec.AllowsMachine(machineRecord.Type, machineRecord.Zone) &&
 		(spec.Spot || !machineRecord.Spot)
 }
 
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
@@ -48,8 +49,8 @@
 			c.submit(0, withTasks(4))
 			c.sim.Run(10 * second)
 			core := c.leaderNode().controller
-			if got := len(core.autoscaler.quarantinedOffers()) > 0; got != tc.want {
-				t.Errorf("sidelined: %v, want %v", core.autoscaler.quarantinedOffers(), tc.want)
+			if got := len(autoscaling.QuarantinedOffers(core.mirror)) > 0; got != tc.want {
+				t.Errorf("sidelined: %v, want %v", autoscaling.QuarantinedOffers(core.mirror), tc.want)
 			}
 		})
 	}
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/drain"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/resources"
@@ -143,21 +144,21 @@
 
 // replacementDemands is the room that drains with replacement want rented: what the machines that are
 // being emptied hold of services.
-func (d *drains) replacementDemands() []*taskDemand {
+func (d *drains) replacementDemands() []*autoscaling.Demand {
 	if d == nil {
 		return nil
 	}
-	out := make([]*taskDemand, 0, len(d.replacementDemand))
+	out := make([]*autoscaling.Demand, 0, len(d.replacementDemand))
 	for _, m := range d.replacementDemand {
 		next := *m
-		next.zoneConstraint = newZoneConstraint(d.core.mirror, d.core.mirror.Jobs[m.jobID])
+		next.Zones = planZoneConstraint{newZoneConstraint(d.core.mirror, d.core.mirror.Jobs[m.JobID])}
 		out = append(out, &next)
 	}
 	return out
 }
 
 // computeReplacementDemand lists the replicas, by job, that drains with replacement are to move next.
-func (d *drains) computeReplacementDemand(s *drain.Snapshot) []*taskDemand {
+func (d *drains) computeReplacementDemand(s *drain.Snapshot) []*autoscaling.Demand {
 	count := map[string]int{}
 	for _, record := range s.Drains() {
 		if record.State != storage.DrainActive || !record.Replace {
@@ -170,12 +171,12 @@
 			}
 		}
 	}
-	var out []*taskDemand
+	var out []*autoscaling.Demand
 	for _, id := range sortedmap.Keys(count) {
 		if job := d.core.mirror.Jobs[id]; job != nil && job.IsOpen() {
 			out = append(
 				out,
-				&taskDemand{spec: &job.Record.Spec, need: job.TaskResources, tasks: count[id], jobID: id},
+				&autoscaling.Demand{Spec: &job.Record.Spec, Need: job.TaskResources, Tasks: count[id], JobID: id},
 			)
 		}
 	}
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
 	"pipitgap/internal/durations"
@@ -25,8 +26,8 @@
 	permitCommitInFlight map[string]bool // teams whose permits have a commit in flight
 	// own machines whose array tasks are being stopped, and since when
 	evictingSince     map[string]monotime.Micros
-	replacementDemand []*taskDemand     // what the leader rents room for
-	unpermittedLosses map[lossCause]int // replicas lost outside of permits
+	replacementDemand []*autoscaling.Demand // what the leader requests machines for
+	unpermittedLosses map[lossCause]int     // replicas lost outside of permits
 	lossesLoggedAt    monotime.Micros
 }
 
@@ -86,13 +87,13 @@
 	return covered
 }
 
-// closesOffer tells whether a drain keeps an offer from being rented.
-func (d *drains) closesOffer(o offer) bool {
+// closesOffer tells whether a drain keeps an offer from being requested.
+func (d *drains) closesOffer(offer autoscaling.Offer) bool {
 	if d == nil {
 		return false
 	}
 	for _, v := range d.core.mirror.Drains {
-		if drain.ClosesOffer(&v.Record, o.machineType, o.zone, o.spot) {
+		if drain.ClosesOffer(&v.Record, offer.MachineType, offer.Zone, offer.Spot) {
 			return true
 		}
 	}
@@ -422,7 +423,7 @@
 		if request.Record.Phase == storage.ScaleOutNoCapacity {
 			continue
 		}
-		for _, id := range d.core.autoscaler.missingMachines(request) {
+		for _, id := range autoscaling.MissingMachines(d.core.mirror, request) {
 			if drain.Covers(rec, id, request.Record.MachineType, request.Record.Zone, request.Record.Spot) {
 				return true
 			}
--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -5,6 +5,8 @@
 	"reflect"
 	"slices"
 
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/config"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -41,27 +43,22 @@
 	nextScaleInAt    monotime.Micros
 	failedMachines   map[string]string // machines to be removed that are in no shard, and why
 	unknownMachines  map[string]*protocol.ListedMachine
-	commitInFlight   map[string]bool // keys with a commit of the leader in flight
-	unplaceableJobs  map[string]*unplacedBackoff
-	offerRecoveries  int             // grows whenever an offer recovers from unmet
-	unreachableZones map[string]bool // zones that have fallen silent
+	commitInFlight   map[string]bool       // keys with a commit of the leader in flight
+	backoffs         *autoscaling.Backoffs // jobs that no offer can take
+	unreachableZones map[string]bool
 	cloudTrouble     bool
 }
 
-// unplacedBackoff follows a job whose demand no offer can meet.
-type unplacedBackoff struct {
-	unmetPasses     int
-	retryAt         monotime.Micros
-	delay           monotime.Micros
-	suspended       bool // out of demand until an offer recovers
-	offerRecoveries int
-}
-
-func newLeaderState(term uint64) leaderTermState {
+func newLeaderState(term uint64, settings *config.Settings) leaderTermState {
 	return leaderTermState{
 		term: term, scaleOutInFlight: map[string]bool{}, scaleOutRetryAt: map[string]monotime.Micros{}, scaleInInFlight: map[string]bool{},
 		scaleInRetryAt: map[string]monotime.Micros{}, failedMachines: map[string]string{}, unknownMachines: map[string]*protocol.ListedMachine{},
-		commitInFlight: map[string]bool{}, unplaceableJobs: map[string]*unplacedBackoff{}, unreachableZones: map[string]bool{},
+		commitInFlight: map[string]bool{}, unreachableZones: map[string]bool{},
+		backoffs: autoscaling.NewBackoffs(autoscaling.BackoffPolicy{
+			Passes: settings.BackoffPasses,
+			First:  settings.BackoffFirst.Micros(),
+			Max:    settings.BackoffMax.Micros(),
+		}),
 	}
 }
 
@@ -76,7 +73,7 @@
 	}
 	leader := &as.term
 	if leader.term != as.c.mirror.LeaderVersion {
-		as.term = newLeaderState(as.c.mirror.LeaderVersion)
+		as.term = newLeaderState(as.c.mirror.LeaderVersion, &as.c.settings)
 	}
 	as.persistCatalog()
 	as.reconcileScaleIns(now)
@@ -446,11 +443,11 @@
 			}
 		case storage.ScaleOutNoCapacity:
 			if age > as.c.settings.OfferQuarantine.Micros() {
-				leader.offerRecoveries++
+				leader.backoffs.NoteOfferRecovery()
 				as.commitAsLeader(ratelimit.PriorityBackground, key, drop, nil)
 			}
 		case storage.ScaleOutProvisioning:
-			missing := as.missingMachines(request)
+			missing := autoscaling.MissingMachines(as.c.mirror, request)
 			connected := as.c.reachability.connectedControllers()
 			orphans := false
 			for _, id := range missing {
@@ -501,18 +498,6 @@
 	}
 }
 
-// missingMachines lists the machines of a request that haven't come up.
-func (as *autoscaler) missingMachines(request *mirror.ScaleOutEntry) []string {
-	var out []string
-	for _, id := range request.Record.Machines {
-		if machine := as.c.mirror.Machines[id]; (machine == nil || machine.Record == nil) &&
-			as.c.mirror.ScaleInOfMachine[id] == "" {
-			out = append(out, id)
-		}
-	}
-	return out
-}
-
 // callScaleOut makes the cloud call of a request. Its name was written before, so a new
 // leader repeats the very same call and the cloud gives the same answer.
 func (as *autoscaler) callScaleOut(name string, request *mirror.ScaleOutEntry) {
@@ -592,17 +577,17 @@
 
 // requestScaleOut writes a request; its cloud call follows once it is written. The name
 // holds the term, so no other leader ever uses it.
-func (as *autoscaler) requestScaleOut(o offer, n int) {
+func (as *autoscaler) requestScaleOut(offer autoscaling.Offer, machines int) {
 	leader := &as.term
 	leader.requestSequence++
 	name := fmt.Sprintf("r-%d-%d", leader.term, leader.requestSequence)
 	key := storage.Key(storage.KindScaleOut, name)
 	record := storage.ScaleOutRequest{
 		Phase:       storage.ScaleOutPending,
-		MachineType: o.machineType,
-		Zone:        o.zone,
-		Spot:        o.spot,
-		Count:       n,
+		MachineType: offer.MachineType,
+		Zone:        offer.Zone,
+		Spot:        offer.Spot,
+		Count:       machines,
 		PhaseSince:  as.c.env.WallClock(),
 	}
 	as.commitAsLeader(ratelimit.PriorityShardUpdate, key, protocol.Transaction{
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -11,37 +11,6 @@
 	"pipitgap/internal/storage"
 )
 
-// TestPreemptibleWorkCountsAsRoom: room that lower work gives way to is room, for higher work alone,
-// and each bit of it once.
-func TestPreemptibleWorkCountsAsRoom(t *testing.T) {
-	at := func(demand *taskDemand, priority int) *taskDemand { demand.spec.Priority = priority; return demand }
-	yielding := func(freeCPUs, idle float64) *machineBin {
-		bin := newBin("a", true, freeCPUs)
-		bin.preemptibleByPriority = map[int]resources.Vector{0: {CPUs: idle, MemoryGB: 2 * idle}}
-		return bin
-	}
-	for _, tc := range []struct {
-		name string
-		ds   []*taskDemand
-		bins []*machineBin
-		left []int
-	}{
-		{"a task for a task", []*taskDemand{at(newDemand(4, 3, true, false), 1)}, []*machineBin{yielding(0, 8)}, []int{1}},
-		{"with what is free", []*taskDemand{at(newDemand(4, 3, true, false), 1)}, []*machineBin{yielding(4, 8)}, []int{0}},
-		{"each once", []*taskDemand{at(newDemand(4, 1, true, false), 1), at(newDemand(4, 2, true, false), 2)}, []*machineBin{yielding(0, 8)}, []int{0, 1}},
-		{"not its like", []*taskDemand{at(newDemand(4, 1, true, false), 0)}, []*machineBin{yielding(0, 8)}, []int{1}},
-		{"not where it may not run", []*taskDemand{at(newDemand(4, 1, false, false), 1)}, []*machineBin{yielding(0, 8)}, []int{1}},
-		{"not services, which have their own way", []*taskDemand{at(newDemand(4, 1, true, true), 1)}, []*machineBin{yielding(0, 8)}, []int{1}},
-	} {
-		absorbByPreemption(tc.ds, tc.bins)
-		for i, demand := range tc.ds {
-			if demand.tasks != tc.left[i] {
-				t.Errorf("%s: %d of demand %d left, want %d", tc.name, demand.tasks, i, tc.left[i])
-			}
-		}
-	}
-}
-
 // TestOnlyWorkWithoutObjectiveIsPreemptible: only work that nobody has an aim for gives way to arrays. Small
 // urgent tasks had stopped tasks of whole machines, with an aim of their own, hundreds of times a day.
 func TestOnlyWorkWithoutObjectiveIsPreemptible(t *testing.T) {
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -31,8 +31,8 @@
 			run  func()
 		}{
 			{"order of jobs", func() { core.scheduler.orderedQueue() }},
-			{"demand and room", func() { core.autoscaler.demandAndSupply(now) }},
-			{"offers", func() { core.autoscaler.availableOffers() }},
+			{"demand and room", func() { core.autoscaler.demandAndSupply(core.autoscaler.snapshot(now)) }},
+			{"offers", func() { core.autoscaler.availableOffers(core.autoscaler.snapshot(now)) }},
 			{"free capacity", func() { core.scheduler.capacityByPartition() }},
 			{"shard updates", func() {
 				for _, shard := range own {
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -255,7 +255,7 @@
 	taskResources := mirror.TaskResources(spec)
 	for _, name := range sortedmap.Keys(u.c.catalog.machineTypes) {
 		machineType := u.c.catalog.machineTypes[name]
-		if typeAndZoneAllowed(spec, machineType.Name, spec.Zone) &&
+		if spec.AllowsMachine(machineType.Name, spec.Zone) &&
 			taskResources.FitsIn(mirror.MachineCapacity(&machineType)) &&
 			(spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)) {
 			return ""
@@ -478,15 +478,6 @@
 	})
 }
 
-// typeAndZoneAllowed tells whether a job's tasks may run on a type in a zone; a zone of ""
-// leaves the zone open.
-func typeAndZoneAllowed(spec *storage.JobSpec, typeName, zone string) bool {
-	if spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, typeName) {
-		return false
-	}
-	return spec.Zone == "" || zone == "" || spec.Zone == zone
-}
-
 func newUserAPI(c *Controller) *userAPI {
 	return &userAPI{
 		c:                 c,
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -3,6 +3,7 @@
 package storage
 
 import (
+	"slices"
 	"strings"
 
 	"pipitgap/internal/protocol"
@@ -131,6 +132,14 @@
 	DeadlineS    float64  `msgpack:"d,omitempty"`
 }
 
+// AllowsMachine tells whether the job's tasks may run on a machine type in a zone; a zone of "" stands for any.
+func (s *JobSpec) AllowsMachine(machineType, zone string) bool {
+	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, machineType) {
+		return false
+	}
+	return s.Zone == "" || zone == "" || s.Zone == zone
+}
+
 // JobSpecOf shortens a submission.
 func JobSpecOf(s *protocol.Submission) JobSpec {
 	return JobSpec{
