--- /dev/null
+++ b/internal/agents/agent.go
@@ -0,0 +1,249 @@
+package agents
+
+import (
+	"sort"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+)
+
+// AttemptID names an attempt at a task.
+type AttemptID struct {
+	Task    mirror.TaskID
+	Attempt uint64 // number of the attempt among those at its task
+}
+
+// Outcome is what became of an attempt.
+type Outcome uint8
+
+// Values of Outcome.
+const (
+	OutcomeCompleted Outcome = iota // the task is done
+	OutcomeRetry                    // the attempt is gone and the task is to be run again
+)
+
+// Agent is what a controller knows of the worker agent on a machine whose claim it holds.
+type Agent struct {
+	claimNumber  uint64
+	tokenCounter uint64 // of batches of commands under this claim
+
+	incarnation, sequence uint64 // of the newest report; 0: none has come
+	incarnationSeenAt     monotime.Micros
+	reportedAttempts      map[AttemptID]protocol.TaskStatus
+	runningSince          map[AttemptID]monotime.Micros // when first reported as running
+	interruptionNoticed   bool                          // the cloud has announced that it takes the machine back
+
+	heartbeats heartbeatState
+	tokens     tokenState
+
+	leaseExpired bool // the lease has surely ended since the last answer
+
+	pendingOutcomes  map[AttemptID]Outcome // not yet in the store
+	stoppingAttempts map[AttemptID]bool    // to be stopped though their job goes on: preempted or evicted
+	sentCommands     map[AttemptID]*commandRecord
+	commandInFlight  bool // a batch was sent directly and isn't answered yet
+	resyncNeeded     bool // there may be more to send once it is
+
+	suspect       bool   // silent or faulty
+	removalReason string // why the machine is to be given back; empty: it isn't
+	failures      FailureHistory
+}
+
+// heartbeatState is what came as a heartbeat, and when it was answered. A copy of one that came before is
+// never answered: it proves nothing, and its answer would renew no lease.
+type heartbeatState struct {
+	lastIncarnation, lastSequence uint64
+	lastAt                        monotime.Micros
+	lastAnsweredAt                monotime.Micros // the lease may run from here
+	redirectedAt                  monotime.Micros // when last sent to look for another controller; 0: never
+}
+
+// tokenState is which fencing tokens the agent has shown and which it must show. An agent that is heard
+// needn't be one that hears.
+type tokenState struct {
+	acknowledged        uint64 // shown by the newest report
+	claimAcknowledged   bool   // the agent has seen a token of this claim
+	requested           uint64 // to be shown before the agent counts as reachable
+	lastAnswered        uint64 // of the last answer to a heartbeat
+	unacknowledgedCount int    // heartbeats in a row that don't show the token of the last answer
+	lastReachedAt       monotime.Micros
+}
+
+// New gives the Agent of a machine that has just been claimed under a number. Its lease is taken to have
+// been renewed now, by the owner before.
+func New(claimNumber uint64, now monotime.Micros) *Agent {
+	return &Agent{
+		claimNumber:      claimNumber,
+		heartbeats:       heartbeatState{lastAt: now, lastAnsweredAt: now},
+		tokens:           tokenState{requested: baseToken(claimNumber), lastReachedAt: now},
+		reportedAttempts: map[AttemptID]protocol.TaskStatus{},
+		pendingOutcomes:  map[AttemptID]Outcome{},
+		sentCommands:     map[AttemptID]*commandRecord{},
+		stoppingAttempts: map[AttemptID]bool{},
+		runningSince:     map[AttemptID]monotime.Micros{},
+		failures:         FailureHistory{byJob: map[string]int{}},
+	}
+}
+
+// claimBits is how many bits of a fencing token count the batches under one claim; the claim's number
+// stands above them.
+const claimBits = 32
+
+// baseToken is the lowest fencing token of a claim.
+func baseToken(claimNumber uint64) uint64 { return claimNumber << claimBits }
+
+// ClaimNumber is the number of the claim under which the machine is held.
+func (a *Agent) ClaimNumber() uint64 { return a.claimNumber }
+
+// BaseToken is the lowest fencing token of the claim under which the machine is held.
+func (a *Agent) BaseToken() uint64 { return baseToken(a.claimNumber) }
+
+// Token is the fencing token of the last batch of commands.
+func (a *Agent) Token() uint64 { return a.BaseToken() | a.tokenCounter }
+
+// HasReported tells whether any report of the agent has been applied under this claim.
+func (a *Agent) HasReported() bool { return a.incarnation != 0 }
+
+// IsReachable tells whether the newest report showed that the controller's answers arrive.
+func (a *Agent) IsReachable() bool { return a.tokens.acknowledged >= a.tokens.requested }
+
+// LastReachedAt is when the agent last showed that the controller's answers reach it.
+func (a *Agent) LastReachedAt() monotime.Micros { return a.tokens.lastReachedAt }
+
+// LastAnsweredAt is when a heartbeat of the agent was last answered.
+func (a *Agent) LastAnsweredAt() monotime.Micros { return a.heartbeats.lastAnsweredAt }
+
+// ClaimAcknowledged tells whether the agent has seen a token of this claim, and so obeys no owner before.
+func (a *Agent) ClaimAcknowledged() bool { return a.tokens.claimAcknowledged }
+
+// ReportsUnderClaim tells whether the newest report was made after the agent had seen this claim: only then
+// does it outrank every command of the owners before.
+func (a *Agent) ReportsUnderClaim() bool {
+	return a.tokens.claimAcknowledged && a.tokens.acknowledged >= a.BaseToken()
+}
+
+// LeaseExpired tells whether the agent's lease has surely ended since it was last answered.
+func (a *Agent) LeaseExpired() bool { return a.leaseExpired }
+
+// InterruptionNoticed tells whether the cloud has announced that it takes the machine back.
+func (a *Agent) InterruptionNoticed() bool { return a.interruptionNoticed }
+
+// Suspect tells whether the machine was silent or faulty at its last check.
+func (a *Agent) Suspect() bool { return a.suspect }
+
+// SetSuspect notes whether the machine is silent or faulty, and tells whether that is a change.
+func (a *Agent) SetSuspect(suspect bool) (changed bool) {
+	changed = suspect != a.suspect
+	a.suspect = suspect
+	return changed
+}
+
+// RemovalReason tells why the machine is to be given back to the cloud; empty: it isn't.
+func (a *Agent) RemovalReason() string { return a.removalReason }
+
+// SetRemovalReason notes why the machine is to be given back.
+func (a *Agent) SetRemovalReason(reason string) { a.removalReason = reason }
+
+// ClearRemovalReason takes back that the machine is to be given back.
+func (a *Agent) ClearRemovalReason() { a.removalReason = "" }
+
+// Failures is the history of tasks that failed or ran slowly on the machine.
+func (a *Agent) Failures() *FailureHistory { return &a.failures }
+
+// ReportedAttempt gives an attempt's status in the newest report; reported is false if it isn't in there.
+func (a *Agent) ReportedAttempt(key AttemptID) (status protocol.TaskStatus, reported bool) {
+	status, reported = a.reportedAttempts[key]
+	return status, reported
+}
+
+// HasExited tells whether the newest report has an attempt as exited.
+func (a *Agent) HasExited(key AttemptID) bool {
+	return a.reportedAttempts[key].State == protocol.StateExited
+}
+
+// IsRunning tells whether the newest report has an attempt as running.
+func (a *Agent) IsRunning(key AttemptID) bool {
+	return a.reportedAttempts[key].State == protocol.StateRunning
+}
+
+// RunningSince gives when an attempt was first reported as running; running is false if it wasn't.
+func (a *Agent) RunningSince(key AttemptID) (since monotime.Micros, running bool) {
+	since, running = a.runningSince[key]
+	return since, running
+}
+
+// StopAttempt has an attempt stopped by the next commands though its job goes on.
+func (a *Agent) StopAttempt(key AttemptID) { a.stoppingAttempts[key] = true }
+
+// IsStopping tells whether an attempt is to be stopped though its job goes on.
+func (a *Agent) IsStopping(key AttemptID) bool { return a.stoppingAttempts[key] }
+
+// IsStoppingAny tells whether any attempt on the machine is to be stopped though its job goes on.
+func (a *Agent) IsStoppingAny() bool { return len(a.stoppingAttempts) > 0 }
+
+// RecordOutcome notes what became of an attempt until the store has it. It must not be forgotten before: a
+// release that may still be applied must keep its attempt from being started again. The first outcome of an
+// attempt stays.
+func (a *Agent) RecordOutcome(key AttemptID, outcome Outcome) {
+	if _, ok := a.pendingOutcomes[key]; !ok {
+		a.pendingOutcomes[key] = outcome
+	}
+}
+
+// HasOutcome tells whether an attempt has an outcome on its way to the store.
+func (a *Agent) HasOutcome(key AttemptID) bool {
+	_, ok := a.pendingOutcomes[key]
+	return ok
+}
+
+// EachPendingOutcome calls release for each outcome of an attempt that the store still holds on the machine,
+// in no certain order, and forgets the others: they are in the store, or it never had their attempts.
+func (a *Agent) EachPendingOutcome(machine *mirror.Machine, release func(task mirror.TaskID, outcome Outcome)) {
+	for key, outcome := range a.pendingOutcomes {
+		if machine.Attempts[key.Task] != key.Attempt {
+			delete(a.pendingOutcomes, key)
+			continue
+		}
+		release(key.Task, outcome)
+	}
+}
+
+// LeaseHasEnded tells whether the lease must have ended by now unnoticed: proof is how long after its last
+// renewal it surely has. A new incarnation has a lease from its own beginning, answered or not: what direct
+// commands start in it runs on though no report arrives.
+func (a *Agent) LeaseHasEnded(now, proof monotime.Micros) bool {
+	return !a.leaseExpired && a.tokens.claimAcknowledged &&
+		now-max(a.heartbeats.lastAnsweredAt, a.incarnationSeenAt) > proof
+}
+
+// ExpireLease settles all that is on the machine: its lease has ended. Until the agent shows a token of this
+// claim again nothing is sent to it.
+func (a *Agent) ExpireLease(machine *mirror.Machine) {
+	a.leaseExpired, a.tokens.claimAcknowledged = true, false
+	for task, attempt := range machine.Attempts {
+		a.RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
+	}
+}
+
+// RedirectOnce tells whether the agent is to be sent to look for another controller, which is done once per
+// lease: one that comes back sooner has found no other.
+func (a *Agent) RedirectOnce(now, workerLease monotime.Micros) bool {
+	isBack := a.heartbeats.redirectedAt != 0 && now-a.heartbeats.redirectedAt < workerLease
+	a.heartbeats.redirectedAt = max(now, 1)
+	return !isBack
+}
+
+// sortAttempts sorts attempts by job and task.
+func sortAttempts(keys []AttemptID) {
+	sort.Slice(keys, func(a, b int) bool {
+		x, y := keys[a], keys[b]
+		if x.Task.Job != y.Task.Job {
+			return x.Task.Job < y.Task.Job
+		}
+		if x.Task.Index != y.Task.Index {
+			return x.Task.Index < y.Task.Index
+		}
+		return x.Attempt < y.Attempt
+	})
+}
--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -55,7 +55,7 @@
 	{{path: "internal/mirror"}},
 	{{path: "internal/autoscaling", kind: decision}},
 	{{path: "internal/membership", planned: true}, {path: "internal/quota/quotashares"}},
-	{{path: "internal/agents", planned: true}},
+	{{path: "internal/agents"}},
 	{{path: "internal/shards", planned: true}},
 	{{path: "internal/api", planned: true}},
 	{{path: "internal/coordination"}}, // the actor
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -5,11 +5,9 @@
 	"testing"
 
 	"pipitgap/internal/fake"
-	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
-	"pipitgap/internal/storage"
 )
 
 // TestLateRunAfterReapStartsNothing: a direct batch that is held back and delivered after its
@@ -80,113 +78,6 @@
 	c.requireNoViolations()
 }
 
-// TestReportsProveAttemptsGone: what a report proves, and what must not be said to a worker.
-func TestReportsProveAttemptsGone(t *testing.T) {
-	const base = 3 << 32
-	task := mirror.TaskID{Job: "j-1", Index: 0}
-	exited := protocol.TaskStatus{
-		Task:    "j-1/0",
-		Attempt: 1,
-		State:   protocol.StateExited,
-		Cause:   protocol.CauseDone,
-	}
-	running := protocol.TaskStatus{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}
-	cases := []struct {
-		name      string
-		token     uint64
-		tasks     []protocol.TaskStatus
-		cancelled bool
-		killed    uint64 // token of an earlier kill
-		settled   bool
-		says      string // the command that follows, if any
-	}{
-		{"exited", base, []protocol.TaskStatus{exited}, false, 0, true, ""},
-		{
-			"exited, by a report from before our claim",
-			base - 1,
-			[]protocol.TaskStatus{exited},
-			false,
-			0,
-			false,
-			"",
-		},
-		{"running", base, []protocol.TaskStatus{running}, false, 0, false, ""},
-		{"absent", base, nil, false, 0, false, protocol.CmdRun},
-		{"cancelled, running", base, []protocol.TaskStatus{running}, true, 0, false, protocol.CmdKill},
-		{"cancelled, absent, not yet told", base, nil, true, 0, false, protocol.CmdKill},
-		{"cancelled, absent, kill not seen", base + 4, nil, true, base + 5, false, protocol.CmdKill},
-		{"cancelled, absent after the kill", base + 5, nil, true, base + 5, true, ""},
-	}
-	for _, tc := range cases {
-		c := newCluster(t, 17)
-		c.start("n-0")
-		core := c.nodes["n-0"].controller
-		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
-			Spec: storage.JobSpec{
-				Tasks: 1,
-				CPUs:  1,
-			}, TaskRanges: []storage.TaskRange{{First: 0, End: 1, Partition: "n-0"}}}), 5)
-		shard := &storage.Shard{Owner: "n-0", Incarnation: core.incarnation, Claim: 3,
-			Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
-		shard.AddMachine(
-			"i-1",
-			storage.ShardMachine{
-				Type:     "m8",
-				Zone:     "a",
-				Endpoint: "10.1.0.1:9000",
-				State:    storage.MachineOpen,
-			},
-		)
-		shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
-		encoded, _ := shard.Encode()
-		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 7)
-		if tc.cancelled {
-			core.mirror.ApplyPut(
-				storage.Key(storage.KindJobResult, "j-1"),
-				protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}),
-				8,
-			)
-		}
-		core.mirror.WatchedRevision = 8
-		machine := core.mirror.Machines["i-1"]
-		if tc.killed != 0 {
-			core.agents.agentOf(machine).CommandRecordOf(AttemptID{task, 1}).KillToken = tc.killed
-		}
-		core.agents.applyReport(
-			machine,
-			&protocol.Heartbeat{
-				Machine:      "i-1",
-				Incarnation:  1,
-				Sequence:     1,
-				FencingToken: tc.token,
-				Tasks:        tc.tasks,
-			},
-		)
-		if got := core.agents.agentOf(machine).HasOutcome(AttemptID{task, 1}); got != tc.settled {
-			t.Errorf("%s: settled %v", tc.name, got)
-		}
-		said := ""
-		for _, command := range core.agents.nextCommands(machine, second) {
-			said += command.Op
-		}
-		if said != tc.says {
-			t.Errorf("%s: says %q, want %q", tc.name, said, tc.says)
-		}
-		// Once a release is on its way the attempt must not be started again,
-		// though the worker, in a new session, doesn't have it.
-		core.agents.agentOf(machine).RecordOutcome(AttemptID{task, 1}, OutcomeRetry)
-		core.agents.applyReport(
-			machine,
-			&protocol.Heartbeat{Machine: "i-1", Incarnation: 2, Sequence: 1, FencingToken: base + 9},
-		)
-		for _, command := range core.agents.nextCommands(machine, 10*second) {
-			if command.Op == protocol.CmdRun {
-				t.Errorf("%s: started again while its release is on its way", tc.name)
-			}
-		}
-	}
-}
-
 // TestControllerCutOffWithWorkersStopsCancelledTasks: a controller cut off with all workers, from the store
 // and from the others, must not keep tasks alive that a user has cancelled meanwhile; in an outage that all
 // share it must keep them.
@@ -307,7 +198,7 @@
 					if m := core.mirror.Machines[machine]; m == nil {
 						s += node + " unknown; "
 					} else if core.agents.agentOf(m) != nil {
-						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.agentOf(m).LastReachedAt, core.agents.agentOf(m).LastAnsweredAt, core.scheduler.schedulable(m, c.sim.Now()))
+						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.agentOf(m).LastReachedAt(), core.agents.agentOf(m).LastAnsweredAt(), core.scheduler.schedulable(m, c.sim.Now()))
 					}
 				}
 				return s
@@ -337,7 +228,7 @@
 				for _, node := range c.nodeNames {
 					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil &&
 						c.nodes[node].controller.agents.agentOf(m) != nil &&
-						(c.nodes[node].controller.agents.agentOf(m).ClaimAcknowledged || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
+						(c.nodes[node].controller.agents.agentOf(m).ClaimAcknowledged() || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
 						t.Errorf("%s takes it for alive", node)
 					}
 				}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -211,8 +211,8 @@
 		machine := as.c.mirror.Machines[id]
 		if as.c.agents.agentOf(machine) == nil || machine.Record == nil || len(machine.Attempts) > 0 ||
 			needed[id] && machine.Record.State == storage.MachineOpen &&
-				!as.c.agents.agentOf(machine).FailureProne ||
-			as.c.agents.agentOf(machine).RemovalReason != "" {
+				!as.c.agents.agentOf(machine).Failures().FailureProne() ||
+			as.c.agents.agentOf(machine).RemovalReason() != "" {
 			continue
 		}
 		switch machine.Record.State {
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -54,16 +54,16 @@
 // worker has lately shown that our answers reach it, and nothing speaks against it.
 func (sc *scheduler) schedulable(machine *mirror.Machine, now monotime.Micros) bool {
 	agent := sc.c.agents.agentOf(machine)
-	if agent == nil || agent.Incarnation == 0 || !agent.ClaimAcknowledged || agent.LeaseExpired ||
-		agent.InterruptionNoticed ||
-		agent.RemovalReason != "" ||
+	if agent == nil || !agent.HasReported() || !agent.ClaimAcknowledged() || agent.LeaseExpired() ||
+		agent.InterruptionNoticed() ||
+		agent.RemovalReason() != "" ||
 		!agent.IsReachable() {
 		return false
 	}
 	if _, doubtful := sc.machineFault(agent); doubtful {
 		return false
 	}
-	return now-agent.LastReachedAt < sc.c.durations.PlacementSilenceLimit
+	return now-agent.LastReachedAt() < sc.c.durations.PlacementSilenceLimit
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
--- a/internal/coordination/drain_snapshot.go
+++ b/internal/coordination/drain_snapshot.go
@@ -20,11 +20,11 @@
 		case c.agents.agentOf(machine) == nil && machine.Owner() == c.node:
 			entry.Owner = "" // an earlier life of ours, whose shard isn't claimed again yet
 		case c.agents.agentOf(machine) == nil:
-		case c.agents.agentOf(machine).RemovalReason != "":
+		case c.agents.agentOf(machine).RemovalReason() != "":
 			entry.State = storage.MachineRemoving
-		case c.agents.agentOf(machine).InterruptionNoticed:
+		case c.agents.agentOf(machine).InterruptionNoticed():
 			entry.State = storage.MachineDraining
-		case c.agents.agentOf(machine).Suspect:
+		case c.agents.agentOf(machine).Suspect():
 			entry.State = storage.MachineUnreachable
 		}
 		b.AddMachine(entry)
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
@@ -169,15 +170,23 @@
 	}
 }
 
+// attemptOfPermit is the attempt that a permit lets be stopped.
+func attemptOfPermit(permit storage.Permit) agents.AttemptID {
+	return agents.AttemptID{
+		Task:    mirror.TaskID{Job: permit.Job, Index: permit.Task},
+		Attempt: permit.Attempt,
+	}
+}
+
 // stopReplica uses a permit that stands.
 func (d *drains) stopReplica(permit storage.Permit) {
 	machine := d.core.mirror.Machines[permit.From]
-	key := AttemptID{mirror.TaskID{Job: permit.Job, Index: permit.Task}, permit.Attempt}
+	key := attemptOfPermit(permit)
 	if machine == nil || d.core.agents.agentOf(machine) == nil ||
-		d.core.agents.agentOf(machine).StoppingAttempts[key] {
+		d.core.agents.agentOf(machine).IsStopping(key) {
 		return
 	}
-	d.core.agents.agentOf(machine).StoppingAttempts[key] = true
+	d.core.agents.agentOf(machine).StopAttempt(key)
 	d.core.log.Info("replica evicted for drain", "drain", permit.Drain, "task", key.Task.String(),
 		"from_machine", permit.From, "to_machine", permit.To)
 	d.core.agents.syncCommands(machine)
@@ -188,17 +197,15 @@
 // seen our claim, which outranks every command of the owners before us.
 func (d *drains) permitUnused(permit storage.Permit) bool {
 	machine := d.core.mirror.Machines[permit.From]
-	key := AttemptID{mirror.TaskID{Job: permit.Job, Index: permit.Task}, permit.Attempt}
+	key := attemptOfPermit(permit)
 	if machine == nil || d.core.agents.agentOf(machine) == nil {
 		return false
 	}
 	agent := d.core.agents.agentOf(machine)
-	if told := agent.SentCommands[key]; agent.StoppingAttempts[key] || agent.HasOutcome(key) ||
-		told != nil && told.KillToken != 0 {
+	if agent.IsStopping(key) || agent.HasOutcome(key) || agent.KillSent(key) {
 		return false
 	}
-	return agent.ClaimAcknowledged && agent.AcknowledgedToken >= agent.BaseToken() &&
-		agent.ReportedAttempts[key].State == protocol.StateRunning
+	return agent.ReportsUnderClaim() && agent.IsRunning(key)
 }
 
 // writePermits writes what changes of one team's permits: one commit a team, spaced.
@@ -304,15 +311,15 @@
 func (d *drains) evictUnpermittedOn(machine *mirror.Machine, startedAt, now monotime.Micros) {
 	stopped := 0
 	for task, attempt := range machine.Attempts {
-		key := AttemptID{task, attempt}
+		key := agents.AttemptID{Task: task, Attempt: attempt}
 		job := d.core.mirror.Jobs[task.Job]
-		if job == nil || !job.IsOpen() || d.core.agents.agentOf(machine).StoppingAttempts[key] ||
+		if job == nil || !job.IsOpen() || d.core.agents.agentOf(machine).IsStopping(key) ||
 			d.core.agents.agentOf(machine).HasOutcome(key) ||
 			d.needsPermit(job) ||
 			d.endsSoon(machine, key, job, startedAt, now) {
 			continue
 		}
-		d.core.agents.agentOf(machine).StoppingAttempts[key] = true
+		d.core.agents.agentOf(machine).StopAttempt(key)
 		stopped++
 	}
 	if stopped > 0 {
@@ -330,11 +337,11 @@
 // wrong is believed for twice the time.
 func (d *drains) endsSoon(
 	machine *mirror.Machine,
-	key AttemptID,
+	key agents.AttemptID,
 	job *mirror.Job,
 	startedAt, now monotime.Micros,
 ) bool {
-	at, running := d.core.agents.agentOf(machine).RunningSince[key]
+	at, running := d.core.agents.agentOf(machine).RunningSince(key)
 	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
 		return false
 	}
@@ -350,7 +357,7 @@
 		return false
 	}
 	agent := d.core.agents.agentOf(machine)
-	if agent.Incarnation == 0 || !agent.ClaimAcknowledged || !agent.IsReachable() {
+	if !agent.HasReported() || !agent.ClaimAcknowledged() || !agent.IsReachable() {
 		return false
 	}
 	changed := false
@@ -363,7 +370,7 @@
 		if !ok || held.Number != attempt || held.Machine != machine.ID {
 			continue
 		}
-		if starting := d.countsAsStarting(agent, AttemptID{task, attempt}, held.Starting, now); starting != held.Starting &&
+		if starting := d.countsAsStarting(agent, agents.AttemptID{Task: task, Attempt: attempt}, held.Starting, now); starting != held.Starting &&
 			d.markFits(next, starting) {
 			next.MarkStarting(task.Job, task.Index, starting)
 			changed = true
@@ -378,11 +385,11 @@
 }
 
 // countsAsStarting tells whether a replica counts as starting, given whether it did before.
-func (d *drains) countsAsStarting(agent *Agent, key AttemptID, before bool, now monotime.Micros) bool {
-	if agent.ReportedAttempts[key].State != protocol.StateRunning {
+func (d *drains) countsAsStarting(agent *agents.Agent, key agents.AttemptID, before bool, now monotime.Micros) bool {
+	if !agent.IsRunning(key) {
 		return true
 	}
-	since, ok := agent.RunningSince[key]
+	since, ok := agent.RunningSince(key)
 	return before && (!ok || now-since < d.settings.MinReady.Micros())
 }
 
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
@@ -71,13 +72,12 @@
 // machineFault weighs a machine's failures since something last completed there. faulty:
 // jobs that run elsewhere fail on it; doubtful: so many failed there, of jobs that
 // nothing is known of yet, that it gets no more until it is.
-func (sc *scheduler) machineFault(agent *Agent) (faulty, doubtful bool) {
-	const samples, drag = 6, 1.1 // three times as long as expected, again and again
-	if agent.SlowdownSamples >= samples && agent.LogSlowdown > drag {
+func (sc *scheduler) machineFault(agent *agents.Agent) (faulty, doubtful bool) {
+	if agent.Failures().IsSlow() {
 		return true, true
 	}
 	against, open := 0, 0
-	for id, n := range agent.FailuresByJob {
+	for id, n := range agent.Failures().ByJob() {
 		switch sc.attributeFailures(id) {
 		case machineAtFault:
 			against += n
@@ -90,7 +90,7 @@
 
 // recordFailure learns from a task that failed.
 func (sc *scheduler) recordFailure(machine *mirror.Machine, job *mirror.Job) {
-	sc.c.agents.agentOf(machine).FailuresByJob[job.ID]++
+	sc.c.agents.agentOf(machine).Failures().RecordFailure(job.ID)
 	tracking := sc.trackingOf(job.ID)
 	tracking.lastFailureAt = sc.c.now()
 	if !tracking.excludedMachines[machine.ID] {
@@ -104,7 +104,7 @@
 
 // clearFailuresOn takes back what a faulty machine's failures have said of jobs.
 func (sc *scheduler) clearFailuresOn(machine *mirror.Machine) {
-	for id := range sc.c.agents.agentOf(machine).FailuresByJob {
+	for id := range sc.c.agents.agentOf(machine).Failures().ByJob() {
 		if tracking := sc.jobStates[id]; tracking != nil && tracking.excludedMachines[machine.ID] {
 			delete(tracking.excludedMachines, machine.ID)
 			tracking.failedMachines = max(0, tracking.failedMachines-1)
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/config"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
@@ -47,7 +48,13 @@
 		{"of two that fail everywhere", map[string]int{"here": 4, "others": 4, "runs": 1}, false, false},
 		{"of one that was cancelled", map[string]int{"dropped": 4}, false, false},
 	} {
-		faulty, doubtful := core.scheduler.machineFault(&Agent{FailuresByJob: tc.failures})
+		agent := agents.New(1, 0)
+		for job, failures := range tc.failures {
+			for range failures {
+				agent.Failures().RecordFailure(job)
+			}
+		}
+		faulty, doubtful := core.scheduler.machineFault(agent)
 		if faulty != tc.faulty || doubtful != tc.doubtful {
 			t.Errorf("%s: faulty %v, doubtful %v", tc.name, faulty, doubtful)
 		}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -349,141 +349,31 @@
 	})
 }
 
-// answerHeartbeat applies a worker's check-in and gives the answer.
+// answerHeartbeat applies a heartbeat of a worker on a machine of ours and gives the answer.
 func (am *agentManager) answerHeartbeat(machine *mirror.Machine, report *protocol.Heartbeat) Response {
 	agent := am.agentOf(machine)
-	now := am.c.now()
-	if report.Incarnation < agent.LastHeartbeatIncarnation ||
-		report.Incarnation == agent.LastHeartbeatIncarnation &&
-			report.Sequence <= agent.LastHeartbeatSequence ||
-		report.Incarnation < agent.Incarnation {
+	arrival, ok := agent.Receive(report, am.c.now())
+	if !ok {
 		return errorResponse(503, "seen before") // a late copy
 	}
-	sincePrevious := now - agent.LastHeartbeatAt
-	agent.LastHeartbeatIncarnation, agent.LastHeartbeatSequence, agent.LastHeartbeatAt = report.Incarnation, report.Sequence, now
-	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
-	if report.Incarnation > agent.Incarnation || report.Sequence > agent.Sequence {
+	if agent.IsNewer(report) {
 		am.applyReport(machine, report)
 	}
-	agent.LastAnsweredAt = now
-	if report.FencingToken < agent.LastAnsweredToken {
-		agent.UnacknowledgedHeartbeats++
-	} else {
-		agent.UnacknowledgedHeartbeats = 0
-	}
-	commands := am.nextCommands(machine, now)
-	if agent.ClaimAcknowledged &&
-		(jumped || sincePrevious > am.c.durations.PlacementSilenceLimit || agent.UnacknowledgedHeartbeats >= 2) &&
-		agent.RequestedToken <= report.FencingToken {
-		// It was away, or shows no effect of what we say: it must show a token that
-		// only this answer can have brought it.
-		if len(commands) == 0 {
-			agent.TokenCounter++
-		}
-		agent.RequestedToken = agent.Token()
-	}
-	agent.LastAnsweredToken = agent.Token()
-	return Response{
-		Status: 200,
-		Body: protocol.MustMarshal(
-			&protocol.HeartbeatReply{FencingToken: agent.Token(), Commands: commands},
-		),
-	}
+	reply := agent.Reply(arrival, machine, am.c.mirror.Jobs, am.c.durations.PlacementSilenceLimit)
+	return Response{Status: 200, Body: protocol.MustMarshal(reply)}
 }
 
-// applyReport takes over a report that is newer than what we know.
+// applyReport takes over a report that is newer than what is known.
 func (am *agentManager) applyReport(machine *mirror.Machine, report *protocol.Heartbeat) {
 	agent := am.agentOf(machine)
-	now := am.c.now()
-	jumped := agent.Incarnation != 0 && report.Incarnation > agent.Incarnation
-	if report.Incarnation > agent.Incarnation {
-		// A session has its lease from its own beginning, answered or not: what
-		// direct commands start in it lives on though no report reaches us.
-		agent.IncarnationSeenAt = now
-	}
-	agent.Incarnation, agent.Sequence = report.Incarnation, report.Sequence
-	agent.InterruptionNoticed = agent.InterruptionNoticed || report.InterruptionNoticeS != nil
-	agent.AcknowledgedToken = report.FencingToken
-	clear(agent.ReportedAttempts)
-	for i := range report.Tasks {
-		taskReport := &report.Tasks[i]
-		if task, ok := mirror.ParseTaskID(taskReport.Task); ok {
-			agent.ReportedAttempts[AttemptID{task, taskReport.Attempt}] = *taskReport
-		}
-	}
-	// A report from before the worker saw our claim may be older than the
-	// previous owner's last commands: it proves nothing, not even that the
-	// machine is still there.
-	if report.FencingToken < agent.BaseToken() {
-		return
-	}
-	if !agent.ClaimAcknowledged {
-		// An earlier owner's answers were good until now.
-		agent.ClaimAcknowledged, agent.LastAnsweredAt = true, now
-	}
-	if agent.IsReachable() {
-		agent.LastReachedAt = now
-		if agent.LeaseExpired {
-			agent.LeaseExpired = false
-			am.c.log.Info("machines lost", "state", conditionEnd, "machine", machine.ID)
-		}
+	result := agent.ApplyReport(machine, am.c.mirror.Jobs, report, am.c.now(), am.c.durations.WorkerLease)
+	if result.LeaseRegained {
+		am.c.log.Info("machines lost", "state", conditionEnd, "machine", machine.ID)
 	}
-	// With a new session all that was there before is gone. That it has one though
-	// we answered its last reports in time shows that our answers don't reach it:
-	// then its tasks are better run elsewhere.
-	answersNotArriving := jumped && now-agent.LastAnsweredAt < am.c.durations.WorkerLease-durations.WorkerAnswerTimeout
-	var ended []AttemptID
-	for task, attempt := range machine.Attempts {
-		key := AttemptID{task, attempt}
-		taskReport, reported := agent.ReportedAttempts[key]
-		job := am.c.mirror.Jobs[task.Job]
-		if job == nil {
-			continue
-		}
-		switch {
-		case reported && taskReport.State == protocol.StateExited:
-			ended = append(ended, key)
-		case !reported && jumped && (answersNotArriving || !job.IsOpen() || agent.StoppingAttempts[key]):
-			agent.RecordOutcome(key, OutcomeRetry)
-		case !reported && (!job.IsOpen() || agent.StoppingAttempts[key]):
-			// Absent after a kill that outranks every batch with its run: it
-			// isn't there and can't start any more.
-			if record := agent.SentCommands[key]; record != nil && record.KillToken != 0 &&
-				report.FencingToken >= record.KillToken {
-				agent.RecordOutcome(key, OutcomeRetry)
-			}
-		}
+	for _, exit := range result.Exits {
+		am.c.scheduler.recordExit(machine, am.c.mirror.Jobs[exit.Task.Job], exit)
 	}
-	sortAttempts(ended)
-	for _, key := range ended {
-		taskReport, job, outcome := agent.ReportedAttempts[key], am.c.mirror.Jobs[key.Task.Job], OutcomeRetry
-		if taskReport.Cause == protocol.CauseDone && !job.Record.Spec.Service {
-			outcome = OutcomeCompleted
-		}
-		am.c.scheduler.recordExit(machine, job, key.Task, &taskReport)
-		agent.RecordOutcome(key, outcome)
-	}
-	if len(agent.PendingOutcomes) > 0 {
+	if result.HasPendingOutcomes {
 		am.c.scheduler.requestPass()
 	}
-	for key, taskReport := range agent.ReportedAttempts {
-		if _, ok := agent.RunningSince[key]; !ok && taskReport.State == protocol.StateRunning {
-			agent.RunningSince[key] = now
-		}
-	}
-	for key := range agent.RunningSince {
-		if _, here := agent.ReportedAttempts[key]; !here {
-			delete(agent.RunningSince, key)
-		}
-	}
-	for key := range agent.StoppingAttempts {
-		if machine.Attempts[key.Task] != key.Attempt {
-			delete(agent.StoppingAttempts, key)
-		}
-	}
-	for key := range agent.SentCommands {
-		if _, here := agent.ReportedAttempts[key]; !here && machine.Attempts[key.Task] != key.Attempt {
-			delete(agent.SentCommands, key)
-		}
-	}
 }
--- a/internal/coordination/heartbeats_test.go
+++ b/internal/coordination/heartbeats_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -80,12 +81,12 @@
 		c.sim.Run(10 * second)
 		tc.after(c, core, machine)
 		c.sim.Run(4 * second)
-		if core.agents.agentOf(machine).LeaseExpired != tc.lost {
-			t.Errorf("%s: lost %v", tc.name, core.agents.agentOf(machine).LeaseExpired)
+		if core.agents.agentOf(machine).LeaseExpired() != tc.lost {
+			t.Errorf("%s: lost %v", tc.name, core.agents.agentOf(machine).LeaseExpired())
 		}
 		c.sim.Run(13 * second)
-		if !core.agents.agentOf(machine).LeaseExpired ||
-			!core.agents.agentOf(machine).HasOutcome(AttemptID{mirror.TaskID{Job: "j-1", Index: 0}, 1}) {
+		if !core.agents.agentOf(machine).LeaseExpired() ||
+			!core.agents.agentOf(machine).HasOutcome(agents.AttemptID{Task: mirror.TaskID{Job: "j-1", Index: 0}, Attempt: 1}) {
 			t.Errorf("%s: never lost", tc.name)
 		}
 	}
@@ -137,7 +138,7 @@
 				},
 			)
 		}
-		core.agents.agentOf(machine).RemovalReason = ""
+		core.agents.agentOf(machine).ClearRemovalReason()
 		if got := core.scheduler.schedulable(machine, c.sim.Now()); got != tc.usable {
 			t.Errorf("%s: usable %v", tc.name, got)
 		}
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/agents"
 	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -53,8 +54,8 @@
 }
 
 // agentSilence is how long a machine has been silent; while we stood still nobody could be heard.
-func (am *agentManager) agentSilence(agent *Agent, now monotime.Micros) monotime.Micros {
-	return now - max(agent.LastReachedAt, am.c.reachability.resumedFromPauseAt)
+func (am *agentManager) agentSilence(agent *agents.Agent, now monotime.Micros) monotime.Micros {
+	return now - max(agent.LastReachedAt(), am.c.reachability.resumedFromPauseAt)
 }
 
 // countSilentMachines counts the silent machines, by zone too, and judges from that whether it is
@@ -77,8 +78,8 @@
 			zoneSilence = &silenceCount{}
 			zones[machine.Record.Zone] = zoneSilence
 		}
-		zoneSilence.add(silent, am.agentOf(machine).Incarnation == 0)
-		overall.add(silent, am.agentOf(machine).Incarnation == 0)
+		zoneSilence.add(silent, !am.agentOf(machine).HasReported())
+		overall.add(silent, !am.agentOf(machine).HasReported())
 	}
 	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.SuspicionTimeout ||
 		am.c.reachability.resumedFromPauseAt == 0 {
@@ -95,44 +96,33 @@
 // checkMachine looks after one machine.
 func (am *agentManager) checkMachine(machine *mirror.Machine, check *machineHealthCheck) {
 	agent, now := am.agentOf(machine), check.now
-	if !agent.LeaseExpired && agent.ClaimAcknowledged &&
-		now-max(agent.LastAnsweredAt, agent.IncarnationSeenAt) > am.c.durations.LeaseExpiryProof {
+	if agent.LeaseHasEnded(now, am.c.durations.LeaseExpiryProof) {
 		check.leasesExpired++
 		check.tasksLost += len(machine.Attempts)
-		am.expireMachineLease(machine)
+		agent.ExpireLease(machine)
+		am.c.scheduler.requestPass()
 	}
 	faulty, doubtful := am.c.scheduler.machineFault(agent)
-	if doubtful != agent.FailureProne {
-		agent.FailureProne = doubtful
+	if agent.Failures().SetFailureProne(doubtful) {
 		am.c.scheduler.requestPass()
 	}
-	if quiet := am.agentSilence(agent, now) > am.c.durations.SuspicionTimeout || faulty; quiet != agent.Suspect {
-		agent.Suspect = quiet
+	if agent.SetSuspect(am.agentSilence(agent, now) > am.c.durations.SuspicionTimeout || faulty) {
 		am.c.scheduler.requestPass()
 	}
 	reason := am.removalReason(machine, check)
 	switch {
-	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason != "":
+	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason() != "":
 	case reason != "":
 		am.requestRemoval(machine, reason)
 	case faulty:
 		am.c.scheduler.clearFailuresOn(machine)
 		am.requestRemoval(machine, "faulty")
-	case agent.InterruptionNoticed && machine.Record.State != storage.MachineDraining && len(agent.StoppingAttempts) == 0:
+	case agent.InterruptionNoticed() && machine.Record.State != storage.MachineDraining && !agent.IsStoppingAny():
 		check.interruptionNoticed++
 		am.vacateInterruptedMachine(machine)
 	}
 }
 
-// expireMachineLease settles all that was on a machine whose lease has ended.
-func (am *agentManager) expireMachineLease(machine *mirror.Machine) {
-	am.agentOf(machine).LeaseExpired, am.agentOf(machine).ClaimAcknowledged = true, false
-	for task, attempt := range machine.Attempts {
-		am.agentOf(machine).RecordOutcome(AttemptID{task, attempt}, OutcomeRetry)
-	}
-	am.c.scheduler.requestPass()
-}
-
 // removalReason tells why a silent machine is to be deleted, or "" if it isn't.
 func (am *agentManager) removalReason(machine *mirror.Machine, check *machineHealthCheck) string {
 	agent, silent := am.agentOf(machine), am.agentSilence(am.agentOf(machine), check.now)
@@ -154,9 +144,9 @@
 	case silent > am.c.durations.SuspicionTimeout && am.holdsCancelled(machine, overdue):
 		// Its cancelled tasks must be gone in time, whoever is to blame.
 		return "cancelled tasks unreachable"
-	case agent.InterruptionNoticed && silent > am.c.durations.PlacementSilenceLimit:
+	case agent.InterruptionNoticed() && silent > am.c.durations.PlacementSilenceLimit:
 		return "spot interruption"
-	case silent > am.c.durations.SuspicionTimeout && 3*check.silent <= check.owned && agent.ClaimAcknowledged && !cut:
+	case silent > am.c.durations.SuspicionTimeout && 3*check.silent <= check.owned && agent.ClaimAcknowledged() && !cut:
 		// Deleting it proves its tasks gone long before its lease would. Not
 		// when many are silent: then it is we who are cut off.
 		return "unreachable"
@@ -196,16 +186,16 @@
 // desiredMachineState is the state that a machine of ours should stand in.
 func (am *agentManager) desiredMachineState(machine *mirror.Machine) storage.MachineState {
 	agent := am.agentOf(machine)
-	if (agent.RemovalReason == removalReasonIdle || agent.RemovalReason == removalReasonDrained) &&
+	if (agent.RemovalReason() == removalReasonIdle || agent.RemovalReason() == removalReasonDrained) &&
 		len(machine.Attempts) > 0 {
-		agent.RemovalReason = "" // the recheck: it got tasks meanwhile
+		agent.ClearRemovalReason() // the recheck: it got tasks meanwhile
 	}
 	switch {
-	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason != "":
+	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason() != "":
 		return storage.MachineRemoving
-	case machine.Record.State == storage.MachineDraining || agent.InterruptionNoticed:
+	case machine.Record.State == storage.MachineDraining || agent.InterruptionNoticed():
 		return storage.MachineDraining
-	case agent.Suspect:
+	case agent.Suspect():
 		return storage.MachineUnreachable
 	case am.c.drains.isCordoned(machine):
 		return storage.MachineCordoned
@@ -221,7 +211,7 @@
 
 // requestRemoval has a machine given back: our shard says so, and the leader deletes it.
 func (am *agentManager) requestRemoval(machine *mirror.Machine, reason string) {
-	am.agentOf(machine).RemovalReason = reason
+	am.agentOf(machine).SetRemovalReason(reason)
 	am.c.scheduler.requestPass()
 	am.unloggedRemovals[reason] = append(am.unloggedRemovals[reason], machine.ID)
 }
@@ -292,10 +282,10 @@
 	for task, attempt := range machine.Attempts {
 		job := am.c.mirror.Jobs[task.Job]
 		if job != nil && job.IsOpen() && (job.Record.Spec.Service || job.Record.Spec.CheckpointS > 0) {
-			agent.StoppingAttempts[AttemptID{task, attempt}] = true
+			agent.StopAttempt(agents.AttemptID{Task: task, Attempt: attempt})
 		}
 	}
-	if len(agent.StoppingAttempts) > 0 {
+	if agent.IsStoppingAny() {
 		am.syncCommands(machine)
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -3,9 +3,9 @@
 import (
 	"sort"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
-	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
 )
 
@@ -26,7 +26,7 @@
 
 // preemptionVictim is a running task of lower priority.
 type preemptionVictim struct {
-	attempt        AttemptID
+	attempt        agents.AttemptID
 	need           resources.Vector
 	lostCPUSeconds float64 // CPU seconds of work that stopping it throws away
 }
@@ -62,7 +62,7 @@
 			}
 			machine := candidate.machine
 			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) ||
-				len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 ||
+				sc.c.agents.agentOf(machine).IsStoppingAny() ||
 				!candidate.availableTo(job) {
 				continue
 			}
@@ -85,7 +85,7 @@
 			break
 		}
 		for _, victim := range bestVictims {
-			sc.c.agents.agentOf(best.machine).StoppingAttempts[victim.attempt] = true
+			sc.c.agents.agentOf(best.machine).StopAttempt(victim.attempt)
 			sc.c.log.Debug(
 				"task preempted",
 				"task",
@@ -154,16 +154,15 @@
 	for task, attempt := range machine.Attempts {
 		victim := sc.c.mirror.Jobs[task.Job]
 		if victim == nil || !victim.IsOpen() || !sc.mayPreempt(job, victim) ||
-			sc.c.agents.agentOf(machine).HasOutcome(AttemptID{task, attempt}) {
+			sc.c.agents.agentOf(machine).HasOutcome(agents.AttemptID{Task: task, Attempt: attempt}) {
 			continue
 		}
-		key := AttemptID{task, attempt}
-		if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported &&
-			taskReport.State == protocol.StateExited {
+		key := agents.AttemptID{Task: task, Attempt: attempt}
+		if sc.c.agents.agentOf(machine).HasExited(key) {
 			continue
 		}
 		ran := 0.0
-		if at, ok := sc.c.agents.agentOf(machine).RunningSince[key]; ok {
+		if at, ok := sc.c.agents.agentOf(machine).RunningSince(key); ok {
 			ran = (now - at).Seconds()
 		}
 		if cp := victim.Record.Spec.CheckpointS; cp > 0 {
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -125,7 +125,7 @@
 				for _, n := range c.nodeNames {
 					for _, machine := range c.nodes[n].controller.mirror.Machines {
 						if n != node && c.nodes[n].controller.agents.agentOf(machine) != nil &&
-							!c.nodes[n].controller.agents.agentOf(machine).ClaimAcknowledged {
+							!c.nodes[n].controller.agents.agentOf(machine).ClaimAcknowledged() {
 							unheard++
 						}
 					}
@@ -327,7 +327,7 @@
 	}
 	worker := c.fleet.Workers[machine.ID]
 	body := protocol.MustMarshal(worker.Heartbeat())
-	alive := core.agents.agentOf(machine).LastReachedAt
+	alive := core.agents.agentOf(machine).LastReachedAt()
 	got := 0
 	c.pause(core.node, 5*second)
 	c.sendRequest(
@@ -341,7 +341,7 @@
 	core.tick() // the first thing that it does
 	c.sim.Run(monotime.Millisecond)
 	if got == 200 ||
-		core.agents.agentOf(machine) != nil && core.agents.agentOf(machine).LastReachedAt > alive {
+		core.agents.agentOf(machine) != nil && core.agents.agentOf(machine).LastReachedAt() > alive {
 		t.Errorf("answered %d", got)
 	}
 }
--- a/internal/coordination/runtime_estimates.go
+++ b/internal/coordination/runtime_estimates.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/config"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -14,20 +15,17 @@
 func (sc *scheduler) recordExit(
 	machine *mirror.Machine,
 	job *mirror.Job,
-	task mirror.TaskID,
-	taskReport *protocol.TaskStatus,
+	exit agents.Exit,
 ) {
-	agent := sc.c.agents.agentOf(machine)
-	if agent.HasOutcome(AttemptID{task, taskReport.Attempt}) {
-		return
-	}
+	failures, taskReport := sc.c.agents.agentOf(machine).Failures(), &exit.Status
 	switch taskReport.Cause {
 	case protocol.CauseDone:
-		if at, ok := agent.RunningSince[AttemptID{task, taskReport.Attempt}]; ok && !job.Record.Spec.Service {
-			agent.recordSpeed((sc.c.now() - at).Seconds(), sc.expectedRunSeconds(&job.Record.Spec))
-			sc.updateEstimateBias(&job.Record.Spec, (sc.c.now() - at).Seconds())
+		if exit.Started && !job.Record.Spec.Service {
+			ran := (sc.c.now() - exit.Since).Seconds()
+			failures.RecordSpeed(ran, sc.expectedRunSeconds(&job.Record.Spec))
+			sc.updateEstimateBias(&job.Record.Spec, ran)
 		}
-		clear(agent.FailuresByJob)
+		failures.RecordCompletion()
 		if tracking := sc.jobStates[job.ID]; tracking != nil {
 			tracking.failedMachines, tracking.backoffDelay, tracking.retryAt = 0, 0, 0
 			clear(tracking.excludedMachines)
@@ -38,7 +36,7 @@
 		sc.c.log.Debug(
 			"task failed",
 			"task",
-			task.String(),
+			exit.Task.String(),
 			"attempt",
 			taskReport.Attempt,
 			"machine",
@@ -47,7 +45,7 @@
 	case protocol.CauseUnknown, protocol.CauseMachineFull, protocol.CauseBusy:
 		tracking := sc.trackingOf(job.ID)
 		tracking.placeNotBefore = max(tracking.placeNotBefore, sc.c.now()+500*monotime.Millisecond)
-		sc.c.log.Debug("task start refused", "task", task.String(), "attempt", taskReport.Attempt,
+		sc.c.log.Debug("task start refused", "task", exit.Task.String(), "attempt", taskReport.Attempt,
 			"machine", machine.ID, "reason", taskReport.Cause)
 	}
 }
@@ -104,13 +102,3 @@
 	}
 	s.retryAt = now + s.backoffDelay
 }
-
-// recordSpeed follows how fast the machine is. Single estimates are wrong by half
-// or more; a smoothed ratio of several tasks is not.
-func (w *Agent) recordSpeed(ran, expected float64) {
-	if ran <= 0 || expected <= 0 {
-		return
-	}
-	w.SlowdownSamples++
-	w.LogSlowdown += (math.Log(ran/expected) - w.LogSlowdown) / float64(min(w.SlowdownSamples, 8))
-}
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -4,6 +4,7 @@
 	"math"
 	"sort"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -74,21 +75,20 @@
 		}
 		machine := candidate.machine
 		if candidate.heldBack || !candidate.availableTo(job) ||
-			len(sc.c.agents.agentOf(machine).StoppingAttempts) > 0 ||
+			sc.c.agents.agentOf(machine).IsStoppingAny() ||
 			!machineAllowed(&job.Record.Spec, candidate.record) ||
 			!zones.allows(candidate.record.Zone) {
 			continue
 		}
 		var victims []preemptionVictim
 		for task, attempt := range machine.Attempts {
-			key := AttemptID{task, attempt}
+			key := agents.AttemptID{Task: task, Attempt: attempt}
 			victim := sc.c.mirror.Jobs[task.Job]
 			if victim == nil || !sc.preemptibleBy(job, victim) ||
 				sc.c.agents.agentOf(machine).HasOutcome(key) {
 				continue
 			}
-			if taskReport, reported := sc.c.agents.agentOf(machine).ReportedAttempts[key]; reported &&
-				taskReport.State == protocol.StateExited {
+			if sc.c.agents.agentOf(machine).HasExited(key) {
 				continue
 			}
 			victims = append(victims, preemptionVictim{key, victim.TaskResources, victim.Record.Spec.SaveS})
@@ -114,7 +114,7 @@
 			continue
 		}
 		for _, victim := range victims[:taken] {
-			sc.c.agents.agentOf(machine).StoppingAttempts[victim.attempt] = true
+			sc.c.agents.agentOf(machine).StopAttempt(victim.attempt)
 			save = max(save, victim.lostCPUSeconds)
 			sc.c.log.Debug(
 				"scavenger task preempted",
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -212,13 +213,9 @@
 		if agent == nil {
 			continue
 		}
-		for key, outcome := range agent.PendingOutcomes {
-			if machine.Attempts[key.Task] != key.Attempt {
-				delete(agent.PendingOutcomes, key) // written, or never ours
-				continue
-			}
-			release(machine, key.Task, outcome == OutcomeCompleted)
-		}
+		agent.EachPendingOutcome(machine, func(task mirror.TaskID, outcome agents.Outcome) {
+			release(machine, task, outcome == agents.OutcomeCompleted)
+		})
 		if want := sm.c.agents.desiredMachineState(machine); want != machine.Record.State {
 			update.next.SetMachineState(id, want)
 			update.changed = true
--- a/internal/coordination/store_reachability.go
+++ b/internal/coordination/store_reachability.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/agents"
 	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
@@ -43,12 +44,10 @@
 // whoever does has taken our machines over. One that has been round and comes back
 // within its lease has found nobody: it is we who are left, or its zone is cut off with
 // us, and it is answered as before.
-func (rc *reachability) shouldRedirectAway(agent *Agent, now monotime.Micros) bool {
+func (rc *reachability) shouldRedirectAway(agent *agents.Agent, now monotime.Micros) bool {
 	if !rc.isIsolated(now) ||
 		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.MembershipTTL+durations.TakeoverDuration {
 		return false
 	}
-	back := agent.RedirectedAt != 0 && now-agent.RedirectedAt < rc.c.durations.WorkerLease
-	agent.RedirectedAt = max(now, 1)
-	return !back
+	return agent.RedirectOnce(now, rc.c.durations.WorkerLease)
 }
