--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -9,6 +9,7 @@
 	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
 	"pipitgap/internal/storage"
@@ -30,7 +31,7 @@
 		within monotime.Micros,
 		callback func(protocol.CommandResult),
 	)
-	SendPeerStatus(node string, status PeerStatus)
+	SendPeerStatus(node string, status peers.Status)
 }
 
 // Response is the answer to a user or a worker.
@@ -61,7 +62,7 @@
 
 	mirror *mirror.Mirror
 
-	peerStatuses *PeerTable
+	peerStatuses *peers.Table
 
 	recordWritesInFlight map[string]bool // jobs with a change of their record in flight
 
@@ -95,7 +96,7 @@
 		incarnation:          env.Rand().Uint64()>>16 | 1,
 		controllers:          controllerNames(cfg),
 		durations:            durations.Derive(cfg.Facts.Workers),
-		peerStatuses:         newPeerTable(),
+		peerStatuses:         peers.NewTable(storeclient.WaitingUserCallsThreshold),
 		recordWritesInFlight: map[string]bool{},
 	}
 	c.mirror = mirror.New()
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
@@ -34,13 +35,13 @@
 	core := c.nodes["n-0"].controller
 	usual := core.store.ShardWritesPerSecond()
 	core.OnPeerStatus(
-		PeerStatus{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: storeclient.WaitingUserCallsThreshold},
+		peers.Status{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: storeclient.WaitingUserCallsThreshold},
 	)
 	if got := core.store.ShardWritesPerSecond(); got != usual {
 		t.Errorf("a few users at a peer: %v, usually %v", got, usual)
 	}
 	core.OnPeerStatus(
-		PeerStatus{
+		peers.Status{
 			Node:                  "n-1",
 			StateServiceReachable: true,
 			WaitingUserRequests:   storeclient.WaitingUserCallsThreshold + 1,
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -17,6 +17,7 @@
 	"strings"
 	"testing"
 
+	"pipitgap/internal/peers"
 	"pipitgap/internal/sortedmap"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -186,7 +187,7 @@
 }
 
 // wirePeerStatus renders what a controller tells another, field by field.
-func wirePeerStatus(status *PeerStatus) string {
+func wirePeerStatus(status *peers.Status) string {
 	var b strings.Builder
 	fmt.Fprintf(
 		&b,
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -242,7 +242,7 @@
 // service takes submissions waited for more than a second.
 func (d *drains) hasSpareWrites(now monotime.Micros) bool {
 	c := d.core
-	if c.store.UserCallsWaiting() || c.peerStatuses.userCallsWaiting(now) {
+	if c.store.UserCallsWaiting() || c.peerStatuses.UserCallsWaiting(now) {
 		return false
 	}
 	return c.store.HasSpareWrites(now, spareWriteFraction)
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -57,7 +57,7 @@
 	if tracking != nil {
 		n = tracking.failedMachines
 	}
-	n += sc.c.peerStatuses.failedMachines(id)
+	n += sc.c.peerStatuses.FailedMachines(id)
 	if n >= jobFaultMachines {
 		return jobAtFault
 	}
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -5,6 +5,7 @@
 
 	"pipitgap/internal/agents"
 	"pipitgap/internal/config"
+	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
@@ -27,10 +28,8 @@
 	mr.Results.Add("dropped", storage.JobCancelled)
 	core.scheduler.trackingOf("here").failedMachines = 3
 	core.scheduler.trackingOf("others").failedMachines = 1
-	core.peerStatuses.status("n-1").failingJobs, core.peerStatuses.status("n-2").failingJobs = map[string]int{
-		"others": 1,
-	}, map[string]int{
-		"others": 1,
+	for _, peer := range []string{"n-1", "n-2"} {
+		core.peerStatuses.Update(&peers.Status{Node: peer, FailingJobs: map[string]int{"others": 1}}, core.now())
 	}
 	for _, tc := range []struct {
 		name             string
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -138,7 +138,7 @@
 	case member.Record.Incarnation != machine.Shard.Record.Incarnation:
 		respond(am.redirectResponse(owner)) // it has just come back and claims its shards
 		return
-	case am.c.reachability.heardFromRecently(owner, now):
+	case am.c.peerStatuses.HeardRecently(owner, now):
 		// It lives, or did a moment ago. A worker that had it for long and lost it
 		// needn't be sent there again, its lease may not last for another round. One
 		// that goes round because its owner was gone for a moment must find it: that
@@ -151,7 +151,7 @@
 			claimNumber := machine.Claim()
 			am.c.env.After(durations.SlowTickInterval+2*durations.FastTickInterval, func() {
 				machine := am.c.mirror.Machines[report.Machine]
-				silent := am.c.peerStatuses.status(owner).lastHeardAt <= now
+				silent := am.c.peerStatuses.LastHeardAt(owner) <= now
 				if silent && !am.mustAdoptBeforeLeaseEnds(owner, am.c.now()) || machine == nil ||
 					machine.Record == nil ||
 					am.agentOf(machine) != nil ||
@@ -169,7 +169,7 @@
 		adopt = now-firstContactAt > am.c.durations.AdoptionDelay || am.mustAdoptBeforeLeaseEnds(owner, now)
 	}
 	if !adopt {
-		if am.c.reachability.heardFromRecently(owner, now) {
+		if am.c.peerStatuses.HeardRecently(owner, now) {
 			respond(am.redirectResponse(owner))
 		} else {
 			respond(am.redirectResponse(""))
@@ -196,17 +196,6 @@
 	})
 }
 
-// heardFromRecently tells whether a peer spoke to us lately.
-func (rc *reachability) heardFromRecently(peer string, now monotime.Micros) bool {
-	p := rc.c.peerStatuses.status(peer)
-	return p.hasReported && now-p.lastHeardAt < 3*durations.SlowTickInterval
-}
-
-// silentFor tells for how long a peer hasn't spoken to us.
-func (rc *reachability) silentFor(peer string, now monotime.Micros) monotime.Micros {
-	return now - rc.c.peerStatuses.status(peer).lastHeardAt
-}
-
 // mustAdoptBeforeLeaseEnds tells whether a worker that has lost a silent owner must be adopted now: if it
 // goes round all controllers once more, waiting at each that says nothing, its lease may
 // end on the way. Whoever is still a member for longer than that takes lives, but won't be
@@ -215,11 +204,11 @@
 	round := durations.WorkerRetryPause
 	for _, peer := range am.c.cfg.Peers {
 		round += durations.WorkerRetryPause
-		if !am.c.reachability.heardFromRecently(peer.Node, now) {
+		if !am.c.peerStatuses.HeardRecently(peer.Node, now) {
 			round += durations.WorkerAnswerTimeout
 		}
 	}
-	unheard := am.c.reachability.silentFor(owner, now)
+	unheard := now - am.c.peerStatuses.LastHeardAt(owner)
 	return unheard > am.c.durations.MembershipTTL ||
 		unheard+round > am.c.durations.WorkerLease-am.c.durations.HeartbeatInterval
 }
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"pipitgap/internal/cancellation"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -24,24 +23,6 @@
 	missingSince         map[string]monotime.Micros
 }
 
-// PeerStatus is what a controller sends to the others about itself. Nothing is decided by it: it
-// speeds things up, and tells a common outage from the sender's own. See PeerFrame for its wire form.
-type PeerStatus struct {
-	Node        string
-	Incarnation uint64
-	// StateServiceReachable says that the sender has lately had an answer from the state service.
-	StateServiceReachable bool
-	// WaitingUserRequests is the number of users' requests that wait there for the state service.
-	WaitingUserRequests int
-	WorkerReach         WorkerReach
-	FailingJobs         map[string]int // by job that fails there: on how many machines
-	// TeamsShortOfQuota are the teams with a pending task that fits neither into the sender's share
-	// of the team's quota nor into what is unallocated.
-	TeamsShortOfQuota []string
-
-	Cancellations cancellation.RoundMessage
-}
-
 func (m *membership) grantLease() {
 	if m.leaseGrantInFlight {
 		return
@@ -187,32 +168,3 @@
 		}
 	})
 }
-
-// sendPeerStatus sends our status to the peers.
-func (c *Controller) sendPeerStatus(now monotime.Micros) {
-	ok := !c.store.Unavailable() && now-c.store.LastSuccessAt() < 1500*monotime.Millisecond
-	failing := c.scheduler.failingJobs()
-	for _, peer := range c.cfg.Peers {
-		status := PeerStatus{
-			Node:                  c.node,
-			Incarnation:           c.incarnation,
-			StateServiceReachable: ok,
-			WaitingUserRequests:   c.store.QueuedCalls(ratelimit.PriorityUserRequest),
-			WorkerReach:           c.reachability.workerReach(),
-			FailingJobs:           failing,
-			TeamsShortOfQuota:     c.quota.TeamsLacking(now),
-		}
-		for _, m := range c.cancellations.relay.MessagesFor(peer.Node, now, c.mirror.WatchedRevision, c.replica.loaded) {
-			status.Cancellations = m
-			c.env.SendPeerStatus(peer.Node, status)
-		}
-	}
-}
-
-// OnPeerStatus handles the status that a peer has sent.
-func (c *Controller) OnPeerStatus(status PeerStatus) {
-	now := c.now()
-	c.reachability.detectPause(now)
-	c.peerStatuses.update(&status, now)
-	c.cancellations.applyPeerCancellations(c.cancellations.relay.Receive(status.Node, status.Cancellations))
-}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/sortedmap"
@@ -29,16 +30,6 @@
 // have all fallen silent, while others hear theirs, hands its machines over and takes no
 // new ones; one that stood still believes nothing until it has asked again.
 
-// WorkerReach is whether a controller reaches its workers. Its numbers are sent to peers and frozen.
-type WorkerReach int
-
-// Values of WorkerReach.
-const (
-	WorkersUnknown     WorkerReach = iota // it has none that could tell
-	WorkersReachable                      // it hears most of its workers
-	WorkersUnreachable                    // they have all fallen silent, or nearly so
-)
-
 const (
 	pauseThreshold            = 3 * monotime.Second / 2 // a tick so late means that the process stood still
 	staleAfterPause           = monotime.Second / 2     // after that it waits so long for word from the store
@@ -65,15 +56,15 @@
 	return rc.resumedFromPauseAt > rc.c.replica.freshAt && now-rc.resumedFromPauseAt < staleAfterPause
 }
 
-// workerReach tells whether we reach our workers.
-func (rc *reachability) workerReach() WorkerReach {
+// WorkerReach tells whether we reach our workers.
+func (rc *reachability) workerReach() peers.WorkerReach {
 	switch {
 	case rc.workersUnreachableSince != 0:
-		return WorkersUnreachable
+		return peers.WorkersUnreachable
 	case rc.hearsMostWorkers:
-		return WorkersReachable
+		return peers.WorkersReachable
 	}
-	return WorkersUnknown
+	return peers.WorkersUnknown
 }
 
 // updateReachability judges from the silence of our machines whether it is we who are cut off
@@ -170,8 +161,8 @@
 	if node == rc.c.node {
 		return rc.workersUnreachableSince != 0
 	}
-	return rc.heardFromRecently(node, now) &&
-		rc.c.peerStatuses.status(node).reachability == WorkersUnreachable
+	return rc.c.peerStatuses.HeardRecently(node, now) &&
+		rc.c.peerStatuses.WorkerReach(node) == peers.WorkersUnreachable
 }
 
 // connectedControllers lists the live controllers that are good for machines and waiting tasks.
@@ -204,9 +195,9 @@
 			continue
 		}
 		others = append(others, node)
-		if sm.c.reachability.heardFromRecently(node, now) {
+		if sm.c.peerStatuses.HeardRecently(node, now) {
 			alone = false
-			if sm.c.peerStatuses.status(node).reachability == WorkersReachable {
+			if sm.c.peerStatuses.WorkerReach(node) == peers.WorkersReachable {
 				to = append(to, node)
 			}
 		}
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -12,6 +12,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 )
 
@@ -191,19 +192,19 @@
 	}
 }
 
-func (e *simEnv) SendPeerStatus(node string, status PeerStatus) {
+func (e *simEnv) SendPeerStatus(node string, status peers.Status) {
 	c := e.node.cluster
 	e.record("hint", func() string { return node + " " + wirePeerStatus(&status) })
 	if c.disconnectedPairs[e.node.name+"-"+node] || c.disconnectedPairs[node+"-"+e.node.name] ||
 		c.zonesPartitioned && zoneOfController(e.node.name) != zoneOfController(node) {
 		return
 	}
-	frame := PeerFrame(&status)
+	frame := peers.Frame(&status)
 	c.sim.After(2*monotime.Millisecond, func() {
 		if controller := c.nodes[node]; controller.controller != nil {
 			c.runWhenResumed(node, func() {
 				if controller.controller != nil {
-					controller.controller.OnPeerStatus(FromPeerFrame(&frame))
+					controller.controller.OnPeerStatus(peers.FromFrame(&frame))
 				}
 			})
 		}
--- a/internal/coordination/store_reachability.go
+++ b/internal/coordination/store_reachability.go
@@ -4,7 +4,6 @@
 	"pipitgap/internal/agents"
 	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
-	"pipitgap/internal/sortedmap"
 )
 
 // storeUnreachableOnlyHere tells whether this node can't use the store while another can:
@@ -14,14 +13,7 @@
 	if !rc.c.store.Unavailable() || now-rc.c.store.LastSuccessAt() < 2*monotime.Second {
 		return "", false
 	}
-	for _, node := range sortedmap.Keys(rc.c.peerStatuses.statuses) {
-		at := rc.c.peerStatuses.statuses[node].storeReachableAt
-		if at != 0 && now-at < 1500*monotime.Millisecond &&
-			at > rc.c.store.LastSuccessAt()+1500*monotime.Millisecond {
-			return node, true
-		}
-	}
-	return "", false
+	return rc.c.peerStatuses.FirstReachingStore(rc.c.store.LastSuccessAt()+1500*monotime.Millisecond, now)
 }
 
 // isIsolated tells whether we reach neither the store nor any other controller:
@@ -32,7 +24,7 @@
 		return false
 	}
 	for _, peer := range rc.c.cfg.Peers {
-		if rc.heardFromRecently(peer.Node, now) {
+		if rc.c.peerStatuses.HeardRecently(peer.Node, now) {
 			return false
 		}
 	}
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -75,8 +75,7 @@
 }
 
 func (d quotaDependencies) QuotaLackReportedAt(team string) (at monotime.Micros, ok bool) {
-	at, ok = d.c.peerStatuses.quotaLackReportedAt[team]
-	return at, ok
+	return d.c.peerStatuses.QuotaLackReportedAt(team)
 }
 
 func (d quotaDependencies) WorkersUnreachable() bool {
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -17,6 +17,6 @@
 		Controllers:          len(c.controllers),
 		Environment:          c.env,
 		Log:                  c.log,
-		UserCallsWaitAtPeers: func(now monotime.Micros) bool { return c.peerStatuses.userCallsWaiting(now) },
+		UserCallsWaitAtPeers: func(now monotime.Micros) bool { return c.peerStatuses.UserCallsWaiting(now) },
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -13,6 +13,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/coordination"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/transport"
 )
@@ -76,7 +77,7 @@
 	}()
 }
 
-func (w *environment) SendPeerStatus(node string, status coordination.PeerStatus) {
+func (w *environment) SendPeerStatus(node string, status peers.Status) {
 	l := w.peers[node]
 	if l == nil {
 		return
--- a/internal/daemon/frame_size_test.go
+++ b/internal/daemon/frame_size_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"pipitgap/internal/cancellation"
-	"pipitgap/internal/coordination"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
 )
 
 // TestPeerStatusFitsFrame: whatever has been cancelled, each status fits into a frame between
@@ -28,7 +28,7 @@
 	}
 	total := 0
 	for _, m := range messages {
-		status := coordination.PeerStatus{Node: "n-0", Incarnation: 1, FailingJobs: failing,
+		status := peers.Status{Node: "n-0", Incarnation: 1, FailingJobs: failing,
 			TeamsShortOfQuota: []string{"a", "b"}, Cancellations: m}
 		frame, err := encodePeerFrame(&status)
 		if err != nil {
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/frames_test.go
@@ -5,8 +5,8 @@
 	"testing"
 
 	"pipitgap/internal/cancellation"
-	"pipitgap/internal/coordination"
 	"pipitgap/internal/fixtures"
+	"pipitgap/internal/peers"
 )
 
 // frameHead is the length that stands before a frame's gob stream.
@@ -15,9 +15,9 @@
 // TestPeerFrames: frames that a controller of an earlier version has sent read as the same values,
 // and are sent as the same bytes. Maps have one entry: gob sends them in any order.
 func TestPeerFrames(t *testing.T) {
-	full := coordination.PeerStatus{
+	full := peers.Status{
 		Node: "n-0", Incarnation: 1 << 47, StateServiceReachable: true, WaitingUserRequests: 12,
-		WorkerReach: coordination.WorkersUnreachable,
+		WorkerReach: peers.WorkersUnreachable,
 		FailingJobs: map[string]int{"j-000017": 3}, TeamsShortOfQuota: []string{"wren", "pipit"},
 		Cancellations: cancellation.RoundMessage{
 			Incarnation: 1<<47 + 1, Clock: 60_000_001, EchoedIncarnation: 1<<46 + 2, EchoedClock: 59_000_002,
@@ -27,10 +27,10 @@
 			},
 		},
 	}
-	statuses := map[string]coordination.PeerStatus{
+	statuses := map[string]peers.Status{
 		"hint":        full,
-		"hint-sparse": {Node: "n-1", Incarnation: 5, WorkerReach: coordination.WorkersReachable},
-		"hint-unknown": {Node: "n-1", Incarnation: 5, WorkerReach: coordination.WorkersUnknown,
+		"hint-sparse": {Node: "n-1", Incarnation: 5, WorkerReach: peers.WorkersReachable},
+		"hint-unknown": {Node: "n-1", Incarnation: 5, WorkerReach: peers.WorkersUnknown,
 			Cancellations: cancellation.RoundMessage{MessagesInRound: 1}},
 	}
 	for file, status := range statuses {
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -1,22 +1,22 @@
 package daemon
 
 import (
-	"pipitgap/internal/coordination"
+	"pipitgap/internal/peers"
 	"pipitgap/internal/peerwire"
 	"pipitgap/internal/transport"
 )
 
 // encodePeerFrame returns the frame that sends a status to another controller.
-func encodePeerFrame(status *coordination.PeerStatus) ([]byte, error) {
-	frame := coordination.PeerFrame(status)
+func encodePeerFrame(status *peers.Status) ([]byte, error) {
+	frame := peers.Frame(status)
 	return transport.EncodeFrame(&frame)
 }
 
 // decodePeerFrame reads what encodePeerFrame has written, without the frame's length.
-func decodePeerFrame(encoded []byte) (coordination.PeerStatus, error) {
+func decodePeerFrame(encoded []byte) (peers.Status, error) {
 	var frame peerwire.Hint
 	if err := transport.DecodeFrame(encoded, &frame); err != nil {
-		return coordination.PeerStatus{}, err
+		return peers.Status{}, err
 	}
-	return coordination.FromPeerFrame(&frame), nil
+	return peers.FromFrame(&frame), nil
 }
--- a/internal/coordination/peer_frames.go
+++ b/internal/peers/frames.go
@@ -1,4 +1,4 @@
-package coordination
+package peers
 
 import (
 	"pipitgap/internal/cancellation"
@@ -7,8 +7,8 @@
 	wirecancellation "pipitgap/internal/peerwire/cancellation"
 )
 
-// PeerFrame converts a status to the form in which controllers send it. Its map is shared.
-func PeerFrame(status *PeerStatus) peerwire.Hint {
+// Frame converts a status to the form in which controllers send it. Its map is shared.
+func Frame(status *Status) peerwire.Hint {
 	return peerwire.Hint{
 		Node:          status.Node,
 		Incarnation:   status.Incarnation,
@@ -21,9 +21,9 @@
 	}
 }
 
-// FromPeerFrame converts a received frame to a status, see PeerFrame.
-func FromPeerFrame(frame *peerwire.Hint) PeerStatus {
-	return PeerStatus{
+// FromFrame converts a received frame to a status, see Frame.
+func FromFrame(frame *peerwire.Hint) Status {
+	return Status{
 		Node:                  frame.Node,
 		Incarnation:           frame.Incarnation,
 		StateServiceReachable: frame.StoreOK,
