--- a/internal/coordination/cancellations.go
+++ b/internal/coordination/cancellations.go
@@ -22,7 +22,7 @@
 // have confirmed a cancellation that we know nothing of, so long ago that its tasks
 // would outlast their time if we renewed their lease now.
 func (ct *cancellationTracker) mustSuspendLeaseRenewal(now monotime.Micros) bool {
-	expire := now-ct.relay.ConfirmedUntil(ct.c.replica.freshAt, now) >= ct.c.durations.RenewalWindow
+	expire := now-ct.relay.ConfirmedUntil(ct.c.replica.FreshAt(), now) >= ct.c.durations.RenewalWindow
 	if expire != ct.leaseRenewalSuspended {
 		ct.leaseRenewalSuspended = expire
 		ct.c.log.Info("worker lease renewal suspended", "state", conditionState(expire))
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -45,7 +45,6 @@
 const (
 	leaseKeepAliveTimeout = 1 * monotime.Second
 	commandTimeout        = 3 * monotime.Second
-	maxWatchBytes         = 4 << 20 // bytes of an answer of the watch, at most about
 )
 
 // Controller is the actor that decides. All of its methods run on its own goroutine
@@ -71,7 +70,7 @@
 	drains        *drains // nil: the settings don't turn them on
 	counters      activityCounters
 	store         *storeclient.Client
-	replica       *mirrorReplica
+	replica       *mirror.Replica
 	membership    *membership
 	reachability  *reachability
 	catalog       *machineCatalog
@@ -101,7 +100,7 @@
 	}
 	c.mirror = mirror.New()
 	c.store = newStoreClient(c)
-	c.replica = &mirrorReplica{c: c}
+	c.replica = newReplica(c)
 	c.membership = &membership{c: c, missingSince: map[string]monotime.Micros{}}
 	c.reachability = &reachability{c: c}
 	c.catalog = newMachineCatalog(c)
@@ -140,7 +139,7 @@
 		)
 	}
 	c.membership.grantLease()
-	c.replica.load()
+	c.replica.Load()
 	c.catalog.fetch()
 	c.tick()
 }
@@ -168,8 +167,8 @@
 
 func (c *Controller) runFastTick(now monotime.Micros) {
 	c.membership.renewLease(now)
-	c.replica.maintainWatch(now)
-	if !c.replica.ready || c.reachability.mirrorStale(now) {
+	c.replica.MaintainWatch(now)
+	if !c.replica.Ready() || c.reachability.mirrorStale(now) {
 		return
 	}
 	if c.scheduler.passDue(now) {
@@ -184,7 +183,7 @@
 	if c.catalog.fetchedAt == 0 || now-c.catalog.fetchedAt > 60*monotime.Second {
 		c.catalog.fetch()
 	}
-	if !c.replica.ready || c.reachability.mirrorStale(now) {
+	if !c.replica.Ready() || c.reachability.mirrorStale(now) {
 		return
 	}
 	c.store.UpdateBudget(len(c.membership.liveControllers()))
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -118,7 +118,7 @@
 	}
 	c := d.core
 	if c.store.Unavailable() || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) ||
-		now-c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
+		c.replica.WatchOverdue(now) {
 		return
 	}
 	snapshot := c.drainSnapshot()
@@ -267,7 +267,7 @@
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
 	}
 	d.permitCommitInFlight[team] = true
-	c.replica.commit(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
+	c.replica.Commit(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
 		delete(d.permitCommitInFlight, team)
 		switch result.Outcome {
 		case protocol.OK:
--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -113,7 +113,7 @@
 		}
 		c.sim.Run(second)
 		for _, node := range c.nodeNames {
-			if got := len(c.nodes[node].controller.replica.pendingReads); got > maxWaitingReaders {
+			if got := c.nodes[node].controller.replica.PendingReads(); got > maxWaitingReaders {
 				t.Fatalf("%d polls wait", got)
 			}
 		}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -38,7 +38,7 @@
 		respond(am.redirectResponse(peer))
 		return
 	}
-	if !am.c.replica.ready {
+	if !am.c.replica.Ready() {
 		respond(errorResponse(503, "records not read yet"))
 		return
 	}
@@ -331,7 +331,7 @@
 				record.Own[k] = v
 			}
 		}
-		am.c.replica.commit(ratelimit.PriorityBackground, protocol.Transaction{
+		am.c.replica.Commit(ratelimit.PriorityBackground, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: request.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
 		}, func(protocol.StoreResult) { delete(am.c.recordWritesInFlight, key) })
--- a/internal/coordination/job_completion.go
+++ b/internal/coordination/job_completion.go
@@ -25,7 +25,7 @@
 	id := job.ID
 	u.c.recordWritesInFlight[id] = true
 	openKey, jobKey := storage.Key(storage.KindOpenJob, id), storage.Key(storage.KindJobResult, id)
-	u.c.replica.commit(u.priorityClassOf(&job.Record.Spec, ratelimit.PriorityJobResult), protocol.Transaction{
+	u.c.replica.Commit(u.priorityClassOf(&job.Record.Spec, ratelimit.PriorityJobResult), protocol.Transaction{
 		If: []protocol.Compare{{Key: jobKey}},
 		Then: []protocol.Op{
 			{Put: jobKey, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobDone})},
@@ -45,7 +45,7 @@
 func (u *userAPI) purgeCancelledJob(job *mirror.Job) {
 	u.c.recordWritesInFlight[job.ID] = true
 	key := storage.Key(storage.KindOpenJob, job.ID)
-	u.c.replica.commit(ratelimit.PriorityBackground, protocol.Transaction{
+	u.c.replica.Commit(ratelimit.PriorityBackground, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Delete: key}},
 	}, func(protocol.StoreResult) { delete(u.c.recordWritesInFlight, job.ID) })
--- a/internal/coordination/leader_reconcile.go
+++ b/internal/coordination/leader_reconcile.go
@@ -103,7 +103,7 @@
 	as.term.commitInFlight[busyKey] = true
 	term := as.term.term
 	txn.If = append(txn.If, as.c.membership.leadershipCompare())
-	as.c.replica.commit(priority, txn, func(result protocol.StoreResult) {
+	as.c.replica.Commit(priority, txn, func(result protocol.StoreResult) {
 		if term != as.term.term {
 			return
 		}
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -2,7 +2,6 @@
 
 import (
 	"pipitgap/internal/agents"
-	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
@@ -24,7 +23,7 @@
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
 	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.Unavailable() ||
-		now-am.c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
+		am.c.replica.WatchOverdue(now) {
 		return
 	}
 	check := &machineHealthCheck{now: now}
--- a/internal/coordination/membership.go
+++ b/internal/coordination/membership.go
@@ -46,7 +46,7 @@
 		}
 		m.leaseID, m.leaseRenewalSentAt, m.nextLeaseRenewalAt = result.Lease, sentAt, sentAt+m.c.durations.MembershipTTL/4
 		m.leaseGrantedAt = m.c.now()
-		m.c.replica.whenCurrent(func(bool) {}) // the mirror catches up at once, see leading
+		m.c.replica.WhenCurrent(func(bool) {}) // the mirror catches up at once, see leading
 		m.ensureMemberRecord()
 	})
 }
@@ -85,7 +85,7 @@
 // away, by a commit that is carried out only after we have been back and gone again, asks
 // for the one before.
 func (m *membership) ensureMemberRecord() {
-	if !m.c.replica.ready || m.leaseID == 0 || m.memberWriteInFlight {
+	if !m.c.replica.Ready() || m.leaseID == 0 || m.memberWriteInFlight {
 		return
 	}
 	have := m.c.mirror.Members[m.c.node]
@@ -105,7 +105,7 @@
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: partition.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: protocol.MustMarshal(&partition.Record)})
 	}
-	m.c.replica.commit(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
+	m.c.replica.Commit(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
 		m.memberWriteInFlight = false
 		if result.Outcome == protocol.Rejected && m.leaseID == lease {
 			m.leaseID = 0
@@ -135,9 +135,9 @@
 // leader are conditional on the lead record as well. A mirror from before our lease may
 // show a lead that we had under an earlier one.
 func (m *membership) isLeader(now monotime.Micros) bool {
-	return m.c.replica.ready && m.c.mirror.LeaderVersion != 0 && m.c.mirror.Leader.Node == m.c.node && m.c.mirror.Leader.Incarnation == m.c.incarnation &&
+	return m.c.replica.Ready() && m.c.mirror.LeaderVersion != 0 && m.c.mirror.Leader.Node == m.c.node && m.c.mirror.Leader.Incarnation == m.c.incarnation &&
 		m.holdsLease(now) &&
-		m.c.replica.freshAt >= m.leaseGrantedAt
+		m.c.replica.FreshAt() >= m.leaseGrantedAt
 }
 
 func (m *membership) leadershipCompare() protocol.Compare {
@@ -161,7 +161,7 @@
 		Then: []protocol.Op{{Put: storage.LeaderKey, Lease: m.leaseID,
 			Value: protocol.MustMarshal(&storage.Leader{Node: m.c.node, Incarnation: m.c.incarnation})}},
 	}
-	m.c.replica.commit(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
+	m.c.replica.Commit(ratelimit.PriorityLease, txn, func(result protocol.StoreResult) {
 		m.electionInFlight = false
 		if result.Outcome == protocol.OK {
 			m.c.log.Info("leader elected", "term", result.Revision)
--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -100,7 +100,7 @@
 			c.store.RefusedCallers["n-2"] = false
 			c.sim.Run(5 * second)
 			core := c.nodes["n-2"].controller
-			most := core.replica.maxWatchEvents()
+			most := core.replica.MaxWatchChanges()
 			if got := c.store.LargestWatchReply; got > most {
 				t.Errorf("a watch brought %d changes, want %d at most", got, most)
 			}
--- a/internal/coordination/peer_exchange.go
+++ b/internal/coordination/peer_exchange.go
@@ -22,7 +22,7 @@
 	}
 	relay := c.cancellations.relay
 	for _, peer := range c.cfg.Peers {
-		for _, message := range relay.MessagesFor(peer.Node, now, c.mirror.WatchedRevision, c.replica.loaded) {
+		for _, message := range relay.MessagesFor(peer.Node, now, c.mirror.WatchedRevision, c.replica.Loaded()) {
 			status.Cancellations = message
 			c.env.SendPeerStatus(peer.Node, status)
 		}
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -53,7 +53,7 @@
 // hold may be others', and what comes in may have waited for long. In an outage the
 // wait is short, or the workers' leases would lapse.
 func (rc *reachability) mirrorStale(now monotime.Micros) bool {
-	return rc.resumedFromPauseAt > rc.c.replica.freshAt && now-rc.resumedFromPauseAt < staleAfterPause
+	return rc.resumedFromPauseAt > rc.c.replica.FreshAt() && now-rc.resumedFromPauseAt < staleAfterPause
 }
 
 // WorkerReach tells whether we reach our workers.
@@ -185,7 +185,7 @@
 // writes, took longer than the leases of most.
 func (sm *shardManager) handOffShards(now monotime.Micros) {
 	if sm.c.quota.WriteInFlight() || sm.c.store.Unavailable() || !sm.c.membership.holdsLease(now) ||
-		now-sm.c.replica.lastWatchSuccessAt > durations.WatchLongPoll+monotime.Second {
+		sm.c.replica.WatchOverdue(now) {
 		return
 	}
 	var to, others []string
@@ -235,7 +235,7 @@
 		protocol.Compare{Key: storage.Key(storage.KindMember, successor), Version: member.Version},
 	)
 	sm.c.quota.BeginWrite()
-	sm.c.replica.commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
+	sm.c.replica.Commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
 		sm.c.quota.EndWrite()
 		sm.c.scheduler.requestPass()
 		if result.Outcome == protocol.OK {
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -34,8 +34,8 @@
 		if n := core.store.QueuedCalls(ratelimit.PriorityUserRequest); n > core.api.maxQueuedUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
-		if len(core.replica.pendingReads) > maxWaitingReaders {
-			t.Fatalf("%d polls wait", len(core.replica.pendingReads))
+		if core.replica.PendingReads() > maxWaitingReaders {
+			t.Fatalf("%d polls wait", core.replica.PendingReads())
 		}
 	}
 	c.sim.Run(10 * second)
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -68,7 +68,7 @@
 	for _, shard := range shards {
 		sm.claimsInFlight[shard.Name] = true
 	}
-	sm.c.replica.commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
+	sm.c.replica.Commit(ratelimit.PriorityClaim, txn, func(result protocol.StoreResult) {
 		machines := 0
 		for _, shard := range shards {
 			delete(sm.claimsInFlight, shard.Name)
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -288,7 +288,7 @@
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 	}
 	tracker.commitInFlightSince, tracker.updatesInDoubt = max(now, 1), append(tracker.updatesInDoubt, update)
-	sm.c.replica.commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+	sm.c.replica.Commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		tracker.commitInFlightSince = 0
 		sm.c.scheduler.requestPass()
 		if update.ChangesOtherRecords() {
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -9,7 +9,7 @@
 )
 
 type activityCounters struct {
-	jobsAccepted, requestsDeferred, tasksPlaced, jobsCompleted, jobsFailed, commitConflicts int
+	jobsAccepted, requestsDeferred, tasksPlaced, jobsCompleted, jobsFailed int
 	// machines, by placement
 	machinesExamined int
 	permitWrites     int
@@ -102,7 +102,7 @@
 		c.counters.requestsDeferred,
 		c.counters.tasksPlaced,
 		c.counters.jobsCompleted,
-		c.counters.commitConflicts,
+		c.replica.CommitConflicts(),
 		c.store.ThrottledCalls(),
 	)
 	if c.drains != nil {
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -115,7 +115,7 @@
 	}
 	sc.c.recordWritesInFlight[job.ID] = true
 	key := storage.Key(storage.KindOpenJob, job.ID)
-	sc.c.replica.commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
+	sc.c.replica.Commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Put: key, Value: value}},
 	}, func(result protocol.StoreResult) {
--- a/internal/coordination/user_requests.go
+++ b/internal/coordination/user_requests.go
@@ -45,7 +45,7 @@
 		u.c.log.Debug("request deferred", "status", status, "reason", text,
 			"user_calls", u.c.store.QueuedCalls(ratelimit.PriorityUserRequest),
 			"shard_calls", u.c.store.QueuedCalls(ratelimit.PriorityShardUpdate),
-			"waiting_readers", len(u.c.replica.pendingReads))
+			"waiting_readers", u.c.replica.PendingReads())
 	}
 	response := errorResponse(status, text)
 	response.RetryAfter = 1
@@ -107,7 +107,7 @@
 // healthResponse: a node that can't take requests while others can says so. In an
 // outage that all share it stays healthy, so that no time is lost afterwards.
 func (u *userAPI) healthResponse() Response {
-	if !u.c.replica.ready {
+	if !u.c.replica.Ready() {
 		return u.retryLater(503, "records not read yet")
 	}
 	now := u.c.now()
@@ -155,7 +155,7 @@
 // answer is immediate.
 func (u *userAPI) rejectIfUnavailable() (Response, bool) {
 	switch {
-	case !u.c.replica.ready:
+	case !u.c.replica.Ready():
 		return u.retryLater(503, "records not read yet"), true
 	case u.c.store.Unavailable():
 		return u.retryLater(503, "state service out of reach"), true
@@ -188,7 +188,7 @@
 		// A known job is known, whatever its repeated submission looks like. Only
 		// a node that can't ask gives the verdict on the text alone.
 		if _, rejected := u.rejectIfOverloaded(); rejected {
-			if !u.c.replica.ready || u.c.mirror.Jobs[submission.ID] != nil {
+			if !u.c.replica.Ready() || u.c.mirror.Jobs[submission.ID] != nil {
 				respond(u.retryLater(503, "state service out of reach"))
 				return
 			}
@@ -284,7 +284,7 @@
 		},
 		Then: []protocol.Op{{Put: openKey, Value: value}},
 	}
-	u.c.replica.commit(
+	u.c.replica.Commit(
 		u.priorityClassOf(&spec, ratelimit.PriorityUserRequest),
 		txn,
 		func(result protocol.StoreResult) {
@@ -320,11 +320,11 @@
 // lookUpJob answers from a mirror as new as the question. What it doesn't hold is over, or
 // was never accepted: the store itself is asked.
 func (u *userAPI) lookUpJob(id string, respond func(Response)) {
-	if len(u.c.replica.pendingReads) >= maxWaitingReaders {
+	if u.c.replica.PendingReads() >= maxWaitingReaders {
 		respond(u.retryLater(429, "too many requests"))
 		return
 	}
-	u.c.replica.whenCurrent(func(ok bool) {
+	u.c.replica.WhenCurrent(func(ok bool) {
 		if !ok {
 			respond(u.retryLater(503, "state service out of reach"))
 			return
@@ -452,7 +452,7 @@
 // and cancelled exclude each other by that, and every assignment asks for it.
 func (u *userAPI) cancelJob(id string, respond func(Response)) {
 	key := storage.Key(storage.KindJobResult, id)
-	u.c.replica.commit(ratelimit.PriorityCancellation, protocol.Transaction{
+	u.c.replica.Commit(ratelimit.PriorityCancellation, protocol.Transaction{
 		If: []protocol.Compare{{Key: key}},
 		Then: []protocol.Op{
 			{Put: key, Value: protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})},
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -52,7 +52,7 @@
 	txn protocol.Transaction,
 	callback func(protocol.StoreResult),
 ) {
-	d.c.replica.commit(priority, txn, callback)
+	d.c.replica.Commit(priority, txn, callback)
 }
 
 func (d quotaDependencies) CommitInFlight() bool {
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -1,7 +1,9 @@
 package coordination
 
 import (
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storeclient"
 )
 
@@ -20,3 +22,51 @@
 		UserCallsWaitAtPeers: func(now monotime.Micros) bool { return c.peerStatuses.UserCallsWaiting(now) },
 	})
 }
+
+// newReplica makes what keeps the mirror up to date.
+func newReplica(c *Controller) *mirror.Replica {
+	return mirror.NewReplica(mirror.ReplicaOptions{
+		Mirror:          c.mirror,
+		Store:           c.store,
+		Environment:     c.env,
+		Observer:        replicaObserver{c},
+		Pauses:          pauseDetector{c},
+		Log:             c.log,
+		Drains:          c.settings.Drains != nil,
+		WritesPerSecond: c.cfg.Facts.State.WriteRPS,
+		MaxValueBytes:   c.maxValueBytes(),
+		TransactionOps:  c.cfg.Facts.State.TxnOps,
+	})
+}
+
+// replicaObserver brings the state of the replica to the other subjects.
+type replicaObserver struct{ c *Controller }
+
+func (o replicaObserver) BeforeReplace(loaded *mirror.Mirror) { o.c.agents.keepOnly(loaded) }
+
+func (o replicaObserver) Replaced() {
+	o.c.cancellations.reconcileCancellations()
+	for _, name := range sortedmap.Keys(o.c.mirror.Shards) {
+		o.c.shards.onShardChange(name)
+	}
+}
+
+func (o replicaObserver) Ready() {
+	if o.c.catalog.machineTypes == nil && len(o.c.mirror.MachineTypes) > 0 {
+		// The cloud may be unavailable: what was stored of its machine types still holds.
+		o.c.catalog.machineTypes = o.c.mirror.Catalog()
+	}
+	o.c.scheduler.requestPass()
+	o.c.nextSlowTickAt = 0
+}
+
+func (o replicaObserver) Changed() { o.c.runFastTick(o.c.now()) }
+
+// pauseDetector tells the replica of pauses of the process.
+type pauseDetector struct{ c *Controller }
+
+func (d pauseDetector) DetectPause(now monotime.Micros) { d.c.reachability.detectPause(now) }
+
+func (d pauseDetector) ResumedFromPauseAt() monotime.Micros {
+	return d.c.reachability.resumedFromPauseAt
+}
--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -13,8 +13,6 @@
 	FastTickInterval = 50 * monotime.Millisecond
 	// SlowTickInterval is the period of everything else, such as the status sent to the other controllers.
 	SlowTickInterval = 500 * monotime.Millisecond
-	// WatchLongPoll is how long the state service may hold a request for changes without an answer.
-	WatchLongPoll = 2 * monotime.Second
 	// WorkerProbeTimeout bounds a probe of a worker: a command request without commands.
 	WorkerProbeTimeout = 1 * monotime.Second
 )
--- /dev/null
+++ b/internal/mirror/load.go
@@ -0,0 +1,132 @@
+package mirror
+
+import (
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+)
+
+// Failed calls of a load are made again after a delay from this range.
+const (
+	loadRetryDelay  = 200 * monotime.Millisecond
+	loadRetrySpread = 400 * monotime.Millisecond
+)
+
+// load is the reading of all records into a new mirror.
+type load struct {
+	replica       *Replica
+	mirror        *Mirror
+	kinds         []string // the lists that are still to be read
+	started       bool     // the first page is read; the revision of an empty store is 0
+	firstRevision uint64   // of the first page: the watch continues from here
+	lastRevision  uint64   // the newest of all pages
+	sentAt        monotime.Micros
+}
+
+// Load reads every record but the results of ended jobs, unless a load is under way. The mirror isn't ready
+// until it is done. The watch then continues from before the first list, so no change between two
+// lists is missed.
+func (r *Replica) Load() {
+	if r.loading {
+		return
+	}
+	r.loading, r.ready = true, false
+	l := &load{replica: r, mirror: New(), kinds: listedKinds(r.options.Drains)}
+	l.mirror.Results = r.mirror.Results
+	l.readLists("")
+}
+
+// readLists reads the remaining lists, the first of them after a key, and then the results.
+func (l *load) readLists(after string) {
+	if len(l.kinds) == 0 {
+		l.readResults(sortedmap.Keys(l.mirror.Jobs))
+		return
+	}
+	r := l.replica
+	sentAt := r.env.Now()
+	r.store.Call(ratelimit.PriorityClaim, listCall(l.kinds[0], after), func(page protocol.StoreResult) {
+		if page.Outcome != protocol.OK {
+			l.retry(func() { l.readLists(after) })
+			return
+		}
+		if !l.started {
+			l.started, l.firstRevision, l.sentAt = true, page.Revision, sentAt
+			r.watch.backlogMeasuredAt = r.env.Now()
+		}
+		l.lastRevision = max(l.lastRevision, page.Revision)
+		applyPage(l.mirror, page)
+		next, more := nextPage(page)
+		if !more {
+			l.kinds = l.kinds[1:]
+		}
+		l.readLists(next)
+	})
+}
+
+// readResults finds which of the listed jobs have a result already: cancelled ones whose attempts aren't all
+// released.
+func (l *load) readResults(ids []string) {
+	if len(ids) == 0 {
+		l.install()
+		return
+	}
+	n := min(len(ids), comparesPerOp*l.replica.options.TransactionOps)
+	call := compareResults(ids[:n])
+	l.replica.store.Call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
+		switch {
+		case result.Outcome == protocol.OK:
+			l.readResults(ids[n:])
+		case result.Outcome == protocol.Conflict && len(result.Failed) > 0:
+			l.getResults(result.Failed, func(ok bool) {
+				if !ok {
+					l.retry(func() { l.readResults(ids) })
+					return
+				}
+				l.readResults(ids[n:])
+			})
+		default:
+			l.retry(func() { l.readResults(ids) })
+		}
+	})
+}
+
+// getResults reads some results by their keys, and then tells whether all were read.
+func (l *load) getResults(keys []string, done func(ok bool)) {
+	missing, allRead := len(keys), true
+	for _, key := range keys {
+		call := &protocol.StoreCall{Op: protocol.StoreGet, Key: key}
+		l.replica.store.Call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
+			if result.Outcome == protocol.OK {
+				l.mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
+			} else {
+				allRead = false
+			}
+			if missing--; missing == 0 {
+				done(allRead)
+			}
+		})
+	}
+}
+
+// retry makes a failed call again later.
+func (l *load) retry(call func()) {
+	l.replica.env.After(l.replica.jittered(loadRetryDelay, loadRetrySpread), call)
+}
+
+// install puts the loaded records into the replica's mirror.
+func (l *load) install() {
+	r := l.replica
+	jobs, machines, shards := len(l.mirror.Jobs), len(l.mirror.Machines), len(l.mirror.Shards)
+	r.watch.freshAt = max(r.watch.freshAt, l.sentAt)
+	r.observer.BeforeReplace(l.mirror)
+	r.mirror.Replace(l.mirror, l.firstRevision, max(l.lastRevision, r.mirror.NewestRevision))
+	r.loading, r.loaded, r.loadedRevision = false, true, l.lastRevision
+	r.observer.Replaced()
+	r.watch.nextAt = 0
+	r.log.Info("mirror loaded", "jobs", jobs, "machines", machines, "shards", shards,
+		"revision", l.lastRevision)
+	if l.firstRevision >= l.lastRevision {
+		r.markReady()
+	}
+}
--- a/internal/mirror/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -26,120 +26,98 @@
 // ErrStoreUnavailable says that the state service couldn't be read.
 var ErrStoreUnavailable = errors.New("the state service doesn't answer")
 
-// Bounds of a reading.
-const (
-	snapshotPageSize    = 500
-	snapshotCallTimeout = 5 * monotime.Second
-)
-
-// Kinds are the records that every mirror holds; the answers of finished jobs aren't.
-var Kinds = []string{
-	storage.KindScaleOut, storage.KindLeader, storage.KindMember, storage.KindOpenJob,
-	storage.KindShard, storage.KindPartition, storage.KindScaleIn, storage.KindMachineType,
-}
-
-// DrainKinds are those that a mirror holds as well where drains are turned on.
-var DrainKinds = []string{storage.KindDrain, storage.KindPermits}
+// snapshotCallTimeout is the timeout of each call of ReadRecords.
+const snapshotCallTimeout = 5 * monotime.Second
 
 // ReadRecords reads all records and brings them to one revision: the lists are read one after the
-// other, then all changes since the first are applied.
+// other, then all changes since the first are applied. txnOps is how many operations the state service takes
+// in a transaction. Errors wrap ErrStoreUnavailable.
 func ReadRecords(call StoreCaller, txnOps int) (*RecordSnapshot, error) {
 	s := &RecordSnapshot{mirror: New(), machineTypes: map[string]protocol.MachineType{}}
 	firstRevision, err := s.readLists(call)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.readResults(call, 4*txnOps); err != nil {
+	if err := s.readResults(call, comparesPerOp*txnOps); err != nil {
 		return nil, err
 	}
-	registry := call(
-		&protocol.StoreCall{
-			Op:      protocol.StoreGet,
-			Key:     storage.DrainRegistryKey,
-			Timeout: snapshotCallTimeout,
-		},
-	)
-	switch registry.Outcome {
-	case protocol.OK:
-		s.DrainRegistryVersion = registry.Item.Version
-	case protocol.NotFound:
-	default:
-		return nil, fmt.Errorf("%w: %v", ErrStoreUnavailable, registry.Outcome)
+	if err := s.readDrainRegistry(call); err != nil {
+		return nil, err
 	}
 	return s, s.catchUp(call, firstRevision)
 }
 
-// readLists reads all lists and gives the revision of the first.
+// callWithin makes a call with the timeout of a reading.
+func (caller StoreCaller) callWithin(call *protocol.StoreCall) protocol.StoreResult {
+	call.Timeout = snapshotCallTimeout
+	return caller(call)
+}
+
+// storeError is the error of a call with an unexpected outcome.
+func storeError(outcome protocol.Outcome) error {
+	return fmt.Errorf("%w: %v", ErrStoreUnavailable, outcome)
+}
+
+// readLists reads all lists and gives the revision of the first page.
 func (r *RecordSnapshot) readLists(call StoreCaller) (uint64, error) {
 	firstRevision, started := uint64(0), false
-	for _, kind := range slices.Concat(Kinds, DrainKinds) {
+	for _, kind := range listedKinds(true) {
 		for after, more := "", true; more; {
-			page := call(
-				&protocol.StoreCall{
-					Op:      protocol.StoreList,
-					Key:     storage.Key(kind, ""),
-					After:   after,
-					Limit:   snapshotPageSize,
-					Timeout: snapshotCallTimeout,
-				},
-			)
+			page := call.callWithin(listCall(kind, after))
 			if page.Outcome != protocol.OK {
-				return 0, fmt.Errorf("%w: %v", ErrStoreUnavailable, page.Outcome)
+				return 0, storeError(page.Outcome)
 			}
 			if !started {
 				started, firstRevision = true, page.Revision
 			}
-			for _, item := range page.Items {
-				r.mirror.ApplyPut(item.Key, item.Value, item.Version)
-				after = item.Key
-			}
-			more = page.More && len(page.Items) > 0
+			applyPage(r.mirror, page)
+			after, more = nextPage(page)
 		}
 	}
 	return firstRevision, nil
 }
 
-// readResults finds which of the listed jobs are over: answers can't be listed, so the versions
-// of as many as a commit can name are compared at a time.
-func (r *RecordSnapshot) readResults(call StoreCaller, mostConditions int) error {
-	ids := sortedmap.Keys(r.mirror.Jobs)
-	for len(ids) > 0 {
-		n := min(len(ids), mostConditions)
-		txn := protocol.Transaction{}
-		for _, id := range ids[:n] {
-			txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
-		}
-		ids = ids[n:]
-		compared := call(
-			&protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn, Timeout: snapshotCallTimeout},
-		)
+// readResults reads the results of the listed jobs that are over, comparing so many at a time.
+func (r *RecordSnapshot) readResults(call StoreCaller, maxCompares int) error {
+	for ids := range slices.Chunk(sortedmap.Keys(r.mirror.Jobs), maxCompares) {
+		compared := call.callWithin(compareResults(ids))
 		if compared.Outcome != protocol.OK && compared.Outcome != protocol.Conflict {
-			return fmt.Errorf("%w: %v", ErrStoreUnavailable, compared.Outcome)
+			return storeError(compared.Outcome)
 		}
 		for _, key := range compared.Failed {
-			answer := call(&protocol.StoreCall{Op: protocol.StoreGet, Key: key, Timeout: snapshotCallTimeout})
-			if answer.Outcome != protocol.OK {
-				return fmt.Errorf("%w: %v", ErrStoreUnavailable, answer.Outcome)
+			result := call.callWithin(&protocol.StoreCall{Op: protocol.StoreGet, Key: key})
+			if result.Outcome != protocol.OK {
+				return storeError(result.Outcome)
 			}
-			r.mirror.ApplyPut(key, answer.Item.Value, answer.Item.Version)
+			r.mirror.ApplyPut(key, result.Item.Value, result.Item.Version)
 		}
 	}
 	return nil
 }
 
-// catchUpWatch applies all changes since a revision.
+// readDrainRegistry reads the version of the registry of drains.
+func (r *RecordSnapshot) readDrainRegistry(call StoreCaller) error {
+	registry := call.callWithin(&protocol.StoreCall{Op: protocol.StoreGet, Key: storage.DrainRegistryKey})
+	switch registry.Outcome {
+	case protocol.OK:
+		r.DrainRegistryVersion = registry.Item.Version
+	case protocol.NotFound:
+	default:
+		return storeError(registry.Outcome)
+	}
+	return nil
+}
+
+// catchUp applies all changes since a revision.
 func (r *RecordSnapshot) catchUp(call StoreCaller, sinceRevision uint64) error {
 	r.mirror.WatchedRevision = sinceRevision
-	watch := call(
-		&protocol.StoreCall{
-			Op:           protocol.StoreWatch,
-			Key:          storage.KeyPrefix,
-			FromRevision: sinceRevision,
-			Timeout:      snapshotCallTimeout,
-		},
-	)
+	watch := call.callWithin(&protocol.StoreCall{
+		Op:           protocol.StoreWatch,
+		Key:          storage.KeyPrefix,
+		FromRevision: sinceRevision,
+	})
 	if watch.Outcome != protocol.OK {
-		return fmt.Errorf("%w: %v", ErrStoreUnavailable, watch.Outcome)
+		return storeError(watch.Outcome)
 	}
 	r.mirror.ApplyEvents(watch.Events, watch.Revision)
 	for _, event := range watch.Events {
