--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -51,7 +51,7 @@
 	{{path: "internal/storage/storagetest", kind: fake}},
 	{{path: "internal/cancellation", kind: decision}, {path: "internal/drain", kind: decision},
 		{path: "internal/quota", kind: decision}},
-	{{path: "internal/scheduling", kind: decision, planned: true}, {path: "internal/peers", kind: decision}},
+	{{path: "internal/scheduling", kind: decision}, {path: "internal/peers", kind: decision}},
 	{{path: "internal/mirror"}},
 	{{path: "internal/autoscaling", kind: decision}},
 	{{path: "internal/membership", planned: true}, {path: "internal/quota/quotashares"}},
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -81,7 +81,7 @@
 	demands, bins := as.demandAndSupply(snapshot)
 	for _, demand := range demands {
 		if demand.CrashLoopTrial {
-			as.c.scheduler.trackingOf(demand.JobID).trialDemandAt = max(snapshot.Now, 1)
+			as.c.scheduler.recordTrialDemand(demand.JobID, snapshot.Now)
 		}
 	}
 	return &autoscaling.Plan{
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -404,7 +404,7 @@
 					},
 				},
 			}
-			if got := core.scheduler.chooseMachine(job, candidates, newZoneConstraint(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
+			if got := core.scheduler.chooseMachine(job, candidates, zoneConstraintOf(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
 				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
 			}
 		}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -2,12 +2,12 @@
 
 import (
 	"math"
-	"strings"
 
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/scheduling"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
@@ -19,15 +19,6 @@
 	candidateSampleSize    = 24
 	reassignmentInterval   = 1 * monotime.Second
 	maxTasksPerMachine     = 300 // tasks on a machine: what a report of 64 KiB can name
-	starvedAfter           = 100 * monotime.Second
-	starvedAgainAfter      = 45 * monotime.Second // the same once it has begun
-	// past so many aims a job waits behind all that are in time
-	lateAfterMissedObjectives = 2
-	deadlineBoostMaxFraction  = 0.3 // of what a team can use may be held by late jobs
-	// seconds before its next aim in which it goes before them again
-	deadlineBoostWindowSeconds = 40.0
-	// a job that got nothing for so long gets one of so many parts of it
-	starvedTaskDivisor = 4
 )
 
 // candidateMachine is a machine with the room that a pass still has on it.
@@ -60,7 +51,7 @@
 		!agent.IsReachable() {
 		return false
 	}
-	if _, doubtful := sc.machineFault(agent); doubtful {
+	if sc.machineFault(agent).Doubtful {
 		return false
 	}
 	return now-agent.LastReachedAt() < sc.c.durations.PlacementSilenceLimit
@@ -97,35 +88,6 @@
 	return out
 }
 
-// machineAllowed tells whether a job's tasks may run on a machine.
-func machineAllowed(spec *storage.JobSpec, machineRecord *storage.ShardMachine) bool {
-	return spec.AllowsMachine(machineRecord.Type, machineRecord.Zone) &&
-		(spec.Spot || !machineRecord.Spot)
-}
-
-// taskShape is what decides on which machines a task may run and whether it fits, and
-// within which team's limit if that is what is short. Of thousands of waiting tasks
-// most are like another: each pass looks at all machines once for all of these.
-type taskShape struct {
-	need                     resources.Vector
-	spot                     bool
-	zone, allowedTypes, team string
-}
-
-func shapeOf(spec *storage.JobSpec, team string) taskShape {
-	types := ""
-	if spec.MachineTypes != nil {
-		types = "=" + strings.Join(spec.MachineTypes, " ")
-	}
-	return taskShape{
-		need:         mirror.TaskResources(spec),
-		spot:         spec.Spot,
-		zone:         spec.Zone,
-		allowedTypes: types,
-		team:         team,
-	}
-}
-
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
 // it still waits and the room may be about to be there.
 func (sc *scheduler) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
@@ -164,7 +126,7 @@
 func (sc *scheduler) holdMachinesFor(
 	job *mirror.Job,
 	candidates []*candidateMachine,
-	zones *zoneConstraint,
+	zones *scheduling.ZoneConstraint,
 	n int,
 ) {
 	held := 0
@@ -179,8 +141,8 @@
 		var best *candidateMachine
 		for _, candidate := range candidates {
 			if candidate.heldBack || candidate.reservedForJob != "" ||
-				!machineAllowed(&job.Record.Spec, candidate.record) ||
-				!zones.allows(candidate.record.Zone) {
+				!scheduling.MachineAllowed(&job.Record.Spec, candidate.record) ||
+				!zones.Allows(candidate.record.Zone) {
 				continue
 			}
 			machineType := sc.c.catalog.machineTypes[candidate.record.Type]
@@ -211,7 +173,7 @@
 func (sc *scheduler) chooseMachine(
 	job *mirror.Job,
 	candidates []*candidateMachine,
-	zones *zoneConstraint,
+	zones *scheduling.ZoneConstraint,
 	fencedUpdate *ShardUpdate,
 	preferred []*candidateMachine,
 	sample, freedQuotaOnly, spotOnly bool,
@@ -219,18 +181,18 @@
 	var best *candidateMachine
 	bestScore := math.Inf(1)
 	spec := &job.Record.Spec
-	tracking := sc.jobStates[job.ID]
+	failures := sc.failuresOf(job.ID)
 	limit, conds := sc.shardBytesFor(spec)-len(job.ID)-32, 4*sc.c.cfg.Facts.State.TxnOps-4
 	consider := func(candidate *candidateMachine) {
 		sc.c.counters.machinesExamined++
-		if !job.TaskResources.FitsIn(candidate.freeResources) || !candidate.availableTo(job) || !machineAllowed(spec, candidate.record) || !zones.allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine ||
+		if !job.TaskResources.FitsIn(candidate.freeResources) || !candidate.availableTo(job) || !scheduling.MachineAllowed(spec, candidate.record) || !zones.Allows(candidate.record.Zone) || candidate.taskCount >= maxTasksPerMachine ||
 			fencedUpdate != nil && candidate.update != fencedUpdate ||
 			freedQuotaOnly && !job.TaskResources.FitsIn(candidate.update.FreedQuota(spec.Team)) ||
 			candidate.update.MaxBytes() > limit ||
 			candidate.update.Compares() >= conds && !candidate.update.AssignsJob(job.ID) {
 			return
 		}
-		if tracking != nil && tracking.excludedMachines[candidate.machine.ID] ||
+		if failures.Excludes(candidate.machine.ID) ||
 			spotOnly && !candidate.record.Spot && candidate.serviceCPUs == 0 {
 			return
 		}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -206,19 +206,16 @@
 		c.scheduler.requestPass()
 		job := c.mirror.Jobs[name]
 		if job == nil {
-			delete(c.scheduler.jobStates, name)
-			delete(c.scheduler.preemptions, name)
+			c.scheduler.forgetJob(name)
 			delete(c.api.acceptedRevisions, name)
 			c.cancellations.relay.Forget(name)
 			return
 		}
-		c.scheduler.trackingOf(name).recordChangedAt = c.now()
+		c.scheduler.noteRecordChange(name)
 	case storage.KindJobResult:
 		c.cancellations.recordCancellation(c.mirror.Jobs[name])
 		if job := c.mirror.Jobs[name]; job != nil && job.AssignedTasks > 0 {
-			if tracking := c.scheduler.trackingOf(name); tracking.finalSeenAt == 0 {
-				tracking.finalSeenAt = c.now()
-			}
+			c.scheduler.noteFinalSeen(name)
 			c.agents.syncCommandsOfJob(job) // a cancellation reaches the workers at once
 		}
 	case storage.KindShard:
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -151,7 +151,7 @@
 	out := make([]*autoscaling.Demand, 0, len(d.replacementDemand))
 	for _, m := range d.replacementDemand {
 		next := *m
-		next.Zones = planZoneConstraint{newZoneConstraint(d.core.mirror, d.core.mirror.Jobs[m.JobID])}
+		next.Zones = zoneConstraintOf(d.core.mirror, d.core.mirror.Jobs[m.JobID])
 		out = append(out, &next)
 	}
 	return out
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/scheduling"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 	"pipitgap/internal/storage/storagetest"
@@ -26,8 +27,10 @@
 	mr.ApplyPut(storage.Key(storage.KindOpenJob, "others"), storagetest.OpenJob(4), next)
 	mr.Results.Add("ended", storage.JobDone)
 	mr.Results.Add("dropped", storage.JobCancelled)
-	core.scheduler.trackingOf("here").failedMachines = 3
-	core.scheduler.trackingOf("others").failedMachines = 1
+	for _, id := range []string{"i-1", "i-2", "i-3"} {
+		core.scheduler.trackingOf("here").failures.Record(id, 0)
+	}
+	core.scheduler.trackingOf("others").failures.Record("i-1", 0)
 	for _, peer := range []string{"n-1", "n-2"} {
 		core.peerStatuses.Update(&peers.Status{Node: peer, FailingJobs: map[string]int{"others": 1}}, core.now())
 	}
@@ -53,9 +56,9 @@
 				agent.Failures().RecordFailure(job)
 			}
 		}
-		faulty, doubtful := core.scheduler.machineFault(agent)
-		if faulty != tc.faulty || doubtful != tc.doubtful {
-			t.Errorf("%s: faulty %v, doubtful %v", tc.name, faulty, doubtful)
+		fault := core.scheduler.machineFault(agent)
+		if want := (scheduling.MachineFault{Faulty: tc.faulty, Doubtful: tc.doubtful}); fault != want {
+			t.Errorf("%s: %+v, want %+v", tc.name, fault, want)
 		}
 	}
 }
@@ -199,7 +202,7 @@
 		for _, worker := range c.fleet.Workers {
 			worker.FailsTasks = true
 		}
-		return c.nodes["n-0"].controller.scheduler.attributeFailures(id) == jobAtFault
+		return c.nodes["n-0"].controller.scheduler.attributeFailures(id) == scheduling.JobAtFault
 	})
 	c.sim.Run(2 * second)
 	c.requireFinished(id, 400*second)
--- /dev/null
+++ b/internal/coordination/job_tracking.go
@@ -0,0 +1,71 @@
+package coordination
+
+import (
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/scheduling"
+)
+
+// jobTracking is what a controller notes about a job beside the store.
+type jobTracking struct {
+	failures       scheduling.JobFailures
+	progress       scheduling.StartProgress
+	reassignment   reassignmentTracking
+	placeNotBefore monotime.Micros
+	finalSeenAt    monotime.Micros // when its final result was seen; 0: not seen yet
+}
+
+// reassignmentTracking is when and how a job's tasks last moved between partitions.
+type reassignmentTracking struct {
+	recordChangedAt monotime.Micros // when the record, which says who places the tasks, last changed
+	handedOverAt    monotime.Micros // when its tasks were last handed to another partition
+	stolenTasks     int             // tasks just taken over from other partitions,
+	stolenUntil     monotime.Micros // for which room is kept until then
+}
+
+// trackingOf gives what is noted about a job, and begins it if there is nothing yet.
+func (sc *scheduler) trackingOf(id string) *jobTracking {
+	tracking := sc.jobStates[id]
+	if tracking == nil {
+		tracking = &jobTracking{}
+		sc.jobStates[id] = tracking
+	}
+	return tracking
+}
+
+// forgetJob drops what is noted about a job without a record.
+func (sc *scheduler) forgetJob(id string) {
+	delete(sc.jobStates, id)
+	delete(sc.preemptions, id)
+}
+
+// noteRecordChange notes that a job's record has changed.
+func (sc *scheduler) noteRecordChange(id string) {
+	sc.trackingOf(id).reassignment.recordChangedAt = sc.c.now()
+}
+
+// noteFinalSeen notes that a job's final result is there.
+func (sc *scheduler) noteFinalSeen(id string) {
+	if tracking := sc.trackingOf(id); tracking.finalSeenAt == 0 {
+		tracking.finalSeenAt = sc.c.now()
+	}
+}
+
+// finalSeenAt is when a job's final result was first seen; 0: not yet.
+func (sc *scheduler) finalSeenAt(id string) monotime.Micros { return sc.trackingOf(id).finalSeenAt }
+
+// delayPlacement lets no task of a job be placed before an instant.
+func (sc *scheduler) delayPlacement(id string, until monotime.Micros) {
+	tracking := sc.trackingOf(id)
+	tracking.placeNotBefore = max(tracking.placeNotBefore, until)
+}
+
+// placementDelayed tells whether a job's tasks may not be placed yet.
+func (sc *scheduler) placementDelayed(id string, now monotime.Micros) bool {
+	tracking := sc.jobStates[id]
+	return tracking != nil && now < tracking.placeNotBefore
+}
+
+// recordTrialDemand notes that a machine is wanted for a trial of a job in a crash loop.
+func (sc *scheduler) recordTrialDemand(id string, now monotime.Micros) {
+	sc.trackingOf(id).failures.RecordTrialDemand(now)
+}
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -101,11 +101,11 @@
 		agent.ExpireLease(machine)
 		am.c.scheduler.requestPass()
 	}
-	faulty, doubtful := am.c.scheduler.machineFault(agent)
-	if agent.Failures().SetFailureProne(doubtful) {
+	fault := am.c.scheduler.machineFault(agent)
+	if agent.Failures().SetFailureProne(fault.Doubtful) {
 		am.c.scheduler.requestPass()
 	}
-	if agent.SetSuspect(am.agentSilence(agent, now) > am.c.durations.SuspicionTimeout || faulty) {
+	if agent.SetSuspect(am.agentSilence(agent, now) > am.c.durations.SuspicionTimeout || fault.Faulty) {
 		am.c.scheduler.requestPass()
 	}
 	reason := am.removalReason(machine, check)
@@ -113,7 +113,7 @@
 	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason() != "":
 	case reason != "":
 		am.requestRemoval(machine, reason)
-	case faulty:
+	case fault.Faulty:
 		am.c.scheduler.clearFailuresOn(machine)
 		am.requestRemoval(machine, "faulty")
 	case agent.InterruptionNoticed() && machine.Record.State != storage.MachineDraining && !agent.IsStoppingAny():
@@ -257,7 +257,7 @@
 func (am *agentManager) holdsCancelled(machine *mirror.Machine, since monotime.Micros) bool {
 	for task := range machine.Attempts {
 		if job := am.c.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
-			am.c.now()-am.c.scheduler.trackingOf(task.Job).finalSeenAt >= since {
+			am.c.now()-am.c.scheduler.finalSeenAt(task.Job) >= since {
 			return true
 		}
 	}
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/mirror"
+	"pipitgap/internal/scheduling"
 	"pipitgap/internal/storage"
 )
 
@@ -14,7 +15,7 @@
 
 // preemptorClass is what decides whose work may be stopped for a job.
 type preemptorClass struct {
-	taskShape
+	shape    scheduling.TaskShape
 	service  bool
 	priority int
 }
@@ -54,7 +55,7 @@
 	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
-		if machineAllowed(spec, candidate.record) {
+		if scheduling.MachineAllowed(spec, candidate.record) {
 			n += taskResources.CountIn(candidate.freeResources)
 		}
 	}
@@ -93,7 +94,7 @@
 	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
-		if candidate.machine.CachedImages[spec.Image] && machineAllowed(spec, candidate.record) {
+		if candidate.machine.CachedImages[spec.Image] && scheduling.MachineAllowed(spec, candidate.record) {
 			n += taskResources.CountIn(candidate.freeResources)
 		}
 	}
@@ -113,7 +114,7 @@
 	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
-		if !machineAllowed(spec, candidate.record) ||
+		if !scheduling.MachineAllowed(spec, candidate.record) ||
 			withImage && !candidate.machine.CachedImages[spec.Image] {
 			continue
 		}
@@ -135,7 +136,7 @@
 // machines by stopping what may be stopped for it, or "".
 func (p *partitionCapacity) bestPreemptionTarget(job *mirror.Job, excluded string) string {
 	spec := &job.Record.Spec
-	preemptor := preemptorClass{shapeOf(spec, spec.Team), spec.Service, spec.Priority}
+	preemptor := preemptorClass{scheduling.ShapeOf(spec, mirror.TaskResources(spec), spec.Team), spec.Service, spec.Priority}
 	if partition, ok := p.preemptionTargets[preemptor]; ok {
 		return partition
 	}
@@ -154,7 +155,7 @@
 					free = free.AddScaled(victim.TaskResources, 1)
 				}
 			}
-			if machineAllowed(&job.Record.Spec, candidate.record) && job.TaskResources.FitsIn(free) {
+			if scheduling.MachineAllowed(&job.Record.Spec, candidate.record) && job.TaskResources.FitsIn(free) {
 				r++
 			}
 		}
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -5,6 +5,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/quota"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/scheduling"
 	"pipitgap/internal/storage"
 )
 
@@ -19,7 +20,7 @@
 	nextWorkStealAt             monotime.Micros // when tasks may change their part again
 	passNeeded                  bool            // a pass may find something to do
 	jobStates                   map[string]*jobTracking
-	estimateBias                map[string]float64 // by class: log of run time over estimate, lately
+	estimates                   *scheduling.RuntimeEstimates
 	preemptions                 map[string]*pendingPreemption
 }
 
@@ -43,14 +44,14 @@
 	// look at some of the candidates only
 	sampling bool
 	// if so, those with room for a task, as last looked at: room only shrinks in a pass
-	fittingByShape map[taskShape][]*candidateMachine
+	fittingByShape map[scheduling.TaskShape][]*candidateMachine
 	// tasks that a commit in doubt may have assigned
 	tasksInDoubt map[mirror.TaskID]bool
 	quotaLeft    map[string]resources.Vector
 	// what no machine has room for: room only shrinks in a pass
-	noRoomFor map[taskShape]bool
+	noRoomFor map[scheduling.TaskShape]bool
 	// of what lacks a share of its team's limit: whether it could start here
-	hasRoomFor map[taskShape]bool
+	hasRoomFor map[scheduling.TaskShape]bool
 	// of all partitions, made when it is first needed
 	partitionCapacity                      *partitionCapacity
 	preemptibleRunning, preemptibleChecked bool               // whether any running work gives way to arrays
@@ -72,13 +73,13 @@
 	hasReservation   bool             // room is held for replicas of it that are being moved
 	quotaRoom        resources.Vector // of our share of its team's limit
 	maxTasks         int              // tasks that it may be given
-	zoneConstraint   *zoneConstraint
-	shape            taskShape // what is like its tasks,
-	teamShape        taskShape // and within the same team's limit
-	noRoom           bool      // no machine has room for a task
-	quotaShort       bool      // the share of the team's limit doesn't take one
-	pendingTasks     int       // tasks of ours that wait
-	shardBytesLimit  int       // bytes that a shard may come to take
+	zoneConstraint   *scheduling.ZoneConstraint
+	shape            scheduling.TaskShape // what is like its tasks,
+	teamShape        scheduling.TaskShape // and within the same team's limit
+	noRoom           bool                 // no machine has room for a task
+	quotaShort       bool                 // the share of the team's limit doesn't take one
+	pendingTasks     int                  // tasks of ours that wait
+	shardBytesLimit  int                  // bytes that a shard may come to take
 
 	fittingAtStart []*candidateMachine // those with room for a task when it was first looked for
 
@@ -107,9 +108,9 @@
 		candidates:     sc.candidateMachines(updates, now),
 		tasksInDoubt:   sc.c.shards.tasksInDoubt(),
 		quotaLeft:      map[string]resources.Vector{},
-		noRoomFor:      map[taskShape]bool{},
-		hasRoomFor:     map[taskShape]bool{},
-		fittingByShape: map[taskShape][]*candidateMachine{},
+		noRoomFor:      map[scheduling.TaskShape]bool{},
+		hasRoomFor:     map[scheduling.TaskShape]bool{},
+		fittingByShape: map[scheduling.TaskShape][]*candidateMachine{},
 	}
 	p.candidatesByUpdate = candidatesByUpdate(p.candidates)
 	sc.reservePreemptedRoom(p.candidates, now)
@@ -189,8 +190,8 @@
 	}
 	if p.now < tracking.placeNotBefore || c.recordWritesInFlight[job.ID] ||
 		c.mirror.WatchedRevision < job.Version && c.api.acceptedRevisions[job.ID] != job.Version {
-		if p.now < tracking.stolenUntil { // on its way to us: its room is still its own
-			reserveRoom(job.TaskResources, spec, p.candidates, tracking.stolenTasks)
+		if p.now < tracking.reassignment.stolenUntil { // on its way to us: its room is still its own
+			reserveRoom(job.TaskResources, spec, p.candidates, tracking.reassignment.stolenTasks)
 		}
 		return nil
 	}
@@ -201,13 +202,14 @@
 	}
 	jobPlan.quotaRoom = available
 	if c.scheduler.isStarved(job, p.now) {
-		jobPlan.maxTasks = max(1, tracking.startedTarget-job.DoneTasks-job.AssignedTasks)
+		jobPlan.maxTasks = tracking.progress.Missing(job.DoneTasks + job.AssignedTasks)
 	}
 	if jobPlan.crashLooping {
 		jobPlan.maxTasks = tries
 	}
-	jobPlan.zoneConstraint = newZoneConstraint(c.mirror, job)
-	jobPlan.shape, jobPlan.teamShape = shapeOf(spec, ""), shapeOf(spec, spec.Team)
+	jobPlan.zoneConstraint = zoneConstraintOf(c.mirror, job)
+	jobPlan.shape, jobPlan.teamShape = scheduling.ShapeOf(spec, mirror.TaskResources(spec), ""),
+		scheduling.ShapeOf(spec, mirror.TaskResources(spec), spec.Team)
 	made := c.scheduler.preemptions[job.ID]
 	jobPlan.preempting = made != nil && p.now < made.expiresAt
 	// Without a share of the team's limit only what a shard gives back counts.
@@ -234,7 +236,7 @@
 // fittingCandidates lists the candidates with room for a task of a kind. Where samples are looked
 // at, most of which are full, each task would have all machines looked at again: with a
 // thousand of them 270 for each task that was placed.
-func (p *placement) fittingCandidates(kind taskShape, taskResources resources.Vector) []*candidateMachine {
+func (p *placement) fittingCandidates(kind scheduling.TaskShape, taskResources resources.Vector) []*candidateMachine {
 	searched, seen := p.fittingByShape[kind]
 	if !seen {
 		searched = p.candidates
@@ -315,7 +317,7 @@
 		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedQuota(p.spec.Team)) ||
 		p.spec.Service ||
 		!taskResources.FitsIn(candidate.freeResources) ||
-		!p.zoneConstraint.allows(candidate.record.Zone) ||
+		!p.zoneConstraint.Allows(candidate.record.Zone) ||
 		candidate.taskCount >= maxTasksPerMachine ||
 		candidate.update.MaxBytes()+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
@@ -324,7 +326,7 @@
 func (p *jobPlacement) noteNoMachine(freedQuotaOnly bool) {
 	p.quotaShort, p.noRoom = freedQuotaOnly, !freedQuotaOnly
 	if p.oneCommitAtATime || p.preempting || p.hasReservation || p.spotOnly ||
-		len(p.tracking.excludedMachines) > 0 {
+		p.tracking.failures.ExcludesAny() {
 		return
 	}
 	p.noRoomFor[p.shape] = p.noRoomFor[p.shape] || p.noRoom
@@ -361,7 +363,7 @@
 	if !p.limits.Limited() || !update.UseFreedQuota(p.spec.Team, job.TaskResources) {
 		p.quotaRoom = p.quotaRoom.AddScaled(job.TaskResources, -1)
 	}
-	p.zoneConstraint.addTasks(candidate.record.Zone, 1)
+	p.zoneConstraint.AddTasks(candidate.record.Zone, 1)
 	if p.oneCommitAtATime {
 		p.fencedUpdate = update
 	}
@@ -403,7 +405,8 @@
 		return // others use the room until a change may be spent
 	}
 	n := c.scheduler.stealTasksOfJob(job, p.candidates, p.quotaLeft, p.freePartitionCapacity(), p.wallNow)
-	p.tracking.stolenTasks, p.tracking.stolenUntil = n, p.now+monotime.Second
+	moves := &p.tracking.reassignment
+	moves.stolenTasks, moves.stolenUntil = n, p.now+monotime.Second
 	p.reassignedThisPass = n > 0
 	reserveRoom(job.TaskResources, p.spec, p.candidates, min(n, job.UnassignedTasks()))
 }
@@ -457,21 +460,21 @@
 	// Each hand-over costs a change, and so does taking tasks over, which comes
 	// after: a service that only tried its turn in between never had it.
 	if c.scheduler.preemptFor(job, want, p.zoneConstraint, p.candidates, false, p.now) ||
-		p.now-p.tracking.reassignedAt <= reassignmentInterval ||
+		p.now-p.tracking.reassignment.handedOverAt <= reassignmentInterval ||
 		p.now < c.scheduler.nextWorkStealAt {
 		return
 	}
 	if to := p.freePartitionCapacity().bestPreemptionTarget(job, c.node); to != "" &&
 		c.scheduler.handOverTasks(job, to) {
-		p.tracking.reassignedAt = p.now
+		p.tracking.reassignment.handedOverAt = p.now
 	}
 }
 
 func newScheduler(c *Controller) *scheduler {
 	return &scheduler{
-		c:            c,
-		jobStates:    map[string]*jobTracking{},
-		estimateBias: map[string]float64{},
-		preemptions:  map[string]*pendingPreemption{},
+		c:           c,
+		jobStates:   map[string]*jobTracking{},
+		estimates:   scheduling.NewRuntimeEstimates(),
+		preemptions: map[string]*pendingPreemption{},
 	}
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/scheduling"
 )
 
 // preemptionTimeout is how long room that was made for a job is waited for before
@@ -39,7 +40,7 @@
 func (sc *scheduler) preemptFor(
 	job *mirror.Job,
 	want int,
-	zones *zoneConstraint,
+	zones *scheduling.ZoneConstraint,
 	candidates []*candidateMachine,
 	withImage bool,
 	now monotime.Micros,
@@ -61,7 +62,7 @@
 				candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
 			}
 			machine := candidate.machine
-			if !machineAllowed(&job.Record.Spec, candidate.record) || !zones.allows(candidate.record.Zone) ||
+			if !scheduling.MachineAllowed(&job.Record.Spec, candidate.record) || !zones.Allows(candidate.record.Zone) ||
 				sc.c.agents.agentOf(machine).IsStoppingAny() ||
 				!candidate.availableTo(job) {
 				continue
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -7,8 +7,8 @@
 	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
-	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/scheduling"
 )
 
 // Idle-time work is what nobody has an aim for: arrays of the lowest priority that may
@@ -24,7 +24,7 @@
 // isScavenger tells whether a job is idle-time work.
 func (sc *scheduler) isScavenger(job *mirror.Job) bool {
 	spec := &job.Record.Spec
-	if spec.Service || !spec.Spot || spec.Priority != int(protocol.BestEffort) || spec.DeadlineS > 0 {
+	if !scheduling.MayBeScavenger(spec) {
 		return false
 	}
 	limits, _ := sc.c.quota.Limits(spec.Team)
@@ -45,7 +45,7 @@
 // free at once: small urgent tasks had stopped tasks of whole machines hundreds of times.
 func (sc *scheduler) isPreemptible(job *mirror.Job) bool {
 	spec := &job.Record.Spec
-	return !spec.Service && spec.CheckpointS > 0 && job.IsOpen() &&
+	return scheduling.MayBePreemptible(spec) && job.IsOpen() &&
 		math.IsInf(sc.c.autoscaler.latestStarts(spec)[0], 1) &&
 		sc.exceedsGuarantee(spec.Team, resources.Vector{})
 }
@@ -61,7 +61,7 @@
 func (sc *scheduler) preemptScavengers(
 	job *mirror.Job,
 	want int,
-	zones *zoneConstraint,
+	zones *scheduling.ZoneConstraint,
 	candidates []*candidateMachine,
 	now monotime.Micros,
 ) bool {
@@ -76,8 +76,8 @@
 		machine := candidate.machine
 		if candidate.heldBack || !candidate.availableTo(job) ||
 			sc.c.agents.agentOf(machine).IsStoppingAny() ||
-			!machineAllowed(&job.Record.Spec, candidate.record) ||
-			!zones.allows(candidate.record.Zone) {
+			!scheduling.MachineAllowed(&job.Record.Spec, candidate.record) ||
+			!zones.Allows(candidate.record.Zone) {
 			continue
 		}
 		var victims []preemptionVictim
--- a/internal/coordination/scheduling_units_test.go
+++ b/internal/coordination/scheduling_units_test.go
@@ -11,78 +11,6 @@
 	"pipitgap/internal/storage"
 )
 
-// TestQueueOrder: higher priority, then what can still meet its aims, the least work
-// first; what got nothing for long before any of that.
-func TestQueueOrder(t *testing.T) {
-	makeJob := func(id string, priority int, at int64) *mirror.Job {
-		return &mirror.Job{
-			ID:     id,
-			Record: storage.OpenJob{AcceptedAt: at, Spec: storage.JobSpec{Priority: priority}},
-		}
-	}
-	cases := []struct {
-		name string
-		a, b queueEntry
-	}{
-		{
-			"priority",
-			queueEntry{job: makeJob("b", 3, 9), slackSeconds: 90},
-			queueEntry{job: makeJob("a", 2, 1), slackSeconds: 1},
-		},
-		{
-			"priority, though late",
-			queueEntry{job: makeJob("b", 3, 9), missedObjectives: 2},
-			queueEntry{job: makeJob("a", 2, 1)},
-		},
-		{
-			"least work",
-			queueEntry{job: makeJob("b", 1, 9), slackSeconds: 9, waitingCPUSeconds: 1},
-			queueEntry{job: makeJob("a", 1, 1), slackSeconds: 2, waitingCPUSeconds: 2},
-		},
-		{
-			"in time before late",
-			queueEntry{job: makeJob("b", 1, 9), waitingCPUSeconds: 9},
-			queueEntry{job: makeJob("a", 1, 1), waitingCPUSeconds: 1, missedObjectives: 1},
-		},
-		{
-			"hungry before the like of higher priority",
-			queueEntry{job: makeJob("b", 0, 9), starved: true},
-			queueEntry{job: makeJob("a", 1, 1)},
-		},
-		{
-			"just late before long late",
-			queueEntry{job: makeJob("b", 1, 9), slackSeconds: -5},
-			queueEntry{job: makeJob("a", 1, 1), slackSeconds: -50, missedObjectives: 2},
-		},
-		{
-			"oldest of the long late",
-			queueEntry{job: makeJob("b", 1, 1), slackSeconds: -5, missedObjectives: 2},
-			queueEntry{job: makeJob("a", 1, 2), slackSeconds: -50, missedObjectives: 2},
-		},
-		{
-			"urgent before in time",
-			queueEntry{
-				job:               makeJob("b", 1, 9),
-				deadlineBoost:     true,
-				missedObjectives:  2,
-				waitingCPUSeconds: 9,
-			},
-			queueEntry{job: makeJob("a", 1, 1), waitingCPUSeconds: 1},
-		},
-		{
-			"priority before urgent",
-			queueEntry{job: makeJob("b", 2, 9)},
-			queueEntry{job: makeJob("a", 1, 1), deadlineBoost: true, missedObjectives: 2},
-		},
-		{"id at last", queueEntry{job: makeJob("a", 1, 1)}, queueEntry{job: makeJob("b", 1, 1)}},
-	}
-	for _, tc := range cases {
-		if !tc.a.goesBefore(tc.b) || tc.b.goesBefore(tc.a) {
-			t.Error(tc.name)
-		}
-	}
-}
-
 // TestDeadlineBoostIsLimitedPerTeam: of each team's late jobs those with least work are urgent before their
 // next aim, up to a partition of what the team can run.
 func TestDeadlineBoostIsLimitedPerTeam(t *testing.T) {
@@ -115,7 +43,7 @@
 					age*float64(second),
 				), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}},
 		}
-		core.scheduler.trackingOf(id).progressAt = core.now() // not hungry
+		core.scheduler.trackingOf(id).progress.Begin(0, 0, core.now()) // not starved
 		return id
 	}
 	fresh := add("free", 5, 2, 1)
@@ -199,7 +127,7 @@
 			},
 		)
 	}
-	zones := newZoneConstraint(core.mirror, job)
+	zones := zoneConstraintOf(core.mirror, job)
 	if candidate := core.scheduler.chooseMachine(job, candidates, zones, nil, nil, true, false, false); candidate != nil {
 		t.Errorf("%s has no room", candidate.machine.ID)
 	}
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -342,10 +342,7 @@
 			for _, k := range result.Failed {
 				// The next pass would decide on the same outdated record.
 				if kind, name, _ := storage.SplitKey(k); kind == storage.KindOpenJob {
-					sm.c.scheduler.trackingOf(name).placeNotBefore = max(
-						sm.c.scheduler.trackingOf(name).placeNotBefore,
-						sm.c.now()+sm.c.store.WatchInterval(),
-					)
+					sm.c.scheduler.delayPlacement(name, sm.c.now()+sm.c.store.WatchInterval())
 				}
 			}
 			sm.c.scheduler.delayPassUntil(sm.c.now() + sm.c.store.WatchInterval()/2)
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -11,6 +11,7 @@
 	"pipitgap/internal/quota"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/scheduling"
 	"pipitgap/internal/storage"
 )
 
@@ -215,7 +216,7 @@
 	room := 0
 	for _, candidate := range candidates {
 		if !candidate.heldBack && candidate.availableTo(job) &&
-			machineAllowed(&job.Record.Spec, candidate.record) {
+			scheduling.MachineAllowed(&job.Record.Spec, candidate.record) {
 			room += job.TaskResources.CountIn(candidate.freeResources)
 		}
 	}
@@ -264,7 +265,7 @@
 		taskRange := job.Record.TaskRanges[k]
 		if taskRange.Partition == sc.c.node ||
 			sc.c.membership.isMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
-				(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || sc.c.now()-sc.trackingOf(job.ID).recordChangedAt < reassignmentGracePeriod) {
+				(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || sc.c.now()-sc.trackingOf(job.ID).reassignment.recordChangedAt < reassignmentGracePeriod) {
 			continue
 		}
 		n, first := 0, taskRange.End
@@ -300,7 +301,7 @@
 		if n <= 0 {
 			return
 		}
-		if !candidate.heldBack && candidate.reservedForJob == "" && machineAllowed(spec, candidate.record) {
+		if !candidate.heldBack && candidate.reservedForJob == "" && scheduling.MachineAllowed(spec, candidate.record) {
 			k := min(n, taskResources.CountIn(candidate.freeResources))
 			candidate.freeResources = candidate.freeResources.AddScaled(taskResources, -float64(k))
 			n -= k
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -295,7 +295,7 @@
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
 	core.scheduler.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
 	core.scheduler.reservePreemptedRoom(candidates, now)
-	zones := newZoneConstraint(core.mirror, array)
+	zones := zoneConstraintOf(core.mirror, array)
 	for i := 0; i < 4; i++ {
 		if candidate := core.scheduler.chooseMachine(array, candidates, zones, nil, nil, false, false, false); candidate != candidates[1] {
 			t.Fatal("an array's task goes where room is being made for a service, or nowhere")
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -12,8 +12,7 @@
 type jobPolicy struct{ c *Controller }
 
 func (p jobPolicy) IsDelayed(job *mirror.Job, now monotime.Micros) bool {
-	state := p.c.scheduler.jobStates[job.ID]
-	return state != nil && now < state.placeNotBefore
+	return p.c.scheduler.placementDelayed(job.ID, now)
 }
 
 func (p jobPolicy) IsCrashLooping(job *mirror.Job) bool { return p.c.scheduler.isCrashLooping(job) }
@@ -43,14 +42,5 @@
 }
 
 func (p jobPolicy) Zones(job *mirror.Job) autoscaling.ZoneConstraint {
-	return planZoneConstraint{newZoneConstraint(p.c.mirror, job)}
+	return zoneConstraintOf(p.c.mirror, job)
 }
-
-// planZoneConstraint gives package autoscaling a job's rule on zones.
-type planZoneConstraint struct{ zones *zoneConstraint }
-
-func (z planZoneConstraint) RestrictsZones() bool { return z.zones.oneZone || z.zones.spreadZones }
-
-func (z planZoneConstraint) RemainingIn(zone string) int { return z.zones.remaining(zone) }
-
-func (z planZoneConstraint) AddTasks(zone string, tasks int) { z.zones.addTasks(zone, tasks) }
