--- /dev/null
+++ b/internal/autoscaling/fleet/catalog.go
@@ -0,0 +1,50 @@
+package fleet
+
+import (
+	"reflect"
+
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// persistCatalog keeps the machine types in the store, so that a controller that starts during an outage of the
+// cloud can accept and place jobs.
+func (r *Reconciler) persistCatalog() {
+	if !r.deps.Catalog.IsFetched() {
+		return
+	}
+	machineTypes := r.deps.Catalog.MachineTypes()
+	for _, name := range sortedmap.Keys(machineTypes) {
+		machineType := machineTypes[name]
+		record := recordOf(&machineType)
+		stored := r.deps.Mirror.MachineTypes[name]
+		if stored.Version != 0 && sameButForPrices(record, stored.Record) || !protocol.ValidKeyPart(name) {
+			continue
+		}
+		key := storage.Key(storage.KindMachineType, name)
+		r.Commit(ratelimit.PriorityBackground, key, putIfUnchanged(key, stored.Version, &record), nil)
+	}
+}
+
+// recordOf is the record of a machine type.
+func recordOf(machineType *protocol.MachineType) storage.MachineType {
+	return storage.MachineType{
+		CPUs:          machineType.CPUs,
+		GPUs:          machineType.GPUs,
+		MemoryGB:      machineType.MemoryGB,
+		CacheGB:       machineType.CacheGB,
+		FetchGBPerS:   machineType.FetchGBPerS,
+		OnDemandPrice: machineType.OnDemandPrice,
+		SpotPrice:     machineType.SpotPrice,
+		BootS:         machineType.BootS,
+		Zones:         machineType.Zones,
+	}
+}
+
+// sameButForPrices compares two records; prices change all the time and aren't worth a write.
+func sameButForPrices(record, stored storage.MachineType) bool {
+	record.OnDemandPrice, record.SpotPrice = stored.OnDemandPrice, stored.SpotPrice
+	return reflect.DeepEqual(record, stored)
+}
--- /dev/null
+++ b/internal/autoscaling/fleet/inventory.go
@@ -0,0 +1,124 @@
+package fleet
+
+import (
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// Reading the cloud's list.
+const (
+	listInterval = 10 * monotime.Second
+	// unknownMachineMargin is how much older than twice the list's lag an unknown machine is before it is adopted.
+	unknownMachineMargin = 5 * monotime.Second
+)
+
+// listedFailed is the state of failed machines in the cloud's list.
+const listedFailed = "failed"
+
+// startListing reads the cloud's list page by page. It finds failed machines and such as no record knows; that a
+// machine isn't listed proves nothing, as the list lags.
+func (r *Reconciler) startListing() {
+	r.term.listInFlight = true
+	r.listPage(r.term.number, "")
+}
+
+// listPage reads the page after a machine, as soon as the rate limit lets it, if the term that began the listing
+// still lasts.
+func (r *Reconciler) listPage(term uint64, after string) {
+	if term != r.term.number {
+		return
+	}
+	now := r.now()
+	if !r.deps.Membership.IsLeader(now) { // another leader may have made requests since
+		r.term.listInFlight = false
+		return
+	}
+	if delay := r.deps.CloudCalls.WaitTime(now, 1); delay > 0 {
+		r.deps.Environment.After(delay, func() { r.listPage(term, after) })
+		return
+	}
+	r.callCloud(protocol.CloudCall{Op: protocol.CloudList, After: after}, r.handleListPage)
+}
+
+// handleListPage takes one page of the list and reads the next, if there is one.
+func (r *Reconciler) handleListPage(result protocol.CloudResult) {
+	r.noteCloudOutcome(result.Outcome)
+	if result.Outcome != protocol.OK {
+		r.term.listInFlight = false
+		r.term.nextListAt = r.now() + cloudRetryDelay
+		return
+	}
+	if !r.deps.Membership.IsLeader(r.now()) {
+		r.term.listInFlight = false
+		return
+	}
+	for i := range result.Listed {
+		r.inspectListed(&result.Listed[i])
+	}
+	if result.More && len(result.Listed) > 0 {
+		r.listPage(r.term.number, result.Listed[len(result.Listed)-1].ID)
+		return
+	}
+	r.finishListing()
+}
+
+// finishListing acts on a list that has been read to its end.
+func (r *Reconciler) finishListing() {
+	r.term.listInFlight = false
+	r.term.nextListAt = r.now() + listInterval
+	r.adoptUnknownMachines()
+	if !r.term.inventoryRebuilt {
+		r.term.inventoryRebuilt = true
+		r.deps.Log.Info("inventory rebuilt, scale-out enabled",
+			"machines", len(r.deps.Mirror.Machines), "scale_outs", len(r.deps.Mirror.ScaleOuts))
+	}
+}
+
+// inspectListed notes a machine that failed, and one that no record knows although it is old enough for one.
+func (r *Reconciler) inspectListed(listed *protocol.ListedMachine) {
+	records := r.deps.Mirror
+	if !protocol.ValidKeyPart(listed.ID) || records.ScaleInOfMachine[listed.ID] != "" {
+		return
+	}
+	if listed.State == listedFailed {
+		r.term.failedMachines[listed.ID] = true
+		return
+	}
+	if machine := records.Machines[listed.ID]; machine != nil && machine.Record != nil {
+		return
+	}
+	lag := monotime.FromSeconds(2*r.cfg.ListLagSeconds) + unknownMachineMargin
+	if records.ScaleOutOfMachine[listed.ID] == "" && monotime.FromSeconds(listed.AgeS) > lag {
+		r.term.unknownMachines[listed.ID] = listed
+	}
+}
+
+// adoptUnknownMachines writes requests for machines that no record knows. They are then claimed like any other
+// when they come up, and terminated if they don't.
+func (r *Reconciler) adoptUnknownMachines() {
+	records := r.deps.Mirror
+	for _, id := range sortedmap.Keys(r.term.unknownMachines) {
+		listed := r.term.unknownMachines[id]
+		delete(r.term.unknownMachines, id)
+		if records.ScaleOutOfMachine[id] != "" || records.ScaleInOfMachine[id] != "" {
+			continue
+		}
+		key := storage.Key(storage.KindScaleOut, scaleOutNamePrefix+r.nextRequestName())
+		record := storage.ScaleOutRequest{
+			Phase:       storage.ScaleOutProvisioning,
+			MachineType: listed.Type,
+			Zone:        listed.Zone,
+			Spot:        listed.Spot,
+			Count:       1,
+			Machines:    []string{id},
+			Live:        r.deps.Controllers.Connected(),
+			PhaseSince:  r.deps.Environment.WallClock(),
+		}
+		r.deps.Log.Info("unrequested machine found",
+			"machine", id, "machine_type", listed.Type, "zone", listed.Zone)
+		r.Commit(ratelimit.PriorityBackground, key, putIfUnchanged(key, 0, &record), nil)
+	}
+}
--- /dev/null
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -0,0 +1,162 @@
+package fleet
+
+import (
+	"slices"
+
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// maxMachinesPerScaleOut bounds the machines of one request.
+const maxMachinesPerScaleOut = 50
+
+// scaleOutNamePrefix begins the names of scale-out requests.
+const scaleOutNamePrefix = "r-"
+
+// unfilledKeySuffix marks the record that quarantines an offer of which a request got fewer machines than it asked
+// for: the request's key with this suffix.
+const unfilledKeySuffix = "-rest"
+
+// reconcileScaleOuts takes the next step of every scale-out request.
+func (r *Reconciler) reconcileScaleOuts(now monotime.Micros) {
+	wall := r.deps.Environment.WallClock()
+	for _, name := range sortedmap.Keys(r.deps.Mirror.ScaleOuts) {
+		request := r.deps.Mirror.ScaleOuts[name]
+		age := monotime.Micros(wall - request.Record.PhaseSince)
+		switch request.Record.Phase {
+		case storage.ScaleOutPending:
+			if !r.term.scaleOutInFlight[name] && now >= r.term.scaleOutRetryAt[name] && r.mayCallCloud(now) {
+				r.callScaleOut(name, request)
+			}
+		case storage.ScaleOutNoCapacity:
+			if age > r.cfg.Settings.OfferQuarantine.Micros() {
+				r.term.backoffs.NoteOfferRecovery()
+				key := storage.Key(storage.KindScaleOut, name)
+				r.Commit(ratelimit.PriorityBackground, key, deleteIfUnchanged(key, request.Version), nil)
+			}
+		case storage.ScaleOutProvisioning:
+			r.reconcileProvisioning(name, request, age)
+		}
+	}
+}
+
+// reconcileProvisioning drops a request whose machines are all up, has machines terminated that don't come up in
+// time, and names other controllers to claim machines when those that were to claim them can't.
+func (r *Reconciler) reconcileProvisioning(name string, request *mirror.ScaleOutEntry, age monotime.Micros) {
+	key := storage.Key(storage.KindScaleOut, name)
+	missing := autoscaling.MissingMachines(r.deps.Mirror, request)
+	connected := r.deps.Controllers.Connected()
+	unclaimable := slices.ContainsFunc(missing, func(id string) bool {
+		return !slices.Contains(connected, r.deps.Controllers.Designated(request, id))
+	})
+	switch {
+	case len(missing) == 0 && r.deps.Mirror.WatchedRevision >= request.Version:
+		r.Commit(ratelimit.PriorityBackground, key, deleteIfUnchanged(key, request.Version), nil)
+	case age > r.cfg.Settings.ReadinessTimeout.Micros():
+		r.removeMissing(name, request, missing)
+	case unclaimable && len(connected) > 0:
+		record := request.Record
+		record.Live, record.Own = connected, nil
+		r.Commit(ratelimit.PriorityShardUpdate, key, putIfUnchanged(key, request.Version, &record), nil)
+	}
+}
+
+// removeMissing replaces a request by a scale-in request for its machines that didn't come up: without the former
+// nobody may claim them any more.
+func (r *Reconciler) removeMissing(name string, request *mirror.ScaleOutEntry, missing []string) {
+	key := storage.Key(storage.KindScaleOut, name)
+	scaleInKey := storage.Key(storage.KindScaleIn, r.nextRequestName())
+	scaleIn := storage.ScaleInRequest{Machines: missing, StateSince: r.deps.Environment.WallClock()}
+	txn := deleteIfUnchanged(key, request.Version)
+	txn.If = append(txn.If, protocol.Compare{Key: scaleInKey, Version: 0})
+	txn.Then = append(txn.Then, protocol.Op{Put: scaleInKey, Value: protocol.MustMarshal(&scaleIn)})
+	r.Commit(ratelimit.PriorityBackground, key, txn, func(result protocol.StoreResult) {
+		if result.Outcome == protocol.OK {
+			r.deps.Log.Info("machines not ready in time, scale-in requested",
+				"scale_out", name, "machines", len(missing),
+				"machine_type", request.Record.MachineType, "zone", request.Record.Zone)
+		}
+	})
+}
+
+// callScaleOut makes the cloud call of a request. A new leader repeats the very same call, by the name in the
+// record, and the cloud gives the same answer.
+func (r *Reconciler) callScaleOut(name string, request *mirror.ScaleOutEntry) {
+	r.term.scaleOutInFlight[name] = true
+	call := protocol.CloudCall{Op: protocol.CloudRent, Rent: protocol.RentRequest{
+		Name:  name,
+		Type:  request.Record.MachineType,
+		Zone:  request.Record.Zone,
+		Spot:  request.Record.Spot,
+		Count: request.Record.Count,
+	}}
+	r.callCloud(call, func(result protocol.CloudResult) {
+		delete(r.term.scaleOutInFlight, name)
+		r.term.scaleOutRetryAt[name] = r.now() + cloudRetryDelay
+		r.noteCloudOutcome(result.Outcome)
+		r.recordScaleOut(name, request, result)
+	})
+}
+
+// recordScaleOut writes what came of a request's call. Throttled, unavailable or unknown says nothing about the
+// offer: the request stays as it is and is repeated.
+func (r *Reconciler) recordScaleOut(name string, request *mirror.ScaleOutEntry, result protocol.CloudResult) {
+	record := request.Record
+	switch {
+	case result.Outcome == protocol.OK && len(result.Rented) > 0:
+		record.Phase, record.Machines = storage.ScaleOutProvisioning, result.Rented
+		record.Live = r.deps.Controllers.Connected()
+		r.deps.Log.Info("scale-out completed", "scale_out", name, "machine_type", record.MachineType,
+			"zone", record.Zone, "spot", record.Spot, "requested", record.Count, "machines", len(result.Rented))
+	case result.Outcome == protocol.OK, result.Outcome == protocol.NoCapacity:
+		record.Phase = storage.ScaleOutNoCapacity
+		r.deps.Log.Info("insufficient capacity, offer quarantined",
+			"machine_type", record.MachineType, "zone", record.Zone, "spot", record.Spot)
+	case result.Outcome == protocol.Rejected:
+		record.Phase = storage.ScaleOutNoCapacity
+		r.deps.Log.Error("scale-out request rejected", "scale_out", name, "machine_type", record.MachineType)
+	default:
+		return
+	}
+	record.PhaseSince = r.deps.Environment.WallClock()
+	key := storage.Key(storage.KindScaleOut, name)
+	txn := putIfUnchanged(key, request.Version, &record)
+	if record.Phase == storage.ScaleOutProvisioning && len(result.Rented) < record.Count {
+		unfilled := storage.ScaleOutRequest{
+			Phase:       storage.ScaleOutNoCapacity,
+			MachineType: record.MachineType,
+			Zone:        record.Zone,
+			Spot:        record.Spot,
+			PhaseSince:  record.PhaseSince,
+		}
+		txn.Then = append(txn.Then,
+			protocol.Op{Put: key + unfilledKeySuffix, Value: protocol.MustMarshal(&unfilled)})
+	}
+	r.Commit(ratelimit.PriorityShardUpdate, key, txn, nil)
+}
+
+// requestScaleOut writes requests for machines of an offer; the cloud call of each follows once it is written.
+func (r *Reconciler) requestScaleOut(scaleOut autoscaling.ScaleOut) {
+	for left := scaleOut.Machines; left > 0; left -= maxMachinesPerScaleOut {
+		key := storage.Key(storage.KindScaleOut, scaleOutNamePrefix+r.nextRequestName())
+		record := storage.ScaleOutRequest{
+			Phase:       storage.ScaleOutPending,
+			MachineType: scaleOut.MachineType,
+			Zone:        scaleOut.Zone,
+			Spot:        scaleOut.Spot,
+			Count:       min(left, maxMachinesPerScaleOut),
+			PhaseSince:  r.deps.Environment.WallClock(),
+		}
+		txn := putIfUnchanged(key, 0, &record)
+		r.Commit(ratelimit.PriorityShardUpdate, key, txn, func(result protocol.StoreResult) {
+			if result.Outcome == protocol.OK {
+				r.reconcileScaleOuts(r.now())
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/autoscaling/fleet/term.go
@@ -0,0 +1,67 @@
+package fleet
+
+import (
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/config"
+	"pipitgap/internal/logging"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+)
+
+// termState is what a leader knows beside the records. Every term begins with an empty one.
+type termState struct {
+	number         uint64          // the version of the leadership's record
+	commitInFlight map[string]bool // by busy key
+
+	nextPassAt       monotime.Micros
+	backoffs         *autoscaling.Backoffs // jobs that no offer can take
+	unreachableZones map[string]bool
+
+	requestSequence  int
+	scaleOutInFlight map[string]bool // requests whose call is in flight
+	scaleOutRetryAt  map[string]monotime.Micros
+	scaleInInFlight  map[string]bool // requests whose call is in flight
+	scaleInRetryAt   map[string]monotime.Micros
+	nextScaleInAt    monotime.Micros
+
+	inventoryRebuilt bool // the cloud's list has been read to its end
+	nextListAt       monotime.Micros
+	listInFlight     bool
+	failedMachines   map[string]bool // as the cloud's list has it; to be terminated
+	unknownMachines  map[string]*protocol.ListedMachine
+
+	cloudUnavailable bool
+}
+
+func newTermState(number uint64, settings *config.Settings) termState {
+	return termState{
+		number:         number,
+		commitInFlight: map[string]bool{},
+		backoffs: autoscaling.NewBackoffs(autoscaling.BackoffPolicy{
+			Passes: settings.BackoffPasses,
+			First:  settings.BackoffFirst.Micros(),
+			Max:    settings.BackoffMax.Micros(),
+		}),
+		unreachableZones: map[string]bool{},
+		scaleOutInFlight: map[string]bool{},
+		scaleOutRetryAt:  map[string]monotime.Micros{},
+		scaleInInFlight:  map[string]bool{},
+		scaleInRetryAt:   map[string]monotime.Micros{},
+		failedMachines:   map[string]bool{},
+		unknownMachines:  map[string]*protocol.ListedMachine{},
+	}
+}
+
+// noteCloudOutcome logs when the cloud becomes unavailable, and when it no longer is.
+func (r *Reconciler) noteCloudOutcome(outcome protocol.Outcome) {
+	unavailable := outcome == protocol.Unavailable || outcome == protocol.Unknown
+	if unavailable == r.term.cloudUnavailable || outcome == protocol.Throttled {
+		return
+	}
+	r.term.cloudUnavailable = unavailable
+	if unavailable {
+		r.deps.Log.Info("cloud unavailable", "state", logging.ConditionBegin, "outcome", outcome.String())
+	} else {
+		r.deps.Log.Info("cloud unavailable", "state", logging.ConditionEnd)
+	}
+}
--- a/internal/coordination/catalog.go
+++ b/internal/coordination/catalog.go
@@ -45,6 +45,12 @@
 	)
 }
 
+// MachineTypes are the types by name; nil until they are known.
+func (mc *machineCatalog) MachineTypes() map[string]protocol.MachineType { return mc.machineTypes }
+
+// IsFetched tells whether the types are from the cloud itself, not from the records.
+func (mc *machineCatalog) IsFetched() bool { return mc.fetchedAt != 0 }
+
 // cloudRateFraction is the part of the cloud's rate limit that is used: the leader alone calls the cloud, but
 // for the catalog.
 const cloudRateFraction = 0.8
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -81,6 +81,7 @@
 	api           *userAPI
 	scheduler     *scheduler
 	autoscaler    *autoscaler
+	emptyMachines *emptyMachines
 }
 
 // NewController makes the actor's state.
@@ -112,6 +113,7 @@
 	c.api = newUserAPI(c)
 	c.scheduler = newScheduler(c)
 	c.autoscaler = newAutoscaler(c)
+	c.emptyMachines = newEmptyMachines(c)
 	c.drains = newDrains(c, settings.Drains)
 	return c
 }
@@ -153,18 +155,11 @@
 	c.runFastTick(now)
 	if now >= c.nextSlowTickAt {
 		c.runSlowTick(now)
-		c.nextSlowTickAt = nextDue(now, c.now(), durations.SlowTickInterval)
+		c.nextSlowTickAt = durations.NextDue(now, c.now(), durations.SlowTickInterval)
 	}
 	c.env.After(durations.FastTickInterval, c.tick)
 }
 
-// nextDue tells when work that ran from begun to ended is due again: after its
-// interval, or later so that it takes at most a tenth of the time. With thousands
-// of jobs a pass costs milliseconds; leases and users must keep their share.
-func nextDue(startedAt, ended, interval monotime.Micros) monotime.Micros {
-	return startedAt + max(interval, 10*(ended-startedAt))
-}
-
 func (c *Controller) runFastTick(now monotime.Micros) {
 	c.membership.renewLease(now)
 	c.replica.MaintainWatch(now)
@@ -173,7 +168,7 @@
 	}
 	if c.scheduler.passDue(now) {
 		c.scheduler.runPass(now)
-		c.scheduler.delayPassUntil(nextDue(now, c.now(), 2*durations.FastTickInterval))
+		c.scheduler.delayPassUntil(durations.NextDue(now, c.now(), 2*durations.FastTickInterval))
 	}
 }
 
@@ -196,7 +191,8 @@
 	c.quota.Adjust(now)
 	c.api.finalizeJobs()
 	c.scheduler.requestPass()
-	c.autoscaler.reconcileAsLeader(now)
+	c.emptyMachines.reconcile(now)
+	c.autoscaler.fleet.Reconcile(now)
 }
 
 // onMirrorChange is called by the view for every change that it applied.
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -12,22 +12,6 @@
 	"pipitgap/internal/storeclient"
 )
 
-// TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at
-// most.
-func TestTickWorkTakesAtMostATenthOfTheTime(t *testing.T) {
-	cases := []struct{ begun, ended, interval, want monotime.Micros }{
-		{0, 0, 100, 100},
-		{50, 55, 100, 150},
-		{50, 60, 100, 150},
-		{50, 90, 100, 450},
-	}
-	for _, tc := range cases {
-		if got := nextDue(tc.begun, tc.ended, tc.interval); got != tc.want {
-			t.Errorf("%+v: due at %d", tc, got)
-		}
-	}
-}
-
 // TestPagesMakeRoom: shards come less often while users wait for the store, here or at
 // a peer that said so lately.
 func TestShardWriteRateYieldsToWaitingUsers(t *testing.T) {
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -107,7 +107,7 @@
 	if !covered || rec.State == storage.DrainPaused {
 		return false
 	}
-	return rec.RemoveAtOnce || empty >= d.core.autoscaler.scaleInDelay(machine.Record)
+	return rec.RemoveAtOnce || empty >= d.core.emptyMachines.scaleInDelay(machine.Record)
 }
 
 // reconcile takes the next steps of all drains. It decides on a fresh mirror only: what has
@@ -136,7 +136,7 @@
 	if c.membership.isLeader(now) {
 		d.settleDrains(snapshot)
 	}
-	d.nextRunAt = nextDue(now, c.now(), durations.SlowTickInterval)
+	d.nextRunAt = durations.NextDue(now, c.now(), durations.SlowTickInterval)
 }
 
 // hasWork tells whether there is anything to do for drains.
@@ -405,7 +405,7 @@
 		if next != nil {
 			operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
 		}
-		d.core.autoscaler.commitAsLeader(ratelimit.PriorityBackground, key, protocol.Transaction{
+		d.core.autoscaler.fleet.Commit(ratelimit.PriorityBackground, key, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: record.Version}},
 			Then: []protocol.Op{operation},
 		}, func(result protocol.StoreResult) {
--- a/internal/coordination/autoscaler_test.go
+++ b/internal/coordination/empty_machines_test.go
@@ -27,7 +27,7 @@
 		{"both", true, 20 * second}, {"both", false, 5 * second}, {"no spot", false, 20 * second},
 		{"no gain", false, 20 * second}, {"no gain", true, 20 * second}, {"unknown", false, 20 * second},
 	} {
-		if got := core.autoscaler.scaleInDelay(&storage.ShardMachine{Type: tc.typ, Spot: tc.spot}); got != tc.want {
+		if got := core.emptyMachines.scaleInDelay(&storage.ShardMachine{Type: tc.typ, Spot: tc.spot}); got != tc.want {
 			t.Errorf("%s, spot %v: %v s", tc.typ, tc.spot, got.Seconds())
 		}
 	}
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -32,7 +32,7 @@
 		}{
 			{"order of jobs", func() { core.scheduler.orderedQueue() }},
 			{"demand and room", func() { core.autoscaler.demandAndSupply(core.autoscaler.snapshot(now)) }},
-			{"offers", func() { core.autoscaler.availableOffers(core.autoscaler.snapshot(now)) }},
+			{"offers", func() { core.autoscaler.snapshot(now).Offers(core.drains.closesOffer) }},
 			{"free capacity", func() { core.scheduler.capacityByPartition() }},
 			{"shard updates", func() {
 				for _, shard := range own {
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -2,8 +2,11 @@
 
 import (
 	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/autoscaling/fleet"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
@@ -44,3 +47,99 @@
 func (p jobPolicy) Zones(job *mirror.Job) autoscaling.ZoneConstraint {
 	return zoneConstraintOf(p.c.mirror, job)
 }
+
+// newFleetReconciler makes the leader's reconciliation of the cloud's machines.
+func newFleetReconciler(as *autoscaler) *fleet.Reconciler {
+	c := as.c
+	return fleet.New(
+		fleet.Config{
+			Settings:       c.settings,
+			MaxValueBytes:  c.maxValueBytes(),
+			ListLagSeconds: c.cfg.Facts.Cloud.ListLagS,
+		},
+		fleet.Dependencies{
+			Mirror:      c.mirror,
+			Environment: c.env,
+			Membership:  fleetMembership{c},
+			Store:       fleetStore{c},
+			Catalog:     c.catalog,
+			Controllers: fleetControllers{c},
+			Workload:    fleetWorkload{as},
+			CloudCalls:  &c.catalog.rateLimiter,
+			Log:         c.log,
+		},
+	)
+}
+
+// fleetMembership tells package fleet whether this controller is the leader.
+type fleetMembership struct{ c *Controller }
+
+func (m fleetMembership) IsLeader(now monotime.Micros) bool { return m.c.membership.isLeader(now) }
+
+func (m fleetMembership) LeadershipCompare() protocol.Compare {
+	return m.c.membership.leadershipCompare()
+}
+
+// fleetStore commits what package fleet changes.
+type fleetStore struct{ c *Controller }
+
+func (s fleetStore) Unavailable() bool { return s.c.store.Unavailable() }
+
+func (s fleetStore) Commit(
+	priority ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	s.c.replica.Commit(priority, txn, callback)
+}
+
+// fleetControllers tells package fleet which controllers can claim machines.
+type fleetControllers struct{ c *Controller }
+
+func (f fleetControllers) Connected() []string { return f.c.reachability.connectedControllers() }
+
+func (f fleetControllers) Designated(request *mirror.ScaleOutEntry, machineID string) string {
+	return f.c.agents.designatedController(request, machineID)
+}
+
+// fleetWorkload gives package fleet what a pass plans for.
+type fleetWorkload struct{ as *autoscaler }
+
+func (w fleetWorkload) Snapshot(now monotime.Micros) *autoscaling.Snapshot { return w.as.snapshot(now) }
+
+func (w fleetWorkload) DemandAndSupply(
+	snapshot *autoscaling.Snapshot,
+) ([]*autoscaling.Demand, []*autoscaling.Bin) {
+	return w.as.demandAndSupply(snapshot)
+}
+
+func (w fleetWorkload) NoteTrialDemand(jobID string, now monotime.Micros) {
+	w.as.c.scheduler.recordTrialDemand(jobID, now)
+}
+
+func (w fleetWorkload) IsClosedByDrain(offer autoscaling.Offer) bool {
+	return w.as.c.drains.closesOffer(offer)
+}
+
+func (w fleetWorkload) ZoneContacts() map[string]fleet.ZoneContact {
+	counts := map[string]*silenceCount{}
+	for _, machine := range w.as.c.mirror.Machines {
+		if machine.Record == nil {
+			continue
+		}
+		zone, state := machine.Record.Zone, machine.Record.State
+		if counts[zone] == nil {
+			counts[zone] = &silenceCount{}
+		}
+		counts[zone].add(state == storage.MachineUnreachable, state != storage.MachineOpen)
+	}
+	contacts := map[string]fleet.ZoneContact{}
+	for zone, count := range counts {
+		contacts[zone] = fleet.ZoneContact{
+			Machines:            count.machines,
+			UnreachableMachines: count.silent,
+			Unreachable:         count.isUnreachable(),
+		}
+	}
+	return contacts
+}
--- a/internal/durations/durations_test.go
+++ b/internal/durations/durations_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/monotime"
 )
 
 // TestDurationsFollowPlatform: bounds follow the platform's durations, and a platform whose durations the
@@ -44,3 +45,19 @@
 		}
 	}
 }
+
+// TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at
+// most.
+func TestTickWorkTakesAtMostATenthOfTheTime(t *testing.T) {
+	cases := []struct{ begun, ended, interval, want monotime.Micros }{
+		{0, 0, 100, 100},
+		{50, 55, 100, 150},
+		{50, 60, 100, 150},
+		{50, 90, 100, 450},
+	}
+	for _, tc := range cases {
+		if got := NextDue(tc.begun, tc.ended, tc.interval); got != tc.want {
+			t.Errorf("%+v: due at %d", tc, got)
+		}
+	}
+}
