--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -1,8 +1,6 @@
 package coordination
 
 import (
-	"hash/fnv"
-
 	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -20,24 +18,6 @@
 	unloggedRemovals        map[string][]string        // machines to be removed, by reason, not yet logged
 }
 
-// rendezvousOwner is the live controller that a machine belongs to by rendezvous hashing.
-func rendezvousOwner(machine string, controllers []string) string {
-	best, node := uint64(0), ""
-	for _, n := range controllers {
-		h := fnv.New64a()
-		_, _ = h.Write([]byte(n + "\x00" + machine))
-		v := h.Sum64()
-		// FNV's last bytes stir the high bits too little; finish the mix.
-		v ^= v >> 33
-		v *= 0xff51afd7ed558ccd
-		v ^= v >> 33
-		if node == "" || v > best {
-			best, node = v, n
-		}
-	}
-	return node
-}
-
 // updateAgentOwnership follows a change of the shard that a machine stands in.
 func (am *agentManager) updateAgentOwnership(machine *mirror.Machine) {
 	mine := machine.Shard != nil && am.c.shards.ownsShard(machine.Shard)
--- a/internal/coordination/claim_requests.go
+++ b/internal/coordination/claim_requests.go
@@ -49,7 +49,7 @@
 		}
 		request := sm.c.mirror.ScaleOuts[sm.c.mirror.ScaleOutOfMachine[id]]
 		switch {
-		case known && (pendingClaim.fromShard == nil || !sm.c.membership.isMember(machine.Owner()) || pendingClaim.fromShard.Name != machine.Shard.Name || sm.claimsInFlight[machine.Shard.Name]):
+		case known && (pendingClaim.fromShard == nil || !sm.c.membership.IsMember(machine.Owner()) || pendingClaim.fromShard.Name != machine.Shard.Name || sm.claimsInFlight[machine.Shard.Name]):
 			continue // somebody else has it
 		case !known && (request == nil || sm.c.agents.designatedController(request, id) != sm.c.node || sm.c.mirror.WatchedRevision < request.Version):
 			continue
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -7,6 +7,7 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/durations"
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/peers"
@@ -43,8 +44,7 @@
 
 // Durations of the coordination itself; none depends on the deployment.
 const (
-	leaseKeepAliveTimeout = 1 * monotime.Second
-	commandTimeout        = 3 * monotime.Second
+	commandTimeout = 3 * monotime.Second
 )
 
 // Controller is the actor that decides. All of its methods run on its own goroutine
@@ -71,7 +71,7 @@
 	counters      activityCounters
 	store         *storeclient.Client
 	replica       *mirror.Replica
-	membership    *membership
+	membership    *membership.Membership
 	reachability  *reachability
 	catalog       *machineCatalog
 	shards        *shardManager
@@ -102,7 +102,7 @@
 	c.mirror = mirror.New()
 	c.store = newStoreClient(c)
 	c.replica = newReplica(c)
-	c.membership = &membership{c: c, missingSince: map[string]monotime.Micros{}}
+	c.membership = newMembership(c)
 	c.reachability = &reachability{c: c}
 	c.catalog = newMachineCatalog(c)
 	c.shards = newShardManager(c)
@@ -140,7 +140,7 @@
 			warning.Consequence,
 		)
 	}
-	c.membership.grantLease()
+	c.membership.RequestLease()
 	c.replica.Load()
 	c.catalog.fetch()
 	c.tick()
@@ -161,7 +161,7 @@
 }
 
 func (c *Controller) runFastTick(now monotime.Micros) {
-	c.membership.renewLease(now)
+	c.membership.RenewLease(now)
 	c.replica.MaintainWatch(now)
 	if !c.replica.Ready() || c.reachability.mirrorStale(now) {
 		return
@@ -181,9 +181,9 @@
 	if !c.replica.Ready() || c.reachability.mirrorStale(now) {
 		return
 	}
-	c.store.UpdateBudget(len(c.membership.liveControllers()))
-	c.membership.ensureMemberRecord()
-	c.membership.campaign(now)
+	c.store.UpdateBudget(len(c.membership.LiveControllers()))
+	c.membership.EnsureMemberRecord()
+	c.membership.Campaign(now)
 	c.shards.claimOrphanedShards(now)
 	c.quota.ReleaseDeparted(now)
 	c.agents.checkMachines(now)
@@ -220,11 +220,6 @@
 	case storage.KindScaleOut, storage.KindScaleIn, storage.KindDrain, storage.KindPermits:
 		c.scheduler.requestPass()
 	case storage.KindMember:
-		if c.membership.isMember(name) {
-			delete(c.membership.missingSince, name)
-			c.log.Info("controller membership", "state", conditionBegin, "node", name)
-		} else {
-			c.log.Info("controller membership", "state", conditionEnd, "node", name)
-		}
+		c.membership.HandleMemberChange(name)
 	}
 }
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -41,7 +41,7 @@
 	core := s.leaderNode().controller
 	return core.drains.policy.Decide(
 		core.drainSnapshot(),
-		&drain.Controller{Live: core.membership.isMember, Responsible: func(string) bool { return false }},
+		&drain.Controller{Live: core.membership.IsMember, Responsible: func(string) bool { return false }},
 	).Blocked
 }
 
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
 	"pipitgap/internal/durations"
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -117,7 +118,7 @@
 		return
 	}
 	c := d.core
-	if c.store.Unavailable() || c.catalog.machineTypes == nil || !c.membership.holdsLease(now) ||
+	if c.store.Unavailable() || c.catalog.machineTypes == nil || !c.membership.HoldsLease(now) ||
 		c.replica.WatchOverdue(now) {
 		return
 	}
@@ -133,7 +134,7 @@
 	d.evictUnpermitted(decision.StopArrays, now)
 	d.writePermits(decision, now)
 	d.replacementDemand = d.computeReplacementDemand(snapshot)
-	if c.membership.isLeader(now) {
+	if c.membership.IsLeader(now) {
 		d.settleDrains(snapshot)
 	}
 	d.nextRunAt = durations.NextDue(now, c.now(), durations.SlowTickInterval)
@@ -159,12 +160,12 @@
 // controller is what a decision must know of us.
 func (d *drains) controller() *drain.Controller {
 	c := d.core
-	controllers := c.membership.liveControllers()
+	controllers := c.membership.LiveControllers()
 	return &drain.Controller{
 		Node: c.node,
-		Live: c.membership.isMember,
+		Live: c.membership.IsMember,
 		Responsible: func(team string) bool {
-			return rendezvousOwner(storage.KindPermits+"/"+team, controllers) == c.node
+			return membership.RendezvousOwner(storage.KindPermits+"/"+team, controllers) == c.node
 		},
 		RecordBytes: c.scheduler.assignmentShardBytes(),
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -5,6 +5,7 @@
 	"log/slog"
 
 	"pipitgap/internal/durations"
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -128,7 +129,7 @@
 		am.requestClaim(report, nil, respond)
 		return
 	case !live:
-		if destination := rendezvousOwner(machine.Shard.Name, am.c.reachability.connectedControllers()); destination != am.c.node {
+		if destination := membership.RendezvousOwner(machine.Shard.Name, am.c.reachability.connectedControllers()); destination != am.c.node {
 			respond(am.redirectResponse(destination))
 			return
 		}
@@ -252,7 +253,7 @@
 		}
 		if machine := am.c.mirror.Machines[report.Machine]; machine != nil && machine.Record != nil &&
 			machine.Owner() != am.c.node &&
-			am.c.membership.isMember(machine.Owner()) {
+			am.c.membership.IsMember(machine.Owner()) {
 			respond(am.redirectResponse(machine.Owner()))
 			return
 		}
@@ -266,7 +267,7 @@
 	if to := request.Record.Own[id]; to != "" {
 		return to
 	}
-	return rendezvousOwner(id, request.Record.Live)
+	return membership.RendezvousOwner(id, request.Record.Live)
 }
 
 // handleUnclaimedWorker answers a worker whose machine no part has claimed yet.
@@ -301,7 +302,7 @@
 	// It has nothing on it yet, so there is no hurry; a request that is rewritten
 	// makes the claims of all its other machines fail.
 	if firstContactAt := am.recordOrphanContact(report.Machine, 0, now); now-firstContactAt < am.c.durations.WorkerLease/2 {
-		if am.c.membership.isMember(to) && !am.c.reachability.isCutOffFromWorkers(to, now) {
+		if am.c.membership.IsMember(to) && !am.c.reachability.isCutOffFromWorkers(to, now) {
 			respond(am.redirectResponse(to))
 		} else {
 			respond(am.redirectResponse("")) // the leader is about to name another
--- a/internal/coordination/job_completion.go
+++ b/internal/coordination/job_completion.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -58,7 +59,7 @@
 	if u.c.store.Unavailable() {
 		return
 	}
-	controllers := u.c.membership.liveControllers()
+	controllers := u.c.membership.LiveControllers()
 	var over []string
 	for id, job := range u.c.mirror.Jobs {
 		if job.IsOpen() && job.IsComplete() || !job.IsOpen() && job.AssignedTasks == 0 {
@@ -72,9 +73,9 @@
 			continue
 		}
 		switch {
-		case job.IsOpen() && job.IsComplete() && rendezvousOwner(job.ID, controllers) == u.c.node:
+		case job.IsOpen() && job.IsComplete() && membership.RendezvousOwner(job.ID, controllers) == u.c.node:
 			u.completeJob(job)
-		case !job.IsOpen() && job.AssignedTasks == 0 && rendezvousOwner(job.ID, controllers) == u.c.node && job.FinalRevision != 0 && u.c.mirror.WatchedRevision >= job.FinalRevision:
+		case !job.IsOpen() && job.AssignedTasks == 0 && membership.RendezvousOwner(job.ID, controllers) == u.c.node && job.FinalRevision != 0 && u.c.mirror.WatchedRevision >= job.FinalRevision:
 			// With a mirror that has all that came before the answer. An answer that was
 			// learned ahead of the job's record has no revision until the mirror has it.
 			u.purgeCancelledJob(job)
--- a/internal/coordination/membership_test.go
+++ b/internal/coordination/membership_test.go
@@ -16,10 +16,10 @@
 			t.Fatal("no other leader")
 		}
 		delete(c.store.RefusedCallers, was.name)
-		if c.sim.RunUntil(10*second, func() bool { return was.controller.membership.isLeader(c.sim.Now()) }) {
+		if c.sim.RunUntil(10*second, func() bool { return was.controller.membership.IsLeader(c.sim.Now()) }) {
 			t.Errorf("seed %d: two controllers lead", seed)
 		}
-		if !now.controller.membership.isLeader(c.sim.Now()) {
+		if !now.controller.membership.IsLeader(c.sim.Now()) {
 			t.Errorf("seed %d: the lead has moved on", seed)
 		}
 	}
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -29,7 +29,7 @@
 	reserved := sc.c.drains.reservations()
 	for _, machine := range sc.c.mirror.Machines {
 		if machine.Record == nil || machine.Record.State != storage.MachineOpen ||
-			!sc.c.membership.isMember(machine.Owner()) {
+			!sc.c.membership.IsMember(machine.Owner()) {
 			continue
 		}
 		machineType, ok := sc.c.catalog.machineTypes[machine.Record.Type]
@@ -142,7 +142,7 @@
 	}
 	most, partition := 0, ""
 	defer func() { p.preemptionTargets[preemptor] = partition }()
-	for _, node := range p.core.membership.liveControllers() {
+	for _, node := range p.core.membership.LiveControllers() {
 		if node == excluded {
 			continue
 		}
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -92,7 +92,7 @@
 // placeTasks gives pending tasks of our shares to machines of the updates; where
 // nothing has room it makes some, or looks who could.
 func (sc *scheduler) placeTasks(updates []*ShardUpdate, now monotime.Micros) {
-	if sc.c.catalog.machineTypes == nil || !sc.c.membership.holdsLease(now) {
+	if sc.c.catalog.machineTypes == nil || !sc.c.membership.HoldsLease(now) {
 		return
 	}
 	jobs := sc.orderedQueue()
--- a/internal/coordination/reachability.go
+++ b/internal/coordination/reachability.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/durations"
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/peers"
@@ -167,7 +168,7 @@
 
 // connectedControllers lists the live controllers that are good for machines and waiting tasks.
 func (rc *reachability) connectedControllers() []string {
-	controllers, now := rc.c.membership.liveControllers(), rc.c.now()
+	controllers, now := rc.c.membership.LiveControllers(), rc.c.now()
 	var out []string
 	for _, node := range controllers {
 		if !rc.isCutOffFromWorkers(node, now) {
@@ -184,13 +185,13 @@
 // turn to them when we don't answer; their claims one by one, each against our own
 // writes, took longer than the leases of most.
 func (sm *shardManager) handOffShards(now monotime.Micros) {
-	if sm.c.quota.WriteInFlight() || sm.c.store.Unavailable() || !sm.c.membership.holdsLease(now) ||
+	if sm.c.quota.WriteInFlight() || sm.c.store.Unavailable() || !sm.c.membership.HoldsLease(now) ||
 		sm.c.replica.WatchOverdue(now) {
 		return
 	}
 	var to, others []string
 	alone := true
-	for _, node := range sm.c.membership.liveControllers() {
+	for _, node := range sm.c.membership.LiveControllers() {
 		if node == sm.c.node {
 			continue
 		}
@@ -217,7 +218,7 @@
 			sm.c.mirror.WatchedRevision < shard.Version {
 			continue
 		}
-		destination := rendezvousOwner(name, to)
+		destination := membership.RendezvousOwner(name, to)
 		if successor == "" {
 			successor = destination
 		}
--- a/internal/coordination/scheduling_units_test.go
+++ b/internal/coordination/scheduling_units_test.go
@@ -78,26 +78,6 @@
 	}
 }
 
-// TestRendezvousOwnerIsStableAndBalanced: machines spread over the live controllers, and only those of one
-// that has gone move.
-func TestRendezvousOwnerIsStableAndBalanced(t *testing.T) {
-	all := []string{"n-0", "n-1", "n-2"}
-	count := map[string]int{}
-	for i := 0; i < 300; i++ {
-		id := mirror.TaskID{Job: "i", Index: i}.String()
-		destination := rendezvousOwner(id, all)
-		count[destination]++
-		if destination != "n-1" && rendezvousOwner(id, []string{"n-0", "n-2"}) != destination {
-			t.Fatalf("%s moved from %s", id, destination)
-		}
-	}
-	for _, node := range all {
-		if count[node] < 60 {
-			t.Errorf("%s is home to %d of 300", node, count[node])
-		}
-	}
-}
-
 // TestSampledPlacementFindsOnlyRoom: with many machines a sample is looked at, and what only one machine
 // has room for is found all the same.
 func TestSampledPlacementFindsOnlyRoom(t *testing.T) {
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -23,7 +24,7 @@
 // claimOrphanedShards claims the shards of our earlier lives, and those of controllers that
 // have gone and whose successor we are: whole shards, many to a commit.
 func (sm *shardManager) claimOrphanedShards(now monotime.Micros) {
-	if sm.c.store.Unavailable() || !sm.c.membership.holdsLease(now) {
+	if sm.c.store.Unavailable() || !sm.c.membership.HoldsLease(now) {
 		return
 	}
 	controllers := sm.c.reachability.connectedControllers()
@@ -54,11 +55,11 @@
 	if owner == sm.c.node {
 		return shard.Record.Incarnation != sm.c.incarnation
 	}
-	if sm.c.membership.isMember(owner) {
+	if sm.c.membership.IsMember(owner) {
 		return false
 	}
-	return now-sm.c.membership.absentSince(owner, now) > monotime.Second &&
-		rendezvousOwner(shard.Name, controllers) == sm.c.node
+	return now-sm.c.membership.AbsentSince(owner, now) > monotime.Second &&
+		membership.RendezvousOwner(shard.Name, controllers) == sm.c.node
 }
 
 // claimShards takes over shards of one owner, as many as a commit takes.
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -133,7 +133,7 @@
 // costs; when there is more to write than the state service takes, passes come
 // less often and each carries more.
 func (sc *scheduler) runPass(now monotime.Micros) {
-	if sc.c.store.Unavailable() || !sc.c.membership.holdsLease(now) || sc.c.quota.WriteInFlight() {
+	if sc.c.store.Unavailable() || !sc.c.membership.HoldsLease(now) || sc.c.quota.WriteInFlight() {
 		return // assignments depend on the shares being written just now
 	}
 	for name, tracker := range sc.c.shards.trackers {
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -465,7 +465,7 @@
 
 func (c *cluster) leaderNode() *simController {
 	for _, node := range c.nodeNames {
-		if core := c.nodes[node].controller; core != nil && core.membership.isLeader(c.sim.Now()) {
+		if core := c.nodes[node].controller; core != nil && core.membership.IsLeader(c.sim.Now()) {
 			return c.nodes[node]
 		}
 	}
--- a/internal/coordination/store_reachability.go
+++ b/internal/coordination/store_reachability.go
@@ -38,7 +38,7 @@
 // us, and it is answered as before.
 func (rc *reachability) shouldRedirectAway(agent *agents.Agent, now monotime.Micros) bool {
 	if !rc.isIsolated(now) ||
-		now-rc.c.membership.leaseRenewalSentAt < rc.c.durations.MembershipTTL+durations.TakeoverDuration {
+		now-rc.c.membership.LeaseRenewedAt() < rc.c.durations.MembershipTTL+durations.TakeoverDuration {
 		return false
 	}
 	return agent.RedirectOnce(now, rc.c.durations.WorkerLease)
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -5,6 +5,7 @@
 	"math"
 	"sort"
 
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -140,13 +141,13 @@
 			return
 		}
 		if sc.c.recordWritesInFlight[job.ID] || sc.c.mirror.WatchedRevision < job.Version ||
-			rendezvousOwner(job.ID, controllers) != sc.c.node {
+			membership.RendezvousOwner(job.ID, controllers) != sc.c.node {
 			continue
 		}
 		ranges := job.Record.TaskRanges
 		for _, taskRange := range job.Record.TaskRanges {
-			if !sc.c.membership.isMember(taskRange.Partition) &&
-				now-sc.c.membership.absentSince(taskRange.Partition, now) > monotime.Second ||
+			if !sc.c.membership.IsMember(taskRange.Partition) &&
+				now-sc.c.membership.AbsentSince(taskRange.Partition, now) > monotime.Second ||
 				sc.c.reachability.isCutOffFromWorkers(taskRange.Partition, now) {
 				ranges = storage.AssignRange(ranges, taskRange.First, taskRange.End, sc.c.node)
 			}
@@ -159,15 +160,6 @@
 	}
 }
 
-// absentSince tells since when a controller is missed.
-func (m *membership) absentSince(node string, now monotime.Micros) monotime.Micros {
-	at, ok := m.missingSince[node]
-	if !ok {
-		m.missingSince[node], at = now, now
-	}
-	return at
-}
-
 func sameTaskRanges(a, b []storage.TaskRange) bool {
 	for i := range a {
 		if a[i] != b[i] {
@@ -264,7 +256,7 @@
 	for k := len(job.Record.TaskRanges) - 1; k >= 0; k-- {
 		taskRange := job.Record.TaskRanges[k]
 		if taskRange.Partition == sc.c.node ||
-			sc.c.membership.isMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
+			sc.c.membership.IsMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
 				(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || sc.c.now()-sc.trackingOf(job.ID).reassignment.recordChangedAt < reassignmentGracePeriod) {
 			continue
 		}
@@ -275,7 +267,7 @@
 				n++
 			}
 		}
-		if n == 0 || whole && n > room && sc.c.membership.isMember(taskRange.Partition) {
+		if n == 0 || whole && n > room && sc.c.membership.IsMember(taskRange.Partition) {
 			continue
 		}
 		if !sc.reassignTaskRanges(
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -348,7 +348,7 @@
 			if !s.sim.RunUntil(30*second, func() bool { return sent > 0 }) {
 				t.Fatal("nobody drops the shares of the one that has gone")
 			}
-			member := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.isMember(gone) }
+			member := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.IsMember(gone) }
 			if tc.back {
 				s.start(gone)
 				s.sim.RunUntil(4*second, member)
--- a/internal/coordination/wiring.go
+++ b/internal/coordination/wiring.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/durations"
+	"pipitgap/internal/membership"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
@@ -34,13 +35,13 @@
 }
 
 func (d quotaDependencies) HoldsLease(now monotime.Micros) bool {
-	return d.c.membership.holdsLease(now)
+	return d.c.membership.HoldsLease(now)
 }
 
-func (d quotaDependencies) IsMember(node string) bool { return d.c.membership.isMember(node) }
+func (d quotaDependencies) IsMember(node string) bool { return d.c.membership.IsMember(node) }
 
 func (d quotaDependencies) AbsentSince(node string, now monotime.Micros) monotime.Micros {
-	return d.c.membership.absentSince(node, now)
+	return d.c.membership.AbsentSince(node, now)
 }
 
 func (d quotaDependencies) Unavailable() bool { return d.c.store.Unavailable() }
@@ -83,5 +84,5 @@
 }
 
 func (d quotaDependencies) SuccessorOf(node string) string {
-	return rendezvousOwner(node, d.c.reachability.connectedControllers())
+	return membership.RendezvousOwner(node, d.c.reachability.connectedControllers())
 }
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -74,10 +74,10 @@
 // fleetMembership tells package fleet whether this controller is the leader.
 type fleetMembership struct{ c *Controller }
 
-func (m fleetMembership) IsLeader(now monotime.Micros) bool { return m.c.membership.isLeader(now) }
+func (m fleetMembership) IsLeader(now monotime.Micros) bool { return m.c.membership.IsLeader(now) }
 
 func (m fleetMembership) LeadershipCompare() protocol.Compare {
-	return m.c.membership.leadershipCompare()
+	return m.c.membership.LeadershipCompare()
 }
 
 // fleetStore commits what package fleet changes.
