--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -382,14 +382,13 @@
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
 		update := NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
 		update.ReserveBytes(int(tc.partition * float64(core.scheduler.assignmentShardBytes())))
-		candidates := []*candidateMachine{
-			{
-				machine:       &mirror.Machine{ID: "i-1", CachedImages: map[string]bool{}},
-				record:        &storage.ShardMachine{Type: "m8", Zone: "a"},
-				update:        update,
-				freeResources: resources.Vector{CPUs: 8, MemoryGB: 64},
-			},
-		}
+		candidate := newCandidateMachine(
+			&mirror.Machine{ID: "i-1", CachedImages: map[string]bool{}},
+			&storage.ShardMachine{Type: "m8", Zone: "a"},
+			resources.Vector{CPUs: 8, MemoryGB: 64},
+		)
+		candidate.assignBy(update)
+		search := machineSearch{candidates: []*candidateMachine{candidate}}
 		for _, service := range []bool{false, true} {
 			job := &mirror.Job{
 				ID:            "j-900000",
@@ -404,7 +403,9 @@
 					},
 				},
 			}
-			if got := core.scheduler.chooseMachine(job, candidates, zoneConstraintOf(core.mirror, job), nil, nil, false, false, false) != nil; got != map[bool]bool{false: tc.swarms, true: tc.service}[service] {
+			request := core.scheduler.machineRequest(job, zoneConstraintOf(core.mirror, job))
+			got := core.scheduler.chooseMachine(request, search) != nil
+			if want := map[bool]bool{false: tc.swarms, true: tc.service}[service]; got != want {
 				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
 			}
 		}
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -68,12 +68,12 @@
 	}
 	byMachine := map[string]*candidateMachine{}
 	for _, candidate := range candidates {
-		byMachine[candidate.machine.ID] = candidate
+		byMachine[candidate.MachineID] = candidate
 	}
 	r := &drainReservations{byJob: map[string][]drainReservation{}, updates: updates}
 	d.forEachReservation(func(permit *storage.Permit, job *mirror.Job) {
 		if candidate := byMachine[permit.To]; candidate != nil {
-			candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
+			candidate.Free = candidate.Free.AddScaled(job.TaskResources, -1)
 			r.byJob[job.ID] = append(
 				r.byJob[job.ID],
 				drainReservation{
@@ -111,7 +111,7 @@
 		return
 	}
 	for _, place := range r.byJob[job.ID] {
-		place.candidate.freeResources = place.candidate.freeResources.AddScaled(place.need, 1)
+		place.candidate.Free = place.candidate.Free.AddScaled(place.need, 1)
 	}
 }
 
@@ -126,7 +126,7 @@
 		if r.assignedThisPass(place.task) {
 			continue
 		}
-		place.candidate.freeResources = place.candidate.freeResources.AddScaled(place.need, -1)
+		place.candidate.Free = place.candidate.Free.AddScaled(place.need, -1)
 		left = append(left, place)
 	}
 	r.byJob[job.ID] = left
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -38,13 +38,9 @@
 		}
 		fc.partitions[machine.Owner()] = append(
 			fc.partitions[machine.Owner()],
-			&candidateMachine{
-				machine: machine,
-				record:  machine.Record,
-				freeResources: mirror.MachineCapacity(&machineType).
-					AddScaled(machine.Used, -1).
-					AddScaled(reserved[machine.ID], -1),
-			},
+			newCandidateMachine(machine, machine.Record, mirror.MachineCapacity(&machineType).
+				AddScaled(machine.Used, -1).
+				AddScaled(reserved[machine.ID], -1)),
 		)
 	}
 	return fc
@@ -55,8 +51,8 @@
 	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
-		if scheduling.MachineAllowed(spec, candidate.record) {
-			n += taskResources.CountIn(candidate.freeResources)
+		if scheduling.MachineAllowed(spec, candidate.Record) {
+			n += taskResources.CountIn(candidate.Free)
 		}
 	}
 	return n
@@ -94,8 +90,8 @@
 	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
-		if candidate.machine.CachedImages[spec.Image] && scheduling.MachineAllowed(spec, candidate.record) {
-			n += taskResources.CountIn(candidate.freeResources)
+		if candidate.machine.CachedImages[spec.Image] && scheduling.MachineAllowed(spec, candidate.Record) {
+			n += taskResources.CountIn(candidate.Free)
 		}
 	}
 	return n
@@ -114,11 +110,11 @@
 	taskResources := mirror.TaskResources(spec)
 	n := 0
 	for _, candidate := range p.partitions[partition] {
-		if !scheduling.MachineAllowed(spec, candidate.record) ||
+		if !scheduling.MachineAllowed(spec, candidate.Record) ||
 			withImage && !candidate.machine.CachedImages[spec.Image] {
 			continue
 		}
-		free := candidate.freeResources
+		free := candidate.Free
 		for task := range candidate.machine.Attempts {
 			if victim := p.core.mirror.Jobs[task.Job]; victim != nil &&
 				victim.Record.Spec.Priority < spec.Priority {
@@ -148,14 +144,14 @@
 		}
 		r := 0
 		for _, candidate := range p.partitions[node] {
-			free := candidate.freeResources
+			free := candidate.Free
 			for task := range candidate.machine.Attempts {
 				if victim := p.core.mirror.Jobs[task.Job]; victim != nil && victim.IsOpen() &&
 					p.core.scheduler.mayPreempt(job, victim) {
 					free = free.AddScaled(victim.TaskResources, 1)
 				}
 			}
-			if scheduling.MachineAllowed(&job.Record.Spec, candidate.record) && job.TaskResources.FitsIn(free) {
+			if scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) && job.TaskResources.FitsIn(free) {
 				r++
 			}
 		}
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -33,6 +33,17 @@
 // delayPassUntil lets no pass run before an instant.
 func (sc *scheduler) delayPassUntil(at monotime.Micros) { sc.nextPassAt = max(sc.nextPassAt, at) }
 
+// Bounds of one placement pass.
+const (
+	sampleAboveMachines    = 48    // with more machines than this, and
+	sampleAboveComparisons = 20000 // more jobs times machines than this, a sample is looked at
+	reassignmentInterval   = 1 * monotime.Second
+	// guaranteePreemptionDelay is how long a job within a guarantee looks for free room first.
+	guaranteePreemptionDelay = 5 * monotime.Second / 2
+	// guaranteePreemptionBatch is how many tasks of a job get room by its team's guarantee at a time.
+	guaranteePreemptionBatch = 4
+)
+
 // placement is the part of a scheduling pass that gives waiting tasks to machines.
 type placement struct {
 	core       *Controller
@@ -83,7 +94,7 @@
 
 	fittingAtStart []*candidateMachine // those with room for a task when it was first looked for
 
-	fencedUpdate  *ShardUpdate // the update that takes a fenced job's tasks
+	request       *scheduling.MachineRequest // its Fence: the update that takes a fenced job's tasks
 	chosenMachine *candidateMachine
 	preferred     []*candidateMachine // those of the shard that its last task went to
 	lastAssigned  storage.Attempt
@@ -210,6 +221,8 @@
 	jobPlan.zoneConstraint = zoneConstraintOf(c.mirror, job)
 	jobPlan.shape, jobPlan.teamShape = scheduling.ShapeOf(spec, mirror.TaskResources(spec), ""),
 		scheduling.ShapeOf(spec, mirror.TaskResources(spec), spec.Team)
+	jobPlan.request = c.scheduler.machineRequest(job, jobPlan.zoneConstraint)
+	jobPlan.request.SpotOnly = jobPlan.spotOnly
 	made := c.scheduler.preemptions[job.ID]
 	jobPlan.preempting = made != nil && p.now < made.expiresAt
 	// Without a share of the team's limit only what a shard gives back counts.
@@ -243,7 +256,7 @@
 	}
 	var fitting []*candidateMachine
 	for _, candidate := range searched {
-		if taskResources.FitsIn(candidate.freeResources) {
+		if taskResources.FitsIn(candidate.Free) {
 			fitting = append(fitting, candidate)
 		}
 	}
@@ -283,23 +296,19 @@
 	// What a shard's own attempts give back can be used by the same write.
 	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
 	if p.needsNewMachine(task, freedQuotaOnly) {
-		p.chosenMachine = c.scheduler.chooseMachine(
-			job,
-			p.searchSpace(),
-			p.zoneConstraint,
-			p.fencedUpdate,
-			p.preferred,
-			p.sampling,
-			freedQuotaOnly,
-			p.spotOnly,
-		)
+		p.request.FreedQuotaOnly = freedQuotaOnly
+		p.chosenMachine = c.scheduler.chooseMachine(p.request, machineSearch{
+			candidates: p.searchSpace(),
+			preferred:  p.preferred,
+			sampled:    p.sampling,
+		})
 	}
 	if p.chosenMachine == nil {
 		p.noteNoMachine(freedQuotaOnly)
 		return
 	}
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
-	if p.spec.Service && !withImage && !c.scheduler.waitedForImage(job, p.wallNow) &&
+	if p.spec.Service && !withImage && !waitedForImage(job, p.wallNow) &&
 		c.scheduler.preemptFor(job, 1, p.zoneConstraint, p.candidates, true, p.now) {
 		// Room is being made beside the image: sooner than a fetch.
 		p.maxTasks = 0
@@ -316,9 +325,9 @@
 	return candidate == nil ||
 		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedQuota(p.spec.Team)) ||
 		p.spec.Service ||
-		!taskResources.FitsIn(candidate.freeResources) ||
-		!p.zoneConstraint.Allows(candidate.record.Zone) ||
-		candidate.taskCount >= maxTasksPerMachine ||
+		!taskResources.FitsIn(candidate.Free) ||
+		!p.zoneConstraint.Allows(candidate.Record.Zone) ||
+		candidate.TaskCount >= scheduling.MaxTasksPerMachine ||
 		candidate.update.MaxBytes()+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
@@ -336,7 +345,7 @@
 // assignToChosen writes a task into the update of the chosen machine's shard.
 func (p *jobPlacement) assignToChosen(task int) {
 	c, job, candidate := p.core, p.job, p.chosenMachine
-	update, machine := candidate.update, candidate.machine.ID
+	update, machine := candidate.update, candidate.MachineID
 	p.preferred = p.candidatesByUpdate[update]
 	update.BeginJob(job)
 	if p.limits.Limited() {
@@ -353,19 +362,19 @@
 	c.scheduler.jobsInPass[job.ID] = true
 	update.Assign(job, p.lastAssigned, joinsRange)
 	delete(c.api.jobsClosedAt, machine)
-	candidate.closing = false
-	candidate.freeResources = candidate.freeResources.AddScaled(job.TaskResources, -1)
-	candidate.taskCount++
+	candidate.Closing = false
+	candidate.Free = candidate.Free.AddScaled(job.TaskResources, -1)
+	candidate.TaskCount++
 	if p.spec.Service {
-		candidate.serviceCPUs += job.TaskResources.CPUs
+		candidate.ServiceCPUs += job.TaskResources.CPUs
 	}
 	candidate.machine.CachedImages[p.spec.Image] = true
 	if !p.limits.Limited() || !update.UseFreedQuota(p.spec.Team, job.TaskResources) {
 		p.quotaRoom = p.quotaRoom.AddScaled(job.TaskResources, -1)
 	}
-	p.zoneConstraint.AddTasks(candidate.record.Zone, 1)
+	p.zoneConstraint.AddTasks(candidate.Record.Zone, 1)
 	if p.oneCommitAtATime {
-		p.fencedUpdate = update
+		p.request.Fence = update
 	}
 }
 
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -62,12 +62,12 @@
 				candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
 			}
 			machine := candidate.machine
-			if !scheduling.MachineAllowed(&job.Record.Spec, candidate.record) || !zones.Allows(candidate.record.Zone) ||
+			if !scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) || !zones.Allows(candidate.Record.Zone) ||
 				sc.c.agents.agentOf(machine).IsStoppingAny() ||
-				!candidate.availableTo(job) {
+				!candidate.AvailableTo(job.ID) {
 				continue
 			}
-			victims, loss, ok := sc.selectVictims(machine, job, candidate.freeResources, now)
+			victims, loss, ok := sc.selectVictims(machine, job, candidate.Free, now)
 			if !ok {
 				continue
 			}
@@ -94,12 +94,12 @@
 				"attempt",
 				victim.attempt.Attempt,
 				"machine",
-				best.machine.ID,
+				best.MachineID,
 				"for_job",
 				job.ID,
 			)
 		}
-		best.reservedForJob, on[best.machine.ID] = job.ID, true
+		best.ReservedForJob, on[best.MachineID] = job.ID, true
 		sc.c.agents.syncCommands(best.machine)
 	}
 	if made == 0 {
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -74,10 +74,10 @@
 			break
 		}
 		machine := candidate.machine
-		if candidate.heldBack || !candidate.availableTo(job) ||
+		if candidate.HeldBack || !candidate.AvailableTo(job.ID) ||
 			sc.c.agents.agentOf(machine).IsStoppingAny() ||
-			!scheduling.MachineAllowed(&job.Record.Spec, candidate.record) ||
-			!zones.Allows(candidate.record.Zone) {
+			!scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) ||
+			!zones.Allows(candidate.Record.Zone) {
 			continue
 		}
 		var victims []preemptionVictim
@@ -97,7 +97,7 @@
 			x, y := victims[a].attempt.Task, victims[b].attempt.Task
 			return x.Job < y.Job || x.Job == y.Job && x.Index > y.Index // the last begun
 		})
-		free, taken := candidate.freeResources, 0
+		free, taken := candidate.Free, 0
 		for made < want {
 			k, available := taken, free
 			for k < len(victims) && !job.TaskResources.FitsIn(available) {
@@ -128,7 +128,7 @@
 				job.ID,
 			)
 		}
-		candidate.reservedForJob, on[machine.ID] = job.ID, true
+		candidate.ReservedForJob, on[machine.ID] = job.ID, true
 		sc.c.agents.syncCommands(machine)
 	}
 	if made == 0 {
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -182,8 +182,8 @@
 ) {
 	freeCPUs := reserved.totalCPUs()
 	for _, candidate := range candidates {
-		if !candidate.heldBack && candidate.reservedForJob == "" {
-			freeCPUs += max(0, candidate.freeResources.CPUs)
+		if !candidate.HeldBack && candidate.ReservedForJob == "" {
+			freeCPUs += max(0, candidate.Free.CPUs)
 		}
 	}
 	if freeCPUs < resources.Tolerance || now < sc.nextWorkStealAt {
@@ -207,9 +207,9 @@
 func tasksThatFit(job *mirror.Job, candidates []*candidateMachine) int {
 	room := 0
 	for _, candidate := range candidates {
-		if !candidate.heldBack && candidate.availableTo(job) &&
-			scheduling.MachineAllowed(&job.Record.Spec, candidate.record) {
-			room += job.TaskResources.CountIn(candidate.freeResources)
+		if !candidate.HeldBack && candidate.AvailableTo(job.ID) &&
+			scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) {
+			room += job.TaskResources.CountIn(candidate.Free)
 		}
 	}
 	return room
@@ -293,9 +293,9 @@
 		if n <= 0 {
 			return
 		}
-		if !candidate.heldBack && candidate.reservedForJob == "" && scheduling.MachineAllowed(spec, candidate.record) {
-			k := min(n, taskResources.CountIn(candidate.freeResources))
-			candidate.freeResources = candidate.freeResources.AddScaled(taskResources, -float64(k))
+		if !candidate.HeldBack && candidate.ReservedForJob == "" && scheduling.MachineAllowed(spec, candidate.Record) {
+			k := min(n, taskResources.CountIn(candidate.Free))
+			candidate.Free = candidate.Free.AddScaled(taskResources, -float64(k))
 			n -= k
 		}
 	}
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -281,35 +281,35 @@
 	}
 	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
 	cand := func(id string) *candidateMachine {
-		return &candidateMachine{
-			machine: &mirror.Machine{ID: id, CachedImages: map[string]bool{}},
-			record:  &storage.ShardMachine{Type: "m8", Zone: "a"},
-			update: NewShardUpdate(
-				"n-0.1",
-				nil,
-				&storage.Shard{Jobs: map[string]*storage.ShardJob{}},
-			),
-			freeResources: resources.Vector{CPUs: 2},
-		}
+		candidate := newCandidateMachine(
+			&mirror.Machine{ID: id, CachedImages: map[string]bool{}},
+			&storage.ShardMachine{Type: "m8", Zone: "a"},
+			resources.Vector{CPUs: 2},
+		)
+		candidate.assignBy(NewShardUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}))
+		return candidate
 	}
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
 	core.scheduler.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
 	core.scheduler.reservePreemptedRoom(candidates, now)
-	zones := zoneConstraintOf(core.mirror, array)
+	choose := func(job *mirror.Job) *candidateMachine {
+		request := core.scheduler.machineRequest(job, zoneConstraintOf(core.mirror, array))
+		return core.scheduler.chooseMachine(request, machineSearch{candidates: candidates})
+	}
 	for i := 0; i < 4; i++ {
-		if candidate := core.scheduler.chooseMachine(array, candidates, zones, nil, nil, false, false, false); candidate != candidates[1] {
+		if candidate := choose(array); candidate != candidates[1] {
 			t.Fatal("an array's task goes where room is being made for a service, or nowhere")
 		}
 	}
 	if n := tasksThatFit(array, candidates); n != 1 {
 		t.Errorf("room for %d tasks of others, want 1", n)
 	}
-	candidates[0].freeResources = resources.Vector{CPUs: 4} // the stopped ones are gone
-	if candidate := core.scheduler.chooseMachine(service, candidates, zones, nil, nil, false, false, false); candidate != candidates[0] {
+	candidates[0].Free = resources.Vector{CPUs: 4} // the stopped ones are gone
+	if candidate := choose(service); candidate != candidates[0] {
 		t.Error("the service doesn't get the room that was made for it")
 	}
 	core.scheduler.reservePreemptedRoom(candidates, now+2*second)
-	if candidates[0].reservedForJob != "" {
+	if candidates[0].ReservedForJob != "" {
 		t.Error("room is kept for longer than it takes to be made")
 	}
 }
