--- /dev/null
+++ b/internal/api/responses.go
@@ -0,0 +1,111 @@
+package api
+
+import (
+	"context"
+	"log/slog"
+
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/storage"
+	"pipitgap/internal/transport"
+)
+
+// Statuses of answers, as HTTP has them.
+const (
+	statusOK            = 200
+	statusCreated       = 201
+	statusInvalid       = 400
+	statusNotFound      = 404
+	statusUnsatisfiable = 422
+	statusOverloaded    = 429
+	statusUnavailable   = 503
+)
+
+// Texts of rejections that several requests share.
+const (
+	reasonNotReady         = "records not read yet"
+	reasonStoreUnreachable = "state service out of reach"
+	reasonTooManyRequests  = "too many requests"
+	reasonNoSuchJob        = "no such job"
+	reasonJobChanging      = "changing just now"
+)
+
+// Seconds after which a user is to retry.
+const (
+	minRetryAfter = 1
+	// retrySpread spreads the retries: users who all come back at once would overload whatever has just
+	// recovered.
+	retrySpread = 3
+)
+
+// Rejection is the reason why a request isn't carried out.
+type Rejection struct {
+	Status     int
+	RetryAfter int // seconds; 0: retrying doesn't help
+	Reason     string
+}
+
+// Error returns the reason.
+func (r *Rejection) Error() string { return r.Reason }
+
+// response is the answer that tells the user.
+func (r *Rejection) response() transport.Response {
+	response := protocol.ErrorResponse(r.Status, r.Reason)
+	response.RetryAfter = r.RetryAfter
+	return response
+}
+
+var errNoSuchJob = &Rejection{Status: statusNotFound, Reason: reasonNoSuchJob}
+
+// deferRequest makes the rejection of a request that can't be taken now.
+func (h *Handler) deferRequest(status int, reason string) *Rejection {
+	h.counters.RequestsDeferred++
+	if h.log.Enabled(context.Background(), slog.LevelDebug) {
+		h.log.Debug("request deferred", "status", status, "reason", reason,
+			"user_calls", h.store.QueuedCalls(ratelimit.PriorityUserRequest),
+			"shard_calls", h.store.QueuedCalls(ratelimit.PriorityShardUpdate),
+			"waiting_readers", h.replica.PendingReads())
+	}
+	rejection := &Rejection{Status: status, RetryAfter: minRetryAfter, Reason: reason}
+	if h.store.Unavailable() {
+		rejection.RetryAfter += h.randomSeconds()
+	}
+	return rejection
+}
+
+// deferUnreachable is the rejection of a request for which the state service can't be reached.
+func (h *Handler) deferUnreachable() *Rejection {
+	return h.deferRequest(statusUnavailable, reasonStoreUnreachable)
+}
+
+// randomSeconds is a part of retrySpread.
+func (h *Handler) randomSeconds() int { return int(h.environment.Rand().Int64N(retrySpread)) }
+
+// acceptedResponse confirms a submission.
+func acceptedResponse(id string) transport.Response {
+	return transport.Response{
+		Status: statusCreated,
+		Body:   protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: protocol.JobPending}),
+	}
+}
+
+// endedResponse answers a cancellation of a job that has a result.
+func endedResponse(id string, result storage.JobState) transport.Response {
+	return transport.Response{
+		Status: statusOK,
+		Body:   protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: wireStatus(result)}),
+	}
+}
+
+// statusResponse answers with the status of a job.
+func statusResponse(reply protocol.JobStatusReply) transport.Response {
+	return transport.Response{Status: statusOK, Body: protocol.MustMarshal(&reply)}
+}
+
+// wireStatus is a result as users see it.
+func wireStatus(result storage.JobState) string {
+	if result == storage.JobCancelled {
+		return protocol.JobCancelled
+	}
+	return protocol.JobDone
+}
--- /dev/null
+++ b/internal/api/status.go
@@ -0,0 +1,40 @@
+package api
+
+import (
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/transport"
+)
+
+// Status answers a request for the status of a job.
+func (h *Handler) Status(id string, respond Respond) {
+	if !protocol.ValidJobID(id) {
+		respond(errNoSuchJob.response())
+		return
+	}
+	if result, ok := h.cachedResult(id); ok {
+		respond(lookup{id: id, found: foundResult, result: result}.response())
+		return
+	}
+	if job := h.mirror.Jobs[id]; job != nil && !job.IsOpen() {
+		respond(lookup{id: id, found: foundInMirror, job: job}.response())
+		return
+	}
+	if rejection := h.rejectIfUnavailable(); rejection != nil {
+		respond(rejection.response())
+		return
+	}
+	h.lookUp(id, func(l lookup) { respond(l.response()) })
+}
+
+// Health answers a health check. A controller that can't take requests while others can is unhealthy. In an
+// outage of the state service for all it stays healthy: declared unhealthy it would get its requests back
+// only some time after the outage.
+func (h *Handler) Health() transport.Response {
+	if !h.replica.Ready() {
+		return h.deferRequest(statusUnavailable, reasonNotReady).response()
+	}
+	if h.reachability.UsersBetterElsewhere(h.environment.Now()) {
+		return h.deferUnreachable().response()
+	}
+	return transport.Response{Status: statusOK}
+}
--- /dev/null
+++ b/internal/api/submission.go
@@ -0,0 +1,197 @@
+package api
+
+import (
+	"slices"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/quota"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+	"pipitgap/internal/transport"
+)
+
+// storedSizeFactor is about how much larger a value is as the state service counts it (as JSON) than packed.
+const storedSizeFactor = 2
+
+// Submit answers a submission: decode, validate, admit, commit, answer. A job that is known is answered with
+// its status, whatever its repeated submission looks like.
+func (h *Handler) Submit(body []byte, respond Respond) {
+	submission, malformed := protocol.ParseSubmission(body)
+	if submission.ID == "" {
+		respond(protocol.ErrorResponse(statusInvalid, malformed.Error()))
+		return
+	}
+	id := submission.ID
+	if result, ok := h.cachedResult(id); ok {
+		respond(lookup{id: id, found: foundResult, result: result}.response())
+		return
+	}
+	if malformed != nil {
+		h.answerMalformed(id, malformed, respond)
+		return
+	}
+	if rejection := h.rejectIfOverloaded(); rejection != nil {
+		respond(rejection.response())
+		return
+	}
+	if h.mirror.Jobs[id] != nil {
+		h.Status(id, respond)
+		return
+	}
+	if h.catalog.MachineTypes() == nil {
+		respond(h.deferRequest(statusUnavailable, "machine types not known yet").response())
+		return
+	}
+	spec := storage.JobSpecOf(submission)
+	if rejection := h.validate(&spec); rejection != nil {
+		h.statusOr(id, rejection.response(), respond)
+		return
+	}
+	if rejection := h.admit(&spec); rejection != nil {
+		respond(rejection.response())
+		return
+	}
+	h.commit(id, spec, respond)
+}
+
+// answerMalformed answers a submission with a fault in its text. Only a controller that can't look the job up
+// judges by the text alone.
+func (h *Handler) answerMalformed(id string, malformed error, respond Respond) {
+	invalid := protocol.ErrorResponse(statusInvalid, malformed.Error())
+	if h.rejectIfOverloaded() == nil {
+		h.statusOr(id, invalid, respond)
+		return
+	}
+	if !h.replica.Ready() || h.mirror.Jobs[id] != nil {
+		respond(h.deferUnreachable().response())
+		return
+	}
+	respond(invalid)
+}
+
+// statusOr answers with the job's status if it is known, else with other.
+func (h *Handler) statusOr(id string, other transport.Response, respond Respond) {
+	h.lookUp(id, func(l lookup) {
+		if l.found == foundNowhere {
+			respond(other)
+			return
+		}
+		respond(l.response())
+	})
+}
+
+// validate rejects a job that can never run.
+func (h *Handler) validate(spec *storage.JobSpec) *Rejection {
+	unsatisfiable := func(reason string) *Rejection {
+		return &Rejection{Status: statusUnsatisfiable, Reason: reason}
+	}
+	limits, ok := h.quota.Limits(spec.Team)
+	if !ok {
+		return unsatisfiable("unknown team")
+	}
+	if !permits(limits, spec) {
+		return unsatisfiable("needs more than the team's limit")
+	}
+	if !fitsSomeMachineType(spec, h.catalog.MachineTypes()) {
+		return unsatisfiable("a task fits no allowed machine type")
+	}
+	return nil
+}
+
+// permits reports that what a job needs at the same time is within its team's limits: all replicas of a
+// service, one task of an array.
+func permits(limits quota.Limits, spec *storage.JobSpec) bool {
+	together := 1.0
+	if spec.Service {
+		together = float64(spec.Tasks)
+	}
+	return limits.Permits(spec.CPUs*together, spec.GPUs*together)
+}
+
+// fitsSomeMachineType reports that a task has room on an empty machine of a type and zone that its job allows.
+func fitsSomeMachineType(spec *storage.JobSpec, types map[string]protocol.MachineType) bool {
+	taskResources := mirror.TaskResources(spec)
+	for _, name := range sortedmap.Keys(types) {
+		machineType := types[name]
+		if !spec.AllowsMachine(machineType.Name, spec.Zone) {
+			continue
+		}
+		if spec.Zone != "" && !slices.Contains(machineType.Zones, spec.Zone) {
+			continue
+		}
+		if taskResources.FitsIn(mirror.MachineCapacity(&machineType)) {
+			return true
+		}
+	}
+	return false
+}
+
+// admit rejects a job for which there is no room now; one that passes counts as submitted.
+func (h *Handler) admit(spec *storage.JobSpec) *Rejection {
+	if len(h.mirror.Jobs) >= mirror.MaxOpenJobs {
+		return h.deferRequest(statusOverloaded, "too many unfinished jobs")
+	}
+	h.bursts.countSubmission(spec)
+	if h.bursts.isLimited(spec) &&
+		h.store.QueuedCalls(ratelimit.PriorityBurst) >= h.maxQueuedBurstCalls() {
+		rejection := h.deferRequest(statusOverloaded, "too many jobs of this team")
+		rejection.RetryAfter += minRetryAfter + h.randomSeconds()
+		return rejection
+	}
+	return nil
+}
+
+// commit writes the job's record, on the condition that it has neither one nor a result, and answers.
+func (h *Handler) commit(id string, spec storage.JobSpec, respond Respond) {
+	record := storage.OpenJob{
+		Spec:       spec,
+		AcceptedAt: h.environment.WallClock(),
+		TaskRanges: h.scheduler.AssignTaskRanges(&spec),
+	}
+	value := protocol.MustMarshal(&record)
+	if len(value)*storedSizeFactor > h.maxValueBytes {
+		tooLarge := protocol.ErrorResponse(statusInvalid, "names too long to be kept")
+		h.statusOr(id, tooLarge, respond)
+		return
+	}
+	key := storage.Key(storage.KindOpenJob, id)
+	transaction := protocol.Transaction{
+		If: []protocol.Compare{
+			{Key: key, Version: 0},
+			{Key: storage.Key(storage.KindJobResult, id), Version: 0},
+		},
+		Then: []protocol.Op{{Put: key, Value: value}},
+	}
+	class := h.PriorityClass(&spec, ratelimit.PriorityUserRequest)
+	h.replica.Commit(class, transaction, func(result protocol.StoreResult) {
+		h.answerCommit(id, &record, result, respond)
+	})
+}
+
+// answerCommit answers a submission by what became of its commit.
+func (h *Handler) answerCommit(
+	id string,
+	record *storage.OpenJob,
+	result protocol.StoreResult,
+	respond Respond,
+) {
+	switch result.Outcome {
+	case protocol.OK:
+		h.counters.JobsAccepted++
+		h.scheduler.JobAccepted(id, result.Revision)
+		h.log.Debug("job accepted", "job", id, "class", record.Spec.Class, "tasks", record.Spec.Tasks,
+			"estimate_s", record.Spec.EstimateS, "ranges", len(record.TaskRanges))
+		respond(acceptedResponse(id))
+		h.scheduler.PlaceNow()
+	case protocol.Conflict:
+		h.lookUp(id, func(l lookup) { respond(l.response()) })
+	case protocol.Rejected:
+		h.log.Error("job acceptance rejected by state service", "job", id)
+		respond(h.deferRequest(statusUnavailable, "not kept").response())
+	default:
+		// Unknown: perhaps accepted, perhaps not. The user retries, and a repeated submission is one job.
+		respond(h.deferUnreachable().response())
+	}
+}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -52,7 +52,7 @@
 			candidate.assignBy(update)
 			candidate.TypeCPUs = machineType.CPUs
 			candidate.ServiceCPUs = sc.serviceCPUs(machine)
-			_, candidate.Closing = sc.c.api.jobsClosedAt[id]
+			candidate.Closing = sc.c.emptyMachines.isClosed(id)
 			out = append(out, candidate)
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -5,8 +5,10 @@
 	"math/rand/v2"
 	"sort"
 
+	"pipitgap/internal/api"
 	"pipitgap/internal/config"
 	"pipitgap/internal/durations"
+	"pipitgap/internal/jobs"
 	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -35,13 +37,6 @@
 	SendPeerStatus(node string, status peers.Status)
 }
 
-// Response is the answer to a user or a worker.
-type Response struct {
-	Status     int
-	RetryAfter int
-	Body       []byte
-}
-
 // Durations of the coordination itself; none depends on the deployment.
 const (
 	commandTimeout = 3 * monotime.Second
@@ -63,7 +58,7 @@
 
 	peerStatuses *peers.Table
 
-	recordWritesInFlight map[string]bool // jobs with a change of their record in flight
+	recordWritesInFlight recordWrites // jobs with a change of their record in flight
 
 	nextSlowTickAt monotime.Micros
 
@@ -78,7 +73,8 @@
 	agents        *agentManager
 	cancellations *cancellationTracker
 	quota         *quotashares.Manager
-	api           *userAPI
+	api           *api.Handler
+	jobs          *jobs.Finisher
 	scheduler     *scheduler
 	autoscaler    *autoscaler
 	emptyMachines *emptyMachines
@@ -97,7 +93,7 @@
 		controllers:          controllerNames(cfg),
 		durations:            durations.Derive(cfg.Facts.Workers),
 		peerStatuses:         peers.NewTable(storeclient.WaitingUserCallsThreshold),
-		recordWritesInFlight: map[string]bool{},
+		recordWritesInFlight: recordWrites{},
 	}
 	c.mirror = mirror.New()
 	c.store = newStoreClient(c)
@@ -110,7 +106,8 @@
 	c.mirror.OnChange, c.mirror.OnMachineReleased = c.onMirrorChange, c.agents.release
 	c.cancellations = newCancellationTracker(c)
 	c.quota = newQuotaManager(c)
-	c.api = newUserAPI(c)
+	c.api = newRequestHandler(c)
+	c.jobs = newJobFinisher(c)
 	c.scheduler = newScheduler(c)
 	c.autoscaler = newAutoscaler(c)
 	c.emptyMachines = newEmptyMachines(c)
@@ -189,7 +186,7 @@
 	c.agents.checkMachines(now)
 	c.drains.reconcile(now)
 	c.quota.Adjust(now)
-	c.api.finalizeJobs()
+	c.jobs.Reconcile()
 	c.scheduler.requestPass()
 	c.emptyMachines.reconcile(now)
 	c.autoscaler.fleet.Reconcile(now)
@@ -203,7 +200,6 @@
 		job := c.mirror.Jobs[name]
 		if job == nil {
 			c.scheduler.forgetJob(name)
-			delete(c.api.acceptedRevisions, name)
 			c.cancellations.relay.Forget(name)
 			return
 		}
--- a/internal/coordination/empty_machines.go
+++ b/internal/coordination/empty_machines.go
@@ -16,13 +16,23 @@
 type emptyMachines struct {
 	c           *Controller
 	since       map[string]monotime.Micros // since when a machine is empty
+	closedAt    map[string]monotime.Micros // when a machine was closed to tasks
 	nextCheckAt monotime.Micros
 }
 
 func newEmptyMachines(c *Controller) *emptyMachines {
-	return &emptyMachines{c: c, since: map[string]monotime.Micros{}}
+	return &emptyMachines{c: c, since: map[string]monotime.Micros{}, closedAt: map[string]monotime.Micros{}}
 }
 
+// isClosed reports that a machine is closed to tasks that have room elsewhere.
+func (e *emptyMachines) isClosed(machine string) bool {
+	_, closed := e.closedAt[machine]
+	return closed
+}
+
+// reopen opens a machine that gets a task.
+func (e *emptyMachines) reopen(machine string) { delete(e.closedAt, machine) }
+
 // reconcile closes own machines that are empty, and has them removed after the delay if they still are. Machines that
 // headroom or drains need are kept. Closing writes nothing: a task that needs the machine opens it again.
 func (e *emptyMachines) reconcile(now monotime.Micros) {
@@ -59,7 +69,7 @@
 	for id := range e.since {
 		if !empty[id] {
 			delete(e.since, id)
-			delete(e.c.api.jobsClosedAt, id)
+			delete(e.closedAt, id)
 		}
 	}
 }
@@ -101,10 +111,10 @@
 		e.since[machine.ID] = now
 		return
 	}
-	closedAt, closed := e.c.api.jobsClosedAt[machine.ID]
+	closedAt, closed := e.closedAt[machine.ID]
 	switch {
 	case !closed && now-since >= closeAfterIntervals*e.c.settings.AutoscalingInterval.Micros():
-		e.c.api.jobsClosedAt[machine.ID] = now
+		e.closedAt[machine.ID] = now
 	case closed && now-closedAt >= e.scaleInDelay(machine.Record):
 		e.c.agents.requestRemoval(machine, removalReasonIdle)
 	}
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -27,11 +27,11 @@
 func (am *agentManager) handleHeartbeat(body []byte, respond func(Response)) {
 	var report protocol.Heartbeat
 	if err := protocol.Unmarshal(body, &report); err != nil {
-		respond(errorResponse(400, err.Error()))
+		respond(protocol.ErrorResponse(400, err.Error()))
 		return
 	}
 	if !report.Valid() {
-		respond(errorResponse(400, "report lacks a field"))
+		respond(protocol.ErrorResponse(400, "report lacks a field"))
 		return
 	}
 	now := am.c.now()
@@ -40,16 +40,16 @@
 		return
 	}
 	if !am.c.replica.Ready() {
-		respond(errorResponse(503, "records not read yet"))
+		respond(protocol.ErrorResponse(503, "records not read yet"))
 		return
 	}
 	if am.c.reachability.mirrorStale(now) {
 		// It may have waited here for as long as we stood still.
-		respond(errorResponse(503, "stood still"))
+		respond(protocol.ErrorResponse(503, "stood still"))
 		return
 	}
 	if am.c.cancellations.mustSuspendLeaseRenewal(now) {
-		respond(errorResponse(503, "cut off from the state service"))
+		respond(protocol.ErrorResponse(503, "cut off from the state service"))
 		return
 	}
 	machine := am.c.mirror.Machines[report.Machine]
@@ -78,13 +78,13 @@
 	}
 	switch {
 	case machine != nil && am.agentOf(machine) != nil && am.c.reachability.shouldRedirectAway(am.agentOf(machine), now):
-		respond(errorResponse(503, "cut off from all others"))
+		respond(protocol.ErrorResponse(503, "cut off from all others"))
 	case machine != nil && am.agentOf(machine) != nil:
 		respond(am.answerHeartbeat(machine, &report))
 	case am.c.mirror.ScaleInOfMachine[report.Machine] != "":
 		// Deleted, or about to be: a report that was held back on its way must not
 		// bring it to life again. Tasks were assigned to such ghosts.
-		respond(errorResponse(503, "machine is being given back"))
+		respond(protocol.ErrorResponse(503, "machine is being given back"))
 	case machine != nil && machine.Record != nil:
 		am.handleOrphanedWorker(machine, &report, respond, now)
 	default:
@@ -257,7 +257,7 @@
 			respond(am.redirectResponse(machine.Owner()))
 			return
 		}
-		respond(errorResponse(503, "claim not made"))
+		respond(protocol.ErrorResponse(503, "claim not made"))
 	})
 	am.c.scheduler.requestPass()
 }
@@ -344,7 +344,7 @@
 	agent := am.agentOf(machine)
 	arrival, ok := agent.Receive(report, am.c.now())
 	if !ok {
-		return errorResponse(503, "seen before") // a late copy
+		return protocol.ErrorResponse(503, "seen before") // a late copy
 	}
 	if agent.IsNewer(report) {
 		am.applyReport(machine, report)
--- a/internal/coordination/job_tracking.go
+++ b/internal/coordination/job_tracking.go
@@ -36,8 +36,13 @@
 func (sc *scheduler) forgetJob(id string) {
 	delete(sc.jobStates, id)
 	delete(sc.preemptions, id)
+	delete(sc.acceptedRevisions, id)
 }
 
+// noteAccepted notes that this controller committed a new job at a revision: its tasks can be placed before the
+// watch has come to the record, as no other controller can have placed any.
+func (sc *scheduler) noteAccepted(id string, revision uint64) { sc.acceptedRevisions[id] = revision }
+
 // noteRecordChange notes that a job's record has changed.
 func (sc *scheduler) noteRecordChange(id string) {
 	sc.trackingOf(id).reassignment.recordChangedAt = sc.c.now()
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -22,6 +22,7 @@
 	jobStates                   map[string]*jobTracking
 	estimates                   *scheduling.RuntimeEstimates
 	preemptions                 map[string]*pendingPreemption
+	acceptedRevisions           map[string]uint64 // jobs that this controller accepted, at these revisions
 }
 
 // requestPass has a pass run at the next fast tick that one is due: something has changed that it may act on.
@@ -200,7 +201,7 @@
 		}
 	}
 	if p.now < tracking.placeNotBefore || c.recordWritesInFlight[job.ID] ||
-		c.mirror.WatchedRevision < job.Version && c.api.acceptedRevisions[job.ID] != job.Version {
+		c.mirror.WatchedRevision < job.Version && c.scheduler.acceptedRevisions[job.ID] != job.Version {
 		if p.now < tracking.reassignment.stolenUntil { // on its way to us: its room is still its own
 			reserveRoom(job.TaskResources, spec, p.candidates, tracking.reassignment.stolenTasks)
 		}
@@ -361,7 +362,7 @@
 	}
 	c.scheduler.jobsInPass[job.ID] = true
 	update.Assign(job, p.lastAssigned, joinsRange)
-	delete(c.api.jobsClosedAt, machine)
+	c.emptyMachines.reopen(machine)
 	candidate.Closing = false
 	candidate.Free = candidate.Free.AddScaled(job.TaskResources, -1)
 	candidate.TaskCount++
@@ -481,9 +482,10 @@
 
 func newScheduler(c *Controller) *scheduler {
 	return &scheduler{
-		c:           c,
-		jobStates:   map[string]*jobTracking{},
-		estimates:   scheduling.NewRuntimeEstimates(),
-		preemptions: map[string]*pendingPreemption{},
+		c:                 c,
+		jobStates:         map[string]*jobTracking{},
+		estimates:         scheduling.NewRuntimeEstimates(),
+		preemptions:       map[string]*pendingPreemption{},
+		acceptedRevisions: map[string]uint64{},
 	}
 }
--- /dev/null
+++ b/internal/coordination/requests.go
@@ -0,0 +1,64 @@
+package coordination
+
+import (
+	"strings"
+
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/transport"
+)
+
+// Response is the answer to a user or a worker.
+type Response = transport.Response
+
+// healthPath is where health checks are answered.
+const healthPath = "/healthz"
+
+// route is where the requests of a path go.
+type route struct {
+	method string // the only one that the path knows
+	handle func(body []byte, respond func(Response))
+}
+
+// HandleRequest answers a request of a user or a worker. The answer may come later, but never because it is
+// held back: only as long as the state service takes.
+func (c *Controller) HandleRequest(method, target string, body []byte, respond func(Response)) {
+	c.reachability.detectPause(c.now())
+	path, query, _ := strings.Cut(target, "?")
+	if query != "" && path != healthPath {
+		respond(protocol.ErrorResponse(400, "no parameters are known here"))
+		return
+	}
+	route, ok := c.routeOf(path)
+	if !ok {
+		respond(protocol.ErrorResponse(404, "no such path"))
+		return
+	}
+	if method != route.method {
+		respond(protocol.ErrorResponse(405, "use "+route.method))
+		return
+	}
+	route.handle(body, respond)
+}
+
+// routeOf finds the route of a path; ok is false for a path that isn't served.
+func (c *Controller) routeOf(path string) (r route, ok bool) {
+	switch path {
+	case healthPath:
+		return route{"GET", func(_ []byte, respond func(Response)) { respond(c.api.Health()) }}, true
+	case protocol.HeartbeatPath:
+		return route{"POST", c.agents.handleHeartbeat}, true
+	case protocol.JobsPath:
+		return route{"POST", func(body []byte, respond func(Response)) { c.api.Submit(body, respond) }}, true
+	}
+	id, cancel, ok := protocol.ParseJobPath(path)
+	switch {
+	case !ok:
+		return route{}, false
+	case cancel:
+		return route{"POST", func(_ []byte, respond func(Response)) { c.api.Cancel(id, respond) }}, true
+	case strings.Contains(id, "/"):
+		return route{}, false
+	default:
+		return route{"GET", func(_ []byte, respond func(Response)) { c.api.Status(id, respond) }}, true
+	}
+}
--- a/internal/coordination/shard_updates.go
+++ b/internal/coordination/shard_updates.go
@@ -304,7 +304,7 @@
 				callback()
 			}
 			for _, id := range sortedmap.Keys(update.completedTaskJobs) {
-				sm.c.api.completeJobIfDone(id)
+				sm.c.jobs.CompleteIfDone(id)
 			}
 			for _, id := range sortedmap.Keys(update.admittedMachines) {
 				sm.completeClaimRequest(id, true)
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -9,7 +9,7 @@
 )
 
 type activityCounters struct {
-	jobsAccepted, requestsDeferred, tasksPlaced, jobsCompleted, jobsFailed int
+	tasksPlaced, jobsFailed int
 	// machines, by placement
 	machinesExamined int
 	permitWrites     int
@@ -98,10 +98,10 @@
 		all,
 		len(c.mirror.Members),
 		shards,
-		c.counters.jobsAccepted,
-		c.counters.requestsDeferred,
+		c.api.Counters().JobsAccepted,
+		c.api.Counters().RequestsDeferred,
 		c.counters.tasksPlaced,
-		c.counters.jobsCompleted,
+		c.jobs.Completed(),
 		c.replica.CommitConflicts(),
 		c.store.ThrottledCalls(),
 	)
--- /dev/null
+++ b/internal/coordination/wiring_requests.go
@@ -0,0 +1,88 @@
+package coordination
+
+import (
+	"pipitgap/internal/api"
+	"pipitgap/internal/jobs"
+	"pipitgap/internal/membership"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
+)
+
+// What requests of users (internal/api) and the end of jobs (internal/jobs) need of the other subjects.
+
+func newRequestHandler(c *Controller) *api.Handler {
+	return api.NewHandler(api.Config{
+		Log:           c.log,
+		Environment:   c.env,
+		Mirror:        c.mirror,
+		StateService:  c.store,
+		Replica:       c.replica,
+		Reachability:  userReachability{c},
+		Catalog:       userCatalog{c},
+		Quota:         c.quota,
+		Scheduler:     userScheduler{c},
+		Cancellations: c.cancellations.relay,
+		MaxValueBytes: c.maxValueBytes(),
+	})
+}
+
+func newJobFinisher(c *Controller) *jobs.Finisher {
+	return jobs.NewFinisher(jobs.Config{
+		Log:             c.log,
+		Mirror:          c.mirror,
+		StateService:    c.store,
+		Committer:       c.replica,
+		PriorityClasses: c.api,
+		WritesInFlight:  c.recordWritesInFlight,
+		Ownership:       jobOwnership{c},
+	})
+}
+
+type userReachability struct{ c *Controller }
+
+// UsersBetterElsewhere reports that the state service is out of reach from here only.
+func (a userReachability) UsersBetterElsewhere(now monotime.Micros) bool {
+	_, alone := a.c.reachability.storeUnreachableOnlyHere(now)
+	return alone || a.c.reachability.isIsolated(now)
+}
+
+type userCatalog struct{ c *Controller }
+
+// MachineTypes gives the types that are known.
+func (a userCatalog) MachineTypes() map[string]protocol.MachineType { return a.c.catalog.machineTypes }
+
+type userScheduler struct{ c *Controller }
+
+// AssignTaskRanges divides a new job among the partitions.
+func (a userScheduler) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
+	return a.c.scheduler.assignTaskRanges(spec)
+}
+
+// JobAccepted notes the revision of an accepted job.
+func (a userScheduler) JobAccepted(job string, revision uint64) {
+	a.c.scheduler.noteAccepted(job, revision)
+}
+
+// PlaceNow runs the fast tick ahead of its time.
+func (a userScheduler) PlaceNow() { a.c.runFastTick(a.c.now()) }
+
+type jobOwnership struct{ c *Controller }
+
+// OwnsJob tests for jobs of this controller.
+func (a jobOwnership) OwnsJob() func(job string) bool {
+	controllers := a.c.membership.LiveControllers()
+	return func(job string) bool { return membership.RendezvousOwner(job, controllers) == a.c.node }
+}
+
+// recordWrites are the records that this controller is changing: jobs by their id, others by their key.
+type recordWrites map[string]bool
+
+// Contains reports that a change is in flight.
+func (w recordWrites) Contains(record string) bool { return w[record] }
+
+// Begin marks a record.
+func (w recordWrites) Begin(record string) { w[record] = true }
+
+// End takes the mark off.
+func (w recordWrites) End(record string) { delete(w, record) }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -133,15 +133,7 @@
 					r.Message.Method,
 					r.Message.Target,
 					r.Message.Body,
-					func(reply coordination.Response) {
-						r.Respond(
-							transport.Response{
-								Status:     reply.Status,
-								RetryAfter: reply.RetryAfter,
-								Body:       reply.Body,
-							},
-						)
-					},
+					r.Respond,
 				)
 			}
 			select {
