--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -150,10 +150,9 @@
 	}
 }
 
-// Partition is the record of KindPartition. Of each limited team, what the attempts in a
-// partition's shards take is at most the part's share; what all partitions' shares add up to
-// is at most the team's limit. A share is raised on the condition that no part's
-// record has changed, so assignments need no common record.
+// Partition is the record of KindPartition. Of each limited team, what the attempts in a partition's shards
+// take is at most its quota share, and all partitions' shares together are at most the team's limit. A share is
+// raised on the condition that no partition's record has changed, so assignments need no common record.
 type Partition struct {
 	QuotaShares map[string]QuotaShare `msgpack:"s"`
 }
