--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -15,6 +15,7 @@
 	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
+	"pipitgap/internal/reachability"
 	"pipitgap/internal/storage"
 	"pipitgap/internal/storeclient"
 )
@@ -67,7 +68,8 @@
 	store         *storeclient.Client
 	replica       *mirror.Replica
 	membership    *membership.Membership
-	reachability  *reachability
+	pauses        *reachability.PauseDetector
+	reachability  *reachability.Reachability
 	catalog       *machineCatalog
 	shards        *shardManager
 	agents        *agentManager
@@ -97,9 +99,10 @@
 	}
 	c.mirror = mirror.New()
 	c.store = newStoreClient(c)
+	c.pauses = reachability.NewPauseDetector(log)
 	c.replica = newReplica(c)
 	c.membership = newMembership(c)
-	c.reachability = &reachability{c: c}
+	c.reachability = newReachability(c)
 	c.catalog = newMachineCatalog(c)
 	c.shards = newShardManager(c)
 	c.agents = newAgentManager(c)
@@ -145,10 +148,16 @@
 
 func (c *Controller) now() monotime.Micros { return c.env.Now() }
 
+// mirrorStale tells whether the process was paused and the mirror hasn't been brought up to date since: what it
+// shows as this controller's may be others' by now.
+func (c *Controller) mirrorStale(now monotime.Micros) bool {
+	return c.pauses.IsStale(c.replica.FreshAt(), now)
+}
+
 // tick drives everything that is not an answer to a message.
 func (c *Controller) tick() {
 	now := c.now()
-	c.reachability.detectPause(now)
+	c.pauses.DetectPause(now)
 	c.runFastTick(now)
 	if now >= c.nextSlowTickAt {
 		c.runSlowTick(now)
@@ -160,7 +169,7 @@
 func (c *Controller) runFastTick(now monotime.Micros) {
 	c.membership.RenewLease(now)
 	c.replica.MaintainWatch(now)
-	if !c.replica.Ready() || c.reachability.mirrorStale(now) {
+	if !c.replica.Ready() || c.mirrorStale(now) {
 		return
 	}
 	if c.scheduler.passDue(now) {
@@ -175,7 +184,7 @@
 	if c.catalog.fetchedAt == 0 || now-c.catalog.fetchedAt > 60*monotime.Second {
 		c.catalog.fetch()
 	}
-	if !c.replica.Ready() || c.reachability.mirrorStale(now) {
+	if !c.replica.Ready() || c.mirrorStale(now) {
 		return
 	}
 	c.store.UpdateBudget(len(c.membership.LiveControllers()))
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -4,6 +4,7 @@
 	"context"
 	"log/slog"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/durations"
 	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
@@ -35,7 +36,7 @@
 		return
 	}
 	now := am.c.now()
-	if peer, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone {
+	if peer, alone := am.c.reachability.StoreUnreachableOnlyHere(now); alone {
 		respond(am.redirectResponse(peer))
 		return
 	}
@@ -43,7 +44,7 @@
 		respond(protocol.ErrorResponse(503, "records not read yet"))
 		return
 	}
-	if am.c.reachability.mirrorStale(now) {
+	if am.c.mirrorStale(now) {
 		// It may have waited here for as long as we stood still.
 		respond(protocol.ErrorResponse(503, "stood still"))
 		return
@@ -77,7 +78,7 @@
 		}
 	}
 	switch {
-	case machine != nil && am.agentOf(machine) != nil && am.c.reachability.shouldRedirectAway(am.agentOf(machine), now):
+	case machine != nil && am.agentOf(machine) != nil && am.shouldRedirectAway(am.agentOf(machine), now):
 		respond(protocol.ErrorResponse(503, "cut off from all others"))
 	case machine != nil && am.agentOf(machine) != nil:
 		respond(am.answerHeartbeat(machine, &report))
@@ -129,7 +130,7 @@
 		am.requestClaim(report, nil, respond)
 		return
 	case !live:
-		if destination := membership.RendezvousOwner(machine.Shard.Name, am.c.reachability.connectedControllers()); destination != am.c.node {
+		if destination := membership.RendezvousOwner(machine.Shard.Name, am.c.reachability.ConnectedControllers()); destination != am.c.node {
 			respond(am.redirectResponse(destination))
 			return
 		}
@@ -197,6 +198,13 @@
 	})
 }
 
+// shouldRedirectAway tells whether a worker of this controller is to look for another one: this one is cut off and
+// has most likely been superseded. A worker that comes back within its lease has found nobody: then this
+// controller is the one that is left, or the zone is cut off with it, and it answers as before.
+func (am *agentManager) shouldRedirectAway(agent *agents.Agent, now monotime.Micros) bool {
+	return am.c.reachability.IsSuperseded(now) && agent.RedirectOnce(now, am.c.durations.WorkerLease)
+}
+
 // mustAdoptBeforeLeaseEnds tells whether a worker that has lost a silent owner must be adopted now: if it
 // goes round all controllers once more, waiting at each that says nothing, its lease may
 // end on the way. Whoever is still a member for longer than that takes lives, but won't be
@@ -302,7 +310,7 @@
 	// It has nothing on it yet, so there is no hurry; a request that is rewritten
 	// makes the claims of all its other machines fail.
 	if firstContactAt := am.recordOrphanContact(report.Machine, 0, now); now-firstContactAt < am.c.durations.WorkerLease/2 {
-		if am.c.membership.IsMember(to) && !am.c.reachability.isCutOffFromWorkers(to, now) {
+		if am.c.membership.IsMember(to) && !am.c.reachability.IsCutOffFromWorkers(to, now) {
 			respond(am.redirectResponse(to))
 		} else {
 			respond(am.redirectResponse("")) // the leader is about to name another
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/reachability"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
@@ -22,7 +23,7 @@
 	am.expireContactsAndClaimRequests(now)
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of our
 	// own all machines look silent, and are no longer ours.
-	if _, alone := am.c.reachability.storeUnreachableOnlyHere(now); alone || am.c.store.Unavailable() ||
+	if _, alone := am.c.reachability.StoreUnreachableOnlyHere(now); alone || am.c.store.Unavailable() ||
 		am.c.replica.WatchOverdue(now) {
 		return
 	}
@@ -54,7 +55,7 @@
 
 // agentSilence is how long a machine has been silent; while we stood still nobody could be heard.
 func (am *agentManager) agentSilence(agent *agents.Agent, now monotime.Micros) monotime.Micros {
-	return now - max(agent.LastReachedAt(), am.c.reachability.resumedFromPauseAt)
+	return now - max(agent.LastReachedAt(), am.c.pauses.ResumedFromPauseAt())
 }
 
 // countSilentMachines counts the silent machines, by zone too, and judges from that whether it is
@@ -62,7 +63,7 @@
 // be looking for us: it has until its lease must have ended.
 func (am *agentManager) countSilentMachines(check *machineHealthCheck) {
 	now := check.now
-	zones, overall := map[string]*silenceCount{}, silenceCount{}
+	zones, overall := map[string]*reachability.SilenceCount{}, reachability.SilenceCount{}
 	for _, machine := range am.c.mirror.Machines {
 		if am.agentOf(machine) == nil || machine.Record == nil {
 			continue
@@ -74,19 +75,19 @@
 		}
 		zoneSilence := zones[machine.Record.Zone]
 		if zoneSilence == nil {
-			zoneSilence = &silenceCount{}
+			zoneSilence = &reachability.SilenceCount{}
 			zones[machine.Record.Zone] = zoneSilence
 		}
-		zoneSilence.add(silent, !am.agentOf(machine).HasReported())
-		overall.add(silent, !am.agentOf(machine).HasReported())
+		zoneSilence.Add(silent, !am.agentOf(machine).HasReported())
+		overall.Add(silent, !am.agentOf(machine).HasReported())
 	}
-	if now-am.c.reachability.resumedFromPauseAt > am.c.durations.SuspicionTimeout ||
-		am.c.reachability.resumedFromPauseAt == 0 {
-		am.c.reachability.updateReachability(overall, now)
+	if now-am.c.pauses.ResumedFromPauseAt() > am.c.durations.SuspicionTimeout ||
+		am.c.pauses.ResumedFromPauseAt() == 0 {
+		am.c.reachability.UpdateReachability(overall, now)
 	}
 	check.silent = max(check.silent, 1) - 1 // one alone may always be the one
 	for zone, zoneSilence := range zones {
-		if zoneSilence.isUnreachable() {
+		if zoneSilence.IsUnreachable() {
 			am.zoneUnreachableAt[zone] = now
 		}
 	}
@@ -231,26 +232,6 @@
 	clear(am.unloggedRemovals)
 }
 
-// silenceCount counts a zone's machines of ours, and which of them are silent.
-type silenceCount struct{ machines, silent int }
-
-// add adds a machine; one that was claimed just now and has had no time to be
-// heard says nothing about its zone.
-func (h *silenceCount) add(silent, unheard bool) {
-	if unheard && !silent {
-		return
-	}
-	h.machines++
-	if silent {
-		h.silent++
-	}
-}
-
-// isUnreachable tells whether a zone as a whole has fallen silent.
-func (h *silenceCount) isUnreachable() bool {
-	return h != nil && h.silent >= 3 && 4*h.silent >= 3*h.machines
-}
-
 // holdsCancelled tells whether the store holds tasks there of jobs that were
 // cancelled longer ago than since. What a controller hasn't seen being cancelled
 // itself was so for an unknown time: long enough.
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -70,7 +70,7 @@
 		func(node string) int { return fc.tasksFitting(spec, node) },
 		func(node string) int { return fc.machinesAfterPreemption(spec, node, false) },
 	} {
-		for _, node := range append([]string{sc.c.node}, sc.c.reachability.connectedControllers()...) {
+		for _, node := range append([]string{sc.c.node}, sc.c.reachability.ConnectedControllers()...) {
 			if r := score(node); r > most {
 				best, most = node, r
 			}
--- a/internal/coordination/peer_exchange.go
+++ b/internal/coordination/peer_exchange.go
@@ -16,7 +16,7 @@
 		Incarnation:           c.incarnation,
 		StateServiceReachable: !c.store.Unavailable() && now-c.store.LastSuccessAt() < storeAnswerValidity,
 		WaitingUserRequests:   c.store.QueuedCalls(ratelimit.PriorityUserRequest),
-		WorkerReach:           c.reachability.workerReach(),
+		WorkerReach:           c.reachability.WorkerReach(),
 		FailingJobs:           c.scheduler.failingJobs(),
 		TeamsShortOfQuota:     c.quota.TeamsLacking(now),
 	}
@@ -32,7 +32,7 @@
 // OnPeerStatus handles a status that a peer has sent.
 func (c *Controller) OnPeerStatus(status peers.Status) {
 	now := c.now()
-	c.reachability.detectPause(now)
+	c.pauses.DetectPause(now)
 	c.peerStatuses.Update(&status, now)
 	c.cancellations.applyPeerCancellations(c.cancellations.relay.Receive(status.Node, status.Cancellations))
 }
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -136,7 +136,7 @@
 			}
 			if tc.workers && !tc.peers {
 				for _, n := range c.nodeNames {
-					if slices.Contains(c.nodes[n].controller.reachability.connectedControllers(), node) {
+					if slices.Contains(c.nodes[n].controller.reachability.ConnectedControllers(), node) {
 						t.Errorf("%s would give it machines and tasks", n)
 					}
 				}
@@ -155,7 +155,7 @@
 			if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 200 {
 				t.Errorf("not healthy after its return: %d", response.Status)
 			}
-			if c.nodes[node].controller.reachability.workersUnreachableSince != 0 {
+			if c.nodes[node].controller.reachability.WorkersUnreachable() {
 				t.Error("it doesn't know that it reaches workers again")
 			}
 			if n := c.restartedTasks(service); n > 0 {
@@ -305,7 +305,7 @@
 			if n := c.cloud.MachineCount(); n < machines {
 				t.Errorf("%d machines left of %d", n, machines)
 			}
-			if c.nodes[node].controller.reachability.workersUnreachableSince != 0 ||
+			if c.nodes[node].controller.reachability.WorkersUnreachable() ||
 				c.nodes[node].controller.mirror.Members[node].Version == 0 {
 				t.Error("it doesn't take part again")
 			}
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -22,7 +22,7 @@
 // HandleRequest answers a request of a user or a worker. The answer may come later, but never because it is
 // held back: only as long as the state service takes.
 func (c *Controller) HandleRequest(method, target string, body []byte, respond func(Response)) {
-	c.reachability.detectPause(c.now())
+	c.pauses.DetectPause(c.now())
 	path, query, _ := strings.Cut(target, "?")
 	if query != "" && path != healthPath {
 		respond(protocol.ErrorResponse(400, "no parameters are known here"))
--- a/internal/coordination/shard_claims.go
+++ b/internal/coordination/shard_claims.go
@@ -27,7 +27,7 @@
 	if sm.c.store.Unavailable() || !sm.c.membership.HoldsLease(now) {
 		return
 	}
-	controllers := sm.c.reachability.connectedControllers()
+	controllers := sm.c.reachability.ConnectedControllers()
 	orphaned := map[string][]*mirror.Shard{}
 	for _, name := range sortedmap.Keys(sm.c.mirror.Shards) {
 		shard := sm.c.mirror.Shards[name]
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -30,7 +30,7 @@
 // is so spread over all of them, and what binds stays in its own record.
 func (sc *scheduler) assignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
 	n := spec.Tasks
-	controllers := sc.c.reachability.connectedControllers()
+	controllers := sc.c.reachability.ConnectedControllers()
 	if n == 1 || spec.OneZone || spec.Spread || len(controllers) == 0 {
 		return []storage.TaskRange{{First: 0, End: n, Partition: sc.partitionForNewJob(spec)}}
 	}
@@ -135,7 +135,7 @@
 // one successor for that, whether it has room for them or not: only their owner makes
 // room for services by stopping others' work, or rents for nobody else to place.
 func (sc *scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
-	controllers := sc.c.reachability.connectedControllers()
+	controllers := sc.c.reachability.ConnectedControllers()
 	for _, job := range jobs {
 		if now < sc.nextOrphanedTasksTakeoverAt {
 			return
@@ -148,7 +148,7 @@
 		for _, taskRange := range job.Record.TaskRanges {
 			if !sc.c.membership.IsMember(taskRange.Partition) &&
 				now-sc.c.membership.AbsentSince(taskRange.Partition, now) > monotime.Second ||
-				sc.c.reachability.isCutOffFromWorkers(taskRange.Partition, now) {
+				sc.c.reachability.IsCutOffFromWorkers(taskRange.Partition, now) {
 				ranges = storage.AssignRange(ranges, taskRange.First, taskRange.End, sc.c.node)
 			}
 		}
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/reachability"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
@@ -96,7 +97,7 @@
 // fleetControllers tells package fleet which controllers can claim machines.
 type fleetControllers struct{ c *Controller }
 
-func (f fleetControllers) Connected() []string { return f.c.reachability.connectedControllers() }
+func (f fleetControllers) Connected() []string { return f.c.reachability.ConnectedControllers() }
 
 func (f fleetControllers) Designated(request *mirror.ScaleOutEntry, machineID string) string {
 	return f.c.agents.designatedController(request, machineID)
@@ -122,23 +123,23 @@
 }
 
 func (w fleetWorkload) ZoneContacts() map[string]fleet.ZoneContact {
-	counts := map[string]*silenceCount{}
+	counts := map[string]*reachability.SilenceCount{}
 	for _, machine := range w.as.c.mirror.Machines {
 		if machine.Record == nil {
 			continue
 		}
 		zone, state := machine.Record.Zone, machine.Record.State
 		if counts[zone] == nil {
-			counts[zone] = &silenceCount{}
+			counts[zone] = &reachability.SilenceCount{}
 		}
-		counts[zone].add(state == storage.MachineUnreachable, state != storage.MachineOpen)
+		counts[zone].Add(state == storage.MachineUnreachable, state != storage.MachineOpen)
 	}
 	contacts := map[string]fleet.ZoneContact{}
 	for zone, count := range counts {
 		contacts[zone] = fleet.ZoneContact{
-			Machines:            count.machines,
-			UnreachableMachines: count.silent,
-			Unreachable:         count.isUnreachable(),
+			Machines:            count.Machines,
+			UnreachableMachines: count.Silent,
+			Unreachable:         count.IsUnreachable(),
 		}
 	}
 	return contacts
--- a/internal/coordination/wiring_membership.go
+++ b/internal/coordination/wiring_membership.go
@@ -1,6 +1,11 @@
 package coordination
 
-import "pipitgap/internal/membership"
+import (
+	"pipitgap/internal/membership"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/reachability"
+)
 
 // newMembership makes this controller's membership, which holds no lease yet.
 func newMembership(c *Controller) *membership.Membership {
@@ -17,3 +22,25 @@
 		Log:         c.log,
 	})
 }
+
+// newReachability makes what judges this controller's connections.
+func newReachability(c *Controller) *reachability.Reachability {
+	var peers []string
+	for _, peer := range c.cfg.Peers {
+		peers = append(peers, peer.Node)
+	}
+	return reachability.New(reachability.Options{
+		Node:          c.node,
+		Peers:         peers,
+		Durations:     c.durations,
+		Mirror:        c.mirror,
+		PeerStatuses:  c.peerStatuses,
+		Membership:    c.membership,
+		Store:         c.store,
+		Environment:   c.env,
+		Log:           c.log,
+		HasAgent:      func(machine *mirror.Machine) bool { return c.agents.agentOf(machine) != nil },
+		HandOffShards: func(now monotime.Micros) { c.shards.handOffShards(now) },
+		RequestPass:   func() { c.scheduler.requestPass() },
+	})
+}
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -80,9 +80,9 @@
 }
 
 func (d quotaDependencies) WorkersUnreachable() bool {
-	return d.c.reachability.workersUnreachableSince != 0
+	return d.c.reachability.WorkersUnreachable()
 }
 
 func (d quotaDependencies) SuccessorOf(node string) string {
-	return membership.RendezvousOwner(node, d.c.reachability.connectedControllers())
+	return membership.RendezvousOwner(node, d.c.reachability.ConnectedControllers())
 }
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -43,8 +43,8 @@
 
 // UsersBetterElsewhere reports that the state service is out of reach from here only.
 func (a userReachability) UsersBetterElsewhere(now monotime.Micros) bool {
-	_, alone := a.c.reachability.storeUnreachableOnlyHere(now)
-	return alone || a.c.reachability.isIsolated(now)
+	_, alone := a.c.reachability.StoreUnreachableOnlyHere(now)
+	return alone || a.c.reachability.IsIsolated(now)
 }
 
 type userCatalog struct{ c *Controller }
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -30,7 +30,7 @@
 		Store:           c.store,
 		Environment:     c.env,
 		Observer:        replicaObserver{c},
-		Pauses:          pauseDetector{c},
+		Pauses:          c.pauses,
 		Log:             c.log,
 		Drains:          c.settings.Drains != nil,
 		WritesPerSecond: c.cfg.Facts.State.WriteRPS,
@@ -61,12 +61,3 @@
 }
 
 func (o replicaObserver) Changed() { o.c.runFastTick(o.c.now()) }
-
-// pauseDetector tells the replica of pauses of the process.
-type pauseDetector struct{ c *Controller }
-
-func (d pauseDetector) DetectPause(now monotime.Micros) { d.c.reachability.detectPause(now) }
-
-func (d pauseDetector) ResumedFromPauseAt() monotime.Micros {
-	return d.c.reachability.resumedFromPauseAt
-}
--- /dev/null
+++ b/internal/reachability/silence.go
@@ -0,0 +1,27 @@
+package reachability
+
+// minSilentMachines is how many machines must be silent before that says anything of a zone or of this controller:
+// fewer may have failed by themselves.
+const minSilentMachines = 3
+
+// SilenceCount counts machines, and which of them are silent.
+type SilenceCount struct{ Machines, Silent int }
+
+// Add counts a machine. One that was claimed just now and has had no time to be heard says nothing yet.
+func (s *SilenceCount) Add(silent, neverHeard bool) {
+	if neverHeard && !silent {
+		return
+	}
+	s.Machines++
+	if silent {
+		s.Silent++
+	}
+}
+
+// IsUnreachable tells whether the machines as a whole are silent: three quarters of them.
+func (s *SilenceCount) IsUnreachable() bool {
+	return s != nil && s.Silent >= minSilentMachines && 4*s.Silent >= 3*s.Machines
+}
+
+// mostHeard tells whether more than half of the machines are heard.
+func (s *SilenceCount) mostHeard() bool { return s.Machines > 0 && 2*s.Silent < s.Machines }
