--- /dev/null
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -0,0 +1,384 @@
+package fleet
+
+import (
+	"io"
+	"log/slog"
+	"slices"
+	"testing"
+
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/config"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/storage"
+)
+
+// testTerm is the leadership's version in these tests.
+const testTerm = 7
+
+// cloudCall is a call to the cloud that a test answers.
+type cloudCall struct {
+	protocol.CloudCall
+	answer func(protocol.CloudResult)
+}
+
+// controllerStub is the rest of a controller: commits succeed at once and change the mirror, calls to the cloud wait for
+// the test's answer.
+type controllerStub struct {
+	t          *testing.T
+	records    *mirror.Mirror
+	reconciler *Reconciler
+	now        monotime.Micros
+	leader     bool
+	version    uint64
+	calls      []cloudCall
+	connected  []string
+	demand     func() []*autoscaling.Demand
+	zones      map[string]ZoneContact
+}
+
+func newControllerStub(t *testing.T) *controllerStub {
+	s := &controllerStub{
+		t: t, records: mirror.New(), now: monotime.Second, leader: true, version: 100,
+		connected: []string{"n-0"}, demand: func() []*autoscaling.Demand { return nil },
+	}
+	s.records.LeaderVersion = testTerm
+	settings := config.Defaults()
+	settings.ScaleInAttempts = 2
+	s.reconciler = New(Config{Settings: settings, MaxValueBytes: 1000, ListLagSeconds: 1}, Dependencies{
+		Mirror: s.records, Environment: s, Membership: s, Store: s, Catalog: s, Controllers: s, Workload: s,
+		CloudCalls: &ratelimit.TokenBucket{Rate: 100, Burst: 100},
+		Log:        slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
+	return s
+}
+
+func (s *controllerStub) Now() monotime.Micros                    { return s.now }
+func (s *controllerStub) WallClock() int64                        { return int64(s.now) }
+func (s *controllerStub) After(_ monotime.Micros, f func())       { f() }
+func (s *controllerStub) IsLeader(monotime.Micros) bool           { return s.leader }
+func (s *controllerStub) LeadershipCompare() protocol.Compare     { return protocol.Compare{Key: "leader"} }
+func (s *controllerStub) Unavailable() bool                       { return false }
+func (s *controllerStub) IsFetched() bool                         { return false }
+func (s *controllerStub) Connected() []string                     { return s.connected }
+func (s *controllerStub) ZoneContacts() map[string]ZoneContact    { return s.zones }
+func (s *controllerStub) NoteTrialDemand(string, monotime.Micros) {}
+func (s *controllerStub) IsClosedByDrain(autoscaling.Offer) bool  { return false }
+
+func (s *controllerStub) Designated(request *mirror.ScaleOutEntry, _ string) string {
+	return request.Record.Live[0]
+}
+
+func (s *controllerStub) MachineTypes() map[string]protocol.MachineType {
+	return map[string]protocol.MachineType{
+		"m8": {Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, Zones: []string{"a", "b"}},
+	}
+}
+
+func (s *controllerStub) Snapshot(now monotime.Micros) *autoscaling.Snapshot {
+	return &autoscaling.Snapshot{
+		Records: s.records, MachineTypes: s.MachineTypes(), Now: now, WallClock: s.WallClock(),
+	}
+}
+
+func (s *controllerStub) DemandAndSupply(
+	snapshot *autoscaling.Snapshot,
+) ([]*autoscaling.Demand, []*autoscaling.Bin) {
+	return s.demand(), snapshot.Bins()
+}
+
+func (s *controllerStub) CallCloud(call *protocol.CloudCall, answer func(protocol.CloudResult)) {
+	s.calls = append(s.calls, cloudCall{*call, answer})
+}
+
+func (s *controllerStub) Commit(
+	_ ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	s.t.Helper()
+	if !slices.ContainsFunc(txn.If, func(c protocol.Compare) bool { return c.Key == "leader" }) {
+		s.t.Error("a commit isn't conditional on the leadership")
+	}
+	s.version++
+	for _, op := range txn.Then {
+		if op.Delete != "" {
+			s.records.ApplyDelete(op.Delete, s.version, false)
+		} else {
+			s.records.ApplyPut(op.Put, op.Value, s.version)
+		}
+	}
+	callback(protocol.StoreResult{Outcome: protocol.OK})
+}
+
+// reconcile lets time pass and runs the reconciliation.
+func (s *controllerStub) reconcile(after monotime.Micros) {
+	s.now += after
+	s.reconciler.Reconcile(s.now)
+}
+
+// next takes the oldest unanswered call, which must be of a kind.
+func (s *controllerStub) next(op protocol.CloudOp) cloudCall {
+	s.t.Helper()
+	if len(s.calls) == 0 || s.calls[0].Op != op {
+		s.t.Fatalf("calls %+v, want one of kind %v", s.calls, op)
+	}
+	call := s.calls[0]
+	s.calls = s.calls[1:]
+	return call
+}
+
+// rebuildInventory answers the listing of a new term with an empty list.
+func (s *controllerStub) rebuildInventory() {
+	s.t.Helper()
+	s.reconcile(0)
+	s.next(protocol.CloudList).answer(protocol.CloudResult{Outcome: protocol.OK})
+}
+
+// scaleOut gives the only scale-out request.
+func (s *controllerStub) scaleOut() storage.ScaleOutRequest {
+	s.t.Helper()
+	if len(s.records.ScaleOuts) != 1 {
+		s.t.Fatalf("%d scale-out requests, want one", len(s.records.ScaleOuts))
+	}
+	for _, request := range s.records.ScaleOuts {
+		return request.Record
+	}
+	panic("unreachable")
+}
+
+// addScaleOut puts a request into the records.
+func (s *controllerStub) addScaleOut(name string, record storage.ScaleOutRequest) {
+	record.MachineType, record.Zone = "m8", "a"
+	s.records.ApplyPut(storage.Key(storage.KindScaleOut, name), protocol.MustMarshal(&record), 1)
+}
+
+func tasksOf(cpus float64, tasks int) func() []*autoscaling.Demand {
+	return func() []*autoscaling.Demand {
+		spec := &storage.JobSpec{CPUs: cpus, Service: true}
+		need := mirror.MachineCapacity(&protocol.MachineType{CPUs: cpus})
+		return []*autoscaling.Demand{{Spec: spec, Need: need, Tasks: tasks, JobID: "j"}}
+	}
+}
+
+// TestNothingIsRequestedBeforeTheInventoryIsRebuilt: a new leader reads the cloud's list to its end first.
+func TestNothingIsRequestedBeforeTheInventoryIsRebuilt(t *testing.T) {
+	s := newControllerStub(t)
+	s.demand = tasksOf(8, 1)
+	s.reconcile(0)
+	page := s.next(protocol.CloudList)
+	page.answer(protocol.CloudResult{
+		Outcome: protocol.OK, More: true, Listed: []protocol.ListedMachine{{ID: "i-1", State: "booting"}},
+	})
+	s.reconcile(monotime.Second)
+	if len(s.records.ScaleOuts) != 0 {
+		t.Fatal("a request before the end of the list")
+	}
+	last := s.next(protocol.CloudList)
+	if last.After != "i-1" {
+		t.Errorf("the next page begins after %q", last.After)
+	}
+	last.answer(protocol.CloudResult{Outcome: protocol.OK})
+	s.reconcile(monotime.Second)
+	if got := s.scaleOut(); got.Phase != storage.ScaleOutPending || got.Count != 1 {
+		t.Errorf("%+v", got)
+	}
+	s.records.LeaderVersion++ // another term: it begins anew
+	s.reconcile(monotime.Second)
+	if s.reconciler.term.inventoryRebuilt {
+		t.Error("a new term goes by the inventory of the one before")
+	}
+}
+
+// TestAnswersOfAnEarlierTermAreDropped: what a call or a commit of another term brings isn't acted on.
+func TestAnswersOfAnEarlierTermAreDropped(t *testing.T) {
+	s := newControllerStub(t)
+	s.reconcile(0)
+	late := s.next(protocol.CloudList)
+	s.records.LeaderVersion++
+	s.reconcile(monotime.Second)
+	late.answer(protocol.CloudResult{Outcome: protocol.OK})
+	if s.reconciler.term.inventoryRebuilt {
+		t.Error("the list of an earlier term counts")
+	}
+}
+
+// TestOnlyTheLeaderReconciles: a controller that isn't the leader, or no longer is, makes no call and no request.
+func TestOnlyTheLeaderReconciles(t *testing.T) {
+	s := newControllerStub(t)
+	s.leader = false
+	s.reconcile(0)
+	if len(s.calls) != 0 {
+		t.Errorf("calls: %+v", s.calls)
+	}
+	s.leader = true
+	s.rebuildInventory()
+	s.leader = false
+	s.demand = tasksOf(8, 1)
+	s.reconcile(monotime.Minute)
+	if len(s.calls) != 0 || len(s.records.ScaleOuts) != 0 {
+		t.Errorf("calls: %+v, scale-out requests: %+v", s.calls, s.records.ScaleOuts)
+	}
+}
+
+// TestScaleOutOutcomes: what a request becomes by the outcome of its call.
+func TestScaleOutOutcomes(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		result      protocol.CloudResult
+		want        storage.ScaleOutPhase
+		quarantined bool
+	}{
+		{"filled", protocol.CloudResult{Outcome: protocol.OK, Rented: []string{"i-1", "i-2"}},
+			storage.ScaleOutProvisioning, false},
+		{"filled in part", protocol.CloudResult{Outcome: protocol.OK, Rented: []string{"i-1"}},
+			storage.ScaleOutProvisioning, true},
+		{"empty", protocol.CloudResult{Outcome: protocol.OK}, storage.ScaleOutNoCapacity, true},
+		{"no capacity", protocol.CloudResult{Outcome: protocol.NoCapacity}, storage.ScaleOutNoCapacity, true},
+		{"rejected", protocol.CloudResult{Outcome: protocol.Rejected}, storage.ScaleOutNoCapacity, true},
+		{"throttled", protocol.CloudResult{Outcome: protocol.Throttled}, storage.ScaleOutPending, false},
+		{"unknown", protocol.CloudResult{Outcome: protocol.Unknown}, storage.ScaleOutPending, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newControllerStub(t)
+			s.rebuildInventory()
+			s.addScaleOut("r-7-9", storage.ScaleOutRequest{Phase: storage.ScaleOutPending, Count: 2})
+			s.reconcile(0)
+			call := s.next(protocol.CloudRent)
+			if call.Rent.Name != "r-7-9" || call.Rent.Count != 2 {
+				t.Errorf("%+v", call.Rent)
+			}
+			call.answer(tc.result)
+			if got := s.records.ScaleOuts["r-7-9"].Record.Phase; got != tc.want {
+				t.Errorf("phase %s, want %s", got, tc.want)
+			}
+			if got := len(autoscaling.QuarantinedOffers(s.records)) > 0; got != tc.quarantined {
+				t.Errorf("quarantined: %v", got)
+			}
+			s.reconcile(cloudRetryDelay)
+			if again := len(s.calls) > 0; again != (tc.want == storage.ScaleOutPending) {
+				t.Errorf("called again: %v", again)
+			}
+		})
+	}
+}
+
+// TestProvisioning: a request ends when its machines are up, is replaced by a scale-in when they aren't in time, and gets
+// other controllers when those that were to claim them can't.
+func TestProvisioning(t *testing.T) {
+	for _, tc := range []struct {
+		name     string
+		up       []string
+		age      monotime.Micros
+		live     string
+		wantLive []string // nil: the request ends
+		removed  []string
+	}{
+		{"all up", []string{"i-1", "i-2"}, 0, "n-0", nil, nil},
+		{"one is missing", []string{"i-1"}, 0, "n-0", []string{"n-0"}, nil},
+		{"one is late", []string{"i-1"}, 91 * monotime.Second, "n-0", nil, []string{"i-2"}},
+		{"its controller isn't connected", []string{"i-1"}, 0, "n-1", []string{"n-0"}, nil},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newControllerStub(t)
+			s.rebuildInventory()
+			s.addScaleOut("r", storage.ScaleOutRequest{
+				Phase: storage.ScaleOutProvisioning, Count: 2, Machines: []string{"i-1", "i-2"},
+				Live: []string{tc.live}, PhaseSince: int64(s.now),
+			})
+			s.records.WatchedRevision = 1
+			for _, id := range tc.up {
+				s.records.Machines[id] = &mirror.Machine{ID: id, Record: &storage.ShardMachine{}}
+			}
+			s.reconcile(tc.age)
+			request := s.records.ScaleOuts["r"]
+			if (request != nil) != (tc.wantLive != nil) {
+				t.Fatalf("request: %+v", request)
+			}
+			if request != nil && !slices.Equal(request.Record.Live, tc.wantLive) {
+				t.Errorf("to be claimed by %v, want %v", request.Record.Live, tc.wantLive)
+			}
+			for _, id := range tc.removed {
+				if s.records.ScaleInOfMachine[id] == "" {
+					t.Errorf("%s isn't removed", id)
+				}
+			}
+			if len(s.records.ScaleInOfMachine) != len(tc.removed) {
+				t.Errorf("removed: %v", s.records.ScaleInOfMachine)
+			}
+		})
+	}
+}
+
+// TestFailedDeletionsAreFlagged: the cloud's own trouble doesn't count as a try; after the last quick one the request is
+// flagged and repeated at long intervals.
+func TestFailedDeletionsAreFlagged(t *testing.T) {
+	s := newControllerStub(t)
+	s.rebuildInventory()
+	s.records.Machines["i-1"] = &mirror.Machine{
+		ID: "i-1", Record: &storage.ShardMachine{State: storage.MachineRemoving},
+	}
+	s.reconcile(0)
+	record := func() storage.ScaleInRequest { return s.records.ScaleIns[s.records.ScaleInOfMachine["i-1"]].Record }
+	for _, step := range []struct {
+		outcome  protocol.Outcome
+		attempts int
+		failed   bool
+	}{
+		{protocol.Throttled, 0, false},
+		{protocol.Unavailable, 0, false},
+		{protocol.Rejected, 1, false},
+		{protocol.Unknown, 2, true},
+	} {
+		call := s.next(protocol.CloudDelete)
+		if !slices.Equal(call.Delete, []string{"i-1"}) {
+			t.Fatalf("%+v", call.Delete)
+		}
+		call.answer(protocol.CloudResult{Outcome: step.outcome})
+		if got := record(); got.Attempts != step.attempts || got.Failed != step.failed || got.Gone {
+			t.Errorf("after %s: %+v", step.outcome, got)
+		}
+		s.reconcile(cloudRetryDelay)
+	}
+	if len(s.calls) != 0 {
+		t.Fatal("a flagged request is repeated at once")
+	}
+	s.reconcile(monotime.Minute)
+	s.next(protocol.CloudDelete).answer(protocol.CloudResult{Outcome: protocol.OK})
+	if !record().Gone {
+		t.Error("success isn't recorded")
+	}
+}
+
+// TestListedMachinesThatNoRecordKnows: one that is old enough is adopted, one that failed is terminated.
+func TestListedMachinesThatNoRecordKnows(t *testing.T) {
+	s := newControllerStub(t)
+	s.reconcile(0)
+	s.next(protocol.CloudList).answer(protocol.CloudResult{Outcome: protocol.OK, Listed: []protocol.ListedMachine{
+		{ID: "i-new", Type: "m8", Zone: "a", AgeS: 7},
+		{ID: "i-old", Type: "m8", Zone: "a", AgeS: 7.1},
+		{ID: "i-failed", Type: "m8", Zone: "a", State: "failed"},
+	}})
+	if got := s.scaleOut(); got.Phase != storage.ScaleOutProvisioning ||
+		!slices.Equal(got.Machines, []string{"i-old"}) || !slices.Equal(got.Live, []string{"n-0"}) {
+		t.Errorf("%+v", got)
+	}
+	s.reconcile(scaleInInterval)
+	if got := s.next(protocol.CloudDelete).Delete; !slices.Equal(got, []string{"i-failed"}) {
+		t.Errorf("terminated: %v", got)
+	}
+}
+
+// TestUnreachableZonesGetNoMachines: machines are requested in other zones.
+func TestUnreachableZonesGetNoMachines(t *testing.T) {
+	s := newControllerStub(t)
+	s.demand = tasksOf(8, 1)
+	s.zones = map[string]ZoneContact{"a": {Machines: 3, UnreachableMachines: 3, Unreachable: true}}
+	s.rebuildInventory()
+	s.reconcile(monotime.Second)
+	if got := s.scaleOut(); got.Zone != "b" {
+		t.Errorf("requested in zone %s", got.Zone)
+	}
+}
