--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -3,14 +3,21 @@
 import (
 	"pipitgap/internal/durations"
 	"pipitgap/internal/membership"
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
-	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
-	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/storeclient"
 )
 
-// quotaDependencies gives the quota manager what it needs of the other subjects.
+// quotaStore is the state service as the quota manager sees it: calls are paced by the client, commits go through
+// the mirror's replica.
+type quotaStore struct {
+	*storeclient.Client
+	*mirror.Replica
+}
+
+// quotaDependencies gives the quota manager what it needs of shards, peers and reachability.
 type quotaDependencies struct{ c *Controller }
 
 func newQuotaManager(c *Controller) *quotashares.Manager {
@@ -24,8 +31,8 @@
 		},
 		quotashares.Dependencies{
 			Mirror:      c.mirror,
-			Membership:  dependencies,
-			Store:       dependencies,
+			Membership:  c.membership,
+			Store:       quotaStore{c.store, c.replica},
 			Shards:      dependencies,
 			Peers:       dependencies,
 			RequestPass: func() { c.scheduler.requestPass() },
@@ -34,28 +41,6 @@
 	)
 }
 
-func (d quotaDependencies) HoldsLease(now monotime.Micros) bool {
-	return d.c.membership.HoldsLease(now)
-}
-
-func (d quotaDependencies) IsMember(node string) bool { return d.c.membership.IsMember(node) }
-
-func (d quotaDependencies) AbsentSince(node string, now monotime.Micros) monotime.Micros {
-	return d.c.membership.AbsentSince(node, now)
-}
-
-func (d quotaDependencies) Unavailable() bool { return d.c.store.Unavailable() }
-
-func (d quotaDependencies) BudgetSharers() int { return d.c.store.BudgetSharers() }
-
-func (d quotaDependencies) Commit(
-	priority ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	d.c.replica.Commit(priority, txn, callback)
-}
-
 func (d quotaDependencies) CommitInFlight() bool {
 	for _, tracker := range d.c.shards.trackers {
 		if tracker.commitInFlightSince != 0 {
