--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -224,8 +224,7 @@
 		scheduling.ShapeOf(spec, mirror.TaskResources(spec), spec.Team)
 	jobPlan.request = c.scheduler.machineRequest(job, jobPlan.zoneConstraint)
 	jobPlan.request.SpotOnly = jobPlan.spotOnly
-	made := c.scheduler.preemptions[job.ID]
-	jobPlan.preempting = made != nil && p.now < made.expiresAt
+	jobPlan.preempting = c.scheduler.isPreempting(job.ID, p.now)
 	// Without a share of the team's limit only what a shard gives back counts.
 	within := job.TaskResources.FitsIn(available)
 	jobPlan.hasReservation = p.reservations.hasReservationFor(job)
@@ -310,7 +309,7 @@
 	}
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
 	if p.spec.Service && !withImage && !waitedForImage(job, p.wallNow) &&
-		c.scheduler.preemptFor(job, 1, p.zoneConstraint, p.candidates, true, p.now) {
+		c.scheduler.preemptFor(p.preemptionRequest(1, true)) {
 		// Room is being made beside the image: sooner than a fetch.
 		p.maxTasks = 0
 		return
@@ -399,7 +398,7 @@
 	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass &&
 		!p.noRoomFor[p.shape] &&
 		p.job.UnassignedTasks() > 0 &&
-		p.core.scheduler.canMeetObjective(p.job, p.wallNow)
+		p.core.scheduler.slackOf(p.job, p.wallNow).CanMeetObjective()
 }
 
 // stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room
@@ -449,6 +448,18 @@
 	return p.preemptibleRunning
 }
 
+// preemptionRequest asks for room for so many tasks of the job by stopping others.
+func (p *jobPlacement) preemptionRequest(tasks int, besideImage bool) preemptionRequest {
+	return preemptionRequest{
+		job:         p.job,
+		tasks:       tasks,
+		zones:       p.zoneConstraint,
+		candidates:  p.candidates,
+		now:         p.now,
+		besideImage: besideImage,
+	}
+}
+
 // makeRoomByPreemption stops others' work for a service, and for what a team's guarantee owes to a job
 // that found no room for a while; where that can't be done here, a partition gets the job's
 // tasks that can.
@@ -458,7 +469,7 @@
 	if !p.spec.Service {
 		p.holdMachinesFor(p.pendingTasks)
 		if n := min(p.pendingTasks, job.TaskResources.CountIn(p.quotaRoom)); n > 0 && p.anyPreemptible() &&
-			c.scheduler.preemptScavengers(job, n, p.zoneConstraint, p.candidates, p.now) {
+			c.scheduler.preemptScavengers(p.preemptionRequest(n, false)) {
 			return
 		}
 		if p.wallNow-job.Record.AcceptedAt <= int64(guaranteePreemptionDelay) ||
@@ -469,7 +480,7 @@
 	}
 	// Each hand-over costs a change, and so does taking tasks over, which comes
 	// after: a service that only tried its turn in between never had it.
-	if c.scheduler.preemptFor(job, want, p.zoneConstraint, p.candidates, false, p.now) ||
+	if c.scheduler.preemptFor(p.preemptionRequest(want, false)) ||
 		p.now-p.tracking.reassignment.handedOverAt <= reassignmentInterval ||
 		p.now < c.scheduler.nextWorkStealAt {
 		return
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -1,8 +1,6 @@
 package coordination
 
 import (
-	"sort"
-
 	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -10,108 +8,199 @@
 	"pipitgap/internal/scheduling"
 )
 
-// preemptionTimeout is how long room that was made for a job is waited for before
-// more is made.
-const preemptionTimeout = 3 * monotime.Second
-
-// imageFetchLossPerCPU is how many CPU seconds of lost work for each of its CPUs a service
-// is worth that starts beside its image rather than fetching it.
-const imageFetchLossPerCPU = 24
+const (
+	// preemptionTimeout is how long room that was made for a job is waited for before more is made.
+	preemptionTimeout = 3 * monotime.Second
+	// maxPreemptionsPerPass is for how many tasks of a job a pass makes room at most.
+	maxPreemptionsPerPass = 8
+	// imageFetchLossPerGB is how many CPU seconds of lost work avoiding the fetch of a gigabyte of an image is worth.
+	imageFetchLossPerGB = 8
+	// imageFetchLossPerCPU is how many CPU seconds of lost work for each of its CPUs a service
+	// is worth that starts beside its image rather than fetching it.
+	imageFetchLossPerCPU = 24
+)
 
 // pendingPreemption is the room being made for a job.
 type pendingPreemption struct {
-	tasks     int
 	expiresAt monotime.Micros
-	machines  map[string]bool // machines: what is free there until then is the job's
+	machines  map[string]bool // what is free on them until then is the job's
 }
 
-// preemptionVictim is a running task of lower priority.
-type preemptionVictim struct {
-	attempt        agents.AttemptID
-	need           resources.Vector
-	lostCPUSeconds float64 // CPU seconds of work that stopping it throws away
+// preemptionRequest asks for room for tasks of a job by stopping others.
+type preemptionRequest struct {
+	job        *mirror.Job
+	tasks      int // for how many of its tasks
+	zones      *scheduling.ZoneConstraint
+	candidates []*candidateMachine
+	now        monotime.Micros
+	// Only machines that have the job's image, and only for a small loss.
+	besideImage bool
 }
 
-// preemptFor stops tasks so that up to want tasks of a job get room on our machines;
-// the cheapest loss first, see mayPreempt. For its priority only a service preempts:
-// an array gains little by it and the work thrown away is paid for. It tells
-// whether room is being made. With beside, only machines that have the job's
-// image count, and only a small loss is worth it.
-func (sc *scheduler) preemptFor(
-	job *mirror.Job,
-	want int,
-	zones *scheduling.ZoneConstraint,
-	candidates []*candidateMachine,
-	withImage bool,
-	now monotime.Micros,
-) bool {
-	pending := sc.preemptions[job.ID]
-	if pending != nil && now < pending.expiresAt {
+// preemptionPlan is what is to be stopped on a machine for one task.
+type preemptionPlan struct {
+	candidate *candidateMachine
+	scheduling.VictimSelection
+}
+
+// isPreempting tells whether tasks are being stopped for a job.
+func (sc *scheduler) isPreempting(job string, now monotime.Micros) bool {
+	pending := sc.preemptions[job]
+	return pending != nil && now < pending.expiresAt
+}
+
+// preemptFor stops tasks so that up to as many tasks of a job as requested get room on the partition's machines; the
+// cheapest loss first, see mayPreempt. For its priority only a service preempts: an array gains little by it and the
+// work thrown away is paid for. It tells whether room is being made.
+func (sc *scheduler) preemptFor(request preemptionRequest) bool {
+	job := request.job
+	if sc.isPreempting(job.ID, request.now) {
 		return true
 	}
-	made, on := 0, map[string]bool{}
-	for ; made < min(want, 8); made++ {
-		var best *candidateMachine
-		var bestVictims []preemptionVictim
-		bestLoss := 0.0
-		// A sample of machines is enough when there are many: the loss hardly
-		// differs, and each look goes over all that runs there.
-		for i := 0; i < min(len(candidates), sampleAboveMachines); i++ {
-			candidate := candidates[i]
-			if len(candidates) > sampleAboveMachines {
-				candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
-			}
-			machine := candidate.machine
-			if !scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) || !zones.Allows(candidate.Record.Zone) ||
-				sc.c.agents.agentOf(machine).IsStoppingAny() ||
-				!candidate.AvailableTo(job.ID) {
-				continue
-			}
-			victims, loss, ok := sc.selectVictims(machine, job, candidate.Free, now)
-			if !ok {
-				continue
-			}
-			if !machine.CachedImages[job.Record.Spec.Image] {
-				loss += 8 * job.Record.Spec.ImageGB
-			}
-			if withImage &&
-				(!machine.CachedImages[job.Record.Spec.Image] || loss > imageFetchLossPerCPU*job.TaskResources.CPUs) {
-				continue
-			}
-			if best == nil || loss < bestLoss {
-				best, bestVictims, bestLoss = candidate, victims, loss
-			}
-		}
-		if best == nil {
+	machines := map[string]bool{}
+	for range min(request.tasks, maxPreemptionsPerPass) {
+		plan, ok := sc.cheapestPreemption(&request)
+		if !ok {
 			break
 		}
-		for _, victim := range bestVictims {
-			sc.c.agents.agentOf(best.machine).StopAttempt(victim.attempt)
-			sc.c.log.Debug(
-				"task preempted",
-				"task",
-				victim.attempt.Task.String(),
-				"attempt",
-				victim.attempt.Attempt,
-				"machine",
-				best.MachineID,
-				"for_job",
-				job.ID,
-			)
-		}
-		best.ReservedForJob, on[best.MachineID] = job.ID, true
-		sc.c.agents.syncCommands(best.machine)
+		sc.stopVictims("task preempted", plan.candidate, plan.Victims, job)
+		machines[plan.candidate.MachineID] = true
 	}
-	if made == 0 {
+	return sc.notePreemption(job, machines, request.now+preemptionTimeout)
+}
+
+// notePreemption keeps the machines on which tasks were stopped for a job, and tells whether there are any.
+func (sc *scheduler) notePreemption(
+	job *mirror.Job,
+	machines map[string]bool,
+	expiresAt monotime.Micros,
+) bool {
+	if len(machines) == 0 {
 		return false
 	}
 	sc.requestPass()
-	sc.preemptions[job.ID] = &pendingPreemption{made, now + preemptionTimeout, on}
+	sc.preemptions[job.ID] = &pendingPreemption{expiresAt, machines}
 	return true
 }
 
-// mayPreempt tells whether a task of v may be stopped for j: one of lower priority
-// for a service; one that another team runs beyond its guarantee, so that j's team
+// cheapestPreemption looks for the machine on which room for one task costs the least work. A sample of machines is
+// enough when there are many: the loss hardly differs, and each look goes over all that runs there.
+func (sc *scheduler) cheapestPreemption(request *preemptionRequest) (best preemptionPlan, ok bool) {
+	candidates := request.candidates
+	for i := range min(len(candidates), sampleAboveMachines) {
+		candidate := candidates[i]
+		if len(candidates) > sampleAboveMachines {
+			candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
+		}
+		if !sc.mayPreemptOn(candidate, request.job, request.zones) {
+			continue
+		}
+		plan, possible := sc.preemptionOn(candidate, request)
+		if possible && (!ok || plan.LostCPUSeconds < best.LostCPUSeconds) {
+			best, ok = plan, true
+		}
+	}
+	return best, ok
+}
+
+// mayPreemptOn tells whether tasks may be stopped on a machine for a job.
+func (sc *scheduler) mayPreemptOn(
+	candidate *candidateMachine,
+	job *mirror.Job,
+	zones *scheduling.ZoneConstraint,
+) bool {
+	return scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) &&
+		zones.Allows(candidate.Record.Zone) &&
+		!sc.c.agents.agentOf(candidate.machine).IsStoppingAny() &&
+		candidate.AvailableTo(job.ID)
+}
+
+// preemptionOn tells what to stop on a machine for one task. An image that would have to be fetched counts as a loss.
+func (sc *scheduler) preemptionOn(
+	candidate *candidateMachine,
+	request *preemptionRequest,
+) (plan preemptionPlan, ok bool) {
+	job, spec := request.job, &request.job.Record.Spec
+	victimRequest := scheduling.VictimRequest{
+		Need:             job.TaskResources,
+		Service:          spec.Service,
+		Priority:         spec.Priority,
+		Free:             candidate.Free,
+		ExceedsGuarantee: sc.exceedsGuarantee,
+	}
+	victims := sc.victimsOn(candidate.machine, request.now, func(victim *mirror.Job) bool {
+		return victim.IsOpen() && sc.mayPreempt(job, victim)
+	})
+	selection, ok := victimRequest.Select(victims)
+	if !ok {
+		return preemptionPlan{}, false
+	}
+	hasImage := candidate.CachedImages[spec.Image]
+	if !hasImage {
+		selection.LostCPUSeconds += imageFetchLossPerGB * spec.ImageGB
+	}
+	worthwhile := hasImage && selection.LostCPUSeconds <= imageFetchLossPerCPU*job.TaskResources.CPUs
+	if request.besideImage && !worthwhile {
+		return preemptionPlan{}, false
+	}
+	return preemptionPlan{candidate, selection}, true
+}
+
+// victimsOn lists the tasks that run on a machine and may be stopped.
+func (sc *scheduler) victimsOn(
+	machine *mirror.Machine,
+	now monotime.Micros,
+	mayStop func(victim *mirror.Job) bool,
+) []scheduling.Victim {
+	agent := sc.c.agents.agentOf(machine)
+	var victims []scheduling.Victim
+	for task, number := range machine.Attempts {
+		job, attempt := sc.c.mirror.Jobs[task.Job], agents.AttemptID{Task: task, Attempt: number}
+		if job == nil || !mayStop(job) || agent.HasOutcome(attempt) || agent.HasExited(attempt) {
+			continue
+		}
+		spec := &job.Record.Spec
+		lostSeconds := 0.0
+		if since, running := agent.RunningSince(attempt); running {
+			lostSeconds = (now - since).Seconds()
+		}
+		if spec.CheckpointS > 0 {
+			lostSeconds = min(lostSeconds, spec.CheckpointS)
+		}
+		victims = append(victims, scheduling.Victim{
+			Job:            task.Job,
+			Task:           task.Index,
+			Attempt:        number,
+			Team:           spec.Team,
+			Priority:       spec.Priority,
+			Need:           job.TaskResources,
+			LostCPUSeconds: lostSeconds * job.TaskResources.CPUs,
+			SaveSeconds:    spec.SaveS,
+		})
+	}
+	return victims
+}
+
+// stopVictims has tasks on a machine stopped, and keeps what is free there for a job.
+func (sc *scheduler) stopVictims(
+	message string,
+	candidate *candidateMachine,
+	victims []scheduling.Victim,
+	job *mirror.Job,
+) {
+	agent := sc.c.agents.agentOf(candidate.machine)
+	for _, victim := range victims {
+		task := mirror.TaskID{Job: victim.Job, Index: victim.Task}
+		agent.StopAttempt(agents.AttemptID{Task: task, Attempt: victim.Attempt})
+		sc.c.log.Debug(message, "task", task.String(), "attempt", victim.Attempt,
+			"machine", candidate.MachineID, "for_job", job.ID)
+	}
+	candidate.ReservedForJob = job.ID
+	sc.c.agents.syncCommands(candidate.machine)
+}
+
+// mayPreempt tells whether a task of victim may be stopped for job: one of lower priority
+// for a service; one that another team runs beyond its guarantee, so that job's team
 // gets its own. The protocol would let that be of any priority; of a higher one it
 // would be placed again first, and the two would stop each other for ever. Services with a
 // disruption budget aren't stopped for others.
@@ -128,8 +217,7 @@
 		sc.exceedsGuarantee(victim.Record.Spec.Team, resources.Vector{})
 }
 
-// entitledToGuarantee tells whether a job's next task is owed to its team: the team has a
-// guarantee and the task lies within it.
+// entitledToGuarantee tells whether a job's team has a guarantee and the job's next task lies within it.
 func (sc *scheduler) entitledToGuarantee(job *mirror.Job) bool {
 	limits, _ := sc.c.quota.Limits(job.Record.Spec.Team)
 	return limits.Guaranteed() && sc.withinGuarantee(job)
@@ -142,60 +230,3 @@
 	use := sc.c.mirror.UseByTeam[name].AddScaled(less, -1)
 	return !limits.GuaranteeCovers(use)
 }
-
-// selectVictims picks the tasks of a machine whose stop makes room for one task of
-// a job, with least work lost.
-func (sc *scheduler) selectVictims(
-	machine *mirror.Machine,
-	job *mirror.Job,
-	free resources.Vector,
-	now monotime.Micros,
-) (victims []preemptionVictim, loss float64, ok bool) {
-	var possible []preemptionVictim
-	for task, attempt := range machine.Attempts {
-		victim := sc.c.mirror.Jobs[task.Job]
-		if victim == nil || !victim.IsOpen() || !sc.mayPreempt(job, victim) ||
-			sc.c.agents.agentOf(machine).HasOutcome(agents.AttemptID{Task: task, Attempt: attempt}) {
-			continue
-		}
-		key := agents.AttemptID{Task: task, Attempt: attempt}
-		if sc.c.agents.agentOf(machine).HasExited(key) {
-			continue
-		}
-		ran := 0.0
-		if at, ok := sc.c.agents.agentOf(machine).RunningSince(key); ok {
-			ran = (now - at).Seconds()
-		}
-		if cp := victim.Record.Spec.CheckpointS; cp > 0 {
-			ran = min(ran, cp)
-		}
-		possible = append(
-			possible,
-			preemptionVictim{key, victim.TaskResources, ran * victim.TaskResources.CPUs},
-		)
-	}
-	sort.Slice(possible, func(a, b int) bool {
-		if possible[a].lostCPUSeconds != possible[b].lostCPUSeconds {
-			return possible[a].lostCPUSeconds < possible[b].lostCPUSeconds
-		}
-		return possible[a].attempt.Task.String() < possible[b].attempt.Task.String()
-	})
-	taken := map[string]resources.Vector{}
-	for _, victim := range possible {
-		if job.TaskResources.FitsIn(free) {
-			break
-		}
-		if spec := &sc.c.mirror.Jobs[victim.attempt.Task.Job].Record.Spec; !job.Record.Spec.Service ||
-			spec.Priority >= job.Record.Spec.Priority {
-			// Only what its team has beyond its guarantee may go.
-			if !sc.exceedsGuarantee(spec.Team, taken[spec.Team]) {
-				continue
-			}
-			taken[spec.Team] = taken[spec.Team].AddScaled(victim.need, 1)
-		}
-		free = free.AddScaled(victim.need, 1)
-		loss += victim.lostCPUSeconds
-		victims = append(victims, victim)
-	}
-	return victims, loss, job.TaskResources.FitsIn(free) && len(victims) > 0
-}
--- a/internal/coordination/queue_order.go
+++ b/internal/coordination/queue_order.go
@@ -1,8 +1,6 @@
 package coordination
 
 import (
-	"math"
-
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/scheduling"
@@ -32,7 +30,7 @@
 // queueEntryOf gathers what decides a job's place in the queue.
 func (sc *scheduler) queueEntryOf(job *mirror.Job, wall int64, now monotime.Micros) scheduling.QueueEntry {
 	spec, waiting := &job.Record.Spec, job.UnassignedTasks()
-	slack, missed := sc.c.autoscaler.slackOf(job, wall)
+	slack := sc.slackOf(job, wall)
 	entry := scheduling.QueueEntry{
 		Job: scheduling.QueuedJob{
 			ID:              job.ID,
@@ -43,10 +41,10 @@
 			UnassignedTasks: waiting,
 			TaskCPUs:        job.TaskResources.CPUs,
 		},
-		SlackSeconds:      slack,
+		SlackSeconds:      slack.Seconds,
 		WaitingCPUSeconds: float64(waiting) * job.TaskResources.CPUs * sc.expectedRunSeconds(spec),
-		MissedObjectives:  missed,
-		DeadlineBoost:     scheduling.NeedsDeadlineBoost(slack, missed),
+		MissedObjectives:  slack.Missed,
+		DeadlineBoost:     scheduling.NeedsDeadlineBoost(slack),
 		WithinGuarantee:   sc.withinGuarantee(job),
 		Starved:           sc.isStarved(job, now),
 	}
@@ -74,19 +72,13 @@
 		if job.AssignedTasks <= 0 || job.Record.Spec.Service {
 			continue
 		}
-		if _, missed := sc.c.autoscaler.slackOf(job, wall); missed >= scheduling.LateAfterMissedObjectives {
+		if sc.slackOf(job, wall).IsLate() {
 			usage.CPUsByTeam[job.Record.Spec.Team] += float64(job.AssignedTasks) * job.TaskResources.CPUs
 		}
 	}
 	return usage
 }
 
-// canMeetObjective tells whether a job has an objective that it can still meet if it doesn't wait for long.
-func (sc *scheduler) canMeetObjective(job *mirror.Job, wall int64) bool {
-	slack, _ := sc.c.autoscaler.slackOf(job, wall)
-	return slack >= 0 && !math.IsInf(slack, 1)
-}
-
 // isStarved tells whether an array has got nothing for a long time, see scheduling.StartProgress.
 func (sc *scheduler) isStarved(job *mirror.Job, now monotime.Micros) bool {
 	if job.Record.Spec.Service {
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -25,7 +25,7 @@
 		if i == 12 {
 			break
 		}
-		slack, missed := c.autoscaler.slackOf(job, c.env.WallClock())
+		slack := c.scheduler.slackOf(job, c.env.WallClock())
 		s += fmt.Sprintf(
 			" %s(%s %s age %.0f slack %.0f missed %d"+
 				" starved %v within_guarantee %v waiting %d pending_here %d"+
@@ -35,8 +35,8 @@
 			job.Record.Spec.Team,
 			monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt).
 				Seconds(),
-			slack,
-			missed,
+			slack.Seconds,
+			slack.Missed,
 			c.scheduler.isStarved(job, c.now()),
 			c.scheduler.withinGuarantee(job),
 			job.UnassignedTasks(),
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -290,7 +290,7 @@
 		return candidate
 	}
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
-	core.scheduler.preemptions[service.ID] = &pendingPreemption{1, now + second, map[string]bool{"i-1": true}}
+	core.scheduler.preemptions[service.ID] = &pendingPreemption{now + second, map[string]bool{"i-1": true}}
 	core.scheduler.reservePreemptedRoom(candidates, now)
 	choose := func(job *mirror.Job) *candidateMachine {
 		request := core.scheduler.machineRequest(job, zoneConstraintOf(core.mirror, array))
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -36,8 +36,7 @@
 }
 
 func (p jobPolicy) SlackSeconds(job *mirror.Job, wallClock int64) float64 {
-	seconds, _ := p.c.autoscaler.slackOf(job, wallClock)
-	return seconds
+	return p.c.scheduler.slackOf(job, wallClock).Seconds
 }
 
 func (p jobPolicy) RemainingQuota(team string) resources.Vector {
--- a/internal/scheduling/queue_order.go
+++ b/internal/scheduling/queue_order.go
@@ -2,9 +2,6 @@
 
 import "sort"
 
-// LateAfterMissedObjectives is past how many objectives a job waits behind all that are in time.
-const LateAfterMissedObjectives = 2
-
 const (
 	// deadlineBoostWindowSeconds is how long before its next objective a late job goes before those in time.
 	deadlineBoostWindowSeconds = 40.0
@@ -36,9 +33,8 @@
 }
 
 // NeedsDeadlineBoost tells whether a job that has missed its first objectives is about to miss the next.
-func NeedsDeadlineBoost(slackSeconds float64, missedObjectives int) bool {
-	return missedObjectives >= LateAfterMissedObjectives &&
-		slackSeconds >= 0 && slackSeconds < deadlineBoostWindowSeconds
+func NeedsDeadlineBoost(slack Slack) bool {
+	return slack.IsLate() && slack.Seconds >= 0 && slack.Seconds < deadlineBoostWindowSeconds
 }
 
 // LeaveForTrials takes all precedence from a job in a crash loop.
--- a/internal/scheduling/queue_order_test.go
+++ b/internal/scheduling/queue_order_test.go
@@ -110,7 +110,7 @@
 	}{
 		{0, 2, true}, {39.9, 3, true}, {40, 2, false}, {-0.1, 2, false}, {10, 1, false},
 	} {
-		if got := NeedsDeadlineBoost(tc.slack, tc.missed); got != tc.want {
+		if got := NeedsDeadlineBoost(Slack{tc.slack, tc.missed}); got != tc.want {
 			t.Errorf("slack %v, %d missed: %v", tc.slack, tc.missed, got)
 		}
 	}
