--- a/internal/daemon/worker_pool_test.go
+++ b/internal/daemon/worker_pool_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
 	"pipitgap/internal/transport"
 )
 
@@ -52,7 +53,7 @@
 	client := transport.NewClient(listener.Addr().String(), 1, 1024)
 	done := make(chan error)
 	go func() {
-		_, err := client.Do("GET", "/show", nil, 20*monotime.Second)
+		_, err := client.Do("GET", protocol.WorkerReportPath, nil, 20*monotime.Second)
 		done <- err
 	}()
 	<-asked
--- a/internal/fake/loopback/cloud.go
+++ b/internal/fake/loopback/cloud.go
@@ -23,20 +23,23 @@
 		func(result *protocol.CloudResult) (int, any) { return cloudAnswer(call, result) })
 }
 
+// methodAndPath tells the requests of a service apart.
+type methodAndPath struct{ method, path string }
+
 // cloudCall reads a request as the call that it is.
 func cloudCall(r *http.Request) (*protocol.CloudCall, bool) {
 	call := &protocol.CloudCall{Timeout: noTimeout}
-	switch r.Method + " " + r.URL.Path {
-	case "GET /catalog":
+	switch (methodAndPath{r.Method, r.URL.Path}) {
+	case methodAndPath{"GET", protocol.CatalogPath}:
 		call.Op = protocol.CloudCatalog
 		return call, true
-	case "GET /rentals":
+	case methodAndPath{"GET", protocol.MachinesPath}:
 		call.Op, call.After = protocol.CloudList, r.URL.Query().Get("from")
 		return call, true
-	case "POST /rentals":
+	case methodAndPath{"POST", protocol.MachinesPath}:
 		call.Op = protocol.CloudRent
 		return call, readMessage(r, &call.Rent)
-	case "POST /rentals/delete":
+	case methodAndPath{"POST", protocol.DeleteMachinesPath}:
 		var request protocol.DeleteMachinesRequest
 		call.Op = protocol.CloudDelete
 		ok := readMessage(r, &request)
@@ -50,7 +53,7 @@
 func cloudAnswer(call *protocol.CloudCall, result *protocol.CloudResult) (status int, body any) {
 	switch result.Outcome {
 	case protocol.NoCapacity:
-		return http.StatusServiceUnavailable, &protocol.ErrorBody{Error: "no capacity"}
+		return http.StatusServiceUnavailable, &protocol.ErrorBody{Error: protocol.NoCapacityReason}
 	case protocol.Unavailable:
 		return http.StatusServiceUnavailable, &protocol.ErrorBody{Error: "trouble"}
 	case protocol.OK:
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -394,7 +394,7 @@
 	case 4:
 		d.t.Log("commits take a second for 8 s")
 		d.SetFaults(func(_ string, r *http.Request) Fault {
-			if r.URL.Path == "/commit" {
+			if r.URL.Path == protocol.CommitPath {
 				return Fault{Delay: time.Second}
 			}
 			return Fault{}
--- a/internal/fake/loopback/state_service.go
+++ b/internal/fake/loopback/state_service.go
@@ -3,7 +3,6 @@
 import (
 	"net/http"
 	"strconv"
-	"strings"
 	"testing"
 
 	"pipitgap/internal/fake"
@@ -50,33 +49,31 @@
 	call := &protocol.StoreCall{Timeout: noTimeout}
 	query := r.URL.Query()
 	path := r.URL.Path
+	key, isKey := protocol.ParseKeyPath(path)
+	lease, isKeepAlive := protocol.ParseKeepAlivePath(path)
 	switch {
-	case r.Method == "GET" && path == "/kv":
+	case r.Method == "GET" && path == protocol.KeysPath:
 		call.Op, call.Key, call.After = protocol.StoreList, query.Get("under"), query.Get("from")
 		limit, err := strconv.Atoi(query.Get("limit"))
 		call.Limit = limit
 		return call, err == nil && limit > 0
-	case r.Method == "GET" && strings.HasPrefix(path, "/kv/"):
-		call.Op, call.Key = protocol.StoreGet, strings.TrimPrefix(path, "/kv/")
-		return call, call.Key != ""
-	case r.Method == "POST" && path == "/commit":
+	case r.Method == "GET" && isKey:
+		call.Op, call.Key = protocol.StoreGet, key
+		return call, key != ""
+	case r.Method == "POST" && path == protocol.CommitPath:
 		call.Op = protocol.StoreCommit
 		return call, readMessage(r, &call.Transaction)
-	case r.Method == "POST" && path == "/leases":
-		var lease protocol.LeaseRequest
+	case r.Method == "POST" && path == protocol.LeasesPath:
+		var request protocol.LeaseRequest
 		call.Op = protocol.StoreGrantLease
-		ok := readMessage(r, &lease)
-		call.TTL = monotime.Micros(lease.TTLMillis) * monotime.Millisecond
-		return call, ok && lease.TTLMillis >= 100
-	case r.Method == "POST" && strings.HasPrefix(path, "/leases/") && strings.HasSuffix(path, "/touch"):
-		id, err := strconv.ParseUint(
-			strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"),
-			10,
-			64,
-		)
+		ok := readMessage(r, &request)
+		call.TTL = monotime.Micros(request.TTLMillis) * monotime.Millisecond
+		return call, ok && request.TTLMillis >= 100
+	case r.Method == "POST" && isKeepAlive:
+		id, err := strconv.ParseUint(lease, 10, 64)
 		call.Op, call.Lease = protocol.StoreKeepAlive, id
 		return call, err == nil
-	case r.Method == "GET" && path == "/watch":
+	case r.Method == "GET" && path == protocol.WatchPath:
 		from, err := strconv.ParseUint(query.Get("from"), 10, 64)
 		block, _ := strconv.ParseInt(query.Get("block_ms"), 10, 64)
 		call.Op, call.Key, call.FromRevision = protocol.StoreWatch, query.Get("under"), from
--- a/internal/fake/loopback/workers.go
+++ b/internal/fake/loopback/workers.go
@@ -19,7 +19,7 @@
 
 func (h *workerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var request *protocol.CommandRequest
-	if r.URL.Path == "/do" {
+	if r.URL.Path == protocol.WorkerCommandsPath {
 		request = &protocol.CommandRequest{}
 		if !readMessage(r, request) || request.FencingToken == 0 || request.Incarnation == 0 {
 			writeMessage(w, http.StatusBadRequest, nil)
--- /dev/null
+++ b/internal/protocol/cloud_calls.go
@@ -0,0 +1,115 @@
+package protocol
+
+import (
+	"fmt"
+	"net/url"
+
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/transport"
+)
+
+// machinesPerPage bounds a page of a list of machines.
+const machinesPerPage = 500
+
+// NoCapacityReason is the cloud's reason for a request that an offer has no machines for.
+const NoCapacityReason = "no capacity"
+
+// CloudOp names a call of the cloud.
+type CloudOp int
+
+// Calls of the cloud.
+const (
+	CloudCatalog CloudOp = iota
+	CloudRent
+	CloudDelete
+	CloudList
+)
+
+// CloudCall is one call of the cloud.
+type CloudCall struct {
+	Op      CloudOp
+	Rent    RentRequest
+	Delete  []string
+	After   string
+	Timeout monotime.Micros
+}
+
+// CloudResult answers it.
+type CloudResult struct {
+	Outcome Outcome
+	Types   []MachineType
+	Rented  []string
+	Listed  []ListedMachine
+	More    bool
+}
+
+// CallCloud performs a call of the cloud and waits for it.
+func CallCloud(client *transport.Client, call *CloudCall) CloudResult {
+	switch call.Op {
+	case CloudCatalog:
+		var catalog Catalog
+		request := wireRequest{method: "GET", target: CatalogPath, timeout: call.Timeout}
+		outcome := exchangeWithCloud(client, request, &catalog)
+		return resultUnlessUnknown(CloudResult{Outcome: outcome, Types: catalog.Types})
+	case CloudRent:
+		return callRent(client, call)
+	case CloudDelete:
+		body := MustMarshal(&DeleteMachinesRequest{Machines: call.Delete})
+		_, outcome := send(client, wireRequest{
+			method: "POST", target: DeleteMachinesPath, body: body, timeout: call.Timeout,
+		})
+		return CloudResult{Outcome: outcome}
+	case CloudList:
+		return callListMachines(client, call)
+	}
+	return CloudResult{}
+}
+
+// exchangeWithCloud sends a request to the cloud and decodes the body of an answer.
+func exchangeWithCloud(client *transport.Client, request wireRequest, out any) Outcome {
+	message, outcome := send(client, request)
+	if outcome == OK && Unmarshal(message.Body, out) != nil {
+		return Unknown
+	}
+	return outcome
+}
+
+// resultUnlessUnknown leaves out what was decoded of an answer that can't be read as a whole.
+func resultUnlessUnknown(result CloudResult) CloudResult {
+	if result.Outcome == Unknown {
+		return CloudResult{}
+	}
+	return result
+}
+
+func callRent(client *transport.Client, call *CloudCall) CloudResult {
+	message, outcome := send(client, wireRequest{
+		method: "POST", target: MachinesPath, body: MustMarshal(&call.Rent), timeout: call.Timeout,
+	})
+	switch outcome {
+	case OK:
+		var reply RentReply
+		if Unmarshal(message.Body, &reply) != nil {
+			return CloudResult{}
+		}
+		return CloudResult{Outcome: OK, Rented: reply.Machines}
+	case Unavailable:
+		// Only "no capacity" is an answer about the offer. Any other 503 is a failure of the cloud itself and
+		// says nothing about it.
+		var reason ErrorBody
+		if Unmarshal(message.Body, &reason) == nil && reason.Error == NoCapacityReason {
+			outcome = NoCapacity
+		}
+	}
+	return CloudResult{Outcome: outcome}
+}
+
+func callListMachines(client *transport.Client, call *CloudCall) CloudResult {
+	target := fmt.Sprintf("%s?limit=%d", MachinesPath, machinesPerPage)
+	if call.After != "" {
+		target += "&from=" + url.QueryEscape(call.After)
+	}
+	var list MachineList
+	outcome := exchangeWithCloud(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &list)
+	return resultUnlessUnknown(CloudResult{Outcome: outcome, Listed: list.Machines, More: list.More})
+}
--- /dev/null
+++ b/internal/protocol/outcomes.go
@@ -0,0 +1,66 @@
+package protocol
+
+import (
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/transport"
+)
+
+// Outcome is what became of a call to the state service or the cloud.
+type Outcome int
+
+// Outcomes. Unknown means that the call may have been executed or may yet be.
+const (
+	Unknown     Outcome = iota
+	OK                  // 200
+	Conflict            // 409: nothing changed
+	NotFound            // 404
+	Compacted           // 410: the watch has fallen behind
+	Rejected            // 400
+	NoCapacity          // 503 with "no capacity"
+	Throttled           // 429: not executed
+	Unavailable         // 503, or never sent: not executed
+)
+
+// String names the outcome for log lines and errors.
+func (o Outcome) String() string {
+	return [...]string{
+		"unknown", "ok", "conflict", "not found", "too old", "rejected", "no capacity", "throttled", "unavailable",
+	}[o]
+}
+
+// outcomeOf reads the outcome from a response, or from the error without one.
+func outcomeOf(message *transport.Message, err error) Outcome {
+	if err != nil {
+		return Unknown
+	}
+	switch message.Status {
+	case 200, 201, 204:
+		return OK
+	case 400:
+		return Rejected
+	case 404:
+		return NotFound
+	case 409:
+		return Conflict
+	case 410:
+		return Compacted
+	case 429:
+		return Throttled
+	case 503:
+		return Unavailable
+	}
+	return Unknown
+}
+
+// wireRequest is a request of another service, the body not encoded for those that have none.
+type wireRequest struct {
+	method, target string
+	body           []byte
+	timeout        monotime.Micros
+}
+
+// send sends a request and waits for the response, which is nil where there was none.
+func send(client *transport.Client, request wireRequest) (*transport.Message, Outcome) {
+	message, err := client.Do(request.method, request.target, request.body, request.timeout)
+	return message, outcomeOf(message, err)
+}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -1,6 +1,7 @@
 package protocol
 
 import (
+	"bytes"
 	"math"
 	"reflect"
 	"strings"
@@ -159,3 +160,35 @@
 		}
 	}
 }
+
+// TestPaths: what the paths of the state service are made of is read back, and nothing else.
+func TestPaths(t *testing.T) {
+	if key, ok := ParseKeyPath(KeyPath("a/b")); !ok || key != "a/b" {
+		t.Errorf("key %q, %v", key, ok)
+	}
+	if lease, ok := ParseKeepAlivePath(KeepAlivePath(42)); !ok || lease != "42" {
+		t.Errorf("lease %q, %v", lease, ok)
+	}
+	for _, path := range []string{"", KeysPath, LeasesPath, LeasesPath + "/42", CommitPath, WatchPath} {
+		if key, ok := ParseKeyPath(path); ok {
+			t.Errorf("%s is the path of the key %q", path, key)
+		}
+		if lease, ok := ParseKeepAlivePath(path); ok {
+			t.Errorf("%s renews the lease %q", path, lease)
+		}
+	}
+}
+
+// TestCheckShapeNesting: nesting up to the bound, and no deeper.
+func TestCheckShapeNesting(t *testing.T) {
+	nested := func(levels int) []byte {
+		message := bytes.Repeat([]byte{0x91}, levels) // lists of one value
+		return append(message, nilValue)
+	}
+	if err := CheckShape(nested(maxNesting - 1)); err != nil {
+		t.Errorf("at the bound: %v", err)
+	}
+	if err := CheckShape(nested(maxNesting)); err == nil {
+		t.Error("beyond the bound: no error")
+	}
+}
--- /dev/null
+++ b/internal/protocol/store_calls.go
@@ -0,0 +1,148 @@
+package protocol
+
+import (
+	"fmt"
+	"strconv"
+
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/transport"
+)
+
+// StoreOp names a call of the state service.
+type StoreOp int
+
+// Calls of the state service.
+const (
+	StoreGet StoreOp = iota
+	StoreList
+	StoreCommit
+	StoreGrantLease
+	StoreKeepAlive
+	StoreWatch
+)
+
+// StoreCall is one call of the state service.
+type StoreCall struct {
+	Op           StoreOp
+	Key          string // get, list and watch: the key or prefix
+	After        string
+	Limit        int
+	Transaction  Transaction
+	Lease        uint64
+	TTL          monotime.Micros
+	FromRevision uint64
+	MaxBlock     monotime.Micros
+	Timeout      monotime.Micros // deadline
+}
+
+// Writes tells how many puts and deletes a call is counted for.
+func (c *StoreCall) Writes() int { return len(c.Transaction.Then) }
+
+// StoreResult answers it.
+type StoreResult struct {
+	Outcome  Outcome
+	Item     KeyValue
+	Items    []KeyValue
+	More     bool
+	Revision uint64
+	Failed   []string
+	Lease    uint64
+	Events   []Event
+}
+
+// CallStore performs a call of the state service and waits for it.
+func CallStore(client *transport.Client, call *StoreCall) StoreResult {
+	switch call.Op {
+	case StoreGet:
+		return callGet(client, call)
+	case StoreList:
+		return callList(client, call)
+	case StoreCommit:
+		return callCommit(client, call)
+	case StoreGrantLease:
+		return callGrantLease(client, call)
+	case StoreKeepAlive:
+		_, outcome := send(client, wireRequest{
+			method: "POST", target: KeepAlivePath(call.Lease), timeout: call.Timeout,
+		})
+		return StoreResult{Outcome: outcome}
+	case StoreWatch:
+		return callWatch(client, call)
+	}
+	return StoreResult{}
+}
+
+// exchange sends a request to the state service and decodes the body of a response that says whether the call
+// was executed. A body that can't be decoded proves nothing: the outcome is unknown.
+func exchange(client *transport.Client, request wireRequest, out any) Outcome {
+	message, outcome := send(client, request)
+	if outcome != OK && outcome != Conflict {
+		return outcome
+	}
+	if Unmarshal(message.Body, out) != nil {
+		return Unknown
+	}
+	return outcome
+}
+
+func callGet(client *transport.Client, call *StoreCall) StoreResult {
+	var item KeyValue
+	request := wireRequest{method: "GET", target: KeyPath(call.Key), timeout: call.Timeout}
+	outcome := exchange(client, request, &item)
+	if outcome == Unknown || outcome == OK && item.Version == 0 {
+		return StoreResult{}
+	}
+	return StoreResult{Outcome: outcome, Item: item}
+}
+
+func callList(client *transport.Client, call *StoreCall) StoreResult {
+	var list KeyValueList
+	target := KeysPath + "?under=" + call.Key + "&limit=" + strconv.Itoa(call.Limit)
+	if call.After != "" {
+		target += "&from=" + call.After
+	}
+	outcome := exchange(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &list)
+	if outcome == Unknown {
+		return StoreResult{}
+	}
+	return StoreResult{Outcome: outcome, Items: list.Items, More: list.More, Revision: list.Revision}
+}
+
+func callCommit(client *transport.Client, call *StoreCall) StoreResult {
+	transaction := call.Transaction
+	if transaction.If == nil {
+		transaction.If = []Compare{} // the state service wants a list
+	}
+	var reply TransactionReply
+	request := wireRequest{
+		method: "POST", target: CommitPath, body: MustMarshal(&transaction), timeout: call.Timeout,
+	}
+	outcome := exchange(client, request, &reply)
+	// There is nothing that a commit could fail to find: such an answer is none.
+	if outcome == Unknown || outcome == NotFound || outcome == OK && reply.Revision == 0 {
+		return StoreResult{}
+	}
+	return StoreResult{Outcome: outcome, Revision: reply.Revision, Failed: reply.Failed}
+}
+
+func callGrantLease(client *transport.Client, call *StoreCall) StoreResult {
+	var grant LeaseReply
+	body := MustMarshal(&LeaseRequest{TTLMillis: call.TTL.Milliseconds()})
+	request := wireRequest{method: "POST", target: LeasesPath, body: body, timeout: call.Timeout}
+	outcome := exchange(client, request, &grant)
+	if outcome == Unknown || outcome == OK && grant.Lease == 0 {
+		return StoreResult{}
+	}
+	return StoreResult{Outcome: outcome, Lease: grant.Lease}
+}
+
+func callWatch(client *transport.Client, call *StoreCall) StoreResult {
+	var watch WatchReply
+	target := fmt.Sprintf("%s?under=%s&from=%d&block_ms=%d",
+		WatchPath, call.Key, call.FromRevision, call.MaxBlock.Milliseconds())
+	outcome := exchange(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &watch)
+	if outcome == Unknown {
+		return StoreResult{}
+	}
+	return StoreResult{Outcome: outcome, Events: watch.Events, Revision: watch.Revision}
+}
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -80,9 +80,9 @@
 	}
 }
 
-func (f *fieldReader) text(name string, may bool) string {
+func (f *fieldReader) text(name string, optional bool) string {
 	v := f.values[name]
-	if v == nil && may {
+	if v == nil && optional {
 		return ""
 	}
 	s, ok := v.(string)
@@ -93,9 +93,9 @@
 	return s
 }
 
-func (f *fieldReader) nonNegative(name string, may bool) float64 {
+func (f *fieldReader) nonNegative(name string, optional bool) float64 {
 	v := f.values[name]
-	if v == nil && may {
+	if v == nil && optional {
 		return 0
 	}
 	x, ok := number(v)
@@ -187,20 +187,16 @@
 		f.fail(FieldID, "must be j- followed by letters, digits, '-', '_' or '.'")
 		return submission, f.err
 	}
+	f.readInto(submission)
+	return submission, f.err
+}
+
+// readInto reads all fields but the id. The first fault in the order of the calls is the one that is reported.
+func (f *fieldReader) readInto(submission *Submission) {
 	submission.Class = f.text(FieldClass, false)
 	submission.Team = f.text(FieldTeam, false)
-	switch f.text(FieldShape, false) {
-	case ShapeArray:
-	case ShapeService:
-		submission.Service = true
-	default:
-		f.fail(FieldShape, "must be "+ShapeArray+" or "+ShapeService)
-	}
-	pr, ok := priorities[f.text(FieldPriority, false)]
-	if !ok {
-		f.fail(FieldPriority, "must be prod, high, standard or best_effort")
-	}
-	submission.Priority = pr
+	submission.Service = f.service()
+	submission.Priority = f.priority()
 	submission.Tasks = f.integer(FieldTasks, 1, MaxTasks)
 	submission.CPUs = f.nonNegative(FieldCPUs, false)
 	submission.GPUs = f.nonNegative(FieldGPUs, false)
@@ -215,19 +211,47 @@
 	submission.CheckpointS = f.nonNegative(FieldCheckpointS, false)
 	submission.SaveS = f.nonNegative(FieldSaveS, false)
 	submission.DeadlineS = f.nonNegative(FieldDeadlineS, true)
-	switch list := values[FieldTypes].(type) {
+	submission.Types = f.machineTypes()
+}
+
+// service reads whether the job is a service rather than an array.
+func (f *fieldReader) service() bool {
+	switch f.text(FieldShape, false) {
+	case ShapeArray:
+	case ShapeService:
+		return true
+	default:
+		f.fail(FieldShape, "must be "+ShapeArray+" or "+ShapeService)
+	}
+	return false
+}
+
+func (f *fieldReader) priority() Priority {
+	priority, ok := priorities[f.text(FieldPriority, false)]
+	if !ok {
+		f.fail(FieldPriority, "must be prod, high, standard or best_effort")
+	}
+	return priority
+}
+
+// machineTypes reads the names of the types that the job may run on; nil is any.
+func (f *fieldReader) machineTypes() []string {
+	const fault = "must be a list of names or null"
+	switch list := f.values[FieldTypes].(type) {
 	case nil:
+		return nil
 	case []any:
-		submission.Types = []string{}
+		names := []string{}
 		for _, v := range list {
 			name, ok := v.(string)
 			if !ok || name == "" {
-				f.fail(FieldTypes, "must be a list of names or null")
+				f.fail(FieldTypes, fault)
 			}
-			submission.Types = append(submission.Types, name)
+			names = append(names, name)
 		}
+		return names
 	default:
-		f.fail(FieldTypes, "must be a list of names or null")
+		f.fail(FieldTypes, fault)
+		return nil
 	}
-	return submission, f.err
 }
--- a/internal/protocol/requests.go
+++ b/internal/protocol/submission_fields.go
@@ -1,34 +1,6 @@
 package protocol
 
-import (
-	"strings"
-
-	"github.com/vmihailenco/msgpack/v5"
-)
-
-// Request paths of the service.
-const (
-	JobsPath      = "/v2/runs" // submissions
-	HeartbeatPath = "/checkin" // workers' reports
-
-	cancelSuffix = "/abort"
-)
-
-// JobPath is the path of a job's status.
-func JobPath(id string) string { return JobsPath + "/" + id }
-
-// CancelPath is the path of a job's cancellation.
-func CancelPath(id string) string { return JobPath(id) + cancelSuffix }
-
-// ParseJobPath takes a path of JobPath or CancelPath apart; ok is false for any other path.
-func ParseJobPath(path string) (id string, cancel, ok bool) {
-	rest, ok := strings.CutPrefix(path, JobsPath+"/")
-	if !ok {
-		return "", false, false
-	}
-	id, cancel = strings.CutSuffix(rest, cancelSuffix)
-	return id, cancel, true
-}
+import "github.com/vmihailenco/msgpack/v5"
 
 // Fields of a submission, for requests that Submission itself can't express.
 const (
