--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -76,12 +76,12 @@
 func (rt *replicaTest) next(op protocol.StoreOp) madeCall {
 	rt.t.Helper()
 	if len(rt.calls) == 0 {
-		rt.t.Fatalf("no call, want %v", op)
+		rt.t.Fatalf("nothing sent, want %v", op)
 	}
 	made := rt.calls[0]
 	rt.calls = rt.calls[1:]
 	if made.call.Op != op {
-		rt.t.Fatalf("call %v, want %v", made.call.Op, op)
+		rt.t.Fatalf("sent %v, want %v", made.call.Op, op)
 	}
 	return made
 }
@@ -89,7 +89,7 @@
 func (rt *replicaTest) requireNoCall() {
 	rt.t.Helper()
 	if len(rt.calls) > 0 {
-		rt.t.Fatalf("call %+v, want none", rt.calls[0].call)
+		rt.t.Fatalf("sent %+v, want nothing", rt.calls[0].call)
 	}
 }
 
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -138,7 +138,7 @@
 	)
 	for i, want := range []monotime.Micros{callTimeout, monotime.Second} {
 		if got := f.env.calls[i].call.Timeout; got != want {
-			t.Errorf("call %d has timeout %d, want %d", i, got, want)
+			t.Errorf("request %d has timeout %d, want %d", i, got, want)
 		}
 	}
 }
@@ -216,7 +216,7 @@
 	f.env.answer(protocol.Throttled)
 	f.UpdateBudget(3)
 	if got := f.WritesPerSecond(); !near(got, 60) {
-		t.Errorf("%v writes a second after a throttled call, want 60", got)
+		t.Errorf("%v writes a second after a throttled request, want 60", got)
 	}
 }
 
@@ -261,7 +261,7 @@
 		t.Errorf("watch interval %d, want 200 ms", got)
 	}
 	if !f.HasSpareWrites(f.env.now, 1) {
-		t.Error("no spare writes before the first call")
+		t.Error("no spare writes before the first request")
 	}
 	f.Call(
 		ratelimit.PriorityClaim,
