--- a/internal/coordination/agents.go
+++ b/internal/coordination/agents.go
@@ -20,7 +20,7 @@
 
 // updateAgentOwnership follows a change of the shard that a machine stands in.
 func (am *agentManager) updateAgentOwnership(machine *mirror.Machine) {
-	mine := machine.Shard != nil && am.c.shards.ownsShard(machine.Shard)
+	mine := machine.Shard != nil && am.c.shards.Owns(machine.Shard)
 	switch {
 	case !mine:
 		delete(am.byMachine, machine.ID)
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/scheduling"
+	"pipitgap/internal/shards"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
@@ -14,7 +15,7 @@
 type candidateMachine struct {
 	scheduling.Candidate
 	machine *mirror.Machine
-	update  *ShardUpdate // nil where only the room counts
+	update  *shards.Update // nil where only the room counts
 }
 
 // schedulable tells whether new tasks may go to a machine of ours: it is open, its
@@ -34,7 +35,7 @@
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
-func (sc *scheduler) candidateMachines(updates []*ShardUpdate, now monotime.Micros) []*candidateMachine {
+func (sc *scheduler) candidateMachines(updates []*shards.Update, now monotime.Micros) []*candidateMachine {
 	var out []*candidateMachine
 	for _, update := range updates {
 		for _, id := range sortedmap.Keys(update.Machines()) {
@@ -78,7 +79,7 @@
 }
 
 // assignBy names the update of the machine's shard that assigns tasks to it.
-func (cd *candidateMachine) assignBy(update *ShardUpdate) { cd.update, cd.Shard = update, update }
+func (cd *candidateMachine) assignBy(update *shards.Update) { cd.update, cd.Shard = update, update }
 
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
 // it still waits and the room may be about to be there.
@@ -99,7 +100,7 @@
 
 // assignmentShardBytes is how large a shard may get by assignments.
 func (sc *scheduler) assignmentShardBytes() int {
-	return int(maxShardFill * float64(sc.c.maxValueBytes()))
+	return shards.FillBytes(sc.c.maxValueBytes())
 }
 
 // shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks
--- a/internal/coordination/commands.go
+++ b/internal/coordination/commands.go
@@ -12,7 +12,7 @@
 	for _, name := range sortedmap.Keys(am.c.mirror.Shards) {
 		shard := am.c.mirror.Shards[name]
 		entry := shard.Record.Jobs[job.ID]
-		if entry == nil || !am.c.shards.ownsShard(shard) {
+		if entry == nil || !am.c.shards.Owns(shard) {
 			continue
 		}
 		for _, held := range entry.Attempts {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -16,6 +16,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
 	"pipitgap/internal/reachability"
+	"pipitgap/internal/shards"
 	"pipitgap/internal/storage"
 	"pipitgap/internal/storeclient"
 )
@@ -71,7 +72,7 @@
 	pauses        *reachability.PauseDetector
 	reachability  *reachability.Reachability
 	catalog       *machineCatalog
-	shards        *shardManager
+	shards        *shards.Manager
 	agents        *agentManager
 	cancellations *cancellationTracker
 	quota         *quotashares.Manager
@@ -104,7 +105,6 @@
 	c.membership = newMembership(c)
 	c.reachability = newReachability(c)
 	c.catalog = newMachineCatalog(c)
-	c.shards = newShardManager(c)
 	c.agents = newAgentManager(c)
 	c.mirror.OnChange, c.mirror.OnMachineReleased = c.onMirrorChange, c.agents.release
 	c.cancellations = newCancellationTracker(c)
@@ -115,6 +115,7 @@
 	c.autoscaler = newAutoscaler(c)
 	c.emptyMachines = newEmptyMachines(c)
 	c.drains = newDrains(c, settings.Drains)
+	c.shards = newShardManager(c)
 	return c
 }
 
@@ -146,6 +147,9 @@
 	c.tick()
 }
 
+// maxValueBytes is how large a value the state service takes.
+func (c *Controller) maxValueBytes() int { return int(c.cfg.Facts.State.ValueKB * 1024) }
+
 func (c *Controller) now() monotime.Micros { return c.env.Now() }
 
 // mirrorStale tells whether the process was paused and the mirror hasn't been brought up to date since: what it
@@ -190,7 +194,7 @@
 	c.store.UpdateBudget(len(c.membership.LiveControllers()))
 	c.membership.EnsureMemberRecord()
 	c.membership.Campaign(now)
-	c.shards.claimOrphanedShards(now)
+	c.shards.ClaimOrphaned(now)
 	c.quota.ReleaseDeparted(now)
 	c.agents.checkMachines(now)
 	c.drains.reconcile(now)
@@ -221,7 +225,7 @@
 		}
 	case storage.KindShard:
 		c.scheduler.requestPass()
-		c.shards.onShardChange(name)
+		c.shards.HandleShardChange(name)
 	case storage.KindScaleOut, storage.KindScaleIn, storage.KindDrain, storage.KindPermits:
 		c.scheduler.requestPass()
 	case storage.KindMember:
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -25,6 +25,20 @@
 	cause lossCause
 }
 
+// releaseLosses are the losses of one shard update; they count once it is in the store.
+type releaseLosses struct {
+	drains *drains
+	losses []replicaLoss
+}
+
+// Record adds a task that is released from a machine, if it counts as a loss.
+func (l *releaseLosses) Record(machine *mirror.Machine, task mirror.TaskID) {
+	l.losses = l.drains.recordLoss(l.losses, machine, task)
+}
+
+// Count counts the losses.
+func (l *releaseLosses) Count() { l.drains.countCommittedLosses(l.losses) }
+
 // lossLogInterval is how often losses are logged, many by one line.
 const lossLogInterval = 10 * monotime.Second
 
--- a/internal/coordination/drain_reservations.go
+++ b/internal/coordination/drain_reservations.go
@@ -5,6 +5,7 @@
 	"pipitgap/internal/drain"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/resources"
+	"pipitgap/internal/shards"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
 )
@@ -48,7 +49,7 @@
 // moved. It is lent to a job while its own tasks are placed.
 type drainReservations struct {
 	byJob   map[string][]drainReservation // by job
-	updates []*ShardUpdate
+	updates []*shards.Update
 }
 
 // drainReservation is room for one replica.
@@ -61,7 +62,7 @@
 // reserveOnCandidates takes the room that is held for replicas off what the candidates have.
 func (d *drains) reserveOnCandidates(
 	candidates []*candidateMachine,
-	updates []*ShardUpdate,
+	updates []*shards.Update,
 ) *drainReservations {
 	if d == nil {
 		return nil
--- a/internal/coordination/heartbeats.go
+++ b/internal/coordination/heartbeats.go
@@ -126,7 +126,7 @@
 	adopt := false
 	switch {
 	case owner == am.c.node:
-		am.c.shards.claimOrphanedShards(now) // an earlier life of ours
+		am.c.shards.ClaimOrphaned(now) // an earlier life of ours
 		am.requestClaim(report, nil, respond)
 		return
 	case !live:
@@ -134,7 +134,7 @@
 			respond(am.redirectResponse(destination))
 			return
 		}
-		am.c.shards.claimOrphanedShards(now)
+		am.c.shards.ClaimOrphaned(now)
 		am.requestClaim(report, nil, respond)
 		return
 	case member.Record.Incarnation != machine.Shard.Record.Incarnation:
@@ -147,7 +147,7 @@
 		// the owner has spoken to it since doesn't tell that it reports there.
 		if now-firstContactAt > am.c.durations.AdoptionDelay ||
 			report.FencingToken >= machine.Claim()<<32 &&
-				now-am.c.shards.claimsObserved[machine.Shard.Name].observedAt > am.c.durations.WorkerLease {
+				now-am.c.shards.ClaimObservedAt(machine.Shard.Name) > am.c.durations.WorkerLease {
 			// If it crashed just now, all its machines come, and it is back before they
 			// would all have changed their shards: so its next word is waited for.
 			claimNumber := machine.Claim()
@@ -247,13 +247,7 @@
 	fromShard *mirror.Shard,
 	respond func(Response),
 ) {
-	pendingClaim := am.c.shards.claimRequests[report.Machine]
-	if pendingClaim == nil {
-		pendingClaim = &claimRequest{requestedAt: am.c.now()}
-		am.c.shards.claimRequests[report.Machine] = pendingClaim
-	}
-	pendingClaim.report, pendingClaim.fromShard = *report, fromShard
-	pendingClaim.callbacks = append(pendingClaim.callbacks, func(ok bool) {
+	am.c.shards.RequestClaim(report, fromShard, func(ok bool) {
 		if machine := am.c.mirror.Machines[report.Machine]; ok && machine != nil &&
 			am.agentOf(machine) != nil {
 			respond(am.answerHeartbeat(machine, report))
@@ -267,7 +261,6 @@
 		}
 		respond(protocol.ErrorResponse(503, "claim not made"))
 	})
-	am.c.scheduler.requestPass()
 }
 
 // designatedController names the controller that may claim a machine that comes up.
--- a/internal/coordination/machine_health.go
+++ b/internal/coordination/machine_health.go
@@ -46,11 +46,7 @@
 			delete(am.orphanContacts, id)
 		}
 	}
-	for _, id := range sortedmap.Keys(am.c.shards.claimRequests) {
-		if now-am.c.shards.claimRequests[id].requestedAt > claimRequestTimeout {
-			am.c.shards.completeClaimRequest(id, false)
-		}
-	}
+	am.c.shards.ExpireClaimRequests(now)
 }
 
 // agentSilence is how long a machine has been silent; while we stood still nobody could be heard.
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/quota"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/scheduling"
+	"pipitgap/internal/shards"
 	"pipitgap/internal/storage"
 )
 
@@ -52,7 +53,7 @@
 	wallNow    int64
 	candidates []*candidateMachine
 	// the candidates of each update
-	candidatesByUpdate map[*ShardUpdate][]*candidateMachine
+	candidatesByUpdate map[*shards.Update][]*candidateMachine
 	// look at some of the candidates only
 	sampling bool
 	// if so, those with room for a task, as last looked at: room only shrinks in a pass
@@ -103,7 +104,7 @@
 
 // placeTasks gives pending tasks of our shares to machines of the updates; where
 // nothing has room it makes some, or looks who could.
-func (sc *scheduler) placeTasks(updates []*ShardUpdate, now monotime.Micros) {
+func (sc *scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
 	if sc.c.catalog.machineTypes == nil || !sc.c.membership.HoldsLease(now) {
 		return
 	}
@@ -118,7 +119,7 @@
 		now:            now,
 		wallNow:        sc.c.env.WallClock(),
 		candidates:     sc.candidateMachines(updates, now),
-		tasksInDoubt:   sc.c.shards.tasksInDoubt(),
+		tasksInDoubt:   sc.c.shards.TasksInDoubt(),
 		quotaLeft:      map[string]resources.Vector{},
 		noRoomFor:      map[scheduling.TaskShape]bool{},
 		hasRoomFor:     map[scheduling.TaskShape]bool{},
@@ -139,8 +140,8 @@
 }
 
 // candidatesByUpdate groups candidates by the update of their shard, in their order.
-func candidatesByUpdate(candidates []*candidateMachine) map[*ShardUpdate][]*candidateMachine {
-	grouped := map[*ShardUpdate][]*candidateMachine{}
+func candidatesByUpdate(candidates []*candidateMachine) map[*shards.Update][]*candidateMachine {
+	grouped := map[*shards.Update][]*candidateMachine{}
 	for _, candidate := range candidates {
 		grouped[candidate.update] = append(grouped[candidate.update], candidate)
 	}
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -69,7 +69,7 @@
 func (c *Controller) Summary() string {
 	shards, waiting, running, used, all := 0, 0, 0, 0.0, 0.0
 	for _, shard := range c.mirror.Shards {
-		if c.shards.ownsShard(shard) {
+		if c.shards.Owns(shard) {
 			shards++
 		}
 	}
--- a/internal/coordination/wiring_membership.go
+++ b/internal/coordination/wiring_membership.go
@@ -40,7 +40,7 @@
 		Environment:   c.env,
 		Log:           c.log,
 		HasAgent:      func(machine *mirror.Machine) bool { return c.agents.agentOf(machine) != nil },
-		HandOffShards: func(now monotime.Micros) { c.shards.handOffShards(now) },
+		HandOffShards: func(now monotime.Micros) { c.shards.HandOff(now) },
 		RequestPass:   func() { c.scheduler.requestPass() },
 	})
 }
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -41,23 +41,10 @@
 	)
 }
 
-func (d quotaDependencies) CommitInFlight() bool {
-	for _, tracker := range d.c.shards.trackers {
-		if tracker.commitInFlightSince != 0 {
-			return true
-		}
-	}
-	return false
-}
+func (d quotaDependencies) CommitInFlight() bool { return d.c.shards.CommitInFlight() }
 
 func (d quotaDependencies) UseInDoubt(team string) resources.Vector {
-	use := resources.Vector{}
-	for _, tracker := range d.c.shards.trackers {
-		for _, update := range tracker.updatesInDoubt {
-			use = use.Plus(update.AssignedToTeam(team))
-		}
-	}
-	return use
+	return d.c.shards.UseInDoubt(team)
 }
 
 func (d quotaDependencies) QuotaLackReportedAt(team string) (at monotime.Micros, ok bool) {
--- /dev/null
+++ b/internal/coordination/wiring_shards.go
@@ -0,0 +1,123 @@
+package coordination
+
+import (
+	"pipitgap/internal/agents"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/shards"
+	"pipitgap/internal/storage"
+)
+
+// shardDependencies gives the shard manager what it needs of the other subjects.
+type shardDependencies struct{ c *Controller }
+
+func newShardManager(c *Controller) *shards.Manager {
+	dependencies := shardDependencies{c}
+	return shards.NewManager(
+		shards.Config{
+			Node:          c.node,
+			Incarnation:   c.incarnation,
+			MaxTxnOps:     c.cfg.Facts.State.TxnOps,
+			MaxValueBytes: c.maxValueBytes(),
+		},
+		shards.Dependencies{
+			Mirror:      c.mirror,
+			Store:       dependencies,
+			Membership:  c.membership,
+			Peers:       dependencies,
+			Quota:       c.quota,
+			Agents:      dependencies,
+			Drains:      dependencies,
+			Jobs:        c.jobs,
+			Passes:      dependencies,
+			MachineType: func(name string) protocol.MachineType { return c.catalog.machineTypes[name] },
+			Now:         c.now,
+			Log:         c.log,
+		},
+	)
+}
+
+func (d shardDependencies) Unavailable() bool { return d.c.store.Unavailable() }
+
+func (d shardDependencies) WatchOverdue(now monotime.Micros) bool {
+	return d.c.replica.WatchOverdue(now)
+}
+
+func (d shardDependencies) ThrottledWithin(duration monotime.Micros) bool {
+	return d.c.store.ThrottledWithin(duration)
+}
+
+func (d shardDependencies) Commit(
+	priority ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	d.c.replica.Commit(priority, txn, callback)
+}
+
+func (d shardDependencies) ConnectedControllers() []string {
+	return d.c.reachability.ConnectedControllers()
+}
+
+func (d shardDependencies) HeardFromRecently(node string, now monotime.Micros) bool {
+	return d.c.peerStatuses.HeardRecently(node, now)
+}
+
+func (d shardDependencies) ReachesWorkers(node string) bool {
+	return d.c.peerStatuses.WorkerReach(node) == peers.WorkersReachable
+}
+
+func (d shardDependencies) Has(machine *mirror.Machine) bool {
+	return d.c.agents.agentOf(machine) != nil
+}
+
+func (d shardDependencies) EachEndedAttempt(
+	machine *mirror.Machine,
+	release func(task mirror.TaskID, completed bool),
+) {
+	d.c.agents.agentOf(machine).EachPendingOutcome(machine, func(task mirror.TaskID, outcome agents.Outcome) {
+		release(task, outcome == agents.OutcomeCompleted)
+	})
+}
+
+func (d shardDependencies) DesiredState(machine *mirror.Machine) storage.MachineState {
+	return d.c.agents.desiredMachineState(machine)
+}
+
+func (d shardDependencies) UpdateOwnership(machine *mirror.Machine) {
+	d.c.agents.updateAgentOwnership(machine)
+}
+
+func (d shardDependencies) SyncCommands(machine *mirror.Machine) { d.c.agents.syncCommands(machine) }
+
+func (d shardDependencies) Probe(machine *mirror.Machine, syncAfterwards bool) {
+	d.c.agents.probeAgent(machine, syncAfterwards)
+}
+
+func (d shardDependencies) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
+	return d.c.agents.designatedController(request, machine)
+}
+
+func (d shardDependencies) HasWork() bool { return d.c.drains.hasWork() }
+
+func (d shardDependencies) UpdateStartingMarks(
+	next *storage.Shard,
+	machine *mirror.Machine,
+	now monotime.Micros,
+) bool {
+	return d.c.drains.updateStartingMarks(next, machine, now)
+}
+
+func (d shardDependencies) NewLosses() shards.Losses { return &releaseLosses{drains: d.c.drains} }
+
+func (d shardDependencies) Request() { d.c.scheduler.requestPass() }
+
+func (d shardDependencies) HandleCommitResult(result protocol.StoreResult, assignedTasks int) {
+	if result.Outcome == protocol.OK {
+		d.c.counters.tasksPlaced += assignedTasks
+	}
+	d.c.scheduler.handleShardCommitResult(result)
+}
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -47,7 +47,7 @@
 func (o replicaObserver) Replaced() {
 	o.c.cancellations.reconcileCancellations()
 	for _, name := range sortedmap.Keys(o.c.mirror.Shards) {
-		o.c.shards.onShardChange(name)
+		o.c.shards.HandleShardChange(name)
 	}
 }
 
--- /dev/null
+++ b/internal/shards/admission.go
@@ -0,0 +1,236 @@
+package shards
+
+import (
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/storage"
+)
+
+const (
+	// bytesPerMovedAttempt is the room in a shard that an attempt needs which comes along with its machine.
+	bytesPerMovedAttempt = 40
+	// maxComparesPerOp bounds the compares of an update by the operations that a transaction takes.
+	maxComparesPerOp = 3
+)
+
+// admission is how one pass puts the machines that wait to be claimed into shards.
+type admission struct {
+	*Manager
+	updates       []*Update
+	memberVersion uint64          // of the controller's own member record
+	inDoubt       map[string]bool // machines that a commit in doubt may have claimed
+	// One commit a pass takes machines over, from a few shards: each such commit changes the quota shares of
+	// this controller, so that of several only one could succeed.
+	takeoverUpdate *Update
+	sources        map[string]bool // the shards that it takes from
+}
+
+// AdmitClaimRequests puts machines that wait to be claimed into the updates of a pass, and opens new shards
+// where no other has the room. It gives the updates with those of new shards added.
+func (m *Manager) AdmitClaimRequests(updates []*Update, now monotime.Micros) []*Update {
+	// Only as the present member: what an earlier incarnation or a lapsed membership has sent must not put a
+	// machine into a second shard.
+	member := m.mirror.Members[m.cfg.Node]
+	if member.Version == 0 || member.Record.Incarnation != m.cfg.Incarnation ||
+		m.mirror.WatchedRevision < member.Version {
+		return updates
+	}
+	a := &admission{
+		Manager:       m,
+		updates:       updates,
+		memberVersion: member.Version,
+		inDoubt:       m.machinesInDoubt(),
+		sources:       map[string]bool{},
+	}
+	for _, id := range m.orderedClaimRequests() {
+		a.admit(id, now)
+	}
+	return a.updates
+}
+
+// admit puts one machine into a shard, if it may be claimed now.
+func (a *admission) admit(id string, now monotime.Micros) {
+	request, machine := a.claimRequests[id], a.mirror.Machines[id]
+	inShard := machine != nil && machine.Record != nil
+	own := inShard && a.agents.Has(machine)
+	if own || now-request.requestedAt > claimRequestTimeout || a.mirror.ScaleInOfMachine[id] != "" {
+		a.completeClaimRequest(id, own)
+		return
+	}
+	switch {
+	case a.inDoubt[id]:
+	case inShard:
+		a.takeOver(request, machine)
+	default:
+		a.addNew(request)
+	}
+}
+
+// addNew puts a machine that has come up into the shard with the most room.
+func (a *admission) addNew(request *claimRequest) {
+	heartbeat := &request.heartbeat
+	id := heartbeat.Machine
+	scaleOutName := a.mirror.ScaleOutOfMachine[id]
+	scaleOut := a.mirror.ScaleOuts[scaleOutName]
+	if scaleOut == nil || a.agents.DesignatedController(scaleOut, id) != a.cfg.Node ||
+		a.mirror.WatchedRevision < scaleOut.Version {
+		return
+	}
+	need := a.needOf(request, 0)
+	update := a.roomiest(need)
+	if update == nil {
+		update = a.open()
+	}
+	if !a.reserve(update, id, need) {
+		return
+	}
+	update.next.AddMachine(id, storage.ShardMachine{
+		Type:     heartbeat.Type,
+		Zone:     heartbeat.Zone,
+		Spot:     heartbeat.Spot,
+		Endpoint: heartbeat.Endpoint,
+		State:    storage.MachineOpen,
+		Claim:    heartbeat.FencingToken>>32 + 1,
+	})
+	update.AddCompare(storage.Key(storage.KindScaleOut, scaleOutName), scaleOut.Version)
+}
+
+// takeOver takes a machine that has lost its owner over from that controller's shard.
+func (a *admission) takeOver(request *claimRequest, machine *mirror.Machine) {
+	source := machine.Shard.Name
+	if request.fromShard == nil || request.fromShard.Name != source ||
+		!a.membership.IsMember(machine.Owner()) || a.claimsInFlight[source] {
+		return // it is being claimed in another way
+	}
+	if !a.sources[source] && len(a.sources) >= a.takeoverLimiter.sourceLimit {
+		return
+	}
+	need := a.needOf(request, len(machine.Attempts))
+	update := a.takeoverUpdate
+	switch {
+	case update == nil:
+		if update = a.roomiest(need); update == nil {
+			update = a.open()
+		}
+	case !a.fits(update, need):
+		return // the next pass takes the rest
+	}
+	if !a.reserve(update, machine.ID, need) {
+		return
+	}
+	a.takeoverUpdate, a.sources[source] = update, true
+	a.moveMachine(update, machine, request.heartbeat.Endpoint)
+}
+
+// roomNeed is the room that a machine needs in a shard.
+type roomNeed struct {
+	plannedBytes int // once it is full
+	bytes        int // with the attempts that are on it now
+}
+
+func (a *admission) needOf(request *claimRequest, attempts int) roomNeed {
+	return roomNeed{
+		plannedBytes: a.bytesForMachine(request.heartbeat.Type),
+		bytes:        bytesPerMachine + bytesPerMovedAttempt*attempts,
+	}
+}
+
+// fits tells whether a shard has room for another machine.
+func (a *admission) fits(update *Update, need roomNeed) bool {
+	limit := FillBytes(a.cfg.MaxValueBytes)
+	return update.plannedBytes+need.plannedBytes <= limit && update.maxBytes+need.bytes <= limit
+}
+
+// roomiest gives the update of the shard with the most room of those that a machine fits in; nil if there is
+// none.
+func (a *admission) roomiest(need roomNeed) *Update {
+	var best *Update
+	for _, update := range a.updates {
+		if a.fits(update, need) && (best == nil || update.plannedBytes < best.plannedBytes) {
+			best = update
+		}
+	}
+	return best
+}
+
+// open opens a new shard.
+func (a *admission) open() *Update {
+	update := a.openShard()
+	a.updates = append(a.updates, update)
+	return update
+}
+
+// reserve has an update claim a machine; false if its commit would compare too many records.
+func (a *admission) reserve(update *Update, machine string, need roomNeed) bool {
+	if update.Compares() > maxComparesPerOp*a.cfg.MaxTxnOps {
+		return false
+	}
+	update.changed = true
+	update.maxBytes += need.bytes
+	update.plannedBytes += need.plannedBytes
+	update.admittedMachines[machine] = true
+	update.AddCompare(storage.Key(storage.KindMember, a.cfg.Node), a.memberVersion)
+	return true
+}
+
+// moveMachine takes a machine with all its attempts out of another controller's shard and puts it into an
+// update, in one commit that is conditional on both shards.
+func (m *Manager) moveMachine(update *Update, machine *mirror.Machine, endpoint string) {
+	from := machine.Shard
+	left := update.otherShard(from)
+	delete(left.Machines, machine.ID)
+	record := *machine.Record
+	record.Endpoint = endpoint
+	record.Claim = max(machine.Claim(), update.next.Claim) + 1
+	update.next.AddMachine(machine.ID, record)
+	useByTeam := map[string]resources.Vector{}
+	for task, attempt := range machine.Attempts {
+		before, _ := from.Record.FindAttempt(task.Job, task.Index)
+		left.Release(task.Job, task.Index, false)
+		update.next.Assign(task.Job, storage.Attempt{
+			Task:     task.Index,
+			Machine:  machine.ID,
+			Number:   attempt,
+			Starting: before.Starting,
+		})
+		if job := m.mirror.Jobs[task.Job]; job != nil {
+			mirror.AddUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
+		}
+	}
+	update.putOtherShard(from, left)
+	m.quota.Transfer(&update.txn, update.comparedKeys, from.Record.Owner, m.cfg.Node, useByTeam)
+}
+
+// otherShard gives a copy of the record of a shard that machines are taken from, without those that the
+// update has taken already.
+func (u *Update) otherShard(shard *mirror.Shard) *storage.Shard {
+	record := shard.Record
+	if i := u.putOf(shardKey(shard.Name)); i >= 0 {
+		record, _ = storage.DecodeShard(u.txn.Then[i].Value, nil)
+	}
+	return record.Clone()
+}
+
+// putOtherShard has the update's commit write the record of a shard that machines are taken from.
+func (u *Update) putOtherShard(shard *mirror.Shard, record *storage.Shard) {
+	key := shardKey(shard.Name)
+	encoded, _ := record.Encode()
+	if i := u.putOf(key); i >= 0 {
+		u.txn.Then[i].Value = encoded
+		return
+	}
+	u.AddCompare(key, shard.Version)
+	u.txn.Then = append(u.txn.Then, protocol.Op{Put: key, Value: encoded})
+}
+
+// putOf finds the operation of the update's commit that writes a key; -1 if there is none.
+func (u *Update) putOf(key string) int {
+	for i, operation := range u.txn.Then {
+		if operation.Put == key {
+			return i
+		}
+	}
+	return -1
+}
--- /dev/null
+++ b/internal/shards/commit.go
@@ -0,0 +1,93 @@
+package shards
+
+import (
+	"context"
+	"log/slog"
+
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+)
+
+// Commit writes the next version of a shard. A new shard that got no machines is dropped instead.
+func (m *Manager) Commit(update *Update, now monotime.Micros) {
+	t := m.trackerOf(update.name)
+	if update.previous == nil && len(update.next.Machines) == 0 && len(t.updatesInDoubt) == 0 {
+		delete(m.newShards, update.name)
+		return
+	}
+	txn := m.transaction(update)
+	t.beginCommit(update, now)
+	m.store.Commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
+		t.commitInFlightSince = 0
+		m.handleCommitResult(update, t, result)
+	})
+}
+
+// transaction is what is committed of an update; a shard that holds nothing any more is deleted.
+func (m *Manager) transaction(update *Update) protocol.Transaction {
+	key := shardKey(update.name)
+	txn := update.txn
+	txn.If = append([]protocol.Compare{{Key: key, Version: update.PreviousVersion()}}, txn.If...)
+	if update.previous != nil && len(update.next.Machines) == 0 && len(update.next.Jobs) == 0 {
+		txn.Then = append(txn.Then, protocol.Op{Delete: key})
+		return txn
+	}
+	encoded, size := update.next.Encode()
+	if size > m.cfg.MaxValueBytes {
+		// The bound on what is assigned keeps this from happening.
+		m.log.Error("shard exceeds value size limit", "shard", update.name, "bytes", size)
+	}
+	txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
+	return txn
+}
+
+// handleCommitResult follows what became of an update's commit.
+func (m *Manager) handleCommitResult(update *Update, t *tracker, result protocol.StoreResult) {
+	m.passes.HandleCommitResult(result, len(update.assignedTasks))
+	if update.ChangesOtherRecords() {
+		m.takeoverLimiter.recordOutcome(result)
+	}
+	switch result.Outcome {
+	case protocol.OK:
+		m.handleCommitted(update)
+		return
+	case protocol.Unknown:
+		t.resolveUpdates(m.mirror.VersionOf(shardKey(update.name)))
+		return
+	case protocol.Conflict:
+		m.log.Debug("shard compare-and-swap conflict", "shard", update.name, "failed_keys", result.Failed)
+	case protocol.Rejected:
+		m.log.Error("shard rejected by state service", "shard", update.name)
+	}
+	t.removeUpdate(update)
+}
+
+// handleCommitted acts on an update that is in the store.
+func (m *Manager) handleCommitted(update *Update) {
+	if update.losses != nil {
+		update.losses.Count()
+	}
+	for _, job := range sortedmap.Keys(update.completedTaskJobs) {
+		m.jobs.CompleteIfDone(job)
+	}
+	for _, machine := range sortedmap.Keys(update.admittedMachines) {
+		m.completeClaimRequest(machine, true)
+	}
+	for _, id := range sortedmap.Keys(update.machinesToSync) {
+		if machine := m.mirror.Machines[id]; machine != nil {
+			m.agents.SyncCommands(machine)
+		}
+	}
+	if m.log.Enabled(context.Background(), slog.LevelDebug) {
+		m.log.Debug(
+			"shard committed",
+			"shard", update.name,
+			"assigned", update.describeTasks(update.assignedTasks),
+			"released", update.describeTasks(update.releasedTasks),
+			"machines_claimed", len(update.admittedMachines),
+			"max_bytes", update.maxBytes,
+		)
+	}
+}
--- /dev/null
+++ b/internal/shards/failover.go
@@ -0,0 +1,165 @@
+package shards
+
+import (
+	"pipitgap/internal/membership"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// absenceBeforeClaim is how long a controller must be no member before its shards are claimed.
+const absenceBeforeClaim = monotime.Second
+
+// ClaimOrphaned claims the shards of this controller's earlier incarnations, and those of controllers that
+// have gone and whose successor it is: whole shards, many to a commit.
+func (m *Manager) ClaimOrphaned(now monotime.Micros) {
+	if m.store.Unavailable() || !m.membership.HoldsLease(now) {
+		return
+	}
+	orphaned := m.orphanedShards(now)
+	for _, owner := range sortedmap.Keys(orphaned) {
+		shards := orphaned[owner]
+		for len(shards) > 0 {
+			shards = shards[m.claim(owner, shards):]
+			if owner != m.cfg.Node {
+				break // one commit at a time: all of them change the same quota shares
+			}
+		}
+	}
+}
+
+// orphanedShards lists the shards to claim by their former owner.
+func (m *Manager) orphanedShards(now monotime.Micros) map[string][]*mirror.Shard {
+	controllers := m.peers.ConnectedControllers()
+	orphaned := map[string][]*mirror.Shard{}
+	for _, name := range sortedmap.Keys(m.mirror.Shards) {
+		shard := m.mirror.Shards[name]
+		if !m.claimsInFlight[name] && m.isSuccessorFor(shard, controllers, now) &&
+			m.mirror.WatchedRevision >= shard.Version {
+			owner := shard.Record.Owner
+			orphaned[owner] = append(orphaned[owner], shard)
+		}
+	}
+	return orphaned
+}
+
+// isSuccessorFor tells whether this controller is to claim a shard: it belongs to an earlier incarnation of
+// it, or to a controller that has gone and whose successor it is.
+func (m *Manager) isSuccessorFor(shard *mirror.Shard, controllers []string, now monotime.Micros) bool {
+	owner := shard.Record.Owner
+	if owner == m.cfg.Node {
+		return shard.Record.Incarnation != m.cfg.Incarnation
+	}
+	if m.membership.IsMember(owner) {
+		return false
+	}
+	return now-m.membership.AbsentSince(owner, now) > absenceBeforeClaim &&
+		membership.RendezvousOwner(shard.Name, controllers) == m.cfg.Node
+}
+
+// claim takes over shards of one owner, as many as a commit takes, and tells how many these are.
+func (m *Manager) claim(owner string, shards []*mirror.Shard) int {
+	transfer := m.buildTransfer(shards, m.cfg.Node, m.cfg.Incarnation)
+	for _, shard := range transfer.shards {
+		m.claimsInFlight[shard.Name] = true
+	}
+	m.store.Commit(ratelimit.PriorityClaim, transfer.txn, func(result protocol.StoreResult) {
+		for _, shard := range transfer.shards {
+			delete(m.claimsInFlight, shard.Name)
+		}
+		if result.Outcome == protocol.OK {
+			m.handleClaimed(owner, transfer.shards)
+		}
+	})
+	return len(transfer.shards)
+}
+
+// handleClaimed contacts the workers of shards that were claimed.
+func (m *Manager) handleClaimed(owner string, shards []*mirror.Shard) {
+	machines := 0
+	for _, shard := range shards {
+		for _, id := range sortedmap.Keys(shard.Record.Machines) {
+			machines++
+			m.agents.Probe(m.mirror.Machines[id], owner == m.cfg.Node)
+		}
+	}
+	m.log.Info("shards claimed", "from_node", owner, "shards", len(shards), "machines", machines)
+}
+
+// HandOff gives this controller's shards to others that reach their workers, when it doesn't reach its own.
+// Its workers turn to the others when it doesn't answer; claims of single machines, each against the writes
+// of this controller, would take longer than the leases of most.
+func (m *Manager) HandOff(now monotime.Micros) {
+	if m.quota.WriteInFlight() || m.store.Unavailable() || !m.membership.HoldsLease(now) ||
+		m.store.WatchOverdue(now) {
+		return
+	}
+	destinations := m.handOffDestinations(now)
+	if len(destinations) == 0 {
+		return
+	}
+	to, shards := m.shardsToHandOff(destinations)
+	if len(shards) == 0 {
+		return
+	}
+	member := m.mirror.Members[to]
+	transfer := m.buildTransfer(shards, to, member.Record.Incarnation)
+	transfer.txn.If = append(transfer.txn.If, protocol.Compare{
+		Key:     storage.Key(storage.KindMember, to),
+		Version: member.Version,
+	})
+	m.quota.BeginWrite()
+	m.store.Commit(ratelimit.PriorityClaim, transfer.txn, func(result protocol.StoreResult) {
+		m.quota.EndWrite()
+		m.passes.Request()
+		if result.Outcome == protocol.OK {
+			m.log.Info("shards transferred", "to_node", to, "shards", len(transfer.shards))
+			m.HandOff(m.now()) // the rest, and those of other destinations
+		}
+	})
+}
+
+// handOffDestinations lists the controllers that shards may be handed to: those heard that reach their
+// workers, or all others if none is heard: then it is this controller that is cut off.
+func (m *Manager) handOffDestinations(now monotime.Micros) []string {
+	var connected, others []string
+	isolated := true
+	for _, node := range m.membership.LiveControllers() {
+		if node == m.cfg.Node {
+			continue
+		}
+		others = append(others, node)
+		if m.peers.HeardFromRecently(node, now) {
+			isolated = false
+			if m.peers.ReachesWorkers(node) {
+				connected = append(connected, node)
+			}
+		}
+	}
+	if isolated {
+		return others
+	}
+	return connected
+}
+
+// shardsToHandOff picks the destination of the first own shard that can be handed off, and lists all that go
+// there.
+func (m *Manager) shardsToHandOff(destinations []string) (to string, shards []*mirror.Shard) {
+	for _, name := range sortedmap.Keys(m.mirror.Shards) {
+		shard := m.mirror.Shards[name]
+		if !m.Owns(shard) || !m.trackerOf(name).idle() || m.mirror.WatchedRevision < shard.Version {
+			continue
+		}
+		destination := membership.RendezvousOwner(name, destinations)
+		if to == "" {
+			to = destination
+		}
+		if destination == to {
+			shards = append(shards, shard)
+		}
+	}
+	return to, shards
+}
--- a/internal/coordination/shard_update.go
+++ b/internal/shards/update.go
@@ -1,4 +1,4 @@
-package coordination
+package shards
 
 import (
 	"sort"
@@ -10,9 +10,9 @@
 	"pipitgap/internal/storage"
 )
 
-// ShardUpdate is the next version of a shard, as one pass prepares it: what it releases and assigns, and what
+// Update is the next version of a shard, as one pass prepares it: what it releases and assigns, and what
 // else its commit compares and writes.
-type ShardUpdate struct {
+type Update struct {
 	name     string
 	previous *mirror.Shard // nil: a new shard
 	next     *storage.Shard
@@ -36,7 +36,7 @@
 	admittedMachines  map[string]bool // machines that the update claims on their request
 	machinesToSync    map[string]bool // machines whose desired commands the update changes
 
-	committedCallbacks []func()
+	losses Losses // nil if the update releases nothing: that of a new shard
 }
 
 // Bytes that an assignment may add to the encoded shard beyond the task's own number.
@@ -45,9 +45,9 @@
 	taskRangeOverheadBytes = 12 // of a range of tasks that begins
 )
 
-// NewShardUpdate prepares an update of a shard; previous is nil for a new one.
-func NewShardUpdate(name string, previous *mirror.Shard, next *storage.Shard) *ShardUpdate {
-	return &ShardUpdate{
+// NewUpdate prepares an update of a shard; previous is nil for a new one.
+func NewUpdate(name string, previous *mirror.Shard, next *storage.Shard) *Update {
+	return &Update{
 		name:              name,
 		previous:          previous,
 		next:              next,
@@ -66,7 +66,7 @@
 }
 
 // PreviousVersion is the version that the update is conditional on; 0 for a new shard.
-func (u *ShardUpdate) PreviousVersion() uint64 {
+func (u *Update) PreviousVersion() uint64 {
 	if u.previous == nil {
 		return 0
 	}
@@ -74,31 +74,31 @@
 }
 
 // Changed tells whether the update has anything to write.
-func (u *ShardUpdate) Changed() bool { return u.changed }
+func (u *Update) Changed() bool { return u.changed }
 
 // ChangesOtherRecords tells whether the update's commit writes other records beside the shard: those of
 // shards that machines are taken over from, with the quota shares that follow.
-func (u *ShardUpdate) ChangesOtherRecords() bool { return len(u.txn.Then) > 0 }
+func (u *Update) ChangesOtherRecords() bool { return len(u.txn.Then) > 0 }
 
 // Machines are the machines of the shard's next version, by identifier. They must not be changed.
-func (u *ShardUpdate) Machines() map[string]*storage.ShardMachine { return u.next.Machines }
+func (u *Update) Machines() map[string]*storage.ShardMachine { return u.next.Machines }
 
 // MaxBytes is an upper bound of the encoded size of the shard's next version.
-func (u *ShardUpdate) MaxBytes() int { return u.maxBytes }
+func (u *Update) MaxBytes() int { return u.maxBytes }
 
 // ReserveBytes raises the bound of the encoded size.
-func (u *ShardUpdate) ReserveBytes(bytes int) { u.maxBytes += bytes }
+func (u *Update) ReserveBytes(bytes int) { u.maxBytes += bytes }
 
 // FreeAfter is what is free of a machine after the update, from what is free of it before.
-func (u *ShardUpdate) FreeAfter(machine string, free resources.Vector) resources.Vector {
+func (u *Update) FreeAfter(machine string, free resources.Vector) resources.Vector {
 	return free.AddScaled(u.freedByMachine[machine], 1).AddScaled(u.assignedByMachine[machine], -1)
 }
 
 // FreedQuota is what the update releases of a team's quota and doesn't assign again.
-func (u *ShardUpdate) FreedQuota(team string) resources.Vector { return u.freedByTeam[team] }
+func (u *Update) FreedQuota(team string) resources.Vector { return u.freedByTeam[team] }
 
 // UseFreedQuota takes resources from what the update releases of a team's quota; false if that is too little.
-func (u *ShardUpdate) UseFreedQuota(team string, need resources.Vector) bool {
+func (u *Update) UseFreedQuota(team string, need resources.Vector) bool {
 	freed := u.freedByTeam[team]
 	if !need.FitsIn(freed) {
 		return false
@@ -107,20 +107,17 @@
 	return true
 }
 
-// AssignedToTeam is what the update assigns to a team's tasks.
-func (u *ShardUpdate) AssignedToTeam(team string) resources.Vector { return u.assignedByTeam[team] }
-
 // AssignsTask tells whether the update assigns a task.
-func (u *ShardUpdate) AssignsTask(task mirror.TaskID) bool { return u.assignedTasks[task] }
+func (u *Update) AssignsTask(task mirror.TaskID) bool { return u.assignedTasks[task] }
 
 // AssignsJob tells whether the update assigns tasks of a job.
-func (u *ShardUpdate) AssignsJob(job string) bool { return u.assignedJobs[job] }
+func (u *Update) AssignsJob(job string) bool { return u.assignedJobs[job] }
 
 // Compares is how many other records the update's commit compares.
-func (u *ShardUpdate) Compares() int { return len(u.txn.If) }
+func (u *Update) Compares() int { return len(u.txn.If) }
 
 // AddCompare has the commit compare the version of another record too.
-func (u *ShardUpdate) AddCompare(key string, version uint64) {
+func (u *Update) AddCompare(key string, version uint64) {
 	if !u.comparedKeys[key] {
 		u.comparedKeys[key] = true
 		u.txn.If = append(u.txn.If, protocol.Compare{Key: key, Version: version})
@@ -129,7 +126,7 @@
 
 // BeginJob prepares the assignment of a job's tasks: they are conditional on its record and on its having no
 // result.
-func (u *ShardUpdate) BeginJob(job *mirror.Job) {
+func (u *Update) BeginJob(job *mirror.Job) {
 	if u.assignedJobs[job.ID] {
 		return
 	}
@@ -141,7 +138,7 @@
 
 // Assign gives a task of a job to a machine of the shard. With joinsRange the attempt before it in the job's
 // entry is of the task before, on the same machine: the encoded range grows by one number only.
-func (u *ShardUpdate) Assign(job *mirror.Job, attempt storage.Attempt, joinsRange bool) {
+func (u *Update) Assign(job *mirror.Job, attempt storage.Attempt, joinsRange bool) {
 	if joinsRange {
 		u.maxBytes += storage.MaxTaskBytes(attempt.Task) + 1
 	} else {
@@ -160,7 +157,7 @@
 }
 
 // Release takes an attempt that has ended off a machine; job is nil if its record is gone.
-func (u *ShardUpdate) Release(machine string, task mirror.TaskID, completed bool, job *mirror.Job) {
+func (u *Update) Release(machine string, task mirror.TaskID, completed bool, job *mirror.Job) {
 	u.changed = true
 	u.releasedTasks[task] = true
 	u.next.Release(task.Job, task.Index, completed)
@@ -175,11 +172,8 @@
 	u.freedByTeam[team] = u.freedByTeam[team].AddScaled(job.TaskResources, 1)
 }
 
-// OnCommitted has f called once the update is known to be in the store.
-func (u *ShardUpdate) OnCommitted(f func()) { u.committedCallbacks = append(u.committedCallbacks, f) }
-
 // describeTasks names tasks for the log, with the machines that they are assigned to.
-func (u *ShardUpdate) describeTasks(tasks map[mirror.TaskID]bool) string {
+func (u *Update) describeTasks(tasks map[mirror.TaskID]bool) string {
 	var descriptions []string
 	for task := range tasks {
 		description := task.String()
