--- a/internal/storage/drains.go
+++ b/internal/storage/drains.go
@@ -1,46 +1,46 @@
 package storage
 
-// DrainState is where a drain stands.
+// DrainState is the state of a drain.
 type DrainState string
 
-// States of a drain. An unfinished drain keeps new tasks off the machines that it selects,
-// and what it selects as a whole isn't rented.
+// States of a drain. An unfinished drain keeps new tasks off the machines that it selects, and the offers
+// that it selects as a whole aren't used to scale out.
 const (
-	DrainActive DrainState = "active" // machines are being emptied and given back
+	DrainActive DrainState = "active" // machines are being emptied and deleted
 	DrainPaused DrainState = "paused" // no further step begins
-	// nothing is left; what was selected stays closed until the drain is aborted
+	// nothing is left; what was selected stays cordoned until the drain is aborted
 	DrainDrained DrainState = "drained"
-	DrainDone    DrainState = "done"    // nothing is left, and nothing is closed any more
-	DrainAborted DrainState = "aborted" // machines that weren't given back are open again
+	DrainDone    DrainState = "done"    // nothing is left, and nothing is cordoned any more
+	DrainAborted DrainState = "aborted" // machines that weren't deleted are open again
 )
 
-// Unfinished tells whether a drain in this state still binds.
+// Unfinished tells whether a drain in this state still has an effect.
 func (s DrainState) Unfinished() bool {
 	return s == DrainActive || s == DrainPaused || s == DrainDrained
 }
 
-// Drain is the record of KindDrain: machines that operators take out of service. The
-// operators' commands write it, and the leader when the drain has ended or its deadline passed.
+// Drain is the record of KindDrain: machines that operators take out of service. The operators' commands
+// write it, and the leader when the drain has ended or its deadline has passed.
 type Drain struct {
 	State    DrainState `msgpack:"s"`
-	Reason   string     `msgpack:"r,omitempty"` // why it stands there, in words
+	Reason   string     `msgpack:"r,omitempty"` // why it is in this state, for operators
 	Selector Selector   `msgpack:"w"`
-	// LastMachine, if set, is the newest machine that belongs to the drain: machines rented later may
-	// be like those that are drained. Without it, what is selected as a whole isn't rented.
+	// LastMachine, if set, is the newest machine that belongs to the drain: machines created later may be of the
+	// selected kind. Without it, the selected offers aren't used to scale out.
 	LastMachine  string `msgpack:"t,omitempty"`
-	Replace      bool   `msgpack:"p,omitempty"` // room is rented before it is needed
-	RemoveAtOnce bool   `msgpack:"o,omitempty"` // empty machines are given back without a delay
+	Replace      bool   `msgpack:"p,omitempty"` // capacity is added before machines are emptied
+	RemoveAtOnce bool   `msgpack:"o,omitempty"` // empty machines are deleted without a delay
 	MaxParallel  int    `msgpack:"n"`           // machines being emptied at a time
 	StartedAt    int64  `msgpack:"b"`           // time of day, microseconds
 	DeadlineAt   int64  `msgpack:"d,omitempty"` // no step begins after it; 0: none
 	EndedAt      int64  `msgpack:"e,omitempty"`
 }
 
-// ClosesOffers tells whether what a drain selects isn't rented while it lasts.
+// ClosesOffers tells whether the offers that a drain selects aren't used to scale out while it lasts.
 func (d *Drain) ClosesOffers() bool { return d.LastMachine == "" && len(d.Selector.Machines) == 0 }
 
-// Selector says which machines a drain is about: those named, or those of a zone, a type and
-// a kind, as far as they are given.
+// Selector says which machines a drain is about: those named, or those of a zone, a type and a capacity
+// type, as far as they are given.
 type Selector struct {
 	Machines     []string     `msgpack:"m,omitempty"`
 	Zone         string       `msgpack:"z,omitempty"`
@@ -48,17 +48,17 @@
 	CapacityType CapacityType `msgpack:"k,omitempty"`
 }
 
-// CapacityType is how a machine is rented.
+// CapacityType says whether a machine is a spot instance.
 type CapacityType string
 
-// Kinds of machines.
+// Capacity types; AnyCapacity selects both.
 const (
 	AnyCapacity      CapacityType = ""
 	SpotCapacity     CapacityType = "spot"
 	OnDemandCapacity CapacityType = "ordinary"
 )
 
-// CapacityTypeOf names the kind of a machine.
+// CapacityTypeOf gives the capacity type of a machine.
 func CapacityTypeOf(spot bool) CapacityType {
 	if spot {
 		return SpotCapacity
@@ -66,8 +66,8 @@
 	return OnDemandCapacity
 }
 
-// Permits is the record of KindPermits: all planned stops of a team's replicas whose
-// replacements aren't known to be running yet. Each change is conditional on its version.
+// Permits is the record of KindPermits: all planned evictions of a team's replicas whose replacements aren't
+// known to be running yet. Each change is conditional on its version.
 type Permits struct {
 	Permits []Permit `msgpack:"p"`
 }
@@ -81,9 +81,9 @@
 	Task      int
 	Attempt   uint64
 	From      string // the machine that it is stopped on
-	To        string // the machine on which room is held for the next attempt
+	To        string // the machine on which resources are reserved for the next attempt
 	GrantedAt int64  // time of day, microseconds
 }
 
-// PermitBytes is what a permit takes in a record at most, beside the names that it holds.
+// PermitBytes is what a permit takes in a record at most, in bytes, beside the names that it holds.
 const PermitBytes = 60
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -9,37 +9,37 @@
 	"pipitgap/internal/protocol"
 )
 
-// KeyPrefix is the prefix of every key of the service. Its number grows when records
-// are laid out anew: a version never misreads another's.
+// KeyPrefix is the prefix of every key of the service. Its number grows when the layout of records changes,
+// so that no version misreads the records of another.
 const KeyPrefix = "gap2/"
 
 // Kinds of records, as they stand in the keys.
 const (
-	KindJobResult     = "job"     // the final answer for a job, kept for ever
-	KindOpenJob       = "open"    // an unfinished job: its description and shares
-	KindShard         = "page"    // some machines of a partition with all that is on them
-	KindPartition     = "part"    // what a partition may use of the teams' limits
-	KindMachineType   = "type"    // a machine type, for starts during the cloud's outages
-	KindScaleOut      = "ask"     // a rental request
-	KindScaleIn       = "removal" // machines being given back, or proven gone
+	KindJobResult     = "job"     // the final result of a job, kept for ever
+	KindOpenJob       = "open"    // an unfinished job: its specification and task ranges
+	KindShard         = "page"    // some machines of a partition with the attempts on them
+	KindPartition     = "part"    // a partition's quota shares of the teams' limits
+	KindMachineType   = "type"    // a machine type, for restarts during the cloud's outages
+	KindScaleOut      = "ask"     // a scale-out request
+	KindScaleIn       = "removal" // a scale-in request: machines being deleted, or proven gone
 	KindMember        = "member"  // a live controller
-	KindLeader        = "lead"    // the leading controller
+	KindLeader        = "lead"    // the leader
 	KindDrain         = "drain"   // machines to be taken out of service
-	KindPermits       = "permit"  // a team's planned stops
+	KindPermits       = "permit"  // a team's planned evictions
 	KindDrainRegistry = "drains"  // changes with every new drain
 )
 
-// Key builds a key.
+// Key gives the key of a record.
 func Key(kind, name string) string { return KeyPrefix + kind + "/" + name }
 
 // LeaderKey is the one key of its kind.
 const LeaderKey = KeyPrefix + KindLeader + "/er"
 
-// DrainRegistryKey is the one key of its kind. Whoever starts a drain writes it, on its version: so
-// two drains that are started at one moment can't overlook each other.
+// DrainRegistryKey is the one key of its kind. Whoever starts a drain writes it by compare-and-swap, so that
+// of two drains started at the same time the second is decided with knowledge of the first.
 const DrainRegistryKey = KeyPrefix + KindDrainRegistry + "/all"
 
-// SplitKey takes a key apart; ok is false for keys that aren't the service's.
+// SplitKey gives the kind and the name of a key; ok is false for keys that aren't the service's.
 func SplitKey(key string) (kind, name string, ok bool) {
 	rest, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
@@ -48,10 +48,10 @@
 	return strings.Cut(rest, "/")
 }
 
-// JobState is where a job stands.
+// JobState is the state of a job.
 type JobState string
 
-// Statuses of a job.
+// States of a job.
 const (
 	JobOpen      JobState = "open"
 	JobDone      JobState = "done"
@@ -63,16 +63,16 @@
 	State JobState `msgpack:"s"`
 }
 
-// OpenJob is the record of KindOpenJob. Which of the job's tasks run or are
-// completed stands in the shards; a task that no shard names is pending. A cancelled
-// job has an Answer and keeps this record until all of its attempts are gone.
+// OpenJob is the record of KindOpenJob. The shards hold which of the job's tasks have attempts or are
+// completed; a task that no shard names is pending. A cancelled job has a JobResult and keeps this
+// record until all of its attempts are gone.
 type OpenJob struct {
 	Spec       JobSpec     `msgpack:"j"`
 	AcceptedAt int64       `msgpack:"t"` // time of day of the acceptance, microseconds
 	TaskRanges []TaskRange `msgpack:"p"`
 }
 
-// TaskRange says which partition gives the pending tasks of a range to its machines.
+// TaskRange says which partition places the pending tasks of a range on its machines.
 // Every assignment is conditional on the version of the record that says so.
 type TaskRange struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
@@ -81,35 +81,36 @@
 	Partition  string
 }
 
-// TaskRangeBytes is what one share takes in a record, beside the partition's name.
+// TaskRangeBytes is what one range takes in a record at most, in bytes, beside the partition's name.
 const TaskRangeBytes = 20
 
-// AssignRange gives a range to a partition and joins what then belongs together.
-func AssignRange(ranges []TaskRange, first, end int, part string) []TaskRange {
+// AssignRange assigns the tasks from first up to but not including end to a partition, and joins adjacent
+// ranges of one partition. The ranges given aren't changed.
+func AssignRange(ranges []TaskRange, first, end int, partition string) []TaskRange {
 	var out []TaskRange
-	add := func(s TaskRange) {
-		if s.First >= s.End {
+	add := func(next TaskRange) {
+		if next.First >= next.End {
 			return
 		}
-		if n := len(out); n > 0 && out[n-1].Partition == s.Partition && out[n-1].End == s.First {
-			out[n-1].End = s.End
+		if n := len(out); n > 0 && out[n-1].Partition == next.Partition && out[n-1].End == next.First {
+			out[n-1].End = next.End
 			return
 		}
-		out = append(out, s)
+		out = append(out, next)
 	}
 	inserted := false
-	for _, s := range ranges {
-		add(TaskRange{First: s.First, End: min(s.End, first), Partition: s.Partition})
-		if !inserted && s.End > first {
+	for _, old := range ranges {
+		add(TaskRange{First: old.First, End: min(old.End, first), Partition: old.Partition})
+		if !inserted && old.End > first {
 			inserted = true
-			add(TaskRange{First: first, End: end, Partition: part})
+			add(TaskRange{First: first, End: end, Partition: partition})
 		}
-		add(TaskRange{First: max(s.First, end), End: s.End, Partition: s.Partition})
+		add(TaskRange{First: max(old.First, end), End: old.End, Partition: old.Partition})
 	}
 	return out
 }
 
-// JobSpec is a submission in short.
+// JobSpec is what is stored of a submission.
 type JobSpec struct {
 	Class        string   `msgpack:"l"`
 	Team         string   `msgpack:"t"`
@@ -140,7 +141,7 @@
 	return s.Zone == "" || zone == "" || s.Zone == zone
 }
 
-// JobSpecOf shortens a submission.
+// JobSpecOf gives what is stored of a submission.
 func JobSpecOf(s *protocol.Submission) JobSpec {
 	return JobSpec{
 		Class: s.Class, Team: s.Team, Service: s.Service, Priority: int(s.Priority), Tasks: s.Tasks,
@@ -157,26 +158,26 @@
 	QuotaShares map[string]QuotaShare `msgpack:"s"`
 }
 
-// QuotaShare is a share of a team's limit.
+// QuotaShare is a partition's share of a team's limit.
 type QuotaShare struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
 	_msgpack   struct{} `msgpack:",as_array"`
 	CPUs, GPUs float64
 }
 
-// ScaleOutPhase is where a rental request stands.
+// ScaleOutPhase is the phase of a scale-out request.
 type ScaleOutPhase string
 
-// Phases of a rental request. Ready and refused requests are dropped.
+// Phases of a scale-out request. The records of fulfilled and rejected requests are deleted.
 const (
 	ScaleOutPending      ScaleOutPhase = "pending"
 	ScaleOutProvisioning ScaleOutPhase = "provisioning"
 	ScaleOutNoCapacity   ScaleOutPhase = "unmet"
 )
 
-// ScaleOutRequest is the record of KindScaleOut. While its machines come up it says who may claim
-// them: their home among the controllers that lived when it was written, or the
-// one named in Own. A claim is conditional on the record's version.
+// ScaleOutRequest is the record of KindScaleOut. While its machines start it says which controller may claim
+// each: its rendezvous-hash owner among those in Live, the controllers at the time of writing, or the one
+// named in Own. A claim is conditional on the record's version.
 type ScaleOutRequest struct {
 	Phase       ScaleOutPhase     `msgpack:"p"`
 	MachineType string            `msgpack:"y"`
@@ -189,19 +190,18 @@
 	PhaseSince  int64             `msgpack:"t"` // time of day, microseconds
 }
 
-// ScaleInRequest is the record of KindScaleIn: machines that are deleted together. It
-// is written before the call. Once the cloud has answered, Gone says that they
-// and all that was on them are gone; it is kept for a while, so that no late
-// report of theirs finds anybody who believes it.
+// ScaleInRequest is the record of KindScaleIn: machines that are deleted together. It is written before the
+// call of the cloud. Once the cloud has answered, Gone says that they and all attempts on them are gone; it
+// is kept for a while, so that late heartbeats from these machines are rejected.
 type ScaleInRequest struct {
 	Machines   []string `msgpack:"m"`
-	StateSince int64    `msgpack:"t"`
+	StateSince int64    `msgpack:"t"` // time of day, microseconds
 	Attempts   int      `msgpack:"n,omitempty"`
 	Failed     bool     `msgpack:"f,omitempty"`
 	Gone       bool     `msgpack:"g,omitempty"`
 }
 
-// MachineType is the record of KindMachineType.
+// MachineType is the record of KindMachineType: a machine type as the cloud's catalog has it.
 type MachineType struct {
 	CPUs          float64  `msgpack:"c"`
 	GPUs          float64  `msgpack:"g"`
@@ -214,7 +214,7 @@
 	Zones         []string `msgpack:"z"`
 }
 
-// Member is the record of KindMember.
+// Member is the record of KindMember: a live controller. It is deleted with the controller's lease.
 type Member struct {
 	Incarnation uint64 `msgpack:"i"`
 	Zone        string `msgpack:"z"`
--- /dev/null
+++ b/internal/storage/shard_decode.go
@@ -0,0 +1,224 @@
+package storage
+
+import (
+	"fmt"
+	"sort"
+	"strconv"
+	"strings"
+
+	"pipitgap/internal/protocol"
+)
+
+// shardDecoder reads the stored form of a shard.
+type shardDecoder struct {
+	kinds           []machineKind
+	previous        *Shard // may be nil
+	shard           *Shard
+	machineByNumber map[int]string
+}
+
+// DecodeShard reads a stored shard; entries that stand unchanged in a previous one, which may be nil, are shared
+// with it. Errors wrap ErrMalformedShard.
+func DecodeShard(raw protocol.Raw, previous *Shard) (*Shard, error) {
+	var record shardRecord
+	if err := protocol.Unmarshal(raw, &record); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformedShard, err)
+	}
+	d := shardDecoder{
+		kinds:    record.MachineKinds,
+		previous: previous,
+		shard: &Shard{
+			Owner:       record.Owner,
+			Incarnation: record.Incarnation,
+			Claim:       record.Claim,
+			Machines:    map[string]*ShardMachine{},
+			Jobs:        map[string]*ShardJob{},
+		},
+		machineByNumber: map[int]string{},
+	}
+	if err := d.decodeMachines(record.Machines); err != nil {
+		return nil, err
+	}
+	if err := d.decodeJobs(record.Jobs); err != nil {
+		return nil, err
+	}
+	return d.shard, nil
+}
+
+func malformedEntry(entry string) error { return fmt.Errorf("%w: entry %q", ErrMalformedShard, entry) }
+
+// decodeMachines reads the entries of the machines.
+func (d *shardDecoder) decodeMachines(entries string) error {
+	lastID, lastEndpoint := "", ""
+	for _, entry := range splitEntries(entries) {
+		columns := strings.Split(entry, columnSeparator)
+		if len(columns) <= stateColumn {
+			return malformedEntry(entry)
+		}
+		id, idOK := expandPrefix(lastID, columns[idColumn])
+		endpoint, endpointOK := expandPrefix(lastEndpoint, columns[endpointColumn])
+		machine, machineOK := d.decodeMachine(columns, endpoint)
+		if !idOK || !endpointOK || !machineOK || id == "" ||
+			d.machineByNumber[machine.Number] != "" || d.shard.Machines[id] != nil {
+			return malformedEntry(entry)
+		}
+		lastID, lastEndpoint = id, endpoint
+		d.machineByNumber[machine.Number] = id
+		d.shard.Machines[id] = d.sharedMachine(id, machine)
+	}
+	return nil
+}
+
+// decodeMachine reads a machine from the columns of its entry, which are all there but for the claim.
+func (d *shardDecoder) decodeMachine(columns []string, endpoint string) (machine *ShardMachine, ok bool) {
+	number, err := strconv.ParseInt(columns[numberColumn], numberBase, 32)
+	if err != nil {
+		return nil, false
+	}
+	index, err := strconv.ParseInt(columns[kindColumn], numberBase, 32)
+	if err != nil || index < 0 || int(index) >= len(d.kinds) {
+		return nil, false
+	}
+	claim := uint64(0)
+	if len(columns) > claimColumn {
+		if claim, err = strconv.ParseUint(columns[claimColumn], numberBase, 64); err != nil {
+			return nil, false
+		}
+	}
+	kind := d.kinds[index]
+	return &ShardMachine{
+		Number:   int(number),
+		Type:     kind.Type,
+		Zone:     kind.Zone,
+		Spot:     kind.Spot,
+		Endpoint: endpoint,
+		State:    MachineState(columns[stateColumn]),
+		Claim:    claim,
+	}, true
+}
+
+// sharedMachine gives the entry of the previous shard if it is the same.
+func (d *shardDecoder) sharedMachine(id string, machine *ShardMachine) *ShardMachine {
+	if d.previous != nil {
+		if before := d.previous.Machines[id]; before != nil && *before == *machine {
+			return before
+		}
+	}
+	return machine
+}
+
+// numbersUnchanged tells whether no number names another machine than in the previous shard: only then does
+// the same text of a job mean the same attempts.
+func (d *shardDecoder) numbersUnchanged() bool {
+	if d.previous == nil {
+		return false
+	}
+	for id, before := range d.previous.Machines {
+		if now, ok := d.machineByNumber[before.Number]; ok && now != id {
+			return false
+		}
+	}
+	return true
+}
+
+// decodeJobs reads the entries of the jobs; the machines have been read.
+func (d *shardDecoder) decodeJobs(entries string) error {
+	mayShare := d.numbersUnchanged()
+	lastID := ""
+	for _, entry := range splitEntries(entries) {
+		head, _, _ := strings.Cut(entry, columnSeparator)
+		id, ok := expandPrefix(lastID, head)
+		if !ok || id == "" || d.shard.Jobs[id] != nil {
+			return malformedEntry(entry)
+		}
+		lastID = id
+		encoded := entry[len(head):]
+		if mayShare {
+			if before := d.previous.Jobs[id]; before != nil && before.encoded == encoded {
+				d.shard.Jobs[id] = before
+				continue
+			}
+		}
+		job, err := d.decodeJob(encoded)
+		if err != nil {
+			return fmt.Errorf("%w: entry %q: %w", ErrMalformedShard, entry, err)
+		}
+		d.shard.Jobs[id] = job
+	}
+	return nil
+}
+
+// decodeJob reads a job's entry without the id.
+func (d *shardDecoder) decodeJob(encoded string) (*ShardJob, error) {
+	job := &ShardJob{encoded: encoded}
+	for _, field := range strings.Fields(encoded) {
+		completed, ok := strings.CutPrefix(field, completedPrefix)
+		if ok && !strings.ContainsAny(field, runningSeparator+startSeparator) {
+			tasks, err := parseTaskSet(completed, protocol.MaxTasks)
+			if err != nil {
+				return nil, err
+			}
+			job.Completed = tasks
+			continue
+		}
+		if err := d.decodeAttempts(job, field); err != nil {
+			return nil, err
+		}
+	}
+	sort.Slice(job.Attempts, func(a, b int) bool { return job.Attempts[a].Task < job.Attempts[b].Task })
+	return job, nil
+}
+
+// decodeAttempts reads a group of attempts that were assigned together, and adds them to a job.
+func (d *shardDecoder) decodeAttempts(job *ShardJob, field string) error {
+	head, listed, ok := strings.Cut(field, tasksSeparator)
+	if !ok {
+		listed = onlyFirstTask
+	}
+	numberText, attemptText, running := strings.Cut(head, runningSeparator)
+	if !running {
+		if numberText, attemptText, ok = strings.Cut(head, startSeparator); !ok {
+			return fmt.Errorf("attempts %q without a separator", field)
+		}
+	}
+	number, err := strconv.ParseInt(numberText, numberBase, 32)
+	if err != nil {
+		return err
+	}
+	machine := d.machineByNumber[int(number)]
+	if machine == "" {
+		return fmt.Errorf("attempts %q on an unknown machine", field)
+	}
+	attempt, err := strconv.ParseUint(attemptText, numberBase, 64)
+	if err != nil {
+		return err
+	}
+	tasks, err := parseTaskSet(listed, protocol.MaxTasks)
+	if err != nil {
+		return err
+	}
+	tasks.Each(func(task int) {
+		job.Attempts = append(job.Attempts, Attempt{task, machine, attempt, !running})
+	})
+	return nil
+}
+
+// expandPrefix reads what appendPrefixCompressed has written after last; ok is false for anything else.
+func expandPrefix(last, text string) (s string, ok bool) {
+	if text == "" {
+		return "", false
+	}
+	n, err := strconv.ParseInt(text[:1], numberBase, 32)
+	if err != nil || int(n) > len(last) {
+		return "", false
+	}
+	return last[:n] + text[1:], true
+}
+
+// splitEntries takes a list of entries apart; an empty text has none.
+func splitEntries(text string) []string {
+	if text == "" {
+		return nil
+	}
+	return strings.Split(text, entrySeparator)
+}
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -9,7 +9,7 @@
 // Interval is a run of task numbers, from First up to but not including End.
 type Interval struct{ First, End int }
 
-// TaskSet is a set of task numbers: spans in order that don't touch.
+// TaskSet is a set of task numbers: intervals in order that don't touch.
 type TaskSet []Interval
 
 // Count tells how many tasks the set holds.
@@ -41,19 +41,19 @@
 	}
 	out := make(TaskSet, 0, len(t)+1)
 	out = append(out, t[:k]...)
-	s := Interval{task, task + 1}
+	joined := Interval{task, task + 1}
 	if k < len(t) && t[k].End == task {
-		s.First = t[k].First
+		joined.First = t[k].First
 		k++
 	}
-	if k < len(t) && t[k].First == s.End {
-		s.End = t[k].End
+	if k < len(t) && t[k].First == joined.End {
+		joined.End = t[k].End
 		k++
 	}
-	return append(append(out, s), t[k:]...)
+	return append(append(out, joined), t[k:]...)
 }
 
-// appendText writes the set's text: "0-31,40".
+// appendText appends the set's text, such as "0-31,40".
 func (t TaskSet) appendText(text []byte) []byte {
 	for i, s := range t {
 		if i > 0 {
@@ -68,21 +68,22 @@
 	return text
 }
 
-// parseTaskSet reads it. Numbers are bounded, so that a bad record costs nothing.
-func parseTaskSet(s string, most int) (TaskSet, error) {
+// parseTaskSet reads a set's text. Tasks are below the limit, so that a malformed record can't name so many
+// that they exhaust the memory.
+func parseTaskSet(text string, limit int) (TaskSet, error) {
 	var out TaskSet
 	last := -1
-	for len(s) > 0 {
-		var part string
-		part, s, _ = strings.Cut(s, ",")
-		a, b, two := strings.Cut(part, "-")
-		first, err := strconv.Atoi(a)
+	for len(text) > 0 {
+		var interval string
+		interval, text, _ = strings.Cut(text, ",")
+		firstText, lastText, isRange := strings.Cut(interval, "-")
+		first, err := strconv.Atoi(firstText)
 		end := first
-		if err == nil && two {
-			end, err = strconv.Atoi(b)
+		if err == nil && isRange {
+			end, err = strconv.Atoi(lastText)
 		}
-		if err != nil || first <= last || end < first || end >= most {
-			return nil, fmt.Errorf("tasks %q out of order or bounds", part)
+		if err != nil || first <= last || end < first || end >= limit {
+			return nil, fmt.Errorf("tasks %q out of order or bounds", interval)
 		}
 		last = end
 		out = append(out, Interval{first, end + 1})
