--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -25,7 +25,7 @@
 type fakeWorld struct {
 	now    monotime.Micros
 	random *rand.Rand
-	queue  ratelimit.Queue
+	queue  *ratelimit.Queue
 	mirror *mirror.Mirror
 
 	notReady, unavailable, betterElsewhere, stale bool
@@ -46,10 +46,10 @@
 }
 
 func newFakeWorld() *fakeWorld {
-	return &fakeWorld{
+	w := &fakeWorld{
 		now:           100 * monotime.Second,
 		random:        rand.New(rand.NewPCG(1, 2)),
-		queue:         ratelimit.Queue{Writes: ratelimit.TokenBucket{Rate: 20}},
+		queue:         ratelimit.NewQueue(0),
 		mirror:        mirror.New(),
 		commitOutcome: protocol.OK,
 		callOutcome:   protocol.OK,
@@ -59,6 +59,8 @@
 			"m8": {Name: "m8", CPUs: 8, MemoryGB: 32, OnDemandPrice: 1, Zones: []string{"a", "b"}},
 		},
 	}
+	w.queue.SetRates(ratelimit.Rates{}, ratelimit.Rates{PerSecond: 20})
+	return w
 }
 
 func (w *fakeWorld) handler() *Handler {
@@ -94,7 +96,7 @@
 
 func (w *fakeWorld) Unavailable() bool                           { return w.unavailable }
 func (w *fakeWorld) QueuedCalls(priority ratelimit.Priority) int { return w.queue.Len(priority) }
-func (w *fakeWorld) WritesPerSecond() float64                    { return w.queue.Writes.Rate }
+func (w *fakeWorld) WritesPerSecond() float64                    { return w.queue.WritesPerSecond() }
 func (w *fakeWorld) UserCallsWaiting() bool                      { return w.queue.Len(ratelimit.PriorityUserRequest) > 2 }
 func (w *fakeWorld) Ready() bool                                 { return !w.notReady }
 func (w *fakeWorld) PendingReads() int                           { return w.waitingReaders }
--- a/internal/api/requests_test.go
+++ b/internal/api/requests_test.go
@@ -443,7 +443,7 @@
 		user, burst int
 	}{{0, 4, 2}, {5, 4, 2}, {20, 15, 3}, {100, 75, 18}} {
 		world := newFakeWorld()
-		world.queue.Writes.Rate = tc.rate
+		world.queue.SetRates(ratelimit.Rates{}, ratelimit.Rates{PerSecond: tc.rate})
 		handler := world.handler()
 		if user, burst := handler.MaxQueuedUserCalls(), handler.maxQueuedBurstCalls(); user != tc.user ||
 			burst != tc.burst {
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -1,5 +1,5 @@
 // Package ratelimit paces calls of a service with limited rates: token buckets, and a queue that hands out
-// calls by priority class. It holds no clock and makes no calls.
+// calls by priority. It holds no clock and makes no calls.
 package ratelimit
 
 import (
@@ -7,116 +7,90 @@
 	"pipitgap/internal/protocol"
 )
 
-// TokenBucket is a token bucket.
-type TokenBucket struct {
-	Rate       float64 // a second
-	Burst      float64
-	tokens     float64
-	refilledAt monotime.Micros
-	started    bool
-}
-
-// WaitTime tells how long to wait until n tokens are there.
-func (b *TokenBucket) WaitTime(now monotime.Micros, n float64) monotime.Micros {
-	if !b.started {
-		b.started, b.tokens, b.refilledAt = true, b.Burst, now
-	}
-	if now > b.refilledAt {
-		b.tokens = min(b.Burst, b.tokens+b.Rate*(now-b.refilledAt).Seconds())
-		b.refilledAt = now
-	}
-	n = min(n, b.Burst) // what is larger than the burst goes when the bucket is full
-	if b.tokens >= n {
-		return 0
-	}
-	return monotime.FromSeconds((n-b.tokens)/b.Rate) + 1
-}
-
-// Take uses n tokens; the bucket may go into debt.
-func (b *TokenBucket) Take(n float64) {
-	if !b.started {
-		b.started, b.tokens = true, b.Burst
-	}
-	b.tokens -= n
-}
-
-// Empty empties the bucket after the other side has said that it is too much.
-func (b *TokenBucket) Empty() { b.tokens = min(b.tokens, 0) }
-
-// Priority orders calls under shortage.
-type Priority int
-
-// Ranks, the most urgent first.
 const (
-	PriorityLease Priority = iota
-	PriorityClaim
-	PriorityCancellation
-	PriorityUserRequest
-	PriorityShardUpdate
-	PriorityJobResult // answers of jobs that are done
-	PriorityBackground
-	PriorityBurst // what many small jobs of one team would otherwise crowd the rest out with
-	numPriorities
+	// shardMaxWait is how long users' calls go before shard work. A usual burst of submissions is over sooner,
+	// and more of them must not keep tasks from starting and ending. Beyond it they take turns: if the
+	// one that has waited longer always went first, users of the last live controller would wait for
+	// seconds.
+	shardMaxWait = 300 * monotime.Millisecond
+	// shardTurnsPerBurstCall is how many calls of shard work go before a burst call while both wait: burst
+	// calls must not wait for ever either, but tasks that start and end come first.
+	shardTurnsPerBurstCall = 2
+	// throttledPause is how long no call goes after one was throttled.
+	throttledPause = 100 * monotime.Millisecond
 )
 
-// shardMaxWait is how long users go before shards: a burst of submissions is over
-// sooner than that, a flood must not keep tasks from starting and ending. From then
-// on they go in turns: shards that always waited longer kept every user of the one
-// controller that was left waiting for five seconds.
-const shardMaxWait = 300 * monotime.Millisecond
-
-// shardTurnsPerBurstCall is how many shards go before a swarm's call while both wait: it must not
-// wait for ever either, but tasks that start and end come first.
-const shardTurnsPerBurstCall = 2
-
-// nextShardWork tells whether a shard goes next or the answer of a job that is done: they take
-// turns. A shard that held fifty small jobs had as many answers to write, of two changes
-// each, and the next shards, with all that starts and the machines that had come up,
-// waited behind them for five seconds.
-func (q *Queue) nextShardWork() Priority {
-	if len(q.waiting[PriorityJobResult]) > 0 &&
-		(q.shardWentLast || len(q.waiting[PriorityShardUpdate]) == 0) {
-		return PriorityJobResult
-	}
-	return PriorityShardUpdate
-}
-
-// Call waits in the queue.
+// Call is a call that waits in a queue.
 type Call struct {
 	*protocol.StoreCall
 	Priority Priority
 	QueuedAt monotime.Micros
-	OnResult func(protocol.StoreResult)
+	OnResult func(protocol.StoreResult) // for whoever makes the call; the queue doesn't call it
+}
+
+// Rates are the budget of a token bucket.
+type Rates struct {
+	PerSecond float64
+	Burst     float64
 }
 
-// Queue paces the calls of one controller to its share of the state service.
-// It holds no clock and makes no calls: Next hands out what may go now.
+// Queue paces the calls of one controller to its share of the limits of the state service. Each call costs a
+// read and its number of writes.
+//
+// Calls go by priority, and within one in their order, but for three kinds of turns: users' calls with shard
+// work (updates and job results) that has waited for shardMaxWait; shard updates with job results, of which
+// a shard of small jobs has very many; and burst calls, which get a turn among shard work.
 type Queue struct {
-	Reads, Writes        TokenBucket
-	InFlight             int
-	MaxInFlight          int
-	pausedUntil          monotime.Micros
-	userWentLast         bool // of users and shards, a user's call went last
-	shardWentLast        bool // of shards and answers, a shard went last
-	shardCallsSinceBurst int  // of these since a swarm's call went
-	waiting              [numPriorities][]Call
+	reads, writes TokenBucket
+	inFlight      int
+	maxInFlight   int
+	pausedUntil   monotime.Micros
+	waiting       [numPriorities][]Call
+
+	userWentLast             bool // of users' calls and shard work, a user's call went last
+	shardUpdateWentLast      bool // of shard updates and job results, a shard update went last
+	shardWorkSinceBurstCalls int  // calls of shard work since the last burst call
 }
 
+// NewQueue makes a queue without budget, of which so many calls may be in flight at a time. Leases aren't
+// bound by that, but count.
+func NewQueue(maxInFlight int) *Queue { return &Queue{maxInFlight: maxInFlight} }
+
+// SetRates sets the budgets of reads and writes. Tokens that are left stay.
+func (q *Queue) SetRates(reads, writes Rates) {
+	q.reads.Rate, q.reads.Burst = reads.PerSecond, reads.Burst
+	q.writes.Rate, q.writes.Burst = writes.PerSecond, writes.Burst
+}
+
+// WritesPerSecond is the rate of the budget of writes.
+func (q *Queue) WritesPerSecond() float64 { return q.writes.Rate }
+
+// HasSpareWrites tells whether a fraction of the burst of writes is left.
+func (q *Queue) HasSpareWrites(now monotime.Micros, fraction float64) bool {
+	return q.writes.WaitTime(now, fraction*q.writes.Burst) == 0
+}
+
+// TakeRead takes the cost of a call that is made beside the queue; the budget may go into debt.
+func (q *Queue) TakeRead() { q.reads.Take(1) }
+
 // Add queues a call.
 func (q *Queue) Add(call Call) { q.waiting[call.Priority] = append(q.waiting[call.Priority], call) }
 
-// Requeue puts a call that was throttled in front again and pauses the queue.
+// Requeue puts a call that was throttled in front of its priority again, and pauses the queue.
 func (q *Queue) Requeue(call Call, now monotime.Micros) {
 	q.waiting[call.Priority] = append([]Call{call}, q.waiting[call.Priority]...)
-	q.Reads.Empty()
-	q.Writes.Empty()
-	q.pausedUntil = now + 100*monotime.Millisecond
+	q.reads.Empty()
+	q.writes.Empty()
+	q.pausedUntil = now + throttledPause
 }
 
-// Len counts the calls of a rank.
+// Answered notes that a call of Next is in flight no longer.
+func (q *Queue) Answered() { q.inFlight-- }
+
+// Len counts the waiting calls of a priority.
 func (q *Queue) Len(priority Priority) int { return len(q.waiting[priority]) }
 
-// OldestWait tells how long the first call of a rank has waited.
+// OldestWait tells how long the first call of a priority has waited, 0 if none waits.
 func (q *Queue) OldestWait(priority Priority, now monotime.Micros) monotime.Micros {
 	if len(q.waiting[priority]) == 0 {
 		return 0
@@ -124,50 +98,81 @@
 	return now - q.waiting[priority][0].QueuedAt
 }
 
-// Next gives a call that may be made now, or how long to wait for one (0 with
-// no call: nothing waits, or too much is in flight). Lease touches go into
-// debt rather than wait: the service must not lose its membership to its load.
+// Next hands out a call that may be made now, or tells how long to wait for one (0 without a call: nothing
+// waits, or too much is in flight). Leases go into debt rather than wait: a controller must not lose its
+// lease to its own load.
 func (q *Queue) Next(now monotime.Micros) (call Call, ok bool, wait monotime.Micros) {
-	for r := range q.waiting {
-		if w := q.nextShardWork(); Priority(r) == PriorityUserRequest &&
-			q.OldestWait(w, now) > shardMaxWait &&
-			(q.userWentLast || len(q.waiting[PriorityUserRequest]) == 0) {
-			r = int(w)
-		}
-		if Priority(r) == PriorityShardUpdate {
-			r = int(q.nextShardWork())
-			if q.shardCallsSinceBurst >= shardTurnsPerBurstCall && len(q.waiting[PriorityBurst]) > 0 {
-				r = int(PriorityBurst)
-			}
-		}
-		if len(q.waiting[r]) == 0 {
+	for p := range q.waiting {
+		priority := q.inTurn(Priority(p), now)
+		if len(q.waiting[priority]) == 0 {
 			continue
 		}
-		call := q.waiting[r][0]
-		if Priority(r) != PriorityLease {
-			if q.InFlight >= q.MaxInFlight {
+		if priority != PriorityLease {
+			if q.inFlight >= q.maxInFlight {
 				return Call{}, false, 0
 			}
-			budgetWait := max(q.Reads.WaitTime(now, 1), q.Writes.WaitTime(now, float64(call.Writes())))
-			if w := max(budgetWait, q.pausedUntil-now); w > 0 {
-				return Call{}, false, w
+			if wait := q.budgetWait(q.waiting[priority][0], now); wait > 0 {
+				return Call{}, false, wait
 			}
 		}
-		q.waiting[r][0] = Call{}
-		q.waiting[r] = q.waiting[r][1:]
-		q.Reads.Take(1)
-		q.Writes.Take(float64(call.Writes()))
-		q.InFlight++
-		switch Priority(r) {
-		case PriorityUserRequest:
-			q.userWentLast = true
-		case PriorityShardUpdate, PriorityJobResult:
-			q.userWentLast, q.shardWentLast = false, Priority(r) == PriorityShardUpdate
-			q.shardCallsSinceBurst++
-		case PriorityBurst:
-			q.shardCallsSinceBurst = 0
-		}
-		return call, true, 0
+		return q.take(priority), true, 0
 	}
 	return Call{}, false, 0
 }
+
+// inTurn gives the priority whose calls go at the place of the one given.
+func (q *Queue) inTurn(priority Priority, now monotime.Micros) Priority {
+	if priority == PriorityUserRequest && q.shardWorkBeforeUsers(now) {
+		priority = q.nextShardWork()
+	}
+	if priority != PriorityShardUpdate {
+		return priority
+	}
+	if q.shardWorkSinceBurstCalls >= shardTurnsPerBurstCall && len(q.waiting[PriorityBurst]) > 0 {
+		return PriorityBurst
+	}
+	return q.nextShardWork()
+}
+
+// shardWorkBeforeUsers tells whether shard work has waited so long that it goes before users' calls this time.
+func (q *Queue) shardWorkBeforeUsers(now monotime.Micros) bool {
+	return q.OldestWait(q.nextShardWork(), now) > shardMaxWait &&
+		(q.userWentLast || len(q.waiting[PriorityUserRequest]) == 0)
+}
+
+// nextShardWork tells whether a shard update goes next or a job result: they take turns. A shard of small
+// jobs has as many results as jobs; if these went first, the next updates, with all tasks that start and
+// machines that have joined, would wait behind them.
+func (q *Queue) nextShardWork() Priority {
+	if len(q.waiting[PriorityJobResult]) > 0 &&
+		(q.shardUpdateWentLast || len(q.waiting[PriorityShardUpdate]) == 0) {
+		return PriorityJobResult
+	}
+	return PriorityShardUpdate
+}
+
+// budgetWait tells how long to wait until a call may be made, 0 if it may now.
+func (q *Queue) budgetWait(call Call, now monotime.Micros) monotime.Micros {
+	budgetWait := max(q.reads.WaitTime(now, 1), q.writes.WaitTime(now, float64(call.Writes())))
+	return max(0, budgetWait, q.pausedUntil-now)
+}
+
+// take hands out the first call of a priority and notes whose turn it was.
+func (q *Queue) take(priority Priority) Call {
+	call := q.waiting[priority][0]
+	q.waiting[priority][0] = Call{} // the array behind must not keep what the call refers to
+	q.waiting[priority] = q.waiting[priority][1:]
+	q.reads.Take(1)
+	q.writes.Take(float64(call.Writes()))
+	q.inFlight++
+	switch priority {
+	case PriorityUserRequest:
+		q.userWentLast = true
+	case PriorityShardUpdate, PriorityJobResult:
+		q.userWentLast, q.shardUpdateWentLast = false, priority == PriorityShardUpdate
+		q.shardWorkSinceBurstCalls++
+	case PriorityBurst:
+		q.shardWorkSinceBurstCalls = 0
+	}
+	return call
+}
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -9,11 +9,8 @@
 )
 
 func TestQueueOrdersByPriorityAndRate(t *testing.T) {
-	queue := Queue{
-		Reads:       TokenBucket{Rate: 10, Burst: 4},
-		Writes:      TokenBucket{Rate: 2, Burst: 2},
-		MaxInFlight: 100,
-	}
+	queue := NewQueue(100)
+	queue.SetRates(Rates{PerSecond: 10, Burst: 4}, Rates{PerSecond: 2, Burst: 2})
 	since := monotime.Micros(0)
 	add := func(priority Priority, writes int) {
 		sc := &protocol.StoreCall{}
--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -70,10 +70,10 @@
 	b.sharers, b.multiplier = live, multiplier
 	share := min(1, oversubscription*multiplier/float64(live))
 	reads, writes := b.limits.RequestsPerSecond*share, b.limits.WritesPerSecond*share
-	c.queue.Reads.Rate = reads
-	c.queue.Reads.Burst = max(minReadBurst, reads/burstDivisor)
-	c.queue.Writes.Rate = writes
-	c.queue.Writes.Burst = max(float64(b.limits.TransactionOps), writes/burstDivisor)
+	c.queue.SetRates(
+		ratelimit.Rates{PerSecond: reads, Burst: max(minReadBurst, reads/burstDivisor)},
+		ratelimit.Rates{PerSecond: writes, Burst: max(float64(b.limits.TransactionOps), writes/burstDivisor)},
+	)
 }
 
 // nextMultiplier gives the multiplier of the next step, at most so large that the budget is the whole limit.
@@ -100,11 +100,11 @@
 func (c *Client) BudgetSharers() int { return c.budget.sharers }
 
 // WritesPerSecond is this controller's budget of writes.
-func (c *Client) WritesPerSecond() float64 { return c.queue.Writes.Rate }
+func (c *Client) WritesPerSecond() float64 { return c.queue.WritesPerSecond() }
 
 // HasSpareWrites tells whether a fraction of the burst of writes is left.
 func (c *Client) HasSpareWrites(now monotime.Micros, fraction float64) bool {
-	return c.queue.Writes.WaitTime(now, fraction*c.queue.Writes.Burst) == 0
+	return c.queue.HasSpareWrites(now, fraction)
 }
 
 // WatchInterval is the shortest interval between two watches of this controller, so that those of all
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -50,7 +50,7 @@
 type Client struct {
 	env   Environment
 	log   *slog.Logger
-	queue ratelimit.Queue
+	queue *ratelimit.Queue
 
 	timerArmed bool // a timer will continue the queue
 
@@ -69,7 +69,7 @@
 	c := &Client{
 		env:                  options.Environment,
 		log:                  options.Log,
-		queue:                ratelimit.Queue{MaxInFlight: maxCallsInFlight},
+		queue:                ratelimit.NewQueue(maxCallsInFlight),
 		budget:               newBudget(options.Limits, options.Controllers),
 		userCallsWaitAtPeers: options.UserCallsWaitAtPeers,
 	}
@@ -99,7 +99,7 @@
 // CallAtOnce makes a call beside the queue; its cost is taken from the budget of reads, which may go into
 // debt. The caller decides what the result says about the service, see RecordOutcome.
 func (c *Client) CallAtOnce(call *protocol.StoreCall, callback func(protocol.StoreResult)) {
-	c.queue.Reads.Take(1)
+	c.queue.TakeRead()
 	c.env.CallStore(call, callback)
 }
 
@@ -129,7 +129,7 @@
 
 // complete handles the result of a queued call. A throttled call is queued again while it is young.
 func (c *Client) complete(queued ratelimit.Call, result protocol.StoreResult) {
-	c.queue.InFlight--
+	c.queue.Answered()
 	if result.Outcome == protocol.Throttled {
 		now := c.env.Now()
 		c.throttledCalls++
