--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -145,8 +145,24 @@
 // SetRemovalReason notes why the machine is to be given back.
 func (a *Agent) SetRemovalReason(reason string) { a.removalReason = reason }
 
-// ClearRemovalReason takes back that the machine is to be given back.
-func (a *Agent) ClearRemovalReason() { a.removalReason = "" }
+// recheckRemoval takes back that the machine is to be given back for being empty, if it got tasks meanwhile.
+func (a *Agent) recheckRemoval(machine *mirror.Machine) {
+	if (a.removalReason == RemovalIdle || a.removalReason == RemovalDrained) && len(machine.Attempts) > 0 {
+		a.removalReason = ""
+	}
+}
+
+// AcceptsTasks tells whether new tasks may go to the machine as far as its agent tells: it has lately shown that the
+// controller's answers reach it, and the machine isn't on its way out. silenceLimit is what counts as lately.
+func (a *Agent) AcceptsTasks(now, silenceLimit monotime.Micros) bool {
+	if !a.HasReported() || !a.ClaimAcknowledged() || a.leaseExpired || !a.IsReachable() {
+		return false
+	}
+	if a.interruptionNoticed || a.removalReason != "" {
+		return false
+	}
+	return now-a.LastReachedAt() < silenceLimit
+}
 
 // Failures is the history of tasks that failed or ran slowly on the machine.
 func (a *Agent) Failures() *FailureHistory { return &a.failures }
@@ -197,15 +213,19 @@
 	return ok
 }
 
-// EachPendingOutcome calls release for each outcome of an attempt that the store still holds on the machine,
-// in no certain order, and forgets the others: they are in the store, or it never had their attempts.
-func (a *Agent) EachPendingOutcome(machine *mirror.Machine, release func(task mirror.TaskID, outcome Outcome)) {
+// EachEndedAttempt calls release for each task with an outcome of an attempt that the store still holds on the
+// machine, in no certain order. Other outcomes are forgotten: they are in the store, or it never had their
+// attempts.
+func (a *Agent) EachEndedAttempt(
+	machine *mirror.Machine,
+	release func(task mirror.TaskID, completed bool),
+) {
 	for key, outcome := range a.pendingOutcomes {
 		if machine.Attempts[key.Task] != key.Attempt {
 			delete(a.pendingOutcomes, key)
 			continue
 		}
-		release(key.Task, outcome)
+		release(key.Task, outcome == OutcomeCompleted)
 	}
 }
 
--- a/internal/agents/failures.go
+++ b/internal/agents/failures.go
@@ -34,7 +34,9 @@
 		return
 	}
 	h.slowdownSamples++
-	h.logSlowdown += (math.Log(ran/expected) - h.logSlowdown) / float64(min(h.slowdownSamples, slowdownWeightSamples))
+	h.logSlowdown += (math.Log(ran/expected) - h.logSlowdown) / float64(
+		min(h.slowdownSamples, slowdownWeightSamples),
+	)
 }
 
 // IsSlow tells whether tasks run far longer than expected on the machine, again and again.
--- /dev/null
+++ b/internal/agents/health.go
@@ -0,0 +1,242 @@
+package agents
+
+import (
+	"pipitgap/internal/logging"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/reachability"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// Reasons for giving a machine back. They are logged.
+const (
+	// RemovalIdle and RemovalDrained hold only while the machine is empty.
+	RemovalIdle    = "idle"
+	RemovalDrained = "drained"
+
+	removalFaulty               = "faulty"
+	removalUnreachable          = "unreachable"
+	removalCancelledUnreachable = "cancelled tasks unreachable"
+	removalInterrupted          = "spot interruption"
+)
+
+// manySilentMachines is how many machines beside one must be silent for a line in the log.
+const manySilentMachines = 3
+
+// healthCheck is one look at all own machines.
+type healthCheck struct {
+	now                      monotime.Micros
+	owned, silent            int // machines, and those of them that are silent beyond a first one
+	leasesExpired, tasksLost int // machines whose leases have ended just now, and what they held
+	interruptionNoticed      int // machines that the cloud is about to take back
+}
+
+// CheckMachines looks after the own machines: leases that have ended, silence, interruption notices, faults.
+func (m *Manager) CheckMachines(now monotime.Micros) {
+	m.expireOrphanContacts(now)
+	m.shards.ExpireClaimRequests(now)
+	// Without a fresh mirror a claim may have moved on long ago: after a cut of this controller's own all
+	// machines look silent, and are no longer its own.
+	if _, only := m.store.UnavailableOnlyHere(now); only || m.store.Unavailable() ||
+		m.store.WatchOverdue(now) {
+		return
+	}
+	check := &healthCheck{now: now}
+	m.countSilentMachines(check)
+	for _, id := range sortedmap.Keys(m.mirror.Machines) {
+		if machine := m.mirror.Machines[id]; m.Has(machine) && machine.Record != nil {
+			m.checkMachine(machine, check)
+		}
+	}
+	m.logCheck(check)
+	m.logRemovals()
+}
+
+// silenceOf is how long an agent hasn't shown that it is reached; during a pause of this process none could.
+func (m *Manager) silenceOf(agent *Agent, now monotime.Micros) monotime.Micros {
+	return now - max(agent.LastReachedAt(), m.peers.ResumedFromPauseAt())
+}
+
+// countSilentMachines counts the silent machines, by zone too, and judges from that whether this controller, or a
+// zone, is cut off. A machine that was claimed but not heard yet may still be looking for this controller: it has
+// until its lease must have ended.
+func (m *Manager) countSilentMachines(check *healthCheck) {
+	zones, overall := map[string]*reachability.SilenceCount{}, reachability.SilenceCount{}
+	for _, machine := range m.mirror.Machines {
+		agent := m.Of(machine)
+		if agent == nil || machine.Record == nil {
+			continue
+		}
+		check.owned++
+		silent := m.silenceOf(agent, check.now) > 2*m.durations.HeartbeatInterval
+		if silent {
+			check.silent++
+		}
+		zone := zones[machine.Record.Zone]
+		if zone == nil {
+			zone = &reachability.SilenceCount{}
+			zones[machine.Record.Zone] = zone
+		}
+		zone.Add(silent, !agent.HasReported())
+		overall.Add(silent, !agent.HasReported())
+	}
+	resumedAt := m.peers.ResumedFromPauseAt()
+	if check.now-resumedAt > m.durations.SuspicionTimeout || resumedAt == 0 {
+		m.peers.UpdateReachability(overall, check.now)
+	}
+	check.silent = max(check.silent, 1) - 1 // one alone may always be the one
+	for zone, silence := range zones {
+		if silence.IsUnreachable() {
+			m.zoneUnreachableAt[zone] = check.now
+		}
+	}
+}
+
+// checkMachine looks after one machine.
+func (m *Manager) checkMachine(machine *mirror.Machine, check *healthCheck) {
+	agent := m.Of(machine)
+	if agent.LeaseHasEnded(check.now, m.durations.LeaseExpiryProof) {
+		check.leasesExpired++
+		check.tasksLost += len(machine.Attempts)
+		agent.ExpireLease(machine)
+		m.scheduler.RequestPass()
+	}
+	faulty, failureProne := m.scheduler.MachineFault(agent)
+	if agent.Failures().SetFailureProne(failureProne) {
+		m.scheduler.RequestPass()
+	}
+	if agent.SetSuspect(m.silenceOf(agent, check.now) > m.durations.SuspicionTimeout || faulty) {
+		m.scheduler.RequestPass()
+	}
+	reason := m.silenceRemovalReason(machine, check)
+	switch {
+	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason() != "":
+	case reason != "":
+		m.RequestRemoval(machine, reason)
+	case faulty:
+		m.scheduler.ClearFailuresOn(machine)
+		m.RequestRemoval(machine, removalFaulty)
+	case agent.InterruptionNoticed() && machine.Record.State != storage.MachineDraining && !agent.IsStoppingAny():
+		check.interruptionNoticed++
+		m.vacateInterruptedMachine(machine)
+	}
+}
+
+// silenceRemovalReason tells why a silent machine is to be given back, or "" if it isn't.
+func (m *Manager) silenceRemovalReason(machine *mirror.Machine, check *healthCheck) string {
+	agent := m.Of(machine)
+	silence := m.silenceOf(agent, check.now)
+	zoneCutOff := m.isZoneCutOff(machine, check.now)
+	// Cancelled tasks must be gone in time. Until then the lease may end, or another controller reach the
+	// machine: all the tasks there are a high price for one that was cancelled a moment before the trouble.
+	giveUp := m.durations.LeaseExpiryProof + 2*m.durations.HeartbeatInterval
+	overdue := m.durations.CancellationDeadline / 2
+	if zoneCutOff {
+		giveUp, overdue = 3*m.durations.LeaseExpiryProof, 3*m.durations.CancellationDeadline/4
+	}
+	fewSilent := 3*check.silent <= check.owned
+	switch {
+	case silence > giveUp:
+		return removalUnreachable
+	case silence > m.durations.SuspicionTimeout && m.holdsCancelled(machine, overdue):
+		return removalCancelledUnreachable
+	case agent.InterruptionNoticed() && silence > m.durations.PlacementSilenceLimit:
+		return removalInterrupted
+	case silence > m.durations.SuspicionTimeout && fewSilent && agent.ClaimAcknowledged() && !zoneCutOff:
+		// Deleting it proves its tasks gone long before its lease would. Not when many are silent: then it
+		// is this controller that is cut off.
+		return removalUnreachable
+	}
+	return ""
+}
+
+// isZoneCutOff tells whether a machine is to be kept because its zone as a whole is unreachable. A zone that is cut
+// off comes back with its machines, each within a lease: if they were deleted for their silence, its room would wait
+// for new machines to boot. Not so where services are: a deletion lets them start elsewhere.
+func (m *Manager) isZoneCutOff(machine *mirror.Machine, now monotime.Micros) bool {
+	at, cutOff := m.zoneUnreachableAt[machine.Record.Zone]
+	return cutOff && now-at < m.durations.WorkerLease && !m.holdsService(machine)
+}
+
+// RequestRemoval has a machine given back: its shard says so, and the leader deletes it.
+func (m *Manager) RequestRemoval(machine *mirror.Machine, reason string) {
+	m.Of(machine).SetRemovalReason(reason)
+	m.scheduler.RequestPass()
+	m.unloggedRemovals[reason] = append(m.unloggedRemovals[reason], machine.ID)
+}
+
+// holdsCancelled tells whether the store holds tasks there of jobs that were cancelled at least so long ago. What
+// this controller hasn't seen being cancelled was so for an unknown time: long enough.
+func (m *Manager) holdsCancelled(machine *mirror.Machine, since monotime.Micros) bool {
+	for task := range machine.Attempts {
+		if job := m.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
+			m.env.Now()-m.scheduler.FinalSeenAt(task.Job) >= since {
+			return true
+		}
+	}
+	return false
+}
+
+// holdsService tells whether the store holds replicas of services there.
+func (m *Manager) holdsService(machine *mirror.Machine) bool {
+	for task := range machine.Attempts {
+		if job := m.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
+			return true
+		}
+	}
+	return false
+}
+
+// vacateInterruptedMachine stops what gains by it before the cloud takes a machine back: services start elsewhere
+// now rather than later, checkpointed work is saved.
+func (m *Manager) vacateInterruptedMachine(machine *mirror.Machine) {
+	agent := m.Of(machine)
+	for task, attempt := range machine.Attempts {
+		job := m.mirror.Jobs[task.Job]
+		if job != nil && job.IsOpen() && (job.Record.Spec.Service || job.Record.Spec.CheckpointS > 0) {
+			agent.StopAttempt(AttemptID{task, attempt})
+		}
+	}
+	if agent.IsStoppingAny() {
+		m.SyncCommands(machine)
+	}
+}
+
+// logCheck writes one line for each trouble, however many machines share it.
+func (m *Manager) logCheck(check *healthCheck) {
+	if check.leasesExpired > 0 {
+		m.log.Info("machines lost", "state", logging.ConditionBegin,
+			"machines", check.leasesExpired, "tasks", check.tasksLost)
+	}
+	if check.interruptionNoticed > 0 {
+		m.log.Info("spot interruption notice", "machines", check.interruptionNoticed)
+	}
+	many := check.silent >= manySilentMachines
+	if many == m.manySilentLogged {
+		return
+	}
+	m.manySilentLogged = many
+	if many {
+		m.log.Info("machines unreachable", "state", logging.ConditionBegin,
+			"machines", check.silent+1, "machines_owned", check.owned)
+	} else {
+		m.log.Info("machines unreachable", "state", logging.ConditionEnd, "machines_owned", check.owned)
+	}
+}
+
+// logRemovals writes one line a reason, however many machines share it.
+func (m *Manager) logRemovals() {
+	for _, reason := range sortedmap.Keys(m.unloggedRemovals) {
+		ids := m.unloggedRemovals[reason]
+		tasks := 0
+		for _, id := range ids {
+			if machine := m.mirror.Machines[id]; machine != nil {
+				tasks += len(machine.Attempts)
+			}
+		}
+		m.log.Info("machines marked for scale-in", "reason", reason, "machines", len(ids),
+			"tasks", tasks, "first_machine", ids[0])
+	}
+	clear(m.unloggedRemovals)
+}
--- /dev/null
+++ b/internal/agents/heartbeats.go
@@ -0,0 +1,210 @@
+package agents
+
+import (
+	"context"
+	"log/slog"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/storage"
+	"pipitgap/internal/transport"
+)
+
+// designationPause lies between two changes of the controller that may claim a machine: each rewrites the
+// scale-out request, which makes the claims of all its other machines fail.
+const designationPause = 2 * monotime.Second
+
+// redirectResponse sends a worker to a controller; empty: to any other.
+func redirectResponse(controller string) transport.Response {
+	return transport.Response{Status: 421, Body: protocol.MustMarshal(&protocol.Redirect{Leader: controller})}
+}
+
+// HandleHeartbeat answers a worker's heartbeat, at once or after a claim on its machine.
+func (m *Manager) HandleHeartbeat(body []byte, respond func(transport.Response)) {
+	var report protocol.Heartbeat
+	if err := protocol.Unmarshal(body, &report); err != nil {
+		respond(protocol.ErrorResponse(400, err.Error()))
+		return
+	}
+	if !report.Valid() {
+		respond(protocol.ErrorResponse(400, "report lacks a field"))
+		return
+	}
+	now := m.env.Now()
+	if refusal, refused := m.refuseAll(now); refused {
+		respond(refusal)
+		return
+	}
+	m.dispatchHeartbeat(&report, m.logResponse(&report, respond, now), now)
+}
+
+// refuseAll gives the answer to any heartbeat while none may renew a lease here.
+func (m *Manager) refuseAll(now monotime.Micros) (refusal transport.Response, refused bool) {
+	if peer, only := m.store.UnavailableOnlyHere(now); only {
+		return redirectResponse(peer), true
+	}
+	if !m.store.Ready() {
+		return protocol.ErrorResponse(503, "records not read yet"), true
+	}
+	if m.store.MirrorStale(now) {
+		// It may have waited here for as long as the process was paused.
+		return protocol.ErrorResponse(503, "stood still"), true
+	}
+	if m.cancellations.SuspendsLeaseRenewal(now) {
+		return protocol.ErrorResponse(503, "cut off from the state service"), true
+	}
+	return transport.Response{}, false
+}
+
+// dispatchHeartbeat answers a heartbeat by whose its machine is.
+func (m *Manager) dispatchHeartbeat(
+	report *protocol.Heartbeat,
+	respond func(transport.Response),
+	now monotime.Micros,
+) {
+	machine := m.mirror.Machines[report.Machine]
+	switch {
+	case machine != nil && m.Has(machine) && m.redirectsAway(m.Of(machine), now):
+		respond(protocol.ErrorResponse(503, "cut off from all others"))
+	case machine != nil && m.Has(machine):
+		respond(m.answerHeartbeat(machine, report))
+	case m.mirror.ScaleInOfMachine[report.Machine] != "":
+		// Deleted, or about to be: a report that was held back on its way must not have it claimed again.
+		respond(protocol.ErrorResponse(503, "machine is being given back"))
+	case machine != nil && machine.Record != nil:
+		m.handleOrphanedWorker(machine, report, respond, now)
+	default:
+		m.handleUnclaimedWorker(report, respond, now)
+	}
+}
+
+// logResponse gives a respond function that logs the answer first, if the log has that level.
+func (m *Manager) logResponse(
+	report *protocol.Heartbeat,
+	respond func(transport.Response),
+	receivedAt monotime.Micros,
+) func(transport.Response) {
+	if !m.log.Enabled(context.Background(), slog.LevelDebug) {
+		return respond
+	}
+	return func(response transport.Response) {
+		m.log.Debug(
+			"heartbeat",
+			"machine", report.Machine,
+			"agent_incarnation", report.Incarnation,
+			"seq", report.Sequence,
+			"fencing_token", report.FencingToken,
+			"tasks", len(report.Tasks),
+			"status", response.Status,
+			"waited_ms", (m.env.Now() - receivedAt).Milliseconds(),
+		)
+		respond(response)
+	}
+}
+
+// redirectsAway tells whether a worker of an own machine is to look for another controller, because this one is
+// cut off and others, if there are any, have its machines. A worker that comes back within its lease has found
+// nobody: then this controller is the one that is left, or the zone is cut off with it, and it answers as before.
+func (m *Manager) redirectsAway(agent *Agent, now monotime.Micros) bool {
+	return m.peers.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
+}
+
+// answerHeartbeat applies a heartbeat from an own machine and gives the answer.
+func (m *Manager) answerHeartbeat(machine *mirror.Machine, report *protocol.Heartbeat) transport.Response {
+	agent := m.Of(machine)
+	arrival, ok := agent.Receive(report, m.env.Now())
+	if !ok {
+		return protocol.ErrorResponse(503, "seen before") // a late copy
+	}
+	if agent.IsNewer(report) {
+		m.applyReport(machine, report)
+	}
+	reply := agent.Reply(arrival, machine, m.mirror.Jobs, m.durations.PlacementSilenceLimit)
+	return transport.Response{Status: 200, Body: protocol.MustMarshal(reply)}
+}
+
+// handleUnclaimedWorker answers a worker whose machine no controller has claimed yet.
+func (m *Manager) handleUnclaimedWorker(
+	report *protocol.Heartbeat,
+	respond func(transport.Response),
+	now monotime.Micros,
+) {
+	name := m.mirror.ScaleOutOfMachine[report.Machine]
+	request := m.mirror.ScaleOuts[name]
+	if request == nil {
+		// Its request isn't written yet, or nobody expects the machine: the leader finds it in the cloud's list.
+		respond(redirectResponse(""))
+		return
+	}
+	designated := m.DesignatedController(request, report.Machine)
+	if designated == m.node {
+		m.claimNewMachine(request, report, respond)
+		return
+	}
+	// It has nothing on it yet, so there is no hurry to claim it here.
+	firstContactAt := m.recordOrphanContact(report.Machine, 0, now)
+	if now-firstContactAt >= m.durations.WorkerLease/2 {
+		// It was sent there and has come back: it can't reach that controller.
+		respond(redirectResponse(""))
+		m.designateThisController(name, report, now)
+		return
+	}
+	if m.peers.IsMember(designated) && !m.peers.IsCutOffFromWorkers(designated, now) {
+		respond(redirectResponse(designated))
+	} else {
+		respond(redirectResponse("")) // the leader is about to name another
+	}
+}
+
+// claimNewMachine claims a machine that has come up and that this controller may claim.
+func (m *Manager) claimNewMachine(
+	request *mirror.ScaleOutEntry,
+	report *protocol.Heartbeat,
+	respond func(transport.Response),
+) {
+	if m.mirror.WatchedRevision < request.Version {
+		respond(redirectResponse(""))
+		return
+	}
+	m.verifyReport(report, false, func(ok bool) {
+		if !ok {
+			respond(redirectResponse(""))
+			return
+		}
+		m.requestClaim(report, nil, respond)
+	})
+}
+
+// designateThisController writes into a scale-out request that this controller may claim a machine. Once that is
+// written, nobody else's claim can follow.
+func (m *Manager) designateThisController(
+	requestName string,
+	report *protocol.Heartbeat,
+	now monotime.Micros,
+) {
+	key := storage.Key(storage.KindScaleOut, requestName)
+	if now < m.nextDesignationChangeAt || !m.store.BeginRecordWrite(key) {
+		return
+	}
+	m.nextDesignationChangeAt = now + designationPause
+	m.verifyReport(report, false, func(ok bool) {
+		request := m.mirror.ScaleOuts[requestName]
+		if !ok || request == nil {
+			m.store.EndRecordWrite(key)
+			return
+		}
+		record := request.Record
+		record.Own = map[string]string{report.Machine: m.node}
+		for machine, controller := range request.Record.Own {
+			if machine != report.Machine {
+				record.Own[machine] = controller
+			}
+		}
+		m.store.Commit(ratelimit.PriorityBackground, protocol.Transaction{
+			If:   []protocol.Compare{{Key: key, Version: request.Version}},
+			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
+		}, func(protocol.StoreResult) { m.store.EndRecordWrite(key) })
+	})
+}
--- /dev/null
+++ b/internal/agents/manager_test.go
@@ -0,0 +1,234 @@
+package agents
+
+import (
+	"log/slog"
+	"testing"
+
+	"pipitgap/internal/config"
+	"pipitgap/internal/durations"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/reachability"
+	"pipitgap/internal/storage"
+	"pipitgap/internal/transport"
+)
+
+// timer is a callback that is due at a time.
+type timer struct {
+	at       monotime.Micros
+	callback func()
+}
+
+// probe is a request to a worker that waits for its answer.
+type probe struct {
+	endpoint string
+	request  *protocol.CommandRequest
+	callback func(protocol.CommandResult)
+}
+
+// claimRequest is a call of Shards.RequestClaim.
+type claimRequest struct {
+	machine   string
+	fromShard *mirror.Shard
+	callback  func(claimed bool)
+}
+
+// stubs stands for the other subjects of n-0, which are as a test sets them.
+type stubs struct {
+	now    monotime.Micros
+	timers []timer
+	probes []probe
+
+	notReady, mirrorStale, watchOverdue, unavailable bool
+	unavailableOnlyHere                              string // the controller that reaches the state service
+	recordWrites                                     map[string]bool
+	commits                                          []protocol.Transaction
+
+	members     map[string]bool
+	lastHeardAt map[string]monotime.Micros
+	superseded  bool
+	connected   []string
+
+	ownedBy         string
+	claimObservedAt monotime.Micros
+	claimRequests   []claimRequest
+	claimedOrphaned int
+
+	passes    int
+	exits     []Exit
+	suspended bool
+}
+
+func (s *stubs) Now() monotime.Micros { return s.now }
+
+func (s *stubs) After(delay monotime.Micros, callback func()) {
+	s.timers = append(s.timers, timer{s.now + delay, callback})
+}
+
+func (s *stubs) SendCommands(
+	endpoint string,
+	request *protocol.CommandRequest,
+	_ monotime.Micros,
+	callback func(protocol.CommandResult),
+) {
+	s.probes = append(s.probes, probe{endpoint, request, callback})
+}
+
+func (s *stubs) Ready() bool                       { return !s.notReady }
+func (s *stubs) MirrorStale(monotime.Micros) bool  { return s.mirrorStale }
+func (s *stubs) WatchOverdue(monotime.Micros) bool { return s.watchOverdue }
+func (s *stubs) Unavailable() bool                 { return s.unavailable }
+
+func (s *stubs) UnavailableOnlyHere(monotime.Micros) (peer string, only bool) {
+	return s.unavailableOnlyHere, s.unavailableOnlyHere != ""
+}
+
+func (s *stubs) BeginRecordWrite(key string) bool {
+	if s.recordWrites[key] {
+		return false
+	}
+	s.recordWrites[key] = true
+	return true
+}
+
+func (s *stubs) EndRecordWrite(key string) { delete(s.recordWrites, key) }
+
+func (s *stubs) Commit(
+	_ ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	s.commits = append(s.commits, txn)
+	callback(protocol.StoreResult{Outcome: protocol.OK})
+}
+
+func (s *stubs) IsMember(node string) bool                                     { return s.members[node] }
+func (s *stubs) ConnectedControllers() []string                                { return s.connected }
+func (s *stubs) IsCutOffFromWorkers(string, monotime.Micros) bool              { return false }
+func (s *stubs) LastHeardAt(node string) monotime.Micros                       { return s.lastHeardAt[node] }
+func (s *stubs) IsSuperseded(monotime.Micros) bool                             { return s.superseded }
+func (s *stubs) ResumedFromPauseAt() monotime.Micros                           { return 0 }
+func (s *stubs) UpdateReachability(reachability.SilenceCount, monotime.Micros) {}
+
+func (s *stubs) HeardRecently(node string, now monotime.Micros) bool {
+	return s.lastHeardAt[node] != 0 && now-s.lastHeardAt[node] < 3*durations.SlowTickInterval
+}
+
+func (s *stubs) Owns(shard *mirror.Shard) bool          { return shard.Record.Owner == s.ownedBy }
+func (s *stubs) ClaimObservedAt(string) monotime.Micros { return s.claimObservedAt }
+func (s *stubs) ClaimOrphaned(monotime.Micros)          { s.claimedOrphaned++ }
+func (s *stubs) ExpireClaimRequests(monotime.Micros)    {}
+
+func (s *stubs) RequestClaim(
+	report *protocol.Heartbeat,
+	fromShard *mirror.Shard,
+	callback func(claimed bool),
+) {
+	s.claimRequests = append(s.claimRequests, claimRequest{report.Machine, fromShard, callback})
+}
+
+func (s *stubs) RequestPass() { s.passes++ }
+
+func (s *stubs) RecordExit(_ *mirror.Machine, _ *mirror.Job, exit Exit) {
+	s.exits = append(s.exits, exit)
+}
+
+func (s *stubs) MachineFault(*Agent) (faulty, failureProne bool) { return false, false }
+func (s *stubs) ClearFailuresOn(*mirror.Machine)                 {}
+func (s *stubs) FinalSeenAt(string) monotime.Micros              { return 0 }
+func (s *stubs) SuspendsLeaseRenewal(monotime.Micros) bool       { return s.suspended }
+
+// testWorkers are the platform's durations in these tests.
+var testWorkers = config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32}
+
+// fixture is a Manager of n-0 with stubs for all it needs.
+type fixture struct {
+	t *testing.T
+	*stubs
+	replica *mirror.Mirror
+	machine *mirror.Machine // i-1
+	*Manager
+}
+
+// newFixture makes a Manager whose mirror holds a running service on the machine i-1 of n-0's.
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	s := &stubs{
+		now:          3 * monotime.Second,
+		recordWrites: map[string]bool{},
+		members:      map[string]bool{},
+		lastHeardAt:  map[string]monotime.Micros{},
+		ownedBy:      "n-0",
+	}
+	replica, machine := newMirrorWithAttempt(t, storage.JobSpec{Service: true})
+	f := &fixture{t: t, stubs: s, replica: replica, machine: machine}
+	f.Manager = NewManager(
+		Config{Node: "n-0", Peers: []string{"n-1"}, Durations: durations.Derive(testWorkers)},
+		Dependencies{
+			Mirror:        replica,
+			Environment:   s,
+			Store:         s,
+			Peers:         s,
+			Shards:        s,
+			Scheduler:     s,
+			Cancellations: s,
+			IsCordoned:    func(*mirror.Machine) bool { return false },
+			Log:           slog.New(slog.DiscardHandler),
+		},
+	)
+	f.UpdateOwnership(machine)
+	return f
+}
+
+// run lets time pass, with the checks that the controller makes meanwhile.
+func (f *fixture) run(duration monotime.Micros) {
+	for end := f.now + duration; f.now < end; {
+		f.now = min(end, f.now+durations.SlowTickInterval)
+		f.fireTimers()
+		f.CheckMachines(f.now)
+	}
+}
+
+func (f *fixture) fireTimers() {
+	due := f.timers
+	f.timers = nil
+	for _, timer := range due {
+		if timer.at <= f.now {
+			timer.callback()
+		} else {
+			f.timers = append(f.timers, timer)
+		}
+	}
+}
+
+// testReport is a report of i-1 with its one task running.
+func testReport(incarnation, sequence, token uint64) *protocol.Heartbeat {
+	return &protocol.Heartbeat{
+		Machine:      "i-1",
+		Endpoint:     "10.1.0.1:9000",
+		Type:         "m8",
+		Zone:         "a",
+		Incarnation:  incarnation,
+		Sequence:     sequence,
+		FencingToken: token,
+		Tasks:        []protocol.TaskStatus{{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}},
+	}
+}
+
+// send sends a heartbeat and returns the answer's status, 0 if none has come yet, and where it redirects.
+func (f *fixture) send(report *protocol.Heartbeat) (status int, redirectedTo string) {
+	f.t.Helper()
+	f.HandleHeartbeat(protocol.MustMarshal(report), func(response transport.Response) {
+		status = response.Status
+		var redirect protocol.Redirect
+		if status == 421 {
+			if err := protocol.Unmarshal(response.Body, &redirect); err != nil {
+				f.t.Fatal(err)
+			}
+			redirectedTo = redirect.Leader
+		}
+	})
+	return status, redirectedTo
+}
--- a/internal/agents/reports_test.go
+++ b/internal/agents/reports_test.go
@@ -43,7 +43,10 @@
 		Endpoint: "10.1.0.1:9000",
 		State:    storage.MachineOpen,
 	})
-	shard.Assign(testTask.Job, storage.Attempt{Task: testTask.Index, Machine: "i-1", Number: testAttempt.Attempt})
+	shard.Assign(
+		testTask.Job,
+		storage.Attempt{Task: testTask.Index, Machine: "i-1", Number: testAttempt.Attempt},
+	)
 	encoded, _ := shard.Encode()
 	replica.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 7)
 	return replica, replica.Machines["i-1"]
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -66,7 +66,7 @@
 		}
 		for _, node := range c.nodeNames {
 			if machine := c.nodes[node].controller.mirror.Machines[wid]; machine != nil &&
-				c.nodes[node].controller.agents.agentOf(machine) != nil {
+				c.nodes[node].controller.agents.Of(machine) != nil {
 				c.requestAndWait(node, "POST", protocol.HeartbeatPath, protocol.MustMarshal(&old))
 			}
 		}
@@ -154,7 +154,7 @@
 		{"after another controller claimed the machine", func(c *cluster, id string, worker *fake.Worker) {
 			for _, node := range c.nodeNames {
 				if machine := c.nodes[node].controller.mirror.Machines[id]; machine != nil &&
-					c.nodes[node].controller.agents.agentOf(machine) != nil {
+					c.nodes[node].controller.agents.Of(machine) != nil {
 					c.disconnectedPairs[id+"-"+node] = true
 				}
 			}
@@ -197,8 +197,8 @@
 					core := c.nodes[node].controller
 					if m := core.mirror.Machines[machine]; m == nil {
 						s += node + " unknown; "
-					} else if core.agents.agentOf(m) != nil {
-						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.agentOf(m).LastReachedAt(), core.agents.agentOf(m).LastAnsweredAt(), core.scheduler.schedulable(m, c.sim.Now()))
+					} else if core.agents.Of(m) != nil {
+						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.Of(m).LastReachedAt(), core.agents.Of(m).LastAnsweredAt(), core.scheduler.schedulable(m, c.sim.Now()))
 					}
 				}
 				return s
@@ -227,8 +227,8 @@
 			if tc.name == "after the owner restarted" {
 				for _, node := range c.nodeNames {
 					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil &&
-						c.nodes[node].controller.agents.agentOf(m) != nil &&
-						(c.nodes[node].controller.agents.agentOf(m).ClaimAcknowledged() || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
+						c.nodes[node].controller.agents.Of(m) != nil &&
+						(c.nodes[node].controller.agents.Of(m).ClaimAcknowledged() || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
 						t.Errorf("%s takes it for alive", node)
 					}
 				}
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -21,17 +21,9 @@
 // schedulable tells whether new tasks may go to a machine of ours: it is open, its
 // worker has lately shown that our answers reach it, and nothing speaks against it.
 func (sc *scheduler) schedulable(machine *mirror.Machine, now monotime.Micros) bool {
-	agent := sc.c.agents.agentOf(machine)
-	if agent == nil || !agent.HasReported() || !agent.ClaimAcknowledged() || agent.LeaseExpired() ||
-		agent.InterruptionNoticed() ||
-		agent.RemovalReason() != "" ||
-		!agent.IsReachable() {
-		return false
-	}
-	if sc.machineFault(agent).Doubtful {
-		return false
-	}
-	return now-agent.LastReachedAt() < sc.c.durations.PlacementSilenceLimit
+	agent := sc.c.agents.Of(machine)
+	return agent != nil && agent.AcceptsTasks(now, sc.c.durations.PlacementSilenceLimit) &&
+		!sc.machineFault(agent).Doubtful
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"sort"
 
+	"pipitgap/internal/agents"
 	"pipitgap/internal/api"
 	"pipitgap/internal/config"
 	"pipitgap/internal/durations"
@@ -39,11 +40,6 @@
 	SendPeerStatus(node string, status peers.Status)
 }
 
-// Durations of the coordination itself; none depends on the deployment.
-const (
-	commandTimeout = 3 * monotime.Second
-)
-
 // Controller is the actor that decides. All of its methods run on its own goroutine
 // (or, in tests, on the test's).
 type Controller struct {
@@ -73,8 +69,8 @@
 	reachability  *reachability.Reachability
 	catalog       *machineCatalog
 	shards        *shards.Manager
-	agents        *agentManager
-	cancellations *cancellationTracker
+	agents        *agents.Manager
+	cancellations *agents.Cancellations
 	quota         *quotashares.Manager
 	api           *api.Handler
 	jobs          *jobs.Finisher
@@ -105,9 +101,9 @@
 	c.membership = newMembership(c)
 	c.reachability = newReachability(c)
 	c.catalog = newMachineCatalog(c)
+	c.cancellations = newCancellations(c)
 	c.agents = newAgentManager(c)
-	c.mirror.OnChange, c.mirror.OnMachineReleased = c.onMirrorChange, c.agents.release
-	c.cancellations = newCancellationTracker(c)
+	c.mirror.OnChange, c.mirror.OnMachineReleased = c.onMirrorChange, c.agents.Release
 	c.quota = newQuotaManager(c)
 	c.api = newRequestHandler(c)
 	c.jobs = newJobFinisher(c)
@@ -196,7 +192,7 @@
 	c.membership.Campaign(now)
 	c.shards.ClaimOrphaned(now)
 	c.quota.ReleaseDeparted(now)
-	c.agents.checkMachines(now)
+	c.agents.CheckMachines(now)
 	c.drains.reconcile(now)
 	c.quota.Adjust(now)
 	c.jobs.Reconcile()
@@ -213,15 +209,15 @@
 		job := c.mirror.Jobs[name]
 		if job == nil {
 			c.scheduler.forgetJob(name)
-			c.cancellations.relay.Forget(name)
+			c.cancellations.Forget(name)
 			return
 		}
 		c.scheduler.noteRecordChange(name)
 	case storage.KindJobResult:
-		c.cancellations.recordCancellation(c.mirror.Jobs[name])
+		c.cancellations.Record(c.mirror.Jobs[name])
 		if job := c.mirror.Jobs[name]; job != nil && job.AssignedTasks > 0 {
 			c.scheduler.noteFinalSeen(name)
-			c.agents.syncCommandsOfJob(job) // a cancellation reaches the workers at once
+			c.agents.SyncCommandsOfJob(job) // a cancellation reaches the workers at once
 		}
 	case storage.KindShard:
 		c.scheduler.requestPass()
--- a/internal/coordination/drain_losses.go
+++ b/internal/coordination/drain_losses.go
@@ -54,9 +54,9 @@
 	}
 	cause := lossTaskExited
 	switch {
-	case d.core.agents.agentOf(machine) != nil && d.core.agents.agentOf(machine).InterruptionNoticed():
+	case d.core.agents.Of(machine) != nil && d.core.agents.Of(machine).InterruptionNoticed():
 		cause = lossSpotReclaimed
-	case d.core.agents.agentOf(machine) == nil || d.core.agents.agentOf(machine).LeaseExpired() || d.core.agents.agentOf(machine).RemovalReason() != "" || d.core.mirror.ScaleInOfMachine[machine.ID] != "":
+	case d.core.agents.Of(machine) == nil || d.core.agents.Of(machine).LeaseExpired() || d.core.agents.Of(machine).RemovalReason() != "" || d.core.mirror.ScaleInOfMachine[machine.ID] != "":
 		cause = lossMachineFailed
 	}
 	return append(losses, replicaLoss{job.Record.Spec.Team, cause})
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -322,7 +322,7 @@
 		)
 		for _, id := range sortedmap.Keys(core.mirror.Machines) {
 			machine := core.mirror.Machines[id]
-			if core.agents.agentOf(machine) == nil || machine.Record.Zone != "a" {
+			if core.agents.Of(machine) == nil || machine.Record.Zone != "a" {
 				continue
 			}
 			for _, task := range mirror.SortedTaskIDs(machine.Attempts) {
--- a/internal/coordination/drain_snapshot.go
+++ b/internal/coordination/drain_snapshot.go
@@ -17,14 +17,14 @@
 		}
 		entry := c.mirror.DrainSnapshotMachine(machine, c.catalog.machineTypes)
 		switch {
-		case c.agents.agentOf(machine) == nil && machine.Owner() == c.node:
+		case c.agents.Of(machine) == nil && machine.Owner() == c.node:
 			entry.Owner = "" // an earlier life of ours, whose shard isn't claimed again yet
-		case c.agents.agentOf(machine) == nil:
-		case c.agents.agentOf(machine).RemovalReason() != "":
+		case c.agents.Of(machine) == nil:
+		case c.agents.Of(machine).RemovalReason() != "":
 			entry.State = storage.MachineRemoving
-		case c.agents.agentOf(machine).InterruptionNoticed():
+		case c.agents.Of(machine).InterruptionNoticed():
 			entry.State = storage.MachineDraining
-		case c.agents.agentOf(machine).Suspect():
+		case c.agents.Of(machine).Suspect():
 			entry.State = storage.MachineUnreachable
 		}
 		b.AddMachine(entry)
--- a/internal/coordination/drains.go
+++ b/internal/coordination/drains.go
@@ -183,14 +183,14 @@
 func (d *drains) stopReplica(permit storage.Permit) {
 	machine := d.core.mirror.Machines[permit.From]
 	key := attemptOfPermit(permit)
-	if machine == nil || d.core.agents.agentOf(machine) == nil ||
-		d.core.agents.agentOf(machine).IsStopping(key) {
+	if machine == nil || d.core.agents.Of(machine) == nil ||
+		d.core.agents.Of(machine).IsStopping(key) {
 		return
 	}
-	d.core.agents.agentOf(machine).StopAttempt(key)
+	d.core.agents.Of(machine).StopAttempt(key)
 	d.core.log.Info("replica evicted for drain", "drain", permit.Drain, "task", key.Task.String(),
 		"from_machine", permit.From, "to_machine", permit.To)
-	d.core.agents.syncCommands(machine)
+	d.core.agents.SyncCommands(machine)
 }
 
 // permitUnused tells whether a permit surely hasn't been used and can't be by anything still on its
@@ -199,10 +199,10 @@
 func (d *drains) permitUnused(permit storage.Permit) bool {
 	machine := d.core.mirror.Machines[permit.From]
 	key := attemptOfPermit(permit)
-	if machine == nil || d.core.agents.agentOf(machine) == nil {
+	if machine == nil || d.core.agents.Of(machine) == nil {
 		return false
 	}
-	agent := d.core.agents.agentOf(machine)
+	agent := d.core.agents.Of(machine)
 	if agent.IsStopping(key) || agent.HasOutcome(key) || agent.KillSent(key) {
 		return false
 	}
@@ -299,7 +299,7 @@
 			startedAt = now
 		}
 		since[id] = startedAt
-		if machine := d.core.mirror.Machines[id]; machine != nil && d.core.agents.agentOf(machine) != nil {
+		if machine := d.core.mirror.Machines[id]; machine != nil && d.core.agents.Of(machine) != nil {
 			d.evictUnpermittedOn(machine, startedAt, now)
 		}
 	}
@@ -314,18 +314,18 @@
 	for task, attempt := range machine.Attempts {
 		key := agents.AttemptID{Task: task, Attempt: attempt}
 		job := d.core.mirror.Jobs[task.Job]
-		if job == nil || !job.IsOpen() || d.core.agents.agentOf(machine).IsStopping(key) ||
-			d.core.agents.agentOf(machine).HasOutcome(key) ||
+		if job == nil || !job.IsOpen() || d.core.agents.Of(machine).IsStopping(key) ||
+			d.core.agents.Of(machine).HasOutcome(key) ||
 			d.needsPermit(job) ||
 			d.endsSoon(machine, key, job, startedAt, now) {
 			continue
 		}
-		d.core.agents.agentOf(machine).StopAttempt(key)
+		d.core.agents.Of(machine).StopAttempt(key)
 		stopped++
 	}
 	if stopped > 0 {
 		d.core.log.Info("tasks evicted for drain", "machine", machine.ID, "tasks", stopped)
-		d.core.agents.syncCommands(machine)
+		d.core.agents.SyncCommands(machine)
 	}
 }
 
@@ -342,7 +342,7 @@
 	job *mirror.Job,
 	startedAt, now monotime.Micros,
 ) bool {
-	at, running := d.core.agents.agentOf(machine).RunningSince(key)
+	at, running := d.core.agents.Of(machine).RunningSince(key)
 	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
 		return false
 	}
@@ -357,7 +357,7 @@
 	if d == nil {
 		return false
 	}
-	agent := d.core.agents.agentOf(machine)
+	agent := d.core.agents.Of(machine)
 	if !agent.HasReported() || !agent.ClaimAcknowledged() || !agent.IsReachable() {
 		return false
 	}
--- a/internal/coordination/empty_machines.go
+++ b/internal/coordination/empty_machines.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/agents"
 	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -60,10 +61,10 @@
 				e.since[id] = now
 			}
 			if e.c.drains.mayScaleIn(machine, now-e.since[id]) {
-				e.c.agents.requestRemoval(machine, removalReasonDrained)
+				e.c.agents.RequestRemoval(machine, agents.RemovalDrained)
 			}
 		case storage.MachineDraining:
-			e.c.agents.requestRemoval(machine, removalReasonDrained)
+			e.c.agents.RequestRemoval(machine, agents.RemovalDrained)
 		}
 	}
 	for id := range e.since {
@@ -94,7 +95,7 @@
 // isRemovable tells whether an own machine is empty and neither needed nor on its way out. One that is prone to
 // failures isn't kept for what needs it.
 func (e *emptyMachines) isRemovable(machine *mirror.Machine, needed bool) bool {
-	agent := e.c.agents.agentOf(machine)
+	agent := e.c.agents.Of(machine)
 	if agent == nil || machine.Record == nil || len(machine.Attempts) > 0 {
 		return false
 	}
@@ -116,7 +117,7 @@
 	case !closed && now-since >= closeAfterIntervals*e.c.settings.AutoscalingInterval.Micros():
 		e.closedAt[machine.ID] = now
 	case closed && now-closedAt >= e.scaleInDelay(machine.Record):
-		e.c.agents.requestRemoval(machine, removalReasonIdle)
+		e.c.agents.RequestRemoval(machine, agents.RemovalIdle)
 	}
 }
 
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -69,7 +69,7 @@
 
 // recordFailure learns from a task that failed.
 func (sc *scheduler) recordFailure(machine *mirror.Machine, job *mirror.Job) {
-	sc.c.agents.agentOf(machine).Failures().RecordFailure(job.ID)
+	sc.c.agents.Of(machine).Failures().RecordFailure(job.ID)
 	failures := &sc.trackingOf(job.ID).failures
 	failures.Record(machine.ID, sc.c.now())
 	if sc.attributeFailures(job.ID) == scheduling.JobAtFault {
@@ -79,7 +79,7 @@
 
 // clearFailuresOn takes back what a faulty machine's failures have said of jobs.
 func (sc *scheduler) clearFailuresOn(machine *mirror.Machine) {
-	for id := range sc.c.agents.agentOf(machine).Failures().ByJob() {
+	for id := range sc.c.agents.Of(machine).Failures().ByJob() {
 		if tracking := sc.jobStates[id]; tracking != nil {
 			tracking.failures.Withdraw(machine.ID)
 		}
--- a/internal/coordination/peer_exchange.go
+++ b/internal/coordination/peer_exchange.go
@@ -20,9 +20,8 @@
 		FailingJobs:           c.scheduler.failingJobs(),
 		TeamsShortOfQuota:     c.quota.TeamsLacking(now),
 	}
-	relay := c.cancellations.relay
 	for _, peer := range c.cfg.Peers {
-		for _, message := range relay.MessagesFor(peer.Node, now, c.mirror.WatchedRevision, c.replica.Loaded()) {
+		for _, message := range c.cancellations.MessagesFor(peer.Node, now, c.replica.Loaded()) {
 			status.Cancellations = message
 			c.env.SendPeerStatus(peer.Node, status)
 		}
@@ -34,5 +33,5 @@
 	now := c.now()
 	c.pauses.DetectPause(now)
 	c.peerStatuses.Update(&status, now)
-	c.cancellations.applyPeerCancellations(c.cancellations.relay.Receive(status.Node, status.Cancellations))
+	c.cancellations.Receive(status.Node, status.Cancellations)
 }
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -111,7 +111,7 @@
 ) bool {
 	return scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) &&
 		zones.Allows(candidate.Record.Zone) &&
-		!sc.c.agents.agentOf(candidate.machine).IsStoppingAny() &&
+		!sc.c.agents.Of(candidate.machine).IsStoppingAny() &&
 		candidate.AvailableTo(job.ID)
 }
 
@@ -152,7 +152,7 @@
 	now monotime.Micros,
 	mayStop func(victim *mirror.Job) bool,
 ) []scheduling.Victim {
-	agent := sc.c.agents.agentOf(machine)
+	agent := sc.c.agents.Of(machine)
 	var victims []scheduling.Victim
 	for task, number := range machine.Attempts {
 		job, attempt := sc.c.mirror.Jobs[task.Job], agents.AttemptID{Task: task, Attempt: number}
@@ -188,7 +188,7 @@
 	victims []scheduling.Victim,
 	job *mirror.Job,
 ) {
-	agent := sc.c.agents.agentOf(candidate.machine)
+	agent := sc.c.agents.Of(candidate.machine)
 	for _, victim := range victims {
 		task := mirror.TaskID{Job: victim.Job, Index: victim.Task}
 		agent.StopAttempt(agents.AttemptID{Task: task, Attempt: victim.Attempt})
@@ -196,7 +196,7 @@
 			"machine", candidate.MachineID, "for_job", job.ID)
 	}
 	candidate.ReservedForJob = job.ID
-	sc.c.agents.syncCommands(candidate.machine)
+	sc.c.agents.SyncCommands(candidate.machine)
 }
 
 // mayPreempt tells whether a task of victim may be stopped for job: one of lower priority
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -123,8 +123,8 @@
 				unheard := 0
 				for _, n := range c.nodeNames {
 					for _, machine := range c.nodes[n].controller.mirror.Machines {
-						if n != node && c.nodes[n].controller.agents.agentOf(machine) != nil &&
-							!c.nodes[n].controller.agents.agentOf(machine).ClaimAcknowledged() {
+						if n != node && c.nodes[n].controller.agents.Of(machine) != nil &&
+							!c.nodes[n].controller.agents.Of(machine).ClaimAcknowledged() {
 							unheard++
 						}
 					}
@@ -257,7 +257,7 @@
 	c.kill("n-1", "n-2")
 	mine := 0
 	for _, machine := range c.nodes[node].controller.mirror.Machines {
-		if c.nodes[node].controller.agents.agentOf(machine) != nil {
+		if c.nodes[node].controller.agents.Of(machine) != nil {
 			mine += len(machine.Attempts)
 		}
 	}
@@ -320,13 +320,13 @@
 	core := c.nodes["n-0"].controller
 	var machine *mirror.Machine
 	for _, id := range sortedmap.Keys(core.mirror.Machines) {
-		if o := core.mirror.Machines[id]; core.agents.agentOf(o) != nil {
+		if o := core.mirror.Machines[id]; core.agents.Of(o) != nil {
 			machine = o
 		}
 	}
 	worker := c.fleet.Workers[machine.ID]
 	body := protocol.MustMarshal(worker.Heartbeat())
-	alive := core.agents.agentOf(machine).LastReachedAt()
+	alive := core.agents.Of(machine).LastReachedAt()
 	got := 0
 	c.pause(core.node, 5*second)
 	c.sendRequest(
@@ -340,7 +340,7 @@
 	core.tick() // the first thing that it does
 	c.sim.Run(monotime.Millisecond)
 	if got == 200 ||
-		core.agents.agentOf(machine) != nil && core.agents.agentOf(machine).LastReachedAt() > alive {
+		core.agents.Of(machine) != nil && core.agents.Of(machine).LastReachedAt() > alive {
 		t.Errorf("answered %d", got)
 	}
 }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -46,7 +46,7 @@
 	case healthPath:
 		return route{"GET", func(_ []byte, respond func(Response)) { respond(c.api.Health()) }}, true
 	case protocol.HeartbeatPath:
-		return route{"POST", c.agents.handleHeartbeat}, true
+		return route{"POST", c.agents.HandleHeartbeat}, true
 	case protocol.JobsPath:
 		return route{"POST", func(body []byte, respond func(Response)) { c.api.Submit(body, respond) }}, true
 	}
--- a/internal/coordination/runtime_estimates.go
+++ b/internal/coordination/runtime_estimates.go
@@ -31,7 +31,7 @@
 
 // recordCompletion learns from a completed task: its run time, and that neither machine nor job is at fault.
 func (sc *scheduler) recordCompletion(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
-	spec, machineFailures := &job.Record.Spec, sc.c.agents.agentOf(machine).Failures()
+	spec, machineFailures := &job.Record.Spec, sc.c.agents.Of(machine).Failures()
 	if exit.Started && !spec.Service {
 		ranSeconds := (sc.c.now() - exit.Since).Seconds()
 		machineFailures.RecordSpeed(ranSeconds, sc.expectedRunSeconds(spec))
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -99,7 +99,7 @@
 func (f fleetControllers) Connected() []string { return f.c.reachability.ConnectedControllers() }
 
 func (f fleetControllers) Designated(request *mirror.ScaleOutEntry, machineID string) string {
-	return f.c.agents.designatedController(request, machineID)
+	return f.c.agents.DesignatedController(request, machineID)
 }
 
 // fleetWorkload gives package fleet what a pass plans for.
--- a/internal/coordination/wiring_membership.go
+++ b/internal/coordination/wiring_membership.go
@@ -39,7 +39,7 @@
 		Store:         c.store,
 		Environment:   c.env,
 		Log:           c.log,
-		HasAgent:      func(machine *mirror.Machine) bool { return c.agents.agentOf(machine) != nil },
+		HasAgent:      func(machine *mirror.Machine) bool { return c.agents.Of(machine) != nil },
 		HandOffShards: func(now monotime.Micros) { c.shards.HandOff(now) },
 		RequestPass:   func() { c.scheduler.requestPass() },
 	})
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -22,7 +22,7 @@
 		Catalog:       userCatalog{c},
 		Quota:         c.quota,
 		Scheduler:     userScheduler{c},
-		Cancellations: c.cancellations.relay,
+		Cancellations: c.cancellations,
 		MaxValueBytes: c.maxValueBytes(),
 	})
 }
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"pipitgap/internal/agents"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/peers"
@@ -29,7 +28,7 @@
 			Membership:  c.membership,
 			Peers:       dependencies,
 			Quota:       c.quota,
-			Agents:      dependencies,
+			Agents:      c.agents,
 			Drains:      dependencies,
 			Jobs:        c.jobs,
 			Passes:      dependencies,
@@ -70,37 +69,6 @@
 	return d.c.peerStatuses.WorkerReach(node) == peers.WorkersReachable
 }
 
-func (d shardDependencies) Has(machine *mirror.Machine) bool {
-	return d.c.agents.agentOf(machine) != nil
-}
-
-func (d shardDependencies) EachEndedAttempt(
-	machine *mirror.Machine,
-	release func(task mirror.TaskID, completed bool),
-) {
-	d.c.agents.agentOf(machine).EachPendingOutcome(machine, func(task mirror.TaskID, outcome agents.Outcome) {
-		release(task, outcome == agents.OutcomeCompleted)
-	})
-}
-
-func (d shardDependencies) DesiredState(machine *mirror.Machine) storage.MachineState {
-	return d.c.agents.desiredMachineState(machine)
-}
-
-func (d shardDependencies) UpdateOwnership(machine *mirror.Machine) {
-	d.c.agents.updateAgentOwnership(machine)
-}
-
-func (d shardDependencies) SyncCommands(machine *mirror.Machine) { d.c.agents.syncCommands(machine) }
-
-func (d shardDependencies) Probe(machine *mirror.Machine, syncAfterwards bool) {
-	d.c.agents.probeAgent(machine, syncAfterwards)
-}
-
-func (d shardDependencies) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
-	return d.c.agents.designatedController(request, machine)
-}
-
 func (d shardDependencies) HasWork() bool { return d.c.drains.hasWork() }
 
 func (d shardDependencies) UpdateStartingMarks(
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -42,10 +42,10 @@
 // replicaObserver brings the state of the replica to the other subjects.
 type replicaObserver struct{ c *Controller }
 
-func (o replicaObserver) BeforeReplace(loaded *mirror.Mirror) { o.c.agents.keepOnly(loaded) }
+func (o replicaObserver) BeforeReplace(loaded *mirror.Mirror) { o.c.agents.KeepOnly(loaded) }
 
 func (o replicaObserver) Replaced() {
-	o.c.cancellations.reconcileCancellations()
+	o.c.cancellations.Reconcile()
 	for _, name := range sortedmap.Keys(o.c.mirror.Shards) {
 		o.c.shards.HandleShardChange(name)
 	}
