--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -414,7 +414,12 @@
 	if p.now < c.scheduler.nextWorkStealAt {
 		return // others use the room until a change may be spent
 	}
-	n := c.scheduler.stealTasksOfJob(job, p.candidates, p.quotaLeft, p.freePartitionCapacity(), p.wallNow)
+	n := c.scheduler.stealTasksOfJob(job, workStealing{
+		candidates:      p.candidates,
+		quotaLeftByTeam: p.quotaLeft,
+		capacities:      p.freePartitionCapacity(),
+		wall:            p.wallNow,
+	})
 	moves := &p.tracking.reassignment
 	moves.stolenTasks, moves.stolenUntil = n, p.now+monotime.Second
 	p.reassignedThisPass = n > 0
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -3,78 +3,62 @@
 import (
 	"fmt"
 	"math"
-	"sort"
+	"slices"
 
 	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/quota"
 	"pipitgap/internal/ratelimit"
-	"pipitgap/internal/resources"
 	"pipitgap/internal/scheduling"
 	"pipitgap/internal/storage"
 )
 
-// Bounds of how tasks move between parts.
 const (
-	minTasksPerRange    = 24                  // tasks
-	maxTaskRangesPerJob = 40                  // of one job; what a value holds
-	ownerGracePeriod    = 3 * monotime.Second // an owner that seems to have room gets so long to use it
-	// and one that has just taken tasks over: they went round without a start
-	reassignmentGracePeriod = 1 * monotime.Second
+	// maxTaskRangesPerJob is how many ranges of one job a stored record holds.
+	maxTaskRangesPerJob = 40
+	// minBacklogCPUs bounds the need of a task by which the backlog is converted into tasks.
+	minBacklogCPUs = 0.01
+	// orphanedRangeDelay is how long a controller must be gone until others place the tasks of its ranges.
+	orphanedRangeDelay = 1 * monotime.Second
+	// Fractions of the store's writes that all controllers together may spend on reassignments.
+	orphanedRangeWrites = 0.4
+	workStealingWrites  = 0.1
 )
 
-// assignTaskRanges divides a new job among the partitions: whole to the one with most room, or
-// what the parts have room for, and the rest evenly. A job too large for any part
-// is so spread over all of them, and what binds stays in its own record.
+// assignTaskRanges divides a new job among the partitions: whole to the one with most room, or what each has room
+// for, and the rest evenly. What binds the tasks of a divided job together stands in its own record.
 func (sc *scheduler) assignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
-	n := spec.Tasks
 	controllers := sc.c.reachability.ConnectedControllers()
-	if n == 1 || spec.OneZone || spec.Spread || len(controllers) == 0 {
-		return []storage.TaskRange{{First: 0, End: n, Partition: sc.partitionForNewJob(spec)}}
+	if spec.Tasks == 1 || spec.Service || spec.OneZone || spec.Spread || len(controllers) == 0 {
+		return sc.wholeJobRange(spec)
 	}
+	rooms := sc.partitionRooms(spec, controllers)
+	scheduling.SortByRoom(rooms)
+	if spec.Tasks <= rooms[0].Tasks {
+		return sc.wholeJobRange(spec)
+	}
+	return scheduling.DivideTasks(spec.Tasks, rooms)
+}
+
+// wholeJobRange gives all tasks of a new job to one partition.
+func (sc *scheduler) wholeJobRange(spec *storage.JobSpec) []storage.TaskRange {
+	return []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: sc.partitionForNewJob(spec)}}
+}
+
+// partitionRooms counts how many of a job's tasks each partition has room for beside what waits there.
+func (sc *scheduler) partitionRooms(spec *storage.JobSpec, partitions []string) []scheduling.PartitionRoom {
 	capacities := sc.capacityByPartition()
 	backlog := sc.backlogCPUs()
-	type partition struct {
-		name       string
-		room, size int
-	}
-	var partitions []partition
-	for _, p := range controllers {
-		r := capacities.tasksFitting(spec, p) - int(math.Ceil(backlog[p]/max(spec.CPUs, 0.01)))
-		partitions = append(partitions, partition{name: p, room: r})
-	}
-	// The least burdened first where none has room.
-	sort.SliceStable(partitions, func(a, b int) bool { return partitions[a].room > partitions[b].room })
-	for i := range partitions {
-		partitions[i].room = max(0, partitions[i].room)
-	}
-	if n <= partitions[0].room || spec.Service {
-		return []storage.TaskRange{{First: 0, End: n, Partition: sc.partitionForNewJob(spec)}}
-	}
-	left := n
-	for i := range partitions {
-		partitions[i].size = min(left, partitions[i].room)
-		left -= partitions[i].size
-	}
-	// What has no room anywhere yet goes to no more parts than is worth it: each
-	// part that has some of a job holds a record of it.
-	among := min(len(partitions), max(1, left/minTasksPerRange))
-	for i := range partitions[:among] {
-		k := (left + among - i - 1) / (among - i)
-		partitions[i].size += k
-		left -= k
-	}
-	var out []storage.TaskRange
-	at := 0
-	for _, p := range partitions {
-		if p.size > 0 {
-			out = append(out, storage.TaskRange{First: at, End: at + p.size, Partition: p.name})
-			at += p.size
-		}
+	rooms := make([]scheduling.PartitionRoom, 0, len(partitions))
+	for _, partition := range partitions {
+		waiting := int(math.Ceil(backlog[partition] / max(spec.CPUs, minBacklogCPUs)))
+		rooms = append(rooms, scheduling.PartitionRoom{
+			Partition: partition,
+			Tasks:     capacities.tasksFitting(spec, partition) - waiting,
+		})
 	}
-	return out
+	return rooms
 }
 
 // backlogCPUs is the CPUs that each partition's waiting tasks will take.
@@ -99,8 +83,8 @@
 	return out
 }
 
-// reassignTaskRanges changes which parts place a job's tasks. Whatever a range's owner assigned
-// before stands in the shards by then, whatever it would assign after fails on the
+// reassignTaskRanges changes which partitions place a job's tasks, and tells whether the write is under way. Whatever
+// a range's owner assigned before stands in the shards by then, whatever it would assign after fails on the
 // record's version; so the new owner may begin once its mirror has come that far.
 func (sc *scheduler) reassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
@@ -130,191 +114,55 @@
 	return true
 }
 
-// adoptOrphanedTasks takes over the waiting tasks of parts that have gone, or don't reach
-// their machines. Each job has
-// one successor for that, whether it has room for them or not: only their owner makes
-// room for services by stopping others' work, or rents for nobody else to place.
-func (sc *scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
-	controllers := sc.c.reachability.ConnectedControllers()
-	for _, job := range jobs {
-		if now < sc.nextOrphanedTasksTakeoverAt {
-			return
-		}
-		if sc.c.recordWritesInFlight[job.ID] || sc.c.mirror.WatchedRevision < job.Version ||
-			membership.RendezvousOwner(job.ID, controllers) != sc.c.node {
+// handOverTasks gives the waiting tasks that this partition has of a job to one that can make room, and tells
+// whether the write is under way.
+func (sc *scheduler) handOverTasks(job *mirror.Job, to string) bool {
+	for _, taskRange := range job.Record.TaskRanges {
+		if taskRange.Partition != sc.c.node {
 			continue
 		}
-		ranges := job.Record.TaskRanges
-		for _, taskRange := range job.Record.TaskRanges {
-			if !sc.c.membership.IsMember(taskRange.Partition) &&
-				now-sc.c.membership.AbsentSince(taskRange.Partition, now) > monotime.Second ||
-				sc.c.reachability.IsCutOffFromWorkers(taskRange.Partition, now) {
-				ranges = storage.AssignRange(ranges, taskRange.First, taskRange.End, sc.c.node)
-			}
-		}
-		if len(ranges) != len(job.Record.TaskRanges) || !sameTaskRanges(ranges, job.Record.TaskRanges) {
-			if sc.reassignTaskRanges(job, ranges) {
-				sc.nextOrphanedTasksTakeoverAt = sc.c.store.NextWriteAllowedAt(0.4)
-			}
-		}
-	}
-}
-
-func sameTaskRanges(a, b []storage.TaskRange) bool {
-	for i := range a {
-		if a[i] != b[i] {
+		if !sc.reassignTaskRanges(
+			job,
+			storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to),
+		) {
 			return false
 		}
+		sc.nextWorkStealAt = sc.c.store.NextWriteAllowedAt(workStealingWrites)
+		return true
 	}
-	return true
+	return false
 }
 
-// stealWork looks for waiting tasks of other partitions that ours has room for: of parts
-// that have gone, have no room for them, or haven't used what they seem to have.
-// That hands tasks on in one write, at the time when there is room, and lets each
-// part's room go to the most urgent tasks of all.
-func (sc *scheduler) stealWork(
-	jobs []*mirror.Job,
-	candidates []*candidateMachine,
-	reserved *drainReservations,
-	quotaLeftByTeam map[string]resources.Vector,
-	now monotime.Micros,
-) {
-	freeCPUs := reserved.totalCPUs()
-	for _, candidate := range candidates {
-		if !candidate.HeldBack && candidate.ReservedForJob == "" {
-			freeCPUs += max(0, candidate.Free.CPUs)
-		}
-	}
-	if freeCPUs < resources.Tolerance || now < sc.nextWorkStealAt {
-		return
-	}
-	capacities := sc.capacityByPartition()
-	wall := sc.c.env.WallClock()
+// adoptOrphanedTasks takes over the waiting tasks of partitions whose controller has gone, or doesn't reach its
+// machines. Each job has one successor for that, whether it has room for them or not: only their owner makes
+// room for services by preemption, or requests machines that nobody else would.
+func (sc *scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
+	controllers := sc.c.reachability.ConnectedControllers()
 	for _, job := range jobs {
-		if now < sc.nextWorkStealAt {
+		if now < sc.nextOrphanedTasksTakeoverAt {
 			return
 		}
-		if job.TaskResources.CPUs <= freeCPUs+resources.Tolerance {
-			reserved.release(job)
-			sc.stealTasksOfJob(job, candidates, quotaLeftByTeam, capacities, wall)
-			reserved.reserveAgain(job)
-		}
-	}
-}
-
-// tasksThatFit counts the tasks of a job that the room not kept for others can take.
-func tasksThatFit(job *mirror.Job, candidates []*candidateMachine) int {
-	room := 0
-	for _, candidate := range candidates {
-		if !candidate.HeldBack && candidate.AvailableTo(job.ID) &&
-			scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) {
-			room += job.TaskResources.CountIn(candidate.Free)
-		}
-	}
-	return room
-}
-
-// stealTasksOfJob takes over as many of a job's tasks that wait at other partitions as we have room
-// for, and tells how many.
-func (sc *scheduler) stealTasksOfJob(
-	job *mirror.Job,
-	candidates []*candidateMachine,
-	quotaLeftByTeam map[string]resources.Vector,
-	capacities *partitionCapacity,
-	wall int64,
-) int {
-	spec := &job.Record.Spec
-	if len(job.Record.TaskRanges) == 1 && job.Record.TaskRanges[0].Partition == sc.c.node ||
-		sc.c.recordWritesInFlight[job.ID] || sc.c.now() < sc.trackingOf(job.ID).placeNotBefore || sc.c.mirror.WatchedRevision < job.Version || sc.isCrashLooping(job) {
-		return 0
-	}
-	room := tasksThatFit(job, candidates)
-	if room == 0 {
-		return 0
-	}
-	shareLeft, ok := quotaLeftByTeam[spec.Team]
-	if !ok {
-		shareLeft = sc.c.quota.Left(spec.Team)
-		quotaLeftByTeam[spec.Team] = shareLeft
-	}
-	if n := job.TaskResources.CountIn(shareLeft); n < room {
-		// A part with machines but without a share of the team's limit would leave
-		// the tasks for ever to one with a share but without machines.
-		sc.c.quota.NoteShortage(spec.Team, quota.UnmetDemand{
-			TaskResources:  job.TaskResources,
-			Tasks:          min(room-n, job.UnassignedTasks()),
-			ShareLeft:      shareLeft,
-			HasMachineRoom: true,
-		})
-		room = n
-	}
-	if room == 0 {
-		return 0
-	}
-	whole := spec.OneZone || spec.Spread
-	for k := len(job.Record.TaskRanges) - 1; k >= 0; k-- {
-		taskRange := job.Record.TaskRanges[k]
-		if taskRange.Partition == sc.c.node ||
-			sc.c.membership.IsMember(taskRange.Partition) && capacities.tasksFitting(spec, taskRange.Partition) > 0 &&
-				(wall-job.Record.AcceptedAt < int64(ownerGracePeriod) || sc.c.now()-sc.trackingOf(job.ID).reassignment.recordChangedAt < reassignmentGracePeriod) {
+		if sc.c.recordWritesInFlight[job.ID] || sc.c.mirror.WatchedRevision < job.Version ||
+			membership.RendezvousOwner(job.ID, controllers) != sc.c.node {
 			continue
 		}
-		n, first := 0, taskRange.End
-		for first > taskRange.First && (n < room || whole) {
-			first--
-			if job.TaskStates[first] == 0 {
-				n++
-			}
-		}
-		if n == 0 || whole && n > room && sc.c.membership.IsMember(taskRange.Partition) {
-			continue
+		ranges := sc.withoutOrphanedRanges(job.Record.TaskRanges, now)
+		if !slices.Equal(ranges, job.Record.TaskRanges) && sc.reassignTaskRanges(job, ranges) {
+			sc.nextOrphanedTasksTakeoverAt = sc.c.store.NextWriteAllowedAt(orphanedRangeWrites)
 		}
-		if !sc.reassignTaskRanges(
-			job,
-			storage.AssignRange(job.Record.TaskRanges, first, taskRange.End, sc.c.node),
-		) {
-			return 0
-		}
-		sc.nextWorkStealAt = sc.c.store.NextWriteAllowedAt(0.1)
-		return n
 	}
-	return 0
 }
 
-// reserveRoom keeps room for tasks that are about to be ours from what is less urgent.
-func reserveRoom(
-	taskResources resources.Vector,
-	spec *storage.JobSpec,
-	candidates []*candidateMachine,
-	n int,
-) {
-	for _, candidate := range candidates {
-		if n <= 0 {
-			return
-		}
-		if !candidate.HeldBack && candidate.ReservedForJob == "" && scheduling.MachineAllowed(spec, candidate.Record) {
-			k := min(n, taskResources.CountIn(candidate.Free))
-			candidate.Free = candidate.Free.AddScaled(taskResources, -float64(k))
-			n -= k
-		}
-	}
-}
-
-// handOverTasks gives our waiting tasks of a job to a partition that can make room.
-func (sc *scheduler) handOverTasks(job *mirror.Job, to string) bool {
-	for _, taskRange := range job.Record.TaskRanges {
-		if taskRange.Partition != sc.c.node {
-			continue
-		}
-		if !sc.reassignTaskRanges(
-			job,
-			storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to),
-		) {
-			return false
-		}
-		sc.nextWorkStealAt = sc.c.store.NextWriteAllowedAt(0.1)
-		return true
-	}
-	return false
+// withoutOrphanedRanges gives the orphaned ones among a job's ranges to this partition.
+func (sc *scheduler) withoutOrphanedRanges(ranges []storage.TaskRange, now monotime.Micros) []storage.TaskRange {
+	adopted := ranges
+	for _, taskRange := range ranges {
+		partition := taskRange.Partition
+		gone := !sc.c.membership.IsMember(partition) &&
+			now-sc.c.membership.AbsentSince(partition, now) > orphanedRangeDelay
+		if gone || sc.c.reachability.IsCutOffFromWorkers(partition, now) {
+			adopted = storage.AssignRange(adopted, taskRange.First, taskRange.End, sc.c.node)
+		}
+	}
+	return adopted
 }
--- /dev/null
+++ b/internal/scheduling/task_ranges_test.go
@@ -0,0 +1,63 @@
+package scheduling
+
+import (
+	"slices"
+	"testing"
+
+	"pipitgap/internal/storage"
+)
+
+func TestDivideTasks(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		tasks int
+		rooms []PartitionRoom
+		want  []storage.TaskRange
+	}{
+		{"what each has room for", 10, []PartitionRoom{{"a", 6}, {"b", 5}}, []storage.TaskRange{
+			{First: 0, End: 6, Partition: "a"}, {First: 6, End: 10, Partition: "b"},
+		}},
+		{"none has room: few go to one", 30, []PartitionRoom{{"a", 0}, {"b", -5}}, []storage.TaskRange{
+			{First: 0, End: 30, Partition: "a"},
+		}},
+		{"none has room: many go to all", 49, []PartitionRoom{{"a", 0}, {"b", -5}}, []storage.TaskRange{
+			{First: 0, End: 25, Partition: "a"}, {First: 25, End: 49, Partition: "b"},
+		}},
+		{"the rest goes to the first", 20, []PartitionRoom{{"a", 6}, {"b", 4}}, []storage.TaskRange{
+			{First: 0, End: 16, Partition: "a"}, {First: 16, End: 20, Partition: "b"},
+		}},
+		{"a partition without any is left out", 8, []PartitionRoom{{"a", 8}, {"b", 1}}, []storage.TaskRange{
+			{First: 0, End: 8, Partition: "a"},
+		}},
+	} {
+		if got := DivideTasks(tc.tasks, tc.rooms); !slices.Equal(got, tc.want) {
+			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+		}
+	}
+}
+
+func TestSortByRoom(t *testing.T) {
+	rooms := []PartitionRoom{{"a", -3}, {"b", 4}, {"c", 4}, {"d", -1}}
+	SortByRoom(rooms)
+	if want := []PartitionRoom{{"b", 4}, {"c", 4}, {"d", -1}, {"a", -3}}; !slices.Equal(rooms, want) {
+		t.Errorf("%v, want %v", rooms, want)
+	}
+}
+
+func TestWaitingTail(t *testing.T) {
+	states := []uint8{0, 0, 1, 0, 1, 0, 0}
+	for _, tc := range []struct {
+		name  string
+		tasks int
+		want  Tail
+	}{
+		{"none wanted", 0, Tail{First: 6}},
+		{"one", 1, Tail{First: 5, Waiting: 1}},
+		{"over one that doesn't wait", 2, Tail{First: 3, Waiting: 2}},
+		{"all of the range", 99, Tail{First: 1, Waiting: 3}},
+	} {
+		if got := WaitingTail(storage.TaskRange{First: 1, End: 6}, states, tc.tasks); got != tc.want {
+			t.Errorf("%s: %+v, want %+v", tc.name, got, tc.want)
+		}
+	}
+}
