--- /dev/null
+++ b/internal/api/admission_test.go
@@ -0,0 +1,46 @@
+package api
+
+import (
+	"testing"
+
+	"pipitgap/internal/ratelimit"
+)
+
+// TestRetryAfterIsSpreadInOutage: one second, or one to three while the state service is unavailable.
+func TestRetryAfterIsSpreadInOutage(t *testing.T) {
+	world := newFakeWorld()
+	handler := world.handler()
+	seen := map[int]bool{}
+	for range 100 {
+		seen[handler.deferRequest(429, "").RetryAfter] = true
+	}
+	if len(seen) != 1 || !seen[1] {
+		t.Errorf("without an outage: %v", seen)
+	}
+	world.unavailable = true
+	for range 100 {
+		seen[handler.deferRequest(503, "").RetryAfter] = true
+	}
+	if len(seen) != 3 || !seen[1] || !seen[2] || !seen[3] {
+		t.Errorf("in an outage: %v", seen)
+	}
+	if got := handler.Counters().RequestsDeferred; got != 200 {
+		t.Errorf("%d requests counted", got)
+	}
+}
+
+// TestMaxQueuedUserCalls: the bounds follow the rate of writes.
+func TestMaxQueuedUserCalls(t *testing.T) {
+	for _, tc := range []struct {
+		rate        float64
+		user, burst int
+	}{{0, 4, 2}, {5, 4, 2}, {20, 15, 3}, {100, 75, 18}} {
+		world := newFakeWorld()
+		world.queue.SetRates(ratelimit.Rates{}, ratelimit.Rates{PerSecond: tc.rate})
+		handler := world.handler()
+		if user, burst := handler.MaxQueuedUserCalls(), handler.maxQueuedBurstCalls(); user != tc.user ||
+			burst != tc.burst {
+			t.Errorf("%v writes a second: %d and %d, want %d and %d", tc.rate, user, burst, tc.user, tc.burst)
+		}
+	}
+}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -57,8 +57,10 @@
 
 // Reachability knows which parts of the deployment this controller reaches.
 type Reachability interface {
-	// UsersBetterElsewhere reports that this controller can't use the state service while others can.
-	UsersBetterElsewhere(monotime.Micros) bool
+	// StoreUnreachableOnlyHere reports that another controller uses the state service and this one can't.
+	StoreUnreachableOnlyHere(monotime.Micros) (peer string, onlyHere bool)
+	// IsIsolated reports that neither the state service nor another controller is reached.
+	IsIsolated(monotime.Micros) bool
 }
 
 // Catalog has the machine types that the cloud offers.
--- /dev/null
+++ b/internal/api/cancellation_test.go
@@ -0,0 +1,94 @@
+package api
+
+import (
+	"testing"
+
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
+)
+
+// TestCancel: what a cancellation answers, and whether it commits.
+func TestCancel(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		id      string
+		world   func(*fakeWorld)
+		want    answer
+		commits int
+	}{
+		{name: "no id of a job", id: "x", want: answer{404, false, "no such job"}},
+		{name: "unknown", want: answer{404, false, "no such job"}},
+		{
+			name:  "done",
+			world: func(w *fakeWorld) { w.cacheResult(newJobID, storage.JobDone) },
+			want:  answer{200, false, protocol.JobDone},
+		},
+		{
+			name: "done, known to the state service only",
+			world: func(w *fakeWorld) {
+				w.putRecord(storage.KindJobResult, newJobID, &storage.JobResult{State: storage.JobDone})
+			},
+			want: answer{200, false, protocol.JobDone},
+		},
+		{
+			name:  "outage",
+			world: func(w *fakeWorld) { w.mirrorJob(newJobID, nil); w.unavailable = true },
+			want:  answer{503, true, unreachable},
+		},
+		{
+			name:    "open",
+			world:   func(w *fakeWorld) { w.mirrorJob(newJobID, nil) },
+			want:    answer{200, false, protocol.JobCancelled},
+			commits: 1,
+		},
+		{
+			name:  "a record that the mirror doesn't hold",
+			world: func(w *fakeWorld) { w.putRecord(storage.KindOpenJob, newJobID, 1) },
+			want:  answer{503, true, "changing just now"},
+		},
+		{
+			name:    "conflict, result not seen yet",
+			world:   func(w *fakeWorld) { w.mirrorJob(newJobID, nil); w.commitOutcome = protocol.Conflict },
+			want:    answer{503, true, "changing just now"},
+			commits: 1,
+		},
+		{
+			name: "conflict with its completion",
+			world: func(w *fakeWorld) {
+				w.mirrorJob(newJobID, nil)
+				w.commitOutcome = protocol.Conflict
+				w.cacheResultOnCommit(newJobID, storage.JobDone)
+			},
+			want:    answer{200, false, protocol.JobDone},
+			commits: 1,
+		},
+		{
+			name:    "commit without an answer",
+			world:   func(w *fakeWorld) { w.mirrorJob(newJobID, nil); w.commitOutcome = protocol.Unknown },
+			want:    answer{503, true, unreachable},
+			commits: 1,
+		},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			world := newFakeWorld()
+			if tc.world != nil {
+				tc.world(world)
+			}
+			id := newJobID
+			if tc.id != "" {
+				id = tc.id
+			}
+			respond, got := once(t)
+			world.handler().Cancel(id, respond)
+			if got() != tc.want {
+				t.Errorf("got %+v, want %+v", got(), tc.want)
+			}
+			if len(world.commits) != tc.commits {
+				t.Errorf("%d commits, want %d", len(world.commits), tc.commits)
+			}
+			if committed := tc.want.text == protocol.JobCancelled; committed != (len(world.cancelled) == 1) {
+				t.Errorf("passed on to the other controllers: %v", world.cancelled)
+			}
+		})
+	}
+}
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -28,14 +28,14 @@
 	queue  *ratelimit.Queue
 	mirror *mirror.Mirror
 
-	notReady, unavailable, betterElsewhere, stale bool
-	waitingReaders                                int
-	types                                         map[string]protocol.MachineType
-	commitOutcome                                 protocol.Outcome
-	callOutcome                                   protocol.Outcome // of a read, unless it is OK
-	records                                       map[string]protocol.Raw
-	onRead                                        func(key string)
-	onCommit                                      func()
+	notReady, unavailable, unreachableOnlyHere, isolated, stale bool
+	waitingReaders                                              int
+	types                                                       map[string]protocol.MachineType
+	commitOutcome                                               protocol.Outcome
+	callOutcome                                                 protocol.Outcome // of a read, unless it is OK
+	records                                                     map[string]protocol.Raw
+	onRead                                                      func(key string)
+	onCommit                                                    func()
 
 	reads     []string
 	commits   []protocol.Transaction
@@ -101,7 +101,12 @@
 func (w *fakeWorld) Ready() bool                                 { return !w.notReady }
 func (w *fakeWorld) PendingReads() int                           { return w.waitingReaders }
 func (w *fakeWorld) WhenCurrent(callback func(bool))             { callback(!w.stale) }
-func (w *fakeWorld) UsersBetterElsewhere(monotime.Micros) bool   { return w.betterElsewhere }
+
+func (w *fakeWorld) IsIsolated(monotime.Micros) bool { return w.isolated }
+
+func (w *fakeWorld) StoreUnreachableOnlyHere(monotime.Micros) (peer string, onlyHere bool) {
+	return "n-1", w.unreachableOnlyHere
+}
 
 func (w *fakeWorld) OldestWait(priority ratelimit.Priority, now monotime.Micros) monotime.Micros {
 	return w.queue.OldestWait(priority, now)
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -33,7 +33,8 @@
 	if !h.replica.Ready() {
 		return h.deferRequest(statusUnavailable, reasonNotReady).response()
 	}
-	if h.reachability.UsersBetterElsewhere(h.environment.Now()) {
+	now := h.environment.Now()
+	if _, onlyHere := h.reachability.StoreUnreachableOnlyHere(now); onlyHere || h.reachability.IsIsolated(now) {
 		return h.deferUnreachable().response()
 	}
 	return transport.Response{Status: statusOK}
--- /dev/null
+++ b/internal/api/submission_test.go
@@ -0,0 +1,197 @@
+package api
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/storage"
+	"pipitgap/internal/transport"
+)
+
+const unreachable = "state service out of reach"
+
+// TestSubmit: the answer of each step of a submission, and whether it commits.
+func TestSubmit(t *testing.T) {
+	unknownTeam := func(s *protocol.Submission) { s.Team = "nobody" }
+	for _, tc := range []struct {
+		name    string
+		world   func(*fakeWorld)
+		change  func(*protocol.Submission)
+		body    []byte
+		want    answer
+		commits int
+	}{
+		{name: "accepted", want: answer{201, false, protocol.JobPending}, commits: 1},
+		{name: "no map", body: []byte{0xc1}, want: answer{400, false, "not a MessagePack message"}},
+		{
+			name:   "malformed",
+			change: func(s *protocol.Submission) { s.Tasks = 0 },
+			want:   answer{400, false, protocol.FieldTasks + ": must lie between 1 and 100000"},
+		},
+		{
+			name:   "malformed, and the state service can't be asked",
+			world:  func(w *fakeWorld) { w.unavailable = true },
+			change: func(s *protocol.Submission) { s.Tasks = 0 },
+			want:   answer{400, false, protocol.FieldTasks + ": must lie between 1 and 100000"},
+		},
+		{
+			name:   "malformed before the records are loaded",
+			world:  func(w *fakeWorld) { w.notReady = true },
+			change: func(s *protocol.Submission) { s.Tasks = 0 },
+			want:   answer{503, true, unreachable},
+		},
+		{
+			name:   "malformed, known, in an outage",
+			world:  func(w *fakeWorld) { w.unavailable = true; w.mirrorJob(newJobID, nil) },
+			change: func(s *protocol.Submission) { s.Tasks = 0 },
+			want:   answer{503, true, unreachable},
+		},
+		{
+			name:   "malformed and known",
+			world:  func(w *fakeWorld) { w.mirrorJob(newJobID, nil) },
+			change: func(s *protocol.Submission) { s.Tasks = 0 },
+			want:   answer{200, false, protocol.JobPending},
+		},
+		{
+			name:  "over, in an outage",
+			world: func(w *fakeWorld) { w.cacheResult(newJobID, storage.JobDone); w.unavailable = true },
+			want:  answer{200, false, protocol.JobDone},
+		},
+		{
+			name:  "repeated",
+			world: func(w *fakeWorld) { w.mirrorJob(newJobID, nil) },
+			want:  answer{200, false, protocol.JobPending},
+		},
+		{
+			name:  "records not loaded",
+			world: func(w *fakeWorld) { w.notReady = true },
+			want:  answer{503, true, "records not read yet"},
+		},
+		{name: "outage", world: func(w *fakeWorld) { w.unavailable = true }, want: answer{503, true, unreachable}},
+		{
+			name:  "queue of users full",
+			world: func(w *fakeWorld) { w.fillQueue(ratelimit.PriorityUserRequest, 15, w.now) },
+			want:  answer{429, true, "too many requests"},
+		},
+		{
+			name:    "queue of users one below",
+			world:   func(w *fakeWorld) { w.fillQueue(ratelimit.PriorityUserRequest, 14, w.now) },
+			want:    answer{201, false, protocol.JobPending},
+			commits: 1,
+		},
+		{
+			name:  "machine types unknown",
+			world: func(w *fakeWorld) { w.types = nil },
+			want:  answer{503, true, "machine types not known yet"},
+		},
+		{name: "unknown team", change: unknownTeam, want: answer{422, false, "unknown team"}},
+		{
+			name:   "unknown team, but the job is known",
+			world:  func(w *fakeWorld) { w.putRecord(storage.KindOpenJob, newJobID, 1) },
+			change: unknownTeam,
+			want:   answer{200, false, protocol.JobPending},
+		},
+		{
+			name:   "service over the limit",
+			change: func(s *protocol.Submission) { s.Team, s.Service, s.Tasks = limitedTeam, true, 7 },
+			want:   answer{422, false, "needs more than the team's limit"},
+		},
+		{
+			name:    "service at the limit",
+			change:  func(s *protocol.Submission) { s.Team, s.Service, s.Tasks = limitedTeam, true, 6 },
+			want:    answer{201, false, protocol.JobPending},
+			commits: 1,
+		},
+		{
+			name:   "fits no type",
+			change: func(s *protocol.Submission) { s.CPUs = 9 },
+			want:   answer{422, false, "a task fits no allowed machine type"},
+		},
+		{
+			name:   "unknown type",
+			change: func(s *protocol.Submission) { s.Types = []string{"m99"} },
+			want:   answer{422, false, "a task fits no allowed machine type"},
+		},
+		{
+			name:   "unknown zone",
+			change: func(s *protocol.Submission) { s.Zone = "z" },
+			want:   answer{422, false, "a task fits no allowed machine type"},
+		},
+		{
+			name: "too many open jobs",
+			world: func(w *fakeWorld) {
+				for i := range mirror.MaxOpenJobs {
+					w.mirrorJob(fmt.Sprintf("j-open-%d", i), nil)
+				}
+			},
+			want: answer{429, true, "too many unfinished jobs"},
+		},
+		{
+			name:   "record too large",
+			change: func(s *protocol.Submission) { s.Types = slices.Repeat([]string{"m8"}, 2000) },
+			want:   answer{400, false, "names too long to be kept"},
+		},
+		{
+			name:    "another controller was first",
+			world:   func(w *fakeWorld) { w.commitOutcome = protocol.Conflict; w.putRecord(storage.KindOpenJob, newJobID, 1) },
+			want:    answer{200, false, protocol.JobPending},
+			commits: 1,
+		},
+		{
+			name:    "commit rejected",
+			world:   func(w *fakeWorld) { w.commitOutcome = protocol.Rejected },
+			want:    answer{503, true, "not kept"},
+			commits: 1,
+		},
+		{
+			name:    "commit without an answer",
+			world:   func(w *fakeWorld) { w.commitOutcome = protocol.Unknown },
+			want:    answer{503, true, unreachable},
+			commits: 1,
+		},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			world := newFakeWorld()
+			if tc.world != nil {
+				tc.world(world)
+			}
+			body := tc.body
+			if body == nil {
+				body = newSubmission(tc.change)
+			}
+			respond, got := once(t)
+			world.handler().Submit(body, respond)
+			if got() != tc.want {
+				t.Errorf("got %+v, want %+v", got(), tc.want)
+			}
+			if len(world.commits) != tc.commits {
+				t.Errorf("%d commits, want %d", len(world.commits), tc.commits)
+			}
+			if accepted := tc.want.status == 201; accepted != (world.accepted[newJobID] == 7) ||
+				accepted != (world.placed == 1) {
+				t.Errorf("accepted %v, placed %d times", world.accepted, world.placed)
+			}
+		})
+	}
+}
+
+// TestBurstIsRejectedLater: the rejection of a burst comes with a longer time to wait than others.
+func TestBurstIsRejectedLater(t *testing.T) {
+	world := newFakeWorld()
+	world.fillQueue(ratelimit.PriorityBurst, 3, world.now) // a quarter of 15 calls, rounded down
+	handler := world.handler()
+	body := newSubmission(func(s *protocol.Submission) { s.Priority = protocol.BestEffort })
+	for i := range minBurstSubmissions {
+		var status, retryAfter int
+		handler.Submit(body, func(response transport.Response) { status, retryAfter = response.Status, response.RetryAfter })
+		if last := i == minBurstSubmissions-1; last != (status == 429) {
+			t.Errorf("submission %d: %d", i, status)
+		} else if last && (retryAfter < 2 || retryAfter > 4) {
+			t.Errorf("to be retried after %d s", retryAfter)
+		}
+	}
+}
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -3,9 +3,6 @@
 import (
 	"pipitgap/internal/api"
 	"pipitgap/internal/jobs"
-	"pipitgap/internal/membership"
-	"pipitgap/internal/monotime"
-	"pipitgap/internal/protocol"
 	"pipitgap/internal/storage"
 )
 
@@ -18,8 +15,8 @@
 		Mirror:        c.mirror,
 		StateService:  c.store,
 		Replica:       c.replica,
-		Reachability:  userReachability{c},
-		Catalog:       userCatalog{c},
+		Reachability:  c.reachability,
+		Catalog:       c.catalog,
 		Quota:         c.quota,
 		Scheduler:     userScheduler{c},
 		Cancellations: c.cancellations,
@@ -29,29 +26,17 @@
 
 func newJobFinisher(c *Controller) *jobs.Finisher {
 	return jobs.NewFinisher(jobs.Config{
+		Node:            c.node,
 		Log:             c.log,
 		Mirror:          c.mirror,
 		StateService:    c.store,
 		Committer:       c.replica,
 		PriorityClasses: c.api,
 		WritesInFlight:  c.recordWritesInFlight,
-		Ownership:       jobOwnership{c},
+		Membership:      c.membership,
 	})
 }
 
-type userReachability struct{ c *Controller }
-
-// UsersBetterElsewhere reports that the state service is out of reach from here only.
-func (a userReachability) UsersBetterElsewhere(now monotime.Micros) bool {
-	_, alone := a.c.reachability.StoreUnreachableOnlyHere(now)
-	return alone || a.c.reachability.IsIsolated(now)
-}
-
-type userCatalog struct{ c *Controller }
-
-// MachineTypes gives the types that are known.
-func (a userCatalog) MachineTypes() map[string]protocol.MachineType { return a.c.catalog.machineTypes }
-
 type userScheduler struct{ c *Controller }
 
 // AssignTaskRanges divides a new job among the partitions.
@@ -67,14 +52,6 @@
 // PlaceNow runs the fast tick ahead of its time.
 func (a userScheduler) PlaceNow() { a.c.runFastTick(a.c.now()) }
 
-type jobOwnership struct{ c *Controller }
-
-// OwnsJob tests for jobs of this controller.
-func (a jobOwnership) OwnsJob() func(job string) bool {
-	controllers := a.c.membership.LiveControllers()
-	return func(job string) bool { return membership.RendezvousOwner(job, controllers) == a.c.node }
-}
-
 // recordWrites are the records that this controller is changing: jobs by their id, others by their key.
 type recordWrites map[string]bool
 
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"slices"
 
+	"pipitgap/internal/membership"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -37,32 +38,33 @@
 	End(job string)
 }
 
-// Ownership divides the jobs among the controllers.
-type Ownership interface {
-	// OwnsJob returns a test for the jobs of this controller, valid for the members of this moment.
-	OwnsJob() func(job string) bool
+// Membership knows the controllers that the jobs are divided among.
+type Membership interface {
+	LiveControllers() []string
 }
 
 // Config has what a Finisher needs.
 type Config struct {
+	Node            string // this controller's name
 	Log             *slog.Logger
 	Mirror          *mirror.Mirror
 	StateService    StateService
 	Committer       Committer
 	PriorityClasses PriorityClasses
 	WritesInFlight  WritesInFlight
-	Ownership       Ownership
+	Membership      Membership
 }
 
 // Finisher ends jobs. It is used by one goroutine.
 type Finisher struct {
+	node      string
 	log       *slog.Logger
 	mirror    *mirror.Mirror
 	store     StateService
 	committer Committer
 	classes   PriorityClasses
 	writes    WritesInFlight
-	ownership Ownership
+	members   Membership
 
 	completed int
 }
@@ -70,13 +72,14 @@
 // NewFinisher makes a finisher.
 func NewFinisher(config Config) *Finisher {
 	return &Finisher{
+		node:      config.Node,
 		log:       config.Log,
 		mirror:    config.Mirror,
 		store:     config.StateService,
 		committer: config.Committer,
 		classes:   config.PriorityClasses,
 		writes:    config.WritesInFlight,
-		ownership: config.Ownership,
+		members:   config.Membership,
 	}
 }
 
@@ -99,10 +102,13 @@
 	if f.store.Unavailable() {
 		return
 	}
-	owned := f.ownership.OwnsJob()
+	controllers := f.members.LiveControllers()
 	for _, id := range f.unfinishedJobs() {
 		job := f.mirror.Jobs[id]
-		if job == nil || f.writes.Contains(id) || f.mirror.WatchedRevision < job.Version || !owned(id) {
+		if job == nil || f.writes.Contains(id) || f.mirror.WatchedRevision < job.Version {
+			continue
+		}
+		if membership.RendezvousOwner(id, controllers) != f.node {
 			continue
 		}
 		switch {
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -11,7 +11,10 @@
 	"pipitgap/internal/storage"
 )
 
-const jobID = "j-1"
+const (
+	thisNode = "n-0"
+	jobID    = "j-1"
+)
 
 // fakeWorld is all that a finisher depends on. Commits are kept until the test answers them.
 type fakeWorld struct {
@@ -35,15 +38,22 @@
 func (w *fakeWorld) finisher() *Finisher {
 	return NewFinisher(Config{
 		Log: slog.New(slog.DiscardHandler), Mirror: w.mirror, StateService: w, Committer: w,
-		PriorityClasses: w, WritesInFlight: w, Ownership: w,
+		PriorityClasses: w, WritesInFlight: w, Membership: w, Node: thisNode,
 	})
 }
 
-func (w *fakeWorld) Unavailable() bool          { return w.unavailable }
-func (w *fakeWorld) Contains(job string) bool   { return w.writes[job] }
-func (w *fakeWorld) Begin(job string)           { w.writes[job] = true }
-func (w *fakeWorld) End(job string)             { delete(w.writes, job) }
-func (w *fakeWorld) OwnsJob() func(string) bool { return func(string) bool { return !w.notOwned } }
+func (w *fakeWorld) Unavailable() bool        { return w.unavailable }
+func (w *fakeWorld) Contains(job string) bool { return w.writes[job] }
+func (w *fakeWorld) Begin(job string)         { w.writes[job] = true }
+func (w *fakeWorld) End(job string)           { delete(w.writes, job) }
+
+// LiveControllers has one other controller where this one isn't to own any job.
+func (w *fakeWorld) LiveControllers() []string {
+	if w.notOwned {
+		return []string{"n-1"}
+	}
+	return []string{thisNode}
+}
 
 func (w *fakeWorld) PriorityClass(_ *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority {
 	return otherwise
