--- a/internal/shards/commit.go
+++ b/internal/shards/commit.go
@@ -29,7 +29,7 @@
 func (m *Manager) transaction(update *Update) protocol.Transaction {
 	key := shardKey(update.name)
 	txn := update.txn
-	txn.If = append([]protocol.Compare{{Key: key, Version: update.PreviousVersion()}}, txn.If...)
+	txn.If = append([]protocol.Compare{{Key: key, Version: update.previousVersion()}}, txn.If...)
 	if update.previous != nil && len(update.next.Machines) == 0 && len(update.next.Jobs) == 0 {
 		txn.Then = append(txn.Then, protocol.Op{Delete: key})
 		return txn
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -118,7 +118,7 @@
 // release takes an attempt that has ended out of a shard.
 func (m *Manager) release(update *Update, machine *mirror.Machine, task mirror.TaskID, completed bool) {
 	update.losses.Record(machine, task)
-	update.Release(machine.ID, task, completed, m.mirror.Jobs[task.Job])
+	update.release(machine.ID, task, completed, m.mirror.Jobs[task.Job])
 }
 
 // dropClosedJobs drops the entries of jobs that are over and hold nothing in a shard any more; it tells
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -28,7 +28,7 @@
 
 // resolveUpdates forgets the updates that were conditional on another version than the shard's.
 func (t *tracker) resolveUpdates(version uint64) {
-	t.keepUpdates(func(update *Update) bool { return update.PreviousVersion() == version })
+	t.keepUpdates(func(update *Update) bool { return update.previousVersion() == version })
 }
 
 // removeUpdate forgets an update that is known not to have been committed.
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// PreviousVersion is the version that the update is conditional on; 0 for a new shard.
-func (u *Update) PreviousVersion() uint64 {
+// previousVersion is the version that the update is conditional on; 0 for a new shard.
+func (u *Update) previousVersion() uint64 {
 	if u.previous == nil {
 		return 0
 	}
@@ -156,8 +156,8 @@
 	u.machinesToSync[attempt.Machine] = true
 }
 
-// Release takes an attempt that has ended off a machine; job is nil if its record is gone.
-func (u *Update) Release(machine string, task mirror.TaskID, completed bool, job *mirror.Job) {
+// release takes an attempt that has ended off a machine; job is nil if its record is gone.
+func (u *Update) release(machine string, task mirror.TaskID, completed bool, job *mirror.Job) {
 	u.changed = true
 	u.releasedTasks[task] = true
 	u.next.Release(task.Job, task.Index, completed)
--- a/internal/shards/updates_test.go
+++ b/internal/shards/updates_test.go
@@ -233,8 +233,8 @@
 	w := newWorld(t)
 	job := w.putJob("j-1", 1)
 	update := NewUpdate("p", nil, emptyShard(ownNode, ownIncarnation))
-	update.Release("i-1", mirror.TaskID{Job: "j-1"}, false, job)
-	update.Release("i-1", mirror.TaskID{Job: "j-9"}, false, nil) // its record is gone: nothing is known of it
+	update.release("i-1", mirror.TaskID{Job: "j-1"}, false, job)
+	update.release("i-1", mirror.TaskID{Job: "j-9"}, false, nil) // its record is gone: nothing is known of it
 	if !update.UseFreedQuota("team", resources.Vector{CPUs: 2}) {
 		t.Error("what was released can't be used")
 	}
