--- a/internal/autoscaling/backoff.go
+++ b/internal/autoscaling/backoff.go
@@ -2,8 +2,8 @@
 
 import "pipitgap/internal/monotime"
 
-// Backoffs follows the jobs whose demand no offer can meet. After several passes such a job is left out for a pause,
-// longer each time; at the ceiling it is left out until an offer that was unavailable recovers.
+// Backoffs follows the jobs whose demand no offer can meet. After several passes such a job is left out for a
+// pause, longer each time; at the ceiling it is left out until an offer that was unavailable recovers.
 type Backoffs struct {
 	policy          BackoffPolicy
 	jobs            map[string]*backoff
@@ -69,8 +69,8 @@
 	return now < state.retryAt
 }
 
-// Update follows a job after a pass that met some of its demand, or none. It tells whether the job has just come to
-// the ceiling.
+// Update follows a job after a pass that met some of its demand, or none. It tells whether the job has just
+// come to the ceiling.
 func (b *Backoffs) Update(jobID string, met bool, now monotime.Micros) (suspended bool) {
 	if met {
 		delete(b.jobs, jobID)
--- a/internal/autoscaling/backoff_test.go
+++ b/internal/autoscaling/backoff_test.go
@@ -6,8 +6,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// TestBackoffsPauseAndSuspend: a job is left out after several passes without success, for twice as long each time, and
-// at the ceiling until an offer recovers.
+// TestBackoffsPauseAndSuspend: a job is left out after several passes without success, for twice as long each
+// time, and at the ceiling until an offer recovers.
 func TestBackoffsPauseAndSuspend(t *testing.T) {
 	b := NewBackoffs(BackoffPolicy{Passes: 2, First: 4, Max: 16})
 	demands := []*Demand{{JobID: "j", Tasks: 1}}
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestBackoffsForgetMet: the state of a job without unmet demand is dropped, that of one whose demand is met in part
-// only stays.
+// TestBackoffsForgetMet: the state of a job without unmet demand is dropped, that of one whose demand is met
+// in part only stays.
 func TestBackoffsForgetMet(t *testing.T) {
 	b := NewBackoffs(BackoffPolicy{Passes: 1, First: 10, Max: 100})
 	for _, id := range []string{"met", "unmet", "in part", "ended"} {
--- a/internal/autoscaling/bin.go
+++ b/internal/autoscaling/bin.go
@@ -9,8 +9,8 @@
 // EstimateMargin stretches expected run times: estimates err, and images must be fetched first.
 const EstimateMargin = 1.2
 
-// minSpotWaitBoots is the part of a boot time that a spot task waits in any case before an on-demand machine is
-// requested for it: sooner than that none would be up.
+// minSpotWaitBoots is the part of a boot time that a spot task waits in any case before an on-demand machine
+// is requested for it: sooner than that none would be up.
 const minSpotWaitBoots = 0.5
 
 // Bin is a machine that tasks can be packed into: one that is up, or a requested one.
@@ -40,9 +40,9 @@
 	ExpectedSeconds float64 // its run in all; how far it has come isn't known
 }
 
-// expectedReleases is how many CPUs the running tasks are expected to release within a time in seconds. A task is
-// equally likely to be at any point of its run, which may be longer than estimated. The sum is exact, so that it
-// doesn't depend on the order of the tasks.
+// expectedReleases is how many CPUs the running tasks are expected to release within a time in seconds. A
+// task is equally likely to be at any point of its run, which may be longer than estimated. The sum is exact,
+// so that it doesn't depend on the order of the tasks.
 func (b *Bin) expectedReleases(within float64) float64 {
 	cpus := 0.0
 	for _, task := range b.Running {
@@ -51,10 +51,10 @@
 	return cpus
 }
 
-// absorb plans tasks of a demand, at most so many, on what the machine will have free within a time in seconds, and
-// returns how many. Short tasks run there one after the other. Of tasks that run longer than that each machine has
-// room for a part only, but many machines together for some whole ones: without that, machines would be requested
-// for tasks that could have started in time.
+// absorb plans tasks of a demand, at most so many, on what the machine will have free within a time in
+// seconds, and returns how many. Short tasks run there one after the other. Of tasks that run longer than
+// that each machine has room for a part only, but many machines together for some whole ones: without that,
+// machines would be requested for tasks that could have started in time.
 func (b *Bin) absorb(demand *Demand, within, most float64) float64 {
 	cpuSeconds := demand.Need.CPUs * max(demand.ExpectedSeconds, 1)
 	inTurn := math.Floor(max(0, b.ArrayCPUs*within-b.CommittedCPUSeconds) / cpuSeconds)
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// Demand is a number of like tasks of one job that found no room. The planner takes from Tasks what it has placed.
+// Demand is a number of like tasks of one job that found no room. The planner takes from Tasks what it has
+// placed.
 type Demand struct {
 	Spec  *storage.JobSpec
 	Need  resources.Vector // of one task
@@ -57,9 +58,9 @@
 	}
 }
 
-// sortLargestFirst sorts demands for first-fit decreasing: by GPUs, CPUs, memory, then urgency. But those that may
-// not use spot machines come first: the others would fill the on-demand machines that were requested for them,
-// and each pass would request more.
+// sortLargestFirst sorts demands for first-fit decreasing: by GPUs, CPUs, memory, then urgency. But those
+// that may not use spot machines come first: the others would fill the on-demand machines that were requested
+// for them, and each pass would request more.
 func sortLargestFirst(demands []*Demand) {
 	sort.SliceStable(demands, func(a, b int) bool {
 		left, right := demands[a], demands[b]
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -11,22 +11,23 @@
 // Reading the cloud's list.
 const (
 	listInterval = 10 * monotime.Second
-	// unknownMachineMargin is how much older than twice the list's lag an unknown machine is before it is adopted.
+	// unknownMachineMargin is how much older than twice the list's lag an unknown machine is before it is
+	// adopted.
 	unknownMachineMargin = 5 * monotime.Second
 )
 
 // listedFailed is the state of failed machines in the cloud's list.
 const listedFailed = "failed"
 
-// startListing reads the cloud's list page by page. It finds failed machines and such as no record knows; that a
-// machine isn't listed proves nothing, as the list lags.
+// startListing reads the cloud's list page by page. It finds failed machines and such as no record knows;
+// that a machine isn't listed proves nothing, as the list lags.
 func (r *Reconciler) startListing() {
 	r.term.listInFlight = true
 	r.listPage(r.term.number, "")
 }
 
-// listPage reads the page after a machine, as soon as the rate limit lets it, if the term that began the listing
-// still lasts.
+// listPage reads the page after a machine, as soon as the rate limit lets it, if the term that began the
+// listing still lasts.
 func (r *Reconciler) listPage(term uint64, after string) {
 	if term != r.term.number {
 		return
@@ -96,8 +97,8 @@
 	}
 }
 
-// adoptUnknownMachines writes requests for machines that no record knows. They are then claimed like any other
-// when they come up, and terminated if they don't.
+// adoptUnknownMachines writes requests for machines that no record knows. They are then claimed like any
+// other when they come up, and terminated if they don't.
 func (r *Reconciler) adoptUnknownMachines() {
 	records := r.deps.Mirror
 	for _, id := range sortedmap.Keys(r.term.unknownMachines) {
--- a/internal/autoscaling/fleet/pass.go
+++ b/internal/autoscaling/fleet/pass.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// availableOffers lists what may be requested now. What is requested in a zone that is unreachable as a whole would
-// wait, at a cost, until the zone is back.
+// availableOffers lists what may be requested now. What is requested in a zone that is unreachable as a whole
+// would wait, at a cost, until the zone is back.
 func (r *Reconciler) availableOffers(snapshot *autoscaling.Snapshot) []*autoscaling.PricedOffer {
 	r.updateUnreachableZones(r.deps.Workload.ZoneContacts())
 	return snapshot.Offers(func(offer autoscaling.Offer) bool {
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -94,8 +94,8 @@
 	ListLagSeconds float64 // how far the cloud's list may lag behind
 }
 
-// Reconciler reconciles the cloud's machines with the records while its controller is the leader. It is used by one
-// goroutine.
+// Reconciler reconciles the cloud's machines with the records while its controller is the leader. It is used
+// by one goroutine.
 type Reconciler struct {
 	cfg  Config
 	deps Dependencies
@@ -132,8 +132,9 @@
 
 func (r *Reconciler) now() monotime.Micros { return r.deps.Environment.Now() }
 
-// Commit commits a transaction on the condition that this controller is the leader, one at a time for each busyKey:
-// while one is in flight, another is dropped. The callback, which may be nil, is called if the term still lasts.
+// Commit commits a transaction on the condition that this controller is the leader, one at a time for each
+// busyKey: while one is in flight, another is dropped. The callback, which may be nil, is called if the term
+// still lasts.
 func (r *Reconciler) Commit(
 	priority ratelimit.Priority,
 	busyKey string,
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -24,8 +24,8 @@
 	answer func(protocol.CloudResult)
 }
 
-// controllerStub is the rest of a controller: commits succeed at once and change the mirror, calls to the cloud wait for
-// the test's answer.
+// controllerStub is the rest of a controller: commits succeed at once and change the mirror, calls to the
+// cloud wait for the test's answer.
 type controllerStub struct {
 	t          *testing.T
 	records    *mirror.Mirror
@@ -205,7 +205,8 @@
 	}
 }
 
-// TestOnlyTheLeaderReconciles: a controller that isn't the leader, or no longer is, makes no call and no request.
+// TestOnlyTheLeaderReconciles: a controller that isn't the leader, or no longer is, makes no call and no
+// request.
 func TestOnlyTheLeaderReconciles(t *testing.T) {
 	s := newControllerStub(t)
 	s.leader = false
@@ -265,8 +266,8 @@
 	}
 }
 
-// TestProvisioning: a request ends when its machines are up, is replaced by a scale-in when they aren't in time, and gets
-// other controllers when those that were to claim them can't.
+// TestProvisioning: a request ends when its machines are up, is replaced by a scale-in when they aren't in
+// time, and gets other controllers when those that were to claim them can't.
 func TestProvisioning(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -312,8 +313,8 @@
 	}
 }
 
-// TestFailedDeletionsAreFlagged: the cloud's own trouble doesn't count as a try; after the last quick one the request is
-// flagged and repeated at long intervals.
+// TestFailedDeletionsAreFlagged: the cloud's own trouble doesn't count as a try; after the last quick one the
+// request is flagged and repeated at long intervals.
 func TestFailedDeletionsAreFlagged(t *testing.T) {
 	s := newControllerStub(t)
 	s.rebuildInventory()
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -26,9 +26,9 @@
 // scaleInBusyKey lets one scale-in request be written at a time.
 const scaleInBusyKey = "removals"
 
-// reconcileScaleIns has machines terminated: those that their controllers want removed, and those that failed. One
-// record and one call are for many machines. The record is written before the call, and says afterwards that the
-// machines are terminated.
+// reconcileScaleIns has machines terminated: those that their controllers want removed, and those that
+// failed. One record and one call are for many machines. The record is written before the call, and says
+// afterwards that the machines are terminated.
 func (r *Reconciler) reconcileScaleIns(now monotime.Micros) {
 	if now >= r.term.nextScaleInAt {
 		if machines := r.removableMachines(); len(machines) > 0 {
@@ -132,8 +132,8 @@
 		"tries", record.Attempts, "outcome", outcome.String())
 }
 
-// forgetScaleIn deletes the record of terminated machines once no shard has them and none of their late heartbeats
-// is to be expected.
+// forgetScaleIn deletes the record of terminated machines once no shard has them and none of their late
+// heartbeats is to be expected.
 func (r *Reconciler) forgetScaleIn(name string, request *mirror.ScaleInEntry) {
 	age := monotime.Micros(r.deps.Environment.WallClock() - request.Record.StateSince)
 	if age < deletedMachineRetention {
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -18,8 +18,8 @@
 // scaleOutNamePrefix begins the names of scale-out requests.
 const scaleOutNamePrefix = "r-"
 
-// unfilledKeySuffix marks the record that quarantines an offer of which a request got fewer machines than it asked
-// for: the request's key with this suffix.
+// unfilledKeySuffix marks the record that quarantines an offer of which a request got fewer machines than it
+// asked for: the request's key with this suffix.
 const unfilledKeySuffix = "-rest"
 
 // reconcileScaleOuts takes the next step of every scale-out request.
@@ -45,8 +45,8 @@
 	}
 }
 
-// reconcileProvisioning drops a request whose machines are all up, has machines terminated that don't come up in
-// time, and names other controllers to claim machines when those that were to claim them can't.
+// reconcileProvisioning drops a request whose machines are all up, has machines terminated that don't come up
+// in time, and names other controllers to claim machines when those that were to claim them can't.
 func (r *Reconciler) reconcileProvisioning(name string, request *mirror.ScaleOutEntry, age monotime.Micros) {
 	key := storage.Key(storage.KindScaleOut, name)
 	missing := autoscaling.MissingMachines(r.deps.Mirror, request)
@@ -66,8 +66,8 @@
 	}
 }
 
-// removeMissing replaces a request by a scale-in request for its machines that didn't come up: without the former
-// nobody may claim them any more.
+// removeMissing replaces a request by a scale-in request for its machines that didn't come up: without the
+// former nobody may claim them any more.
 func (r *Reconciler) removeMissing(name string, request *mirror.ScaleOutEntry, missing []string) {
 	key := storage.Key(storage.KindScaleOut, name)
 	scaleInKey := storage.Key(storage.KindScaleIn, r.nextRequestName())
@@ -103,8 +103,8 @@
 	})
 }
 
-// recordScaleOut writes what came of a request's call. Throttled, unavailable or unknown says nothing about the
-// offer: the request stays as it is and is repeated.
+// recordScaleOut writes what came of a request's call. Throttled, unavailable or unknown says nothing about
+// the offer: the request stays as it is and is repeated.
 func (r *Reconciler) recordScaleOut(name string, request *mirror.ScaleOutEntry, result protocol.CloudResult) {
 	record := request.Record
 	switch {
@@ -140,7 +140,8 @@
 	r.Commit(ratelimit.PriorityShardUpdate, key, txn, nil)
 }
 
-// requestScaleOut writes requests for machines of an offer; the cloud call of each follows once it is written.
+// requestScaleOut writes requests for machines of an offer; the cloud call of each follows once it is
+// written.
 func (r *Reconciler) requestScaleOut(scaleOut autoscaling.ScaleOut) {
 	for left := scaleOut.Machines; left > 0; left -= maxMachinesPerScaleOut {
 		key := storage.Key(storage.KindScaleOut, scaleOutNamePrefix+r.nextRequestName())
--- a/internal/autoscaling/offer.go
+++ b/internal/autoscaling/offer.go
@@ -29,7 +29,8 @@
 	ZoneMachines int     // machines in its zone, there or requested: fewest wins a tie
 }
 
-// effectivePrice is an offer's price with a penalty for the boot time: that is paid for too, and keeps tasks waiting.
+// effectivePrice is an offer's price with a penalty for the boot time: that is paid for too, and keeps tasks
+// waiting.
 func effectivePrice(machineType *protocol.MachineType, spot bool) float64 {
 	price := machineType.OnDemandPrice
 	if spot {
@@ -38,8 +39,9 @@
 	return price * (1 + machineType.BootS/bootPenaltySeconds)
 }
 
-// ScaleInDelay is how long an empty machine is kept: the whole delay if it is of its type's cheapest kind, less for a
-// dearer one in proportion to the price. Capacity kept for the next burst should cost as little as possible.
+// ScaleInDelay is how long an empty machine is kept: the whole delay if it is of its type's cheapest kind,
+// less for a dearer one in proportion to the price. Capacity kept for the next burst should cost as little as
+// possible.
 func ScaleInDelay(machineType protocol.MachineType, spot bool, delay monotime.Micros) monotime.Micros {
 	if spot || machineType.SpotPrice <= 0 || machineType.SpotPrice >= machineType.OnDemandPrice {
 		return delay
@@ -69,8 +71,8 @@
 	return packed
 }
 
-// cheapestOffer finds the offer with the lowest price for the CPUs that would be used, ties to the zone with fewest
-// machines; it is nil if none can take a task.
+// cheapestOffer finds the offer with the lowest price for the CPUs that would be used, ties to the zone with
+// fewest machines; it is nil if none can take a task.
 func cheapestOffer(
 	demands []*Demand,
 	offers []*PricedOffer,
@@ -93,8 +95,8 @@
 	return best, bestPacking
 }
 
-// chooseOffers adds to chosen, machine by machine and at most so many, the cheapest offers for demands that fit
-// nowhere, and takes from the demands what they carry. What remains of the demands can't be met now.
+// chooseOffers adds to chosen, machine by machine and at most so many, the cheapest offers for demands that
+// fit nowhere, and takes from the demands what they carry. What remains of the demands can't be met now.
 func chooseOffers(
 	demands []*Demand,
 	offers []*PricedOffer,
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// absorbByPreemption takes from the demands of arrays what they get by preempting work of lower priority: no machine
-// is requested for that.
+// absorbByPreemption takes from the demands of arrays what they get by preempting work of lower priority: no
+// machine is requested for that.
 func absorbByPreemption(demands []*Demand, bins []*Bin) {
 	for _, demand := range demands {
 		if demand.Spec.Service {
@@ -57,7 +57,8 @@
 	return needed
 }
 
-// reserveOnBins takes one demand's headroom from the empty bins, or from those in use, and adds them to needed.
+// reserveOnBins takes one demand's headroom from the empty bins, or from those in use, and adds them to
+// needed.
 func reserveOnBins(demand *Demand, bins []*Bin, empty bool, needed map[string]bool) {
 	for _, bin := range bins {
 		if demand.Tasks == 0 {
@@ -85,8 +86,9 @@
 	spotTasksOnly bool
 }
 
-// absorbDemand takes from the demands, the most urgent first, what running machines will have free in time: machines
-// requested for those tasks would find nothing to do. Services never end, so none of their tasks is taken.
+// absorbDemand takes from the demands, the most urgent first, what running machines will have free in time:
+// machines requested for those tasks would find nothing to do. Services never end, so none of their tasks is
+// taken.
 func absorbDemand(demands []*Demand, bins []*Bin, rule absorption) {
 	for _, demand := range sortedByUrgency(demands) {
 		if rule.spotTasksOnly && !demand.Spec.Spot || demand.Spec.Service || demand.Need.CPUs <= 0 ||
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -15,8 +15,9 @@
 	Bins     []*Bin    // machines that are up or requested
 
 	MachineTypes map[string]protocol.MachineType
-	// ExpectedCapacity and ExpectedOnDemandCapacity are the parts of a type's boot time within which what running
-	// machines will have free counts as supply; the latter before on-demand machines are requested for spot tasks.
+	// ExpectedCapacity and ExpectedOnDemandCapacity are the parts of a type's boot time within which what
+	// running machines will have free counts as supply; the latter before on-demand machines are requested
+	// for spot tasks.
 	ExpectedCapacity, ExpectedOnDemandCapacity float64
 }
 
@@ -26,8 +27,8 @@
 	Machines int
 }
 
-// Unmet places the demand on the machines that are up or requested, and returns all demands, headroom included, with
-// the tasks that found no room.
+// Unmet places the demand on the machines that are up or requested, and returns all demands, headroom
+// included, with the tasks that found no room.
 func (p *Plan) Unmet() []*Demand {
 	sortLargestFirst(p.Waiting)
 	fillBins(p.Waiting, p.Bins)
@@ -37,9 +38,9 @@
 	return append(p.Waiting, p.Headroom...)
 }
 
-// ScaleOuts chooses offers for demands that are unmet, in two steps: first spot machines for the tasks that may use
-// them, and on-demand ones for the others; then any machine for spot tasks that would wait for too long. It takes
-// from the demands what the machines carry.
+// ScaleOuts chooses offers for demands that are unmet, in two steps: first spot machines for the tasks that
+// may use them, and on-demand ones for the others; then any machine for spot tasks that would wait for too
+// long. It takes from the demands what the machines carry.
 func (p *Plan) ScaleOuts(unmet []*Demand, offers []*PricedOffer) []ScaleOut {
 	chosen := map[Offer]int{}
 	chooseOffers(unmet, offers, maxMachinesPerPass, inOwnMarket, chosen)
@@ -75,8 +76,8 @@
 	}
 }
 
-// MachinesNeeded finds the machines that headroom and replacements of drained replicas are to be kept on: those
-// aren't removed when they are empty.
+// MachinesNeeded finds the machines that headroom and replacements of drained replicas are to be kept on:
+// those aren't removed when they are empty.
 func MachinesNeeded(demands []*Demand, bins []*Bin) map[string]bool {
 	return reserveHeadroom(demands, bins)
 }
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// overdueLimitFactor times the settings' factor is after how many boot times a requested machine that isn't up is
-// no longer relied on at all.
+// overdueLimitFactor times the settings' factor is after how many boot times a requested machine that isn't
+// up is no longer relied on at all.
 const overdueLimitFactor = 1.5
 
 // Snapshot is what demand and supply are read from. It is read only.
@@ -43,7 +43,8 @@
 	IsPreemptible(job *mirror.Job) bool
 	// ExpectedRunSeconds is the expected run of a task.
 	ExpectedRunSeconds(spec *storage.JobSpec) float64
-	// SlackSeconds is how long a job's tasks may wait and still meet the next objective; infinite without one.
+	// SlackSeconds is how long a job's tasks may wait and still meet the next objective; infinite without
+	// one.
 	SlackSeconds(job *mirror.Job, wallClock int64) float64
 	// RemainingQuota is what a team may use beyond what it uses now.
 	RemainingQuota(team string) resources.Vector
@@ -51,7 +52,8 @@
 	Zones(job *mirror.Job) ZoneConstraint
 }
 
-// UnplacedDemand lists the tasks without room that the quotas let run, given the open jobs in the queue's order.
+// UnplacedDemand lists the tasks without room that the quotas let run, given the open jobs in the queue's
+// order.
 func (s *Snapshot) UnplacedDemand(queue []*mirror.Job) []*Demand {
 	var out []*Demand
 	quotas := map[string]resources.Vector{}
@@ -98,8 +100,8 @@
 	}
 }
 
-// HeadroomDemand is room that is kept for services yet to come: a part of what each class of services uses now. A
-// service that finds room starts within its image fetch; one that doesn't waits for a boot.
+// HeadroomDemand is room that is kept for services yet to come: a part of what each class of services uses
+// now. A service that finds room starts within its image fetch; one that doesn't waits for a boot.
 func (s *Snapshot) HeadroomDemand() []*Demand {
 	if s.ServiceHeadroom == 0 {
 		return nil
@@ -164,8 +166,8 @@
 	return out
 }
 
-// addRunningTask adds to a bin what a task that runs there holds, and what is expected of it: a service never ends,
-// an array's task is taken to be half through.
+// addRunningTask adds to a bin what a task that runs there holds, and what is expected of it: a service never
+// ends, an array's task is taken to be half through.
 func (s *Snapshot) addRunningTask(bin *Bin, job *mirror.Job) {
 	spec := &job.Record.Spec
 	if spec.Service {
@@ -219,7 +221,8 @@
 	overdue bool // they should have been up by now
 }
 
-// expectedMachines counts the machines that a request can be relied on to bring, given the type's boot time in seconds.
+// expectedMachines counts the machines that a request can be relied on to bring, given the type's boot time
+// in seconds.
 func (s *Snapshot) expectedMachines(request *mirror.ScaleOutEntry, bootSeconds float64) expectedMachines {
 	if request.Record.Phase != storage.ScaleOutProvisioning {
 		return expectedMachines{count: request.Record.Count}
@@ -247,8 +250,8 @@
 	return out
 }
 
-// Offers lists what may be requested now: whatever the cloud has at a price, but for offers that are quarantined or
-// excluded by the caller.
+// Offers lists what may be requested now: whatever the cloud has at a price, but for offers that are
+// quarantined or excluded by the caller.
 func (s *Snapshot) Offers(isExcluded func(Offer) bool) []*PricedOffer {
 	quarantined, zoneMachines := QuarantinedOffers(s.Records), s.machinesByZone()
 	var out []*PricedOffer
--- a/internal/autoscaling/snapshot_test.go
+++ b/internal/autoscaling/snapshot_test.go
@@ -26,8 +26,8 @@
 	records.ScaleOuts[name] = &mirror.ScaleOutEntry{Record: record, Version: 1}
 }
 
-// TestRequestedBins: what an open request counts for as supply: all of it until the cloud has answered, then the
-// machines that are missing, until they are long overdue.
+// TestRequestedBins: what an open request counts for as supply: all of it until the cloud has answered, then
+// the machines that are missing, until they are long overdue.
 func TestRequestedBins(t *testing.T) {
 	provisioning := storage.ScaleOutRequest{
 		Phase: storage.ScaleOutProvisioning, Count: 3, Machines: []string{"i-up", "i-removed", "i-missing"},
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestScaleOutsInTwoSteps: spot tasks get spot machines first; on-demand machines follow only where spot ones can't
-// be had, unless the job is for spot machines only.
+// TestScaleOutsInTwoSteps: spot tasks get spot machines first; on-demand machines follow only where spot ones
+// can't be had, unless the job is for spot machines only.
 func TestScaleOutsInTwoSteps(t *testing.T) {
 	offers := func(spot ...bool) (out []*PricedOffer) {
 		for _, s := range spot {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -6,7 +6,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// autoscaler gives package autoscaling its inputs. While this controller is the leader, fleet carries the plans out.
+// autoscaler gives package autoscaling its inputs. While this controller is the leader, fleet carries the
+// plans out.
 type autoscaler struct {
 	c     *Controller
 	fleet *fleet.Reconciler
@@ -31,12 +32,12 @@
 	}
 }
 
-// demandAndSupply lists the tasks without room that the quotas let run, those that drains want replaced among them,
-// and the machines that are up or requested.
+// demandAndSupply lists the tasks without room that the quotas let run, those that drains want replaced among
+// them, and the machines that are up or requested.
 func (as *autoscaler) demandAndSupply(snapshot *autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin) {
 	waiting := append(
 		snapshot.UnplacedDemand(as.c.scheduler.orderedQueue()),
-		as.c.drains.replacementDemands()...,
+		as.c.drains.ReplacementDemands()...,
 	)
 	return waiting, snapshot.Bins()
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/agents"
 	"pipitgap/internal/api"
 	"pipitgap/internal/config"
+	"pipitgap/internal/drain/drainer"
 	"pipitgap/internal/durations"
 	"pipitgap/internal/jobs"
 	"pipitgap/internal/membership"
@@ -60,7 +61,7 @@
 
 	nextSlowTickAt monotime.Micros
 
-	drains        *drains // nil: the settings don't turn them on
+	drains        *drainer.Drainer // nil: the settings don't turn them on
 	counters      activityCounters
 	store         *storeclient.Client
 	replica       *mirror.Replica
@@ -110,7 +111,7 @@
 	c.scheduler = newScheduler(c)
 	c.autoscaler = newAutoscaler(c)
 	c.emptyMachines = newEmptyMachines(c)
-	c.drains = newDrains(c, settings.Drains)
+	c.drains = newDrainer(c)
 	c.shards = newShardManager(c)
 	return c
 }
@@ -193,7 +194,7 @@
 	c.shards.ClaimOrphaned(now)
 	c.quota.ReleaseDeparted(now)
 	c.agents.CheckMachines(now)
-	c.drains.reconcile(now)
+	c.drains.Reconcile(now)
 	c.quota.Adjust(now)
 	c.jobs.Reconcile()
 	c.scheduler.requestPass()
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -39,8 +39,8 @@
 // blockages lists what drains wait for, as the records have it.
 func (s *drainScenario) blockages() []drain.Blockage {
 	core := s.leaderNode().controller
-	return core.drains.policy.Decide(
-		core.drainSnapshot(),
+	return drain.NewPolicy(core.settings.Drains).Decide(
+		core.drains.Snapshot(),
 		&drain.Controller{Live: core.membership.IsMember, Responsible: func(string) bool { return false }},
 	).Blocked
 }
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/drain/drainer"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
 	"pipitgap/internal/storage"
@@ -140,7 +141,7 @@
 		)
 	}
 	// A tenth of the changes of all controllers together, and a fifth more for those that are uneven.
-	most := int(permitWriteFraction * 1.2 * 100 * float64(*drainFleetSize) / 1000 * 120)
+	most := int(drainer.PermitWriteFraction * 1.2 * 100 * float64(*drainFleetSize) / 1000 * 120)
 	if with.permitWrites > most || with.permitWrites == 0 || without.permitWrites > 0 {
 		t.Errorf("%d writes of permits, at most %d", with.permitWrites, most)
 	}
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -228,7 +228,7 @@
 		)
 		for _, node := range s.nodeNames {
 			if core := s.nodes[node].controller; core != nil {
-				d := core.drains.policy.Decide(core.drainSnapshot(), core.drains.controller())
+				d := core.drains.Decide()
 				s.t.Errorf("%s: blocked %v", node, d.Blocked)
 			}
 		}
--- a/internal/coordination/empty_machines.go
+++ b/internal/coordination/empty_machines.go
@@ -9,11 +9,12 @@
 	"pipitgap/internal/storage"
 )
 
-// closeAfterIntervals is for how many autoscaling intervals an own machine is empty before it is closed to tasks.
+// closeAfterIntervals is for how many autoscaling intervals an own machine is empty before it is closed to
+// tasks.
 const closeAfterIntervals = 2
 
-// emptyMachines has this controller's empty machines removed. Every controller does so for its own machines, since
-// it alone writes their shards; the leader then has them terminated.
+// emptyMachines has this controller's empty machines removed. Every controller does so for its own machines,
+// since it alone writes their shards; the leader then has them terminated.
 type emptyMachines struct {
 	c           *Controller
 	since       map[string]monotime.Micros // since when a machine is empty
@@ -34,8 +35,9 @@
 // reopen opens a machine that gets a task.
 func (e *emptyMachines) reopen(machine string) { delete(e.closedAt, machine) }
 
-// reconcile closes own machines that are empty, and has them removed after the delay if they still are. Machines that
-// headroom or drains need are kept. Closing writes nothing: a task that needs the machine opens it again.
+// reconcile closes own machines that are empty, and has them removed after the delay if they still are.
+// Machines that headroom or drains need are kept. Closing writes nothing: a task that needs the machine opens
+// it again.
 func (e *emptyMachines) reconcile(now monotime.Micros) {
 	if now < e.nextCheckAt {
 		return
@@ -60,7 +62,7 @@
 			if _, ok := e.since[id]; !ok {
 				e.since[id] = now
 			}
-			if e.c.drains.mayScaleIn(machine, now-e.since[id]) {
+			if e.c.drains.MayScaleIn(machine, now-e.since[id]) {
 				e.c.agents.RequestRemoval(machine, agents.RemovalDrained)
 			}
 		case storage.MachineDraining:
@@ -75,25 +77,26 @@
 	}
 }
 
-// neededMachines lists the machines that are kept although they are empty: for headroom, for replacements of drained
-// replicas, and for replicas that permits move there.
+// neededMachines lists the machines that are kept although they are empty: for headroom, for replacements of
+// drained replicas, and for replicas that permits move there.
 func (e *emptyMachines) neededMachines(now monotime.Micros) map[string]bool {
 	needed := map[string]bool{}
-	replacements := e.c.drains.replacementDemands()
+	replacements := e.c.drains.ReplacementDemands()
 	if e.c.settings.ServiceHeadroom > 0 || len(replacements) > 0 {
 		snapshot := e.c.autoscaler.snapshot(now)
-		// The demand is computed too, though it isn't used: ordering the queue follows which jobs are starved.
+		// The demand is computed too, though it isn't used: ordering the queue follows which jobs are
+		// starved.
 		_, bins := e.c.autoscaler.demandAndSupply(snapshot)
 		needed = autoscaling.MachinesNeeded(append(snapshot.HeadroomDemand(), replacements...), bins)
 	}
-	for id := range e.c.drains.reservations() {
+	for id := range e.c.drains.ReservedByMachine() {
 		needed[id] = true
 	}
 	return needed
 }
 
-// isRemovable tells whether an own machine is empty and neither needed nor on its way out. One that is prone to
-// failures isn't kept for what needs it.
+// isRemovable tells whether an own machine is empty and neither needed nor on its way out. One that is prone
+// to failures isn't kept for what needs it.
 func (e *emptyMachines) isRemovable(machine *mirror.Machine, needed bool) bool {
 	agent := e.c.agents.Of(machine)
 	if agent == nil || machine.Record == nil || len(machine.Attempts) > 0 {
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -26,7 +26,7 @@
 		partitions:        map[string][]*candidateMachine{},
 		preemptionTargets: map[preemptorClass]string{},
 	}
-	reserved := sc.c.drains.reservations()
+	reserved := sc.c.drains.ReservedByMachine()
 	for _, machine := range sc.c.mirror.Machines {
 		if machine.Record == nil || machine.Record.State != storage.MachineOpen ||
 			!sc.c.membership.IsMember(machine.Owner()) {
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -127,7 +127,7 @@
 	}
 	p.candidatesByUpdate = candidatesByUpdate(p.candidates)
 	sc.reservePreemptedRoom(p.candidates, now)
-	p.reservations = sc.c.drains.reserveOnCandidates(p.candidates, updates)
+	p.reservations = sc.reserveOnCandidates(p.candidates, updates)
 	p.sampling = len(p.candidates) > sampleAboveMachines &&
 		len(p.candidates)*len(jobs) > sampleAboveComparisons
 	for _, job := range jobs {
@@ -358,7 +358,7 @@
 		Task:     task,
 		Machine:  machine,
 		Number:   c.mirror.NewestRevision,
-		Starting: c.drains.tracksStart(p.spec),
+		Starting: c.drains.TracksStart(p.spec),
 	}
 	c.scheduler.jobsInPass[job.ID] = true
 	update.Assign(job, p.lastAssigned, joinsRange)
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -205,7 +205,7 @@
 // would be placed again first, and the two would stop each other for ever. Services with a
 // disruption budget aren't stopped for others.
 func (sc *scheduler) mayPreempt(job, victim *mirror.Job) bool {
-	if sc.c.drains.protectsFromPreemption(victim) {
+	if sc.c.drains.ProtectsFromPreemption(victim) {
 		return false
 	}
 	if victim.Record.Spec.Priority < job.Record.Spec.Priority && job.Record.Spec.Service {
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -32,7 +32,7 @@
 		}{
 			{"order of jobs", func() { core.scheduler.orderedQueue() }},
 			{"demand and room", func() { core.autoscaler.demandAndSupply(core.autoscaler.snapshot(now)) }},
-			{"offers", func() { core.autoscaler.snapshot(now).Offers(core.drains.closesOffer) }},
+			{"offers", func() { core.autoscaler.snapshot(now).Offers(core.drains.ClosesOffer) }},
 			{"free capacity", func() { core.scheduler.capacityByPartition() }},
 			{"shard updates", func() { core.shards.PrepareUpdates(now) }},
 			{"encoding shards", func() {
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -22,7 +22,7 @@
 			Shards:        agentShards{c},
 			Scheduler:     agentScheduler{c},
 			Cancellations: c.cancellations,
-			IsCordoned:    func(machine *mirror.Machine) bool { return c.drains.isCordoned(machine) },
+			IsCordoned:    func(machine *mirror.Machine) bool { return c.drains.IsCordoned(machine) },
 			Log:           c.log,
 		},
 	)
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -60,7 +60,7 @@
 		fleet.Dependencies{
 			Mirror:      c.mirror,
 			Environment: c.env,
-			Membership:  fleetMembership{c},
+			Membership:  c.membership,
 			Store:       fleetStore{c},
 			Catalog:     c.catalog,
 			Controllers: fleetControllers{c},
@@ -71,15 +71,6 @@
 	)
 }
 
-// fleetMembership tells package fleet whether this controller is the leader.
-type fleetMembership struct{ c *Controller }
-
-func (m fleetMembership) IsLeader(now monotime.Micros) bool { return m.c.membership.IsLeader(now) }
-
-func (m fleetMembership) LeadershipCompare() protocol.Compare {
-	return m.c.membership.LeadershipCompare()
-}
-
 // fleetStore commits what package fleet changes.
 type fleetStore struct{ c *Controller }
 
@@ -118,7 +109,7 @@
 }
 
 func (w fleetWorkload) IsClosedByDrain(offer autoscaling.Offer) bool {
-	return w.as.c.drains.closesOffer(offer)
+	return w.as.c.drains.ClosesOffer(offer)
 }
 
 func (w fleetWorkload) ZoneContacts() map[string]fleet.ZoneContact {
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -69,17 +69,17 @@
 	return d.c.peerStatuses.WorkerReach(node) == peers.WorkersReachable
 }
 
-func (d shardDependencies) HasWork() bool { return d.c.drains.hasWork() }
+func (d shardDependencies) HasWork() bool { return d.c.drains.HasWork() }
 
 func (d shardDependencies) UpdateStartingMarks(
 	next *storage.Shard,
 	machine *mirror.Machine,
 	now monotime.Micros,
 ) bool {
-	return d.c.drains.updateStartingMarks(next, machine, now)
+	return d.c.drains.UpdateStartingMarks(next, machine, now)
 }
 
-func (d shardDependencies) NewLosses() shards.Losses { return &releaseLosses{drains: d.c.drains} }
+func (d shardDependencies) NewLosses() shards.Losses { return d.c.drains.NewLosses() }
 
 func (d shardDependencies) Request() { d.c.scheduler.requestPass() }
 
--- /dev/null
+++ b/internal/drain/drainer/coverage.go
@@ -0,0 +1,59 @@
+package drainer
+
+import (
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/drain"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// drainCovering gives the unfinished drain that a machine belongs to.
+func (d *Drainer) drainCovering(machine *mirror.Machine) (*storage.Drain, bool) {
+	if d == nil || machine.Record == nil {
+		return nil, false
+	}
+	for _, name := range sortedmap.Keys(d.deps.Mirror.Drains) {
+		record := d.deps.Mirror.Drains[name].Record
+		if record.State.Unfinished() &&
+			drain.Covers(&record, machine.ID, machine.Record.Type, machine.Record.Zone, machine.Record.Spot) {
+			return &record, true
+		}
+	}
+	return nil, false
+}
+
+// IsCordoned tells whether a machine gets no new tasks because of a drain.
+func (d *Drainer) IsCordoned(machine *mirror.Machine) bool {
+	_, covered := d.drainCovering(machine)
+	return covered
+}
+
+// ClosesOffer tells whether a drain keeps an offer from being requested.
+func (d *Drainer) ClosesOffer(offer autoscaling.Offer) bool {
+	if d == nil {
+		return false
+	}
+	for _, entry := range d.deps.Mirror.Drains {
+		if drain.ClosesOffer(&entry.Record, offer.MachineType, offer.Zone, offer.Spot) {
+			return true
+		}
+	}
+	return false
+}
+
+// MayScaleIn tells whether a drained machine that has been empty for so long is to be removed.
+func (d *Drainer) MayScaleIn(machine *mirror.Machine, empty monotime.Micros) bool {
+	record, covered := d.drainCovering(machine)
+	if !covered || record.State == storage.DrainPaused {
+		return false
+	}
+	return record.RemoveAtOnce || empty >= d.deps.Machines.ScaleInDelay(machine.Record)
+}
+
+// ProtectsFromPreemption tells whether a job's tasks aren't stopped to make room for others.
+func (d *Drainer) ProtectsFromPreemption(job *mirror.Job) bool {
+	spec := &job.Record.Spec
+	return d != nil && spec.Service && d.policy.Budgeted(spec.Team, spec.Class)
+}
--- /dev/null
+++ b/internal/drain/drainer/evictions.go
@@ -0,0 +1,66 @@
+package drainer
+
+import (
+	"pipitgap/internal/agents"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+)
+
+// evictUnpermitted stops the tasks that need no permit on machines whose replicas have all been moved: those
+// of arrays, and of services that fail wherever they run. An array task that is about to end is waited for.
+func (d *Drainer) evictUnpermitted(machines []string, now monotime.Micros) {
+	since := map[string]monotime.Micros{}
+	for _, id := range machines {
+		startedAt, ok := d.evictingSince[id]
+		if !ok {
+			startedAt = now
+		}
+		since[id] = startedAt
+		if machine, own := d.ownMachine(id); own {
+			d.evictUnpermittedOn(machine, startedAt, now)
+		}
+	}
+	if len(machines) > 0 {
+		d.evictingSince = since
+	}
+}
+
+// evictUnpermittedOn stops what needs no permit on a machine, where that began at startedAt.
+func (d *Drainer) evictUnpermittedOn(machine ownMachine, startedAt, now monotime.Micros) {
+	stopped := 0
+	for task, number := range machine.Attempts {
+		attempt := agents.AttemptID{Task: task, Attempt: number}
+		job := d.deps.Mirror.Jobs[task.Job]
+		if job == nil || !job.IsOpen() || machine.agent.IsStopping(attempt) || machine.agent.HasOutcome(attempt) ||
+			d.needsPermit(job) || d.endsSoon(machine.agent, attempt, job, startedAt, now) {
+			continue
+		}
+		machine.agent.StopAttempt(attempt)
+		stopped++
+	}
+	if stopped > 0 {
+		d.deps.Log.Info("tasks evicted for drain", "machine", machine.ID, "tasks", stopped)
+		d.deps.Agents.SyncCommands(machine.Machine)
+	}
+}
+
+// needsPermit tells whether a job's tasks are stopped under permits only.
+func (d *Drainer) needsPermit(job *mirror.Job) bool {
+	return job.Record.Spec.Service && !d.deps.Jobs.IsCrashLooping(job)
+}
+
+// endsSoon tells whether an array task is expected to end soon. An estimate that was wrong is believed for
+// twice the time that array tasks are waited for.
+func (d *Drainer) endsSoon(
+	agent *agents.Agent,
+	attempt agents.AttemptID,
+	job *mirror.Job,
+	startedAt, now monotime.Micros,
+) bool {
+	runningSince, running := agent.RunningSince(attempt)
+	if !running || job.Record.Spec.Service || now-startedAt > 2*d.settings.ArrayWait.Micros() {
+		return false
+	}
+	expectedRun := monotime.FromSeconds(d.deps.Jobs.ExpectedRunSeconds(&job.Record.Spec))
+	return expectedRun-(now-runningSince) <= d.settings.ArrayWait.Micros()
+}
--- /dev/null
+++ b/internal/drain/drainer/replacements.go
@@ -0,0 +1,51 @@
+package drainer
+
+import (
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/drain"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// ReplacementDemands is the demand of drains with replacement: what the machines that are being emptied hold
+// of services. The caller may change it.
+func (d *Drainer) ReplacementDemands() []*autoscaling.Demand {
+	if d == nil {
+		return nil
+	}
+	out := make([]*autoscaling.Demand, 0, len(d.replacementDemand))
+	for _, demand := range d.replacementDemand {
+		next := *demand
+		next.Zones = d.deps.Jobs.ZoneConstraint(d.deps.Mirror.Jobs[demand.JobID])
+		out = append(out, &next)
+	}
+	return out
+}
+
+// computeReplacementDemand lists the replicas, by job, that drains with replacement are to move next.
+func (d *Drainer) computeReplacementDemand(snapshot *drain.Snapshot) []*autoscaling.Demand {
+	replicas := map[string]int{}
+	for _, record := range snapshot.Drains() {
+		if record.State != storage.DrainActive || !record.Replace {
+			continue
+		}
+		for _, id := range snapshot.MachinesInStep(&record) {
+			machine, _ := snapshot.Machine(id)
+			for _, replica := range machine.Replicas {
+				replicas[replica.Job]++
+			}
+		}
+	}
+	var out []*autoscaling.Demand
+	for _, id := range sortedmap.Keys(replicas) {
+		if job := d.deps.Mirror.Jobs[id]; job != nil && job.IsOpen() {
+			out = append(out, &autoscaling.Demand{
+				Spec:  &job.Record.Spec,
+				Need:  job.TaskResources,
+				Tasks: replicas[id],
+				JobID: id,
+			})
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/internal/drain/drainer/reservations.go
@@ -0,0 +1,47 @@
+package drainer
+
+import (
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
+)
+
+// ReservedByMachine is what permits reserve for the next attempts of their replicas, by machine.
+func (d *Drainer) ReservedByMachine() map[string]resources.Vector {
+	if d == nil {
+		return nil
+	}
+	reserved := map[string]resources.Vector{}
+	d.ForEachReservation(func(permit *storage.Permit, job *mirror.Job) {
+		reserved[permit.To] = reserved[permit.To].AddScaled(job.TaskResources, 1)
+	})
+	return reserved
+}
+
+// ForEachReservation calls visit for every permit whose replica isn't placed anew yet, by team.
+func (d *Drainer) ForEachReservation(visit func(*storage.Permit, *mirror.Job)) {
+	if d == nil {
+		return
+	}
+	records := d.deps.Mirror
+	for _, team := range sortedmap.Keys(records.PermitsByTeam) {
+		permits := records.PermitsByTeam[team].Record.Permits
+		for i := range permits {
+			job := records.Jobs[permits[i].Job]
+			if job != nil && job.IsOpen() && isUnplaced(records, &permits[i], job) {
+				visit(&permits[i], job)
+			}
+		}
+	}
+}
+
+// isUnplaced tells whether a permit's replica still runs by the attempt that is to be stopped, or by none.
+func isUnplaced(records *mirror.Mirror, permit *storage.Permit, job *mirror.Job) bool {
+	if permit.Task >= len(job.TaskStates) {
+		return false
+	}
+	from := records.Machines[permit.From]
+	task := mirror.TaskID{Job: permit.Job, Index: permit.Task}
+	return from != nil && from.Attempts[task] == permit.Attempt || job.TaskStates[permit.Task] == 0
+}
--- /dev/null
+++ b/internal/drain/drainer/starting.go
@@ -0,0 +1,60 @@
+package drainer
+
+import (
+	"pipitgap/internal/agents"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/storage"
+)
+
+// TracksStart tells whether it is recorded of a job's attempts whether they run.
+func (d *Drainer) TracksStart(spec *storage.JobSpec) bool { return d != nil && spec.Service }
+
+// UpdateStartingMarks corrects, in the next version of a shard, the marks of a machine's replicas: one that
+// the agent doesn't report as running is starting, one that has run for long enough isn't. It tells whether
+// anything has changed.
+func (d *Drainer) UpdateStartingMarks(next *storage.Shard, machine *mirror.Machine, now monotime.Micros) bool {
+	if d == nil {
+		return false
+	}
+	agent := d.deps.Agents.AgentOf(machine)
+	if !agent.HasReported() || !agent.ClaimAcknowledged() || !agent.IsReachable() {
+		return false
+	}
+	changed := false
+	for task, number := range machine.Attempts {
+		job := d.deps.Mirror.Jobs[task.Job]
+		if job == nil || !d.TracksStart(&job.Record.Spec) {
+			continue
+		}
+		held, ok := next.FindAttempt(task.Job, task.Index)
+		if !ok || held.Number != number || held.Machine != machine.ID {
+			continue
+		}
+		starting := d.countsAsStarting(agent, agents.AttemptID{Task: task, Attempt: number}, held.Starting, now)
+		if starting != held.Starting && d.markFits(next, starting) {
+			next.MarkStarting(task.Job, task.Index, starting)
+			changed = true
+		}
+	}
+	return changed
+}
+
+// markFits tells whether a mark may change: one more must fit into the record.
+func (d *Drainer) markFits(next *storage.Shard, starting bool) bool {
+	return !starting || next.MaxEncodedSize()+storage.MaxStartingBytes <= d.deps.Store.MaxValueBytes()
+}
+
+// countsAsStarting tells whether a replica counts as starting, given whether it did before.
+func (d *Drainer) countsAsStarting(
+	agent *agents.Agent,
+	attempt agents.AttemptID,
+	before bool,
+	now monotime.Micros,
+) bool {
+	if !agent.IsRunning(attempt) {
+		return true
+	}
+	since, ok := agent.RunningSince(attempt)
+	return before && (!ok || now-since < d.settings.MinReady.Micros())
+}
--- /dev/null
+++ b/internal/drain/drainer/states.go
@@ -0,0 +1,54 @@
+package drainer
+
+import (
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/drain"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/storage"
+)
+
+// settleDrains is the leader's part: it ends drains of which nothing is left, pauses those whose deadline has
+// passed, and deletes the records of those that ended long ago.
+func (d *Drainer) settleDrains(snapshot *drain.Snapshot) {
+	for _, record := range snapshot.Drains() {
+		next, changed := snapshot.NextState(&record, d.expectsMachines(&record.Drain), int64(drainRetention))
+		if changed {
+			d.writeState(&record, next)
+		}
+	}
+}
+
+// writeState writes the next state of a drain, or deletes its record if that is nil.
+func (d *Drainer) writeState(record *drain.DrainRecord, next *storage.Drain) {
+	key, name := storage.Key(storage.KindDrain, record.Name), record.Name
+	operation := protocol.Op{Delete: key}
+	if next != nil {
+		operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
+	}
+	txn := protocol.Transaction{
+		If:   []protocol.Compare{{Key: key, Version: record.Version}},
+		Then: []protocol.Op{operation},
+	}
+	d.deps.Store.CommitAsLeader(ratelimit.PriorityBackground, key, txn, func(result protocol.StoreResult) {
+		if result.Outcome == protocol.OK && next != nil {
+			d.deps.Log.Info("drain state changed",
+				"drain", name, "drain_state", string(next.State), "reason", next.Reason)
+		}
+	})
+}
+
+// expectsMachines tells whether machines that a drain covers may still come up.
+func (d *Drainer) expectsMachines(record *storage.Drain) bool {
+	for _, request := range d.deps.Mirror.ScaleOuts {
+		if request.Record.Phase == storage.ScaleOutNoCapacity {
+			continue
+		}
+		for _, id := range autoscaling.MissingMachines(d.deps.Mirror, request) {
+			if drain.Covers(record, id, request.Record.MachineType, request.Record.Zone, request.Record.Spot) {
+				return true
+			}
+		}
+	}
+	return false
+}
