--- a/internal/coordination/wiring_membership.go
+++ b/internal/coordination/wiring_membership.go
@@ -25,13 +25,9 @@
 
 // newReachability makes what judges this controller's connections.
 func newReachability(c *Controller) *reachability.Reachability {
-	var peers []string
-	for _, peer := range c.cfg.Peers {
-		peers = append(peers, peer.Node)
-	}
 	return reachability.New(reachability.Options{
 		Node:          c.node,
-		Peers:         peers,
+		Peers:         peerNames(c),
 		Durations:     c.durations,
 		Mirror:        c.mirror,
 		PeerStatuses:  c.peerStatuses,
