--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -350,8 +350,8 @@
 			&mirror.Machine{ID: "i-1", CachedImages: map[string]bool{}},
 			&storage.ShardMachine{Type: "m8", Zone: "a"},
 			resources.Vector{CPUs: 8, MemoryGB: 64},
+			update,
 		)
-		candidate.assignBy(update)
 		search := machineSearch{candidates: []*candidateMachine{candidate}}
 		for _, service := range []bool{false, true} {
 			job := &mirror.Job{
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -41,8 +41,7 @@
 				continue
 			}
 			free := mirror.MachineCapacity(&machineType).AddScaled(machine.Used, -1)
-			candidate := newCandidateMachine(machine, record, update.FreeAfter(id, free))
-			candidate.assignBy(update)
+			candidate := newCandidateMachine(machine, record, update.FreeAfter(id, free), update)
 			candidate.TypeCPUs = machineType.CPUs
 			candidate.ServiceCPUs = sc.serviceCPUs(machine)
 			candidate.Closing = sc.c.emptyMachines.isClosed(id)
@@ -52,26 +51,32 @@
 	return out
 }
 
-// newCandidateMachine makes a candidate of which only the room counts.
-func newCandidateMachine(
+// newCandidate describes a machine of which only the room counts.
+func newCandidate(
 	machine *mirror.Machine,
 	record *storage.ShardMachine,
 	free resources.Vector,
-) *candidateMachine {
-	return &candidateMachine{
-		Candidate: scheduling.Candidate{
-			MachineID:    machine.ID,
-			Record:       record,
-			Free:         free,
-			TaskCount:    len(machine.Attempts),
-			CachedImages: machine.CachedImages,
-		},
-		machine: machine,
+) scheduling.Candidate {
+	return scheduling.Candidate{
+		MachineID:    machine.ID,
+		Record:       record,
+		Free:         free,
+		TaskCount:    len(machine.Attempts),
+		CachedImages: machine.CachedImages,
 	}
 }
 
-// assignBy names the update of the machine's shard that assigns tasks to it.
-func (cd *candidateMachine) assignBy(update *shards.Update) { cd.update, cd.Shard = update, update }
+// newCandidateMachine makes a candidate for the tasks that an update assigns.
+func newCandidateMachine(
+	machine *mirror.Machine,
+	record *storage.ShardMachine,
+	free resources.Vector,
+	update *shards.Update,
+) *candidateMachine {
+	candidate := &candidateMachine{newCandidate(machine, record, free), machine, update}
+	candidate.Shard = update
+	return candidate
+}
 
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
 // it still waits and the room may be about to be there.
--- a/internal/coordination/machine_choice_test.go
+++ b/internal/coordination/machine_choice_test.go
@@ -28,8 +28,7 @@
 			CachedImages: map[string]bool{},
 			Record:       &storage.ShardMachine{Type: "m8", Zone: "a"},
 		}
-		candidate := newCandidateMachine(machine, machine.Record, resources.Vector{CPUs: 1})
-		candidate.assignBy(update)
+		candidate := newCandidateMachine(machine, machine.Record, resources.Vector{CPUs: 1}, update)
 		candidates = append(candidates, candidate)
 	}
 	choose := func() *candidateMachine {
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -491,7 +491,7 @@
 		p.now < c.scheduler.nextWorkStealAt {
 		return
 	}
-	if to := p.freePartitionCapacity().bestPreemptionTarget(job, c.node); to != "" &&
+	if to := c.scheduler.bestPreemptionTarget(p.freePartitionCapacity(), job); to != "" &&
 		c.scheduler.handOverTasks(job, to) {
 		p.tracking.reassignment.handedOverAt = p.now
 	}
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -282,13 +282,12 @@
 	}
 	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
 	cand := func(id string) *candidateMachine {
-		candidate := newCandidateMachine(
+		return newCandidateMachine(
 			&mirror.Machine{ID: id, CachedImages: map[string]bool{}},
 			&storage.ShardMachine{Type: "m8", Zone: "a"},
 			resources.Vector{CPUs: 2},
+			shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}),
 		)
-		candidate.assignBy(shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}))
-		return candidate
 	}
 	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
 	core.scheduler.preemptions[service.ID] = &pendingPreemption{now + second, map[string]bool{"i-1": true}}
--- /dev/null
+++ b/internal/scheduling/partition_capacity.go
@@ -0,0 +1,97 @@
+package scheduling
+
+import (
+	"pipitgap/internal/resources"
+	"pipitgap/internal/storage"
+)
+
+// PartitionCapacity is the free room of every partition.
+type PartitionCapacity struct {
+	machines map[string][]Candidate // by partition
+}
+
+// NewPartitionCapacity returns a capacity without machines.
+func NewPartitionCapacity() *PartitionCapacity {
+	return &PartitionCapacity{machines: map[string][]Candidate{}}
+}
+
+// Add counts a machine in; of the candidate only the machine, its images and what is free matter.
+func (p *PartitionCapacity) Add(partition string, machine Candidate) {
+	p.machines[partition] = append(p.machines[partition], machine)
+}
+
+// TasksFitting counts the tasks of a job, each of which needs so much, that fit into a partition.
+func (p *PartitionCapacity) TasksFitting(
+	spec *storage.JobSpec,
+	need resources.Vector,
+	partition string,
+) int {
+	tasks := 0
+	for i := range p.machines[partition] {
+		if machine := &p.machines[partition][i]; MachineAllowed(spec, machine.Record) {
+			tasks += need.CountIn(machine.Free)
+		}
+	}
+	return tasks
+}
+
+// TasksFittingBesideImage counts those of a job's tasks that fit on machines which have their image.
+func (p *PartitionCapacity) TasksFittingBesideImage(
+	spec *storage.JobSpec,
+	need resources.Vector,
+	partition string,
+) int {
+	tasks := 0
+	for i := range p.machines[partition] {
+		machine := &p.machines[partition][i]
+		if machine.CachedImages[spec.Image] && MachineAllowed(spec, machine.Record) {
+			tasks += need.CountIn(machine.Free)
+		}
+	}
+	return tasks
+}
+
+// PreemptionFit is a task that may get room by stopping others.
+type PreemptionFit struct {
+	Spec        *storage.JobSpec
+	Need        resources.Vector
+	BesideImage bool // on machines that have its image only
+	// Freed is what the tasks hold that may be stopped for it on a machine.
+	Freed func(machine string) resources.Vector
+}
+
+// MachinesAfterPreemption counts the machines of a partition on which a task would fit after such stops.
+func (p *PartitionCapacity) MachinesAfterPreemption(partition string, fit PreemptionFit) int {
+	count := 0
+	for i := range p.machines[partition] {
+		machine := &p.machines[partition][i]
+		if !MachineAllowed(fit.Spec, machine.Record) ||
+			fit.BesideImage && !machine.CachedImages[fit.Spec.Image] {
+			continue
+		}
+		if fit.Need.FitsIn(machine.Free.Plus(fit.Freed(machine.MachineID))) {
+			count++
+		}
+	}
+	return count
+}
+
+// PartitionScore weighs a partition for a job; zero where it has nothing to offer.
+type PartitionScore func(partition string) int
+
+// BestPartition names the partition that the first score has most to offer by which any has; partitions come in order
+// of preference, and the fallback is taken where no score finds anything.
+func BestPartition(partitions []string, fallback string, scores ...PartitionScore) string {
+	for _, score := range scores {
+		best, most := fallback, 0
+		for _, partition := range partitions {
+			if offer := score(partition); offer > most {
+				best, most = partition, offer
+			}
+		}
+		if most > 0 {
+			return best
+		}
+	}
+	return fallback
+}
