--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -47,7 +47,7 @@
 	{{path: "internal/config"}, {path: "internal/transport"}},
 	{{path: "internal/protocol"}, {path: "internal/durations", kind: decision}},
 	{{path: "internal/resources"}, {path: "internal/ratelimit"}, {path: "internal/fake", kind: fake}},
-	{{path: "internal/storage"}, {path: "internal/storeclient"}},
+	{{path: "internal/storage"}, {path: "internal/storeclient"}, {path: "internal/catalog"}},
 	{{path: "internal/storage/storagetest", kind: fake}},
 	{{path: "internal/cancellation", kind: decision}, {path: "internal/drain", kind: decision},
 		{path: "internal/quota", kind: decision}},
--- /dev/null
+++ b/internal/catalog/catalog_test.go
@@ -0,0 +1,119 @@
+package catalog
+
+import (
+	"testing"
+
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+)
+
+// testEnvironment keeps the calls that have no answer yet.
+type testEnvironment struct {
+	now   monotime.Micros
+	calls []func(protocol.CloudResult)
+}
+
+func (e *testEnvironment) Now() monotime.Micros { return e.now }
+
+func (e *testEnvironment) CallCloud(_ *protocol.CloudCall, callback func(protocol.CloudResult)) {
+	e.calls = append(e.calls, callback)
+}
+
+// answer answers the call in flight.
+func (e *testEnvironment) answer(result protocol.CloudResult) {
+	callback := e.calls[0]
+	e.calls = e.calls[1:]
+	callback(result)
+}
+
+// TestFetchResult: what a result of each kind makes of a catalog that has machine types from the records.
+func TestFetchResult(t *testing.T) {
+	usable := protocol.MachineType{Name: "m8", CPUs: 8, OnDemandPrice: 1}
+	unnamed, noCPUs, noPrice := usable, usable, usable
+	unnamed.Name, noCPUs.CPUs, noPrice.OnDemandPrice = "", 0, 0
+	cases := []struct {
+		name    string
+		result  protocol.CloudResult
+		fetched bool
+		changed bool
+	}{
+		{
+			"types",
+			protocol.CloudResult{Outcome: protocol.OK, Types: []protocol.MachineType{noPrice, usable}},
+			true,
+			true,
+		},
+		{"no types", protocol.CloudResult{Outcome: protocol.OK}, false, false},
+		{
+			"failure",
+			protocol.CloudResult{Outcome: protocol.Unavailable, Types: []protocol.MachineType{usable}},
+			false,
+			false,
+		},
+		{"no usable type", protocol.CloudResult{
+			Outcome: protocol.OK, Types: []protocol.MachineType{unnamed, noCPUs, noPrice},
+		}, true, false},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			env := &testEnvironment{now: monotime.Second}
+			changes := 0
+			c := New(Options{Environment: env, RequestsPerSecond: 5, Changed: func() { changes++ }})
+			c.UseStored(map[string]protocol.MachineType{"old": {Name: "old"}})
+			c.Fetch()
+			env.answer(tc.result)
+			want := "old"
+			if tc.changed {
+				want = "m8"
+			}
+			if _, ok := c.MachineTypes()[want]; !ok || len(c.MachineTypes()) != 1 {
+				t.Errorf("types %v, want %s alone", c.MachineTypes(), want)
+			}
+			if c.IsFetched() != tc.fetched || (changes > 0) != tc.changed {
+				t.Errorf("fetched %v, %d changes", c.IsFetched(), changes)
+			}
+		})
+	}
+}
+
+// TestUseStored: machine types from the records serve only until any are known.
+func TestUseStored(t *testing.T) {
+	c := New(Options{Environment: &testEnvironment{}, RequestsPerSecond: 5, Changed: func() {}})
+	c.UseStored(map[string]protocol.MachineType{})
+	if c.MachineTypes() != nil {
+		t.Error("no stored types count as known")
+	}
+	c.UseStored(map[string]protocol.MachineType{"a": {}})
+	c.UseStored(map[string]protocol.MachineType{"b": {}})
+	if _, ok := c.MachineTypes()["a"]; !ok {
+		t.Errorf("types %v, want those stored first", c.MachineTypes())
+	}
+}
+
+// TestRefresh: types are fetched again after a minute, one fetch at a time and within the budget.
+func TestRefresh(t *testing.T) {
+	env := &testEnvironment{now: monotime.Second}
+	c := New(Options{Environment: env, RequestsPerSecond: 1, Changed: func() {}})
+	calls := func(want int) {
+		t.Helper()
+		c.Refresh(env.now)
+		if len(env.calls) != want {
+			t.Fatalf("%d fetches in flight, want %d", len(env.calls), want)
+		}
+	}
+	types := []protocol.MachineType{{Name: "m8", CPUs: 8, OnDemandPrice: 1}}
+	calls(1)
+	env.now += 10 * monotime.Second
+	calls(1)
+	env.answer(protocol.CloudResult{Outcome: protocol.Unavailable})
+	calls(1)
+	env.answer(protocol.CloudResult{Outcome: protocol.Unavailable})
+	calls(0) // the budget is used up
+	env.now += 2 * monotime.Second
+	calls(1)
+	env.answer(protocol.CloudResult{Outcome: protocol.OK, Types: types})
+	env.now += refreshInterval
+	calls(0)
+	env.now++
+	calls(1)
+}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -23,7 +23,7 @@
 func (as *autoscaler) snapshot(now monotime.Micros) *autoscaling.Snapshot {
 	return &autoscaling.Snapshot{
 		Records:           as.c.mirror,
-		MachineTypes:      as.c.catalog.machineTypes,
+		MachineTypes:      as.c.catalog.MachineTypes(),
 		Jobs:              jobPolicy{as.c},
 		Now:               now,
 		WallClock:         as.c.env.WallClock(),
--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -36,7 +36,7 @@
 				!sc.schedulable(machine, now) {
 				continue
 			}
-			machineType, ok := sc.c.catalog.machineTypes[record.Type]
+			machineType, ok := sc.c.catalog.MachineTypes()[record.Type]
 			if !ok {
 				continue
 			}
@@ -135,7 +135,7 @@
 				!zones.Allows(candidate.Record.Zone) {
 				continue
 			}
-			machineType := sc.c.catalog.machineTypes[candidate.Record.Type]
+			machineType := sc.c.catalog.MachineTypes()[candidate.Record.Type]
 			if job.TaskResources.FitsIn(mirror.MachineCapacity(&machineType)) &&
 				(best == nil || candidate.Free.CPUs > best.Free.CPUs) {
 				best = candidate
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -7,6 +7,7 @@
 
 	"pipitgap/internal/agents"
 	"pipitgap/internal/api"
+	"pipitgap/internal/catalog"
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain/drainer"
 	"pipitgap/internal/durations"
@@ -68,7 +69,7 @@
 	membership    *membership.Membership
 	pauses        *reachability.PauseDetector
 	reachability  *reachability.Reachability
-	catalog       *machineCatalog
+	catalog       *catalog.Catalog
 	shards        *shards.Manager
 	agents        *agents.Manager
 	cancellations *agents.Cancellations
@@ -101,7 +102,7 @@
 	c.replica = newReplica(c)
 	c.membership = newMembership(c)
 	c.reachability = newReachability(c)
-	c.catalog = newMachineCatalog(c)
+	c.catalog = newCatalog(c)
 	c.cancellations = newCancellations(c)
 	c.agents = newAgentManager(c)
 	c.mirror.OnChange, c.mirror.OnMachineReleased = c.onMirrorChange, c.agents.Release
@@ -140,7 +141,7 @@
 	}
 	c.membership.RequestLease()
 	c.replica.Load()
-	c.catalog.fetch()
+	c.catalog.Fetch()
 	c.tick()
 }
 
@@ -182,9 +183,7 @@
 func (c *Controller) runSlowTick(now monotime.Micros) {
 	c.store.UpdateAvailability(now)
 	c.sendPeerStatus(now)
-	if c.catalog.fetchedAt == 0 || now-c.catalog.fetchedAt > 60*monotime.Second {
-		c.catalog.fetch()
-	}
+	c.catalog.Refresh(now)
 	if !c.replica.Ready() || c.mirrorStale(now) {
 		return
 	}
--- a/internal/coordination/empty_machines.go
+++ b/internal/coordination/empty_machines.go
@@ -43,7 +43,7 @@
 		return
 	}
 	e.nextCheckAt = now + e.c.settings.AutoscalingInterval.Micros()
-	if e.c.catalog.machineTypes == nil {
+	if e.c.catalog.MachineTypes() == nil {
 		return
 	}
 	needed := e.neededMachines(now)
@@ -126,6 +126,6 @@
 
 // scaleInDelay is how long an empty machine stays closed before it is removed.
 func (e *emptyMachines) scaleInDelay(record *storage.ShardMachine) monotime.Micros {
-	machineType := e.c.catalog.machineTypes[record.Type]
+	machineType := e.c.catalog.MachineTypes()[record.Type]
 	return autoscaling.ScaleInDelay(machineType, record.Spot, e.c.settings.ScaleDownDelay.Micros())
 }
--- a/internal/coordination/empty_machines_test.go
+++ b/internal/coordination/empty_machines_test.go
@@ -14,11 +14,11 @@
 func TestScaleInDelayByPrice(t *testing.T) {
 	core := newCluster(t, 12).startWithLeader().nodes["n-0"].controller
 	core.settings.ScaleDownDelay = config.Duration(20 * second)
-	core.catalog.machineTypes = map[string]protocol.MachineType{
+	core.catalog = fixedCatalog(map[string]protocol.MachineType{
 		"both":    {Name: "both", CPUs: 8, OnDemandPrice: 1, SpotPrice: 0.25},
 		"no spot": {Name: "no spot", CPUs: 8, OnDemandPrice: 1},
 		"no gain": {Name: "no gain", CPUs: 8, OnDemandPrice: 1, SpotPrice: 1.5},
-	}
+	})
 	for _, tc := range []struct {
 		typ  string
 		spot bool
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -29,7 +29,7 @@
 			!sc.c.membership.IsMember(machine.Owner()) {
 			continue
 		}
-		machineType, ok := sc.c.catalog.machineTypes[machine.Record.Type]
+		machineType, ok := sc.c.catalog.MachineTypes()[machine.Record.Type]
 		if !ok {
 			continue
 		}
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -105,7 +105,7 @@
 // placeTasks gives pending tasks of our shares to machines of the updates; where
 // nothing has room it makes some, or looks who could.
 func (sc *scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
-	if sc.c.catalog.machineTypes == nil || !sc.c.membership.HoldsLease(now) {
+	if sc.c.catalog.MachineTypes() == nil || !sc.c.membership.HoldsLease(now) {
 		return
 	}
 	jobs := sc.orderedQueue()
--- a/internal/coordination/queue_order.go
+++ b/internal/coordination/queue_order.go
@@ -65,7 +65,7 @@
 	}
 	for _, machine := range sc.c.mirror.Machines {
 		if machine.Record != nil && machine.Record.State == storage.MachineOpen {
-			usage.FleetCPUs += sc.c.catalog.machineTypes[machine.Record.Type].CPUs
+			usage.FleetCPUs += sc.c.catalog.MachineTypes()[machine.Record.Type].CPUs
 		}
 	}
 	for _, job := range sc.c.mirror.Jobs {
--- a/internal/coordination/queue_order_test.go
+++ b/internal/coordination/queue_order_test.go
@@ -27,7 +27,7 @@
 	c.start("n-0")
 	core := c.nodes["n-0"].controller
 	c.sim.Run(500 * second)
-	core.catalog.machineTypes = map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}}
+	core.catalog = fixedCatalog(map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}})
 	core.mirror.Machines["i-1"] = &mirror.Machine{
 		ID:     "i-1",
 		Record: &storage.ShardMachine{Type: "m16", State: storage.MachineOpen},
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -82,7 +82,7 @@
 	for _, machine := range c.mirror.Machines {
 		if machine.Record != nil {
 			used += machine.Used.CPUs
-			all += c.catalog.machineTypes[machine.Record.Type].CPUs
+			all += c.catalog.MachineTypes()[machine.Record.Type].CPUs
 		}
 	}
 	s := fmt.Sprintf(
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -65,7 +65,7 @@
 			Catalog:     c.catalog,
 			Controllers: fleetControllers{c},
 			Workload:    fleetWorkload{as},
-			CloudCalls:  &c.catalog.rateLimiter,
+			CloudCalls:  c.catalog.CloudCalls(),
 			Log:         c.log,
 		},
 	)
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -32,7 +32,7 @@
 			Drains:      dependencies,
 			Jobs:        c.jobs,
 			Passes:      dependencies,
-			MachineType: func(name string) protocol.MachineType { return c.catalog.machineTypes[name] },
+			MachineType: func(name string) protocol.MachineType { return c.catalog.MachineTypes()[name] },
 			Now:         c.now,
 			Log:         c.log,
 		},
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -1,6 +1,7 @@
 package coordination
 
 import (
+	"pipitgap/internal/catalog"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
@@ -52,12 +53,18 @@
 }
 
 func (o replicaObserver) Ready() {
-	if o.c.catalog.machineTypes == nil && len(o.c.mirror.MachineTypes) > 0 {
-		// The cloud may be unavailable: what was stored of its machine types still holds.
-		o.c.catalog.machineTypes = o.c.mirror.Catalog()
-	}
+	o.c.catalog.UseStored(o.c.mirror.Catalog())
 	o.c.scheduler.requestPass()
 	o.c.nextSlowTickAt = 0
 }
 
 func (o replicaObserver) Changed() { o.c.runFastTick(o.c.now()) }
+
+// newCatalog makes the catalog of the machine types that the cloud offers.
+func newCatalog(c *Controller) *catalog.Catalog {
+	return catalog.New(catalog.Options{
+		Environment:       c.env,
+		RequestsPerSecond: c.cfg.Facts.Cloud.RPS,
+		Changed:           func() { c.scheduler.requestPass() },
+	})
+}
