--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -32,7 +32,8 @@
 	incarnationSeenAt     monotime.Micros
 	reportedAttempts      map[AttemptID]protocol.TaskStatus
 	runningSince          map[AttemptID]monotime.Micros // when first reported as running
-	interruptionNoticed   bool                          // the cloud has announced that it takes the machine back
+	// the cloud has announced that it takes the machine back
+	interruptionNoticed bool
 
 	heartbeats heartbeatState
 	tokens     tokenState
@@ -152,8 +153,9 @@
 	}
 }
 
-// AcceptsTasks tells whether new tasks may go to the machine as far as its agent tells: it has lately shown that the
-// controller's answers reach it, and the machine isn't on its way out. silenceLimit is what counts as lately.
+// AcceptsTasks tells whether new tasks may go to the machine as far as its agent tells: it has lately shown
+// that the controller's answers reach it, and the machine isn't on its way out. silenceLimit is what counts
+// as lately.
 func (a *Agent) AcceptsTasks(now, silenceLimit monotime.Micros) bool {
 	if !a.HasReported() || !a.ClaimAcknowledged() || a.leaseExpired || !a.IsReachable() {
 		return false
@@ -213,9 +215,9 @@
 	return ok
 }
 
-// EachEndedAttempt calls release for each task with an outcome of an attempt that the store still holds on the
-// machine, in no certain order. Other outcomes are forgotten: they are in the store, or it never had their
-// attempts.
+// EachEndedAttempt calls release for each task with an outcome of an attempt that the store still holds on
+// the machine, in no certain order. Other outcomes are forgotten: they are in the store, or it never had
+// their attempts.
 func (a *Agent) EachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -12,8 +12,8 @@
 	"pipitgap/internal/storage"
 )
 
-// Cancellations keeps the mirror and the exchange of committed cancellations between controllers in step, and decides
-// from that whether leases may be renewed.
+// Cancellations keeps the mirror and the exchange of committed cancellations between controllers in step, and
+// decides from that whether leases may be renewed.
 type Cancellations struct {
 	mirror        *mirror.Mirror
 	relay         *cancellation.Relay
@@ -24,9 +24,9 @@
 	renewalSuspended bool // as logged last
 }
 
-// NewCancellations begins the exchange of a controller's present incarnation with its peers. freshAt gives when the
-// request was sent that last brought the mirror up to date; renewalWindow is up to which age of what is known leases
-// are renewed.
+// NewCancellations begins the exchange of a controller's present incarnation with its peers. freshAt gives
+// when the request was sent that last brought the mirror up to date; renewalWindow is up to which age of what
+// is known leases are renewed.
 func NewCancellations(
 	replica *mirror.Mirror,
 	relay *cancellation.Relay,
@@ -55,8 +55,8 @@
 	return suspended
 }
 
-// MessagesFor makes a round of messages for a peer. recordsLoaded tells whether all records have been read by this
-// incarnation of the controller.
+// MessagesFor makes a round of messages for a peer. recordsLoaded tells whether all records have been read by
+// this incarnation of the controller.
 func (cs *Cancellations) MessagesFor(
 	peer string, now monotime.Micros, recordsLoaded bool,
 ) []cancellation.RoundMessage {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Add keeps a cancellation for the peers that this controller has committed itself. It must be called before any
-// user is told of it.
+// Add keeps a cancellation for the peers that this controller has committed itself. It must be called before
+// any user is told of it.
 func (cs *Cancellations) Add(committed cancellation.Committed) { cs.relay.Add(committed) }
 
 // Record keeps a job's cancellation for the peers if the mirror holds one.
@@ -87,8 +87,8 @@
 // Forget drops the cancellation of a job of which nothing is left on any machine.
 func (cs *Cancellations) Forget(job string) { cs.relay.Forget(job) }
 
-// Reconcile brings mirror and exchange together when all records were read anew: the mirror gets what was committed
-// after they were, the exchange keeps nothing of jobs that are gone.
+// Reconcile brings mirror and exchange together when all records were read anew: the mirror gets what was
+// committed after they were, the exchange keeps nothing of jobs that are gone.
 func (cs *Cancellations) Reconcile() {
 	for _, id := range sortedmap.Keys(cs.mirror.Jobs) {
 		cs.Record(cs.mirror.Jobs[id])
--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -61,8 +61,9 @@
 	b.commands[len(b.commands)-1].GraceS = &graceSeconds
 }
 
-// NextCommands works out which commands the agent needs, reaps and kills before runs. A batch that isn't empty
-// gets a token of its own, above all earlier ones, so that a late copy of an earlier batch can't undo it.
+// NextCommands works out which commands the agent needs, reaps and kills before runs. A batch that isn't
+// empty gets a token of its own, above all earlier ones, so that a late copy of an earlier batch can't undo
+// it.
 func (a *Agent) NextCommands(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
@@ -153,8 +154,8 @@
 	}
 }
 
-// BeginCommandRequest gives the commands that are to be sent directly, ahead of the next heartbeat; nil: none.
-// One request is in flight at a time, and the Agent must get its end by EndCommandRequest.
+// BeginCommandRequest gives the commands that are to be sent directly, ahead of the next heartbeat; nil:
+// none. One request is in flight at a time, and the Agent must get its end by EndCommandRequest.
 func (a *Agent) BeginCommandRequest(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -57,7 +57,8 @@
 	Unavailable() bool
 	// UnavailableOnlyHere names a controller that reaches the state service while this one doesn't.
 	UnavailableOnlyHere(now monotime.Micros) (peer string, only bool)
-	// BeginRecordWrite tells whether a write of a record may begin, which keeps others out until EndRecordWrite.
+	// BeginRecordWrite tells whether a write of a record may begin, which keeps others out until
+	// EndRecordWrite.
 	BeginRecordWrite(key string) bool
 	EndRecordWrite(key string)
 	// Commit makes a conditional write; on success it is in the mirror before callback is called.
@@ -90,8 +91,8 @@
 	ClaimObservedAt(shard string) monotime.Micros
 	// ClaimOrphaned claims the shards of controllers that are gone, as far as they fall to this one.
 	ClaimOrphaned(now monotime.Micros)
-	// RequestClaim has a machine taken into the shards by the next pass, out of fromShard if it isn't nil. The
-	// callback is called once the machine is claimed, or won't be.
+	// RequestClaim has a machine taken into the shards by the next pass, out of fromShard if it isn't nil.
+	// The callback is called once the machine is claimed, or won't be.
 	RequestClaim(report *protocol.Heartbeat, fromShard *mirror.Shard, callback func(claimed bool))
 	// ExpireClaimRequests refuses the machines that have waited for too long.
 	ExpireClaimRequests(now monotime.Micros)
--- a/internal/agents/doc.go
+++ b/internal/agents/doc.go
@@ -1,9 +1,11 @@
-// Package agents keeps what a controller knows of the worker agents on the machines that it has claimed.
+// Package agents answers the worker agents, one on each machine, and keeps what a controller knows of those on
+// the machines that it has claimed.
 //
-// Each machine runs one worker agent. The agent sends heartbeats, which report the attempts on the machine,
-// and takes commands: run, kill and reap an attempt. An Agent is the controller's state of one of them and
-// is free of input and output: it takes a report and says what follows from it, and it works out the next
-// batch of commands. Three things make that safe while messages are lost, late and repeated:
+// A worker agent sends heartbeats, which report the attempts on its machine, and takes commands: run, kill and
+// reap an attempt. An Agent is the controller's state of one of them and is free of input and output: it takes a
+// report and says what follows from it, and it works out the next batch of commands. A Manager holds the Agents,
+// decides who answers which heartbeat, sends commands and looks after the machines' health. Cancellations decides
+// whether leases may be renewed at all. Three things make this safe while messages are lost, late and repeated:
 //
 //   - Fencing tokens. Every batch that isn't empty has a token above all earlier ones, and a token begins with
 //     the number of the claim, so an agent drops what an earlier owner or an earlier batch says. A report shows
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -15,7 +15,8 @@
 	// contactRetention is how long a contact is kept after its last heartbeat.
 	contactRetention = monotime.Minute
 	// ownerReturnDelay is how long a worker that has lost an owner just heard is held: until the owner's next
-	// status. If it has crashed just now all its machines come here, and it is back before all could be moved.
+	// status. If it has crashed just now all its machines come here, and it is back before all could be
+	// moved.
 	ownerReturnDelay = durations.SlowTickInterval + 2*durations.FastTickInterval
 )
 
@@ -25,9 +26,9 @@
 	claimNumber     uint64 // under which its owner held the machine
 }
 
-// recordOrphanContact notes a heartbeat from another controller's worker, and tells when this run of them began. A
-// new claim begins it anew: an owner that was gone for a moment and has claimed its machines again must have the
-// time to be found by their workers.
+// recordOrphanContact notes a heartbeat from another controller's worker, and tells when this run of them
+// began. A new claim begins it anew: an owner that was gone for a moment and has claimed its machines again
+// must have the time to be found by their workers.
 func (m *Manager) recordOrphanContact(
 	machine string,
 	claimNumber uint64,
@@ -51,9 +52,10 @@
 	}
 }
 
-// handleOrphanedWorker answers a worker whose machine is another controller's. A worker stays with a controller that
-// answers; one that comes here has lost its owner, unless this is a copy of an old report. The machine is taken
-// over if its owner can't be the one that is back for it in a moment, and the worker itself confirms its report.
+// handleOrphanedWorker answers a worker whose machine is another controller's. A worker stays with a
+// controller that answers; one that comes here has lost its owner, unless this is a copy of an old report.
+// The machine is taken over if its owner can't be the one that is back for it in a moment, and the worker
+// itself confirms its report.
 func (m *Manager) handleOrphanedWorker(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -99,9 +101,10 @@
 	m.requestClaim(report, nil, respond)
 }
 
-// hasLostLiveOwner tells whether a worker has lost an owner that is alive, or was a moment ago. One that had it for
-// long needn't be sent there again, its lease may not last for another round. One that goes round because its
-// owner was gone for a moment must find it: that the owner has spoken to it since doesn't tell that it reports there.
+// hasLostLiveOwner tells whether a worker has lost an owner that is alive, or was a moment ago. One that had
+// it for long needn't be sent there again, its lease may not last for another round. One that goes round
+// because its owner was gone for a moment must find it: that the owner has spoken to it since doesn't tell
+// that it reports there.
 func (m *Manager) hasLostLiveOwner(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -114,8 +117,9 @@
 		now-m.shards.ClaimObservedAt(machine.Shard.Name) > m.durations.WorkerLease
 }
 
-// takeOverUnlessOwnerReturns waits for the next status of a machine's owner, and takes the machine over if the
-// owner is alive, and so has lost its worker, or if the lease leaves no time for the worker to go elsewhere.
+// takeOverUnlessOwnerReturns waits for the next status of a machine's owner, and takes the machine over if
+// the owner is alive, and so has lost its worker, or if the lease leaves no time for the worker to go
+// elsewhere.
 func (m *Manager) takeOverUnlessOwnerReturns(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -136,9 +140,10 @@
 	})
 }
 
-// mustAdoptBeforeLeaseEnds tells whether a worker that has lost a silent owner must be adopted now: if it goes round
-// all controllers once more, waiting at each that says nothing, its lease may end on the way. An owner that is still
-// a member after being silent for longer than memberships last won't be found on another round either.
+// mustAdoptBeforeLeaseEnds tells whether a worker that has lost a silent owner must be adopted now: if it
+// goes round all controllers once more, waiting at each that says nothing, its lease may end on the way. An
+// owner that is still a member after being silent for longer than memberships last won't be found on another
+// round either.
 func (m *Manager) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
 	round := durations.WorkerRetryPause
 	for _, peer := range m.peerNames {
@@ -168,8 +173,9 @@
 	})
 }
 
-// verifyReport asks a worker itself whether it is where a report says. Copies of reports come late, and a machine may
-// be heard that can't be reached: neither may cause a claim. requireNextSequence: no heartbeat may lie between.
+// verifyReport asks a worker itself whether it is where a report says. Copies of reports come late, and a
+// machine may be heard that can't be reached: neither may cause a claim. requireNextSequence: no heartbeat
+// may lie between.
 func (m *Manager) verifyReport(report *protocol.Heartbeat, requireNextSequence bool, callback func(ok bool)) {
 	m.env.SendCommands(
 		report.Endpoint,
@@ -186,9 +192,9 @@
 	)
 }
 
-// requestClaim has a machine claimed by the next pass and answers its worker after that. fromShard is the shard of
-// another controller that the machine is taken from; without one, a machine that is in a shard waits for the claim
-// that is on its way.
+// requestClaim has a machine claimed by the next pass and answers its worker after that. fromShard is the
+// shard of another controller that the machine is taken from; without one, a machine that is in a shard waits
+// for the claim that is on its way.
 func (m *Manager) requestClaim(
 	report *protocol.Heartbeat,
 	fromShard *mirror.Shard,
--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 
+	"pipitgap/internal/config"
+	"pipitgap/internal/durations"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -22,6 +24,7 @@
 		token      uint64
 		status     int // 0: not answered at once
 		redirected string
+		lease      float64 // of workers in seconds; 0: that of testWorkers
 		successor  string
 		claims     int // requests for a claim that were made at once
 		probes     int
@@ -31,7 +34,7 @@
 		{name: "of an earlier incarnation", owner: "n-0", claims: 1},
 		{name: "owner gone, other successor", owner: "n-1", successor: "n-2", status: 421, redirected: "n-2"},
 		{name: "owner gone, this successor", owner: "n-1", successor: "n-0", claims: 1},
-		{name: "owner has restarted", owner: "n-1", member: 2, status: 421, redirected: "n-1"},
+		{name: "owner has restarted", owner: "n-1", member: 2, silence: 2 * second, status: 421, redirected: "n-1"},
 		{name: "owner alive", owner: "n-1", member: 1, status: 421, redirected: "n-1"},
 		{name: "owner alive, comes back", owner: "n-1", member: 1, pause: 5 * second, timersSet: 1},
 		{
@@ -51,12 +54,24 @@
 			status:     421,
 			redirected: "n-1",
 		},
+		{
+			name: "owner alive, had it for long, not seen by the worker", owner: "n-1", member: 1,
+			token: testBase - 1, claimAge: 13 * second, status: 421, redirected: "n-1",
+		},
+		{
+			name: "owner silent for longer than memberships last", owner: "n-1", member: 1,
+			silence: 9 * second, lease: 60, probes: 1,
+		},
+		{name: "owner silent, long lease", owner: "n-1", member: 1, silence: 7 * second, lease: 60, status: 421},
 		{name: "owner silent", owner: "n-1", member: 1, silence: 2 * second, status: 421},
 		{name: "owner silent for long", owner: "n-1", member: 1, silence: membershipTTL + second, probes: 1},
 	}
 	for _, tc := range cases {
 		f := newFixture(t)
 		f.now = 100 * second
+		if tc.lease != 0 {
+			f.durations = durations.Derive(config.Workers{HeartbeatIntervalS: 2, LeaseS: tc.lease, CancelWithinS: 90})
+		}
 		f.replica.Shards["p"].Record.Owner = tc.owner
 		f.ownedBy = "none"
 		f.connected = []string{tc.successor}
@@ -84,8 +99,8 @@
 	}
 }
 
-// TestTakeOverNeedsFreshReport: a machine of another controller is claimed only if its worker itself confirms the
-// report on which it is.
+// TestTakeOverNeedsFreshReport: a machine of another controller is claimed only if its worker itself confirms
+// the report on which it is.
 func TestTakeOverNeedsFreshReport(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -180,3 +195,78 @@
 		t.Error("kept though the mirror hasn't its machine")
 	}
 }
+
+// TestOrphanContactsBeginAnew: when a run of heartbeats from another controller's worker begins.
+func TestOrphanContactsBeginAnew(t *testing.T) {
+	cases := []struct {
+		name   string
+		claim  uint64
+		pause  monotime.Micros
+		checks bool // the controller checks its machines in the pause
+		anew   bool
+	}{
+		{"goes on", 1, contactGap, false, false},
+		{"after a pause", 1, contactGap + 1, false, true},
+		{"under a new claim", 2, second, false, true},
+		{"a check forgets nothing so soon", 1, contactGap, true, false},
+	}
+	for _, tc := range cases {
+		f := newFixture(t)
+		first := f.recordOrphanContact("i-9", 1, f.now)
+		f.now += tc.pause
+		if tc.checks {
+			f.CheckMachines(f.now)
+		}
+		if anew := f.recordOrphanContact("i-9", tc.claim, f.now) != first; anew != tc.anew {
+			t.Errorf("%s: begins anew %v", tc.name, anew)
+		}
+	}
+	f := newFixture(t)
+	f.recordOrphanContact("i-9", 1, f.now)
+	f.CheckMachines(f.now + contactRetention + 1)
+	if len(f.orphanContacts) != 0 {
+		t.Error("a contact is never forgotten")
+	}
+}
+
+// TestOwnerReturnDelay: what becomes of a worker that has lost a live owner, once the owner's next status is due.
+func TestOwnerReturnDelay(t *testing.T) {
+	cases := []struct {
+		name   string
+		during func(f *fixture)
+		probes int
+		status int
+	}{
+		{"the owner is heard", func(f *fixture) { f.lastHeardAt["n-1"] = f.now + 1 }, 1, 0},
+		{"the owner falls silent", func(*fixture) {}, 0, 421},
+		{"claimed anew", func(f *fixture) {
+			f.lastHeardAt["n-1"] = f.now + 1
+			f.machine.Shard.Record.Claim++
+		}, 0, 421},
+		{"claimed by another", func(f *fixture) {
+			f.lastHeardAt["n-1"] = f.now + 1
+			f.machine.Shard.Record.Owner = "n-2"
+		}, 0, 421},
+		{"claimed here", func(f *fixture) {
+			f.lastHeardAt["n-1"] = f.now + 1
+			f.ownedBy = "n-1"
+			f.UpdateOwnership(f.machine)
+		}, 0, 421},
+	}
+	for _, tc := range cases {
+		f := newFixture(t)
+		f.now = 100 * second
+		f.machine.Shard.Record.Owner = "n-1"
+		f.UpdateOwnership(f.machine)
+		f.lastHeardAt["n-1"] = f.now
+		status := 0
+		f.takeOverUnlessOwnerReturns(f.machine, testReport(1, 1, testBase),
+			func(response transport.Response) { status = response.Status }, f.now)
+		tc.during(f)
+		f.now += ownerReturnDelay
+		f.fireTimers()
+		if len(f.probes) != tc.probes || status != tc.status {
+			t.Errorf("%s: %d probes, answered %d", tc.name, len(f.probes), status)
+		}
+	}
+}
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -58,9 +58,9 @@
 	return now - max(agent.LastReachedAt(), m.peers.ResumedFromPauseAt())
 }
 
-// countSilentMachines counts the silent machines, by zone too, and judges from that whether this controller, or a
-// zone, is cut off. A machine that was claimed but not heard yet may still be looking for this controller: it has
-// until its lease must have ended.
+// countSilentMachines counts the silent machines, by zone too, and judges from that whether this controller,
+// or a zone, is cut off. A machine that was claimed but not heard yet may still be looking for this
+// controller: it has until its lease must have ended.
 func (m *Manager) countSilentMachines(check *healthCheck) {
 	zones, overall := map[string]*reachability.SilenceCount{}, reachability.SilenceCount{}
 	for _, machine := range m.mirror.Machines {
@@ -151,9 +151,9 @@
 	return ""
 }
 
-// isZoneCutOff tells whether a machine is to be kept because its zone as a whole is unreachable. A zone that is cut
-// off comes back with its machines, each within a lease: if they were deleted for their silence, its room would wait
-// for new machines to boot. Not so where services are: a deletion lets them start elsewhere.
+// isZoneCutOff tells whether a machine is to be kept because its zone as a whole is unreachable. A zone that
+// is cut off comes back with its machines, each within a lease: if they were deleted for their silence, its
+// room would wait for new machines to boot. Not so where services are: a deletion lets them start elsewhere.
 func (m *Manager) isZoneCutOff(machine *mirror.Machine, now monotime.Micros) bool {
 	at, cutOff := m.zoneUnreachableAt[machine.Record.Zone]
 	return cutOff && now-at < m.durations.WorkerLease && !m.holdsService(machine)
@@ -166,8 +166,8 @@
 	m.unloggedRemovals[reason] = append(m.unloggedRemovals[reason], machine.ID)
 }
 
-// holdsCancelled tells whether the store holds tasks there of jobs that were cancelled at least so long ago. What
-// this controller hasn't seen being cancelled was so for an unknown time: long enough.
+// holdsCancelled tells whether the store holds tasks there of jobs that were cancelled at least so long ago.
+// What this controller hasn't seen being cancelled was so for an unknown time: long enough.
 func (m *Manager) holdsCancelled(machine *mirror.Machine, since monotime.Micros) bool {
 	for task := range machine.Attempts {
 		if job := m.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
@@ -188,8 +188,8 @@
 	return false
 }
 
-// vacateInterruptedMachine stops what gains by it before the cloud takes a machine back: services start elsewhere
-// now rather than later, checkpointed work is saved.
+// vacateInterruptedMachine stops what gains by it before the cloud takes a machine back: services start
+// elsewhere now rather than later, checkpointed work is saved.
 func (m *Manager) vacateInterruptedMachine(machine *mirror.Machine) {
 	agent := m.Of(machine)
 	for task, attempt := range machine.Attempts {
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -104,9 +104,10 @@
 	}
 }
 
-// redirectsAway tells whether a worker of an own machine is to look for another controller, because this one is
-// cut off and others, if there are any, have its machines. A worker that comes back within its lease has found
-// nobody: then this controller is the one that is left, or the zone is cut off with it, and it answers as before.
+// redirectsAway tells whether a worker of an own machine is to look for another controller, because this one
+// is cut off and others, if there are any, have its machines. A worker that comes back within its lease has
+// found nobody: then this controller is the one that is left, or the zone is cut off with it, and it answers
+// as before.
 func (m *Manager) redirectsAway(agent *Agent, now monotime.Micros) bool {
 	return m.peers.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
 }
@@ -134,7 +135,8 @@
 	name := m.mirror.ScaleOutOfMachine[report.Machine]
 	request := m.mirror.ScaleOuts[name]
 	if request == nil {
-		// Its request isn't written yet, or nobody expects the machine: the leader finds it in the cloud's list.
+		// Its request isn't written yet, or nobody expects the machine: the leader finds it in the cloud's
+		// list.
 		respond(redirectResponse(""))
 		return
 	}
@@ -177,8 +179,8 @@
 	})
 }
 
-// designateThisController writes into a scale-out request that this controller may claim a machine. Once that is
-// written, nobody else's claim can follow.
+// designateThisController writes into a scale-out request that this controller may claim a machine. Once that
+// is written, nobody else's claim can follow.
 func (m *Manager) designateThisController(
 	requestName string,
 	report *protocol.Heartbeat,
--- a/internal/agents/heartbeats_test.go
+++ b/internal/agents/heartbeats_test.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// TestHeartbeatsAreRefused: what keeps this controller from answering any heartbeat, and where workers go then.
+// TestHeartbeatsAreRefused: what keeps this controller from answering any heartbeat, and where workers go
+// then.
 func TestHeartbeatsAreRefused(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -145,8 +146,8 @@
 	}
 }
 
-// TestRedirectedWorkerIsAnsweredWhenItComesBack: a worker that was sent away while this controller is cut off, and
-// comes back within its lease, has found no other.
+// TestRedirectedWorkerIsAnsweredWhenItComesBack: a worker that was sent away while this controller is cut
+// off, and comes back within its lease, has found no other.
 func TestRedirectedWorkerIsAnsweredWhenItComesBack(t *testing.T) {
 	f := newFixture(t)
 	f.superseded = true
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -32,12 +32,15 @@
 	isCordoned    func(machine *mirror.Machine) bool
 	log           *slog.Logger
 
-	byMachine               map[string]*Agent
-	nextDesignationChangeAt monotime.Micros            // when the controller that may claim a machine may change again
-	orphanContacts          map[string]*orphanContact  // by machine, workers of other controllers that came here
-	zoneUnreachableAt       map[string]monotime.Micros // when a zone's machines were last silent as a whole
-	manySilentLogged        bool                       // the condition of many silent machines is logged as begun
-	unloggedRemovals        map[string][]string        // machines to be removed, by reason
+	byMachine map[string]*Agent
+	// when the controller that may claim a machine may change again
+	nextDesignationChangeAt monotime.Micros
+	// by machine, workers of other controllers that came here
+	orphanContacts    map[string]*orphanContact
+	zoneUnreachableAt map[string]monotime.Micros // when a zone's machines were last silent as a whole
+	// the condition of many silent machines is logged as begun
+	manySilentLogged bool
+	unloggedRemovals map[string][]string // machines to be removed, by reason
 }
 
 // NewManager makes a Manager without Agents.
@@ -91,8 +94,8 @@
 	}
 }
 
-// EachEndedAttempt calls release for each task whose attempt on an own machine has ended. Outcomes of attempts
-// that the machine's shard doesn't hold are dropped.
+// EachEndedAttempt calls release for each task whose attempt on an own machine has ended. Outcomes of
+// attempts that the machine's shard doesn't hold are dropped.
 func (m *Manager) EachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
@@ -169,10 +172,10 @@
 	})
 }
 
-// Probe asks a worker for its report. What it says is taken like any report: it proves nothing before the worker
-// has seen a token of this claim. syncAfterwards sends commands at once; it must be false if the machine was
-// another controller's, who may still be answering it: a higher token would have the worker drop those answers,
-// and its lease would end.
+// Probe asks a worker for its report. What it says is taken like any report: it proves nothing before the
+// worker has seen a token of this claim. syncAfterwards sends commands at once; it must be false if the
+// machine was another controller's, who may still be answering it: a higher token would have the worker drop
+// those answers, and its lease would end.
 func (m *Manager) Probe(machine *mirror.Machine, syncAfterwards bool) {
 	if machine == nil || !m.Has(machine) || machine.Record == nil {
 		return
--- a/internal/agents/replies.go
+++ b/internal/agents/replies.go
@@ -36,8 +36,8 @@
 	return arrival, true
 }
 
-// Reply answers a heartbeat, which renews the agent's lease. silenceLimit is the silence after which the agent
-// must show anew that answers reach it.
+// Reply answers a heartbeat, which renews the agent's lease. silenceLimit is the silence after which the
+// agent must show anew that answers reach it.
 func (a *Agent) Reply(
 	arrival Arrival,
 	machine *mirror.Machine,
--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -130,8 +130,8 @@
 	return exited
 }
 
-// killOutranksRun tells whether the agent has taken up the kill of an attempt, which outranks every batch with
-// its run: an attempt that is absent after that isn't there and can't start any more.
+// killOutranksRun tells whether the agent has taken up the kill of an attempt, which outranks every batch
+// with its run: an attempt that is absent after that isn't there and can't start any more.
 func (a *Agent) killOutranksRun(key AttemptID, acknowledged uint64) bool {
 	record := a.sentCommands[key]
 	return record != nil && record.killToken != 0 && acknowledged >= record.killToken
--- a/internal/agents/reports_test.go
+++ b/internal/agents/reports_test.go
@@ -20,8 +20,8 @@
 	testAttempt = AttemptID{testTask, 1}
 )
 
-// newMirrorWithAttempt puts a job with the given requirements into a mirror, with its one task assigned to the
-// machine i-1 of n-0's under testClaim.
+// newMirrorWithAttempt puts a job with the given requirements into a mirror, with its one task assigned to
+// the machine i-1 of n-0's under testClaim.
 func newMirrorWithAttempt(t *testing.T, spec storage.JobSpec) (*mirror.Mirror, *mirror.Machine) {
 	t.Helper()
 	spec.Tasks, spec.CPUs = 1, 1
