--- /dev/null
+++ b/internal/daemon/sockets.go
@@ -0,0 +1,36 @@
+package daemon
+
+// Parts of the sockets that the process may open. A fifth is not for what comes in: of it half keeps connections to
+// workers, a quarter carries commands to them, and the rest is for other calls and for what the server's loop has
+// accepted but not yet closed.
+const (
+	serverTenths        = 8  // tenths of the sockets that the server has, reservedSockets taken off
+	reservedSockets     = 32 // of them
+	minServerSockets    = 16
+	workerDivisor       = 10 // one socket in so many keeps a connection to a worker
+	minWorkerSockets    = 2
+	commandDivisor      = 20 // one in so many carries commands
+	minCommandsInFlight = 2
+	maxCommandsInFlight = 128
+)
+
+// socketLimits divides the sockets.
+type socketLimits struct {
+	server   int // connections of users, workers and peers
+	workers  int // kept connections to workers
+	commands int // batches of commands in flight
+}
+
+// newSocketLimits divides the platform's quota, or what the operators' settings allow of it; 0 in the settings is no
+// limit of theirs.
+func newSocketLimits(quota, setting int) socketLimits {
+	sockets := quota
+	if setting > 0 {
+		sockets = min(sockets, setting)
+	}
+	return socketLimits{
+		server:   max(minServerSockets, sockets*serverTenths/10-reservedSockets),
+		workers:  max(minWorkerSockets, sockets/workerDivisor),
+		commands: max(minCommandsInFlight, min(maxCommandsInFlight, sockets/commandDivisor)),
+	}
+}
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -6,8 +6,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// timerHeap holds the core's timers on the core's own goroutine, so that one
-// runtime timer serves them all.
+// timerHeap holds the controller's timers on its own goroutine, so that one runtime timer serves them all. Timers that
+// are due at the same time run in the order in which they were set.
 type timerHeap struct {
 	items timerItems
 	seq   uint64
@@ -38,15 +38,19 @@
 	return x
 }
 
+// schedule sets a timer.
 func (h *timerHeap) schedule(at monotime.Micros, f func()) {
 	h.seq++
 	heap.Push(&h.items, timerItem{at, h.seq, f})
 }
 
+// idleWait is how long the loop waits without any timer.
+const idleWait = monotime.Minute
+
 // untilNext tells how long until the next timer is due.
 func (h *timerHeap) untilNext(now monotime.Micros) monotime.Micros {
 	if len(h.items) == 0 {
-		return monotime.Minute
+		return idleWait
 	}
 	return max(0, h.items[0].due-now)
 }
--- a/internal/daemon/worker_pool.go
+++ b/internal/daemon/worker_pool.go
@@ -2,10 +2,9 @@
 
 import "pipitgap/internal/transport"
 
-// workerPool keeps a connection to each of the workers that were spoken to last.
-// It belongs to the core's goroutine. A controller that alone carries a fleet of
-// thousands would hold more idle connections than it has sockets to spare, and
-// closing all of them at once would have all of them dialled again.
+// workerPool keeps a connection to each of the workers that were called last. It belongs to the controller's goroutine.
+// A controller that alone carries a fleet of thousands would hold more idle connections than it has sockets to spare,
+// and closing all of them at once would have all of them dialled again.
 type workerPool struct {
 	maxClients int
 	clock      uint64
@@ -42,3 +41,11 @@
 	p.clients[endpoint] = entry
 	return entry.client
 }
+
+// close drops all connections.
+func (p *workerPool) close() {
+	for _, entry := range p.clients {
+		entry.client.Close()
+	}
+	clear(p.clients)
+}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -38,21 +38,35 @@
 // yet be.
 func (cl *Client) Do(method, target string, body []byte, timeout monotime.Micros) (*Message, error) {
 	deadline := time.Now().Add(timeout.Duration())
-	var cc *clientConn
-	select {
-	case cc = <-cl.idleConns:
-	default:
-		c, err := net.DialTimeout("tcp4", cl.addr, timeout.Duration())
-		if err != nil {
-			return nil, errors.Join(ErrNotSent, err)
-		}
-		cc = &clientConn{conn: c, parser: Parser{Response: true, MaxBody: cl.maxBody}}
+	cc, err := cl.connect(timeout)
+	if err != nil {
+		return nil, err
 	}
 	message, err := cc.exchange(AppendRequest(nil, method, target, cl.addr, body), deadline)
 	if err != nil || message.Close || cc.parser.Buffered() > 0 {
 		_ = cc.conn.Close()
 		return message, err
 	}
+	cl.keep(cc)
+	return message, nil
+}
+
+// connect takes a kept connection or dials a new one.
+func (cl *Client) connect(timeout monotime.Micros) (*clientConn, error) {
+	select {
+	case cc := <-cl.idleConns:
+		return cc, nil
+	default:
+	}
+	conn, err := net.DialTimeout("tcp4", cl.addr, timeout.Duration())
+	if err != nil {
+		return nil, errors.Join(ErrNotSent, err)
+	}
+	return &clientConn{conn: conn, parser: Parser{Response: true, MaxBody: cl.maxBody}}, nil
+}
+
+// keep keeps a connection for the next request, unless enough are kept already or the client is closed.
+func (cl *Client) keep(cc *clientConn) {
 	select {
 	case cl.idleConns <- cc:
 	default:
@@ -63,7 +77,6 @@
 		cl.closeIdle()
 	default:
 	}
-	return message, nil
 }
 
 // Close drops the kept connections, and those of requests in flight as they end. It
@@ -84,6 +97,10 @@
 	}
 }
 
+// readBufferSize is how many bytes of a response are read at a time.
+const readBufferSize = 8 << 10
+
+// exchange writes a request and reads its response until the deadline.
 func (cc *clientConn) exchange(req []byte, deadline time.Time) (*Message, error) {
 	if err := cc.conn.SetDeadline(deadline); err != nil {
 		return nil, err
@@ -91,7 +108,7 @@
 	if _, err := cc.conn.Write(req); err != nil {
 		return nil, err
 	}
-	buf := make([]byte, 8<<10)
+	buf := make([]byte, readBufferSize)
 	for {
 		message, err := cc.parser.Next()
 		if message != nil || err != nil {
