--- a/internal/durations/durations_test.go
+++ b/internal/durations/durations_test.go
@@ -7,6 +7,12 @@
 	"pipitgap/internal/monotime"
 )
 
+// Settings that warnings name.
+const (
+	leaseSetting  = "facts.workers.lease_s"
+	cancelSetting = "facts.workers.cancel_s"
+)
+
 // TestDurationsFollowPlatform: bounds follow the platform's durations, and a platform whose durations the
 // design doesn't cover is warned of at start, with the consequence.
 func TestDurationsFollowPlatform(t *testing.T) {
@@ -17,12 +23,30 @@
 		renewal    float64
 		warned     []string
 	}{
-		{"short leases", config.Workers{HeartbeatIntervalS: 0.8, LeaseS: 10, CancelWithinS: 30}, 5, 19, nil},
-		{"usual leases", config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32}, 6, 19, nil},
-		{"long leases", config.Workers{HeartbeatIntervalS: 5, LeaseS: 28, CancelWithinS: 53}, 8, 24, nil},
-		{"no time for a successor", config.Workers{HeartbeatIntervalS: 1, LeaseS: 6.5, CancelWithinS: 30}, 4, 22.5, []string{"facts.workers.lease_s"}},
-		{"nor for another controller", config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelWithinS: 30}, 4, 24, []string{"facts.workers.lease_s", "facts.workers.lease_s"}},
-		{"leases outlast cancellations", config.Workers{HeartbeatIntervalS: 2, LeaseS: 30, CancelWithinS: 20}, 8, 3, []string{"facts.workers.cancel_s"}},
+		{
+			"short leases", config.Workers{HeartbeatIntervalS: 0.8, LeaseS: 10, CancelWithinS: 30},
+			5, 19, nil,
+		},
+		{
+			"usual leases", config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32},
+			6, 19, nil,
+		},
+		{
+			"long leases", config.Workers{HeartbeatIntervalS: 5, LeaseS: 28, CancelWithinS: 53},
+			8, 24, nil,
+		},
+		{
+			"no time for a successor", config.Workers{HeartbeatIntervalS: 1, LeaseS: 6.5, CancelWithinS: 30},
+			4, 22.5, []string{leaseSetting},
+		},
+		{
+			"nor for another controller", config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelWithinS: 30},
+			4, 24, []string{leaseSetting, leaseSetting},
+		},
+		{
+			"leases outlast cancellations", config.Workers{HeartbeatIntervalS: 2, LeaseS: 30, CancelWithinS: 20},
+			8, 3, []string{cancelSetting},
+		},
 	} {
 		derived := Derive(tc.workers)
 		if derived.MembershipTTL.Seconds() != tc.membership || derived.RenewalWindow.Seconds() != tc.renewal {
--- a/internal/reachability/workers_test.go
+++ b/internal/reachability/workers_test.go
@@ -8,8 +8,8 @@
 	"pipitgap/internal/peers"
 )
 
-// TestSilenceCount: three quarters of the machines, and three at least, must be silent; a machine that was never heard
-// counts only once it is silent.
+// TestSilenceCount: three quarters of the machines, and three at least, must be silent; a machine that was never
+// heard counts only once it is silent.
 func TestSilenceCount(t *testing.T) {
 	cases := []struct {
 		name                  string
