--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -8,7 +8,7 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// Policy is what the operators' settings say of drains.
+// Policy has the operators' settings for drains.
 type Policy struct{ settings *config.DrainSettings }
 
 // NewPolicy takes the settings, whose defaults are filled in.
@@ -53,8 +53,8 @@
 	}
 }
 
-// scopesOf lists what a job counts in: its team's budget and its class's, or the default
-// budget, by class, if it has neither.
+// scopesOf lists the scopes that a job's replicas count in: its team's and its class's, as far as they have a
+// budget; its class's, with the default budget, if neither has one.
 func (p *Policy) scopesOf(j *Job) []Scope {
 	var scopes []Scope
 	for _, scope := range []Scope{{Team: j.Team}, {Team: j.Team, Class: j.Class}} {
@@ -68,7 +68,7 @@
 	return scopes
 }
 
-// Availability is how a scope stands against its budget.
+// Availability is a scope's replicas against its budget.
 type Availability struct {
 	Scope           Scope
 	Budgeted        bool // false: the default pace
@@ -79,7 +79,7 @@
 	onMachine       map[string]int
 }
 
-// availabilityByScope counts all scopes of a snapshot.
+// availabilityByScope counts the replicas of all scopes of a snapshot.
 func (p *Policy) availabilityByScope(s *Snapshot) map[Scope]*Availability {
 	counted := map[Scope]*Availability{}
 	for _, id := range sortedmap.Keys(s.jobs) {
@@ -94,51 +94,51 @@
 			counted[scope].Desired += job.Replicas
 		}
 	}
-	s.ForEachMachine(func(m *Machine) bool {
-		p.countMachine(s, m, counted)
+	s.ForEachMachine(func(machine *Machine) bool {
+		p.countMachine(s, machine, counted)
 		return true
 	})
-	for _, a := range counted {
-		p.setBounds(a)
+	for _, availability := range counted {
+		p.setBounds(availability)
 	}
 	return counted
 }
 
 // countMachine counts a machine's available replicas.
-func (p *Policy) countMachine(s *Snapshot, m *Machine, counted map[Scope]*Availability) {
-	if !m.reachable() {
+func (p *Policy) countMachine(s *Snapshot, machine *Machine, counted map[Scope]*Availability) {
+	if !machine.reachable() {
 		return
 	}
-	for _, r := range m.Replicas {
-		job, known := s.jobs[r.Job]
-		if !known || job.Failing || r.Starting || r.UnderPermit {
+	for _, replica := range machine.Replicas {
+		job, known := s.jobs[replica.Job]
+		if !known || job.Failing || replica.Starting || replica.UnderPermit {
 			continue
 		}
 		for _, scope := range p.scopesOf(job) {
 			counted[scope].Available++
-			counted[scope].onMachine[m.ID]++
+			counted[scope].onMachine[machine.ID]++
 		}
 	}
 }
 
-// setBounds works out what a scope's budget asks for.
-func (p *Policy) setBounds(a *Availability) {
-	budget, ok := p.budgetFor(a.Scope)
-	a.Budgeted = ok
+// setBounds works out what a scope's budget requires.
+func (p *Policy) setBounds(availability *Availability) {
+	budget, ok := p.budgetFor(availability.Scope)
+	availability.Budgeted = ok
 	if !ok {
 		budget = p.defaultBudget()
 	}
-	a.MinAvailable = max(0, budget.MinAvailableOf(a.Desired))
-	a.ReserveMachines = *p.settings.DefaultReserveMachines
+	availability.MinAvailable = max(0, budget.MinAvailableOf(availability.Desired))
+	availability.ReserveMachines = *p.settings.DefaultReserveMachines
 	if budget.ReserveMachines != nil {
-		a.ReserveMachines = *budget.ReserveMachines
+		availability.ReserveMachines = *budget.ReserveMachines
 	}
 	if !ok {
-		a.ReserveMachines = 0
+		availability.ReserveMachines = 0
 	}
 }
 
-// worstLoss is how many replicas are lost with the reserve's machines, at most.
+// worstLoss is how many replicas are lost at most if as many machines are lost as the reserve covers.
 func (a *Availability) worstLoss() int {
 	if a.ReserveMachines == 0 {
 		return 0
@@ -155,16 +155,16 @@
 	return lost
 }
 
-// floorKept tells whether the budget holds, the loss of the reserve's machines included.
+// floorKept tells whether the budget is kept even if the reserve's machines are lost.
 func (a *Availability) floorKept() bool { return a.Available-a.worstLoss() >= a.MinAvailable }
 
-// stop counts a replica out.
+// stop counts a replica on a machine as stopped.
 func (a *Availability) stop(machine string) {
 	a.Available--
 	a.onMachine[machine]--
 }
 
-// restore counts it in again.
+// restore counts it as available again.
 func (a *Availability) restore(machine string) {
 	a.Available++
 	a.onMachine[machine]++
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -8,14 +8,14 @@
 	"pipitgap/internal/storage"
 )
 
-// Controller is who decides: what it owns, and what it knows of the others.
+// Controller is the controller that decides, and what it knows of the others.
 type Controller struct {
 	Node string
 	// Live tells whether a controller is a member.
 	Live func(node string) bool
-	// Responsible tells whether this controller is the one to remove a team's permits that are over.
+	// Responsible tells whether this controller is the one to remove a team's completed permits.
 	Responsible func(team string) bool
-	// RecordBytes is how large a record may get.
+	// RecordBytes is how large a record of permits may get.
 	RecordBytes int
 }
 
@@ -25,18 +25,18 @@
 	Granted map[string][]storage.Permit
 	// Stop are permits that stand and may be used now: their replicas are on own machines.
 	Stop []storage.Permit
-	// Revoked are permits of own machines that must not be used. One that its owner has begun to
-	// use stays until it is over.
+	// Revoked are permits of own machines that must not be used. One whose replica is already being stopped
+	// stays until it is completed.
 	Revoked []storage.Permit
-	// Completed are permits that are fulfilled or without a purpose, by team.
+	// Completed are permits that have served their purpose or have none any more, by team.
 	Completed map[string][]storage.Permit
 	// StopArrays are own machines whose other tasks may be stopped now.
 	StopArrays []string
-	// Blocked says what a drain waits for.
+	// Blocked is what the drains wait for.
 	Blocked []Blockage
 }
 
-// BlockKind says what a replica's move waits for.
+// BlockKind is what a replica's move waits for.
 type BlockKind string
 
 // What a move can wait for.
@@ -59,36 +59,37 @@
 	Reason  string    `json:"reason"`
 }
 
-// permitBytes is what a permit takes in a record at most.
+// permitBytes is the size of a permit in its record, at most.
 func permitBytes(permit *storage.Permit) int {
 	return storage.PermitBytes + len(permit.Drain) + len(permit.Job) + len(permit.From) + len(permit.To)
 }
 
-// decider works out one decision; its snapshot moves on with every permit that it grants.
+// decider works out one decision. With every permit that it grants its snapshot is replaced by one with the
+// permit.
 type decider struct {
 	policy       *Policy
 	snapshot     *Snapshot
 	controller   *Controller
 	availability map[Scope]*Availability
-	noRoom       map[placementKey]bool // what no machine has room for
+	unplaceable  map[placementKey]bool // what no machine can take
 	recordBytes  map[string]int        // by team: the size of its permits
 	decision     *Decision
 }
 
-// placementKey is what decides whether a replica finds room, but for zone rules.
+// placementKey is what decides whether any machine can take a replica, but for rules on zones.
 type placementKey struct {
 	need  resources.Vector
 	types string
 	zone  string
 	spot  bool
-	from  string // the machine that it leaves doesn't count
+	from  string // the machine that it leaves, which isn't a destination
 }
 
 // Decide works out what a controller is to do for all drains.
 func (p *Policy) Decide(s *Snapshot, c *Controller) *Decision {
 	d := &decider{
 		policy: p, snapshot: s, controller: c, availability: p.availabilityByScope(s),
-		noRoom: map[placementKey]bool{}, recordBytes: map[string]int{},
+		unplaceable: map[placementKey]bool{}, recordBytes: map[string]int{},
 		decision: &Decision{Granted: map[string][]storage.Permit{}, Completed: map[string][]storage.Permit{}},
 	}
 	for _, team := range sortedmap.Keys(s.permits) {
@@ -113,7 +114,7 @@
 	}
 	from, ok := d.snapshot.Machine(permit.From)
 	if !ok || from.Owner != d.controller.Node || !holdsAttempt(from, permit) {
-		return // stopped, lost, or another controller's
+		return // the attempt has ended, or is on another controller's machine
 	}
 	if d.stillAllowed(permit, from) {
 		d.decision.Stop = append(d.decision.Stop, *permit)
@@ -122,28 +123,28 @@
 	}
 }
 
-// completed tells whether nothing is left to wait for: the service has ended, or the replica runs
-// by another attempt.
+// completed tells whether a permit has served its purpose: the service has ended, or another attempt of the
+// replica runs.
 func (d *decider) completed(permit *storage.Permit) bool {
 	if _, known := d.snapshot.jobs[permit.Job]; !known {
 		return true
 	}
-	m, r, held := d.snapshot.replicaOf(permit.Job, permit.Task)
-	return held && r.Attempt != permit.Attempt && !r.Starting && m.reachable()
+	machine, replica, held := d.snapshot.replicaOf(permit.Job, permit.Task)
+	return held && replica.Attempt != permit.Attempt && !replica.Starting && machine.reachable()
 }
 
 // holdsAttempt tells whether the attempt that a permit is for is still on a machine.
-func holdsAttempt(m *Machine, permit *storage.Permit) bool {
-	for _, r := range m.Replicas {
-		if r.Job == permit.Job && r.Task == permit.Task && r.Attempt == permit.Attempt {
+func holdsAttempt(machine *Machine, permit *storage.Permit) bool {
+	for _, replica := range machine.Replicas {
+		if replica.Job == permit.Job && replica.Task == permit.Task && replica.Attempt == permit.Attempt {
 			return true
 		}
 	}
 	return false
 }
 
-// stillAllowed tells whether a permit that stands may be used now. The budget is looked at once
-// more: machines may have been lost since the permit was granted, or it was granted late.
+// stillAllowed tells whether a granted permit may be used now. The budget is checked once more: machines may
+// have been lost since the permit was granted, or its commit was applied late.
 func (d *decider) stillAllowed(permit *storage.Permit, from *Machine) bool {
 	record, ok := d.snapshot.drainCovering(from)
 	if !ok || record.Name != permit.Drain || !d.stepsAllowed(record) {
@@ -151,27 +152,27 @@
 	}
 	job := d.snapshot.jobs[permit.Job]
 	for _, scope := range d.policy.scopesOf(job) {
-		if a := d.availability[scope]; a != nil && !a.floorKept() {
+		if availability := d.availability[scope]; availability != nil && !availability.floorKept() {
 			return false
 		}
 	}
 	return true
 }
 
-// stepsAllowed tells whether a drain may begin steps.
+// stepsAllowed tells whether a drain may stop anything now.
 func (d *decider) stepsAllowed(record *DrainRecord) bool {
 	return record.State == storage.DrainActive && !d.snapshot.deadlinePassed(record)
 }
 
-// deadlinePassed tells whether a drain is past its deadline.
+// deadlinePassed tells whether a drain has a deadline and it has passed.
 func (s *Snapshot) deadlinePassed(record *DrainRecord) bool {
 	return record.DeadlineAt != 0 && s.Wall >= record.DeadlineAt
 }
 
-// NextState tells what becomes of a drain by itself: it ends when nothing is left of it, and is
-// paused at its deadline. The record of one that ended long ago is dropped: next is nil then.
-// expecting: machines that it covers may still come up; kept: how long a record is kept,
-// microseconds.
+// NextState is the next state of a drain without an operator's command: it ends when none of its machines is
+// left, and is paused at its deadline. With next nil and changed true its record is to be deleted, as it
+// ended longer ago than kept, in microseconds. While machines that it covers may still come up (expecting),
+// it doesn't end.
 func (s *Snapshot) NextState(
 	record *DrainRecord,
 	expecting bool,
@@ -200,15 +201,15 @@
 	return &rec, true
 }
 
-// MachinesInStep lists the machines of a drain that are being emptied: those that were begun, then the
-// others in the order of their ids, as many as may be emptied at a time.
+// MachinesInStep lists the machines of a drain that are being emptied, at most MaxParallel of them: first
+// those with replicas under permits, then others, each in the order of their ids.
 func (s *Snapshot) MachinesInStep(record *DrainRecord) []string {
 	var begun, others []string
 	for _, id := range s.Selected(&record.Drain) {
-		m, _ := s.Machine(id)
+		machine, _ := s.Machine(id)
 		switch {
-		case m.State == storage.MachineRemoving || len(m.Replicas) == 0 && len(m.ArrayUsage) == 0:
-		case m.hasPermits():
+		case machine.State == storage.MachineRemoving || len(machine.Replicas) == 0 && len(machine.ArrayUsage) == 0:
+		case machine.hasPermits():
 			begun = append(begun, id)
 		default:
 			others = append(others, id)
@@ -220,117 +221,128 @@
 
 // hasPermits tells whether a replica on a machine is under a permit.
 func (m *Machine) hasPermits() bool {
-	for _, r := range m.Replicas {
-		if r.UnderPermit {
+	for _, replica := range m.Replicas {
+		if replica.UnderPermit {
 			return true
 		}
 	}
 	return false
 }
 
-// advance decides on the next permits of a drain.
+// advance decides on the next permits of an active drain.
 func (d *decider) advance(record *DrainRecord) {
 	if record.State != storage.DrainActive {
 		return
 	}
 	for _, id := range d.snapshot.MachinesInStep(record) {
-		m, _ := d.snapshot.Machine(id)
+		machine, _ := d.snapshot.Machine(id)
 		if d.snapshot.deadlinePassed(record) {
-			d.block(record, m, nil, BlockedByDeadline, "the deadline has passed")
+			d.block(record, machine, nil, BlockedByDeadline, "the deadline has passed")
 			continue
 		}
-		d.emptyMachine(record, m)
+		d.emptyMachine(record, machine)
 	}
 }
 
-// emptyMachine decides on a machine of the present step.
-func (d *decider) emptyMachine(record *DrainRecord, m *Machine) {
-	if m.State != storage.MachineCordoned {
-		d.blockMachine(record, m)
+// emptyMachine decides on the replicas of a machine of the current step, and on its array tasks once no
+// replica has to stay.
+func (d *decider) emptyMachine(record *DrainRecord, machine *Machine) {
+	if machine.State != storage.MachineCordoned {
+		d.blockMachine(record, machine)
 		return
 	}
-	mine := m.Owner == d.controller.Node
-	if !mine && !d.controller.Live(m.Owner) {
-		d.block(record, m, nil, BlockedByController,
-			fmt.Sprintf("controller %s is gone, its successor isn't there yet", m.Owner))
+	own := machine.Owner == d.controller.Node
+	if !own && !d.controller.Live(machine.Owner) {
+		d.block(record, machine, nil, BlockedByController,
+			fmt.Sprintf("controller %s is gone, its successor isn't there yet", machine.Owner))
 	}
 	staying := 0
-	for i := range m.Replicas {
-		r := m.Replicas[i]
-		job, known := d.snapshot.jobs[r.Job]
-		if !known || job.Failing || r.UnderPermit {
+	for i := range machine.Replicas {
+		replica := machine.Replicas[i]
+		job, known := d.snapshot.jobs[replica.Job]
+		if !known || job.Failing || replica.UnderPermit {
 			continue
 		}
-		permit, kind, reason := d.evaluateReplica(record, m, &r, job)
-		if kind != "" {
+		move := d.evaluateReplica(record, machine, &replica, job)
+		if move.blockedBy != "" {
 			staying++
-			d.block(record, m, &r, kind, reason)
+			d.block(record, machine, &replica, move.blockedBy, move.reason)
 			continue
 		}
-		if mine {
-			d.grant(job, permit)
+		if own {
+			d.grant(job, move.permit)
 		}
 	}
-	if mine && staying == 0 {
-		d.decision.StopArrays = append(d.decision.StopArrays, m.ID)
+	if own && staying == 0 {
+		d.decision.StopArrays = append(d.decision.StopArrays, machine.ID)
 	}
 }
 
 // blockMachine says why nothing can be moved off a machine that isn't cordoned.
-func (d *decider) blockMachine(record *DrainRecord, m *Machine) {
-	switch m.State {
+func (d *decider) blockMachine(record *DrainRecord, machine *Machine) {
+	switch machine.State {
 	case storage.MachineUnreachable:
-		d.block(record, m, nil, BlockedByCordon, "the machine is out of reach")
+		d.block(record, machine, nil, BlockedByCordon, "the machine is out of reach")
 	case storage.MachineOpen:
-		d.block(record, m, nil, BlockedByCordon, "the machine isn't cordoned yet")
+		d.block(record, machine, nil, BlockedByCordon, "the machine isn't cordoned yet")
 	}
 }
 
-// evaluateReplica tells whether a replica may be stopped now, with the permit that would allow it,
-// or what it waits for.
+// possibleMove is the permit that would let a replica be stopped now, or what its move waits for.
+type possibleMove struct {
+	permit    storage.Permit
+	blockedBy BlockKind // "": nothing, the permit may be granted
+	reason    string
+}
+
+// evaluateReplica tells whether a replica may be stopped now.
 func (d *decider) evaluateReplica(
-	record *DrainRecord, m *Machine, replica *Replica, job *Job,
-) (storage.Permit, BlockKind, string) {
+	record *DrainRecord, machine *Machine, replica *Replica, job *Job,
+) possibleMove {
 	if replica.Starting {
-		return storage.Permit{}, BlockedByStarting, "it is still starting"
+		return possibleMove{blockedBy: BlockedByStarting, reason: "it is still starting"}
 	}
 	for _, scope := range d.policy.scopesOf(job) {
-		if reason, ok := d.availability[scope].allowsStop(m.ID); !ok {
-			return storage.Permit{}, BlockedByBudget, reason
+		if reason, ok := d.availability[scope].allowsStop(machine.ID); !ok {
+			return possibleMove{blockedBy: BlockedByBudget, reason: reason}
 		}
 	}
-	to, ok := d.roomFor(job, m)
+	to, ok := d.destinationFor(job, machine)
 	if !ok {
-		return storage.Permit{}, BlockedByCapacity,
-			fmt.Sprintf("no machine outside the drain has room for %g CPUs, %g accelerators, %g GB",
-				job.PerTask.CPUs, job.PerTask.GPUs, job.PerTask.MemoryGB)
+		return possibleMove{
+			blockedBy: BlockedByCapacity,
+			reason: fmt.Sprintf("no machine outside the drain has room for %g CPUs, %g accelerators, %g GB",
+				job.PerTask.CPUs, job.PerTask.GPUs, job.PerTask.MemoryGB),
+		}
 	}
 	permit := storage.Permit{
 		Drain: record.Name, Job: replica.Job, Task: replica.Task, Attempt: replica.Attempt,
-		From: m.ID, To: to.ID, GrantedAt: d.snapshot.Wall,
+		From: machine.ID, To: to.ID, GrantedAt: d.snapshot.Wall,
 	}
 	if d.recordBytes[job.Team]+permitBytes(&permit) > d.controller.RecordBytes {
-		return storage.Permit{}, BlockedByPermits,
-			fmt.Sprintf("team %s has as many permits as its record holds", job.Team)
+		return possibleMove{
+			blockedBy: BlockedByPermits,
+			reason:    fmt.Sprintf("team %s has as many permits as its record holds", job.Team),
+		}
 	}
-	return permit, "", ""
+	return possibleMove{permit: permit}
 }
 
-// tasksThatFit finds a machine for a replica, remembering what finds none.
-func (d *decider) roomFor(job *Job, from *Machine) (*Machine, bool) {
+// destinationFor finds a machine for a replica. It remembers what none can take: many replicas are alike.
+func (d *decider) destinationFor(job *Job, from *Machine) (*Machine, bool) {
 	key := placementKey{job.PerTask, fmt.Sprint(job.Types), job.Zone, job.Spot, from.ID}
-	plain := !job.OneZone && !job.Spread
-	if plain && d.noRoom[key] {
+	zoneless := !job.OneZone && !job.Spread
+	if zoneless && d.unplaceable[key] {
 		return nil, false
 	}
 	to, ok := d.snapshot.destination(job, from, d.controller.Live)
-	if plain && !ok {
-		d.noRoom[key] = true
+	if zoneless && !ok {
+		d.unplaceable[key] = true
 	}
 	return to, ok
 }
 
-// grant adds a permit to the decision, and takes it into account for the next ones.
+// grant adds a permit to the decision, and counts its replica as stopped for the next ones.
 func (d *decider) grant(job *Job, permit storage.Permit) {
 	d.decision.Granted[job.Team] = append(d.decision.Granted[job.Team], permit)
 	d.recordBytes[job.Team] += permitBytes(&permit)
@@ -340,8 +352,15 @@
 	d.snapshot = d.snapshot.withPermit(permit)
 }
 
-func (d *decider) block(record *DrainRecord, m *Machine, replica *Replica, kind BlockKind, reason string) {
-	blockage := Blockage{Drain: record.Name, Machine: m.ID, Kind: kind, Reason: reason}
+// block adds to the decision what a machine waits for, or one of its replicas.
+func (d *decider) block(
+	record *DrainRecord,
+	machine *Machine,
+	replica *Replica,
+	kind BlockKind,
+	reason string,
+) {
+	blockage := Blockage{Drain: record.Name, Machine: machine.ID, Kind: kind, Reason: reason}
 	if replica != nil {
 		blockage.Task = fmt.Sprintf("%s/%d", replica.Job, replica.Task)
 	}
--- a/internal/drain/destination.go
+++ b/internal/drain/destination.go
@@ -2,56 +2,57 @@
 
 import "pipitgap/internal/storage"
 
-// destination finds a machine for a replica that is to be moved: where room is free, the
-// tightest fit; else where array tasks of lower priority give way.
+// destination finds a machine for a replica that is to be moved: the tightest fit among those with enough
+// free, else the first one where it fits by preempting array tasks of lower priority.
 func (s *Snapshot) destination(job *Job, from *Machine, live func(node string) bool) (*Machine, bool) {
 	zones := s.zonesFor(job, from)
-	var free, displacing *Machine
-	s.ForEachMachine(func(m *Machine) bool {
-		if m.ID == from.ID || !s.takesReplicas(m, live) || !job.allows(m) || !zones.allow(m.Zone) {
+	var free, preempting *Machine
+	s.ForEachMachine(func(machine *Machine) bool {
+		if machine.ID == from.ID || !s.takesReplicas(machine, live) || !job.allows(machine) ||
+			!zones.allow(machine.Zone) {
 			return true
 		}
 		switch {
-		case job.PerTask.FitsIn(m.Free):
-			if free == nil || m.Free.CPUs < free.Free.CPUs {
-				free = m
+		case job.PerTask.FitsIn(machine.Free):
+			if free == nil || machine.Free.CPUs < free.Free.CPUs {
+				free = machine
 			}
-		case displacing == nil && job.PerTask.FitsIn(m.freeWithPreemption(job.Priority)):
-			displacing = m
+		case preempting == nil && job.PerTask.FitsIn(machine.freeWithPreemption(job.Priority)):
+			preempting = machine
 		}
 		return true
 	})
 	if free != nil {
 		return free, true
 	}
-	return displacing, displacing != nil
+	return preempting, preempting != nil
 }
 
 // takesReplicas tells whether new tasks may go to a machine.
-func (s *Snapshot) takesReplicas(m *Machine, live func(node string) bool) bool {
-	if m.State != storage.MachineOpen || !live(m.Owner) {
+func (s *Snapshot) takesReplicas(machine *Machine, live func(node string) bool) bool {
+	if machine.State != storage.MachineOpen || !live(machine.Owner) {
 		return false
 	}
-	_, covered := s.drainCovering(m)
+	_, covered := s.drainCovering(machine)
 	return !covered
 }
 
-// zoneCount is in which zones a job's other replicas are.
+// zoneCount counts a job's other replicas by zone.
 type zoneCount struct {
 	job *Job
 	in  map[string]int
 }
 
-// zonesFor counts the zones of a job's replicas but for one that is leaving a machine.
+// zonesFor counts a job's replicas by zone, without the one that leaves a machine.
 func (s *Snapshot) zonesFor(job *Job, from *Machine) *zoneCount {
 	zones := &zoneCount{job: job, in: map[string]int{}}
 	if !job.OneZone && !job.Spread {
 		return zones
 	}
-	s.ForEachMachine(func(m *Machine) bool {
-		for _, r := range m.Replicas {
-			if r.Job == job.ID {
-				zones.in[m.Zone]++
+	s.ForEachMachine(func(machine *Machine) bool {
+		for _, replica := range machine.Replicas {
+			if replica.Job == job.ID {
+				zones.in[machine.Zone]++
 			}
 		}
 		return true
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -31,7 +31,7 @@
 	b := NewBuilder(100, 1000)
 	next := map[string]int{}
 	for _, id := range sortedmap.Keys(f.machines) {
-		m := &Machine{
+		machine := &Machine{
 			ID:    id,
 			Type:  "m8",
 			Zone:  "a",
@@ -40,20 +40,20 @@
 			Free:  resources.Vector{CPUs: machineCPUs, MemoryGB: 64},
 		}
 		if zone := f.zones[id]; zone != "" {
-			m.Zone = zone
+			machine.Zone = zone
 		}
 		if state := f.state[id]; state != "" {
-			m.State = state
+			machine.State = state
 		}
 		for _, job := range f.machines[id] {
-			m.Replicas = append(
-				m.Replicas,
+			machine.Replicas = append(
+				machine.Replicas,
 				Replica{Job: job, Task: next[job], Attempt: 7, Starting: f.starting[id]},
 			)
 			next[job]++
-			m.Free = m.Free.Minus(f.jobs[job].PerTask)
+			machine.Free = machine.Free.Minus(f.jobs[job].PerTask)
 		}
-		b.AddMachine(m)
+		b.AddMachine(machine)
 	}
 	for id, job := range f.jobs {
 		job.ID = id
@@ -359,9 +359,9 @@
 	if d := policy.Decide(s, nodeZero()); granted(d) != 3 {
 		t.Errorf("after a plan: %d permits", granted(d))
 	}
-	m, _ := s.Machine("i-8")
-	if m.Free.CPUs != machineCPUs {
-		t.Errorf("after a plan: %v", m.Free)
+	machine, _ := s.Machine("i-8")
+	if machine.Free.CPUs != machineCPUs {
+		t.Errorf("after a plan: %v", machine.Free)
 	}
 }
 
@@ -418,9 +418,9 @@
 		d := policyOf(1, minAvailable("t", minimum)).Decide(s, nodeZero())
 		left := map[string]int{}
 		total := 0
-		s.ForEachMachine(func(m *Machine) bool {
-			left[m.ID] = len(m.Replicas)
-			total += len(m.Replicas)
+		s.ForEachMachine(func(machine *Machine) bool {
+			left[machine.ID] = len(machine.Replicas)
+			total += len(machine.Replicas)
 			return true
 		})
 		for _, p := range d.Granted["t"] {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -8,7 +8,7 @@
 	"pipitgap/internal/storage"
 )
 
-// Move is a replica that goes from one machine to another.
+// Move is the move of a replica from one machine to another.
 type Move struct {
 	Task string `json:"task"`
 	Team string `json:"team"`
@@ -16,15 +16,15 @@
 	To   string `json:"to"`
 }
 
-// Step is what a plan does at a time.
+// Step is what a plan does at once.
 type Step struct {
-	ScaleOut []string `json:"rent,omitempty"` // machines that would be rented before
+	ScaleOut []string `json:"rent,omitempty"` // machines that would be requested before
 	Moves    []Move   `json:"moves"`
 	Stopped  int      `json:"array_tasks_stopped"` // array tasks that would be stopped
 	Emptied  []string `json:"emptied"`             // machines that are empty then
 }
 
-// Plan is the course of a drain if nothing else happens, and what would remain.
+// Plan is the course of a drain if nothing else happens, and what it would still wait for at its end.
 type Plan struct {
 	Machines []string   `json:"machines"`
 	Steps    []Step     `json:"steps"`
@@ -34,13 +34,13 @@
 // maxPlanSteps bounds a plan.
 const maxPlanSteps = 10000
 
-// planner plays a drain on snapshots: each step is the decision that all controllers
-// together would take, carried out at once.
+// planner simulates a drain on snapshots: each step is the decision that all controllers together would take,
+// carried out at once.
 type planner struct {
 	policy   *Policy
 	snapshot *Snapshot
 	record   DrainRecord
-	rented   int
+	added    int // simulated machines
 }
 
 // Plan works out the steps of a drain, changing nothing.
@@ -70,20 +70,20 @@
 	return &next
 }
 
+// cordon cordons machines that are open.
 func (p *planner) cordon(machines []string) {
 	for _, id := range machines {
-		m, _ := p.snapshot.Machine(id)
-		if m.State == storage.MachineOpen {
-			cordoned := *m
+		machine, _ := p.snapshot.Machine(id)
+		if machine.State == storage.MachineOpen {
+			cordoned := *machine
 			cordoned.State = storage.MachineCordoned
 			p.snapshot = p.snapshot.withMachine(&cordoned)
 		}
 	}
 }
 
-// nextStep takes one step.
-func (p *planner) nextStep() (Step, []Blockage) {
-	step := Step{}
+// nextStep takes one step, and returns what still waits and for what.
+func (p *planner) nextStep() (step Step, blocked []Blockage) {
 	decision := p.decide()
 	if p.record.Replace && p.scaleOutFor(decision.Blocked, &step) {
 		decision = p.decide()
@@ -94,10 +94,9 @@
 		}
 	}
 	for _, id := range p.snapshot.Selected(&p.record.Drain) {
-		if m, _ := p.snapshot.Machine(id); m.State == storage.MachineCordoned && len(m.Replicas) == 0 {
-			for _, work := range m.ArrayUsage {
-				step.Stopped += work.Tasks
-			}
+		machine, _ := p.snapshot.Machine(id)
+		if machine.State == storage.MachineCordoned && len(machine.Replicas) == 0 {
+			step.Stopped += machine.arrayTasks()
 			step.Emptied = append(step.Emptied, id)
 			p.snapshot = p.snapshot.withoutMachine(id)
 		}
@@ -105,7 +104,7 @@
 	return step, decision.Blocked
 }
 
-// decide joins the decisions of all controllers, each of which takes the others' into account.
+// decide joins the decisions of all controllers, each of which counts with the permits of those before it.
 func (p *planner) decide() *Decision {
 	all := &Decision{Granted: map[string][]storage.Permit{}}
 	everybody := func(string) bool { return true }
@@ -124,22 +123,23 @@
 	return all
 }
 
+// owners lists the controllers that have machines.
 func (p *planner) owners() []string {
 	owners := map[string]bool{}
-	p.snapshot.ForEachMachine(func(m *Machine) bool {
-		owners[m.Owner] = true
+	p.snapshot.ForEachMachine(func(machine *Machine) bool {
+		owners[machine.Owner] = true
 		return true
 	})
 	return sortedmap.Keys(owners)
 }
 
-// move carries a permit out: the replica is stopped and runs at its new place.
+// move carries a permit out: the replica is stopped, and its next attempt runs on the destination.
 func (p *planner) move(team string, permit storage.Permit) Move {
 	job := p.snapshot.jobs[permit.Job]
 	from, _ := p.snapshot.Machine(permit.From)
 	emptier := *from
-	emptier.Replicas = slices.DeleteFunc(slices.Clone(from.Replicas), func(r Replica) bool {
-		return r.Job == permit.Job && r.Task == permit.Task
+	emptier.Replicas = slices.DeleteFunc(slices.Clone(from.Replicas), func(replica Replica) bool {
+		return replica.Job == permit.Job && replica.Task == permit.Task
 	})
 	emptier.Free = from.Free.Plus(job.PerTask)
 	p.snapshot = p.snapshot.withMachine(&emptier)
@@ -155,23 +155,24 @@
 	}
 }
 
-// scaleOutFor rents a machine of the same type for the first replica that finds no room.
+// scaleOutFor adds a machine like the one that is drained for the first replica that no machine can take. It
+// tells whether it did.
 func (p *planner) scaleOutFor(blocked []Blockage, step *Step) bool {
 	for _, b := range blocked {
 		if b.Kind != BlockedByCapacity {
 			continue
 		}
 		like, _ := p.snapshot.Machine(b.Machine)
-		if m, ok := p.simulateScaleOut(like); ok {
-			step.ScaleOut = append(step.ScaleOut, fmt.Sprintf("%s in zone %s", m.Type, m.Zone))
-			p.snapshot = p.snapshot.withMachine(m)
+		if machine, ok := p.simulateScaleOut(like); ok {
+			step.ScaleOut = append(step.ScaleOut, fmt.Sprintf("%s in zone %s", machine.Type, machine.Zone))
+			p.snapshot = p.snapshot.withMachine(machine)
 			return true
 		}
 	}
 	return false
 }
 
-// simulateScaleOut gives a new machine like another, in a zone where the drain lets it be rented.
+// simulateScaleOut makes a new machine like another, in a zone where the drain doesn't close the offer.
 func (p *planner) simulateScaleOut(like *Machine) (*Machine, bool) {
 	t, known := p.snapshot.types[like.Type]
 	if !known {
@@ -180,8 +181,8 @@
 	zones := append([]string{like.Zone}, t.Zones...)
 	for _, zone := range zones {
 		if !ClosesOffer(&p.record.Drain, like.Type, zone, like.Spot) {
-			p.rented++
-			return &Machine{ID: fmt.Sprintf("new-%d", p.rented), Type: like.Type, Zone: zone, Spot: like.Spot,
+			p.added++
+			return &Machine{ID: fmt.Sprintf("new-%d", p.added), Type: like.Type, Zone: zone, Spot: like.Spot,
 				State: storage.MachineOpen, Owner: like.Owner, Free: t.Capacity}, true
 		}
 	}
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -6,7 +6,7 @@
 	"pipitgap/internal/storage"
 )
 
-// Covers tells whether a drain is about a machine.
+// Covers tells whether a machine belongs to a drain.
 func Covers(d *storage.Drain, id, machineType, zone string, spot bool) bool {
 	if d.LastMachine != "" && id > d.LastMachine {
 		return false
@@ -14,6 +14,7 @@
 	return matches(&d.Selector, id, machineType, zone, spot)
 }
 
+// matches tells whether a selector names a machine, or its zone, type and capacity type.
 func matches(s *storage.Selector, id, machineType, zone string, spot bool) bool {
 	if len(s.Machines) > 0 {
 		return slices.Contains(s.Machines, id)
@@ -21,13 +22,14 @@
 	return matchesOffer(s, machineType, zone, spot)
 }
 
+// matchesOffer tells whether a selector by zone, type and capacity type matches an offer.
 func matchesOffer(s *storage.Selector, machineType, zone string, spot bool) bool {
 	return (s.Zone == "" || s.Zone == zone) && (s.Type == "" || s.Type == machineType) &&
 		(s.CapacityType == storage.AnyCapacity || s.CapacityType == storage.CapacityTypeOf(spot))
 }
 
-// ClosesOffer tells whether a drain keeps a type, zone and kind from being rented: what is
-// rented there would have to be drained as well.
+// ClosesOffer tells whether a drain keeps an offer (type, zone, spot or on demand) from being requested: such
+// machines would have to be drained as well.
 func ClosesOffer(d *storage.Drain, machineType, zone string, spot bool) bool {
 	return d.State.Unfinished() && d.ClosesOffers() && matchesOffer(&d.Selector, machineType, zone, spot)
 }
@@ -38,41 +40,40 @@
 }
 
 // drainCovering gives the unfinished drain that a machine belongs to. Drains don't overlap.
-func (s *Snapshot) drainCovering(m *Machine) (*DrainRecord, bool) {
+func (s *Snapshot) drainCovering(machine *Machine) (*DrainRecord, bool) {
 	for i := range s.drains {
 		d := &s.drains[i]
-		if d.State.Unfinished() && Covers(&d.Drain, m.ID, m.Type, m.Zone, m.Spot) {
+		if d.State.Unfinished() && Covers(&d.Drain, machine.ID, machine.Type, machine.Zone, machine.Spot) {
 			return d, true
 		}
 	}
 	return nil, false
 }
 
-// Selected lists the machines that a drain is about, by their ids.
+// Selected lists the ids of the machines that belong to a drain, in order.
 func (s *Snapshot) Selected(d *storage.Drain) []string {
 	var selected []string
-	s.ForEachMachine(func(m *Machine) bool {
-		if Covers(d, m.ID, m.Type, m.Zone, m.Spot) {
-			selected = append(selected, m.ID)
+	s.ForEachMachine(func(machine *Machine) bool {
+		if Covers(d, machine.ID, machine.Type, machine.Zone, machine.Spot) {
+			selected = append(selected, machine.ID)
 		}
 		return true
 	})
 	return selected
 }
 
-// Overlaps tells whether two drains can be about the same machine: one that is there, or one
-// that is still to come.
+// Overlaps tells whether a machine can belong to both of two drains: one that is up, or a future one.
 func (s *Snapshot) Overlaps(a, b *storage.Drain) bool {
 	for _, id := range s.Selected(a) {
-		m, _ := s.Machine(id)
-		if Covers(b, m.ID, m.Type, m.Zone, m.Spot) {
+		machine, _ := s.Machine(id)
+		if Covers(b, machine.ID, machine.Type, machine.Zone, machine.Spot) {
 			return true
 		}
 	}
 	return a.ClosesOffers() && b.ClosesOffers() && compatible(&a.Selector, &b.Selector)
 }
 
-// compatible tells whether a machine can be matched by two selectors of whole zones, types and kinds.
+// compatible tells whether two selectors by zone, type and capacity type can match the same machine.
 func compatible(a, b *storage.Selector) bool {
 	agree := func(x, y string) bool { return x == "" || y == "" || x == y }
 	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) &&
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -1,6 +1,7 @@
 package drain
 
 import (
+	"cmp"
 	"slices"
 
 	"pipitgap/internal/sortedmap"
@@ -26,7 +27,7 @@
 	Spot           bool
 	State          storage.MachineState
 	Owner          string
-	Free           resources.Vector // used by no task, and held under no permit
+	Free           resources.Vector // used by no task, and reserved by no permit
 	Replicas       []Replica
 	ArrayUsage     []ArrayUsage // what array tasks use, by priority
 }
@@ -43,7 +44,7 @@
 	return m.State == storage.MachineOpen || m.State == storage.MachineCordoned
 }
 
-// freeWithPreemption is what is free on a machine once array tasks of lower priority have given way.
+// freeWithPreemption is what is free on a machine once array tasks of lower priority are preempted.
 func (m *Machine) freeWithPreemption(priority int) resources.Vector {
 	free := m.Free
 	for _, work := range m.ArrayUsage {
@@ -69,12 +70,12 @@
 }
 
 // allows tells whether a job's replicas may run on a machine, but for its zone rules.
-func (j *Job) allows(m *Machine) bool {
-	typed := j.Types == nil || slices.Contains(j.Types, m.Type)
-	return typed && (j.Zone == "" || j.Zone == m.Zone) && (j.Spot || !m.Spot)
+func (j *Job) allows(machine *Machine) bool {
+	typed := j.Types == nil || slices.Contains(j.Types, machine.Type)
+	return typed && (j.Zone == "" || j.Zone == machine.Zone) && (j.Spot || !machine.Spot)
 }
 
-// TypeCapacity is an entry of the cloud's catalogue.
+// TypeCapacity is a machine type of the cloud's catalog.
 type TypeCapacity struct {
 	Name     string
 	Capacity resources.Vector
@@ -88,17 +89,17 @@
 	Version uint64
 }
 
-// TeamPermits are a team's permits with the version of their record; 0: there is none yet.
+// TeamPermits are a team's permits with the version of their record, 0 if there is none yet.
 type TeamPermits struct {
 	Permits []storage.Permit
 	Version uint64
 }
 
-// Snapshot is the fleet at one revision of the state service. It never changes: what a plan
-// tries gives further snapshots, which share nearly everything with it.
+// Snapshot is the fleet at one revision of the state service. It never changes: trying a step gives another
+// snapshot, which shares nearly everything with it.
 type Snapshot struct {
 	Revision  uint64
-	Wall      int64 // time of day, microseconds
+	Wall      int64 // wall clock, microseconds
 	machines  *immutable.SortedMap[string, *Machine]
 	jobs      map[string]*Job
 	types     map[string]TypeCapacity
@@ -132,15 +133,15 @@
 // Permits gives a team's permits.
 func (s *Snapshot) Permits(team string) TeamPermits { return s.permits[team] }
 
-// replicaOf finds the attempt by which a replica is held, and its machine.
-func (s *Snapshot) replicaOf(job string, task int) (*Machine, Replica, bool) {
-	m, ok := s.Machine(s.machineOf[replicaKey{job, task}])
+// replicaOf finds the current attempt of a replica, and its machine.
+func (s *Snapshot) replicaOf(job string, task int) (machine *Machine, replica Replica, found bool) {
+	machine, ok := s.Machine(s.machineOf[replicaKey{job, task}])
 	if !ok {
 		return nil, Replica{}, false
 	}
-	for _, r := range m.Replicas {
-		if r.Job == job && r.Task == task {
-			return m, r, true
+	for _, replica := range machine.Replicas {
+		if replica.Job == job && replica.Task == task {
+			return machine, replica, true
 		}
 	}
 	return nil, Replica{}, false
@@ -156,9 +157,9 @@
 }
 
 // withMachine gives a snapshot in which one machine is another; this one stays as it is.
-func (s *Snapshot) withMachine(m *Machine) *Snapshot {
+func (s *Snapshot) withMachine(machine *Machine) *Snapshot {
 	next := *s
-	next.machines = s.machines.Set(m.ID, m)
+	next.machines = s.machines.Set(machine.ID, machine)
 	return &next
 }
 
@@ -169,8 +170,8 @@
 	return &next
 }
 
-// withPermit gives a snapshot in which a permit stands: its replica is to be stopped, and room
-// is held for the next attempt.
+// withPermit gives a snapshot with a further permit: its replica is to be stopped, and capacity is reserved
+// for the next attempt.
 func (s *Snapshot) withPermit(p storage.Permit) *Snapshot {
 	next := s
 	if from, ok := s.Machine(p.From); ok {
@@ -217,10 +218,10 @@
 }
 
 // AddMachine adds a machine, which must not be changed afterwards.
-func (b *Builder) AddMachine(m *Machine) {
-	b.machines.Set(m.ID, m)
-	for _, r := range m.Replicas {
-		b.snapshot.machineOf[replicaKey{r.Job, r.Task}] = m.ID
+func (b *Builder) AddMachine(machine *Machine) {
+	b.machines.Set(machine.ID, machine)
+	for _, replica := range machine.Replicas {
+		b.snapshot.machineOf[replicaKey{replica.Job, replica.Task}] = machine.ID
 	}
 }
 
@@ -240,15 +241,15 @@
 	b.snapshot.permits[team] = TeamPermits{Permits: p.Permits, Version: version}
 }
 
-// Build gives the snapshot.
+// Build makes the snapshot. The builder must not be used afterwards.
 func (b *Builder) Build() *Snapshot {
 	s := b.snapshot
 	s.machines = b.machines.Map()
-	slices.SortFunc(s.drains, func(x, y DrainRecord) int { return compareNames(x.Name, y.Name) })
+	slices.SortFunc(s.drains, func(x, y DrainRecord) int { return cmp.Compare(x.Name, y.Name) })
 	next := &s
 	for _, team := range sortedmap.Keys(s.permits) {
 		for _, p := range s.permits[team].Permits {
-			if _, r, held := next.replicaOf(p.Job, p.Task); !held || r.Attempt == p.Attempt {
+			if _, replica, held := next.replicaOf(p.Job, p.Task); !held || replica.Attempt == p.Attempt {
 				next = next.withPermit(p)
 			}
 		}
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -7,20 +7,20 @@
 	"pipitgap/internal/storage"
 )
 
-// Progress is where a drain stands.
+// Progress is how far a drain has come.
 type Progress struct {
 	Name      string             `json:"name"`
 	State     storage.DrainState `json:"state"`
 	Reason    string             `json:"reason,omitempty"`
 	Revision  uint64             `json:"revision"`
 	Machines  []MachineProgress  `json:"machines"`
-	Permits   int                `json:"permits"` // moves under way
+	Permits   int                `json:"permits"` // moves in progress
 	Blocked   []Blockage         `json:"blocked,omitempty"`
 	StartedAt int64              `json:"started_at_us"`
 	EndedAt   int64              `json:"ended_at_us,omitempty"`
 }
 
-// MachineProgress is a machine of a drain that hasn't been given back.
+// MachineProgress is a machine of a drain that isn't terminated yet.
 type MachineProgress struct {
 	ID           string `json:"id"`
 	State        string `json:"state"`
@@ -29,7 +29,7 @@
 	BeingEmptied bool   `json:"being_emptied"`
 }
 
-// stateNames are the words for the states of a machine.
+// stateNames are the states of a machine as operators read them.
 var stateNames = map[storage.MachineState]string{
 	storage.MachineOpen:        "open",
 	storage.MachineUnreachable: "out of reach",
@@ -38,44 +38,64 @@
 	storage.MachineRemoving:    "being given back",
 }
 
-// Progress tells where a drain stands, and what it waits for.
+// Progress tells how far a drain has come, and what it waits for.
 func (p *Policy) Progress(s *Snapshot, record *DrainRecord, live func(string) bool) *Progress {
 	progress := &Progress{Name: record.Name, State: record.State, Reason: record.Reason, Revision: s.Revision,
 		Machines: []MachineProgress{}, StartedAt: record.StartedAt, EndedAt: record.EndedAt}
 	if !record.State.Unfinished() {
 		return progress
 	}
-	step := map[string]bool{}
+	progress.Machines = s.machineProgress(record)
+	progress.Permits = s.countPermits(record.Name)
+	nobody := &Controller{
+		Live:        live,
+		Responsible: func(string) bool { return false },
+		RecordBytes: math.MaxInt,
+	}
+	for _, blockage := range p.Decide(s, nobody).Blocked {
+		if blockage.Drain == record.Name {
+			progress.Blocked = append(progress.Blocked, blockage)
+		}
+	}
+	return progress
+}
+
+// machineProgress lists the machines of a drain that aren't terminated yet.
+func (s *Snapshot) machineProgress(record *DrainRecord) []MachineProgress {
+	inStep := map[string]bool{}
 	if record.State == storage.DrainActive {
 		for _, id := range s.MachinesInStep(record) {
-			step[id] = true
+			inStep[id] = true
 		}
 	}
+	machines := []MachineProgress{}
 	for _, id := range s.Selected(&record.Drain) {
-		m, _ := s.Machine(id)
-		progress.Machines = append(progress.Machines, MachineProgress{ID: id, State: stateNames[m.State],
-			Replicas: len(m.Replicas), ArrayTasks: m.arrayTasks(), BeingEmptied: step[id]})
+		machine, _ := s.Machine(id)
+		machines = append(machines, MachineProgress{
+			ID:           id,
+			State:        stateNames[machine.State],
+			Replicas:     len(machine.Replicas),
+			ArrayTasks:   machine.arrayTasks(),
+			BeingEmptied: inStep[id],
+		})
 	}
-	for _, team := range sortedmap.Keys(s.permits) {
-		for _, permit := range s.permits[team].Permits {
-			if permit.Drain == record.Name {
-				progress.Permits++
+	return machines
+}
+
+// countPermits counts the permits of a drain.
+func (s *Snapshot) countPermits(drain string) int {
+	count := 0
+	for _, team := range s.permits {
+		for _, permit := range team.Permits {
+			if permit.Drain == drain {
+				count++
 			}
 		}
 	}
-	nobody := &Controller{
-		Live:        live,
-		Responsible: func(string) bool { return false },
-		RecordBytes: math.MaxInt,
-	}
-	for _, b := range p.Decide(s, nobody).Blocked {
-		if b.Drain == record.Name {
-			progress.Blocked = append(progress.Blocked, b)
-		}
-	}
-	return progress
+	return count
 }
 
+// arrayTasks counts the array tasks on a machine.
 func (m *Machine) arrayTasks() int {
 	n := 0
 	for _, work := range m.ArrayUsage {
@@ -84,7 +104,7 @@
 	return n
 }
 
-// TeamStatus is how a scope stands against its budget.
+// TeamStatus is a scope's availability against its budget.
 type TeamStatus struct {
 	Team            string `json:"team"`
 	Class           string `json:"class,omitempty"`
@@ -96,20 +116,26 @@
 	WorstLoss       int    `json:"lost_with_reserve"`
 }
 
-// Teams lists how all scopes with services stand against their budgets.
+// Teams lists the availability of all scopes with services, by their names.
 func (p *Policy) Teams(s *Snapshot) []TeamStatus {
 	counted := p.availabilityByScope(s)
 	byName := map[string]*Availability{}
-	for scope, a := range counted {
-		byName[scope.String()] = a
+	for scope, availability := range counted {
+		byName[scope.String()] = availability
 	}
 	var out []TeamStatus
 	for _, name := range sortedmap.Keys(byName) {
-		a := byName[name]
+		availability := byName[name]
 		out = append(out, TeamStatus{
-			Team: a.Scope.Team, Class: a.Scope.Class, Budgeted: a.Budgeted, Desired: a.Desired,
-			Available:    a.Available,
-			MinAvailable: a.MinAvailable, ReserveMachines: a.ReserveMachines, WorstLoss: a.worstLoss()})
+			Team:            availability.Scope.Team,
+			Class:           availability.Scope.Class,
+			Budgeted:        availability.Budgeted,
+			Desired:         availability.Desired,
+			Available:       availability.Available,
+			MinAvailable:    availability.MinAvailable,
+			ReserveMachines: availability.ReserveMachines,
+			WorstLoss:       availability.worstLoss(),
+		})
 	}
 	return out
 }
