--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -11,15 +11,23 @@
 	"pipitgap/internal/storage"
 )
 
+const (
+	// bestEffortShardPercent is how much of what a shard may be filled to is for arrays of the lowest priority.
+	bestEffortShardPercent = 80
+	// heldBackDivisor bounds how many of the candidates are kept for more urgent jobs in a pass: past what can be
+	// done, room that is kept is room wasted.
+	heldBackDivisor = 6
+)
+
 // candidateMachine is a candidate of a placement pass together with what it stands for.
 type candidateMachine struct {
 	scheduling.Candidate
 	machine *mirror.Machine
-	update  *shards.Update // nil where only the room counts
+	update  *shards.Update // the update of its shard, which assigns tasks to it
 }
 
-// schedulable tells whether new tasks may go to a machine of ours: it is open, its
-// worker has lately shown that our answers reach it, and nothing speaks against it.
+// schedulable tells whether new tasks may go to a machine of this partition: its worker takes tasks, having
+// acknowledged an answer recently, and the machine isn't suspected to be faulty.
 func (sc *scheduler) schedulable(machine *mirror.Machine, now monotime.Micros) bool {
 	agent := sc.c.agents.Of(machine)
 	return agent != nil && agent.AcceptsTasks(now, sc.c.durations.PlacementSilenceLimit) &&
@@ -28,7 +36,7 @@
 
 // candidateMachines lists the machines of the updates that may get tasks.
 func (sc *scheduler) candidateMachines(updates []*shards.Update, now monotime.Micros) []*candidateMachine {
-	var out []*candidateMachine
+	var candidates []*candidateMachine
 	for _, update := range updates {
 		for _, id := range sortedmap.Keys(update.Machines()) {
 			record, machine := update.Machines()[id], sc.c.mirror.Machines[id]
@@ -45,10 +53,10 @@
 			candidate.TypeCPUs = machineType.CPUs
 			candidate.ServiceCPUs = sc.serviceCPUs(machine)
 			candidate.Closing = sc.c.emptyMachines.isClosed(id)
-			out = append(out, candidate)
+			candidates = append(candidates, candidate)
 		}
 	}
-	return out
+	return candidates
 }
 
 // newCandidate describes a machine of which only the room counts.
@@ -83,11 +91,12 @@
 func (sc *scheduler) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
 	jobByMachine := map[string]string{}
 	for id, pending := range sc.preemptions {
-		if job := sc.c.mirror.Jobs[id]; job != nil && job.IsOpen() && job.UnassignedTasks() > 0 &&
-			now < pending.expiresAt {
-			for m := range pending.machines {
-				jobByMachine[m] = id
-			}
+		job := sc.c.mirror.Jobs[id]
+		if job == nil || !job.IsOpen() || job.UnassignedTasks() <= 0 || now >= pending.expiresAt {
+			continue
+		}
+		for machine := range pending.machines {
+			jobByMachine[machine] = id
 		}
 	}
 	for _, candidate := range candidates {
@@ -100,24 +109,24 @@
 	return shards.FillBytes(sc.c.maxValueBytes())
 }
 
-// shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks
-// as its shard has bytes for: thousands of tiny ones filled the shards, and others found
-// no machine beside room for all of them.
+// shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks as its shard has bytes
+// for: thousands of tiny ones of the lowest priority must not fill the shards, so that others find no machine though
+// there is room for all of them.
 func (sc *scheduler) shardBytesFor(spec *storage.JobSpec) int {
 	if !spec.Service && spec.Priority == int(protocol.BestEffort) {
-		return sc.assignmentShardBytes() * 8 / 10
+		return sc.assignmentShardBytes() * bestEffortShardPercent / 100
 	}
 	return sc.assignmentShardBytes()
 }
 
-// holdMachinesFor keeps the machines nearest to having room for a job from what is less
-// urgent in this pass. Else smaller tasks fill every gap as it opens, and a job
-// of larger ones waits for as long as there are any.
+// holdMachinesFor keeps up to so many machines that are nearest to having room for a job from what is less urgent in
+// this pass. Else smaller tasks fill every gap as it opens, and a job of larger ones waits for as long as there are
+// any.
 func (sc *scheduler) holdMachinesFor(
 	job *mirror.Job,
 	candidates []*candidateMachine,
 	zones *scheduling.ZoneConstraint,
-	n int,
+	machines int,
 ) {
 	held := 0
 	for _, candidate := range candidates {
@@ -125,22 +134,9 @@
 			held++
 		}
 	}
-	// Few at a time: past what can be done, room that is kept is room wasted.
-	n = min(n, max(1, len(candidates)/6)-held)
-	for ; n > 0; n-- {
-		var best *candidateMachine
-		for _, candidate := range candidates {
-			if candidate.HeldBack || candidate.ReservedForJob != "" ||
-				!scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) ||
-				!zones.Allows(candidate.Record.Zone) {
-				continue
-			}
-			machineType := sc.c.catalog.MachineTypes()[candidate.Record.Type]
-			if job.TaskResources.FitsIn(mirror.MachineCapacity(&machineType)) &&
-				(best == nil || candidate.Free.CPUs > best.Free.CPUs) {
-				best = candidate
-			}
-		}
+	machines = min(machines, max(1, len(candidates)/heldBackDivisor)-held)
+	for range machines {
+		best := sc.nearestToRoom(job, candidates, zones)
 		if best == nil {
 			return
 		}
@@ -148,13 +144,36 @@
 	}
 }
 
-// serviceCPUs tells what services hold of a machine.
+// nearestToRoom finds the machine with the most CPUs free among those that a task of a job would fit on if they were
+// empty; nil if there is none that isn't kept for others.
+func (sc *scheduler) nearestToRoom(
+	job *mirror.Job,
+	candidates []*candidateMachine,
+	zones *scheduling.ZoneConstraint,
+) *candidateMachine {
+	var best *candidateMachine
+	for _, candidate := range candidates {
+		if candidate.HeldBack || candidate.ReservedForJob != "" ||
+			!scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) ||
+			!zones.Allows(candidate.Record.Zone) {
+			continue
+		}
+		machineType := sc.c.catalog.MachineTypes()[candidate.Record.Type]
+		if job.TaskResources.FitsIn(mirror.MachineCapacity(&machineType)) &&
+			(best == nil || candidate.Free.CPUs > best.Free.CPUs) {
+			best = candidate
+		}
+	}
+	return best
+}
+
+// serviceCPUs counts the CPUs that services hold of a machine.
 func (sc *scheduler) serviceCPUs(machine *mirror.Machine) float64 {
-	n := 0.0
+	held := 0.0
 	for task := range machine.Attempts {
 		if job := sc.c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
-			n += job.TaskResources.CPUs
+			held += job.TaskResources.CPUs
 		}
 	}
-	return n
+	return held
 }
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestCrashLoopingJobsCostNoMachines: jobs that fail everywhere, beside good ones, cost a few tries, no
+// TestCrashLoopingJobsCostNoMachines: jobs that fail everywhere, beside good ones, cost a few trials, no
 // machine and no rental; a machine on which everything fails is still found and
 // replaced, and what failed there goes on elsewhere. Each job that failed used to
 // speak against its machines, and all of its tasks were tried again at every pause.
@@ -132,7 +132,7 @@
 				t.Errorf("%d replicas started anew, %d stood on faulty machines", again, moved)
 			}
 			if n := c.cloud.MachineCount(); n > 4 {
-				t.Errorf("%d machines for six replicas and an occasional try", n)
+				t.Errorf("%d machines for six replicas and an occasional trial", n)
 			}
 			starts, tasks := 0, 30*tc.mistakes
 			for task, n := range c.fleet.Starts {
@@ -192,7 +192,7 @@
 }
 
 // TestCrashLoopingJobIsRetriedOnNewMachine: a job that failed on all machines there were is tried again
-// though none is left and nothing else would have any rented: it may have been the machines.
+// though none is left and nothing else would have any requested: it may have been the machines.
 func TestCrashLoopingJobIsRetriedOnNewMachine(t *testing.T) {
 	c := newCluster(t, 960)
 	c.settings.ScaleDownDelay, c.settings.ServiceHeadroom = config.Duration(5*second), 0.3
--- /dev/null
+++ b/internal/coordination/job_placement.go
@@ -0,0 +1,245 @@
+package coordination
+
+import (
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/quota"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/scheduling"
+	"pipitgap/internal/storage"
+)
+
+// jobPlacement is what a placement does for one job.
+type jobPlacement struct {
+	*placement
+	job      *mirror.Job
+	spec     *storage.JobSpec
+	tracking *jobTracking
+
+	spotOnly         bool // held to spot machines, see scheduler.spotOnly
+	crashLooping     bool // placed for an occasional trial only
+	oneCommitAtATime bool // its tasks go out by one commit at a time
+	preempting       bool // machines are kept for it
+	hasReservation   bool // room is held for replicas of it that are being moved
+
+	limits         quota.Limits
+	quotaRoom      resources.Vector // left of this partition's share of its team's limit
+	zoneConstraint *scheduling.ZoneConstraint
+	request        *scheduling.MachineRequest
+	shape          scheduling.TaskShape // what decides where its tasks may run,
+	teamShape      scheduling.TaskShape // and within which team's limit
+
+	maxTasks        int  // tasks that it may be given
+	pendingTasks    int  // tasks of this partition's ranges that wait
+	noRoom          bool // no machine has room for a task
+	quotaShort      bool // the share of the team's limit doesn't allow one
+	shardBytesLimit int  // bytes that a shard may come to take
+
+	fittingAtStart []*candidateMachine // those with room for a task when it was first looked for
+	chosenMachine  *candidateMachine
+	preferred      []*candidateMachine // those of the shard that its last task went to
+	lastAssigned   storage.Attempt
+}
+
+// beginJob prepares the placement of a job's tasks; nil if it isn't its time.
+func (p *placement) beginJob(job *mirror.Job) *jobPlacement {
+	c, spec := p.core, &job.Record.Spec
+	jobPlan := &jobPlacement{
+		placement:        p,
+		job:              job,
+		spec:             spec,
+		tracking:         c.scheduler.trackingOf(job.ID),
+		spotOnly:         c.scheduler.spotOnly(job),
+		crashLooping:     c.scheduler.isCrashLooping(job),
+		oneCommitAtATime: spec.OneZone || spec.Spread,
+		maxTasks:         spec.Tasks,
+	}
+	trials := 0
+	if jobPlan.crashLooping {
+		if trials = c.scheduler.crashLoopTrials(job, p.now); trials == 0 {
+			return nil
+		}
+	}
+	if !jobPlan.recordIsSettled() {
+		jobPlan.keepStolenRoom()
+		return nil
+	}
+	if c.scheduler.isStarved(job, p.now) {
+		jobPlan.maxTasks = jobPlan.tracking.progress.Missing(job.DoneTasks + job.AssignedTasks)
+	}
+	if jobPlan.crashLooping {
+		jobPlan.maxTasks = trials
+	}
+	jobPlan.zoneConstraint = zoneConstraintOf(c.mirror, job)
+	jobPlan.request = c.scheduler.machineRequest(job, jobPlan.zoneConstraint)
+	jobPlan.request.SpotOnly = jobPlan.spotOnly
+	jobPlan.shardBytesLimit = c.scheduler.shardBytesFor(spec)
+	jobPlan.preempting = c.scheduler.isPreempting(job.ID, p.now)
+	jobPlan.hasReservation = p.reservations.hasReservationFor(job)
+	jobPlan.findQuota()
+	jobPlan.recallShortages()
+	return jobPlan
+}
+
+// recordIsSettled tells whether the job's record, as the mirror has it, says who places its tasks.
+func (p *jobPlacement) recordIsSettled() bool {
+	c, job := p.core, p.job
+	if p.now < p.tracking.placeNotBefore || c.recordWritesInFlight[job.ID] {
+		return false
+	}
+	return c.mirror.WatchedRevision >= job.Version || c.scheduler.acceptedRevisions[job.ID] == job.Version
+}
+
+// keepStolenRoom keeps the room of tasks that are being taken over from other partitions.
+func (p *jobPlacement) keepStolenRoom() {
+	if stolen := &p.tracking.reassignment; p.now < stolen.stolenUntil {
+		reserveRoom(p.job.TaskResources, p.spec, p.candidates, stolen.stolenTasks)
+	}
+}
+
+// findQuota finds what is left of the partition's share of the team's limit.
+func (p *jobPlacement) findQuota() {
+	p.limits, _ = p.core.quota.Limits(p.spec.Team)
+	left, known := p.quotaLeft[p.spec.Team]
+	if !known {
+		left = p.core.quota.Left(p.spec.Team)
+	}
+	p.quotaRoom = left
+}
+
+// recallShortages recalls what was found in this pass for tasks of the same shape. A job for which room is kept may
+// still find some. Without a share of the team's limit only what a shard gives back counts.
+func (p *jobPlacement) recallShortages() {
+	need := mirror.TaskResources(p.spec)
+	p.shape = scheduling.ShapeOf(p.spec, need, "")
+	p.teamShape = scheduling.ShapeOf(p.spec, need, p.spec.Team)
+	if p.preempting || p.hasReservation {
+		return
+	}
+	withinQuota := p.job.TaskResources.FitsIn(p.quotaRoom)
+	p.noRoom = withinQuota && p.noRoomFor[p.shape]
+	p.quotaShort = !withinQuota && p.noRoomFor[p.teamShape]
+}
+
+// searchSpace lists the candidates that a machine for the job's next task is looked for among.
+func (p *jobPlacement) searchSpace() []*candidateMachine {
+	if !p.sampling || p.hasReservation {
+		return p.candidates
+	}
+	if p.fittingAtStart == nil {
+		p.fittingAtStart = p.fittingCandidates(p.shape, p.job.TaskResources)
+	}
+	return p.fittingAtStart
+}
+
+// assignTasks gives the job's tasks of this partition's ranges to machines, as far as there is room.
+func (p *jobPlacement) assignTasks() {
+	job := p.job
+	for _, taskRange := range job.Record.TaskRanges {
+		if taskRange.Partition != p.core.node {
+			continue
+		}
+		for i := taskRange.First; i < taskRange.End; i++ {
+			if job.TaskStates[i] != 0 {
+				continue
+			}
+			if p.tasksInDoubt[mirror.TaskID{Job: job.ID, Index: i}] {
+				if p.oneCommitAtATime {
+					return
+				}
+				continue
+			}
+			p.pendingTasks++
+			if !p.noRoom && !p.quotaShort && p.maxTasks > 0 {
+				p.assignTask(i)
+			}
+		}
+	}
+}
+
+// assignTask gives one task to a machine, or notes why it can't.
+func (p *jobPlacement) assignTask(task int) {
+	c, job := p.core, p.job
+	// What a shard's own attempts give back can be used by the same write.
+	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
+	if p.needsNewMachine(task, freedQuotaOnly) {
+		p.request.FreedQuotaOnly = freedQuotaOnly
+		p.chosenMachine = c.scheduler.chooseMachine(p.request, machineSearch{
+			candidates: p.searchSpace(),
+			preferred:  p.preferred,
+			sampled:    p.sampling,
+		})
+	}
+	if p.chosenMachine == nil {
+		p.noteNoMachine(freedQuotaOnly)
+		return
+	}
+	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
+	if p.spec.Service && !withImage && !waitedForImage(job, p.wallNow) &&
+		c.scheduler.preemptFor(p.preemptionRequest(1, true)) {
+		// Room is being made beside the image: sooner than a fetch.
+		p.maxTasks = 0
+		return
+	}
+	p.assignToChosen(task)
+	p.pendingTasks--
+	p.maxTasks--
+}
+
+// needsNewMachine tells whether a task can't just follow the one before.
+func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
+	candidate, taskResources := p.chosenMachine, p.job.TaskResources
+	return candidate == nil ||
+		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedQuota(p.spec.Team)) ||
+		p.spec.Service ||
+		!taskResources.FitsIn(candidate.Free) ||
+		!p.zoneConstraint.Allows(candidate.Record.Zone) ||
+		candidate.TaskCount >= scheduling.MaxTasksPerMachine ||
+		candidate.update.MaxBytes()+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
+}
+
+// noteNoMachine notes that no machine takes a task of the job, also for others like it.
+func (p *jobPlacement) noteNoMachine(freedQuotaOnly bool) {
+	p.quotaShort, p.noRoom = freedQuotaOnly, !freedQuotaOnly
+	if p.oneCommitAtATime || p.preempting || p.hasReservation || p.spotOnly ||
+		p.tracking.failures.ExcludesAny() {
+		return
+	}
+	p.noRoomFor[p.shape] = p.noRoomFor[p.shape] || p.noRoom
+	p.noRoomFor[p.teamShape] = p.noRoomFor[p.teamShape] || p.quotaShort
+}
+
+// assignToChosen writes a task into the update of the chosen machine's shard.
+func (p *jobPlacement) assignToChosen(task int) {
+	c, job, candidate := p.core, p.job, p.chosenMachine
+	update, machine := candidate.update, candidate.MachineID
+	p.preferred = p.candidatesByUpdate[update]
+	update.BeginJob(job)
+	if p.limits.Limited() {
+		sharesKey := storage.Key(storage.KindPartition, c.node)
+		update.AddCompare(sharesKey, c.mirror.VersionOf(sharesKey))
+	}
+	joinsRange := p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1
+	p.lastAssigned = storage.Attempt{
+		Task:     task,
+		Machine:  machine,
+		Number:   c.mirror.NewestRevision,
+		Starting: c.drains.TracksStart(p.spec),
+	}
+	c.scheduler.jobsInPass[job.ID] = true
+	update.Assign(job, p.lastAssigned, joinsRange)
+	c.emptyMachines.reopen(machine)
+	candidate.Closing = false
+	candidate.Free = candidate.Free.AddScaled(job.TaskResources, -1)
+	candidate.TaskCount++
+	if p.spec.Service {
+		candidate.ServiceCPUs += job.TaskResources.CPUs
+	}
+	candidate.machine.CachedImages[p.spec.Image] = true
+	if !p.limits.Limited() || !update.UseFreedQuota(p.spec.Team, job.TaskResources) {
+		p.quotaRoom = p.quotaRoom.AddScaled(job.TaskResources, -1)
+	}
+	p.zoneConstraint.AddTasks(candidate.Record.Zone, 1)
+	if p.oneCommitAtATime {
+		p.request.Fence = update
+	}
+}
--- /dev/null
+++ b/internal/coordination/job_shortages.go
@@ -0,0 +1,115 @@
+package coordination
+
+import (
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/quota"
+)
+
+// What a placement does for a job whose tasks found no room or no quota.
+
+// stolenRoomTimeout is how long room is kept for tasks that are being taken over.
+const stolenRoomTimeout = monotime.Second
+
+// noteQuotaShortage notes that the partition's share of the team's limit keeps the job's tasks waiting.
+func (p *jobPlacement) noteQuotaShortage() {
+	if _, known := p.hasRoomFor[p.shape]; !known {
+		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
+	}
+	p.core.quota.NoteShortage(p.spec.Team, quota.UnmetDemand{
+		TaskResources:  p.job.TaskResources,
+		Tasks:          p.pendingTasks,
+		ShareLeft:      p.quotaRoom,
+		HasMachineRoom: p.hasRoomFor[p.shape],
+	})
+}
+
+// urgentInOtherPartition tells whether the job waits at other partitions only and has an objective that it can still
+// meet. It goes before what is less urgent here: otherwise small jobs of large tasks miss their deadlines in a
+// partition without a gap while others give theirs to tasks that have time.
+func (p *jobPlacement) urgentInOtherPartition() bool {
+	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass &&
+		!p.noRoomFor[p.shape] &&
+		p.job.UnassignedTasks() > 0 &&
+		p.core.scheduler.slackOf(p.job, p.wallNow).CanMeetObjective()
+}
+
+// stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room for them. One job a
+// pass, because each costs a write.
+func (p *jobPlacement) stealUrgentTasks() {
+	c, job := p.core, p.job
+	if tasksThatFit(job, p.candidates) == 0 {
+		p.noRoomFor[p.shape] = true
+		p.holdMachinesFor(job.UnassignedTasks())
+		return
+	}
+	if p.now < c.scheduler.nextWorkStealAt {
+		return // others use the room until a write may be spent
+	}
+	tasks := c.scheduler.stealTasksOfJob(job, workStealing{
+		candidates:      p.candidates,
+		quotaLeftByTeam: p.quotaLeft,
+		capacities:      p.freePartitionCapacity(),
+		wall:            p.wallNow,
+	})
+	moves := &p.tracking.reassignment
+	moves.stolenTasks, moves.stolenUntil = tasks, p.now+stolenRoomTimeout
+	p.reassignedThisPass = tasks > 0
+	reserveRoom(job.TaskResources, p.spec, p.candidates, min(tasks, job.UnassignedTasks()))
+}
+
+// holdMachinesFor keeps machines for this partition's fraction of so many waiting tasks of the job.
+func (p *jobPlacement) holdMachinesFor(tasks int) {
+	partitions := len(p.core.controllers)
+	fraction := (tasks + partitions - 1) / partitions
+	p.core.scheduler.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, fraction)
+}
+
+// preemptionRequest asks for room for so many tasks of the job by stopping others.
+func (p *jobPlacement) preemptionRequest(tasks int, besideImage bool) preemptionRequest {
+	return preemptionRequest{
+		job:         p.job,
+		tasks:       tasks,
+		zones:       p.zoneConstraint,
+		candidates:  p.candidates,
+		now:         p.now,
+		besideImage: besideImage,
+	}
+}
+
+// makeRoomByPreemption stops others' work for a service, and for a job within its team's guarantee that found no room
+// for a while; where that can't be done here, the job's tasks go to a partition that can.
+func (p *jobPlacement) makeRoomByPreemption() {
+	c, job := p.core, p.job
+	tasks := p.pendingTasks
+	if !p.spec.Service {
+		p.holdMachinesFor(p.pendingTasks)
+		if p.preemptScavengers() || !p.mayReclaimGuarantee() {
+			return
+		}
+		tasks = min(p.pendingTasks, guaranteePreemptionBatch)
+	}
+	// Each hand-over costs a write, and so does taking tasks over, which comes after: the time of the last
+	// hand-over is only noted where one was made, so that a service has its turn as soon as a write is allowed.
+	if c.scheduler.preemptFor(p.preemptionRequest(tasks, false)) ||
+		p.now-p.tracking.reassignment.handedOverAt <= reassignmentInterval ||
+		p.now < c.scheduler.nextWorkStealAt {
+		return
+	}
+	if to := c.scheduler.bestPreemptionTarget(p.freePartitionCapacity(), job); to != "" &&
+		c.scheduler.handOverTasks(job, to) {
+		p.tracking.reassignment.handedOverAt = p.now
+	}
+}
+
+// preemptScavengers stops preemptible work for the tasks that the quota allows, and tells whether room is being made.
+func (p *jobPlacement) preemptScavengers() bool {
+	tasks := min(p.pendingTasks, p.job.TaskResources.CountIn(p.quotaRoom))
+	return tasks > 0 && p.anyPreemptible() &&
+		p.core.scheduler.preemptScavengers(p.preemptionRequest(tasks, false))
+}
+
+// mayReclaimGuarantee tells whether an array may stop what other teams run beyond their guarantees.
+func (p *jobPlacement) mayReclaimGuarantee() bool {
+	return p.wallNow-p.job.Record.AcceptedAt > int64(guaranteePreemptionDelay) &&
+		p.core.scheduler.entitledToGuarantee(p.job)
+}
--- a/internal/coordination/queue_order_test.go
+++ b/internal/coordination/queue_order_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestDeadlineBoostIsLimitedPerTeam: of each team's late jobs those with least work are urgent before their
-// next aim, up to a partition of what the team can run.
+// next objective, up to a fraction of what the team can run.
 func TestDeadlineBoostIsLimitedPerTeam(t *testing.T) {
 	c := newCluster(t, 3)
 	c.teams = []config.Team{{Name: "free"}, {Name: "tight", CPUsMax: 12}}
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -10,10 +10,10 @@
 // The scavenger class is work that has no objective: arrays of the lowest priority that may use spot machines, of a
 // team without a guarantee, with no deadline and no objective of their class. It uses spare room and spot machines
 // that pay, and is preempted at once: otherwise a single long array could hold half of the machines, ordinary ones
-// rented for it, while urgent work waits for gaps.
+// requested for it, while urgent work waits for gaps.
 
 // scavengerStartDelay is how long a scavenger job waits for such room before one ordinary machine
-// may be rented for it: it must begin at some time, wherever nothing else is to be had.
+// may be requested for it: it must begin at some time, wherever nothing else is to be had.
 const scavengerStartDelay = monotime.Minute
 
 // isScavenger tells whether a job is of the scavenger class.
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestOnlyWorkWithoutObjectiveIsPreemptible: only work that nobody has an aim for gives way to arrays. Small
-// urgent tasks had stopped tasks of whole machines, with an aim of their own, hundreds of times a day.
+// TestOnlyWorkWithoutObjectiveIsPreemptible: only work without an objective is preempted for arrays. Otherwise small
+// urgent tasks stop tasks of whole machines that have an objective of their own, again and again.
 func TestOnlyWorkWithoutObjectiveIsPreemptible(t *testing.T) {
 	c := newCluster(t, 790)
 	c.teams = []config.Team{{Name: "free", CPUs: 4, CPUsMax: 200}, {Name: "other", CPUs: 100, CPUsMax: 200}}
@@ -33,8 +33,8 @@
 		change func(*storage.JobSpec)
 		want   bool
 	}{
-		{"nobody has an aim for it", func(*storage.JobSpec) {}, true},
-		{"an aim of its class", func(spec *storage.JobSpec) { spec.Class = "survey" }, false},
+		{"without an objective", func(*storage.JobSpec) {}, true},
+		{"an objective of its class", func(spec *storage.JobSpec) { spec.Class = "survey" }, false},
 		{"a deadline", func(spec *storage.JobSpec) { spec.DeadlineS = 100 }, false},
 		{"it saves nothing", func(spec *storage.JobSpec) { spec.CheckpointS = 0 }, false},
 		{"a service", func(spec *storage.JobSpec) { spec.Service = true }, false},
@@ -46,10 +46,10 @@
 	}
 }
 
-// TestScavengerWorkUsesSpareRoom: work that nobody has an aim for takes what room there is and spot
+// TestScavengerWorkUsesSpareRoom: work without an objective takes what room there is and spot
 // machines, begins also where there are neither, and is out of the way within
 // seconds when others come; what it did is saved. Without that an array of hours held
-// its machines, ordinary ones rented for it, while others waited for gaps.
+// its machines, ordinary ones requested for it, while others waited for gaps.
 func TestScavengerWorkUsesSpareRoom(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -65,7 +65,7 @@
 				}
 			}
 			c.startWithLeader()
-			swarms := c.submit(
+			scavenger := c.submit(
 				600*second,
 				withTeam("guest"),
 				withPriority(protocol.BestEffort),
@@ -83,7 +83,7 @@
 					ordinary++
 				}
 			}
-			begun := c.fleet.Running(swarms)
+			begun := c.fleet.Running(scavenger)
 			if tc.spot == 0 && (begun == 0 || ordinary > 1) || tc.spot > 0 && (begun < 30 || ordinary > 0) {
 				t.Fatalf("%d of its tasks run, %d ordinary machines", begun, ordinary)
 			}
@@ -99,7 +99,7 @@
 				}
 			}
 			c.sim.Run(20 * second)
-			if n := c.fleet.Running(swarms); n < begun*3/4 {
+			if n := c.fleet.Running(scavenger); n < begun*3/4 {
 				t.Errorf("%d of its tasks run again, %d before", n, begun)
 			}
 			c.requireNoViolations()
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -18,16 +18,16 @@
 	cases := []struct {
 		name           string
 		owner          string
-		incarnation    uint64 // 0: ours
+		incarnation    uint64 // 0: this controller's
 		inDoubtUpdates bool
 		left           float64
 	}{
-		{"our page", "n-0", 0, false, 6},
-		{"our page, and a commit in doubt", "n-0", 0, true, 4},
+		{"own shard", "n-0", 0, false, 6},
+		{"own shard, and a commit in doubt", "n-0", 0, true, 4},
 		// Once counted as free: after a restart of four controllers a team ran more
 		// than its limit allows.
-		{"a page of an earlier life, not claimed yet", "n-0", 7, false, 6},
-		{"another part's page", "n-1", 7, false, 10},
+		{"a shard of an earlier incarnation, not claimed yet", "n-0", 7, false, 6},
+		{"another partition's shard", "n-1", 7, false, 10},
 	}
 	for _, tc := range cases {
 		c := newCluster(t, 33)
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestOrphanedServicePreemptsLowerPriority: a service whose part has gone gets room by stopping lesser work,
-// though no part has any free. Left to whoever has room, it waited for a minute.
+// TestOrphanedServicePreemptsLowerPriority: a service whose partition's controller has gone gets room by
+// stopping lesser work, though no partition has any free. Left to whoever has room, it would wait.
 func TestOrphanedServicePreemptsLowerPriority(t *testing.T) {
 	c := newCluster(t, 34)
 	clear(c.cloud.Capacity)
@@ -154,14 +154,14 @@
 	c.kill("n-1")
 	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = -100
 	if !c.sim.RunUntil(60*second, all) {
-		t.Error("a service of the part that has gone is still down")
+		t.Error("a service of the partition that has gone is still down")
 	}
 	c.requireNoViolations()
 }
 
-// TestHandOverHasItsTurn: a service that its partition has no room for is handed on as
-// soon as that may be written again, however often the part takes tasks of others:
-// a try in between doesn't cost it its turn.
+// TestTaskHandOverIsNotStarvedByStealing: a service that its partition has no room for is handed on as
+// soon as that may be written again, however often the partition takes tasks of others:
+// an attempt in between doesn't cost it its turn.
 func TestTaskHandOverIsNotStarvedByStealing(t *testing.T) {
 	c := newCluster(t, 5).startWithLeader()
 	core := c.nodes["n-0"].controller
@@ -213,7 +213,7 @@
 }
 
 // TestUrgentJobIsStolenFirst: a small job of large tasks begins soon though nothing ends on
-// the machines of the part that it was given to, while the others' gaps would go to
+// the machines of the partition that it was given to, while the others' gaps would go to
 // tasks that have more time: the most urgent of all goes first, wherever it waits.
 func TestUrgentJobIsStolenFirst(t *testing.T) {
 	c := newCluster(t, 300)
