--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -23,6 +23,11 @@
 	Mirror        *mirror.Mirror
 	Environment   Environment
 	Store         Store
+	Replica       Replica
+	RecordWrites  RecordWrites
+	Pauses        Pauses
+	Membership    Membership
+	Reachability  Reachability
 	Peers         Peers
 	Shards        Shards
 	Scheduler     Scheduler
@@ -46,42 +51,65 @@
 	)
 }
 
-// Store is the state service and the mirror's connection to it.
+// Store is the state service.
 type Store interface {
+	// Unavailable tells whether this controller doesn't reach it.
+	Unavailable() bool
+}
+
+// Replica keeps the mirror up to date.
+type Replica interface {
 	// Ready tells whether the records have been read.
 	Ready() bool
-	// MirrorStale tells whether the process was paused and the mirror not brought up to date since.
-	MirrorStale(now monotime.Micros) bool
+	// FreshAt is when the request was sent that last brought the mirror up to date.
+	FreshAt() monotime.Micros
 	// WatchOverdue tells whether the watch hasn't answered for so long that the mirror may be outdated.
 	WatchOverdue(now monotime.Micros) bool
-	Unavailable() bool
-	// UnavailableOnlyHere names a controller that reaches the state service while this one doesn't.
-	UnavailableOnlyHere(now monotime.Micros) (peer string, only bool)
-	// BeginRecordWrite tells whether a write of a record may begin, which keeps others out until
-	// EndRecordWrite.
-	BeginRecordWrite(key string) bool
-	EndRecordWrite(key string)
 	// Commit makes a conditional write; on success it is in the mirror before callback is called.
 	Commit(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult))
 }
 
-// Peers knows the other controllers, and whether this one is connected.
-type Peers interface {
+// RecordWrites notes the keys of records with a write in flight.
+type RecordWrites interface {
+	Contains(key string) bool
+	Begin(key string)
+	End(key string)
+}
+
+// Pauses tells when the process was paused while its clocks ran.
+type Pauses interface {
+	// IsStale tells whether what was up to date at an instant must not be trusted because of a pause since.
+	IsStale(freshAt, now monotime.Micros) bool
+	// ResumedFromPauseAt is when the last pause ended; 0: there was none.
+	ResumedFromPauseAt() monotime.Micros
+}
+
+// Membership knows which controllers are members.
+type Membership interface {
 	IsMember(node string) bool
-	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
-	ConnectedControllers() []string
+}
+
+// Reachability judges whom this controller and the others reach.
+type Reachability interface {
+	// StoreUnreachableOnlyHere names a controller that reaches the state service while this one doesn't.
+	StoreUnreachableOnlyHere(now monotime.Micros) (peer string, onlyHere bool)
+	// IsSuperseded tells whether this controller reaches neither the state service nor any other for so long
+	// that the others, if there are any, have taken its machines over.
+	IsSuperseded(now monotime.Micros) bool
 	// IsCutOffFromWorkers tells whether a controller is known not to reach its workers.
 	IsCutOffFromWorkers(node string, now monotime.Micros) bool
+	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
+	ConnectedControllers() []string
+	// UpdateReachability judges from the silence of all own machines whether this controller reaches its
+	// workers.
+	UpdateReachability(overall reachability.SilenceCount, now monotime.Micros)
+}
+
+// Peers holds the last status of each other controller.
+type Peers interface {
 	HeardRecently(node string, now monotime.Micros) bool
 	// LastHeardAt is when a controller last sent its status; 0: never.
 	LastHeardAt(node string) monotime.Micros
-	// IsSuperseded tells whether this controller reaches neither the state service nor any other for so long
-	// that the others, if there are any, have taken its machines over.
-	IsSuperseded(now monotime.Micros) bool
-	// ResumedFromPauseAt is when the process last went on after a pause; 0: it had none.
-	ResumedFromPauseAt() monotime.Micros
-	// UpdateReachability judges from the silence of all machines whether this controller reaches its workers.
-	UpdateReachability(overall reachability.SilenceCount, now monotime.Micros)
 }
 
 // Shards holds the claims on the machines.
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -69,7 +69,7 @@
 	case owner == m.node: // an earlier incarnation of this controller
 		m.claimWithShard(report, respond, now)
 	case !isMember:
-		successor := membership.RendezvousOwner(machine.Shard.Name, m.peers.ConnectedControllers())
+		successor := membership.RendezvousOwner(machine.Shard.Name, m.reachability.ConnectedControllers())
 		if successor != m.node {
 			respond(redirectResponse(successor))
 			return
@@ -206,7 +206,7 @@
 		case claimed && machine != nil && m.Has(machine):
 			respond(m.answerHeartbeat(machine, report))
 		case machine != nil && machine.Record != nil &&
-			machine.Owner() != m.node && m.peers.IsMember(machine.Owner()):
+			machine.Owner() != m.node && m.membership.IsMember(machine.Owner()):
 			respond(redirectResponse(machine.Owner()))
 		default:
 			respond(protocol.ErrorResponse(503, "claim not made"))
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -38,8 +38,8 @@
 	m.shards.ExpireClaimRequests(now)
 	// Without a fresh mirror a claim may have moved on long ago: after a cut of this controller's own all
 	// machines look silent, and are no longer its own.
-	if _, only := m.store.UnavailableOnlyHere(now); only || m.store.Unavailable() ||
-		m.store.WatchOverdue(now) {
+	if _, onlyHere := m.reachability.StoreUnreachableOnlyHere(now); onlyHere || m.store.Unavailable() ||
+		m.replica.WatchOverdue(now) {
 		return
 	}
 	check := &healthCheck{now: now}
@@ -55,7 +55,7 @@
 
 // silenceOf is how long an agent hasn't shown that it is reached; during a pause of this process none could.
 func (m *Manager) silenceOf(agent *Agent, now monotime.Micros) monotime.Micros {
-	return now - max(agent.LastReachedAt(), m.peers.ResumedFromPauseAt())
+	return now - max(agent.LastReachedAt(), m.pauses.ResumedFromPauseAt())
 }
 
 // countSilentMachines counts the silent machines, by zone too, and judges from that whether this controller,
@@ -81,9 +81,9 @@
 		zone.Add(silent, !agent.HasReported())
 		overall.Add(silent, !agent.HasReported())
 	}
-	resumedAt := m.peers.ResumedFromPauseAt()
+	resumedAt := m.pauses.ResumedFromPauseAt()
 	if check.now-resumedAt > m.durations.SuspicionTimeout || resumedAt == 0 {
-		m.peers.UpdateReachability(overall, check.now)
+		m.reachability.UpdateReachability(overall, check.now)
 	}
 	check.silent = max(check.silent, 1) - 1 // one alone may always be the one
 	for zone, silence := range zones {
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -42,13 +42,13 @@
 
 // refuseAll gives the answer to any heartbeat while none may renew a lease here.
 func (m *Manager) refuseAll(now monotime.Micros) (refusal transport.Response, refused bool) {
-	if peer, only := m.store.UnavailableOnlyHere(now); only {
+	if peer, onlyHere := m.reachability.StoreUnreachableOnlyHere(now); onlyHere {
 		return redirectResponse(peer), true
 	}
-	if !m.store.Ready() {
+	if !m.replica.Ready() {
 		return protocol.ErrorResponse(503, "records not read yet"), true
 	}
-	if m.store.MirrorStale(now) {
+	if m.pauses.IsStale(m.replica.FreshAt(), now) {
 		// It may have waited here for as long as the process was paused.
 		return protocol.ErrorResponse(503, "stood still"), true
 	}
@@ -109,7 +109,7 @@
 // found nobody: then this controller is the one that is left, or the zone is cut off with it, and it answers
 // as before.
 func (m *Manager) redirectsAway(agent *Agent, now monotime.Micros) bool {
-	return m.peers.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
+	return m.reachability.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
 }
 
 // answerHeartbeat applies a heartbeat from an own machine and gives the answer.
@@ -153,7 +153,7 @@
 		m.designateThisController(name, report, now)
 		return
 	}
-	if m.peers.IsMember(designated) && !m.peers.IsCutOffFromWorkers(designated, now) {
+	if m.membership.IsMember(designated) && !m.reachability.IsCutOffFromWorkers(designated, now) {
 		respond(redirectResponse(designated))
 	} else {
 		respond(redirectResponse("")) // the leader is about to name another
@@ -187,14 +187,15 @@
 	now monotime.Micros,
 ) {
 	key := storage.Key(storage.KindScaleOut, requestName)
-	if now < m.nextDesignationChangeAt || !m.store.BeginRecordWrite(key) {
+	if m.recordWrites.Contains(key) || now < m.nextDesignationChangeAt {
 		return
 	}
+	m.recordWrites.Begin(key)
 	m.nextDesignationChangeAt = now + designationPause
 	m.verifyReport(report, false, func(ok bool) {
 		request := m.mirror.ScaleOuts[requestName]
 		if !ok || request == nil {
-			m.store.EndRecordWrite(key)
+			m.recordWrites.End(key)
 			return
 		}
 		record := request.Record
@@ -204,9 +205,9 @@
 				record.Own[machine] = controller
 			}
 		}
-		m.store.Commit(ratelimit.PriorityBackground, protocol.Transaction{
+		m.replica.Commit(ratelimit.PriorityBackground, protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: request.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
-		}, func(protocol.StoreResult) { m.store.EndRecordWrite(key) })
+		}, func(protocol.StoreResult) { m.recordWrites.End(key) })
 	})
 }
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -25,6 +25,11 @@
 	mirror        *mirror.Mirror
 	env           Environment
 	store         Store
+	replica       Replica
+	recordWrites  RecordWrites
+	pauses        Pauses
+	membership    Membership
+	reachability  Reachability
 	peers         Peers
 	shards        Shards
 	scheduler     Scheduler
@@ -52,6 +57,11 @@
 		mirror:            dependencies.Mirror,
 		env:               dependencies.Environment,
 		store:             dependencies.Store,
+		replica:           dependencies.Replica,
+		recordWrites:      dependencies.RecordWrites,
+		pauses:            dependencies.Pauses,
+		membership:        dependencies.Membership,
+		reachability:      dependencies.Reachability,
 		peers:             dependencies.Peers,
 		shards:            dependencies.Shards,
 		scheduler:         dependencies.Scheduler,
--- a/internal/agents/manager_test.go
+++ b/internal/agents/manager_test.go
@@ -77,23 +77,19 @@
 }
 
 func (s *stubs) Ready() bool                       { return !s.notReady }
-func (s *stubs) MirrorStale(monotime.Micros) bool  { return s.mirrorStale }
+func (s *stubs) FreshAt() monotime.Micros          { return s.now }
 func (s *stubs) WatchOverdue(monotime.Micros) bool { return s.watchOverdue }
 func (s *stubs) Unavailable() bool                 { return s.unavailable }
 
-func (s *stubs) UnavailableOnlyHere(monotime.Micros) (peer string, only bool) {
-	return s.unavailableOnlyHere, s.unavailableOnlyHere != ""
-}
+func (s *stubs) IsStale(_, _ monotime.Micros) bool { return s.mirrorStale }
 
-func (s *stubs) BeginRecordWrite(key string) bool {
-	if s.recordWrites[key] {
-		return false
-	}
-	s.recordWrites[key] = true
-	return true
+func (s *stubs) StoreUnreachableOnlyHere(monotime.Micros) (peer string, onlyHere bool) {
+	return s.unavailableOnlyHere, s.unavailableOnlyHere != ""
 }
 
-func (s *stubs) EndRecordWrite(key string) { delete(s.recordWrites, key) }
+func (s *stubs) Contains(key string) bool { return s.recordWrites[key] }
+func (s *stubs) Begin(key string)         { s.recordWrites[key] = true }
+func (s *stubs) End(key string)           { delete(s.recordWrites, key) }
 
 func (s *stubs) Commit(
 	_ ratelimit.Priority,
@@ -170,6 +166,11 @@
 			Mirror:        replica,
 			Environment:   s,
 			Store:         s,
+			Replica:       s,
+			RecordWrites:  s,
+			Pauses:        s,
+			Membership:    s,
+			Reachability:  s,
 			Peers:         s,
 			Shards:        s,
 			Scheduler:     s,
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -6,8 +6,6 @@
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/ratelimit"
-	"pipitgap/internal/reachability"
 )
 
 // newAgentManager makes what answers the workers.
@@ -17,8 +15,13 @@
 		agents.Dependencies{
 			Mirror:        c.mirror,
 			Environment:   c.env,
-			Store:         agentStore{c},
-			Peers:         agentPeers{c},
+			Store:         c.store,
+			Replica:       c.replica,
+			RecordWrites:  c.recordWritesInFlight,
+			Pauses:        c.pauses,
+			Membership:    c.membership,
+			Reachability:  c.reachability,
+			Peers:         c.peerStatuses,
 			Shards:        agentShards{c},
 			Scheduler:     agentScheduler{c},
 			Cancellations: c.cancellations,
@@ -43,67 +46,8 @@
 	return names
 }
 
-// agentStore gives package agents the state service and the replica of its records.
-type agentStore struct{ c *Controller }
-
-func (s agentStore) Ready() bool { return s.c.replica.Ready() }
-
-func (s agentStore) MirrorStale(now monotime.Micros) bool { return s.c.mirrorStale(now) }
-
-func (s agentStore) WatchOverdue(now monotime.Micros) bool { return s.c.replica.WatchOverdue(now) }
-
-func (s agentStore) Unavailable() bool { return s.c.store.Unavailable() }
-
-func (s agentStore) UnavailableOnlyHere(now monotime.Micros) (peer string, only bool) {
-	return s.c.reachability.StoreUnreachableOnlyHere(now)
-}
-
-func (s agentStore) BeginRecordWrite(key string) bool {
-	if s.c.recordWritesInFlight.Contains(key) {
-		return false
-	}
-	s.c.recordWritesInFlight.Begin(key)
-	return true
-}
-
-func (s agentStore) EndRecordWrite(key string) { s.c.recordWritesInFlight.End(key) }
-
-func (s agentStore) Commit(
-	priority ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	s.c.replica.Commit(priority, txn, callback)
-}
-
-// agentPeers gives package agents the other controllers and what this one reaches.
-type agentPeers struct{ c *Controller }
-
-func (p agentPeers) IsMember(node string) bool { return p.c.membership.IsMember(node) }
-
-func (p agentPeers) ConnectedControllers() []string { return p.c.reachability.ConnectedControllers() }
-
-func (p agentPeers) IsCutOffFromWorkers(node string, now monotime.Micros) bool {
-	return p.c.reachability.IsCutOffFromWorkers(node, now)
-}
-
-func (p agentPeers) HeardRecently(node string, now monotime.Micros) bool {
-	return p.c.peerStatuses.HeardRecently(node, now)
-}
-
-func (p agentPeers) LastHeardAt(node string) monotime.Micros {
-	return p.c.peerStatuses.LastHeardAt(node)
-}
-
-func (p agentPeers) IsSuperseded(now monotime.Micros) bool { return p.c.reachability.IsSuperseded(now) }
-
-func (p agentPeers) ResumedFromPauseAt() monotime.Micros { return p.c.pauses.ResumedFromPauseAt() }
-
-func (p agentPeers) UpdateReachability(overall reachability.SilenceCount, now monotime.Micros) {
-	p.c.reachability.UpdateReachability(overall, now)
-}
-
-// agentShards gives package agents the claims on machines.
+// agentShards gives package agents the claims on machines. Their manager is made later than that of the agents,
+// which it needs itself.
 type agentShards struct{ c *Controller }
 
 func (s agentShards) Owns(shard *mirror.Shard) bool { return s.c.shards.Owns(shard) }
