--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// bestEffortShardPercent is how much of what a shard may be filled to is for arrays of the lowest priority.
+	// bestEffortShardPercent is how much of what a shard may be filled to is for arrays of the lowest
+	// priority.
 	bestEffortShardPercent = 80
-	// heldBackDivisor bounds how many of the candidates are kept for more urgent jobs in a pass: past what can be
-	// done, room that is kept is room wasted.
+	// heldBackDivisor bounds how many of the candidates are kept for more urgent jobs in a pass: past what
+	// can be done, room that is kept is room wasted.
 	heldBackDivisor = 6
 )
 
@@ -109,9 +110,9 @@
 	return shards.FillBytes(sc.c.maxValueBytes())
 }
 
-// shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks as its shard has bytes
-// for: thousands of tiny ones of the lowest priority must not fill the shards, so that others find no machine though
-// there is room for all of them.
+// shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks as its shard has
+// bytes for: thousands of tiny ones of the lowest priority must not fill the shards, so that others find no
+// machine though there is room for all of them.
 func (sc *scheduler) shardBytesFor(spec *storage.JobSpec) int {
 	if !spec.Service && spec.Priority == int(protocol.BestEffort) {
 		return sc.assignmentShardBytes() * bestEffortShardPercent / 100
@@ -119,9 +120,9 @@
 	return sc.assignmentShardBytes()
 }
 
-// holdMachinesFor keeps up to so many machines that are nearest to having room for a job from what is less urgent in
-// this pass. Else smaller tasks fill every gap as it opens, and a job of larger ones waits for as long as there are
-// any.
+// holdMachinesFor keeps up to so many machines that are nearest to having room for a job from what is less
+// urgent in this pass. Else smaller tasks fill every gap as it opens, and a job of larger ones waits for as
+// long as there are any.
 func (sc *scheduler) holdMachinesFor(
 	job *mirror.Job,
 	candidates []*candidateMachine,
@@ -144,8 +145,8 @@
 	}
 }
 
-// nearestToRoom finds the machine with the most CPUs free among those that a task of a job would fit on if they were
-// empty; nil if there is none that isn't kept for others.
+// nearestToRoom finds the machine with the most CPUs free among those that a task of a job would fit on if
+// they were empty; nil if there is none that isn't kept for others.
 func (sc *scheduler) nearestToRoom(
 	job *mirror.Job,
 	candidates []*candidateMachine,
--- a/internal/coordination/failure_attribution.go
+++ b/internal/coordination/failure_attribution.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// failuresOf is what this controller has seen of a job's failures, nil where it has noted nothing about the job.
+// failuresOf is what this controller has seen of a job's failures, nil where it has noted nothing about the
+// job.
 func (sc *scheduler) failuresOf(id string) *scheduling.JobFailures {
 	if tracking := sc.jobStates[id]; tracking != nil {
 		return &tracking.failures
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// attributeFailures tells whose fault a job's failures are. That some task of it is done stands in the shards for all
-// controllers; on how many machines it has failed the others tell in their statuses.
+// attributeFailures tells whose fault a job's failures are. That some task of it is done stands in the shards
+// for all controllers; on how many machines it has failed the others tell in their statuses.
 func (sc *scheduler) attributeFailures(id string) scheduling.Attribution {
 	job := sc.c.mirror.Jobs[id]
 	if job == nil {
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -32,7 +32,10 @@
 	}
 	core.scheduler.trackingOf("others").failures.Record("i-1", 0)
 	for _, peer := range []string{"n-1", "n-2"} {
-		core.peerStatuses.Update(&peers.Status{Node: peer, FailingJobs: map[string]int{"others": 1}}, core.now())
+		core.peerStatuses.Update(
+			&peers.Status{Node: peer, FailingJobs: map[string]int{"others": 1}},
+			core.now(),
+		)
 	}
 	for _, tc := range []struct {
 		name             string
--- a/internal/coordination/job_placement.go
+++ b/internal/coordination/job_placement.go
@@ -106,8 +106,8 @@
 	p.quotaRoom = left
 }
 
-// recallShortages recalls what was found in this pass for tasks of the same shape. A job for which room is kept may
-// still find some. Without a share of the team's limit only what a shard gives back counts.
+// recallShortages recalls what was found in this pass for tasks of the same shape. A job for which room is
+// kept may still find some. Without a share of the team's limit only what a shard gives back counts.
 func (p *jobPlacement) recallShortages() {
 	need := mirror.TaskResources(p.spec)
 	p.shape = scheduling.ShapeOf(p.spec, need, "")
--- a/internal/coordination/job_shortages.go
+++ b/internal/coordination/job_shortages.go
@@ -23,9 +23,9 @@
 	})
 }
 
-// urgentInOtherPartition tells whether the job waits at other partitions only and has an objective that it can still
-// meet. It goes before what is less urgent here: otherwise small jobs of large tasks miss their deadlines in a
-// partition without a gap while others give theirs to tasks that have time.
+// urgentInOtherPartition tells whether the job waits at other partitions only and has an objective that it
+// can still meet. It goes before what is less urgent here: otherwise small jobs of large tasks miss their
+// deadlines in a partition without a gap while others give theirs to tasks that have time.
 func (p *jobPlacement) urgentInOtherPartition() bool {
 	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass &&
 		!p.noRoomFor[p.shape] &&
@@ -33,8 +33,8 @@
 		p.core.scheduler.slackOf(p.job, p.wallNow).CanMeetObjective()
 }
 
-// stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room for them. One job a
-// pass, because each costs a write.
+// stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room for them.
+// One job a pass, because each costs a write.
 func (p *jobPlacement) stealUrgentTasks() {
 	c, job := p.core, p.job
 	if tasksThatFit(job, p.candidates) == 0 {
@@ -76,8 +76,8 @@
 	}
 }
 
-// makeRoomByPreemption stops others' work for a service, and for a job within its team's guarantee that found no room
-// for a while; where that can't be done here, the job's tasks go to a partition that can.
+// makeRoomByPreemption stops others' work for a service, and for a job within its team's guarantee that found
+// no room for a while; where that can't be done here, the job's tasks go to a partition that can.
 func (p *jobPlacement) makeRoomByPreemption() {
 	c, job := p.core, p.job
 	tasks := p.pendingTasks
@@ -89,7 +89,8 @@
 		tasks = min(p.pendingTasks, guaranteePreemptionBatch)
 	}
 	// Each hand-over costs a write, and so does taking tasks over, which comes after: the time of the last
-	// hand-over is only noted where one was made, so that a service has its turn as soon as a write is allowed.
+	// hand-over is only noted where one was made, so that a service has its turn as soon as a write is
+	// allowed.
 	if c.scheduler.preemptFor(p.preemptionRequest(tasks, false)) ||
 		p.now-p.tracking.reassignment.handedOverAt <= reassignmentInterval ||
 		p.now < c.scheduler.nextWorkStealAt {
@@ -101,7 +102,8 @@
 	}
 }
 
-// preemptScavengers stops preemptible work for the tasks that the quota allows, and tells whether room is being made.
+// preemptScavengers stops preemptible work for the tasks that the quota allows, and tells whether room is
+// being made.
 func (p *jobPlacement) preemptScavengers() bool {
 	tasks := min(p.pendingTasks, p.job.TaskResources.CountIn(p.quotaRoom))
 	return tasks > 0 && p.anyPreemptible() &&
--- a/internal/coordination/job_tracking.go
+++ b/internal/coordination/job_tracking.go
@@ -39,8 +39,8 @@
 	delete(sc.acceptedRevisions, id)
 }
 
-// noteAccepted notes that this controller committed a new job at a revision: its tasks can be placed before the
-// watch has come to the record, as no other controller can have placed any.
+// noteAccepted notes that this controller committed a new job at a revision: its tasks can be placed before
+// the watch has come to the record, as no other controller can have placed any.
 func (sc *scheduler) noteAccepted(id string, revision uint64) { sc.acceptedRevisions[id] = revision }
 
 // noteRecordChange notes that a job's record has changed.
--- a/internal/coordination/machine_choice.go
+++ b/internal/coordination/machine_choice.go
@@ -17,8 +17,8 @@
 const (
 	// newJobBytes is what a job's first task adds to its shard at most, beside the job's id.
 	newJobBytes = 32
-	// comparesPerTxnOp and reservedCompares bound how many records a shard's write is conditional on: the rest
-	// is for what the commit itself adds.
+	// comparesPerTxnOp and reservedCompares bound how many records a shard's write is conditional on: the
+	// rest is for what the commit itself adds.
 	comparesPerTxnOp = 4
 	reservedCompares = 4
 )
@@ -72,8 +72,8 @@
 	}
 }
 
-// chooseMachine picks the machine for a task: spot before ordinary where the job may, one that has the image, the
-// tightest fit. Under overload it looks at a sample, and at all before it says that there is no room.
+// chooseMachine picks the machine for a task: spot before ordinary where the job may, one that has the image,
+// the tightest fit. Under overload it looks at a sample, and at all before it says that there is no room.
 func (sc *scheduler) chooseMachine(
 	request *scheduling.MachineRequest,
 	search machineSearch,
--- a/internal/coordination/objectives.go
+++ b/internal/coordination/objectives.go
@@ -10,7 +10,8 @@
 	"pipitgap/internal/storage"
 )
 
-// latestStarts are the times by which the objectives want a job's tasks to start, see scheduling.LatestStarts.
+// latestStarts are the times by which the objectives want a job's tasks to start, see
+// scheduling.LatestStarts.
 func (sc *scheduler) latestStarts(spec *storage.JobSpec) []float64 {
 	runSeconds := autoscaling.EstimateMargin * sc.expectedRunSeconds(spec)
 	return scheduling.LatestStarts(sc.c.cfg.Facts.Objectives, spec, runSeconds)
--- a/internal/coordination/partition_capacity.go
+++ b/internal/coordination/partition_capacity.go
@@ -44,8 +44,8 @@
 	return p.TasksFitting(spec, mirror.TaskResources(spec), partition)
 }
 
-// partitionForNewJob names the partition with most room for a new job; for a service, one that has its image too comes
-// first. If none has room: the one that could make most by preemption for a service, or this one.
+// partitionForNewJob names the partition with most room for a new job; for a service, one that has its image
+// too comes first. If none has room: the one that could make most by preemption for a service, or this one.
 func (sc *scheduler) partitionForNewJob(spec *storage.JobSpec) string {
 	capacity, need := sc.capacityByPartition(), mirror.TaskResources(spec)
 	fit := scheduling.PreemptionFit{Spec: spec, Need: need, Freed: func(machine string) resources.Vector {
@@ -93,11 +93,15 @@
 	if partition, ok := capacity.preemptionTargets[preemptor]; ok {
 		return partition
 	}
-	fit := scheduling.PreemptionFit{Spec: spec, Need: job.TaskResources, Freed: func(machine string) resources.Vector {
-		return sc.resourcesOn(machine, func(victim *mirror.Job) bool {
-			return victim.IsOpen() && sc.mayPreempt(job, victim)
-		})
-	}}
+	fit := scheduling.PreemptionFit{
+		Spec: spec,
+		Need: job.TaskResources,
+		Freed: func(machine string) resources.Vector {
+			return sc.resourcesOn(machine, func(victim *mirror.Job) bool {
+				return victim.IsOpen() && sc.mayPreempt(job, victim)
+			})
+		},
+	}
 	partition := scheduling.BestPartition(sc.c.membership.LiveControllers(), "", func(partition string) int {
 		if partition == sc.c.node {
 			return 0
--- a/internal/coordination/placement_pass.go
+++ b/internal/coordination/placement_pass.go
@@ -34,9 +34,10 @@
 	reassignedThisPass bool                        // room is kept for a job whose tasks are being taken over
 
 	// What was found for shapes of tasks. Room only shrinks in a pass.
-	noRoomFor      map[scheduling.TaskShape]bool                // no machine has room for them
-	hasRoomFor     map[scheduling.TaskShape]bool                // whether what lacks quota could start here
-	fittingByShape map[scheduling.TaskShape][]*candidateMachine // when sampling: candidates last seen with room
+	noRoomFor  map[scheduling.TaskShape]bool // no machine has room for them
+	hasRoomFor map[scheduling.TaskShape]bool // whether what lacks quota could start here
+	// when sampling: candidates last seen with room
+	fittingByShape map[scheduling.TaskShape][]*candidateMachine
 
 	// Made when they are first needed.
 	partitionCapacity  *partitionCapacity
@@ -44,8 +45,8 @@
 	preemptibleRunning bool // whether any running work is preemptible by arrays
 }
 
-// placeTasks gives the waiting tasks of this partition's ranges to machines of the updates; where nothing has room it
-// makes some, or looks for the partition that could.
+// placeTasks gives the waiting tasks of this partition's ranges to machines of the updates; where nothing has
+// room it makes some, or looks for the partition that could.
 func (sc *scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
 	if sc.c.catalog.MachineTypes() == nil || !sc.c.membership.HoldsLease(now) {
 		return
@@ -66,7 +67,8 @@
 	sc.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
 }
 
-// newPlacement takes the machines of the updates as candidates, less the room that is kept on them, for so many jobs.
+// newPlacement takes the machines of the updates as candidates, less the room that is kept on them, for so
+// many jobs.
 func (sc *scheduler) newPlacement(updates []*shards.Update, jobs int, now monotime.Micros) *placement {
 	p := &placement{
 		core:           sc.c,
@@ -129,8 +131,8 @@
 	return served
 }
 
-// fittingCandidates lists the candidates with room for a task of a shape. Where samples are looked at and most
-// machines are full, all of them would be looked at again for each task.
+// fittingCandidates lists the candidates with room for a task of a shape. Where samples are looked at and
+// most machines are full, all of them would be looked at again for each task.
 func (p *placement) fittingCandidates(
 	shape scheduling.TaskShape,
 	taskResources resources.Vector,
--- a/internal/coordination/preempt.go
+++ b/internal/coordination/preempt.go
@@ -13,7 +13,8 @@
 	preemptionTimeout = 3 * monotime.Second
 	// maxPreemptionsPerPass is for how many tasks of a job a pass makes room at most.
 	maxPreemptionsPerPass = 8
-	// imageFetchLossPerGB is how many CPU seconds of lost work avoiding the fetch of a gigabyte of an image is worth.
+	// imageFetchLossPerGB is how many CPU seconds of lost work avoiding the fetch of a gigabyte of an image
+	// is worth.
 	imageFetchLossPerGB = 8
 	// imageFetchLossPerCPU is how many CPU seconds of lost work for each of its CPUs a service
 	// is worth that starts beside its image rather than fetching it.
@@ -49,9 +50,9 @@
 	return pending != nil && now < pending.expiresAt
 }
 
-// preemptFor stops tasks so that up to as many tasks of a job as requested get room on the partition's machines; the
-// cheapest loss first, see mayPreempt. For its priority only a service preempts: an array gains little by it and the
-// work thrown away is paid for. It tells whether room is being made.
+// preemptFor stops tasks so that up to as many tasks of a job as requested get room on the partition's
+// machines; the cheapest loss first, see mayPreempt. For its priority only a service preempts: an array gains
+// little by it and the work thrown away is paid for. It tells whether room is being made.
 func (sc *scheduler) preemptFor(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
@@ -83,8 +84,9 @@
 	return true
 }
 
-// cheapestPreemption looks for the machine on which room for one task costs the least work. A sample of machines is
-// enough when there are many: the loss hardly differs, and each look goes over all that runs there.
+// cheapestPreemption looks for the machine on which room for one task costs the least work. A sample of
+// machines is enough when there are many: the loss hardly differs, and each look goes over all that runs
+// there.
 func (sc *scheduler) cheapestPreemption(request *preemptionRequest) (best preemptionPlan, ok bool) {
 	candidates := request.candidates
 	for i := range min(len(candidates), sampleAboveMachines) {
@@ -115,7 +117,8 @@
 		candidate.AvailableTo(job.ID)
 }
 
-// preemptionOn tells what to stop on a machine for one task. An image that would have to be fetched counts as a loss.
+// preemptionOn tells what to stop on a machine for one task. An image that would have to be fetched counts as
+// a loss.
 func (sc *scheduler) preemptionOn(
 	candidate *candidateMachine,
 	request *preemptionRequest,
--- a/internal/coordination/scavenger.go
+++ b/internal/coordination/scavenger.go
@@ -7,10 +7,10 @@
 	"pipitgap/internal/scheduling"
 )
 
-// The scavenger class is work that has no objective: arrays of the lowest priority that may use spot machines, of a
-// team without a guarantee, with no deadline and no objective of their class. It uses spare room and spot machines
-// that pay, and is preempted at once: otherwise a single long array could hold half of the machines, ordinary ones
-// requested for it, while urgent work waits for gaps.
+// The scavenger class is work that has no objective: arrays of the lowest priority that may use spot
+// machines, of a team without a guarantee, with no deadline and no objective of their class. It uses spare
+// room and spot machines that pay, and is preempted at once: otherwise a single long array could hold half of
+// the machines, ordinary ones requested for it, while urgent work waits for gaps.
 
 // scavengerStartDelay is how long a scavenger job waits for such room before one ordinary machine
 // may be requested for it: it must begin at some time, wherever nothing else is to be had.
@@ -36,9 +36,9 @@
 		monotime.Micros(sc.c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay
 }
 
-// isPreemptible tells whether a job's tasks may be stopped for arrays of higher priority: they have no objective,
-// their work can be saved, and their team uses more than its guarantee. Work with an objective would miss it if it
-// were stopped, and begins again only when as much room is free at once.
+// isPreemptible tells whether a job's tasks may be stopped for arrays of higher priority: they have no
+// objective, their work can be saved, and their team uses more than its guarantee. Work with an objective
+// would miss it if it were stopped, and begins again only when as much room is free at once.
 func (sc *scheduler) isPreemptible(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	return scheduling.MayBePreemptible(spec) && job.IsOpen() && !sc.hasObjective(spec) &&
@@ -51,8 +51,8 @@
 }
 
 // preemptScavengers stops preemptible work, so that up to as many tasks of a job as requested get room on the
-// partition's machines: one look at each, as many tasks on each as it can make room for. It tells whether room is
-// being made.
+// partition's machines: one look at each, as many tasks on each as it can make room for. It tells whether
+// room is being made.
 func (sc *scheduler) preemptScavengers(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -11,8 +11,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestOnlyWorkWithoutObjectiveIsPreemptible: only work without an objective is preempted for arrays. Otherwise small
-// urgent tasks stop tasks of whole machines that have an objective of their own, again and again.
+// TestOnlyWorkWithoutObjectiveIsPreemptible: only work without an objective is preempted for arrays.
+// Otherwise small urgent tasks stop tasks of whole machines that have an objective of their own, again and
+// again.
 func TestOnlyWorkWithoutObjectiveIsPreemptible(t *testing.T) {
 	c := newCluster(t, 790)
 	c.teams = []config.Team{{Name: "free", CPUs: 4, CPUsMax: 200}, {Name: "other", CPUs: 100, CPUsMax: 200}}
--- a/internal/coordination/scheduler.go
+++ b/internal/coordination/scheduler.go
@@ -5,8 +5,8 @@
 	"pipitgap/internal/scheduling"
 )
 
-// scheduler orders the open jobs, places their tasks on machines and preempts others for them. What is decided on its
-// inputs alone is in package scheduling.
+// scheduler orders the open jobs, places their tasks on machines and preempts others for them. What is
+// decided on its inputs alone is in package scheduling.
 type scheduler struct {
 	c *Controller
 
--- a/internal/coordination/scheduling_pass.go
+++ b/internal/coordination/scheduling_pass.go
@@ -14,9 +14,9 @@
 )
 
 // runPass is a round over this controller's shards: what has ended is released, machines come and go, waiting
-// tasks are assigned to what is free, and each shard that has changed is written once. However many tasks start
-// and end, that is what it costs; with more to write than the state service takes, passes come less often and
-// each carries more.
+// tasks are assigned to what is free, and each shard that has changed is written once. However many tasks
+// start and end, that is what it costs; with more to write than the state service takes, passes come less
+// often and each carries more.
 func (sc *scheduler) runPass(now monotime.Micros) {
 	if sc.c.store.Unavailable() || !sc.c.membership.HoldsLease(now) || sc.c.quota.WriteInFlight() {
 		return // assignments depend on the quota shares that are being written
@@ -29,8 +29,8 @@
 	updates = sc.c.shards.AdmitClaimRequests(updates, now)
 	sc.placeTasks(updates, now)
 	written := 0
-	// Updates that take machines over change the controller's quota shares, which the assignments of the others
-	// compare: they go last, or all others would fail.
+	// Updates that take machines over change the controller's quota shares, which the assignments of the
+	// others compare: they go last, or all others would fail.
 	for _, takingOver := range []bool{false, true} {
 		for _, update := range updates {
 			if update.Changed() && update.ChangesOtherRecords() == takingOver {
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -5,9 +5,11 @@
 	"fmt"
 	"log/slog"
 
+	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 )
 
+// activityCounters counts what the log's summary shows, since the start.
 type activityCounters struct {
 	tasksPlaced, jobsFailed int
 	// machines, by placement
@@ -15,40 +17,42 @@
 	permitWrites     int
 }
 
-// LogQueue tells at debug which jobs wait at the front, and why.
+// queueHeadLength is how many jobs LogQueue shows.
+const queueHeadLength = 12
+
+// LogQueue logs at debug which jobs are first in the queue, and why they wait.
 func (c *Controller) LogQueue() {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	s := ""
-	for i, job := range c.scheduler.orderedQueue() {
-		if i == 12 {
-			break
-		}
-		slack := c.scheduler.slackOf(job, c.env.WallClock())
-		s += fmt.Sprintf(
-			" %s(%s %s age %.0f slack %.0f missed %d"+
-				" starved %v within_guarantee %v waiting %d pending_here %d"+
-				" backoff_ms %d update_in_flight %v mirror_stale %v)",
-			job.ID,
-			job.Record.Spec.Class,
-			job.Record.Spec.Team,
-			monotime.Micros(c.env.WallClock()-job.Record.AcceptedAt).
-				Seconds(),
-			slack.Seconds,
-			slack.Missed,
-			c.scheduler.isStarved(job, c.now()),
-			c.scheduler.withinGuarantee(job),
-			job.UnassignedTasks(),
-			job.PendingInPartition(c.node),
-			max(
-				0,
-				c.scheduler.trackingOf(job.ID).placeNotBefore-c.now(),
-			).Milliseconds(),
-			c.recordWritesInFlight[job.ID],
-			c.mirror.WatchedRevision < job.Version,
-		)
+	queue := c.scheduler.orderedQueue()
+	head := ""
+	for _, job := range queue[:min(len(queue), queueHeadLength)] {
+		head += c.scheduler.describeWait(job)
 	}
+	c.log.Debug("queue head", "queue", head, "quota_shares", c.describeQuotaShares())
+}
+
+// describeWait tells how urgent a job is and what keeps it waiting.
+func (sc *scheduler) describeWait(job *mirror.Job) string {
+	spec, now, wall := &job.Record.Spec, sc.c.now(), sc.c.env.WallClock()
+	slack := sc.slackOf(job, wall)
+	age := monotime.Micros(wall - job.Record.AcceptedAt)
+	backoff := max(0, sc.trackingOf(job.ID).placeNotBefore-now)
+	return fmt.Sprintf(
+		" %s(%s %s age %.0f slack %.0f missed %d"+
+			" starved %v within_guarantee %v waiting %d pending_here %d"+
+			" backoff_ms %d update_in_flight %v mirror_stale %v)",
+		job.ID, spec.Class, spec.Team, age.Seconds(), slack.Seconds, slack.Missed,
+		sc.isStarved(job, now), sc.withinGuarantee(job), job.UnassignedTasks(),
+		job.PendingInPartition(sc.c.node),
+		backoff.Milliseconds(), sc.c.recordWritesInFlight[job.ID],
+		sc.c.mirror.WatchedRevision < job.Version,
+	)
+}
+
+// describeQuotaShares tells what this controller's shares of the teams' limits are and leave.
+func (c *Controller) describeQuotaShares() string {
 	shares := ""
 	for i := range c.cfg.Facts.Teams {
 		team := c.cfg.Facts.Teams[i].Name
@@ -62,61 +66,62 @@
 			)
 		}
 	}
-	c.log.Debug("queue head", "queue", s, "quota_shares", shares)
+	return shares
 }
 
-// Summary is one line about the node, for the log.
-func (c *Controller) Summary() string {
-	shards, waiting, running, used, all := 0, 0, 0, 0.0, 0.0
+// clusterTotals sums up the cluster as the mirror has it.
+type clusterTotals struct {
+	ownShards, waitingTasks, runningTasks int
+	usedCPUs, allCPUs                     float64
+}
+
+func (c *Controller) clusterTotals() clusterTotals {
+	var totals clusterTotals
 	for _, shard := range c.mirror.Shards {
 		if c.shards.Owns(shard) {
-			shards++
+			totals.ownShards++
 		}
 	}
 	for _, job := range c.mirror.Jobs {
 		if job.IsOpen() {
-			waiting += job.UnassignedTasks()
-			running += job.AssignedTasks
+			totals.waitingTasks += job.UnassignedTasks()
+			totals.runningTasks += job.AssignedTasks
 		}
 	}
 	for _, machine := range c.mirror.Machines {
 		if machine.Record != nil {
-			used += machine.Used.CPUs
-			all += c.catalog.MachineTypes()[machine.Record.Type].CPUs
+			totals.usedCPUs += machine.Used.CPUs
+			totals.allCPUs += c.catalog.MachineTypes()[machine.Record.Type].CPUs
 		}
 	}
-	s := fmt.Sprintf(
+	return totals
+}
+
+// Summary is one line about the controller and the cluster, for the log.
+func (c *Controller) Summary() string {
+	totals := c.clusterTotals()
+	summary := fmt.Sprintf(
 		"jobs %d waiting %d running %d machines %d cpus %.0f/%.0f members %d shards %d"+
 			" accepted %d deferred %d placed %d done %d conflicts %d throttled %d",
-		len(
-			c.mirror.Jobs,
-		),
-		waiting,
-		running,
-		len(c.mirror.Machines),
-		used,
-		all,
-		len(c.mirror.Members),
-		shards,
-		c.api.Counters().JobsAccepted,
-		c.api.Counters().RequestsDeferred,
-		c.counters.tasksPlaced,
-		c.jobs.Completed(),
-		c.replica.CommitConflicts(),
-		c.store.ThrottledCalls(),
+		len(c.mirror.Jobs), totals.waitingTasks, totals.runningTasks,
+		len(c.mirror.Machines), totals.usedCPUs, totals.allCPUs,
+		len(c.mirror.Members), totals.ownShards,
+		c.api.Counters().JobsAccepted, c.api.Counters().RequestsDeferred,
+		c.counters.tasksPlaced, c.jobs.Completed(),
+		c.replica.CommitConflicts(), c.store.ThrottledCalls(),
 	)
 	if c.drains != nil {
-		s += fmt.Sprintf(" permit_writes %d", c.counters.permitWrites)
+		summary += fmt.Sprintf(" permit_writes %d", c.counters.permitWrites)
 	}
 	for i := range c.cfg.Facts.Teams {
-		if teamConfig := &c.cfg.Facts.Teams[i]; teamConfig.CPUsMax > 0 {
-			s += fmt.Sprintf(
+		if team := &c.cfg.Facts.Teams[i]; team.CPUsMax > 0 {
+			summary += fmt.Sprintf(
 				" %s %.0f/%.0f",
-				teamConfig.Name,
-				c.mirror.UseByTeam[teamConfig.Name].CPUs,
-				teamConfig.CPUsMax,
+				team.Name,
+				c.mirror.UseByTeam[team.Name].CPUs,
+				team.CPUsMax,
 			)
 		}
 	}
-	return s
+	return summary
 }
--- a/internal/coordination/task_ranges.go
+++ b/internal/coordination/task_ranges.go
@@ -26,8 +26,8 @@
 	workStealingWrites  = 0.1
 )
 
-// assignTaskRanges divides a new job among the partitions: whole to the one with most room, or what each has room
-// for, and the rest evenly. What binds the tasks of a divided job together stands in its own record.
+// assignTaskRanges divides a new job among the partitions: whole to the one with most room, or what each has
+// room for, and the rest evenly. What binds the tasks of a divided job together stands in its own record.
 func (sc *scheduler) assignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
 	controllers := sc.c.reachability.ConnectedControllers()
 	if spec.Tasks == 1 || spec.Service || spec.OneZone || spec.Spread || len(controllers) == 0 {
@@ -83,9 +83,9 @@
 	return out
 }
 
-// reassignTaskRanges changes which partitions place a job's tasks, and tells whether the write is under way. Whatever
-// a range's owner assigned before stands in the shards by then, whatever it would assign after fails on the
-// record's version; so the new owner may begin once its mirror has come that far.
+// reassignTaskRanges changes which partitions place a job's tasks, and tells whether the write is under way.
+// Whatever a range's owner assigned before stands in the shards by then, whatever it would assign after fails
+// on the record's version; so the new owner may begin once its mirror has come that far.
 func (sc *scheduler) reassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
@@ -133,9 +133,9 @@
 	return false
 }
 
-// adoptOrphanedTasks takes over the waiting tasks of partitions whose controller has gone, or doesn't reach its
-// machines. Each job has one successor for that, whether it has room for them or not: only their owner makes
-// room for services by preemption, or requests machines that nobody else would.
+// adoptOrphanedTasks takes over the waiting tasks of partitions whose controller has gone, or doesn't reach
+// its machines. Each job has one successor for that, whether it has room for them or not: only their owner
+// makes room for services by preemption, or requests machines that nobody else would.
 func (sc *scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
 	controllers := sc.c.reachability.ConnectedControllers()
 	for _, job := range jobs {
@@ -154,7 +154,10 @@
 }
 
 // withoutOrphanedRanges gives the orphaned ones among a job's ranges to this partition.
-func (sc *scheduler) withoutOrphanedRanges(ranges []storage.TaskRange, now monotime.Micros) []storage.TaskRange {
+func (sc *scheduler) withoutOrphanedRanges(
+	ranges []storage.TaskRange,
+	now monotime.Micros,
+) []storage.TaskRange {
 	adopted := ranges
 	for _, taskRange := range ranges {
 		partition := taskRange.Partition
--- a/internal/coordination/work_stealing.go
+++ b/internal/coordination/work_stealing.go
@@ -14,8 +14,8 @@
 const (
 	// ownerGracePeriod is how long the owner of a new job's tasks that seems to have room has to use it.
 	ownerGracePeriod = 3 * monotime.Second
-	// reassignmentGracePeriod is the same for an owner that has just taken tasks over: without it tasks could be
-	// stolen in turn by several partitions without ever starting.
+	// reassignmentGracePeriod is the same for an owner that has just taken tasks over: without it tasks could
+	// be stolen in turn by several partitions without ever starting.
 	reassignmentGracePeriod = 1 * monotime.Second
 )
 
@@ -27,9 +27,10 @@
 	wall            int64 // time of day, microseconds
 }
 
-// stealWork looks for waiting tasks of other partitions that this one has room for: of partitions whose controller
-// has gone, that have no room for them, or that haven't used what they seem to have. That hands tasks on in one write,
-// at the time when there is room, and lets each partition's room go to the most urgent tasks of all.
+// stealWork looks for waiting tasks of other partitions that this one has room for: of partitions whose
+// controller has gone, that have no room for them, or that haven't used what they seem to have. That hands
+// tasks on in one write, at the time when there is room, and lets each partition's room go to the most urgent
+// tasks of all.
 func (sc *scheduler) stealWork(
 	jobs []*mirror.Job,
 	candidates []*candidateMachine,
@@ -120,9 +121,9 @@
 		!sc.isCrashLooping(job)
 }
 
-// roomForStolenTasks counts the tasks of a job that fit here and into what is left of the team's share. A partition
-// with machines but without a share of the team's limit would leave the tasks for ever to one with a share but
-// without machines: it notes the shortage.
+// roomForStolenTasks counts the tasks of a job that fit here and into what is left of the team's share. A
+// partition with machines but without a share of the team's limit would leave the tasks for ever to one with
+// a share but without machines: it notes the shortage.
 func (sc *scheduler) roomForStolenTasks(job *mirror.Job, work workStealing) int {
 	room := tasksThatFit(job, work.candidates)
 	if room == 0 {
@@ -147,8 +148,8 @@
 	return within
 }
 
-// ownerHasGracePeriod tells whether a live partition that seems to have room for a job's tasks still has time to place
-// them.
+// ownerHasGracePeriod tells whether a live partition that seems to have room for a job's tasks still has time
+// to place them.
 func (sc *scheduler) ownerHasGracePeriod(job *mirror.Job, partition string, work workStealing) bool {
 	if !sc.c.membership.IsMember(partition) ||
 		work.capacities.tasksFitting(&job.Record.Spec, partition) == 0 {
@@ -170,7 +171,8 @@
 		if n <= 0 {
 			return
 		}
-		if !candidate.HeldBack && candidate.ReservedForJob == "" && scheduling.MachineAllowed(spec, candidate.Record) {
+		if !candidate.HeldBack && candidate.ReservedForJob == "" &&
+			scheduling.MachineAllowed(spec, candidate.Record) {
 			k := min(n, taskResources.CountIn(candidate.Free))
 			candidate.Free = candidate.Free.AddScaled(taskResources, -float64(k))
 			n -= k
--- a/internal/scheduling/failure_attribution.go
+++ b/internal/scheduling/failure_attribution.go
@@ -4,10 +4,10 @@
 	"pipitgap/internal/monotime"
 )
 
-// A task that fails speaks against its machine or against its job. Judging by the machine alone, a few faulty jobs
-// would cost many good machines; judging by the job alone, a machine on which everything fails would go on taking
-// tasks. So both sides count: on which other machines the job has failed, whether any of its tasks ever completed,
-// and whose tasks failed on the machine.
+// A task that fails speaks against its machine or against its job. Judging by the machine alone, a few faulty
+// jobs would cost many good machines; judging by the job alone, a machine on which everything fails would go
+// on taking tasks. So both sides count: on which other machines the job has failed, whether any of its tasks
+// ever completed, and whose tasks failed on the machine.
 
 const (
 	// jobFaultMachines is on how many machines a job fails, nothing completed, until the fault is its own.
@@ -39,7 +39,8 @@
 	SinceLastFailure monotime.Micros
 }
 
-// AttributeByProgress judges by whether any of the job's tasks completed; FaultUnknown where that isn't known yet.
+// AttributeByProgress judges by whether any of the job's tasks completed; FaultUnknown where that isn't known
+// yet.
 func AttributeByProgress(job JobEvidence) Attribution {
 	switch {
 	case !job.Open:
@@ -53,7 +54,8 @@
 	return FaultUnknown
 }
 
-// AttributeByMachines judges a job, nothing of which has completed, by the number of machines it has failed on.
+// AttributeByMachines judges a job, nothing of which has completed, by the number of machines it has failed
+// on.
 func AttributeByMachines(failedMachines int) Attribution {
 	if failedMachines >= jobFaultMachines {
 		return JobAtFault
--- a/internal/scheduling/failures_test.go
+++ b/internal/scheduling/failures_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestCrashLoopBackoff: a job in a crash loop has one trial after each pause, the pauses double up to the longest,
-// and a completion ends them.
+// TestCrashLoopBackoff: a job in a crash loop has one trial after each pause, the pauses double up to the
+// longest, and a completion ends them.
 func TestCrashLoopBackoff(t *testing.T) {
 	const second = monotime.Second
 	limits := Backoff{First: 4 * second, Max: 10 * second}
--- a/internal/scheduling/job_failures.go
+++ b/internal/scheduling/job_failures.go
@@ -5,8 +5,8 @@
 // Backoff bounds the pauses between the trials of a job in a crash loop.
 type Backoff struct{ First, Max monotime.Micros }
 
-// JobFailures is what one controller has seen of a job's failures, and when the job is tried again. The zero value
-// has seen none; reading a nil one is allowed.
+// JobFailures is what one controller has seen of a job's failures, and when the job is tried again. The zero
+// value has seen none; reading a nil one is allowed.
 type JobFailures struct {
 	failedMachines   int             // machines it has failed on, with nothing completed since
 	excludedMachines map[string]bool // machines it isn't tried on again
@@ -70,7 +70,8 @@
 
 func (f *JobFailures) endBackoff() { f.nextTrialAt, f.backoffDelay = 0, 0 }
 
-// BackOff puts off the next trial of a job in a crash loop, longer each time; it changes nothing while a pause lasts.
+// BackOff puts off the next trial of a job in a crash loop, longer each time; it changes nothing while a
+// pause lasts.
 func (f *JobFailures) BackOff(now monotime.Micros, limits Backoff) {
 	if now < f.nextTrialAt {
 		return
@@ -83,8 +84,8 @@
 	f.nextTrialAt = now + f.backoffDelay
 }
 
-// Trials tells how many tasks of a job in a crash loop may be placed now: one at a time, the next after a pause
-// that grows. A job that other controllers found to be one begins with the first pause.
+// Trials tells how many tasks of a job in a crash loop may be placed now: one at a time, the next after a
+// pause that grows. A job that other controllers found to be one begins with the first pause.
 func (f *JobFailures) Trials(assignedTasks int, now monotime.Micros, limits Backoff) int {
 	if f.backoffDelay == 0 {
 		f.BackOff(now, limits)
@@ -98,9 +99,9 @@
 	return 1
 }
 
-// MayScaleOutForTrial tells whether a machine may be requested for a trial, if there is no room at all: once in the
-// longest pause. The machines may be at fault after all, and where nothing else keeps any the job would wait for
-// ever.
+// MayScaleOutForTrial tells whether a machine may be requested for a trial, if there is no room at all: once
+// in the longest pause. The machines may be at fault after all, and where nothing else keeps any the job
+// would wait for ever.
 func (f *JobFailures) MayScaleOutForTrial(assignedTasks int, now monotime.Micros, limits Backoff) bool {
 	return assignedTasks == 0 && (f.trialDemandAt == 0 || now-f.trialDemandAt >= limits.Max)
 }
--- a/internal/scheduling/job_rules.go
+++ b/internal/scheduling/job_rules.go
@@ -13,21 +13,21 @@
 	return spec.AllowsMachine(machine.Type, machine.Zone) && (spec.Spot || !machine.Spot)
 }
 
-// MayBeScavenger tells whether a job is of the scavenger class by its submission alone: an array of the lowest
-// priority, without a deadline, that may use spot machines. It is one if, further, its team has no guarantee and
-// its class no objective.
+// MayBeScavenger tells whether a job is of the scavenger class by its submission alone: an array of the
+// lowest priority, without a deadline, that may use spot machines. It is one if, further, its team has no
+// guarantee and its class no objective.
 func MayBeScavenger(spec *storage.JobSpec) bool {
 	return !spec.Service && spec.Spot && spec.Priority == int(protocol.BestEffort) && spec.DeadlineS <= 0
 }
 
 // MayBePreemptible tells whether a job's tasks may be stopped for arrays of higher priority as far as its
-// submission decides: an array that saves its work. It is if, further, nothing bounds when it is to start and its
-// team uses more than its guarantee.
+// submission decides: an array that saves its work. It is if, further, nothing bounds when it is to start and
+// its team uses more than its guarantee.
 func MayBePreemptible(spec *storage.JobSpec) bool { return !spec.Service && spec.CheckpointS > 0 }
 
-// TaskShape is what decides on which machines a task may run and whether it fits there; with a team, also within
-// which team's limit. Of thousands of waiting tasks most have a shape in common, and each pass looks at all
-// machines once for all of these.
+// TaskShape is what decides on which machines a task may run and whether it fits there; with a team, also
+// within which team's limit. Of thousands of waiting tasks most have a shape in common, and each pass looks
+// at all machines once for all of these.
 type TaskShape struct {
 	need                     resources.Vector
 	spot                     bool
--- a/internal/scheduling/job_rules_test.go
+++ b/internal/scheduling/job_rules_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestShapeOf: jobs share a shape if the same machines suit them, and with a team if the same limit binds them too.
+// TestShapeOf: jobs share a shape if the same machines suit them, and with a team if the same limit binds
+// them too.
 func TestShapeOf(t *testing.T) {
 	need := resources.Vector{CPUs: 2}
 	base := ShapeOf(&storage.JobSpec{}, need, "")
@@ -99,13 +100,21 @@
 		}
 		for zone, want := range tc.want {
 			if got := constraint.RemainingIn(zone); got != want || constraint.Allows(zone) != (want > 0) {
-				t.Errorf("%s: zone %s takes %d, allowed %v, want %d", tc.name, zone, got, constraint.Allows(zone), want)
+				t.Errorf(
+					"%s: zone %s takes %d, allowed %v, want %d",
+					tc.name,
+					zone,
+					got,
+					constraint.Allows(zone),
+					want,
+				)
 			}
 		}
 	}
 }
 
-// TestRuntimeEstimates: runs of a class correct its estimates, step by step and within bounds, and no other class's.
+// TestRuntimeEstimates: runs of a class correct its estimates, step by step and within bounds, and no other
+// class's.
 func TestRuntimeEstimates(t *testing.T) {
 	estimates := NewRuntimeEstimates()
 	spec := &storage.JobSpec{Class: "x", EstimateS: 10}
@@ -115,7 +124,9 @@
 		t.Errorf("%v s without an observation, want 10", got)
 	}
 	estimates.Observe(spec, 20)
-	if got, want := estimates.ExpectedSeconds(spec), 10*math.Exp(0.05*math.Log(2)); math.Abs(got-want) > 1e-9 {
+	if got, want := estimates.ExpectedSeconds(spec), 10*math.Exp(0.05*math.Log(2)); math.Abs(
+		got-want,
+	) > 1e-9 {
 		t.Errorf("%v s after one, want %v", got, want)
 	}
 	for range 1000 {
--- a/internal/scheduling/machine_choice.go
+++ b/internal/scheduling/machine_choice.go
@@ -10,26 +10,26 @@
 
 // Scores of a candidate, in CPUs left free: the lowest is best, so that the tightest fit wins among equals.
 const (
-	// LessPreferredPenalty is added for a closing machine, and tenfold for an ordinary one to a task that may use
-	// spot machines: more than anything else that is weighed.
+	// LessPreferredPenalty is added for a closing machine, and tenfold for an ordinary one to a task that may
+	// use spot machines: more than anything else that is weighed.
 	LessPreferredPenalty  = 1e5
 	ordinaryMachineFactor = 10
-	// spotBesideServicesPenalty is what a tight fit or an image at hand must be worth for a task to go to a spot
-	// machine rather than beside services. An ordinary machine with services stays in any case: filling it first
-	// leaves spot machines to empty.
+	// spotBesideServicesPenalty is what a tight fit or an image at hand must be worth for a task to go to a
+	// spot machine rather than beside services. An ordinary machine with services stays in any case: filling
+	// it first leaves spot machines to empty.
 	spotBesideServicesPenalty = 50
-	// serviceImageFetchPenalty is added where a service's image is missing: it counts as started only once the
-	// image is there, and it stays, so it pays to wait for nothing else.
+	// serviceImageFetchPenalty is added where a service's image is missing: it counts as started only once
+	// the image is there, and it stays, so it pays to wait for nothing else.
 	serviceImageFetchPenalty = 1000
 	imageFetchPenaltyPerGB   = 4
-	// servicePackingWeight is how much a CPU of services draws services to their machine, up to the target, and
-	// keeps them off beyond it.
+	// servicePackingWeight is how much a CPU of services draws services to their machine, up to the target,
+	// and keeps them off beyond it.
 	servicePackingWeight = 8
 )
 
-// Services are drawn to a machine until they hold 1/servicePackingDivisor of it, or servicePackingFleetFraction of
-// what all services hold, if that is more: then losing the machine is no more of a loss. They are drawn to it up to
-// servicePackingMaxFraction of it at most.
+// Services are drawn to a machine until they hold 1/servicePackingDivisor of it, or
+// servicePackingFleetFraction of what all services hold, if that is more: then losing the machine is no more
+// of a loss. They are drawn to it up to servicePackingMaxFraction of it at most.
 const (
 	servicePackingDivisor       = 4
 	servicePackingFleetFraction = 0.02
@@ -63,8 +63,9 @@
 	Shard          ShardWrite      // nil where only the room counts
 }
 
-// AvailableTo tells whether a job may use what is free on the machine. Room that is being made is for the job it is
-// made for: if others took what is free before the stopped tasks are gone, more would have to be stopped.
+// AvailableTo tells whether a job may use what is free on the machine. Room that is being made is for the job
+// it is made for: if others took what is free before the stopped tasks are gone, more would have to be
+// stopped.
 func (c *Candidate) AvailableTo(job string) bool {
 	return c.ReservedForJob == "" || c.ReservedForJob == job
 }
@@ -123,7 +124,8 @@
 	if !r.Spec.Service {
 		return score
 	}
-	// Services kept together leave other machines to empty. But not too many: all of them go down with their machine.
+	// Services kept together leave other machines to empty. But not too many: all of them go down with their
+	// machine.
 	target := r.servicePackingTarget(c.TypeCPUs)
 	if c.ServiceCPUs <= target {
 		return score - servicePackingWeight*c.ServiceCPUs
--- a/internal/scheduling/objectives.go
+++ b/internal/scheduling/objectives.go
@@ -15,8 +15,9 @@
 	objectiveDeadline = "deadline" // it is to have ended within a multiple of its own deadline
 )
 
-// LatestStarts are the times by which the objectives want a job's tasks to start, in seconds from its submission,
-// the shortest first. A task is expected to run for so many seconds. Without an objective the only one is infinite.
+// LatestStarts are the times by which the objectives want a job's tasks to start, in seconds from its
+// submission, the shortest first. A task is expected to run for so many seconds. Without an objective the
+// only one is infinite.
 func LatestStarts(objectives []config.Objective, spec *storage.JobSpec, runSeconds float64) []float64 {
 	var starts []float64
 	hasDeadlineObjective := false
@@ -51,7 +52,8 @@
 	Missed  int     // objectives that can't be met any more
 }
 
-// CanMeetObjective tells whether there is an objective that can still be met if the job doesn't wait for long.
+// CanMeetObjective tells whether there is an objective that can still be met if the job doesn't wait for
+// long.
 func (s Slack) CanMeetObjective() bool { return s.Seconds >= 0 && !math.IsInf(s.Seconds, 1) }
 
 // IsLate tells whether the job waits behind all that are in time.
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -79,8 +79,8 @@
 // PartitionScore weighs a partition for a job; zero where it has nothing to offer.
 type PartitionScore func(partition string) int
 
-// BestPartition names the partition that the first score has most to offer by which any has; partitions come in order
-// of preference, and the fallback is taken where no score finds anything.
+// BestPartition names the partition that the first score has most to offer by which any has; partitions come
+// in order of preference, and the fallback is taken where no score finds anything.
 func BestPartition(partitions []string, fallback string, scores ...PartitionScore) string {
 	for _, score := range scores {
 		best, most := fallback, 0
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -37,9 +37,9 @@
 	LostCPUSeconds float64
 }
 
-// Select picks the tasks whose stop makes room for one task with the least work lost, and tells whether any do. It
-// sorts possible. A service preempts what has a lower priority; all else only takes back what a team has beyond its
-// guarantee.
+// Select picks the tasks whose stop makes room for one task with the least work lost, and tells whether any
+// do. It sorts possible. A service preempts what has a lower priority; all else only takes back what a team
+// has beyond its guarantee.
 func (r *VictimRequest) Select(possible []Victim) (selection VictimSelection, ok bool) {
 	sortByLoss(possible)
 	free, stoppedByTeam := r.Free, map[string]resources.Vector{}
@@ -70,7 +70,8 @@
 	})
 }
 
-// ScavengerSelection is which tasks of the scavenger class are stopped, and for how many tasks that makes room.
+// ScavengerSelection is which tasks of the scavenger class are stopped, and for how many tasks that makes
+// room.
 type ScavengerSelection struct {
 	Victims []Victim
 	Tasks   int
@@ -85,8 +86,8 @@
 	return longest
 }
 
-// SelectScavengers stops as many of the possible tasks, which it sorts, the last tasks of a job first, as make room
-// beside what is free for up to want tasks of a need.
+// SelectScavengers stops as many of the possible tasks, which it sorts, the last tasks of a job first, as
+// make room beside what is free for up to want tasks of a need.
 func SelectScavengers(possible []Victim, need, free resources.Vector, want int) ScavengerSelection {
 	sort.Slice(possible, func(a, b int) bool {
 		x, y := &possible[a], &possible[b]
--- a/internal/scheduling/preemption_test.go
+++ b/internal/scheduling/preemption_test.go
@@ -15,8 +15,8 @@
 	return names
 }
 
-// TestSelectVictims: the least loss that makes room; a service takes any lower priority, all else only what a team has
-// beyond its guarantee.
+// TestSelectVictims: the least loss that makes room; a service takes any lower priority, all else only what a
+// team has beyond its guarantee.
 func TestSelectVictims(t *testing.T) {
 	victim := func(task, priority int, cpus, lost float64, team string) Victim {
 		return Victim{
@@ -70,7 +70,8 @@
 	}
 }
 
-// TestSelectScavengers: as few as make room, the last tasks of a job first, for no more tasks than are wanted.
+// TestSelectScavengers: as few as make room, the last tasks of a job first, for no more tasks than are
+// wanted.
 func TestSelectScavengers(t *testing.T) {
 	running := func(tasks int, cpus float64) []Victim {
 		var victims []Victim
@@ -100,9 +101,21 @@
 		{"too little", running(1, 2), 0, 1, nil, 0, 0},
 		{"what is left of a larger one is used", running(1, 6), 2, 2, []string{"j/0"}, 1, 0},
 	} {
-		got := SelectScavengers(tc.possible, resources.Vector{CPUs: 4}, resources.Vector{CPUs: tc.free}, tc.want)
-		if got.Tasks != tc.tasks || !slices.Equal(taskNames(got.Victims), tc.victims) || got.SaveSeconds() != tc.save {
-			t.Errorf("%s: %v for %d tasks, %v s", tc.name, taskNames(got.Victims), got.Tasks, got.SaveSeconds())
+		got := SelectScavengers(
+			tc.possible,
+			resources.Vector{CPUs: 4},
+			resources.Vector{CPUs: tc.free},
+			tc.want,
+		)
+		if got.Tasks != tc.tasks || !slices.Equal(taskNames(got.Victims), tc.victims) ||
+			got.SaveSeconds() != tc.save {
+			t.Errorf(
+				"%s: %v for %d tasks, %v s",
+				tc.name,
+				taskNames(got.Victims),
+				got.Tasks,
+				got.SaveSeconds(),
+			)
 		}
 	}
 }
--- a/internal/scheduling/queue_order.go
+++ b/internal/scheduling/queue_order.go
@@ -44,13 +44,12 @@
 }
 
 // Before orders jobs: higher priority first; of the same priority those first whose team doesn't yet use its
-// guarantee, then those that can still meet the first of their objectives, then those that can meet the next, the
-// least waiting work first; last, the oldest first, those that can meet none. Past what can be done, ordering by
-// deadline would have every job end just after its own: a few large ones wait instead, not without limit, and the
-// many others are in time.
-// Those few must not wait for ever either: shortly before the next of its objectives passes, a job that is past its
-// first ones goes before all that are in time. Before all other arrays, whatever their priority, comes a starved one,
-// with a part of its tasks.
+// guarantee, then those that can still meet the first of their objectives, then those that can meet the next,
+// the least waiting work first; last, the oldest first, those that can meet none. Past what can be done,
+// ordering by deadline would have every job end just after its own: a few large ones wait instead, not
+// without limit, and the many others are in time. Those few must not wait for ever either: shortly before the
+// next of its objectives passes, a job that is past its first ones goes before all that are in time. Before
+// all other arrays, whatever their priority, comes a starved one, with a part of its tasks.
 //
 // The order isn't transitive: SortQueue's result depends on the order of its input.
 func (e QueueEntry) Before(other QueueEntry) bool {
@@ -101,15 +100,16 @@
 
 // LateUsage is what late jobs hold, and what bounds it.
 type LateUsage struct {
-	FleetCPUs  float64                   // CPUs of all machines
-	CPUsByTeam map[string]float64        // CPUs that each team's late jobs hold; added to by LimitDeadlineBoost
+	FleetCPUs float64 // CPUs of all machines
+	// CPUs that each team's late jobs hold; added to by LimitDeadlineBoost
+	CPUsByTeam map[string]float64
 	TeamMax    func(team string) float64 // a team's limit of CPUs; 0: none
 }
 
-// LimitDeadlineBoost leaves the boost, of each team's entries that have it, to those with the least work, as far as
-// late jobs hold no more than a fraction of what the team can use. After a burst most that waits is late; if all of
-// it went first, all that comes after would be late too. What they hold counts, not what waits: others are boosted
-// as these end.
+// LimitDeadlineBoost leaves the boost, of each team's entries that have it, to those with the least work, as
+// far as late jobs hold no more than a fraction of what the team can use. After a burst most that waits is
+// late; if all of it went first, all that comes after would be late too. What they hold counts, not what
+// waits: others are boosted as these end.
 func LimitDeadlineBoost(entries []QueueEntry, usage LateUsage) {
 	for _, entry := range boostedByWork(entries) {
 		team := entry.Job.Team
--- a/internal/scheduling/queue_order_test.go
+++ b/internal/scheduling/queue_order_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestDeadlineBoostLimit: of each team's boosted entries those with the least work keep the boost, until its late jobs
-// hold more than the fraction of what the team can use.
+// TestDeadlineBoostLimit: of each team's boosted entries those with the least work keep the boost, until its
+// late jobs hold more than the fraction of what the team can use.
 func TestDeadlineBoostLimit(t *testing.T) {
 	entry := func(id, team string, cpus, work float64) QueueEntry {
 		return QueueEntry{
--- a/internal/scheduling/runtime_estimates.go
+++ b/internal/scheduling/runtime_estimates.go
@@ -13,8 +13,8 @@
 	maxEstimateBias = 1.0
 )
 
-// RuntimeEstimates corrects the owners' estimates of run times by what tasks of the same class have lately taken:
-// on some days the estimates of a class are mostly too high or mostly too low.
+// RuntimeEstimates corrects the owners' estimates of run times by what tasks of the same class have lately
+// taken: on some days the estimates of a class are mostly too high or mostly too low.
 type RuntimeEstimates struct {
 	biasByClass map[string]float64 // moving average of the logarithm of run time over estimate
 }
--- a/internal/scheduling/start_progress.go
+++ b/internal/scheduling/start_progress.go
@@ -11,9 +11,9 @@
 	starvedTaskDivisor = 4
 )
 
-// StartProgress follows how an array's tasks start. Under lasting load those that are late already, large or of low
-// priority would never have their turn; an array is starved once nothing more of it has started for long, and stays
-// so until a part of its waiting tasks has. The zero value has seen nothing.
+// StartProgress follows how an array's tasks start. Under lasting load those that are late already, large or
+// of low priority would never have their turn; an array is starved once nothing more of it has started for
+// long, and stays so until a part of its waiting tasks has. The zero value has seen nothing.
 type StartProgress struct {
 	startedHighWater int             // most tasks that had started so far
 	startedTarget    int             // tasks that are to have started before it is starved no more
@@ -23,8 +23,8 @@
 // Begun tells whether the job has been seen before.
 func (p *StartProgress) Begun() bool { return p.progressAt != 0 }
 
-// Begin notes a job that is seen for the first time. waited is how long ago it was accepted: with nothing started it
-// may have waited before this controller began.
+// Begin notes a job that is seen for the first time. waited is how long ago it was accepted: with nothing
+// started it may have waited before this controller began.
 func (p *StartProgress) Begin(started int, waited, now monotime.Micros) {
 	p.progressAt = max(1, now)
 	if started == 0 {
@@ -39,8 +39,8 @@
 	}
 }
 
-// CatchingUp tells whether the array is starved since earlier and hasn't got what it is to get: room comes bit by
-// bit.
+// CatchingUp tells whether the array is starved since earlier and hasn't got what it is to get: room comes
+// bit by bit.
 func (p *StartProgress) CatchingUp(started int) bool { return started < p.startedTarget }
 
 // Stalled tells whether nothing has started for so long that the array is starved from now on.
@@ -52,8 +52,8 @@
 	return now-p.progressAt > after
 }
 
-// BeginCatchUp sets what a stalled array is to get, and tells whether that is anything. One of the scavenger class
-// gets a single task, so that it begins, and never more: the rest is for spare room.
+// BeginCatchUp sets what a stalled array is to get, and tells whether that is anything. One of the scavenger
+// class gets a single task, so that it begins, and never more: the rest is for spare room.
 func (p *StartProgress) BeginCatchUp(started, waiting int, scavenger bool) bool {
 	if !scavenger {
 		p.startedTarget = started + max(1, waiting/starvedTaskDivisor)
--- a/internal/scheduling/start_progress_test.go
+++ b/internal/scheduling/start_progress_test.go
@@ -15,8 +15,8 @@
 	return p.CatchingUp(started) || p.Stalled(now) && p.BeginCatchUp(started, waiting, scavenger)
 }
 
-// TestStarvation: an array that gets nothing for long is starved until a part of its tasks has started, and again
-// sooner once some have.
+// TestStarvation: an array that gets nothing for long is starved until a part of its tasks has started, and
+// again sooner once some have.
 func TestStarvation(t *testing.T) {
 	const second = monotime.Second
 	for _, tc := range []struct {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestWaitBeforeFirstSight: what a job waited before this controller saw it counts, up to twice the bound, and only if
-// nothing of it has started.
+// TestWaitBeforeFirstSight: what a job waited before this controller saw it counts, up to twice the bound,
+// and only if nothing of it has started.
 func TestWaitBeforeFirstSight(t *testing.T) {
 	const now = 1000 * monotime.Second
 	for _, tc := range []struct {
--- a/internal/scheduling/zone_constraint.go
+++ b/internal/scheduling/zone_constraint.go
@@ -5,8 +5,8 @@
 	"pipitgap/internal/storage"
 )
 
-// ZoneConstraint keeps a job's tasks in one zone, or spread so that no zone has more than half of them. It counts
-// the tasks that each zone already has. Without either rule it allows everything and counts nothing.
+// ZoneConstraint keeps a job's tasks in one zone, or spread so that no zone has more than half of them. It
+// counts the tasks that each zone already has. Without either rule it allows everything and counts nothing.
 type ZoneConstraint struct {
 	oneZone, spread bool
 	maxPerZone      int
