--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -1,12 +1,8 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
-	"os"
-	"text/tabwriter"
 	"time"
 
 	"pipitgap/internal/drain"
@@ -50,6 +46,7 @@
 	return exitFailed
 }
 
+// drainCmd has the commands about drains.
 type drainCmd struct {
 	Start   drainStartCmd   `cmd:"" help:"Start a drain: take machines out of service step by step."`
 	Status  drainStatusCmd  `cmd:"" help:"Show where a drain stands and what it waits for."`
@@ -101,18 +98,7 @@
 // drainDefaults is what the settings say where a command doesn't.
 type drainDefaults struct{ maxParallel int }
 
-// print writes an answer as JSON, or by the function that says it in words.
-func (f *operatorFlags) print(answer any, words func(io.Writer)) error {
-	if !f.JSON {
-		out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-		words(out)
-		return out.Flush()
-	}
-	encoder := json.NewEncoder(os.Stdout)
-	encoder.SetIndent("", "  ")
-	return encoder.Encode(answer)
-}
-
+// drainStartCmd starts a drain, or with DryRun shows its steps.
 type drainStartCmd struct {
 	operatorFlags `embed:""`
 	Name          string        `arg:"" help:"The drain's name."`
@@ -128,6 +114,7 @@
 	DryRun        bool          `help:"Show the steps and their order, and change nothing."`
 }
 
+// Run carries the command out.
 func (c *drainStartCmd) Run() error {
 	drains, defaults, err := c.drainOperator()
 	if err != nil {
@@ -151,56 +138,13 @@
 	return c.print(started, func(w io.Writer) { printStarted(w, started) })
 }
 
-func printStarted(w io.Writer, started *operator.StartResult) {
-	switch {
-	case started.Plan != nil:
-		printPlan(w, started)
-	case started.AlreadyStarted:
-		fmt.Fprintf(w, "drain %s was started before by the same request; %d machines are left\n",
-			started.Name, len(started.Machines))
-	default:
-		fmt.Fprintf(w, "drain %s of %d machines is started\n", started.Name, len(started.Machines))
-	}
-}
-
-func printPlan(w io.Writer, started *operator.StartResult) {
-	fmt.Fprintf(w, "drain %s would take %d machines out of service in %d steps; nothing is changed\n",
-		started.Name, len(started.Machines), len(started.Plan.Steps))
-	for i, step := range started.Plan.Steps {
-		fmt.Fprintf(w, "step %d:\n", i+1)
-		for _, rent := range step.ScaleOut {
-			fmt.Fprintf(w, "  rent\t%s\n", rent)
-		}
-		for _, move := range step.Moves {
-			fmt.Fprintf(w, "  move\t%s\tof %s\tfrom %s\tto %s\n", move.Task, move.Team, move.From, move.To)
-		}
-		for _, id := range step.Emptied {
-			fmt.Fprintf(w, "  give back\t%s\n", id)
-		}
-		if step.Stopped > 0 {
-			fmt.Fprintf(w, "  stop\t%d array tasks that haven't ended by then\n", step.Stopped)
-		}
-	}
-	printBlocked(w, started.Plan.Blocked)
-}
-
-func printBlocked(w io.Writer, blocked []drain.Blockage) {
-	for _, b := range blocked {
-		fmt.Fprintf(w, "waits for %s:\t%s\t%s\t%s\n", b.Kind, b.Machine, b.Task, b.Reason)
-	}
-}
-
+// drainStatusCmd shows where a drain stands.
 type drainStatusCmd struct {
 	operatorFlags `embed:""`
 	Name          string `arg:"" help:"The drain's name."`
 }
 
-// statusOutput is what status prints.
-type statusOutput struct {
-	Drain *drain.Progress    `json:"drain"`
-	Teams []drain.TeamStatus `json:"teams"`
-}
-
+// Run carries the command out.
 func (c *drainStatusCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -210,42 +154,15 @@
 	if err != nil {
 		return err
 	}
-	return c.print(statusOutput{progress, teams}, func(w io.Writer) {
-		fmt.Fprintf(w, "drain %s is %s", progress.Name, progress.State)
-		if progress.Reason != "" {
-			fmt.Fprintf(w, " (%s)", progress.Reason)
-		}
-		fmt.Fprintf(w, "; %d machines left, %d moves under way, at revision %d\n",
-			len(progress.Machines), progress.Permits, progress.Revision)
-		for _, m := range progress.Machines {
-			fmt.Fprintf(w, "%s\t%s\t%d replicas\t%d array tasks\t%s\n",
-				m.ID, m.State, m.Replicas, m.ArrayTasks, stepLabel(m.BeingEmptied))
-		}
-		printBlocked(w, progress.Blocked)
-		printTeams(w, teams)
-	})
-}
-
-func printTeams(w io.Writer, teams []drain.TeamStatus) {
-	for _, t := range teams {
-		fmt.Fprintf(
-			w,
-			"team %s\t%s\t%d of %d available\t%d must stay\t%d on its %d fullest machines (reserve)\n",
-			t.Team,
-			t.Class,
-			t.Available,
-			t.Desired,
-			t.MinAvailable,
-			t.WorstLoss,
-			t.ReserveMachines,
-		)
-	}
+	return c.print(statusOutput{progress, teams}, func(w io.Writer) { printStatus(w, progress, teams) })
 }
 
+// drainBudgetsCmd shows how the teams stand against their budgets.
 type drainBudgetsCmd struct {
 	operatorFlags `embed:""`
 }
 
+// Run carries the command out.
 func (c *drainBudgetsCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -258,17 +175,12 @@
 	return c.print(teams, func(w io.Writer) { printTeams(w, teams) })
 }
 
-func stepLabel(step bool) string {
-	if step {
-		return "being emptied"
-	}
-	return ""
-}
-
+// drainListCmd lists the drains.
 type drainListCmd struct {
 	operatorFlags `embed:""`
 }
 
+// Run carries the command out.
 func (c *drainListCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -278,44 +190,16 @@
 	if err != nil {
 		return err
 	}
-	return c.print(list, func(w io.Writer) {
-		for _, d := range list {
-			fmt.Fprintf(
-				w,
-				"%s\t%s\t%s\t%d machines left\t%s\n",
-				d.Name,
-				d.State,
-				d.Selection,
-				d.MachinesLeft,
-				d.Reason,
-			)
-		}
-	})
-}
-
-// stateChange answers a command that changes a drain's state.
-type stateChange struct {
-	Name    string `json:"name"`
-	State   string `json:"state"`
-	Changed bool   `json:"changed"`
-}
-
-// printStateChange says what a command has changed.
-func (f *operatorFlags) printStateChange(m stateChange) error {
-	return f.print(m, func(w io.Writer) {
-		if m.Changed {
-			fmt.Fprintf(w, "drain %s is %s\n", m.Name, m.State)
-		} else {
-			fmt.Fprintf(w, "drain %s was %s already\n", m.Name, m.State)
-		}
-	})
+	return c.print(list, func(w io.Writer) { printList(w, list) })
 }
 
+// drainPauseCmd has a drain begin no further step.
 type drainPauseCmd struct {
 	operatorFlags `embed:""`
 	Name          string `arg:"" help:"The drain's name."`
 }
 
+// Run carries the command out.
 func (c *drainPauseCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -328,12 +212,14 @@
 	return c.printStateChange(stateChange{c.Name, "paused", changed})
 }
 
+// drainResumeCmd has a paused drain go on.
 type drainResumeCmd struct {
 	operatorFlags `embed:""`
 	Name          string        `arg:"" help:"The drain's name."`
 	Deadline      time.Duration `help:"Begin no step so long after now."`
 }
 
+// Run carries the command out.
 func (c *drainResumeCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -346,11 +232,13 @@
 	return c.printStateChange(stateChange{c.Name, "active", changed})
 }
 
+// drainAbortCmd ends a drain.
 type drainAbortCmd struct {
 	operatorFlags `embed:""`
 	Name          string `arg:"" help:"The drain's name."`
 }
 
+// Run carries the command out.
 func (c *drainAbortCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
--- a/cmd/pipitgap/main.go
+++ b/cmd/pipitgap/main.go
@@ -15,6 +15,7 @@
 // version is the product's version.
 const version = "0.2.0"
 
+// commandLine is the command line, as kong reads it.
 type commandLine struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve as a controller (the default command)."`
 	Check   checkCmd   `cmd:"" help:"Check the settings and say what is wrong, without serving."`
@@ -22,11 +23,13 @@
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
+// settingsFiles are the flags that name the files with the settings.
 type settingsFiles struct {
 	Config   string   `help:"The platform's settings (TOML)." type:"path" required:""`
 	Settings []string `help:"The operators' own settings (YAML); may be given several times, later files over earlier ones." type:"path" optional:"" sep:"none"`
 }
 
+// load reads and checks the files.
 func (f *settingsFiles) load() (*config.Config, config.Settings, error) {
 	cfg, err := config.Load(f.Config)
 	if err != nil {
@@ -39,10 +42,12 @@
 	return cfg, settings, settings.CheckTeams(cfg.Facts.Teams)
 }
 
+// serveCmd serves as a controller.
 type serveCmd struct {
 	settingsFiles `embed:""`
 }
 
+// Run carries the command out.
 func (s *serveCmd) Run(log *slog.Logger) error {
 	cfg, settings, err := s.load()
 	if err != nil {
@@ -51,10 +56,12 @@
 	return daemon.Run(cfg, settings, log)
 }
 
+// checkCmd checks the settings without serving.
 type checkCmd struct {
 	settingsFiles `embed:""`
 }
 
+// Run carries the command out.
 func (s *checkCmd) Run() error {
 	if _, _, err := s.load(); err != nil {
 		return err
@@ -63,8 +70,10 @@
 	return nil
 }
 
+// versionCmd prints the version.
 type versionCmd struct{}
 
+// Run carries the command out.
 func (versionCmd) Run() error {
 	fmt.Println("pipitgap", version)
 	return nil
@@ -81,7 +90,7 @@
 	return slog.LevelInfo
 }
 
-// kongUsageStatus is the status by which the command line parser says that the words are wrong.
+// kongUsageStatus is the status with which the command line parser exits for wrong usage.
 const kongUsageStatus = 80
 
 // serveCommand is the command whose errors go to the log.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,10 +2,7 @@
 package config
 
 import (
-	"errors"
 	"fmt"
-	"math"
-	"net/netip"
 
 	"github.com/BurntSushi/toml"
 )
@@ -92,84 +89,3 @@
 	}
 	return &c, nil
 }
-
-func (c *Config) check() error {
-	f := &c.Facts
-	if c.Node == "" {
-		return errors.New("node: missing")
-	}
-	if c.Area == "" {
-		return errors.New("area: missing")
-	}
-	addrs := []struct{ field, v string }{
-		{"public_addr", c.PublicAddr}, {"peer_bind", c.PeerBind},
-		{"external.cloud", c.External.Cloud}, {"external.state", c.External.State},
-	}
-	seen := map[string]bool{c.Node: true}
-	for i, p := range c.Peers {
-		field := fmt.Sprintf("known[%d]", i)
-		if p.Node == "" || seen[p.Node] {
-			return fmt.Errorf("%s.node: missing or named twice", field)
-		}
-		seen[p.Node] = true
-		addrs = append(addrs, struct{ field, v string }{field + ".addr", p.Addr})
-	}
-	for _, a := range addrs {
-		if _, err := netip.ParseAddrPort(a.v); err != nil {
-			return fmt.Errorf("%s: %q is not an IP address with a port", a.field, a.v)
-		}
-	}
-	if len(f.Zones) == 0 {
-		return errors.New("facts.zones: missing")
-	}
-	names := map[string]bool{}
-	for i, t := range f.Teams {
-		field := fmt.Sprintf("facts.teams[%d]", i)
-		if t.Name == "" || names[t.Name] {
-			return fmt.Errorf("%s.name: missing or named twice", field)
-		}
-		names[t.Name] = true
-		for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-			if !isFinite(v) || v < 0 {
-				return fmt.Errorf("%s: amounts must be 0 or more", field)
-			}
-		}
-	}
-	if len(f.Teams) == 0 {
-		return errors.New("facts.teams: missing")
-	}
-	positive := []struct {
-		field string
-		v     float64
-	}{
-		{"facts.workers.report_s", f.Workers.HeartbeatIntervalS}, {"facts.workers.lease_s", f.Workers.LeaseS},
-		{"facts.workers.cancel_s", f.Workers.CancelWithinS}, {"facts.state.rps", f.State.RPS},
-		{"facts.state.write_rps", f.State.WriteRPS}, {"facts.state.value_kb", f.State.ValueKB},
-		{"facts.state.txn_ops", float64(f.State.TxnOps)}, {"facts.cloud.rps", f.Cloud.RPS},
-		{"facts.quota.memory_mb", f.Quota.MemoryMB},
-		{"facts.quota.max_connections", float64(f.Quota.MaxConnections)},
-	}
-	for _, p := range positive {
-		if !isFinite(p.v) || p.v <= 0 {
-			return fmt.Errorf("%s: must be above 0", p.field)
-		}
-	}
-	if !isFinite(f.Cloud.ListLagS) || f.Cloud.ListLagS < 0 || !isFinite(f.SkewMs) || f.SkewMs < 0 {
-		return errors.New("facts.cloud.list_lag_s, facts.skew_ms: must be 0 or more")
-	}
-	if f.State.TxnOps < 4 {
-		return errors.New("facts.state.txn_ops: at least 4 changes a transaction are needed")
-	}
-	if f.State.ValueKB < 1 {
-		return errors.New("facts.state.value_kb: at least 1 KiB a value is needed")
-	}
-	if f.Quota.MaxConnections < 64 {
-		return errors.New("facts.quota.max_connections: at least 64 are needed")
-	}
-	if f.Workers.HeartbeatIntervalS*2 > f.Workers.LeaseS {
-		return errors.New("facts.workers.lease_s: must be at least two reports long")
-	}
-	return nil
-}
-
-func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -31,7 +31,7 @@
 	Policy *drain.Policy
 }
 
-// StartRequest is what an operator asks for.
+// StartRequest is the drain that an operator wants.
 type StartRequest struct {
 	Name         string
 	Selector     storage.Selector
@@ -56,46 +56,50 @@
 	if err := request.validate(); err != nil {
 		return nil, err
 	}
-	answer := &StartResult{Name: request.Name}
+	result := &StartResult{Name: request.Name}
 	wall := d.WallClock()
 	err := d.transact(func(reading *mirror.RecordSnapshot) (*protocol.Transaction, error) {
-		fleet := reading.DrainSnapshot(wall)
-		if err := d.checkSelector(&request.Selector, reading, fleet); err != nil {
-			return nil, err
-		}
-		record := request.record(reading, wall)
-		answer.Machines = fleet.Selected(&record)
-		existing, exists := fleet.Drain(request.Name)
-		if exists && existing.State.Unfinished() {
-			if !sameRequest(&existing.Drain, &record) {
-				return nil, fmt.Errorf("%w: drain %q is %s", ErrNameInUse, request.Name, existing.State)
-			}
-			answer.AlreadyStarted = existing.StartedAt != record.StartedAt
-			answer.Machines = fleet.Selected(&existing.Drain)
-			return nil, nil
-		}
-		if len(answer.Machines) == 0 {
-			return nil, fmt.Errorf(
-				"%w: no machine matches %s",
-				ErrNothingSelected,
-				describeSelector(&request.Selector),
-			)
-		}
-		if err := checkOverlap(fleet, request.Name, &record); err != nil {
-			return nil, err
-		}
-		if request.DryRun {
-			answer.Plan = d.Policy.Plan(fleet, request.Name, record)
-			return nil, nil
-		}
-		return d.startTransaction(reading, request.Name, existing, &record)
+		return d.decideStart(&request, reading, wall, result)
 	})
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return result, nil
 }
 
+// decideStart decides on a reading what a start changes, nil for nothing, and fills in the result.
+func (d *DrainOperator) decideStart(
+	request *StartRequest, reading *mirror.RecordSnapshot, wall int64, result *StartResult,
+) (*protocol.Transaction, error) {
+	fleet := reading.DrainSnapshot(wall)
+	if err := d.checkSelector(&request.Selector, reading, fleet); err != nil {
+		return nil, err
+	}
+	record := request.record(reading, wall)
+	result.Machines = fleet.Selected(&record)
+	existing, exists := fleet.Drain(request.Name)
+	if exists && existing.State.Unfinished() {
+		if !sameRequest(&existing.Drain, &record) {
+			return nil, fmt.Errorf("%w: drain %q is %s", ErrNameInUse, request.Name, existing.State)
+		}
+		result.AlreadyStarted = existing.StartedAt != record.StartedAt
+		result.Machines = fleet.Selected(&existing.Drain)
+		return nil, nil
+	}
+	if len(result.Machines) == 0 {
+		return nil, fmt.Errorf("%w: no machine matches %s", ErrNothingSelected, describeSelector(&request.Selector))
+	}
+	if err := checkOverlap(fleet, request.Name, &record); err != nil {
+		return nil, err
+	}
+	if request.DryRun {
+		result.Plan = d.Policy.Plan(fleet, request.Name, record)
+		return nil, nil
+	}
+	return d.startTransaction(reading, request.Name, existing, &record)
+}
+
+// validate looks for what makes no sense whatever the records hold.
 func (r *StartRequest) validate() error {
 	switch {
 	case !protocol.ValidKeyPart(r.Name):
@@ -114,7 +118,7 @@
 	return nil
 }
 
-// checkSelector looks for names that nobody knows.
+// checkSelector looks for names of zones, types and machines that don't exist.
 func (d *DrainOperator) checkSelector(
 	s *storage.Selector, reading *mirror.RecordSnapshot, fleet *drain.Snapshot,
 ) error {
@@ -136,7 +140,7 @@
 	return nil
 }
 
-// record is the drain that a request asks for.
+// record is the drain of a request.
 func (r *StartRequest) record(reading *mirror.RecordSnapshot, wall int64) storage.Drain {
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
@@ -153,7 +157,7 @@
 	return record
 }
 
-// sameRequest tells whether two drains were asked for in the same words, whenever that was.
+// sameRequest reports that two drains came of the same request, whenever it was made.
 func sameRequest(a, b *storage.Drain) bool {
 	lasts := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
 	return reflect.DeepEqual(a.Selector, b.Selector) && a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
@@ -172,12 +176,15 @@
 	return nil
 }
 
+// storedSizeFactor is about how much larger a value is as the state service counts it (as JSON) than packed.
+const storedSizeFactor = 2
+
 // startTransaction writes a drain, on the condition that no other was started since the reading.
 func (d *DrainOperator) startTransaction(
 	reading *mirror.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
 ) (*protocol.Transaction, error) {
 	value := protocol.MustMarshal(record)
-	if 2*len(value) > d.MaxValueBytes { // it is counted in its JSON form
+	if storedSizeFactor*len(value) > d.MaxValueBytes {
 		return nil, fmt.Errorf(
 			"%w: so many machines don't fit into a record; drain them in parts, or by zone and type",
 			ErrBadRequest,
--- a/internal/operator/transactions.go
+++ b/internal/operator/transactions.go
@@ -23,10 +23,11 @@
 const (
 	maxAttempts   = 5
 	retryInterval = 400 * monotime.Millisecond
+	commitTimeout = 5 * monotime.Second
 )
 
-// readRecords reads all records at one revision. A state service that is busy or changes faster than it
-// is read is asked again a few times.
+// readRecords reads all records at one revision. The reading is repeated a few times where the state service is busy
+// or changes faster than it is read.
 func (o *Operator) readRecords() (*mirror.RecordSnapshot, error) {
 	var err error
 	for try := range maxAttempts {
@@ -55,9 +56,9 @@
 	return result
 }
 
-// transact decides on a reading and commits what comes of it. What another has changed meanwhile,
-// or what nobody knows the outcome of, is read and decided anew: so decide must find its own
-// change in a reading and be content with it.
+// transact decides on a reading and commits what comes of it. Where another has changed the same records meanwhile, or
+// the outcome isn't known, the records are read and the decision is made anew: so decide must recognise its own change
+// in a reading and return no transaction then.
 func (o *Operator) transact(decide func(*mirror.RecordSnapshot) (*protocol.Transaction, error)) error {
 	var last protocol.Outcome
 	for try := range maxAttempts {
@@ -89,5 +90,3 @@
 	return fmt.Errorf("%w: the change may or may not have been made (%v); repeating the command is safe",
 		mirror.ErrStoreUnavailable, last)
 }
-
-const commitTimeout = 5 * monotime.Second
