--- a/internal/ratelimit/token_bucket_test.go
+++ b/internal/ratelimit/token_bucket_test.go
@@ -64,14 +64,14 @@
 	add(PriorityUserRequest)
 	add(PriorityUserRequest)
 	if _, ok, _ := queue.Next(0); !ok {
-		t.Fatal("the first call isn't handed out")
+		t.Fatal("the first request isn't handed out")
 	}
 	if _, ok, wait := queue.Next(0); ok || wait != 0 {
-		t.Errorf("with a call in flight another is handed out: %v, wait %d", ok, wait)
+		t.Errorf("with a request in flight another is handed out: %v, wait %d", ok, wait)
 	}
 	add(PriorityLease)
 	if call, ok, _ := queue.Next(0); !ok || call.Priority != PriorityLease {
-		t.Error("a lease waits for a call in flight")
+		t.Error("a lease waits for a request in flight")
 	}
 	queue.Answered()
 	if _, ok, _ := queue.Next(0); ok {
@@ -79,6 +79,6 @@
 	}
 	queue.Answered()
 	if _, ok, _ := queue.Next(0); !ok {
-		t.Error("no call is handed out after all are answered")
+		t.Error("nothing is handed out after all are answered")
 	}
 }
--- a/internal/storage/shard_decode_test.go
+++ b/internal/storage/shard_decode_test.go
@@ -27,7 +27,7 @@
 		{"machine of a negative kind", "0 0i-1 010.1.0.1:9000 -1 o", "", true},
 		{"machine with a bad claim", machines + " -1", "", true},
 		{"prefix longer than the id before", machines + ";1 4x 00 0 o", "", true},
-		{"prefix longer than the endpoint before", "0 0i-1 1 0 o", "", true},
+		{"prefix longer than the address before", "0 0i-1 1 0 o", "", true},
 		{"two machines of one number", machines + ";0 32 00 0 o", "", true},
 		{"two machines of one id", machines + ";1 3 00 0 o", "", true},
 		{"attempts", machines, "0j-1 0@1:0-3,7 0!2:5", false},
