--- /dev/null
+++ b/internal/drain/drainer/drainer_test.go
@@ -0,0 +1,412 @@
+package drainer
+
+import (
+	"io"
+	"log/slog"
+	"maps"
+	"slices"
+	"testing"
+
+	"pipitgap/internal/agents"
+	"pipitgap/internal/autoscaling"
+	"pipitgap/internal/config"
+	"pipitgap/internal/drain"
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/storage"
+)
+
+// The fleet of these tests: an own machine with a replica and an array task, and an empty one.
+const (
+	ownNode     = "n-0"
+	fullMachine = "i-1"
+	nextMachine = "i-2"
+	service     = "j-service"
+	array       = "j-array"
+	team        = "web"
+	attemptOne  = 7
+
+	workerLease = 30 * monotime.Second
+	testNow     = 100 * monotime.Second
+)
+
+// controllerStub is the rest of a controller: commits succeed at once and change the mirror.
+type controllerStub struct {
+	records     *mirror.Mirror
+	drainer     *Drainer
+	agents      map[string]*agents.Agent
+	now         monotime.Micros
+	nextWriteAt monotime.Micros
+	version     uint64
+	commits     int
+	synced      []string // machines whose commands were brought up to date
+	failing     bool     // the service fails wherever it runs
+	runSeconds  float64  // expected run of a task
+}
+
+func newControllerStub() *controllerStub {
+	s := &controllerStub{
+		records: mirror.New(), now: testNow, version: 100, runSeconds: 1000,
+		agents: map[string]*agents.Agent{},
+	}
+	reserve := 0
+	settings := &config.DrainSettings{
+		DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 1,
+		ArrayWait: config.Duration(30 * monotime.Second), MinReady: config.Duration(10 * monotime.Second),
+	}
+	s.drainer = New(ownNode, settings, Dependencies{
+		Mirror: s.records, Clock: s, Membership: s, Store: s, Agents: s, Jobs: s, Machines: s,
+		NotePermitWrite: func() {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+	})
+	for _, id := range []string{fullMachine, nextMachine} {
+		s.records.Machines[id] = &mirror.Machine{
+			ID: id, Attempts: map[mirror.TaskID]uint64{},
+			Record: &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen},
+		}
+		s.agents[id] = agents.New(1, 0)
+	}
+	s.addJob(service, true)
+	s.addJob(array, false)
+	return s
+}
+
+// addJob adds a job with one task, whose attempt is on the full machine.
+func (s *controllerStub) addJob(id string, isService bool) {
+	s.records.Jobs[id] = &mirror.Job{
+		ID: id, TaskStates: []uint8{1}, TaskResources: resources.Vector{CPUs: 2}, AssignedTasks: 1,
+		Record: storage.OpenJob{Spec: storage.JobSpec{Team: team, Tasks: 1, CPUs: 2, Service: isService}},
+	}
+	s.records.Machines[fullMachine].Attempts[mirror.TaskID{Job: id}] = attemptOne
+}
+
+// report has the full machine's agent report both attempts as running, with a fencing token.
+func (s *controllerStub) report(token uint64) {
+	machine, agent := s.records.Machines[fullMachine], s.agents[fullMachine]
+	heartbeat := &protocol.Heartbeat{Incarnation: 1, Sequence: uint64(s.now), FencingToken: token}
+	for task, attempt := range machine.Attempts {
+		heartbeat.Tasks = append(heartbeat.Tasks,
+			protocol.TaskStatus{Task: task.String(), Attempt: attempt, State: protocol.StateRunning})
+	}
+	agent.ApplyReport(machine, s.records.Jobs, heartbeat, s.now, workerLease)
+}
+
+func (s *controllerStub) Now() monotime.Micros                          { return s.now }
+func (s *controllerStub) WallClock() int64                              { return int64(s.now) }
+func (s *controllerStub) HoldsLease(monotime.Micros) bool               { return true }
+func (s *controllerStub) IsLeader(monotime.Micros) bool                 { return true }
+func (s *controllerStub) IsMember(string) bool                          { return true }
+func (s *controllerStub) LiveControllers() []string                     { return []string{ownNode} }
+func (s *controllerStub) Unavailable() bool                             { return false }
+func (s *controllerStub) IsMirrorStale(monotime.Micros) bool            { return false }
+func (s *controllerStub) UserCallsWaiting(monotime.Micros) bool         { return false }
+func (s *controllerStub) HasSpareWrites(monotime.Micros, float64) bool  { return true }
+func (s *controllerStub) NextWriteAllowedAt(float64) monotime.Micros    { return s.nextWriteAt }
+func (s *controllerStub) MaxValueBytes() int                            { return 1000 }
+func (s *controllerStub) AgentOf(machine *mirror.Machine) *agents.Agent { return s.agents[machine.ID] }
+func (s *controllerStub) SyncCommands(machine *mirror.Machine) {
+	s.synced = append(s.synced, machine.ID)
+}
+
+func (s *controllerStub) IsCrashLooping(
+	job *mirror.Job,
+) bool {
+	return s.failing && job.ID == service
+}
+func (s *controllerStub) ExpectedRunSeconds(*storage.JobSpec) float64           { return s.runSeconds }
+func (s *controllerStub) ZoneConstraint(*mirror.Job) autoscaling.ZoneConstraint { return nil }
+func (s *controllerStub) AssignmentShardBytes() int                             { return 1000 }
+func (s *controllerStub) MachineTypes() map[string]protocol.MachineType {
+	return map[string]protocol.MachineType{}
+}
+func (s *controllerStub) ScaleInDelay(*storage.ShardMachine) monotime.Micros {
+	return 20 * monotime.Second
+}
+
+func (s *controllerStub) Commit(
+	_ ratelimit.Priority,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	s.version++
+	s.commits++
+	for _, op := range txn.Then {
+		if op.Delete != "" {
+			s.records.ApplyDelete(op.Delete, s.version, false)
+		} else {
+			s.records.ApplyPut(op.Put, op.Value, s.version)
+		}
+	}
+	callback(protocol.StoreResult{Outcome: protocol.OK})
+}
+
+func (s *controllerStub) CommitAsLeader(
+	priority ratelimit.Priority,
+	_ string,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	s.Commit(priority, txn, callback)
+}
+
+// servicePermit is a permit for the service's replica.
+func servicePermit() storage.Permit {
+	return storage.Permit{Drain: "d", Job: service, Attempt: attemptOne, From: fullMachine, To: nextMachine}
+}
+
+// putPermits has permits of the team stand in the records.
+func (s *controllerStub) putPermits(permits ...storage.Permit) {
+	record := storage.Permits{Permits: permits}
+	s.version++
+	s.records.ApplyPut(storage.Key(storage.KindPermits, team), protocol.MustMarshal(&record), s.version)
+}
+
+// permits gives the team's permits.
+func (s *controllerStub) permits() []storage.Permit {
+	return s.records.PermitsByTeam[team].Record.Permits
+}
+
+// TestRevokedPermitsAreRemovedOnlyUnused: a revoked permit stays as long as its replica may be stopped under
+// it.
+func TestRevokedPermitsAreRemovedOnlyUnused(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		do   func(*controllerStub)
+		kept bool
+	}{
+		{"unused", func(s *controllerStub) { s.report(s.agents[fullMachine].BaseToken()) }, false},
+		{"no report yet", func(*controllerStub) {}, true},
+		{"a report from before the claim", func(s *controllerStub) { s.report(s.agents[fullMachine].BaseToken() - 1) },
+			true},
+		{"not running any more", func(s *controllerStub) {
+			delete(s.records.Machines[fullMachine].Attempts, attemptOf(servicePermit()).Task)
+			s.report(s.agents[fullMachine].BaseToken())
+		}, true},
+		{"being stopped", func(s *controllerStub) {
+			s.report(s.agents[fullMachine].BaseToken())
+			s.agents[fullMachine].StopAttempt(attemptOf(servicePermit()))
+		}, true},
+		{"outcome pending", func(s *controllerStub) {
+			s.report(s.agents[fullMachine].BaseToken())
+			s.agents[fullMachine].RecordOutcome(attemptOf(servicePermit()), agents.OutcomeRetry)
+		}, true},
+		{"another controller's machine", func(s *controllerStub) { delete(s.agents, fullMachine) }, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newControllerStub()
+			s.putPermits(servicePermit())
+			tc.do(s)
+			s.drainer.writePermits(&drain.Decision{Revoked: []storage.Permit{servicePermit()}}, s.now)
+			if kept := len(s.permits()) == 1; kept != tc.kept {
+				t.Errorf("permits: %+v", s.permits())
+			}
+		})
+	}
+}
+
+// TestPermitsAreWrittenWithinTheirRate: a team's changes are one commit, and the next one waits until it is
+// allowed.
+func TestPermitsAreWrittenWithinTheirRate(t *testing.T) {
+	s := newControllerStub()
+	s.putPermits(servicePermit())
+	granted := storage.Permit{
+		Drain:   "d",
+		Job:     service,
+		Task:    1,
+		Attempt: attemptOne,
+		From:    fullMachine,
+		To:      nextMachine,
+	}
+	decision := &drain.Decision{
+		Completed: map[string][]storage.Permit{team: {servicePermit()}},
+		Granted:   map[string][]storage.Permit{team: {granted}, "zebra": {granted}},
+	}
+	s.nextWriteAt = s.now + 1
+	s.drainer.writePermits(decision, s.now)
+	if got := s.permits(); s.commits != 1 || !slices.Equal(got, []storage.Permit{granted}) {
+		t.Errorf("%d commits, permits %+v", s.commits, got)
+	}
+	s.drainer.writePermits(&drain.Decision{Granted: map[string][]storage.Permit{"zebra": {granted}}}, s.now)
+	if s.commits != 1 {
+		t.Error("a commit before it is allowed")
+	}
+	s.drainer.writePermits(&drain.Decision{Completed: map[string][]storage.Permit{team: {granted}}}, s.now+1)
+	if entry, ok := s.records.PermitsByTeam[team]; !ok || len(entry.Record.Permits) != 0 || s.commits != 2 {
+		t.Errorf("the record of a team without permits: %+v, %v", entry, ok)
+	}
+}
+
+// TestEvictions: what is stopped without a permit on a machine whose replicas have been moved.
+func TestEvictions(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		runSeconds float64
+		failing    bool
+		repeat     monotime.Micros // how long after the first time it is tried again
+		want       []string
+	}{
+		{"an array task", 1000, false, 0, []string{array}},
+		{"services that fail everywhere", 1000, true, 0, []string{array, service}},
+		{"an array task that is about to end", 35, false, 0, nil},
+		{"one that ends later", 36, false, 0, []string{array}},
+		{"one that was to end long ago", 35, false, 60 * monotime.Second, nil},
+		{"one that was to end too long ago", 35, false, 61 * monotime.Second, []string{array}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newControllerStub()
+			s.runSeconds, s.failing = tc.runSeconds, tc.failing
+			s.report(s.agents[fullMachine].BaseToken())
+			s.now += 5 * monotime.Second // the tasks run for so long
+			s.drainer.evictUnpermitted([]string{fullMachine}, s.now)
+			s.drainer.evictUnpermitted([]string{fullMachine}, s.now+tc.repeat)
+			var stopped []string
+			for _, id := range []string{array, service} {
+				attempt := agents.AttemptID{Task: mirror.TaskID{Job: id}, Attempt: attemptOne}
+				if s.agents[fullMachine].IsStopping(attempt) {
+					stopped = append(stopped, id)
+				}
+			}
+			if !slices.Equal(stopped, tc.want) || (len(s.synced) > 0) != (len(tc.want) > 0) {
+				t.Errorf("stopped %v, commands to %v, want %v", stopped, s.synced, tc.want)
+			}
+		})
+	}
+}
+
+// TestLosses: which releases count as losses, and of which cause.
+func TestLosses(t *testing.T) {
+	notice := 10.0
+	for _, tc := range []struct {
+		name string
+		job  string
+		do   func(*controllerStub)
+		want map[LossCause]int
+	}{
+		{"task exit", service, func(*controllerStub) {}, map[LossCause]int{LossByTaskExit: 1}},
+		{"array task", array, func(*controllerStub) {}, nil},
+		{"under a permit", service, func(s *controllerStub) { s.putPermits(servicePermit()) }, nil},
+		{"cancelled", service, func(s *controllerStub) { s.records.Jobs[service].FinalStatus = storage.JobCancelled }, nil},
+		{"no agent", service, func(s *controllerStub) { delete(s.agents, fullMachine) },
+			map[LossCause]int{LossByMachine: 1}},
+		{"scale-in", service, func(s *controllerStub) { s.records.ScaleInOfMachine[fullMachine] = "x" },
+			map[LossCause]int{LossByMachine: 1}},
+		{"spot interruption", service, func(s *controllerStub) {
+			s.records.ScaleInOfMachine[fullMachine] = "x"
+			s.agents[fullMachine].ApplyReport(s.records.Machines[fullMachine], s.records.Jobs,
+				&protocol.Heartbeat{Incarnation: 1, InterruptionNoticeS: &notice}, s.now, workerLease)
+		}, map[LossCause]int{LossBySpotInterruption: 1}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newControllerStub()
+			tc.do(s)
+			losses := s.drainer.NewLosses()
+			losses.Record(s.records.Machines[fullMachine], mirror.TaskID{Job: tc.job})
+			if len(s.drainer.lossCounts) != 0 {
+				t.Error("a loss counts before its update is in the store")
+			}
+			losses.Count()
+			if !maps.Equal(s.drainer.lossCounts, tc.want) {
+				t.Errorf("%v, want %v", s.drainer.lossCounts, tc.want)
+			}
+		})
+	}
+}
+
+// TestStartingMarks: a replica counts as starting until it is reported as running, and as long as it hasn't
+// run for the time after which it counts as available.
+func TestStartingMarks(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		running bool
+		before  bool
+		since   monotime.Micros
+		want    bool
+	}{
+		{"not reported as running", false, false, 0, true},
+		{"just running", true, true, 9 * monotime.Second, true},
+		{"running for long enough", true, true, 10 * monotime.Second, false},
+		{"counted as available before", true, false, 0, false},
+	} {
+		s := newControllerStub()
+		if tc.running {
+			s.report(s.agents[fullMachine].BaseToken())
+		}
+		attempt := attemptOf(servicePermit())
+		got := s.drainer.countsAsStarting(s.agents[fullMachine], attempt, tc.before, s.now+tc.since)
+		if got != tc.want {
+			t.Errorf("%s: %v", tc.name, got)
+		}
+	}
+}
+
+// TestReservations: a permit reserves the resources of its replica until the next attempt is placed.
+func TestReservations(t *testing.T) {
+	next := mirror.TaskID{Job: service}
+	for _, tc := range []struct {
+		name string
+		do   func(*controllerStub)
+		want bool
+	}{
+		{"still running", func(*controllerStub) {}, true},
+		{"stopped", func(s *controllerStub) {
+			delete(s.records.Machines[fullMachine].Attempts, next)
+			s.records.Jobs[service].TaskStates[0] = 0
+		}, true},
+		{"placed anew", func(s *controllerStub) { s.records.Machines[fullMachine].Attempts[next] = attemptOne + 1 }, false},
+		{"its job has ended", func(s *controllerStub) { s.records.Jobs[service].FinalStatus = storage.JobDone }, false},
+		{"its job is unknown", func(s *controllerStub) { delete(s.records.Jobs, service) }, false},
+	} {
+		s := newControllerStub()
+		s.putPermits(servicePermit())
+		tc.do(s)
+		got := s.drainer.ReservedByMachine()
+		if reserved := got[nextMachine].CPUs == 2; reserved != tc.want || !tc.want && len(got) != 0 {
+			t.Errorf("%s: %v", tc.name, got)
+		}
+	}
+}
+
+// TestMayScaleIn: an empty machine of a drain is removed after the delay, or at once if the drain says so;
+// not while the drain is paused.
+func TestMayScaleIn(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		drain storage.Drain
+		empty monotime.Micros
+		want  bool
+	}{
+		{"before the delay", storage.Drain{State: storage.DrainActive}, 19 * monotime.Second, false},
+		{"after the delay", storage.Drain{State: storage.DrainActive}, 20 * monotime.Second, true},
+		{"at once", storage.Drain{State: storage.DrainActive, RemoveAtOnce: true}, 0, true},
+		{"paused", storage.Drain{State: storage.DrainPaused, RemoveAtOnce: true}, monotime.Minute, false},
+		{"aborted", storage.Drain{State: storage.DrainAborted, RemoveAtOnce: true}, monotime.Minute, false},
+	} {
+		s := newControllerStub()
+		record := tc.drain
+		record.Selector.Zone = "a"
+		s.records.ApplyPut(storage.Key(storage.KindDrain, "d"), protocol.MustMarshal(&record), 1)
+		if got := s.drainer.MayScaleIn(s.records.Machines[nextMachine], tc.empty); got != tc.want {
+			t.Errorf("%s: %v", tc.name, got)
+		}
+	}
+}
+
+// TestDrainsTurnedOff: without settings there is no drainer, and its methods do nothing.
+func TestDrainsTurnedOff(t *testing.T) {
+	s := newControllerStub()
+	off := New(ownNode, nil, Dependencies{})
+	machine, job := s.records.Machines[fullMachine], s.records.Jobs[service]
+	off.Reconcile(testNow)
+	off.ForEachReservation(func(*storage.Permit, *mirror.Job) { t.Error("a reservation") })
+	losses := off.NewLosses()
+	losses.Record(machine, mirror.TaskID{Job: service})
+	losses.Count()
+	if off != nil || off.HasWork() || off.IsCordoned(machine) || off.MayScaleIn(machine, monotime.Minute) ||
+		off.ClosesOffer(autoscaling.Offer{}) || off.TracksStart(&job.Record.Spec) ||
+		off.ProtectsFromPreemption(job) || off.UpdateStartingMarks(&storage.Shard{}, machine, testNow) ||
+		len(off.ReservedByMachine()) != 0 || len(off.ReplacementDemands()) != 0 {
+		t.Error("drains are turned off, and something is done for them")
+	}
+}
