--- a/internal/coordination/combined_failures_test.go
+++ b/internal/coordination/combined_failures_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"fmt"
 	"testing"
 
 	"pipitgap/internal/config"
@@ -15,16 +14,19 @@
 var defaultLeases = leaseDurations{2 * second, 12 * second, 32 * second}
 
 func (l leaseDurations) apply(s *scenario) {
-	s.fleet.HeartbeatInterval, s.fleet.LeaseTime, s.checker.CancelWithin = l.heartbeatInterval, l.leaseTime, l.cancelTime
+	s.fleet.HeartbeatInterval, s.fleet.LeaseTime = l.heartbeatInterval, l.leaseTime
+	s.checker.CancelWithin = l.cancelTime
 	s.adjustFacts = func(cfg *config.Config) {
 		w := &cfg.Facts.Workers
-		w.HeartbeatIntervalS, w.LeaseS, w.CancelWithinS = l.heartbeatInterval.Seconds(), l.leaseTime.Seconds(), l.cancelTime.Seconds()
+		w.HeartbeatIntervalS = l.heartbeatInterval.Seconds()
+		w.LeaseS = l.leaseTime.Seconds()
+		w.CancelWithinS = l.cancelTime.Seconds()
 	}
 }
 
-// throttledThenStoreOutage is the meeting that broke most rules: the state service refuses the
-// leader alone, users cancel through another controller, and then the service is down
-// for all for longer than the tasks of a cancelled job may stay.
+// throttledThenStoreOutage is the combination that broke most invariants: the state service rejects the
+// leader alone, users cancel through another controller, and then the service is down for all, for
+// longer than the tasks of a cancelled job may keep running.
 func throttledThenStoreOutage(sincePrevious monotime.Micros, more ...fault) []fault {
 	return append([]fault{
 		storeRejectsController(70*second, leaderController, 14*second),
@@ -34,9 +36,8 @@
 	}, more...)
 }
 
-// TestCancellationReachesControllerThrottledAlone: whoever holds the machines learns of cancellations
-// from its peers, or lets the leases expire in time. The workers report to the old
-// leader all the while.
+// TestCancellationReachesControllerThrottledAlone: the owner of the machines learns of cancellations from
+// its peers, or lets the leases expire in time. The workers report to the old leader all the while.
 func TestCancellationReachesControllerThrottledAlone(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -71,7 +72,7 @@
 			throttledThenStoreOutage(2*second, crashController(69*second, leaderController, second/2)),
 		},
 		{
-			"two are refused",
+			"the store rejects two controllers",
 			defaultLeases,
 			throttledThenStoreOutage(
 				2*second,
@@ -79,7 +80,7 @@
 			),
 		},
 		{
-			"the confirmer restarts in the gap",
+			"the other controllers restart as the outage begins",
 			defaultLeases,
 			throttledThenStoreOutage(
 				2*second,
@@ -88,22 +89,22 @@
 			),
 		},
 		{
-			"one restarts before all have heard",
+			"a controller restarts before all peers know the cancellations",
 			defaultLeases,
 			throttledThenStoreOutage(second, crashController(71*second, followerController(1), second/2)),
 		},
 		{
-			"the holder loses its peers",
+			"the owner is cut off from its peers",
 			defaultLeases,
 			throttledThenStoreOutage(2*second, peerPartition(71*second, leaderController, 60*second)),
 		},
 		{
-			"another loses its peers",
+			"another controller is cut off from its peers",
 			defaultLeases,
 			throttledThenStoreOutage(2*second, peerPartition(71*second, followerController(1), 60*second)),
 		},
 		{
-			"peers cut for a moment",
+			"the owner is cut off from its peers before the outage only",
 			defaultLeases,
 			throttledThenStoreOutage(2*second, peerPartition(70*second, leaderController, 10*second)),
 		},
@@ -113,7 +114,7 @@
 			throttledThenStoreOutage(2*second, cancelRunningJobs(71*second, 4, 10*second)),
 		},
 		{
-			"machines change hands",
+			"machines change owners",
 			defaultLeases,
 			throttledThenStoreOutage(
 				2*second,
@@ -127,7 +128,7 @@
 			throttledThenStoreOutage(2*second, delayedCommands(60*second, 0.5, 60*second)),
 		},
 		{
-			"the holder stands still",
+			"the owner's process is paused",
 			defaultLeases,
 			throttledThenStoreOutage(2*second, processPause(73*second, leaderController, 8*second)),
 		},
@@ -157,7 +158,7 @@
 	}
 }
 
-// requireCancelledTasks fails a scenario that has not brought about what it is for.
+// requireCancelledTasks fails a scenario that ends with too few cancelled jobs to test cancellations.
 func (s *scenario) requireCancelledTasks(t *testing.T) {
 	t.Helper()
 	n := 0
@@ -171,7 +172,7 @@
 	}
 }
 
-// combinedFailure is a scenario of two or more troubles.
+// combinedFailure is a scenario of two or more faults.
 type combinedFailure struct {
 	name         string
 	eagerQueries bool
@@ -193,175 +194,234 @@
 	}
 }
 
-// TestCombinedFailuresKeepInvariants: the meetings of troubles in which schedulers have broken rules.
+// TestCombinedFailuresKeepInvariants: combinations of faults in which schedulers have broken invariants.
 func TestCombinedFailuresKeepInvariants(t *testing.T) {
 	fastBoot := func(s *scenario) { s.cloud.BootTime = second }
 	cases := []combinedFailure{
-		{name: "users look closely while the leader changes", eagerQueries: true, faults: []fault{
-			submitAtRate(
-				50*second,
-				second/2,
-				30*second,
-				submitSingleTask,
-			), crashController(60*second, leaderController, 2*second), cancelRunningJobs(60*second, 3, 0), crashController(70*second, leaderController, 5*second), cancelRunningJobs(70*second, 3, 0)}},
-		{name: "users look closely, the leader is refused", eagerQueries: true, faults: []fault{
-			submitAtRate(
-				50*second,
-				second/2,
-				30*second,
-				submitSingleTask,
-			), storeRejectsController(60*second, leaderController, 8*second), cancelRunningJobs(60*second, 3, 0), storeAndPeerPartition(75*second, leaderController, 12*second), cancelRunningJobs(76*second, 3, 0)}},
-		{name: "answers are lost, users look closely", eagerQueries: true, faults: []fault{
-			submitAtRate(
-				50*second,
-				second/2,
-				40*second,
-				submitSingleTask,
-			), lostCommitAnswers(50*second, 0.3, 50*second), cancelRunningJobs(60*second, 4, 0), crashController(75*second, leaderController, second)}},
-		{name: "writes come late, users look closely", eagerQueries: true, faults: []fault{
-			submitAtRate(
-				50*second,
-				second/2,
-				40*second,
-				submitSingleTask,
-			), delayedCommits(50*second, 0.2, 50*second), cancelRunningJobs(60*second, 4, 0), crashController(75*second, leaderController, second)}},
+		{
+			name:         "users poll rapidly while the leader changes",
+			eagerQueries: true,
+			faults: []fault{
+				submitAtRate(50*second, second/2, 30*second, submitSingleTask),
+				crashController(60*second, leaderController, 2*second),
+				cancelRunningJobs(60*second, 3, 0),
+				crashController(70*second, leaderController, 5*second),
+				cancelRunningJobs(70*second, 3, 0),
+			},
+		},
+		{
+			name:         "users poll rapidly, the store rejects the leader",
+			eagerQueries: true,
+			faults: []fault{
+				submitAtRate(50*second, second/2, 30*second, submitSingleTask),
+				storeRejectsController(60*second, leaderController, 8*second),
+				cancelRunningJobs(60*second, 3, 0),
+				storeAndPeerPartition(75*second, leaderController, 12*second),
+				cancelRunningJobs(76*second, 3, 0),
+			},
+		},
+		{
+			name:         "commit answers are lost, users poll rapidly",
+			eagerQueries: true,
+			faults: []fault{
+				submitAtRate(50*second, second/2, 40*second, submitSingleTask),
+				lostCommitAnswers(50*second, 0.3, 50*second),
+				cancelRunningJobs(60*second, 4, 0),
+				crashController(75*second, leaderController, second),
+			},
+		},
+		{
+			name:         "commits are delayed, users poll rapidly",
+			eagerQueries: true,
+			faults: []fault{
+				submitAtRate(50*second, second/2, 40*second, submitSingleTask),
+				delayedCommits(50*second, 0.2, 50*second),
+				cancelRunningJobs(60*second, 4, 0),
+				crashController(75*second, leaderController, second),
+			},
+		},
 		{
 			name:    "full teams, cancellations, hanging machines, a new leader",
 			prepare: fillTeamLimits,
 			faults: []fault{
-				cancelTeamJobs(
-					60*second,
-					"tight",
-					2,
-					10*second,
-				), crashController(61*second, leaderController, 4*second), cancelTeamJobs(90*second, "tight", 2, 20*second), crashController(90*second, leaderController, second/2),
-				cancelTeamJobs(120*second, "tight", 2, 9*second), crashAllControllers(121*second, second/2)},
+				cancelTeamJobs(60*second, "tight", 2, 10*second),
+				crashController(61*second, leaderController, 4*second),
+				cancelTeamJobs(90*second, "tight", 2, 20*second),
+				crashController(90*second, leaderController, second/2),
+				cancelTeamJobs(120*second, "tight", 2, 9*second),
+				crashAllControllers(121*second, second/2),
+			},
 		},
 		{
 			name:    "full teams, cancellations, machines cut off, a new leader",
 			prepare: fillTeamLimits,
 			faults: []fault{
-				machinesPartitioned(
-					60*second,
-					10,
-					25*second,
-				), cancelTeamJobs(60*second+second/2, "tight", 2, 0), crashController(61*second, leaderController, 4*second), machinesPartitioned(100*second, 10, 8*second),
-				cancelTeamJobs(
-					101*second,
-					"tight",
-					2,
-					0,
-				), crashController(102*second, leaderController, second)},
+				machinesPartitioned(60*second, 10, 25*second),
+				cancelTeamJobs(60*second+second/2, "tight", 2, 0),
+				crashController(61*second, leaderController, 4*second),
+				machinesPartitioned(100*second, 10, 8*second),
+				cancelTeamJobs(101*second, "tight", 2, 0),
+				crashController(102*second, leaderController, second),
+			},
 		},
 		{
 			name:    "full teams, cancellations, lost answers, new leaders",
 			prepare: fillTeamLimits,
 			faults: []fault{
-				lostCommitAnswers(
-					55*second,
-					0.4,
-					60*second,
-				), cancelTeamJobs(60*second, "tight", 2, 5*second), crashController(61*second, leaderController, second), cancelTeamJobs(75*second, "tight", 1, 0), crashController(76*second, leaderController, 10*second),
-				delayedCommits(
-					100*second,
-					0.3,
-					40*second,
-				), cancelTeamJobs(105*second, "tight", 2, 15*second), crashController(106*second, leaderController, second)},
-		},
-		{name: "full teams, their shares are written late", prepare: fillTeamLimits, faults: []fault{
-			delayedQuotaWrites(
-				45*second,
-				100*second,
-			), submitAtRate(45*second, second, 90*second, func(s *scenario) {
-				s.addUser(
-					2*second+s.randomDuration(8*second),
-					withTasks(1+s.sim.Rand.IntN(3)),
-					withCPUs(1),
-					withTeam("tight"),
-					withSpot(true),
-				)
-			}), cancelTeamJobs(60*second, "tight", 4, 0), cancelTeamJobs(90*second, "tight", 4, 0)}},
-		{name: "cancellations while work changes hands", faults: []fault{
-			crashController(
-				60*second,
-				followerController(1),
-				20*second,
-			), cancelRunningJobs(66*second, 3, 0), cancelRunningJobs(68*second, 3, 0), cancelRunningJobs(69*second, 3, 0), cancelRunningJobs(82*second, 3, 0)}},
-		{name: "cancellations while a cut-off controller's work changes hands", faults: []fault{
-			storeAndPeerPartition(
-				60*second,
-				followerController(1),
-				30*second,
-			), cancelRunningJobs(66*second, 3, 0), cancelRunningJobs(69*second, 3, 0), cancelRunningJobs(72*second, 3, 0)}},
-		{name: "machines up at once, late writes, the leader ends", prepare: fastBoot, faults: []fault{
-			delayedCommits(
-				45*second,
-				0.2,
-				60*second,
-			), submitAtRate(50*second, 2*second, 40*second, submitSingleTask), crashController(60*second, leaderController, 3*second), crashController(80*second, leaderController, second)}},
-		{name: "machines up at once, lost answers, the leader ends", prepare: fastBoot, faults: []fault{
-			lostCommitAnswers(
-				45*second,
-				0.3,
-				60*second,
-			), submitAtRate(50*second, 2*second, 40*second, submitSingleTask), crashController(60*second, leaderController, 3*second), crashController(80*second, leaderController, second)}},
-		{name: "old reports reach the next leader", faults: []fault{
-			duplicateReportsToNextLeader(
-				45*second,
-				0.5,
-				40*second,
-			), crashController(62*second, leaderController, 10*second), cancelRunningJobs(62*second, 3, 0), duplicateReportsToNextLeader(90*second, 0.5, 40*second), crashController(110*second, leaderController, second/2)}},
-		{name: "late reports from earlier sessions", faults: []fault{
-			duplicateReports(
-				45*second,
-				0.3,
-				60*second,
-			), machinesPartitioned(55*second, 5, 15*second), crashController(72*second, leaderController, 3*second), cancelRunningJobs(73*second, 3, 0)}},
-		{name: "four one-task jobs a second, a quarter cancelled", eagerQueries: true, faults: []fault{
-			submitAtRate(45*second, second/4, 100*second, submitSingleTask)}},
-		{name: "four one-task jobs a second, the leader ends", faults: []fault{
-			submitAtRate(
-				45*second,
-				second/4,
-				100*second,
-				submitSingleTask,
-			), crashController(70*second, leaderController, 3*second), storeOutage(100*second, 10*second)}},
-		{name: "ten new leaders in two minutes, and an outage", faults: []fault{
-			crashController(
-				45*second,
-				leaderController,
-				5*second,
-			), crashController(57*second, leaderController, second/2), crashController(70*second, leaderController, 8*second), storeOutage(75*second, 15*second), crashController(78*second, leaderController, 3*second),
-			crashController(
-				80*second,
-				followerController(1),
-				3*second,
-			), crashController(95*second, leaderController, 9*second), crashController(108*second, leaderController, second), crashController(120*second, leaderController, 6*second), crashController(133*second, leaderController, second/4), cancelRunningJobs(96*second, 4, 0)}},
-		{name: "all end, one returns within a second", faults: []fault{
-			crashAllControllers(
-				60*second,
-				20*second,
-			), crashController(61*second, leaderController, second), cancelRunningJobs(82*second, 4, 0), crashAllControllers(100*second, second/2)}},
-		{name: "all are away for longer than a lease", faults: []fault{
-			cancelRunningJobs(
-				59*second,
-				4,
-				0,
-			), crashAllControllers(60*second, 16*second), duplicateReports(50*second, 0.2, 60*second)}},
-		{name: "a late command of a deposed leader", faults: []fault{
-			delayedCommands(
-				50*second,
-				0.5,
-				60*second,
-			), storeAndPeerPartition(60*second, leaderController, 20*second), cancelRunningJobs(66*second, 4, 0), cancelRunningJobs(72*second, 4, 0), crashController(90*second, leaderController, 2*second)}},
-		{name: "machines are deaf to the new leader", faults: []fault{
-			machinesUnreachable(
-				58*second,
-				6,
-				30*second,
-			), crashController(60*second, leaderController, 12*second), cancelRunningJobs(64*second, 5, 0)}},
-		{
-			name: "machines are mute",
+				lostCommitAnswers(55*second, 0.4, 60*second),
+				cancelTeamJobs(60*second, "tight", 2, 5*second),
+				crashController(61*second, leaderController, second),
+				cancelTeamJobs(75*second, "tight", 1, 0),
+				crashController(76*second, leaderController, 10*second),
+				delayedCommits(100*second, 0.3, 40*second),
+				cancelTeamJobs(105*second, "tight", 2, 15*second),
+				crashController(106*second, leaderController, second),
+			},
+		},
+		{
+			name:    "full teams, their quota shares are written late",
+			prepare: fillTeamLimits,
+			faults: []fault{
+				delayedQuotaWrites(45*second, 100*second),
+				submitAtRate(45*second, second, 90*second, func(s *scenario) {
+					s.addUser(
+						2*second+s.randomDuration(8*second),
+						withTasks(1+s.sim.Rand.IntN(3)),
+						withCPUs(1),
+						withTeam("tight"),
+						withSpot(true),
+					)
+				}),
+				cancelTeamJobs(60*second, "tight", 4, 0),
+				cancelTeamJobs(90*second, "tight", 4, 0),
+			},
+		},
+		{
+			name: "cancellations while work changes hands",
+			faults: []fault{
+				crashController(60*second, followerController(1), 20*second),
+				cancelRunningJobs(66*second, 3, 0),
+				cancelRunningJobs(68*second, 3, 0),
+				cancelRunningJobs(69*second, 3, 0),
+				cancelRunningJobs(82*second, 3, 0),
+			},
+		},
+		{
+			name: "cancellations while a cut-off controller's work changes hands",
+			faults: []fault{
+				storeAndPeerPartition(60*second, followerController(1), 30*second),
+				cancelRunningJobs(66*second, 3, 0),
+				cancelRunningJobs(69*second, 3, 0),
+				cancelRunningJobs(72*second, 3, 0),
+			},
+		},
+		{
+			name:    "machines up at once, late writes, the leader ends",
+			prepare: fastBoot,
+			faults: []fault{
+				delayedCommits(45*second, 0.2, 60*second),
+				submitAtRate(50*second, 2*second, 40*second, submitSingleTask),
+				crashController(60*second, leaderController, 3*second),
+				crashController(80*second, leaderController, second),
+			},
+		},
+		{
+			name:    "machines up at once, lost answers, the leader ends",
+			prepare: fastBoot,
+			faults: []fault{
+				lostCommitAnswers(45*second, 0.3, 60*second),
+				submitAtRate(50*second, 2*second, 40*second, submitSingleTask),
+				crashController(60*second, leaderController, 3*second),
+				crashController(80*second, leaderController, second),
+			},
+		},
+		{
+			name: "old reports reach the next leader",
+			faults: []fault{
+				duplicateReportsToNextLeader(45*second, 0.5, 40*second),
+				crashController(62*second, leaderController, 10*second),
+				cancelRunningJobs(62*second, 3, 0),
+				duplicateReportsToNextLeader(90*second, 0.5, 40*second),
+				crashController(110*second, leaderController, second/2),
+			},
+		},
+		{
+			name: "late reports from earlier sessions",
+			faults: []fault{
+				duplicateReports(45*second, 0.3, 60*second),
+				machinesPartitioned(55*second, 5, 15*second),
+				crashController(72*second, leaderController, 3*second),
+				cancelRunningJobs(73*second, 3, 0),
+			},
+		},
+		{
+			name:         "four one-task jobs a second, a quarter cancelled",
+			eagerQueries: true,
+			faults: []fault{
+				submitAtRate(45*second, second/4, 100*second, submitSingleTask),
+			},
+		},
+		{
+			name: "four one-task jobs a second, the leader ends",
+			faults: []fault{
+				submitAtRate(45*second, second/4, 100*second, submitSingleTask),
+				crashController(70*second, leaderController, 3*second),
+				storeOutage(100*second, 10*second),
+			},
+		},
+		{
+			name: "ten new leaders in two minutes, and an outage",
+			faults: []fault{
+				crashController(45*second, leaderController, 5*second),
+				crashController(57*second, leaderController, second/2),
+				crashController(70*second, leaderController, 8*second),
+				storeOutage(75*second, 15*second),
+				crashController(78*second, leaderController, 3*second),
+				crashController(80*second, followerController(1), 3*second),
+				crashController(95*second, leaderController, 9*second),
+				crashController(108*second, leaderController, second),
+				crashController(120*second, leaderController, 6*second),
+				crashController(133*second, leaderController, second/4),
+				cancelRunningJobs(96*second, 4, 0),
+			},
+		},
+		{
+			name: "all controllers crash, one returns within a second",
+			faults: []fault{
+				crashAllControllers(60*second, 20*second),
+				crashController(61*second, leaderController, second),
+				cancelRunningJobs(82*second, 4, 0),
+				crashAllControllers(100*second, second/2),
+			},
+		},
+		{
+			name: "all controllers are down for longer than a lease",
+			faults: []fault{
+				cancelRunningJobs(59*second, 4, 0),
+				crashAllControllers(60*second, 16*second),
+				duplicateReports(50*second, 0.2, 60*second),
+			},
+		},
+		{
+			name: "a late command of a deposed leader",
+			faults: []fault{
+				delayedCommands(50*second, 0.5, 60*second),
+				storeAndPeerPartition(60*second, leaderController, 20*second),
+				cancelRunningJobs(66*second, 4, 0),
+				cancelRunningJobs(72*second, 4, 0),
+				crashController(90*second, leaderController, 2*second),
+			},
+		},
+		{
+			name: "machines can't be reached by the new leader",
+			faults: []fault{
+				machinesUnreachable(58*second, 6, 30*second),
+				crashController(60*second, leaderController, 12*second),
+				cancelRunningJobs(64*second, 5, 0),
+			},
+		},
+		{
+			name: "heartbeats of machines are lost",
 			faults: []fault{
 				machinesMuted(60*second, 6, 25*second),
 				cancelRunningJobs(62*second, 5, 0),
@@ -371,60 +431,100 @@
 		{
 			name:         "cancelled at the end of the last task",
 			eagerQueries: true,
-			faults: []fault{submitAtRate(50*second, second/2, 40*second, func(s *scenario) {
-				u := s.addUser(4*second, withCPUs(1), withSpot(true))
-				s.pollFor(
-					60*second,
-					func() bool { return s.fleet.Finished[u.id+"/0"] },
-					func() { s.sim.After(s.randomDuration(second/2), u.cancel) },
-				)
-			})},
-		},
-		{name: "small jobs end far apart across a change of leader", prepare: func(s *scenario) {
-			for i := range 4 {
-				u := s.addUser(25*second, withTasks(2+i%2), withCPUs(1))
-				s.fleet.TaskRunTime[u.id+"/0"] = 5 * second
-				s.fleet.TaskRunTime[u.id+"/1"] = 60 * second
-			}
-		}, faults: []fault{crashController(45*second, leaderController, 4*second), crashController(58*second, leaderController, 4*second), crashController(70*second, leaderController, second)}},
-		{name: "jobs bound to a zone lose machines", prepare: func(s *scenario) {
-			for i := range 4 {
-				s.addUser(60*second, withTasks(3), withZone([]string{"a", "b"}[i%2]), withOneZone(i > 1))
-			}
-		}, faults: []fault{machinesVanish(50*second, 4), zonePartition(60*second, 20*second), cancelRunningJobs(62*second, 4, 0), machinesVanish(90*second, 4)}},
-		{name: "a zone is cut off for longer than a lease", faults: []fault{
-			zonePartition(
-				60*second,
-				25*second,
-			), cancelRunningJobs(62*second, 4, 0), cancelRunningJobs(75*second, 4, 0), crashController(80*second, leaderController, 3*second)}},
-		{name: "zones cut, then no store for anybody", faults: []fault{
-			zonePartition(
-				60*second,
-				60*second,
-			), cancelRunningJobs(60*second, 4, 0), cancelRunningJobs(65*second, 4, 0), storeOutage(66*second, 45*second)}},
-		{name: "more work than room, answers are slow", prepare: func(s *scenario) {
-			for i := range 8 {
-				priorities := []protocol.Priority{
-					protocol.Standard,
-					protocol.High,
-					protocol.BestEffort,
-					protocol.Production,
+			faults: []fault{
+				submitAtRate(50*second, second/2, 40*second, func(s *scenario) {
+					u := s.addUser(4*second, withCPUs(1), withSpot(true))
+					s.pollFor(
+						60*second,
+						func() bool { return s.fleet.Finished[u.id+"/0"] },
+						func() { s.sim.After(s.randomDuration(second/2), u.cancel) },
+					)
+				}),
+			},
+		},
+		{
+			name: "small jobs end far apart across a change of leader",
+			prepare: func(s *scenario) {
+				for i := range 4 {
+					u := s.addUser(25*second, withTasks(2+i%2), withCPUs(1))
+					s.fleet.TaskRunTime[u.id+"/0"] = 5 * second
+					s.fleet.TaskRunTime[u.id+"/1"] = 60 * second
 				}
-				s.addUser(
-					20*second,
-					withTasks(30),
-					withCPUs(2),
-					withPriority(priorities[i%4]),
-					withSpot(i%2 == 0),
-				)
-			}
-		}, faults: []fault{slowStoreReplies(45*second, second, 60*second), cancelRunningJobs(60*second, 4, 0), crashController(70*second, leaderController, 3*second)}},
-		{name: "the store is slow to answer and refuses the leader", eagerQueries: true, faults: []fault{
-			delayedCommits(
-				60*second,
-				0.1,
-				20*second,
-			), storeRejectsController(70*second, leaderController, 6*second), cancelRunningJobs(71*second, 4, 0), storeOutage(78*second, 40*second), cancelRunningJobs(80*second, 4, 0)}},
+			},
+			faults: []fault{
+				crashController(45*second, leaderController, 4*second),
+				crashController(58*second, leaderController, 4*second),
+				crashController(70*second, leaderController, second),
+			},
+		},
+		{
+			name: "jobs bound to a zone lose machines",
+			prepare: func(s *scenario) {
+				for i := range 4 {
+					s.addUser(60*second, withTasks(3), withZone([]string{"a", "b"}[i%2]), withOneZone(i > 1))
+				}
+			},
+			faults: []fault{
+				machinesVanish(50*second, 4),
+				zonePartition(60*second, 20*second),
+				cancelRunningJobs(62*second, 4, 0),
+				machinesVanish(90*second, 4),
+			},
+		},
+		{
+			name: "a zone is cut off for longer than a lease",
+			faults: []fault{
+				zonePartition(60*second, 25*second),
+				cancelRunningJobs(62*second, 4, 0),
+				cancelRunningJobs(75*second, 4, 0),
+				crashController(80*second, leaderController, 3*second),
+			},
+		},
+		{
+			name: "zones cut, then no store for anybody",
+			faults: []fault{
+				zonePartition(60*second, 60*second),
+				cancelRunningJobs(60*second, 4, 0),
+				cancelRunningJobs(65*second, 4, 0),
+				storeOutage(66*second, 45*second),
+			},
+		},
+		{
+			name: "more work than room, answers are slow",
+			prepare: func(s *scenario) {
+				for i := range 8 {
+					priorities := []protocol.Priority{
+						protocol.Standard,
+						protocol.High,
+						protocol.BestEffort,
+						protocol.Production,
+					}
+					s.addUser(
+						20*second,
+						withTasks(30),
+						withCPUs(2),
+						withPriority(priorities[i%4]),
+						withSpot(i%2 == 0),
+					)
+				}
+			},
+			faults: []fault{
+				slowStoreReplies(45*second, second, 60*second),
+				cancelRunningJobs(60*second, 4, 0),
+				crashController(70*second, leaderController, 3*second),
+			},
+		},
+		{
+			name:         "the store is slow to answer and refuses the leader",
+			eagerQueries: true,
+			faults: []fault{
+				delayedCommits(60*second, 0.1, 20*second),
+				storeRejectsController(70*second, leaderController, 6*second),
+				cancelRunningJobs(71*second, 4, 0),
+				storeOutage(78*second, 40*second),
+				cancelRunningJobs(80*second, 4, 0),
+			},
+		},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -436,7 +536,7 @@
 				}
 				s.runFaults(tc.faults, 160*second)
 				if t.Failed() {
-					t.Fatalf("seed %d: %s", seed, fmt.Sprint(describeFaults(tc.faults)))
+					t.Fatalf("seed %d: %s", seed, describeFaults(tc.faults))
 				}
 			}
 		})
@@ -444,8 +544,7 @@
 }
 
 // TestLeasesLongerThanCancellationsAreRenewed: on a platform whose leases outlast the time that a
-// cancellation may take, check-ins are answered all the same: no lease expires on a day
-// without faults.
+// cancellation may take, heartbeats are answered all the same: no lease expires without a fault.
 func TestLeasesLongerThanCancellationsAreRenewed(t *testing.T) {
 	s := newScenario(t, 3200)
 	leaseDurations{2 * second, 30 * second, 20 * second}.apply(s)
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -93,8 +93,8 @@
 type drainFault struct {
 	name  string
 	begin func(s *drainScenario)
-	// leaseLoss says what part it has in leases that end by the dozen: controllers that are new
-	// in an outage, or are away in it, can't renew them.
+	// leaseLoss says how the fault contributes to the loss of many leases at once: controllers that
+	// are down or new during an outage can't renew them.
 	leaseLoss leaseLossCause
 }
 
@@ -121,12 +121,12 @@
 		leaseLossWithNewController,
 	},
 	{
-		"the leader stands still and wakes late",
+		"the leader is paused and resumes late",
 		func(s *drainScenario) { s.pause(drainLeaderName(s), 15*second) },
 		leaseLossWithNewController,
 	},
 	{
-		"another controller stands still",
+		"another controller is paused",
 		func(s *drainScenario) { s.pause(s.nodeNames[s.sim.Rand.IntN(3)], 6*second) },
 		leaseLossWithNewController,
 	},
@@ -150,7 +150,9 @@
 		s.sim.After(40*second, func() { s.store.DelayCommit = nil })
 	}, noLeaseLoss},
 	{"answers of permits are lost", func(s *drainScenario) {
-		s.store.LoseResponse = func(txn *protocol.Transaction) bool { return changesPermits(txn) && s.sim.Rand.IntN(2) == 0 }
+		s.store.LoseResponse = func(txn *protocol.Transaction) bool {
+			return changesPermits(txn) && s.sim.Rand.IntN(2) == 0
+		}
 		s.sim.After(40*second, func() { s.store.LoseResponse = nil })
 	}, noLeaseLoss},
 	{"new machines never come up", func(s *drainScenario) {
@@ -233,7 +235,7 @@
 	}, noLeaseLoss},
 }
 
-// TestDrainFaults: each trouble by itself, at a random time of a drain. No team falls below its
+// TestDrainFaults: each fault by itself, at a random time of a drain. No team falls below its
 // budget, and the drain still comes to its end.
 func TestDrainFaults(t *testing.T) {
 	for _, f := range drainFaults {
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -8,7 +8,7 @@
 	"pipitgap/internal/storage"
 )
 
-// fault is a trouble that begins at a time of the scenario.
+// fault is injected at a time of the scenario, counted from its start.
 type fault struct {
 	at     monotime.Micros
 	name   string
@@ -38,7 +38,7 @@
 	}
 }
 
-// storeRejectsController has the state service refuse one controller alone.
+// storeRejectsController has the state service reject the calls of one controller alone.
 func storeRejectsController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "refusal", func(s *scenario) {
 		node := of(s)
@@ -47,12 +47,12 @@
 	}}
 }
 
-// storeOutage has the state service refuse everybody.
+// storeOutage has the state service reject all calls.
 func storeOutage(at, duration monotime.Micros) fault {
 	return fault{at, "outage", func(s *scenario) { s.store.Outage(duration) }}
 }
 
-// crashController ends a controller; it is back after a while.
+// crashController crashes a controller and restarts it after the duration.
 func crashController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "crash", func(s *scenario) {
 		node := of(s)
@@ -64,7 +64,7 @@
 	}}
 }
 
-// crashAllControllers ends all controllers within a moment.
+// crashAllControllers crashes all controllers at once and restarts them after the duration.
 func crashAllControllers(at, duration monotime.Micros) fault {
 	return fault{at, "all crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
@@ -74,7 +74,7 @@
 	}}
 }
 
-// peerPartition has a controller lose the others.
+// peerPartition cuts a controller off from its peers.
 func peerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "cut from peers", func(s *scenario) {
 		node := of(s)
@@ -89,8 +89,8 @@
 	}}
 }
 
-// storeAndPeerPartition has a controller lose the state service and the others, but neither
-// its workers nor its users.
+// storeAndPeerPartition cuts a controller off from the state service and its peers, but neither from
+// its workers nor from its users.
 func storeAndPeerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "cut from state and peers", func(s *scenario) {
 		node := of(s)
@@ -99,12 +99,12 @@
 	}}
 }
 
-// processPause stops a controller's process while its clocks run.
+// processPause suspends a controller's process while its clocks run on.
 func processPause(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
-	return fault{at, "stands still", func(s *scenario) { s.cluster.pause(of(s), duration) }}
+	return fault{at, "process paused", func(s *scenario) { s.cluster.pause(of(s), duration) }}
 }
 
-// pickMachines picks some of those that are up.
+// pickMachines picks up to n machines that are up, at random.
 func (s *scenario) pickMachines(n int) []*fake.Worker {
 	var up []*fake.Worker
 	for _, id := range sortedmap.Keys(s.fleet.Workers) {
@@ -116,7 +116,7 @@
 	return up[:min(n, len(up))]
 }
 
-// machinesHang stops machines, which go on afterwards.
+// machinesHang suspends machines, which resume afterwards.
 func machinesHang(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines hang", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
@@ -135,9 +135,9 @@
 	}}
 }
 
-// machinesUnreachable has machines be heard but not reached.
+// machinesUnreachable lets heartbeats of machines through, but no command reaches them.
 func machinesUnreachable(at monotime.Micros, n int, duration monotime.Micros) fault {
-	return fault{at, "machines are deaf", func(s *scenario) {
+	return fault{at, "machines unreachable", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			s.unreachableMachines[worker.Machine.ID] = true
 			s.sim.After(duration, func() { delete(s.unreachableMachines, worker.Machine.ID) })
@@ -145,9 +145,9 @@
 	}}
 }
 
-// machinesMuted has machines be reached but not heard.
+// machinesMuted lets commands reach machines, but loses their heartbeats.
 func machinesMuted(at monotime.Micros, n int, duration monotime.Micros) fault {
-	return fault{at, "machines are mute", func(s *scenario) {
+	return fault{at, "heartbeats lost", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			s.mutedMachines[worker.Machine.ID] = true
 			s.sim.After(duration, func() { delete(s.mutedMachines, worker.Machine.ID) })
@@ -155,11 +155,11 @@
 	}}
 }
 
-// delayedCommits has a share of the commits get no answer and be carried out late.
-func delayedCommits(at monotime.Micros, share float64, duration monotime.Micros) fault {
+// delayedCommits has a fraction of the commits get no answer and take effect late.
+func delayedCommits(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "late writes", func(s *scenario) {
 		s.store.DelayCommit = func(*protocol.Transaction) monotime.Micros {
-			if s.sim.Rand.Float64() < share {
+			if s.sim.Rand.Float64() < fraction {
 				return 2*second + s.randomDuration(10*second)
 			}
 			return 0
@@ -168,8 +168,8 @@
 	}}
 }
 
-// changesQuotaShares tells whether a commit changes, or drops, a controller's part of the
-// limits and nothing else.
+// changesQuotaShares tells whether a commit changes, or drops, a controller's quota shares and
+// nothing else.
 func changesQuotaShares(txn *protocol.Transaction, drops bool) bool {
 	if len(txn.Then) != 1 || (txn.Then[0].Delete != "") != drops {
 		return false
@@ -178,10 +178,10 @@
 	return kind == storage.KindPartition
 }
 
-// delayedQuotaWrites has every second change of a controller's part of the limits, by itself,
-// get no answer and be carried out late.
+// delayedQuotaWrites has every second change of quota shares, by itself, get no answer and be
+// committed late.
 func delayedQuotaWrites(at, duration monotime.Micros) fault {
-	return fault{at, "late shares", func(s *scenario) {
+	return fault{at, "late quota shares", func(s *scenario) {
 		s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 			if changesQuotaShares(txn, false) && s.sim.Rand.IntN(2) == 0 {
 				return 3*second + s.randomDuration(9*second)
@@ -192,19 +192,19 @@
 	}}
 }
 
-// lostCommitAnswers has a share of the commits be carried out at once, their answers lost.
-func lostCommitAnswers(at monotime.Micros, share float64, duration monotime.Micros) fault {
+// lostCommitAnswers has a fraction of the commits take effect at once, their answers lost.
+func lostCommitAnswers(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "lost answers", func(s *scenario) {
-		s.store.LoseResponse = func(*protocol.Transaction) bool { return s.sim.Rand.Float64() < share }
+		s.store.LoseResponse = func(*protocol.Transaction) bool { return s.sim.Rand.Float64() < fraction }
 		s.sim.After(duration, func() { s.store.LoseResponse = nil })
 	}}
 }
 
-// delayedCommands has a share of the direct commands held up on their way.
-func delayedCommands(at monotime.Micros, share float64, duration monotime.Micros) fault {
+// delayedCommands delays a fraction of the direct commands.
+func delayedCommands(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "late commands", func(s *scenario) {
 		s.commandDelay = func(_ *fake.Worker, request *protocol.CommandRequest) monotime.Micros {
-			if request != nil && s.sim.Rand.Float64() < share {
+			if request != nil && s.sim.Rand.Float64() < fraction {
 				return 2*second + s.randomDuration(14*second)
 			}
 			return 0
@@ -213,11 +213,11 @@
 	}}
 }
 
-// duplicateReports has copies of a share of the reports come again, to every controller.
-func duplicateReports(at monotime.Micros, share float64, duration monotime.Micros) fault {
+// duplicateReports delivers copies of a fraction of the heartbeats again, later, to every controller.
+func duplicateReports(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "late reports", func(s *scenario) {
 		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
-			if s.sim.Rand.Float64() < share {
+			if s.sim.Rand.Float64() < fraction {
 				s.sim.After(2*second+s.randomDuration(25*second), func() { s.deliverDuplicateReport(body) })
 			}
 		}
@@ -225,13 +225,13 @@
 	}}
 }
 
-// duplicateReportsToNextLeader keeps copies until another controller leads, which gets them at
-// that moment, as do all others.
-func duplicateReportsToNextLeader(at monotime.Micros, share float64, duration monotime.Micros) fault {
+// duplicateReportsToNextLeader keeps copies of a fraction of the heartbeats until another controller
+// leads, and then delivers them to every controller.
+func duplicateReportsToNextLeader(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "reports for the next leader", func(s *scenario) {
 		var kept [][]byte
 		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
-			if s.sim.Rand.Float64() < share {
+			if s.sim.Rand.Float64() < fraction {
 				kept = append(kept, body)
 			}
 		}
@@ -245,7 +245,7 @@
 	}}
 }
 
-// cancelRunningJobs has the users of running jobs call them off; machines of theirs may hang.
+// cancelRunningJobs has the users of n running jobs cancel them; with hangFor a machine of each hangs.
 func cancelRunningJobs(at monotime.Micros, n int, hangFor monotime.Micros) fault {
 	return fault{at, "cancellations", func(s *scenario) {
 		left := n
@@ -261,7 +261,7 @@
 	}}
 }
 
-// cancelTeamJobs has users of a team call off jobs that run; their machines hang.
+// cancelTeamJobs has users of a team cancel n running jobs; with hangFor all their machines hang.
 func cancelTeamJobs(at monotime.Micros, team string, n int, hangFor monotime.Micros) fault {
 	return fault{at, "cancellations of " + team, func(s *scenario) {
 		left := n
@@ -333,14 +333,14 @@
 	}}
 }
 
-// submitAtRate has users submit jobs at a rate for a while.
-func submitAtRate(at monotime.Micros, every, duration monotime.Micros, make func(s *scenario)) fault {
+// submitAtRate has a job submitted at every interval for the duration.
+func submitAtRate(at monotime.Micros, interval, duration monotime.Micros, submit func(s *scenario)) fault {
 	return fault{at, "submissions", func(s *scenario) {
 		var next func(left monotime.Micros)
 		next = func(left monotime.Micros) {
 			if left > 0 {
-				make(s)
-				s.sim.After(every, func() { next(left - every) })
+				submit(s)
+				s.sim.After(interval, func() { next(left - interval) })
 			}
 		}
 		next(duration)
