--- a/internal/mirror/drain_snapshot.go
+++ b/internal/mirror/drain_snapshot.go
@@ -8,13 +8,13 @@
 )
 
 // DrainSnapshotBuilder begins a snapshot with all but the machines.
-func (v *Mirror) DrainSnapshotBuilder(
+func (m *Mirror) DrainSnapshotBuilder(
 	wall int64,
 	types map[string]protocol.MachineType,
 	failing func(*Job) bool,
 ) *drain.Builder {
-	b := drain.NewBuilder(v.WatchedRevision, wall)
-	for id, job := range v.Jobs {
+	b := drain.NewBuilder(m.WatchedRevision, wall)
+	for id, job := range m.Jobs {
 		if spec := &job.Record.Spec; spec.Service && job.IsOpen() {
 			b.AddJob(
 				&drain.Job{
@@ -39,17 +39,17 @@
 			drain.TypeCapacity{Name: name, Capacity: MachineCapacity(&machineType), Zones: machineType.Zones},
 		)
 	}
-	for name, drainEntry := range v.Drains {
+	for name, drainEntry := range m.Drains {
 		b.AddDrain(name, drainEntry.Version, drainEntry.Record)
 	}
-	for team, permits := range v.PermitsByTeam {
+	for team, permits := range m.PermitsByTeam {
 		b.AddPermits(team, permits.Version, permits.Record)
 	}
 	return b
 }
 
 // DrainSnapshotMachine gives a machine as the records have it.
-func (v *Mirror) DrainSnapshotMachine(
+func (m *Mirror) DrainSnapshotMachine(
 	machine *Machine,
 	types map[string]protocol.MachineType,
 ) *drain.Machine {
@@ -61,14 +61,14 @@
 		State: machine.Record.State,
 		Owner: machine.Owner(),
 	}
-	if v.ScaleInOfMachine[machine.ID] != "" {
+	if m.ScaleInOfMachine[machine.ID] != "" {
 		out.State = storage.MachineRemoving
 	}
 	if machineType, ok := types[machine.Record.Type]; ok {
 		out.Free = MachineCapacity(&machineType).AddScaled(machine.Used, -1)
 	}
 	for _, task := range SortedTaskIDs(machine.Attempts) {
-		job := v.Jobs[task.Job]
+		job := m.Jobs[task.Job]
 		switch {
 		case job == nil || !job.IsOpen():
 		case job.Record.Spec.Service:
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -50,177 +50,206 @@
 }
 
 // VersionOf gives the version of a key in the mirror, 0 if it has none.
-func (v *Mirror) VersionOf(key string) uint64 {
+func (m *Mirror) VersionOf(key string) uint64 {
 	kind, name, ok := storage.SplitKey(key)
 	if !ok {
 		return 0
 	}
 	switch kind {
 	case storage.KindOpenJob:
-		if job := v.Jobs[name]; job != nil {
+		if job := m.Jobs[name]; job != nil {
 			return job.Version
 		}
 	case storage.KindShard:
-		if shard := v.Shards[name]; shard != nil {
+		if shard := m.Shards[name]; shard != nil {
 			return shard.Version
 		}
 	case storage.KindPartition:
-		if partition := v.Partitions[name]; partition != nil {
+		if partition := m.Partitions[name]; partition != nil {
 			return partition.Version
 		}
 	case storage.KindScaleOut:
-		if request := v.ScaleOuts[name]; request != nil {
+		if request := m.ScaleOuts[name]; request != nil {
 			return request.Version
 		}
 	case storage.KindScaleIn:
-		if removal := v.ScaleIns[name]; removal != nil {
-			return removal.Version
+		if request := m.ScaleIns[name]; request != nil {
+			return request.Version
 		}
 	case storage.KindMember:
-		return v.Members[name].Version
+		return m.Members[name].Version
 	case storage.KindMachineType:
-		return v.MachineTypes[name].Version
+		return m.MachineTypes[name].Version
 	case storage.KindLeader:
-		return v.LeaderVersion
+		return m.LeaderVersion
 	case storage.KindDrain:
-		return v.Drains[name].Version
+		return m.Drains[name].Version
 	case storage.KindPermits:
-		return v.PermitsByTeam[name].Version
+		return m.PermitsByTeam[name].Version
 	}
 	return 0
 }
 
-// applyRecordPut applies a put of any record but a shard.
-func (v *Mirror) applyRecordPut(kind, name string, event protocol.Event) {
+// decode reads the value of a record; ok is false if it is malformed.
+func decode[Record any](value protocol.Raw) (record Record, ok bool) {
+	err := protocol.Unmarshal(value, &record)
+	return record, err == nil
+}
+
+// applyRecordPut applies a put of any record but a shard. A malformed one changes nothing.
+func (m *Mirror) applyRecordPut(kind, name string, event protocol.Event) {
 	switch kind {
 	case storage.KindJobResult:
-		var result storage.JobResult
-		if protocol.Unmarshal(event.Value, &result) == nil {
-			v.Results.Add(name, result.State)
-			if job := v.Jobs[name]; job != nil {
-				job.FinalStatus, job.FinalRevision = result.State, event.Version
-			}
-		}
+		m.putJobResult(name, event)
 	case storage.KindOpenJob:
-		job := v.Jobs[name]
-		var record storage.OpenJob
-		if protocol.Unmarshal(event.Value, &record) != nil || record.Spec.Tasks <= 0 ||
-			record.Spec.Tasks > protocol.MaxTasks ||
-			job != nil && record.Spec.Tasks != job.Record.Spec.Tasks {
-			return
-		}
-		if job != nil {
-			job.Record, job.Version = record, event.Version
-			return
-		}
-		job = &Job{
-			ID:            name,
-			Record:        record,
-			Version:       event.Version,
-			TaskStates:    make([]uint8, record.Spec.Tasks),
-			TaskResources: TaskResources(&record.Spec),
-		}
-		job.FinalStatus, _ = v.Results.Get(name)
-		v.Jobs[name] = job
-		for _, shard := range v.Shards { // it may have been seen before its job
-			v.countJobOfShard(shard, name, 1)
-		}
+		m.putOpenJob(name, event)
 	case storage.KindPartition:
-		partition := &PartitionEntry{Version: event.Version}
-		if protocol.Unmarshal(event.Value, &partition.Record) == nil {
-			v.Partitions[name] = partition
+		if record, ok := decode[storage.Partition](event.Value); ok {
+			m.Partitions[name] = &PartitionEntry{record, event.Version}
 		}
 	case storage.KindScaleOut:
-		request := &ScaleOutEntry{Version: event.Version}
-		if protocol.Unmarshal(event.Value, &request.Record) == nil {
-			v.applyRecordDelete(kind, name)
-			v.ScaleOuts[name] = request
-			for _, id := range request.Record.Machines {
-				v.ScaleOutOfMachine[id] = name
-			}
-		}
+		m.putScaleOut(name, event)
 	case storage.KindScaleIn:
-		removal := &ScaleInEntry{Version: event.Version}
-		if protocol.Unmarshal(event.Value, &removal.Record) == nil {
-			v.applyRecordDelete(kind, name)
-			v.ScaleIns[name] = removal
-			for _, id := range removal.Record.Machines {
-				v.ScaleInOfMachine[id] = name
-			}
-		}
+		m.putScaleIn(name, event)
 	case storage.KindMachineType:
-		entry := MachineTypeEntry{Version: event.Version}
-		if protocol.Unmarshal(event.Value, &entry.Record) == nil {
-			v.MachineTypes[name] = entry
+		if record, ok := decode[storage.MachineType](event.Value); ok {
+			m.MachineTypes[name] = MachineTypeEntry{record, event.Version}
 		}
 	case storage.KindMember:
-		member := MemberEntry{Version: event.Version}
-		if protocol.Unmarshal(event.Value, &member.Record) == nil {
-			v.Members[name] = member
+		if record, ok := decode[storage.Member](event.Value); ok {
+			m.Members[name] = MemberEntry{record, event.Version}
 		}
 	case storage.KindLeader:
-		var lead storage.Leader
-		if protocol.Unmarshal(event.Value, &lead) == nil {
-			v.Leader, v.LeaderVersion = lead, event.Version
+		if record, ok := decode[storage.Leader](event.Value); ok {
+			m.Leader, m.LeaderVersion = record, event.Version
 		}
 	case storage.KindDrain:
-		drainEntry := DrainEntry{Version: event.Version}
-		if protocol.Unmarshal(event.Value, &drainEntry.Record) == nil {
-			v.Drains[name] = drainEntry
+		if record, ok := decode[storage.Drain](event.Value); ok {
+			m.Drains[name] = DrainEntry{record, event.Version}
 		}
 	case storage.KindPermits:
-		permits := PermitsEntry{Version: event.Version}
-		if protocol.Unmarshal(event.Value, &permits.Record) == nil {
-			v.PermitsByTeam[name] = permits
+		if record, ok := decode[storage.Permits](event.Value); ok {
+			m.PermitsByTeam[name] = PermitsEntry{record, event.Version}
+		}
+	}
+}
+
+func (m *Mirror) putJobResult(id string, event protocol.Event) {
+	result, ok := decode[storage.JobResult](event.Value)
+	if !ok {
+		return
+	}
+	m.Results.Add(id, result.State)
+	if job := m.Jobs[id]; job != nil {
+		job.FinalStatus, job.FinalRevision = result.State, event.Version
+	}
+}
+
+// putOpenJob applies the record of an unfinished job. Its number of tasks never changes.
+func (m *Mirror) putOpenJob(id string, event protocol.Event) {
+	record, ok := decode[storage.OpenJob](event.Value)
+	tasks := record.Spec.Tasks
+	if !ok || tasks <= 0 || tasks > protocol.MaxTasks {
+		return
+	}
+	if job := m.Jobs[id]; job != nil {
+		if tasks == job.Record.Spec.Tasks {
+			job.Record, job.Version = record, event.Version
+		}
+		return
+	}
+	job := &Job{
+		ID:            id,
+		Record:        record,
+		Version:       event.Version,
+		TaskStates:    make([]uint8, tasks),
+		TaskResources: TaskResources(&record.Spec),
+	}
+	job.FinalStatus, _ = m.Results.Get(id)
+	m.Jobs[id] = job
+	for _, shard := range m.Shards { // shards that hold the job may have been seen before it
+		m.countJobOfShard(shard, id, 1)
+	}
+}
+
+func (m *Mirror) putScaleOut(name string, event protocol.Event) {
+	record, ok := decode[storage.ScaleOutRequest](event.Value)
+	if !ok {
+		return
+	}
+	m.deleteScaleOut(name)
+	m.ScaleOuts[name] = &ScaleOutEntry{record, event.Version}
+	for _, id := range record.Machines {
+		m.ScaleOutOfMachine[id] = name
+	}
+}
+
+func (m *Mirror) putScaleIn(name string, event protocol.Event) {
+	record, ok := decode[storage.ScaleInRequest](event.Value)
+	if !ok {
+		return
+	}
+	m.deleteScaleIn(name)
+	m.ScaleIns[name] = &ScaleInEntry{record, event.Version}
+	for _, id := range record.Machines {
+		m.ScaleInOfMachine[id] = name
+	}
+}
+
+func (m *Mirror) deleteScaleOut(name string) {
+	if request := m.ScaleOuts[name]; request != nil {
+		deleteMachinesOf(m.ScaleOutOfMachine, name, request.Record.Machines)
+	}
+	delete(m.ScaleOuts, name)
+}
+
+func (m *Mirror) deleteScaleIn(name string) {
+	if request := m.ScaleIns[name]; request != nil {
+		deleteMachinesOf(m.ScaleInOfMachine, name, request.Record.Machines)
+	}
+	delete(m.ScaleIns, name)
+}
+
+// deleteMachinesOf deletes the machines of a request, but for those that a later one names.
+func deleteMachinesOf(requestOfMachine map[string]string, request string, machines []string) {
+	for _, id := range machines {
+		if requestOfMachine[id] == request {
+			delete(requestOfMachine, id)
 		}
 	}
 }
 
 // applyRecordDelete applies a deletion of any record but a shard.
-func (v *Mirror) applyRecordDelete(kind, name string) {
+func (m *Mirror) applyRecordDelete(kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
-		for _, shard := range v.Shards {
-			v.countJobOfShard(shard, name, -1)
+		for _, shard := range m.Shards {
+			m.countJobOfShard(shard, name, -1)
 		}
-		delete(v.Jobs, name)
+		delete(m.Jobs, name)
 	case storage.KindPartition:
-		delete(v.Partitions, name)
+		delete(m.Partitions, name)
 	case storage.KindScaleOut:
-		if request := v.ScaleOuts[name]; request != nil {
-			for _, id := range request.Record.Machines {
-				if v.ScaleOutOfMachine[id] == name {
-					delete(v.ScaleOutOfMachine, id)
-				}
-			}
-		}
-		delete(v.ScaleOuts, name)
+		m.deleteScaleOut(name)
 	case storage.KindScaleIn:
-		if removal := v.ScaleIns[name]; removal != nil {
-			for _, id := range removal.Record.Machines {
-				if v.ScaleInOfMachine[id] == name {
-					delete(v.ScaleInOfMachine, id)
-				}
-			}
-		}
-		delete(v.ScaleIns, name)
+		m.deleteScaleIn(name)
 	case storage.KindMachineType:
-		delete(v.MachineTypes, name)
+		delete(m.MachineTypes, name)
 	case storage.KindMember:
-		delete(v.Members, name)
+		delete(m.Members, name)
 	case storage.KindLeader:
-		v.Leader, v.LeaderVersion = storage.Leader{}, 0
+		m.Leader, m.LeaderVersion = storage.Leader{}, 0
 	case storage.KindDrain:
-		delete(v.Drains, name)
+		delete(m.Drains, name)
 	case storage.KindPermits:
-		delete(v.PermitsByTeam, name)
+		delete(m.PermitsByTeam, name)
 	}
 }
 
-// Catalog gives the machine types as the store has them.
-func (v *Mirror) Catalog() map[string]protocol.MachineType {
+// Catalog gives the machine types as the records have them.
+func (m *Mirror) Catalog() map[string]protocol.MachineType {
 	types := map[string]protocol.MachineType{}
-	for name, entry := range v.MachineTypes {
+	for name, entry := range m.MachineTypes {
 		r := entry.Record
 		types[name] = protocol.MachineType{
 			Name:          name,
--- /dev/null
+++ b/internal/mirror/task_id.go
@@ -0,0 +1,38 @@
+package mirror
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// TaskID names a task.
+type TaskID struct {
+	Job   string
+	Index int
+}
+
+// String gives the form in which workers are told a task: the job, a slash and the index.
+func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
+
+// ParseTaskID reads the form that String gives; ok is false for anything else.
+func ParseTaskID(s string) (TaskID, bool) {
+	job, index, ok := strings.Cut(s, "/")
+	if !ok {
+		return TaskID{}, false
+	}
+	i, err := strconv.Atoi(index)
+	if err != nil || i < 0 {
+		return TaskID{}, false
+	}
+	return TaskID{job, i}, true
+}
+
+// SortedTaskIDs gives the tasks of a machine in order.
+func SortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
+	return slices.SortedFunc(maps.Keys(attempts), func(a, b TaskID) int {
+		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
+	})
+}
