--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -2,8 +2,8 @@
 
 import "pipitgap/internal/ratelimit"
 
-// Bounds of the calls that wait for the state service on behalf of users; past them the answer is an immediate
-// rejection. A request must not wait for longer than its user does.
+// Bounds of the calls that wait for the state service on behalf of users; past them the answer is an
+// immediate rejection. A request must not wait for longer than its user does.
 const (
 	minQueuedUserCalls  = 4
 	queuedUserCallsTime = 0.75 // seconds that this controller's writes take for them
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// rejectIfOverloaded rejects what needs the state service while that can't be used, or takes no more for users.
+// rejectIfOverloaded rejects what needs the state service while that can't be used, or takes no more for
+// users.
 func (h *Handler) rejectIfOverloaded() *Rejection {
 	if rejection := h.rejectIfUnavailable(); rejection != nil {
 		return rejection
--- a/internal/api/burst_limit.go
+++ b/internal/api/burst_limit.go
@@ -46,6 +46,7 @@
 	rates       map[string]*submissionRate // by team
 }
 
+// newBurstLimiter makes a limiter without any submission counted.
 func newBurstLimiter(environment Environment, service StateService) burstLimiter {
 	return burstLimiter{environment: environment, service: service, rates: map[string]*submissionRate{}}
 }
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -97,10 +97,11 @@
 func (w *fakeWorld) Unavailable() bool                           { return w.unavailable }
 func (w *fakeWorld) QueuedCalls(priority ratelimit.Priority) int { return w.queue.Len(priority) }
 func (w *fakeWorld) WritesPerSecond() float64                    { return w.queue.WritesPerSecond() }
-func (w *fakeWorld) UserCallsWaiting() bool                      { return w.queue.Len(ratelimit.PriorityUserRequest) > 2 }
-func (w *fakeWorld) Ready() bool                                 { return !w.notReady }
-func (w *fakeWorld) PendingReads() int                           { return w.waitingReaders }
-func (w *fakeWorld) WhenCurrent(callback func(bool))             { callback(!w.stale) }
+
+func (w *fakeWorld) UserCallsWaiting() bool          { return w.queue.Len(ratelimit.PriorityUserRequest) > 2 }
+func (w *fakeWorld) Ready() bool                     { return !w.notReady }
+func (w *fakeWorld) PendingReads() int               { return w.waitingReaders }
+func (w *fakeWorld) WhenCurrent(callback func(bool)) { callback(!w.stale) }
 
 func (w *fakeWorld) IsIsolated(monotime.Micros) bool { return w.isolated }
 
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -151,6 +151,7 @@
 	})
 }
 
+// failedLookup is a lookup that gave no answer about the job.
 func failedLookup(id string, rejection *Rejection) lookup {
 	return lookup{id: id, found: lookupFailed, rejection: rejection}
 }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -34,7 +34,8 @@
 		return h.deferRequest(statusUnavailable, reasonNotReady).response()
 	}
 	now := h.environment.Now()
-	if _, onlyHere := h.reachability.StoreUnreachableOnlyHere(now); onlyHere || h.reachability.IsIsolated(now) {
+	_, onlyHere := h.reachability.StoreUnreachableOnlyHere(now)
+	if onlyHere || h.reachability.IsIsolated(now) {
 		return h.deferUnreachable().response()
 	}
 	return transport.Response{Status: statusOK}
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -12,7 +12,13 @@
 
 // TestStatus: where a job's status is read, and what is answered.
 func TestStatus(t *testing.T) {
-	resultKey, openKey := storage.Key(storage.KindJobResult, newJobID), storage.Key(storage.KindOpenJob, newJobID)
+	resultKey, openKey := storage.Key(
+		storage.KindJobResult,
+		newJobID,
+	), storage.Key(
+		storage.KindOpenJob,
+		newJobID,
+	)
 	done := storage.JobResult{State: storage.JobDone}
 	for _, tc := range []struct {
 		name  string
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -110,7 +110,8 @@
 	return limits.Permits(spec.CPUs*together, spec.GPUs*together)
 }
 
-// fitsSomeMachineType reports that a task has room on an empty machine of a type and zone that its job allows.
+// fitsSomeMachineType reports that a task has room on an empty machine of a type and zone that its job
+// allows.
 func fitsSomeMachineType(spec *storage.JobSpec, types map[string]protocol.MachineType) bool {
 	taskResources := mirror.TaskResources(spec)
 	for _, name := range sortedmap.Keys(types) {
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -187,7 +187,10 @@
 	body := newSubmission(func(s *protocol.Submission) { s.Priority = protocol.BestEffort })
 	for i := range minBurstSubmissions {
 		var status, retryAfter int
-		handler.Submit(body, func(response transport.Response) { status, retryAfter = response.Status, response.RetryAfter })
+		handler.Submit(
+			body,
+			func(response transport.Response) { status, retryAfter = response.Status, response.RetryAfter },
+		)
 		if last := i == minBurstSubmissions-1; last != (status == 429) {
 			t.Errorf("submission %d: %d", i, status)
 		} else if last && (retryAfter < 2 || retryAfter > 4) {
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -136,4 +136,5 @@
 	return nil
 }
 
+// isFinite reports that a value is a number, and not an infinite one.
 func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -70,10 +70,20 @@
 		{"negative limit", "cpus_max = 10.0", "cpus_max = -1.0", "facts.teams[0]"},
 		{"few changes", "txn_ops = 12", "txn_ops = 2", "facts.state.txn_ops"},
 		{"no area", `area = "a"`, "", "area"},
-		{"no connections to speak of", "max_connections = 500", "max_connections = 63", "facts.quota.max_connections"},
+		{
+			"no connections to speak of",
+			"max_connections = 500",
+			"max_connections = 63",
+			"facts.quota.max_connections",
+		},
 		{"tiny values", "value_kb = 4.0", "value_kb = 0.5", "facts.state.value_kb"},
 		{"a list that lags backwards", "list_lag_s = 3.0", "list_lag_s = -3.0", "facts.cloud.list_lag_s"},
-		{"the first of two faults is named", "rps = 6.0\nlist_lag_s = 3.0", "rps = 0.0\nlist_lag_s = -3.0", "facts.cloud.rps"},
+		{
+			"the first of two faults is named",
+			"rps = 6.0\nlist_lag_s = 3.0",
+			"rps = 0.0\nlist_lag_s = -3.0",
+			"facts.cloud.rps",
+		},
 		{"wrong type", "txn_ops = 12", `txn_ops = "many"`, "txn_ops"},
 		{"not TOML", `node = "n-0"`, "node = ", "settings"},
 	}
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -31,6 +31,7 @@
 	return false, validate(document)
 }
 
+// validate compares a document with the schema.
 func validate(document any) error {
 	schema, err := compileSettingsSchema()
 	if err != nil {
@@ -44,7 +45,7 @@
 	return err
 }
 
-// plainDocument gives a YAML document in the form that JSON has, which is what a schema speaks of.
+// plainDocument gives a YAML document in the form that JSON has, since the schema is one of JSON.
 func plainDocument(text []byte) (any, error) {
 	var document any
 	if err := yaml.Unmarshal(text, &document); err != nil {
@@ -57,6 +58,7 @@
 	return jsonschema.UnmarshalJSON(bytes.NewReader(encoded))
 }
 
+// compileSettingsSchema reads the schema, which is part of the program.
 func compileSettingsSchema() (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(settingsSchema))
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a controller as a process: the controller's goroutine with its mailbox and timers, the server,
-// and the clients of the other services.
+// Package daemon runs a controller as a process: the controller's goroutine with its mailbox and timers, the
+// server, and the clients of the other services.
 package daemon
 
 import (
@@ -16,8 +16,8 @@
 )
 
 const (
-	// memoryFraction is the part of the process's memory quota that the heap may grow to before it is collected
-	// more often.
+	// memoryFraction is the part of the process's memory quota that the heap may grow to before it is
+	// collected more often.
 	memoryFraction = 0.55
 	mebibyte       = 1 << 20
 	// idleTimeout is after how long without traffic a connection is closed.
@@ -26,7 +26,8 @@
 	requestTimeout = 10 * monotime.Second
 	// summaryInterval is how often the log has a summary.
 	summaryInterval = 30 * monotime.Second
-	// retryAfterFullMailbox is when a user is to retry a request that the mailbox had no room for, in seconds.
+	// retryAfterFullMailbox is when a user is to retry a request that the mailbox had no room for, in
+	// seconds.
 	retryAfterFullMailbox = 1
 )
 
@@ -48,8 +49,8 @@
 	return fmt.Errorf("server on %s: %w", cfg.PublicAddr, e.loop(controller, ended, log))
 }
 
-// newServer makes the server, which passes requests and peers' statuses on to the controller. A full mailbox is
-// answered at once.
+// newServer makes the server, which passes requests and peers' statuses on to the controller. A full mailbox
+// is answered at once.
 func newServer(e *environment, controller *coordination.Controller, limits socketLimits) *transport.Server {
 	return &transport.Server{
 		Now:            e.clock,
@@ -76,8 +77,8 @@
 	}
 }
 
-// loop is the controller's goroutine: it runs what is in the mailbox and the timers that are due, until the server
-// ends.
+// loop is the controller's goroutine: it runs what is in the mailbox and the timers that are due, until the
+// server ends.
 func (e *environment) loop(controller *coordination.Controller, ended <-chan error, log *slog.Logger) error {
 	lastSummary := e.clock()
 	timer := time.NewTimer(time.Hour)
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -20,8 +20,9 @@
 	maxCloudBody     = 2 << 20
 )
 
-// environment is the controller's environment in a running daemon. It belongs to the controller's goroutine; only its
-// mailbox is used from others. Each call of a service has a goroutine, which ends with the call's timeout.
+// environment is the controller's environment in a running daemon. It belongs to the controller's goroutine;
+// only its mailbox is used from others. Each call of a service has a goroutine, which ends with the call's
+// timeout.
 type environment struct {
 	clock               func() monotime.Micros
 	random              *rand.Rand
--- a/internal/daemon/sockets.go
+++ b/internal/daemon/sockets.go
@@ -1,8 +1,8 @@
 package daemon
 
-// Parts of the sockets that the process may open. A fifth is not for what comes in: of it half keeps connections to
-// workers, a quarter carries commands to them, and the rest is for other calls and for what the server's loop has
-// accepted but not yet closed.
+// Parts of the sockets that the process may open. A fifth is not for what comes in: of it half keeps
+// connections to workers, a quarter carries commands to them, and the rest is for other calls and for what
+// the server's loop has accepted but not yet closed.
 const (
 	serverTenths        = 8  // tenths of the sockets that the server has, reservedSockets taken off
 	reservedSockets     = 32 // of them
@@ -21,8 +21,8 @@
 	commands int // batches of commands in flight
 }
 
-// newSocketLimits divides the platform's quota, or what the operators' settings allow of it; 0 in the settings is no
-// limit of theirs.
+// newSocketLimits divides the platform's quota, or what the operators' settings allow of it; 0 in the
+// settings is no limit of theirs.
 func newSocketLimits(quota, setting int) socketLimits {
 	sockets := quota
 	if setting > 0 {
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -6,8 +6,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// timerHeap holds the controller's timers on its own goroutine, so that one runtime timer serves them all. Timers that
-// are due at the same time run in the order in which they were set.
+// timerHeap holds the controller's timers on its own goroutine, so that one runtime timer serves them all.
+// Timers that are due at the same time run in the order in which they were set.
 type timerHeap struct {
 	items timerItems
 	seq   uint64
--- a/internal/daemon/worker_pool.go
+++ b/internal/daemon/worker_pool.go
@@ -2,9 +2,9 @@
 
 import "pipitgap/internal/transport"
 
-// workerPool keeps a connection to each of the workers that were called last. It belongs to the controller's goroutine.
-// A controller that alone carries a fleet of thousands would hold more idle connections than it has sockets to spare,
-// and closing all of them at once would have all of them dialled again.
+// workerPool keeps a connection to each of the workers that were called last. It belongs to the controller's
+// goroutine. A controller that alone carries a fleet of thousands would hold more idle connections than it
+// has sockets to spare, and closing all of them at once would have all of them dialled again.
 type workerPool struct {
 	maxClients int
 	clock      uint64
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -95,7 +95,8 @@
 	compares, operations := c.transaction.If, c.transaction.Then
 	switch {
 	case len(operations) == 2 && operations[0].Put == resultKey && operations[1].Delete == openKey:
-		if !slices.Equal(compares, []protocol.Compare{{Key: resultKey}}) || c.class != ratelimit.PriorityJobResult {
+		if !slices.Equal(compares, []protocol.Compare{{Key: resultKey}}) ||
+			c.class != ratelimit.PriorityJobResult {
 			t.Errorf("completed on the condition %+v in class %v", compares, c.class)
 		}
 		return complete
@@ -196,7 +197,8 @@
 	}
 }
 
-// TestCompleteIfDone: a job is completed once, whichever controller owns it; a commit that fails counts nothing.
+// TestCompleteIfDone: a job is completed once, whichever controller owns it; a commit that fails counts
+// nothing.
 func TestCompleteIfDone(t *testing.T) {
 	world := newFakeWorld()
 	world.notOwned = true
--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,4 +1,4 @@
-// Package operator is what operators do with a running fleet from the command line. Commands
-// read the state service at one revision and act by conditional commits; no controller is
-// asked, so they work whichever controllers live, and their answers never mix two moments.
+// Package operator has the operators' commands on a running fleet. A command reads the state service at one
+// revision and acts by conditional commits. No controller takes part, so that commands work whichever
+// controllers are up, and what they print is never a mixture of two revisions.
 package operator
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -87,7 +87,11 @@
 		return nil, nil
 	}
 	if len(result.Machines) == 0 {
-		return nil, fmt.Errorf("%w: no machine matches %s", ErrNothingSelected, describeSelector(&request.Selector))
+		return nil, fmt.Errorf(
+			"%w: no machine matches %s",
+			ErrNothingSelected,
+			describeSelector(&request.Selector),
+		)
 	}
 	if err := checkOverlap(fleet, request.Name, &record); err != nil {
 		return nil, err
@@ -161,7 +165,8 @@
 func sameRequest(a, b *storage.Drain) bool {
 	lasts := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
 	return reflect.DeepEqual(a.Selector, b.Selector) && a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
-		a.MaxParallel == b.MaxParallel && (a.LastMachine == "") == (b.LastMachine == "") &&
+		a.MaxParallel == b.MaxParallel &&
+		(a.LastMachine == "") == (b.LastMachine == "") &&
 		lasts(a) == lasts(b)
 }
 
--- a/internal/operator/transactions.go
+++ b/internal/operator/transactions.go
@@ -26,8 +26,8 @@
 	commitTimeout = 5 * monotime.Second
 )
 
-// readRecords reads all records at one revision. The reading is repeated a few times where the state service is busy
-// or changes faster than it is read.
+// readRecords reads all records at one revision. The reading is repeated a few times where the state service
+// is busy or changes faster than it is read.
 func (o *Operator) readRecords() (*mirror.RecordSnapshot, error) {
 	var err error
 	for try := range maxAttempts {
@@ -56,9 +56,9 @@
 	return result
 }
 
-// transact decides on a reading and commits what comes of it. Where another has changed the same records meanwhile, or
-// the outcome isn't known, the records are read and the decision is made anew: so decide must recognise its own change
-// in a reading and return no transaction then.
+// transact decides on a reading and commits what comes of it. Where another has changed the same records
+// meanwhile, or the outcome isn't known, the records are read and the decision is made anew: so decide must
+// recognise its own change in a reading and return no transaction then.
 func (o *Operator) transact(decide func(*mirror.RecordSnapshot) (*protocol.Transaction, error)) error {
 	var last protocol.Outcome
 	for try := range maxAttempts {
--- a/internal/protocol/cloud_calls.go
+++ b/internal/protocol/cloud_calls.go
@@ -82,6 +82,7 @@
 	return result
 }
 
+// callRent rents machines.
 func callRent(client *transport.Client, call *CloudCall) CloudResult {
 	message, outcome := send(client, wireRequest{
 		method: "POST", target: MachinesPath, body: MustMarshal(&call.Rent), timeout: call.Timeout,
@@ -104,12 +105,17 @@
 	return CloudResult{Outcome: outcome}
 }
 
+// callListMachines reads a page of the list of machines.
 func callListMachines(client *transport.Client, call *CloudCall) CloudResult {
 	target := fmt.Sprintf("%s?limit=%d", MachinesPath, machinesPerPage)
 	if call.After != "" {
 		target += "&from=" + url.QueryEscape(call.After)
 	}
 	var list MachineList
-	outcome := exchangeWithCloud(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &list)
+	outcome := exchangeWithCloud(
+		client,
+		wireRequest{method: "GET", target: target, timeout: call.Timeout},
+		&list,
+	)
 	return resultUnlessUnknown(CloudResult{Outcome: outcome, Listed: list.Machines, More: list.More})
 }
--- /dev/null
+++ b/internal/protocol/field_reader.go
@@ -0,0 +1,111 @@
+package protocol
+
+import (
+	"fmt"
+	"math"
+)
+
+// Bounds of the fields of a submission.
+const (
+	maxTextBytes = 200
+	maxAmount    = 1e12
+)
+
+// fieldReader reads a decoded map, remembering the first thing wrong.
+type fieldReader struct {
+	values map[string]any
+	err    error
+}
+
+// fail notes a fault, unless there is one already.
+func (f *fieldReader) fail(name, what string) {
+	if f.err == nil {
+		f.err = fmt.Errorf("%s: %s", name, what)
+	}
+}
+
+// text reads a text that isn't empty; an optional one may be nil, and is empty then.
+func (f *fieldReader) text(name string, optional bool) string {
+	v := f.values[name]
+	if v == nil && optional {
+		return ""
+	}
+	s, ok := v.(string)
+	if !ok || s == "" || len(s) > maxTextBytes {
+		f.fail(name, "must be a text of 1 to 200 bytes")
+		return ""
+	}
+	return s
+}
+
+// nonNegative reads a number; an optional one may be nil, and is 0 then.
+func (f *fieldReader) nonNegative(name string, optional bool) float64 {
+	v := f.values[name]
+	if v == nil && optional {
+		return 0
+	}
+	x, ok := number(v)
+	if !ok || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || x > maxAmount {
+		f.fail(name, "must be a finite amount of 0 or more")
+		return 0
+	}
+	return x
+}
+
+// integer reads a whole number between two bounds.
+func (f *fieldReader) integer(name string, least, most int64) int {
+	n, ok := wholeNumber(f.values[name])
+	if !ok {
+		f.fail(name, "must be an integer")
+		return 0
+	}
+	if n < least || n > most {
+		f.fail(name, fmt.Sprintf("must lie between %d and %d", least, most))
+	}
+	return int(n)
+}
+
+// boolean reads true or false.
+func (f *fieldReader) boolean(name string) bool {
+	v, ok := f.values[name].(bool)
+	if !ok {
+		f.fail(name, "must be true or false")
+	}
+	return v
+}
+
+// number converts any number that MessagePack decodes to.
+func number(v any) (float64, bool) {
+	switch x := v.(type) {
+	case float64:
+		return x, true
+	case float32:
+		return float64(x), true
+	}
+	n, ok := wholeNumber(v)
+	return float64(n), ok
+}
+
+// wholeNumber converts any whole number that MessagePack decodes to; one that is too large becomes the
+// largest, which is beyond every bound.
+func wholeNumber(v any) (int64, bool) {
+	switch x := v.(type) {
+	case int8:
+		return int64(x), true
+	case int16:
+		return int64(x), true
+	case int32:
+		return int64(x), true
+	case int64:
+		return x, true
+	case uint8:
+		return int64(x), true
+	case uint16:
+		return int64(x), true
+	case uint32:
+		return int64(x), true
+	case uint64:
+		return int64(min(x, math.MaxInt64)), true
+	}
+	return 0, false
+}
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -119,7 +119,8 @@
 // Valid tells whether a report can be acted upon.
 func (r *Heartbeat) Valid() bool {
 	if !ValidKeyPart(r.Machine) || r.Endpoint == "" || len(r.Endpoint) > 64 || r.Type == "" || len(r.Type) > 100 ||
-		r.Zone == "" || len(r.Zone) > 100 ||
+		r.Zone == "" ||
+		len(r.Zone) > 100 ||
 		r.Incarnation == 0 {
 		return false
 	}
--- a/internal/protocol/shape.go
+++ b/internal/protocol/shape.go
@@ -52,7 +52,8 @@
 	remaining [maxNesting]int // values still to come, a level each
 }
 
-// has reports that at least n bytes are left; n may be negative, as the result of a length that couldn't be read.
+// has reports that at least n bytes are left; n may be negative, as the result of a length that couldn't be
+// read.
 func (w *shapeWalker) has(n int) bool { return n >= 0 && len(w.bytes)-w.at >= n }
 
 // walkValue passes over a value without what it contains; false if it isn't well-formed.
--- a/internal/protocol/store_calls.go
+++ b/internal/protocol/store_calls.go
@@ -85,6 +85,7 @@
 	return outcome
 }
 
+// callGet reads a key. An answer without a version is none.
 func callGet(client *transport.Client, call *StoreCall) StoreResult {
 	var item KeyValue
 	request := wireRequest{method: "GET", target: KeyPath(call.Key), timeout: call.Timeout}
@@ -95,6 +96,7 @@
 	return StoreResult{Outcome: outcome, Item: item}
 }
 
+// callList reads a page of the keys below a prefix.
 func callList(client *transport.Client, call *StoreCall) StoreResult {
 	var list KeyValueList
 	target := KeysPath + "?under=" + call.Key + "&limit=" + strconv.Itoa(call.Limit)
@@ -108,6 +110,7 @@
 	return StoreResult{Outcome: outcome, Items: list.Items, More: list.More, Revision: list.Revision}
 }
 
+// callCommit makes a conditional change.
 func callCommit(client *transport.Client, call *StoreCall) StoreResult {
 	transaction := call.Transaction
 	if transaction.If == nil {
@@ -125,6 +128,7 @@
 	return StoreResult{Outcome: outcome, Revision: reply.Revision, Failed: reply.Failed}
 }
 
+// callGrantLease has a lease granted. An answer without a lease is none.
 func callGrantLease(client *transport.Client, call *StoreCall) StoreResult {
 	var grant LeaseReply
 	body := MustMarshal(&LeaseRequest{TTLMillis: call.TTL.Milliseconds()})
@@ -136,6 +140,7 @@
 	return StoreResult{Outcome: outcome, Lease: grant.Lease}
 }
 
+// callWatch waits for changes of the keys below a prefix.
 func callWatch(client *transport.Client, call *StoreCall) StoreResult {
 	var watch WatchReply
 	target := fmt.Sprintf("%s?under=%s&from=%d&block_ms=%d",
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math"
 	"strings"
 )
 
@@ -68,107 +67,6 @@
 	return true
 }
 
-// fieldReader reads a decoded map, remembering the first thing wrong.
-type fieldReader struct {
-	values map[string]any
-	err    error
-}
-
-func (f *fieldReader) fail(name, what string) {
-	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s", name, what)
-	}
-}
-
-func (f *fieldReader) text(name string, optional bool) string {
-	v := f.values[name]
-	if v == nil && optional {
-		return ""
-	}
-	s, ok := v.(string)
-	if !ok || s == "" || len(s) > 200 {
-		f.fail(name, "must be a text of 1 to 200 bytes")
-		return ""
-	}
-	return s
-}
-
-func (f *fieldReader) nonNegative(name string, optional bool) float64 {
-	v := f.values[name]
-	if v == nil && optional {
-		return 0
-	}
-	x, ok := number(v)
-	if !ok || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || x > 1e12 {
-		f.fail(name, "must be a finite amount of 0 or more")
-		return 0
-	}
-	return x
-}
-
-func (f *fieldReader) integer(name string, least, most int64) int {
-	var n int64
-	switch v := f.values[name].(type) {
-	case int8:
-		n = int64(v)
-	case int16:
-		n = int64(v)
-	case int32:
-		n = int64(v)
-	case int64:
-		n = v
-	case uint8:
-		n = int64(v)
-	case uint16:
-		n = int64(v)
-	case uint32:
-		n = int64(v)
-	case uint64:
-		n = int64(min(v, math.MaxInt64))
-	default:
-		f.fail(name, "must be an integer")
-		return 0
-	}
-	if n < least || n > most {
-		f.fail(name, fmt.Sprintf("must lie between %d and %d", least, most))
-	}
-	return int(n)
-}
-
-func (f *fieldReader) boolean(name string) bool {
-	v, ok := f.values[name].(bool)
-	if !ok {
-		f.fail(name, "must be true or false")
-	}
-	return v
-}
-
-func number(v any) (float64, bool) {
-	switch x := v.(type) {
-	case float64:
-		return x, true
-	case float32:
-		return float64(x), true
-	case int8:
-		return float64(x), true
-	case int16:
-		return float64(x), true
-	case int32:
-		return float64(x), true
-	case int64:
-		return float64(x), true
-	case uint8:
-		return float64(x), true
-	case uint16:
-		return float64(x), true
-	case uint32:
-		return float64(x), true
-	case uint64:
-		return float64(x), true
-	}
-	return 0, false
-}
-
 // ParseSubmission checks a submission completely; its error is the text of a
 // 400. The id is returned as soon as it is valid, even with an error, so that a
 // known job is recognised before its repeated submission is refused.
@@ -191,7 +89,8 @@
 	return submission, f.err
 }
 
-// readInto reads all fields but the id. The first fault in the order of the calls is the one that is reported.
+// readInto reads all fields but the id. The first fault in the order of the calls is the one that is
+// reported.
 func (f *fieldReader) readInto(submission *Submission) {
 	submission.Class = f.text(FieldClass, false)
 	submission.Team = f.text(FieldTeam, false)
@@ -226,6 +125,7 @@
 	return false
 }
 
+// priority reads the name of a priority.
 func (f *fieldReader) priority() Priority {
 	priority, ok := priorities[f.text(FieldPriority, false)]
 	if !ok {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -86,6 +86,7 @@
 	cl.closeIdle()
 }
 
+// closeIdle closes the connections that are kept now.
 func (cl *Client) closeIdle() {
 	for {
 		select {
--- a/internal/transport/frames.go
+++ b/internal/transport/frames.go
@@ -22,6 +22,7 @@
 // frameReader splits a byte stream into frames of a four-byte length and a body.
 type frameReader struct{ buf []byte }
 
+// buffered counts the bytes that wait for the rest of their frame.
 func (f *frameReader) buffered() int { return len(f.buf) }
 
 // feed adds bytes and calls back with each frame that is whole.
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -40,6 +40,7 @@
 	return &messageHead{message, length}, nil
 }
 
+// maxBody bounds the body of a message, in bytes.
 func (p *Parser) maxBody() int {
 	if p.MaxBody == 0 {
 		return MaxBody
@@ -55,6 +56,7 @@
 	return parseRequestLine(line)
 }
 
+// parseStatusLine reads the first line of a response.
 func parseStatusLine(line string) (message *Message, version string, err error) {
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) < 2 || len(parts[1]) != 3 {
@@ -67,6 +69,7 @@
 	return &Message{Status: status}, parts[0], nil
 }
 
+// parseRequestLine reads the first line of a request.
 func parseRequestLine(line string) (message *Message, version string, err error) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
--- a/internal/transport/peer_link.go
+++ b/internal/transport/peer_link.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Bounds of a link to a peer. Statuses are sent often and are superseded by the next one, so that a peer that is
-// slow gets fewer of them rather than old ones.
+// Bounds of a link to a peer. Statuses are sent often and are superseded by the next one, so that a peer that
+// is slow gets fewer of them rather than old ones.
 const (
 	maxQueuedFrames = 32
 	peerDialTimeout = time.Second
 	peerSendTimeout = time.Second
 )
 
-// PeerLink sends frames to one peer. It is an actor: a small mailbox, one connection, and frames are dropped rather
-// than queued when the peer is slow, because what peers tell each other is only a hint.
+// PeerLink sends frames to one peer. It is an actor: a small mailbox, one connection, and frames are dropped
+// rather than queued when the peer is slow, because what peers tell each other is only a hint.
 type PeerLink struct {
 	addr   string
 	queue  chan []byte
@@ -39,6 +39,7 @@
 // Close ends the actor and its connection. It is called once, by the link's owner.
 func (l *PeerLink) Close() { close(l.closed) }
 
+// run sends what is queued until the link is closed.
 func (l *PeerLink) run() {
 	var conn net.Conn
 	defer func() {
@@ -56,8 +57,8 @@
 	}
 }
 
-// write sends a frame over a connection, or over a new one if there is none. It returns the connection for the next
-// frame, nil after a failure.
+// write sends a frame over a connection, or over a new one if there is none. It returns the connection for
+// the next frame, nil after a failure.
 func (l *PeerLink) write(conn net.Conn, frame []byte) net.Conn {
 	if conn == nil {
 		dialled, err := net.DialTimeout("tcp4", l.addr, peerDialTimeout)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -25,8 +25,8 @@
 	conn    *serverConn
 }
 
-// Server accepts users, workers and peers on evio's loop. The loop's goroutine owns all connections; responses
-// come to it as messages, carried by Wake.
+// Server accepts users, workers and peers on evio's loop. The loop's goroutine owns all connections;
+// responses come to it as messages, carried by Wake.
 type Server struct {
 	Now            func() monotime.Micros
 	MaxConns       int // connections beyond are closed at once
@@ -61,7 +61,8 @@
 	}
 }
 
-// ErrLoopEnded says that the server's loop has ended by itself, as it does when a connection can't be accepted.
+// ErrLoopEnded says that the server's loop has ended by itself, as it does when a connection can't be
+// accepted.
 var ErrLoopEnded = errors.New("accept failed, the loop has ended")
 
 // tickInterval is how often connections are checked for timeouts.
@@ -70,8 +71,8 @@
 // Index of the peers' address among those served.
 const peerAddrIndex = 1
 
-// Serve serves users and workers on one address and peers on the other. It runs until the loop ends; evio's loop
-// ends on an accept error, so its end is always an error.
+// Serve serves users and workers on one address and peers on the other. It runs until the loop ends; evio's
+// loop ends on an accept error, so its end is always an error.
 func (s *Server) Serve(public, peer string) error {
 	s.conns = map[evio.Conn]*serverConn{}
 	events := evio.Events{NumLoops: 1, Opened: s.opened, Closed: s.connClosed, Data: s.received, Tick: s.tick}
@@ -81,6 +82,7 @@
 	return ErrLoopEnded
 }
 
+// opened takes a new connection, or closes it where there are too many.
 func (s *Server) opened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
 	sc := &serverConn{server: s, eventConn: c, lastTraffic: s.Now(), responses: make(chan Response, 1)}
 	c.SetContext(sc)
@@ -94,11 +96,13 @@
 	return nil, options, evio.None
 }
 
+// connClosed forgets a connection.
 func (s *Server) connClosed(c evio.Conn, _ error) evio.Action {
 	delete(s.conns, c)
 	return evio.None
 }
 
+// received passes bytes or a wake-up to their connection.
 func (s *Server) received(c evio.Conn, input []byte) ([]byte, evio.Action) {
 	sc, ok := c.Context().(*serverConn)
 	if !ok {
@@ -119,8 +123,8 @@
 	return tickInterval, evio.None
 }
 
-// timedOut reports that the connection has been silent or in the middle of a message for too long (evio has no
-// timeouts of its own).
+// timedOut reports that the connection has been silent or in the middle of a message for too long (evio has
+// no timeouts of its own).
 func (sc *serverConn) timedOut(now monotime.Micros) bool {
 	if sc.busy {
 		return now-sc.lastTraffic > sc.server.IdleTimeout
