--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -74,7 +74,7 @@
 }
 
 // Add keeps a cancellation for the peers that this controller has committed itself. It must be called before
-// any user is told of it.
+// any user gets an answer that confirms it.
 func (cs *Cancellations) Add(committed cancellation.Committed) { cs.relay.Add(committed) }
 
 // Record keeps a job's cancellation for the peers if the mirror holds one.
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -38,7 +38,7 @@
 	mirrorRevision uint64
 	round          uint64
 	received       int             // messages of that round
-	knownUntil     monotime.Micros // by our clock
+	knownUntil     monotime.Micros // by this controller's clock
 }
 
 // Relay is one controller's side of the exchange.
@@ -58,7 +58,7 @@
 	return r
 }
 
-// Add adds a committed cancellation. It must be called before any user is told of it.
+// Add adds a committed cancellation. It must be called before any user gets an answer that confirms it.
 func (r *Relay) Add(c Committed) { r.committed[c.Job] = c.Revision }
 
 // Forget drops the cancellation of a job of which nothing is left on any machine.
@@ -89,7 +89,7 @@
 	}
 }
 
-// MessagesFor makes a round for a peer. mirrorRevision is the revision that our mirror has
+// MessagesFor makes a round for a peer. mirrorRevision is the revision that the own mirror has
 // reached; recordsLoaded tells whether all records have been read by this incarnation.
 func (r *Relay) MessagesFor(
 	name string, now monotime.Micros, mirrorRevision uint64, recordsLoaded bool,
@@ -156,8 +156,8 @@
 	return p.received == m.MessagesInRound
 }
 
-// ConfirmedUntil tells the moment, by our clock, up to which every cancellation that any
-// controller has confirmed to a user is known here. mirrored is when the question was
+// ConfirmedUntil tells the moment, by this controller's clock, up to which every cancellation that any
+// controller has confirmed to a user is known here. mirrored is when the request was
 // sent that last brought the mirror up to date: it holds all that was committed before.
 // A peer's complete round holds all that it had confirmed when it made the round, which
 // was after it had received the clock reading that it echoes.
