--- a/internal/coordination/candidates.go
+++ b/internal/coordination/candidates.go
@@ -53,7 +53,7 @@
 			candidate := newCandidateMachine(machine, record, update.FreeAfter(id, free), update)
 			candidate.TypeCPUs = machineType.CPUs
 			candidate.ServiceCPUs = sc.serviceCPUs(machine)
-			candidate.Closing = sc.c.emptyMachines.isClosed(id)
+			candidate.Closing = sc.c.scaleIn.IsClosed(id)
 			candidates = append(candidates, candidate)
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -7,6 +7,7 @@
 
 	"pipitgap/internal/agents"
 	"pipitgap/internal/api"
+	"pipitgap/internal/autoscaling/scalein"
 	"pipitgap/internal/catalog"
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain/drainer"
@@ -78,7 +79,7 @@
 	jobs          *jobs.Finisher
 	scheduler     *scheduler
 	autoscaler    *autoscaler
-	emptyMachines *emptyMachines
+	scaleIn       *scalein.Reconciler
 }
 
 // NewController makes the actor's state.
@@ -111,8 +112,8 @@
 	c.jobs = newJobFinisher(c)
 	c.scheduler = newScheduler(c)
 	c.autoscaler = newAutoscaler(c)
-	c.emptyMachines = newEmptyMachines(c)
 	c.drains = newDrainer(c)
+	c.scaleIn = newScaleIn(c)
 	c.shards = newShardManager(c)
 	return c
 }
@@ -197,7 +198,7 @@
 	c.quota.Adjust(now)
 	c.jobs.Reconcile()
 	c.scheduler.requestPass()
-	c.emptyMachines.reconcile(now)
+	c.scaleIn.Reconcile(now)
 	c.autoscaler.fleet.Reconcile(now)
 }
 
--- a/internal/coordination/job_placement.go
+++ b/internal/coordination/job_placement.go
@@ -227,7 +227,7 @@
 	}
 	c.scheduler.jobsInPass[job.ID] = true
 	update.Assign(job, p.lastAssigned, joinsRange)
-	c.emptyMachines.reopen(machine)
+	c.scaleIn.Reopen(machine)
 	candidate.Closing = false
 	candidate.Free = candidate.Free.AddScaled(job.TaskResources, -1)
 	candidate.TaskCount++
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -3,6 +3,7 @@
 import (
 	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/autoscaling/fleet"
+	"pipitgap/internal/autoscaling/scalein"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -71,6 +72,17 @@
 	)
 }
 
+// newScaleIn makes the removal of this controller's empty machines.
+func newScaleIn(c *Controller) *scalein.Reconciler {
+	return scalein.New(c.settings, scalein.Dependencies{
+		Mirror:   c.mirror,
+		Agents:   c.agents,
+		Drains:   c.drains,
+		Workload: fleetWorkload{c.autoscaler},
+		Catalog:  c.catalog,
+	})
+}
+
 // fleetStore commits what package fleet changes.
 type fleetStore struct{ c *Controller }
 
@@ -93,7 +105,7 @@
 	return f.c.agents.DesignatedController(request, machineID)
 }
 
-// fleetWorkload gives package fleet what a pass plans for.
+// fleetWorkload gives packages fleet and scalein what a pass plans for.
 type fleetWorkload struct{ as *autoscaler }
 
 func (w fleetWorkload) Snapshot(now monotime.Micros) *autoscaling.Snapshot { return w.as.snapshot(now) }
--- a/internal/coordination/wiring_drains.go
+++ b/internal/coordination/wiring_drains.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"pipitgap/internal/agents"
 	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/drain/drainer"
 	"pipitgap/internal/mirror"
@@ -22,7 +21,7 @@
 		Clock:           c.env,
 		Membership:      c.membership,
 		Store:           dependencies,
-		Agents:          dependencies,
+		Agents:          c.agents,
 		Jobs:            dependencies,
 		Machines:        dependencies,
 		NotePermitWrite: func() { c.counters.permitWrites++ },
@@ -67,12 +66,6 @@
 
 func (d drainDependencies) MaxValueBytes() int { return d.c.maxValueBytes() }
 
-func (d drainDependencies) AgentOf(machine *mirror.Machine) *agents.Agent {
-	return d.c.agents.Of(machine)
-}
-
-func (d drainDependencies) SyncCommands(machine *mirror.Machine) { d.c.agents.SyncCommands(machine) }
-
 func (d drainDependencies) IsCrashLooping(job *mirror.Job) bool {
 	return d.c.scheduler.isCrashLooping(job)
 }
@@ -92,5 +85,5 @@
 }
 
 func (d drainDependencies) ScaleInDelay(record *storage.ShardMachine) monotime.Micros {
-	return d.c.emptyMachines.scaleInDelay(record)
+	return d.c.scaleIn.Delay(record)
 }
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -64,8 +64,8 @@
 
 // Agents has the agents of own machines.
 type Agents interface {
-	// AgentOf is nil for a machine that isn't this controller's.
-	AgentOf(*mirror.Machine) *agents.Agent
+	// Of is nil for a machine that isn't this controller's.
+	Of(*mirror.Machine) *agents.Agent
 	// SyncCommands sends an agent the commands that its state asks for.
 	SyncCommands(*mirror.Machine)
 }
--- a/internal/drain/drainer/drainer_test.go
+++ b/internal/drain/drainer/drainer_test.go
@@ -93,19 +93,19 @@
 	agent.ApplyReport(machine, s.records.Jobs, heartbeat, s.now, workerLease)
 }
 
-func (s *controllerStub) Now() monotime.Micros                          { return s.now }
-func (s *controllerStub) WallClock() int64                              { return int64(s.now) }
-func (s *controllerStub) HoldsLease(monotime.Micros) bool               { return true }
-func (s *controllerStub) IsLeader(monotime.Micros) bool                 { return true }
-func (s *controllerStub) IsMember(string) bool                          { return true }
-func (s *controllerStub) LiveControllers() []string                     { return []string{ownNode} }
-func (s *controllerStub) Unavailable() bool                             { return false }
-func (s *controllerStub) IsMirrorStale(monotime.Micros) bool            { return false }
-func (s *controllerStub) UserCallsWaiting(monotime.Micros) bool         { return false }
-func (s *controllerStub) HasSpareWrites(monotime.Micros, float64) bool  { return true }
-func (s *controllerStub) NextWriteAllowedAt(float64) monotime.Micros    { return s.nextWriteAt }
-func (s *controllerStub) MaxValueBytes() int                            { return 1000 }
-func (s *controllerStub) AgentOf(machine *mirror.Machine) *agents.Agent { return s.agents[machine.ID] }
+func (s *controllerStub) Now() monotime.Micros                         { return s.now }
+func (s *controllerStub) WallClock() int64                             { return int64(s.now) }
+func (s *controllerStub) HoldsLease(monotime.Micros) bool              { return true }
+func (s *controllerStub) IsLeader(monotime.Micros) bool                { return true }
+func (s *controllerStub) IsMember(string) bool                         { return true }
+func (s *controllerStub) LiveControllers() []string                    { return []string{ownNode} }
+func (s *controllerStub) Unavailable() bool                            { return false }
+func (s *controllerStub) IsMirrorStale(monotime.Micros) bool           { return false }
+func (s *controllerStub) UserCallsWaiting(monotime.Micros) bool        { return false }
+func (s *controllerStub) HasSpareWrites(monotime.Micros, float64) bool { return true }
+func (s *controllerStub) NextWriteAllowedAt(float64) monotime.Micros   { return s.nextWriteAt }
+func (s *controllerStub) MaxValueBytes() int                           { return 1000 }
+func (s *controllerStub) Of(machine *mirror.Machine) *agents.Agent     { return s.agents[machine.ID] }
 func (s *controllerStub) SyncCommands(machine *mirror.Machine) {
 	s.synced = append(s.synced, machine.ID)
 }
--- a/internal/drain/drainer/losses.go
+++ b/internal/drain/drainer/losses.go
@@ -45,7 +45,7 @@
 
 // lossCause is why a replica on a machine was lost.
 func (d *Drainer) lossCause(machine *mirror.Machine) LossCause {
-	agent := d.deps.Agents.AgentOf(machine)
+	agent := d.deps.Agents.Of(machine)
 	switch {
 	case agent != nil && agent.InterruptionNoticed():
 		return LossBySpotInterruption
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -33,7 +33,7 @@
 	if record == nil {
 		return ownMachine{}, false
 	}
-	agent := d.deps.Agents.AgentOf(record)
+	agent := d.deps.Agents.Of(record)
 	return ownMachine{record, agent}, agent != nil
 }
 
--- a/internal/drain/drainer/snapshot.go
+++ b/internal/drain/drainer/snapshot.go
@@ -26,7 +26,7 @@
 
 // applyAgentState corrects a snapshot's machine by what its agent has shown and the records don't have yet.
 func (d *Drainer) applyAgentState(entry *drain.Machine, machine *mirror.Machine) {
-	agent := d.deps.Agents.AgentOf(machine)
+	agent := d.deps.Agents.Of(machine)
 	switch {
 	case agent == nil && machine.Owner() == d.node:
 		entry.Owner = "" // of an earlier incarnation of this controller: its shard isn't claimed again yet
--- a/internal/drain/drainer/starting.go
+++ b/internal/drain/drainer/starting.go
@@ -17,7 +17,7 @@
 	if d == nil {
 		return false
 	}
-	agent := d.deps.Agents.AgentOf(machine)
+	agent := d.deps.Agents.Of(machine)
 	if !agent.HasReported() || !agent.ClaimAcknowledged() || !agent.IsReachable() {
 		return false
 	}
