--- a/internal/mirror/records_test.go
+++ b/internal/mirror/records_test.go
@@ -148,3 +148,53 @@
 		})
 	}
 }
+
+// TestTaskInTwoShards: while two shards have a task, as when its machine moves, it counts once; it counts no
+// longer when both are gone.
+func TestTaskInTwoShards(t *testing.T) {
+	cases := []struct {
+		name string
+		job  storage.ShardJob
+		want func(job *Job) int
+	}{
+		{
+			"assigned",
+			storage.ShardJob{Attempts: []storage.Attempt{{Task: 1, Machine: "i-1", Number: 7}}},
+			func(job *Job) int { return job.AssignedTasks },
+		},
+		{
+			"done",
+			storage.ShardJob{Completed: storage.TaskSet{{First: 1, End: 2}}},
+			func(job *Job) int { return job.DoneTasks },
+		},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			m := New()
+			job := storage.OpenJob{Spec: storage.JobSpec{Tasks: 3}}
+			m.ApplyPut(storage.Key(storage.KindOpenJob, "a"), protocol.MustMarshal(&job), 1)
+			shard := storage.Shard{
+				Owner:    "n-1",
+				Machines: map[string]*storage.ShardMachine{"i-1": {State: storage.MachineOpen}},
+				Jobs:     map[string]*storage.ShardJob{"a": &tc.job},
+			}
+			value, _ := shard.Encode()
+			first, second := storage.Key(storage.KindShard, "first"), storage.Key(storage.KindShard, "second")
+			steps := []struct {
+				apply func()
+				want  int
+			}{
+				{func() { m.ApplyPut(first, value, 2) }, 1},
+				{func() { m.ApplyPut(second, value, 3) }, 1},
+				{func() { m.ApplyDelete(first, 4, false) }, 1},
+				{func() { m.ApplyDelete(second, 5, false) }, 0},
+			}
+			for i, step := range steps {
+				step.apply()
+				if got := tc.want(m.Jobs["a"]); got != step.want {
+					t.Errorf("%d tasks after step %d, want %d", got, i+1, step.want)
+				}
+			}
+		})
+	}
+}
