--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -357,11 +357,12 @@
 func TestListedMachinesThatNoRecordKnows(t *testing.T) {
 	s := newControllerStub(t)
 	s.reconcile(0)
-	s.next(protocol.CloudList).answer(protocol.CloudResult{Outcome: protocol.OK, Listed: []protocol.ListedMachine{
-		{ID: "i-new", Type: "m8", Zone: "a", AgeS: 7},
-		{ID: "i-old", Type: "m8", Zone: "a", AgeS: 7.1},
-		{ID: "i-failed", Type: "m8", Zone: "a", State: "failed"},
-	}})
+	s.next(protocol.CloudList).
+		answer(protocol.CloudResult{Outcome: protocol.OK, Listed: []protocol.ListedMachine{
+			{ID: "i-new", Type: "m8", Zone: "a", AgeS: 7},
+			{ID: "i-old", Type: "m8", Zone: "a", AgeS: 7.1},
+			{ID: "i-failed", Type: "m8", Zone: "a", State: "failed"},
+		}})
 	if got := s.scaleOut(); got.Phase != storage.ScaleOutProvisioning ||
 		!slices.Equal(got.Machines, []string{"i-old"}) || !slices.Equal(got.Live, []string{"n-0"}) {
 		t.Errorf("%+v", got)
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -121,7 +121,11 @@
 
 // countFailedDeletion counts a failed call. After several of them the request is flagged as failed and tried
 // at long intervals.
-func (r *Reconciler) countFailedDeletion(name string, record *storage.ScaleInRequest, outcome protocol.Outcome) {
+func (r *Reconciler) countFailedDeletion(
+	name string,
+	record *storage.ScaleInRequest,
+	outcome protocol.Outcome,
+) {
 	record.Attempts++
 	if record.Attempts < r.cfg.Settings.ScaleInAttempts {
 		return
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -111,8 +111,21 @@
 	case result.Outcome == protocol.OK && len(result.Rented) > 0:
 		record.Phase, record.Machines = storage.ScaleOutProvisioning, result.Rented
 		record.Live = r.deps.Controllers.Connected()
-		r.deps.Log.Info("scale-out completed", "scale_out", name, "machine_type", record.MachineType,
-			"zone", record.Zone, "spot", record.Spot, "requested", record.Count, "machines", len(result.Rented))
+		r.deps.Log.Info(
+			"scale-out completed",
+			"scale_out",
+			name,
+			"machine_type",
+			record.MachineType,
+			"zone",
+			record.Zone,
+			"spot",
+			record.Spot,
+			"requested",
+			record.Count,
+			"machines",
+			len(result.Rented),
+		)
 	case result.Outcome == protocol.OK, result.Outcome == protocol.NoCapacity:
 		record.Phase = storage.ScaleOutNoCapacity
 		r.deps.Log.Info("insufficient capacity, offer quarantined",
--- a/internal/autoscaling/plan_test.go
+++ b/internal/autoscaling/plan_test.go
@@ -49,8 +49,7 @@
 	return demand
 }
 
-// TestChooseOffers: what is rented for which demands, given room, open requests and
-// offers.
+// TestChooseOffers: what is requested for which demands, given free resources, open requests and offers.
 func TestChooseOffers(t *testing.T) {
 	offers := func() []*PricedOffer {
 		var out []*PricedOffer
@@ -80,11 +79,11 @@
 		return out
 	}
 	cases := []struct {
-		name      string
-		ds        []*Demand
-		bins      []*Bin
-		partition float64
-		want      map[Offer]int
+		name    string
+		demands []*Demand
+		bins    []*Bin
+		boots   float64 // how far ahead running machines' capacity counts
+		want    map[Offer]int
 	}{
 		{"no demand", nil, nil, 0, map[Offer]int{}},
 		{
@@ -123,7 +122,7 @@
 			map[Offer]int{{"m8", "b", true}: 1, {"m8", "a", true}: 1},
 		},
 		{
-			"what fits nothing isn't rented for",
+			"what fits nothing gets no machine",
 			[]*Demand{newDemand(64, 1, false, true)},
 			nil,
 			0,
@@ -147,7 +146,7 @@
 			map[Offer]int{{"m8", "b", false}: 1},
 		},
 		// Where tasks fill their machines and run for longer than a boot, none of them is over
-		// for sure when a machine would be up, but some of them are: machines were rented.
+		// for sure when a machine would be up, but some of them are: machines were requested.
 		{
 			"long tasks release room on some of many machines",
 			[]*Demand{withRunTime(newDemand(8, 2, true, false), 100)},
@@ -181,11 +180,11 @@
 		},
 	}
 	for _, tc := range cases {
-		sortLargestFirst(tc.ds)
-		fillBins(tc.ds, tc.bins)
-		absorbDemand(tc.ds, tc.bins, absorption{boots: tc.partition})
+		sortLargestFirst(tc.demands)
+		fillBins(tc.demands, tc.bins)
+		absorbDemand(tc.demands, tc.bins, absorption{boots: tc.boots})
 		got := map[Offer]int{}
-		chooseOffers(tc.ds, offers(), 10, anyDemand, got)
+		chooseOffers(tc.demands, offers(), 10, anyDemand, got)
 		if !reflect.DeepEqual(got, tc.want) {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
@@ -193,13 +192,13 @@
 }
 
 // TestHeadroomUsesPreemptibleRoom: it is met by free room, by what services may preempt, and by what
-// is only meant to run on requested machines. Else each pass rented once more.
+// is only meant to run on requested machines. Otherwise each pass would request machines once more.
 func TestHeadroomUsesPreemptibleRoom(t *testing.T) {
 	cases := []struct {
-		name string
-		ds   []*Demand
-		bins []*Bin
-		want int // left to be rented for
+		name    string
+		demands []*Demand
+		bins    []*Bin
+		want    int // tasks left
 	}{
 		{"free room", nil, []*Bin{newBin("a", false, 8)}, 0},
 		{"only spot room", nil, []*Bin{newBin("a", true, 8)}, 2},
@@ -217,7 +216,7 @@
 		},
 	}
 	for _, tc := range cases {
-		fillBins(tc.ds, tc.bins)
+		fillBins(tc.demands, tc.bins)
 		reserve := []*Demand{newDemand(2, 2, false, true)}
 		reserveHeadroom(reserve, tc.bins)
 		if reserve[0].Tasks != tc.want {
@@ -236,10 +235,10 @@
 		return bin
 	}
 	for _, tc := range []struct {
-		name string
-		ds   []*Demand
-		bins []*Bin
-		left []int
+		name    string
+		demands []*Demand
+		bins    []*Bin
+		left    []int
 	}{
 		{"a task for a task", []*Demand{at(newDemand(4, 3, true, false), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
 		{"with what is free", []*Demand{at(newDemand(4, 3, true, false), 1)}, []*Bin{yielding(4, 8)}, []int{0}},
@@ -248,8 +247,8 @@
 		{"not where it may not run", []*Demand{at(newDemand(4, 1, false, false), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
 		{"not services, which have their own way", []*Demand{at(newDemand(4, 1, true, true), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
 	} {
-		absorbByPreemption(tc.ds, tc.bins)
-		for i, demand := range tc.ds {
+		absorbByPreemption(tc.demands, tc.bins)
+		for i, demand := range tc.demands {
 			if demand.Tasks != tc.left[i] {
 				t.Errorf("%s: %d of demand %d left, want %d", tc.name, demand.Tasks, i, tc.left[i])
 			}
--- a/internal/autoscaling/snapshot_test.go
+++ b/internal/autoscaling/snapshot_test.go
@@ -91,7 +91,10 @@
 func TestScaleOutsInTwoSteps(t *testing.T) {
 	offers := func(spot ...bool) (out []*PricedOffer) {
 		for _, s := range spot {
-			out = append(out, &PricedOffer{Offer: Offer{"m8", "a", s}, Capacity: newBin("a", s, 8).Capacity, Price: 1})
+			out = append(
+				out,
+				&PricedOffer{Offer: Offer{"m8", "a", s}, Capacity: newBin("a", s, 8).Capacity, Price: 1},
+			)
 		}
 		return out
 	}
--- a/internal/drain/drainer/starting.go
+++ b/internal/drain/drainer/starting.go
@@ -13,7 +13,11 @@
 // UpdateStartingMarks corrects, in the next version of a shard, the marks of a machine's replicas: one that
 // the agent doesn't report as running is starting, one that has run for long enough isn't. It tells whether
 // anything has changed.
-func (d *Drainer) UpdateStartingMarks(next *storage.Shard, machine *mirror.Machine, now monotime.Micros) bool {
+func (d *Drainer) UpdateStartingMarks(
+	next *storage.Shard,
+	machine *mirror.Machine,
+	now monotime.Micros,
+) bool {
 	if d == nil {
 		return false
 	}
@@ -31,7 +35,12 @@
 		if !ok || held.Number != number || held.Machine != machine.ID {
 			continue
 		}
-		starting := d.countsAsStarting(agent, agents.AttemptID{Task: task, Attempt: number}, held.Starting, now)
+		starting := d.countsAsStarting(
+			agent,
+			agents.AttemptID{Task: task, Attempt: number},
+			held.Starting,
+			now,
+		)
 		if starting != held.Starting && d.markFits(next, starting) {
 			next.MarkStarting(task.Job, task.Index, starting)
 			changed = true
