--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -58,7 +58,7 @@
 		{path: "internal/autoscaling/fleet"}},
 	{{path: "internal/agents"}},
 	{{path: "internal/shards"}},
-	{{path: "internal/drain/drainer"}, {path: "internal/autoscaling/scalein"}},
+	{{path: "internal/drain/drainer"}, {path: "internal/autoscaling/scalein"}, {path: "internal/placement"}},
 	{{path: "internal/api"}, {path: "internal/jobs"}},
 	{{path: "internal/coordination"}}, // the actor
 	{{path: "internal/daemon"}, {path: "internal/operator"}},
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -198,7 +198,7 @@
 					if m := core.mirror.Machines[machine]; m == nil {
 						s += node + " unknown; "
 					} else if core.agents.Of(m) != nil {
-						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.Of(m).LastReachedAt(), core.agents.Of(m).LastAnsweredAt(), core.scheduler.schedulable(m, c.sim.Now()))
+						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.Of(m).LastReachedAt(), core.agents.Of(m).LastAnsweredAt(), core.scheduler.Schedulable(m, c.sim.Now()))
 					}
 				}
 				return s
@@ -228,7 +228,7 @@
 				for _, node := range c.nodeNames {
 					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil &&
 						c.nodes[node].controller.agents.Of(m) != nil &&
-						(c.nodes[node].controller.agents.Of(m).ClaimAcknowledged() || c.nodes[node].controller.scheduler.schedulable(m, c.sim.Now())) {
+						(c.nodes[node].controller.agents.Of(m).ClaimAcknowledged() || c.nodes[node].controller.scheduler.Schedulable(m, c.sim.Now())) {
 						t.Errorf("%s takes it for alive", node)
 					}
 				}
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -36,7 +36,7 @@
 // them, and the machines that are up or requested.
 func (as *autoscaler) demandAndSupply(snapshot *autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin) {
 	waiting := append(
-		snapshot.UnplacedDemand(as.c.scheduler.orderedQueue()),
+		snapshot.UnplacedDemand(as.c.scheduler.OrderedQueue()),
 		as.c.drains.ReplacementDemands()...,
 	)
 	return waiting, snapshot.Bins()
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -6,11 +6,8 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
-	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/resources"
-	"pipitgap/internal/shards"
 	"pipitgap/internal/storage"
 )
 
@@ -334,44 +331,3 @@
 	}
 	c.requireNoViolations()
 }
-
-// TestPageBytes: past four fifths of a shard's bytes no more tasks of the lowest priority
-// go to its machines, however much room they have, so that others' find some.
-func TestShardBytesReservedForHigherPriority(t *testing.T) {
-	core := newCluster(t, 2300).startWithLeader().nodes["n-0"].controller
-	for _, tc := range []struct {
-		partition float64 // of what a shard is filled to
-		swarms    bool
-		service   bool
-	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
-		update := shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
-		update.ReserveBytes(int(tc.partition * float64(core.scheduler.assignmentShardBytes())))
-		candidate := newCandidateMachine(
-			&mirror.Machine{ID: "i-1", CachedImages: map[string]bool{}},
-			&storage.ShardMachine{Type: "m8", Zone: "a"},
-			resources.Vector{CPUs: 8, MemoryGB: 64},
-			update,
-		)
-		search := machineSearch{candidates: []*candidateMachine{candidate}}
-		for _, service := range []bool{false, true} {
-			job := &mirror.Job{
-				ID:            "j-900000",
-				TaskResources: resources.Vector{CPUs: 0.25},
-				TaskStates:    make([]uint8, 1),
-				Record: storage.OpenJob{
-					Spec: storage.JobSpec{
-						Tasks:    1,
-						CPUs:     0.25,
-						Service:  service,
-						Priority: int(protocol.BestEffort),
-					},
-				},
-			}
-			request := core.scheduler.machineRequest(job, zoneConstraintOf(core.mirror, job))
-			got := core.scheduler.chooseMachine(request, search) != nil
-			if want := map[bool]bool{false: tc.swarms, true: tc.service}[service]; got != want {
-				t.Errorf("page filled to %v, service %v: %v", tc.partition, service, got)
-			}
-		}
-	}
-}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -17,6 +17,7 @@
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/peers"
+	"pipitgap/internal/placement"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota/quotashares"
 	"pipitgap/internal/reachability"
@@ -77,7 +78,7 @@
 	quota         *quotashares.Manager
 	api           *api.Handler
 	jobs          *jobs.Finisher
-	scheduler     *scheduler
+	scheduler     *placement.Scheduler
 	autoscaler    *autoscaler
 	scaleIn       *scalein.Reconciler
 }
@@ -110,11 +111,11 @@
 	c.quota = newQuotaManager(c)
 	c.api = newRequestHandler(c)
 	c.jobs = newJobFinisher(c)
-	c.scheduler = newScheduler(c)
 	c.autoscaler = newAutoscaler(c)
 	c.drains = newDrainer(c)
 	c.scaleIn = newScaleIn(c)
 	c.shards = newShardManager(c)
+	c.scheduler = newScheduler(c)
 	return c
 }
 
@@ -175,9 +176,9 @@
 	if !c.replica.Ready() || c.mirrorStale(now) {
 		return
 	}
-	if c.scheduler.passDue(now) {
-		c.scheduler.runPass(now)
-		c.scheduler.delayPassUntil(durations.NextDue(now, c.now(), 2*durations.FastTickInterval))
+	if c.scheduler.PassDue(now) {
+		c.scheduler.RunPass(now)
+		c.scheduler.DelayPassUntil(durations.NextDue(now, c.now(), 2*durations.FastTickInterval))
 	}
 }
 
@@ -197,7 +198,7 @@
 	c.drains.Reconcile(now)
 	c.quota.Adjust(now)
 	c.jobs.Reconcile()
-	c.scheduler.requestPass()
+	c.scheduler.RequestPass()
 	c.scaleIn.Reconcile(now)
 	c.autoscaler.fleet.Reconcile(now)
 }
@@ -206,25 +207,25 @@
 func (c *Controller) onMirrorChange(kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
-		c.scheduler.requestPass()
+		c.scheduler.RequestPass()
 		job := c.mirror.Jobs[name]
 		if job == nil {
-			c.scheduler.forgetJob(name)
+			c.scheduler.ForgetJob(name)
 			c.cancellations.Forget(name)
 			return
 		}
-		c.scheduler.noteRecordChange(name)
+		c.scheduler.NoteRecordChange(name)
 	case storage.KindJobResult:
 		c.cancellations.Record(c.mirror.Jobs[name])
 		if job := c.mirror.Jobs[name]; job != nil && job.AssignedTasks > 0 {
-			c.scheduler.noteFinalSeen(name)
+			c.scheduler.NoteFinalSeen(name)
 			c.agents.SyncCommandsOfJob(job) // a cancellation reaches the workers at once
 		}
 	case storage.KindShard:
-		c.scheduler.requestPass()
+		c.scheduler.RequestPass()
 		c.shards.HandleShardChange(name)
 	case storage.KindScaleOut, storage.KindScaleIn, storage.KindDrain, storage.KindPermits:
-		c.scheduler.requestPass()
+		c.scheduler.RequestPass()
 	case storage.KindMember:
 		c.membership.HandleMemberChange(name)
 	}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -89,7 +89,7 @@
 	c.submitLongArrays(machines)
 	c.sim.Run(50 * second)
 	for _, node := range c.nodeNames {
-		got.machinesExamined += c.nodes[node].controller.counters.machinesExamined
+		got.machinesExamined += c.nodes[node].controller.scheduler.Counters().MachinesExamined
 		got.tasksPlaced += c.nodes[node].controller.counters.tasksPlaced
 	}
 	before := 0
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -127,7 +127,7 @@
 		return services, of
 	}
 	for _, node := range c.nodeNames {
-		got["looked at"] += c.nodes[node].controller.counters.machinesExamined
+		got["looked at"] += c.nodes[node].controller.scheduler.Counters().MachinesExamined
 		got["placed"] += c.nodes[node].controller.counters.tasksPlaced
 	}
 	for _, k := range c.store.Keys(storage.KeyPrefix) {
--- a/internal/coordination/peer_exchange.go
+++ b/internal/coordination/peer_exchange.go
@@ -17,7 +17,7 @@
 		StateServiceReachable: !c.store.Unavailable() && now-c.store.LastSuccessAt() < storeAnswerValidity,
 		WaitingUserRequests:   c.store.QueuedCalls(ratelimit.PriorityUserRequest),
 		WorkerReach:           c.reachability.WorkerReach(),
-		FailingJobs:           c.scheduler.failingJobs(),
+		FailingJobs:           c.scheduler.FailingJobs(),
 		TeamsShortOfQuota:     c.quota.TeamsLacking(now),
 	}
 	for _, peer := range c.cfg.Peers {
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -41,7 +41,7 @@
 		{"a service", func(spec *storage.JobSpec) { spec.Service = true }, false},
 		{"within its team's guarantee", func(spec *storage.JobSpec) { spec.Team = "other" }, false},
 	} {
-		if got := core.scheduler.isPreemptible(saving(tc.change)); got != tc.want {
+		if got := core.scheduler.IsPreemptible(saving(tc.change)); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -30,10 +30,10 @@
 			name string
 			run  func()
 		}{
-			{"order of jobs", func() { core.scheduler.orderedQueue() }},
+			{"order of jobs", func() { core.scheduler.OrderedQueue() }},
 			{"demand and room", func() { core.autoscaler.demandAndSupply(core.autoscaler.snapshot(now)) }},
 			{"offers", func() { core.autoscaler.snapshot(now).Offers(core.drains.ClosesOffer) }},
-			{"free capacity", func() { core.scheduler.capacityByPartition() }},
+			{"free capacity", func() { core.scheduler.CapacityByPartition() }},
 			{"shard updates", func() { core.shards.PrepareUpdates(now) }},
 			{"encoding shards", func() {
 				for _, shard := range own {
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -4,17 +4,12 @@
 	"context"
 	"fmt"
 	"log/slog"
-
-	"pipitgap/internal/mirror"
-	"pipitgap/internal/monotime"
 )
 
 // activityCounters counts what the log's summary shows, since the start.
 type activityCounters struct {
-	tasksPlaced, jobsFailed int
-	// machines, by placement
-	machinesExamined int
-	permitWrites     int
+	tasksPlaced  int
+	permitWrites int
 }
 
 // queueHeadLength is how many jobs LogQueue shows.
@@ -25,32 +20,14 @@
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
-	queue := c.scheduler.orderedQueue()
+	queue := c.scheduler.OrderedQueue()
 	head := ""
 	for _, job := range queue[:min(len(queue), queueHeadLength)] {
-		head += c.scheduler.describeWait(job)
+		head += c.scheduler.DescribeWait(job)
 	}
 	c.log.Debug("queue head", "queue", head, "quota_shares", c.describeQuotaShares())
 }
 
-// describeWait tells how urgent a job is and what keeps it waiting.
-func (sc *scheduler) describeWait(job *mirror.Job) string {
-	spec, now, wall := &job.Record.Spec, sc.c.now(), sc.c.env.WallClock()
-	slack := sc.slackOf(job, wall)
-	age := monotime.Micros(wall - job.Record.AcceptedAt)
-	backoff := max(0, sc.trackingOf(job.ID).placeNotBefore-now)
-	return fmt.Sprintf(
-		" %s(%s %s age %.0f slack %.0f missed %d"+
-			" starved %v within_guarantee %v waiting %d pending_here %d"+
-			" backoff_ms %d update_in_flight %v mirror_stale %v)",
-		job.ID, spec.Class, spec.Team, age.Seconds(), slack.Seconds, slack.Missed,
-		sc.isStarved(job, now), sc.withinGuarantee(job), job.UnassignedTasks(),
-		job.PendingInPartition(sc.c.node),
-		backoff.Milliseconds(), sc.c.recordWritesInFlight[job.ID],
-		sc.c.mirror.WatchedRevision < job.Version,
-	)
-}
-
 // describeQuotaShares tells what this controller's shares of the teams' limits are and leave.
 func (c *Controller) describeQuotaShares() string {
 	shares := ""
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -5,10 +5,8 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
-	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/resources"
 	"pipitgap/internal/shards"
 	"pipitgap/internal/storage"
 )
@@ -159,59 +157,6 @@
 	c.requireNoViolations()
 }
 
-// TestTaskHandOverIsNotStarvedByStealing: a service that its partition has no room for is handed on as
-// soon as that may be written again, however often the partition takes tasks of others:
-// an attempt in between doesn't cost it its turn.
-func TestTaskHandOverIsNotStarvedByStealing(t *testing.T) {
-	c := newCluster(t, 5).startWithLeader()
-	core := c.nodes["n-0"].controller
-	now := c.sim.Now()
-	id, array := "j-900000", "j-900001"
-	for name, spec := range map[string]storage.JobSpec{
-		id:    {Team: "free", Service: true, Priority: 2, Tasks: 1, CPUs: 4},
-		array: {Team: "free", Priority: 1, Tasks: 4, CPUs: 2, Spot: true},
-	} {
-		core.mirror.Jobs[name] = &mirror.Job{
-			ID:            name,
-			Version:       1,
-			TaskStates:    make([]uint8, spec.Tasks),
-			TaskResources: resources.Vector{CPUs: spec.CPUs},
-			Record: storage.OpenJob{
-				Spec:       spec,
-				TaskRanges: []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: "n-0"}},
-			},
-		}
-	}
-	core.scheduler.noteAccepted(id, 1)
-	other := &mirror.Shard{
-		Name:      "n-1.1",
-		Record:    &storage.Shard{Owner: "n-1"},
-		UseByTeam: map[string]resources.Vector{},
-	}
-	core.mirror.Machines["i-9"] = &mirror.Machine{
-		ID:       "i-9",
-		Shard:    other,
-		Used:     resources.Vector{CPUs: 8},
-		Attempts: map[mirror.TaskID]uint64{},
-		Record:   &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen},
-	}
-	for i := 0; i < 4; i++ {
-		core.mirror.Machines["i-9"].Attempts[mirror.TaskID{Job: array, Index: i}] = 1
-	}
-	core.scheduler.nextWorkStealAt = now + second
-	core.scheduler.placeTasks(nil, now)
-	if core.recordWritesInFlight[id] {
-		t.Error("handed on before a change may be spent on it")
-	}
-	core.scheduler.placeTasks(nil, now+second/2)
-	c.sim.Run(second)
-	core.scheduler.nextWorkStealAt = c.sim.Now()
-	core.scheduler.placeTasks(nil, c.sim.Now())
-	if !core.recordWritesInFlight[id] {
-		t.Error("not handed on at the first turn that may")
-	}
-}
-
 // TestUrgentJobIsStolenFirst: a small job of large tasks begins soon though nothing ends on
 // the machines of the partition that it was given to, while the others' gaps would go to
 // tasks that have more time: the most urgent of all goes first, wherever it waits.
@@ -239,7 +184,7 @@
 		}
 		if !c.sim.RunUntil(
 			5*second,
-			func() bool { return core.scheduler.reassignTaskRanges(core.mirror.Jobs[id], ranges) },
+			func() bool { return core.scheduler.ReassignTaskRanges(core.mirror.Jobs[id], ranges) },
 		) {
 			t.Fatalf("%s can't be given to %v", id, partitions)
 		}
@@ -261,59 +206,6 @@
 	c.requireNoViolations()
 }
 
-// TestPreemptedRoomIsReservedForPreemptor: what is free on a machine where tasks are being stopped for a
-// job is that job's until they are gone, and nobody else's.
-func TestPreemptedRoomIsReservedForPreemptor(t *testing.T) {
-	c := newCluster(t, 9).startWithLeader()
-	core := c.nodes["n-0"].controller
-	now := c.sim.Now()
-	mk := func(id string, service bool, cpus float64) *mirror.Job {
-		job := &mirror.Job{
-			ID:            id,
-			Version:       1,
-			TaskStates:    make([]uint8, 1),
-			TaskResources: resources.Vector{CPUs: cpus},
-			Record: storage.OpenJob{
-				Spec: storage.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus},
-			},
-		}
-		core.mirror.Jobs[id] = job
-		return job
-	}
-	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
-	cand := func(id string) *candidateMachine {
-		return newCandidateMachine(
-			&mirror.Machine{ID: id, CachedImages: map[string]bool{}},
-			&storage.ShardMachine{Type: "m8", Zone: "a"},
-			resources.Vector{CPUs: 2},
-			shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}),
-		)
-	}
-	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
-	core.scheduler.preemptions[service.ID] = &pendingPreemption{now + second, map[string]bool{"i-1": true}}
-	core.scheduler.reservePreemptedRoom(candidates, now)
-	choose := func(job *mirror.Job) *candidateMachine {
-		request := core.scheduler.machineRequest(job, zoneConstraintOf(core.mirror, array))
-		return core.scheduler.chooseMachine(request, machineSearch{candidates: candidates})
-	}
-	for i := 0; i < 4; i++ {
-		if candidate := choose(array); candidate != candidates[1] {
-			t.Fatal("an array's task goes where room is being made for a service, or nowhere")
-		}
-	}
-	if n := tasksThatFit(array, candidates); n != 1 {
-		t.Errorf("room for %d tasks of others, want 1", n)
-	}
-	candidates[0].Free = resources.Vector{CPUs: 4} // the stopped ones are gone
-	if candidate := choose(service); candidate != candidates[0] {
-		t.Error("the service doesn't get the room that was made for it")
-	}
-	core.scheduler.reservePreemptedRoom(candidates, now+2*second)
-	if candidates[0].ReservedForJob != "" {
-		t.Error("room is kept for longer than it takes to be made")
-	}
-}
-
 // TestLateQuotaReleaseFailsAfterReturn: what an absent controller has of the limits is dropped, but not
 // once it has been back: it may have assigned tasks under its record by then, though it is
 // gone again when the drop is carried out.
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -71,21 +71,21 @@
 // agentScheduler gives package agents the placement of tasks.
 type agentScheduler struct{ c *Controller }
 
-func (s agentScheduler) RequestPass() { s.c.scheduler.requestPass() }
+func (s agentScheduler) RequestPass() { s.c.scheduler.RequestPass() }
 
 func (s agentScheduler) RecordExit(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
-	s.c.scheduler.recordExit(machine, job, exit)
+	s.c.scheduler.RecordExit(machine, job, exit)
 }
 
 func (s agentScheduler) MachineFault(agent *agents.Agent) (faulty, failureProne bool) {
-	fault := s.c.scheduler.machineFault(agent)
+	fault := s.c.scheduler.MachineFault(agent)
 	return fault.Faulty, fault.Doubtful
 }
 
 func (s agentScheduler) ClearFailuresOn(machine *mirror.Machine) {
-	s.c.scheduler.clearFailuresOn(machine)
+	s.c.scheduler.ClearFailuresOn(machine)
 }
 
 func (s agentScheduler) FinalSeenAt(job string) monotime.Micros {
-	return s.c.scheduler.finalSeenAt(job)
+	return s.c.scheduler.FinalSeenAt(job)
 }
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/autoscaling/scalein"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/placement"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/reachability"
@@ -17,27 +18,27 @@
 type jobPolicy struct{ c *Controller }
 
 func (p jobPolicy) IsDelayed(job *mirror.Job, now monotime.Micros) bool {
-	return p.c.scheduler.placementDelayed(job.ID, now)
+	return p.c.scheduler.PlacementDelayed(job.ID, now)
 }
 
-func (p jobPolicy) IsCrashLooping(job *mirror.Job) bool { return p.c.scheduler.isCrashLooping(job) }
+func (p jobPolicy) IsCrashLooping(job *mirror.Job) bool { return p.c.scheduler.IsCrashLooping(job) }
 
 func (p jobPolicy) MayScaleOutForTrial(job *mirror.Job, now monotime.Micros) bool {
-	return p.c.scheduler.mayScaleOutForTrial(job, now)
+	return p.c.scheduler.MayScaleOutForTrial(job, now)
 }
 
-func (p jobPolicy) IsScavenger(job *mirror.Job) bool { return p.c.scheduler.isScavenger(job) }
+func (p jobPolicy) IsScavenger(job *mirror.Job) bool { return p.c.scheduler.IsScavenger(job) }
 
-func (p jobPolicy) IsSpotOnly(job *mirror.Job) bool { return p.c.scheduler.spotOnly(job) }
+func (p jobPolicy) IsSpotOnly(job *mirror.Job) bool { return p.c.scheduler.IsSpotOnly(job) }
 
-func (p jobPolicy) IsPreemptible(job *mirror.Job) bool { return p.c.scheduler.isPreemptible(job) }
+func (p jobPolicy) IsPreemptible(job *mirror.Job) bool { return p.c.scheduler.IsPreemptible(job) }
 
 func (p jobPolicy) ExpectedRunSeconds(spec *storage.JobSpec) float64 {
-	return p.c.scheduler.expectedRunSeconds(spec)
+	return p.c.scheduler.ExpectedRunSeconds(spec)
 }
 
 func (p jobPolicy) SlackSeconds(job *mirror.Job, wallClock int64) float64 {
-	return p.c.scheduler.slackOf(job, wallClock).Seconds
+	return p.c.scheduler.SlackOf(job, wallClock).Seconds
 }
 
 func (p jobPolicy) RemainingQuota(team string) resources.Vector {
@@ -46,7 +47,7 @@
 }
 
 func (p jobPolicy) Zones(job *mirror.Job) autoscaling.ZoneConstraint {
-	return zoneConstraintOf(p.c.mirror, job)
+	return placement.ZoneConstraintOf(p.c.mirror, job)
 }
 
 // newFleetReconciler makes the leader's reconciliation of the cloud's machines.
@@ -117,7 +118,7 @@
 }
 
 func (w fleetWorkload) NoteTrialDemand(jobID string, now monotime.Micros) {
-	w.as.c.scheduler.recordTrialDemand(jobID, now)
+	w.as.c.scheduler.RecordTrialDemand(jobID, now)
 }
 
 func (w fleetWorkload) IsClosedByDrain(offer autoscaling.Offer) bool {
--- a/internal/coordination/wiring_drains.go
+++ b/internal/coordination/wiring_drains.go
@@ -5,6 +5,7 @@
 	"pipitgap/internal/drain/drainer"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
+	"pipitgap/internal/placement"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
@@ -67,18 +68,18 @@
 func (d drainDependencies) MaxValueBytes() int { return d.c.maxValueBytes() }
 
 func (d drainDependencies) IsCrashLooping(job *mirror.Job) bool {
-	return d.c.scheduler.isCrashLooping(job)
+	return d.c.scheduler.IsCrashLooping(job)
 }
 
 func (d drainDependencies) ExpectedRunSeconds(spec *storage.JobSpec) float64 {
-	return d.c.scheduler.expectedRunSeconds(spec)
+	return d.c.scheduler.ExpectedRunSeconds(spec)
 }
 
 func (d drainDependencies) ZoneConstraint(job *mirror.Job) autoscaling.ZoneConstraint {
-	return zoneConstraintOf(d.c.mirror, job)
+	return placement.ZoneConstraintOf(d.c.mirror, job)
 }
 
-func (d drainDependencies) AssignmentShardBytes() int { return d.c.scheduler.assignmentShardBytes() }
+func (d drainDependencies) AssignmentShardBytes() int { return d.c.scheduler.AssignmentShardBytes() }
 
 func (d drainDependencies) MachineTypes() map[string]protocol.MachineType {
 	return d.c.catalog.MachineTypes()
--- a/internal/coordination/wiring_membership.go
+++ b/internal/coordination/wiring_membership.go
@@ -37,6 +37,6 @@
 		Log:           c.log,
 		HasAgent:      func(machine *mirror.Machine) bool { return c.agents.Of(machine) != nil },
 		HandOffShards: func(now monotime.Micros) { c.shards.HandOff(now) },
-		RequestPass:   func() { c.scheduler.requestPass() },
+		RequestPass:   func() { c.scheduler.RequestPass() },
 	})
 }
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -35,7 +35,7 @@
 			Store:       quotaStore{c.store, c.replica},
 			Shards:      dependencies,
 			Peers:       dependencies,
-			RequestPass: func() { c.scheduler.requestPass() },
+			RequestPass: func() { c.scheduler.RequestPass() },
 			Log:         c.log,
 		},
 	)
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -41,12 +41,12 @@
 
 // AssignTaskRanges divides a new job among the partitions.
 func (a userScheduler) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
-	return a.c.scheduler.assignTaskRanges(spec)
+	return a.c.scheduler.AssignTaskRanges(spec)
 }
 
 // JobAccepted notes the revision of an accepted job.
 func (a userScheduler) JobAccepted(job string, revision uint64) {
-	a.c.scheduler.noteAccepted(job, revision)
+	a.c.scheduler.JobAccepted(job, revision)
 }
 
 // PlaceNow runs the fast tick ahead of its time.
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -81,11 +81,11 @@
 
 func (d shardDependencies) NewLosses() shards.Losses { return d.c.drains.NewLosses() }
 
-func (d shardDependencies) Request() { d.c.scheduler.requestPass() }
+func (d shardDependencies) Request() { d.c.scheduler.RequestPass() }
 
 func (d shardDependencies) HandleCommitResult(result protocol.StoreResult, assignedTasks int) {
 	if result.Outcome == protocol.OK {
 		d.c.counters.tasksPlaced += assignedTasks
 	}
-	d.c.scheduler.handleShardCommitResult(result)
+	d.c.scheduler.HandleShardCommitResult(result)
 }
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -54,7 +54,7 @@
 
 func (o replicaObserver) Ready() {
 	o.c.catalog.UseStored(o.c.mirror.Catalog())
-	o.c.scheduler.requestPass()
+	o.c.scheduler.RequestPass()
 	o.c.nextSlowTickAt = 0
 }
 
@@ -65,6 +65,6 @@
 	return catalog.New(catalog.Options{
 		Environment:       c.env,
 		RequestsPerSecond: c.cfg.Facts.Cloud.RPS,
-		Changed:           func() { c.scheduler.requestPass() },
+		Changed:           func() { c.scheduler.RequestPass() },
 	})
 }
--- a/internal/coordination/candidates.go
+++ b/internal/placement/candidates.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/mirror"
@@ -27,25 +27,25 @@
 	update  *shards.Update // the update of its shard, which assigns tasks to it
 }
 
-// schedulable tells whether new tasks may go to a machine of this partition: its worker takes tasks, having
+// Schedulable tells whether new tasks may go to a machine of this partition: its worker takes tasks, having
 // acknowledged an answer recently, and the machine isn't suspected to be faulty.
-func (sc *scheduler) schedulable(machine *mirror.Machine, now monotime.Micros) bool {
-	agent := sc.c.agents.Of(machine)
-	return agent != nil && agent.AcceptsTasks(now, sc.c.durations.PlacementSilenceLimit) &&
-		!sc.machineFault(agent).Doubtful
+func (sc *Scheduler) Schedulable(machine *mirror.Machine, now monotime.Micros) bool {
+	agent := sc.deps.Agents.Of(machine)
+	return agent != nil && agent.AcceptsTasks(now, sc.config.PlacementSilenceLimit) &&
+		!sc.MachineFault(agent).Doubtful
 }
 
 // candidateMachines lists the machines of the updates that may get tasks.
-func (sc *scheduler) candidateMachines(updates []*shards.Update, now monotime.Micros) []*candidateMachine {
+func (sc *Scheduler) candidateMachines(updates []*shards.Update, now monotime.Micros) []*candidateMachine {
 	var candidates []*candidateMachine
 	for _, update := range updates {
 		for _, id := range sortedmap.Keys(update.Machines()) {
-			record, machine := update.Machines()[id], sc.c.mirror.Machines[id]
+			record, machine := update.Machines()[id], sc.deps.Mirror.Machines[id]
 			if machine == nil || machine.Record == nil || record.State != storage.MachineOpen ||
-				!sc.schedulable(machine, now) {
+				!sc.Schedulable(machine, now) {
 				continue
 			}
-			machineType, ok := sc.c.catalog.MachineTypes()[record.Type]
+			machineType, ok := sc.deps.Catalog.MachineTypes()[record.Type]
 			if !ok {
 				continue
 			}
@@ -53,7 +53,7 @@
 			candidate := newCandidateMachine(machine, record, update.FreeAfter(id, free), update)
 			candidate.TypeCPUs = machineType.CPUs
 			candidate.ServiceCPUs = sc.serviceCPUs(machine)
-			candidate.Closing = sc.c.scaleIn.IsClosed(id)
+			candidate.Closing = sc.deps.ScaleIn.IsClosed(id)
 			candidates = append(candidates, candidate)
 		}
 	}
@@ -89,10 +89,10 @@
 
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
 // it still waits and the room may be about to be there.
-func (sc *scheduler) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
+func (sc *Scheduler) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
 	jobByMachine := map[string]string{}
 	for id, pending := range sc.preemptions {
-		job := sc.c.mirror.Jobs[id]
+		job := sc.deps.Mirror.Jobs[id]
 		if job == nil || !job.IsOpen() || job.UnassignedTasks() <= 0 || now >= pending.expiresAt {
 			continue
 		}
@@ -105,25 +105,25 @@
 	}
 }
 
-// assignmentShardBytes is how large a shard may get by assignments.
-func (sc *scheduler) assignmentShardBytes() int {
-	return shards.FillBytes(sc.c.maxValueBytes())
+// AssignmentShardBytes is how large a shard may get by assignments.
+func (sc *Scheduler) AssignmentShardBytes() int {
+	return shards.FillBytes(sc.config.MaxValueBytes)
 }
 
 // shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks as its shard has
 // bytes for: thousands of tiny ones of the lowest priority must not fill the shards, so that others find no
 // machine though there is room for all of them.
-func (sc *scheduler) shardBytesFor(spec *storage.JobSpec) int {
+func (sc *Scheduler) shardBytesFor(spec *storage.JobSpec) int {
 	if !spec.Service && spec.Priority == int(protocol.BestEffort) {
-		return sc.assignmentShardBytes() * bestEffortShardPercent / 100
+		return sc.AssignmentShardBytes() * bestEffortShardPercent / 100
 	}
-	return sc.assignmentShardBytes()
+	return sc.AssignmentShardBytes()
 }
 
 // holdMachinesFor keeps up to so many machines that are nearest to having room for a job from what is less
 // urgent in this pass. Else smaller tasks fill every gap as it opens, and a job of larger ones waits for as
 // long as there are any.
-func (sc *scheduler) holdMachinesFor(
+func (sc *Scheduler) holdMachinesFor(
 	job *mirror.Job,
 	candidates []*candidateMachine,
 	zones *scheduling.ZoneConstraint,
@@ -147,7 +147,7 @@
 
 // nearestToRoom finds the machine with the most CPUs free among those that a task of a job would fit on if
 // they were empty; nil if there is none that isn't kept for others.
-func (sc *scheduler) nearestToRoom(
+func (sc *Scheduler) nearestToRoom(
 	job *mirror.Job,
 	candidates []*candidateMachine,
 	zones *scheduling.ZoneConstraint,
@@ -159,7 +159,7 @@
 			!zones.Allows(candidate.Record.Zone) {
 			continue
 		}
-		machineType := sc.c.catalog.MachineTypes()[candidate.Record.Type]
+		machineType := sc.deps.Catalog.MachineTypes()[candidate.Record.Type]
 		if job.TaskResources.FitsIn(mirror.MachineCapacity(&machineType)) &&
 			(best == nil || candidate.Free.CPUs > best.Free.CPUs) {
 			best = candidate
@@ -169,10 +169,10 @@
 }
 
 // serviceCPUs counts the CPUs that services hold of a machine.
-func (sc *scheduler) serviceCPUs(machine *mirror.Machine) float64 {
+func (sc *Scheduler) serviceCPUs(machine *mirror.Machine) float64 {
 	held := 0.0
 	for task := range machine.Attempts {
-		if job := sc.c.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
+		if job := sc.deps.Mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
 			held += job.TaskResources.CPUs
 		}
 	}
--- a/internal/coordination/drain_reservations.go
+++ b/internal/placement/drain_reservations.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/mirror"
@@ -21,21 +21,17 @@
 	need      resources.Vector
 }
 
-// reserveOnCandidates takes what permits reserve for replicas off what the candidates have free. It returns
-// nil if drains are turned off.
-func (sc *scheduler) reserveOnCandidates(
+// reserveOnCandidates takes what permits reserve for replicas off what the candidates have free.
+func (sc *Scheduler) reserveOnCandidates(
 	candidates []*candidateMachine,
 	updates []*shards.Update,
 ) *drainReservations {
-	if sc.c.drains == nil {
-		return nil
-	}
 	byMachine := map[string]*candidateMachine{}
 	for _, candidate := range candidates {
 		byMachine[candidate.MachineID] = candidate
 	}
 	r := &drainReservations{byJob: map[string][]drainReservation{}, updates: updates}
-	sc.c.drains.ForEachReservation(func(permit *storage.Permit, job *mirror.Job) {
+	sc.deps.Drains.ForEachReservation(func(permit *storage.Permit, job *mirror.Job) {
 		candidate := byMachine[permit.To]
 		if candidate == nil {
 			return
--- a/internal/coordination/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/mirror"
@@ -15,7 +15,7 @@
 	spec     *storage.JobSpec
 	tracking *jobTracking
 
-	spotOnly         bool // held to spot machines, see scheduler.spotOnly
+	spotOnly         bool // held to spot machines, see Scheduler.IsSpotOnly
 	crashLooping     bool // placed for an occasional trial only
 	oneCommitAtATime bool // its tasks go out by one commit at a time
 	preempting       bool // machines are kept for it
@@ -42,20 +42,20 @@
 
 // beginJob prepares the placement of a job's tasks; nil if it isn't its time.
 func (p *placement) beginJob(job *mirror.Job) *jobPlacement {
-	c, spec := p.core, &job.Record.Spec
+	sc, spec := p.scheduler, &job.Record.Spec
 	jobPlan := &jobPlacement{
 		placement:        p,
 		job:              job,
 		spec:             spec,
-		tracking:         c.scheduler.trackingOf(job.ID),
-		spotOnly:         c.scheduler.spotOnly(job),
-		crashLooping:     c.scheduler.isCrashLooping(job),
+		tracking:         sc.trackingOf(job.ID),
+		spotOnly:         sc.IsSpotOnly(job),
+		crashLooping:     sc.IsCrashLooping(job),
 		oneCommitAtATime: spec.OneZone || spec.Spread,
 		maxTasks:         spec.Tasks,
 	}
 	trials := 0
 	if jobPlan.crashLooping {
-		if trials = c.scheduler.crashLoopTrials(job, p.now); trials == 0 {
+		if trials = sc.crashLoopTrials(job, p.now); trials == 0 {
 			return nil
 		}
 	}
@@ -63,17 +63,17 @@
 		jobPlan.keepStolenRoom()
 		return nil
 	}
-	if c.scheduler.isStarved(job, p.now) {
+	if sc.isStarved(job, p.now) {
 		jobPlan.maxTasks = jobPlan.tracking.progress.Missing(job.DoneTasks + job.AssignedTasks)
 	}
 	if jobPlan.crashLooping {
 		jobPlan.maxTasks = trials
 	}
-	jobPlan.zoneConstraint = zoneConstraintOf(c.mirror, job)
-	jobPlan.request = c.scheduler.machineRequest(job, jobPlan.zoneConstraint)
+	jobPlan.zoneConstraint = ZoneConstraintOf(sc.deps.Mirror, job)
+	jobPlan.request = sc.machineRequest(job, jobPlan.zoneConstraint)
 	jobPlan.request.SpotOnly = jobPlan.spotOnly
-	jobPlan.shardBytesLimit = c.scheduler.shardBytesFor(spec)
-	jobPlan.preempting = c.scheduler.isPreempting(job.ID, p.now)
+	jobPlan.shardBytesLimit = sc.shardBytesFor(spec)
+	jobPlan.preempting = sc.isPreempting(job.ID, p.now)
 	jobPlan.hasReservation = p.reservations.hasReservationFor(job)
 	jobPlan.findQuota()
 	jobPlan.recallShortages()
@@ -82,11 +82,11 @@
 
 // recordIsSettled tells whether the job's record, as the mirror has it, says who places its tasks.
 func (p *jobPlacement) recordIsSettled() bool {
-	c, job := p.core, p.job
-	if p.now < p.tracking.placeNotBefore || c.recordWritesInFlight[job.ID] {
+	sc, job := p.scheduler, p.job
+	if p.now < p.tracking.placeNotBefore || sc.deps.RecordWrites.Contains(job.ID) {
 		return false
 	}
-	return c.mirror.WatchedRevision >= job.Version || c.scheduler.acceptedRevisions[job.ID] == job.Version
+	return sc.deps.Mirror.WatchedRevision >= job.Version || sc.acceptedRevisions[job.ID] == job.Version
 }
 
 // keepStolenRoom keeps the room of tasks that are being taken over from other partitions.
@@ -98,10 +98,10 @@
 
 // findQuota finds what is left of the partition's share of the team's limit.
 func (p *jobPlacement) findQuota() {
-	p.limits, _ = p.core.quota.Limits(p.spec.Team)
+	p.limits, _ = p.scheduler.deps.Quota.Limits(p.spec.Team)
 	left, known := p.quotaLeft[p.spec.Team]
 	if !known {
-		left = p.core.quota.Left(p.spec.Team)
+		left = p.scheduler.deps.Quota.Left(p.spec.Team)
 	}
 	p.quotaRoom = left
 }
@@ -135,7 +135,7 @@
 func (p *jobPlacement) assignTasks() {
 	job := p.job
 	for _, taskRange := range job.Record.TaskRanges {
-		if taskRange.Partition != p.core.node {
+		if taskRange.Partition != p.scheduler.config.Node {
 			continue
 		}
 		for i := taskRange.First; i < taskRange.End; i++ {
@@ -158,12 +158,12 @@
 
 // assignTask gives one task to a machine, or notes why it can't.
 func (p *jobPlacement) assignTask(task int) {
-	c, job := p.core, p.job
+	sc, job := p.scheduler, p.job
 	// What a shard's own attempts give back can be used by the same write.
 	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
 	if p.needsNewMachine(task, freedQuotaOnly) {
 		p.request.FreedQuotaOnly = freedQuotaOnly
-		p.chosenMachine = c.scheduler.chooseMachine(p.request, machineSearch{
+		p.chosenMachine = sc.chooseMachine(p.request, machineSearch{
 			candidates: p.searchSpace(),
 			preferred:  p.preferred,
 			sampled:    p.sampling,
@@ -175,7 +175,7 @@
 	}
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
 	if p.spec.Service && !withImage && !waitedForImage(job, p.wallNow) &&
-		c.scheduler.preemptFor(p.preemptionRequest(1, true)) {
+		sc.preemptFor(p.preemptionRequest(1, true)) {
 		// Room is being made beside the image: sooner than a fetch.
 		p.maxTasks = 0
 		return
@@ -210,24 +210,24 @@
 
 // assignToChosen writes a task into the update of the chosen machine's shard.
 func (p *jobPlacement) assignToChosen(task int) {
-	c, job, candidate := p.core, p.job, p.chosenMachine
+	sc, job, candidate := p.scheduler, p.job, p.chosenMachine
 	update, machine := candidate.update, candidate.MachineID
 	p.preferred = p.candidatesByUpdate[update]
 	update.BeginJob(job)
 	if p.limits.Limited() {
-		sharesKey := storage.Key(storage.KindPartition, c.node)
-		update.AddCompare(sharesKey, c.mirror.VersionOf(sharesKey))
+		sharesKey := storage.Key(storage.KindPartition, sc.config.Node)
+		update.AddCompare(sharesKey, sc.deps.Mirror.VersionOf(sharesKey))
 	}
 	joinsRange := p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1
 	p.lastAssigned = storage.Attempt{
 		Task:     task,
 		Machine:  machine,
-		Number:   c.mirror.NewestRevision,
-		Starting: c.drains.TracksStart(p.spec),
+		Number:   sc.deps.Mirror.NewestRevision,
+		Starting: sc.deps.Drains.TracksStart(p.spec),
 	}
-	c.scheduler.jobsInPass[job.ID] = true
+	sc.jobsInPass[job.ID] = true
 	update.Assign(job, p.lastAssigned, joinsRange)
-	c.scaleIn.Reopen(machine)
+	sc.deps.ScaleIn.Reopen(machine)
 	candidate.Closing = false
 	candidate.Free = candidate.Free.AddScaled(job.TaskResources, -1)
 	candidate.TaskCount++
--- a/internal/coordination/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/monotime"
@@ -15,7 +15,7 @@
 	if _, known := p.hasRoomFor[p.shape]; !known {
 		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
 	}
-	p.core.quota.NoteShortage(p.spec.Team, quota.UnmetDemand{
+	p.scheduler.deps.Quota.NoteShortage(p.spec.Team, quota.UnmetDemand{
 		TaskResources:  p.job.TaskResources,
 		Tasks:          p.pendingTasks,
 		ShareLeft:      p.quotaRoom,
@@ -30,22 +30,22 @@
 	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass &&
 		!p.noRoomFor[p.shape] &&
 		p.job.UnassignedTasks() > 0 &&
-		p.core.scheduler.slackOf(p.job, p.wallNow).CanMeetObjective()
+		p.scheduler.SlackOf(p.job, p.wallNow).CanMeetObjective()
 }
 
 // stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room for them.
 // One job a pass, because each costs a write.
 func (p *jobPlacement) stealUrgentTasks() {
-	c, job := p.core, p.job
+	sc, job := p.scheduler, p.job
 	if tasksThatFit(job, p.candidates) == 0 {
 		p.noRoomFor[p.shape] = true
 		p.holdMachinesFor(job.UnassignedTasks())
 		return
 	}
-	if p.now < c.scheduler.nextWorkStealAt {
+	if p.now < sc.nextWorkStealAt {
 		return // others use the room until a write may be spent
 	}
-	tasks := c.scheduler.stealTasksOfJob(job, workStealing{
+	tasks := sc.stealTasksOfJob(job, workStealing{
 		candidates:      p.candidates,
 		quotaLeftByTeam: p.quotaLeft,
 		capacities:      p.freePartitionCapacity(),
@@ -59,9 +59,9 @@
 
 // holdMachinesFor keeps machines for this partition's fraction of so many waiting tasks of the job.
 func (p *jobPlacement) holdMachinesFor(tasks int) {
-	partitions := len(p.core.controllers)
+	partitions := len(p.scheduler.config.Controllers)
 	fraction := (tasks + partitions - 1) / partitions
-	p.core.scheduler.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, fraction)
+	p.scheduler.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, fraction)
 }
 
 // preemptionRequest asks for room for so many tasks of the job by stopping others.
@@ -79,7 +79,7 @@
 // makeRoomByPreemption stops others' work for a service, and for a job within its team's guarantee that found
 // no room for a while; where that can't be done here, the job's tasks go to a partition that can.
 func (p *jobPlacement) makeRoomByPreemption() {
-	c, job := p.core, p.job
+	sc, job := p.scheduler, p.job
 	tasks := p.pendingTasks
 	if !p.spec.Service {
 		p.holdMachinesFor(p.pendingTasks)
@@ -91,13 +91,13 @@
 	// Each hand-over costs a write, and so does taking tasks over, which comes after: the time of the last
 	// hand-over is only noted where one was made, so that a service has its turn as soon as a write is
 	// allowed.
-	if c.scheduler.preemptFor(p.preemptionRequest(tasks, false)) ||
+	if sc.preemptFor(p.preemptionRequest(tasks, false)) ||
 		p.now-p.tracking.reassignment.handedOverAt <= reassignmentInterval ||
-		p.now < c.scheduler.nextWorkStealAt {
+		p.now < sc.nextWorkStealAt {
 		return
 	}
-	if to := c.scheduler.bestPreemptionTarget(p.freePartitionCapacity(), job); to != "" &&
-		c.scheduler.handOverTasks(job, to) {
+	if to := sc.bestPreemptionTarget(p.freePartitionCapacity(), job); to != "" &&
+		sc.handOverTasks(job, to) {
 		p.tracking.reassignment.handedOverAt = p.now
 	}
 }
@@ -107,11 +107,11 @@
 func (p *jobPlacement) preemptScavengers() bool {
 	tasks := min(p.pendingTasks, p.job.TaskResources.CountIn(p.quotaRoom))
 	return tasks > 0 && p.anyPreemptible() &&
-		p.core.scheduler.preemptScavengers(p.preemptionRequest(tasks, false))
+		p.scheduler.preemptScavengers(p.preemptionRequest(tasks, false))
 }
 
 // mayReclaimGuarantee tells whether an array may stop what other teams run beyond their guarantees.
 func (p *jobPlacement) mayReclaimGuarantee() bool {
 	return p.wallNow-p.job.Record.AcceptedAt > int64(guaranteePreemptionDelay) &&
-		p.core.scheduler.entitledToGuarantee(p.job)
+		p.scheduler.entitledToGuarantee(p.job)
 }
--- a/internal/coordination/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/monotime"
@@ -23,7 +23,7 @@
 }
 
 // trackingOf gives what is noted about a job, and begins it if there is nothing yet.
-func (sc *scheduler) trackingOf(id string) *jobTracking {
+func (sc *Scheduler) trackingOf(id string) *jobTracking {
 	tracking := sc.jobStates[id]
 	if tracking == nil {
 		tracking = &jobTracking{}
@@ -32,45 +32,45 @@
 	return tracking
 }
 
-// forgetJob drops what is noted about a job without a record.
-func (sc *scheduler) forgetJob(id string) {
+// ForgetJob drops what is noted about a job without a record.
+func (sc *Scheduler) ForgetJob(id string) {
 	delete(sc.jobStates, id)
 	delete(sc.preemptions, id)
 	delete(sc.acceptedRevisions, id)
 }
 
-// noteAccepted notes that this controller committed a new job at a revision: its tasks can be placed before
+// JobAccepted notes that this controller committed a new job at a revision: its tasks can be placed before
 // the watch has come to the record, as no other controller can have placed any.
-func (sc *scheduler) noteAccepted(id string, revision uint64) { sc.acceptedRevisions[id] = revision }
+func (sc *Scheduler) JobAccepted(id string, revision uint64) { sc.acceptedRevisions[id] = revision }
 
-// noteRecordChange notes that a job's record has changed.
-func (sc *scheduler) noteRecordChange(id string) {
-	sc.trackingOf(id).reassignment.recordChangedAt = sc.c.now()
+// NoteRecordChange notes that a job's record has changed.
+func (sc *Scheduler) NoteRecordChange(id string) {
+	sc.trackingOf(id).reassignment.recordChangedAt = sc.deps.Environment.Now()
 }
 
-// noteFinalSeen notes that a job's final result is there.
-func (sc *scheduler) noteFinalSeen(id string) {
+// NoteFinalSeen notes that a job's final result is there.
+func (sc *Scheduler) NoteFinalSeen(id string) {
 	if tracking := sc.trackingOf(id); tracking.finalSeenAt == 0 {
-		tracking.finalSeenAt = sc.c.now()
+		tracking.finalSeenAt = sc.deps.Environment.Now()
 	}
 }
 
-// finalSeenAt is when a job's final result was first seen; 0: not yet.
-func (sc *scheduler) finalSeenAt(id string) monotime.Micros { return sc.trackingOf(id).finalSeenAt }
+// FinalSeenAt is when a job's final result was first seen; 0: not yet.
+func (sc *Scheduler) FinalSeenAt(id string) monotime.Micros { return sc.trackingOf(id).finalSeenAt }
 
 // delayPlacement lets no task of a job be placed before an instant.
-func (sc *scheduler) delayPlacement(id string, until monotime.Micros) {
+func (sc *Scheduler) delayPlacement(id string, until monotime.Micros) {
 	tracking := sc.trackingOf(id)
 	tracking.placeNotBefore = max(tracking.placeNotBefore, until)
 }
 
-// placementDelayed tells whether a job's tasks may not be placed yet.
-func (sc *scheduler) placementDelayed(id string, now monotime.Micros) bool {
+// PlacementDelayed tells whether a job's tasks may not be placed yet.
+func (sc *Scheduler) PlacementDelayed(id string, now monotime.Micros) bool {
 	tracking := sc.jobStates[id]
 	return tracking != nil && now < tracking.placeNotBefore
 }
 
-// recordTrialDemand notes that a machine is wanted for a trial of a job in a crash loop.
-func (sc *scheduler) recordTrialDemand(id string, now monotime.Micros) {
+// RecordTrialDemand notes that a machine is wanted for a trial of a job in a crash loop.
+func (sc *Scheduler) RecordTrialDemand(id string, now monotime.Micros) {
 	sc.trackingOf(id).failures.RecordTrialDemand(now)
 }
--- a/internal/coordination/machine_choice.go
+++ b/internal/placement/machine_choice.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"math"
@@ -55,7 +55,7 @@
 }
 
 // machineRequest is what a machine for a task of a job must meet.
-func (sc *scheduler) machineRequest(
+func (sc *Scheduler) machineRequest(
 	job *mirror.Job,
 	zones *scheduling.ZoneConstraint,
 ) *scheduling.MachineRequest {
@@ -67,19 +67,19 @@
 		Zones:            zones,
 		Failures:         sc.failuresOf(job.ID),
 		MaxShardBytes:    sc.shardBytesFor(spec) - len(job.ID) - newJobBytes,
-		MaxShardCompares: comparesPerTxnOp*sc.c.cfg.Facts.State.TxnOps - reservedCompares,
+		MaxShardCompares: comparesPerTxnOp*sc.config.MaxTxnOps - reservedCompares,
 		FleetServiceCPUs: sc.serviceCPUsAssigned,
 	}
 }
 
 // chooseMachine picks the machine for a task: spot before ordinary where the job may, one that has the image,
 // the tightest fit. Under overload it looks at a sample, and at all before it says that there is no room.
-func (sc *scheduler) chooseMachine(
+func (sc *Scheduler) chooseMachine(
 	request *scheduling.MachineRequest,
 	search machineSearch,
 ) *candidateMachine {
 	choice := machineChoice{request: request, score: math.Inf(1)}
-	defer func() { sc.c.counters.machinesExamined += choice.examined }()
+	defer func() { sc.counters.MachinesExamined += choice.examined }()
 	if !request.Spec.Service {
 		// A job that stands in few shards takes little of each: every shard that names
 		// it spends its id, two conditions, and numbers of tasks that are no ranges.
@@ -92,7 +92,7 @@
 	}
 	if search.sampled && len(search.candidates) > candidateSampleSize {
 		for range candidateSampleSize {
-			choice.consider(search.candidates[sc.c.env.Rand().IntN(len(search.candidates))])
+			choice.consider(search.candidates[sc.deps.Environment.Rand().IntN(len(search.candidates))])
 		}
 		if choice.best != nil {
 			return choice.best
--- /dev/null
+++ b/internal/placement/machine_choice_test.go
@@ -0,0 +1,98 @@
+package placement
+
+import (
+	"testing"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/shards"
+	"pipitgap/internal/storage"
+)
+
+// TestSampledPlacementFindsOnlyRoom: with many machines a sample is looked at, and what only one machine
+// has room for is found all the same.
+func TestSampledPlacementFindsOnlyRoom(t *testing.T) {
+	c := newTestController()
+	job := &mirror.Job{
+		ID:            "j-1",
+		TaskResources: resources.Vector{CPUs: 2},
+		Record:        storage.OpenJob{Spec: storage.JobSpec{CPUs: 2}},
+	}
+	update := shards.NewUpdate("p", nil, &storage.Shard{})
+	var candidates []*candidateMachine
+	for i := 0; i < 4*sampleAboveMachines; i++ {
+		machine := &mirror.Machine{
+			ID:           mirror.TaskID{Job: "i", Index: i}.String(),
+			CachedImages: map[string]bool{},
+			Record:       &storage.ShardMachine{Type: "m8", Zone: "a"},
+		}
+		candidate := newCandidateMachine(machine, machine.Record, resources.Vector{CPUs: 1}, update)
+		candidates = append(candidates, candidate)
+	}
+	choose := func() *candidateMachine {
+		return c.scheduler.chooseMachine(
+			c.scheduler.machineRequest(job, ZoneConstraintOf(c.mirror, job)),
+			machineSearch{candidates: candidates, sampled: true},
+		)
+	}
+	if candidate := choose(); candidate != nil {
+		t.Errorf("%s has no room", candidate.MachineID)
+	}
+	only := candidates[len(candidates)/3]
+	only.Free = resources.Vector{CPUs: 2}
+	if candidate := choose(); candidate != only {
+		t.Error("the one machine with room was not found")
+	}
+	for _, candidate := range candidates {
+		candidate.Free = resources.Vector{CPUs: 8}
+	}
+	chosen := map[string]bool{}
+	for i := 0; i < 20; i++ {
+		chosen[choose().MachineID] = true
+	}
+	if len(chosen) < 5 {
+		t.Errorf("20 choices among equals fell on %d machines: no sample", len(chosen))
+	}
+}
+
+// TestShardBytesReservedForHigherPriority: past four fifths of a shard's bytes no more tasks of the lowest
+// priority go to its machines, however much room they have, so that others' find some.
+func TestShardBytesReservedForHigherPriority(t *testing.T) {
+	c := newTestController()
+	for _, tc := range []struct {
+		filled  float64 // of what a shard is filled to
+		lowest  bool
+		service bool
+	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
+		update := shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
+		update.ReserveBytes(int(tc.filled * float64(c.scheduler.AssignmentShardBytes())))
+		candidate := newCandidateMachine(
+			&mirror.Machine{ID: "i-1", CachedImages: map[string]bool{}},
+			&storage.ShardMachine{Type: "m8", Zone: "a"},
+			resources.Vector{CPUs: 8, MemoryGB: 64},
+			update,
+		)
+		search := machineSearch{candidates: []*candidateMachine{candidate}}
+		for _, service := range []bool{false, true} {
+			job := &mirror.Job{
+				ID:            "j-900000",
+				TaskResources: resources.Vector{CPUs: 0.25},
+				TaskStates:    make([]uint8, 1),
+				Record: storage.OpenJob{
+					Spec: storage.JobSpec{
+						Tasks:    1,
+						CPUs:     0.25,
+						Service:  service,
+						Priority: int(protocol.BestEffort),
+					},
+				},
+			}
+			request := c.scheduler.machineRequest(job, ZoneConstraintOf(c.mirror, job))
+			got := c.scheduler.chooseMachine(request, search) != nil
+			if want := map[bool]bool{false: tc.lowest, true: tc.service}[service]; got != want {
+				t.Errorf("shard filled to %v, service %v: %v", tc.filled, service, got)
+			}
+		}
+	}
+}
--- a/internal/coordination/objectives.go
+++ b/internal/placement/objectives.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"math"
@@ -12,18 +12,18 @@
 
 // latestStarts are the times by which the objectives want a job's tasks to start, see
 // scheduling.LatestStarts.
-func (sc *scheduler) latestStarts(spec *storage.JobSpec) []float64 {
-	runSeconds := autoscaling.EstimateMargin * sc.expectedRunSeconds(spec)
-	return scheduling.LatestStarts(sc.c.cfg.Facts.Objectives, spec, runSeconds)
+func (sc *Scheduler) latestStarts(spec *storage.JobSpec) []float64 {
+	runSeconds := autoscaling.EstimateMargin * sc.ExpectedRunSeconds(spec)
+	return scheduling.LatestStarts(sc.config.Objectives, spec, runSeconds)
 }
 
 // hasObjective tells whether anything bounds when a job's tasks are to start.
-func (sc *scheduler) hasObjective(spec *storage.JobSpec) bool {
+func (sc *Scheduler) hasObjective(spec *storage.JobSpec) bool {
 	return !math.IsInf(sc.latestStarts(spec)[0], 1)
 }
 
-// slackOf is how long a job's waiting tasks may still wait, at a time of day in microseconds.
-func (sc *scheduler) slackOf(job *mirror.Job, wall int64) scheduling.Slack {
+// SlackOf is how long a job's waiting tasks may still wait, at a time of day in microseconds.
+func (sc *Scheduler) SlackOf(job *mirror.Job, wall int64) scheduling.Slack {
 	age := monotime.Micros(wall - job.Record.AcceptedAt)
 	return scheduling.SlackOf(sc.latestStarts(&job.Record.Spec), age.Seconds())
 }
--- a/internal/coordination/partition_capacity.go
+++ b/internal/placement/partition_capacity.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/mirror"
@@ -7,8 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// partitionCapacity is the free room of every partition, as a pass saw it in the mirror.
-type partitionCapacity struct {
+// PartitionCapacity is the free room of every partition, as a pass saw it in the mirror.
+type PartitionCapacity struct {
 	*scheduling.PartitionCapacity
 	preemptionTargets map[preemptorClass]string // what bestPreemptionTarget has found
 }
@@ -20,16 +20,16 @@
 	priority int
 }
 
-// capacityByPartition counts the free room of every partition's open machines.
-func (sc *scheduler) capacityByPartition() *partitionCapacity {
-	capacity := &partitionCapacity{scheduling.NewPartitionCapacity(), map[preemptorClass]string{}}
-	reserved := sc.c.drains.ReservedByMachine()
-	for _, machine := range sc.c.mirror.Machines {
+// CapacityByPartition counts the free room of every partition's open machines.
+func (sc *Scheduler) CapacityByPartition() *PartitionCapacity {
+	capacity := &PartitionCapacity{scheduling.NewPartitionCapacity(), map[preemptorClass]string{}}
+	reserved := sc.deps.Drains.ReservedByMachine()
+	for _, machine := range sc.deps.Mirror.Machines {
 		if machine.Record == nil || machine.Record.State != storage.MachineOpen ||
-			!sc.c.membership.IsMember(machine.Owner()) {
+			!sc.deps.Membership.IsMember(machine.Owner()) {
 			continue
 		}
-		machineType, ok := sc.c.catalog.MachineTypes()[machine.Record.Type]
+		machineType, ok := sc.deps.Catalog.MachineTypes()[machine.Record.Type]
 		if !ok {
 			continue
 		}
@@ -40,29 +40,29 @@
 }
 
 // tasksFitting counts the tasks of a job that fit into a partition.
-func (p *partitionCapacity) tasksFitting(spec *storage.JobSpec, partition string) int {
+func (p *PartitionCapacity) tasksFitting(spec *storage.JobSpec, partition string) int {
 	return p.TasksFitting(spec, mirror.TaskResources(spec), partition)
 }
 
 // partitionForNewJob names the partition with most room for a new job; for a service, one that has its image
 // too comes first. If none has room: the one that could make most by preemption for a service, or this one.
-func (sc *scheduler) partitionForNewJob(spec *storage.JobSpec) string {
-	capacity, need := sc.capacityByPartition(), mirror.TaskResources(spec)
+func (sc *Scheduler) partitionForNewJob(spec *storage.JobSpec) string {
+	capacity, need := sc.CapacityByPartition(), mirror.TaskResources(spec)
 	fit := scheduling.PreemptionFit{Spec: spec, Need: need, Freed: func(machine string) resources.Vector {
 		return sc.resourcesOn(machine, func(victim *mirror.Job) bool {
 			return victim.Record.Spec.Priority < spec.Priority
 		})
 	}}
-	partitions := append([]string{sc.c.node}, sc.c.reachability.ConnectedControllers()...)
+	partitions := append([]string{sc.config.Node}, sc.deps.Reachability.ConnectedControllers()...)
 	tasksFitting := func(partition string) int { return capacity.TasksFitting(spec, need, partition) }
 	if !spec.Service {
-		return scheduling.BestPartition(partitions, sc.c.node, tasksFitting)
+		return scheduling.BestPartition(partitions, sc.config.Node, tasksFitting)
 	}
 	besideImage := fit
 	besideImage.BesideImage = true
 	return scheduling.BestPartition(
 		partitions,
-		sc.c.node,
+		sc.config.Node,
 		func(partition string) int { return capacity.TasksFittingBesideImage(spec, need, partition) },
 		func(partition string) int { return capacity.MachinesAfterPreemption(partition, besideImage) },
 		tasksFitting,
@@ -71,10 +71,10 @@
 }
 
 // resourcesOn is what those tasks on a machine hold whose jobs are counted.
-func (sc *scheduler) resourcesOn(machineID string, counts func(*mirror.Job) bool) resources.Vector {
+func (sc *Scheduler) resourcesOn(machineID string, counts func(*mirror.Job) bool) resources.Vector {
 	held := resources.Vector{}
-	for task := range sc.c.mirror.Machines[machineID].Attempts {
-		if job := sc.c.mirror.Jobs[task.Job]; job != nil && counts(job) {
+	for task := range sc.deps.Mirror.Machines[machineID].Attempts {
+		if job := sc.deps.Mirror.Jobs[task.Job]; job != nil && counts(job) {
 			held = held.Plus(job.TaskResources)
 		}
 	}
@@ -83,7 +83,7 @@
 
 // bestPreemptionTarget names the other partition that could make room for a job on most
 // machines by stopping what may be stopped for it, or "".
-func (sc *scheduler) bestPreemptionTarget(capacity *partitionCapacity, job *mirror.Job) string {
+func (sc *Scheduler) bestPreemptionTarget(capacity *PartitionCapacity, job *mirror.Job) string {
 	spec := &job.Record.Spec
 	preemptor := preemptorClass{
 		scheduling.ShapeOf(spec, job.TaskResources, spec.Team),
@@ -102,12 +102,16 @@
 			})
 		},
 	}
-	partition := scheduling.BestPartition(sc.c.membership.LiveControllers(), "", func(partition string) int {
-		if partition == sc.c.node {
-			return 0
-		}
-		return capacity.MachinesAfterPreemption(partition, fit)
-	})
+	partition := scheduling.BestPartition(
+		sc.deps.Membership.LiveControllers(),
+		"",
+		func(partition string) int {
+			if partition == sc.config.Node {
+				return 0
+			}
+			return capacity.MachinesAfterPreemption(partition, fit)
+		},
+	)
 	capacity.preemptionTargets[preemptor] = partition
 	return partition
 }
--- a/internal/coordination/placement_pass.go
+++ b/internal/placement/placement_pass.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/mirror"
@@ -21,9 +21,9 @@
 
 // placement is the part of a scheduling pass that gives waiting tasks to machines.
 type placement struct {
-	core    *Controller
-	now     monotime.Micros
-	wallNow int64 // time of day, microseconds
+	scheduler *Scheduler
+	now       monotime.Micros
+	wallNow   int64 // time of day, microseconds
 
 	candidates         []*candidateMachine
 	candidatesByUpdate map[*shards.Update][]*candidateMachine
@@ -40,18 +40,18 @@
 	fittingByShape map[scheduling.TaskShape][]*candidateMachine
 
 	// Made when they are first needed.
-	partitionCapacity  *partitionCapacity
+	partitionCapacity  *PartitionCapacity
 	preemptibleChecked bool // preemptibleRunning is known:
 	preemptibleRunning bool // whether any running work is preemptible by arrays
 }
 
 // placeTasks gives the waiting tasks of this partition's ranges to machines of the updates; where nothing has
 // room it makes some, or looks for the partition that could.
-func (sc *scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
-	if sc.c.catalog.MachineTypes() == nil || !sc.c.membership.HoldsLease(now) {
+func (sc *Scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
+	if sc.deps.Catalog.MachineTypes() == nil || !sc.deps.Membership.HoldsLease(now) {
 		return
 	}
-	jobs := sc.orderedQueue()
+	jobs := sc.OrderedQueue()
 	if len(jobs) == 0 {
 		return
 	}
@@ -69,13 +69,13 @@
 
 // newPlacement takes the machines of the updates as candidates, less the room that is kept on them, for so
 // many jobs.
-func (sc *scheduler) newPlacement(updates []*shards.Update, jobs int, now monotime.Micros) *placement {
+func (sc *Scheduler) newPlacement(updates []*shards.Update, jobs int, now monotime.Micros) *placement {
 	p := &placement{
-		core:           sc.c,
+		scheduler:      sc,
 		now:            now,
-		wallNow:        sc.c.env.WallClock(),
+		wallNow:        sc.deps.Environment.WallClock(),
 		candidates:     sc.candidateMachines(updates, now),
-		tasksInDoubt:   sc.c.shards.TasksInDoubt(),
+		tasksInDoubt:   sc.deps.Shards.TasksInDoubt(),
 		quotaLeft:      map[string]resources.Vector{},
 		noRoomFor:      map[scheduling.TaskShape]bool{},
 		hasRoomFor:     map[scheduling.TaskShape]bool{},
@@ -121,9 +121,9 @@
 }
 
 // totalServiceCPUs is what all services hold.
-func (sc *scheduler) totalServiceCPUs() float64 {
+func (sc *Scheduler) totalServiceCPUs() float64 {
 	served := 0.0
-	for _, job := range sc.c.mirror.Jobs {
+	for _, job := range sc.deps.Mirror.Jobs {
 		if job.Record.Spec.Service && job.IsOpen() {
 			served += float64(job.AssignedTasks) * job.TaskResources.CPUs
 		}
@@ -147,15 +147,15 @@
 			fitting = append(fitting, candidate)
 		}
 	}
-	p.core.counters.machinesExamined += len(searched)
+	p.scheduler.counters.MachinesExamined += len(searched)
 	p.fittingByShape[shape] = fitting
 	return fitting
 }
 
 // freePartitionCapacity is the free room of all partitions.
-func (p *placement) freePartitionCapacity() *partitionCapacity {
+func (p *placement) freePartitionCapacity() *PartitionCapacity {
 	if p.partitionCapacity == nil {
-		p.partitionCapacity = p.core.scheduler.capacityByPartition()
+		p.partitionCapacity = p.scheduler.CapacityByPartition()
 	}
 	return p.partitionCapacity
 }
@@ -164,8 +164,8 @@
 func (p *placement) anyPreemptible() bool {
 	if !p.preemptibleChecked {
 		p.preemptibleChecked = true
-		for _, job := range p.core.mirror.Jobs {
-			if job.AssignedTasks > 0 && p.core.scheduler.isPreemptible(job) {
+		for _, job := range p.scheduler.deps.Mirror.Jobs {
+			if job.AssignedTasks > 0 && p.scheduler.IsPreemptible(job) {
 				p.preemptibleRunning = true
 				break
 			}
--- a/internal/coordination/preempt.go
+++ b/internal/placement/preemption.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/agents"
@@ -45,7 +45,7 @@
 }
 
 // isPreempting tells whether tasks are being stopped for a job.
-func (sc *scheduler) isPreempting(job string, now monotime.Micros) bool {
+func (sc *Scheduler) isPreempting(job string, now monotime.Micros) bool {
 	pending := sc.preemptions[job]
 	return pending != nil && now < pending.expiresAt
 }
@@ -53,7 +53,7 @@
 // preemptFor stops tasks so that up to as many tasks of a job as requested get room on the partition's
 // machines; the cheapest loss first, see mayPreempt. For its priority only a service preempts: an array gains
 // little by it and the work thrown away is paid for. It tells whether room is being made.
-func (sc *scheduler) preemptFor(request preemptionRequest) bool {
+func (sc *Scheduler) preemptFor(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
 		return true
@@ -71,7 +71,7 @@
 }
 
 // notePreemption keeps the machines on which tasks were stopped for a job, and tells whether there are any.
-func (sc *scheduler) notePreemption(
+func (sc *Scheduler) notePreemption(
 	job *mirror.Job,
 	machines map[string]bool,
 	expiresAt monotime.Micros,
@@ -79,7 +79,7 @@
 	if len(machines) == 0 {
 		return false
 	}
-	sc.requestPass()
+	sc.RequestPass()
 	sc.preemptions[job.ID] = &pendingPreemption{expiresAt, machines}
 	return true
 }
@@ -87,12 +87,12 @@
 // cheapestPreemption looks for the machine on which room for one task costs the least work. A sample of
 // machines is enough when there are many: the loss hardly differs, and each look goes over all that runs
 // there.
-func (sc *scheduler) cheapestPreemption(request *preemptionRequest) (best preemptionPlan, ok bool) {
+func (sc *Scheduler) cheapestPreemption(request *preemptionRequest) (best preemptionPlan, ok bool) {
 	candidates := request.candidates
 	for i := range min(len(candidates), sampleAboveMachines) {
 		candidate := candidates[i]
 		if len(candidates) > sampleAboveMachines {
-			candidate = candidates[sc.c.env.Rand().IntN(len(candidates))]
+			candidate = candidates[sc.deps.Environment.Rand().IntN(len(candidates))]
 		}
 		if !sc.mayPreemptOn(candidate, request.job, request.zones) {
 			continue
@@ -106,20 +106,20 @@
 }
 
 // mayPreemptOn tells whether tasks may be stopped on a machine for a job.
-func (sc *scheduler) mayPreemptOn(
+func (sc *Scheduler) mayPreemptOn(
 	candidate *candidateMachine,
 	job *mirror.Job,
 	zones *scheduling.ZoneConstraint,
 ) bool {
 	return scheduling.MachineAllowed(&job.Record.Spec, candidate.Record) &&
 		zones.Allows(candidate.Record.Zone) &&
-		!sc.c.agents.Of(candidate.machine).IsStoppingAny() &&
+		!sc.deps.Agents.Of(candidate.machine).IsStoppingAny() &&
 		candidate.AvailableTo(job.ID)
 }
 
 // preemptionOn tells what to stop on a machine for one task. An image that would have to be fetched counts as
 // a loss.
-func (sc *scheduler) preemptionOn(
+func (sc *Scheduler) preemptionOn(
 	candidate *candidateMachine,
 	request *preemptionRequest,
 ) (plan preemptionPlan, ok bool) {
@@ -150,15 +150,15 @@
 }
 
 // victimsOn lists the tasks that run on a machine and may be stopped.
-func (sc *scheduler) victimsOn(
+func (sc *Scheduler) victimsOn(
 	machine *mirror.Machine,
 	now monotime.Micros,
 	mayStop func(victim *mirror.Job) bool,
 ) []scheduling.Victim {
-	agent := sc.c.agents.Of(machine)
+	agent := sc.deps.Agents.Of(machine)
 	var victims []scheduling.Victim
 	for task, number := range machine.Attempts {
-		job, attempt := sc.c.mirror.Jobs[task.Job], agents.AttemptID{Task: task, Attempt: number}
+		job, attempt := sc.deps.Mirror.Jobs[task.Job], agents.AttemptID{Task: task, Attempt: number}
 		if job == nil || !mayStop(job) || agent.HasOutcome(attempt) || agent.HasExited(attempt) {
 			continue
 		}
@@ -185,21 +185,21 @@
 }
 
 // stopVictims has tasks on a machine stopped, and keeps what is free there for a job.
-func (sc *scheduler) stopVictims(
+func (sc *Scheduler) stopVictims(
 	message string,
 	candidate *candidateMachine,
 	victims []scheduling.Victim,
 	job *mirror.Job,
 ) {
-	agent := sc.c.agents.Of(candidate.machine)
+	agent := sc.deps.Agents.Of(candidate.machine)
 	for _, victim := range victims {
 		task := mirror.TaskID{Job: victim.Job, Index: victim.Task}
 		agent.StopAttempt(agents.AttemptID{Task: task, Attempt: victim.Attempt})
-		sc.c.log.Debug(message, "task", task.String(), "attempt", victim.Attempt,
+		sc.deps.Log.Debug(message, "task", task.String(), "attempt", victim.Attempt,
 			"machine", candidate.MachineID, "for_job", job.ID)
 	}
 	candidate.ReservedForJob = job.ID
-	sc.c.agents.SyncCommands(candidate.machine)
+	sc.deps.Agents.SyncCommands(candidate.machine)
 }
 
 // mayPreempt tells whether a task of victim may be stopped for job: one of lower priority
@@ -207,8 +207,8 @@
 // gets its own. The protocol would let that be of any priority; of a higher one it
 // would be placed again first, and the two would stop each other for ever. Services with a
 // disruption budget aren't stopped for others.
-func (sc *scheduler) mayPreempt(job, victim *mirror.Job) bool {
-	if sc.c.drains.ProtectsFromPreemption(victim) {
+func (sc *Scheduler) mayPreempt(job, victim *mirror.Job) bool {
+	if sc.deps.Drains.ProtectsFromPreemption(victim) {
 		return false
 	}
 	if victim.Record.Spec.Priority < job.Record.Spec.Priority && job.Record.Spec.Service {
@@ -221,15 +221,15 @@
 }
 
 // entitledToGuarantee tells whether a job's team has a guarantee and the job's next task lies within it.
-func (sc *scheduler) entitledToGuarantee(job *mirror.Job) bool {
-	limits, _ := sc.c.quota.Limits(job.Record.Spec.Team)
+func (sc *Scheduler) entitledToGuarantee(job *mirror.Job) bool {
+	limits, _ := sc.deps.Quota.Limits(job.Record.Spec.Team)
 	return limits.Guaranteed() && sc.withinGuarantee(job)
 }
 
 // exceedsGuarantee tells whether a team uses more than its guarantee, less what is to be
 // stopped of it.
-func (sc *scheduler) exceedsGuarantee(name string, less resources.Vector) bool {
-	limits, _ := sc.c.quota.Limits(name)
-	use := sc.c.mirror.UseByTeam[name].AddScaled(less, -1)
+func (sc *Scheduler) exceedsGuarantee(name string, less resources.Vector) bool {
+	limits, _ := sc.deps.Quota.Limits(name)
+	use := sc.deps.Mirror.UseByTeam[name].AddScaled(less, -1)
 	return !limits.GuaranteeCovers(use)
 }
--- /dev/null
+++ b/internal/placement/preemption_test.go
@@ -0,0 +1,64 @@
+package placement
+
+import (
+	"testing"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/resources"
+	"pipitgap/internal/shards"
+	"pipitgap/internal/storage"
+)
+
+// TestPreemptedRoomIsReservedForPreemptor: what is free on a machine where tasks are being stopped for a
+// job is that job's until they are gone, and nobody else's.
+func TestPreemptedRoomIsReservedForPreemptor(t *testing.T) {
+	const second = monotime.Second
+	c := newTestController()
+	now := c.now
+	mk := func(id string, service bool, cpus float64) *mirror.Job {
+		job := &mirror.Job{
+			ID:            id,
+			Version:       1,
+			TaskStates:    make([]uint8, 1),
+			TaskResources: resources.Vector{CPUs: cpus},
+			Record: storage.OpenJob{
+				Spec: storage.JobSpec{Team: "free", Service: service, Tasks: 1, CPUs: cpus},
+			},
+		}
+		c.mirror.Jobs[id] = job
+		return job
+	}
+	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
+	cand := func(id string) *candidateMachine {
+		return newCandidateMachine(
+			&mirror.Machine{ID: id, CachedImages: map[string]bool{}},
+			&storage.ShardMachine{Type: "m8", Zone: "a"},
+			resources.Vector{CPUs: 2},
+			shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}),
+		)
+	}
+	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
+	c.scheduler.preemptions[service.ID] = &pendingPreemption{now + second, map[string]bool{"i-1": true}}
+	c.scheduler.reservePreemptedRoom(candidates, now)
+	choose := func(job *mirror.Job) *candidateMachine {
+		request := c.scheduler.machineRequest(job, ZoneConstraintOf(c.mirror, array))
+		return c.scheduler.chooseMachine(request, machineSearch{candidates: candidates})
+	}
+	for i := 0; i < 4; i++ {
+		if candidate := choose(array); candidate != candidates[1] {
+			t.Fatal("an array's task goes where room is being made for a service, or nowhere")
+		}
+	}
+	if n := tasksThatFit(array, candidates); n != 1 {
+		t.Errorf("room for %d tasks of others, want 1", n)
+	}
+	candidates[0].Free = resources.Vector{CPUs: 4} // the stopped ones are gone
+	if candidate := choose(service); candidate != candidates[0] {
+		t.Error("the service doesn't get the room that was made for it")
+	}
+	c.scheduler.reservePreemptedRoom(candidates, now+2*second)
+	if candidates[0].ReservedForJob != "" {
+		t.Error("room is kept for longer than it takes to be made")
+	}
+}
--- a/internal/coordination/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -1,17 +1,19 @@
-package coordination
+package placement
 
 import (
+	"fmt"
+
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/scheduling"
 	"pipitgap/internal/storage"
 )
 
-// orderedQueue lists jobs with unplaced tasks, the most urgent first.
-func (sc *scheduler) orderedQueue() []*mirror.Job {
+// OrderedQueue lists jobs with unplaced tasks, the most urgent first.
+func (sc *Scheduler) OrderedQueue() []*mirror.Job {
 	var entries []scheduling.QueueEntry
-	wall, now := sc.c.env.WallClock(), sc.c.now()
-	for _, job := range sc.c.mirror.Jobs {
+	wall, now := sc.deps.Environment.WallClock(), sc.deps.Environment.Now()
+	for _, job := range sc.deps.Mirror.Jobs {
 		if job.IsOpen() && job.UnassignedTasks() > 0 {
 			entries = append(entries, sc.queueEntryOf(job, wall, now))
 		}
@@ -22,15 +24,15 @@
 	scheduling.SortQueue(entries)
 	queue := make([]*mirror.Job, len(entries))
 	for i := range entries {
-		queue[i] = sc.c.mirror.Jobs[entries[i].Job.ID]
+		queue[i] = sc.deps.Mirror.Jobs[entries[i].Job.ID]
 	}
 	return queue
 }
 
 // queueEntryOf gathers what decides a job's place in the queue.
-func (sc *scheduler) queueEntryOf(job *mirror.Job, wall int64, now monotime.Micros) scheduling.QueueEntry {
+func (sc *Scheduler) queueEntryOf(job *mirror.Job, wall int64, now monotime.Micros) scheduling.QueueEntry {
 	spec, waiting := &job.Record.Spec, job.UnassignedTasks()
-	slack := sc.slackOf(job, wall)
+	slack := sc.SlackOf(job, wall)
 	entry := scheduling.QueueEntry{
 		Job: scheduling.QueuedJob{
 			ID:              job.ID,
@@ -42,37 +44,37 @@
 			TaskCPUs:        job.TaskResources.CPUs,
 		},
 		SlackSeconds:      slack.Seconds,
-		WaitingCPUSeconds: float64(waiting) * job.TaskResources.CPUs * sc.expectedRunSeconds(spec),
+		WaitingCPUSeconds: float64(waiting) * job.TaskResources.CPUs * sc.ExpectedRunSeconds(spec),
 		MissedObjectives:  slack.Missed,
 		DeadlineBoost:     scheduling.NeedsDeadlineBoost(slack),
 		WithinGuarantee:   sc.withinGuarantee(job),
 		Starved:           sc.isStarved(job, now),
 	}
-	if sc.isCrashLooping(job) {
+	if sc.IsCrashLooping(job) {
 		entry.LeaveForTrials()
 	}
 	return entry
 }
 
 // lateUsage is what late jobs hold of the machines and of their teams' limits.
-func (sc *scheduler) lateUsage(wall int64) scheduling.LateUsage {
+func (sc *Scheduler) lateUsage(wall int64) scheduling.LateUsage {
 	usage := scheduling.LateUsage{
 		CPUsByTeam: map[string]float64{},
 		TeamMax: func(name string) float64 {
-			limits, _ := sc.c.quota.Limits(name)
+			limits, _ := sc.deps.Quota.Limits(name)
 			return limits.MaxCPUs
 		},
 	}
-	for _, machine := range sc.c.mirror.Machines {
+	for _, machine := range sc.deps.Mirror.Machines {
 		if machine.Record != nil && machine.Record.State == storage.MachineOpen {
-			usage.FleetCPUs += sc.c.catalog.MachineTypes()[machine.Record.Type].CPUs
+			usage.FleetCPUs += sc.deps.Catalog.MachineTypes()[machine.Record.Type].CPUs
 		}
 	}
-	for _, job := range sc.c.mirror.Jobs {
+	for _, job := range sc.deps.Mirror.Jobs {
 		if job.AssignedTasks <= 0 || job.Record.Spec.Service {
 			continue
 		}
-		if sc.slackOf(job, wall).IsLate() {
+		if sc.SlackOf(job, wall).IsLate() {
 			usage.CPUsByTeam[job.Record.Spec.Team] += float64(job.AssignedTasks) * job.TaskResources.CPUs
 		}
 	}
@@ -80,25 +82,43 @@
 }
 
 // isStarved tells whether an array has got nothing for a long time, see scheduling.StartProgress.
-func (sc *scheduler) isStarved(job *mirror.Job, now monotime.Micros) bool {
+func (sc *Scheduler) isStarved(job *mirror.Job, now monotime.Micros) bool {
 	if job.Record.Spec.Service {
 		return false
 	}
 	progress, started := &sc.trackingOf(job.ID).progress, job.DoneTasks+job.AssignedTasks
 	if !progress.Begun() {
-		progress.Begin(started, monotime.Micros(sc.c.env.WallClock()-job.Record.AcceptedAt), now)
+		progress.Begin(started, monotime.Micros(sc.deps.Environment.WallClock()-job.Record.AcceptedAt), now)
 	}
 	progress.Observe(started, now)
 	if progress.CatchingUp(started) {
 		return true
 	}
 	return progress.Stalled(now) &&
-		progress.BeginCatchUp(started, job.UnassignedTasks(), sc.isScavenger(job))
+		progress.BeginCatchUp(started, job.UnassignedTasks(), sc.IsScavenger(job))
 }
 
 // withinGuarantee tells whether one more task of a job lies within its team's guarantee.
-func (sc *scheduler) withinGuarantee(job *mirror.Job) bool {
-	limits, _ := sc.c.quota.Limits(job.Record.Spec.Team)
-	use := sc.c.mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
+func (sc *Scheduler) withinGuarantee(job *mirror.Job) bool {
+	limits, _ := sc.deps.Quota.Limits(job.Record.Spec.Team)
+	use := sc.deps.Mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
 	return limits.GuaranteeCovers(use)
 }
+
+// DescribeWait tells how urgent a job is and what keeps it waiting.
+func (sc *Scheduler) DescribeWait(job *mirror.Job) string {
+	spec, now, wall := &job.Record.Spec, sc.deps.Environment.Now(), sc.deps.Environment.WallClock()
+	slack := sc.SlackOf(job, wall)
+	age := monotime.Micros(wall - job.Record.AcceptedAt)
+	backoff := max(0, sc.trackingOf(job.ID).placeNotBefore-now)
+	return fmt.Sprintf(
+		" %s(%s %s age %.0f slack %.0f missed %d"+
+			" starved %v within_guarantee %v waiting %d pending_here %d"+
+			" backoff_ms %d update_in_flight %v mirror_stale %v)",
+		job.ID, spec.Class, spec.Team, age.Seconds(), slack.Seconds, slack.Missed,
+		sc.isStarved(job, now), sc.withinGuarantee(job), job.UnassignedTasks(),
+		job.PendingInPartition(sc.config.Node),
+		backoff.Milliseconds(), sc.deps.RecordWrites.Contains(job.ID),
+		sc.deps.Mirror.WatchedRevision < job.Version,
+	)
+}
--- a/internal/coordination/queue_order_test.go
+++ b/internal/placement/queue_order_test.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"fmt"
@@ -6,7 +6,9 @@
 
 	"pipitgap/internal/config"
 	"pipitgap/internal/mirror"
+	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/quota"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
@@ -14,36 +16,31 @@
 // TestDeadlineBoostIsLimitedPerTeam: of each team's late jobs those with least work are urgent before their
 // next objective, up to a fraction of what the team can run.
 func TestDeadlineBoostIsLimitedPerTeam(t *testing.T) {
-	c := newCluster(t, 3)
-	c.teams = []config.Team{{Name: "free"}, {Name: "tight", CPUsMax: 12}}
-	c.adjustFacts = func(cfg *config.Config) {
-		cfg.Facts.Objectives = []config.Objective{
-			{Kind: "deadline", Class: "x", Times: 1},
-			{Kind: "deadline", Class: "x", Times: 1.5},
-			{Kind: "wait", Class: "x", WithinS: 150},
-			{Kind: "finished", Class: "x", WithinS: 250},
-		}
+	c := newTestController()
+	c.limits = map[string]quota.Limits{"tight": {MaxCPUs: 12}}
+	c.scheduler.config.Objectives = []config.Objective{
+		{Kind: "deadline", Class: "x", Times: 1},
+		{Kind: "deadline", Class: "x", Times: 1.5},
+		{Kind: "wait", Class: "x", WithinS: 150},
+		{Kind: "finished", Class: "x", WithinS: 250},
 	}
-	c.start("n-0")
-	core := c.nodes["n-0"].controller
-	c.sim.Run(500 * second)
-	core.catalog = fixedCatalog(map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}})
-	core.mirror.Machines["i-1"] = &mirror.Machine{
+	c.machineTypes = map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}}
+	c.mirror.Machines["i-1"] = &mirror.Machine{
 		ID:     "i-1",
 		Record: &storage.ShardMachine{Type: "m16", State: storage.MachineOpen},
 	}
 	add := func(team string, age, cpus float64, tasks int) string {
-		id := fmt.Sprintf("j-%06d", len(core.mirror.Jobs))
-		core.mirror.Jobs[id] = &mirror.Job{
+		id := fmt.Sprintf("j-%06d", len(c.mirror.Jobs))
+		c.mirror.Jobs[id] = &mirror.Job{
 			ID:            id,
 			TaskStates:    make([]uint8, tasks),
 			TaskResources: resources.Vector{CPUs: cpus},
 			Record: storage.OpenJob{
-				AcceptedAt: core.env.WallClock() - int64(
-					age*float64(second),
+				AcceptedAt: c.WallClock() - int64(
+					age*float64(monotime.Second),
 				), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}},
 		}
-		core.scheduler.trackingOf(id).progress.Begin(0, 0, core.now()) // not starved
+		c.scheduler.trackingOf(id).progress.Begin(0, 0, c.now) // not starved
 		return id
 	}
 	fresh := add("free", 5, 2, 1)
@@ -64,11 +61,11 @@
 		2,
 		8,
 	) // another late one of its team holds 8 of 12 CPUs
-	core.mirror.Jobs[add("tight", 130, 2, 8)].AssignedTasks = 4
+	c.mirror.Jobs[add("tight", 130, 2, 8)].AssignedTasks = 4
 	passed, waiting := add("free", 249, 1, 1), add("free", 80, 1, 1)
 	finish := add("free", 215, 1, 2) // its start is missed, not its end
 	place := map[string]int{}
-	for i, job := range core.scheduler.orderedQueue() {
+	for i, job := range c.scheduler.OrderedQueue() {
 		place[job.ID] = i
 	}
 	for _, tc := range []struct{ first, then string }{{small, fresh}, {finish, fresh}, {fresh, large}, {fresh, tight}, {fresh, passed}, {fresh, waiting}} {
--- a/internal/coordination/runtime_estimates.go
+++ b/internal/placement/runtime_estimates.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/agents"
@@ -11,30 +11,30 @@
 // refusedStartDelay is how long a job isn't placed after a worker refused to start one of its tasks.
 const refusedStartDelay = 500 * monotime.Millisecond
 
-// recordExit learns from how an attempt ended.
-func (sc *scheduler) recordExit(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
+// RecordExit learns from how an attempt ended.
+func (sc *Scheduler) RecordExit(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
 	status := &exit.Status
 	switch status.Cause {
 	case protocol.CauseDone:
 		sc.recordCompletion(machine, job, exit)
 	case protocol.CauseError:
-		sc.c.counters.jobsFailed++
+		sc.counters.TasksFailed++
 		sc.recordFailure(machine, job)
-		sc.c.log.Debug("task failed", "task", exit.Task.String(), "attempt", status.Attempt,
+		sc.deps.Log.Debug("task failed", "task", exit.Task.String(), "attempt", status.Attempt,
 			"machine", machine.ID)
 	case protocol.CauseUnknown, protocol.CauseMachineFull, protocol.CauseBusy:
-		sc.delayPlacement(job.ID, sc.c.now()+refusedStartDelay)
-		sc.c.log.Debug("task start refused", "task", exit.Task.String(), "attempt", status.Attempt,
+		sc.delayPlacement(job.ID, sc.deps.Environment.Now()+refusedStartDelay)
+		sc.deps.Log.Debug("task start refused", "task", exit.Task.String(), "attempt", status.Attempt,
 			"machine", machine.ID, "reason", status.Cause)
 	}
 }
 
 // recordCompletion learns from a completed task: its run time, and that neither machine nor job is at fault.
-func (sc *scheduler) recordCompletion(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
-	spec, machineFailures := &job.Record.Spec, sc.c.agents.Of(machine).Failures()
+func (sc *Scheduler) recordCompletion(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
+	spec, machineFailures := &job.Record.Spec, sc.deps.Agents.Of(machine).Failures()
 	if exit.Started && !spec.Service {
-		ranSeconds := (sc.c.now() - exit.Since).Seconds()
-		machineFailures.RecordSpeed(ranSeconds, sc.expectedRunSeconds(spec))
+		ranSeconds := (sc.deps.Environment.Now() - exit.Since).Seconds()
+		machineFailures.RecordSpeed(ranSeconds, sc.ExpectedRunSeconds(spec))
 		sc.estimates.Observe(spec, ranSeconds)
 	}
 	machineFailures.RecordCompletion()
@@ -43,7 +43,7 @@
 	}
 }
 
-// expectedRunSeconds is how long a task of a job is expected to run, see scheduling.RuntimeEstimates.
-func (sc *scheduler) expectedRunSeconds(spec *storage.JobSpec) float64 {
+// ExpectedRunSeconds is how long a task of a job is expected to run, see scheduling.RuntimeEstimates.
+func (sc *Scheduler) ExpectedRunSeconds(spec *storage.JobSpec) float64 {
 	return sc.estimates.ExpectedSeconds(spec)
 }
--- a/internal/coordination/scavenger.go
+++ b/internal/placement/scavenger.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/mirror"
@@ -16,44 +16,44 @@
 // may be requested for it: it must begin at some time, wherever nothing else is to be had.
 const scavengerStartDelay = monotime.Minute
 
-// isScavenger tells whether a job is of the scavenger class.
-func (sc *scheduler) isScavenger(job *mirror.Job) bool {
+// IsScavenger tells whether a job is of the scavenger class.
+func (sc *Scheduler) IsScavenger(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	if !scheduling.MayBeScavenger(spec) {
 		return false
 	}
-	limits, _ := sc.c.quota.Limits(spec.Team)
+	limits, _ := sc.deps.Quota.Limits(spec.Team)
 	return !limits.Guaranteed() && !sc.hasObjective(spec)
 }
 
-// spotOnly tells whether a job is held to spot machines and to what is there in any case:
+// IsSpotOnly tells whether a job is held to spot machines and to what is there in any case:
 // a scavenger job, once it has begun or as long as it needn't have.
-func (sc *scheduler) spotOnly(job *mirror.Job) bool {
-	if !sc.isScavenger(job) {
+func (sc *Scheduler) IsSpotOnly(job *mirror.Job) bool {
+	if !sc.IsScavenger(job) {
 		return false
 	}
 	return job.DoneTasks+job.AssignedTasks > 0 ||
-		monotime.Micros(sc.c.env.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay
+		monotime.Micros(sc.deps.Environment.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay
 }
 
-// isPreemptible tells whether a job's tasks may be stopped for arrays of higher priority: they have no
+// IsPreemptible tells whether a job's tasks may be stopped for arrays of higher priority: they have no
 // objective, their work can be saved, and their team uses more than its guarantee. Work with an objective
 // would miss it if it were stopped, and begins again only when as much room is free at once.
-func (sc *scheduler) isPreemptible(job *mirror.Job) bool {
+func (sc *Scheduler) IsPreemptible(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	return scheduling.MayBePreemptible(spec) && job.IsOpen() && !sc.hasObjective(spec) &&
 		sc.exceedsGuarantee(spec.Team, resources.Vector{})
 }
 
 // preemptibleBy tells whether a running task may be stopped for any of higher priority.
-func (sc *scheduler) preemptibleBy(job, victim *mirror.Job) bool {
-	return victim.Record.Spec.Priority < job.Record.Spec.Priority && sc.isPreemptible(victim)
+func (sc *Scheduler) preemptibleBy(job, victim *mirror.Job) bool {
+	return victim.Record.Spec.Priority < job.Record.Spec.Priority && sc.IsPreemptible(victim)
 }
 
 // preemptScavengers stops preemptible work, so that up to as many tasks of a job as requested get room on the
 // partition's machines: one look at each, as many tasks on each as it can make room for. It tells whether
 // room is being made.
-func (sc *scheduler) preemptScavengers(request preemptionRequest) bool {
+func (sc *Scheduler) preemptScavengers(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
 		return true
--- a/internal/coordination/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -1,14 +1,15 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/scheduling"
 )
 
-// scheduler orders the open jobs, places their tasks on machines and preempts others for them. What is
+// Scheduler orders the open jobs, places their tasks on machines and preempts others for them. What is
 // decided on its inputs alone is in package scheduling.
-type scheduler struct {
-	c *Controller
+type Scheduler struct {
+	deps   Dependencies
+	config Config
 
 	passNeeded                  bool            // a pass may find something to do
 	nextPassAt                  monotime.Micros // no pass before
@@ -22,11 +23,15 @@
 	estimates         *scheduling.RuntimeEstimates
 	preemptions       map[string]*pendingPreemption // by job
 	acceptedRevisions map[string]uint64             // jobs that this controller accepted, at these revisions
+
+	counters Counters
 }
 
-func newScheduler(c *Controller) *scheduler {
-	return &scheduler{
-		c:                 c,
+// New makes a scheduler that has seen nothing yet.
+func New(config Config, dependencies Dependencies) *Scheduler {
+	return &Scheduler{
+		deps:              dependencies,
+		config:            config,
 		jobStates:         map[string]*jobTracking{},
 		estimates:         scheduling.NewRuntimeEstimates(),
 		preemptions:       map[string]*pendingPreemption{},
@@ -34,11 +39,20 @@
 	}
 }
 
-// requestPass has a pass run at the next fast tick that one is due: something has changed that it may act on.
-func (sc *scheduler) requestPass() { sc.passNeeded = true }
+// Counters counts what the scheduler has done since it was made.
+type Counters struct {
+	MachinesExamined int // machines looked at for tasks
+	TasksFailed      int
+}
+
+// Counters are the counts so far.
+func (sc *Scheduler) Counters() Counters { return sc.counters }
+
+// RequestPass has a pass run at the next fast tick that one is due: something has changed that it may act on.
+func (sc *Scheduler) RequestPass() { sc.passNeeded = true }
 
-// passDue tells whether a pass has been requested and may run now.
-func (sc *scheduler) passDue(now monotime.Micros) bool { return sc.passNeeded && now >= sc.nextPassAt }
+// PassDue tells whether a pass has been requested and may run now.
+func (sc *Scheduler) PassDue(now monotime.Micros) bool { return sc.passNeeded && now >= sc.nextPassAt }
 
-// delayPassUntil lets no pass run before an instant.
-func (sc *scheduler) delayPassUntil(at monotime.Micros) { sc.nextPassAt = max(sc.nextPassAt, at) }
+// DelayPassUntil lets no pass run before an instant.
+func (sc *Scheduler) DelayPassUntil(at monotime.Micros) { sc.nextPassAt = max(sc.nextPassAt, at) }
--- a/internal/coordination/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/durations"
@@ -13,20 +13,20 @@
 	passDelayAfterFailure   = 300 * monotime.Millisecond
 )
 
-// runPass is a round over this controller's shards: what has ended is released, machines come and go, waiting
+// RunPass is a round over this controller's shards: what has ended is released, machines come and go, waiting
 // tasks are assigned to what is free, and each shard that has changed is written once. However many tasks
 // start and end, that is what it costs; with more to write than the state service takes, passes come less
 // often and each carries more.
-func (sc *scheduler) runPass(now monotime.Micros) {
-	if sc.c.store.Unavailable() || !sc.c.membership.HoldsLease(now) || sc.c.quota.WriteInFlight() {
+func (sc *Scheduler) RunPass(now monotime.Micros) {
+	if sc.deps.Store.Unavailable() || !sc.deps.Membership.HoldsLease(now) || sc.deps.Quota.WriteInFlight() {
 		return // assignments depend on the quota shares that are being written
 	}
-	if sc.c.shards.AwaitsCommit(now) {
+	if sc.deps.Shards.AwaitsCommit(now) {
 		return
 	}
 	sc.passNeeded = false
-	updates := sc.c.shards.PrepareUpdates(now)
-	updates = sc.c.shards.AdmitClaimRequests(updates, now)
+	updates := sc.deps.Shards.PrepareUpdates(now)
+	updates = sc.deps.Shards.AdmitClaimRequests(updates, now)
 	sc.placeTasks(updates, now)
 	written := 0
 	// Updates that take machines over change the controller's quota shares, which the assignments of the
@@ -35,33 +35,33 @@
 		for _, update := range updates {
 			if update.Changed() && update.ChangesOtherRecords() == takingOver {
 				written++
-				sc.c.shards.Commit(update, now)
+				sc.deps.Shards.Commit(update, now)
 			}
 		}
 	}
 	sc.nextPassAt = now + max(
 		2*durations.FastTickInterval,
-		monotime.FromSeconds(float64(written)/sc.c.store.ShardWritesPerSecond()),
+		monotime.FromSeconds(float64(written)/sc.deps.Store.ShardWritesPerSecond()),
 	)
 }
 
-// handleShardCommitResult requests the next pass once a shard's commit has an outcome, and delays it where it
+// HandleShardCommitResult requests the next pass once a shard's commit has an outcome, and delays it where it
 // would decide on the same outdated records or fail again.
-func (sc *scheduler) handleShardCommitResult(result protocol.StoreResult) {
-	sc.requestPass()
+func (sc *Scheduler) HandleShardCommitResult(result protocol.StoreResult) {
+	sc.RequestPass()
 	switch result.Outcome {
 	case protocol.OK, protocol.Unknown:
 	case protocol.Conflict:
-		watchInterval := sc.c.store.WatchInterval()
+		watchInterval := sc.deps.Store.WatchInterval()
 		for _, key := range result.Failed {
 			if kind, job, _ := storage.SplitKey(key); kind == storage.KindOpenJob {
-				sc.delayPlacement(job, sc.c.now()+watchInterval)
+				sc.delayPlacement(job, sc.deps.Environment.Now()+watchInterval)
 			}
 		}
-		sc.delayPassUntil(sc.c.now() + watchInterval/2)
+		sc.DelayPassUntil(sc.deps.Environment.Now() + watchInterval/2)
 	case protocol.Rejected:
-		sc.delayPassUntil(sc.c.now() + passDelayAfterRejection)
+		sc.DelayPassUntil(sc.deps.Environment.Now() + passDelayAfterRejection)
 	default:
-		sc.delayPassUntil(sc.c.now() + passDelayAfterFailure)
+		sc.DelayPassUntil(sc.deps.Environment.Now() + passDelayAfterFailure)
 	}
 }
--- a/internal/coordination/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"fmt"
@@ -26,10 +26,10 @@
 	workStealingWrites  = 0.1
 )
 
-// assignTaskRanges divides a new job among the partitions: whole to the one with most room, or what each has
+// AssignTaskRanges divides a new job among the partitions: whole to the one with most room, or what each has
 // room for, and the rest evenly. What binds the tasks of a divided job together stands in its own record.
-func (sc *scheduler) assignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
-	controllers := sc.c.reachability.ConnectedControllers()
+func (sc *Scheduler) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
+	controllers := sc.deps.Reachability.ConnectedControllers()
 	if spec.Tasks == 1 || spec.Service || spec.OneZone || spec.Spread || len(controllers) == 0 {
 		return sc.wholeJobRange(spec)
 	}
@@ -42,13 +42,13 @@
 }
 
 // wholeJobRange gives all tasks of a new job to one partition.
-func (sc *scheduler) wholeJobRange(spec *storage.JobSpec) []storage.TaskRange {
+func (sc *Scheduler) wholeJobRange(spec *storage.JobSpec) []storage.TaskRange {
 	return []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: sc.partitionForNewJob(spec)}}
 }
 
 // partitionRooms counts how many of a job's tasks each partition has room for beside what waits there.
-func (sc *scheduler) partitionRooms(spec *storage.JobSpec, partitions []string) []scheduling.PartitionRoom {
-	capacities := sc.capacityByPartition()
+func (sc *Scheduler) partitionRooms(spec *storage.JobSpec, partitions []string) []scheduling.PartitionRoom {
+	capacities := sc.CapacityByPartition()
 	backlog := sc.backlogCPUs()
 	rooms := make([]scheduling.PartitionRoom, 0, len(partitions))
 	for _, partition := range partitions {
@@ -62,10 +62,10 @@
 }
 
 // backlogCPUs is the CPUs that each partition's waiting tasks will take.
-func (sc *scheduler) backlogCPUs() map[string]float64 {
+func (sc *Scheduler) backlogCPUs() map[string]float64 {
 	out := map[string]float64{}
-	for _, job := range sc.c.mirror.Jobs {
-		if !job.IsOpen() || job.UnassignedTasks() == 0 || sc.isCrashLooping(job) {
+	for _, job := range sc.deps.Mirror.Jobs {
+		if !job.IsOpen() || job.UnassignedTasks() == 0 || sc.IsCrashLooping(job) {
 			continue
 		}
 		for _, taskRange := range job.Record.TaskRanges {
@@ -83,32 +83,32 @@
 	return out
 }
 
-// reassignTaskRanges changes which partitions place a job's tasks, and tells whether the write is under way.
+// ReassignTaskRanges changes which partitions place a job's tasks, and tells whether the write is under way.
 // Whatever a range's owner assigned before stands in the shards by then, whatever it would assign after fails
 // on the record's version; so the new owner may begin once its mirror has come that far.
-func (sc *scheduler) reassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
+func (sc *Scheduler) ReassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
 	// handing a job to and fro without ever starting it.
-	if sc.c.recordWritesInFlight[job.ID] || sc.jobsInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
+	if sc.deps.RecordWrites.Contains(job.ID) || sc.jobsInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
 		return false
 	}
 	record := job.Record
 	record.TaskRanges = ranges
 	value := protocol.MustMarshal(&record)
-	if 2*len(value) > sc.c.maxValueBytes() {
+	if 2*len(value) > sc.config.MaxValueBytes {
 		return false
 	}
-	sc.c.recordWritesInFlight[job.ID] = true
+	sc.deps.RecordWrites.Begin(job.ID)
 	key := storage.Key(storage.KindOpenJob, job.ID)
-	sc.c.replica.Commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
+	sc.deps.Replica.Commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Put: key, Value: value}},
 	}, func(result protocol.StoreResult) {
-		delete(sc.c.recordWritesInFlight, job.ID)
-		sc.requestPass()
+		sc.deps.RecordWrites.End(job.ID)
+		sc.RequestPass()
 		if result.Outcome == protocol.OK {
-			sc.c.log.Debug("task ranges reassigned", "job", job.ID, "ranges", fmt.Sprint(ranges))
+			sc.deps.Log.Debug("task ranges reassigned", "job", job.ID, "ranges", fmt.Sprint(ranges))
 		}
 	})
 	return true
@@ -116,18 +116,18 @@
 
 // handOverTasks gives the waiting tasks that this partition has of a job to one that can make room, and tells
 // whether the write is under way.
-func (sc *scheduler) handOverTasks(job *mirror.Job, to string) bool {
+func (sc *Scheduler) handOverTasks(job *mirror.Job, to string) bool {
 	for _, taskRange := range job.Record.TaskRanges {
-		if taskRange.Partition != sc.c.node {
+		if taskRange.Partition != sc.config.Node {
 			continue
 		}
-		if !sc.reassignTaskRanges(
+		if !sc.ReassignTaskRanges(
 			job,
 			storage.AssignRange(job.Record.TaskRanges, taskRange.First, taskRange.End, to),
 		) {
 			return false
 		}
-		sc.nextWorkStealAt = sc.c.store.NextWriteAllowedAt(workStealingWrites)
+		sc.nextWorkStealAt = sc.deps.Store.NextWriteAllowedAt(workStealingWrites)
 		return true
 	}
 	return false
@@ -136,35 +136,35 @@
 // adoptOrphanedTasks takes over the waiting tasks of partitions whose controller has gone, or doesn't reach
 // its machines. Each job has one successor for that, whether it has room for them or not: only their owner
 // makes room for services by preemption, or requests machines that nobody else would.
-func (sc *scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
-	controllers := sc.c.reachability.ConnectedControllers()
+func (sc *Scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
+	controllers := sc.deps.Reachability.ConnectedControllers()
 	for _, job := range jobs {
 		if now < sc.nextOrphanedTasksTakeoverAt {
 			return
 		}
-		if sc.c.recordWritesInFlight[job.ID] || sc.c.mirror.WatchedRevision < job.Version ||
-			membership.RendezvousOwner(job.ID, controllers) != sc.c.node {
+		if sc.deps.RecordWrites.Contains(job.ID) || sc.deps.Mirror.WatchedRevision < job.Version ||
+			membership.RendezvousOwner(job.ID, controllers) != sc.config.Node {
 			continue
 		}
 		ranges := sc.withoutOrphanedRanges(job.Record.TaskRanges, now)
-		if !slices.Equal(ranges, job.Record.TaskRanges) && sc.reassignTaskRanges(job, ranges) {
-			sc.nextOrphanedTasksTakeoverAt = sc.c.store.NextWriteAllowedAt(orphanedRangeWrites)
+		if !slices.Equal(ranges, job.Record.TaskRanges) && sc.ReassignTaskRanges(job, ranges) {
+			sc.nextOrphanedTasksTakeoverAt = sc.deps.Store.NextWriteAllowedAt(orphanedRangeWrites)
 		}
 	}
 }
 
 // withoutOrphanedRanges gives the orphaned ones among a job's ranges to this partition.
-func (sc *scheduler) withoutOrphanedRanges(
+func (sc *Scheduler) withoutOrphanedRanges(
 	ranges []storage.TaskRange,
 	now monotime.Micros,
 ) []storage.TaskRange {
 	adopted := ranges
 	for _, taskRange := range ranges {
 		partition := taskRange.Partition
-		gone := !sc.c.membership.IsMember(partition) &&
-			now-sc.c.membership.AbsentSince(partition, now) > orphanedRangeDelay
-		if gone || sc.c.reachability.IsCutOffFromWorkers(partition, now) {
-			adopted = storage.AssignRange(adopted, taskRange.First, taskRange.End, sc.c.node)
+		gone := !sc.deps.Membership.IsMember(partition) &&
+			now-sc.deps.Membership.AbsentSince(partition, now) > orphanedRangeDelay
+		if gone || sc.deps.Reachability.IsCutOffFromWorkers(partition, now) {
+			adopted = storage.AssignRange(adopted, taskRange.First, taskRange.End, sc.config.Node)
 		}
 	}
 	return adopted
--- a/internal/coordination/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -1,4 +1,4 @@
-package coordination
+package placement
 
 import (
 	"math"
@@ -23,7 +23,7 @@
 type workStealing struct {
 	candidates      []*candidateMachine
 	quotaLeftByTeam map[string]resources.Vector // filled as teams are looked at
-	capacities      *partitionCapacity
+	capacities      *PartitionCapacity
 	wall            int64 // time of day, microseconds
 }
 
@@ -31,7 +31,7 @@
 // controller has gone, that have no room for them, or that haven't used what they seem to have. That hands
 // tasks on in one write, at the time when there is room, and lets each partition's room go to the most urgent
 // tasks of all.
-func (sc *scheduler) stealWork(
+func (sc *Scheduler) stealWork(
 	jobs []*mirror.Job,
 	candidates []*candidateMachine,
 	reserved *drainReservations,
@@ -50,8 +50,8 @@
 	work := workStealing{
 		candidates:      candidates,
 		quotaLeftByTeam: quotaLeftByTeam,
-		capacities:      sc.capacityByPartition(),
-		wall:            sc.c.env.WallClock(),
+		capacities:      sc.CapacityByPartition(),
+		wall:            sc.deps.Environment.WallClock(),
 	}
 	for _, job := range jobs {
 		if now < sc.nextWorkStealAt {
@@ -79,7 +79,7 @@
 
 // stealTasksOfJob takes over as many of a job's tasks that wait at other partitions as there is room
 // for, and tells how many.
-func (sc *scheduler) stealTasksOfJob(job *mirror.Job, work workStealing) int {
+func (sc *Scheduler) stealTasksOfJob(job *mirror.Job, work workStealing) int {
 	if !sc.mayStealTasksOf(job) {
 		return 0
 	}
@@ -94,37 +94,40 @@
 	}
 	for k := len(ranges) - 1; k >= 0; k-- {
 		taskRange := ranges[k]
-		if taskRange.Partition == sc.c.node || sc.ownerHasGracePeriod(job, taskRange.Partition, work) {
+		if taskRange.Partition == sc.config.Node || sc.ownerHasGracePeriod(job, taskRange.Partition, work) {
 			continue
 		}
 		tail := scheduling.WaitingTail(taskRange, job.TaskStates, most)
 		if tail.Waiting == 0 ||
-			whole && tail.Waiting > room && sc.c.membership.IsMember(taskRange.Partition) {
+			whole && tail.Waiting > room && sc.deps.Membership.IsMember(taskRange.Partition) {
 			continue
 		}
-		if !sc.reassignTaskRanges(job, storage.AssignRange(ranges, tail.First, taskRange.End, sc.c.node)) {
+		if !sc.ReassignTaskRanges(
+			job,
+			storage.AssignRange(ranges, tail.First, taskRange.End, sc.config.Node),
+		) {
 			return 0
 		}
-		sc.nextWorkStealAt = sc.c.store.NextWriteAllowedAt(workStealingWrites)
+		sc.nextWorkStealAt = sc.deps.Store.NextWriteAllowedAt(workStealingWrites)
 		return tail.Waiting
 	}
 	return 0
 }
 
 // mayStealTasksOf tells whether a job has tasks at other partitions, and may be reassigned now.
-func (sc *scheduler) mayStealTasksOf(job *mirror.Job) bool {
+func (sc *Scheduler) mayStealTasksOf(job *mirror.Job) bool {
 	ranges := job.Record.TaskRanges
-	allHere := len(ranges) == 1 && ranges[0].Partition == sc.c.node
-	return !allHere && !sc.c.recordWritesInFlight[job.ID] &&
-		!sc.placementDelayed(job.ID, sc.c.now()) &&
-		sc.c.mirror.WatchedRevision >= job.Version &&
-		!sc.isCrashLooping(job)
+	allHere := len(ranges) == 1 && ranges[0].Partition == sc.config.Node
+	return !allHere && !sc.deps.RecordWrites.Contains(job.ID) &&
+		!sc.PlacementDelayed(job.ID, sc.deps.Environment.Now()) &&
+		sc.deps.Mirror.WatchedRevision >= job.Version &&
+		!sc.IsCrashLooping(job)
 }
 
 // roomForStolenTasks counts the tasks of a job that fit here and into what is left of the team's share. A
 // partition with machines but without a share of the team's limit would leave the tasks for ever to one with
 // a share but without machines: it notes the shortage.
-func (sc *scheduler) roomForStolenTasks(job *mirror.Job, work workStealing) int {
+func (sc *Scheduler) roomForStolenTasks(job *mirror.Job, work workStealing) int {
 	room := tasksThatFit(job, work.candidates)
 	if room == 0 {
 		return 0
@@ -132,14 +135,14 @@
 	team := job.Record.Spec.Team
 	shareLeft, ok := work.quotaLeftByTeam[team]
 	if !ok {
-		shareLeft = sc.c.quota.Left(team)
+		shareLeft = sc.deps.Quota.Left(team)
 		work.quotaLeftByTeam[team] = shareLeft
 	}
 	within := job.TaskResources.CountIn(shareLeft)
 	if within >= room {
 		return room
 	}
-	sc.c.quota.NoteShortage(team, quota.UnmetDemand{
+	sc.deps.Quota.NoteShortage(team, quota.UnmetDemand{
 		TaskResources:  job.TaskResources,
 		Tasks:          min(room-within, job.UnassignedTasks()),
 		ShareLeft:      shareLeft,
@@ -150,14 +153,14 @@
 
 // ownerHasGracePeriod tells whether a live partition that seems to have room for a job's tasks still has time
 // to place them.
-func (sc *scheduler) ownerHasGracePeriod(job *mirror.Job, partition string, work workStealing) bool {
-	if !sc.c.membership.IsMember(partition) ||
+func (sc *Scheduler) ownerHasGracePeriod(job *mirror.Job, partition string, work workStealing) bool {
+	if !sc.deps.Membership.IsMember(partition) ||
 		work.capacities.tasksFitting(&job.Record.Spec, partition) == 0 {
 		return false
 	}
 	recordChangedAt := sc.trackingOf(job.ID).reassignment.recordChangedAt
 	return work.wall-job.Record.AcceptedAt < int64(ownerGracePeriod) ||
-		sc.c.now()-recordChangedAt < reassignmentGracePeriod
+		sc.deps.Environment.Now()-recordChangedAt < reassignmentGracePeriod
 }
 
 // reserveRoom keeps room for tasks that are about to be placed here from what is less urgent.
--- a/internal/coordination/zone_constraint.go
+++ b/internal/placement/zone_constraint.go
@@ -1,13 +1,13 @@
-package coordination
+package placement
 
 import (
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/scheduling"
 )
 
-// zoneConstraintOf gives the zone rule of a job, with the tasks that the shards hold counted. A job with such
+// ZoneConstraintOf gives the zone rule of a job, with the tasks that the shards hold counted. A job with such
 // a rule is placed by one partition at a time, which assigns its tasks one commit after the other.
-func zoneConstraintOf(records *mirror.Mirror, job *mirror.Job) *scheduling.ZoneConstraint {
+func ZoneConstraintOf(records *mirror.Mirror, job *mirror.Job) *scheduling.ZoneConstraint {
 	constraint := scheduling.NewZoneConstraint(&job.Record.Spec)
 	if !constraint.RestrictsZones() {
 		return constraint
