--- a/internal/mirror/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -152,7 +152,7 @@
 	return ok
 }
 
-// NewestMachine is the machine that was rented last, as far as is known; "" if there is none.
+// NewestMachine is the machine that was created last, as far as is known; "" if there is none.
 func (r *RecordSnapshot) NewestMachine() string {
 	newest := ""
 	for id := range r.mirror.Machines {
--- a/internal/mirror/task_id.go
+++ b/internal/mirror/task_id.go
@@ -14,7 +14,7 @@
 	Index int
 }
 
-// String gives the form in which workers are told a task: the job, a slash and the index.
+// String gives the form in which messages to workers name a task: the job, a slash and the index.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
 // ParseTaskID reads the form that String gives; ok is false for anything else.
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -1,117 +1,151 @@
 package ratelimit
 
 import (
-	"reflect"
+	"slices"
 	"testing"
 
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 )
 
-func TestQueueOrdersByPriorityAndRate(t *testing.T) {
+// testQueue is a queue of 10 reads and 2 writes a second whose calls are made by their priorities.
+type testQueue struct {
+	*Queue
+	t *testing.T
+}
+
+func newTestQueue(t *testing.T) testQueue {
+	t.Helper()
 	queue := NewQueue(100)
 	queue.SetRates(Rates{PerSecond: 10, Burst: 4}, Rates{PerSecond: 2, Burst: 2})
-	since := monotime.Micros(0)
-	add := func(priority Priority, writes int) {
-		sc := &protocol.StoreCall{}
-		sc.Transaction.Then = make([]protocol.Op, writes)
-		queue.Add(Call{StoreCall: sc, Priority: priority, QueuedAt: since})
+	return testQueue{queue, t}
+}
+
+// add queues calls of some priorities, each of so many writes, since a time.
+func (q testQueue) add(since monotime.Micros, writes int, priorities ...Priority) {
+	for _, priority := range priorities {
+		call := &protocol.StoreCall{}
+		call.Transaction.Then = make([]protocol.Op, writes)
+		q.Add(Call{StoreCall: call, Priority: priority, QueuedAt: since})
 	}
-	drain := func(now monotime.Micros) (out []Priority, wait monotime.Micros) {
-		for {
-			call, ok, w := queue.Next(now)
-			if !ok {
-				return out, w
+}
+
+// require takes all calls that may be made now, checks their priorities, and gives how long the next waits.
+func (q testQueue) require(now monotime.Micros, want ...Priority) (wait monotime.Micros) {
+	q.t.Helper()
+	var got []Priority
+	for {
+		call, ok, wait := q.Next(now)
+		if !ok {
+			if !slices.Equal(got, want) {
+				q.t.Fatalf("at %d: %v, want %v", now, got, want)
 			}
-			out = append(out, call.Priority)
+			return wait
 		}
+		got = append(got, call.Priority)
 	}
-	add(PriorityBackground, 0)
-	add(PriorityUserRequest, 2)
-	add(PriorityCancellation, 2)
-	add(PriorityLease, 1)
-	got, wait := drain(0)
-	// The lease goes first and into debt, so the cancellation must wait for writes.
-	if !reflect.DeepEqual(got, []Priority{PriorityLease}) || wait <= 0 {
-		t.Fatalf("%v, wait %d", got, wait)
-	}
-	if got, _ = drain(500 * monotime.Millisecond); !reflect.DeepEqual(got, []Priority{PriorityCancellation}) {
-		t.Fatalf("%v", got)
-	}
-	if got, _ = drain(1600 * monotime.Millisecond); !reflect.DeepEqual(
-		got,
-		[]Priority{PriorityUserRequest, PriorityBackground},
-	) {
-		t.Fatalf("%v", got)
-	}
-	// Users go before shards, but don't keep them waiting for long.
-	since = 3*monotime.Second - shardMaxWait
-	add(PriorityShardUpdate, 1)
-	add(PriorityUserRequest, 1)
-	if got, _ = drain(3 * monotime.Second); !reflect.DeepEqual(
-		got,
-		[]Priority{PriorityUserRequest, PriorityShardUpdate},
-	) {
-		t.Fatalf("%v", got)
-	}
-	// Past that they take turns: neither keeps the other waiting, however many come.
-	since -= 2
-	for i := 0; i < 2; i++ {
-		add(PriorityShardUpdate, 0)
-		add(PriorityUserRequest, 0)
-	}
-	if got, _ = drain(4 * monotime.Second); !reflect.DeepEqual(
-		got,
-		[]Priority{PriorityUserRequest, PriorityShardUpdate, PriorityUserRequest, PriorityShardUpdate},
-	) {
-		t.Fatalf("%v", got)
-	}
-	// A swarm's call waits for all others, but among shards it has its turn.
-	since = 4 * monotime.Second
-	for i := 0; i < 6; i++ {
-		add(PriorityBurst, 0)
-		add(PriorityShardUpdate, 0)
-	}
-	add(PriorityUserRequest, 0)
-	if got, _ = drain(60 * monotime.Second); !reflect.DeepEqual(
-		got,
-		[]Priority{PriorityUserRequest, PriorityBurst, PriorityShardUpdate, PriorityShardUpdate},
-	) {
-		t.Fatalf("%v", got)
-	}
-	if got, _ = drain(61 * monotime.Second); !reflect.DeepEqual(
-		got,
-		[]Priority{PriorityBurst, PriorityShardUpdate, PriorityShardUpdate, PriorityBurst},
-	) {
-		t.Fatalf("%v", got)
+}
+
+// repeat repeats priorities n times.
+func repeat(n int, priorities ...Priority) []Priority { return slices.Repeat(priorities, n) }
+
+// TestQueueGoesByPriority: the most urgent call goes first, whenever it came. A lease goes into debt, so that
+// other writes wait for it.
+func TestQueueGoesByPriority(t *testing.T) {
+	q := newTestQueue(t)
+	q.add(0, 0, PriorityBackground)
+	q.add(0, 2, PriorityUserRequest, PriorityCancellation)
+	q.add(0, 1, PriorityLease)
+	if wait := q.require(0, PriorityLease); wait <= 0 {
+		t.Fatalf("wait %d after a lease in debt", wait)
 	}
-	drain(62 * monotime.Second)
-	drain(63 * monotime.Second)
-	// The answers of jobs that are done take turns with shards, however many there are.
-	since = 63 * monotime.Second
-	for i := 0; i < 4; i++ {
-		add(PriorityJobResult, 0)
+	q.require(500*monotime.Millisecond, PriorityCancellation)
+	q.require(1600*monotime.Millisecond, PriorityUserRequest, PriorityBackground)
+}
+
+// TestUsersTakeTurnsWithShardWork: users' calls go before shard updates, until these have waited too long; then
+// they take turns, and neither keeps the other waiting, however many come.
+func TestUsersTakeTurnsWithShardWork(t *testing.T) {
+	const now = 3 * monotime.Second
+	q := newTestQueue(t)
+	q.add(now, 0, PriorityUserRequest)
+	q.require(now, PriorityUserRequest)
+	q.add(now-shardMaxWait, 1, PriorityShardUpdate, PriorityUserRequest)
+	q.require(now, PriorityUserRequest, PriorityShardUpdate)
+
+	q.add(now-shardMaxWait-2, 0, repeat(2, PriorityShardUpdate, PriorityUserRequest)...)
+	q.require(now+monotime.Second, repeat(2, PriorityUserRequest, PriorityShardUpdate)...)
+}
+
+// TestBurstCallsTakeTurns: burst calls wait for all others, but among shard updates they have their turns.
+func TestBurstCallsTakeTurns(t *testing.T) {
+	const now = 60 * monotime.Second
+	q := newTestQueue(t)
+	// Two shard updates have gone already, so that it is the burst's turn.
+	q.add(now, 0, repeat(2, PriorityShardUpdate)...)
+	q.require(now, repeat(2, PriorityShardUpdate)...)
+
+	q.add(now, 0, repeat(6, PriorityBurst, PriorityShardUpdate)...)
+	q.add(now, 0, PriorityUserRequest)
+	q.require(now+monotime.Second,
+		PriorityUserRequest, PriorityBurst, PriorityShardUpdate, PriorityShardUpdate)
+	q.require(now+2*monotime.Second,
+		PriorityBurst, PriorityShardUpdate, PriorityShardUpdate, PriorityBurst)
+}
+
+// TestJobResultsTakeTurns: job results take turns with shard updates, however many there are.
+func TestJobResultsTakeTurns(t *testing.T) {
+	const now = 60 * monotime.Second
+	q := newTestQueue(t)
+	q.add(now, 0, PriorityShardUpdate)
+	q.require(now, PriorityShardUpdate)
+
+	q.add(now, 0, repeat(4, PriorityJobResult)...)
+	q.add(now, 0, PriorityShardUpdate, PriorityShardUpdate, PriorityUserRequest)
+	q.require(now+monotime.Second,
+		PriorityUserRequest, PriorityJobResult, PriorityShardUpdate, PriorityJobResult)
+	q.require(now+2*monotime.Second, PriorityShardUpdate, PriorityJobResult, PriorityJobResult)
+}
+
+// TestRequeuedCall: a throttled call goes again before the others of its priority, after a pause.
+func TestRequeuedCall(t *testing.T) {
+	const now = 70 * monotime.Second
+	q := newTestQueue(t)
+	q.add(now, 1, PriorityUserRequest)
+	throttled, _, _ := q.Next(now)
+	q.add(now, 2, PriorityUserRequest)
+	q.Requeue(throttled, now)
+	if _, ok, wait := q.Next(now); ok || wait <= 0 {
+		t.Errorf("a call goes at once after a throttled one: %v, wait %d", ok, wait)
 	}
-	add(PriorityShardUpdate, 0)
-	add(PriorityShardUpdate, 0)
-	add(PriorityUserRequest, 0)
-	if got, _ = drain(64 * monotime.Second); !reflect.DeepEqual(
-		got,
-		[]Priority{PriorityUserRequest, PriorityJobResult, PriorityShardUpdate, PriorityJobResult},
-	) {
-		t.Fatalf("%v", got)
+	again, ok, _ := q.Next(now + monotime.Second)
+	if !ok || again.StoreCall != throttled.StoreCall {
+		t.Error("the throttled call isn't the first")
 	}
-	if got, _ = drain(65 * monotime.Second); !reflect.DeepEqual(
-		got,
-		[]Priority{PriorityShardUpdate, PriorityJobResult, PriorityJobResult},
-	) {
-		t.Fatalf("%v", got)
+}
+
+// TestPauseAfterThrottledCall: after a throttled call the queue pauses, and its budget begins at nothing.
+func TestPauseAfterThrottledCall(t *testing.T) {
+	cases := []struct {
+		name          string
+		reads, writes float64 // a second
+		want          monotime.Micros
+	}{
+		{"large budget", 1000, 1000, throttledPause},
+		{"small budget of reads", 2, 1000, monotime.Second/2 + 1},
+		{"small budget of writes", 1000, 2, monotime.Second/2 + 1},
 	}
-	// What was throttled goes again before the others of its rank, after a pause.
-	add(PriorityUserRequest, 1)
-	call, _, _ := queue.Next(70 * monotime.Second)
-	queue.Requeue(call, 70*monotime.Second)
-	if _, ok, wait := queue.Next(70 * monotime.Second); ok || wait <= 0 {
-		t.Error("no pause after a 429")
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			const now = monotime.Minute
+			q := newTestQueue(t)
+			q.SetRates(Rates{PerSecond: tc.reads, Burst: 10}, Rates{PerSecond: tc.writes, Burst: 10})
+			q.add(now, 1, PriorityUserRequest)
+			throttled, _, _ := q.Next(now)
+			q.Requeue(throttled, now)
+			if _, ok, wait := q.Next(now); ok || wait != tc.want {
+				t.Errorf("wait %d, want %d", wait, tc.want)
+			}
+		})
 	}
 }
