--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -3,7 +3,6 @@
 import (
 	"testing"
 
-	"pipitgap/internal/catalog"
 	"pipitgap/internal/durations"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/peers"
@@ -56,10 +55,3 @@
 		store.Call(priority, call, func(protocol.StoreResult) {})
 	}
 }
-
-// fixedCatalog is a catalog of machine types that aren't fetched.
-func fixedCatalog(machineTypes map[string]protocol.MachineType) *catalog.Catalog {
-	fixed := catalog.New(catalog.Options{})
-	fixed.UseStored(machineTypes)
-	return fixed
-}
--- /dev/null
+++ b/internal/placement/scheduling_pass_test.go
@@ -0,0 +1,87 @@
+package placement
+
+import (
+	"testing"
+
+	"pipitgap/internal/durations"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
+)
+
+// TestPassConditions: a pass waits as long as its assignments would depend on what isn't known or held.
+func TestPassConditions(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		change func(*testController)
+		runs   bool
+	}{
+		{"nothing in the way", func(*testController) {}, true},
+		{"state service unavailable", func(c *testController) { c.storeUnavailable = true }, false},
+		{"lease lost", func(c *testController) { c.leaseLost = true }, false},
+		{"quota shares being written", func(c *testController) { c.quotaWriteInFlight = true }, false},
+		{"a shard's commit in flight", func(c *testController) { c.commitAwaited = true }, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newTestController()
+			tc.change(c)
+			c.scheduler.RequestPass()
+			c.scheduler.RunPass(c.now)
+			if ran := c.passes > 0; ran != tc.runs {
+				t.Errorf("ran: %v", ran)
+			}
+			if due := c.scheduler.PassDue(c.now + monotime.Minute); due == tc.runs {
+				t.Errorf("still due: %v", due)
+			}
+			c.scheduler.RequestPass()
+			if due := c.scheduler.PassDue(c.now + durations.FastTickInterval); due == tc.runs {
+				t.Errorf("due again at the next tick: %v", due)
+			}
+		})
+	}
+}
+
+// TestPassAfterCommit: each outcome of a shard's commit requests a pass, and failures delay it; a conflict on a job's
+// record delays that job too.
+func TestPassAfterCommit(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		result protocol.StoreResult
+		delay  monotime.Micros
+		job    monotime.Micros // delay of the job
+	}{
+		{"committed", protocol.StoreResult{Outcome: protocol.OK}, 0, 0},
+		{"unknown", protocol.StoreResult{Outcome: protocol.Unknown}, 0, 0},
+		{
+			"conflict on a job",
+			protocol.StoreResult{
+				Outcome: protocol.Conflict,
+				Failed:  []string{storage.Key(storage.KindOpenJob, "j-1")},
+			},
+			50 * monotime.Millisecond, 100 * monotime.Millisecond,
+		},
+		{
+			"conflict on a shard",
+			protocol.StoreResult{
+				Outcome: protocol.Conflict,
+				Failed:  []string{storage.Key(storage.KindShard, "j-1")},
+			},
+			50 * monotime.Millisecond, 0,
+		},
+		{"rejected", protocol.StoreResult{Outcome: protocol.Rejected}, monotime.Second, 0},
+		{"throttled", protocol.StoreResult{Outcome: protocol.Throttled}, 300 * monotime.Millisecond, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newTestController()
+			c.scheduler.HandleShardCommitResult(tc.result)
+			early := tc.delay > 0 && c.scheduler.PassDue(c.now+tc.delay-1)
+			if early || !c.scheduler.PassDue(c.now+tc.delay) {
+				t.Errorf("not due after %d us, or before", tc.delay)
+			}
+			delayed := c.scheduler.PlacementDelayed("j-1", c.now+tc.job-1)
+			if delayed != (tc.job > 0) || c.scheduler.PlacementDelayed("j-1", c.now+tc.job) {
+				t.Errorf("the job isn't delayed by %d us", tc.job)
+			}
+		})
+	}
+}
--- a/internal/placement/stubs_test.go
+++ b/internal/placement/stubs_test.go
@@ -26,6 +26,11 @@
 	limits        map[string]quota.Limits
 	failedAtPeers map[string]int
 	recordWrites  testRecordWrites
+
+	leaseLost, storeUnavailable, commitAwaited, quotaWriteInFlight bool
+	absent, cutOff                                                 map[string]bool // by controller
+	passes                                                         int             // that prepared updates
+	reassigned                                                     []storage.OpenJob
 }
 
 var testControllers = []string{"n-0", "n-1", "n-2"}
@@ -48,9 +53,9 @@
 			PlacementSilenceLimit: monotime.Second,
 		},
 		Dependencies{
-			Mirror: c.mirror, Environment: testEnvironment{c}, Membership: testMembership{},
-			Reachability: testReachability{}, Catalog: testCatalog{c}, Quota: testQuota{c}, Agents: testAgents{},
-			Shards: testShards{}, Store: testStore{c}, Replica: testReplica{}, Drains: testDrains{},
+			Mirror: c.mirror, Environment: testEnvironment{c}, Membership: testMembership{c},
+			Reachability: testReachability{c}, Catalog: testCatalog{c}, Quota: testQuota{c}, Agents: testAgents{},
+			Shards: testShards{c}, Store: testStore{c}, Replica: testReplica{c}, Drains: testDrains{},
 			Peers: testPeers{c}, RecordWrites: c.recordWrites, ScaleIn: testScaleIn{},
 			Log: slog.New(slog.DiscardHandler),
 		},
@@ -70,19 +75,21 @@
 func (e testEnvironment) WallClock() int64     { return e.c.WallClock() }
 func (e testEnvironment) Rand() *rand.Rand     { return e.c.random }
 
-type testMembership struct{}
+type testMembership struct{ c *testController }
 
-func (testMembership) HoldsLease(monotime.Micros) bool { return true }
-func (testMembership) IsMember(string) bool            { return true }
-func (testMembership) LiveControllers() []string       { return testControllers }
+func (m testMembership) HoldsLease(monotime.Micros) bool { return !m.c.leaseLost }
+func (m testMembership) IsMember(node string) bool       { return !m.c.absent[node] }
+func (testMembership) LiveControllers() []string         { return testControllers }
 func (testMembership) AbsentSince(_ string, now monotime.Micros) monotime.Micros {
-	return now
+	return now - 2*monotime.Second
 }
 
-type testReachability struct{}
+type testReachability struct{ c *testController }
 
-func (testReachability) ConnectedControllers() []string                   { return testControllers }
-func (testReachability) IsCutOffFromWorkers(string, monotime.Micros) bool { return false }
+func (testReachability) ConnectedControllers() []string { return testControllers }
+func (r testReachability) IsCutOffFromWorkers(node string, _ monotime.Micros) bool {
+	return r.c.cutOff[node]
+}
 
 type testCatalog struct{ c *testController }
 
@@ -96,33 +103,49 @@
 }
 func (testQuota) Left(string) resources.Vector           { return quota.Unlimited() }
 func (testQuota) NoteShortage(string, quota.UnmetDemand) {}
-func (testQuota) WriteInFlight() bool                    { return false }
+func (q testQuota) WriteInFlight() bool                  { return q.c.quotaWriteInFlight }
 
 type testAgents struct{}
 
 func (testAgents) Of(*mirror.Machine) *agents.Agent { return nil }
 func (testAgents) SyncCommands(*mirror.Machine)     {}
 
-type testShards struct{}
+type testShards struct{ c *testController }
+
+func (s testShards) AwaitsCommit(monotime.Micros) bool { return s.c.commitAwaited }
+func (s testShards) PrepareUpdates(monotime.Micros) []*shards.Update {
+	s.c.passes++
+	return nil
+}
 
-func (testShards) AwaitsCommit(monotime.Micros) bool               { return false }
-func (testShards) PrepareUpdates(monotime.Micros) []*shards.Update { return nil }
-func (testShards) Commit(*shards.Update, monotime.Micros)          {}
-func (testShards) TasksInDoubt() map[mirror.TaskID]bool            { return nil }
+func (testShards) Commit(*shards.Update, monotime.Micros) {}
+func (testShards) TasksInDoubt() map[mirror.TaskID]bool   { return nil }
 func (testShards) AdmitClaimRequests(updates []*shards.Update, _ monotime.Micros) []*shards.Update {
 	return updates
 }
 
 type testStore struct{ c *testController }
 
-func (testStore) Unavailable() bool                            { return false }
+func (s testStore) Unavailable() bool                          { return s.c.storeUnavailable }
 func (testStore) WatchInterval() monotime.Micros               { return 100 * monotime.Millisecond }
 func (testStore) ShardWritesPerSecond() float64                { return 100 }
 func (s testStore) NextWriteAllowedAt(float64) monotime.Micros { return s.c.now + monotime.Second }
 
-type testReplica struct{}
-
-func (testReplica) Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult)) {}
+type testReplica struct{ c *testController }
+
+func (r testReplica) Commit(
+	_ ratelimit.Priority,
+	txn protocol.Transaction,
+	_ func(protocol.StoreResult),
+) {
+	for _, op := range txn.Then {
+		var record storage.OpenJob
+		if err := protocol.Unmarshal(op.Value, &record); err != nil {
+			panic(err)
+		}
+		r.c.reassigned = append(r.c.reassigned, record)
+	}
+}
 
 type testDrains struct{}
 
--- a/internal/placement/task_ranges_test.go
+++ b/internal/placement/task_ranges_test.go
@@ -1,6 +1,8 @@
 package placement
 
 import (
+	"fmt"
+	"slices"
 	"testing"
 
 	"pipitgap/internal/mirror"
@@ -61,3 +63,66 @@
 		t.Error("not handed on at the first turn that may")
 	}
 }
+
+// TestOrphanedTasksAreAdopted: the ranges of a partition whose controller has gone, or doesn't reach its machines, go to
+// the job's successor; those of others stay.
+func TestOrphanedTasksAreAdopted(t *testing.T) {
+	yes := func(node string) map[string]bool { return map[string]bool{node: true} }
+	for _, tc := range []struct {
+		name   string
+		change func(*testController)
+		want   []storage.TaskRange // nil: unchanged
+	}{
+		{"all are there", func(*testController) {}, nil},
+		{"one has gone", func(c *testController) { c.absent = yes("n-1") }, []storage.TaskRange{
+			{First: 0, End: 4, Partition: "n-0"}, {First: 4, End: 6, Partition: "n-2"},
+		}},
+		{"one is cut off from its workers", func(c *testController) { c.cutOff = yes("n-2") }, []storage.TaskRange{
+			{First: 0, End: 2, Partition: "n-0"}, {First: 2, End: 4, Partition: "n-1"},
+			{First: 4, End: 6, Partition: "n-0"},
+		}},
+		{"a write of the record is in flight", func(c *testController) {
+			c.absent = yes("n-1")
+			for id := range c.mirror.Jobs {
+				c.recordWrites.Begin(id)
+			}
+		}, nil},
+		{"the mirror is behind", func(c *testController) {
+			c.absent = yes("n-1")
+			c.mirror.WatchedRevision = 0
+		}, nil},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newTestController()
+			var jobs []*mirror.Job
+			for i := range 30 {
+				job := &mirror.Job{
+					ID:         fmt.Sprintf("j-%06d", i),
+					Version:    1,
+					TaskStates: make([]uint8, 6),
+					Record: storage.OpenJob{
+						Spec: storage.JobSpec{Tasks: 6},
+						TaskRanges: []storage.TaskRange{
+							{First: 0, End: 2, Partition: "n-0"}, {First: 2, End: 4, Partition: "n-1"},
+							{First: 4, End: 6, Partition: "n-2"},
+						},
+					},
+				}
+				c.mirror.Jobs[job.ID] = job
+				jobs = append(jobs, job)
+			}
+			tc.change(c)
+			c.scheduler.adoptOrphanedTasks(jobs, c.now)
+			if tc.want == nil {
+				if len(c.reassigned) > 0 {
+					t.Errorf("reassigned: %v", c.reassigned[0].TaskRanges)
+				}
+				return
+			}
+			// One at a time: the next write is allowed later.
+			if len(c.reassigned) != 1 || !slices.Equal(c.reassigned[0].TaskRanges, tc.want) {
+				t.Fatalf("reassigned: %+v, want %v once", c.reassigned, tc.want)
+			}
+		})
+	}
+}
