--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -81,8 +81,6 @@
 	AssignTaskRanges(*storage.JobSpec) []storage.TaskRange
 	// JobAccepted reports the revision at which this controller committed a new job.
 	JobAccepted(job string, revision uint64)
-	// PlaceNow runs what is due after the user has been answered.
-	PlaceNow()
 }
 
 // Cancellations passes committed cancellations on to the other controllers.
@@ -102,6 +100,9 @@
 	Quota         Quota
 	Scheduler     Scheduler
 	Cancellations Cancellations
+	// PlaceNow is called after the answer to an accepted submission, so that its tasks don't wait for the
+	// next tick.
+	PlaceNow      func()
 	MaxValueBytes int // bytes of a stored value, as the state service counts them
 }
 
@@ -123,6 +124,7 @@
 	quota         Quota
 	scheduler     Scheduler
 	cancellations Cancellations
+	placeNow      func()
 	maxValueBytes int
 
 	bursts   burstLimiter
@@ -142,6 +144,7 @@
 		quota:         config.Quota,
 		scheduler:     config.Scheduler,
 		cancellations: config.Cancellations,
+		placeNow:      config.PlaceNow,
 		maxValueBytes: config.MaxValueBytes,
 		bursts:        newBurstLimiter(config.Environment, config.StateService),
 	}
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -66,7 +66,7 @@
 func (w *fakeWorld) handler() *Handler {
 	return NewHandler(Config{
 		Log: slog.New(slog.DiscardHandler), Environment: w, Mirror: w.mirror, StateService: w, Replica: w,
-		Reachability: w, Catalog: w, Quota: w, Scheduler: w, Cancellations: w, MaxValueBytes: 4096,
+		Reachability: w, Catalog: w, Quota: w, Scheduler: w, Cancellations: w, PlaceNow: w.PlaceNow, MaxValueBytes: 4096,
 	})
 }
 
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -12,9 +12,6 @@
 	"pipitgap/internal/transport"
 )
 
-// storedSizeFactor is about how much larger a value is as the state service counts it (as JSON) than packed.
-const storedSizeFactor = 2
-
 // Submit answers a submission: decode, validate, admit, commit, answer. A job that is known is answered with
 // its status, whatever its repeated submission looks like.
 func (h *Handler) Submit(body []byte, respond Respond) {
@@ -152,7 +149,7 @@
 		TaskRanges: h.scheduler.AssignTaskRanges(&spec),
 	}
 	value := protocol.MustMarshal(&record)
-	if len(value)*storedSizeFactor > h.maxValueBytes {
+	if storage.StoredSize(value) > h.maxValueBytes {
 		tooLarge := protocol.ErrorResponse(statusInvalid, "names too long to be kept")
 		h.statusOr(id, tooLarge, respond)
 		return
@@ -185,7 +182,7 @@
 		h.log.Debug("job accepted", "job", id, "class", record.Spec.Class, "tasks", record.Spec.Tasks,
 			"estimate_s", record.Spec.EstimateS, "ranges", len(record.TaskRanges))
 		respond(acceptedResponse(id))
-		h.scheduler.PlaceNow()
+		h.placeNow()
 	case protocol.Conflict:
 		h.lookUp(id, func(l lookup) { respond(l.response()) })
 	case protocol.Rejected:
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -19,6 +19,7 @@
 		Catalog:       c.catalog,
 		Quota:         c.quota,
 		Scheduler:     userScheduler{c},
+		PlaceNow:      func() { c.runFastTick(c.now()) },
 		Cancellations: c.cancellations,
 		MaxValueBytes: c.maxValueBytes(),
 	})
@@ -37,6 +38,8 @@
 	})
 }
 
+// userScheduler is the scheduler, which is made after the handler of requests: it needs the shards, and these
+// the end of jobs.
 type userScheduler struct{ c *Controller }
 
 // AssignTaskRanges divides a new job among the partitions.
@@ -48,18 +51,3 @@
 func (a userScheduler) JobAccepted(job string, revision uint64) {
 	a.c.scheduler.JobAccepted(job, revision)
 }
-
-// PlaceNow runs the fast tick ahead of its time.
-func (a userScheduler) PlaceNow() { a.c.runFastTick(a.c.now()) }
-
-// recordWrites are the records that this controller is changing: jobs by their id, others by their key.
-type recordWrites map[string]bool
-
-// Contains reports that a change is in flight.
-func (w recordWrites) Contains(record string) bool { return w[record] }
-
-// Begin marks a record.
-func (w recordWrites) Begin(record string) { w[record] = true }
-
-// End takes the mark off.
-func (w recordWrites) End(record string) { delete(w, record) }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -181,15 +181,12 @@
 	return nil
 }
 
-// storedSizeFactor is about how much larger a value is as the state service counts it (as JSON) than packed.
-const storedSizeFactor = 2
-
 // startTransaction writes a drain, on the condition that no other was started since the reading.
 func (d *DrainOperator) startTransaction(
 	reading *mirror.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
 ) (*protocol.Transaction, error) {
 	value := protocol.MustMarshal(record)
-	if storedSizeFactor*len(value) > d.MaxValueBytes {
+	if storage.StoredSize(value) > d.MaxValueBytes {
 		return nil, fmt.Errorf(
 			"%w: so many machines don't fit into a record; drain them in parts, or by zone and type",
 			ErrBadRequest,
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -96,7 +96,7 @@
 	record := job.Record
 	record.TaskRanges = ranges
 	value := protocol.MustMarshal(&record)
-	if 2*len(value) > sc.config.MaxValueBytes {
+	if storage.StoredSize(value) > sc.config.MaxValueBytes {
 		return false
 	}
 	sc.deps.RecordWrites.Begin(job.ID)
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -48,6 +48,13 @@
 	return strings.Cut(rest, "/")
 }
 
+// storedSizeFactor is about how much larger a value is in JSON than in its packed form.
+const storedSizeFactor = 2
+
+// StoredSize estimates the bytes of an encoded record as the state service counts them against the limit of
+// a value, which is in JSON.
+func StoredSize(encoded []byte) int { return storedSizeFactor * len(encoded) }
+
 // JobState is the state of a job.
 type JobState string
 
