--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -116,11 +116,11 @@
 	q.add(now, 2, PriorityUserRequest)
 	q.Requeue(throttled, now)
 	if _, ok, wait := q.Next(now); ok || wait <= 0 {
-		t.Errorf("a call goes at once after a throttled one: %v, wait %d", ok, wait)
+		t.Errorf("a request goes at once after a throttled one: %v, wait %d", ok, wait)
 	}
 	again, ok, _ := q.Next(now + monotime.Second)
 	if !ok || again.StoreCall != throttled.StoreCall {
-		t.Error("the throttled call isn't the first")
+		t.Error("the throttled request isn't the first")
 	}
 }
 
