--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -10,127 +10,166 @@
 	"pipitgap/internal/protocol"
 )
 
-// TestShardRoundTripAndSizeBound: what is written reads the same, whatever is done to a shard in
-// between; its size is never above what was bounded when its tasks were assigned.
-func TestShardRoundTripAndSizeBound(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(1, 2))
-	for round := 0; round < 40; round++ {
-		s := &Shard{
-			Owner:       "gapnode-2",
-			Incarnation: 1 << 47,
-			Claim:       3,
-			Machines:    map[string]*ShardMachine{},
-			Jobs:        map[string]*ShardJob{},
-		}
-		var ids []string
-		for i := 0; i < 12; i++ {
-			id := fmt.Sprintf("i-%06d", 231+i)
-			ids = append(ids, id)
-			s.AddMachine(
-				id,
-				ShardMachine{
-					Type:     "m16",
-					Zone:     []string{"rack-a", "rack-b"}[i%2],
-					Spot:     i%3 == 0,
-					Endpoint: "10.1.0.232:9000",
-					State:    MachineOpen,
-					Claim:    uint64(i % 5),
-				},
-			)
+// roundTripShard is a shard on whose tasks a test decides at random.
+type roundTripShard struct {
+	t        *testing.T
+	random   *rand.Rand
+	shard    *Shard
+	machines []string
+	assigned map[assignedTask]bool
+	bound    int // size that the shard must never exceed, in bytes
+}
+
+type assignedTask struct {
+	job  string
+	task int
+}
+
+// newRoundTripShard is a shard of 12 machines with up to 90 attempts.
+func newRoundTripShard(t *testing.T, random *rand.Rand) *roundTripShard {
+	t.Helper()
+	rt := &roundTripShard{t: t, random: random, assigned: map[assignedTask]bool{}, shard: &Shard{
+		Owner:       "gapnode-2",
+		Incarnation: 1 << 47,
+		Claim:       3,
+		Machines:    map[string]*ShardMachine{},
+		Jobs:        map[string]*ShardJob{},
+	}}
+	for i := 0; i < 12; i++ {
+		id := fmt.Sprintf("i-%06d", 231+i)
+		rt.machines = append(rt.machines, id)
+		rt.shard.AddMachine(id, ShardMachine{
+			Type:     "m16",
+			Zone:     []string{"rack-a", "rack-b"}[i%2],
+			Spot:     i%3 == 0,
+			Endpoint: "10.1.0.232:9000",
+			State:    MachineOpen,
+			Claim:    uint64(i % 5),
+		})
+	}
+	for i := 0; i < 90; i++ {
+		task := assignedTask{fmt.Sprintf("j-%06d", random.IntN(7)), random.IntN(900)}
+		if rt.assigned[task] {
+			continue
 		}
-		type key struct {
-			job  string
-			task int
+		rt.assigned[task] = true
+		rt.shard.Assign(task.job, Attempt{
+			Task:     task.task,
+			Machine:  rt.machines[random.IntN(len(rt.machines))],
+			Number:   uint64(50000 + i/8),
+			Starting: random.IntN(3) == 0,
+		})
+	}
+	rt.bound = rt.shard.MaxEncodedSize()
+	return rt
+}
+
+// flipStarting has some attempt be seen to run, or to start again.
+func (rt *roundTripShard) flipStarting(shard *Shard) {
+	rt.t.Helper()
+	for task := range rt.assigned {
+		before, ok := shard.FindAttempt(task.job, task.task)
+		if ok && !before.Starting {
+			rt.bound += MaxStartingBytes
 		}
-		held := map[key]bool{}
-		for i := 0; i < 90; i++ {
-			k := key{fmt.Sprintf("j-%06d", rnd.IntN(7)), rnd.IntN(900)}
-			if !held[k] {
-				held[k] = true
-				s.Assign(
-					k.job,
-					Attempt{
-						Task:     k.task,
-						Machine:  ids[rnd.IntN(len(ids))],
-						Number:   uint64(50000 + i/8),
-						Starting: rnd.IntN(3) == 0,
-					},
-				)
-			}
+		shard.MarkStarting(task.job, task.task, !before.Starting)
+		if after, still := shard.FindAttempt(task.job, task.task); ok &&
+			(!still || !after.SameAs(before) || after.Starting == before.Starting) {
+			rt.t.Fatalf("%+v is marked as %+v", before, after)
 		}
-		bound := s.MaxEncodedSize()
-		for k := range held {
-			clone := s.Clone()
-			clone.Release(k.job, k.task, rnd.IntN(4) > 0)
-			for k := range held { // another one is seen to run, or to start again
-				a, ok := clone.FindAttempt(k.job, k.task)
-				if ok && !a.Starting {
-					bound += MaxStartingBytes
-				}
-				clone.MarkStarting(k.job, k.task, !a.Starting)
-				if now, still := clone.FindAttempt(k.job, k.task); ok &&
-					(!still || !now.SameAs(a) || now.Starting == a.Starting) {
-					t.Fatalf("%+v is marked as %+v", a, now)
+		return
+	}
+}
+
+// requireSizeInBound checks the encoded size against the JSON form, in which the state service counts it,
+// and against the bound.
+func (rt *roundTripShard) requireSizeInBound(raw protocol.Raw, size int) {
+	rt.t.Helper()
+	var v any
+	if err := protocol.Unmarshal(raw, &v); err != nil {
+		rt.t.Fatal(err)
+	}
+	text, err := json.Marshal(v)
+	if err != nil || len(text) > size || size > rt.bound {
+		rt.t.Fatalf("%d bytes as JSON, %d counted, %d bounded, %v", len(text), size, rt.bound, err)
+	}
+}
+
+// requireDecodes checks that a stored shard reads as it was written, with and without a previous one.
+func (rt *roundTripShard) requireDecodes(raw protocol.Raw, written *Shard) *Shard {
+	rt.t.Helper()
+	got, err := DecodeShard(raw, rt.shard)
+	if err != nil {
+		rt.t.Fatal(err)
+	}
+	fresh, err := DecodeShard(raw, nil)
+	if err != nil || !reflect.DeepEqual(withoutCaches(got), withoutCaches(fresh)) ||
+		!reflect.DeepEqual(withoutCaches(fresh), withoutCaches(written)) {
+		rt.t.Fatalf("%v: read %+v, written %+v", err, fresh, written)
+	}
+	return got
+}
+
+// requireReusedNumber has a machine go with all on it, and another take its number.
+func (rt *roundTripShard) requireReusedNumber(shard *Shard) {
+	rt.t.Helper()
+	changed := shard.Clone()
+	for id := range shard.Machines {
+		for job, entry := range shard.Jobs {
+			for _, attempt := range entry.Attempts {
+				if attempt.Machine == id {
+					changed.Release(job, attempt.Task, false)
 				}
-				break
-			}
-			raw, size := clone.Encode()
-			// The state service counts sizes in the JSON form.
-			var v any
-			if err := protocol.Unmarshal(raw, &v); err != nil {
-				t.Fatal(err)
-			}
-			text, err := json.Marshal(v)
-			if err != nil || len(text) > size || size > bound {
-				t.Fatalf("%d bytes as JSON, %d counted, %d bounded, %v", len(text), size, bound, err)
 			}
-			got, err := DecodeShard(raw, s)
-			if err != nil {
-				t.Fatal(err)
-			}
-			fresh, err := DecodeShard(raw, nil)
-			if err != nil || !reflect.DeepEqual(withoutCaches(got), withoutCaches(fresh)) ||
-				!reflect.DeepEqual(withoutCaches(fresh), withoutCaches(clone)) {
-				t.Fatalf("%v: read %+v, written %+v", err, fresh, clone)
-			}
-			if rnd.IntN(8) == 0 && len(got.Machines) > 6 {
-				// A machine goes with all on it, another takes its number.
-				for id := range got.Machines {
-					clone := got.Clone()
-					for job, e := range clone.Jobs {
-						for _, a := range e.Attempts {
-							if a.Machine == id {
-								clone.Release(job, a.Task, false)
-							}
-						}
-					}
-					delete(clone.Machines, id)
-					got = clone
-					break
-				}
-				got.AddMachine(
-					"i-new",
-					ShardMachine{
-						Type:     "m16",
-						Zone:     "rack-a",
-						Endpoint: "10.1.0.1:9000",
-						State:    MachineUnreachable,
-					},
-				)
-				raw, _ := got.Encode()
-				again, err := DecodeShard(raw, s)
-				if err != nil || !reflect.DeepEqual(withoutCaches(again), withoutCaches(got)) {
-					t.Fatalf("%v: a number that was given again is misread", err)
-				}
+		}
+		delete(changed.Machines, id)
+		break
+	}
+	changed.AddMachine("i-new", ShardMachine{
+		Type: "m16", Zone: "rack-a", Endpoint: "10.1.0.1:9000", State: MachineUnreachable,
+	})
+	raw, _ := changed.Encode()
+	again, err := DecodeShard(raw, rt.shard)
+	if err != nil || !reflect.DeepEqual(withoutCaches(again), withoutCaches(changed)) {
+		rt.t.Fatalf("%v: a number that was given again is misread", err)
+	}
+}
+
+// TestShardRoundTripAndSizeBound: what is written reads the same, whatever is done to a shard in
+// between; its size is never above what was bounded when its tasks were assigned.
+func TestShardRoundTripAndSizeBound(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 2))
+	reused := 0
+	for round := 0; round < 40; round++ {
+		rt := newRoundTripShard(t, random)
+		for task := range rt.assigned {
+			changed := rt.shard.Clone()
+			changed.Release(task.job, task.task, random.IntN(4) > 0)
+			rt.flipStarting(changed)
+			raw, size := changed.Encode()
+			rt.requireSizeInBound(raw, size)
+			got := rt.requireDecodes(raw, changed)
+			if random.IntN(8) == 0 && len(got.Machines) > 6 {
+				reused++
+				rt.requireReusedNumber(got)
 				break
 			}
-			s = got
+			rt.shard = got
 		}
 	}
-	for _, text := range []string{"0j-1 d5-2", "0j-1 0@1:0", "0j-1 d0;3 d1", "0j-1 d999999999", "0j-1 d1,0", " d1", "4j-1 d1", "0 d1"} {
+	if reused == 0 {
+		t.Error("no round reused a number")
+	}
+}
+
+// TestMalformedJobs: jobs that no machine or bound allows are no shard.
+func TestMalformedJobs(t *testing.T) {
+	for _, text := range []string{
+		"0j-1 d5-2", "0j-1 0@1:0", "0j-1 d0;3 d1", "0j-1 d999999999", "0j-1 d1,0", " d1", "4j-1 d1", "0 d1",
+	} {
 		raw := protocol.MustMarshal(&shardRecord{Jobs: text})
 		if _, err := DecodeShard(raw, nil); err == nil {
-			t.Errorf("a page with %q is read", text)
+			t.Errorf("a shard with %q is read", text)
 		}
 	}
 }
@@ -202,3 +241,44 @@
 		}
 	}
 }
+
+// TestMaxEncodedSizeOfFragments: the bound of a shard holds as the tasks of one long range end or start apart from
+// each other.
+func TestMaxEncodedSizeOfFragments(t *testing.T) {
+	const tasks = 400
+	cases := []struct {
+		name     string
+		starting bool // at first
+		change   func(shard *Shard, task int)
+	}{
+		{"released", false, func(shard *Shard, task int) { shard.Release("j-1", task, false) }},
+		{"completed", false, func(shard *Shard, task int) { shard.Release("j-1", task, true) }},
+		{"seen to run", true, func(shard *Shard, task int) { shard.MarkStarting("j-1", task, false) }},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			shard := &Shard{Owner: "n-1", Machines: map[string]*ShardMachine{}, Jobs: map[string]*ShardJob{}}
+			shard.AddMachine("i-1", ShardMachine{Type: "m16", Zone: "rack-a", State: MachineOpen})
+			for task := range tasks {
+				shard.Assign("j-1", Attempt{Task: task, Machine: "i-1", Number: 1, Starting: tc.starting})
+			}
+			bound := shard.MaxEncodedSize()
+			for task := 1; task < tasks; task += 2 {
+				tc.change(shard, task)
+				if _, size := shard.Encode(); size > bound {
+					t.Fatalf("%d bytes after task %d, bounded by %d", size, task, bound)
+				}
+			}
+		})
+	}
+	starting := &Shard{Owner: "n-1", Machines: map[string]*ShardMachine{}, Jobs: map[string]*ShardJob{}}
+	starting.AddMachine("i-1", ShardMachine{Type: "m16", Zone: "rack-a", State: MachineOpen})
+	for task := range 2 {
+		starting.Assign("j-1", Attempt{Task: task, Machine: "i-1", Number: 1 << 40})
+	}
+	bound := starting.MaxEncodedSize() + MaxStartingBytes
+	starting.MarkStarting("j-1", 1, true)
+	if _, size := starting.Encode(); size > bound {
+		t.Errorf("%d bytes with one attempt that is starting, bounded by %d", size, bound)
+	}
+}
