--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the machine types that the cloud offers, and fetches them from time to time within the
-// rate limit of the cloud's API.
+// Package catalog holds the machine types that the cloud offers, and fetches them from time to time within
+// the rate limit of the cloud's API.
 package catalog
 
 import (
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -107,7 +107,7 @@
 	c.catalog = newCatalog(c)
 	c.cancellations = newCancellations(c)
 	c.agents = newAgentManager(c)
-	c.mirror.OnChange, c.mirror.OnMachineReleased = c.onMirrorChange, c.agents.Release
+	c.mirror.Observe(c.onMirrorChange, c.agents.Release)
 	c.quota = newQuotaManager(c)
 	c.api = newRequestHandler(c)
 	c.jobs = newJobFinisher(c)
@@ -152,8 +152,8 @@
 
 func (c *Controller) now() monotime.Micros { return c.env.Now() }
 
-// mirrorStale tells whether the process was paused and the mirror hasn't been brought up to date since: what it
-// shows as this controller's may be others' by now.
+// mirrorStale tells whether the process was paused and the mirror hasn't been brought up to date since: what
+// it shows as this controller's may be others' by now.
 func (c *Controller) mirrorStale(now monotime.Micros) bool {
 	return c.pauses.IsStale(c.replica.FreshAt(), now)
 }
--- a/internal/mirror/lists.go
+++ b/internal/mirror/lists.go
@@ -8,7 +8,8 @@
 )
 
 // What every load of all records reads, whether it waits for its calls (see ReadRecords) or not (see
-// Replica): the lists of the kinds, one after the other and page by page, then the results of the jobs listed.
+// Replica): the lists of the kinds, one after the other and page by page, then the results of the jobs
+// listed.
 
 // listPageSize is how many records a page of a list holds at most.
 const listPageSize = 500
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -11,8 +11,8 @@
 )
 
 // Mirror is the replica of the records, with the sums that decisions need. Changes reach it by the watch, in
-// order, and by this controller's own commits, which may be ahead of the watch; versions keep each record from
-// going back. Other packages read its fields and write none but the two callbacks.
+// order, and by this controller's own commits, which may be ahead of the watch; versions keep each record
+// from going back. Other packages read its fields and write none.
 type Mirror struct {
 	WatchedRevision   uint64 // the watch is complete up to here
 	NewestRevision    uint64 // the newest revision seen in any answer
@@ -33,16 +33,17 @@
 	PermitsByTeam     map[string]PermitsEntry // by team
 	ownDeletions      map[string]uint64       // own deletions ahead of the watch
 	Results           *ResultCache
-	OnChange          func(kind, name string) // called after each change
-	OnMachineReleased func(id string)         // called when a machine is in no shard any longer
 
-	generation int // how often it was replaced
+	onChange          func(kind, name string)
+	onMachineReleased func(id string)
+	generation        int // how often it was replaced
 }
 
 // MaxOpenJobs is how many unfinished jobs a mirror is to hold; submissions beyond are rejected.
 const MaxOpenJobs = 5000
 
-// rememberedResults is how many results of ended jobs a mirror keeps; older ones are read from the state service.
+// rememberedResults is how many results of ended jobs a mirror keeps; older ones are read from the state
+// service.
 const rememberedResults = 20000
 
 // New makes an empty mirror.
@@ -63,21 +64,28 @@
 		PermitsByTeam:     map[string]PermitsEntry{},
 		ownDeletions:      map[string]uint64{},
 		Results:           NewResultCache(rememberedResults),
-		OnChange:          func(string, string) {},
-		OnMachineReleased: func(string) {},
+		onChange:          func(string, string) {},
+		onMachineReleased: func(string) {},
 	}
 }
 
-// Generation changes when the mirror is replaced: what was requested of the state service for an earlier generation
-// must not be applied to a later one.
+// Observe sets what is called after each change of a record, and when a machine is in no shard any longer.
+// They stay when the mirror is replaced.
+func (m *Mirror) Observe(onChange func(kind, name string), onMachineReleased func(id string)) {
+	m.onChange, m.onMachineReleased = onChange, onMachineReleased
+}
+
+// Generation changes when the mirror is replaced: what was requested of the state service for an earlier
+// generation must not be applied to a later one.
 func (m *Mirror) Generation() int { return m.generation }
 
-// Replace takes over all records of a mirror that was loaded anew, complete up to the revision watched; newest is the
-// newest revision heard of. The hooks stay, and aren't called. The loaded mirror must not be used afterwards.
+// Replace takes over all records of a mirror that was loaded anew, complete up to the revision watched;
+// newest is the newest revision seen. The callbacks stay, and aren't called. The loaded mirror must not be
+// used afterwards.
 func (m *Mirror) Replace(loaded *Mirror, watched, newest uint64) {
-	onChange, onMachineReleased, generation := m.OnChange, m.OnMachineReleased, m.generation
+	onChange, onMachineReleased, generation := m.onChange, m.onMachineReleased, m.generation
 	*m = *loaded
-	m.OnChange, m.OnMachineReleased, m.generation = onChange, onMachineReleased, generation+1
+	m.onChange, m.onMachineReleased, m.generation = onChange, onMachineReleased, generation+1
 	m.WatchedRevision, m.NewestRevision = watched, newest
 }
 
@@ -133,8 +141,8 @@
 
 // ApplyRevision brings the changes of one revision into the mirror, each unless the mirror is newer already.
 // All shards are removed from the sums before any is added: a machine that moves from one to another must
-// not be added before it is removed. ownCommit says that the changes are a commit of this controller, which may be
-// ahead of the watch.
+// not be added before it is removed. ownCommit says that the changes are a commit of this controller, which
+// may be ahead of the watch.
 func (m *Mirror) ApplyRevision(events []protocol.Event, ownCommit bool) {
 	var changes []change
 	for _, event := range events {
@@ -144,7 +152,7 @@
 	}
 	for i := range changes {
 		m.applyChange(&changes[i])
-		m.OnChange(changes[i].kind, changes[i].name)
+		m.onChange(changes[i].kind, changes[i].name)
 	}
 }
 
@@ -170,7 +178,8 @@
 	return next, true
 }
 
-// isNews tells whether an event is newer than the mirror, and notes own deletions that are ahead of the watch.
+// isNews tells whether an event is newer than the mirror, and notes own deletions that are ahead of the
+// watch.
 func (m *Mirror) isNews(key string, event protocol.Event, ownCommit bool) bool {
 	if event.Version <= m.WatchedRevision {
 		// An answer that comes after a newer one: the watch has passed this change, and the record may have
--- a/internal/mirror/records_test.go
+++ b/internal/mirror/records_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestDeletions: a deletion removes a record unless the mirror has a newer version of it, and reports no change
-// of a record that isn't there.
+// TestDeletions: a deletion removes a record unless the mirror has a newer version of it, and reports no
+// change of a record that isn't there.
 func TestDeletions(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -137,7 +137,7 @@
 				m.ApplyPut(key, protocol.MustMarshal(&storage.Member{Incarnation: 1}), 7)
 			}
 			changes := 0
-			m.OnChange = func(string, string) { changes++ }
+			m.Observe(func(string, string) { changes++ }, func(string) {})
 			m.ApplyDelete(key, tc.version, false)
 			if changes != tc.changes {
 				t.Errorf("%d changes, want %d", changes, tc.changes)
--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -23,8 +23,8 @@
 	atOnce   bool
 }
 
-// replicaTest is a replica whose calls are answered by the test. It serves as the replica's store, environment,
-// observer and pause detector.
+// replicaTest is a replica whose calls are answered by the test. It serves as the replica's store,
+// environment, observer and pause detector.
 type replicaTest struct {
 	*Replica
 	t        *testing.T
--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// TestLoadPages: a list continues after the last key of a page, and a failed page is read again after a delay.
+// TestLoadPages: a list continues after the last key of a page, and a failed page is read again after a
+// delay.
 func TestLoadPages(t *testing.T) {
 	rt := newReplicaTest(t)
 	rt.Load()
@@ -281,8 +282,8 @@
 	}
 }
 
-// TestWatchOverdue: a watch is overdue some time after its last answer; one that was answered while the process
-// was paused counts from when it was sent.
+// TestWatchOverdue: a watch is overdue some time after its last answer; one that was answered while the
+// process was paused counts from when it was sent.
 func TestWatchOverdue(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		rt := newReplicaTest(t)
--- a/internal/mirror/shard_sums.go
+++ b/internal/mirror/shard_sums.go
@@ -45,7 +45,7 @@
 		machine := m.Machines[id]
 		if (next == nil || next.Record.Machines[id] == nil) && machine != nil && machine.Shard == previous {
 			machine.Shard, machine.Record = nil, nil
-			m.OnMachineReleased(id)
+			m.onMachineReleased(id)
 			m.removeMachineIfUnused(machine)
 		}
 	}
@@ -120,8 +120,8 @@
 	return false
 }
 
-// AddUse adds the resources of a task to a team's use, or subtracts them where sign is -1; a team without use is
-// removed.
+// AddUse adds the resources of a task to a team's use, or subtracts them where sign is -1; a team without use
+// is removed.
 func AddUse(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
 	total := useByTeam[team].AddScaled(taskResources, float64(sign))
 	if total.CPUs < resources.Tolerance && total.GPUs < resources.Tolerance &&
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -29,7 +29,8 @@
 
 // watchState is where the watch of a Replica stands.
 type watchState struct {
-	inFlight          bool            // a watch that waits for changes, or a measurement of the backlog, is in flight
+	// a watch that waits for changes, or a measurement of the backlog, is in flight
+	inFlight          bool
 	sentAt            monotime.Micros // when that watch was sent
 	nextAt            monotime.Micros // no watch is sent before
 	lastSuccessAt     monotime.Micros // last answer
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// shardMaxWait is how long users' calls go before shard work. A usual burst of submissions is over sooner,
-	// and more of them must not keep tasks from starting and ending. Beyond it they take turns: if the
-	// one that has waited longer always went first, users of the last live controller would wait for
+	// shardMaxWait is how long users' calls go before shard work. A usual burst of submissions is over
+	// sooner, and more of them must not keep tasks from starting and ending. Beyond it they take turns: if
+	// the one that has waited longer always went first, users of the last live controller would wait for
 	// seconds.
 	shardMaxWait = 300 * monotime.Millisecond
 	// shardTurnsPerBurstCall is how many calls of shard work go before a burst call while both wait: burst
@@ -134,7 +134,8 @@
 	return q.nextShardWork()
 }
 
-// shardWorkBeforeUsers tells whether shard work has waited so long that it goes before users' calls this time.
+// shardWorkBeforeUsers tells whether shard work has waited so long that it goes before users' calls this
+// time.
 func (q *Queue) shardWorkBeforeUsers(now monotime.Micros) bool {
 	return q.OldestWait(q.nextShardWork(), now) > shardMaxWait &&
 		(q.userWentLast || len(q.waiting[PriorityUserRequest]) == 0)
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -63,8 +63,8 @@
 	q.require(1600*monotime.Millisecond, PriorityUserRequest, PriorityBackground)
 }
 
-// TestUsersTakeTurnsWithShardWork: users' calls go before shard updates, until these have waited too long; then
-// they take turns, and neither keeps the other waiting, however many come.
+// TestUsersTakeTurnsWithShardWork: users' calls go before shard updates, until these have waited too long;
+// then they take turns, and neither keeps the other waiting, however many come.
 func TestUsersTakeTurnsWithShardWork(t *testing.T) {
 	const now = 3 * monotime.Second
 	q := newTestQueue(t)
--- a/internal/ratelimit/token_bucket_test.go
+++ b/internal/ratelimit/token_bucket_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// TestQueueBoundsCallsInFlight: no more calls than the bound are handed out before one is answered, but leases.
+// TestQueueBoundsCallsInFlight: no more calls than the bound are handed out before one is answered, but
+// leases.
 func TestQueueBoundsCallsInFlight(t *testing.T) {
 	queue := NewQueue(1)
 	queue.SetRates(Rates{PerSecond: 100, Burst: 100}, Rates{PerSecond: 100, Burst: 100})
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -77,11 +77,11 @@
 			Log:         slog.New(slog.DiscardHandler),
 		},
 	)
-	w.mirror.OnChange = func(kind, name string) {
+	w.mirror.Observe(func(kind, name string) {
 		if kind == storage.KindShard {
 			w.m.HandleShardChange(name)
 		}
-	}
+	}, func(string) {})
 	w.put(
 		storage.Key(storage.KindMember, ownNode),
 		protocol.MustMarshal(&storage.Member{Incarnation: ownIncarnation}),
--- a/internal/storage/drains.go
+++ b/internal/storage/drains.go
@@ -25,8 +25,8 @@
 	State    DrainState `msgpack:"s"`
 	Reason   string     `msgpack:"r,omitempty"` // why it is in this state, for operators
 	Selector Selector   `msgpack:"w"`
-	// LastMachine, if set, is the newest machine that belongs to the drain: machines created later may be of the
-	// selected kind. Without it, the selected offers aren't used to scale out.
+	// LastMachine, if set, is the newest machine that belongs to the drain: machines created later may be of
+	// the selected kind. Without it, the selected offers aren't used to scale out.
 	LastMachine  string `msgpack:"t,omitempty"`
 	Replace      bool   `msgpack:"p,omitempty"` // capacity is added before machines are emptied
 	RemoveAtOnce bool   `msgpack:"o,omitempty"` // empty machines are deleted without a delay
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -140,7 +140,8 @@
 	DeadlineS    float64  `msgpack:"d,omitempty"`
 }
 
-// AllowsMachine tells whether the job's tasks may run on a machine type in a zone; a zone of "" stands for any.
+// AllowsMachine tells whether the job's tasks may run on a machine type in a zone; a zone of "" stands for
+// any.
 func (s *JobSpec) AllowsMachine(machineType, zone string) bool {
 	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, machineType) {
 		return false
@@ -159,8 +160,8 @@
 }
 
 // Partition is the record of KindPartition. Of each limited team, what the attempts in a partition's shards
-// take is at most its quota share, and all partitions' shares together are at most the team's limit. A share is
-// raised on the condition that no partition's record has changed, so assignments need no common record.
+// take is at most its quota share, and all partitions' shares together are at most the team's limit. A share
+// is raised on the condition that no partition's record has changed, so assignments need no common record.
 type Partition struct {
 	QuotaShares map[string]QuotaShare `msgpack:"s"`
 }
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -9,7 +9,8 @@
 // MachineState is the state of a machine as stored.
 type MachineState string
 
-// States of a machine. That a machine is about to be drained is known to its shard's owner only and not stored.
+// States of a machine. That a machine is about to be drained is known to its shard's owner only and not
+// stored.
 const (
 	MachineOpen        MachineState = "o"
 	MachineUnreachable MachineState = "q" // unreachable now: takes no tasks, is no capacity
@@ -18,9 +19,9 @@
 	MachineRemoving    MachineState = "r" // for the leader to delete
 )
 
-// Shard is the record of KindShard: some of a partition's machines, the attempts on them, and which tasks were
-// completed there. A shard has one owner, who alone writes it; a takeover changes its version, so that no
-// late write of an earlier owner can succeed. Decoded entries are never changed in place.
+// Shard is the record of KindShard: some of a partition's machines, the attempts on them, and which tasks
+// were completed there. A shard has one owner, who alone writes it; a takeover changes its version, so that
+// no late write of an earlier owner can succeed. Decoded entries are never changed in place.
 type Shard struct {
 	Owner       string
 	Incarnation uint64
--- a/internal/storage/shard_decode.go
+++ b/internal/storage/shard_decode.go
@@ -17,8 +17,8 @@
 	machineByNumber map[int]string
 }
 
-// DecodeShard reads a stored shard; entries that stand unchanged in a previous one, which may be nil, are shared
-// with it. Errors wrap ErrMalformedShard.
+// DecodeShard reads a stored shard; entries that stand unchanged in a previous one, which may be nil, are
+// shared with it. Errors wrap ErrMalformedShard.
 func DecodeShard(raw protocol.Raw, previous *Shard) (*Shard, error) {
 	var record shardRecord
 	if err := protocol.Unmarshal(raw, &record); err != nil {
--- a/internal/storage/shard_record.go
+++ b/internal/storage/shard_record.go
@@ -10,7 +10,8 @@
 //	place of "@" says that the attempts are starting
 //
 // Numbers are written in base 36; a machine's number is its name within the shard. Ids and endpoints are
-// prefix-compressed: the number of leading characters shared with the entry before, in one digit, and the rest.
+// prefix-compressed: the number of leading characters shared with the entry before, in one digit, and the
+// rest.
 
 // ErrMalformedShard is wrapped by the errors of DecodeShard.
 var ErrMalformedShard = errors.New("malformed shard")
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -242,8 +242,8 @@
 	}
 }
 
-// TestMaxEncodedSizeOfFragments: the bound of a shard holds as the tasks of one long range end or start apart from
-// each other.
+// TestMaxEncodedSizeOfFragments: the bound of a shard holds as the tasks of one long range end or start apart
+// from each other.
 func TestMaxEncodedSizeOfFragments(t *testing.T) {
 	const tasks = 400
 	cases := []struct {
--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// oversubscription is how much of the even part of the limits each controller may use: load is uneven, and
-	// a 429 costs only a pause.
+	// oversubscription is how much of the even part of the limits each controller may use: load is uneven,
+	// and a 429 costs only a pause.
 	oversubscription = 1.2
 	// The multiplier of the even part changes by these factors, in steps of an UpdateBudget.
 	throttledFactor = 0.6 // calls were throttled since the last step
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// UpdateAvailability decides anew whether the service is unavailable, as this controller observes it, and logs
-// the beginning and the end of that condition.
+// UpdateAvailability decides anew whether the service is unavailable, as this controller observes it, and
+// logs the beginning and the end of that condition.
 func (c *Client) UpdateAvailability(now monotime.Micros) {
 	unavailable := c.lastFailureAt > c.lastSuccessAt && now-c.lastSuccessAt > outageDelay
 	if unavailable == c.unavailable {
