--- a/internal/fake/sim.go
+++ b/internal/fake/clock.go
@@ -1,6 +1,3 @@
-// Package fake holds stand-ins for the state service, the cloud and the
-// workers, written from the protocol, under a simulated clock. Tests drive the
-// coordination with them; nothing here is part of the service.
 package fake
 
 import (
@@ -10,7 +7,7 @@
 	"pipitgap/internal/monotime"
 )
 
-// SimClock is a simulated clock with events in order of time, then of their making.
+// SimClock is a simulated clock that runs scheduled events in order of their time, then of their scheduling.
 type SimClock struct {
 	now   monotime.Micros
 	seq   uint64
@@ -27,11 +24,15 @@
 type eventHeap []event
 
 func (e eventHeap) Len() int { return len(e) }
+
 func (e eventHeap) Less(a, b int) bool {
 	return e[a].at < e[b].at || e[a].at == e[b].at && e[a].seq < e[b].seq
 }
+
 func (e eventHeap) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
+
+func (e *eventHeap) Push(x any) { *e = append(*e, x.(event)) }
+
 func (e *eventHeap) Pop() any {
 	old := *e
 	x := old[len(old)-1]
@@ -39,19 +40,22 @@
 	return x
 }
 
-// NewSimClock starts a clock with seeded randomness.
+// conditionPollInterval is how often RunUntil and AfterCondition evaluate their condition.
+const conditionPollInterval = 50 * monotime.Millisecond
+
+// NewSimClock starts a clock at zero with a seeded random source.
 func NewSimClock(seed uint64) *SimClock { return &SimClock{Rand: rand.New(rand.NewPCG(seed, 7))} }
 
-// Now reads the clock.
+// Now is the simulated time.
 func (s *SimClock) Now() monotime.Micros { return s.now }
 
-// After has f called d later.
+// After schedules f to be called d later.
 func (s *SimClock) After(d monotime.Micros, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, f})
 }
 
-// Run plays the events of the next d.
+// Run runs the events of the next d.
 func (s *SimClock) Run(d monotime.Micros) {
 	end := s.now + d
 	for len(s.queue) > 0 && s.queue[0].at <= end {
@@ -62,9 +66,10 @@
 	s.now = end
 }
 
-// RunUntil plays events until ok or until d has passed, and tells which.
+// RunUntil runs events until ok holds, or until d has passed, and tells whether ok holds. It looks every
+// conditionPollInterval.
 func (s *SimClock) RunUntil(d monotime.Micros, ok func() bool) bool {
-	for end := s.now + d; s.now < end; s.Run(50 * monotime.Millisecond) {
+	for end := s.now + d; s.now < end; s.Run(conditionPollInterval) {
 		if ok() {
 			return true
 		}
@@ -72,15 +77,14 @@
 	return ok()
 }
 
-// AfterCondition has f called as soon as ok holds, or not at all if that takes longer than d. Unlike
-// RunUntil it may be called from an event.
+// AfterCondition schedules f to be called as soon as ok holds, or not at all if that takes longer than d.
+// Unlike RunUntil it may be called from an event.
 func (s *SimClock) AfterCondition(ok func() bool, d monotime.Micros, f func()) {
-	const look = 50 * monotime.Millisecond
 	if ok() {
 		f()
 		return
 	}
-	if d > look {
-		s.After(look, func() { s.AfterCondition(ok, d-look, f) })
+	if d > conditionPollInterval {
+		s.After(conditionPollInterval, func() { s.AfterCondition(ok, d-conditionPollInterval, f) })
 	}
 }
--- a/internal/fake/loopback/clock.go
+++ b/internal/fake/loopback/clock.go
@@ -8,8 +8,7 @@
 	"pipitgap/internal/monotime"
 )
 
-// RealTimeClock plays a simulation in step with the wall clock. All that touches the simulation goes
-// through Do.
+// RealTimeClock runs a simulation in step with the wall clock. All access to the simulation goes through Do.
 type RealTimeClock struct {
 	mu        sync.Mutex
 	simulated *fake.SimClock
@@ -21,7 +20,7 @@
 // tickInterval is how finely the simulation follows the wall clock.
 const tickInterval = 2 * time.Millisecond
 
-// NewRealTimeClock starts the clock.
+// NewRealTimeClock starts the clock; Stop ends it.
 func NewRealTimeClock(sim *fake.SimClock) *RealTimeClock {
 	c := &RealTimeClock{simulated: sim, startedAt: time.Now(), stop: make(chan struct{})}
 	c.done.Add(1)
@@ -43,7 +42,7 @@
 	}
 }
 
-// Do brings the simulation to the present and has f called on it.
+// Do runs the simulation up to the present and then calls f, with no event running at the same time.
 func (c *RealTimeClock) Do(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +52,7 @@
 	f()
 }
 
-// Advance has time pass at once.
+// Advance lets simulated time pass at once.
 func (c *RealTimeClock) Advance(d monotime.Micros) {
 	c.mu.Lock()
 	c.startedAt = c.startedAt.Add(-d.Duration())
@@ -61,7 +60,7 @@
 	c.Do(func() {})
 }
 
-// Stop ends the clock.
+// Stop ends the clock and waits until it has ended.
 func (c *RealTimeClock) Stop() {
 	close(c.stop)
 	c.done.Wait()
--- a/internal/fake/loopback/cloud.go
+++ b/internal/fake/loopback/cloud.go
@@ -7,7 +7,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// cloudHandler answers as the cloud does.
+// cloudHandler serves a fake cloud over HTTP.
 type cloudHandler struct {
 	clock *RealTimeClock
 	cloud *fake.Cloud
@@ -23,10 +23,10 @@
 		func(result *protocol.CloudResult) (int, any) { return cloudAnswer(call, result) })
 }
 
-// methodAndPath tells the requests of a service apart.
+// methodAndPath identifies the operation of a request.
 type methodAndPath struct{ method, path string }
 
-// cloudCall reads a request as the call that it is.
+// cloudCall decodes a request into a call.
 func cloudCall(r *http.Request) (*protocol.CloudCall, bool) {
 	call := &protocol.CloudCall{Timeout: noTimeout}
 	switch (methodAndPath{r.Method, r.URL.Path}) {
@@ -49,7 +49,7 @@
 	return nil, false
 }
 
-// cloudAnswer gives the response to a call.
+// cloudAnswer is the response for a call's result.
 func cloudAnswer(call *protocol.CloudCall, result *protocol.CloudResult) (status int, body any) {
 	switch result.Outcome {
 	case protocol.NoCapacity:
--- a/internal/fake/loopback/conformance_test.go
+++ b/internal/fake/loopback/conformance_test.go
@@ -23,7 +23,7 @@
 	setHistory func(int)
 }
 
-// simulatedState is the stand-in as the simulated tests use it.
+// simulatedState is the fake as the simulated tests use it.
 func simulatedState() *stateService {
 	sim := fake.NewSimClock(1)
 	store := fake.NewStateStore(sim, 1000, 1000, 4)
@@ -171,12 +171,12 @@
 		wantSummary: "ok revision 2 failed [] more false",
 	},
 	{
-		what:        "a list in pages",
+		what:        "the first part of a list",
 		call:        list("a/", "", 1),
 		wantSummary: "ok revision 2 failed [] more true a/1@2",
 	},
 	{
-		what:        "the next page",
+		what:        "the next part of a list",
 		call:        list("a/", "a/1", 1),
 		wantSummary: "ok revision 2 failed [] more false a/2@1",
 	},
@@ -302,13 +302,14 @@
 	}
 }
 
-// TestTooOldWatch: a watch from before what is kept is told so.
+// TestTooOldWatch: a watch that begins before the history that is kept is answered so.
 func TestTooOldWatch(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
 		service.setHistory(5)
 		for i := range 10 {
-			if r := service.call(commit(protocol.Transaction{Then: []protocol.Op{put("a/1", fmt.Sprint(i), 0)}})); r.Outcome != protocol.OK {
-				t.Fatalf("%s: %v", service.name, r.Outcome)
+			txn := protocol.Transaction{Then: []protocol.Op{put("a/1", fmt.Sprint(i), 0)}}
+			if result := service.call(commit(txn)); result.Outcome != protocol.OK {
+				t.Fatalf("%s: %v", service.name, result.Outcome)
 			}
 		}
 		if r := service.call(watch("a/", 2, 0)); r.Outcome != protocol.Compacted {
--- /dev/null
+++ b/internal/fake/loopback/deployment_config.go
@@ -0,0 +1,74 @@
+package loopback
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+
+	"github.com/BurntSushi/toml"
+
+	"pipitgap/internal/config"
+)
+
+// Limits of the state service that the options don't set.
+const (
+	maxTransactionOps = 32
+	maxValueKB        = 16
+	cloudRPS          = 9
+	listLagS          = 1
+	memoryMB          = 200
+	maxConnections    = 1000
+)
+
+// operatorCaller is the caller that operators' commands are to the state service.
+const operatorCaller = "operator"
+
+// arguments are the flags that name a caller's settings files.
+func (d *Deployment) arguments(caller string) []string {
+	args := []string{"--config", d.writeConfig(caller)}
+	for _, path := range d.options.Settings {
+		args = append(args, "--settings", path)
+	}
+	return args
+}
+
+// writeConfig writes the platform's settings as a caller sees them, and returns the file's path.
+func (d *Deployment) writeConfig(caller string) string {
+	cfg := config.Config{
+		Node:       caller,
+		Area:       d.options.Zones[0],
+		PublicAddr: d.publicAddrs[caller],
+		PeerBind:   d.peerAddrs[caller],
+	}
+	if caller == operatorCaller { // a command listens nowhere, but its settings must be whole
+		cfg.PublicAddr, cfg.PeerBind = d.publicAddrs[d.Controllers[0]], d.peerAddrs[d.Controllers[0]]
+	}
+	for i, node := range d.Controllers {
+		if node != caller {
+			cfg.Peers = append(cfg.Peers, config.Peer{
+				Node: node, Area: d.options.Zones[i%len(d.options.Zones)], Addr: d.peerAddrs[node],
+			})
+		}
+	}
+	cfg.External.Cloud, cfg.External.State = d.cloudServer.Addr, d.stateServers[caller].Addr
+	f := &cfg.Facts
+	f.Zones, f.Teams = d.options.Zones, d.options.Teams
+	f.Workers = config.Workers{
+		HeartbeatIntervalS: d.options.HeartbeatInterval.Seconds(),
+		LeaseS:             d.options.LeaseTime.Seconds(),
+		CancelWithinS:      d.options.CancelWithin.Seconds(),
+	}
+	f.State.RPS, f.State.WriteRPS = d.options.StateRPS, d.options.StateWriteRPS
+	f.State.ValueKB, f.State.TxnOps = maxValueKB, maxTransactionOps
+	f.Cloud.RPS, f.Cloud.ListLagS = cloudRPS, listLagS
+	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 1, memoryMB, maxConnections
+	var text bytes.Buffer
+	if err := toml.NewEncoder(&text).Encode(&cfg); err != nil {
+		d.t.Fatal(err)
+	}
+	path := filepath.Join(d.directory, caller+".toml")
+	if err := os.WriteFile(path, text.Bytes(), 0o600); err != nil {
+		d.t.Fatal(err)
+	}
+	return path
+}
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -163,11 +163,11 @@
 }
 
 // mustRun runs a command and checks its exit status.
-func (d *drainScenario) mustRun(status int, words ...string) string {
+func (d *drainScenario) mustRun(status int, args ...string) string {
 	d.t.Helper()
-	out, got := d.RunCommand(append([]string{"drain"}, words...)...)
+	out, got := d.RunCommand(append([]string{"drain"}, args...)...)
 	if got != status {
-		d.t.Errorf("drain %v: status %d, want %d: %s", words, got, status, out)
+		d.t.Errorf("drain %v: status %d, want %d: %s", args, got, status, out)
 	}
 	return out
 }
@@ -234,11 +234,11 @@
 }
 
 func byName(machines []string) []string {
-	var words []string
+	var args []string
 	for _, id := range machines {
-		words = append(words, "--machine", id)
+		args = append(args, "--machine", id)
 	}
-	return words
+	return args
 }
 
 // TestDrainCommandsReportStatesAndMistakes: what operators see of a drain, also of mistaken and repeated
@@ -249,7 +249,8 @@
 
 	// The records say a few seconds later that the replicas run.
 	ready := func() bool { return s.availability("intake") == 16 && s.availability("payout") == 16 }
-	for deadline := time.Now().Add(30 * time.Second); !ready() && time.Now().Before(deadline); time.Sleep(time.Second) {
+	deadline := time.Now().Add(30 * time.Second)
+	for ; !ready() && time.Now().Before(deadline); time.Sleep(time.Second) {
 	}
 	var started operator.StartResult
 	out := s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--dry-run", "--json")
--- a/internal/fake/loopback/process_cleanup_test.go
+++ b/internal/fake/loopback/process_cleanup_test.go
@@ -27,7 +27,10 @@
 	if program == "" {
 		t.Skip("only as a child of TestNothingLeftBehind")
 	}
-	d := NewDeployment(t, 1, Options{Binary: program, Controllers: 2, Zones: []string{"a"},
+	d := NewDeployment(t, 1, Options{
+		Binary:      program,
+		Controllers: 2,
+		Zones:       []string{"a"},
 		Types: []protocol.MachineType{
 			{
 				Name:          "m8",
@@ -40,7 +43,12 @@
 			},
 		},
 		Teams:             []config.Team{{Name: "t"}},
-		HeartbeatInterval: monotime.Second, LeaseTime: 10 * monotime.Second, CancelWithin: 30 * monotime.Second, StateRPS: 100, StateWriteRPS: 50})
+		HeartbeatInterval: monotime.Second,
+		LeaseTime:         10 * monotime.Second,
+		CancelWithin:      30 * monotime.Second,
+		StateRPS:          100,
+		StateWriteRPS:     50,
+	})
 	for _, node := range d.Controllers {
 		os.Stdout.WriteString(pidPrefix + strconv.Itoa(d.Process(node).pid()) + "\n")
 	}
--- a/internal/fake/loopback/server.go
+++ b/internal/fake/loopback/server.go
@@ -13,19 +13,19 @@
 	"pipitgap/internal/protocol"
 )
 
-// Fault is what happens to a call on its way to a stand-in.
+// Fault is what happens to a call on its way to a fake.
 type Fault struct {
 	Delay time.Duration // it arrives so much later
 	Reset bool          // its connection is reset instead
 }
 
-// FaultFunc decides on the fault of a caller's call; nil: there is none.
+// FaultFunc decides on the fault of a caller's call; the zero Fault is none.
 type FaultFunc func(caller string, r *http.Request) Fault
 
 // Server is an HTTP server on a free port of 127.0.0.1.
 type Server struct {
 	Addr     string
-	caller   string // who it is for
+	caller   string // whose calls it serves
 	server   *http.Server
 	injector *faultInjector
 }
@@ -67,7 +67,7 @@
 // Close ends the server and its connections.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// withFaults has calls go through the present fault first.
+// withFaults applies the injected fault to a call before it is handled.
 func (s *Server) withFaults(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fault := s.injector.faultFor(s.caller, r)
@@ -76,7 +76,7 @@
 			return
 		}
 		if fault.Delay > 0 {
-			// The message is on its way: it arrives even if its sender gives it up.
+			// The message is on its way: it arrives even if its sender gives up waiting.
 			body, _ := io.ReadAll(io.LimitReader(r.Body, maxBody))
 			time.Sleep(fault.Delay)
 			r = r.Clone(context.WithoutCancel(r.Context()))
@@ -123,10 +123,10 @@
 	_, _ = w.Write(body)
 }
 
-// asyncCall is a call of a stand-in that answers by calling back on the simulation.
+// asyncCall is a call of a fake that answers by calling back on the simulation.
 type asyncCall[Result any] func(back func(Result))
 
-// answerCall has a call made on the simulation and writes its answer, unless whoever asked has gone.
+// answerCall makes a call on the simulation and writes its answer, unless the client has gone.
 func answerCall[Result any](
 	clock *RealTimeClock, w http.ResponseWriter, r *http.Request,
 	begin asyncCall[Result], answer func(*Result) (status int, body any),
--- /dev/null
+++ b/internal/fake/loopback/services_state.go
@@ -0,0 +1,106 @@
+package loopback
+
+import (
+	"fmt"
+	"slices"
+
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
+)
+
+// AllRunning tells whether all replicas run, by the workers and by the checker. It is called on the clock.
+func (s *Services) AllRunning() bool {
+	for id, n := range s.replicas {
+		if s.Fleet.Running(id) != n {
+			return false
+		}
+	}
+	for _, team := range s.Teams {
+		if s.Fleet.RunningReplicas(team.Team) != team.Services*team.Replicas {
+			return false
+		}
+	}
+	return true
+}
+
+// Running counts each team's running replicas. It is called on the clock.
+func (s *Services) Running() map[string]int {
+	out := map[string]int{}
+	for _, team := range s.Teams {
+		out[team.Team] = s.Fleet.RunningReplicas(team.Team)
+	}
+	return out
+}
+
+// MachinesInZone lists the machines of a zone that have not gone.
+func (s *Services) MachinesInZone(zone string) []string {
+	var out []string
+	s.Clock.Do(func() {
+		for id, m := range s.Cloud.Machines {
+			if !m.Gone && m.Zone == zone {
+				out = append(out, id)
+			}
+		}
+	})
+	slices.Sort(out)
+	return out
+}
+
+// MachinesGoneInZone counts the machines of a zone that have gone. It is called on the clock.
+func (s *Services) MachinesGoneInZone(zone string) int {
+	n := 0
+	for _, m := range s.Cloud.Machines {
+		if m.Gone && m.Zone == zone {
+			n++
+		}
+	}
+	return n
+}
+
+// MachinesRunning lists machines of a zone that run replicas of a team, at most so many.
+func (s *Services) MachinesRunning(team, zone string, most int) []string {
+	var out []string
+	s.Clock.Do(func() {
+		for id, w := range s.Fleet.Workers {
+			if w.Machine.Gone || w.Machine.Zone != zone {
+				continue
+			}
+			for task, held := range w.Attempts {
+				if s.Fleet.Jobs[task[:len("j-000000")]].Team == team && held.State == protocol.StateRunning {
+					out = append(out, id)
+					break
+				}
+			}
+		}
+	})
+	slices.Sort(out)
+	return out[:min(most, len(out))]
+}
+
+// Leader is the leader by the record in the state service.
+func (s *Services) Leader() string {
+	var lead storage.Leader
+	s.Clock.Do(func() { s.Store.Read(storage.LeaderKey, &lead) })
+	return lead.Node
+}
+
+// Restarts counts starts of replicas beyond each one's first.
+func (s *Services) Restarts() (all, most int) {
+	s.Clock.Do(func() {
+		for id, n := range s.replicas {
+			for i := range n {
+				again := s.Fleet.Starts[fmt.Sprintf("%s/%d", id, i)] - 1
+				all += again
+				most = max(most, again)
+			}
+		}
+	})
+	return all, most
+}
+
+// StoreChanges counts the changes of the state service so far.
+func (s *Services) StoreChanges() int {
+	n := 0
+	s.Clock.Do(func() { n = s.Store.Changes })
+	return n
+}
--- a/internal/fake/loopback/state_service.go
+++ b/internal/fake/loopback/state_service.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// stateHandler answers as the state service does, for one caller.
+// stateHandler serves a fake state service over HTTP to one caller.
 type stateHandler struct {
 	clock  *RealTimeClock
 	store  *fake.StateStore
@@ -31,7 +31,7 @@
 	return server.Addr
 }
 
-// noTimeout is the time that a call may take: its caller's own deadline ends it sooner.
+// noTimeout is longer than any caller waits: the deadline is the caller's own.
 const noTimeout = 10 * monotime.Minute
 
 func (h *stateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 		func(result *protocol.StoreResult) (int, any) { return stateAnswer(call, result) })
 }
 
-// stateCall reads a request as the call that it is.
+// stateCall decodes a request into a call.
 func stateCall(r *http.Request) (*protocol.StoreCall, bool) {
 	call := &protocol.StoreCall{Timeout: noTimeout}
 	query := r.URL.Query()
@@ -83,14 +83,18 @@
 	return nil, false
 }
 
-// httpStatus are the statuses by which the state service says what became of a call.
+// httpStatus maps the outcomes of calls to the statuses that the services answer with.
 var httpStatus = map[protocol.Outcome]int{
-	protocol.OK: http.StatusOK, protocol.Conflict: http.StatusConflict, protocol.NotFound: http.StatusNotFound,
-	protocol.Compacted: http.StatusGone, protocol.Rejected: http.StatusBadRequest,
-	protocol.Throttled: http.StatusTooManyRequests, protocol.Unavailable: http.StatusServiceUnavailable,
+	protocol.OK:          http.StatusOK,
+	protocol.Conflict:    http.StatusConflict,
+	protocol.NotFound:    http.StatusNotFound,
+	protocol.Compacted:   http.StatusGone,
+	protocol.Rejected:    http.StatusBadRequest,
+	protocol.Throttled:   http.StatusTooManyRequests,
+	protocol.Unavailable: http.StatusServiceUnavailable,
 }
 
-// stateAnswer gives the response to a call.
+// stateAnswer is the response for a call's result.
 func stateAnswer(call *protocol.StoreCall, result *protocol.StoreResult) (status int, body any) {
 	status = httpStatus[result.Outcome]
 	if result.Outcome != protocol.OK && result.Outcome != protocol.Conflict {
--- a/internal/fake/loopback/workers.go
+++ b/internal/fake/loopback/workers.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/transport"
 )
 
-// workerHandler answers direct commands as a machine's worker does.
+// workerHandler serves a fake worker over HTTP: it executes direct commands and answers probes.
 type workerHandler struct {
 	clock    *RealTimeClock
 	fleet    *fake.WorkerFleet
@@ -51,7 +51,7 @@
 	}
 }
 
-// executeRequest carries a batch out, or without one gives the worker's report.
+// executeRequest executes a batch of commands, or without one (a probe) gives the worker's heartbeat.
 func executeRequest(worker *fake.Worker, request *protocol.CommandRequest) protocol.CommandResult {
 	if request == nil {
 		return protocol.CommandResult{Status: http.StatusOK, Heartbeat: *worker.Heartbeat()}
@@ -59,7 +59,7 @@
 	return worker.Execute(request)
 }
 
-// heartbeatSender carries workers' reports to the controllers.
+// heartbeatSender sends workers' heartbeats to the controllers.
 type heartbeatSender struct {
 	clock   *RealTimeClock
 	mu      sync.Mutex
@@ -74,26 +74,26 @@
 	heartbeatTimeout     = 4 * monotime.Second
 )
 
-func (p *heartbeatSender) client(node string) *transport.Client {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.clients[node] == nil {
-		p.clients[node] = transport.NewClient(p.addr(node), heartbeatConnections, maxHeartbeatReply)
+func (s *heartbeatSender) client(node string) *transport.Client {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.clients[node] == nil {
+		s.clients[node] = transport.NewClient(s.addr(node), heartbeatConnections, maxHeartbeatReply)
 	}
-	return p.clients[node]
+	return s.clients[node]
 }
 
-// send carries one report; it is called on the simulation.
-func (p *heartbeatSender) send(
+// send sends one heartbeat and calls back on the simulation; it is called on the simulation.
+func (s *heartbeatSender) send(
 	_ *fake.Worker,
 	node string,
 	body []byte,
 	back func(status int, reply []byte),
 ) {
-	client := p.client(node)
+	client := s.client(node)
 	go func() {
 		message, err := client.Do("POST", protocol.HeartbeatPath, body, heartbeatTimeout)
-		p.clock.Do(func() {
+		s.clock.Do(func() {
 			if err != nil {
 				back(0, nil)
 				return
--- /dev/null
+++ b/internal/fake/state_store_commits.go
@@ -0,0 +1,96 @@
+package fake
+
+import "pipitgap/internal/protocol"
+
+// handleCommit applies a transaction now, or later if a test delays it, and answers unless the response is
+// lost.
+func (s *StateStore) handleCommit(call *protocol.StoreCall, answer func(protocol.StoreResult)) {
+	if s.DelayCommit != nil {
+		if delay := s.DelayCommit(&call.Transaction); delay > 0 {
+			s.Clock.After(delay, func() { s.commit(&call.Transaction) })
+			return
+		}
+	}
+	result := s.commit(&call.Transaction)
+	if result.Outcome == protocol.OK && s.LoseResponse != nil && s.LoseResponse(&call.Transaction) {
+		return
+	}
+	answer(result)
+}
+
+// commit applies a transaction if all of its comparisons hold.
+func (s *StateStore) commit(txn *protocol.Transaction) protocol.StoreResult {
+	if !s.acceptable(txn) {
+		return protocol.StoreResult{Outcome: protocol.Rejected}
+	}
+	if failed := s.failedComparisons(txn); len(failed) > 0 {
+		s.Conflicts++
+		for _, key := range failed {
+			s.ChangesByKind["!"+recordKind(key)]++
+		}
+		return protocol.StoreResult{Outcome: protocol.Conflict, Revision: s.Revision, Failed: failed}
+	}
+	if len(txn.Then) > 0 {
+		s.Revision++
+	}
+	for _, op := range txn.Then {
+		s.apply(op)
+	}
+	if len(txn.Then) > 0 {
+		s.answerWatches()
+	}
+	return protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
+}
+
+// acceptable tells whether a transaction is within the limits and names only leases that exist.
+func (s *StateStore) acceptable(txn *protocol.Transaction) bool {
+	if len(txn.Then) > s.MaxTransactionOps || len(txn.If) > 4*s.MaxTransactionOps {
+		return false
+	}
+	for _, op := range txn.Then {
+		if op.Put != "" && op.Lease != 0 && s.leases[op.Lease] == nil {
+			return false
+		}
+	}
+	return true
+}
+
+func (s *StateStore) failedComparisons(txn *protocol.Transaction) []string {
+	var failed []string
+	for _, compare := range txn.If {
+		if s.keyValues[compare.Key].Version != compare.Version {
+			failed = append(failed, compare.Key)
+		}
+	}
+	return failed
+}
+
+// apply performs an operation at the present revision.
+func (s *StateStore) apply(op protocol.Op) {
+	s.ChangesByKind["+"+recordKind(op.Put+op.Delete)]++
+	if op.Put != "" {
+		s.putKey(op)
+	} else if _, ok := s.keyValues[op.Delete]; ok {
+		s.deleteKey(op.Delete)
+	}
+}
+
+func (s *StateStore) putKey(op protocol.Op) {
+	s.keyValues[op.Put] = protocol.KeyValue{
+		Key:     op.Put,
+		Value:   op.Value,
+		Version: s.Revision,
+		Lease:   op.Lease,
+	}
+	s.record(protocol.Event{Put: op.Put, Value: op.Value, Version: s.Revision})
+}
+
+func (s *StateStore) deleteKey(key string) {
+	delete(s.keyValues, key)
+	s.record(protocol.Event{Delete: key, Version: s.Revision})
+}
+
+// record keeps an event of the present revision for watches.
+func (s *StateStore) record(event protocol.Event) {
+	s.history = append(s.history, historyEntry{s.Revision, event})
+}
--- /dev/null
+++ b/internal/fake/state_store_watches.go
@@ -0,0 +1,93 @@
+package fake
+
+import (
+	"sort"
+	"strings"
+
+	"pipitgap/internal/protocol"
+)
+
+// historyEntry is a change that is kept for watches.
+type historyEntry struct {
+	revision uint64
+	event    protocol.Event
+}
+
+// watch is a watch that waits for a change.
+type watch struct {
+	call     *protocol.StoreCall
+	callback func(protocol.StoreResult)
+	answered bool
+}
+
+// handleWatch answers a watch at once if there are changes, otherwise with the first one, and without any
+// when the time that it may block is over.
+func (s *StateStore) handleWatch(call *protocol.StoreCall, answer func(protocol.StoreResult)) {
+	waiting := &watch{call: call, callback: answer}
+	if s.answerWatch(waiting, false) {
+		return
+	}
+	s.watches = append(s.watches, waiting)
+	s.Clock.After(call.MaxBlock, func() {
+		if !s.Down {
+			s.answerWatch(waiting, true)
+		}
+	})
+}
+
+// answerWatch answers a watch if there are changes for it, or in any case with force. It tells whether the
+// watch has been answered, now or before.
+func (s *StateStore) answerWatch(waiting *watch, force bool) bool {
+	if waiting.answered {
+		return true
+	}
+	if waiting.call.FromRevision < s.compactedRevision {
+		waiting.answered = true
+		waiting.callback(protocol.StoreResult{Outcome: protocol.Compacted})
+		return true
+	}
+	events := s.eventsAfter(waiting.call.FromRevision, waiting.call.Key)
+	if len(events) == 0 && !force {
+		return false
+	}
+	waiting.answered = true
+	s.LargestWatchReply = max(s.LargestWatchReply, len(events))
+	waiting.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision, Events: events})
+	return true
+}
+
+// eventsAfter lists the changes of keys with a prefix after a revision.
+func (s *StateStore) eventsAfter(revision uint64, prefix string) []protocol.Event {
+	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > revision })
+	var events []protocol.Event
+	for _, entry := range s.history[first:] {
+		if strings.HasPrefix(entry.event.Put+entry.event.Delete, prefix) {
+			events = append(events, entry.event)
+		}
+	}
+	return events
+}
+
+func (s *StateStore) answerWatches() {
+	s.compact()
+	if s.Down {
+		return
+	}
+	var left []*watch
+	for _, waiting := range s.watches {
+		if !s.answerWatch(waiting, false) {
+			left = append(left, waiting)
+		}
+	}
+	s.watches = left
+}
+
+// compact drops the oldest changes beyond the history that is kept.
+func (s *StateStore) compact() {
+	if len(s.history) <= s.WatchHistory {
+		return
+	}
+	drop := len(s.history) - s.WatchHistory
+	s.compactedRevision = s.history[drop-1].revision
+	s.history = s.history[drop:]
+}
