--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -47,7 +47,7 @@
 	resyncNeeded     bool // there may be more to send once it is
 
 	suspect       bool   // silent or faulty
-	removalReason string // why the machine is to be given back; empty: it isn't
+	removalReason string // why the machine is to be removed; empty: it isn't
 	failures      FailureHistory
 }
 
@@ -140,13 +140,13 @@
 	return changed
 }
 
-// RemovalReason tells why the machine is to be given back to the cloud; empty: it isn't.
+// RemovalReason tells why the machine is to be removed; empty: it isn't.
 func (a *Agent) RemovalReason() string { return a.removalReason }
 
-// SetRemovalReason notes why the machine is to be given back.
+// SetRemovalReason notes why the machine is to be removed.
 func (a *Agent) SetRemovalReason(reason string) { a.removalReason = reason }
 
-// recheckRemoval takes back that the machine is to be given back for being empty, if it got tasks meanwhile.
+// recheckRemoval cancels a removal because the machine was empty, if it got tasks meanwhile.
 func (a *Agent) recheckRemoval(machine *mirror.Machine) {
 	if (a.removalReason == RemovalIdle || a.removalReason == RemovalDrained) && len(machine.Attempts) > 0 {
 		a.removalReason = ""
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// silenceRemovalReason tells why a silent machine is to be given back, or "" if it isn't.
+// silenceRemovalReason tells why a silent machine is to be removed, or "" if it isn't.
 func (m *Manager) silenceRemovalReason(machine *mirror.Machine, check *healthCheck) string {
 	agent := m.Of(machine)
 	silence := m.silenceOf(agent, check.now)
@@ -159,7 +159,7 @@
 	return cutOff && now-at < m.durations.WorkerLease && !m.holdsService(machine)
 }
 
-// RequestRemoval has a machine given back: its shard says so, and the leader deletes it.
+// RequestRemoval has a machine removed: its shard says so, and the leader has it terminated.
 func (m *Manager) RequestRemoval(machine *mirror.Machine, reason string) {
 	m.Of(machine).SetRemovalReason(reason)
 	m.scheduler.RequestPass()
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -15,20 +15,20 @@
 // Settings are the operators' own. The defaults are the design's starting values.
 type Settings struct {
 	AutoscalingInterval Duration `yaml:"pass_interval"`  // the leader's autoscaler pass
-	OfferQuarantine     Duration `yaml:"unmet_ttl"`      // how long a refused offer stays sidelined
-	ReadinessTimeout    Duration `yaml:"readiness_wait"` // a machine not up by then is given back
-	// between closing an empty machine and its removal
+	OfferQuarantine     Duration `yaml:"unmet_ttl"`      // how long an offer without capacity is quarantined
+	ReadinessTimeout    Duration `yaml:"readiness_wait"` // a machine not up by then is terminated
+	// ScaleDownDelay is the time from closing an empty machine to its removal.
 	ScaleDownDelay Duration `yaml:"scale_down_delay"`
-	BackoffFirst   Duration `yaml:"backoff_first"`  // first pause of an unplaceable job
+	BackoffFirst   Duration `yaml:"backoff_first"`  // first pause of a job that no offer can take
 	BackoffMax     Duration `yaml:"backoff_most"`   // its ceiling
-	BackoffPasses  int      `yaml:"backoff_passes"` // passes without room before the first pause
-	// quick deletions before a removal is flagged failed
+	BackoffPasses  int      `yaml:"backoff_passes"` // passes without success before the first pause
+	// ScaleInAttempts is the number of quick tries before a scale-in request is flagged as failed.
 	ScaleInAttempts      int      `yaml:"removal_tries"`
-	ScaleInRetryInterval Duration `yaml:"removal_pause"` // pause between deletions of a flagged machine
-	// ExpectedCapacity is the part of a type's boot time within which room that
-	// running tasks will free counts as supply. The design counts none of it.
+	ScaleInRetryInterval Duration `yaml:"removal_pause"` // pause between tries of a flagged request
+	// ExpectedCapacity is the part of a type's boot time within which what running
+	// tasks will release counts as supply. The design counts none of it.
 	ExpectedCapacity float64 `yaml:"expected_room"`
-	// ExpectedOnDemandCapacity is the same for ordinary machines that would be rented
+	// ExpectedOnDemandCapacity is the same for on-demand machines that would be requested
 	// for tasks that may use spot machines; at least ExpectedCapacity.
 	ExpectedOnDemandCapacity float64 `yaml:"expected_room_ordinary"`
 	// ServiceHeadroom is the part of what each class of services uses that is kept
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -35,9 +35,9 @@
 type StartRequest struct {
 	Name         string
 	Selector     storage.Selector
-	Replace      bool            // rent room before it is needed
-	AllowSimilar bool            // machines like the selected ones may be rented meanwhile
-	RemoveAtOnce bool            // give empty machines back without a delay
+	Replace      bool            // request machines before their capacity is needed
+	AllowSimilar bool            // machines like the selected ones may be requested meanwhile
+	RemoveAtOnce bool            // remove empty machines without a delay
 	MaxParallel  int             // machines being emptied at a time
 	Deadline     monotime.Micros // no step begins so long after the start; 0: never
 	DryRun       bool
@@ -298,8 +298,8 @@
 	})
 }
 
-// Abort ends a drain: machines that haven't been given back are opened, and what was closed may
-// be rented again.
+// Abort ends a drain: machines that aren't removed yet are opened, and offers that it closed may be
+// requested again.
 func (d *DrainOperator) Abort(name string) (changed bool, err error) {
 	wall := d.WallClock()
 	return d.transition(name, func(record *storage.Drain) error {
