--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -47,12 +47,13 @@
 	return unknown
 }
 
-// readLiterals gathers the string literals of the sources but for tests.
-func readLiterals(t *testing.T) map[string]bool {
+// readLiterals gathers the string literals of the tests, or of the other sources; these tests' own don't count.
+func readLiterals(t *testing.T, tests bool) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
 	for _, path := range goFiles(t) {
-		if strings.HasSuffix(path, "_test.go") {
+		own := filepath.Dir(belowRoot(t, path)) == "internal/architecture"
+		if own || strings.HasSuffix(path, "_test.go") != tests {
 			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -77,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, message := range unknownMessages(readLiterals(t), string(page)) {
+	for _, message := range unknownMessages(readLiterals(t, false), string(page)) {
 		t.Errorf("%s quotes %q, which no source has", onCallPage, message)
 	}
 }
@@ -96,6 +97,52 @@
 	}
 }
 
+// The page that names rows of tests' tables, in quotation marks; dots at the end stand for the rest of a name.
+const scenariosPage = "docs/failure-scenarios.md"
+
+var quotedRow = regexp.MustCompile(`"([^"\n]+)"`)
+
+// unknownRows lists the rows that a page names and that no test has.
+func unknownRows(literals map[string]bool, page string) []string {
+	var unknown []string
+	for _, match := range quotedRow.FindAllStringSubmatch(page, -1) {
+		beginning, cut := strings.CutSuffix(match[1], " ...")
+		known := literals[beginning]
+		for literal := range literals {
+			known = known || cut && strings.HasPrefix(literal, beginning)
+		}
+		if !known {
+			unknown = append(unknown, match[1])
+		}
+	}
+	return unknown
+}
+
+// Every row of a test that the page on failures names is in some test.
+func TestScenariosPageNamesRows(t *testing.T) {
+	page, err := os.ReadFile(filepath.Join(moduleRoot, scenariosPage))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, row := range unknownRows(readLiterals(t, true), string(page)) {
+		t.Errorf("%s names the row %q, which no test has", scenariosPage, row)
+	}
+}
+
+func TestUnknownRows(t *testing.T) {
+	literals := map[string]bool{"writes come late, the leader ends": true, "machines are mute": true}
+	cases := []struct{ page, want string }{
+		{`TestX "writes come late ...", "machines are mute"`, ""},
+		{`TestX "machines are"`, "machines are"},
+		{`TestX "writes are lost ..."`, "writes are lost ..."},
+	}
+	for _, c := range cases {
+		if got := strings.Join(unknownRows(literals, c.page), "; "); got != c.want {
+			t.Errorf("%s: got %q, want %q", c.page, got, c.want)
+		}
+	}
+}
+
 // declarations is every name that the module's sources declare: "package.Name", "package.Type.Member", and the
 // names of tests alone.
 type declarations map[string]bool
