--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -60,21 +60,6 @@
 	return candidates
 }
 
-// newCandidate describes a machine of which only the room counts.
-func newCandidate(
-	machine *mirror.Machine,
-	record *storage.ShardMachine,
-	free resources.Vector,
-) scheduling.Candidate {
-	return scheduling.Candidate{
-		MachineID:    machine.ID,
-		Record:       record,
-		Free:         free,
-		TaskCount:    len(machine.Attempts),
-		CachedImages: machine.CachedImages,
-	}
-}
-
 // newCandidateMachine makes a candidate for the tasks that an update assigns.
 func newCandidateMachine(
 	machine *mirror.Machine,
@@ -82,9 +67,18 @@
 	free resources.Vector,
 	update *shards.Update,
 ) *candidateMachine {
-	candidate := &candidateMachine{newCandidate(machine, record, free), machine, update}
-	candidate.Shard = update
-	return candidate
+	return &candidateMachine{
+		Candidate: scheduling.Candidate{
+			MachineID:    machine.ID,
+			Record:       record,
+			Free:         free,
+			TaskCount:    len(machine.Attempts),
+			CachedImages: machine.CachedImages,
+			Shard:        update,
+		},
+		machine: machine,
+		update:  update,
+	}
 }
 
 // reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
--- a/internal/placement/partition_capacity.go
+++ b/internal/placement/partition_capacity.go
@@ -34,7 +34,12 @@
 			continue
 		}
 		free := mirror.MachineCapacity(&machineType).Minus(machine.Used).Minus(reserved[machine.ID])
-		capacity.Add(machine.Owner(), newCandidate(machine, machine.Record, free))
+		capacity.Add(machine.Owner(), scheduling.MachineRoom{
+			MachineID:    machine.ID,
+			Record:       machine.Record,
+			Free:         free,
+			CachedImages: machine.CachedImages,
+		})
 	}
 	return capacity
 }
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -36,9 +36,7 @@
 	entry := scheduling.QueueEntry{
 		Job: scheduling.QueuedJob{
 			ID:              job.ID,
-			Team:            spec.Team,
-			Service:         spec.Service,
-			Priority:        spec.Priority,
+			Spec:            spec,
 			AcceptedAt:      job.Record.AcceptedAt,
 			UnassignedTasks: waiting,
 			TaskCPUs:        job.TaskResources.CPUs,
--- a/internal/scheduling/machine_choice.go
+++ b/internal/scheduling/machine_choice.go
@@ -60,7 +60,7 @@
 	Closing        bool            // about to be removed; reopened if nothing else has room
 	HeldBack       bool            // kept for a more urgent job that hasn't room yet
 	ReservedForJob string          // the job for which tasks are being stopped there; "" if none
-	Shard          ShardWrite      // nil where only the room counts
+	Shard          ShardWrite      // the write that assigns tasks to it
 }
 
 // AvailableTo tells whether a job may use what is free on the machine. Room that is being made is for the job
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -5,18 +5,26 @@
 	"pipitgap/internal/storage"
 )
 
+// MachineRoom is a machine with what is free on it.
+type MachineRoom struct {
+	MachineID    string
+	Record       *storage.ShardMachine
+	Free         resources.Vector
+	CachedImages map[string]bool // images that tasks have brought there
+}
+
 // PartitionCapacity is the free room of every partition.
 type PartitionCapacity struct {
-	machines map[string][]Candidate // by partition
+	machines map[string][]MachineRoom // by partition
 }
 
 // NewPartitionCapacity returns a capacity without machines.
 func NewPartitionCapacity() *PartitionCapacity {
-	return &PartitionCapacity{machines: map[string][]Candidate{}}
+	return &PartitionCapacity{machines: map[string][]MachineRoom{}}
 }
 
-// Add counts a machine in; of the candidate only the machine, its images and what is free matter.
-func (p *PartitionCapacity) Add(partition string, machine Candidate) {
+// Add counts a machine in.
+func (p *PartitionCapacity) Add(partition string, machine MachineRoom) {
 	p.machines[partition] = append(p.machines[partition], machine)
 }
 
--- a/internal/scheduling/partition_capacity_test.go
+++ b/internal/scheduling/partition_capacity_test.go
@@ -10,7 +10,7 @@
 func TestPartitionCapacity(t *testing.T) {
 	capacity := NewPartitionCapacity()
 	add := func(partition, id string, cpus float64, image string, spot bool) {
-		capacity.Add(partition, Candidate{
+		capacity.Add(partition, MachineRoom{
 			MachineID:    id,
 			Record:       &storage.ShardMachine{Zone: "a", Spot: spot},
 			Free:         resources.Vector{CPUs: cpus},
--- a/internal/scheduling/queue_order.go
+++ b/internal/scheduling/queue_order.go
@@ -1,6 +1,10 @@
 package scheduling
 
-import "sort"
+import (
+	"sort"
+
+	"pipitgap/internal/storage"
+)
 
 const (
 	// deadlineBoostWindowSeconds is how long before its next objective a late job goes before those in time.
@@ -12,9 +16,7 @@
 // QueuedJob is an open job with waiting tasks.
 type QueuedJob struct {
 	ID              string
-	Team            string
-	Service         bool
-	Priority        int
+	Spec            *storage.JobSpec
 	AcceptedAt      int64   // time of day, microseconds
 	UnassignedTasks int     // tasks that wait
 	TaskCPUs        float64 // CPUs of each
@@ -52,18 +54,18 @@
 // all other arrays, whatever their priority, comes a starved one, with a part of its tasks.
 //
 // The order isn't transitive: SortQueue's result depends on the order of its input.
-func (e QueueEntry) Before(other QueueEntry) bool {
+func (e *QueueEntry) Before(other *QueueEntry) bool {
 	if e.CrashLooping != other.CrashLooping {
 		return other.CrashLooping
 	}
 	if e.Starved != other.Starved {
 		if e.Starved {
-			return !other.Job.Service
+			return !other.Job.Spec.Service
 		}
-		return e.Job.Service
+		return e.Job.Spec.Service
 	}
-	if e.Job.Priority != other.Job.Priority {
-		return e.Job.Priority > other.Job.Priority
+	if e.Job.Spec.Priority != other.Job.Spec.Priority {
+		return e.Job.Spec.Priority > other.Job.Spec.Priority
 	}
 	if e.WithinGuarantee != other.WithinGuarantee {
 		return e.WithinGuarantee
@@ -85,7 +87,7 @@
 
 // SortQueue puts the most urgent job first.
 func SortQueue(entries []QueueEntry) {
-	sort.Slice(entries, func(a, b int) bool { return entries[a].Before(entries[b]) })
+	sort.Slice(entries, func(a, b int) bool { return entries[a].Before(&entries[b]) })
 }
 
 // AnyDeadlineBoost tells whether LimitDeadlineBoost has anything to limit.
@@ -112,7 +114,7 @@
 // waits: others are boosted as these end.
 func LimitDeadlineBoost(entries []QueueEntry, usage LateUsage) {
 	for _, entry := range boostedByWork(entries) {
-		team := entry.Job.Team
+		team := entry.Job.Spec.Team
 		usableCPUs := usage.FleetCPUs
 		if limit := usage.TeamMax(team); limit > 0 {
 			usableCPUs = min(usableCPUs, limit)
--- a/internal/scheduling/queue_order_test.go
+++ b/internal/scheduling/queue_order_test.go
@@ -1,12 +1,16 @@
 package scheduling
 
-import "testing"
+import (
+	"testing"
+
+	"pipitgap/internal/storage"
+)
 
 // TestQueueOrder: higher priority, then what can still meet its objectives, the least work
 // first; starved ones before any of that.
 func TestQueueOrder(t *testing.T) {
 	makeJob := func(id string, priority int, at int64) QueuedJob {
-		return QueuedJob{ID: id, AcceptedAt: at, Priority: priority}
+		return QueuedJob{ID: id, AcceptedAt: at, Spec: &storage.JobSpec{Priority: priority}}
 	}
 	cases := []struct {
 		name string
@@ -65,7 +69,7 @@
 		{"id at last", QueueEntry{Job: makeJob("a", 1, 1)}, QueueEntry{Job: makeJob("b", 1, 1)}},
 	}
 	for _, tc := range cases {
-		if !tc.a.Before(tc.b) || tc.b.Before(tc.a) {
+		if !tc.a.Before(&tc.b) || tc.b.Before(&tc.a) {
 			t.Error(tc.name)
 		}
 	}
@@ -76,12 +80,17 @@
 func TestDeadlineBoostLimit(t *testing.T) {
 	entry := func(id, team string, cpus, work float64) QueueEntry {
 		return QueueEntry{
-			Job:               QueuedJob{ID: id, Team: team, UnassignedTasks: 1, TaskCPUs: cpus},
+			Job: QueuedJob{
+				ID:              id,
+				Spec:            &storage.JobSpec{Team: team},
+				UnassignedTasks: 1,
+				TaskCPUs:        cpus,
+			},
 			WaitingCPUSeconds: work,
 			DeadlineBoost:     true,
 		}
 	}
-	plain := QueueEntry{Job: QueuedJob{ID: "plain", Team: "free"}}
+	plain := QueueEntry{Job: QueuedJob{ID: "plain", Spec: &storage.JobSpec{Team: "free"}}}
 	entries := []QueueEntry{
 		entry("large", "free", 30, 300), entry("small", "free", 31, 10), entry("tight", "tight", 1, 10),
 		entry("other", "other", 1, 10), plain,
