--- a/internal/sortedmap/sortedmap.go
+++ b/internal/sortedmap/sortedmap.go
@@ -4,9 +4,15 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 )
 
 // Keys gives the keys of a map in order.
-func Keys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+func Keys[K cmp.Ordered, V any](m map[K]V) []K {
+	keys := make([]K, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return keys
+}
