--- a/internal/placement/scheduling_pass_test.go
+++ b/internal/placement/scheduling_pass_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestPassAfterCommit: each outcome of a shard's commit requests a pass, and failures delay it; a conflict on a job's
-// record delays that job too.
+// TestPassAfterCommit: each outcome of a shard's commit requests a pass, and failures delay it; a conflict on
+// a job's record delays that job too.
 func TestPassAfterCommit(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/placement/stubs_test.go
+++ b/internal/placement/stubs_test.go
@@ -54,7 +54,9 @@
 		},
 		Dependencies{
 			Mirror: c.mirror, Environment: testEnvironment{c}, Membership: testMembership{c},
-			Reachability: testReachability{c}, Catalog: testCatalog{c}, Quota: testQuota{c}, Agents: testAgents{},
+			Reachability: testReachability{
+				c,
+			}, Catalog: testCatalog{c}, Quota: testQuota{c}, Agents: testAgents{},
 			Shards: testShards{c}, Store: testStore{c}, Replica: testReplica{c}, Drains: testDrains{},
 			Peers: testPeers{c}, RecordWrites: c.recordWrites, ScaleIn: testScaleIn{},
 			Log: slog.New(slog.DiscardHandler),
--- a/internal/placement/task_ranges_test.go
+++ b/internal/placement/task_ranges_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestOrphanedTasksAreAdopted: the ranges of a partition whose controller has gone, or doesn't reach its machines, go to
-// the job's successor; those of others stay.
+// TestOrphanedTasksAreAdopted: the ranges of a partition whose controller has gone, or doesn't reach its
+// machines, go to the job's successor; those of others stay.
 func TestOrphanedTasksAreAdopted(t *testing.T) {
 	yes := func(node string) map[string]bool { return map[string]bool{node: true} }
 	for _, tc := range []struct {
