--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -7,8 +7,6 @@
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/placement"
-	"pipitgap/internal/protocol"
-	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/reachability"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
@@ -63,7 +61,7 @@
 			Mirror:      c.mirror,
 			Environment: c.env,
 			Membership:  c.membership,
-			Store:       fleetStore{c},
+			Store:       stateService{c.store, c.replica},
 			Catalog:     c.catalog,
 			Controllers: fleetControllers{c},
 			Workload:    fleetWorkload{as},
@@ -84,19 +82,6 @@
 	})
 }
 
-// fleetStore commits what package fleet changes.
-type fleetStore struct{ c *Controller }
-
-func (s fleetStore) Unavailable() bool { return s.c.store.Unavailable() }
-
-func (s fleetStore) Commit(
-	priority ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	s.c.replica.Commit(priority, txn, callback)
-}
-
 // fleetControllers tells package fleet which controllers can claim machines.
 type fleetControllers struct{ c *Controller }
 
--- a/internal/coordination/wiring_drains.go
+++ b/internal/coordination/wiring_drains.go
@@ -21,7 +21,7 @@
 		Mirror:          c.mirror,
 		Clock:           c.env,
 		Membership:      c.membership,
-		Store:           dependencies,
+		Store:           drainStore{stateService{c.store, c.replica}, c},
 		Agents:          c.agents,
 		Jobs:            dependencies,
 		Machines:        dependencies,
@@ -30,43 +30,6 @@
 	})
 }
 
-func (d drainDependencies) Unavailable() bool { return d.c.store.Unavailable() }
-
-func (d drainDependencies) IsMirrorStale(now monotime.Micros) bool {
-	return d.c.replica.WatchOverdue(now)
-}
-
-func (d drainDependencies) UserCallsWaiting(now monotime.Micros) bool {
-	return d.c.store.UserCallsWaiting() || d.c.peerStatuses.UserCallsWaiting(now)
-}
-
-func (d drainDependencies) HasSpareWrites(now monotime.Micros, fraction float64) bool {
-	return d.c.store.HasSpareWrites(now, fraction)
-}
-
-func (d drainDependencies) NextWriteAllowedAt(fraction float64) monotime.Micros {
-	return d.c.store.NextWriteAllowedAt(fraction)
-}
-
-func (d drainDependencies) Commit(
-	priority ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	d.c.replica.Commit(priority, txn, callback)
-}
-
-func (d drainDependencies) CommitAsLeader(
-	priority ratelimit.Priority,
-	busyKey string,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	d.c.autoscaler.fleet.Commit(priority, busyKey, txn, callback)
-}
-
-func (d drainDependencies) MaxValueBytes() int { return d.c.maxValueBytes() }
-
 func (d drainDependencies) IsCrashLooping(job *mirror.Job) bool {
 	return d.c.scheduler.IsCrashLooping(job)
 }
@@ -88,3 +51,27 @@
 func (d drainDependencies) ScaleInDelay(record *storage.ShardMachine) monotime.Micros {
 	return d.c.scaleIn.Delay(record)
 }
+
+// drainStore is the state service as the drainer sees it. Users' calls that wait at any controller count, and
+// what the leader alone may write is committed by the fleet's reconciliation.
+type drainStore struct {
+	stateService
+	c *Controller
+}
+
+func (s drainStore) IsMirrorStale(now monotime.Micros) bool { return s.WatchOverdue(now) }
+
+func (s drainStore) UserCallsWaiting(now monotime.Micros) bool {
+	return s.Client.UserCallsWaiting() || s.c.peerStatuses.UserCallsWaiting(now)
+}
+
+func (s drainStore) CommitAsLeader(
+	priority ratelimit.Priority,
+	busyKey string,
+	txn protocol.Transaction,
+	callback func(protocol.StoreResult),
+) {
+	s.c.autoscaler.fleet.Commit(priority, busyKey, txn, callback)
+}
+
+func (s drainStore) MaxValueBytes() int { return s.c.maxValueBytes() }
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -3,20 +3,11 @@
 import (
 	"pipitgap/internal/durations"
 	"pipitgap/internal/membership"
-	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/quota/quotashares"
 	"pipitgap/internal/resources"
-	"pipitgap/internal/storeclient"
 )
 
-// quotaStore is the state service as the quota manager sees it: calls are paced by the client, commits go through
-// the mirror's replica.
-type quotaStore struct {
-	*storeclient.Client
-	*mirror.Replica
-}
-
 // quotaDependencies gives the quota manager what it needs of shards, peers and reachability.
 type quotaDependencies struct{ c *Controller }
 
@@ -32,7 +23,7 @@
 		quotashares.Dependencies{
 			Mirror:      c.mirror,
 			Membership:  c.membership,
-			Store:       quotaStore{c.store, c.replica},
+			Store:       stateService{c.store, c.replica},
 			Shards:      dependencies,
 			Peers:       dependencies,
 			RequestPass: func() { c.scheduler.RequestPass() },
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -5,7 +5,6 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/shards"
 	"pipitgap/internal/storage"
 )
@@ -24,7 +23,7 @@
 		},
 		shards.Dependencies{
 			Mirror:      c.mirror,
-			Store:       dependencies,
+			Store:       stateService{c.store, c.replica},
 			Membership:  c.membership,
 			Peers:       dependencies,
 			Quota:       c.quota,
@@ -39,24 +38,6 @@
 	)
 }
 
-func (d shardDependencies) Unavailable() bool { return d.c.store.Unavailable() }
-
-func (d shardDependencies) WatchOverdue(now monotime.Micros) bool {
-	return d.c.replica.WatchOverdue(now)
-}
-
-func (d shardDependencies) ThrottledWithin(duration monotime.Micros) bool {
-	return d.c.store.ThrottledWithin(duration)
-}
-
-func (d shardDependencies) Commit(
-	priority ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	d.c.replica.Commit(priority, txn, callback)
-}
-
 func (d shardDependencies) ConnectedControllers() []string {
 	return d.c.reachability.ConnectedControllers()
 }
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -8,6 +8,13 @@
 	"pipitgap/internal/storeclient"
 )
 
+// stateService is the state service as most other subjects see it: calls are paced by the client, commits go
+// through the mirror's replica.
+type stateService struct {
+	*storeclient.Client
+	*mirror.Replica
+}
+
 // newStoreClient makes the client of the state service.
 func newStoreClient(c *Controller) *storeclient.Client {
 	limits := c.cfg.Facts.State
