--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -59,7 +59,7 @@
 // all states, replicas that run, start and are being moved, and a controller that is gone.
 func commandRecords() []protocol.Op {
 	const at = 1_764_687_600_123_456
-	put := func(kind, name string, record any) protocol.Op {
+	put := func(kind storage.Kind, name string, record any) protocol.Op {
 		return protocol.Op{Put: storage.Key(kind, name), Value: protocol.MustMarshal(record)}
 	}
 	machine := func(
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -146,7 +146,7 @@
 func (w *fakeWorld) Add(cancelled cancellation.Committed) {
 	w.cancelled = append(w.cancelled, cancelled)
 }
-func (w *fakeWorld) putRecord(kind, id string, value any) {
+func (w *fakeWorld) putRecord(kind storage.Kind, id string, value any) {
 	w.records[storage.Key(kind, id)] = protocol.MustMarshal(value)
 }
 func (w *fakeWorld) cacheResult(id string, state storage.JobState) { w.mirror.Results.Add(id, state) }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -133,7 +133,8 @@
 // readRecord reads a job's record of a kind and goes on with found or missing; if the state service gives no
 // answer the lookup has failed.
 func (h *Handler) readRecord(
-	kind, id string,
+	kind storage.Kind,
+	id string,
 	callback func(lookup),
 	missing func(),
 	found func(protocol.Raw),
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -204,7 +204,7 @@
 }
 
 // onMirrorChange is called by the view for every change that it applied.
-func (c *Controller) onMirrorChange(kind, name string) {
+func (c *Controller) onMirrorChange(kind storage.Kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
 		c.scheduler.RequestPass()
--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -129,7 +129,7 @@
 			services++
 		}
 	}
-	shards := len(c.store.Keys(storage.KeyPrefix + storage.KindShard))
+	shards := len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	got := map[string]int{
 		"changes": c.store.Changes, "requests": 0, "conflicts": c.store.Conflicts, "refused": c.store.Throttled,
 		"finished": len(c.fleet.Finished), "services": services, "pages": shards, "cloud calls": 0,
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -197,7 +197,7 @@
 		Node: d.node,
 		Live: d.deps.Membership.IsMember,
 		Responsible: func(team string) bool {
-			return membership.RendezvousOwner(storage.KindPermits+"/"+team, controllers) == d.node
+			return membership.RendezvousOwner(string(storage.KindPermits)+"/"+team, controllers) == d.node
 		},
 		RecordBytes: d.deps.Jobs.AssignmentShardBytes(),
 	}
--- a/internal/mirror/lists.go
+++ b/internal/mirror/lists.go
@@ -19,16 +19,16 @@
 
 // recordKinds are the kinds that every mirror holds. The results of jobs aren't among them: they are kept for
 // ever and can't be listed.
-var recordKinds = []string{
+var recordKinds = []storage.Kind{
 	storage.KindScaleOut, storage.KindLeader, storage.KindMember, storage.KindOpenJob,
 	storage.KindShard, storage.KindPartition, storage.KindScaleIn, storage.KindMachineType,
 }
 
 // drainKinds are those that a mirror holds as well where drains are turned on.
-var drainKinds = []string{storage.KindDrain, storage.KindPermits}
+var drainKinds = []storage.Kind{storage.KindDrain, storage.KindPermits}
 
 // listedKinds are the kinds that a load lists, in order.
-func listedKinds(drains bool) []string {
+func listedKinds(drains bool) []storage.Kind {
 	if !drains {
 		return recordKinds
 	}
@@ -36,7 +36,7 @@
 }
 
 // listCall reads the page of a kind's records that follows a key, or the first page.
-func listCall(kind, after string) *protocol.StoreCall {
+func listCall(kind storage.Kind, after string) *protocol.StoreCall {
 	return &protocol.StoreCall{
 		Op:    protocol.StoreList,
 		Key:   storage.Key(kind, ""),
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -5,6 +5,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
 )
 
 // Failed calls of a load are made again after a delay from this range.
@@ -17,10 +18,10 @@
 type load struct {
 	replica       *Replica
 	mirror        *Mirror
-	kinds         []string // the lists that are still to be read
-	started       bool     // the first page is read; the revision of an empty store is 0
-	firstRevision uint64   // of the first page: the watch continues from here
-	lastRevision  uint64   // the newest of all pages
+	kinds         []storage.Kind // the lists that are still to be read
+	started       bool           // the first page is read; the revision of an empty store is 0
+	firstRevision uint64         // of the first page: the watch continues from here
+	lastRevision  uint64         // the newest of all pages
 	sentAt        monotime.Micros
 }
 
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -34,7 +34,7 @@
 	ownDeletions      map[string]uint64       // own deletions ahead of the watch
 	Results           *ResultCache
 
-	onChange          func(kind, name string)
+	onChange          func(kind storage.Kind, name string)
 	onMachineReleased func(id string)
 	generation        int // how often it was replaced
 }
@@ -64,14 +64,14 @@
 		PermitsByTeam:     map[string]PermitsEntry{},
 		ownDeletions:      map[string]uint64{},
 		Results:           NewResultCache(rememberedResults),
-		onChange:          func(string, string) {},
+		onChange:          func(storage.Kind, string) {},
 		onMachineReleased: func(string) {},
 	}
 }
 
 // Observe sets what is called after each change of a record, and when a machine is in no shard any longer.
 // They stay when the mirror is replaced.
-func (m *Mirror) Observe(onChange func(kind, name string), onMachineReleased func(id string)) {
+func (m *Mirror) Observe(onChange func(kind storage.Kind, name string), onMachineReleased func(id string)) {
 	m.onChange, m.onMachineReleased = onChange, onMachineReleased
 }
 
@@ -134,9 +134,10 @@
 
 // change is an event that is newer than the mirror.
 type change struct {
-	kind, name string
-	event      protocol.Event
-	nextShard  *Shard // the shard that was put; nil for other kinds and for deletions
+	kind      storage.Kind
+	name      string
+	event     protocol.Event
+	nextShard *Shard // the shard that was put; nil for other kinds and for deletions
 }
 
 // ApplyRevision brings the changes of one revision into the mirror, each unless the mirror is newer already.
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -97,7 +97,7 @@
 }
 
 // applyRecordPut applies a put of any record but a shard. A malformed one changes nothing.
-func (m *Mirror) applyRecordPut(kind, name string, event protocol.Event) {
+func (m *Mirror) applyRecordPut(kind storage.Kind, name string, event protocol.Event) {
 	switch kind {
 	case storage.KindJobResult:
 		m.putJobResult(name, event)
@@ -220,7 +220,7 @@
 }
 
 // applyRecordDelete applies a deletion of any record but a shard.
-func (m *Mirror) applyRecordDelete(kind, name string) {
+func (m *Mirror) applyRecordDelete(kind storage.Kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
 		for _, shard := range m.Shards {
--- a/internal/mirror/records_test.go
+++ b/internal/mirror/records_test.go
@@ -10,7 +10,7 @@
 // TestMalformedRecords: a record that can't be read changes nothing, and the one before stays.
 func TestMalformedRecords(t *testing.T) {
 	records := []struct {
-		kind  string
+		kind  storage.Kind
 		value any
 	}{
 		{storage.KindOpenJob, &storage.OpenJob{Spec: storage.JobSpec{Tasks: 2}}},
@@ -26,7 +26,7 @@
 	}
 	malformed := protocol.MustMarshal("no record")
 	for _, record := range records {
-		t.Run(record.kind, func(t *testing.T) {
+		t.Run(string(record.kind), func(t *testing.T) {
 			m := New()
 			key := storage.Key(record.kind, "a")
 			m.ApplyPut(key, malformed, 3)
@@ -80,7 +80,7 @@
 // deleted.
 func TestMachinesOfRequests(t *testing.T) {
 	kinds := []struct {
-		kind   string
+		kind   storage.Kind
 		record func(machines ...string) any
 		index  func(m *Mirror) map[string]string
 	}{
@@ -96,7 +96,7 @@
 		},
 	}
 	for _, tc := range kinds {
-		t.Run(tc.kind, func(t *testing.T) {
+		t.Run(string(tc.kind), func(t *testing.T) {
 			m := New()
 			first, second := storage.Key(tc.kind, "first"), storage.Key(tc.kind, "second")
 			m.ApplyPut(first, protocol.MustMarshal(tc.record("i-1", "i-2")), 1)
@@ -137,7 +137,7 @@
 				m.ApplyPut(key, protocol.MustMarshal(&storage.Member{Incarnation: 1}), 7)
 			}
 			changes := 0
-			m.Observe(func(string, string) { changes++ }, func(string) {})
+			m.Observe(func(storage.Kind, string) { changes++ }, func(string) {})
 			m.ApplyDelete(key, tc.version, false)
 			if changes != tc.changes {
 				t.Errorf("%d changes, want %d", changes, tc.changes)
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -77,7 +77,7 @@
 			Log:         slog.New(slog.DiscardHandler),
 		},
 	)
-	w.mirror.Observe(func(kind, name string) {
+	w.mirror.Observe(func(kind storage.Kind, name string) {
 		if kind == storage.KindShard {
 			w.m.HandleShardChange(name)
 		}
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -144,7 +144,7 @@
 
 // TestStoredKeys: the keys of all kinds are as they were, and are taken apart to what they were made of.
 func TestStoredKeys(t *testing.T) {
-	kinds := []string{
+	kinds := []Kind{
 		KindJobResult,
 		KindOpenJob,
 		KindShard,
