--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -105,7 +105,7 @@
 // apply brings a committed cancellation into the mirror ahead of the watch.
 func (cs *Cancellations) apply(cancelled cancellation.Committed) {
 	cs.mirror.ApplyPut(
-		storage.Key(storage.KindJobResult, cancelled.Job),
+		storage.JobResultKey(cancelled.Job),
 		protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}),
 		cancelled.Revision,
 	)
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -186,7 +186,7 @@
 	report *protocol.Heartbeat,
 	now monotime.Micros,
 ) {
-	key := storage.Key(storage.KindScaleOut, requestName)
+	key := storage.ScaleOutKey(requestName)
 	if m.recordWrites.Contains(key) || now < m.nextDesignationChangeAt {
 		return
 	}
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -45,7 +45,7 @@
 // CommitCancellation commits the result "cancelled" for an accepted job, unless it has a result: done and
 // cancelled exclude each other by that, and every assignment of a task depends on there being none.
 func (h *Handler) CommitCancellation(id string, respond Respond) {
-	key := storage.Key(storage.KindJobResult, id)
+	key := storage.JobResultKey(id)
 	value := protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})
 	transaction := protocol.Transaction{
 		If:   []protocol.Compare{{Key: key}},
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -154,11 +154,11 @@
 		h.statusOr(id, tooLarge, respond)
 		return
 	}
-	key := storage.Key(storage.KindOpenJob, id)
+	key := storage.OpenJobKey(id)
 	transaction := protocol.Transaction{
 		If: []protocol.Compare{
 			{Key: key, Version: 0},
-			{Key: storage.Key(storage.KindJobResult, id), Version: 0},
+			{Key: storage.JobResultKey(id), Version: 0},
 		},
 		Then: []protocol.Op{{Put: key, Value: value}},
 	}
--- a/internal/autoscaling/fleet/catalog.go
+++ b/internal/autoscaling/fleet/catalog.go
@@ -23,7 +23,7 @@
 		if stored.Version != 0 && sameButForPrices(record, stored.Record) || !protocol.ValidKeyPart(name) {
 			continue
 		}
-		key := storage.Key(storage.KindMachineType, name)
+		key := storage.MachineTypeKey(name)
 		r.Commit(ratelimit.PriorityBackground, key, putIfUnchanged(key, stored.Version, &record), nil)
 	}
 }
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -107,7 +107,7 @@
 		if records.ScaleOutOfMachine[id] != "" || records.ScaleInOfMachine[id] != "" {
 			continue
 		}
-		key := storage.Key(storage.KindScaleOut, scaleOutNamePrefix+r.nextRequestName())
+		key := storage.ScaleOutKey(scaleOutNamePrefix + r.nextRequestName())
 		record := storage.ScaleOutRequest{
 			Phase:       storage.ScaleOutProvisioning,
 			MachineType: listed.Type,
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -76,7 +76,7 @@
 		size += len(machines[n]) + scaleInMachineBytes
 		n++
 	}
-	key := storage.Key(storage.KindScaleIn, r.nextRequestName())
+	key := storage.ScaleInKey(r.nextRequestName())
 	record := storage.ScaleInRequest{Machines: machines[:n], StateSince: r.deps.Environment.WallClock()}
 	txn := putIfUnchanged(key, 0, &record)
 	r.Commit(ratelimit.PriorityBackground, scaleInBusyKey, txn, func(result protocol.StoreResult) {
@@ -110,7 +110,7 @@
 	default:
 		r.countFailedDeletion(name, &record, outcome)
 	}
-	key := storage.Key(storage.KindScaleIn, name)
+	key := storage.ScaleInKey(name)
 	txn := putIfUnchanged(key, request.Version, &record)
 	r.Commit(ratelimit.PriorityShardUpdate, key, txn, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK && record.Gone {
@@ -148,6 +148,6 @@
 			return
 		}
 	}
-	key := storage.Key(storage.KindScaleIn, name)
+	key := storage.ScaleInKey(name)
 	r.Commit(ratelimit.PriorityBackground, key, deleteIfUnchanged(key, request.Version), nil)
 }
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -36,7 +36,7 @@
 		case storage.ScaleOutNoCapacity:
 			if age > r.cfg.Settings.OfferQuarantine.Micros() {
 				r.term.backoffs.NoteOfferRecovery()
-				key := storage.Key(storage.KindScaleOut, name)
+				key := storage.ScaleOutKey(name)
 				r.Commit(ratelimit.PriorityBackground, key, deleteIfUnchanged(key, request.Version), nil)
 			}
 		case storage.ScaleOutProvisioning:
@@ -48,7 +48,7 @@
 // reconcileProvisioning drops a request whose machines are all up, has machines terminated that don't come up
 // in time, and names other controllers to claim machines when those that were to claim them can't.
 func (r *Reconciler) reconcileProvisioning(name string, request *mirror.ScaleOutEntry, age monotime.Micros) {
-	key := storage.Key(storage.KindScaleOut, name)
+	key := storage.ScaleOutKey(name)
 	missing := autoscaling.MissingMachines(r.deps.Mirror, request)
 	connected := r.deps.Controllers.Connected()
 	unclaimable := slices.ContainsFunc(missing, func(id string) bool {
@@ -69,8 +69,8 @@
 // removeMissing replaces a request by a scale-in request for its machines that didn't come up: without the
 // former nobody may claim them any more.
 func (r *Reconciler) removeMissing(name string, request *mirror.ScaleOutEntry, missing []string) {
-	key := storage.Key(storage.KindScaleOut, name)
-	scaleInKey := storage.Key(storage.KindScaleIn, r.nextRequestName())
+	key := storage.ScaleOutKey(name)
+	scaleInKey := storage.ScaleInKey(r.nextRequestName())
 	scaleIn := storage.ScaleInRequest{Machines: missing, StateSince: r.deps.Environment.WallClock()}
 	txn := deleteIfUnchanged(key, request.Version)
 	txn.If = append(txn.If, protocol.Compare{Key: scaleInKey, Version: 0})
@@ -137,7 +137,7 @@
 		return
 	}
 	record.PhaseSince = r.deps.Environment.WallClock()
-	key := storage.Key(storage.KindScaleOut, name)
+	key := storage.ScaleOutKey(name)
 	txn := putIfUnchanged(key, request.Version, &record)
 	if record.Phase == storage.ScaleOutProvisioning && len(result.Rented) < record.Count {
 		unfilled := storage.ScaleOutRequest{
@@ -157,7 +157,7 @@
 // written.
 func (r *Reconciler) requestScaleOut(scaleOut autoscaling.ScaleOut) {
 	for left := scaleOut.Machines; left > 0; left -= maxMachinesPerScaleOut {
-		key := storage.Key(storage.KindScaleOut, scaleOutNamePrefix+r.nextRequestName())
+		key := storage.ScaleOutKey(scaleOutNamePrefix + r.nextRequestName())
 		record := storage.ScaleOutRequest{
 			Phase:       storage.ScaleOutPending,
 			MachineType: scaleOut.MachineType,
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -123,7 +123,7 @@
 		}
 	}
 	next.Permits = append(next.Permits, granted...)
-	key := storage.Key(storage.KindPermits, team)
+	key := storage.PermitsKey(team)
 	txn := protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: have.Version}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
--- a/internal/drain/drainer/states.go
+++ b/internal/drain/drainer/states.go
@@ -21,7 +21,7 @@
 
 // writeState writes the next state of a drain, or deletes its record if that is nil.
 func (d *Drainer) writeState(record *drain.DrainRecord, next *storage.Drain) {
-	key, name := storage.Key(storage.KindDrain, record.Name), record.Name
+	key, name := storage.DrainKey(record.Name), record.Name
 	operation := protocol.Op{Delete: key}
 	if next != nil {
 		operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -150,13 +150,13 @@
 func (f *Finisher) complete(job *mirror.Job) {
 	id := job.ID
 	f.writes.Begin(id)
-	resultKey := storage.Key(storage.KindJobResult, id)
+	resultKey := storage.JobResultKey(id)
 	value := protocol.MustMarshal(&storage.JobResult{State: storage.JobDone})
 	transaction := protocol.Transaction{
 		If: []protocol.Compare{{Key: resultKey}},
 		Then: []protocol.Op{
 			{Put: resultKey, Value: value},
-			{Delete: storage.Key(storage.KindOpenJob, id)},
+			{Delete: storage.OpenJobKey(id)},
 		},
 	}
 	class := f.classes.PriorityClass(&job.Record.Spec, ratelimit.PriorityJobResult)
@@ -174,7 +174,7 @@
 func (f *Finisher) purge(job *mirror.Job) {
 	id := job.ID
 	f.writes.Begin(id)
-	key := storage.Key(storage.KindOpenJob, id)
+	key := storage.OpenJobKey(id)
 	transaction := protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Delete: key}},
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -127,14 +127,14 @@
 // memberRecordChange is the conditional change that writes this controller's member record over the given
 // version.
 func (m *Membership) memberRecordChange(version uint64) protocol.Transaction {
-	memberKey := storage.Key(storage.KindMember, m.node)
+	memberKey := storage.MemberKey(m.node)
 	record := protocol.MustMarshal(&storage.Member{Incarnation: m.incarnation, Zone: m.zone})
 	txn := protocol.Transaction{
 		If:   []protocol.Compare{{Key: memberKey, Version: version}},
 		Then: []protocol.Op{{Put: memberKey, Lease: m.lease.id, Value: record}},
 	}
 	if partition := m.mirror.Partitions[m.node]; partition != nil {
-		key := storage.Key(storage.KindPartition, m.node)
+		key := storage.PartitionKey(m.node)
 		txn.If = append(txn.If, protocol.Compare{Key: key, Version: partition.Version})
 		txn.Then = append(txn.Then, protocol.Op{Put: key, Value: protocol.MustMarshal(&partition.Record)})
 	}
--- a/internal/mirror/lists.go
+++ b/internal/mirror/lists.go
@@ -65,7 +65,7 @@
 func compareResults(ids []string) *protocol.StoreCall {
 	txn := protocol.Transaction{}
 	for _, id := range ids {
-		txn.If = append(txn.If, protocol.Compare{Key: storage.Key(storage.KindJobResult, id)})
+		txn.If = append(txn.If, protocol.Compare{Key: storage.JobResultKey(id)})
 	}
 	return &protocol.StoreCall{Op: protocol.StoreCommit, Transaction: txn}
 }
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -196,7 +196,7 @@
 	if existing != nil {
 		version = existing.Version
 	}
-	key := storage.Key(storage.KindDrain, name)
+	key := storage.DrainKey(name)
 	return &protocol.Transaction{
 		If: []protocol.Compare{
 			{Key: key, Version: version},
@@ -333,7 +333,7 @@
 			return nil, nil
 		}
 		changed = true
-		key := storage.Key(storage.KindDrain, name)
+		key := storage.DrainKey(name)
 		return &protocol.Transaction{
 			If:   []protocol.Compare{{Key: key, Version: record.Version}},
 			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -215,7 +215,7 @@
 	p.preferred = p.candidatesByUpdate[update]
 	update.BeginJob(job)
 	if p.limits.Limited() {
-		sharesKey := storage.Key(storage.KindPartition, sc.config.Node)
+		sharesKey := storage.PartitionKey(sc.config.Node)
 		update.AddCompare(sharesKey, sc.deps.Mirror.VersionOf(sharesKey))
 	}
 	joinsRange := p.lastAssigned.Machine == machine && p.lastAssigned.Task == task-1
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	sc.deps.RecordWrites.Begin(job.ID)
-	key := storage.Key(storage.KindOpenJob, job.ID)
+	key := storage.OpenJobKey(job.ID)
 	sc.deps.Replica.Commit(ratelimit.PriorityShardUpdate, protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: job.Version}},
 		Then: []protocol.Op{{Put: key, Value: value}},
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -102,7 +102,7 @@
 
 // commit writes this controller's record. A raise is conditional on the records of all controllers.
 func (m *Manager) commit(next *adjustment) {
-	key := partitionKey(m.cfg.Node)
+	key := storage.PartitionKey(m.cfg.Node)
 	txn := protocol.Transaction{
 		If:   []protocol.Compare{{Key: key, Version: next.version}},
 		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next.record)}},
@@ -133,7 +133,7 @@
 	delete(names, m.cfg.Node)
 	var compares []protocol.Compare
 	for _, node := range sortedmap.Keys(names) {
-		key := partitionKey(node)
+		key := storage.PartitionKey(node)
 		compares = append(compares, protocol.Compare{Key: key, Version: m.deps.Mirror.VersionOf(key)})
 	}
 	return compares
--- a/internal/quota/quotashares/manager.go
+++ b/internal/quota/quotashares/manager.go
@@ -153,7 +153,9 @@
 	return share
 }
 
-func (m *Manager) ownVersion() uint64 { return m.deps.Mirror.VersionOf(partitionKey(m.cfg.Node)) }
+func (m *Manager) ownVersion() uint64 {
+	return m.deps.Mirror.VersionOf(storage.PartitionKey(m.cfg.Node))
+}
 
 // ownUse is what this controller's shards take of a team's limit, at most. What a commit in doubt may have
 // assigned counts as well, and so do shards of an earlier incarnation that haven't been claimed again: they are
@@ -199,5 +201,3 @@
 	}
 	return teams
 }
-
-func partitionKey(node string) string { return storage.Key(storage.KindPartition, node) }
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -87,7 +87,7 @@
 func (s *controllerStub) putShares(node string, cpus float64) {
 	s.revision++
 	record := storage.Partition{QuotaShares: map[string]storage.QuotaShare{"tight": {CPUs: cpus}}}
-	s.mirror.ApplyPut(partitionKey(node), protocol.MustMarshal(&record), s.revision)
+	s.mirror.ApplyPut(storage.PartitionKey(node), protocol.MustMarshal(&record), s.revision)
 }
 
 // putShard sets the shard "s" with tasks of the team "tight", of 2 CPUs each.
@@ -210,10 +210,10 @@
 	}
 	versions := comparedVersions(stub.answer(t, protocol.OK))
 	want := map[string]uint64{
-		partitionKey("n-0"):  0,
-		partitionKey("n-1"):  2,
-		partitionKey("n-2"):  0,
-		partitionKey("left"): 3,
+		storage.PartitionKey("n-0"):  0,
+		storage.PartitionKey("n-1"):  2,
+		storage.PartitionKey("n-2"):  0,
+		storage.PartitionKey("left"): 3,
 	}
 	for key, version := range want {
 		if got, ok := versions[key]; !ok || got != version {
@@ -230,7 +230,7 @@
 	stub.lackReportedAt["tight"] = 0
 	m.Adjust(monotime.Second)
 	versions = comparedVersions(stub.answer(t, protocol.OK))
-	if _, ok := versions[partitionKey("n-0")]; !ok || len(versions) != 1 {
+	if _, ok := versions[storage.PartitionKey("n-0")]; !ok || len(versions) != 1 {
 		t.Errorf("a lowering asks for %v", versions)
 	}
 	if got := m.ShareOf("n-0", "tight").CPUs; got != 0 {
@@ -388,7 +388,7 @@
 			}
 			versions := comparedVersions(stub.answer(t, protocol.OK))
 			member, asked := versions[storage.Key(storage.KindMember, "n-2")]
-			if versions[partitionKey("n-2")] != 2 || !asked || member != 0 {
+			if versions[storage.PartitionKey("n-2")] != 2 || !asked || member != 0 {
 				t.Errorf("asks for %v", versions)
 			}
 			if stub.mirror.Partitions["n-2"] != nil || m.Unallocated("tight").CPUs != 20 {
@@ -415,7 +415,7 @@
 		t.Fatalf("%d changes, asks for %v", len(txn.Then), comparedVersions(txn))
 	}
 	versions := comparedVersions(txn)
-	if versions[partitionKey("n-2")] != 2 || versions[partitionKey("n-0")] != 0 {
+	if versions[storage.PartitionKey("n-2")] != 2 || versions[storage.PartitionKey("n-0")] != 0 {
 		t.Errorf("asks for %v", versions)
 	}
 	stub.mirror.ApplyCommit(&txn, stub.revision+1)
--- a/internal/quota/quotashares/transfer.go
+++ b/internal/quota/quotashares/transfer.go
@@ -48,12 +48,12 @@
 }
 
 func (m *Manager) release(node string) {
-	key := partitionKey(node)
+	key := storage.PartitionKey(node)
 	m.releasesInFlight[node] = true
 	txn := protocol.Transaction{
 		If: []protocol.Compare{
 			{Key: key, Version: m.deps.Mirror.VersionOf(key)},
-			{Key: storage.Key(storage.KindMember, node)},
+			{Key: storage.MemberKey(node)},
 		},
 		Then: []protocol.Op{{Delete: key}},
 	}
@@ -101,7 +101,7 @@
 
 func (m *Manager) pendingRecord(txn *protocol.Transaction, node string) pendingRecord {
 	pending := pendingRecord{
-		key:       partitionKey(node),
+		key:       storage.PartitionKey(node),
 		record:    storage.Partition{QuotaShares: map[string]storage.QuotaShare{}},
 		operation: -1,
 	}
--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -94,7 +94,7 @@
 		State:    storage.MachineOpen,
 		Claim:    heartbeat.FencingToken>>32 + 1,
 	})
-	update.AddCompare(storage.Key(storage.KindScaleOut, scaleOutName), scaleOut.Version)
+	update.AddCompare(storage.ScaleOutKey(scaleOutName), scaleOut.Version)
 }
 
 // takeOver takes a machine that has lost its owner over from that controller's shard.
@@ -171,7 +171,7 @@
 	update.maxBytes += need.bytes
 	update.plannedBytes += need.plannedBytes
 	update.admittedMachines[machine] = true
-	update.AddCompare(storage.Key(storage.KindMember, a.cfg.Node), a.memberVersion)
+	update.AddCompare(storage.MemberKey(a.cfg.Node), a.memberVersion)
 	return true
 }
 
@@ -207,7 +207,7 @@
 // update has taken already.
 func (u *Update) otherShard(shard *mirror.Shard) *storage.Shard {
 	record := shard.Record
-	if i := u.putOf(shardKey(shard.Name)); i >= 0 {
+	if i := u.putOf(storage.ShardKey(shard.Name)); i >= 0 {
 		record, _ = storage.DecodeShard(u.txn.Then[i].Value, nil)
 	}
 	return record.Clone()
@@ -215,7 +215,7 @@
 
 // putOtherShard has the update's commit write the record of a shard that machines are taken from.
 func (u *Update) putOtherShard(shard *mirror.Shard, record *storage.Shard) {
-	key := shardKey(shard.Name)
+	key := storage.ShardKey(shard.Name)
 	encoded, _ := record.Encode()
 	if i := u.putOf(key); i >= 0 {
 		u.txn.Then[i].Value = encoded
--- a/internal/shards/admission_test.go
+++ b/internal/shards/admission_test.go
@@ -178,7 +178,7 @@
 		}
 	}
 	w.m.Commit(update, w.clock)
-	w.answer(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{shardKey("p0")}})
+	w.answer(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{storage.ShardKey("p0")}})
 	update = take()
 	if update.Machines()["i-00"] != nil || len(update.txn.Then) != maxTakeoverSources/2 {
 		t.Errorf("after a conflict on p0: machines %v", update.Machines())
--- a/internal/shards/claim_requests.go
+++ b/internal/shards/claim_requests.go
@@ -7,6 +7,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
 )
 
 // claimRequestTimeout is how long a machine waits to be claimed before its worker is refused.
@@ -65,7 +66,7 @@
 	ids := sortedmap.Keys(m.claimRequests)
 	conflicted := func(id string) bool {
 		from := m.claimRequests[id].fromShard
-		return from != nil && m.takeoverLimiter.conflictedKeys[shardKey(from.Name)]
+		return from != nil && m.takeoverLimiter.conflictedKeys[storage.ShardKey(from.Name)]
 	}
 	sort.SliceStable(ids, func(a, b int) bool { return !conflicted(ids[a]) && conflicted(ids[b]) })
 	return ids
--- a/internal/shards/commit.go
+++ b/internal/shards/commit.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
 )
 
 // Commit writes the next version of a shard. A new shard that got no machines is dropped instead.
@@ -27,7 +28,7 @@
 
 // transaction is what is committed of an update; a shard that holds nothing any more is deleted.
 func (m *Manager) transaction(update *Update) protocol.Transaction {
-	key := shardKey(update.name)
+	key := storage.ShardKey(update.name)
 	txn := update.txn
 	txn.If = append([]protocol.Compare{{Key: key, Version: update.previousVersion()}}, txn.If...)
 	if update.previous != nil && len(update.next.Machines) == 0 && len(update.next.Jobs) == 0 {
@@ -54,7 +55,7 @@
 		m.handleCommitted(update)
 		return
 	case protocol.Unknown:
-		t.resolveUpdates(m.mirror.VersionOf(shardKey(update.name)))
+		t.resolveUpdates(m.mirror.VersionOf(storage.ShardKey(update.name)))
 		return
 	case protocol.Conflict:
 		m.log.Debug("shard compare-and-swap conflict", "shard", update.name, "failed_keys", result.Failed)
--- a/internal/shards/failover.go
+++ b/internal/shards/failover.go
@@ -108,7 +108,7 @@
 	member := m.mirror.Members[to]
 	transfer := m.buildTransfer(shards, to, member.Record.Incarnation)
 	transfer.txn.If = append(transfer.txn.If, protocol.Compare{
-		Key:     storage.Key(storage.KindMember, to),
+		Key:     storage.MemberKey(to),
 		Version: member.Version,
 	})
 	m.quota.BeginWrite()
--- a/internal/shards/failover_test.go
+++ b/internal/shards/failover_test.go
@@ -92,7 +92,7 @@
 				t.Errorf("written: owner %s, incarnation %d, claim %d",
 					record.Owner, record.Incarnation, record.Claim)
 			}
-			if compare := transfer.txn.If[0]; compare.Key != shardKey("p0") || compare.Version != 3 {
+			if compare := transfer.txn.If[0]; compare.Key != storage.ShardKey("p0") || compare.Version != 3 {
 				t.Errorf("conditional on %v", compare)
 			}
 		})
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -104,7 +104,7 @@
 		record.Assign("j-1", storage.Attempt{Task: i, Machine: id, Number: 1})
 	}
 	encoded, _ := record.Encode()
-	w.put(shardKey(name), encoded)
+	w.put(storage.ShardKey(name), encoded)
 	return w.mirror.Shards[name]
 }
 
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -81,7 +81,7 @@
 func (m *Manager) HandleShardChange(name string) {
 	shard := m.mirror.Shards[name]
 	if t := m.trackers[name]; t != nil {
-		t.resolveUpdates(m.mirror.VersionOf(shardKey(name)))
+		t.resolveUpdates(m.mirror.VersionOf(storage.ShardKey(name)))
 	}
 	if shard == nil {
 		delete(m.trackers, name)
@@ -123,5 +123,3 @@
 	update.maxBytes = next.MaxEncodedSize()
 	return update
 }
-
-func shardKey(name string) string { return storage.Key(storage.KindShard, name) }
--- a/internal/shards/transfer.go
+++ b/internal/shards/transfer.go
@@ -42,7 +42,7 @@
 			break
 		}
 		bytes += size
-		key := shardKey(shard.Name)
+		key := storage.ShardKey(shard.Name)
 		t.shards = append(t.shards, shard)
 		t.txn.If = append(t.txn.If, protocol.Compare{Key: key, Version: shard.Version})
 		t.txn.Then = append(t.txn.Then, protocol.Op{Put: key, Value: encoded})
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -132,8 +132,8 @@
 	}
 	u.assignedJobs[job.ID] = true
 	u.maxBytes += len(job.ID) + jobEntryOverheadBytes
-	u.AddCompare(storage.Key(storage.KindOpenJob, job.ID), job.Version)
-	u.AddCompare(storage.Key(storage.KindJobResult, job.ID), 0)
+	u.AddCompare(storage.OpenJobKey(job.ID), job.Version)
+	u.AddCompare(storage.JobResultKey(job.ID), 0)
 }
 
 // Assign gives a task of a job to a machine of the shard. With joinsRange the attempt before it in the job's
