--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -193,6 +193,22 @@
 	return c.print(list, func(w io.Writer) { printList(w, list) })
 }
 
+// changeState has a drain enter a state, and says whether it was in another one before.
+func (f *operatorFlags) changeState(
+	name, state string,
+	change func(*operator.DrainOperator) (changed bool, err error),
+) error {
+	drains, _, err := f.drainOperator()
+	if err != nil {
+		return err
+	}
+	changed, err := change(drains)
+	if err != nil {
+		return err
+	}
+	return f.printStateChange(stateChange{name, state, changed})
+}
+
 // drainPauseCmd has a drain begin no further step.
 type drainPauseCmd struct {
 	operatorFlags `embed:""`
@@ -201,15 +217,9 @@
 
 // Run carries the command out.
 func (c *drainPauseCmd) Run() error {
-	drains, _, err := c.drainOperator()
-	if err != nil {
-		return err
-	}
-	changed, err := drains.Pause(c.Name)
-	if err != nil {
-		return err
-	}
-	return c.printStateChange(stateChange{c.Name, "paused", changed})
+	return c.changeState(c.Name, "paused", func(drains *operator.DrainOperator) (changed bool, err error) {
+		return drains.Pause(c.Name)
+	})
 }
 
 // drainResumeCmd has a paused drain go on.
@@ -221,15 +231,9 @@
 
 // Run carries the command out.
 func (c *drainResumeCmd) Run() error {
-	drains, _, err := c.drainOperator()
-	if err != nil {
-		return err
-	}
-	changed, err := drains.Resume(c.Name, monotime.FromDuration(c.Deadline))
-	if err != nil {
-		return err
-	}
-	return c.printStateChange(stateChange{c.Name, "active", changed})
+	return c.changeState(c.Name, "active", func(drains *operator.DrainOperator) (changed bool, err error) {
+		return drains.Resume(c.Name, monotime.FromDuration(c.Deadline))
+	})
 }
 
 // drainAbortCmd ends a drain.
@@ -240,13 +244,7 @@
 
 // Run carries the command out.
 func (c *drainAbortCmd) Run() error {
-	drains, _, err := c.drainOperator()
-	if err != nil {
-		return err
-	}
-	changed, err := drains.Abort(c.Name)
-	if err != nil {
-		return err
-	}
-	return c.printStateChange(stateChange{c.Name, "ended", changed})
+	return c.changeState(c.Name, "ended", func(drains *operator.DrainOperator) (changed bool, err error) {
+		return drains.Abort(c.Name)
+	})
 }
