--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -107,7 +107,7 @@
 		if records.ScaleOutOfMachine[id] != "" || records.ScaleInOfMachine[id] != "" {
 			continue
 		}
-		key := storage.ScaleOutKey(scaleOutNamePrefix + r.nextRequestName())
+		key := r.newScaleOutKey()
 		record := storage.ScaleOutRequest{
 			Phase:       storage.ScaleOutProvisioning,
 			MachineType: listed.Type,
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -18,6 +18,11 @@
 // scaleOutNamePrefix begins the names of scale-out requests.
 const scaleOutNamePrefix = "r-"
 
+// newScaleOutKey gives the key of a new scale-out request.
+func (r *Reconciler) newScaleOutKey() string {
+	return storage.ScaleOutKey(scaleOutNamePrefix + r.nextRequestName())
+}
+
 // unfilledKeySuffix marks the record that quarantines an offer of which a request got fewer machines than it
 // asked for: the request's key with this suffix.
 const unfilledKeySuffix = "-rest"
@@ -157,7 +162,7 @@
 // written.
 func (r *Reconciler) requestScaleOut(scaleOut autoscaling.ScaleOut) {
 	for left := scaleOut.Machines; left > 0; left -= maxMachinesPerScaleOut {
-		key := storage.ScaleOutKey(scaleOutNamePrefix + r.nextRequestName())
+		key := r.newScaleOutKey()
 		record := storage.ScaleOutRequest{
 			Phase:       storage.ScaleOutPending,
 			MachineType: scaleOut.MachineType,
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -58,7 +58,7 @@
 }
 
 func (m *Membership) retryGrant() {
-	jitter := monotime.Micros(m.env.Rand().Int64N(int64(leaseGrantRetryJitter)))
+	jitter := monotime.RandomBelow(m.env.Rand(), leaseGrantRetryJitter)
 	m.env.After(leaseRetryDelay+jitter, func() {
 		m.lease.grantInFlight = false
 		m.RequestLease()
--- a/internal/mirror/replica.go
+++ b/internal/mirror/replica.go
@@ -157,5 +157,5 @@
 
 // jittered draws a delay between base and base plus spread.
 func (r *Replica) jittered(base, spread monotime.Micros) monotime.Micros {
-	return base + monotime.Micros(r.env.Rand().Int64N(int64(spread)))
+	return base + monotime.RandomBelow(r.env.Rand(), spread)
 }
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -4,6 +4,7 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
@@ -40,6 +41,11 @@
 // Duration gives the standard form.
 func (t Micros) Duration() time.Duration { return time.Duration(t) * time.Microsecond }
 
+// RandomBelow draws a span of at least 0 and less than limit, which must be above 0.
+func RandomBelow(random *rand.Rand, limit Micros) Micros {
+	return Micros(random.Int64N(int64(limit)))
+}
+
 // NewClock returns a clock that counts from now and never steps.
 func NewClock() func() Micros {
 	start := time.Now()
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -53,16 +53,21 @@
 
 // beginAdjustment copies this controller's record. Commits in doubt are settled by writing it anew.
 func (m *Manager) beginAdjustment() *adjustment {
-	next := &adjustment{record: storage.Partition{QuotaShares: map[string]storage.QuotaShare{}}}
-	if own := m.deps.Mirror.Partitions[m.cfg.Node]; own != nil {
-		next.version = own.Version
-		maps.Copy(next.record.QuotaShares, own.Record.QuotaShares)
-	}
+	next := &adjustment{record: m.copyOfRecord(m.cfg.Node), version: m.ownVersion()}
 	m.resolveInDoubt()
 	next.changed = len(m.inDoubt) > 0
 	return next
 }
 
+// copyOfRecord copies a controller's record; one without a record has no shares.
+func (m *Manager) copyOfRecord(node string) storage.Partition {
+	record := storage.Partition{QuotaShares: map[string]storage.QuotaShare{}}
+	if partition := m.deps.Mirror.Partitions[node]; partition != nil {
+		maps.Copy(record.QuotaShares, partition.Record.QuotaShares)
+	}
+	return record
+}
+
 // resolveInDoubt forgets commits that were conditional on another version than the record's.
 func (m *Manager) resolveInDoubt() {
 	version := m.ownVersion()
--- a/internal/quota/quotashares/transfer.go
+++ b/internal/quota/quotashares/transfer.go
@@ -1,8 +1,6 @@
 package quotashares
 
 import (
-	"maps"
-
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota"
@@ -102,12 +100,9 @@
 func (m *Manager) pendingRecord(txn *protocol.Transaction, node string) pendingRecord {
 	pending := pendingRecord{
 		key:       storage.PartitionKey(node),
-		record:    storage.Partition{QuotaShares: map[string]storage.QuotaShare{}},
+		record:    m.copyOfRecord(node),
 		operation: -1,
 	}
-	if partition := m.deps.Mirror.Partitions[node]; partition != nil {
-		maps.Copy(pending.record.QuotaShares, partition.Record.QuotaShares)
-	}
 	for i, operation := range txn.Then {
 		if operation.Put != pending.key {
 			continue
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -34,13 +34,7 @@
 	need resources.Vector,
 	partition string,
 ) int {
-	tasks := 0
-	for i := range p.machines[partition] {
-		if machine := &p.machines[partition][i]; MachineAllowed(spec, machine.Record) {
-			tasks += need.CountIn(machine.Free)
-		}
-	}
-	return tasks
+	return p.countTasks(spec, need, partition, anyMachine)
 }
 
 // TasksFittingBesideImage counts those of a job's tasks that fit on machines which have their image.
@@ -48,11 +42,26 @@
 	spec *storage.JobSpec,
 	need resources.Vector,
 	partition string,
+) int {
+	return p.countTasks(spec, need, partition, (*MachineRoom).hasImage)
+}
+
+func (m *MachineRoom) hasImage(image string) bool { return m.CachedImages[image] }
+
+// anyMachine is the condition of jobs for which every machine counts, whatever images it has.
+func anyMachine(*MachineRoom, string) bool { return true }
+
+// countTasks counts the tasks of a job that fit on those machines of a partition that count for its image.
+func (p *PartitionCapacity) countTasks(
+	spec *storage.JobSpec,
+	need resources.Vector,
+	partition string,
+	counts func(machine *MachineRoom, image string) bool,
 ) int {
 	tasks := 0
 	for i := range p.machines[partition] {
 		machine := &p.machines[partition][i]
-		if machine.CachedImages[spec.Image] && MachineAllowed(spec, machine.Record) {
+		if counts(machine, spec.Image) && MachineAllowed(spec, machine.Record) {
 			tasks += need.CountIn(machine.Free)
 		}
 	}
@@ -74,7 +83,7 @@
 	for i := range p.machines[partition] {
 		machine := &p.machines[partition][i]
 		if !MachineAllowed(fit.Spec, machine.Record) ||
-			fit.BesideImage && !machine.CachedImages[fit.Spec.Image] {
+			fit.BesideImage && !machine.hasImage(fit.Spec.Image) {
 			continue
 		}
 		if fit.Need.FitsIn(machine.Free.Plus(fit.Freed(machine.MachineID))) {
