--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -127,12 +127,12 @@
 func (m *Manager) silenceRemovalReason(machine *mirror.Machine, check *healthCheck) string {
 	agent := m.Of(machine)
 	silence := m.silenceOf(agent, check.now)
-	zoneCutOff := m.isZoneCutOff(machine, check.now)
+	keepForZone := m.keepsForUnreachableZone(machine, check.now)
 	// Cancelled tasks must be gone in time. Until then the lease may end, or another controller reach the
 	// machine: all the tasks there are a high price for one that was cancelled a moment before the trouble.
 	giveUp := m.durations.LeaseExpiryProof + 2*m.durations.HeartbeatInterval
 	overdue := m.durations.CancellationDeadline / 2
-	if zoneCutOff {
+	if keepForZone {
 		giveUp, overdue = 3*m.durations.LeaseExpiryProof, 3*m.durations.CancellationDeadline/4
 	}
 	fewSilent := 3*check.silent <= check.owned
@@ -143,7 +143,7 @@
 		return removalCancelledUnreachable
 	case agent.InterruptionNoticed() && silence > m.durations.PlacementSilenceLimit:
 		return removalInterrupted
-	case silence > m.durations.SuspicionTimeout && fewSilent && agent.ClaimAcknowledged() && !zoneCutOff:
+	case silence > m.durations.SuspicionTimeout && fewSilent && agent.ClaimAcknowledged() && !keepForZone:
 		// Deleting it proves its tasks gone long before its lease would. Not when many are silent: then it
 		// is this controller that is cut off.
 		return removalUnreachable
@@ -151,12 +151,14 @@
 	return ""
 }
 
-// isZoneCutOff tells whether a machine is to be kept because its zone as a whole is unreachable. A zone that
-// is cut off comes back with its machines, each within a lease: if they were deleted for their silence, its
-// room would wait for new machines to boot. Not so where services are: a deletion lets them start elsewhere.
-func (m *Manager) isZoneCutOff(machine *mirror.Machine, now monotime.Micros) bool {
-	at, cutOff := m.zoneUnreachableAt[machine.Record.Zone]
-	return cutOff && now-at < m.durations.WorkerLease && !m.holdsService(machine)
+// keepsForUnreachableZone tells whether a machine is to be kept because its zone as a whole is unreachable,
+// by this controller's own machines there. (What the log calls "zone unreachable" is the leader's judgement by
+// all machines, see fleet.Reconciler.) A zone that is cut off comes back with its machines, each within a
+// lease: if they were deleted for their silence, its capacity would wait for new machines to boot. Not so where
+// services are: a deletion lets them start elsewhere.
+func (m *Manager) keepsForUnreachableZone(machine *mirror.Machine, now monotime.Micros) bool {
+	at, unreachable := m.zoneUnreachableAt[machine.Record.Zone]
+	return unreachable && now-at < m.durations.WorkerLease && !m.holdsService(machine)
 }
 
 // RequestRemoval has a machine removed: its shard says so, and the leader has it terminated.
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -355,7 +355,7 @@
 			out = os.Stderr
 		}
 		log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug})).
-			With("node", name)
+			With("controller", name)
 		controller.controller = NewController(c.nodeConfig(name), c.settings, env, log)
 		controller.controller.Start()
 	}
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -39,7 +39,8 @@
 // BlockKind is what a replica's move waits for.
 type BlockKind string
 
-// What a move can wait for.
+// What a move can wait for. docs/operators/drains.md says what helps. Progress, which the operators' command
+// shows, never has BlockedByPermits, and BlockedByDeadline only until the leader has paused the drain.
 const (
 	BlockedByBudget     BlockKind = "budget"
 	BlockedByCapacity   BlockKind = "room"
--- a/internal/drain/doc.go
+++ b/internal/drain/doc.go
@@ -3,7 +3,7 @@
 //
 // All decisions are pure: they read an immutable Snapshot of the records and say what to
 // write and which replicas to stop. The package makes no calls and holds no clock;
-// internal/coordination carries the decisions out, and the operators' commands show them.
+// package drainer carries the decisions out, and the operators' commands show them.
 //
 // A replica is stopped for a drain only under a permit. All permits of a team stand in one
 // record, each change of which is conditional on the record's version, so two drains, or two
