--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -1,6 +1,7 @@
 package agents
 
 import (
+	"pipitgap/internal/mapentry"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -21,12 +22,7 @@
 
 // recordOf gives the record of the commands about an attempt.
 func (a *Agent) recordOf(key AttemptID) *commandRecord {
-	record := a.sentCommands[key]
-	if record == nil {
-		record = &commandRecord{}
-		a.sentCommands[key] = record
-	}
-	return record
+	return mapentry.GetOrNew(a.sentCommands, key)
 }
 
 // KillSent tells whether the agent was ever sent a kill of an attempt that the store held on the machine.
--- a/internal/api/burst_limit.go
+++ b/internal/api/burst_limit.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 
+	"pipitgap/internal/mapentry"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -53,11 +54,7 @@
 
 // countSubmission counts a submission for its team.
 func (b *burstLimiter) countSubmission(spec *storage.JobSpec) {
-	rate := b.rates[spec.Team]
-	if rate == nil {
-		rate = &submissionRate{}
-		b.rates[spec.Team] = rate
-	}
+	rate := mapentry.GetOrNew(b.rates, spec.Team)
 	rate.decayedCount(b.environment.Now())
 	rate.decayingCount++
 }
--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -41,7 +41,8 @@
 // only: neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above
 // all it imports.
 var layers = [][]row{
-	{{path: "internal/monotime"}, {path: "internal/logging"}, {path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
+	{{path: "internal/monotime"}, {path: "internal/mapentry"}, {path: "internal/logging"},
+		{path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
 		{path: "internal/peerwire/cancellation"}},
 	{{path: "internal/sortedmap"}, {path: "internal/peerwire"}},
 	{{path: "internal/config"}, {path: "internal/transport"}},
--- a/internal/autoscaling/backoff.go
+++ b/internal/autoscaling/backoff.go
@@ -1,6 +1,9 @@
 package autoscaling
 
-import "pipitgap/internal/monotime"
+import (
+	"pipitgap/internal/mapentry"
+	"pipitgap/internal/monotime"
+)
 
 // Backoffs follows the jobs whose demand no offer can meet. After several passes such a job is left out for a
 // pause, longer each time; at the ceiling it is left out until an offer that was unavailable recovers.
@@ -76,11 +79,7 @@
 		delete(b.jobs, jobID)
 		return false
 	}
-	state := b.jobs[jobID]
-	if state == nil {
-		state = &backoff{}
-		b.jobs[jobID] = state
-	}
+	state := mapentry.GetOrNew(b.jobs, jobID)
 	state.unmetPasses++
 	if state.suspended {
 		state.offerRecoveries = b.offerRecoveries
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -4,6 +4,7 @@
 	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/autoscaling/fleet"
 	"pipitgap/internal/autoscaling/scalein"
+	"pipitgap/internal/mapentry"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/placement"
@@ -117,10 +118,7 @@
 			continue
 		}
 		zone, state := machine.Record.Zone, machine.Record.State
-		if counts[zone] == nil {
-			counts[zone] = &reachability.SilenceCount{}
-		}
-		counts[zone].Add(state == storage.MachineUnreachable, state != storage.MachineOpen)
+		mapentry.GetOrNew(counts, zone).Add(state == storage.MachineUnreachable, state != storage.MachineOpen)
 	}
 	contacts := map[string]fleet.ZoneContact{}
 	for zone, count := range counts {
--- /dev/null
+++ b/internal/mapentry/mapentry_test.go
@@ -0,0 +1,24 @@
+package mapentry
+
+import "testing"
+
+func TestGetOrNew(t *testing.T) {
+	present := 7
+	entries := map[string]*int{"present": &present, "nil": nil}
+	if got := GetOrNew(entries, "present"); got != &present {
+		t.Error("an entry that is present was replaced")
+	}
+	for _, key := range []string{"missing", "nil"} {
+		added := GetOrNew(entries, key)
+		if added == nil || *added != 0 {
+			t.Fatalf("%s: got %v, want a pointer to zero", key, added)
+		}
+		*added = 3
+		if again := GetOrNew(entries, key); again != added || *again != 3 {
+			t.Errorf("%s: the entry added isn't kept", key)
+		}
+	}
+	if len(entries) != 3 {
+		t.Errorf("%d entries, want 3", len(entries))
+	}
+}
--- a/internal/peers/table.go
+++ b/internal/peers/table.go
@@ -2,6 +2,7 @@
 
 import (
 	"pipitgap/internal/durations"
+	"pipitgap/internal/mapentry"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/sortedmap"
 )
@@ -44,11 +45,7 @@
 
 // Update keeps the status that a peer has sent.
 func (t *Table) Update(status *Status, now monotime.Micros) {
-	peer := t.statuses[status.Node]
-	if peer == nil {
-		peer = &peerState{}
-		t.statuses[status.Node] = peer
-	}
+	peer := mapentry.GetOrNew(t.statuses, status.Node)
 	peer.lastHeardAt, peer.heard = now, true
 	if status.StateServiceReachable {
 		peer.storeReachableAt = now
--- a/internal/placement/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"pipitgap/internal/mapentry"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/scheduling"
 )
@@ -24,12 +25,7 @@
 
 // trackingOf gives what is noted about a job, and begins it if there is nothing yet.
 func (sc *Scheduler) trackingOf(id string) *jobTracking {
-	tracking := sc.jobStates[id]
-	if tracking == nil {
-		tracking = &jobTracking{}
-		sc.jobStates[id] = tracking
-	}
-	return tracking
+	return mapentry.GetOrNew(sc.jobStates, id)
 }
 
 // ForgetJob drops what is noted about a job without a record.
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -1,6 +1,7 @@
 package shards
 
 import (
+	"pipitgap/internal/mapentry"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/resources"
@@ -63,12 +64,7 @@
 
 // trackerOf gives the tracker of an own shard, and makes it if there is none.
 func (m *Manager) trackerOf(shard string) *tracker {
-	t := m.trackers[shard]
-	if t == nil {
-		t = &tracker{}
-		m.trackers[shard] = t
-	}
-	return t
+	return mapentry.GetOrNew(m.trackers, shard)
 }
 
 // forgetIdleTrackers drops the trackers of shards that are gone.
