--- a/cmd/pipitgap/drain_output.go
+++ b/cmd/pipitgap/drain_output.go
@@ -11,11 +11,11 @@
 	"pipitgap/internal/operator"
 )
 
-// print writes an answer as JSON, or by the function that says it in words.
-func (f *operatorFlags) print(answer any, words func(io.Writer)) error {
+// print writes an answer as JSON, or by the function that prints it as text.
+func (f *operatorFlags) print(answer any, printText func(io.Writer)) error {
 	if !f.JSON {
 		out := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-		words(out)
+		printText(out)
 		return out.Flush()
 	}
 	encoder := json.NewEncoder(os.Stdout)
@@ -42,8 +42,8 @@
 		started.Name, len(started.Machines), len(started.Plan.Steps))
 	for i, step := range started.Plan.Steps {
 		fmt.Fprintf(w, "step %d:\n", i+1)
-		for _, rent := range step.ScaleOut {
-			fmt.Fprintf(w, "  rent\t%s\n", rent)
+		for _, offer := range step.ScaleOut {
+			fmt.Fprintf(w, "  rent\t%s\n", offer)
 		}
 		for _, move := range step.Moves {
 			fmt.Fprintf(w, "  move\t%s\tof %s\tfrom %s\tto %s\n", move.Task, move.Team, move.From, move.To)
--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -46,8 +46,8 @@
 	commandInFlight  bool // a batch was sent directly and isn't answered yet
 	resyncNeeded     bool // there may be more to send once it is
 
-	suspect       bool   // silent or faulty
-	removalReason string // why the machine is to be removed; empty: it isn't
+	suspect       bool          // silent or faulty
+	removalReason RemovalReason // why the machine is to be removed; empty: it isn't
 	failures      FailureHistory
 }
 
@@ -141,10 +141,10 @@
 }
 
 // RemovalReason tells why the machine is to be removed; empty: it isn't.
-func (a *Agent) RemovalReason() string { return a.removalReason }
+func (a *Agent) RemovalReason() RemovalReason { return a.removalReason }
 
 // SetRemovalReason notes why the machine is to be removed.
-func (a *Agent) SetRemovalReason(reason string) { a.removalReason = reason }
+func (a *Agent) SetRemovalReason(reason RemovalReason) { a.removalReason = reason }
 
 // recheckRemoval cancels a removal because the machine was empty, if it got tasks meanwhile.
 func (a *Agent) recheckRemoval(machine *mirror.Machine) {
--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -79,7 +79,7 @@
 
 // Record keeps a job's cancellation for the peers if the mirror holds one.
 func (cs *Cancellations) Record(job *mirror.Job) {
-	if job != nil && job.FinalStatus == storage.JobCancelled && job.FinalRevision != 0 {
+	if job != nil && job.FinalState == storage.JobCancelled && job.FinalRevision != 0 {
 		cs.Add(cancellation.Committed{Job: job.ID, Revision: job.FinalRevision})
 	}
 }
--- a/internal/agents/cancellations_test.go
+++ b/internal/agents/cancellations_test.go
@@ -49,7 +49,7 @@
 			Incarnation: 5, Round: 1, MessagesInRound: 1,
 			Committed: []cancellation.Committed{{Job: testTask.Job, Revision: tc.revision}},
 		})
-		if cancelled := replica.Jobs[testTask.Job].FinalStatus == storage.JobCancelled; cancelled != tc.cancelled {
+		if cancelled := replica.Jobs[testTask.Job].FinalState == storage.JobCancelled; cancelled != tc.cancelled {
 			t.Errorf("%s: cancelled %v", tc.name, cancelled)
 		}
 	}
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -182,7 +182,7 @@
 		durations.WorkerProbeTimeout,
 		func(result protocol.CommandResult) {
 			current := &result.Heartbeat
-			callback(result.Status == 200 &&
+			callback(result.OK() &&
 				current.Machine == report.Machine &&
 				current.Incarnation == report.Incarnation &&
 				current.Sequence > report.Sequence &&
@@ -208,7 +208,7 @@
 			machine.Owner() != m.node && m.membership.IsMember(machine.Owner()):
 			respond(redirectResponse(machine.Owner()))
 		default:
-			respond(protocol.ErrorResponse(503, "claim not made"))
+			respond(protocol.ErrorResponse(transport.StatusUnavailable, "claim not made"))
 		}
 	})
 }
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -9,16 +9,19 @@
 	"pipitgap/internal/storage"
 )
 
-// Reasons for giving a machine back. They are logged.
+// RemovalReason is why a machine is to be deleted, as it is logged; "": it isn't.
+type RemovalReason string
+
+// Reasons for deleting a machine.
 const (
 	// RemovalIdle and RemovalDrained hold only while the machine is empty.
-	RemovalIdle    = "idle"
-	RemovalDrained = "drained"
+	RemovalIdle    RemovalReason = "idle"
+	RemovalDrained RemovalReason = "drained"
 
-	removalFaulty               = "faulty"
-	removalUnreachable          = "unreachable"
-	removalCancelledUnreachable = "cancelled tasks unreachable"
-	removalInterrupted          = "spot interruption"
+	removalFaulty               RemovalReason = "faulty"
+	removalUnreachable          RemovalReason = "unreachable"
+	removalCancelledUnreachable RemovalReason = "cancelled tasks unreachable"
+	removalInterrupted          RemovalReason = "spot interruption"
 )
 
 // manySilentMachines is how many machines beside one must be silent for a line in the log.
@@ -124,7 +127,7 @@
 }
 
 // silenceRemovalReason tells why a silent machine is to be removed, or "" if it isn't.
-func (m *Manager) silenceRemovalReason(machine *mirror.Machine, check *healthCheck) string {
+func (m *Manager) silenceRemovalReason(machine *mirror.Machine, check *healthCheck) RemovalReason {
 	agent := m.Of(machine)
 	silence := m.silenceOf(agent, check.now)
 	keepForZone := m.keepsForUnreachableZone(machine, check.now)
@@ -162,7 +165,7 @@
 }
 
 // RequestRemoval has a machine removed: its shard says so, and the leader has it terminated.
-func (m *Manager) RequestRemoval(machine *mirror.Machine, reason string) {
+func (m *Manager) RequestRemoval(machine *mirror.Machine, reason RemovalReason) {
 	m.Of(machine).SetRemovalReason(reason)
 	m.scheduler.RequestPass()
 	m.unloggedRemovals[reason] = append(m.unloggedRemovals[reason], machine.ID)
@@ -237,7 +240,7 @@
 				tasks += len(machine.Attempts)
 			}
 		}
-		m.log.Info("machines marked for scale-in", "reason", reason, "machines", len(ids),
+		m.log.Info("machines marked for scale-in", "reason", string(reason), "machines", len(ids),
 			"tasks", tasks, "first_machine", ids[0])
 	}
 	clear(m.unloggedRemovals)
--- a/internal/agents/health_test.go
+++ b/internal/agents/health_test.go
@@ -14,7 +14,7 @@
 		name    string
 		prepare func(f *fixture)
 		silence monotime.Micros // since its last heartbeat
-		reason  string
+		reason  RemovalReason
 	}{
 		{"heard lately", func(*fixture) {}, 6 * second, ""},
 		{"silent for three heartbeats", func(*fixture) {}, 7 * second, removalUnreachable},
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -18,18 +18,21 @@
 
 // redirectResponse sends a worker to a controller; empty: to any other.
 func redirectResponse(controller string) transport.Response {
-	return transport.Response{Status: 421, Body: protocol.MustMarshal(&protocol.Redirect{Leader: controller})}
+	return transport.Response{
+		Status: transport.StatusRedirect,
+		Body:   protocol.MustMarshal(&protocol.Redirect{Leader: controller}),
+	}
 }
 
 // HandleHeartbeat answers a worker's heartbeat, at once or after a claim on its machine.
 func (m *Manager) HandleHeartbeat(body []byte, respond func(transport.Response)) {
 	var report protocol.Heartbeat
 	if err := protocol.Unmarshal(body, &report); err != nil {
-		respond(protocol.ErrorResponse(400, err.Error()))
+		respond(protocol.ErrorResponse(transport.StatusBadRequest, err.Error()))
 		return
 	}
 	if !report.Valid() {
-		respond(protocol.ErrorResponse(400, "report lacks a field"))
+		respond(protocol.ErrorResponse(transport.StatusBadRequest, "report lacks a field"))
 		return
 	}
 	now := m.env.Now()
@@ -46,14 +49,14 @@
 		return redirectResponse(peer), true
 	}
 	if !m.replica.Ready() {
-		return protocol.ErrorResponse(503, "records not read yet"), true
+		return protocol.ErrorResponse(transport.StatusUnavailable, "records not read yet"), true
 	}
 	if m.pauses.IsStale(m.replica.FreshAt(), now) {
 		// It may have waited here for as long as the process was paused.
-		return protocol.ErrorResponse(503, "stood still"), true
+		return protocol.ErrorResponse(transport.StatusUnavailable, "stood still"), true
 	}
 	if m.cancellations.SuspendsLeaseRenewal(now) {
-		return protocol.ErrorResponse(503, "cut off from the state service"), true
+		return protocol.ErrorResponse(transport.StatusUnavailable, "cut off from the state service"), true
 	}
 	return transport.Response{}, false
 }
@@ -67,12 +70,12 @@
 	machine := m.mirror.Machines[report.Machine]
 	switch {
 	case machine != nil && m.Has(machine) && m.redirectsAway(m.Of(machine), now):
-		respond(protocol.ErrorResponse(503, "cut off from all others"))
+		respond(protocol.ErrorResponse(transport.StatusUnavailable, "cut off from all others"))
 	case machine != nil && m.Has(machine):
 		respond(m.answerHeartbeat(machine, report))
 	case m.mirror.ScaleInOfMachine[report.Machine] != "":
 		// Deleted, or about to be: a report that was held back on its way must not have it claimed again.
-		respond(protocol.ErrorResponse(503, "machine is being given back"))
+		respond(protocol.ErrorResponse(transport.StatusUnavailable, "machine is being given back"))
 	case machine != nil && machine.Record != nil:
 		m.handleOrphanedWorker(machine, report, respond, now)
 	default:
@@ -117,13 +120,13 @@
 	agent := m.Of(machine)
 	arrival, ok := agent.Receive(report, m.env.Now())
 	if !ok {
-		return protocol.ErrorResponse(503, "seen before") // a late copy
+		return protocol.ErrorResponse(transport.StatusUnavailable, "seen before") // a late copy
 	}
 	if agent.IsNewer(report) {
 		m.applyReport(machine, report)
 	}
 	reply := agent.Reply(arrival, machine, m.mirror.Jobs, m.durations.PlacementSilenceLimit)
-	return transport.Response{Status: 200, Body: protocol.MustMarshal(reply)}
+	return transport.Response{Status: transport.StatusOK, Body: protocol.MustMarshal(reply)}
 }
 
 // handleUnclaimedWorker answers a worker whose machine no controller has claimed yet.
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -45,7 +45,7 @@
 	zoneUnreachableAt map[string]monotime.Micros // when a zone's machines were last silent as a whole
 	// the condition of many silent machines is logged as begun
 	manySilentLogged bool
-	unloggedRemovals map[string][]string // machines to be removed, by reason
+	unloggedRemovals map[RemovalReason][]string // machines to be removed, by reason
 }
 
 // NewManager makes a Manager without Agents.
@@ -71,7 +71,7 @@
 		byMachine:         map[string]*Agent{},
 		orphanContacts:    map[string]*orphanContact{},
 		zoneUnreachableAt: map[string]monotime.Micros{},
-		unloggedRemovals:  map[string][]string{},
+		unloggedRemovals:  map[RemovalReason][]string{},
 	}
 }
 
@@ -169,14 +169,14 @@
 		if m.Of(machine) != agent {
 			return // the claim has moved on
 		}
-		if result.Status != 200 {
+		if !result.OK() {
 			agent.RepeatCommands(request.Commands)
 		}
 		report := &result.Heartbeat
 		if result.Status != 0 && report.Machine == machine.ID && report.Valid() && agent.IsNewer(report) {
 			m.applyReport(machine, report)
 		}
-		if result.Status == 200 && agent.TakeResync() {
+		if result.OK() && agent.TakeResync() {
 			m.SyncCommands(machine)
 		}
 	})
@@ -193,7 +193,7 @@
 	agent := m.Of(machine)
 	m.env.SendCommands(machine.Record.Endpoint, nil, commandTimeout, func(result protocol.CommandResult) {
 		report := &result.Heartbeat
-		if m.Of(machine) != agent || result.Status != 200 || report.Machine != machine.ID ||
+		if m.Of(machine) != agent || !result.OK() || report.Machine != machine.ID ||
 			!report.Valid() ||
 			!agent.IsNewer(report) {
 			return
--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -1,6 +1,9 @@
 package api
 
-import "pipitgap/internal/ratelimit"
+import (
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/transport"
+)
 
 // Bounds of the calls that wait for the state service on behalf of users; past them the answer is an
 // immediate rejection. A request must not wait for longer than its user does.
@@ -29,7 +32,7 @@
 // rejectIfUnavailable rejects what needs the state service while that can't be used at all.
 func (h *Handler) rejectIfUnavailable() *Rejection {
 	if !h.replica.Ready() {
-		return h.deferRequest(statusUnavailable, reasonNotReady)
+		return h.deferRequest(transport.StatusUnavailable, reasonNotReady)
 	}
 	if h.store.Unavailable() {
 		return h.deferUnreachable()
@@ -44,7 +47,7 @@
 		return rejection
 	}
 	if h.userQueueFull() {
-		return h.deferRequest(statusOverloaded, reasonTooManyRequests)
+		return h.deferRequest(transport.StatusThrottled, reasonTooManyRequests)
 	}
 	return nil
 }
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -5,6 +5,7 @@
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/storage"
+	"pipitgap/internal/transport"
 )
 
 // Cancel answers a request to cancel a job. A job that is over keeps its result, and the answer names it.
@@ -13,8 +14,8 @@
 		respond(errNoSuchJob.response())
 		return
 	}
-	if result, ok := h.cachedResult(id); ok {
-		respond(endedResponse(id, result))
+	if state, ok := h.cachedResult(id); ok {
+		respond(endedResponse(id, state))
 		return
 	}
 	if rejection := h.rejectIfUnavailable(); rejection != nil {
@@ -27,8 +28,8 @@
 	}
 	// The mirror doesn't hold it: it is over, was never accepted, or is new.
 	h.lookUp(id, func(l lookup) {
-		if result, ok := h.cachedResult(id); ok {
-			respond(endedResponse(id, result))
+		if state, ok := h.cachedResult(id); ok {
+			respond(endedResponse(id, state))
 			return
 		}
 		switch {
@@ -37,7 +38,7 @@
 		case h.mirror.Jobs[id] != nil:
 			h.CommitCancellation(id, respond)
 		default:
-			respond(h.deferRequest(statusUnavailable, reasonJobChanging).response())
+			respond(h.deferRequest(transport.StatusUnavailable, reasonJobChanging).response())
 		}
 	})
 }
@@ -68,12 +69,12 @@
 // answerEndedJob answers the cancellation of a job that got a result before.
 func (h *Handler) answerEndedJob(id string, respond Respond) {
 	h.lookUp(id, func(l lookup) {
-		if result, ok := h.cachedResult(id); ok {
-			respond(endedResponse(id, result))
+		if state, ok := h.cachedResult(id); ok {
+			respond(endedResponse(id, state))
 			return
 		}
 		if l.known() {
-			respond(h.deferRequest(statusUnavailable, reasonJobChanging).response())
+			respond(h.deferRequest(transport.StatusUnavailable, reasonJobChanging).response())
 			return
 		}
 		respond(l.response())
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -55,7 +55,7 @@
 // mirroredStatus is the status of a job that the mirror holds.
 func mirroredStatus(job *mirror.Job) protocol.JobStatusReply {
 	if !job.IsOpen() {
-		return protocol.JobStatusReply{ID: job.ID, Status: wireStatus(job.FinalStatus)}
+		return protocol.JobStatusReply{ID: job.ID, Status: wireStatus(job.FinalState)}
 	}
 	reply := protocol.JobStatusReply{
 		ID:      job.ID,
@@ -76,7 +76,7 @@
 // never accepted: then the state service is read.
 func (h *Handler) lookUp(id string, callback func(lookup)) {
 	if h.replica.PendingReads() >= MaxWaitingReaders {
-		callback(failedLookup(id, h.deferRequest(statusOverloaded, reasonTooManyRequests)))
+		callback(failedLookup(id, h.deferRequest(transport.StatusThrottled, reasonTooManyRequests)))
 		return
 	}
 	h.replica.WhenCurrent(func(ok bool) {
@@ -88,12 +88,12 @@
 			callback(lookup{id: id, found: foundInMirror, job: job})
 			return
 		}
-		if result, ok := h.cachedResult(id); ok {
-			callback(lookup{id: id, found: foundResult, result: result})
+		if state, ok := h.cachedResult(id); ok {
+			callback(lookup{id: id, found: foundResult, result: state})
 			return
 		}
 		if h.userQueueFull() {
-			callback(failedLookup(id, h.deferRequest(statusOverloaded, reasonTooManyRequests)))
+			callback(failedLookup(id, h.deferRequest(transport.StatusThrottled, reasonTooManyRequests)))
 			return
 		}
 		h.readJob(id, callback)
@@ -115,7 +115,7 @@
 	h.readRecord(storage.KindJobResult, id, callback, missing, func(value protocol.Raw) {
 		var result storage.JobResult
 		if protocol.Unmarshal(value, &result) != nil {
-			callback(failedLookup(id, h.deferRequest(statusUnavailable, "final state can't be read")))
+			callback(failedLookup(id, h.deferRequest(transport.StatusUnavailable, "final state can't be read")))
 			return
 		}
 		h.mirror.Results.Add(id, result.State)
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -10,17 +10,6 @@
 	"pipitgap/internal/transport"
 )
 
-// Statuses of answers, as HTTP has them.
-const (
-	statusOK            = 200
-	statusCreated       = 201
-	statusInvalid       = 400
-	statusNotFound      = 404
-	statusUnsatisfiable = 422
-	statusOverloaded    = 429
-	statusUnavailable   = 503
-)
-
 // Texts of rejections that several requests share.
 const (
 	reasonNotReady         = "records not read yet"
@@ -55,7 +44,7 @@
 	return response
 }
 
-var errNoSuchJob = &Rejection{Status: statusNotFound, Reason: reasonNoSuchJob}
+var errNoSuchJob = &Rejection{Status: transport.StatusNotFound, Reason: reasonNoSuchJob}
 
 // deferRequest makes the rejection of a request that can't be taken now.
 func (h *Handler) deferRequest(status int, reason string) *Rejection {
@@ -75,7 +64,7 @@
 
 // deferUnreachable is the rejection of a request for which the state service can't be reached.
 func (h *Handler) deferUnreachable() *Rejection {
-	return h.deferRequest(statusUnavailable, reasonStoreUnreachable)
+	return h.deferRequest(transport.StatusUnavailable, reasonStoreUnreachable)
 }
 
 // randomSeconds is a part of retrySpread.
@@ -84,27 +73,27 @@
 // acceptedResponse confirms a submission.
 func acceptedResponse(id string) transport.Response {
 	return transport.Response{
-		Status: statusCreated,
+		Status: transport.StatusCreated,
 		Body:   protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: protocol.JobPending}),
 	}
 }
 
 // endedResponse answers a cancellation of a job that has a result.
-func endedResponse(id string, result storage.JobState) transport.Response {
+func endedResponse(id string, state storage.JobState) transport.Response {
 	return transport.Response{
-		Status: statusOK,
-		Body:   protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: wireStatus(result)}),
+		Status: transport.StatusOK,
+		Body:   protocol.MustMarshal(&protocol.AcceptedReply{ID: id, Status: wireStatus(state)}),
 	}
 }
 
 // statusResponse answers with the status of a job.
 func statusResponse(reply protocol.JobStatusReply) transport.Response {
-	return transport.Response{Status: statusOK, Body: protocol.MustMarshal(&reply)}
+	return transport.Response{Status: transport.StatusOK, Body: protocol.MustMarshal(&reply)}
 }
 
 // wireStatus is a result as users see it.
-func wireStatus(result storage.JobState) string {
-	if result == storage.JobCancelled {
+func wireStatus(state storage.JobState) string {
+	if state == storage.JobCancelled {
 		return protocol.JobCancelled
 	}
 	return protocol.JobDone
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -11,8 +11,8 @@
 		respond(errNoSuchJob.response())
 		return
 	}
-	if result, ok := h.cachedResult(id); ok {
-		respond(lookup{id: id, found: foundResult, result: result}.response())
+	if state, ok := h.cachedResult(id); ok {
+		respond(lookup{id: id, found: foundResult, result: state}.response())
 		return
 	}
 	if job := h.mirror.Jobs[id]; job != nil && !job.IsOpen() {
@@ -31,12 +31,12 @@
 // only some time after the outage.
 func (h *Handler) Health() transport.Response {
 	if !h.replica.Ready() {
-		return h.deferRequest(statusUnavailable, reasonNotReady).response()
+		return h.deferRequest(transport.StatusUnavailable, reasonNotReady).response()
 	}
 	now := h.environment.Now()
 	_, onlyHere := h.reachability.StoreUnreachableOnlyHere(now)
 	if onlyHere || h.reachability.IsIsolated(now) {
 		return h.deferUnreachable().response()
 	}
-	return transport.Response{Status: statusOK}
+	return transport.Response{Status: transport.StatusOK}
 }
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -36,7 +36,7 @@
 		{
 			name: "ended in the mirror, in an outage",
 			world: func(w *fakeWorld) {
-				w.mirrorJob(newJobID, func(job *mirror.Job) { job.FinalStatus = storage.JobCancelled })
+				w.mirrorJob(newJobID, func(job *mirror.Job) { job.FinalState = storage.JobCancelled })
 				w.unavailable = true
 			},
 			want: answer{200, false, protocol.JobCancelled},
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -17,12 +17,12 @@
 func (h *Handler) Submit(body []byte, respond Respond) {
 	submission, malformed := protocol.ParseSubmission(body)
 	if submission.ID == "" {
-		respond(protocol.ErrorResponse(statusInvalid, malformed.Error()))
+		respond(protocol.ErrorResponse(transport.StatusBadRequest, malformed.Error()))
 		return
 	}
 	id := submission.ID
-	if result, ok := h.cachedResult(id); ok {
-		respond(lookup{id: id, found: foundResult, result: result}.response())
+	if state, ok := h.cachedResult(id); ok {
+		respond(lookup{id: id, found: foundResult, result: state}.response())
 		return
 	}
 	if malformed != nil {
@@ -38,7 +38,7 @@
 		return
 	}
 	if h.catalog.MachineTypes() == nil {
-		respond(h.deferRequest(statusUnavailable, "machine types not known yet").response())
+		respond(h.deferRequest(transport.StatusUnavailable, "machine types not known yet").response())
 		return
 	}
 	spec := storage.JobSpecOf(submission)
@@ -56,7 +56,7 @@
 // answerMalformed answers a submission with a fault in its text. Only a controller that can't look the job up
 // judges by the text alone.
 func (h *Handler) answerMalformed(id string, malformed error, respond Respond) {
-	invalid := protocol.ErrorResponse(statusInvalid, malformed.Error())
+	invalid := protocol.ErrorResponse(transport.StatusBadRequest, malformed.Error())
 	if h.rejectIfOverloaded() == nil {
 		h.statusOr(id, invalid, respond)
 		return
@@ -82,7 +82,7 @@
 // validate rejects a job that can never run.
 func (h *Handler) validate(spec *storage.JobSpec) *Rejection {
 	unsatisfiable := func(reason string) *Rejection {
-		return &Rejection{Status: statusUnsatisfiable, Reason: reason}
+		return &Rejection{Status: transport.StatusUnsatisfiable, Reason: reason}
 	}
 	limits, ok := h.quota.Limits(spec.Team)
 	if !ok {
@@ -129,12 +129,12 @@
 // admit rejects a job for which there is no room now; one that passes counts as submitted.
 func (h *Handler) admit(spec *storage.JobSpec) *Rejection {
 	if len(h.mirror.Jobs) >= mirror.MaxOpenJobs {
-		return h.deferRequest(statusOverloaded, "too many unfinished jobs")
+		return h.deferRequest(transport.StatusThrottled, "too many unfinished jobs")
 	}
 	h.bursts.countSubmission(spec)
 	if h.bursts.isLimited(spec) &&
 		h.store.QueuedCalls(ratelimit.PriorityBurst) >= h.maxQueuedBurstCalls() {
-		rejection := h.deferRequest(statusOverloaded, "too many jobs of this team")
+		rejection := h.deferRequest(transport.StatusThrottled, "too many jobs of this team")
 		rejection.RetryAfter += minRetryAfter + h.randomSeconds()
 		return rejection
 	}
@@ -150,7 +150,7 @@
 	}
 	value := protocol.MustMarshal(&record)
 	if storage.StoredSize(value) > h.maxValueBytes {
-		tooLarge := protocol.ErrorResponse(statusInvalid, "names too long to be kept")
+		tooLarge := protocol.ErrorResponse(transport.StatusBadRequest, "names too long to be kept")
 		h.statusOr(id, tooLarge, respond)
 		return
 	}
@@ -187,7 +187,7 @@
 		h.lookUp(id, func(l lookup) { respond(l.response()) })
 	case protocol.Rejected:
 		h.log.Error("job acceptance rejected by state service", "job", id)
-		respond(h.deferRequest(statusUnavailable, "not kept").response())
+		respond(h.deferRequest(transport.StatusUnavailable, "not kept").response())
 	default:
 		// Unknown: perhaps accepted, perhaps not. The user retries, and a repeated submission is one job.
 		respond(h.deferUnreachable().response())
--- a/internal/autoscaling/demand_test.go
+++ b/internal/autoscaling/demand_test.go
@@ -87,7 +87,7 @@
 		job.Record.Spec.Zone, job.Record.Spec.OneZone = "a", true
 		records.Jobs[job.ID] = job
 	}
-	records.Jobs["j-5"].FinalStatus = storage.JobDone
+	records.Jobs["j-5"].FinalState = storage.JobDone
 	snapshot := &Snapshot{Records: records, Jobs: jobPolicyStub{}, ServiceHeadroom: 0.3}
 	demands := snapshot.HeadroomDemand()
 	if len(demands) != 2 || demands[0].JobID != "headroom db" || demands[0].Tasks != 1 ||
--- a/internal/autoscaling/fleet/pass.go
+++ b/internal/autoscaling/fleet/pass.go
@@ -14,7 +14,7 @@
 	}
 	snapshot := r.deps.Workload.Snapshot(now)
 	plan := r.newPlan(snapshot)
-	unmet := plan.Unmet()
+	unmet := plan.PlaceDemand()
 	r.term.backoffs.ForgetMet(unmet)
 	wanted := r.term.backoffs.Eligible(unmet, now)
 	tasksBefore := map[string]int{}
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -232,9 +232,9 @@
 		want        storage.ScaleOutPhase
 		quarantined bool
 	}{
-		{"filled", protocol.CloudResult{Outcome: protocol.OK, Rented: []string{"i-1", "i-2"}},
+		{"filled", protocol.CloudResult{Outcome: protocol.OK, Created: []string{"i-1", "i-2"}},
 			storage.ScaleOutProvisioning, false},
-		{"filled in part", protocol.CloudResult{Outcome: protocol.OK, Rented: []string{"i-1"}},
+		{"filled in part", protocol.CloudResult{Outcome: protocol.OK, Created: []string{"i-1"}},
 			storage.ScaleOutProvisioning, true},
 		{"empty", protocol.CloudResult{Outcome: protocol.OK}, storage.ScaleOutNoCapacity, true},
 		{"no capacity", protocol.CloudResult{Outcome: protocol.NoCapacity}, storage.ScaleOutNoCapacity, true},
@@ -247,9 +247,9 @@
 			s.rebuildInventory()
 			s.addScaleOut("r-7-9", storage.ScaleOutRequest{Phase: storage.ScaleOutPending, Count: 2})
 			s.reconcile(0)
-			call := s.next(protocol.CloudRent)
-			if call.Rent.Name != "r-7-9" || call.Rent.Count != 2 {
-				t.Errorf("%+v", call.Rent)
+			call := s.next(protocol.CloudCreateMachines)
+			if call.Create.Name != "r-7-9" || call.Create.Count != 2 {
+				t.Errorf("%+v", call.Create)
 			}
 			call.answer(tc.result)
 			if got := s.records.ScaleOuts["r-7-9"].Record.Phase; got != tc.want {
@@ -338,7 +338,7 @@
 			t.Fatalf("%+v", call.Delete)
 		}
 		call.answer(protocol.CloudResult{Outcome: step.outcome})
-		if got := record(); got.Attempts != step.attempts || got.Failed != step.failed || got.Gone {
+		if got := record(); got.Attempts != step.attempts || got.Failed != step.failed || got.Deleted {
 			t.Errorf("after %s: %+v", step.outcome, got)
 		}
 		s.reconcile(cloudRetryDelay)
@@ -348,7 +348,7 @@
 	}
 	s.reconcile(monotime.Minute)
 	s.next(protocol.CloudDelete).answer(protocol.CloudResult{Outcome: protocol.OK})
-	if !record().Gone {
+	if !record().Deleted {
 		t.Error("success isn't recorded")
 	}
 }
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -39,7 +39,7 @@
 	for _, name := range sortedmap.Keys(r.deps.Mirror.ScaleIns) {
 		request := r.deps.Mirror.ScaleIns[name]
 		switch {
-		case request.Record.Gone:
+		case request.Record.Deleted:
 			r.forgetScaleIn(name, request)
 		case !r.term.scaleInInFlight[name] && now >= r.term.scaleInRetryAt[name] && r.mayCallCloud(now):
 			r.deleteMachines(name, request)
@@ -104,7 +104,7 @@
 	switch outcome {
 	case protocol.OK:
 		// This is the proof that the machines, and everything on them, are terminated.
-		record.Gone, record.StateSince = true, r.deps.Environment.WallClock()
+		record.Deleted, record.StateSince = true, r.deps.Environment.WallClock()
 	case protocol.Throttled, protocol.Unavailable:
 		return // says nothing about the machines
 	default:
@@ -113,7 +113,7 @@
 	key := storage.ScaleInKey(name)
 	txn := putIfUnchanged(key, request.Version, &record)
 	r.Commit(ratelimit.PriorityShardUpdate, key, txn, func(result protocol.StoreResult) {
-		if result.Outcome == protocol.OK && record.Gone {
+		if result.Outcome == protocol.OK && record.Deleted {
 			r.deps.Log.Info("machines deleted", "scale_in", name, "machines", len(record.Machines))
 		}
 	})
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -93,7 +93,7 @@
 // record, and the cloud gives the same answer.
 func (r *Reconciler) callScaleOut(name string, request *mirror.ScaleOutEntry) {
 	r.term.scaleOutInFlight[name] = true
-	call := protocol.CloudCall{Op: protocol.CloudRent, Rent: protocol.RentRequest{
+	call := protocol.CloudCall{Op: protocol.CloudCreateMachines, Create: protocol.CreateMachinesRequest{
 		Name:  name,
 		Type:  request.Record.MachineType,
 		Zone:  request.Record.Zone,
@@ -113,24 +113,12 @@
 func (r *Reconciler) recordScaleOut(name string, request *mirror.ScaleOutEntry, result protocol.CloudResult) {
 	record := request.Record
 	switch {
-	case result.Outcome == protocol.OK && len(result.Rented) > 0:
-		record.Phase, record.Machines = storage.ScaleOutProvisioning, result.Rented
+	case result.Outcome == protocol.OK && len(result.Created) > 0:
+		record.Phase, record.Machines = storage.ScaleOutProvisioning, result.Created
 		record.Live = r.deps.Controllers.Connected()
-		r.deps.Log.Info(
-			"scale-out completed",
-			"scale_out",
-			name,
-			"machine_type",
-			record.MachineType,
-			"zone",
-			record.Zone,
-			"spot",
-			record.Spot,
-			"requested",
-			record.Count,
-			"machines",
-			len(result.Rented),
-		)
+		r.deps.Log.Info("scale-out completed", "scale_out", name,
+			"machine_type", record.MachineType, "zone", record.Zone, "spot", record.Spot,
+			"requested", record.Count, "machines", len(result.Created))
 	case result.Outcome == protocol.OK, result.Outcome == protocol.NoCapacity:
 		record.Phase = storage.ScaleOutNoCapacity
 		r.deps.Log.Info("insufficient capacity, offer quarantined",
@@ -144,7 +132,7 @@
 	record.PhaseSince = r.deps.Environment.WallClock()
 	key := storage.ScaleOutKey(name)
 	txn := putIfUnchanged(key, request.Version, &record)
-	if record.Phase == storage.ScaleOutProvisioning && len(result.Rented) < record.Count {
+	if record.Phase == storage.ScaleOutProvisioning && len(result.Created) < record.Count {
 		unfilled := storage.ScaleOutRequest{
 			Phase:       storage.ScaleOutNoCapacity,
 			MachineType: record.MachineType,
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -8,7 +8,7 @@
 // maxMachinesPerPass bounds the machines that each step of a pass chooses.
 const maxMachinesPerPass = 600
 
-// Plan is one pass of the autoscaler. It uses up its inputs: Unmet, then ScaleOuts, are each called once.
+// Plan is one pass of the autoscaler. It uses up its inputs: PlaceDemand, then ScaleOuts, are each called once.
 type Plan struct {
 	Waiting  []*Demand // tasks without room that the quotas let run
 	Headroom []*Demand // room to be kept for services yet to come
@@ -27,9 +27,9 @@
 	Machines int
 }
 
-// Unmet places the demand on the machines that are up or requested, and returns all demands, headroom
+// PlaceDemand places the demand on the machines that are up or requested, and returns all demands, headroom
 // included, with the tasks that found no room.
-func (p *Plan) Unmet() []*Demand {
+func (p *Plan) PlaceDemand() []*Demand {
 	sortLargestFirst(p.Waiting)
 	fillBins(p.Waiting, p.Bins)
 	absorbByPreemption(p.Waiting, p.Bins)
--- a/internal/autoscaling/scalein/reconciler.go
+++ b/internal/autoscaling/scalein/reconciler.go
@@ -21,7 +21,7 @@
 	// Of is nil for a machine that isn't this controller's.
 	Of(*mirror.Machine) *agents.Agent
 	// RequestRemoval has the leader terminate a machine.
-	RequestRemoval(machine *mirror.Machine, reason string)
+	RequestRemoval(machine *mirror.Machine, reason agents.RemovalReason)
 }
 
 // Drains tells what drains need of empty machines.
--- a/internal/autoscaling/scalein/reconciler_test.go
+++ b/internal/autoscaling/scalein/reconciler_test.go
@@ -25,7 +25,7 @@
 	records    *mirror.Mirror
 	reconciler *Reconciler
 	agent      *agents.Agent
-	removals   []string // reasons of removals
+	removals   []agents.RemovalReason // reasons of removals
 	reserved   map[string]resources.Vector
 	mayScaleIn func(empty monotime.Micros) bool
 	types      map[string]protocol.MachineType
@@ -58,7 +58,7 @@
 }
 func (s *controllerStub) MachineTypes() map[string]protocol.MachineType { return s.types }
 
-func (s *controllerStub) RequestRemoval(_ *mirror.Machine, reason string) {
+func (s *controllerStub) RequestRemoval(_ *mirror.Machine, reason agents.RemovalReason) {
 	s.removals = append(s.removals, reason)
 }
 
@@ -127,7 +127,7 @@
 	for _, tc := range []struct {
 		name string
 		do   func(*controllerStub)
-		want string // the reason; "": it stays
+		want agents.RemovalReason // the reason; "": it stays
 	}{
 		{"idle", func(*controllerStub) {}, agents.RemovalIdle},
 		{"reserved", func(s *controllerStub) { s.reserved = map[string]resources.Vector{machine: {}} }, ""},
--- a/internal/autoscaling/snapshot_test.go
+++ b/internal/autoscaling/snapshot_test.go
@@ -112,7 +112,7 @@
 		{"on-demand tasks", newDemand(8, 2, false, true), offers(false, true), []ScaleOut{{Offer{"m8", "a", false}, 2}}},
 	} {
 		plan := &Plan{Waiting: []*Demand{tc.demand}, MachineTypes: testTypes()}
-		if got := plan.ScaleOuts(plan.Unmet(), tc.offers); !slices.Equal(got, tc.want) {
+		if got := plan.ScaleOuts(plan.PlaceDemand(), tc.offers); !slices.Equal(got, tc.want) {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -26,8 +26,8 @@
 	"pipitgap/internal/storeclient"
 )
 
-// Environment is the world as the core sees it. Every callback comes back as a message
-// to the core's mailbox, never on another goroutine.
+// Environment is the outside world as the controller sees it. Every callback comes back as a message to the
+// controller's mailbox, never on another goroutine.
 type Environment interface {
 	Now() monotime.Micros // the steady clock
 	WallClock() int64     // time of day, microseconds
@@ -54,7 +54,7 @@
 	log         *slog.Logger
 	node        string
 	incarnation uint64
-	controllers []string // every controller's name, ours included
+	controllers []string // names of all controllers, this one included
 
 	mirror *mirror.Mirror
 
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -165,8 +165,8 @@
 	switch c.Op {
 	case protocol.CloudCatalog:
 		text = "catalog"
-	case protocol.CloudRent:
-		text = "rent " + canonical(protocol.MustMarshal(&c.Rent))
+	case protocol.CloudCreateMachines:
+		text = "rent " + canonical(protocol.MustMarshal(&c.Create))
 	case protocol.CloudDelete:
 		text = "delete " + canonical(
 			protocol.MustMarshal(&protocol.DeleteMachinesRequest{Machines: c.Delete}),
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -135,7 +135,7 @@
 	}
 	got["pages"] = len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	got["machines"] = c.cloud.MachineCount()
-	got["cloud calls"] = c.cloud.Calls[protocol.CloudRent] + c.cloud.Calls[protocol.CloudList] + c.cloud.Calls[protocol.CloudDelete]
+	got["cloud calls"] = c.cloud.Calls[protocol.CloudCreateMachines] + c.cloud.Calls[protocol.CloudList] + c.cloud.Calls[protocol.CloudDelete]
 	got["finished"] = len(c.fleet.Finished)
 	got["refused"] = c.store.Throttled
 	used, room := 0.0, 0.0
--- a/internal/coordination/record_writes.go
+++ b/internal/coordination/record_writes.go
@@ -4,10 +4,10 @@
 type recordWrites map[string]bool
 
 // Contains reports that a change is in flight.
-func (w recordWrites) Contains(record string) bool { return w[record] }
+func (w recordWrites) Contains(name string) bool { return w[name] }
 
 // Begin marks a record.
-func (w recordWrites) Begin(record string) { w[record] = true }
+func (w recordWrites) Begin(name string) { w[name] = true }
 
 // End takes the mark off.
-func (w recordWrites) End(record string) { delete(w, record) }
+func (w recordWrites) End(name string) { delete(w, name) }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -25,16 +25,16 @@
 	c.pauses.DetectPause(c.now())
 	path, query, _ := strings.Cut(target, "?")
 	if query != "" && path != healthPath {
-		respond(protocol.ErrorResponse(400, "no parameters are known here"))
+		respond(protocol.ErrorResponse(transport.StatusBadRequest, "no parameters are known here"))
 		return
 	}
 	route, ok := c.routeOf(path)
 	if !ok {
-		respond(protocol.ErrorResponse(404, "no such path"))
+		respond(protocol.ErrorResponse(transport.StatusNotFound, "no such path"))
 		return
 	}
 	if method != route.method {
-		respond(protocol.ErrorResponse(405, "use "+route.method))
+		respond(protocol.ErrorResponse(transport.StatusMethodNotAllowed, "use "+route.method))
 		return
 	}
 	route.handle(body, respond)
--- a/internal/daemon/sockets.go
+++ b/internal/daemon/sockets.go
@@ -21,10 +21,10 @@
 	commands int // batches of commands in flight
 }
 
-// newSocketLimits divides the platform's quota, or what the operators' settings allow of it; 0 in the
-// settings is no limit of theirs.
-func newSocketLimits(quota, setting int) socketLimits {
-	sockets := quota
+// newSocketLimits divides the sockets that the platform allows, or as many of them as the operators' setting
+// allows; 0 there sets no limit.
+func newSocketLimits(platformLimit, setting int) socketLimits {
+	sockets := platformLimit
 	if setting > 0 {
 		sockets = min(sockets, setting)
 	}
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -41,9 +41,9 @@
 
 // Budgeted tells whether a team's services of a class have a budget of their own or of their team.
 func (p *Policy) Budgeted(team, class string) bool {
-	_, whole := p.budgetFor(Scope{Team: team})
-	_, part := p.budgetFor(Scope{Team: team, Class: class})
-	return whole || part
+	_, teamBudgeted := p.budgetFor(Scope{Team: team})
+	_, classBudgeted := p.budgetFor(Scope{Team: team, Class: class})
+	return teamBudgeted || classBudgeted
 }
 
 // defaultBudget is the pace at which services without a budget are moved.
--- a/internal/drain/drainer/reservations.go
+++ b/internal/drain/drainer/reservations.go
@@ -20,7 +20,7 @@
 }
 
 // ForEachReservation calls visit for every permit whose replica isn't placed anew yet, by team.
-func (d *Drainer) ForEachReservation(visit func(*storage.Permit, *mirror.Job)) {
+func (d *Drainer) ForEachReservation(callback func(*storage.Permit, *mirror.Job)) {
 	if d == nil {
 		return
 	}
@@ -30,7 +30,7 @@
 		for i := range permits {
 			job := records.Jobs[permits[i].Job]
 			if job != nil && job.IsOpen() && isUnplaced(records, &permits[i], job) {
-				visit(&permits[i], job)
+				callback(&permits[i], job)
 			}
 		}
 	}
--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -72,18 +72,18 @@
 
 // Derive computes what follows from the platform's settings.
 func Derive(workers config.Workers) Platform {
-	d := Platform{
+	p := Platform{
 		HeartbeatInterval:    monotime.FromSeconds(workers.HeartbeatIntervalS),
 		WorkerLease:          monotime.FromSeconds(workers.LeaseS),
 		CancellationDeadline: monotime.FromSeconds(workers.CancelWithinS),
 	}
-	d.MembershipTTL = min(max(d.WorkerLease/2, minMembershipTTL), maxMembershipTTL)
-	d.SuspicionTimeout = 3*d.HeartbeatInterval + monotime.Second/2
-	d.PlacementSilenceLimit = 2*d.HeartbeatInterval + monotime.Second
-	d.LeaseExpiryProof = d.WorkerLease + d.WorkerLease/clockDriftDivisor + monotime.Second
-	d.RenewalWindow = max(minRenewalWindow, d.CancellationDeadline-d.WorkerLease-leaseExpiryMargin)
-	d.AdoptionDelay = d.WorkerLease / 3
-	return d
+	p.MembershipTTL = min(max(p.WorkerLease/2, minMembershipTTL), maxMembershipTTL)
+	p.SuspicionTimeout = 3*p.HeartbeatInterval + monotime.Second/2
+	p.PlacementSilenceLimit = 2*p.HeartbeatInterval + monotime.Second
+	p.LeaseExpiryProof = p.WorkerLease + p.WorkerLease/clockDriftDivisor + monotime.Second
+	p.RenewalWindow = max(minRenewalWindow, p.CancellationDeadline-p.WorkerLease-leaseExpiryMargin)
+	p.AdoptionDelay = p.WorkerLease / 3
+	return p
 }
 
 // Warning says what a platform's durations lead to that the design doesn't cover.
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -95,8 +95,8 @@
 	switch call.Op {
 	case protocol.CloudCatalog:
 		return protocol.CloudResult{Outcome: protocol.OK, Types: c.Types}, false
-	case protocol.CloudRent:
-		return c.rent(&call.Rent)
+	case protocol.CloudCreateMachines:
+		return c.rent(&call.Create)
 	case protocol.CloudDelete:
 		for _, id := range call.Delete {
 			c.RemoveMachine(id)
@@ -109,10 +109,10 @@
 }
 
 // rent adds as many machines as there is capacity for; a repeated request gets the machines of the first.
-func (c *Cloud) rent(request *protocol.RentRequest) (result protocol.CloudResult, lost bool) {
+func (c *Cloud) rent(request *protocol.CreateMachinesRequest) (result protocol.CloudResult, lost bool) {
 	if ids, ok := c.RentedByName[request.Name]; ok {
 		c.RepeatedRents++
-		return protocol.CloudResult{Outcome: protocol.OK, Rented: ids}, false
+		return protocol.CloudResult{Outcome: protocol.OK, Created: ids}, false
 	}
 	offer := OfferKey(request.Type, request.Zone, request.Spot)
 	count := min(request.Count, c.Capacity[offer])
@@ -121,9 +121,9 @@
 	}
 	c.Capacity[offer] -= count
 	for range count {
-		result.Rented = append(result.Rented, c.AddMachine(request.Type, request.Zone, request.Spot).ID)
+		result.Created = append(result.Created, c.AddMachine(request.Type, request.Zone, request.Spot).ID)
 	}
-	c.RentedByName[request.Name] = result.Rented
+	c.RentedByName[request.Name] = result.Created
 	result.Outcome = protocol.OK
 	return result, c.LoseRentReply
 }
--- a/internal/fake/loopback/cloud.go
+++ b/internal/fake/loopback/cloud.go
@@ -37,8 +37,8 @@
 		call.Op, call.After = protocol.CloudList, r.URL.Query().Get("from")
 		return call, true
 	case methodAndPath{"POST", protocol.MachinesPath}:
-		call.Op = protocol.CloudRent
-		return call, readMessage(r, &call.Rent)
+		call.Op = protocol.CloudCreateMachines
+		return call, readMessage(r, &call.Create)
 	case methodAndPath{"POST", protocol.DeleteMachinesPath}:
 		var request protocol.DeleteMachinesRequest
 		call.Op = protocol.CloudDelete
@@ -63,8 +63,8 @@
 	switch call.Op {
 	case protocol.CloudCatalog:
 		return http.StatusOK, &protocol.Catalog{Types: result.Types}
-	case protocol.CloudRent:
-		return http.StatusOK, &protocol.RentReply{Machines: result.Rented}
+	case protocol.CloudCreateMachines:
+		return http.StatusOK, &protocol.CreateMachinesReply{Machines: result.Created}
 	case protocol.CloudList:
 		return http.StatusOK, &protocol.MachineList{Machines: result.Listed, More: result.More}
 	}
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -79,7 +79,7 @@
 
 func allDone(job *mirror.Job) { job.DoneTasks = 2 }
 
-func cancelled(job *mirror.Job) { job.FinalStatus, job.FinalRevision = storage.JobCancelled, 9 }
+func cancelled(job *mirror.Job) { job.FinalState, job.FinalRevision = storage.JobCancelled, 9 }
 
 // What a finisher does with a job.
 const (
--- a/internal/mirror/job.go
+++ b/internal/mirror/job.go
@@ -11,7 +11,7 @@
 	Record        storage.OpenJob
 	Version       uint64
 	TaskResources resources.Vector
-	FinalStatus   storage.JobState // from its result, if it has one
+	FinalState    storage.JobState // from its result, if it has one
 	FinalRevision uint64           // version of the result
 	TaskStates    []uint8          // of each task, 0: pending; see assignedUnit
 	DoneTasks     int
@@ -55,7 +55,7 @@
 func (j *Job) isAssigned(task int) bool { return j.TaskStates[task]%doneUnit != 0 }
 
 // IsOpen tells whether the job has no result yet.
-func (j *Job) IsOpen() bool { return j.FinalStatus == "" }
+func (j *Job) IsOpen() bool { return j.FinalState == "" }
 
 // UnassignedTasks counts the tasks without an attempt.
 func (j *Job) UnassignedTasks() int { return j.Record.Spec.Tasks - j.DoneTasks - j.AssignedTasks }
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -118,14 +118,14 @@
 // install puts the loaded records into the replica's mirror.
 func (l *load) install() {
 	r := l.replica
-	jobs, machines, shards := len(l.mirror.Jobs), len(l.mirror.Machines), len(l.mirror.Shards)
+	jobs, machineCount, shards := len(l.mirror.Jobs), len(l.mirror.Machines), len(l.mirror.Shards)
 	r.watch.freshAt = max(r.watch.freshAt, l.sentAt)
 	r.observer.BeforeReplace(l.mirror)
 	r.mirror.Replace(l.mirror, l.firstRevision, max(l.lastRevision, r.mirror.NewestRevision))
 	r.loading, r.loaded, r.loadedRevision = false, true, l.lastRevision
 	r.observer.Replaced()
 	r.watch.nextAt = 0
-	r.log.Info("mirror loaded", "jobs", jobs, "machines", machines, "shards", shards,
+	r.log.Info("mirror loaded", "jobs", jobs, "machines", machineCount, "shards", shards,
 		"revision", l.lastRevision)
 	if l.firstRevision >= l.lastRevision {
 		r.markReady()
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -141,7 +141,7 @@
 	}
 	m.Results.Add(id, result.State)
 	if job := m.Jobs[id]; job != nil {
-		job.FinalStatus, job.FinalRevision = result.State, event.Version
+		job.FinalState, job.FinalRevision = result.State, event.Version
 	}
 }
 
@@ -165,7 +165,7 @@
 		TaskStates:    make([]uint8, tasks),
 		TaskResources: TaskResources(&record.Spec),
 	}
-	job.FinalStatus, _ = m.Results.Get(id)
+	job.FinalState, _ = m.Results.Get(id)
 	m.Jobs[id] = job
 	for _, shard := range m.Shards { // shards that hold the job may have been seen before it
 		m.countJobOfShard(shard, id, 1)
@@ -211,9 +211,9 @@
 }
 
 // deleteMachinesOf deletes the machines of a request, but for those that a later one names.
-func deleteMachinesOf(requestOfMachine map[string]string, request string, machines []string) {
+func deleteMachinesOf(requestOfMachine map[string]string, requestName string, machines []string) {
 	for _, id := range machines {
-		if requestOfMachine[id] == request {
+		if requestOfMachine[id] == requestName {
 			delete(requestOfMachine, id)
 		}
 	}
--- a/internal/mirror/result_cache.go
+++ b/internal/mirror/result_cache.go
@@ -2,8 +2,11 @@
 
 import "pipitgap/internal/storage"
 
-// ResultCache remembers final answers, the oldest forgotten first: whatever is
-// forgotten is read from the store again.
+// evictionDivisor is which part of its capacity a full cache forgets at a time.
+const evictionDivisor = 16
+
+// ResultCache remembers the final states of jobs and forgets the oldest first; what is forgotten is read from
+// the state service again.
 type ResultCache struct {
 	capacity       int
 	statuses       map[string]storage.JobState
@@ -11,27 +14,27 @@
 }
 
 // NewResultCache makes a cache of at least so many results.
-func NewResultCache(most int) *ResultCache {
-	return &ResultCache{capacity: most, statuses: map[string]storage.JobState{}}
+func NewResultCache(capacity int) *ResultCache {
+	return &ResultCache{capacity: capacity, statuses: map[string]storage.JobState{}}
 }
 
 // Add remembers the final state of a job; the first one stays.
-func (f *ResultCache) Add(id string, status storage.JobState) {
-	if _, ok := f.statuses[id]; ok {
+func (c *ResultCache) Add(id string, state storage.JobState) {
+	if _, ok := c.statuses[id]; ok {
 		return
 	}
-	f.statuses[id] = status
-	f.insertionOrder = append(f.insertionOrder, id)
-	if batch := f.capacity/16 + 1; len(f.insertionOrder) >= f.capacity+batch {
-		for _, old := range f.insertionOrder[:batch] {
-			delete(f.statuses, old)
+	c.statuses[id] = state
+	c.insertionOrder = append(c.insertionOrder, id)
+	if batch := c.capacity/evictionDivisor + 1; len(c.insertionOrder) >= c.capacity+batch {
+		for _, old := range c.insertionOrder[:batch] {
+			delete(c.statuses, old)
 		}
-		f.insertionOrder = append([]string(nil), f.insertionOrder[batch:]...)
+		c.insertionOrder = append([]string(nil), c.insertionOrder[batch:]...)
 	}
 }
 
 // Get gives the final state of a job, if it is remembered.
-func (f *ResultCache) Get(id string) (storage.JobState, bool) {
-	status, ok := f.statuses[id]
-	return status, ok
+func (c *ResultCache) Get(id string) (storage.JobState, bool) {
+	state, ok := c.statuses[id]
+	return state, ok
 }
--- a/internal/protocol/cloud_calls.go
+++ b/internal/protocol/cloud_calls.go
@@ -20,7 +20,7 @@
 // Calls of the cloud.
 const (
 	CloudCatalog CloudOp = iota
-	CloudRent
+	CloudCreateMachines
 	CloudDelete
 	CloudList
 )
@@ -28,7 +28,7 @@
 // CloudCall is one call of the cloud.
 type CloudCall struct {
 	Op      CloudOp
-	Rent    RentRequest
+	Create  CreateMachinesRequest
 	Delete  []string
 	After   string
 	Timeout monotime.Micros
@@ -38,7 +38,7 @@
 type CloudResult struct {
 	Outcome Outcome
 	Types   []MachineType
-	Rented  []string
+	Created []string
 	Listed  []ListedMachine
 	More    bool
 }
@@ -51,8 +51,8 @@
 		request := wireRequest{method: "GET", target: CatalogPath, timeout: call.Timeout}
 		outcome := exchangeWithCloud(client, request, &catalog)
 		return resultUnlessUnknown(CloudResult{Outcome: outcome, Types: catalog.Types})
-	case CloudRent:
-		return callRent(client, call)
+	case CloudCreateMachines:
+		return callCreateMachines(client, call)
 	case CloudDelete:
 		body := MustMarshal(&DeleteMachinesRequest{Machines: call.Delete})
 		_, outcome := send(client, wireRequest{
@@ -82,18 +82,18 @@
 	return result
 }
 
-// callRent rents machines.
-func callRent(client *transport.Client, call *CloudCall) CloudResult {
+// callCreateMachines requests machines of one offer.
+func callCreateMachines(client *transport.Client, call *CloudCall) CloudResult {
 	message, outcome := send(client, wireRequest{
-		method: "POST", target: MachinesPath, body: MustMarshal(&call.Rent), timeout: call.Timeout,
+		method: "POST", target: MachinesPath, body: MustMarshal(&call.Create), timeout: call.Timeout,
 	})
 	switch outcome {
 	case OK:
-		var reply RentReply
+		var reply CreateMachinesReply
 		if Unmarshal(message.Body, &reply) != nil {
 			return CloudResult{}
 		}
-		return CloudResult{Outcome: OK, Rented: reply.Machines}
+		return CloudResult{Outcome: OK, Created: reply.Machines}
 	case Unavailable:
 		// Only "no capacity" is an answer about the offer. Any other 503 is a failure of the cloud itself and
 		// says nothing about it.
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -116,21 +116,36 @@
 	Tasks               []TaskStatus `msgpack:"pips"`
 }
 
-// Valid tells whether a report can be acted upon.
-func (r *Heartbeat) Valid() bool {
-	if !ValidKeyPart(r.Machine) || r.Endpoint == "" || len(r.Endpoint) > 64 || r.Type == "" || len(r.Type) > 100 ||
-		r.Zone == "" ||
-		len(r.Zone) > 100 ||
-		r.Incarnation == 0 {
+// Longest texts of a heartbeat that are accepted, in bytes.
+const (
+	maxEndpointBytes = 64
+	maxTypeBytes     = 100
+	maxZoneBytes     = 100
+)
+
+// Valid reports whether a heartbeat can be acted upon.
+func (h *Heartbeat) Valid() bool {
+	if !ValidKeyPart(h.Machine) || h.Incarnation == 0 || !validEndpoint(h.Endpoint) ||
+		h.Type == "" || len(h.Type) > maxTypeBytes ||
+		h.Zone == "" || len(h.Zone) > maxZoneBytes {
 		return false
 	}
-	for i := 0; i < len(r.Endpoint); i++ {
-		if c := r.Endpoint[i]; c <= ' ' || c == ';' || c > '~' {
-			return false // it couldn't be kept
+	for i := range h.Tasks {
+		if h.Tasks[i].Task == "" || h.Tasks[i].State == "" {
+			return false
 		}
 	}
-	for i := range r.Tasks {
-		if r.Tasks[i].Task == "" || r.Tasks[i].State == "" {
+	return true
+}
+
+// validEndpoint reports whether an endpoint can be stored: the text form of a shard separates its columns by
+// spaces and its entries by semicolons.
+func validEndpoint(endpoint string) bool {
+	if endpoint == "" || len(endpoint) > maxEndpointBytes {
+		return false
+	}
+	for _, c := range []byte(endpoint) {
+		if c <= ' ' || c == ';' || c > '~' {
 			return false
 		}
 	}
@@ -182,8 +197,9 @@
 	Types []MachineType `msgpack:"breeds"`
 }
 
-// RentRequest asks for machines.
-type RentRequest struct {
+// CreateMachinesRequest requests machines of one offer. A request that is repeated under its name gets the
+// same machines.
+type CreateMachinesRequest struct {
 	Name  string `msgpack:"ask"`
 	Type  string `msgpack:"breed"`
 	Zone  string `msgpack:"grove"`
@@ -191,12 +207,12 @@
 	Count int    `msgpack:"number"`
 }
 
-// RentReply names the machines rented.
-type RentReply struct {
+// CreateMachinesReply names the machines that the cloud provides.
+type CreateMachinesReply struct {
 	Machines []string `msgpack:"trees"`
 }
 
-// DeleteMachinesRequest gives machines back.
+// DeleteMachinesRequest has the cloud delete machines.
 type DeleteMachinesRequest struct {
 	Machines []string `msgpack:"trees"`
 }
--- a/internal/protocol/outcomes.go
+++ b/internal/protocol/outcomes.go
@@ -34,19 +34,19 @@
 		return Unknown
 	}
 	switch message.Status {
-	case 200, 201, 204:
+	case transport.StatusOK, transport.StatusCreated, transport.StatusNoContent:
 		return OK
-	case 400:
+	case transport.StatusBadRequest:
 		return Rejected
-	case 404:
+	case transport.StatusNotFound:
 		return NotFound
-	case 409:
+	case transport.StatusConflict:
 		return Conflict
-	case 410:
+	case transport.StatusGone:
 		return Compacted
-	case 429:
+	case transport.StatusThrottled:
 		return Throttled
-	case 503:
+	case transport.StatusUnavailable:
 		return Unavailable
 	}
 	return Unknown
--- a/internal/protocol/submission_fields.go
+++ b/internal/protocol/submission_fields.go
@@ -35,22 +35,12 @@
 // Fields is the submission as a map of the wire's names and values. ParseSubmission reads it back from
 // its encoding.
 func (s *Submission) Fields() map[string]any {
-	shape := ShapeArray
-	if s.Service {
-		shape = ShapeService
-	}
-	priority := ""
-	for name, p := range priorities {
-		if p == s.Priority {
-			priority = name
-		}
-	}
 	values := map[string]any{
 		FieldID:          s.ID,
 		FieldClass:       s.Class,
 		FieldTeam:        s.Team,
-		FieldShape:       shape,
-		FieldPriority:    priority,
+		FieldShape:       s.wireShape(),
+		FieldPriority:    s.Priority.wireName(),
 		FieldTasks:       s.Tasks,
 		FieldCPUs:        s.CPUs,
 		FieldGPUs:        s.GPUs,
@@ -79,5 +69,23 @@
 	return values
 }
 
+// wireShape returns the wire's name of the submission's shape.
+func (s *Submission) wireShape() string {
+	if s.Service {
+		return ShapeService
+	}
+	return ShapeArray
+}
+
+// wireName returns the wire's name of a priority, "" if it has none.
+func (p Priority) wireName() string {
+	for name, priority := range priorities {
+		if priority == p {
+			return name
+		}
+	}
+	return ""
+}
+
 // EncodeMsgpack writes the submission in the form that users send.
 func (s *Submission) EncodeMsgpack(enc *msgpack.Encoder) error { return enc.Encode(s.Fields()) }
--- a/internal/protocol/worker_calls.go
+++ b/internal/protocol/worker_calls.go
@@ -12,6 +12,9 @@
 	Heartbeat Heartbeat
 }
 
+// OK reports whether the worker has carried the request out.
+func (r *CommandResult) OK() bool { return r.Status == transport.StatusOK }
+
 // CallWorker sends a command batch to a worker; without one it only requests the
 // worker's report.
 func CallWorker(client *transport.Client, req *CommandRequest, within monotime.Micros) CommandResult {
@@ -22,7 +25,7 @@
 		}
 	}
 	message, outcome := send(client, request)
-	if outcome == Unknown || message.Status != 200 && message.Status != 409 {
+	if outcome == Unknown || message.Status != transport.StatusOK && message.Status != transport.StatusConflict {
 		return CommandResult{}
 	}
 	result := CommandResult{Status: message.Status}
--- a/internal/reachability/workers.go
+++ b/internal/reachability/workers.go
@@ -94,7 +94,7 @@
 		nil,
 		durations.WorkerProbeTimeout,
 		func(result protocol.CommandResult) {
-			callback(result.Status == 200 && result.Heartbeat.Machine == machine.ID)
+			callback(result.OK() && result.Heartbeat.Machine == machine.ID)
 		},
 	)
 }
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -90,7 +90,7 @@
 // scaledIn tells whether a machine is known to be gone by a scale-in request.
 func (m *Manager) scaledIn(machine string) bool {
 	scaleIn := m.mirror.ScaleIns[m.mirror.ScaleInOfMachine[machine]]
-	return scaleIn != nil && scaleIn.Record.Gone
+	return scaleIn != nil && scaleIn.Record.Deleted
 }
 
 // releaseMachine takes a machine that is gone out of a shard, with all that it held.
--- a/internal/shards/updates_test.go
+++ b/internal/shards/updates_test.go
@@ -124,7 +124,7 @@
 		{
 			name: "machine gone",
 			set: func(w *world) {
-				record := storage.ScaleInRequest{Machines: []string{"i-1"}, Gone: true}
+				record := storage.ScaleInRequest{Machines: []string{"i-1"}, Deleted: true}
 				w.put(storage.Key(storage.KindScaleIn, "s"), protocol.MustMarshal(&record))
 			},
 			changed: true,
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -159,14 +159,14 @@
 }
 
 // ScaleInRequest is the record of KindScaleIn: machines that are deleted together. It is written before the
-// call of the cloud. Once the cloud has answered, Gone says that they and all attempts on them are gone; it
-// is kept for a while, so that late heartbeats from these machines are rejected.
+// call of the cloud. Once the cloud has answered, Deleted says that they and all attempts on them are gone;
+// the record is kept for a while, so that late heartbeats from these machines are rejected.
 type ScaleInRequest struct {
 	Machines   []string `msgpack:"m"`
 	StateSince int64    `msgpack:"t"` // time of day, microseconds
 	Attempts   int      `msgpack:"n,omitempty"`
 	Failed     bool     `msgpack:"f,omitempty"`
-	Gone       bool     `msgpack:"g,omitempty"`
+	Deleted    bool     `msgpack:"g,omitempty"`
 }
 
 // MachineType is the record of KindMachineType: a machine type as the cloud's catalog has it.
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -72,7 +72,7 @@
 			file: "removal",
 			key:  Key(KindScaleIn, "d-1-2"),
 			value: &ScaleInRequest{Machines: []string{"i-000231"},
-				StateSince: at, Attempts: 3, Failed: true, Gone: true},
+				StateSince: at, Attempts: 3, Failed: true, Deleted: true},
 		},
 		{file: "removal-sparse", key: Key(KindScaleIn, "d-1-3"), sparse: true,
 			value: &ScaleInRequest{Machines: []string{"i-000232"}, StateSince: at}},
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -33,17 +33,17 @@
 func StatusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrBodyTooLarge):
-		return 413
+		return StatusContentTooLarge
 	case errors.Is(err, ErrHeadTooLarge):
-		return 431
+		return StatusHeaderTooLarge
 	case errors.Is(err, ErrURITooLong):
-		return 414
+		return StatusURITooLong
 	case errors.Is(err, ErrUnsupportedTransferCoding):
-		return 501
+		return StatusNotImplemented
 	case errors.Is(err, ErrUnsupportedVersion):
-		return 505
+		return StatusVersionUnsupported
 	}
-	return 400
+	return StatusBadRequest
 }
 
 // Message is one request (Method, Target) or response (Status).
--- /dev/null
+++ b/internal/transport/status.go
@@ -0,0 +1,24 @@
+package transport
+
+// Statuses of responses, of this service and of those that it calls.
+const (
+	StatusOK                 = 200
+	StatusCreated            = 201
+	StatusNoContent          = 204
+	StatusBadRequest         = 400
+	StatusNotFound           = 404
+	StatusMethodNotAllowed   = 405
+	StatusTimeout            = 408
+	StatusConflict           = 409
+	StatusGone               = 410 // of the state service: the revision asked for is compacted
+	StatusContentTooLarge    = 413
+	StatusURITooLong         = 414
+	StatusRedirect           = 421 // another controller is to be called
+	StatusUnsatisfiable      = 422
+	StatusThrottled          = 429
+	StatusHeaderTooLarge     = 431
+	StatusInternalError      = 500
+	StatusNotImplemented     = 501
+	StatusUnavailable        = 503
+	StatusVersionUnsupported = 505
+)
--- a/internal/transport/writer.go
+++ b/internal/transport/writer.go
@@ -2,12 +2,24 @@
 
 import "strconv"
 
+// reasonPhrases are the texts that follow the statuses on the status line.
 var reasonPhrases = map[int]string{
-	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	408: "Request Timeout", 413: "Content Too Large", 414: "URI Too Long", 421: "Misdirected Request",
-	422: "Unprocessable Content", 429: "Too Many Requests", 431: "Request Header Fields Too Large",
-	500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable",
-	505: "HTTP Version Not Supported",
+	StatusOK:                 "OK",
+	StatusCreated:            "Created",
+	StatusBadRequest:         "Bad Request",
+	StatusNotFound:           "Not Found",
+	StatusMethodNotAllowed:   "Method Not Allowed",
+	StatusTimeout:            "Request Timeout",
+	StatusContentTooLarge:    "Content Too Large",
+	StatusURITooLong:         "URI Too Long",
+	StatusRedirect:           "Misdirected Request",
+	StatusUnsatisfiable:      "Unprocessable Content",
+	StatusThrottled:          "Too Many Requests",
+	StatusHeaderTooLarge:     "Request Header Fields Too Large",
+	StatusInternalError:      "Internal Server Error",
+	StatusNotImplemented:     "Not Implemented",
+	StatusUnavailable:        "Service Unavailable",
+	StatusVersionUnsupported: "HTTP Version Not Supported",
 }
 
 // AppendResponse writes a response.
