--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -208,9 +208,9 @@
 				record.Own[machine] = controller
 			}
 		}
-		m.replica.Commit(ratelimit.PriorityBackground, protocol.Transaction{
-			If:   []protocol.Compare{{Key: key, Version: request.Version}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&record)}},
-		}, func(protocol.StoreResult) { m.recordWrites.End(key) })
+		txn := protocol.PutIfUnchanged(key, request.Version, &record)
+		m.replica.Commit(ratelimit.PriorityBackground, txn, func(protocol.StoreResult) {
+			m.recordWrites.End(key)
+		})
 	})
 }
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -47,11 +47,7 @@
 // cancelled exclude each other by that, and every assignment of a task depends on there being none.
 func (h *Handler) CommitCancellation(id string, respond Respond) {
 	key := storage.JobResultKey(id)
-	value := protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled})
-	transaction := protocol.Transaction{
-		If:   []protocol.Compare{{Key: key}},
-		Then: []protocol.Op{{Put: key, Value: value}},
-	}
+	transaction := protocol.PutIfUnchanged(key, 0, &storage.JobResult{State: storage.JobCancelled})
 	h.replica.Commit(ratelimit.PriorityCancellation, transaction, func(result protocol.StoreResult) {
 		switch result.Outcome {
 		case protocol.OK:
--- a/internal/autoscaling/fleet/catalog.go
+++ b/internal/autoscaling/fleet/catalog.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		key := storage.MachineTypeKey(name)
-		r.Commit(ratelimit.PriorityBackground, key, putIfUnchanged(key, stored.Version, &record), nil)
+		r.Commit(ratelimit.PriorityBackground, key, protocol.PutIfUnchanged(key, stored.Version, &record), nil)
 	}
 }
 
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -120,6 +120,6 @@
 		}
 		r.deps.Log.Info("unrequested machine found",
 			"machine", id, "machine_type", listed.Type, "zone", listed.Zone)
-		r.Commit(ratelimit.PriorityBackground, key, putIfUnchanged(key, 0, &record), nil)
+		r.Commit(ratelimit.PriorityBackground, key, protocol.PutIfUnchanged(key, 0, &record), nil)
 	}
 }
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -180,19 +180,3 @@
 	r.term.requestSequence++
 	return fmt.Sprintf("%d-%d", r.term.number, r.term.requestSequence)
 }
-
-// putIfUnchanged writes a record on the condition that it still has the version; 0: that it doesn't exist.
-func putIfUnchanged(key string, version uint64, record any) protocol.Transaction {
-	return protocol.Transaction{
-		If:   []protocol.Compare{{Key: key, Version: version}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(record)}},
-	}
-}
-
-// deleteIfUnchanged deletes a record on the condition that it still has the version.
-func deleteIfUnchanged(key string, version uint64) protocol.Transaction {
-	return protocol.Transaction{
-		If:   []protocol.Compare{{Key: key, Version: version}},
-		Then: []protocol.Op{{Delete: key}},
-	}
-}
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -78,7 +78,7 @@
 	}
 	key := storage.ScaleInKey(r.nextRequestName())
 	record := storage.ScaleInRequest{Machines: machines[:n], StateSince: r.deps.Environment.WallClock()}
-	txn := putIfUnchanged(key, 0, &record)
+	txn := protocol.PutIfUnchanged(key, 0, &record)
 	r.Commit(ratelimit.PriorityBackground, scaleInBusyKey, txn, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK {
 			r.reconcileScaleIns(r.now())
@@ -111,7 +111,7 @@
 		r.countFailedDeletion(name, &record, outcome)
 	}
 	key := storage.ScaleInKey(name)
-	txn := putIfUnchanged(key, request.Version, &record)
+	txn := protocol.PutIfUnchanged(key, request.Version, &record)
 	r.Commit(ratelimit.PriorityShardUpdate, key, txn, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK && record.Deleted {
 			r.deps.Log.Info("machines deleted", "scale_in", name, "machines", len(record.Machines))
@@ -149,5 +149,5 @@
 		}
 	}
 	key := storage.ScaleInKey(name)
-	r.Commit(ratelimit.PriorityBackground, key, deleteIfUnchanged(key, request.Version), nil)
+	r.Commit(ratelimit.PriorityBackground, key, protocol.DeleteIfUnchanged(key, request.Version), nil)
 }
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -42,7 +42,7 @@
 			if age > r.cfg.Settings.OfferQuarantine.Micros() {
 				r.term.backoffs.NoteOfferRecovery()
 				key := storage.ScaleOutKey(name)
-				r.Commit(ratelimit.PriorityBackground, key, deleteIfUnchanged(key, request.Version), nil)
+				r.Commit(ratelimit.PriorityBackground, key, protocol.DeleteIfUnchanged(key, request.Version), nil)
 			}
 		case storage.ScaleOutProvisioning:
 			r.reconcileProvisioning(name, request, age)
@@ -61,13 +61,13 @@
 	})
 	switch {
 	case len(missing) == 0 && r.deps.Mirror.WatchedRevision >= request.Version:
-		r.Commit(ratelimit.PriorityBackground, key, deleteIfUnchanged(key, request.Version), nil)
+		r.Commit(ratelimit.PriorityBackground, key, protocol.DeleteIfUnchanged(key, request.Version), nil)
 	case age > r.cfg.Settings.ReadinessTimeout.Micros():
 		r.removeMissing(name, request, missing)
 	case unclaimable && len(connected) > 0:
 		record := request.Record
 		record.Live, record.Own = connected, nil
-		r.Commit(ratelimit.PriorityShardUpdate, key, putIfUnchanged(key, request.Version, &record), nil)
+		r.Commit(ratelimit.PriorityShardUpdate, key, protocol.PutIfUnchanged(key, request.Version, &record), nil)
 	}
 }
 
@@ -77,7 +77,7 @@
 	key := storage.ScaleOutKey(name)
 	scaleInKey := storage.ScaleInKey(r.nextRequestName())
 	scaleIn := storage.ScaleInRequest{Machines: missing, StateSince: r.deps.Environment.WallClock()}
-	txn := deleteIfUnchanged(key, request.Version)
+	txn := protocol.DeleteIfUnchanged(key, request.Version)
 	txn.If = append(txn.If, protocol.Compare{Key: scaleInKey, Version: 0})
 	txn.Then = append(txn.Then, protocol.Op{Put: scaleInKey, Value: protocol.MustMarshal(&scaleIn)})
 	r.Commit(ratelimit.PriorityBackground, key, txn, func(result protocol.StoreResult) {
@@ -131,7 +131,7 @@
 	}
 	record.PhaseSince = r.deps.Environment.WallClock()
 	key := storage.ScaleOutKey(name)
-	txn := putIfUnchanged(key, request.Version, &record)
+	txn := protocol.PutIfUnchanged(key, request.Version, &record)
 	if record.Phase == storage.ScaleOutProvisioning && len(result.Created) < record.Count {
 		unfilled := storage.ScaleOutRequest{
 			Phase:       storage.ScaleOutNoCapacity,
@@ -159,7 +159,7 @@
 			Count:       min(left, maxMachinesPerScaleOut),
 			PhaseSince:  r.deps.Environment.WallClock(),
 		}
-		txn := putIfUnchanged(key, 0, &record)
+		txn := protocol.PutIfUnchanged(key, 0, &record)
 		r.Commit(ratelimit.PriorityShardUpdate, key, txn, func(result protocol.StoreResult) {
 			if result.Outcome == protocol.OK {
 				r.reconcileScaleOuts(r.now())
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -124,10 +124,7 @@
 	}
 	next.Permits = append(next.Permits, granted...)
 	key := storage.PermitsKey(team)
-	txn := protocol.Transaction{
-		If:   []protocol.Compare{{Key: key, Version: have.Version}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
-	}
+	txn := protocol.PutIfUnchanged(key, have.Version, &next)
 	d.permitCommitInFlight[team] = true
 	d.deps.Store.Commit(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
 		delete(d.permitCommitInFlight, team)
--- a/internal/drain/drainer/states.go
+++ b/internal/drain/drainer/states.go
@@ -22,13 +22,9 @@
 // writeState writes the next state of a drain, or deletes its record if that is nil.
 func (d *Drainer) writeState(record *drain.DrainRecord, next *storage.Drain) {
 	key, name := storage.DrainKey(record.Name), record.Name
-	operation := protocol.Op{Delete: key}
+	txn := protocol.DeleteIfUnchanged(key, record.Version)
 	if next != nil {
-		operation = protocol.Op{Put: key, Value: protocol.MustMarshal(next)}
-	}
-	txn := protocol.Transaction{
-		If:   []protocol.Compare{{Key: key, Version: record.Version}},
-		Then: []protocol.Op{operation},
+		txn = protocol.PutIfUnchanged(key, record.Version, next)
 	}
 	d.deps.Store.CommitAsLeader(ratelimit.PriorityBackground, key, txn, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK && next != nil {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -175,10 +175,7 @@
 	id := job.ID
 	f.writes.Begin(id)
 	key := storage.OpenJobKey(id)
-	transaction := protocol.Transaction{
-		If:   []protocol.Compare{{Key: key, Version: job.Version}},
-		Then: []protocol.Op{{Delete: key}},
-	}
+	transaction := protocol.DeleteIfUnchanged(key, job.Version)
 	f.committer.Commit(ratelimit.PriorityBackground, transaction, func(protocol.StoreResult) {
 		f.writes.End(id)
 	})
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -333,11 +333,8 @@
 			return nil, nil
 		}
 		changed = true
-		key := storage.DrainKey(name)
-		return &protocol.Transaction{
-			If:   []protocol.Compare{{Key: key, Version: record.Version}},
-			Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next)}},
-		}, nil
+		txn := protocol.PutIfUnchanged(storage.DrainKey(name), record.Version, &next)
+		return &txn, nil
 	})
 	return changed, err
 }
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -269,6 +269,22 @@
 	Then []Op      `msgpack:"apply,omitempty"`
 }
 
+// PutIfUnchanged writes a record on the condition that it still has the version; 0: that it doesn't exist.
+func PutIfUnchanged(key string, version uint64, record any) Transaction {
+	return Transaction{
+		If:   []Compare{{Key: key, Version: version}},
+		Then: []Op{{Put: key, Value: MustMarshal(record)}},
+	}
+}
+
+// DeleteIfUnchanged deletes a record on the condition that it still has the version.
+func DeleteIfUnchanged(key string, version uint64) Transaction {
+	return Transaction{
+		If:   []Compare{{Key: key, Version: version}},
+		Then: []Op{{Delete: key}},
+	}
+}
+
 // TransactionReply answers a transaction.
 type TransactionReply struct {
 	Revision uint64   `msgpack:"epoch"`
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -108,10 +108,7 @@
 // commit writes this controller's record. A raise is conditional on the records of all controllers.
 func (m *Manager) commit(next *adjustment) {
 	key := storage.PartitionKey(m.cfg.Node)
-	txn := protocol.Transaction{
-		If:   []protocol.Compare{{Key: key, Version: next.version}},
-		Then: []protocol.Op{{Put: key, Value: protocol.MustMarshal(&next.record)}},
-	}
+	txn := protocol.PutIfUnchanged(key, next.version, &next.record)
 	if next.raised {
 		txn.If = append(txn.If, m.compareOthers()...)
 	}
