--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -8,6 +8,7 @@
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/sortedmap"
+	"pipitgap/internal/storage"
 )
 
 // TestLateRunAfterReapStartsNothing: a direct batch that is held back and delivered after its
@@ -172,7 +173,9 @@
 			c.settings.ScaleDownDelay = 0
 			c.startWithLeader()
 			var copies []copied
-			c.onReport = func(_ *fake.Worker, node string, body []byte) { copies = append(copies, copied{node, body}) }
+			c.onReport = func(_ *fake.Worker, node string, body []byte) {
+				copies = append(copies, copied{node, body})
+			}
 			run := monotime.Micros(0)
 			if tc.name == "after the machine was deleted" {
 				run = 3 * second
@@ -198,12 +201,23 @@
 					if m := core.mirror.Machines[machine]; m == nil {
 						s += node + " unknown; "
 					} else if core.agents.Of(m) != nil {
-						s += fmt.Sprintf("%s has it under %d, alive %d, answered %d, usable %v; ", node, m.Claim(), core.agents.Of(m).LastReachedAt(), core.agents.Of(m).LastAnsweredAt(), core.scheduler.Schedulable(m, c.sim.Now()))
+						s += fmt.Sprintf(
+							"%s has it under %d, alive %d, answered %d, usable %v; ",
+							node,
+							m.Claim(),
+							core.agents.Of(m).LastReachedAt(),
+							core.agents.Of(m).LastAnsweredAt(),
+							core.scheduler.Schedulable(m, c.sim.Now()),
+						)
 					}
 				}
 				return s
 			}
-			before, changes := state(), c.store.ChangesByKind["+page"]+c.store.ChangesByKind["+ask"]
+			countChanges := func() int {
+				changes := c.store.ChangesByKind
+				return changes["+"+string(storage.KindShard)] + changes["+"+string(storage.KindScaleOut)]
+			}
+			before, changes := state(), countChanges()
 			answered := 0
 			for _, r := range copies {
 				var report protocol.Heartbeat
@@ -226,16 +240,19 @@
 			}
 			if tc.name == "after the owner restarted" {
 				for _, node := range c.nodeNames {
-					if m := c.nodes[node].controller.mirror.Machines[machine]; m != nil &&
-						c.nodes[node].controller.agents.Of(m) != nil &&
-						(c.nodes[node].controller.agents.Of(m).ClaimAcknowledged() || c.nodes[node].controller.scheduler.Schedulable(m, c.sim.Now())) {
+					core := c.nodes[node].controller
+					m := core.mirror.Machines[machine]
+					if m == nil || core.agents.Of(m) == nil {
+						continue
+					}
+					if core.agents.Of(m).ClaimAcknowledged() || core.scheduler.Schedulable(m, c.sim.Now()) {
 						t.Errorf("%s takes it for alive", node)
 					}
 				}
 			}
 			if tc.name == "after the machine was deleted" {
 				c.sim.Run(3 * second)
-				if n := c.store.ChangesByKind["+page"] + c.store.ChangesByKind["+ask"]; n != changes {
+				if n := countChanges(); n != changes {
 					t.Errorf("%d changes follow", n-changes)
 				}
 			}
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -11,7 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// newBurstCluster is a cluster with a team at home and a swarm, and machines that are up.
+// newBurstCluster is a cluster whose machines are up, with a team that has a guarantee ("home") and one that
+// has none ("guest").
 func newBurstCluster(t *testing.T, seed uint64, facts func(*config.Config)) (c *cluster) {
 	c = newCluster(t, seed)
 	c.adjustFacts = facts
@@ -35,12 +36,11 @@
 	return c
 }
 
-// TestBurstLeavesOthersUnharmed: a swarm sends tiny jobs several times as fast as the store takes them; of
-// the others' submissions none waits for long, their services start once a machine is
-// up, and what the swarm is refused it is told at once, with when to come back; half of
-// its jobs and more are served all the same. Without ranks of their own they had most of
-// all changes; with the answers of its jobs among the shards, machines that were up were
-// not claimed for six seconds.
+// TestBurstLeavesOthersUnharmed: one team sends tiny jobs several times as fast as the store takes them. No
+// submission of the others waits for long, their services start once a machine is up, and what is rejected
+// of the burst is rejected at once, with a time to retry; more than a hundred of its jobs are accepted all
+// the same. Without a priority class of their own the tiny jobs took most of all changes, and machines that
+// were up were not claimed for seconds.
 func TestBurstLeavesOthersUnharmed(t *testing.T) {
 	for seed := uint64(2000); seed < 2004; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runBurst(t, seed) })
@@ -53,8 +53,8 @@
 	accepted := map[string]monotime.Micros{}
 	c.onAccepted = func(id string) { accepted[id] = c.sim.Now() }
 	sentAt := map[string]monotime.Micros{}
-	var swarming, services []string
-	refused, silent, started := 0, 0, 0
+	var smallJobs, services []string
+	rejected, silent, started := 0, 0, 0
 	unclaimed, longest := map[string]monotime.Micros{}, monotime.Micros(0) // machines that are up
 	var look func()
 	look = func() {
@@ -78,7 +78,7 @@
 				withSpot(true),
 				withEstimateS(2),
 			)
-			swarming = append(swarming, id)
+			smallJobs = append(smallJobs, id)
 		}
 		id := c.submitWithRetry(
 			0,
@@ -97,7 +97,7 @@
 			protocol.MustMarshal(j),
 			func(response Response) {
 				if response.Status == 429 {
-					refused++
+					rejected++
 					if response.RetryAfter == 0 || c.sim.Now() != startedAt {
 						silent++
 					}
@@ -115,19 +115,20 @@
 		}
 	}
 	served := 0
-	for _, id := range swarming {
+	for _, id := range smallJobs {
 		if accepted[id] > 0 {
 			served++
 		}
 	}
 	t.Logf(
-		"of %d services %d accepted late, %d run; of %d guests %d accepted; %d refused; %d changes; a machine waited %v s for its claim",
+		"of %d services %d accepted late, %d run; of %d small jobs %d accepted; %d rejected; %d changes; "+
+			"a machine waited %v s for its claim",
 		len(services),
 		late,
 		started,
-		len(swarming),
+		len(smallJobs),
 		served,
-		refused,
+		rejected,
 		c.store.Changes-changes,
 		longest.Seconds(),
 	)
@@ -138,10 +139,10 @@
 		t.Errorf("of %d services %d were accepted late, %d run", len(services), late, started)
 	}
 	if served < 100 {
-		t.Errorf("%d jobs of guests accepted", served)
+		t.Errorf("%d small jobs accepted", served)
 	}
-	if refused == 0 || silent > 0 {
-		t.Errorf("%d refused, %d of them late or not told when to come back", refused, silent)
+	if rejected == 0 || silent > 0 {
+		t.Errorf("%d rejected, %d of them late or without a time to retry", rejected, silent)
 	}
 	if n := c.store.Changes - changes; n > (seconds+int(c.cloud.BootTime/second)+9)*50 {
 		t.Errorf("%d changes", n)
@@ -159,7 +160,7 @@
 		done, waits int
 	}{
 		{"4 KiB a value", 4, 8000, 4},
-		{"1 KiB: bytes of the pages are short", 1, 4000, 4},
+		{"1 KiB a value: the shards' bytes are short", 1, 4000, 4},
 	} {
 		t.Run(tc.name, func(t *testing.T) { runHugeArray(t, tc.kb, tc.done, tc.waits) })
 	}
@@ -244,9 +245,9 @@
 	c.requireNoViolations()
 }
 
-// TestPollStormIsBounded: users ask a few hundred times a second, one controller is down: every
-// question is answered at once or told when to come back, jobs that are over cost the
-// store nothing, the others a few watches; submissions and leases have their turn.
+// TestPollStormIsBounded: users poll a few hundred times a second while one controller is down: every request
+// is answered at once or rejected with a time to retry, finished jobs cost the store nothing, the others a
+// few watches; submissions and leases are served all the same.
 func TestPollStormIsBounded(t *testing.T) {
 	c := newBurstCluster(t, 2200, nil)
 	var open, over []string
@@ -308,7 +309,7 @@
 	startedAt := c.sim.Now()
 	requests, answered, late := storm(open)
 	t.Logf(
-		"%d questions, %d answered, %d late; %d requests, %d for jobs that are over",
+		"%d polls, %d answered, %d late; %d requests, %d for finished jobs",
 		8000,
 		answered,
 		late,
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -78,7 +78,7 @@
 }
 
 // TestLateReportDoesNotReviveDeletedMachine: a report of a machine that was deleted, held back on its way,
-// must not bring the machine to life again.
+// must not revive the machine.
 func TestLateReportDoesNotReviveDeletedMachine(t *testing.T) {
 	c := newCluster(t, 19)
 	c.settings.ScaleDownDelay = 0
@@ -97,7 +97,7 @@
 			t.Errorf("%s answers %d", node, response.Status)
 		}
 	}
-	if keys := c.store.Keys(storage.KeyPrefix + "page"); len(keys) > 0 {
+	if keys := c.store.Keys(storage.Key(storage.KindShard, "")); len(keys) > 0 {
 		t.Errorf("claimed: %v", keys)
 	}
 }
--- a/internal/coordination/controller_restart_test.go
+++ b/internal/coordination/controller_restart_test.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestControllerRestartsLoseNoJobs: controllers killed at any moment and started again with nothing
-// but the store; nothing is forgotten and nothing runs twice.
+// TestControllerRestartsLoseNoJobs: controllers are killed at any moment and started again with nothing but
+// the store; no job is lost and nothing runs twice.
 func TestControllerRestartsLoseNoJobs(t *testing.T) {
 	for seed := uint64(0); seed < 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestSingleFaultsKeepInvariants: each trouble by itself, over running work, without a broken rule.
+// TestSingleFaultsKeepInvariants: each fault by itself, beside running work, breaks no invariant.
 func TestSingleFaultsKeepInvariants(t *testing.T) {
 	cases := []struct {
 		name string
@@ -104,7 +104,7 @@
 			c.sim.Run(16 * second)
 			clear(c.mutedMachines)
 		}},
-		{"machines that are heard, but that nothing reaches", func(c *cluster) {
+		{"machines whose reports arrive, but that nothing reaches", func(c *cluster) {
 			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.unreachableMachines[id] = i%2 == 0
 			}
@@ -128,7 +128,7 @@
 				}
 			}
 		}},
-		{"a sick machine", func(c *cluster) {
+		{"a machine on which every task fails", func(c *cluster) {
 			c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[0]].FailsTasks = true
 		}},
 		{"workers cut from their owner only", func(c *cluster) {
@@ -139,17 +139,19 @@
 			clear(c.disconnectedPairs)
 		}},
 		{"peers cut from each other", func(c *cluster) {
-			c.disconnectedPairs["n-0-n-1"], c.disconnectedPairs["n-1-n-2"], c.disconnectedPairs["n-0-n-2"] = true, true, true
+			for _, pair := range []string{"n-0-n-1", "n-1-n-2", "n-0-n-2"} {
+				c.disconnectedPairs[pair] = true
+			}
 			c.sim.Run(20 * second)
 		}},
-		{"cloud trouble and throttling", func(c *cluster) {
+		{"cloud unavailable, then throttling", func(c *cluster) {
 			c.cloud.Unavailable = true
 			c.sim.Run(15 * second)
 			c.cloud.Unavailable, c.cloud.Throttling = false, true
 			c.sim.Run(10 * second)
 			c.cloud.Throttling = false
 		}},
-		{"machines that nobody asked for", func(c *cluster) {
+		{"machines that no controller rented", func(c *cluster) {
 			for i := 0; i < 3; i++ {
 				c.cloud.AddMachine("m8", "b", i == 0)
 			}
@@ -221,7 +223,7 @@
 	}
 }
 
-// TestAcceptedJobsStayKnownOnAllControllers: when the troubles are over every accepted job is answered on
+// TestAcceptedJobsStayKnownOnAllControllers: when the faults are over every accepted job is answered on
 // every controller, one whose record this version can't read too.
 func TestAcceptedJobsStayKnownOnAllControllers(t *testing.T) {
 	c := newCluster(t, 35).startWithLeader()
@@ -262,10 +264,9 @@
 }
 
 // TestBriefOutageLeavesMachinesInPlace: controllers that crash and are back in three seconds find their
-// machines where they were. The one that is left hears from all of their workers while
-// its peers' last words are still fresh; to take them over then cost a storm of
-// commits that all ask for the same shares. An owner that lives but can't be reached
-// by its workers loses them.
+// machines where they were. The one that is left gets heartbeats of all of their workers while its peers'
+// last statuses are still fresh; to take the machines over then cost many commits that conflicted on the
+// same quota shares. An owner that runs but can't be reached by its workers loses them.
 func TestBriefOutageLeavesMachinesInPlace(t *testing.T) {
 	for _, crash := range []bool{true, false} {
 		c := newCluster(t, 61).startWithLeader()
@@ -299,7 +300,7 @@
 				}
 			}
 		}
-		conflicts := c.store.ChangesByKind["!part"]
+		conflicts := c.store.ChangesByKind["!"+string(storage.KindPartition)]
 		if crash {
 			c.kill("n-1", "n-2")
 		}
@@ -317,8 +318,8 @@
 		if theirs < 3 || crash && changed > 0 || !crash && changed < theirs {
 			t.Errorf("crash %v: %d of %d machines have changed their owner", crash, changed, theirs)
 		}
-		if n := c.store.ChangesByKind["!part"] - conflicts; n > 12 {
-			t.Errorf("crash %v: %d conflicts about shares", crash, n)
+		if n := c.store.ChangesByKind["!"+string(storage.KindPartition)] - conflicts; n > 12 {
+			t.Errorf("crash %v: %d conflicts about quota shares", crash, n)
 		}
 		c.requireNoViolations()
 	}
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -19,7 +19,11 @@
 	core := c.nodes["n-0"].controller
 	usual := core.store.ShardWritesPerSecond()
 	core.OnPeerStatus(
-		peers.Status{Node: "n-1", StateServiceReachable: true, WaitingUserRequests: storeclient.WaitingUserCallsThreshold},
+		peers.Status{
+			Node:                  "n-1",
+			StateServiceReachable: true,
+			WaitingUserRequests:   storeclient.WaitingUserCallsThreshold,
+		},
 	)
 	if got := core.store.ShardWritesPerSecond(); got != usual {
 		t.Errorf("a few users at a peer: %v, usually %v", got, usual)
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -30,7 +30,7 @@
 )
 
 // A course is everything that the controllers of a simulated cluster send: calls of the state
-// service and of the cloud, direct commands, hints, and answers to users and workers, each with
+// service and of the cloud, direct commands, peer statuses, and answers to users and workers, each with
 // its simulated time and its controller. It is written in wire form, so that it stays the same
 // when Go identifiers are renamed or functions are moved, and differs as soon as a decision, an
 // order or a random draw does. testdata/courses.txt holds one hash for each scenario and seed.
@@ -177,7 +177,7 @@
 	return fmt.Sprintf("%s within %d", text, int64(c.Timeout))
 }
 
-// wireCommand renders a command batch, or the question for a report.
+// wireCommand renders a command batch, or a probe.
 func wireCommand(endpoint string, req *protocol.CommandRequest, within monotime.Micros) string {
 	body := []byte("show")
 	if req != nil {
@@ -186,7 +186,7 @@
 	return fmt.Sprintf("%s %s within %d", endpoint, canonical(body), int64(within))
 }
 
-// wirePeerStatus renders what a controller tells another, field by field.
+// wirePeerStatus renders a peer status, field by field.
 func wirePeerStatus(status *peers.Status) string {
 	var b strings.Builder
 	fmt.Fprintf(
@@ -337,7 +337,7 @@
 	return out
 }
 
-// playRandomFaults combines faults as TestRandomFaults does.
+// playRandomFaults combines faults as TestRandomFaultsKeepInvariants does.
 func playRandomFaults(t *testing.T, seed uint64, r *recorder) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	s := newScenario(t, seed)
@@ -573,10 +573,12 @@
 	s.runFaults(faults, 160*second)
 }
 
-// sendMistakes asks every controller for what it must refuse or doesn't know.
+// sendMistakes sends every controller requests that it must reject or that name unknown jobs.
 func (s *scenario) sendMistakes() {
 	for _, node := range s.nodeNames {
-		send := func(method, target string, body []byte) { s.sendRequest(node, method, target, body, func(Response) {}) }
+		send := func(method, target string, body []byte) {
+			s.sendRequest(node, method, target, body, func(Response) {})
+		}
 		send("GET", "/healthz", nil)
 		send("GET", protocol.JobsPath, nil)
 		send("GET", protocol.JobPath("j-unknown"), nil)
--- a/internal/coordination/determinism_test.go
+++ b/internal/coordination/determinism_test.go
@@ -8,14 +8,16 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// TestSameSeedGivesSameCourse: the same seed plays the same day, call by call. Decisions that hung on
-// the order in which a map is walked, or on the rounding of a sum in that order, had a
-// test pass on one machine and fail on the next.
+// TestSameSeedGivesSameCourse: the same seed gives the same calls in the same order. Decisions that depended
+// on the order in which a map is walked, or on the rounding of a sum in that order, had a test pass on one
+// machine and fail on the next.
 func TestSameSeedGivesSameCourse(t *testing.T) {
 	play := func() []string {
 		var course []string
 		c := newCluster(t, 2500)
-		c.onCall = func(s string) { course = append(course, fmt.Sprintf("%.6f %s", c.sim.Now().Seconds(), s)) }
+		c.onCall = func(call string) {
+			course = append(course, fmt.Sprintf("%.6f %s", c.sim.Now().Seconds(), call))
+		}
 		c.startBurst()
 		var last []string
 		for s := 0; s < 40; s++ {
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -55,22 +55,6 @@
 	}
 }
 
-func (s *drainScenario) restart(node string, after monotime.Micros) {
-	s.kill(node)
-	s.sim.After(after, func() {
-		if s.nodes[node].controller == nil {
-			s.start(node)
-		}
-	})
-}
-
-func drainLeaderName(s *drainScenario) string {
-	if l := s.leaderNode(); l != nil {
-		return l.name
-	}
-	return s.nodeNames[0]
-}
-
 // killDestination ends the machine that the first permit to be seen names as its new place,
 // once the replica runs there.
 func killDestination(s *drainScenario) {
@@ -112,17 +96,17 @@
 	{"the machine just moved to dies", killDestination, noLeaseLoss},
 	{
 		"the leader ends for good",
-		func(s *drainScenario) { s.kill(drainLeaderName(s)) },
+		func(s *drainScenario) { s.kill(s.leaderName()) },
 		leaseLossWithNewController,
 	},
 	{
 		"the leader restarts",
-		func(s *drainScenario) { s.restart(drainLeaderName(s), 2*second) },
+		func(s *drainScenario) { s.restart(s.leaderName(), 2*second) },
 		leaseLossWithNewController,
 	},
 	{
 		"the leader is paused and resumes late",
-		func(s *drainScenario) { s.pause(drainLeaderName(s), 15*second) },
+		func(s *drainScenario) { s.pause(s.leaderName(), 15*second) },
 		leaseLossWithNewController,
 	},
 	{
@@ -235,9 +219,9 @@
 	}, noLeaseLoss},
 }
 
-// TestDrainFaults: each fault by itself, at a random time of a drain. No team falls below its
-// budget, and the drain still comes to its end.
-func TestDrainFaults(t *testing.T) {
+// TestSingleDrainFaultsKeepBudgets: each fault by itself, at a random time of a drain. No team falls below
+// its budget, and the drain still ends.
+func TestSingleDrainFaultsKeepBudgets(t *testing.T) {
 	for _, f := range drainFaults {
 		for seed := range uint64(3) {
 			t.Run(fmt.Sprintf("%s/%d", f.name, seed), func(t *testing.T) {
@@ -253,9 +237,9 @@
 	}
 }
 
-// TestRandomDrains combines two faults at random times of a drain. Where more than one machine
-// may be lost within a moment, the reserve is set to that.
-func TestRandomDrains(t *testing.T) {
+// TestRandomDrainFaultsKeepBudgets combines two faults at random times of a drain. The reserve is two, as two
+// machines may be lost at once.
+func TestRandomDrainFaultsKeepBudgets(t *testing.T) {
 	for i := range uint64(*drainScenarioCount) {
 		seed := *drainScenarioSeed + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -277,21 +261,22 @@
 			s.floors["intake"], s.floors["payout"] = 9, 3
 			s.drainZone("rack", "a")
 			var names []string
-			parts := map[leaseLossCause]bool{}
+			causes := map[leaseLossCause]bool{}
 			for range 2 {
 				f := drainFaults[rnd.IntN(len(drainFaults))]
 				names = append(names, f.name)
-				parts[f.leaseLoss] = true
+				causes[f.leaseLoss] = true
 				s.sim.Run(monotime.Micros(rnd.Int64N(int64(25 * second))))
 				f.begin(s)
 			}
-			s.allowsLosses = parts[leaseLossInOutage] && parts[leaseLossWithNewController]
+			s.allowsLosses = causes[leaseLossInOutage] && causes[leaseLossWithNewController]
 			s.waitDrainEnds("rack", 500*second)
 			s.reportBudgetViolations()
 			if t.Failed() {
 				t.Logf("faults: %s", strings.Join(names, "; "))
 				t.Logf(
-					"again: go test ./internal/coordination -run TestRandomDrains -drain-scenarios 1 -drain-seed %d",
+					"again: go test ./internal/coordination -run %s -drain-scenarios 1 -drain-seed %d",
+					"TestRandomDrainFaultsKeepBudgets",
 					seed,
 				)
 			}
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -24,7 +24,7 @@
 // changes of the state service a second.
 const submissionIntervalPerMachine = 80
 
-// drainCosts is what users and the state service notice of a course.
+// drainCosts is what users and the state service notice of a drain.
 type drainCosts struct {
 	accepted     int
 	p99Latency   monotime.Micros // of the submissions
@@ -36,8 +36,8 @@
 	wallTime     time.Duration
 }
 
-// playDrainSize plays two minutes of a full fleet with one-task jobs all the time, with or
-// without a drain of an eighth of its machines.
+// playDrainSize simulates two minutes of a full fleet with a steady rate of one-task jobs, with or without a
+// drain of an eighth of its machines.
 func playDrainSize(t *testing.T, machines int, draining bool) *drainCosts {
 	c := newClusterOfSize(t, machines)
 	none := 0
@@ -125,9 +125,9 @@
 	return got
 }
 
-// TestDrainSize: a drain of an eighth of a fleet leaves users' submissions as they are, and its
-// writes stay within what drains may spend.
-func TestDrainSize(t *testing.T) {
+// TestLargeDrainLeavesSubmissionsUnharmed: beside a drain of an eighth of a fleet users' submissions are
+// accepted as many and as fast as without it, and its writes stay within what drains may spend.
+func TestLargeDrainLeavesSubmissionsUnharmed(t *testing.T) {
 	without, with := playDrainSize(t, *drainFleetSize, false), playDrainSize(t, *drainFleetSize, true)
 	t.Logf("%d machines without a drain: %+v", *drainFleetSize, *without)
 	t.Logf("with one: %+v", *with)
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -13,8 +13,8 @@
 	"pipitgap/internal/storage"
 )
 
-// setIntakeMaxUnavailable sets the only budget: so many of intake's replicas may be unavailable, without a
-// reserve.
+// setIntakeMaxUnavailable sets the only budget, without a reserve: how many of intake's replicas may be
+// unavailable.
 func (s *drainScenario) setIntakeMaxUnavailable(replicas int) {
 	none := 0
 	s.settings.Drains.DefaultReserveMachines = &none
@@ -23,7 +23,7 @@
 	}
 }
 
-// exhaustCapacity has the cloud refuse every rental from now on.
+// exhaustCapacity has the cloud reject every rental from now on.
 func (s *drainScenario) exhaustCapacity() {
 	for offer := range s.cloud.Capacity {
 		s.cloud.Capacity[offer] = 0
@@ -36,7 +36,7 @@
 	delete(s.services, id)
 }
 
-// submitSpreadService is a service whose replicas need nearly a machine each, so that they stand on
+// submitSpreadService submits a service whose replicas need nearly a machine each, so that they run on
 // machines of several controllers.
 func (s *drainScenario) submitSpreadService(team string, replicas int) {
 	s.t.Helper()
@@ -62,7 +62,9 @@
 			s.fleet.OnStop = s.checkStop
 			s.store.DelayResponse = func() monotime.Micros { return s.randomDuration(second) }
 			if seed%2 == 0 {
-				s.store.LoseResponse = func(txn *protocol.Transaction) bool { return changesPermits(txn) && s.sim.Rand.IntN(3) == 0 }
+				s.store.LoseResponse = func(txn *protocol.Transaction) bool {
+					return changesPermits(txn) && s.sim.Rand.IntN(3) == 0
+				}
 			}
 			s.putDrain(
 				"all",
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -13,8 +13,8 @@
 	"pipitgap/internal/storage"
 )
 
-// drainScenario is a cluster whose services have disruption budgets. Each team's running count
-// is taken every second from what the workers run, and compared with its floor.
+// drainScenario is a cluster whose services have disruption budgets. Every second each team's running
+// replicas are counted from what the workers run, and compared with the team's floor.
 type drainScenario struct {
 	*cluster
 	floors          map[string]int
@@ -117,8 +117,8 @@
 	return s
 }
 
-// checkStop looks at every stop of a replica by a command: whatever was lost before, it must
-// leave the team at its floor.
+// checkStop checks every stop of a replica by a command: whatever was lost before, it must leave the team at
+// its floor.
 func (s *drainScenario) checkStop(task string, worker *fake.Worker) {
 	ref, _ := mirror.ParseTaskID(task)
 	if s.fleet.Jobs[ref.Job].Service {
@@ -152,7 +152,7 @@
 	return true
 }
 
-// sample takes every team's running count, again and again.
+// sample counts every team's running replicas now and every sampleInterval from then on.
 func (s *drainScenario) sample() {
 	s.samples++
 	for _, team := range sortedmap.Keys(s.floors) {
@@ -170,7 +170,7 @@
 	s.sim.After(sampleInterval, s.sample)
 }
 
-// commit makes a change as an operator's command does.
+// commit applies a transaction as an operator's command does.
 func (s *drainScenario) commit(txn protocol.Transaction) protocol.StoreResult {
 	var result *protocol.StoreResult
 	s.store.Call(
@@ -182,7 +182,7 @@
 	return *result
 }
 
-// putDrain writes a drain's record, whatever it was.
+// putDrain writes a drain's record, whatever it was before.
 func (s *drainScenario) putDrain(name string, d storage.Drain) {
 	s.t.Helper()
 	key := storage.Key(storage.KindDrain, name)
@@ -244,7 +244,7 @@
 	return newest
 }
 
-// machinesInZone lists the machines that are there in a zone.
+// machinesInZone lists the machines of a zone that have not gone.
 func (s *drainScenario) machinesInZone(zone string) []string {
 	var out []string
 	for _, id := range sortedmap.Keys(s.cloud.Machines) {
@@ -261,9 +261,9 @@
 	for _, stop := range s.stopsBelowFloor {
 		s.t.Error(stop)
 	}
-	for _, b := range s.floorViolations {
+	for _, violation := range s.floorViolations {
 		if !s.allowsLosses {
-			s.t.Error(b)
+			s.t.Error(violation)
 		}
 	}
 	if s.samples < 10 {
@@ -284,9 +284,9 @@
 	return moved, most
 }
 
-// TestDrainZone: a zone's machines are emptied and given back, each replica moves once, and no
-// team falls below its budget.
-func TestDrainZone(t *testing.T) {
+// TestZoneDrainMovesEachReplicaOnce: a zone's machines are emptied and returned, each replica moves once, and
+// no team falls below its budget.
+func TestZoneDrainMovesEachReplicaOnce(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newDrainScenario(t, 700+seed).startServices()
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -18,12 +18,7 @@
 // controllerPicker picks a controller when a fault begins.
 type controllerPicker func(s *scenario) string
 
-func leaderController(s *scenario) string {
-	if l := s.leaderNode(); l != nil {
-		return l.name
-	}
-	return s.nodeNames[0]
-}
+func leaderController(s *scenario) string { return s.leaderName() }
 
 // followerController picks a controller that doesn't lead.
 func followerController(n int) controllerPicker {
@@ -59,8 +54,7 @@
 		if s.nodes[node].controller == nil {
 			return
 		}
-		s.kill(node)
-		s.sim.After(duration, func() { s.restartController(node) })
+		s.restart(node, duration)
 	}}
 }
 
@@ -68,8 +62,7 @@
 func crashAllControllers(at, duration monotime.Micros) fault {
 	return fault{at, "all crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
-			s.kill(node)
-			s.sim.After(duration, func() { s.restartController(node) })
+			s.restart(node, duration)
 		}
 	}}
 }
--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -18,17 +18,14 @@
 	c := newCluster(t, seed)
 	c.nodeNames = []string{"n-0", "n-1", "n-2", "n-3", "n-4"}
 	c.fleet.Controllers = c.nodeNames
-	for _, node := range c.nodeNames {
-		c.nodes[node] = &simController{cluster: c, name: node}
-	}
+	c.addControllers()
 	c.teams = []config.Team{
 		{Name: "free", CPUs: 1000, CPUsMax: 3500},
 		{Name: "tight", CPUs: 800, CPUsMax: 2500},
 		{Name: "third", CPUs: 800, CPUsMax: 3500},
 	}
-	c.settings.ScaleDownDelay, c.settings.ExpectedCapacity, c.settings.ExpectedOnDemandCapacity = config.Duration(
-		15*second,
-	), 0.2, 1.75
+	c.settings.ScaleDownDelay = config.Duration(15 * second)
+	c.settings.ExpectedCapacity, c.settings.ExpectedOnDemandCapacity = 0.2, 1.75
 	c.settings.OverdueBootFactor, c.settings.ServiceHeadroom = 0.75, 0.3
 	clear(c.cloud.Capacity)
 	for _, z := range []string{"a", "b"} {
@@ -39,7 +36,7 @@
 	return c
 }
 
-// submitWithRetry submits a job at some controller, asking again like a user.
+// submitWithRetry submits a job at a random controller, and again as a user does until it is accepted.
 func (c *cluster) submitWithRetry(run monotime.Micros, options ...jobOption) string {
 	id, j := c.newSubmission(options...)
 	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
@@ -75,13 +72,15 @@
 	return id
 }
 
-// TestGrownClusterOpeningLoad plays the opening of a day twelve times as large: what it costs
-// in changes, requests and bytes, and what gets done for that. Before shards, 4,500
-// changes brought 137 tasks to their end in the same time.
-func TestGrownClusterOpeningLoad(t *testing.T) {
+// TestGrownClusterOpeningLoadStaysWithinBounds simulates an opening load twelve times as large as that of
+// three controllers: what it costs in changes, requests and bytes, and what gets done for that. Before
+// machines were stored in shards, 4,500 changes completed 137 tasks in the same time.
+func TestGrownClusterOpeningLoadStaysWithinBounds(t *testing.T) {
 	c := newGrownCluster(t, 1)
 	largest := map[string]int{}
-	c.onReport = func(_ *fake.Worker, _ string, body []byte) { largest["report"] = max(largest["report"], len(body)) }
+	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
+		largest["report"] = max(largest["report"], len(body))
+	}
 	c.start(c.nodeNames...)
 	c.sim.Run(3 * second)
 	teams := []string{"free", "tight", "third"}
@@ -131,9 +130,14 @@
 	}
 	shards := len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	got := map[string]int{
-		"changes": c.store.Changes, "requests": 0, "conflicts": c.store.Conflicts, "refused": c.store.Throttled,
-		"finished": len(c.fleet.Finished), "services": services, "pages": shards, "cloud calls": 0,
-		"largest value": largest["value"], "largest report": largest["report"],
+		"changes":        c.store.Changes,
+		"conflicts":      c.store.Conflicts,
+		"throttled":      c.store.Throttled,
+		"finished":       len(c.fleet.Finished),
+		"services":       services,
+		"shards":         shards,
+		"largest value":  largest["value"],
+		"largest report": largest["report"],
 	}
 	for _, n := range c.store.Calls {
 		got["requests"] += n
@@ -149,10 +153,10 @@
 		{"changes", 0, 70 * 45}, // of 50 a second
 		{"requests", 0, 70 * 150},
 		{"conflicts", 0, 400},
-		{"refused", 0, 400},
+		{"throttled", 0, 400},
 		{"finished", 5000, 1 << 30},
 		{"services", 400, 400},
-		{"pages", 5, 40},
+		{"shards", 5, 40},
 		{"cloud calls", 5, 120},
 		{"largest value", 0, 4096},
 		{"largest report", 0, 64 << 10},
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -45,8 +45,7 @@
 	return c
 }
 
-// submitOpeningLoad submits what waits when a day of the far larger fleet begins, and as
-// much as comes in a second of it.
+// submitOpeningLoad submits services and arrays: what waits when the load begins, or comes in a second.
 func (c *cluster) submitOpeningLoad(services, deep, wide int) {
 	for i := 0; i < services; i++ {
 		c.submitWithRetry(0, withClass("svc"), withTeam(fmt.Sprint("team", i%6)), withService(true),
@@ -77,9 +76,9 @@
 	}
 }
 
-// pollUntilFinal asks about a job like its user, from its acceptance to its end.
+// pollUntilFinal polls a job's status like its user, from its acceptance to its end.
 func (c *cluster) pollUntilFinal(id string, answered map[int]int) {
-	over := false
+	final := false
 	c.sim.After(c.randomDuration(5*second), func() {
 		node := c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))]
 		if c.nodes[node].controller == nil {
@@ -88,21 +87,21 @@
 		c.sendRequest(node, "GET", protocol.JobPath(id), nil, func(response Response) {
 			answered[response.Status]++
 			var jobStatus protocol.JobStatusReply
-			over = protocol.Unmarshal(response.Body, &jobStatus) == nil &&
+			final = protocol.Unmarshal(response.Body, &jobStatus) == nil &&
 				jobStatus.Status == protocol.JobDone
 		})
 	})
 	c.sim.After(5*second, func() {
-		if !over {
+		if !final {
 			c.pollUntilFinal(id, answered)
 		}
 	})
 }
 
-// TestLargeFleetOpeningLoad plays the opening of a day at one and a half times the far larger
-// fleet, and a crash of all controllers but one in the midst of it: what is served,
-// and what it costs in changes, requests, commands and machines looked at.
-func TestLargeFleetOpeningLoad(t *testing.T) {
+// TestLargeFleetOpeningLoadStaysWithinBounds simulates the opening load of some fifteen hundred machines, and
+// a crash of all controllers but one in the midst of it: what is served, and what it costs in changes,
+// requests, commands and machines examined.
+func TestLargeFleetOpeningLoadStaysWithinBounds(t *testing.T) {
 	c := newLargeFleetCluster(t, 1)
 	got := map[string]int{}
 	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
@@ -127,17 +126,19 @@
 		return services, of
 	}
 	for _, node := range c.nodeNames {
-		got["looked at"] += c.nodes[node].controller.scheduler.Counters().MachinesExamined
+		got["examined"] += c.nodes[node].controller.scheduler.Counters().MachinesExamined
 		got["placed"] += c.nodes[node].controller.counters.tasksPlaced
 	}
 	for _, k := range c.store.Keys(storage.KeyPrefix) {
 		got["largest value"] = max(got["largest value"], c.store.JSONSize(k))
 	}
-	got["pages"] = len(c.store.Keys(storage.Key(storage.KindShard, "")))
+	got["shards"] = len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	got["machines"] = c.cloud.MachineCount()
-	got["cloud calls"] = c.cloud.Calls[protocol.CloudCreateMachines] + c.cloud.Calls[protocol.CloudList] + c.cloud.Calls[protocol.CloudDelete]
+	for _, op := range []protocol.CloudOp{protocol.CloudCreateMachines, protocol.CloudList, protocol.CloudDelete} {
+		got["cloud calls"] += c.cloud.Calls[op]
+	}
 	got["finished"] = len(c.fleet.Finished)
-	got["refused"] = c.store.Throttled
+	got["throttled"] = c.store.Throttled
 	used, room := 0.0, 0.0
 	for _, machine := range c.nodes["n-0"].controller.mirror.Machines {
 		if machine.Record != nil && machine.Record.State == storage.MachineOpen {
@@ -146,7 +147,7 @@
 	}
 	got["used of 100"] = int(100 * used / room)
 
-	// One is left, with some three hundred of the machines, and has them all soon.
+	// One controller is left, with some three hundred of the machines, and soon owns them all.
 	sessions := map[string]uint64{}
 	for id, worker := range c.fleet.Workers {
 		sessions[id] = worker.Incarnation
@@ -160,7 +161,7 @@
 	core := c.nodes["n-0"].controller
 	for _, shard := range core.mirror.Shards {
 		if !core.shards.Owns(shard) {
-			got["pages of others"]++
+			got["shards of others"]++
 		}
 	}
 	for id, worker := range c.fleet.Workers {
@@ -188,19 +189,19 @@
 		{"finished, alone", 3000, 1 << 30},
 		{"services", got["services of"] * 97 / 100, got["services of"]},
 		{"polls answered, alone", 5000, 1 << 30},
-		{"pages of others", 0, 0},
+		{"shards of others", 0, 0},
 		{"leases lost", 0, 30},
-		{"pages", 60, 110},
+		{"shards", 60, 110},
 		{"largest value", 0, 4096},
 		{"largest report", 0, 64 << 10},
 		{"largest response", 0, 64 << 10},
 		{"changes", 0, 83 * 100},
 		{"changes, alone", 0, 25 * 100},
 		{"requests", 0, 83 * 400},
-		{"refused", 0, 800},
+		{"throttled", 0, 800},
 		{"commands", 0, 60000},
 		{"cloud calls", 5, 83 * 9},
-		{"looked at", 0, 100 * got["placed"]}, // 430 before like tasks shared a search
+		{"examined", 0, 100 * got["placed"]}, // 430 before like tasks shared a search
 	} {
 		if n := got[tc.what]; n < tc.least || n > tc.most {
 			t.Errorf("%s: %d, want %d to %d", tc.what, n, tc.least, tc.most)
--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -11,9 +11,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestIsolatedControllersAnswerUsersAndDiscardState: controllers that lose the store and the others, but not
-// their workers, answer users at once, keep services for a while, and on their return apply nothing that they
-// held. The leader may be among them.
+// TestIsolatedControllersAnswerUsersAndDiscardState: controllers that are cut off from the store and their
+// peers, but not from their workers, answer users at once, keep services for a while, and on their return
+// apply nothing that they held. The leader may be among them.
 func TestIsolatedControllersAnswerUsersAndDiscardState(t *testing.T) {
 	for i, nodes := range [][]string{{"n-0"}, {"n-1"}, {"n-2"}, {"n-0", "n-1"}, {"n-1", "n-2"}} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -50,8 +50,8 @@
 					{"POST", protocol.CancelPath(service), nil},
 				} {
 					startedAt := c.sim.Now()
-					if response := c.requestAndWait(node, q.method, q.target, q.body); response.Status != 503 ||
-						response.RetryAfter < 1 ||
+					response := c.requestAndWait(node, q.method, q.target, q.body)
+					if response.Status != 503 || response.RetryAfter < 1 ||
 						c.sim.Now()-startedAt > second/2 {
 						t.Errorf(
 							"%s answers %s %s with %d after %d us",
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestLongWatchGapReloadsMirror: a controller that comes back to the store after many changes reads
-// the records again rather than all that has happened, in one answer without a
-// bound; one that missed few goes on with its watch.
+// TestLongWatchGapReloadsMirror: a controller that reaches the store again after many changes reads the
+// records again, rather than all missed changes in one answer without a bound; one that missed few goes on
+// with its watch.
 func TestLongWatchGapReloadsMirror(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -104,21 +104,20 @@
 			if got := c.store.LargestWatchReply; got > most {
 				t.Errorf("a watch brought %d changes, want %d at most", got, most)
 			}
-			if freedQuotaOnly := c.store.Calls[protocol.StoreList] > lists+3; freedQuotaOnly != tc.again {
-				t.Errorf("read again: %v, want %v", freedQuotaOnly, tc.again)
+			if again := c.store.Calls[protocol.StoreList] > lists+3; again != tc.again {
+				t.Errorf("read again: %v, want %v", again, tc.again)
 			}
-			if got, want := len(core.mirror.Jobs), len(c.store.Keys(storage.Key(storage.KindOpenJob, ""))); got != want ||
-				want == 0 {
+			want := len(c.store.Keys(storage.Key(storage.KindOpenJob, "")))
+			if got := len(core.mirror.Jobs); got != want || want == 0 {
 				t.Errorf("the mirror has %d jobs, the store %d", got, want)
 			}
 		})
 	}
 }
 
-// TestUnreachableZoneKeepsMachines: a zone that falls silent keeps its machines for as long as it may come
-// back with them, but for those whose services must be proven gone; nothing is rented
-// there meanwhile, and afterwards it serves again at once. Single machines that fall
-// silent are replaced as ever.
+// TestUnreachableZoneKeepsMachines: a zone that can't be reached keeps its machines for as long as it may
+// come back with them, but for those whose services must be proven gone; nothing is rented there meanwhile,
+// and afterwards it serves again at once. Single machines that can't be reached are replaced as usual.
 func TestUnreachableZoneKeepsMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -34,7 +34,8 @@
 				t.Fatalf("array: %d run", c.fleet.Running(array))
 			}
 			serv := c.submit(0, withService(true), withCPUs(4), withPriority(tc.serv))
-			if got := c.sim.RunUntil(5*second, func() bool { return c.fleet.Running(serv) == 1 }); got != tc.want {
+			got := c.sim.RunUntil(5*second, func() bool { return c.fleet.Running(serv) == 1 })
+			if got != tc.want {
 				t.Errorf("service runs: %v", got)
 			}
 			if n := c.fleet.Running(array); tc.want && n != 6 || !tc.want && n != 8 {
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -36,7 +36,9 @@
 			return storeRejectsController(at, controller(), span(second, 40*second))
 		},
 		func(at monotime.Micros) fault { return storeOutage(at, span(second, 45*second)) },
-		func(at monotime.Micros) fault { return crashController(at, controller(), span(second/10, 20*second)) },
+		func(at monotime.Micros) fault {
+			return crashController(at, controller(), span(second/10, 20*second))
+		},
 		func(at monotime.Micros) fault { return crashAllControllers(at, span(second/2, 25*second)) },
 		func(at monotime.Micros) fault { return peerPartition(at, controller(), span(second, 40*second)) },
 		func(at monotime.Micros) fault {
@@ -44,15 +46,25 @@
 		},
 		func(at monotime.Micros) fault { return processPause(at, controller(), span(second, 25*second)) },
 		func(at monotime.Micros) fault { return machinesHang(at, 1+rnd.IntN(6), span(second, 30*second)) },
-		func(at monotime.Micros) fault { return machinesPartitioned(at, 1+rnd.IntN(8), span(second, 40*second)) },
-		func(at monotime.Micros) fault { return machinesUnreachable(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at monotime.Micros) fault {
+			return machinesPartitioned(at, 1+rnd.IntN(8), span(second, 40*second))
+		},
+		func(at monotime.Micros) fault {
+			return machinesUnreachable(at, 1+rnd.IntN(8), span(second, 40*second))
+		},
 		func(at monotime.Micros) fault { return machinesMuted(at, 1+rnd.IntN(8), span(second, 40*second)) },
-		func(at monotime.Micros) fault { return delayedCommits(at, rnd.Float64()/3, span(5*second, 50*second)) },
+		func(at monotime.Micros) fault {
+			return delayedCommits(at, rnd.Float64()/3, span(5*second, 50*second))
+		},
 		func(at monotime.Micros) fault {
 			return lostCommitAnswers(at, rnd.Float64()/2, span(5*second, 50*second))
 		},
-		func(at monotime.Micros) fault { return delayedCommands(at, rnd.Float64(), span(5*second, 50*second)) },
-		func(at monotime.Micros) fault { return duplicateReports(at, rnd.Float64(), span(5*second, 50*second)) },
+		func(at monotime.Micros) fault {
+			return delayedCommands(at, rnd.Float64(), span(5*second, 50*second))
+		},
+		func(at monotime.Micros) fault {
+			return duplicateReports(at, rnd.Float64(), span(5*second, 50*second))
+		},
 		func(at monotime.Micros) fault { return duplicateReportsToNextLeader(at, rnd.Float64(), 60*second) },
 		func(at monotime.Micros) fault {
 			return slowStoreReplies(at, span(second/10, 3*second), span(5*second, 50*second))
@@ -93,9 +105,9 @@
 	return faults
 }
 
-// TestRandomFaults plays random combinations of faults. A failing seed is played again
-// with -run TestRandomFaults -scenarios 1 -scenario-seed SEED.
-func TestRandomFaults(t *testing.T) {
+// TestRandomFaultsKeepInvariants simulates random combinations of faults. A failing seed is run again with
+// -run TestRandomFaultsKeepInvariants -scenarios 1 -scenario-seed SEED.
+func TestRandomFaultsKeepInvariants(t *testing.T) {
 	leases := []leaseDurations{
 		defaultLeases,
 		{4 * second, 22 * second, 42 * second},
@@ -117,7 +129,8 @@
 			if t.Failed() {
 				t.Logf("faults: %s", describeFaults(faults))
 				t.Logf(
-					"again: go test ./internal/coordination -run TestRandomFaults -scenarios 1 -scenario-seed %d",
+					"again: go test ./internal/coordination -run %s -scenarios 1 -scenario-seed %d",
+					"TestRandomFaultsKeepInvariants",
 					seed,
 				)
 			}
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -165,9 +165,9 @@
 	}
 }
 
-// TestQuotaOfAbsentControllerIsReleased: what a controller had of a team's limit is the others' to use when
-// it has gone, or can't use it, also what it had kept beyond what ran there; its return
-// changes nothing of that, and the limit holds.
+// TestQuotaOfAbsentControllerIsReleased: a controller's share of a team's limit goes to the others when it
+// has gone, or can't use it, also what it had kept beyond what ran there; its return changes nothing of that,
+// and the limit holds.
 func TestQuotaOfAbsentControllerIsReleased(t *testing.T) {
 	for i, away := range []string{"gone", "cut off from its workers"} {
 		t.Run(away, func(t *testing.T) {
@@ -191,7 +191,7 @@
 				}
 			}
 			if node == "" {
-				t.Fatal("no part has a share")
+				t.Fatal("no controller has a share")
 			}
 			if away == "gone" {
 				c.kill(node)
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestSearchingWorkersCauseNoHandOff: machines that are silent because their workers still look for us
-// are no reason to hand them over: they answer when they are asked.
+// TestSearchingWorkersCauseNoHandOff: machines whose workers send no heartbeats because they still look for
+// their controller are not handed off: they answer probes.
 func TestSearchingWorkersCauseNoHandOff(t *testing.T) {
 	c, service := newBusyCluster(t, 1050)
 	before := c.ownedMachines("n-0") + c.ownedMachines("n-1")
@@ -270,9 +270,9 @@
 	c.requireNoViolations()
 }
 
-// TestPausedControllerTrustsNothingStale: a controller that stands still while its clocks run on, leading or
-// not, past its store lease or its workers', takes nobody for dead when it goes on, as it
-// was itself that heard nothing, and does nothing by what it held.
+// TestPausedControllerTrustsNothingStale: a controller that is paused while its clocks run on, leading or
+// not, past its store lease or its workers', takes no peer or worker for dead when it resumes, as it
+// was itself that received nothing, and acts on none of its stale state.
 func TestPausedControllerTrustsNothingStale(t *testing.T) {
 	for i, tc := range []struct {
 		name string
@@ -313,8 +313,8 @@
 	}
 }
 
-// TestHeartbeatAfterPauseWaitsForFreshMirror: what comes in just after standing still may have waited for all
-// that time; it is not answered before the store has said what is still ours.
+// TestHeartbeatAfterPauseWaitsForFreshMirror: a heartbeat that is handled just after a pause may have waited
+// all that time; it is not answered before the mirror is fresh.
 func TestHeartbeatAfterPauseWaitsForFreshMirror(t *testing.T) {
 	c, _ := newBusyCluster(t, 1300)
 	core := c.nodes["n-0"].controller
@@ -371,7 +371,7 @@
 		}
 	}
 	if most < 3 {
-		t.Fatalf("%d pages", most)
+		t.Fatalf("%d shards", most)
 	}
 	var noise func()
 	noise = func() {
@@ -391,7 +391,7 @@
 	c.start(node)
 	if !c.sim.RunUntil(3*second, func() bool { shards, mine := count(node); return mine == shards }) {
 		shards, mine := count(node)
-		t.Errorf("after three seconds %d of %d pages are its own", mine, shards)
+		t.Errorf("after three seconds %d of %d shards are its own", mine, shards)
 	}
 	c.requireNoViolations()
 }
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestStoreOutageIsReportedAtOnce: in an outage of the store users are told at once, a common
+// TestStoreOutageIsReportedAtOnce: in an outage of the store users are answered at once, a common
 // outage leaves every node healthy, one that is refused alone says so.
 func TestStoreOutageIsReportedAtOnce(t *testing.T) {
 	c := newCluster(t, 14).startWithLeader()
@@ -94,7 +94,7 @@
 		return 0
 	}
 	if response := c.requestAndWait("n-0", "POST", protocol.JobsPath, body); response.Status != 503 {
-		t.Errorf("a commit without an answer is told as %d", response.Status)
+		t.Errorf("a commit without an answer is answered %d", response.Status)
 	}
 	if response := c.requestAndWait("n-1", "POST", protocol.JobsPath, body); response.Status != 201 {
 		t.Errorf("the retry: %d", response.Status)
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// shortLeases are those of a platform that reports often, and whose controllers take
-// nearly as long to be back as a lease lasts.
+// shortLeases are those of a platform with frequent heartbeats, whose controllers take nearly as long to
+// restart as a lease lasts.
 var shortLeases = leaseDurations{
 	heartbeatInterval: 8 * second / 10,
 	leaseTime:         10 * second,
@@ -71,7 +71,7 @@
 	)
 }
 
-// expiredLeases counts how often a lease has ended on machines that are up.
+// expiredLeases counts how often leases have ended on machines that are up.
 func (s *scenario) expiredLeases() int {
 	ended := 0
 	for _, worker := range s.fleet.Workers {
@@ -82,7 +82,7 @@
 	return ended
 }
 
-// crashAllExcept ends all controllers but one, which then has all machines.
+// crashAllExcept crashes all controllers but one, which then takes over all machines.
 func crashAllExcept(stays string, at, duration monotime.Micros) fault {
 	return fault{at, "all but one crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
@@ -93,21 +93,28 @@
 	}}
 }
 
-// TestSlowRestartsExpireNoAdoptableLeases: controllers that end and are back only when the leases are about
-// to end. Their workers reach one that is left once, and not again in time: it waited for the memberships to
-// end, and most leases ended with them. Where all have ended, leases may end before anybody is back, but
-// nothing runs twice.
+// TestSlowRestartsExpireNoAdoptableLeases: controllers crash and are back only when their workers' leases are
+// about to end. The workers reach a controller that is left once, and not again in time: it waited until the
+// memberships of the others had ended, and most leases ended with them. Where all controllers have crashed,
+// leases may end before any is back, but nothing runs twice.
 func TestSlowRestartsExpireNoAdoptableLeases(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		faults    []fault
-		mostEnded float64 // part of the machines
+		mostEnded float64 // fraction of the machines' leases that may end
 	}{
 		{"one", []fault{crashController(60*second, leaderController, slowRestartDelay)}, 0.05},
 		{"all but one", []fault{crashAllExcept("n-1", 60*second, slowRestartDelay)}, 0.05},
-		{"one after the other", []fault{crashController(60*second, followerController(1), slowRestartDelay), crashController(70*second, leaderController, slowRestartDelay), crashController(80*second, followerController(1), slowRestartDelay)}, 0.05},
+		{"one after the other", []fault{
+			crashController(60*second, followerController(1), slowRestartDelay),
+			crashController(70*second, leaderController, slowRestartDelay),
+			crashController(80*second, followerController(1), slowRestartDelay),
+		}, 0.05},
 		{"all", []fault{crashAllControllers(60*second, slowRestartDelay)}, 1},
-		{"all, in an outage", []fault{storeOutage(55*second, 15*second), crashAllControllers(60*second, slowRestartDelay)}, 1},
+		{"all, in an outage", []fault{
+			storeOutage(55*second, 15*second),
+			crashAllControllers(60*second, slowRestartDelay),
+		}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -116,9 +123,8 @@
 				s.start(s.nodeNames...)
 				s.sim.Run(3 * second)
 				s.submitWholeMachineJobs()
-				for _, f := range append(tc.faults, submitAtRate(20*second, second, 100*second, submitSmallUrgentArray)) {
-					s.sim.After(f.at-s.sim.Now(), func() { f.inject(s) })
-				}
+				s.scheduleFaults(tc.faults...)
+				s.scheduleFaults(submitAtRate(20*second, second, 100*second, submitSmallUrgentArray))
 				s.sim.Run(58*second - s.sim.Now())
 				before, machines := s.expiredLeases(), len(s.pickMachines(1000))
 				s.sim.Run(45 * second)
@@ -145,11 +151,11 @@
 	return most
 }
 
-// TestZonePartitionExpiresNoLeases: a cut between the zones ends no lease, whoever has the machines. After a
-// crash of the others one controller had them all; those in the other zone went to a
-// controller there 5 s after the cut, which waited for a second visit that would have come
-// after the lease, and then tried to take them all from its shards by one commit, which
-// collided with its writes each time.
+// TestZonePartitionExpiresNoLeases: a partition between the zones ends no lease, whichever controller owns
+// the machines. After a crash of the others one controller owned them all; workers in the other zone reported
+// to a controller there 5 s after the partition, which waited for a second heartbeat that would have come
+// after the lease, and then tried to take them all over in one commit, which conflicted with the owner's
+// writes.
 func TestZonePartitionExpiresNoLeases(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -164,9 +170,11 @@
 				s.start(s.nodeNames...)
 				s.sim.Run(3 * second)
 				s.submitWholeMachineJobs()
-				for _, f := range append(tc.faults, submitAtRate(20*second, second, 120*second, submitSmallUrgentArray), zonePartition(90*second, 20*second)) {
-					s.sim.After(f.at-s.sim.Now(), func() { f.inject(s) })
-				}
+				s.scheduleFaults(tc.faults...)
+				s.scheduleFaults(
+					submitAtRate(20*second, second, 120*second, submitSmallUrgentArray),
+					zonePartition(90*second, 20*second),
+				)
 				s.sim.Run(85*second - s.sim.Now())
 				if most := s.maxMachinesOfOneController(); len(tc.faults) > 0 &&
 					3*most < 2*len(s.pickMachines(1000)) {
@@ -189,9 +197,9 @@
 	}
 }
 
-// TestTakeoverSucceedsBesideBusyShard: machines whose owner is cut off from them are taken from its
-// other shards though it writes one of them all the time. A commit that takes from several
-// shards at once collided with the busy one until the leases had ended.
+// TestTakeoverSucceedsBesideBusyShard: machines whose owner is cut off from them are taken over from its
+// other shards though it writes one of them all the time. A commit that takes over from several shards at
+// once conflicted on the busy one until the leases had ended.
 func TestTakeoverSucceedsBesideBusyShard(t *testing.T) {
 	s := newShortLeaseScenario(t, 5200)
 	leases := s.adjustFacts
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -18,50 +18,68 @@
 
 const second = monotime.Second
 
-// cluster is three controllers (or more) on stand-ins, under one simulated clock.
+// cluster is three controllers (or more) on fakes, under one simulated clock.
 type cluster struct {
-	t                   testing.TB
-	sim                 *fake.SimClock
-	store               *fake.StateStore
-	cloud               *fake.Cloud
-	fleet               *fake.WorkerFleet
-	checker             *fake.Checker
-	nodeNames           []string
-	nodes               map[string]*simController
-	settings            config.Settings
-	teams               []config.Team
-	disconnectedPairs   map[string]bool // "machine-node" or "node-node" pairs that can't talk
-	unreachableMachines map[string]bool // machines whose reports arrive, but nothing reaches them
-	mutedMachines       map[string]bool // machines that are reached, but whose reports don't arrive
+	t              testing.TB
+	sim            *fake.SimClock
+	store          *fake.StateStore
+	cloud          *fake.Cloud
+	fleet          *fake.WorkerFleet
+	checker        *fake.Checker
+	nodeNames      []string
+	nodes          map[string]*simController
+	settings       config.Settings
+	teams          []config.Team
+	nextSubmission int
+	networkFaults
+	clusterHooks
+	clusterCounters
+}
+
+// networkFaults are the faults between machines, controllers and users that a test injects.
+type networkFaults struct {
+	disconnectedPairs   map[string]bool // "machine-node" or "node-node" pairs that can't reach each other
+	unreachableMachines map[string]bool // machines whose heartbeats arrive, but nothing reaches them
+	mutedMachines       map[string]bool // machines that are reached, but whose heartbeats don't arrive
 	zonesPartitioned    bool            // the zones can't reach each other
-	// if set, machines that have noticed a controller's end: it says nothing to them from then on
+	refuseConnections   bool            // controllers that are down refuse connections
+	// controllerDownSeen, if set, has the machines whose connection a controller that is down has reset:
+	// their next connections to it get no answer.
 	controllerDownSeen map[string]bool
-	// if set, machines that have noticed a cut: what they try from then on is refused
+	// disconnectionSeen, if set, has the machines that got no answer through a cut: their next connections
+	// are refused.
 	disconnectionSeen map[string]bool
-	commandDelay      func(worker *fake.Worker, req *protocol.CommandRequest) monotime.Micros
-	nextSubmission    int
-	onReport          func(worker *fake.Worker, node string, body []byte) // sees every report on its way
-	// changes what the platform hands over
-	adjustFacts func(*config.Config)
-	onAccepted  func(id string) // a job that was sent is accepted
-	// controllers that are down refuse connections, rather than say nothing
-	refuseConnections bool
-	// controllers that stand still: what waits for them
+	// pausedWork has the controllers whose process is paused, with what waits for them.
 	pausedWork map[string]*[]func()
-	// sees every call of a controller, in words
-	onCall func(string)
-	// sees every call, hint and answer of a controller in wire form
+}
+
+// clusterHooks are functions of a test that are called if they are set.
+type clusterHooks struct {
+	adjustFacts func(*config.Config) // changes the platform's facts as a controller knows them
+	onAccepted  func(id string)      // called for every accepted job of submitWithRetry
+	onCall      func(text string)    // called for every call of a controller, as JSON
+	// onReport is called for every heartbeat on its way.
+	onReport func(worker *fake.Worker, node string, body []byte)
+	// commandDelay gives the delay of a direct command.
+	commandDelay func(worker *fake.Worker, request *protocol.CommandRequest) monotime.Micros
+	// wire is called for every call, peer status and answer of a controller in wire form.
 	wire func(node, kind, text string)
-	// direct commands, and questions to workers
-	commandCount    int
-	largestResponse int // bytes of an answer, at most
 }
 
-// simController is one controller; its env drops whatever belongs to an earlier life.
+// clusterCounters count what passes between controllers, workers and users.
+type clusterCounters struct {
+	commandCount    int // direct commands, and probes of workers
+	largestResponse int // bytes
+}
+
+// networkLatency is how long a message takes between workers and controllers.
+const networkLatency = 2 * monotime.Millisecond
+
+// simController is one controller; its environment drops what belongs to an earlier incarnation.
 type simController struct {
 	cluster     *cluster
 	name        string
-	controller  *Controller
+	controller  *Controller // nil: it is down
 	incarnation int
 }
 
@@ -85,29 +103,28 @@
 	}
 }
 
-// runWhenResumed has something happen in a controller, now or when it goes on.
+// runWhenResumed calls f now, or when the controller's process resumes if it is paused.
 func (c *cluster) runWhenResumed(node string, f func()) {
-	if wait := c.pausedWork[node]; wait != nil {
-		*wait = append(*wait, f)
+	if waiting := c.pausedWork[node]; waiting != nil {
+		*waiting = append(*waiting, f)
 		return
 	}
 	f()
 }
 
-// pause stops a controller for a while: its clocks run on, and all that comes to
-// it waits.
+// pause suspends a controller's process for a while: its clocks run on, and all that comes to it waits.
 func (c *cluster) pause(node string, duration monotime.Micros) {
-	wait := &[]func(){}
-	c.pausedWork[node] = wait
+	waiting := &[]func(){}
+	c.pausedWork[node] = waiting
 	c.sim.After(duration, func() {
 		delete(c.pausedWork, node)
-		for _, f := range *wait {
+		for _, f := range *waiting {
 			f()
 		}
 	})
 }
 
-// reportCall tells the test of a call.
+// reportCall reports a call to the test.
 func (e *simEnv) reportCall(what string, v any) {
 	if e.node.cluster.onCall != nil {
 		raw, _ := json.Marshal(v)
@@ -115,7 +132,7 @@
 	}
 }
 
-// record tells the course of a call, see courses_test.go; the text is only made if one is recorded.
+// record adds a call to the course that is recorded, if one is, see courses_test.go.
 func (e *simEnv) record(kind string, text func() string) {
 	if e.node.cluster.wire != nil {
 		e.node.cluster.wire(e.node.name, kind, text())
@@ -165,31 +182,37 @@
 		}
 	}
 	c.sim.After(within, func() { answer(protocol.CommandResult{}) })
-	if worker := c.fleet.ByEndpoint[endpoint]; worker != nil && !worker.Machine.Gone {
-		id := worker.Machine.ID
-		delay := 2 * monotime.Millisecond
-		if c.commandDelay != nil {
-			delay += c.commandDelay(worker, req)
-		}
-		execute := func() {
-			result := protocol.CommandResult{Status: 200}
-			if req == nil {
-				result.Heartbeat = *worker.Heartbeat()
-			} else {
-				result = worker.Execute(req)
-			}
-			c.sim.After(2*monotime.Millisecond, func() { answer(result) })
+	worker := c.fleet.ByEndpoint[endpoint]
+	if worker == nil || worker.Machine.Gone {
+		return
+	}
+	delay := networkLatency
+	if c.commandDelay != nil {
+		delay += c.commandDelay(worker, req)
+	}
+	execute := func() {
+		result := protocol.CommandResult{Status: 200}
+		if req == nil {
+			result.Heartbeat = *worker.Heartbeat()
+		} else {
+			result = worker.Execute(req)
 		}
-		c.sim.After(delay, func() {
-			switch {
-			case worker.Machine.Gone || worker.Partitioned || c.cannotReach(worker, e.node.name) || c.unreachableMachines[id]:
-			case worker.Paused:
-				worker.Defer(execute)
-			default:
-				execute()
-			}
-		})
+		c.sim.After(networkLatency, func() { answer(result) })
 	}
+	c.sim.After(delay, func() {
+		switch {
+		case worker.Machine.Gone || c.commandIsLost(worker, e.node.name):
+		case worker.Paused:
+			worker.Defer(execute)
+		default:
+			execute()
+		}
+	})
+}
+
+// commandIsLost tells whether a fault keeps a controller's commands from a worker.
+func (c *cluster) commandIsLost(worker *fake.Worker, node string) bool {
+	return worker.Partitioned || c.cannotReach(worker, node) || c.unreachableMachines[worker.Machine.ID]
 }
 
 func (e *simEnv) SendPeerStatus(node string, status peers.Status) {
@@ -200,7 +223,7 @@
 		return
 	}
 	frame := peers.Frame(&status)
-	c.sim.After(2*monotime.Millisecond, func() {
+	c.sim.After(networkLatency, func() {
 		if controller := c.nodes[node]; controller.controller != nil {
 			c.runWhenResumed(node, func() {
 				if controller.controller != nil {
@@ -235,23 +258,25 @@
 func newCluster(t testing.TB, seed uint64) *cluster {
 	sim := fake.NewSimClock(seed)
 	c := &cluster{
-		t:                   t,
-		sim:                 sim,
-		nodeNames:           []string{"n-0", "n-1", "n-2"},
-		nodes:               map[string]*simController{},
-		settings:            config.Defaults(),
-		disconnectedPairs:   map[string]bool{},
-		unreachableMachines: map[string]bool{},
-		mutedMachines:       map[string]bool{},
-		pausedWork:          map[string]*[]func(){},
-		teams:               []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 12}},
+		t:         t,
+		sim:       sim,
+		nodeNames: []string{"n-0", "n-1", "n-2"},
+		nodes:     map[string]*simController{},
+		settings:  config.Defaults(),
+		teams:     []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 12}},
+		networkFaults: networkFaults{
+			disconnectedPairs:   map[string]bool{},
+			unreachableMachines: map[string]bool{},
+			mutedMachines:       map[string]bool{},
+			pausedWork:          map[string]*[]func(){},
+		},
 	}
 	c.store = fake.NewStateStore(sim, 200, 50, 12)
 	c.cloud = fake.NewCloud(sim, testTypes)
 	for _, typ := range testTypes {
-		for _, z := range typ.Zones {
-			c.cloud.Capacity[fake.OfferKey(typ.Name, z, false)] = 6
-			c.cloud.Capacity[fake.OfferKey(typ.Name, z, true)] = 3
+		for _, zone := range typ.Zones {
+			c.cloud.Capacity[fake.OfferKey(typ.Name, zone, false)] = 6
+			c.cloud.Capacity[fake.OfferKey(typ.Name, zone, true)] = 3
 		}
 	}
 	c.checker = fake.NewChecker(sim, 32*second)
@@ -265,48 +290,61 @@
 		}
 	}
 	c.cloud.OnMachineGone = c.fleet.MachineDown
-	c.fleet.SendHeartbeat = func(worker *fake.Worker, node string, body []byte, back func(int, []byte)) {
-		if c.cannotReach(worker, node) && c.disconnectionSeen[worker.Machine.ID] {
-			c.sim.After(2*monotime.Millisecond, func() { back(0, nil) })
-			return
+	c.fleet.SendHeartbeat = c.sendHeartbeat
+	c.addControllers()
+	return c
+}
+
+// addControllers makes the controllers of nodeNames, which are not started.
+func (c *cluster) addControllers() {
+	for _, node := range c.nodeNames {
+		c.nodes[node] = &simController{cluster: c, name: node}
+	}
+}
+
+// sendHeartbeat carries a worker's heartbeat to a controller through the network faults. back gets status 0
+// at once when the connection is refused or reset, and nothing when there is no answer.
+func (c *cluster) sendHeartbeat(worker *fake.Worker, node string, body []byte, back func(int, []byte)) {
+	machine := worker.Machine.ID
+	if c.cannotReach(worker, node) && c.disconnectionSeen[machine] {
+		c.sim.After(networkLatency, func() { back(0, nil) })
+		return
+	}
+	if c.cannotReach(worker, node) || c.mutedMachines[machine] {
+		if c.disconnectionSeen != nil {
+			// The open connection brings no answer, new ones are refused.
+			c.disconnectionSeen[machine] = true
 		}
-		if c.cannotReach(worker, node) || c.mutedMachines[worker.Machine.ID] {
-			if c.disconnectionSeen != nil {
-				// its open connection says nothing, new ones are reset
-				c.disconnectionSeen[worker.Machine.ID] = true
+		return
+	}
+	if c.onReport != nil {
+		c.onReport(worker, node, body)
+	}
+	if c.nodes[node].controller == nil && c.refusesConnection(machine) {
+		c.sim.After(networkLatency, func() { back(0, nil) })
+		return
+	}
+	c.sim.After(networkLatency, func() {
+		c.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(response Response) {
+			if c.unreachableMachines[machine] {
+				return
 			}
-			return
-		}
-		if c.onReport != nil {
-			c.onReport(worker, node, body)
-		}
-		unavailable := c.nodes[node].controller == nil
-		if unavailable && c.controllerDownSeen != nil && !c.controllerDownSeen[worker.Machine.ID] {
-			// its open connection is reset, new ones say nothing
-			c.controllerDownSeen[worker.Machine.ID] = true
-			c.sim.After(2*monotime.Millisecond, func() { back(0, nil) })
-			return
-		}
-		if c.refuseConnections && unavailable {
-			c.sim.After(2*monotime.Millisecond, func() { back(0, nil) })
-			return
-		}
-		c.sim.After(2*monotime.Millisecond, func() {
-			c.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(response Response) {
-				if c.unreachableMachines[worker.Machine.ID] {
-					return
-				}
-				c.sim.After(2*monotime.Millisecond, func() { back(response.Status, response.Body) })
-			})
+			c.sim.After(networkLatency, func() { back(response.Status, response.Body) })
 		})
+	})
+}
+
+// refusesConnection tells whether a controller that is down refuses or resets a machine's connection, rather
+// than not answer.
+func (c *cluster) refusesConnection(machine string) bool {
+	if c.controllerDownSeen != nil && !c.controllerDownSeen[machine] {
+		c.controllerDownSeen[machine] = true
+		return true
 	}
-	for _, node := range c.nodeNames {
-		c.nodes[node] = &simController{cluster: c, name: node}
-	}
-	return c
+	return c.refuseConnections
 }
 
-// zoneOfController is the zone that a controller stands in.
+// zoneOfController is the zone of a controller.
 func zoneOfController(node string) string {
 	if node == "n-0" {
 		return "a"
@@ -367,16 +405,29 @@
 	}
 }
 
-// sendRequest reaches a node like a new connection; a dead one says nothing.
+// startIfDown starts a controller unless it runs.
+func (c *cluster) startIfDown(node string) {
+	if c.nodes[node].controller == nil {
+		c.start(node)
+	}
+}
+
+// restart kills a controller and starts it again after a while.
+func (c *cluster) restart(node string, after monotime.Micros) {
+	c.kill(node)
+	c.sim.After(after, func() { c.startIfDown(node) })
+}
+
+// sendRequest sends a request on a new connection; a controller that is down doesn't answer.
 func (c *cluster) sendRequest(node, method, target string, body []byte, back func(Response)) {
 	controller := c.nodes[node]
 	if controller.controller == nil {
 		return
 	}
-	life := controller.incarnation
-	question := c.checker.UserRequest(method, target, body)
+	incarnation := controller.incarnation
+	pending := c.checker.UserRequest(method, target, body)
 	c.runWhenResumed(node, func() {
-		if controller.incarnation != life || controller.controller == nil {
+		if controller.incarnation != incarnation || controller.controller == nil {
 			return
 		}
 		controller.controller.HandleRequest(method, target, body, func(response Response) {
@@ -384,9 +435,9 @@
 			if c.wire != nil {
 				c.wire(node, "answer", wireAnswer(method, target, response))
 			}
-			if controller.incarnation == life && controller.controller != nil {
-				if question != nil {
-					question.Answered(response.Status, response.Body)
+			if controller.incarnation == incarnation && controller.controller != nil {
+				if pending != nil {
+					pending.Answered(response.Status, response.Body)
 				}
 				back(response)
 			}
@@ -410,7 +461,7 @@
 	return submission.ID, submission
 }
 
-// submit has a job accepted, retrying like a user.
+// submit submits a job until it is accepted, with retries as users make them, and returns its id.
 func (c *cluster) submit(run monotime.Micros, options ...jobOption) string {
 	c.t.Helper()
 	id, j := c.newSubmission(options...)
@@ -434,7 +485,7 @@
 	return response.Status, jobStatus
 }
 
-// requireFinished waits until a job is told done, and checks that it is.
+// requireFinished waits until a job's status is done, and fails the test if that takes too long.
 func (c *cluster) requireFinished(id string, within monotime.Micros) {
 	c.t.Helper()
 	i := 0
@@ -451,8 +502,8 @@
 
 func (c *cluster) requireNoViolations() {
 	c.t.Helper()
-	for _, b := range c.checker.Violations {
-		c.t.Error(b)
+	for _, violation := range c.checker.Violations {
+		c.t.Error(violation)
 	}
 }
 
@@ -472,7 +523,15 @@
 	return nil
 }
 
-// randomDuration is some time up to d.
+// leaderName is the leader, or the first controller while there is none.
+func (c *cluster) leaderName() string {
+	if leader := c.leaderNode(); leader != nil {
+		return leader.name
+	}
+	return c.nodeNames[0]
+}
+
+// randomDuration draws a time below the given one.
 func (c *cluster) randomDuration(duration monotime.Micros) monotime.Micros {
 	return monotime.Micros(c.sim.Rand.Int64N(int64(duration)))
 }
--- a/internal/coordination/simulated_scenario_test.go
+++ b/internal/coordination/simulated_scenario_test.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// scenario plays users, jobs and faults on a cluster; the checker watches every step.
+// scenario simulates users, jobs and faults on a cluster; the checker watches every step.
 type scenario struct {
 	*cluster
 	users        []*simUser
@@ -20,12 +20,14 @@
 const (
 	// warmUp is when the first faults may begin: jobs run by then.
 	warmUp = 40 * second
-	// settlingTime is how long a scenario goes on after its last fault: longer than an
-	// accepted job may stay unanswered, and a task may wait beside room.
+	// settlingTime is how long a scenario goes on after its last fault: longer than requests about an
+	// accepted job may go unanswered, and than a task may wait beside room.
 	settlingTime = 150 * second
-	// maxCompletions is how often a task may complete: its result is lost with its machine, which
-	// few faults bring about twice.
+	// maxCompletions is how often a task may complete. A result is lost with its machine, which few
+	// faults cause twice for one task.
 	maxCompletions = 3
+	// pollForInterval is how often pollFor evaluates its condition.
+	pollForInterval = 20 * monotime.Millisecond
 )
 
 func newScenario(t testing.TB, seed uint64) *scenario {
@@ -44,7 +46,7 @@
 	return u
 }
 
-// submitUsualJobs are services and arrays, long and short, of both teams.
+// submitUsualJobs submits services and arrays, long and short, of both teams.
 func (s *scenario) submitUsualJobs() {
 	for i := range 3 {
 		s.addUser(0, withTasks(2+i), withPriority(protocol.Production), withCPUs(2))
@@ -55,36 +57,28 @@
 	s.addUser(250*second, withTasks(3), withCPUs(2), withOneZone(true))
 }
 
-// pollFor looks every few milliseconds for a condition, for a time at most.
+// pollFor evaluates a condition every pollForInterval and calls then when it holds, or after a time at most.
 func (s *scenario) pollFor(most monotime.Micros, ok func() bool, then func()) {
 	if ok() || most <= 0 {
 		then()
 		return
 	}
-	s.sim.After(20*monotime.Millisecond, func() { s.pollFor(most-20*monotime.Millisecond, ok, then) })
+	s.sim.After(pollForInterval, func() { s.pollFor(most-pollForInterval, ok, then) })
 }
 
-func (s *scenario) restartController(node string) {
-	if s.nodes[node].controller == nil {
-		s.start(node)
-	}
-}
-
-// deliverDuplicateReport brings a copy of an old report to every controller.
+// deliverDuplicateReport delivers a copy of an old heartbeat to every controller.
 func (s *scenario) deliverDuplicateReport(body []byte) {
 	for _, node := range s.nodeNames {
 		s.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(Response) {})
 	}
 }
 
-// runFaults runs the faults and then the aftermath.
+// runFaults injects the faults, ends them all after a time, and checks that the cluster recovers.
 func (s *scenario) runFaults(faults []fault, lasting monotime.Micros) {
 	s.start(s.nodeNames...)
 	s.sim.Run(3 * second)
 	s.submitUsualJobs()
-	for _, f := range faults {
-		s.sim.After(f.at-3*second, func() { f.inject(s) })
-	}
+	s.scheduleFaults(faults...)
 	s.sim.Run(lasting - 3*second)
 	s.settleAndCheck()
 	s.sim.Run(settlingTime)
@@ -92,7 +86,14 @@
 	s.requireNoViolations()
 }
 
-// settleAndCheck ends every trouble and has the checker look for what is left behind.
+// scheduleFaults injects faults at their times.
+func (s *scenario) scheduleFaults(faults ...fault) {
+	for _, f := range faults {
+		s.sim.After(f.at-s.sim.Now(), func() { f.inject(s) })
+	}
+}
+
+// settleAndCheck ends every fault and has the checker look for tasks that wait beside room from then on.
 func (s *scenario) settleAndCheck() {
 	s.store.DelayCommit, s.store.LoseResponse, s.store.DelayResponse = nil, nil, nil
 	s.commandDelay, s.onReport, s.zonesPartitioned = nil, nil, false
@@ -101,7 +102,7 @@
 	clear(s.unreachableMachines)
 	clear(s.mutedMachines)
 	for _, node := range s.nodeNames {
-		s.restartController(node)
+		s.startIfDown(node)
 	}
 	for _, worker := range s.fleet.Workers {
 		worker.Partitioned = false
@@ -118,7 +119,8 @@
 	return 0
 }
 
-// checkAcceptedJobsKnown looks for accepted jobs about which no question was answered for too long.
+// checkAcceptedJobsKnown checks that every job is accepted, that requests about it are answered, and that its
+// user knows when it is done.
 func (s *scenario) checkAcceptedJobsKnown() {
 	for _, u := range s.users {
 		if u.accepted && !u.finished && s.sim.Now()-u.answeredAt > fake.MaxUnanswered {
@@ -132,7 +134,7 @@
 		}
 		if at, complete := s.checker.IsJobCompleted(u.id); complete && !u.finished &&
 			s.sim.Now()-at > fake.MaxUnanswered {
-			s.t.Errorf("job %s: all tasks have completed by %.0f s, its user isn't told", u.id, at.Seconds())
+			s.t.Errorf("job %s: completed at %.0f s, its user doesn't know", u.id, at.Seconds())
 		}
 	}
 }
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -6,7 +6,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// How long users wait for answers, and how often they ask, by the protocol.
+// How long users wait for answers, and how often they poll, by the protocol.
 const (
 	submitTimeout = 5 * second
 	pollTimeout   = 2 * second
@@ -14,20 +14,20 @@
 	retryAfter    = second
 )
 
-// simUser owns one job: it submits it until it is accepted, asks for its state, and cancels
-// it when it is told to. The checker sees all that it is told.
+// simUser owns one job: it submits it until it is accepted, polls its status, and may cancel it. The checker
+// sees all answers.
 type simUser struct {
 	cluster      *cluster
 	id           string
 	body         []byte
-	eagerQueries bool // asks everywhere at once whenever something has changed
+	eagerQueries bool // polls all controllers at once whenever something has changed
 	accepted     bool
 	finished     bool
-	answeredAt   monotime.Micros // when a question was last answered with 200
+	answeredAt   monotime.Micros // when a request was last answered with 200
 	cancelling   bool
 }
 
-// newUser begins with the submission of a job whose tasks run for a time; 0: a service.
+// newUser makes a user who submits a job whose tasks run for a time; 0: a service.
 func (c *cluster) newUser(run monotime.Micros, options ...jobOption) *simUser {
 	id, j := c.newSubmission(options...)
 	if run == 0 {
@@ -39,7 +39,7 @@
 	return u
 }
 
-// send asks a node and calls back once, with a status of 0 when no answer came in time.
+// send sends a request to a controller and calls back once, with a status of 0 if no answer came in time.
 func (u *simUser) send(
 	node, method, target string,
 	body []byte,
@@ -54,9 +54,9 @@
 		}
 	}
 	u.cluster.sendRequest(node, method, target, body, func(response Response) {
-		var told protocol.JobStatusReply
-		_ = protocol.Unmarshal(response.Body, &told)
-		answer(response.Status, told.Status)
+		var reply protocol.JobStatusReply
+		_ = protocol.Unmarshal(response.Body, &reply)
+		answer(response.Status, reply.Status)
 	})
 	u.cluster.sim.After(within, func() { answer(0, "") })
 }
@@ -110,20 +110,20 @@
 	)
 }
 
-// recordAnswer takes an answer about the job.
+// recordAnswer notes an answer about the job.
 func (u *simUser) recordAnswer(status int, state string) {
 	if status != 200 {
 		return
 	}
 	u.answeredAt = u.cluster.sim.Now()
-	if over := state == protocol.JobDone || state == protocol.JobCancelled; over && !u.finished {
+	final := state == protocol.JobDone || state == protocol.JobCancelled
+	if final && !u.finished {
 		u.finished = true
 		u.queryAllNodes()
 	}
 }
 
-// queryAllNodes asks all nodes within milliseconds, again and again, and repeats the
-// submission there.
+// queryAllNodes polls all controllers several times within milliseconds, and repeats the submission there.
 func (u *simUser) queryAllNodes() {
 	if !u.eagerQueries {
 		return
--- a/internal/coordination/user_requests_test.go
+++ b/internal/coordination/user_requests_test.go
@@ -10,7 +10,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestJobsRunToCompletion: accepted, rented for, run, told done, machines given back.
+// TestJobsRunToCompletion: jobs are accepted, machines rented, tasks run, jobs reported done, machines
+// returned.
 func TestJobsRunToCompletion(t *testing.T) {
 	cases := []struct {
 		name string
@@ -38,8 +39,8 @@
 				t.Errorf("%d machines were not given back", c.cloud.MachineCount())
 			}
 			c.sim.Run(60 * second)
-			for _, kind := range []string{"open", "page", "ask"} {
-				if keys := c.store.Keys(storage.KeyPrefix + kind); len(keys) > 0 {
+			for _, kind := range []storage.Kind{storage.KindOpenJob, storage.KindShard, storage.KindScaleOut} {
+				if keys := c.store.Keys(storage.KeyPrefix + string(kind)); len(keys) > 0 {
 					t.Errorf("records left behind: %v", keys)
 				}
 			}
@@ -161,7 +162,8 @@
 	for _, node := range c.nodeNames {
 		again := *good
 		again.ID, again.Team = known, "nobody"
-		if response := c.requestAndWait(node, "POST", protocol.JobsPath, protocol.MustMarshal(&again)); response.Status != 200 {
+		response := c.requestAndWait(node, "POST", protocol.JobsPath, protocol.MustMarshal(&again))
+		if response.Status != 200 {
 			t.Errorf("repeated submission on %s: %d", node, response.Status)
 		}
 	}
@@ -172,24 +174,24 @@
 		want    int
 	}{{true, 7, 422}, {true, 6, 201}, {false, 7, 201}} {
 		_, j := c.newSubmission(withTeam("tight"), withService(tc.service), withTasks(tc.tasks))
-		if response := c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j)); response.Status != tc.want {
+		response := c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j))
+		if response.Status != tc.want {
 			t.Errorf("service %v of %d: %d, want %d", tc.service, tc.tasks, response.Status, tc.want)
 		}
 	}
 }
 
-// TestCancelInEveryState: cancelled in every state, gone in time, never called anything else.
+// TestCancelInEveryState: a job cancelled in any state is gone in time and never reported otherwise.
 func TestCancelInEveryState(t *testing.T) {
 	cases := []struct {
 		name string
 		wait monotime.Micros // before the abort
 		run  monotime.Micros
 	}{
-		{
-			"at once",
-			0,
-			0,
-		}, {"racing the start", 13 * second, 0}, {"running", 30 * second, 0}, {"racing done", 14500 * monotime.Millisecond, second},
+		{"at once", 0, 0},
+		{"racing the start", 13 * second, 0},
+		{"running", 30 * second, 0},
+		{"racing done", 14500 * monotime.Millisecond, second},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -209,13 +211,13 @@
 				c.sim.Run(5 * second)
 				if code, jobStatus := c.jobStatus(c.nodeNames[k%3], id); code != 200 ||
 					jobStatus.Status != a.Status {
-					t.Fatalf("told %s, then %d %s", a.Status, code, jobStatus.Status)
+					t.Fatalf("answered %s, then %d %s", a.Status, code, jobStatus.Status)
 				}
 			}
 			if n := c.fleet.Running(id); n > 0 {
 				t.Errorf("%d tasks of a job that is over", n)
 			}
-			if keys := c.store.Keys(storage.KeyPrefix + "open"); len(keys) > 0 {
+			if keys := c.store.Keys(storage.KeyPrefix + string(storage.KindOpenJob)); len(keys) > 0 {
 				t.Errorf("left behind: %v", keys)
 			}
 			c.requireNoViolations()
@@ -234,7 +236,7 @@
 		var a protocol.AcceptedReply
 		_ = protocol.Unmarshal(response.Body, &a)
 		if a.Status != protocol.JobDone {
-			t.Errorf("told %+v", a)
+			t.Errorf("answered %+v", a)
 		}
 	})
 	c.sim.Run(2 * second)
--- a/internal/fake/checker_tasks.go
+++ b/internal/fake/checker_tasks.go
@@ -98,7 +98,8 @@
 		return
 	}
 	if !offerAllowed(spec, machine) {
-		k.violate(WrongPlace, "%s starts on %s in %s, spot %v", task, machine.Type, machine.Zone, machine.Spot)
+		k.violate(WrongPlace, "%s starts on %s in %s, spot %v",
+			task, machine.Type, machine.Zone, machine.Spot)
 	}
 	sameZone, otherZones := 0, 0
 	for other, host := range k.liveAttempts[job.id] {
--- a/internal/fake/loopback/conformance_test.go
+++ b/internal/fake/loopback/conformance_test.go
@@ -283,9 +283,9 @@
 	{what: "after the outage", call: get("a/9"), down: 2, wantSummary: "not found"},
 }
 
-// TestConformance: the simulated state service and the one on loopback answer alike, and as the
-// protocol says.
-func TestConformance(t *testing.T) {
+// TestStateServicesConformToProtocol: the simulated state service and the one on loopback answer alike, and
+// as the protocol says.
+func TestStateServicesConformToProtocol(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
 		for _, s := range conformance {
 			if s.advanceBy > 0 {
@@ -302,8 +302,8 @@
 	}
 }
 
-// TestTooOldWatch: a watch that begins before the history that is kept is answered so.
-func TestTooOldWatch(t *testing.T) {
+// TestCompactedWatchIsReported: a watch that begins before the history that is kept is answered so.
+func TestCompactedWatchIsReported(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
 		service.setHistory(5)
 		for i := range 10 {
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -323,8 +323,8 @@
 // longTeams are those of the long form.
 var longTeams = []TeamServices{{"intake", 6, 30, 144}, {"payout", 6, 30, 168}, {"tally", 4, 24, 0}}
 
-// TestDrainLong is the long form: rounds of drains, each with faults at random.
-func TestDrainLong(t *testing.T) {
+// TestRepeatedDrainsKeepBudgets is the long form: rounds of drains, each with faults at random.
+func TestRepeatedDrainsKeepBudgets(t *testing.T) {
 	if !*longForm {
 		t.Skip("only with -long")
 	}
--- a/internal/fake/loopback/process_cleanup_test.go
+++ b/internal/fake/loopback/process_cleanup_test.go
@@ -21,11 +21,11 @@
 // pidPrefix stands before a controller's process id in the child's output.
 const pidPrefix = "controller "
 
-// TestAbruptChild is run as a process of its own: it starts controllers and is killed.
-func TestAbruptChild(t *testing.T) {
+// TestAbruptlyKilledChildProcess is run as a process of its own: it starts controllers and is killed.
+func TestAbruptlyKilledChildProcess(t *testing.T) {
 	program := os.Getenv(abruptEnv)
 	if program == "" {
-		t.Skip("only as a child of TestNothingLeftBehind")
+		t.Skip("only as a child of TestControllersEndWithTestProcess")
 	}
 	d := NewDeployment(t, 1, Options{
 		Binary:      program,
@@ -55,9 +55,9 @@
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 }
 
-// TestNothingLeftBehind: controllers end with the test's process, even if that is killed.
-func TestNothingLeftBehind(t *testing.T) {
-	child := exec.Command(os.Args[0], "-test.run", "^TestAbruptChild$")
+// TestControllersEndWithTestProcess: controllers end with the test's process, even if that is killed.
+func TestControllersEndWithTestProcess(t *testing.T) {
+	child := exec.Command(os.Args[0], "-test.run", "^TestAbruptlyKilledChildProcess$")
 	child.Env = append(os.Environ(), abruptEnv+"="+binary)
 	out, err := child.StdoutPipe()
 	if err != nil {
