--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -54,7 +54,7 @@
 	Budgets drainBudgetsCmd `cmd:"" help:"Show how the teams stand against their disruption budgets."`
 	Pause   drainPauseCmd   `cmd:"" help:"Have a drain begin no further step."`
 	Resume  drainResumeCmd  `cmd:"" help:"Have a paused drain go on."`
-	Abort   drainAbortCmd   `cmd:"" help:"End a drain: machines that haven't been given back are opened."`
+	Abort   drainAbortCmd   `cmd:"" help:"End a drain: machines that aren't deleted yet are opened."`
 }
 
 // operatorFlags are common to all commands.
@@ -106,9 +106,9 @@
 	Zone          string        `help:"All machines of a zone."`
 	Type          string        `help:"All machines of a type."`
 	Kind          string        `help:"All spot or all ordinary machines." enum:"spot,ordinary," default:""`
-	Replace       bool          `help:"Rent room before it is needed."`
-	AllowSame     bool          `help:"Let machines like the selected ones be rented meanwhile; only those that are there now are drained."`
-	AtOnce        bool          `help:"Give empty machines back at once, not after the usual delay."`
+	Replace       bool          `help:"Request machines before their capacity is needed."`
+	AllowSame     bool          `help:"Machines like the selected ones may be requested meanwhile; only present ones are drained."`
+	AtOnce        bool          `help:"Delete empty machines at once, not after the usual delay."`
 	MaxParallel   int           `help:"Machines that are emptied at a time (default: the setting max_parallel)."`
 	Deadline      time.Duration `help:"Begin no step so long after the start."`
 	DryRun        bool          `help:"Show the steps and their order, and change nothing."`
--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -6,6 +6,7 @@
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
+	"pipitgap/internal/storage"
 )
 
 // AttemptID names an attempt at a task.
@@ -87,12 +88,8 @@
 	}
 }
 
-// claimBits is how many bits of a fencing token count the batches under one claim; the claim's number
-// stands above them.
-const claimBits = 32
-
 // baseToken is the lowest fencing token of a claim.
-func baseToken(claimNumber uint64) uint64 { return claimNumber << claimBits }
+func baseToken(claimNumber uint64) uint64 { return claimNumber << storage.TokenCounterBits }
 
 // ClaimNumber is the number of the claim under which the machine is held.
 func (a *Agent) ClaimNumber() uint64 { return a.claimNumber }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -27,7 +27,7 @@
 	id        string
 	found     finding
 	job       *mirror.Job
-	result    storage.JobState
+	state     storage.JobState
 	rejection *Rejection
 }
 
@@ -42,7 +42,7 @@
 	case foundInMirror:
 		return statusResponse(mirroredStatus(l.job))
 	case foundResult:
-		return statusResponse(protocol.JobStatusReply{ID: l.id, Status: wireStatus(l.result)})
+		return statusResponse(protocol.JobStatusReply{ID: l.id, Status: wireStatus(l.state)})
 	case foundRecord:
 		return statusResponse(protocol.JobStatusReply{ID: l.id, Status: protocol.JobPending})
 	case lookupFailed:
@@ -89,7 +89,7 @@
 			return
 		}
 		if state, ok := h.cachedResult(id); ok {
-			callback(lookup{id: id, found: foundResult, result: state})
+			callback(lookup{id: id, found: foundResult, state: state})
 			return
 		}
 		if h.userQueueFull() {
@@ -119,7 +119,7 @@
 			return
 		}
 		h.mirror.Results.Add(id, result.State)
-		callback(lookup{id: id, found: foundResult, result: result.State})
+		callback(lookup{id: id, found: foundResult, state: result.State})
 	})
 }
 
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -12,7 +12,7 @@
 		return
 	}
 	if state, ok := h.cachedResult(id); ok {
-		respond(lookup{id: id, found: foundResult, result: state}.response())
+		respond(lookup{id: id, found: foundResult, state: state}.response())
 		return
 	}
 	if job := h.mirror.Jobs[id]; job != nil && !job.IsOpen() {
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -22,7 +22,7 @@
 	}
 	id := submission.ID
 	if state, ok := h.cachedResult(id); ok {
-		respond(lookup{id: id, found: foundResult, result: state}.response())
+		respond(lookup{id: id, found: foundResult, state: state}.response())
 		return
 	}
 	if malformed != nil {
--- a/internal/config/drain_settings.go
+++ b/internal/config/drain_settings.go
@@ -118,31 +118,31 @@
 const wholePercent = 100
 
 // roundedUp gives the amount of a number of replicas, a part of one counted as one.
-func (a CountOrPercent) roundedUp(replicas int) int {
-	if !a.Percent {
-		return a.Value
+func (c CountOrPercent) roundedUp(replicas int) int {
+	if !c.Percent {
+		return c.Value
 	}
-	return int(math.Ceil(float64(a.Value*replicas) / wholePercent))
+	return int(math.Ceil(float64(c.Value*replicas) / wholePercent))
 }
 
 // roundedDown gives the amount of a number of replicas, a part of one left out.
-func (a CountOrPercent) roundedDown(replicas int) int {
-	if !a.Percent {
-		return a.Value
+func (c CountOrPercent) roundedDown(replicas int) int {
+	if !c.Percent {
+		return c.Value
 	}
-	return a.Value * replicas / wholePercent
+	return c.Value * replicas / wholePercent
 }
 
 // String gives the form of the settings.
-func (a CountOrPercent) String() string {
-	if a.Percent {
-		return strconv.Itoa(a.Value) + "%"
+func (c CountOrPercent) String() string {
+	if c.Percent {
+		return strconv.Itoa(c.Value) + "%"
 	}
-	return strconv.Itoa(a.Value)
+	return strconv.Itoa(c.Value)
 }
 
 // UnmarshalYAML reads a number or a percentage.
-func (a *CountOrPercent) UnmarshalYAML(text []byte) error {
+func (c *CountOrPercent) UnmarshalYAML(text []byte) error {
 	var value any
 	if err := yaml.Unmarshal(text, &value); err != nil {
 		return err
@@ -152,6 +152,6 @@
 	if err != nil || number < 0 {
 		return fmt.Errorf("%q is neither a number nor a percentage", value)
 	}
-	*a = CountOrPercent{Value: number, Percent: percent}
+	*c = CountOrPercent{Value: number, Percent: percent}
 	return nil
 }
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -13,7 +13,7 @@
 type Duration monotime.Micros
 
 // UnmarshalYAML reads Go's duration form.
-func (s *Duration) UnmarshalYAML(text []byte) error {
+func (d *Duration) UnmarshalYAML(text []byte) error {
 	var value string
 	if err := yaml.Unmarshal(text, &value); err != nil {
 		return err
@@ -22,9 +22,9 @@
 	if err != nil {
 		return fmt.Errorf("%q is not a duration such as 30s", value)
 	}
-	*s = Duration(monotime.FromDuration(duration))
+	*d = Duration(monotime.FromDuration(duration))
 	return nil
 }
 
 // Micros gives the span as a time.
-func (s Duration) Micros() monotime.Micros { return monotime.Micros(s) }
+func (d Duration) Micros() monotime.Micros { return monotime.Micros(d) }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -98,20 +98,21 @@
 // check looks for what the schema can't express: durations out of range, and settings that
 // contradict each other.
 func (s *Settings) check() error {
-	spans := []struct {
+	durations := []struct {
 		field string
 		value Duration
 	}{
-		{
-			"pass_interval",
-			s.AutoscalingInterval,
-		}, {"unmet_ttl", s.OfferQuarantine}, {"readiness_wait", s.ReadinessTimeout},
-		{"scale_down_delay", s.ScaleDownDelay}, {"backoff_first", s.BackoffFirst},
-		{"backoff_most", s.BackoffMax}, {"removal_pause", s.ScaleInRetryInterval},
+		{"pass_interval", s.AutoscalingInterval},
+		{"unmet_ttl", s.OfferQuarantine},
+		{"readiness_wait", s.ReadinessTimeout},
+		{"scale_down_delay", s.ScaleDownDelay},
+		{"backoff_first", s.BackoffFirst},
+		{"backoff_most", s.BackoffMax},
+		{"removal_pause", s.ScaleInRetryInterval},
 	}
-	for _, span := range spans {
-		if span.value < minDuration || span.value > maxDuration {
-			return fmt.Errorf("%s: must lie between 100ms and 24h", span.field)
+	for _, duration := range durations {
+		if duration.value < minDuration || duration.value > maxDuration {
+			return fmt.Errorf("%s: must lie between 100ms and 24h", duration.field)
 		}
 	}
 	if s.Drains != nil {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -14,30 +14,30 @@
 }
 
 func newAutoscaler(c *Controller) *autoscaler {
-	as := &autoscaler{c: c}
-	as.fleet = newFleetReconciler(as)
-	return as
+	a := &autoscaler{c: c}
+	a.fleet = newFleetReconciler(a)
+	return a
 }
 
 // snapshot is what demand and supply are read from.
-func (as *autoscaler) snapshot(now monotime.Micros) *autoscaling.Snapshot {
+func (a *autoscaler) snapshot(now monotime.Micros) *autoscaling.Snapshot {
 	return &autoscaling.Snapshot{
-		Records:           as.c.mirror,
-		MachineTypes:      as.c.catalog.MachineTypes(),
-		Jobs:              jobPolicy{as.c},
+		Records:           a.c.mirror,
+		MachineTypes:      a.c.catalog.MachineTypes(),
+		Jobs:              jobPolicy{a.c},
 		Now:               now,
-		WallClock:         as.c.env.WallClock(),
-		ServiceHeadroom:   as.c.settings.ServiceHeadroom,
-		OverdueBootFactor: as.c.settings.OverdueBootFactor,
+		WallClock:         a.c.env.WallClock(),
+		ServiceHeadroom:   a.c.settings.ServiceHeadroom,
+		OverdueBootFactor: a.c.settings.OverdueBootFactor,
 	}
 }
 
 // demandAndSupply lists the tasks without room that the quotas let run, those that drains want replaced among
 // them, and the machines that are up or requested.
-func (as *autoscaler) demandAndSupply(snapshot *autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin) {
+func (a *autoscaler) demandAndSupply(snapshot *autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin) {
 	waiting := append(
-		snapshot.UnplacedDemand(as.c.scheduler.OrderedQueue()),
-		as.c.drains.ReplacementDemands()...,
+		snapshot.UnplacedDemand(a.c.scheduler.OrderedQueue()),
+		a.c.drains.ReplacementDemands()...,
 	)
 	return waiting, snapshot.Bins()
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -147,8 +147,11 @@
 	c.tick()
 }
 
+// bytesPerKB are the bytes of a kilobyte as the platform counts them.
+const bytesPerKB = 1024
+
 // maxValueBytes is how large a value the state service takes.
-func (c *Controller) maxValueBytes() int { return int(c.cfg.Facts.State.ValueKB * 1024) }
+func (c *Controller) maxValueBytes() int { return int(c.cfg.Facts.State.ValueKB * bytesPerKB) }
 
 func (c *Controller) now() monotime.Micros { return c.env.Now() }
 
@@ -203,7 +206,7 @@
 	c.autoscaler.fleet.Reconcile(now)
 }
 
-// onMirrorChange is called by the view for every change that it applied.
+// onMirrorChange passes a change of the mirror on to the subjects that it concerns.
 func (c *Controller) onMirrorChange(kind storage.Kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -50,8 +50,8 @@
 }
 
 // newFleetReconciler makes the leader's reconciliation of the cloud's machines.
-func newFleetReconciler(as *autoscaler) *fleet.Reconciler {
-	c := as.c
+func newFleetReconciler(a *autoscaler) *fleet.Reconciler {
+	c := a.c
 	return fleet.New(
 		fleet.Config{
 			Settings:       c.settings,
@@ -65,7 +65,7 @@
 			Store:       stateService{c.store, c.replica},
 			Catalog:     c.catalog,
 			Controllers: fleetControllers{c},
-			Workload:    fleetWorkload{as},
+			Workload:    fleetWorkload{a},
 			CloudCalls:  c.catalog.CloudCalls(),
 			Log:         c.log,
 		},
@@ -93,27 +93,29 @@
 }
 
 // fleetWorkload gives packages fleet and scalein what a pass plans for.
-type fleetWorkload struct{ as *autoscaler }
+type fleetWorkload struct{ autoscaler *autoscaler }
 
-func (w fleetWorkload) Snapshot(now monotime.Micros) *autoscaling.Snapshot { return w.as.snapshot(now) }
+func (w fleetWorkload) Snapshot(now monotime.Micros) *autoscaling.Snapshot {
+	return w.autoscaler.snapshot(now)
+}
 
 func (w fleetWorkload) DemandAndSupply(
 	snapshot *autoscaling.Snapshot,
 ) ([]*autoscaling.Demand, []*autoscaling.Bin) {
-	return w.as.demandAndSupply(snapshot)
+	return w.autoscaler.demandAndSupply(snapshot)
 }
 
 func (w fleetWorkload) NoteTrialDemand(jobID string, now monotime.Micros) {
-	w.as.c.scheduler.RecordTrialDemand(jobID, now)
+	w.autoscaler.c.scheduler.RecordTrialDemand(jobID, now)
 }
 
 func (w fleetWorkload) IsClosedByDrain(offer autoscaling.Offer) bool {
-	return w.as.c.drains.ClosesOffer(offer)
+	return w.autoscaler.c.drains.ClosesOffer(offer)
 }
 
 func (w fleetWorkload) ZoneContacts() map[string]fleet.ZoneContact {
 	counts := map[string]*reachability.SilenceCount{}
-	for _, machine := range w.as.c.mirror.Machines {
+	for _, machine := range w.autoscaler.c.mirror.Machines {
 		if machine.Record == nil {
 			continue
 		}
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -43,11 +43,11 @@
 type userScheduler struct{ c *Controller }
 
 // AssignTaskRanges divides a new job among the partitions.
-func (a userScheduler) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
-	return a.c.scheduler.AssignTaskRanges(spec)
+func (s userScheduler) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
+	return s.c.scheduler.AssignTaskRanges(spec)
 }
 
 // JobAccepted notes the revision of an accepted job.
-func (a userScheduler) JobAccepted(job string, revision uint64) {
-	a.c.scheduler.JobAccepted(job, revision)
+func (s userScheduler) JobAccepted(job string, revision uint64) {
+	s.c.scheduler.JobAccepted(job, revision)
 }
--- a/internal/daemon/sockets.go
+++ b/internal/daemon/sockets.go
@@ -4,6 +4,7 @@
 // connections to workers, a quarter carries commands to them, and the rest is for other calls and for what
 // the server's loop has accepted but not yet closed.
 const (
+	tenths              = 10
 	serverTenths        = 8  // tenths of the sockets that the server has, reservedSockets taken off
 	reservedSockets     = 32 // of them
 	minServerSockets    = 16
@@ -29,7 +30,7 @@
 		sockets = min(sockets, setting)
 	}
 	return socketLimits{
-		server:   max(minServerSockets, sockets*serverTenths/10-reservedSockets),
+		server:   max(minServerSockets, sockets*serverTenths/tenths-reservedSockets),
 		workers:  max(minWorkerSockets, sockets/workerDivisor),
 		commands: max(minCommandsInFlight, min(maxCommandsInFlight, sockets/commandDivisor)),
 	}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -423,8 +423,8 @@
 			total += len(machine.Replicas)
 			return true
 		})
-		for _, p := range d.Granted["t"] {
-			left[p.From]--
+		for _, permit := range d.Granted["t"] {
+			left[permit.From]--
 			total--
 		}
 		for id, n := range left {
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -29,12 +29,12 @@
 
 // ownMachine gives one of this controller's machines; own is false for any other.
 func (d *Drainer) ownMachine(id string) (machine ownMachine, own bool) {
-	record := d.deps.Mirror.Machines[id]
-	if record == nil {
+	mirrored := d.deps.Mirror.Machines[id]
+	if mirrored == nil {
 		return ownMachine{}, false
 	}
-	agent := d.deps.Agents.Of(record)
-	return ownMachine{record, agent}, agent != nil
+	agent := d.deps.Agents.Of(mirrored)
+	return ownMachine{mirrored, agent}, agent != nil
 }
 
 // stopReplica uses a permit that stands.
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -31,8 +31,13 @@
 	Blocked  []Blockage `json:"blocked,omitempty"`
 }
 
-// maxPlanSteps bounds a plan.
-const maxPlanSteps = 10000
+const (
+	// maxPlanSteps bounds a plan.
+	maxPlanSteps = 10000
+
+	// planRecordBytes is how large records of permits may get in a plan: no permit waits for that.
+	planRecordBytes = 1 << 20
+)
 
 // planner simulates a drain on snapshots: each step is the decision that all controllers together would take,
 // carried out at once.
@@ -110,7 +115,7 @@
 	everybody := func(string) bool { return true }
 	tried := p.snapshot
 	for _, node := range p.owners() {
-		c := &Controller{Node: node, Live: everybody, Responsible: everybody, RecordBytes: 1 << 20}
+		c := &Controller{Node: node, Live: everybody, Responsible: everybody, RecordBytes: planRecordBytes}
 		d := p.policy.Decide(tried, c)
 		for team, permits := range d.Granted {
 			all.Granted[team] = append(all.Granted[team], permits...)
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -47,9 +47,9 @@
 // freeWithPreemption is what is free on a machine once array tasks of lower priority are preempted.
 func (m *Machine) freeWithPreemption(priority int) resources.Vector {
 	free := m.Free
-	for _, work := range m.ArrayUsage {
-		if work.Priority < priority {
-			free = free.Plus(work.Resources)
+	for _, usage := range m.ArrayUsage {
+		if usage.Priority < priority {
+			free = free.Plus(usage.Resources)
 		}
 	}
 	return free
@@ -172,21 +172,21 @@
 
 // withPermit gives a snapshot with a further permit: its replica is to be stopped, and capacity is reserved
 // for the next attempt.
-func (s *Snapshot) withPermit(p storage.Permit) *Snapshot {
+func (s *Snapshot) withPermit(permit storage.Permit) *Snapshot {
 	next := s
-	if from, ok := s.Machine(p.From); ok {
+	if from, ok := s.Machine(permit.From); ok {
 		marked := *from
 		marked.Replicas = slices.Clone(from.Replicas)
 		for i := range marked.Replicas {
-			if replica := &marked.Replicas[i]; replica.Job == p.Job && replica.Task == p.Task &&
-				replica.Attempt == p.Attempt {
+			if replica := &marked.Replicas[i]; replica.Job == permit.Job && replica.Task == permit.Task &&
+				replica.Attempt == permit.Attempt {
 				replica.UnderPermit = true
 			}
 		}
 		next = next.withMachine(&marked)
 	}
-	job, known := s.jobs[p.Job]
-	if to, ok := next.Machine(p.To); ok && known {
+	job, known := s.jobs[permit.Job]
+	if to, ok := next.Machine(permit.To); ok && known {
 		holding := *to
 		holding.Free = to.Free.Minus(job.PerTask)
 		next = next.withMachine(&holding)
@@ -248,9 +248,9 @@
 	slices.SortFunc(s.drains, func(x, y DrainRecord) int { return cmp.Compare(x.Name, y.Name) })
 	next := &s
 	for _, team := range sortedmap.Keys(s.permits) {
-		for _, p := range s.permits[team].Permits {
-			if _, replica, held := next.replicaOf(p.Job, p.Task); !held || replica.Attempt == p.Attempt {
-				next = next.withPermit(p)
+		for _, permit := range s.permits[team].Permits {
+			if _, replica, held := next.replicaOf(permit.Job, permit.Task); !held || replica.Attempt == permit.Attempt {
+				next = next.withPermit(permit)
 			}
 		}
 	}
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -47,12 +47,12 @@
 	}
 	progress.Machines = s.machineProgress(record)
 	progress.Permits = s.countPermits(record.Name)
-	nobody := &Controller{
+	observer := &Controller{
 		Live:        live,
 		Responsible: func(string) bool { return false },
 		RecordBytes: math.MaxInt,
 	}
-	for _, blockage := range p.Decide(s, nobody).Blocked {
+	for _, blockage := range p.Decide(s, observer).Blocked {
 		if blockage.Drain == record.Name {
 			progress.Blocked = append(progress.Blocked, blockage)
 		}
@@ -98,8 +98,8 @@
 // arrayTasks counts the array tasks on a machine.
 func (m *Machine) arrayTasks() int {
 	n := 0
-	for _, work := range m.ArrayUsage {
-		n += work.Tasks
+	for _, usage := range m.ArrayUsage {
+		n += usage.Tasks
 	}
 	return n
 }
--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -93,17 +93,17 @@
 }
 
 // Warnings lists what the platform's durations leave uncovered.
-func (d Platform) Warnings() []Warning {
+func (p Platform) Warnings() []Warning {
 	var out []Warning
-	if d.MembershipTTL+TakeoverDuration > d.WorkerLease {
+	if p.MembershipTTL+TakeoverDuration > p.WorkerLease {
 		out = append(out, Warning{"facts.workers.lease_s",
 			"worker leases expire before the failover of a crashed controller ends: tasks are lost"})
 	}
-	if d.WorkerLease < d.HeartbeatInterval+WorkerAnswerTimeout+WorkerRetryPause {
+	if p.WorkerLease < p.HeartbeatInterval+WorkerAnswerTimeout+WorkerRetryPause {
 		out = append(out, Warning{"facts.workers.lease_s",
 			"a worker whose controller doesn't answer reaches no other before lease expiry: its tasks are lost"})
 	}
-	if d.CancellationDeadline < d.WorkerLease+leaseExpiryMargin+minRenewalWindow {
+	if p.CancellationDeadline < p.WorkerLease+leaseExpiryMargin+minRenewalWindow {
 		out = append(out, Warning{"facts.workers.cancel_s",
 			"leases outlast cancellations: while the state service is unavailable only kills and " +
 				"machine deletions end cancelled tasks in time"})
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -26,13 +26,13 @@
 }
 
 // shortPerTask is what the share lacks for a single task.
-func (d UnmetDemand) shortPerTask() resources.Vector {
+func (u UnmetDemand) shortPerTask() resources.Vector {
 	short := resources.Vector{}
-	if !math.IsInf(d.ShareLeft.CPUs, 1) {
-		short.CPUs = max(0, d.TaskResources.CPUs-d.ShareLeft.CPUs)
+	if !math.IsInf(u.ShareLeft.CPUs, 1) {
+		short.CPUs = max(0, u.TaskResources.CPUs-u.ShareLeft.CPUs)
 	}
-	if !math.IsInf(d.ShareLeft.GPUs, 1) {
-		short.GPUs = max(0, d.TaskResources.GPUs-d.ShareLeft.GPUs)
+	if !math.IsInf(u.ShareLeft.GPUs, 1) {
+		short.GPUs = max(0, u.TaskResources.GPUs-u.ShareLeft.GPUs)
 	}
 	return short
 }
--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -92,7 +92,7 @@
 		Spot:     heartbeat.Spot,
 		Endpoint: heartbeat.Endpoint,
 		State:    storage.MachineOpen,
-		Claim:    heartbeat.FencingToken>>32 + 1,
+		Claim:    heartbeat.FencingToken>>storage.TokenCounterBits + 1,
 	})
 	update.AddCompare(storage.ScaleOutKey(scaleOutName), scaleOut.Version)
 }
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -19,6 +19,10 @@
 	MachineRemoving    MachineState = "r" // for the leader to delete
 )
 
+// TokenCounterBits is how many bits of a fencing token count the batches of commands under one claim; the
+// claim's number stands above them. A token of a later claim is thus above all tokens of earlier ones.
+const TokenCounterBits = 32
+
 // Shard is the record of KindShard: some of a partition's machines, the attempts on them, and which tasks
 // were completed there. A shard has one owner, who alone writes it; a takeover changes its version, so that
 // no late write of an earlier owner can succeed. Decoded entries are never changed in place.
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -15,16 +15,16 @@
 // Count tells how many tasks the set holds.
 func (t TaskSet) Count() int {
 	n := 0
-	for _, s := range t {
-		n += s.End - s.First
+	for _, interval := range t {
+		n += interval.End - interval.First
 	}
 	return n
 }
 
 // Each calls f for every task in order.
 func (t TaskSet) Each(f func(int)) {
-	for _, s := range t {
-		for i := s.First; i < s.End; i++ {
+	for _, interval := range t {
+		for i := interval.First; i < interval.End; i++ {
 			f(i)
 		}
 	}
@@ -55,14 +55,14 @@
 
 // appendText appends the set's text, such as "0-31,40".
 func (t TaskSet) appendText(text []byte) []byte {
-	for i, s := range t {
+	for i, interval := range t {
 		if i > 0 {
 			text = append(text, ',')
 		}
-		text = strconv.AppendInt(text, int64(s.First), 10)
-		if s.End-s.First > 1 {
+		text = strconv.AppendInt(text, int64(interval.First), 10)
+		if interval.End-interval.First > 1 {
 			text = append(text, '-')
-			text = strconv.AppendInt(text, int64(s.End-1), 10)
+			text = strconv.AppendInt(text, int64(interval.End-1), 10)
 		}
 	}
 	return text
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,61 +36,61 @@
 // Do sends a request and waits for the whole response, at most timeout. After
 // an error other than ErrNotSent the request may have been executed, or may
 // yet be.
-func (cl *Client) Do(method, target string, body []byte, timeout monotime.Micros) (*Message, error) {
+func (c *Client) Do(method, target string, body []byte, timeout monotime.Micros) (*Message, error) {
 	deadline := time.Now().Add(timeout.Duration())
-	cc, err := cl.connect(timeout)
+	cc, err := c.connect(timeout)
 	if err != nil {
 		return nil, err
 	}
-	message, err := cc.exchange(AppendRequest(nil, method, target, cl.addr, body), deadline)
+	message, err := cc.exchange(AppendRequest(nil, method, target, c.addr, body), deadline)
 	if err != nil || message.Close || cc.parser.Buffered() > 0 {
 		_ = cc.conn.Close()
 		return message, err
 	}
-	cl.keep(cc)
+	c.keep(cc)
 	return message, nil
 }
 
 // connect takes a kept connection or dials a new one.
-func (cl *Client) connect(timeout monotime.Micros) (*clientConn, error) {
+func (c *Client) connect(timeout monotime.Micros) (*clientConn, error) {
 	select {
-	case cc := <-cl.idleConns:
+	case cc := <-c.idleConns:
 		return cc, nil
 	default:
 	}
-	conn, err := net.DialTimeout("tcp4", cl.addr, timeout.Duration())
+	conn, err := net.DialTimeout("tcp4", c.addr, timeout.Duration())
 	if err != nil {
 		return nil, errors.Join(ErrNotSent, err)
 	}
-	return &clientConn{conn: conn, parser: Parser{Response: true, MaxBody: cl.maxBody}}, nil
+	return &clientConn{conn: conn, parser: Parser{Response: true, MaxBody: c.maxBody}}, nil
 }
 
 // keep keeps a connection for the next request, unless enough are kept already or the client is closed.
-func (cl *Client) keep(cc *clientConn) {
+func (c *Client) keep(cc *clientConn) {
 	select {
-	case cl.idleConns <- cc:
+	case c.idleConns <- cc:
 	default:
 		_ = cc.conn.Close()
 	}
 	select {
-	case <-cl.closed: // meanwhile: nobody would come for it
-		cl.closeIdle()
+	case <-c.closed: // meanwhile: nobody would come for it
+		c.closeIdle()
 	default:
 	}
 }
 
 // Close drops the kept connections, and those of requests in flight as they end. It
 // is called once, by the client's owner.
-func (cl *Client) Close() {
-	close(cl.closed)
-	cl.closeIdle()
+func (c *Client) Close() {
+	close(c.closed)
+	c.closeIdle()
 }
 
 // closeIdle closes the connections that are kept now.
-func (cl *Client) closeIdle() {
+func (c *Client) closeIdle() {
 	for {
 		select {
-		case cc := <-cl.idleConns:
+		case cc := <-c.idleConns:
 			_ = cc.conn.Close()
 		default:
 			return
