--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -105,7 +105,7 @@
 		}}
 	shard := func(name string, s *storage.Shard) protocol.Op {
 		raw, _ := s.Encode()
-		return protocol.Op{Put: storage.Key(storage.KindShard, name), Value: raw}
+		return protocol.Op{Put: storage.ShardKey(name), Value: raw}
 	}
 	drainOf := func(
 		state storage.DrainState, reason string, selector storage.Selector, ended int64,
--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -80,7 +80,7 @@
 		f.lastHeardAt[tc.owner] = f.now - tc.silence
 		if tc.member != 0 {
 			f.members[tc.owner] = true
-			f.replica.ApplyPut(storage.Key(storage.KindMember, tc.owner),
+			f.replica.ApplyPut(storage.MemberKey(tc.owner),
 				protocol.MustMarshal(&storage.Member{Incarnation: tc.member}), 20)
 		}
 		status, redirected := f.send(testReport(1, 1, tc.token))
--- a/internal/agents/heartbeats_test.go
+++ b/internal/agents/heartbeats_test.go
@@ -193,7 +193,7 @@
 		if tc.designated != "" {
 			request.Own = map[string]string{"i-2": tc.designated}
 		}
-		f.replica.ApplyPut(storage.Key(storage.KindScaleOut, "r-1"), protocol.MustMarshal(&request), 9)
+		f.replica.ApplyPut(storage.ScaleOutKey("r-1"), protocol.MustMarshal(&request), 9)
 		f.replica.WatchedRevision = 9
 		report := testReport(1, 1, 0)
 		report.Machine, report.Tasks = "i-2", nil
--- a/internal/agents/reports_test.go
+++ b/internal/agents/reports_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	spec.Tasks, spec.CPUs = 1, 1
 	replica := mirror.New()
-	replica.ApplyPut(storage.Key(storage.KindOpenJob, testTask.Job), protocol.MustMarshal(&storage.OpenJob{
+	replica.ApplyPut(storage.OpenJobKey(testTask.Job), protocol.MustMarshal(&storage.OpenJob{
 		Spec:       spec,
 		TaskRanges: []storage.TaskRange{{First: 0, End: 1, Partition: "n-0"}},
 	}), 5)
@@ -48,14 +48,14 @@
 		storage.Attempt{Task: testTask.Index, Machine: "i-1", Number: testAttempt.Attempt},
 	)
 	encoded, _ := shard.Encode()
-	replica.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 7)
+	replica.ApplyPut(storage.ShardKey("p"), encoded, 7)
 	return replica, replica.Machines["i-1"]
 }
 
 // cancelJob gives the job of newMirrorWithAttempt its final result.
 func cancelJob(replica *mirror.Mirror) {
 	replica.ApplyPut(
-		storage.Key(storage.KindJobResult, testTask.Job),
+		storage.JobResultKey(testTask.Job),
 		protocol.MustMarshal(&storage.JobResult{State: storage.JobCancelled}),
 		8,
 	)
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -12,13 +12,7 @@
 
 // TestStatus: where a job's status is read, and what is answered.
 func TestStatus(t *testing.T) {
-	resultKey, openKey := storage.Key(
-		storage.KindJobResult,
-		newJobID,
-	), storage.Key(
-		storage.KindOpenJob,
-		newJobID,
-	)
+	resultKey, openKey := storage.JobResultKey(newJobID), storage.OpenJobKey(newJobID)
 	done := storage.JobResult{State: storage.JobDone}
 	for _, tc := range []struct {
 		name  string
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -152,7 +152,7 @@
 // addScaleOut puts a request into the records.
 func (s *controllerStub) addScaleOut(name string, record storage.ScaleOutRequest) {
 	record.MachineType, record.Zone = "m8", "a"
-	s.records.ApplyPut(storage.Key(storage.KindScaleOut, name), protocol.MustMarshal(&record), 1)
+	s.records.ApplyPut(storage.ScaleOutKey(name), protocol.MustMarshal(&record), 1)
 }
 
 func tasksOf(cpus float64, tasks int) func() []*autoscaling.Demand {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/fixtures"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/transport"
@@ -18,14 +19,7 @@
 // refuse every connection: it must answer everybody at once, keep within its
 // connections and stay up.
 func TestAnswersWithoutStateServiceAndCloud(t *testing.T) {
-	free := func() string {
-		listener, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer listener.Close()
-		return listener.Addr().String()
-	}
+	free := func() string { return fixtures.FreeAddress(t) }
 	cfg := &config.Config{Node: "n-0", Area: "a", PublicAddr: free(), PeerBind: free()}
 	cfg.External.State, cfg.External.Cloud = free(), free()
 	cfg.Peers = []config.Peer{{Node: "n-1", Area: "b", Addr: free()}}
--- a/internal/drain/drainer/drainer_test.go
+++ b/internal/drain/drainer/drainer_test.go
@@ -160,7 +160,7 @@
 func (s *controllerStub) putPermits(permits ...storage.Permit) {
 	record := storage.Permits{Permits: permits}
 	s.version++
-	s.records.ApplyPut(storage.Key(storage.KindPermits, team), protocol.MustMarshal(&record), s.version)
+	s.records.ApplyPut(storage.PermitsKey(team), protocol.MustMarshal(&record), s.version)
 }
 
 // permits gives the team's permits.
@@ -386,7 +386,7 @@
 		s := newControllerStub()
 		record := tc.drain
 		record.Selector.Zone = "a"
-		s.records.ApplyPut(storage.Key(storage.KindDrain, "d"), protocol.MustMarshal(&record), 1)
+		s.records.ApplyPut(storage.DrainKey("d"), protocol.MustMarshal(&record), 1)
 		if got := s.drainer.MayScaleIn(s.records.Machines[nextMachine], tc.empty); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -91,7 +91,7 @@
 // actionOf says what a commit does.
 func actionOf(t *testing.T, c commit) string {
 	t.Helper()
-	resultKey, openKey := storage.Key(storage.KindJobResult, jobID), storage.Key(storage.KindOpenJob, jobID)
+	resultKey, openKey := storage.JobResultKey(jobID), storage.OpenJobKey(jobID)
 	compares, operations := c.transaction.If, c.transaction.Then
 	switch {
 	case len(operations) == 2 && operations[0].Put == resultKey && operations[1].Delete == openKey:
@@ -185,7 +185,7 @@
 	var want []string
 	for _, id := range []string{"j-a", "j-b", "j-c", "j-d", "j-e"} {
 		world.addJob(id, allDone)
-		want = append(want, storage.Key(storage.KindJobResult, id))
+		want = append(want, storage.JobResultKey(id))
 	}
 	world.finisher().Reconcile()
 	var got []string
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -45,11 +45,11 @@
 				t.Fatalf("%d writes", len(w.commits))
 			}
 			txn := w.commits[0].txn
-			want := []protocol.Compare{{Key: storage.Key(storage.KindMember, testNode), Version: tc.version}}
+			want := []protocol.Compare{{Key: storage.MemberKey(testNode), Version: tc.version}}
 			if tc.partition {
 				want = append(
 					want,
-					protocol.Compare{Key: storage.Key(storage.KindPartition, testNode), Version: 4},
+					protocol.Compare{Key: storage.PartitionKey(testNode), Version: 4},
 				)
 			}
 			if !slices.Equal(txn.If, want) {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -13,8 +13,8 @@
 // TestMirrorIsIndependentOfEventOrder: changes in any order, own commits ahead of the watch, shards before
 // their jobs, machines that move: the sums end up the same, and nothing goes back.
 func TestMirrorIsIndependentOfEventOrder(t *testing.T) {
-	open := storage.Key(storage.KindOpenJob, "j-1")
-	p, q := storage.Key(storage.KindShard, "p"), storage.Key(storage.KindShard, "q")
+	open := storage.OpenJobKey("j-1")
+	p, q := storage.ShardKey("p"), storage.ShardKey("q")
 	bare := storagetest.Shard("i-9", "j-9", 0, 0)
 	steps := map[string]func(mr *Mirror){
 		"job":      func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
@@ -138,7 +138,7 @@
 		id := fmt.Sprintf("j-%06d", i)
 		putJob(mr, id, 64, uint64(3*i+1))
 		mr.ApplyPut(
-			storage.Key(storage.KindShard, id),
+			storage.ShardKey(id),
 			storagetest.Shard(fmt.Sprintf("i-%06d", i), id, 32, 32),
 			uint64(3*i+2),
 		)
@@ -156,5 +156,5 @@
 }
 
 func putJob(mr *Mirror, id string, tasks int, version uint64) {
-	mr.ApplyPut(storage.Key(storage.KindOpenJob, id), storagetest.OpenJob(tasks), version)
+	mr.ApplyPut(storage.OpenJobKey(id), storagetest.OpenJob(tasks), version)
 }
--- a/internal/mirror/records_test.go
+++ b/internal/mirror/records_test.go
@@ -64,7 +64,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			m := New()
-			key := storage.Key(storage.KindOpenJob, "a")
+			key := storage.OpenJobKey("a")
 			for i, tasks := range tc.tasks {
 				record := storage.OpenJob{Spec: storage.JobSpec{Tasks: tasks}}
 				m.ApplyPut(key, protocol.MustMarshal(&record), uint64(i+1))
@@ -132,7 +132,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m := New()
 			m.ApplyEvents(nil, 5)
-			key := storage.Key(storage.KindMember, "n-1")
+			key := storage.MemberKey("n-1")
 			if tc.known {
 				m.ApplyPut(key, protocol.MustMarshal(&storage.Member{Incarnation: 1}), 7)
 			}
@@ -172,14 +172,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			m := New()
 			job := storage.OpenJob{Spec: storage.JobSpec{Tasks: 3}}
-			m.ApplyPut(storage.Key(storage.KindOpenJob, "a"), protocol.MustMarshal(&job), 1)
+			m.ApplyPut(storage.OpenJobKey("a"), protocol.MustMarshal(&job), 1)
 			shard := storage.Shard{
 				Owner:    "n-1",
 				Machines: map[string]*storage.ShardMachine{"i-1": {State: storage.MachineOpen}},
 				Jobs:     map[string]*storage.ShardJob{"a": &tc.job},
 			}
 			value, _ := shard.Encode()
-			first, second := storage.Key(storage.KindShard, "first"), storage.Key(storage.KindShard, "second")
+			first, second := storage.ShardKey("first"), storage.ShardKey("second")
 			steps := []struct {
 				apply func()
 				want  int
--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -127,7 +127,7 @@
 // openJob is the record of a job in a list.
 func openJob(id string, version uint64) protocol.KeyValue {
 	return protocol.KeyValue{
-		Key: storage.Key(storage.KindOpenJob, id), Value: storagetest.OpenJob(2), Version: version,
+		Key: storage.OpenJobKey(id), Value: storagetest.OpenJob(2), Version: version,
 	}
 }
 
--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -91,7 +91,7 @@
 	}
 	rt.Load()
 	rt.answerLists(5, 5, jobs...)
-	key := storage.Key(storage.KindJobResult, "b")
+	key := storage.JobResultKey("b")
 	for _, outcome := range []protocol.Outcome{protocol.Unavailable, protocol.OK} {
 		compared := rt.next(protocol.StoreCommit)
 		if n := len(compared.call.Transaction.If); n != comparesPerOp*2 {
--- a/internal/operator/drains_test.go
+++ b/internal/operator/drains_test.go
@@ -53,9 +53,9 @@
 		},
 	)
 	raw, _ := shard.Encode()
-	b.put(storage.Key(storage.KindShard, "s"), raw)
+	b.put(storage.ShardKey("s"), raw)
 	b.put(
-		storage.Key(storage.KindMachineType, "m8"),
+		storage.MachineTypeKey("m8"),
 		protocol.MustMarshal(&storage.MachineType{CPUs: 8, MemoryGB: 64, Zones: []string{"a", "b"}}),
 	)
 	return b
@@ -285,13 +285,7 @@
 		}
 		// A drain changes its name between any two lists: the old one goes as the new one comes.
 		n++
-		old, next := storage.Key(
-			storage.KindDrain,
-			string(rune('a'+n-1)),
-		), storage.Key(
-			storage.KindDrain,
-			string(rune('a'+n)),
-		)
+		old, next := storage.DrainKey(string(rune('a'+n-1))), storage.DrainKey(string(rune('a'+n)))
 		b.callStore(
 			&protocol.StoreCall{
 				Op:      protocol.StoreCommit,
--- a/internal/placement/failure_attribution_test.go
+++ b/internal/placement/failure_attribution_test.go
@@ -15,11 +15,11 @@
 	c := newTestController()
 	mr := c.mirror
 	next := mr.WatchedRevision + 1 // the mirror takes nothing older
-	mr.ApplyPut(storage.Key(storage.KindOpenJob, "runs"), storagetest.OpenJob(4), next)
-	mr.ApplyPut(storage.Key(storage.KindShard, "other"), storagetest.Shard("i-9", "runs", 1, 2), next+1)
-	mr.ApplyPut(storage.Key(storage.KindOpenJob, "new"), storagetest.OpenJob(4), next)
-	mr.ApplyPut(storage.Key(storage.KindOpenJob, "here"), storagetest.OpenJob(4), next)
-	mr.ApplyPut(storage.Key(storage.KindOpenJob, "others"), storagetest.OpenJob(4), next)
+	mr.ApplyPut(storage.OpenJobKey("runs"), storagetest.OpenJob(4), next)
+	mr.ApplyPut(storage.ShardKey("other"), storagetest.Shard("i-9", "runs", 1, 2), next+1)
+	mr.ApplyPut(storage.OpenJobKey("new"), storagetest.OpenJob(4), next)
+	mr.ApplyPut(storage.OpenJobKey("here"), storagetest.OpenJob(4), next)
+	mr.ApplyPut(storage.OpenJobKey("others"), storagetest.OpenJob(4), next)
 	mr.Results.Add("ended", storage.JobDone)
 	mr.Results.Add("dropped", storage.JobCancelled)
 	for _, id := range []string{"i-1", "i-2", "i-3"} {
--- a/internal/placement/scheduling_pass_test.go
+++ b/internal/placement/scheduling_pass_test.go
@@ -56,7 +56,7 @@
 			"conflict on a job",
 			protocol.StoreResult{
 				Outcome: protocol.Conflict,
-				Failed:  []string{storage.Key(storage.KindOpenJob, "j-1")},
+				Failed:  []string{storage.OpenJobKey("j-1")},
 			},
 			50 * monotime.Millisecond, 100 * monotime.Millisecond,
 		},
@@ -64,7 +64,7 @@
 			"conflict on a shard",
 			protocol.StoreResult{
 				Outcome: protocol.Conflict,
-				Failed:  []string{storage.Key(storage.KindShard, "j-1")},
+				Failed:  []string{storage.ShardKey("j-1")},
 			},
 			50 * monotime.Millisecond, 0,
 		},
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -98,7 +98,7 @@
 		Spec:       storage.JobSpec{Team: "tight", Tasks: 20, CPUs: 2},
 		TaskRanges: []storage.TaskRange{{First: 0, End: 20, Partition: owner}},
 	}
-	s.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&job), s.revision)
+	s.mirror.ApplyPut(storage.OpenJobKey("j-1"), protocol.MustMarshal(&job), s.revision)
 	shard := &storage.Shard{Owner: owner, Incarnation: 7, Claim: 1,
 		Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
 	shard.AddMachine("i-1", storage.ShardMachine{
@@ -109,7 +109,7 @@
 	}
 	encoded, _ := shard.Encode()
 	s.revision++
-	s.mirror.ApplyPut(storage.Key(storage.KindShard, "s"), encoded, s.revision)
+	s.mirror.ApplyPut(storage.ShardKey("s"), encoded, s.revision)
 }
 
 // newManager makes the manager of n-0, one of three controllers, of which n-0 and n-1 are members. The team "tight"
@@ -387,7 +387,7 @@
 				t.Fatalf("%d commits, want 1", len(stub.commits))
 			}
 			versions := comparedVersions(stub.answer(t, protocol.OK))
-			member, asked := versions[storage.Key(storage.KindMember, "n-2")]
+			member, asked := versions[storage.MemberKey("n-2")]
 			if versions[storage.PartitionKey("n-2")] != 2 || !asked || member != 0 {
 				t.Errorf("asks for %v", versions)
 			}
--- a/internal/shards/admission_test.go
+++ b/internal/shards/admission_test.go
@@ -34,11 +34,11 @@
 		}, false},
 		{"not a member", func(w *world) {
 			member := storage.Member{Incarnation: ownIncarnation - 1}
-			w.put(storage.Key(storage.KindMember, ownNode), protocol.MustMarshal(&member))
+			w.put(storage.MemberKey(ownNode), protocol.MustMarshal(&member))
 		}, false},
 		{"to be scaled in", func(w *world) {
 			record := storage.ScaleInRequest{Machines: []string{"i-1"}}
-			w.put(storage.Key(storage.KindScaleIn, "s"), protocol.MustMarshal(&record))
+			w.put(storage.ScaleInKey("s"), protocol.MustMarshal(&record))
 		}, false},
 		{"waiting for too long", func(w *world) { w.clock += claimRequestTimeout + 1 }, false},
 	} {
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -83,7 +83,7 @@
 		}
 	}, func(string) {})
 	w.put(
-		storage.Key(storage.KindMember, ownNode),
+		storage.MemberKey(ownNode),
 		protocol.MustMarshal(&storage.Member{Incarnation: ownIncarnation}),
 	)
 	return w
@@ -110,7 +110,7 @@
 
 // putJob writes an open job of some tasks into the mirror.
 func (w *world) putJob(id string, tasks int) *mirror.Job {
-	w.put(storage.Key(storage.KindOpenJob, id), protocol.MustMarshal(&storage.OpenJob{
+	w.put(storage.OpenJobKey(id), protocol.MustMarshal(&storage.OpenJob{
 		Spec: storage.JobSpec{Team: "team", Tasks: tasks, CPUs: 2},
 	}))
 	return w.mirror.Jobs[id]
@@ -118,7 +118,7 @@
 
 // putScaleOut writes a scale-out request that has brought a machine into the mirror.
 func (w *world) putScaleOut(name string, record *storage.ScaleOutRequest) {
-	w.put(storage.Key(storage.KindScaleOut, name), protocol.MustMarshal(record))
+	w.put(storage.ScaleOutKey(name), protocol.MustMarshal(record))
 }
 
 // answer gives the oldest commit its outcome; a successful one is in the mirror before, as the store's.
--- a/internal/shards/updates_test.go
+++ b/internal/shards/updates_test.go
@@ -125,7 +125,7 @@
 			name: "machine gone",
 			set: func(w *world) {
 				record := storage.ScaleInRequest{Machines: []string{"i-1"}, Deleted: true}
-				w.put(storage.Key(storage.KindScaleIn, "s"), protocol.MustMarshal(&record))
+				w.put(storage.ScaleInKey("s"), protocol.MustMarshal(&record))
 			},
 			changed: true,
 			check:   func(u *Update) bool { return len(u.Machines()) == 0 && u.releasedTasks[task] },
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -7,20 +7,14 @@
 	"testing"
 	"time"
 
+	"pipitgap/internal/fixtures"
 	"pipitgap/internal/monotime"
 )
 
 // TestServerAnswersDefinitely drives the evio server over loopback: definite answers for what is
 // wrong, one answer for pipelined requests, a bound on connections.
 func TestServerAnswersDefinitely(t *testing.T) {
-	free := func() string {
-		listener, err := net.Listen("tcp4", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer listener.Close()
-		return listener.Addr().String()
-	}
+	free := func() string { return fixtures.FreeAddress(t) }
 	public, peer := free(), free()
 	s := &Server{
 		Now:            monotime.NewClock(),
