--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -65,8 +65,18 @@
 
 func (w *fakeWorld) handler() *Handler {
 	return NewHandler(Config{
-		Log: slog.New(slog.DiscardHandler), Environment: w, Mirror: w.mirror, StateService: w, Replica: w,
-		Reachability: w, Catalog: w, Quota: w, Scheduler: w, Cancellations: w, PlaceNow: w.PlaceNow, MaxValueBytes: 4096,
+		Log:           slog.New(slog.DiscardHandler),
+		Environment:   w,
+		Mirror:        w.mirror,
+		StateService:  w,
+		Replica:       w,
+		Reachability:  w,
+		Catalog:       w,
+		Quota:         w,
+		Scheduler:     w,
+		Cancellations: w,
+		PlaceNow:      w.PlaceNow,
+		MaxValueBytes: 4096,
 	})
 }
 
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -136,8 +136,11 @@
 			want:   answer{400, false, "names too long to be kept"},
 		},
 		{
-			name:    "another controller was first",
-			world:   func(w *fakeWorld) { w.commitOutcome = protocol.Conflict; w.putRecord(storage.KindOpenJob, newJobID, 1) },
+			name: "another controller was first",
+			world: func(w *fakeWorld) {
+				w.commitOutcome = protocol.Conflict
+				w.putRecord(storage.KindOpenJob, newJobID, 1)
+			},
 			want:    answer{200, false, protocol.JobPending},
 			commits: 1,
 		},
--- a/internal/autoscaling/plan_test.go
+++ b/internal/autoscaling/plan_test.go
@@ -242,10 +242,20 @@
 	}{
 		{"a task for a task", []*Demand{at(newDemand(4, 3, true, false), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
 		{"with what is free", []*Demand{at(newDemand(4, 3, true, false), 1)}, []*Bin{yielding(4, 8)}, []int{0}},
-		{"each once", []*Demand{at(newDemand(4, 1, true, false), 1), at(newDemand(4, 2, true, false), 2)}, []*Bin{yielding(0, 8)}, []int{0, 1}},
+		{
+			"each once",
+			[]*Demand{at(newDemand(4, 1, true, false), 1), at(newDemand(4, 2, true, false), 2)},
+			[]*Bin{yielding(0, 8)},
+			[]int{0, 1},
+		},
 		{"not its like", []*Demand{at(newDemand(4, 1, true, false), 0)}, []*Bin{yielding(0, 8)}, []int{1}},
 		{"not where it may not run", []*Demand{at(newDemand(4, 1, false, false), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
-		{"not services, which have their own way", []*Demand{at(newDemand(4, 1, true, true), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
+		{
+			"not services, which have their own way",
+			[]*Demand{at(newDemand(4, 1, true, true), 1)},
+			[]*Bin{yielding(0, 8)},
+			[]int{1},
+		},
 	} {
 		absorbByPreemption(tc.demands, tc.bins)
 		for i, demand := range tc.demands {
--- a/internal/autoscaling/snapshot_test.go
+++ b/internal/autoscaling/snapshot_test.go
@@ -109,7 +109,12 @@
 		{"spot tasks", newDemand(8, 2, true, false), offers(false, true), []ScaleOut{{Offer{"m8", "a", true}, 2}}},
 		{"no spot offer", newDemand(8, 2, true, false), offers(false), []ScaleOut{{Offer{"m8", "a", false}, 2}}},
 		{"no spot offer, spot only", spotOnly, offers(false), nil},
-		{"on-demand tasks", newDemand(8, 2, false, true), offers(false, true), []ScaleOut{{Offer{"m8", "a", false}, 2}}},
+		{
+			"on-demand tasks",
+			newDemand(8, 2, false, true),
+			offers(false, true),
+			[]ScaleOut{{Offer{"m8", "a", false}, 2}},
+		},
 	} {
 		plan := &Plan{Waiting: []*Demand{tc.demand}, MachineTypes: testTypes()}
 		if got := plan.ScaleOuts(plan.PlaceDemand(), tc.offers); !slices.Equal(got, tc.want) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -240,13 +240,15 @@
 		text            string
 		replicas, floor int
 	}{
-		{"min_available: 3", 10, 3}, {"min_available: 3", 2, 3},
-		{"min_available: 75%", 10, 8}, {"min_available: 75%", 1, 1}, {"min_available: 0%", 10, 0},
-		{
-			"max_unavailable: 2",
-			10,
-			8,
-		}, {"max_unavailable: 25%", 10, 8}, {"max_unavailable: 10%", 9, 9}, {"max_unavailable: 100%", 9, 0},
+		{"min_available: 3", 10, 3},
+		{"min_available: 3", 2, 3},
+		{"min_available: 75%", 10, 8},
+		{"min_available: 75%", 1, 1},
+		{"min_available: 0%", 10, 0},
+		{"max_unavailable: 2", 10, 8},
+		{"max_unavailable: 25%", 10, 8},
+		{"max_unavailable: 10%", 9, 9},
+		{"max_unavailable: 100%", 9, 0},
 	}
 	for _, tc := range cases {
 		settings, err := LoadSettings(writeFile(t, "drains: {budgets: [{team: t, "+tc.text+"}]}"))
--- a/internal/drain/drainer/drainer_test.go
+++ b/internal/drain/drainer/drainer_test.go
@@ -287,7 +287,9 @@
 		{"task exit", service, func(*controllerStub) {}, map[LossCause]int{LossByTaskExit: 1}},
 		{"array task", array, func(*controllerStub) {}, nil},
 		{"under a permit", service, func(s *controllerStub) { s.putPermits(servicePermit()) }, nil},
-		{"cancelled", service, func(s *controllerStub) { s.records.Jobs[service].FinalState = storage.JobCancelled }, nil},
+		{"cancelled", service, func(s *controllerStub) {
+			s.records.Jobs[service].FinalState = storage.JobCancelled
+		}, nil},
 		{"no agent", service, func(s *controllerStub) { delete(s.agents, fullMachine) },
 			map[LossCause]int{LossByMachine: 1}},
 		{"scale-in", service, func(s *controllerStub) { s.records.ScaleInOfMachine[fullMachine] = "x" },
@@ -354,8 +356,12 @@
 			delete(s.records.Machines[fullMachine].Attempts, next)
 			s.records.Jobs[service].TaskStates[0] = 0
 		}, true},
-		{"placed anew", func(s *controllerStub) { s.records.Machines[fullMachine].Attempts[next] = attemptOne + 1 }, false},
-		{"its job has ended", func(s *controllerStub) { s.records.Jobs[service].FinalState = storage.JobDone }, false},
+		{"placed anew", func(s *controllerStub) {
+			s.records.Machines[fullMachine].Attempts[next] = attemptOne + 1
+		}, false},
+		{"its job has ended", func(s *controllerStub) {
+			s.records.Jobs[service].FinalState = storage.JobDone
+		}, false},
 		{"its job is unknown", func(s *controllerStub) { delete(s.records.Jobs, service) }, false},
 	} {
 		s := newControllerStub()
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -129,7 +129,11 @@
 			world: func(w *fakeWorld) { w.mirror.WatchedRevision = 4 },
 		},
 		{name: "cancelled, nothing left", job: cancelled, want: purge},
-		{name: "cancelled with all tasks done", job: func(job *mirror.Job) { allDone(job); cancelled(job) }, want: purge},
+		{
+			name: "cancelled with all tasks done",
+			job:  func(job *mirror.Job) { allDone(job); cancelled(job) },
+			want: purge,
+		},
 		{name: "cancelled, an attempt left", job: func(job *mirror.Job) { cancelled(job); job.AssignedTasks = 1 }},
 		{name: "cancelled, of another controller", job: cancelled, world: func(w *fakeWorld) { w.notOwned = true }},
 		{
--- a/internal/operator/drains_test.go
+++ b/internal/operator/drains_test.go
@@ -285,20 +285,17 @@
 		}
 		// A drain changes its name between any two lists: the old one goes as the new one comes.
 		n++
-		old, next := storage.DrainKey(string(rune('a'+n-1))), storage.DrainKey(string(rune('a'+n)))
-		b.callStore(
-			&protocol.StoreCall{
-				Op:      protocol.StoreCommit,
-				Timeout: monotime.Second,
-				Transaction: protocol.Transaction{Then: []protocol.Op{
-					{
-						Put: next,
-						Value: protocol.MustMarshal(
-							&storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}},
-						),
-					}, {Delete: old}}},
-			},
-		)
+		old := storage.DrainKey(string(rune('a' + n - 1)))
+		next := storage.DrainKey(string(rune('a' + n)))
+		drain := storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}}
+		b.callStore(&protocol.StoreCall{
+			Op:      protocol.StoreCommit,
+			Timeout: monotime.Second,
+			Transaction: protocol.Transaction{Then: []protocol.Op{
+				{Put: next, Value: protocol.MustMarshal(&drain)},
+				{Delete: old},
+			}},
+		})
 	}
 	for range 3 {
 		n = 0
--- a/internal/placement/queue_order_test.go
+++ b/internal/placement/queue_order_test.go
@@ -36,31 +36,24 @@
 			TaskStates:    make([]uint8, tasks),
 			TaskResources: resources.Vector{CPUs: cpus},
 			Record: storage.OpenJob{
-				AcceptedAt: c.WallClock() - int64(
-					age*float64(monotime.Second),
-				), Spec: storage.JobSpec{Class: "x", Team: team, Tasks: tasks, CPUs: cpus, EstimateS: 10, DeadlineS: 30}},
+				AcceptedAt: c.WallClock() - int64(age*float64(monotime.Second)),
+				Spec: storage.JobSpec{
+					Class:     "x",
+					Team:      team,
+					Tasks:     tasks,
+					CPUs:      cpus,
+					EstimateS: 10,
+					DeadlineS: 30,
+				},
+			},
 		}
 		c.scheduler.trackingOf(id).progress.Begin(0, 0, c.now) // not starved
 		return id
 	}
 	fresh := add("free", 5, 2, 1)
-	small, large := add(
-		"free",
-		120,
-		2,
-		4,
-	), add(
-		"free",
-		120,
-		2,
-		40,
-	) // the small one holds a partition of 16 CPUs
-	tight := add(
-		"tight",
-		130,
-		2,
-		8,
-	) // another late one of its team holds 8 of 12 CPUs
+	small := add("free", 120, 2, 4)  // 8 of the machine's 16 CPUs
+	large := add("free", 120, 2, 40) // 80
+	tight := add("tight", 130, 2, 8) // another late one of its team holds 8 of 12 CPUs
 	c.mirror.Jobs[add("tight", 130, 2, 8)].AssignedTasks = 4
 	passed, waiting := add("free", 249, 1, 1), add("free", 80, 1, 1)
 	finish := add("free", 215, 1, 2) // its start is missed, not its end
@@ -68,7 +61,14 @@
 	for i, job := range c.scheduler.OrderedQueue() {
 		place[job.ID] = i
 	}
-	for _, tc := range []struct{ first, then string }{{small, fresh}, {finish, fresh}, {fresh, large}, {fresh, tight}, {fresh, passed}, {fresh, waiting}} {
+	for _, tc := range []struct{ first, then string }{
+		{small, fresh},
+		{finish, fresh},
+		{fresh, large},
+		{fresh, tight},
+		{fresh, passed},
+		{fresh, waiting},
+	} {
 		if place[tc.first] > place[tc.then] {
 			t.Errorf("%s stands behind %s: %v", tc.first, tc.then, place)
 		}
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -101,8 +101,8 @@
 	f.Add([]byte{0x81, 0xc0, 0xc0})
 	f.Fuzz(func(t *testing.T, in []byte) {
 		submission, err := ParseSubmission(in)
-		if err == nil &&
-			(submission.Tasks < 1 || submission.Tasks > MaxTasks || submission.CPUs < 0 || math.IsNaN(submission.CPUs) || !ValidJobID(submission.ID)) {
+		if err == nil && (submission.Tasks < 1 || submission.Tasks > MaxTasks ||
+			submission.CPUs < 0 || math.IsNaN(submission.CPUs) || !ValidJobID(submission.ID)) {
 			t.Fatalf("accepted %+v", submission)
 		}
 		var r Heartbeat
--- a/internal/protocol/wire_names_test.go
+++ b/internal/protocol/wire_names_test.go
@@ -80,7 +80,9 @@
 // other code and its tests speak the terms of the field.
 func TestWireNames(t *testing.T) {
 	words, paths := wireNames(t)
-	for _, known := range []string{"crew", "pips", "plumage", "perch_s", "breeds", "grove", "borrowed", "lane", "sweep", "daemon"} {
+	for _, known := range []string{
+		"crew", "pips", "plumage", "perch_s", "breeds", "grove", "borrowed", "lane", "sweep", "daemon",
+	} {
 		if !words[known] {
 			t.Errorf("%q isn't found among the names of the protocol", known)
 		}
--- a/internal/scheduling/failures_test.go
+++ b/internal/scheduling/failures_test.go
@@ -15,20 +15,33 @@
 		{"nothing known", JobEvidence{Open: true, AssignedTasks: 3}, FaultUnknown},
 		{"over", JobEvidence{DoneTasks: 3}, JobAtFault},
 		{"a task done", JobEvidence{Open: true, DoneTasks: 1}, MachineAtFault},
-		{"a service that runs, never seen to fail", JobEvidence{Open: true, Service: true, AssignedTasks: 1}, FaultUnknown},
+		{
+			"a service that runs, never seen to fail",
+			JobEvidence{Open: true, Service: true, AssignedTasks: 1},
+			FaultUnknown,
+		},
 		{
 			"a service that has just failed",
-			JobEvidence{Open: true, Service: true, AssignedTasks: 1, SeenFailing: true, SinceLastFailure: healthyReplicaAfter},
+			JobEvidence{
+				Open: true, Service: true, AssignedTasks: 1,
+				SeenFailing: true, SinceLastFailure: healthyReplicaAfter,
+			},
 			FaultUnknown,
 		},
 		{
 			"a service that runs since",
-			JobEvidence{Open: true, Service: true, AssignedTasks: 1, SeenFailing: true, SinceLastFailure: healthyReplicaAfter + 1},
+			JobEvidence{
+				Open: true, Service: true, AssignedTasks: 1,
+				SeenFailing: true, SinceLastFailure: healthyReplicaAfter + 1,
+			},
 			MachineAtFault,
 		},
 		{
 			"an array that runs since",
-			JobEvidence{Open: true, AssignedTasks: 1, SeenFailing: true, SinceLastFailure: healthyReplicaAfter + 1},
+			JobEvidence{
+				Open: true, AssignedTasks: 1,
+				SeenFailing: true, SinceLastFailure: healthyReplicaAfter + 1,
+			},
 			FaultUnknown,
 		},
 	} {
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -22,7 +22,8 @@
 	spec := JobSpec{
 		Class: "batch", Team: "wren", Service: true, Priority: 7, Tasks: 40, CPUs: 1.5, GPUs: 2,
 		MemoryGB: 6.25, Image: "wren/sort:3", ImageGB: 0.75, MachineTypes: []string{"m8", "g2"},
-		Zone: "rack-a", OneZone: true, Spread: true, Spot: true, EstimateS: 90.5, CheckpointS: 30, SaveS: 2.5, DeadlineS: 900,
+		Zone: "rack-a", OneZone: true, Spread: true, Spot: true,
+		EstimateS: 90.5, CheckpointS: 30, SaveS: 2.5, DeadlineS: 900,
 	}
 	least := JobSpec{Class: "batch", Team: "wren", Priority: 7, Tasks: 1, CPUs: 1, MemoryGB: 2,
 		Image: "wren/sort:3", ImageGB: 0.5, EstimateS: 60}
