--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -54,7 +54,7 @@
 		{path: "internal/quota", kind: decision}},
 	{{path: "internal/scheduling", kind: decision}, {path: "internal/peers", kind: decision}},
 	{{path: "internal/mirror"}},
-	{{path: "internal/autoscaling", kind: decision}},
+	{{path: "internal/autoscaling", kind: decision}, {path: "internal/fake/stubs", kind: fake}},
 	{{path: "internal/membership"}, {path: "internal/reachability"}, {path: "internal/quota/quotashares"},
 		{path: "internal/autoscaling/fleet"}},
 	{{path: "internal/agents"}},
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -8,6 +8,7 @@
 
 	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/config"
+	"pipitgap/internal/fake/stubs"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -27,12 +28,12 @@
 // controllerStub is the rest of a controller: commits succeed at once and change the mirror, calls to the
 // cloud wait for the test's answer.
 type controllerStub struct {
+	stubs.AppliedCommits
 	t          *testing.T
 	records    *mirror.Mirror
 	reconciler *Reconciler
 	now        monotime.Micros
 	leader     bool
-	version    uint64
 	calls      []cloudCall
 	connected  []string
 	demand     func() []*autoscaling.Demand
@@ -41,9 +42,10 @@
 
 func newControllerStub(t *testing.T) *controllerStub {
 	s := &controllerStub{
-		t: t, records: mirror.New(), now: monotime.Second, leader: true, version: 100,
+		t: t, records: mirror.New(), now: monotime.Second, leader: true,
 		connected: []string{"n-0"}, demand: func() []*autoscaling.Demand { return nil },
 	}
+	s.AppliedCommits = stubs.AppliedCommits{Mirror: s.records, Revision: 100}
 	s.records.LeaderVersion = testTerm
 	settings := config.Defaults()
 	settings.ScaleInAttempts = 2
@@ -94,7 +96,7 @@
 }
 
 func (s *controllerStub) Commit(
-	_ ratelimit.Priority,
+	priority ratelimit.Priority,
 	txn protocol.Transaction,
 	callback func(protocol.StoreResult),
 ) {
@@ -102,15 +104,7 @@
 	if !slices.ContainsFunc(txn.If, func(c protocol.Compare) bool { return c.Key == "leader" }) {
 		s.t.Error("a commit isn't conditional on the leadership")
 	}
-	s.version++
-	for _, op := range txn.Then {
-		if op.Delete != "" {
-			s.records.ApplyDelete(op.Delete, s.version, false)
-		} else {
-			s.records.ApplyPut(op.Put, op.Value, s.version)
-		}
-	}
-	callback(protocol.StoreResult{Outcome: protocol.OK})
+	s.AppliedCommits.Commit(priority, txn, callback)
 }
 
 // reconcile lets time pass and runs the reconciliation.
--- a/internal/drain/drainer/drainer_test.go
+++ b/internal/drain/drainer/drainer_test.go
@@ -11,6 +11,7 @@
 	"pipitgap/internal/autoscaling"
 	"pipitgap/internal/config"
 	"pipitgap/internal/drain"
+	"pipitgap/internal/fake/stubs"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -35,13 +36,12 @@
 
 // controllerStub is the rest of a controller: commits succeed at once and change the mirror.
 type controllerStub struct {
+	stubs.AppliedCommits
 	records     *mirror.Mirror
 	drainer     *Drainer
 	agents      map[string]*agents.Agent
 	now         monotime.Micros
 	nextWriteAt monotime.Micros
-	version     uint64
-	commits     int
 	synced      []string // machines whose commands were brought up to date
 	failing     bool     // the service fails wherever it runs
 	runSeconds  float64  // expected run of a task
@@ -49,9 +49,10 @@
 
 func newControllerStub() *controllerStub {
 	s := &controllerStub{
-		records: mirror.New(), now: testNow, version: 100, runSeconds: 1000,
+		records: mirror.New(), now: testNow, runSeconds: 1000,
 		agents: map[string]*agents.Agent{},
 	}
+	s.AppliedCommits = stubs.AppliedCommits{Mirror: s.records, Revision: 100}
 	reserve := 0
 	settings := &config.DrainSettings{
 		DefaultMaxUnavailable: 1, DefaultReserveMachines: &reserve, MaxParallel: 1,
@@ -125,23 +126,6 @@
 	return 20 * monotime.Second
 }
 
-func (s *controllerStub) Commit(
-	_ ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	s.version++
-	s.commits++
-	for _, op := range txn.Then {
-		if op.Delete != "" {
-			s.records.ApplyDelete(op.Delete, s.version, false)
-		} else {
-			s.records.ApplyPut(op.Put, op.Value, s.version)
-		}
-	}
-	callback(protocol.StoreResult{Outcome: protocol.OK})
-}
-
 func (s *controllerStub) CommitAsLeader(
 	priority ratelimit.Priority,
 	_ string,
@@ -159,8 +143,8 @@
 // putPermits has permits of the team stand in the records.
 func (s *controllerStub) putPermits(permits ...storage.Permit) {
 	record := storage.Permits{Permits: permits}
-	s.version++
-	s.records.ApplyPut(storage.PermitsKey(team), protocol.MustMarshal(&record), s.version)
+	s.Revision++
+	s.records.ApplyPut(storage.PermitsKey(team), protocol.MustMarshal(&record), s.Revision)
 }
 
 // permits gives the team's permits.
@@ -225,15 +209,15 @@
 	}
 	s.nextWriteAt = s.now + 1
 	s.drainer.writePermits(decision, s.now)
-	if got := s.permits(); s.commits != 1 || !slices.Equal(got, []storage.Permit{granted}) {
-		t.Errorf("%d commits, permits %+v", s.commits, got)
+	if got := s.permits(); s.Made != 1 || !slices.Equal(got, []storage.Permit{granted}) {
+		t.Errorf("%d commits, permits %+v", s.Made, got)
 	}
 	s.drainer.writePermits(&drain.Decision{Granted: map[string][]storage.Permit{"zebra": {granted}}}, s.now)
-	if s.commits != 1 {
+	if s.Made != 1 {
 		t.Error("a commit before it is allowed")
 	}
 	s.drainer.writePermits(&drain.Decision{Completed: map[string][]storage.Permit{team: {granted}}}, s.now+1)
-	if entry, ok := s.records.PermitsByTeam[team]; !ok || len(entry.Record.Permits) != 0 || s.commits != 2 {
+	if entry, ok := s.records.PermitsByTeam[team]; !ok || len(entry.Record.Permits) != 0 || s.Made != 2 {
 		t.Errorf("the record of a team without permits: %+v, %v", entry, ok)
 	}
 }
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"testing"
 
+	"pipitgap/internal/fake/stubs"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/ratelimit"
@@ -18,17 +19,11 @@
 
 // fakeWorld is all that a finisher depends on. Commits are kept until the test answers them.
 type fakeWorld struct {
+	stubs.HeldCommits
 	mirror      *mirror.Mirror
 	unavailable bool
 	notOwned    bool
 	writes      map[string]bool
-	commits     []commit
-}
-
-type commit struct {
-	class       ratelimit.Priority
-	transaction protocol.Transaction
-	callback    func(protocol.StoreResult)
 }
 
 func newFakeWorld() *fakeWorld {
@@ -59,14 +54,6 @@
 	return otherwise
 }
 
-func (w *fakeWorld) Commit(
-	class ratelimit.Priority,
-	transaction protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	w.commits = append(w.commits, commit{class, transaction, callback})
-}
-
 // addJob puts a job of two tasks into a mirror that has come to revision 10.
 func (w *fakeWorld) addJob(id string, change func(*mirror.Job)) {
 	job := &mirror.Job{ID: id, Version: 5, Record: storage.OpenJob{Spec: storage.JobSpec{Tasks: 2}}}
@@ -89,25 +76,25 @@
 )
 
 // actionOf says what a commit does.
-func actionOf(t *testing.T, c commit) string {
+func actionOf(t *testing.T, c stubs.Commit) string {
 	t.Helper()
 	resultKey, openKey := storage.JobResultKey(jobID), storage.OpenJobKey(jobID)
-	compares, operations := c.transaction.If, c.transaction.Then
+	compares, operations := c.Transaction.If, c.Transaction.Then
 	switch {
 	case len(operations) == 2 && operations[0].Put == resultKey && operations[1].Delete == openKey:
 		if !slices.Equal(compares, []protocol.Compare{{Key: resultKey}}) ||
-			c.class != ratelimit.PriorityJobResult {
-			t.Errorf("completed on the condition %+v in class %v", compares, c.class)
+			c.Priority != ratelimit.PriorityJobResult {
+			t.Errorf("completed on the condition %+v in class %v", compares, c.Priority)
 		}
 		return complete
 	case len(operations) == 1 && operations[0].Delete == openKey:
 		if !slices.Equal(compares, []protocol.Compare{{Key: openKey, Version: 5}}) ||
-			c.class != ratelimit.PriorityBackground {
-			t.Errorf("purged on the condition %+v in class %v", compares, c.class)
+			c.Priority != ratelimit.PriorityBackground {
+			t.Errorf("purged on the condition %+v in class %v", compares, c.Priority)
 		}
 		return purge
 	}
-	t.Fatalf("unexpected commit %+v", c.transaction)
+	t.Fatalf("unexpected commit %+v", c.Transaction)
 	return nothing
 }
 
@@ -159,20 +146,20 @@
 			finisher := world.finisher()
 			finisher.Reconcile()
 			got := nothing
-			if len(world.commits) > 0 {
-				got = actionOf(t, world.commits[0])
+			if len(world.Commits) > 0 {
+				got = actionOf(t, world.Commits[0])
 			}
-			if got != tc.want || len(world.commits) > 1 {
-				t.Fatalf("%d commits, the first to %q, want %q", len(world.commits), got, tc.want)
+			if got != tc.want || len(world.Commits) > 1 {
+				t.Fatalf("%d commits, the first to %q, want %q", len(world.Commits), got, tc.want)
 			}
 			if tc.want == nothing {
 				return
 			}
 			finisher.Reconcile()
-			if len(world.commits) != 1 {
+			if len(world.Commits) != 1 {
 				t.Error("a second commit while the first is in flight")
 			}
-			world.commits[0].callback(protocol.StoreResult{Outcome: protocol.OK})
+			world.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.OK})
 			if world.writes[jobID] {
 				t.Error("still marked as in flight")
 			}
@@ -193,8 +180,8 @@
 	}
 	world.finisher().Reconcile()
 	var got []string
-	for _, c := range world.commits {
-		got = append(got, c.transaction.Then[0].Put)
+	for _, c := range world.Commits {
+		got = append(got, c.Transaction.Then[0].Put)
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
@@ -210,22 +197,22 @@
 	finisher.CompleteIfDone("j-unknown")
 	world.addJob(jobID, func(job *mirror.Job) { job.DoneTasks = 1 })
 	finisher.CompleteIfDone(jobID)
-	if len(world.commits) != 0 {
-		t.Fatalf("%d commits for an unknown and an unfinished job", len(world.commits))
+	if len(world.Commits) != 0 {
+		t.Fatalf("%d commits for an unknown and an unfinished job", len(world.Commits))
 	}
 	allDone(world.mirror.Jobs[jobID])
 	finisher.CompleteIfDone(jobID)
 	finisher.CompleteIfDone(jobID)
-	if len(world.commits) != 1 || actionOf(t, world.commits[0]) != complete {
-		t.Fatalf("%d commits for a job that is done", len(world.commits))
+	if len(world.Commits) != 1 || actionOf(t, world.Commits[0]) != complete {
+		t.Fatalf("%d commits for a job that is done", len(world.Commits))
 	}
-	world.commits[0].callback(protocol.StoreResult{Outcome: protocol.Conflict})
+	world.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.Conflict})
 	if finisher.Completed() != 0 || world.writes[jobID] {
 		t.Errorf("after a conflict: %d completed, in flight %v", finisher.Completed(), world.writes[jobID])
 	}
 	cancelled(world.mirror.Jobs[jobID])
 	finisher.CompleteIfDone(jobID)
-	if len(world.commits) != 1 {
+	if len(world.Commits) != 1 {
 		t.Error("a cancelled job is completed")
 	}
 }
--- a/internal/membership/leader_test.go
+++ b/internal/membership/leader_test.go
@@ -71,22 +71,22 @@
 			w.membership.Campaign(w.now)
 			w.membership.Campaign(w.now)
 			if !tc.want {
-				if len(w.commits) > 0 {
-					t.Errorf("campaigns: %+v", w.commits)
+				if len(w.Commits) > 0 {
+					t.Errorf("campaigns: %+v", w.Commits)
 				}
 				return
 			}
-			if len(w.commits) != 1 {
-				t.Fatalf("%d elections", len(w.commits))
+			if len(w.Commits) != 1 {
+				t.Fatalf("%d elections", len(w.Commits))
 			}
-			txn := w.commits[0].txn
+			txn := w.Commits[0].Transaction
 			condition := protocol.Compare{Key: storage.LeaderKey, Version: tc.version}
 			if len(txn.If) != 1 || txn.If[0] != condition || len(txn.Then) != 1 || txn.Then[0].Lease != 5 {
 				t.Errorf("election %+v", txn)
 			}
 			w.answerCommit(protocol.Conflict)
 			w.membership.Campaign(w.now + monotime.Second)
-			if len(w.commits) != 1 {
+			if len(w.Commits) != 1 {
 				t.Error("no further election after a lost one")
 			}
 		})
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -36,15 +36,15 @@
 			w.holdLease(5) // which writes the record
 			w.membership.EnsureMemberRecord()
 			if !tc.writes {
-				if len(w.commits) > 0 {
-					t.Errorf("written: %+v", w.commits)
+				if len(w.Commits) > 0 {
+					t.Errorf("written: %+v", w.Commits)
 				}
 				return
 			}
-			if len(w.commits) != 1 {
-				t.Fatalf("%d writes", len(w.commits))
+			if len(w.Commits) != 1 {
+				t.Fatalf("%d writes", len(w.Commits))
 			}
-			txn := w.commits[0].txn
+			txn := w.Commits[0].Transaction
 			want := []protocol.Compare{{Key: storage.MemberKey(testNode), Version: tc.version}}
 			if tc.partition {
 				want = append(
--- a/internal/membership/stubs_test.go
+++ b/internal/membership/stubs_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
+	"pipitgap/internal/fake/stubs"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
@@ -25,14 +26,10 @@
 	callback func(protocol.StoreResult)
 }
 
-// commit is a conditional change that a stub has taken and not answered yet.
-type commit struct {
-	txn      protocol.Transaction
-	callback func(protocol.StoreResult)
-}
-
 // world stands for all that a Membership depends on. Calls wait until the test answers them.
 type world struct {
+	stubs.HeldCommits
+	t           *testing.T
 	now         monotime.Micros
 	random      *rand.Rand
 	timers      []func()
@@ -42,7 +39,6 @@
 	ready       bool
 	freshAt     monotime.Micros
 	catchUps    int
-	commits     []commit
 
 	mirror     *mirror.Mirror
 	membership *Membership
@@ -50,7 +46,7 @@
 
 func newWorld(t *testing.T) *world {
 	t.Helper()
-	w := &world{now: testStart, random: rand.New(rand.NewPCG(1, 2)), ready: true, mirror: mirror.New()}
+	w := &world{t: t, now: testStart, random: rand.New(rand.NewPCG(1, 2)), ready: true, mirror: mirror.New()}
 	w.membership = New(Options{
 		Node: testNode, Incarnation: testIncarnation, Zone: "a",
 		Controllers: []string{"n-0", testNode, "n-2"}, TTL: testTTL,
@@ -74,12 +70,6 @@
 func (w *world) FreshAt() monotime.Micros { return w.freshAt }
 func (w *world) WhenCurrent(func(bool))   { w.catchUps++ }
 
-func (w *world) Commit(
-	_ ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult),
-) {
-	w.commits = append(w.commits, commit{txn, callback})
-}
-
 // answerCall answers the oldest call.
 func (w *world) answerCall(result protocol.StoreResult) {
 	call := w.calls[0]
@@ -89,9 +79,8 @@
 
 // answerCommit answers the oldest conditional change.
 func (w *world) answerCommit(outcome protocol.Outcome) {
-	change := w.commits[0]
-	w.commits = w.commits[1:]
-	change.callback(protocol.StoreResult{Outcome: outcome, Revision: 50})
+	w.t.Helper()
+	w.TakeOldest(w.t).Callback(protocol.StoreResult{Outcome: outcome, Revision: 50})
 }
 
 // holdLease has a lease granted at once.
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -6,17 +6,18 @@
 	"testing"
 
 	"pipitgap/internal/config"
+	"pipitgap/internal/fake/stubs"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
 	"pipitgap/internal/quota"
-	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
 
 // controllerStub stands for what a manager needs of its controller. Commits are held until they are answered.
 type controllerStub struct {
+	stubs.HeldCommits
 	mirror         *mirror.Mirror
 	members        map[string]bool
 	holdsLease     bool
@@ -27,15 +28,9 @@
 	unreachable    bool
 	successor      string
 	passes         int
-	commits        []heldCommit
 	revision       uint64
 }
 
-type heldCommit struct {
-	txn      protocol.Transaction
-	callback func(protocol.StoreResult)
-}
-
 func (s *controllerStub) HoldsLease(monotime.Micros) bool { return s.holdsLease }
 
 func (s *controllerStub) IsMember(node string) bool { return s.members[node] }
@@ -46,14 +41,6 @@
 
 func (s *controllerStub) BudgetSharers() int { return 2 }
 
-func (s *controllerStub) Commit(
-	_ ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	s.commits = append(s.commits, heldCommit{txn, callback})
-}
-
 func (s *controllerStub) CommitInFlight() bool { return s.commitInFlight }
 
 func (s *controllerStub) UseInDoubt(string) resources.Vector { return s.useInDoubt }
@@ -70,17 +57,13 @@
 // answer gives the oldest commit its outcome; one that is OK is applied to the mirror first.
 func (s *controllerStub) answer(t *testing.T, outcome protocol.Outcome) protocol.Transaction {
 	t.Helper()
-	if len(s.commits) == 0 {
-		t.Fatal("no commit")
-	}
-	commit := s.commits[0]
-	s.commits = s.commits[1:]
+	commit := s.TakeOldest(t)
 	if outcome == protocol.OK {
 		s.revision++
-		s.mirror.ApplyCommit(&commit.txn, s.revision)
+		s.mirror.ApplyCommit(&commit.Transaction, s.revision)
 	}
-	commit.callback(protocol.StoreResult{Outcome: outcome, Revision: s.revision})
-	return commit.txn
+	commit.Callback(protocol.StoreResult{Outcome: outcome, Revision: s.revision})
+	return commit.Transaction
 }
 
 // putShares sets a controller's record of shares of the team "tight", in CPUs.
@@ -205,8 +188,8 @@
 		t.Fatal("no write in flight")
 	}
 	m.Adjust(0)
-	if len(stub.commits) != 1 {
-		t.Fatalf("%d commits in flight", len(stub.commits))
+	if len(stub.Commits) != 1 {
+		t.Fatalf("%d commits in flight", len(stub.Commits))
 	}
 	versions := comparedVersions(stub.answer(t, protocol.OK))
 	want := map[string]uint64{
@@ -252,7 +235,7 @@
 			m.NoteShortage("tight", short(4))
 			hinder(stub, m)
 			m.Adjust(0)
-			if len(stub.commits) > 0 {
+			if len(stub.Commits) > 0 {
 				t.Error("a share was changed")
 			}
 		})
@@ -276,7 +259,7 @@
 		t.Errorf("%v CPUs left once the record was written anew, want 8", got)
 	}
 	m.Adjust(2 * monotime.Second)
-	if len(stub.commits) > 0 {
+	if len(stub.Commits) > 0 {
 		t.Error("the record is written again")
 	}
 }
@@ -315,7 +298,7 @@
 		stub.putShares("n-0", 8)
 		stub.lackReportedAt["tight"] = 0
 		m.Adjust(c.now)
-		if lowered := len(stub.commits) > 0; lowered != c.lowered {
+		if lowered := len(stub.Commits) > 0; lowered != c.lowered {
 			t.Errorf("at %v: lowered %v, want %v", c.now, lowered, c.lowered)
 		}
 	}
@@ -378,13 +361,13 @@
 			m.ReleaseDeparted(c.now)
 			m.ReleaseDeparted(c.now)
 			if !c.want {
-				if len(stub.commits) > 0 {
+				if len(stub.Commits) > 0 {
 					t.Error("released")
 				}
 				return
 			}
-			if len(stub.commits) != 1 {
-				t.Fatalf("%d commits, want 1", len(stub.commits))
+			if len(stub.Commits) != 1 {
+				t.Fatalf("%d commits, want 1", len(stub.Commits))
 			}
 			versions := comparedVersions(stub.answer(t, protocol.OK))
 			member, asked := versions[storage.MemberKey("n-2")]
--- a/internal/shards/failover_test.go
+++ b/internal/shards/failover_test.go
@@ -122,8 +122,8 @@
 			w.putShard("p", tc.owner, tc.incarnation, "i-1")
 			w.m.ClaimOrphaned(w.clock)
 			w.m.ClaimOrphaned(w.clock) // one that is being claimed isn't claimed again
-			if got := len(w.commits) == 1; got != tc.want {
-				t.Fatalf("%d commits, want one: %v", len(w.commits), tc.want)
+			if got := len(w.Commits) == 1; got != tc.want {
+				t.Fatalf("%d commits, want one: %v", len(w.Commits), tc.want)
 			}
 			if !tc.want {
 				return
@@ -193,13 +193,13 @@
 			tc.prepare(w)
 			w.m.HandOff(w.clock)
 			if tc.want == 0 {
-				if len(w.commits) > 0 {
-					t.Errorf("%d commits", len(w.commits))
+				if len(w.Commits) > 0 {
+					t.Errorf("%d commits", len(w.Commits))
 				}
 				return
 			}
-			if len(w.commits) != 1 || len(w.commits[0].txn.Then) != tc.want {
-				t.Fatalf("commits %v, want one of %d shards", w.commits, tc.want)
+			if len(w.Commits) != 1 || len(w.Commits[0].Transaction.Then) != tc.want {
+				t.Fatalf("commits %v, want one of %d shards", w.Commits, tc.want)
 			}
 			if !w.quotaInFlight {
 				t.Error("others may write quota shares")
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -4,10 +4,10 @@
 	"log/slog"
 	"testing"
 
+	"pipitgap/internal/fake/stubs"
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
 	"pipitgap/internal/protocol"
-	"pipitgap/internal/ratelimit"
 	"pipitgap/internal/resources"
 	"pipitgap/internal/storage"
 )
@@ -20,6 +20,7 @@
 
 // world is a Manager with all that it depends on: facts that a test sets, and what the manager has done.
 type world struct {
+	stubs.HeldCommits
 	t        *testing.T
 	m        *Manager
 	mirror   *mirror.Mirror
@@ -40,7 +41,6 @@
 	quotaInFlight  bool
 	quotaTransfers int
 
-	commits   []*commitCall
 	completed []string // jobs
 	synced    []string // machines
 	probed    []string // machines
@@ -48,12 +48,6 @@
 	requests  int // of passes
 }
 
-// commitCall is a commit without an outcome.
-type commitCall struct {
-	txn      protocol.Transaction
-	callback func(protocol.StoreResult)
-}
-
 func newWorld(t *testing.T) *world {
 	t.Helper()
 	w := &world{
@@ -124,16 +118,12 @@
 // answer gives the oldest commit its outcome; a successful one is in the mirror before, as the store's.
 func (w *world) answer(result protocol.StoreResult) {
 	w.t.Helper()
-	if len(w.commits) == 0 {
-		w.t.Fatal("no commit was made")
-	}
-	call := w.commits[0]
-	w.commits = w.commits[1:]
+	commit := w.TakeOldest(w.t)
 	if result.Outcome == protocol.OK {
 		w.revision++
-		w.mirror.ApplyCommit(&call.txn, w.revision)
+		w.mirror.ApplyCommit(&commit.Transaction, w.revision)
 	}
-	call.callback(result)
+	commit.Callback(result)
 }
 
 func emptyShard(owner string, incarnation uint64) *storage.Shard {
@@ -150,14 +140,6 @@
 func (w *world) WatchOverdue(monotime.Micros) bool      { return w.watchSilent }
 func (w *world) ThrottledWithin(_ monotime.Micros) bool { return w.throttled }
 
-func (w *world) Commit(
-	_ ratelimit.Priority,
-	txn protocol.Transaction,
-	callback func(protocol.StoreResult),
-) {
-	w.commits = append(w.commits, &commitCall{txn, callback})
-}
-
 func (w *world) HoldsLease(monotime.Micros) bool { return true }
 func (w *world) IsMember(node string) bool       { return w.members[node] }
 
