--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -23,7 +23,7 @@
 	exitUnreachable = 5 // the state service gives no answer
 )
 
-// exitStatus gives the status that tells scripts what kind of error it was.
+// exitStatus returns the status that tells scripts what kind of error it was.
 func exitStatus(err error) int {
 	kinds := []struct {
 		status int
--- a/cmd/pipitgap/main.go
+++ b/cmd/pipitgap/main.go
@@ -96,6 +96,7 @@
 // serveCommand is the command whose errors go to the log.
 const serveCommand = "serve"
 
+// main runs the command that the command line names. It exits with 0, or with the status of the error.
 func main() {
 	var c commandLine
 	parsed := kong.Parse(&c, kong.Name("pipitgap"),
--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -41,7 +41,7 @@
 
 	leaseExpired bool // the lease has surely ended since the last answer
 
-	pendingOutcomes  map[AttemptID]Outcome // not yet in the store
+	pendingOutcomes  map[AttemptID]Outcome // not yet in the records
 	stoppingAttempts map[AttemptID]bool    // to be stopped though their job goes on: preempted or evicted
 	sentCommands     map[AttemptID]*commandRecord
 	commandInFlight  bool // a batch was sent directly and isn't answered yet
@@ -72,7 +72,7 @@
 	lastReachedAt       monotime.Micros
 }
 
-// New gives the Agent of a machine that has just been claimed under a number. Its lease is taken to have
+// New returns the Agent of a machine that has just been claimed under a number. Its lease is taken to have
 // been renewed now, by the owner before.
 func New(claimNumber uint64, now monotime.Micros) *Agent {
 	return &Agent{
@@ -100,10 +100,10 @@
 // Token is the fencing token of the last batch of commands.
 func (a *Agent) Token() uint64 { return a.BaseToken() | a.tokenCounter }
 
-// HasReported tells whether any report of the agent has been applied under this claim.
+// HasReported reports whether any report of the agent has been applied under this claim.
 func (a *Agent) HasReported() bool { return a.incarnation != 0 }
 
-// IsReachable tells whether the newest report showed that the controller's answers arrive.
+// IsReachable reports whether the newest report showed that the controller's answers arrive.
 func (a *Agent) IsReachable() bool { return a.tokens.acknowledged >= a.tokens.requested }
 
 // LastReachedAt is when the agent last showed that the controller's answers reach it.
@@ -112,32 +112,32 @@
 // LastAnsweredAt is when a heartbeat of the agent was last answered.
 func (a *Agent) LastAnsweredAt() monotime.Micros { return a.heartbeats.lastAnsweredAt }
 
-// ClaimAcknowledged tells whether the agent has seen a token of this claim, and so obeys no owner before.
+// ClaimAcknowledged reports whether the agent has seen a token of this claim, and so obeys no owner before.
 func (a *Agent) ClaimAcknowledged() bool { return a.tokens.claimAcknowledged }
 
-// ReportsUnderClaim tells whether the newest report was made after the agent had seen this claim: only then
+// ReportsUnderClaim reports whether the newest report was made after the agent had seen this claim: only then
 // does it outrank every command of the owners before.
 func (a *Agent) ReportsUnderClaim() bool {
 	return a.tokens.claimAcknowledged && a.tokens.acknowledged >= a.BaseToken()
 }
 
-// LeaseExpired tells whether the agent's lease has surely ended since it was last answered.
+// LeaseExpired reports whether the agent's lease has surely ended since it was last answered.
 func (a *Agent) LeaseExpired() bool { return a.leaseExpired }
 
-// InterruptionNoticed tells whether the cloud has announced that it takes the machine back.
+// InterruptionNoticed reports whether the cloud has announced that it takes the machine back.
 func (a *Agent) InterruptionNoticed() bool { return a.interruptionNoticed }
 
-// Suspect tells whether the machine was silent or faulty at its last check.
+// Suspect reports whether the machine was silent or faulty at its last check.
 func (a *Agent) Suspect() bool { return a.suspect }
 
-// SetSuspect notes whether the machine is silent or faulty, and tells whether that is a change.
+// SetSuspect notes whether the machine is silent or faulty, and reports whether that is a change.
 func (a *Agent) SetSuspect(suspect bool) (changed bool) {
 	changed = suspect != a.suspect
 	a.suspect = suspect
 	return changed
 }
 
-// RemovalReason tells why the machine is to be removed; empty: it isn't.
+// RemovalReason returns why the machine is to be removed; empty: it isn't.
 func (a *Agent) RemovalReason() RemovalReason { return a.removalReason }
 
 // SetRemovalReason notes why the machine is to be removed.
@@ -150,7 +150,7 @@
 	}
 }
 
-// AcceptsTasks tells whether new tasks may go to the machine as far as its agent tells: it has lately shown
+// AcceptsTasks reports whether new tasks may go to the machine as far as its agent tells: it has lately shown
 // that the controller's answers reach it, and the machine isn't on its way out. silenceLimit is what counts
 // as lately.
 func (a *Agent) AcceptsTasks(now, silenceLimit monotime.Micros) bool {
@@ -166,23 +166,23 @@
 // Failures is the history of tasks that failed or ran slowly on the machine.
 func (a *Agent) Failures() *FailureHistory { return &a.failures }
 
-// ReportedAttempt gives an attempt's status in the newest report; reported is false if it isn't in there.
+// ReportedAttempt returns an attempt's status in the newest report; reported is false if it isn't in there.
 func (a *Agent) ReportedAttempt(key AttemptID) (status protocol.TaskStatus, reported bool) {
 	status, reported = a.reportedAttempts[key]
 	return status, reported
 }
 
-// HasExited tells whether the newest report has an attempt as exited.
+// HasExited reports whether the newest report has an attempt as exited.
 func (a *Agent) HasExited(key AttemptID) bool {
 	return a.reportedAttempts[key].State == protocol.StateExited
 }
 
-// IsRunning tells whether the newest report has an attempt as running.
+// IsRunning reports whether the newest report has an attempt as running.
 func (a *Agent) IsRunning(key AttemptID) bool {
 	return a.reportedAttempts[key].State == protocol.StateRunning
 }
 
-// RunningSince gives when an attempt was first reported as running; running is false if it wasn't.
+// RunningSince returns when an attempt was first reported as running; running is false if it wasn't.
 func (a *Agent) RunningSince(key AttemptID) (since monotime.Micros, running bool) {
 	since, running = a.runningSince[key]
 	return since, running
@@ -191,13 +191,13 @@
 // StopAttempt has an attempt stopped by the next commands though its job goes on.
 func (a *Agent) StopAttempt(key AttemptID) { a.stoppingAttempts[key] = true }
 
-// IsStopping tells whether an attempt is to be stopped though its job goes on.
+// IsStopping reports whether an attempt is to be stopped though its job goes on.
 func (a *Agent) IsStopping(key AttemptID) bool { return a.stoppingAttempts[key] }
 
-// IsStoppingAny tells whether any attempt on the machine is to be stopped though its job goes on.
+// IsStoppingAny reports whether any attempt on the machine is to be stopped though its job goes on.
 func (a *Agent) IsStoppingAny() bool { return len(a.stoppingAttempts) > 0 }
 
-// RecordOutcome notes what became of an attempt until the store has it. It must not be forgotten before: a
+// RecordOutcome notes what became of an attempt until the records have it. It must not be forgotten before: a
 // release that may still be applied must keep its attempt from being started again. The first outcome of an
 // attempt stays.
 func (a *Agent) RecordOutcome(key AttemptID, outcome Outcome) {
@@ -206,15 +206,15 @@
 	}
 }
 
-// HasOutcome tells whether an attempt has an outcome on its way to the store.
+// HasOutcome reports whether an attempt has an outcome on its way to the records.
 func (a *Agent) HasOutcome(key AttemptID) bool {
 	_, ok := a.pendingOutcomes[key]
 	return ok
 }
 
-// EachEndedAttempt calls release for each task with an outcome of an attempt that the store still holds on
-// the machine, in no certain order. Other outcomes are forgotten: they are in the store, or it never had
-// their attempts.
+// EachEndedAttempt calls release for each task with an outcome of an attempt that the records still hold on
+// the machine, in no certain order. Other outcomes are forgotten: they are in the records, or the records
+// never had their attempts.
 func (a *Agent) EachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
@@ -228,7 +228,7 @@
 	}
 }
 
-// LeaseHasEnded tells whether the lease must have ended by now unnoticed: proof is how long after its last
+// LeaseHasEnded reports whether the lease must have ended by now unnoticed: proof is how long after its last
 // renewal it surely has. A new incarnation has a lease from its own beginning, answered or not: what direct
 // commands start in it runs on though no report arrives.
 func (a *Agent) LeaseHasEnded(now, proof monotime.Micros) bool {
@@ -245,7 +245,7 @@
 	}
 }
 
-// RedirectOnce tells whether the agent is to be sent to look for another controller, which is done once per
+// RedirectOnce reports whether the agent is to be sent to look for another controller, which is done once per
 // lease: one that comes back sooner has found no other.
 func (a *Agent) RedirectOnce(now, workerLease monotime.Micros) bool {
 	isBack := a.heartbeats.redirectedAt != 0 && now-a.heartbeats.redirectedAt < workerLease
--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// SuspendsLeaseRenewal tells whether heartbeats must go unanswered: another controller may have confirmed a
+// SuspendsLeaseRenewal reports whether heartbeats must go unanswered: another controller may have confirmed a
 // cancellation that isn't known here, so long ago that its tasks would outlast their time if their lease were
 // renewed now.
 func (cs *Cancellations) SuspendsLeaseRenewal(now monotime.Micros) bool {
--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -20,12 +20,12 @@
 	killToken                         uint64          // fencing token of the first batch with a kill; 0: none
 }
 
-// recordOf gives the record of the commands about an attempt.
+// recordOf returns the record of the commands about an attempt.
 func (a *Agent) recordOf(key AttemptID) *commandRecord {
 	return mapentry.GetOrNew(a.sentCommands, key)
 }
 
-// KillSent tells whether the agent was ever sent a kill of an attempt that the store held on the machine.
+// KillSent reports whether the agent was ever sent a kill of an attempt that the store held on the machine.
 func (a *Agent) KillSent(key AttemptID) bool {
 	record := a.sentCommands[key]
 	return record != nil && record.killToken != 0
@@ -37,7 +37,7 @@
 	commands []protocol.Command
 }
 
-// due tells whether a command that was last sent at a time may be added, and notes that it is.
+// due reports whether a command that was last sent at a time may be added, and notes that it is.
 func (b *commandBatch) due(sentAt *monotime.Micros) bool {
 	if len(b.commands) >= maxCommandsPerBatch || *sentAt != 0 && b.now-*sentAt < commandRepeatInterval {
 		return false
@@ -80,7 +80,7 @@
 	return batch.commands
 }
 
-// endUnexpectedAttempts adds what ends attempts that the agent reports and the store doesn't hold.
+// endUnexpectedAttempts adds what ends attempts that the agent reports and the records don't hold.
 func (a *Agent) endUnexpectedAttempts(batch *commandBatch, machine *mirror.Machine) {
 	var unexpected []AttemptID
 	for key := range a.reportedAttempts {
@@ -92,7 +92,7 @@
 	for _, key := range unexpected {
 		record := a.recordOf(key)
 		if a.HasExited(key) {
-			// Its outcome is in the store, or nobody wants it.
+			// Its outcome is in the records, or nobody wants it.
 			if batch.due(&record.reapSentAt) {
 				batch.add(protocol.CmdReap, key)
 			}
@@ -130,8 +130,8 @@
 	return kills, runs
 }
 
-// killAttempts adds the kills of attempts that the store holds. The first one's token is kept: once the agent
-// has taken it up, an attempt that it doesn't report is gone for good.
+// killAttempts adds the kills of attempts that the records hold. The first one's token is kept: once the
+// agent has taken it up, an attempt that it doesn't report is gone for good.
 func (a *Agent) killAttempts(batch *commandBatch, kills []AttemptID, jobs map[string]*mirror.Job) {
 	nextToken := a.Token() + 1
 	for _, key := range kills {
@@ -150,7 +150,7 @@
 	}
 }
 
-// BeginCommandRequest gives the commands that are to be sent directly, ahead of the next heartbeat; nil:
+// BeginCommandRequest returns the commands that are to be sent directly, ahead of the next heartbeat; nil:
 // none. One request is in flight at a time, and the Agent must get its end by EndCommandRequest.
 func (a *Agent) BeginCommandRequest(
 	machine *mirror.Machine,
@@ -189,7 +189,7 @@
 	}
 }
 
-// TakeResync tells whether more is to be sent since the last request began, once.
+// TakeResync reports whether more is to be sent since the last request began, once.
 func (a *Agent) TakeResync() bool {
 	needed := a.resyncNeeded
 	a.resyncNeeded = false
--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -32,7 +32,7 @@
 	Shards        Shards
 	Scheduler     Scheduler
 	Cancellations LeasePolicy
-	// IsCordoned tells whether a drain keeps new tasks from a machine.
+	// IsCordoned reports whether a drain keeps new tasks from a machine.
 	IsCordoned func(machine *mirror.Machine) bool
 	Log        *slog.Logger
 }
@@ -53,17 +53,17 @@
 
 // Store is the state service.
 type Store interface {
-	// Unavailable tells whether this controller doesn't reach it.
+	// Unavailable reports whether this controller doesn't reach it.
 	Unavailable() bool
 }
 
 // Replica keeps the mirror up to date.
 type Replica interface {
-	// Ready tells whether the records have been read.
+	// Ready reports whether the records have been read.
 	Ready() bool
 	// FreshAt is when the request was sent that last brought the mirror up to date.
 	FreshAt() monotime.Micros
-	// WatchOverdue tells whether the watch hasn't answered for so long that the mirror may be outdated.
+	// WatchOverdue reports whether the watch hasn't answered for so long that the mirror may be outdated.
 	WatchOverdue(now monotime.Micros) bool
 	// Commit makes a conditional write; on success it is in the mirror before callback is called.
 	Commit(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult))
@@ -78,7 +78,7 @@
 
 // Pauses tells when the process was paused while its clocks ran.
 type Pauses interface {
-	// IsStale tells whether what was up to date at an instant must not be trusted because of a pause since.
+	// IsStale reports whether what was up to date at an instant must not be trusted because of a pause since.
 	IsStale(freshAt, now monotime.Micros) bool
 	// ResumedFromPauseAt is when the last pause ended; 0: there was none.
 	ResumedFromPauseAt() monotime.Micros
@@ -93,10 +93,10 @@
 type Reachability interface {
 	// StoreUnreachableOnlyHere names a controller that reaches the state service while this one doesn't.
 	StoreUnreachableOnlyHere(now monotime.Micros) (peer string, onlyHere bool)
-	// IsSuperseded tells whether this controller reaches neither the state service nor any other for so long
-	// that the others, if there are any, have taken its machines over.
+	// IsSuperseded reports whether this controller reaches neither the state service nor any other for so
+	// long that the others, if there are any, have taken its machines over.
 	IsSuperseded(now monotime.Micros) bool
-	// IsCutOffFromWorkers tells whether a controller is known not to reach its workers.
+	// IsCutOffFromWorkers reports whether a controller is known not to reach its workers.
 	IsCutOffFromWorkers(node string, now monotime.Micros) bool
 	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
 	ConnectedControllers() []string
@@ -141,6 +141,6 @@
 
 // LeasePolicy decides whether leases may be renewed.
 type LeasePolicy interface {
-	// SuspendsLeaseRenewal tells whether heartbeats must go unanswered so that leases expire.
+	// SuspendsLeaseRenewal reports whether heartbeats must go unanswered so that leases expire.
 	SuspendsLeaseRenewal(now monotime.Micros) bool
 }
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -101,10 +101,11 @@
 	m.requestClaim(report, nil, respond)
 }
 
-// hasLostLiveOwner tells whether a worker has lost an owner that is alive, or was a moment ago. A worker that has
-// come here for long, or was the owner's for longer than a lease, isn't sent back: its lease may not last for
-// another attempt. A worker that tries all controllers because its owner was gone for a moment must find it again.
-// A token of the owner's new claim alone doesn't show that it did: direct commands bring one too.
+// hasLostLiveOwner reports whether a worker has lost an owner that is alive, or was a moment ago. A worker
+// that has come here for long, or was the owner's for longer than a lease, isn't sent back: its lease may not
+// last for another attempt. A worker that tries all controllers because its owner was gone for a moment must
+// find it again. A token of the owner's new claim alone doesn't show that it did: direct commands bring one
+// too.
 func (m *Manager) hasLostLiveOwner(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -140,9 +141,10 @@
 	})
 }
 
-// mustAdoptBeforeLeaseEnds tells whether a worker that has lost a silent owner must be adopted now: if it tries all
-// controllers once more, waiting at each that is silent, its lease may end on the way. An owner that is silent for
-// longer than memberships last and is a member all the same won't answer the worker the next time either.
+// mustAdoptBeforeLeaseEnds reports whether a worker that has lost a silent owner must be adopted now: if it
+// tries all controllers once more, waiting at each that is silent, its lease may end on the way. An owner
+// that is silent for longer than memberships last and is a member all the same won't answer the worker the
+// next time either.
 func (m *Manager) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
 	tryAll := durations.WorkerRetryPause
 	for _, peer := range m.peerNames {
--- a/internal/agents/failures.go
+++ b/internal/agents/failures.go
@@ -24,7 +24,7 @@
 // RecordCompletion forgets the failures before a task that completed.
 func (h *FailureHistory) RecordCompletion() { clear(h.byJob) }
 
-// ByJob gives the failures by job since a task last completed on the machine; it must not be changed.
+// ByJob returns the failures by job since a task last completed on the machine; it must not be changed.
 func (h *FailureHistory) ByJob() map[string]int { return h.byJob }
 
 // RecordSpeed follows how fast the machine is, from a task's actual and expected run time in seconds. Single
@@ -39,15 +39,15 @@
 	)
 }
 
-// IsSlow tells whether tasks run far longer than expected on the machine, again and again.
+// IsSlow reports whether tasks run far longer than expected on the machine, again and again.
 func (h *FailureHistory) IsSlow() bool {
 	return h.slowdownSamples >= slowSamples && h.logSlowdown > slowLogSlowdown
 }
 
-// FailureProne tells whether the machine gets no more tasks because too much failed there.
+// FailureProne reports whether the machine gets no more tasks because too much failed there.
 func (h *FailureHistory) FailureProne() bool { return h.failureProne }
 
-// SetFailureProne notes whether the machine gets no more tasks, and tells whether that is a change.
+// SetFailureProne notes whether the machine gets no more tasks, and reports whether that is a change.
 func (h *FailureHistory) SetFailureProne(prone bool) (changed bool) {
 	changed = prone != h.failureProne
 	h.failureProne = prone
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// silenceRemovalReason tells why a silent machine is to be removed, or "" if it isn't.
+// silenceRemovalReason returns why a silent machine is to be removed, or "" if it isn't.
 func (m *Manager) silenceRemovalReason(machine *mirror.Machine, check *healthCheck) RemovalReason {
 	agent := m.Of(machine)
 	silence := m.silenceOf(agent, check.now)
@@ -154,11 +154,11 @@
 	return ""
 }
 
-// keepsForUnreachableZone tells whether a machine is to be kept because its zone as a whole is unreachable,
-// by this controller's own machines there. (What the log calls "zone unreachable" is the leader's judgement by
-// all machines, see fleet.Reconciler.) A zone that is cut off comes back with its machines, each within a
-// lease: if they were deleted for their silence, its capacity would wait for new machines to boot. Not so where
-// services are: a deletion lets them start elsewhere.
+// keepsForUnreachableZone reports whether a machine is to be kept because its zone as a whole is unreachable,
+// by this controller's own machines there. (What the log calls "zone unreachable" is the leader's judgement
+// by all machines, see fleet.Reconciler.) A zone that is cut off comes back with its machines, each within a
+// lease: if they were deleted for their silence, its capacity would wait for new machines to boot. Not so
+// where services are: a deletion lets them start elsewhere.
 func (m *Manager) keepsForUnreachableZone(machine *mirror.Machine, now monotime.Micros) bool {
 	at, unreachable := m.zoneUnreachableAt[machine.Record.Zone]
 	return unreachable && now-at < m.durations.WorkerLease && !m.holdsService(machine)
@@ -171,8 +171,8 @@
 	m.unloggedRemovals[reason] = append(m.unloggedRemovals[reason], machine.ID)
 }
 
-// holdsCancelled tells whether the store holds tasks there of jobs that were cancelled at least so long ago.
-// What this controller hasn't seen being cancelled was so for an unknown time: long enough.
+// holdsCancelled reports whether the records hold tasks there of jobs that were cancelled at least so long
+// ago. What this controller hasn't seen being cancelled was so for an unknown time: long enough.
 func (m *Manager) holdsCancelled(machine *mirror.Machine, since monotime.Micros) bool {
 	for task := range machine.Attempts {
 		if job := m.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
@@ -183,7 +183,7 @@
 	return false
 }
 
-// holdsService tells whether the store holds replicas of services there.
+// holdsService reports whether the records hold replicas of services there.
 func (m *Manager) holdsService(machine *mirror.Machine) bool {
 	for task := range machine.Attempts {
 		if job := m.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -43,7 +43,7 @@
 	m.dispatchHeartbeat(&report, m.logResponse(&report, respond, now), now)
 }
 
-// refuseAll gives the answer to any heartbeat while none may renew a lease here.
+// refuseAll returns the answer to any heartbeat while none may renew a lease here.
 func (m *Manager) refuseAll(now monotime.Micros) (refusal transport.Response, refused bool) {
 	if peer, onlyHere := m.reachability.StoreUnreachableOnlyHere(now); onlyHere {
 		return redirectResponse(peer), true
@@ -83,7 +83,7 @@
 	}
 }
 
-// logResponse gives a respond function that logs the answer first, if the log has that level.
+// logResponse returns a respond function that logs the answer first, if the log has that level.
 func (m *Manager) logResponse(
 	report *protocol.Heartbeat,
 	respond func(transport.Response),
@@ -107,10 +107,10 @@
 	}
 }
 
-// redirectsAway tells whether a worker of an own machine is to look for another controller, because this one
-// is cut off and others, if there are any, have its machines. A worker that comes back within its lease has
-// found nobody: then this controller is the one that is left, or the zone is cut off with it, and it answers
-// as before.
+// redirectsAway reports whether a worker of an own machine is to look for another controller, because this
+// one is cut off and others, if there are any, have its machines. A worker that comes back within its lease
+// has found nobody: then this controller is the one that is left, or the zone is cut off with it, and it
+// answers as before.
 func (m *Manager) redirectsAway(agent *Agent, now monotime.Micros) bool {
 	return m.reachability.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
 }
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -75,10 +75,10 @@
 	}
 }
 
-// Of gives the Agent of a machine, or nil if the machine isn't claimed by this controller.
+// Of returns the Agent of a machine, or nil if the machine isn't claimed by this controller.
 func (m *Manager) Of(machine *mirror.Machine) *Agent { return m.byMachine[machine.ID] }
 
-// Has tells whether a machine is claimed by this controller.
+// Has reports whether a machine is claimed by this controller.
 func (m *Manager) Has(machine *mirror.Machine) bool { return m.Of(machine) != nil }
 
 // UpdateOwnership follows a change of the shard that a machine is in.
--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -19,10 +19,10 @@
 type ReportResult struct {
 	LeaseRegained      bool   // the agent is reachable again after its lease had ended
 	Exits              []Exit // in the order of jobs and tasks
-	HasPendingOutcomes bool   // there are outcomes for the store
+	HasPendingOutcomes bool   // there are outcomes for the records
 }
 
-// IsNewer tells whether a report is newer than the one applied last.
+// IsNewer reports whether a report is newer than the one applied last.
 func (a *Agent) IsNewer(report *protocol.Heartbeat) bool {
 	return report.Incarnation > a.incarnation ||
 		report.Incarnation == a.incarnation && report.Sequence > a.sequence
@@ -56,7 +56,7 @@
 	return result
 }
 
-// restartedBy tells whether a report shows a new incarnation of an agent that had another before.
+// restartedBy reports whether a report shows a new incarnation of an agent that had another before.
 func (a *Agent) restartedBy(report *protocol.Heartbeat) bool {
 	return a.incarnation != 0 && report.Incarnation > a.incarnation
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// acknowledgeClaim notes that the agent has seen this claim, and tells whether it is reachable again after
+// acknowledgeClaim notes that the agent has seen this claim, and reports whether it is reachable again after
 // its lease had ended.
 func (a *Agent) acknowledgeClaim(now monotime.Micros) (leaseRegained bool) {
 	if !a.tokens.claimAcknowledged {
@@ -100,8 +100,8 @@
 	answersLost bool // and the controller's answers don't reach it
 }
 
-// settleAbsentAttempts gives an outcome to the attempts that a report proves gone by lacking them, and lists
-// those that it has as exited, in order.
+// settleAbsentAttempts returns an outcome to the attempts that a report proves gone by lacking them, and
+// lists those that it has as exited, in order.
 func (a *Agent) settleAbsentAttempts(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
@@ -130,14 +130,14 @@
 	return exited
 }
 
-// killOutranksRun tells whether the agent has taken up the kill of an attempt, which outranks every batch
+// killOutranksRun reports whether the agent has taken up the kill of an attempt, which outranks every batch
 // with its run: an attempt that is absent after that isn't there and can't start any more.
 func (a *Agent) killOutranksRun(key AttemptID, acknowledged uint64) bool {
 	record := a.sentCommands[key]
 	return record != nil && record.killToken != 0 && acknowledged >= record.killToken
 }
 
-// settleExits gives the exited attempts their outcomes and returns those that had none before.
+// settleExits returns the exited attempts their outcomes and returns those that had none before.
 func (a *Agent) settleExits(exited []AttemptID, jobs map[string]*mirror.Job) []Exit {
 	var exits []Exit
 	for _, key := range exited {
@@ -170,7 +170,7 @@
 	}
 }
 
-// forgetReleasedAttempts drops what is kept of attempts that the store holds no longer.
+// forgetReleasedAttempts drops what is kept of attempts that the records hold no longer.
 func (a *Agent) forgetReleasedAttempts(machine *mirror.Machine) {
 	for key := range a.stoppingAttempts {
 		if machine.Attempts[key.Task] != key.Attempt {
--- a/internal/autoscaling/backoff.go
+++ b/internal/autoscaling/backoff.go
@@ -60,7 +60,7 @@
 	return eligible
 }
 
-// leavesOut tells whether nothing is requested for a job for now.
+// leavesOut reports whether nothing is requested for a job for now.
 func (b *Backoffs) leavesOut(jobID string, now monotime.Micros) bool {
 	state := b.jobs[jobID]
 	if state == nil {
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -25,7 +25,7 @@
 
 // ZoneConstraint is a job's rule on the zones of its tasks: all in one zone, or spread over zones.
 type ZoneConstraint interface {
-	// RestrictsZones tells whether the job has such a rule.
+	// RestrictsZones reports whether the job has such a rule.
 	RestrictsZones() bool
 	// RemainingIn counts the tasks that a zone may still take.
 	RemainingIn(zone string) int
@@ -33,12 +33,12 @@
 	AddTasks(zone string, tasks int)
 }
 
-// allowsMachine tells whether the tasks may run on a machine of this kind, whatever its size.
+// allowsMachine reports whether the tasks may run on a machine of this kind, whatever its size.
 func (d *Demand) allowsMachine(offer Offer) bool {
 	return d.Spec.AllowsMachine(offer.MachineType, offer.Zone) && (d.Spec.Spot || !offer.Spot)
 }
 
-// restrictsZones tells whether a rule on zones binds the tasks.
+// restrictsZones reports whether a rule on zones binds the tasks.
 func (d *Demand) restrictsZones() bool { return d.Zones != nil && d.Zones.RestrictsZones() }
 
 // tasksFitting counts the tasks that free resources in a zone can take.
--- a/internal/autoscaling/fleet/catalog.go
+++ b/internal/autoscaling/fleet/catalog.go
@@ -9,8 +9,8 @@
 	"pipitgap/internal/storage"
 )
 
-// persistCatalog keeps the machine types in the store, so that a controller that starts during an outage of
-// the cloud can accept and place jobs.
+// persistCatalog keeps the machine types in the state service, so that a controller that starts during an
+// outage of the cloud can accept and place jobs.
 func (r *Reconciler) persistCatalog() {
 	if !r.deps.Catalog.IsFetched() {
 		return
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -45,7 +45,7 @@
 type Catalog interface {
 	// MachineTypes is nil until the types are known.
 	MachineTypes() map[string]protocol.MachineType
-	// IsFetched tells whether they are from the cloud itself, not from the records.
+	// IsFetched reports whether they are from the cloud itself, not from the records.
 	IsFetched() bool
 }
 
@@ -62,7 +62,7 @@
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
 	// NoteTrialDemand is called for jobs whose demand of the pass is a trial, see autoscaling.Demand.
 	NoteTrialDemand(jobID string, now monotime.Micros)
-	// IsClosedByDrain tells whether a drain keeps an offer from being requested.
+	// IsClosedByDrain reports whether a drain keeps an offer from being requested.
 	IsClosedByDrain(autoscaling.Offer) bool
 	// ZoneContacts has every zone with machines.
 	ZoneContacts() map[string]ZoneContact
@@ -170,7 +170,7 @@
 	})
 }
 
-// mayCallCloud tells whether the rate limit leaves a call.
+// mayCallCloud reports whether the rate limit leaves a call.
 func (r *Reconciler) mayCallCloud(now monotime.Micros) bool {
 	return r.deps.CloudCalls.WaitTime(now, 1) == 0
 }
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -18,7 +18,7 @@
 // scaleOutNamePrefix begins the names of scale-out requests.
 const scaleOutNamePrefix = "r-"
 
-// newScaleOutKey gives the key of a new scale-out request.
+// newScaleOutKey returns the key of a new scale-out request.
 func (r *Reconciler) newScaleOutKey() string {
 	return storage.ScaleOutKey(scaleOutNamePrefix + r.nextRequestName())
 }
--- a/internal/autoscaling/fleet/term.go
+++ b/internal/autoscaling/fleet/term.go
@@ -33,6 +33,7 @@
 	cloudUnavailable bool
 }
 
+// newTermState begins a term: nothing is in flight, and the cloud's list hasn't been read.
 func newTermState(number uint64, settings *config.Settings) termState {
 	return termState{
 		number:         number,
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -8,7 +8,8 @@
 // maxMachinesPerPass bounds the machines that each step of a pass chooses.
 const maxMachinesPerPass = 600
 
-// Plan is one pass of the autoscaler. It uses up its inputs: PlaceDemand, then ScaleOuts, are each called once.
+// Plan is one pass of the autoscaler. It uses up its inputs: PlaceDemand, then ScaleOuts, are each called
+// once.
 type Plan struct {
 	Waiting  []*Demand // tasks without room that the quotas let run
 	Headroom []*Demand // room to be kept for services yet to come
--- a/internal/autoscaling/scalein/reconciler.go
+++ b/internal/autoscaling/scalein/reconciler.go
@@ -26,7 +26,7 @@
 
 // Drains tells what drains need of empty machines.
 type Drains interface {
-	// MayScaleIn tells whether a drained machine that has been empty for so long is to be removed.
+	// MayScaleIn reports whether a drained machine that has been empty for so long is to be removed.
 	MayScaleIn(machine *mirror.Machine, empty monotime.Micros) bool
 	// ReservedByMachine is what is reserved for replicas that are moved.
 	ReservedByMachine() map[string]resources.Vector
@@ -75,7 +75,7 @@
 	}
 }
 
-// IsClosed tells whether a machine is closed to tasks that have room elsewhere.
+// IsClosed reports whether a machine is closed to tasks that have room elsewhere.
 func (r *Reconciler) IsClosed(machine string) bool {
 	_, closed := r.closedAt[machine]
 	return closed
@@ -144,8 +144,8 @@
 	return needed
 }
 
-// isRemovable tells whether an own machine is empty and neither needed nor on its way out. One that is prone
-// to failures isn't kept for what needs it.
+// isRemovable reports whether an own machine is empty and neither needed nor on its way out. One that is
+// prone to failures isn't kept for what needs it.
 func (r *Reconciler) isRemovable(machine *mirror.Machine, needed bool) bool {
 	agent := r.deps.Agents.Of(machine)
 	if agent == nil || machine.Record == nil || len(machine.Attempts) > 0 {
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -29,17 +29,17 @@
 
 // JobPolicy answers what the scheduler and the quotas say of jobs.
 type JobPolicy interface {
-	// IsDelayed tells whether a job's tasks aren't to be placed yet.
+	// IsDelayed reports whether a job's tasks aren't to be placed yet.
 	IsDelayed(job *mirror.Job, now monotime.Micros) bool
-	// IsCrashLooping tells whether a job fails wherever it runs, and is held to an occasional trial.
+	// IsCrashLooping reports whether a job fails wherever it runs, and is held to an occasional trial.
 	IsCrashLooping(job *mirror.Job) bool
-	// MayScaleOutForTrial tells whether a machine may be requested for the trial of such a job.
+	// MayScaleOutForTrial reports whether a machine may be requested for the trial of such a job.
 	MayScaleOutForTrial(job *mirror.Job, now monotime.Micros) bool
-	// IsScavenger tells whether a job runs in its team's idle time only.
+	// IsScavenger reports whether a job runs in its team's idle time only.
 	IsScavenger(job *mirror.Job) bool
-	// IsSpotOnly tells whether no on-demand machine is to be requested for a job.
+	// IsSpotOnly reports whether no on-demand machine is to be requested for a job.
 	IsSpotOnly(job *mirror.Job) bool
-	// IsPreemptible tells whether tasks of arrays with a higher priority may preempt a job's.
+	// IsPreemptible reports whether tasks of arrays with a higher priority may preempt a job's.
 	IsPreemptible(job *mirror.Job) bool
 	// ExpectedRunSeconds is the expected run of a task.
 	ExpectedRunSeconds(spec *storage.JobSpec) float64
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -146,7 +146,7 @@
 	p.mirrorRevision = max(p.mirrorRevision, m.MirrorRevision)
 }
 
-// roundComplete counts a round's messages and tells whether all have come. Messages on
+// roundComplete counts a round's messages and reports whether all have come. Messages on
 // one connection keep their order; a lost one leaves its round incomplete.
 func (p *peerState) roundComplete(m RoundMessage) bool {
 	if m.Round != p.round {
@@ -156,7 +156,7 @@
 	return p.received == m.MessagesInRound
 }
 
-// ConfirmedUntil tells the moment, by this controller's clock, up to which every cancellation that any
+// ConfirmedUntil returns the moment, by this controller's clock, up to which every cancellation that any
 // controller has confirmed to a user is known here. mirrored is when the request was
 // sent that last brought the mirror up to date: it holds all that was committed before.
 // A peer's complete round holds all that it had confirmed when it made the round, which
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -57,7 +57,7 @@
 // MachineTypes are the types by name; nil until they are known. The map isn't changed later.
 func (c *Catalog) MachineTypes() map[string]protocol.MachineType { return c.machineTypes }
 
-// IsFetched tells whether the types are from the cloud itself, not from the records.
+// IsFetched reports whether the types are from the cloud itself, not from the records.
 func (c *Catalog) IsFetched() bool { return c.fetchedAt != 0 }
 
 // CloudCalls is the budget of all calls of the cloud's API.
@@ -108,7 +108,7 @@
 	}
 }
 
-// isUsable tells whether a machine type has what decisions need.
+// isUsable reports whether a machine type has what decisions need.
 func isUsable(machineType *protocol.MachineType) bool {
 	return machineType.Name != "" && machineType.CPUs > 0 && machineType.OnDemandPrice > 0
 }
--- a/internal/config/drain_settings.go
+++ b/internal/config/drain_settings.go
@@ -89,7 +89,7 @@
 	ReserveMachines *int            `yaml:"reserve_machines"`
 }
 
-// unsatisfiable tells why a budget can never permit anything, whatever runs; "" if it can.
+// unsatisfiable returns why a budget can never permit anything, whatever runs; "" if it can.
 func (b *DisruptionBudget) unsatisfiable() string {
 	switch {
 	case b.MinAvailable != nil && *b.MinAvailable == CountOrPercent{Value: 100, Percent: true}:
@@ -117,7 +117,7 @@
 
 const wholePercent = 100
 
-// roundedUp gives the amount of a number of replicas, a part of one counted as one.
+// roundedUp returns the amount of a number of replicas, a part of one counted as one.
 func (c CountOrPercent) roundedUp(replicas int) int {
 	if !c.Percent {
 		return c.Value
@@ -125,7 +125,7 @@
 	return int(math.Ceil(float64(c.Value*replicas) / wholePercent))
 }
 
-// roundedDown gives the amount of a number of replicas, a part of one left out.
+// roundedDown returns the amount of a number of replicas, a part of one left out.
 func (c CountOrPercent) roundedDown(replicas int) int {
 	if !c.Percent {
 		return c.Value
@@ -133,7 +133,7 @@
 	return c.Value * replicas / wholePercent
 }
 
-// String gives the form of the settings.
+// String returns the form of the settings.
 func (c CountOrPercent) String() string {
 	if c.Percent {
 		return strconv.Itoa(c.Value) + "%"
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -26,5 +26,5 @@
 	return nil
 }
 
-// Micros gives the span as a time.
+// Micros returns the span as a time.
 func (d Duration) Micros() monotime.Micros { return monotime.Micros(d) }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -45,7 +45,7 @@
 	return err
 }
 
-// plainDocument gives a YAML document in the form that JSON has, since the schema is one of JSON.
+// plainDocument returns a YAML document in the form that JSON has, since the schema is one of JSON.
 func plainDocument(text []byte) (any, error) {
 	var document any
 	if err := yaml.Unmarshal(text, &document); err != nil {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -13,6 +13,7 @@
 	fleet *fleet.Reconciler
 }
 
+// newAutoscaler makes the inputs of package autoscaling, and what carries its plans out.
 func newAutoscaler(c *Controller) *autoscaler {
 	a := &autoscaler{c: c}
 	a.fleet = newFleetReconciler(a)
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -155,8 +155,8 @@
 
 func (c *Controller) now() monotime.Micros { return c.env.Now() }
 
-// mirrorStale tells whether the process was paused and the mirror hasn't been brought up to date since: what
-// it shows as this controller's may be others' by now.
+// mirrorStale reports whether the process was paused and the mirror hasn't been brought up to date since:
+// what it shows as this controller's may be others' by now.
 func (c *Controller) mirrorStale(now monotime.Micros) bool {
 	return c.pauses.IsStale(c.replica.FreshAt(), now)
 }
@@ -173,6 +173,7 @@
 	c.env.After(durations.FastTickInterval, c.tick)
 }
 
+// runFastTick does what must not wait: the lease, the watch and a scheduling pass that is due.
 func (c *Controller) runFastTick(now monotime.Micros) {
 	c.membership.RenewLease(now)
 	c.replica.MaintainWatch(now)
@@ -185,6 +186,8 @@
 	}
 }
 
+// runSlowTick does everything else that is periodic, in a fixed order: each subject sees what those before it
+// have changed.
 func (c *Controller) runSlowTick(now monotime.Micros) {
 	c.store.UpdateAvailability(now)
 	c.sendPeerStatus(now)
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -52,6 +52,7 @@
 	usedCPUs, allCPUs                     float64
 }
 
+// clusterTotals sums up what the mirror shows now.
 func (c *Controller) clusterTotals() clusterTotals {
 	var totals clusterTotals
 	for _, shard := range c.mirror.Shards {
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -46,8 +46,8 @@
 	return names
 }
 
-// agentShards gives package agents the claims on machines. Their manager is made later than that of the agents,
-// which it needs itself.
+// agentShards gives package agents the claims on machines. Their manager is made later than that of the
+// agents, which it needs itself.
 type agentShards struct{ c *Controller }
 
 func (s agentShards) Owns(shard *mirror.Shard) bool { return s.c.shards.Owns(shard) }
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -113,6 +113,7 @@
 	return w.autoscaler.c.drains.ClosesOffer(offer)
 }
 
+// ZoneContacts counts the machines of each zone, and those of them that their controllers can't reach.
 func (w fleetWorkload) ZoneContacts() map[string]fleet.ZoneContact {
 	counts := map[string]*reachability.SilenceCount{}
 	for _, machine := range w.autoscaler.c.mirror.Machines {
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -11,6 +11,7 @@
 // quotaDependencies gives the quota manager what it needs of shards, peers and reachability.
 type quotaDependencies struct{ c *Controller }
 
+// newQuotaManager makes what keeps this controller's shares of the teams' limits.
 func newQuotaManager(c *Controller) *quotashares.Manager {
 	dependencies := quotaDependencies{c}
 	return quotashares.New(
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -8,6 +8,7 @@
 
 // What requests of users (internal/api) and the end of jobs (internal/jobs) need of the other subjects.
 
+// newRequestHandler makes what answers users.
 func newRequestHandler(c *Controller) *api.Handler {
 	return api.NewHandler(api.Config{
 		Log:           c.log,
@@ -25,6 +26,7 @@
 	})
 }
 
+// newJobFinisher makes what writes the results of jobs.
 func newJobFinisher(c *Controller) *jobs.Finisher {
 	return jobs.NewFinisher(jobs.Config{
 		Node:            c.node,
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -12,6 +12,7 @@
 // shardDependencies gives the shard manager what it needs of the other subjects.
 type shardDependencies struct{ c *Controller }
 
+// newShardManager makes what owns this controller's shards.
 func newShardManager(c *Controller) *shards.Manager {
 	dependencies := shardDependencies{c}
 	return shards.NewManager(
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -30,6 +30,8 @@
 }
 func (t timerItems) Swap(a, b int) { t[a], t[b] = t[b], t[a] }
 func (t *timerItems) Push(x any)   { *t = append(*t, x.(timerItem)) }
+
+// Pop takes off the last item and clears its place, so that the callback can be collected.
 func (t *timerItems) Pop() any {
 	old := *t
 	x := old[len(old)-1]
@@ -47,7 +49,7 @@
 // idleWait is how long the loop waits without any timer.
 const idleWait = monotime.Minute
 
-// untilNext tells how long until the next timer is due.
+// untilNext returns how long until the next timer is due.
 func (h *timerHeap) untilNext(now monotime.Micros) monotime.Micros {
 	if len(h.items) == 0 {
 		return idleWait
--- a/internal/daemon/worker_pool.go
+++ b/internal/daemon/worker_pool.go
@@ -16,7 +16,7 @@
 	lastUsed uint64 // when, in turns of the pool
 }
 
-// client gives the client of an endpoint; the one that was used longest ago makes
+// client returns the client of an endpoint; the one that was used longest ago makes
 // room for a new one. What it has in flight ends as usual.
 func (p *workerPool) client(endpoint string) *transport.Client {
 	if p.clients == nil {
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -28,7 +28,7 @@
 	return "team " + s.Team + ", class " + s.Class
 }
 
-// budgetFor gives the budget of a scope that has one.
+// budgetFor returns the budget of a scope that has one.
 func (p *Policy) budgetFor(scope Scope) (*config.DisruptionBudget, bool) {
 	for i := range p.settings.Budgets {
 		budget := &p.settings.Budgets[i]
@@ -39,7 +39,7 @@
 	return nil, false
 }
 
-// Budgeted tells whether a team's services of a class have a budget of their own or of their team.
+// Budgeted reports whether a team's services of a class have a budget of their own or of their team.
 func (p *Policy) Budgeted(team, class string) bool {
 	_, teamBudgeted := p.budgetFor(Scope{Team: team})
 	_, classBudgeted := p.budgetFor(Scope{Team: team, Class: class})
@@ -155,7 +155,7 @@
 	return lost
 }
 
-// floorKept tells whether the budget is kept even if the reserve's machines are lost.
+// floorKept reports whether the budget is kept even if the reserve's machines are lost.
 func (a *Availability) floorKept() bool { return a.Available-a.worstLoss() >= a.MinAvailable }
 
 // stop counts a replica on a machine as stopped.
@@ -170,7 +170,7 @@
 	a.onMachine[machine]++
 }
 
-// allowsStop tells whether a further replica on a machine may be stopped, and if not, why.
+// allowsStop reports whether a further replica on a machine may be stopped, and if not, why.
 func (a *Availability) allowsStop(machine string) (reason string, ok bool) {
 	if a.Available <= a.MinAvailable {
 		return fmt.Sprintf("%s: %d of %d replicas are available, %d must stay",
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -11,9 +11,9 @@
 // Controller is the controller that decides, and what it knows of the others.
 type Controller struct {
 	Node string
-	// Live tells whether a controller is a member.
+	// Live reports whether a controller is a member.
 	Live func(node string) bool
-	// Responsible tells whether this controller is the one to remove a team's completed permits.
+	// Responsible reports whether this controller is the one to remove a team's completed permits.
 	Responsible func(team string) bool
 	// RecordBytes is how large a record of permits may get.
 	RecordBytes int
@@ -124,7 +124,7 @@
 	}
 }
 
-// completed tells whether a permit has served its purpose: the service has ended, or another attempt of the
+// completed reports whether a permit has served its purpose: the service has ended, or another attempt of the
 // replica runs.
 func (d *decider) completed(permit *storage.Permit) bool {
 	if _, known := d.snapshot.jobs[permit.Job]; !known {
@@ -134,7 +134,7 @@
 	return held && replica.Attempt != permit.Attempt && !replica.Starting && machine.reachable()
 }
 
-// holdsAttempt tells whether the attempt that a permit is for is still on a machine.
+// holdsAttempt reports whether the attempt that a permit is for is still on a machine.
 func holdsAttempt(machine *Machine, permit *storage.Permit) bool {
 	for _, replica := range machine.Replicas {
 		if replica.Job == permit.Job && replica.Task == permit.Task && replica.Attempt == permit.Attempt {
@@ -144,8 +144,8 @@
 	return false
 }
 
-// stillAllowed tells whether a granted permit may be used now. The budget is checked once more: machines may
-// have been lost since the permit was granted, or its commit was applied late.
+// stillAllowed reports whether a granted permit may be used now. The budget is checked once more: machines
+// may have been lost since the permit was granted, or its commit was applied late.
 func (d *decider) stillAllowed(permit *storage.Permit, from *Machine) bool {
 	record, ok := d.snapshot.drainCovering(from)
 	if !ok || record.Name != permit.Drain || !d.stepsAllowed(record) {
@@ -160,12 +160,12 @@
 	return true
 }
 
-// stepsAllowed tells whether a drain may stop anything now.
+// stepsAllowed reports whether a drain may stop anything now.
 func (d *decider) stepsAllowed(record *DrainRecord) bool {
 	return record.State == storage.DrainActive && !d.snapshot.deadlinePassed(record)
 }
 
-// deadlinePassed tells whether a drain has a deadline and it has passed.
+// deadlinePassed reports whether a drain has a deadline and it has passed.
 func (s *Snapshot) deadlinePassed(record *DrainRecord) bool {
 	return record.DeadlineAt != 0 && s.Wall >= record.DeadlineAt
 }
@@ -220,7 +220,7 @@
 	return step[:min(len(step), record.MaxParallel)]
 }
 
-// hasPermits tells whether a replica on a machine is under a permit.
+// hasPermits reports whether a replica on a machine is under a permit.
 func (m *Machine) hasPermits() bool {
 	for _, replica := range m.Replicas {
 		if replica.UnderPermit {
@@ -296,7 +296,7 @@
 	reason    string
 }
 
-// evaluateReplica tells whether a replica may be stopped now.
+// evaluateReplica reports whether a replica may be stopped now.
 func (d *decider) evaluateReplica(
 	record *DrainRecord, machine *Machine, replica *Replica, job *Job,
 ) possibleMove {
--- a/internal/drain/destination.go
+++ b/internal/drain/destination.go
@@ -28,7 +28,7 @@
 	return preempting, preempting != nil
 }
 
-// takesReplicas tells whether new tasks may go to a machine.
+// takesReplicas reports whether new tasks may go to a machine.
 func (s *Snapshot) takesReplicas(machine *Machine, live func(node string) bool) bool {
 	if machine.State != storage.MachineOpen || !live(machine.Owner) {
 		return false
@@ -61,7 +61,7 @@
 	return zones
 }
 
-// allow tells whether a zone may take one more replica.
+// allow reports whether a zone may take one more replica.
 func (z *zoneCount) allow(zone string) bool {
 	if z.job.Spread && z.in[zone]+1 > (z.job.Replicas+1)/2 {
 		return false
--- a/internal/drain/doc.go
+++ b/internal/drain/doc.go
@@ -8,5 +8,5 @@
 // A replica is stopped for a drain only under a permit. All permits of a team stand in one
 // record, each change of which is conditional on the record's version, so two drains, or two
 // controllers, can't spend the same room twice. A permit counts as an unavailable replica until
-// the store shows its replacement running. docs/drains-design.md has the argument.
+// the records show its replacement running. docs/drains-design.md has the argument.
 package drain
--- a/internal/drain/drainer/coverage.go
+++ b/internal/drain/drainer/coverage.go
@@ -9,7 +9,7 @@
 	"pipitgap/internal/storage"
 )
 
-// drainCovering gives the unfinished drain that a machine belongs to.
+// drainCovering returns the unfinished drain that a machine belongs to.
 func (d *Drainer) drainCovering(machine *mirror.Machine) (*storage.Drain, bool) {
 	if d == nil || machine.Record == nil {
 		return nil, false
@@ -24,13 +24,13 @@
 	return nil, false
 }
 
-// IsCordoned tells whether a machine gets no new tasks because of a drain.
+// IsCordoned reports whether a machine gets no new tasks because of a drain.
 func (d *Drainer) IsCordoned(machine *mirror.Machine) bool {
 	_, covered := d.drainCovering(machine)
 	return covered
 }
 
-// ClosesOffer tells whether a drain keeps an offer from being requested.
+// ClosesOffer reports whether a drain keeps an offer from being requested.
 func (d *Drainer) ClosesOffer(offer autoscaling.Offer) bool {
 	if d == nil {
 		return false
@@ -43,7 +43,7 @@
 	return false
 }
 
-// MayScaleIn tells whether a drained machine that has been empty for so long is to be removed.
+// MayScaleIn reports whether a drained machine that has been empty for so long is to be removed.
 func (d *Drainer) MayScaleIn(machine *mirror.Machine, empty monotime.Micros) bool {
 	record, covered := d.drainCovering(machine)
 	if !covered || record.State == storage.DrainPaused {
@@ -52,7 +52,7 @@
 	return record.RemoveAtOnce || empty >= d.deps.Machines.ScaleInDelay(machine.Record)
 }
 
-// ProtectsFromPreemption tells whether a job's tasks aren't stopped to make room for others.
+// ProtectsFromPreemption reports whether a job's tasks aren't stopped to make room for others.
 func (d *Drainer) ProtectsFromPreemption(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	return d != nil && spec.Service && d.policy.Budgeted(spec.Team, spec.Class)
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -36,7 +36,7 @@
 
 // Membership tells which controllers are members of the cluster, and which is the leader.
 type Membership interface {
-	// HoldsLease tells whether this controller's own lease can't have expired yet.
+	// HoldsLease reports whether this controller's own lease can't have expired yet.
 	HoldsLease(now monotime.Micros) bool
 	IsLeader(now monotime.Micros) bool
 	IsMember(node string) bool
@@ -46,11 +46,11 @@
 // Store commits transactions to the state service, and tells what its rate limits leave.
 type Store interface {
 	Unavailable() bool
-	// IsMirrorStale tells whether the mirror lacks changes that are too old for decisions on drains.
+	// IsMirrorStale reports whether the mirror lacks changes that are too old for decisions on drains.
 	IsMirrorStale(now monotime.Micros) bool
-	// UserCallsWaiting tells whether calls of users wait, here or at another controller.
+	// UserCallsWaiting reports whether calls of users wait, here or at another controller.
 	UserCallsWaiting(now monotime.Micros) bool
-	// HasSpareWrites tells whether a part of this controller's burst of changes is unused.
+	// HasSpareWrites reports whether a part of this controller's burst of changes is unused.
 	HasSpareWrites(now monotime.Micros, fraction float64) bool
 	// NextWriteAllowedAt is when the next change may be made by what takes a part of all changes.
 	NextWriteAllowedAt(fraction float64) monotime.Micros
@@ -72,7 +72,7 @@
 
 // Jobs answers what the scheduler knows of jobs.
 type Jobs interface {
-	// IsCrashLooping tells whether a job fails wherever it runs.
+	// IsCrashLooping reports whether a job fails wherever it runs.
 	IsCrashLooping(*mirror.Job) bool
 	ExpectedRunSeconds(*storage.JobSpec) float64
 	// ZoneConstraint is a job's rule on zones as its tasks stand now; each call gives one of its own.
@@ -160,13 +160,13 @@
 	d.nextRunAt = durations.NextDue(now, d.deps.Clock.Now(), durations.SlowTickInterval)
 }
 
-// canDecide tells whether the records are complete and fresh, and the changes could be committed.
+// canDecide reports whether the records are complete and fresh, and the changes could be committed.
 func (d *Drainer) canDecide(now monotime.Micros) bool {
 	return !d.deps.Store.Unavailable() && d.deps.Machines.MachineTypes() != nil &&
 		d.deps.Membership.HoldsLease(now) && !d.deps.Store.IsMirrorStale(now)
 }
 
-// HasWork tells whether there is anything to do for drains. If not, it drops what was known for them.
+// HasWork reports whether there is anything to do for drains. If not, it drops what was known for them.
 func (d *Drainer) HasWork() bool {
 	if d == nil {
 		return false
--- a/internal/drain/drainer/evictions.go
+++ b/internal/drain/drainer/evictions.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// needsPermit tells whether a job's tasks are stopped under permits only.
+// needsPermit reports whether a job's tasks are stopped under permits only.
 func (d *Drainer) needsPermit(job *mirror.Job) bool {
 	return job.Record.Spec.Service && !d.deps.Jobs.IsCrashLooping(job)
 }
 
-// endsSoon tells whether an array task is expected to end soon. An estimate that was wrong is believed for
+// endsSoon reports whether an array task is expected to end soon. An estimate that was wrong is believed for
 // twice the time that array tasks are waited for.
 func (d *Drainer) endsSoon(
 	agent *agents.Agent,
--- a/internal/drain/drainer/losses.go
+++ b/internal/drain/drainer/losses.go
@@ -17,7 +17,7 @@
 )
 
 // Losses are the replicas that one shard update releases outside of permits. Disruption budgets don't cover
-// losses; they are counted apart, once the update is in the store.
+// losses; they are counted apart, once the update is in the records.
 type Losses struct {
 	drainer *Drainer
 	causes  []LossCause
@@ -36,7 +36,7 @@
 	}
 }
 
-// isLoss tells whether the release of a task is the loss of a replica.
+// isLoss reports whether the release of a task is the loss of a replica.
 func (d *Drainer) isLoss(machine *mirror.Machine, task mirror.TaskID) bool {
 	job := d.deps.Mirror.Jobs[task.Job]
 	return job != nil && job.IsOpen() && d.TracksStart(&job.Record.Spec) &&
@@ -56,7 +56,7 @@
 	return LossByTaskExit
 }
 
-// hasPermit tells whether an attempt was to be stopped under a permit.
+// hasPermit reports whether an attempt was to be stopped under a permit.
 func (d *Drainer) hasPermit(job *mirror.Job, task mirror.TaskID, attempt uint64) bool {
 	for _, permit := range d.deps.Mirror.PermitsByTeam[job.Record.Spec.Team].Record.Permits {
 		if permit.Job == task.Job && permit.Task == task.Index && permit.Attempt == attempt {
@@ -66,7 +66,7 @@
 	return false
 }
 
-// Count counts the losses: their update is in the store.
+// Count counts the losses: their update is in the records.
 func (l *Losses) Count() {
 	d := l.drainer
 	if d == nil || len(l.causes) == 0 {
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -27,7 +27,7 @@
 	agent *agents.Agent
 }
 
-// ownMachine gives one of this controller's machines; own is false for any other.
+// ownMachine returns one of this controller's machines; own is false for any other.
 func (d *Drainer) ownMachine(id string) (machine ownMachine, own bool) {
 	mirrored := d.deps.Mirror.Machines[id]
 	if mirrored == nil {
@@ -50,7 +50,7 @@
 	d.deps.Agents.SyncCommands(machine.Machine)
 }
 
-// isUnused tells whether a permit surely hasn't been used and can't be by any command that is still on its
+// isUnused reports whether a permit surely hasn't been used and can't be by any command that is still on its
 // way: this controller hasn't had the replica stopped, and its agent, which still runs it, has seen this
 // controller's claim, which outranks every command of earlier owners.
 func (d *Drainer) isUnused(permit storage.Permit) bool {
@@ -104,9 +104,9 @@
 	}
 }
 
-// hasSpareWrites tells whether the state service has changes to spare. Each move costs several, of the shards
-// too, and users and running work need the same ones: near the state service's limit submissions waited for
-// more than a second.
+// hasSpareWrites reports whether the state service has changes to spare. Each move costs several, of the
+// shards too, and users and running tasks need the same ones: near the state service's limit, moves would keep
+// submissions waiting.
 func (d *Drainer) hasSpareWrites(now monotime.Micros) bool {
 	return !d.deps.Store.UserCallsWaiting(now) && d.deps.Store.HasSpareWrites(now, spareWriteFraction)
 }
--- a/internal/drain/drainer/reservations.go
+++ b/internal/drain/drainer/reservations.go
@@ -19,7 +19,7 @@
 	return reserved
 }
 
-// ForEachReservation calls visit for every permit whose replica isn't placed anew yet, by team.
+// ForEachReservation calls callback for every permit whose replica isn't placed anew yet, by team.
 func (d *Drainer) ForEachReservation(callback func(*storage.Permit, *mirror.Job)) {
 	if d == nil {
 		return
@@ -36,7 +36,7 @@
 	}
 }
 
-// isUnplaced tells whether a permit's replica still runs by the attempt that is to be stopped, or by none.
+// isUnplaced reports whether a permit's replica still runs by the attempt that is to be stopped, or by none.
 func isUnplaced(records *mirror.Mirror, permit *storage.Permit, job *mirror.Job) bool {
 	if permit.Task >= len(job.TaskStates) {
 		return false
--- a/internal/drain/drainer/snapshot.go
+++ b/internal/drain/drainer/snapshot.go
@@ -7,7 +7,7 @@
 	"pipitgap/internal/storage"
 )
 
-// Snapshot gives the mirror in the form in which drains are decided, with what is known of own machines
+// Snapshot returns the mirror in the form in which drains are decided, with what is known of own machines
 // beyond the records.
 func (d *Drainer) Snapshot() *drain.Snapshot {
 	records, machineTypes := d.deps.Mirror, d.deps.Machines.MachineTypes()
--- a/internal/drain/drainer/starting.go
+++ b/internal/drain/drainer/starting.go
@@ -7,7 +7,7 @@
 	"pipitgap/internal/storage"
 )
 
-// TracksStart tells whether it is recorded of a job's attempts whether they run.
+// TracksStart reports whether it is recorded of a job's attempts whether they run.
 func (d *Drainer) TracksStart(spec *storage.JobSpec) bool { return d != nil && spec.Service }
 
 // UpdateStartingMarks corrects, in the next version of a shard, the marks of a machine's replicas: one that
@@ -49,12 +49,12 @@
 	return changed
 }
 
-// markFits tells whether a mark may change: one more must fit into the record.
+// markFits reports whether a mark may change: one more must fit into the record.
 func (d *Drainer) markFits(next *storage.Shard, starting bool) bool {
 	return !starting || next.MaxEncodedSize()+storage.MaxStartingBytes <= d.deps.Store.MaxValueBytes()
 }
 
-// countsAsStarting tells whether a replica counts as starting, given whether it did before.
+// countsAsStarting reports whether a replica counts as starting, given whether it did before.
 func (d *Drainer) countsAsStarting(
 	agent *agents.Agent,
 	attempt agents.AttemptID,
--- a/internal/drain/drainer/states.go
+++ b/internal/drain/drainer/states.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// expectsMachines tells whether machines that a drain covers may still come up.
+// expectsMachines reports whether machines that a drain covers may still come up.
 func (d *Drainer) expectsMachines(record *storage.Drain) bool {
 	for _, request := range d.deps.Mirror.ScaleOuts {
 		if request.Record.Phase == storage.ScaleOutNoCapacity {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -64,7 +64,7 @@
 	return plan
 }
 
-// withDrain gives a snapshot in which a drain stands.
+// withDrain returns a snapshot in which a drain stands.
 func (s *Snapshot) withDrain(name string, d storage.Drain) *Snapshot {
 	next := *s
 	next.drains = slices.DeleteFunc(
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -6,7 +6,7 @@
 	"pipitgap/internal/storage"
 )
 
-// Covers tells whether a machine belongs to a drain.
+// Covers reports whether a machine belongs to a drain.
 func Covers(d *storage.Drain, id, machineType, zone string, spot bool) bool {
 	if d.LastMachine != "" && id > d.LastMachine {
 		return false
@@ -14,7 +14,7 @@
 	return matches(&d.Selector, id, machineType, zone, spot)
 }
 
-// matches tells whether a selector names a machine, or its zone, type and capacity type.
+// matches reports whether a selector names a machine, or its zone, type and capacity type.
 func matches(s *storage.Selector, id, machineType, zone string, spot bool) bool {
 	if len(s.Machines) > 0 {
 		return slices.Contains(s.Machines, id)
@@ -22,24 +22,24 @@
 	return matchesOffer(s, machineType, zone, spot)
 }
 
-// matchesOffer tells whether a selector by zone, type and capacity type matches an offer.
+// matchesOffer reports whether a selector by zone, type and capacity type matches an offer.
 func matchesOffer(s *storage.Selector, machineType, zone string, spot bool) bool {
 	return (s.Zone == "" || s.Zone == zone) && (s.Type == "" || s.Type == machineType) &&
 		(s.CapacityType == storage.AnyCapacity || s.CapacityType == storage.CapacityTypeOf(spot))
 }
 
-// ClosesOffer tells whether a drain keeps an offer (type, zone, spot or on demand) from being requested: such
-// machines would have to be drained as well.
+// ClosesOffer reports whether a drain keeps an offer (type, zone, spot or on demand) from being requested:
+// such machines would have to be drained as well.
 func ClosesOffer(d *storage.Drain, machineType, zone string, spot bool) bool {
 	return d.State.Unfinished() && d.ClosesOffers() && matchesOffer(&d.Selector, machineType, zone, spot)
 }
 
-// SelectorEmpty tells whether a selector names nothing.
+// SelectorEmpty reports whether a selector names nothing.
 func SelectorEmpty(s *storage.Selector) bool {
 	return len(s.Machines) == 0 && s.Zone == "" && s.Type == "" && s.CapacityType == storage.AnyCapacity
 }
 
-// drainCovering gives the unfinished drain that a machine belongs to. Drains don't overlap.
+// drainCovering returns the unfinished drain that a machine belongs to. Drains don't overlap.
 func (s *Snapshot) drainCovering(machine *Machine) (*DrainRecord, bool) {
 	for i := range s.drains {
 		d := &s.drains[i]
@@ -62,7 +62,7 @@
 	return selected
 }
 
-// Overlaps tells whether a machine can belong to both of two drains: one that is up, or a future one.
+// Overlaps reports whether a machine can belong to both of two drains: one that is up, or a future one.
 func (s *Snapshot) Overlaps(a, b *storage.Drain) bool {
 	for _, id := range s.Selected(a) {
 		machine, _ := s.Machine(id)
@@ -73,7 +73,7 @@
 	return a.ClosesOffers() && b.ClosesOffers() && compatible(&a.Selector, &b.Selector)
 }
 
-// compatible tells whether two selectors by zone, type and capacity type can match the same machine.
+// compatible reports whether two selectors by zone, type and capacity type can match the same machine.
 func compatible(a, b *storage.Selector) bool {
 	agree := func(x, y string) bool { return x == "" || y == "" || x == y }
 	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) &&
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -39,7 +39,7 @@
 	Resources resources.Vector
 }
 
-// reachable tells whether what runs on a machine counts as available.
+// reachable reports whether what runs on a machine counts as available.
 func (m *Machine) reachable() bool {
 	return m.State == storage.MachineOpen || m.State == storage.MachineCordoned
 }
@@ -69,7 +69,7 @@
 	Failing bool
 }
 
-// allows tells whether a job's replicas may run on a machine, but for its zone rules.
+// allows reports whether a job's replicas may run on a machine, but for its zone rules.
 func (j *Job) allows(machine *Machine) bool {
 	typed := j.Types == nil || slices.Contains(j.Types, machine.Type)
 	return typed && (j.Zone == "" || j.Zone == machine.Zone) && (j.Spot || !machine.Spot)
@@ -108,10 +108,10 @@
 	machineOf map[replicaKey]string // the machine that each replica is on
 }
 
-// Machine gives a machine by its id.
+// Machine returns a machine by its id.
 func (s *Snapshot) Machine(id string) (*Machine, bool) { return s.machines.Get(id) }
 
-// Job gives an unfinished service by its id.
+// Job returns an unfinished service by its id.
 func (s *Snapshot) Job(id string) (*Job, bool) {
 	job, ok := s.jobs[id]
 	return job, ok
@@ -120,7 +120,7 @@
 // Drains lists all drains by name.
 func (s *Snapshot) Drains() []DrainRecord { return s.drains }
 
-// Drain gives a drain by its name.
+// Drain returns a drain by its name.
 func (s *Snapshot) Drain(name string) (*DrainRecord, bool) {
 	for i := range s.drains {
 		if s.drains[i].Name == name {
@@ -130,7 +130,7 @@
 	return nil, false
 }
 
-// Permits gives a team's permits.
+// Permits returns a team's permits.
 func (s *Snapshot) Permits(team string) TeamPermits { return s.permits[team] }
 
 // replicaOf finds the current attempt of a replica, and its machine.
@@ -156,21 +156,21 @@
 	}
 }
 
-// withMachine gives a snapshot in which one machine is another; this one stays as it is.
+// withMachine returns a snapshot in which one machine is another; this one stays as it is.
 func (s *Snapshot) withMachine(machine *Machine) *Snapshot {
 	next := *s
 	next.machines = s.machines.Set(machine.ID, machine)
 	return &next
 }
 
-// withoutMachine gives a snapshot that lacks a machine.
+// withoutMachine returns a snapshot that lacks a machine.
 func (s *Snapshot) withoutMachine(id string) *Snapshot {
 	next := *s
 	next.machines = s.machines.Delete(id)
 	return &next
 }
 
-// withPermit gives a snapshot with a further permit: its replica is to be stopped, and capacity is reserved
+// withPermit returns a snapshot with a further permit: its replica is to be stopped, and capacity is reserved
 // for the next attempt.
 func (s *Snapshot) withPermit(permit storage.Permit) *Snapshot {
 	next := s
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -38,7 +38,7 @@
 	storage.MachineRemoving:    "being given back",
 }
 
-// Progress tells how far a drain has come, and what it waits for.
+// Progress returns how far a drain has come, and what it waits for.
 func (p *Policy) Progress(s *Snapshot, record *DrainRecord, live func(string) bool) *Progress {
 	progress := &Progress{Name: record.Name, State: record.State, Reason: record.Reason, Revision: s.Revision,
 		Machines: []MachineProgress{}, StartedAt: record.StartedAt, EndedAt: record.EndedAt}
--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -111,9 +111,9 @@
 	return out
 }
 
-// NextDue is when work that ran from one time to another is due again: after its interval, or later so that it takes
-// at most a tenth of the time. With thousands of jobs a pass takes milliseconds, and leases and users must keep their
-// part of the processor.
+// NextDue is when work that ran from one time to another is due again: after its interval, or later so that
+// it takes at most a tenth of the time. With thousands of jobs a pass takes milliseconds, and leases and
+// users must keep their part of the processor.
 func NextDue(startedAt, endedAt, interval monotime.Micros) monotime.Micros {
 	return startedAt + max(interval, 10*(endedAt-startedAt))
 }
--- a/internal/membership/leader.go
+++ b/internal/membership/leader.go
@@ -7,15 +7,15 @@
 	"pipitgap/internal/storage"
 )
 
-// IsLeader tells whether this controller leads, by the mirror and its lease. A mirror from before the lease was
-// granted may show a leadership of an earlier lease, and doesn't count. Commits of the leader also compare
-// the leader record, see LeadershipCompare.
+// IsLeader reports whether this controller leads, by the mirror and its lease. A mirror from before the lease
+// was granted may show a leadership of an earlier lease, and doesn't count. Commits of the leader also
+// compare the leader record, see LeadershipCompare.
 func (m *Membership) IsLeader(now monotime.Micros) bool {
 	return m.replica.Ready() && m.leaderByRecord() && m.HoldsLease(now) &&
 		m.replica.FreshAt() >= m.lease.grantedAt
 }
 
-// leaderByRecord tells whether the leader record names this incarnation of this controller.
+// leaderByRecord reports whether the leader record names this incarnation of this controller.
 func (m *Membership) leaderByRecord() bool {
 	return m.mirror.LeaderVersion != 0 && m.mirror.Leader.Node == m.node &&
 		m.mirror.Leader.Incarnation == m.incarnation
@@ -46,7 +46,7 @@
 	})
 }
 
-// leadershipVacant tells whether there is no leader, or only an earlier incarnation of this controller.
+// leadershipVacant reports whether there is no leader, or only an earlier incarnation of this controller.
 func (m *Membership) leadershipVacant() bool {
 	if m.mirror.LeaderVersion == 0 {
 		return true
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -11,8 +11,8 @@
 	leaseCallTimeout = 1 * monotime.Second
 	// leaseRenewalsPerTTL is how often the lease is renewed within its time to live.
 	leaseRenewalsPerTTL = 4
-	// leaseRetryDelay is how long after a failure the lease is asked for or renewed again. A grant adds a random
-	// part, as all controllers ask for one after an outage.
+	// leaseRetryDelay is how long after a failure the lease is asked for or renewed again. A grant adds a
+	// random part, as all controllers ask for one after an outage.
 	leaseRetryDelay       = 300 * monotime.Millisecond
 	leaseGrantRetryJitter = 400 * monotime.Millisecond
 	// leaseClockDivisor is the part of the lease that is given up to the difference of two clocks' rates.
@@ -57,6 +57,7 @@
 	})
 }
 
+// retryGrant requests the lease again after a pause with jitter: all controllers do so after an outage.
 func (m *Membership) retryGrant() {
 	jitter := monotime.RandomBelow(m.env.Rand(), leaseGrantRetryJitter)
 	m.env.After(leaseRetryDelay+jitter, func() {
@@ -87,12 +88,12 @@
 	})
 }
 
-// HoldsLease tells whether the lease can't have expired yet, by the monotonic clock. It is counted from
+// HoldsLease reports whether the lease can't have expired yet, by the monotonic clock. It is counted from
 // when its last renewal was sent.
 func (m *Membership) HoldsLease(now monotime.Micros) bool {
 	return m.lease.id != 0 && now-m.lease.renewalSentAt < m.lease.ttl-m.lease.ttl/leaseClockDivisor
 }
 
-// LeaseRenewedAt returns when the last successful grant or renewal of the lease was sent, whether or not the lease
-// has expired since; 0 is returned if there was none.
+// LeaseRenewedAt returns when the last successful grant or renewal of the lease was sent, whether or not the
+// lease has expired since; 0 is returned if there was none.
 func (m *Membership) LeaseRenewedAt() monotime.Micros { return m.lease.renewalSentAt }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership keeps this controller's lease and member record, and tells which controllers are members,
-// which one leads, and which one a key belongs to.
+// Package membership keeps this controller's lease and member record, and tells which controllers are
+// members, which one leads, and which one a key belongs to.
 package membership
 
 import (
@@ -17,13 +17,13 @@
 // Store makes calls of the state service.
 type Store interface {
 	Call(priority ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult))
-	// Unavailable tells whether the state service has lately not answered.
+	// Unavailable reports whether the state service has lately not answered.
 	Unavailable() bool
 }
 
 // Replica keeps the mirror up to date.
 type Replica interface {
-	// Ready tells whether the mirror is complete.
+	// Ready reports whether the mirror is complete.
 	Ready() bool
 	// FreshAt returns the instant that the mirror is no older than.
 	FreshAt() monotime.Micros
@@ -95,8 +95,8 @@
 	}
 }
 
-// EnsureMemberRecord writes this controller's member record if the mirror shows that of another incarnation or
-// none: an earlier incarnation's late write may overwrite it, or its lease may have taken it along.
+// EnsureMemberRecord writes this controller's member record if the mirror shows that of another incarnation
+// or none: an earlier incarnation's late write may overwrite it, or its lease may have taken it along.
 //
 // This controller's partition of the quotas gets a new version in the same commit. Whoever released that
 // partition while this controller was away compares its version: if that commit is carried out only
@@ -142,7 +142,7 @@
 }
 
 // LiveControllers lists the controllers that are members by the mirror, in order. This one is listed by its
-// record like the others; whether it may act on it is told by HoldsLease.
+// record like the others; HoldsLease reports whether it may act on it.
 func (m *Membership) LiveControllers() []string {
 	live := make([]string, 0, len(m.controllers))
 	for _, node := range m.controllers {
@@ -153,7 +153,7 @@
 	return live
 }
 
-// IsMember tells whether a controller is a member by the mirror.
+// IsMember reports whether a controller is a member by the mirror.
 func (m *Membership) IsMember(node string) bool {
 	_, ok := m.mirror.Members[node]
 	return ok
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -2,8 +2,8 @@
 
 import "hash/fnv"
 
-// RendezvousOwner returns the controller that a key belongs to by rendezvous hashing: when one of them goes, only
-// its own keys move. It returns "" if there are no controllers.
+// RendezvousOwner returns the controller that a key belongs to by rendezvous hashing: when one of them goes,
+// only its own keys move. It returns "" if there are no controllers.
 func RendezvousOwner(key string, controllers []string) string {
 	bestScore, owner := uint64(0), ""
 	for _, node := range controllers {
@@ -14,6 +14,7 @@
 	return owner
 }
 
+// rendezvousScore hashes a controller with a key; the controller with the highest score owns the key.
 func rendezvousScore(node, key string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(node + "\x00" + key))
--- a/internal/mirror/current_reads.go
+++ b/internal/mirror/current_reads.go
@@ -39,6 +39,7 @@
 	}
 }
 
+// mayCatchUp reports whether the changes so far may be requested now, beside the watch.
 func (r *Replica) mayCatchUp(now monotime.Micros) bool {
 	return now >= r.nextCatchUpAt && !r.catchUpInFlight
 }
--- a/internal/mirror/drain_snapshot.go
+++ b/internal/mirror/drain_snapshot.go
@@ -48,7 +48,7 @@
 	return b
 }
 
-// DrainSnapshotMachine gives a machine as the records have it.
+// DrainSnapshotMachine returns a machine as the records have it.
 func (m *Mirror) DrainSnapshotMachine(
 	machine *Machine,
 	types map[string]protocol.MachineType,
--- a/internal/mirror/job.go
+++ b/internal/mirror/job.go
@@ -51,16 +51,16 @@
 	}
 }
 
-// isAssigned tells whether some shard holds an attempt of a task.
+// isAssigned reports whether some shard holds an attempt of a task.
 func (j *Job) isAssigned(task int) bool { return j.TaskStates[task]%doneUnit != 0 }
 
-// IsOpen tells whether the job has no result yet.
+// IsOpen reports whether the job has no result yet.
 func (j *Job) IsOpen() bool { return j.FinalState == "" }
 
 // UnassignedTasks counts the tasks without an attempt.
 func (j *Job) UnassignedTasks() int { return j.Record.Spec.Tasks - j.DoneTasks - j.AssignedTasks }
 
-// IsComplete tells whether every task is done.
+// IsComplete reports whether every task is done.
 func (j *Job) IsComplete() bool { return j.DoneTasks == j.Record.Spec.Tasks }
 
 // PendingInPartition counts the pending tasks that a partition is to place.
--- a/internal/mirror/lists.go
+++ b/internal/mirror/lists.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// nextPage gives the key after which the list continues; ok is false for the last page.
+// nextPage returns the key after which the list continues; ok is false for the last page.
 func nextPage(page protocol.StoreResult) (after string, ok bool) {
 	if !page.More || len(page.Items) == 0 {
 		return "", false
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// beginChange tells whether an event is to be applied. If it is of a shard, the sums lose what it changes.
+// beginChange reports whether an event is to be applied. If it is of a shard, the sums lose what it changes.
 func (m *Mirror) beginChange(event protocol.Event, ownCommit bool) (next change, ok bool) {
 	m.NewestRevision = max(m.NewestRevision, event.Version)
 	key := event.Put + event.Delete
@@ -179,7 +179,7 @@
 	return next, true
 }
 
-// isNews tells whether an event is newer than the mirror, and notes own deletions that are ahead of the
+// isNews reports whether an event is newer than the mirror, and notes own deletions that are ahead of the
 // watch.
 func (m *Mirror) isNews(key string, event protocol.Event, ownCommit bool) bool {
 	if event.Version <= m.WatchedRevision {
--- a/internal/mirror/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// DrainSnapshot gives the reading in the form in which drains are decided.
+// DrainSnapshot returns the reading in the form in which drains are decided.
 func (r *RecordSnapshot) DrainSnapshot(wall int64) *drain.Snapshot {
 	b := r.mirror.DrainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
 	for _, id := range sortedmap.Keys(r.mirror.Machines) {
@@ -140,13 +140,13 @@
 	return b.Build()
 }
 
-// IsMember tells whether a controller is a member.
+// IsMember reports whether a controller is a member.
 func (r *RecordSnapshot) IsMember(node string) bool {
 	_, member := r.mirror.Members[node]
 	return member
 }
 
-// HasMachineType tells whether the cloud has a machine type.
+// HasMachineType reports whether the cloud has a machine type.
 func (r *RecordSnapshot) HasMachineType(name string) bool {
 	_, ok := r.machineTypes[name]
 	return ok
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -49,7 +49,7 @@
 	Version uint64
 }
 
-// VersionOf gives the version of a key in the mirror, 0 if it has none.
+// VersionOf returns the version of a key in the mirror, 0 if it has none.
 func (m *Mirror) VersionOf(key string) uint64 {
 	kind, name, ok := storage.SplitKey(key)
 	if !ok {
@@ -134,6 +134,7 @@
 	}
 }
 
+// putJobResult applies the final result of a job. It is remembered also if the job has no open record.
 func (m *Mirror) putJobResult(id string, event protocol.Event) {
 	result, ok := decode[storage.JobResult](event.Value)
 	if !ok {
@@ -172,6 +173,7 @@
 	}
 }
 
+// putScaleOut applies the record of a scale-out request, and has its machines refer to it.
 func (m *Mirror) putScaleOut(name string, event protocol.Event) {
 	record, ok := decode[storage.ScaleOutRequest](event.Value)
 	if !ok {
@@ -184,6 +186,7 @@
 	}
 }
 
+// putScaleIn applies the record of a scale-in request, and has its machines refer to it.
 func (m *Mirror) putScaleIn(name string, event protocol.Event) {
 	record, ok := decode[storage.ScaleInRequest](event.Value)
 	if !ok {
@@ -196,6 +199,7 @@
 	}
 }
 
+// deleteScaleOut removes a scale-out request, and the references of its machines to it.
 func (m *Mirror) deleteScaleOut(name string) {
 	if request := m.ScaleOuts[name]; request != nil {
 		deleteMachinesOf(m.ScaleOutOfMachine, name, request.Record.Machines)
@@ -203,6 +207,7 @@
 	delete(m.ScaleOuts, name)
 }
 
+// deleteScaleIn removes a scale-in request, and the references of its machines to it.
 func (m *Mirror) deleteScaleIn(name string) {
 	if request := m.ScaleIns[name]; request != nil {
 		deleteMachinesOf(m.ScaleInOfMachine, name, request.Record.Machines)
@@ -246,7 +251,7 @@
 	}
 }
 
-// Catalog gives the machine types as the records have them.
+// Catalog returns the machine types as the records have them.
 func (m *Mirror) Catalog() map[string]protocol.MachineType {
 	types := map[string]protocol.MachineType{}
 	for name, entry := range m.MachineTypes {
--- a/internal/mirror/replica.go
+++ b/internal/mirror/replica.go
@@ -105,18 +105,18 @@
 	}
 }
 
-// Ready tells whether the mirror is complete: it may be behind the state service, but held all of its
+// Ready reports whether the mirror is complete: it may be behind the state service, but held all of its
 // records at one revision.
 func (r *Replica) Ready() bool { return r.ready }
 
-// Loaded tells whether the records have been read once; the mirror may be incomplete.
+// Loaded reports whether the records have been read once; the mirror may be incomplete.
 func (r *Replica) Loaded() bool { return r.loaded }
 
 // FreshAt is a time at which the state service held no change that the mirror lacks: when the last watch or
 // load that was answered was sent.
 func (r *Replica) FreshAt() monotime.Micros { return r.watch.freshAt }
 
-// WatchOverdue tells whether the watch has had no answer for longer than an undisturbed one takes.
+// WatchOverdue reports whether the watch has had no answer for longer than an undisturbed one takes.
 func (r *Replica) WatchOverdue(now monotime.Micros) bool {
 	return now-r.watch.lastSuccessAt > watchLongPoll+watchOverdueMargin
 }
--- a/internal/mirror/result_cache.go
+++ b/internal/mirror/result_cache.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Get gives the final state of a job, if it is remembered.
+// Get returns the final state of a job, if it is remembered.
 func (c *ResultCache) Get(id string) (storage.JobState, bool) {
 	state, ok := c.statuses[id]
 	return state, ok
--- a/internal/mirror/shard_sums.go
+++ b/internal/mirror/shard_sums.go
@@ -108,8 +108,8 @@
 	m.removeMachineIfUnused(machine)
 }
 
-// heldByOtherShard tells whether another shard too holds an attempt on the same machine: lists that are read
-// while the machine moves have it in both.
+// heldByOtherShard reports whether another shard too holds an attempt on the same machine: lists that are
+// read while the machine moves have it in both.
 func (m *Mirror) heldByOtherShard(except *Shard, job string, attempt storage.Attempt) bool {
 	for _, shard := range m.Shards {
 		entry := shard.Record.Jobs[job]
@@ -139,7 +139,7 @@
 	}
 }
 
-// ensureMachine gives a machine, which is added without a shard if it isn't known.
+// ensureMachine returns a machine, which is added without a shard if it isn't known.
 func (m *Mirror) ensureMachine(id string) *Machine {
 	machine := m.Machines[id]
 	if machine == nil {
--- a/internal/mirror/task_id.go
+++ b/internal/mirror/task_id.go
@@ -14,7 +14,7 @@
 	Index int
 }
 
-// String gives the form in which messages to workers name a task: the job, a slash and the index.
+// String returns the form in which messages to workers name a task: the job, a slash and the index.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
 // ParseTaskID reads the form that String gives; ok is false for anything else.
@@ -30,7 +30,7 @@
 	return TaskID{job, i}, true
 }
 
-// SortedTaskIDs gives the tasks of a machine in order.
+// SortedTaskIDs returns the tasks of a machine in order.
 func SortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
 	return slices.SortedFunc(maps.Keys(attempts), func(a, b TaskID) int {
 		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -63,8 +63,8 @@
 	r.sendWatch(now, longPoll, func() { r.watch.inFlight = false })
 }
 
-// backlogUnknown tells whether a watch could bring more changes than it may: the last answer is too old. The
-// answer of a watch has no size limit of its own. One that is too large to be read would be requested
+// backlogUnknown reports whether a watch could bring more changes than it may: the last answer is too old.
+// The answer of a watch has no size limit of its own. One that is too large to be read would be requested
 // again and again, until the state service had compacted the revision it starts from.
 func (r *Replica) backlogUnknown(now monotime.Micros) bool {
 	gap := monotime.FromSeconds(float64(r.MaxWatchChanges()) / r.options.WritesPerSecond)
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -32,13 +32,13 @@
 // FromDuration converts a standard duration.
 func FromDuration(d time.Duration) Micros { return Micros(d / time.Microsecond) }
 
-// Seconds gives the wire form.
+// Seconds returns the wire form.
 func (t Micros) Seconds() float64 { return float64(t) / float64(Second) }
 
-// Milliseconds gives whole milliseconds.
+// Milliseconds returns whole milliseconds.
 func (t Micros) Milliseconds() int64 { return int64(t / Millisecond) }
 
-// Duration gives the standard form.
+// Duration returns the standard form.
 func (t Micros) Duration() time.Duration { return time.Duration(t) * time.Microsecond }
 
 // RandomBelow draws a span of at least 0 and less than limit, which must be above 0.
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -223,7 +223,7 @@
 	return d.Policy.Progress(fleet, record, reading.IsMember), d.Policy.Teams(fleet), nil
 }
 
-// Budgets tells how all teams with services stand against their budgets, at one revision.
+// Budgets returns how all teams with services stand against their budgets, at one revision.
 func (d *DrainOperator) Budgets() ([]drain.TeamStatus, error) {
 	reading, err := d.readRecords()
 	if err != nil {
@@ -339,7 +339,7 @@
 	return changed, err
 }
 
-// describeSelector says in words what a selector selects.
+// describeSelector says what a selector selects, as the commands print it.
 func describeSelector(s *storage.Selector) string {
 	if n := len(s.Machines); n > 0 {
 		return fmt.Sprintf("%d machines by name", n)
--- a/internal/peers/frames.go
+++ b/internal/peers/frames.go
@@ -35,6 +35,7 @@
 	}
 }
 
+// cancellationFrame converts a round's message to the form in which controllers send it.
 func cancellationFrame(message *cancellation.RoundMessage) peerwire.Message {
 	frame := peerwire.Message{
 		Incarnation:     message.Incarnation,
@@ -53,6 +54,7 @@
 	return frame
 }
 
+// fromCancellationFrame converts a received message, see cancellationFrame.
 func fromCancellationFrame(frame *peerwire.Message) cancellation.RoundMessage {
 	message := cancellation.RoundMessage{
 		Incarnation:       frame.Incarnation,
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,5 +1,5 @@
-// Package peers has what controllers tell each other about themselves: the status, its wire form, and a table of
-// what each has last said.
+// Package peers has what controllers tell each other about themselves: the status, its wire form, and a table
+// of what each has last said.
 package peers
 
 import "pipitgap/internal/cancellation"
--- a/internal/peers/table.go
+++ b/internal/peers/table.go
@@ -20,7 +20,8 @@
 type Table struct {
 	waitingUserCallsThreshold int // a peer with more waiting calls of users than this is short of writes
 	statuses                  map[string]*peerState
-	quotaLackReports          map[string]monotime.Micros // by team: when a peer last reported that it lacks quota
+	// by team: when a peer last reported that it lacks quota
+	quotaLackReports map[string]monotime.Micros
 }
 
 // peerState is what one peer has said; its zero value is that of a peer never heard.
@@ -67,7 +68,7 @@
 	return peerState{}
 }
 
-// HeardRecently tells whether a status of a peer has come lately.
+// HeardRecently reports whether a status of a peer has come lately.
 func (t *Table) HeardRecently(node string, now monotime.Micros) bool {
 	peer := t.state(node)
 	return peer.heard && now-peer.lastHeardAt < statusValidity
@@ -91,7 +92,7 @@
 	return "", false
 }
 
-// UserCallsWaiting tells whether a peer reported lately that many calls of users wait there.
+// UserCallsWaiting reports whether a peer reported lately that many calls of users wait there.
 func (t *Table) UserCallsWaiting(now monotime.Micros) bool {
 	for _, peer := range t.statuses {
 		if peer.userCallsWaitingAt != 0 && now-peer.userCallsWaitingAt < statusValidity {
--- a/internal/peerwire/frames.go
+++ b/internal/peerwire/frames.go
@@ -4,7 +4,7 @@
 // name it doesn't know. So every name here is frozen: controllers of different versions run side
 // by side during an update. A field may be added; none may be renamed, removed or changed in type.
 // The fixtures in internal/daemon/testdata/frames hold the bytes. The rest of the code uses types of
-// its own, which may be renamed freely, and converts at the edge, see coordination.Frame.
+// its own, which may be renamed freely, and converts at the edge, see peers.Frame.
 package peerwire
 
 import "pipitgap/internal/peerwire/cancellation"
--- a/internal/protocol/store_calls.go
+++ b/internal/protocol/store_calls.go
@@ -35,7 +35,7 @@
 	Timeout      monotime.Micros // deadline
 }
 
-// Writes tells how many puts and deletes a call is counted for.
+// Writes returns how many puts and deletes a call is counted for.
 func (c *StoreCall) Writes() int { return len(c.Transaction.Then) }
 
 // StoreResult answers it.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -45,13 +45,13 @@
 	DeadlineS   float64 // 0: none
 }
 
-// ValidJobID tells whether an id has the users' form: j- and then letters,
+// ValidJobID reports whether an id has the users' form: j- and then letters,
 // digits, '-' or '_'.
 func ValidJobID(id string) bool {
 	return strings.HasPrefix(id, "j-") && len(id) > 2 && ValidKeyPart(id)
 }
 
-// ValidKeyPart tells whether a name can stand in a key of the state service.
+// ValidKeyPart reports whether a name can stand in a key of the state service.
 func ValidKeyPart(s string) bool {
 	if s == "" || len(s) > 100 {
 		return false
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -11,7 +11,7 @@
 // Limits is what a team may use at most and what it is guaranteed; 0 is no limit and no guarantee.
 type Limits struct{ GuaranteedCPUs, MaxCPUs, GuaranteedGPUs, MaxGPUs float64 }
 
-// LimitsOf gives a team's limits; ok is false if the configuration has no such team.
+// LimitsOf returns a team's limits; ok is false if the configuration has no such team.
 func LimitsOf(teams []config.Team, name string) (limits Limits, ok bool) {
 	for i := range teams {
 		team := &teams[i]
@@ -32,7 +32,7 @@
 	return resources.Vector{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 }
 
-// Limited tells whether the team has a limit of any resource.
+// Limited reports whether the team has a limit of any resource.
 func (l Limits) Limited() bool { return l.MaxCPUs > 0 || l.MaxGPUs > 0 }
 
 // Remaining is what the team may use beyond what it uses; infinite for a resource without a limit.
@@ -59,16 +59,16 @@
 	return left
 }
 
-// Permits tells whether the limits leave room for an amount when the team uses nothing else.
+// Permits reports whether the limits leave room for an amount when the team uses nothing else.
 func (l Limits) Permits(cpus, gpus float64) bool {
 	return (l.MaxCPUs <= 0 || cpus <= l.MaxCPUs+resources.Tolerance) &&
 		(l.MaxGPUs <= 0 || gpus <= l.MaxGPUs+resources.Tolerance)
 }
 
-// Guaranteed tells whether the team has a guarantee of any resource.
+// Guaranteed reports whether the team has a guarantee of any resource.
 func (l Limits) Guaranteed() bool { return l.GuaranteedCPUs > 0 || l.GuaranteedGPUs > 0 }
 
-// GuaranteeCovers tells whether an amount lies within the team's guarantee.
+// GuaranteeCovers reports whether an amount lies within the team's guarantee.
 func (l Limits) GuaranteeCovers(use resources.Vector) bool {
 	return use.CPUs <= l.GuaranteedCPUs+resources.Tolerance &&
 		use.GPUs <= l.GuaranteedGPUs+resources.Tolerance
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -76,6 +76,7 @@
 	})
 }
 
+// setShare sets a team's share in the new record, and notes whether that changes or raises it.
 func (a *adjustment) setShare(team string, share storage.QuotaShare) {
 	before := a.record.QuotaShares[team]
 	if share == before {
@@ -86,6 +87,7 @@
 	a.changed = true
 }
 
+// shareInputs collects what the decision about this controller's share of a team's limit depends on.
 func (m *Manager) shareInputs(
 	team string,
 	limits quota.Limits,
--- a/internal/quota/quotashares/manager.go
+++ b/internal/quota/quotashares/manager.go
@@ -27,7 +27,7 @@
 
 // Membership tells which controllers are members of the cluster.
 type Membership interface {
-	// HoldsLease tells whether this controller's own lease can't have expired yet.
+	// HoldsLease reports whether this controller's own lease can't have expired yet.
 	HoldsLease(now monotime.Micros) bool
 	IsMember(node string) bool
 	// AbsentSince is since when a controller has been seen not to be a member.
@@ -54,7 +54,7 @@
 type Peers interface {
 	// QuotaLackReportedAt is when a peer last reported that it lacks some of a team's limit.
 	QuotaLackReportedAt(team string) (at monotime.Micros, ok bool)
-	// WorkersUnreachable tells whether this controller has lost contact with its workers.
+	// WorkersUnreachable reports whether this controller has lost contact with its workers.
 	WorkersUnreachable() bool
 	// SuccessorOf is the controller that takes over what a departed one leaves.
 	SuccessorOf(node string) string
@@ -92,8 +92,9 @@
 	lackingSince     map[string]monotime.Micros // by team: since when a task's worth of the limit is lacking
 }
 
-// sharesInDoubt are shares that a commit without an outcome may yet bring about: it is conditional on a version
-// of this controller's record, and nothing else changes that version when tasks are assigned under it.
+// sharesInDoubt are shares that a commit without an outcome may yet bring about: it is conditional on a
+// version of this controller's record, and nothing else changes that version when tasks are assigned under
+// it.
 type sharesInDoubt struct {
 	version uint64
 	record  storage.Partition
@@ -110,7 +111,7 @@
 	}
 }
 
-// Limits gives a team's limits; ok is false for a team that the configuration doesn't have.
+// Limits returns a team's limits; ok is false for a team that the configuration doesn't have.
 func (m *Manager) Limits(team string) (limits quota.Limits, ok bool) {
 	return quota.LimitsOf(m.cfg.Teams, team)
 }
@@ -120,8 +121,8 @@
 	m.shortages[team] = quota.AddDemand(m.shortages[team], demand)
 }
 
-// WriteInFlight tells whether a commit is in flight that changes this controller's shares. Assignments depend
-// on the record it writes.
+// WriteInFlight reports whether a commit is in flight that changes this controller's shares. Assignments
+// depend on the record it writes.
 func (m *Manager) WriteInFlight() bool { return m.writeInFlight }
 
 // BeginWrite marks that a commit of another subject changes this controller's shares.
@@ -153,13 +154,14 @@
 	return share
 }
 
+// ownVersion is the version of this controller's record in the mirror, 0 if it has none.
 func (m *Manager) ownVersion() uint64 {
 	return m.deps.Mirror.VersionOf(storage.PartitionKey(m.cfg.Node))
 }
 
 // ownUse is what this controller's shards take of a team's limit, at most. What a commit in doubt may have
-// assigned counts as well, and so do shards of an earlier incarnation that haven't been claimed again: they are
-// within the same share.
+// assigned counts as well, and so do shards of an earlier incarnation that haven't been claimed again: they
+// are within the same share.
 func (m *Manager) ownUse(team string) resources.Vector {
 	use := resources.Vector{}
 	for _, shard := range m.deps.Mirror.Shards {
--- a/internal/quota/quotashares/transfer.go
+++ b/internal/quota/quotashares/transfer.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// mayRelease tells whether it is for this controller to delete another's record, and the other has departed.
+// mayRelease reports whether it is for this controller to delete another's record, and the other has
+// departed.
 func (m *Manager) mayRelease(node string, now monotime.Micros) bool {
 	return node != m.cfg.Node &&
 		m.deps.Peers.SuccessorOf(node) == m.cfg.Node &&
@@ -36,6 +37,7 @@
 		!m.ownsShards(node)
 }
 
+// ownsShards reports whether the mirror shows any shard of a controller.
 func (m *Manager) ownsShards(node string) bool {
 	for _, shard := range m.deps.Mirror.Shards {
 		if shard.Record.Owner == node {
@@ -45,6 +47,7 @@
 	return false
 }
 
+// release deletes a departed controller's record, see ReleaseDeparted.
 func (m *Manager) release(node string) {
 	key := storage.PartitionKey(node)
 	m.releasesInFlight[node] = true
@@ -65,8 +68,8 @@
 }
 
 // Transfer has the shares of the teams' limits follow tasks that go over from one controller's shards into
-// another's: it adds the change of both controllers' records to the transaction. comparedKeys has the keys that
-// the transaction already asks for, and gets those that are added. Several transfers may go into one
+// another's: it adds the change of both controllers' records to the transaction. comparedKeys has the keys
+// that the transaction already asks for, and gets those that are added. Several transfers may go into one
 // transaction.
 func (m *Manager) Transfer(
 	txn *protocol.Transaction,
@@ -97,6 +100,7 @@
 	operation int // the transaction's operation that writes it, -1 if none does
 }
 
+// pendingRecord returns a controller's record as a transaction leaves it, or as the mirror has it.
 func (m *Manager) pendingRecord(txn *protocol.Transaction, node string) pendingRecord {
 	pending := pendingRecord{
 		key:       storage.PartitionKey(node),
@@ -119,6 +123,7 @@
 	return pending
 }
 
+// putRecord has a transaction write a record, on the condition of its version in the mirror.
 func (m *Manager) putRecord(txn *protocol.Transaction, comparedKeys map[string]bool, pending pendingRecord) {
 	operation := protocol.Op{Put: pending.key, Value: protocol.MustMarshal(&pending.record)}
 	if pending.operation >= 0 {
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -44,7 +44,7 @@
 	HasMachineRoom bool             // a machine has room for one of them
 }
 
-// AddDemand gives the shortage with another job's tasks; before is nil if there was none.
+// AddDemand returns the shortage with another job's tasks; before is nil if there was none.
 func AddDemand(before *Shortage, demand UnmetDemand) *Shortage {
 	short := demand.shortPerTask()
 	if before == nil {
@@ -101,12 +101,13 @@
 	return ShareDecision{Share: in.lowered(margin)}
 }
 
+// unallocatedBelow reports whether less of the limit is unallocated than is needed.
 func (in *ShareInputs) unallocatedBelow(need resources.Vector) bool {
 	return in.Unallocated.CPUs+resources.Tolerance < need.CPUs ||
 		in.Unallocated.GPUs+resources.Tolerance < need.GPUs
 }
 
-// unallocatedSuffices tells whether so much is unallocated that shares needn't be lowered.
+// unallocatedSuffices reports whether so much is unallocated that shares needn't be lowered.
 func (in *ShareInputs) unallocatedSuffices() bool {
 	return in.Unallocated.CPUs > lowUnallocatedFraction*in.Limits.MaxCPUs &&
 		(in.Limits.MaxGPUs == 0 || in.Unallocated.GPUs > lowUnallocatedFraction*in.Limits.MaxGPUs)
@@ -133,7 +134,7 @@
 	return share
 }
 
-// lowered gives up what lies more than twice a margin above what is used, down to the margin: within it
+// lowered returns up what lies more than twice a margin above what is used, down to the margin: within it
 // the share stays, or each small change of use would cost a write.
 func (in *ShareInputs) lowered(margin resources.Vector) storage.QuotaShare {
 	current := in.Current
@@ -148,7 +149,7 @@
 	return current
 }
 
-// Raises tells whether a share grows, in any resource, from before to after.
+// Raises reports whether a share grows, in any resource, from before to after.
 func Raises(before, after storage.QuotaShare) bool {
 	return after.CPUs > before.CPUs+resources.Tolerance || after.GPUs > before.GPUs+resources.Tolerance
 }
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -65,7 +65,7 @@
 // WritesPerSecond is the rate of the budget of writes.
 func (q *Queue) WritesPerSecond() float64 { return q.writes.Rate }
 
-// HasSpareWrites tells whether a fraction of the burst of writes is left.
+// HasSpareWrites reports whether a fraction of the burst of writes is left.
 func (q *Queue) HasSpareWrites(now monotime.Micros, fraction float64) bool {
 	return q.writes.WaitTime(now, fraction*q.writes.Burst) == 0
 }
@@ -90,7 +90,7 @@
 // Len counts the waiting calls of a priority.
 func (q *Queue) Len(priority Priority) int { return len(q.waiting[priority]) }
 
-// OldestWait tells how long the first call of a priority has waited, 0 if none waits.
+// OldestWait returns how long the first call of a priority has waited, 0 if none waits.
 func (q *Queue) OldestWait(priority Priority, now monotime.Micros) monotime.Micros {
 	if len(q.waiting[priority]) == 0 {
 		return 0
@@ -120,7 +120,7 @@
 	return Call{}, false, 0
 }
 
-// inTurn gives the priority whose calls go at the place of the one given.
+// inTurn returns the priority whose calls go at the place of the one given.
 func (q *Queue) inTurn(priority Priority, now monotime.Micros) Priority {
 	if priority == PriorityUserRequest && q.shardWorkBeforeUsers(now) {
 		priority = q.nextShardWork()
@@ -134,14 +134,14 @@
 	return q.nextShardWork()
 }
 
-// shardWorkBeforeUsers tells whether shard work has waited so long that it goes before users' calls this
+// shardWorkBeforeUsers reports whether shard work has waited so long that it goes before users' calls this
 // time.
 func (q *Queue) shardWorkBeforeUsers(now monotime.Micros) bool {
 	return q.OldestWait(q.nextShardWork(), now) > shardMaxWait &&
 		(q.userWentLast || len(q.waiting[PriorityUserRequest]) == 0)
 }
 
-// nextShardWork tells whether a shard update goes next or a job result: they take turns. A shard of small
+// nextShardWork reports whether a shard update goes next or a job result: they take turns. A shard of small
 // jobs has as many results as jobs; if these went first, the next updates, with all tasks that start and
 // machines that have joined, would wait behind them.
 func (q *Queue) nextShardWork() Priority {
@@ -152,7 +152,7 @@
 	return PriorityShardUpdate
 }
 
-// budgetWait tells how long to wait until a call may be made, 0 if it may now.
+// budgetWait returns how long to wait until a call may be made, 0 if it may now.
 func (q *Queue) budgetWait(call Call, now monotime.Micros) monotime.Micros {
 	budgetWait := max(q.reads.WaitTime(now, 1), q.writes.WaitTime(now, float64(call.Writes())))
 	return max(0, budgetWait, q.pausedUntil-now)
--- a/internal/ratelimit/token_bucket.go
+++ b/internal/ratelimit/token_bucket.go
@@ -12,7 +12,7 @@
 	started    bool
 }
 
-// WaitTime tells how long to wait until n tokens are there, 0 if they are. More tokens than the burst are
+// WaitTime returns how long to wait until n tokens are there, 0 if they are. More tokens than the burst are
 // there when the bucket is full.
 func (b *TokenBucket) WaitTime(now monotime.Micros, n float64) monotime.Micros {
 	if !b.started {
--- a/internal/reachability/controllers.go
+++ b/internal/reachability/controllers.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// isolationDelay is how long the state service must not have answered before this controller judges whether
-	// others reach it.
+	// isolationDelay is how long the state service must not have answered before this controller judges
+	// whether others reach it.
 	isolationDelay = 2 * monotime.Second
-	// peerReportLead is how much later than this controller's last answer a peer's report must be: both have the
-	// same answers to wait for.
+	// peerReportLead is how much later than this controller's last answer a peer's report must be: both have
+	// the same answers to wait for.
 	peerReportLead = 1500 * monotime.Millisecond
 )
 
-// StoreUnreachableOnlyHere tells whether this controller can't use the state service while a peer can; it names
-// that peer. Then its users and workers are sent to the others. In an outage that all share it goes on answering
-// workers, or every lease would expire.
+// StoreUnreachableOnlyHere reports whether this controller can't use the state service while a peer can; it
+// names that peer. Then its users and workers are sent to the others. In an outage that all share it goes on
+// answering workers, or every lease would expire.
 func (r *Reachability) StoreUnreachableOnlyHere(now monotime.Micros) (peer string, onlyHere bool) {
 	if !r.storeSilent(now) {
 		return "", false
@@ -25,9 +25,9 @@
 	return r.peerStatuses.FirstReachingStore(r.store.LastSuccessAt()+peerReportLead, now)
 }
 
-// IsIsolated tells whether this controller reaches neither the state service nor any other controller: then
-// it is most likely the one that is cut off, and users are better served elsewhere. A controller without peers is
-// never isolated.
+// IsIsolated reports whether this controller reaches neither the state service nor any other controller: then
+// it is most likely the one that is cut off, and users are better served elsewhere. A controller without
+// peers is never isolated.
 func (r *Reachability) IsIsolated(now monotime.Micros) bool {
 	if !r.storeSilent(now) || len(r.options.Peers) == 0 {
 		return false
@@ -40,19 +40,19 @@
 	return true
 }
 
-// storeSilent tells whether the state service hasn't answered for a while.
+// storeSilent reports whether the state service hasn't answered for a while.
 func (r *Reachability) storeSilent(now monotime.Micros) bool {
 	return r.store.Unavailable() && now-r.store.LastSuccessAt() >= isolationDelay
 }
 
-// IsSuperseded tells whether this controller is isolated, and its membership has ended for so long that
+// IsSuperseded reports whether this controller is isolated, and its membership has ended for so long that
 // another, if there is one, has taken its machines over.
 func (r *Reachability) IsSuperseded(now monotime.Micros) bool {
 	return r.IsIsolated(now) &&
 		now-r.membership.LeaseRenewedAt() >= r.options.Durations.MembershipTTL+durations.TakeoverDuration
 }
 
-// IsCutOffFromWorkers tells whether a controller lives, but is known not to reach its workers.
+// IsCutOffFromWorkers reports whether a controller lives, but is known not to reach its workers.
 func (r *Reachability) IsCutOffFromWorkers(node string, now monotime.Micros) bool {
 	if node == r.node {
 		return r.WorkersUnreachable()
@@ -61,8 +61,8 @@
 		r.peerStatuses.WorkerReach(node) == peers.WorkersUnreachable
 }
 
-// ConnectedControllers lists the live controllers that are fit for machines and pending tasks, in order: those that
-// aren't known to be cut off from their workers, or all if every one is.
+// ConnectedControllers lists the live controllers that are fit for machines and pending tasks, in order:
+// those that aren't known to be cut off from their workers, or all if every one is.
 func (r *Reachability) ConnectedControllers() []string {
 	live, now := r.membership.LiveControllers(), r.env.Now()
 	var connected []string
--- a/internal/reachability/pause.go
+++ b/internal/reachability/pause.go
@@ -26,8 +26,8 @@
 // NewPauseDetector makes a detector that has seen no activity yet.
 func NewPauseDetector(log *slog.Logger) *PauseDetector { return &PauseDetector{log: log} }
 
-// DetectPause notes activity, and a pause if there was none for long. It is called before anything that comes in
-// is used, and at every tick.
+// DetectPause notes activity, and a pause if there was none for long. It is called before anything that comes
+// in is used, and at every tick.
 func (d *PauseDetector) DetectPause(now monotime.Micros) {
 	if idle := now - d.lastActivityAt; d.lastActivityAt != 0 && idle > pauseThreshold {
 		d.resumedAt = now
@@ -39,8 +39,8 @@
 // ResumedFromPauseAt returns when the last pause ended; 0 is returned if there was none.
 func (d *PauseDetector) ResumedFromPauseAt() monotime.Micros { return d.resumedAt }
 
-// IsStale tells whether what was up to date at an instant must not be trusted, as a pause has ended since then and
-// only a moment ago.
+// IsStale reports whether what was up to date at an instant must not be trusted, as a pause has ended since
+// then and only a moment ago.
 func (d *PauseDetector) IsStale(freshAt, now monotime.Micros) bool {
 	return d.resumedAt > freshAt && now-d.resumedAt < staleAfterPause
 }
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -1,9 +1,9 @@
 // Package reachability judges whether this controller reaches its workers, the state service and the other
 // controllers, which of those are fit for machines and tasks, and whether its process was paused.
 //
-// What a controller holds counts only while it reaches it. One whose workers have all fallen silent, while others
-// hear theirs, hands its shards over and takes no new machines; one that was paused trusts nothing until it
-// has heard from the state service again.
+// What a controller holds counts only while it reaches it. One whose workers have all fallen silent, while
+// others hear theirs, hands its shards over and takes no new machines; one that was paused trusts nothing
+// until it has heard from the state service again.
 package reachability
 
 import (
@@ -26,7 +26,7 @@
 
 // Store tells of the calls of the state service.
 type Store interface {
-	// Unavailable tells whether the state service has lately not answered.
+	// Unavailable reports whether the state service has lately not answered.
 	Unavailable() bool
 	// LastSuccessAt returns when it last answered.
 	LastSuccessAt() monotime.Micros
@@ -59,9 +59,9 @@
 	Environment  Environment
 	Log          *slog.Logger
 
-	// HasAgent tells whether a machine is claimed by this controller.
+	// HasAgent reports whether a machine is claimed by this controller.
 	HasAgent func(machine *mirror.Machine) bool
-	// HandOffShards gives this controller's shards to others.
+	// HandOffShards returns this controller's shards to others.
 	HandOffShards func(now monotime.Micros)
 	// RequestPass requests a scheduling pass.
 	RequestPass func()
--- a/internal/reachability/silence.go
+++ b/internal/reachability/silence.go
@@ -1,7 +1,7 @@
 package reachability
 
-// minSilentMachines is how many machines must be silent before that says anything of a zone or of this controller:
-// fewer may have failed by themselves.
+// minSilentMachines is how many machines must be silent before that says anything of a zone or of this
+// controller: fewer may have failed by themselves.
 const minSilentMachines = 3
 
 // SilenceCount counts machines, and which of them are silent.
@@ -18,10 +18,10 @@
 	}
 }
 
-// IsUnreachable tells whether the machines as a whole are silent: three quarters of them.
+// IsUnreachable reports whether the machines as a whole are silent: three quarters of them.
 func (s *SilenceCount) IsUnreachable() bool {
 	return s != nil && s.Silent >= minSilentMachines && 4*s.Silent >= 3*s.Machines
 }
 
-// mostHeard tells whether more than half of the machines are heard.
+// mostHeard reports whether more than half of the machines are heard.
 func (s *SilenceCount) mostHeard() bool { return s.Machines > 0 && 2*s.Silent < s.Machines }
--- a/internal/reachability/workers.go
+++ b/internal/reachability/workers.go
@@ -19,7 +19,7 @@
 	reconnectProbeInterval = 2 * monotime.Second
 )
 
-// WorkersUnreachable tells whether this controller is known not to reach its workers.
+// WorkersUnreachable reports whether this controller is known not to reach its workers.
 func (r *Reachability) WorkersUnreachable() bool { return r.workersUnreachableSince != 0 }
 
 // WorkerReach returns whether this controller reaches its workers, as it tells its peers.
@@ -33,8 +33,8 @@
 	return peers.WorkersUnknown
 }
 
-// UpdateReachability judges from the silence of this controller's machines whether it is cut off from them. The
-// mirror must be fresh, and no pause of the process have just ended, or silence says nothing.
+// UpdateReachability judges from the silence of this controller's machines whether it is cut off from them.
+// The mirror must be fresh, and no pause of the process have just ended, or silence says nothing.
 func (r *Reachability) UpdateReachability(overall SilenceCount, now monotime.Micros) {
 	r.hearsMostWorkers = overall.mostHeard()
 	switch {
@@ -50,9 +50,10 @@
 	r.probeForReconnect(now)
 }
 
-// probeSilentMachines probes a few of this controller's machines; if none answers, its workers are unreachable.
-// Machines are silent too while their workers look for a controller after several have crashed, and each
-// waits for seconds at one that hangs: handed over then, those just claimed again would move once more.
+// probeSilentMachines probes a few of this controller's machines; if none answers, its workers are
+// unreachable. Machines are silent too while their workers look for a controller after several have crashed,
+// and each waits for seconds at one that hangs: handed over then, those just claimed again would move once
+// more.
 func (r *Reachability) probeSilentMachines(now monotime.Micros) {
 	if r.silenceProbesInFlight > 0 || now-r.lastProbeSuccessAt < silenceProbeValidity {
 		return
@@ -124,6 +125,7 @@
 	})
 }
 
+// markWorkersUnreachable notes that this controller is cut off from its workers, and hands its shards over.
 func (r *Reachability) markWorkersUnreachable(machines int) {
 	if r.WorkersUnreachable() {
 		return
@@ -133,6 +135,7 @@
 	r.options.HandOffShards(r.env.Now())
 }
 
+// markWorkersReachable notes that workers answer again; a pass may place tasks on them.
 func (r *Reachability) markWorkersReachable() {
 	r.workersUnreachableSince = 0
 	r.options.RequestPass()
--- a/internal/resources/resources.go
+++ b/internal/resources/resources.go
@@ -37,14 +37,14 @@
 	return Vector{v.CPUs + n*other.CPUs, v.GPUs + n*other.GPUs, v.MemoryGB + n*other.MemoryGB}
 }
 
-// FitsIn tells whether an amount fits into what is available.
+// FitsIn reports whether an amount fits into what is available.
 func (v Vector) FitsIn(available Vector) bool {
 	return v.CPUs <= available.CPUs+Tolerance &&
 		v.GPUs <= available.GPUs+Tolerance &&
 		v.MemoryGB <= available.MemoryGB+Tolerance
 }
 
-// CountIn tells how many times an amount fits into what is available, at most protocol.MaxTasks.
+// CountIn returns how many times an amount fits into what is available, at most protocol.MaxTasks.
 func (v Vector) CountIn(available Vector) int {
 	count := math.Inf(1)
 	limit := func(needed, available float64) {
--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -130,6 +130,7 @@
 	bytes        int // with the attempts that are on it now
 }
 
+// needOf estimates the room that a machine needs in a shard, given the attempts that come along with it.
 func (a *admission) needOf(request *claimRequest, attempts int) roomNeed {
 	return roomNeed{
 		plannedBytes: a.bytesForMachine(request.heartbeat.Type),
@@ -137,14 +138,14 @@
 	}
 }
 
-// fits tells whether a shard has room for another machine.
+// fits reports whether a shard has room for another machine.
 func (a *admission) fits(update *Update, need roomNeed) bool {
 	limit := FillBytes(a.cfg.MaxValueBytes)
 	return update.plannedBytes+need.plannedBytes <= limit && update.maxBytes+need.bytes <= limit
 }
 
-// roomiest gives the update of the shard with the most room of those that a machine fits in; nil if there is
-// none.
+// roomiest returns the update of the shard with the most room of those that a machine fits in; nil if there
+// is none.
 func (a *admission) roomiest(need roomNeed) *Update {
 	var best *Update
 	for _, update := range a.updates {
@@ -203,7 +204,7 @@
 	m.quota.Transfer(&update.txn, update.comparedKeys, from.Record.Owner, m.cfg.Node, useByTeam)
 }
 
-// otherShard gives a copy of the record of a shard that machines are taken from, without those that the
+// otherShard returns a copy of the record of a shard that machines are taken from, without those that the
 // update has taken already.
 func (u *Update) otherShard(shard *mirror.Shard) *storage.Shard {
 	record := shard.Record
--- a/internal/shards/commit.go
+++ b/internal/shards/commit.go
@@ -65,7 +65,7 @@
 	t.removeUpdate(update)
 }
 
-// handleCommitted acts on an update that is in the store.
+// handleCommitted acts on an update that is in the records.
 func (m *Manager) handleCommitted(update *Update) {
 	if update.losses != nil {
 		update.losses.Count()
--- a/internal/shards/dependencies.go
+++ b/internal/shards/dependencies.go
@@ -30,7 +30,7 @@
 	Drains     Drains
 	Jobs       Jobs
 	Passes     Passes
-	// MachineType gives a machine type of the catalog; the zero value if it is unknown.
+	// MachineType returns a machine type of the catalog; the zero value if it is unknown.
 	MachineType func(name string) protocol.MachineType
 	Now         func() monotime.Micros
 	Log         *slog.Logger
@@ -39,9 +39,9 @@
 // Store is the state service.
 type Store interface {
 	Unavailable() bool
-	// WatchOverdue tells whether the watch hasn't answered for so long that the mirror may be outdated.
+	// WatchOverdue reports whether the watch hasn't answered for so long that the mirror may be outdated.
 	WatchOverdue(now monotime.Micros) bool
-	// ThrottledWithin tells whether the state service has refused a call for its rate in the last duration.
+	// ThrottledWithin reports whether the state service has refused a call for its rate in the last duration.
 	ThrottledWithin(duration monotime.Micros) bool
 	// Commit makes a conditional write; on success it is in the mirror before callback is called.
 	Commit(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult))
@@ -61,7 +61,7 @@
 	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
 	ConnectedControllers() []string
 	HeardFromRecently(node string, now monotime.Micros) bool
-	// ReachesWorkers tells whether a controller has reported that it reaches its workers.
+	// ReachesWorkers reports whether a controller has reported that it reaches its workers.
 	ReachesWorkers(node string) bool
 }
 
@@ -83,7 +83,7 @@
 
 // Agents knows the workers of the controller's machines.
 type Agents interface {
-	// Has tells whether a machine is one of the controller's own, with an agent kept for it.
+	// Has reports whether a machine is one of the controller's own, with an agent kept for it.
 	Has(machine *mirror.Machine) bool
 	// EachEndedAttempt calls release for the tasks whose attempts on an own machine have ended. Outcomes of
 	// attempts that the machine's shard doesn't hold are dropped.
@@ -102,10 +102,10 @@
 
 // Drains keeps the marks of starting replicas and counts the replicas that are lost.
 type Drains interface {
-	// HasWork tells whether any drain is unfinished or has something left to clean up.
+	// HasWork reports whether any drain is unfinished or has something left to clean up.
 	HasWork() bool
 	// UpdateStartingMarks corrects the marks of an own machine's replicas in the next version of its shard
-	// and tells whether any has changed.
+	// and reports whether any has changed.
 	UpdateStartingMarks(next *storage.Shard, machine *mirror.Machine, now monotime.Micros) bool
 	// NewLosses makes an empty record of the replicas that one update releases.
 	NewLosses() Losses
@@ -115,7 +115,7 @@
 type Losses interface {
 	// Record adds a task that is released from a machine, if it counts as a loss.
 	Record(machine *mirror.Machine, task mirror.TaskID)
-	// Count counts the losses, once the update is known to be in the store.
+	// Count counts the losses, once the update is known to be in the records.
 	Count()
 }
 
--- a/internal/shards/failover.go
+++ b/internal/shards/failover.go
@@ -46,7 +46,7 @@
 	return orphaned
 }
 
-// isSuccessorFor tells whether this controller is to claim a shard: it belongs to an earlier incarnation of
+// isSuccessorFor reports whether this controller is to claim a shard: it belongs to an earlier incarnation of
 // it, or to a controller that has gone and whose successor it is.
 func (m *Manager) isSuccessorFor(shard *mirror.Shard, controllers []string, now monotime.Micros) bool {
 	owner := shard.Record.Owner
@@ -89,7 +89,7 @@
 	m.log.Info("shards claimed", "from_node", owner, "shards", len(shards), "machines", machines)
 }
 
-// HandOff gives this controller's shards to others that reach their workers, when it doesn't reach its own.
+// HandOff returns this controller's shards to others that reach their workers, when it doesn't reach its own.
 // Its workers turn to the others when it doesn't answer; claims of single machines, each against the writes
 // of this controller, would take longer than the leases of most.
 func (m *Manager) HandOff(now monotime.Micros) {
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Owns tells whether a shard belongs to this incarnation of the controller.
+// Owns reports whether a shard belongs to this incarnation of the controller.
 func (m *Manager) Owns(shard *mirror.Shard) bool {
 	return shard.Record.Owner == m.cfg.Node && shard.Record.Incarnation == m.cfg.Incarnation
 }
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -15,7 +15,7 @@
 	staleEntriesRewriteDelay = 5 * monotime.Second
 	// bytesPerMachine are the bytes that a machine takes in a shard, with its part of the jobs' identifiers.
 	bytesPerMachine = 60
-	// bytesPerCPU are the bytes that the tasks on one CPU of a machine take: 14 for a task of 2 CPUs.
+	// bytesPerCPU are the bytes that the tasks on one CPU of a machine take.
 	bytesPerCPU = 7
 	// maxFill is the part of the state service's limit of a value up to which a shard is filled.
 	maxFill = 0.95
@@ -87,7 +87,7 @@
 	return update
 }
 
-// scaledIn tells whether a machine is known to be gone by a scale-in request.
+// scaledIn reports whether a machine is known to be gone by a scale-in request.
 func (m *Manager) scaledIn(machine string) bool {
 	scaleIn := m.mirror.ScaleIns[m.mirror.ScaleInOfMachine[machine]]
 	return scaleIn != nil && scaleIn.Record.Deleted
@@ -103,7 +103,7 @@
 }
 
 // refreshMachine releases the attempts of a machine that have ended, and corrects its state and the marks of
-// its replicas; it tells whether a mark has changed.
+// its replicas; it reports whether a mark has changed.
 func (m *Manager) refreshMachine(update *Update, machine *mirror.Machine, now monotime.Micros) bool {
 	m.agents.EachEndedAttempt(machine, func(task mirror.TaskID, completed bool) {
 		m.release(update, machine, task, completed)
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -18,7 +18,7 @@
 	staleSince monotime.Micros
 }
 
-// idle tells whether nothing is in flight or in doubt.
+// idle reports whether nothing is in flight or in doubt.
 func (t *tracker) idle() bool { return t.commitInFlightSince == 0 && len(t.updatesInDoubt) == 0 }
 
 // beginCommit notes that the commit of an update is in flight.
@@ -48,7 +48,7 @@
 	t.updatesInDoubt = kept
 }
 
-// rewriteDue follows whether the shard's next version drops stale entries, and tells whether it should be
+// rewriteDue follows whether the shard's next version drops stale entries, and reports whether it should be
 // written for these alone.
 func (t *tracker) rewriteDue(stale bool, now monotime.Micros) bool {
 	switch {
@@ -62,7 +62,7 @@
 	return false
 }
 
-// trackerOf gives the tracker of an own shard, and makes it if there is none.
+// trackerOf returns the tracker of an own shard, and makes it if there is none.
 func (m *Manager) trackerOf(shard string) *tracker {
 	return mapentry.GetOrNew(m.trackers, shard)
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// CommitInFlight tells whether a commit of any own shard is in flight.
+// CommitInFlight reports whether a commit of any own shard is in flight.
 func (m *Manager) CommitInFlight() bool {
 	for _, t := range m.trackers {
 		if t.commitInFlightSince != 0 {
@@ -86,8 +86,8 @@
 	return false
 }
 
-// AwaitsCommit tells whether a commit in flight should be waited for before the next pass: one that places on
-// some of the shards only would miss what the others have.
+// AwaitsCommit reports whether a commit in flight should be waited for before the next pass: one that places
+// on some of the shards only would miss what the others have.
 func (m *Manager) AwaitsCommit(now monotime.Micros) bool {
 	for _, t := range m.trackers {
 		if t.commitInFlightSince != 0 && now-t.commitInFlightSince < maxInFlightCommitWait {
--- a/internal/shards/transfer.go
+++ b/internal/shards/transfer.go
@@ -65,7 +65,8 @@
 	return limit
 }
 
-// reowned gives a shard's record under a new owner, with a claim number above all that its machines have had.
+// reowned returns a shard's record under a new owner, with a claim number above all that its machines have
+// had.
 func reowned(record *storage.Shard, owner string, incarnation uint64) *storage.Shard {
 	next := record.Clone()
 	next.Owner, next.Incarnation = owner, incarnation
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -73,10 +73,10 @@
 	return u.previous.Version
 }
 
-// Changed tells whether the update has anything to write.
+// Changed reports whether the update has anything to write.
 func (u *Update) Changed() bool { return u.changed }
 
-// ChangesOtherRecords tells whether the update's commit writes other records beside the shard: those of
+// ChangesOtherRecords reports whether the update's commit writes other records beside the shard: those of
 // shards that machines are taken over from, with the quota shares that follow.
 func (u *Update) ChangesOtherRecords() bool { return len(u.txn.Then) > 0 }
 
@@ -107,10 +107,10 @@
 	return true
 }
 
-// AssignsTask tells whether the update assigns a task.
+// AssignsTask reports whether the update assigns a task.
 func (u *Update) AssignsTask(task mirror.TaskID) bool { return u.assignedTasks[task] }
 
-// AssignsJob tells whether the update assigns tasks of a job.
+// AssignsJob reports whether the update assigns tasks of a job.
 func (u *Update) AssignsJob(job string) bool { return u.assignedJobs[job] }
 
 // Compares is how many other records the update's commit compares.
@@ -136,8 +136,8 @@
 	u.AddCompare(storage.JobResultKey(job.ID), 0)
 }
 
-// Assign gives a task of a job to a machine of the shard. With joinsRange the attempt before it in the job's
-// entry is of the task before, on the same machine: the encoded range grows by one number only.
+// Assign returns a task of a job to a machine of the shard. With joinsRange the attempt before it in the
+// job's entry is of the task before, on the same machine: the encoded range grows by one number only.
 func (u *Update) Assign(job *mirror.Job, attempt storage.Attempt, joinsRange bool) {
 	if joinsRange {
 		u.maxBytes += storage.MaxTaskBytes(attempt.Task) + 1
--- a/internal/sortedmap/sortedmap.go
+++ b/internal/sortedmap/sortedmap.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Keys gives the keys of a map in order.
+// Keys returns the keys of a map in order.
 func Keys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for key := range m {
--- a/internal/storage/drains.go
+++ b/internal/storage/drains.go
@@ -14,7 +14,7 @@
 	DrainAborted DrainState = "aborted" // machines that weren't deleted are open again
 )
 
-// Unfinished tells whether a drain in this state still has an effect.
+// Unfinished reports whether a drain in this state still has an effect.
 func (s DrainState) Unfinished() bool {
 	return s == DrainActive || s == DrainPaused || s == DrainDrained
 }
@@ -36,7 +36,7 @@
 	EndedAt      int64  `msgpack:"e,omitempty"`
 }
 
-// ClosesOffers tells whether the offers that a drain selects aren't used to scale out while it lasts.
+// ClosesOffers reports whether the offers that a drain selects aren't used to scale out while it lasts.
 func (d *Drain) ClosesOffers() bool { return d.LastMachine == "" && len(d.Selector.Machines) == 0 }
 
 // Selector says which machines a drain is about: those named, or those of a zone, a type and a capacity
@@ -58,7 +58,7 @@
 	OnDemandCapacity CapacityType = "ordinary"
 )
 
-// CapacityTypeOf gives the capacity type of a machine.
+// CapacityTypeOf returns the capacity type of a machine.
 func CapacityTypeOf(spot bool) CapacityType {
 	if spot {
 		return SpotCapacity
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -25,37 +25,37 @@
 	KindDrainRegistry Kind = "drains"  // changes with every new drain
 )
 
-// Key gives the key of a record.
+// Key returns the key of a record.
 func Key(kind Kind, name string) string { return KeyPrefix + string(kind) + "/" + name }
 
-// JobResultKey gives the key of a job's final result.
+// JobResultKey returns the key of a job's final result.
 func JobResultKey(jobID string) string { return Key(KindJobResult, jobID) }
 
-// OpenJobKey gives the key of an unfinished job.
+// OpenJobKey returns the key of an unfinished job.
 func OpenJobKey(jobID string) string { return Key(KindOpenJob, jobID) }
 
-// ShardKey gives the key of a shard.
+// ShardKey returns the key of a shard.
 func ShardKey(name string) string { return Key(KindShard, name) }
 
-// PartitionKey gives the key of the quota shares of a controller's partition.
+// PartitionKey returns the key of the quota shares of a controller's partition.
 func PartitionKey(node string) string { return Key(KindPartition, node) }
 
-// MachineTypeKey gives the key of a machine type.
+// MachineTypeKey returns the key of a machine type.
 func MachineTypeKey(name string) string { return Key(KindMachineType, name) }
 
-// ScaleOutKey gives the key of a scale-out request.
+// ScaleOutKey returns the key of a scale-out request.
 func ScaleOutKey(name string) string { return Key(KindScaleOut, name) }
 
-// ScaleInKey gives the key of a scale-in request.
+// ScaleInKey returns the key of a scale-in request.
 func ScaleInKey(name string) string { return Key(KindScaleIn, name) }
 
-// MemberKey gives the key of a live controller's record.
+// MemberKey returns the key of a live controller's record.
 func MemberKey(node string) string { return Key(KindMember, node) }
 
-// DrainKey gives the key of a drain.
+// DrainKey returns the key of a drain.
 func DrainKey(name string) string { return Key(KindDrain, name) }
 
-// PermitsKey gives the key of a team's planned evictions.
+// PermitsKey returns the key of a team's planned evictions.
 func PermitsKey(team string) string { return Key(KindPermits, team) }
 
 // LeaderKey is the one key of its kind.
@@ -65,7 +65,7 @@
 // of two drains started at the same time the second is decided with knowledge of the first.
 const DrainRegistryKey = KeyPrefix + string(KindDrainRegistry) + "/all"
 
-// SplitKey gives the kind and the name of a key; ok is false for keys that aren't the service's.
+// SplitKey returns the kind and the name of a key; ok is false for keys that aren't the service's.
 func SplitKey(key string) (kind Kind, name string, ok bool) {
 	rest, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -100,7 +100,7 @@
 	DeadlineS    float64  `msgpack:"d,omitempty"`
 }
 
-// AllowsMachine tells whether the job's tasks may run on a machine type in a zone; a zone of "" stands for
+// AllowsMachine reports whether the job's tasks may run on a machine type in a zone; a zone of "" stands for
 // any.
 func (s *JobSpec) AllowsMachine(machineType, zone string) bool {
 	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, machineType) {
@@ -109,7 +109,7 @@
 	return s.Zone == "" || zone == "" || s.Zone == zone
 }
 
-// JobSpecOf gives what is stored of a submission.
+// JobSpecOf returns what is stored of a submission.
 func JobSpecOf(s *protocol.Submission) JobSpec {
 	return JobSpec{
 		Class: s.Class, Team: s.Team, Service: s.Service, Priority: int(s.Priority), Tasks: s.Tasks,
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -62,12 +62,12 @@
 	Starting bool
 }
 
-// SameAs tells whether two entries are of one attempt on one machine.
+// SameAs reports whether two entries are of one attempt on one machine.
 func (a Attempt) SameAs(other Attempt) bool {
 	return a.Task == other.Task && a.Machine == other.Machine && a.Number == other.Number
 }
 
-// ClaimOf gives the claim number under which a machine of the shard is held.
+// ClaimOf returns the claim number under which a machine of the shard is held.
 func (s *Shard) ClaimOf(machine *ShardMachine) uint64 { return max(s.Claim, machine.Claim) }
 
 // Clone copies a shard so that a change can be prepared; the entries are shared
@@ -115,7 +115,7 @@
 	s.Jobs[job] = &ShardJob{Completed: old.Completed, Attempts: attempts}
 }
 
-// searchAttempt gives the index of a task's attempt, or where it would be inserted.
+// searchAttempt returns the index of a task's attempt, or where it would be inserted.
 func (j *ShardJob) searchAttempt(task int) int {
 	return sort.Search(len(j.Attempts), func(i int) bool { return j.Attempts[i].Task >= task })
 }
@@ -142,7 +142,7 @@
 	s.Jobs[job] = next
 }
 
-// FindAttempt gives the attempt of a task; ok is false if the shard holds none.
+// FindAttempt returns the attempt of a task; ok is false if the shard holds none.
 func (s *Shard) FindAttempt(job string, task int) (attempt Attempt, ok bool) {
 	entry := s.Jobs[job]
 	if entry == nil {
--- a/internal/storage/shard_decode.go
+++ b/internal/storage/shard_decode.go
@@ -97,7 +97,7 @@
 	}, true
 }
 
-// sharedMachine gives the entry of the previous shard if it is the same.
+// sharedMachine returns the entry of the previous shard if it is the same.
 func (d *shardDecoder) sharedMachine(id string, machine *ShardMachine) *ShardMachine {
 	if d.previous != nil {
 		if before := d.previous.Machines[id]; before != nil && *before == *machine {
@@ -107,7 +107,7 @@
 	return machine
 }
 
-// numbersUnchanged tells whether no number names another machine than in the previous shard: only then does
+// numbersUnchanged reports whether no number names another machine than in the previous shard: only then does
 // the same text of a job mean the same attempts.
 func (d *shardDecoder) numbersUnchanged() bool {
 	if d.previous == nil {
--- a/internal/storage/shard_encode.go
+++ b/internal/storage/shard_encode.go
@@ -13,7 +13,7 @@
 	machineKindBytes = 14
 )
 
-// Encode gives the stored form and an upper bound of its size as the state service counts it, in bytes.
+// Encode returns the stored form and an upper bound of its size as the state service counts it, in bytes.
 func (s *Shard) Encode() (raw protocol.Raw, size int) {
 	machines, kinds := s.encodeMachines()
 	record := shardRecord{
@@ -31,7 +31,8 @@
 	return protocol.MustMarshal(&record), size
 }
 
-// encodeMachines gives the entries of the machines, in the order of their ids, and the kinds that they name.
+// encodeMachines returns the entries of the machines, in the order of their ids, and the kinds that they
+// name.
 func (s *Shard) encodeMachines() (entries string, kinds []machineKind) {
 	kindIndex := map[machineKind]int{}
 	var text []byte
@@ -61,7 +62,7 @@
 	return string(text), kinds
 }
 
-// encodeJobs gives the entries of the jobs, in the order of their ids.
+// encodeJobs returns the entries of the jobs, in the order of their ids.
 func (s *Shard) encodeJobs() string {
 	var text []byte
 	lastID := ""
@@ -86,7 +87,7 @@
 	starting      bool
 }
 
-// encode gives a job's entry without the id.
+// encode returns a job's entry without the id.
 func (j *ShardJob) encode(machines map[string]*ShardMachine) string {
 	text := make([]byte, 0, 64)
 	if len(j.Completed) > 0 {
@@ -140,8 +141,8 @@
 // their numbers.
 const assignedJobBytes = 2
 
-// MaxEncodedSize tells how large the shard can get without another assignment, in bytes: as its attempts end
-// in any order, ranges of them fall apart. What is assigned must always find room in the record.
+// MaxEncodedSize returns how large the shard can get without another assignment, in bytes: as its attempts
+// end in any order, ranges of them fall apart. What is assigned must always find room in the record.
 func (s *Shard) MaxEncodedSize() int {
 	_, size := s.Encode()
 	for _, entry := range s.Jobs {
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -12,7 +12,7 @@
 // TaskSet is a set of task numbers: intervals in order that don't touch.
 type TaskSet []Interval
 
-// Count tells how many tasks the set holds.
+// Count returns how many tasks the set holds.
 func (t TaskSet) Count() int {
 	n := 0
 	for _, interval := range t {
@@ -30,7 +30,7 @@
 	}
 }
 
-// With gives the set with one task more; t itself is not changed.
+// With returns the set with one task more; t itself is not changed.
 func (t TaskSet) With(task int) TaskSet {
 	k := 0
 	for k < len(t) && t[k].End < task {
--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -52,6 +52,7 @@
 	throttledSeen int     // throttled calls at the last step
 }
 
+// newBudget makes the budget of one even part of the limits for each controller.
 func newBudget(limits Limits, controllers int) budget {
 	return budget{limits: limits, controllers: controllers, multiplier: 1}
 }
@@ -76,7 +77,8 @@
 	)
 }
 
-// nextMultiplier gives the multiplier of the next step, at most so large that the budget is the whole limit.
+// nextMultiplier returns the multiplier of the next step, at most so large that the budget is the whole
+// limit.
 func (c *Client) nextMultiplier(live int) float64 {
 	multiplier := c.budget.multiplier
 	switch {
@@ -102,7 +104,7 @@
 // WritesPerSecond is this controller's budget of writes.
 func (c *Client) WritesPerSecond() float64 { return c.queue.WritesPerSecond() }
 
-// HasSpareWrites tells whether a fraction of the burst of writes is left.
+// HasSpareWrites reports whether a fraction of the burst of writes is left.
 func (c *Client) HasSpareWrites(now monotime.Micros, fraction float64) bool {
 	return c.queue.HasSpareWrites(now, fraction)
 }
@@ -125,12 +127,12 @@
 	return fraction * c.budget.multiplier * c.budget.limits.WritesPerSecond / float64(c.budget.sharers)
 }
 
-// UserCallsWaiting tells whether so many calls of users wait here that other work makes room for them.
+// UserCallsWaiting reports whether so many calls of users wait here that other work makes room for them.
 func (c *Client) UserCallsWaiting() bool {
 	return c.queue.Len(ratelimit.PriorityUserRequest) > WaitingUserCallsThreshold
 }
 
-// NextWriteAllowedAt tells when work that costs a write may be done again, if all live controllers together
+// NextWriteAllowedAt returns when work that costs a write may be done again, if all live controllers together
 // are to use that fraction of the service's writes for it.
 func (c *Client) NextWriteAllowedAt(fraction float64) monotime.Micros {
 	perSecond := fraction * c.budget.limits.WritesPerSecond
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -42,7 +42,8 @@
 	Controllers int // controllers of the deployment, this one included
 	Environment Environment
 	Log         *slog.Logger
-	// UserCallsWaitAtPeers tells whether another controller has reported lately that calls of its users wait.
+	// UserCallsWaitAtPeers reports whether another controller has reported lately that calls of its users
+	// wait.
 	UserCallsWaitAtPeers func(now monotime.Micros) bool
 }
 
@@ -149,7 +150,7 @@
 // QueuedCalls counts the calls of a priority that wait for budget.
 func (c *Client) QueuedCalls(priority ratelimit.Priority) int { return c.queue.Len(priority) }
 
-// OldestWait tells how long the first waiting call of a priority has waited, 0 if none waits.
+// OldestWait returns how long the first waiting call of a priority has waited, 0 if none waits.
 func (c *Client) OldestWait(priority ratelimit.Priority, now monotime.Micros) monotime.Micros {
 	return c.queue.OldestWait(priority, now)
 }
@@ -157,7 +158,7 @@
 // ThrottledCalls counts the queued calls that the service has answered with 429 so far.
 func (c *Client) ThrottledCalls() int { return c.throttledCalls }
 
-// ThrottledWithin tells whether a queued call was throttled in the last part of the time given; the start
+// ThrottledWithin reports whether a queued call was throttled in the last part of the time given; the start
 // of the clock counts as one.
 func (c *Client) ThrottledWithin(duration monotime.Micros) bool {
 	return c.env.Now()-c.lastThrottledAt < duration
@@ -191,7 +192,7 @@
 	}
 }
 
-// Unavailable tells whether the service was unavailable at the last UpdateAvailability.
+// Unavailable reports whether the service was unavailable at the last UpdateAvailability.
 func (c *Client) Unavailable() bool { return c.unavailable }
 
 // LastSuccessAt is when the service last answered; the start of the clock if it never has.
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -29,7 +29,7 @@
 	ErrUnsupportedVersion        = errors.New("http version not supported")
 )
 
-// StatusOf gives the answer to a parse error.
+// StatusOf returns the answer to a parse error.
 func StatusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrBodyTooLarge):
@@ -65,8 +65,8 @@
 	head     *messageHead // of the message whose body is being read
 }
 
-// Buffered tells how many bytes wait for the rest of their message; it is above 0 too where only the head has
-// come.
+// Buffered returns how many bytes wait for the rest of their message; it is above 0 too where only the head
+// has come.
 func (p *Parser) Buffered() int {
 	if p.head != nil {
 		return len(p.buf) + 1
@@ -77,7 +77,7 @@
 // Feed adds bytes.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Next gives the next whole message, or nil when more bytes are needed.
+// Next returns the next whole message, or nil when more bytes are needed.
 func (p *Parser) Next() (*Message, error) {
 	if p.head == nil {
 		if err := p.readHead(); err != nil || p.head == nil {
