--- /dev/null
+++ b/internal/coordination/course_scenarios_test.go
@@ -0,0 +1,386 @@
+package coordination
+
+import (
+	"math/rand/v2"
+	"testing"
+
+	"pipitgap/internal/sortedmap"
+
+	"pipitgap/internal/config"
+	"pipitgap/internal/fake"
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/protocol"
+)
+
+// playRandomFaults combines faults as TestRandomFaultsKeepInvariants does.
+func playRandomFaults(t *testing.T, seed uint64, r *recorder) {
+	rnd := rand.New(rand.NewPCG(seed, 11))
+	s := newScenario(t, seed)
+	r.watch(s.cluster)
+	leases := []leaseDurations{
+		defaultLeases,
+		{4 * second, 22 * second, 42 * second},
+		{5 * second, 28 * second, 53 * second},
+		{8 * second / 10, 10 * second, 30 * second},
+	}
+	leases[rnd.IntN(len(leases))].apply(s)
+	s.eagerQueries = rnd.IntN(2) == 0
+	if rnd.IntN(2) == 0 {
+		fillTeamLimits(s)
+	}
+	s.runFaults(randomFaults(rnd), scenarioLength)
+}
+
+// playCancelledWhileRefused has users cancel while the leader alone is refused, then an outage.
+func playCancelledWhileRefused(t *testing.T, seed uint64, r *recorder) {
+	more := [][]fault{
+		nil,
+		{crashController(64*second, leaderController, 3*second), cancelRunningJobs(71*second, 4, 10*second)},
+		{processPause(73*second, leaderController, 8*second), zonePartition(100*second, 20*second)},
+		{peerPartition(71*second, leaderController, 60*second), delayedCommands(60*second, 0.5, 60*second)},
+		{lostCommitAnswers(60*second, 0.3, 60*second), machinesPartitioned(66*second, 4, 15*second)},
+		{delayedCommits(60*second, 0.2, 60*second), crashAllControllers(140*second, 4*second)},
+	}
+	s := newScenario(t, 3000+seed)
+	r.watch(s.cluster)
+	s.runFaults(throttledThenStoreOutage(2*second, more[int(seed-1)%len(more)]...), 190*second)
+}
+
+// playShortLeases is a platform of short leases and large tasks, on which controllers restart slowly.
+func playShortLeases(t *testing.T, seed uint64, r *recorder) {
+	s := newShortLeaseScenario(t, 4000+seed)
+	r.watch(s.cluster)
+	s.submitWholeMachineJobs()
+	faults := []fault{
+		submitAtRate(50*second, second, 50*second, submitSmallUrgentArray),
+		crashAllExcept(s.nodeNames[seed%3], 80*second, slowRestartDelay),
+	}
+	if seed%2 == 0 {
+		faults = append(
+			faults,
+			zonePartition(110*second, 12*second),
+			slowStoreReplies(60*second, second, 20*second),
+		)
+	}
+	s.runFaults(faults, 150*second)
+}
+
+// playSmallJobs has one team send many small jobs while machines and controllers fail.
+func playSmallJobs(t *testing.T, seed uint64, r *recorder) {
+	c := newCluster(t, 2500+seed)
+	r.watch(c)
+	c.startBurst()
+	c.simulateSmallJobs(10 + 10*int(seed%3))
+}
+
+// simulateSmallJobs has one team send many small jobs a second for 40 seconds, beside arrays and services of
+// another, while machines and controllers fail.
+func (c *cluster) simulateSmallJobs(jobsPerSecond int) {
+	var arrays []string
+	for s := range 40 {
+		c.sendSmallJobs(jobsPerSecond)
+		arrays = append(arrays, c.sendArray(s%2 == 0))
+		c.sendService()
+		switch s {
+		case 8:
+			c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[3]].FailsTasks = true
+			c.sendRequest("n-0", "POST", protocol.CancelPath(arrays[2]), nil, func(Response) {})
+		case 12:
+			c.kill("n-1")
+		case 14:
+			c.start("n-1")
+		case 18:
+			for _, id := range sortedmap.Keys(c.fleet.Workers)[:4] {
+				c.fleet.Workers[id].Partitioned = true
+			}
+		case 22:
+			c.kill(c.leaderNode().name)
+		case 30:
+			c.start(c.nodeNames...)
+		}
+		c.sim.Run(second)
+	}
+	c.requireNoViolations()
+}
+
+// playDrainFault drains a zone while something fails; each seed has the next of drainFaults.
+func playDrainFault(t *testing.T, seed uint64, r *recorder) {
+	s := newDrainScenario(t, 800+seed)
+	r.watch(s.cluster)
+	s.startServices()
+	s.drainZone("rack", "a")
+	s.sim.Run(s.randomDuration(35 * second))
+	drainFaults[int(seed-1)%len(drainFaults)].begin(s)
+	s.sim.Run(120 * second)
+	s.requireNoViolations()
+}
+
+// playDrainAbort ends a drain before it is complete, with permits that are written late.
+func playDrainAbort(t *testing.T, seed uint64, r *recorder) {
+	s := newDrainScenario(t, 900+seed)
+	r.watch(s.cluster)
+	s.startServices()
+	s.delayPermits(3, 0, 20*second)
+	s.drainZone("rack", "a")
+	s.sim.Run(2*second + s.randomDuration(30*second))
+	s.abortDrain("rack")
+	s.sim.Run(30 * second)
+	s.store.DelayCommit = nil
+	s.sim.Run(60 * second)
+	s.requireNoViolations()
+}
+
+// playLimits has teams at their limits and guarantees, with preemption and cancellations.
+func playLimits(t *testing.T, seed uint64, r *recorder) {
+	s := newScenario(t, 5000+seed)
+	r.watch(s.cluster)
+	s.teams = []config.Team{{Name: "free", CPUs: 16}, {Name: "tight", CPUs: 16, CPUsMax: 24}}
+	s.checker.Limits["tight"] = 24
+	clear(s.cloud.Capacity)
+	s.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 3
+	s.cloud.Capacity[fake.OfferKey("m8", "b", false)] = 2
+	s.addBorrowers()
+	faults := []fault{
+		{at: 50 * second, name: "owners", inject: (*scenario).addOwners},
+		{at: 70 * second, name: "services", inject: (*scenario).addUrgentServices},
+		cancelTeamJobs(85*second, "tight", 2, 6*second),
+		cancelRunningJobs(100*second, 2, 0),
+	}
+	if seed%2 == 0 {
+		faults = append(
+			faults,
+			crashController(86*second, leaderController, 3*second),
+			machinesHang(104*second, 2, 10*second),
+		)
+	} else {
+		faults = append(faults, crashAllControllers(110*second, 2*second), machinesVanish(95*second, 1))
+	}
+	s.runFaults(faults, 160*second)
+}
+
+// playCloudAndSpot has the cloud refuse, lose answers and take machines back.
+func playCloudAndSpot(t *testing.T, seed uint64, r *recorder) {
+	s := newScenario(t, 6000+seed)
+	r.watch(s.cluster)
+	s.settings.ScaleDownDelay = config.Duration(8 * second)
+	s.cloud.NeverBoots["i-000003"] = true
+	s.addSpotJobs()
+	begin := func(at monotime.Micros, name string, f func(s *scenario)) fault { return fault{at, name, f} }
+	faults := []fault{
+		submitAtRate(45*second, 2*second, 60*second, submitSingleTask),
+		begin(45*second, "spot machines are taken back", (*scenario).takeSpotBack),
+		begin(55*second, "a machine is sick", func(s *scenario) {
+			for _, worker := range s.pickMachines(1) {
+				worker.FailsTasks = true
+			}
+		}),
+		begin(60*second, "rentals lose answers", func(s *scenario) {
+			s.cloud.LoseRentReply = true
+			s.sim.After(5*second, func() { s.cloud.LoseRentReply = false })
+		}),
+		begin(62*second, "more work", (*scenario).addSpotJobs),
+		begin(75*second, "the cloud throttles", func(s *scenario) {
+			s.cloud.Throttling = true
+			s.sim.After(10*second, func() { s.cloud.Throttling = false })
+		}),
+		machinesVanish(76*second, 3),
+		begin(90*second, "cloud unavailable", func(s *scenario) {
+			s.cloud.Unavailable = true
+			s.sim.After(15*second, func() { s.cloud.Unavailable = false })
+		}),
+		begin(110*second, "no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
+		begin(112*second, "still more work", (*scenario).addSpotJobs),
+		begin(113*second, "spot machines are taken back", (*scenario).takeSpotBack),
+		begin(
+			125*second,
+			"capacity is back",
+			func(s *scenario) { s.cloud.Capacity[fake.OfferKey("m16", "a", false)] = 12 },
+		),
+		cancelRunningJobs(115*second, 3, 0),
+	}
+	if seed%2 == 0 {
+		faults = append(
+			faults,
+			crashController(61*second, leaderController, 3*second),
+			crashController(112*second, leaderController, 10*second),
+		)
+	}
+	s.runFaults(faults, 170*second)
+}
+
+// takeSpotBack announces the end of two spot machines in their reports, and ends them.
+func (s *scenario) takeSpotBack() {
+	left := 2
+	for _, id := range sortedmap.Keys(s.fleet.Workers) {
+		worker := s.fleet.Workers[id]
+		if left == 0 || !worker.Machine.Spot || worker.Machine.Gone {
+			continue
+		}
+		left--
+		notice := 10.0
+		report := worker.Heartbeat()
+		report.InterruptionNoticeS = &notice
+		s.deliverDuplicateReport(protocol.MustMarshal(report))
+		s.sim.After(10*second, func() { s.cloud.RemoveMachine(id) })
+	}
+}
+
+// playPlacement has jobs of every form, and requests that are answered with an error.
+func playPlacement(t *testing.T, seed uint64, r *recorder) {
+	s := newScenario(t, 7000+seed)
+	r.watch(s.cluster)
+	s.addVariedJobs()
+	faults := []fault{
+		{at: 45 * second, name: "requests with mistakes", inject: (*scenario).sendMistakes},
+		machinesVanish(60*second, 2),
+		{at: 70 * second, name: "more jobs", inject: (*scenario).addVariedJobs},
+		cancelRunningJobs(90*second, 3, 0),
+		crashAllControllers(100*second, 2*second),
+		{at: 115 * second, name: "requests with mistakes", inject: (*scenario).sendMistakes},
+	}
+	if seed%2 == 0 {
+		faults = append(
+			faults,
+			zonePartition(75*second, 20*second),
+			machinesMuted(110*second, 2, 20*second),
+			machinesUnreachable(112*second, 2, 20*second),
+		)
+	}
+	s.runFaults(faults, 160*second)
+}
+
+// sendMistakes sends every controller requests that it must reject or that name unknown jobs.
+func (s *scenario) sendMistakes() {
+	for _, node := range s.nodeNames {
+		send := func(method, target string, body []byte) {
+			s.sendRequest(node, method, target, body, func(Response) {})
+		}
+		send("GET", "/healthz", nil)
+		send("GET", protocol.JobsPath, nil)
+		send("GET", protocol.JobPath("j-unknown"), nil)
+		send("POST", protocol.CancelPath("j-unknown"), nil)
+		send("POST", protocol.JobsPath, []byte{0xc1})
+		send("POST", protocol.HeartbeatPath, []byte{0xc1})
+		send("GET", "/nowhere", nil)
+		send("GET", protocol.JobPath("j-unknown?x=y"), nil)
+	}
+}
+
+// playLateShares has changes of the controllers' shares of a limit be carried out late.
+func playLateShares(t *testing.T, seed uint64, r *recorder) {
+	s := newScenario(t, 8000+seed)
+	r.watch(s.cluster)
+	fillTeamLimits(s)
+	faults := []fault{
+		delayedQuotaWrites(45*second, 60*second),
+		cancelTeamJobs(60*second, "tight", 2, 0),
+		machinesVanish(70*second, 2),
+		duplicateReportsToNextLeader(
+			75*second,
+			0.3,
+			40*second,
+		),
+		crashController(80*second, leaderController, 12*second),
+		crashController(90*second, followerController(1), 3*second),
+	}
+	s.runFaults(faults, 150*second)
+}
+
+// playFiveControllers has more controllers and machines, and settings of a grown fleet.
+func playFiveControllers(t *testing.T, seed uint64, r *recorder) {
+	c := newGrownCluster(t, 9000+seed)
+	r.watch(c)
+	c.startWithLeader()
+	for s := range 30 {
+		c.sendLargeArrays()
+		switch s {
+		case 15:
+			c.kill("n-3", c.leaderNode().name)
+		case 22:
+			for _, node := range c.nodeNames {
+				if c.nodes[node].controller == nil {
+					c.start(node)
+				}
+			}
+		}
+		c.sim.Run(second)
+	}
+	c.requireNoViolations()
+}
+
+// The jobs of the courses.
+
+func (c *cluster) sendSmallJobs(n int) {
+	for range n {
+		c.submitWithRetry(2*second, withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.3),
+			withMemoryGB(0.7), withSpot(true), withEstimateS(2))
+	}
+}
+
+func (c *cluster) sendArray(spot bool) string {
+	return c.submitWithRetry(
+		20*second,
+		withTeam("home"),
+		withTasks(9),
+		withCPUs(1.1),
+		withSpot(spot),
+		withEstimateS(30),
+		withCheckpointS(3),
+	)
+}
+
+func (c *cluster) sendService() {
+	c.submitWithRetry(0, withTeam("home"), withService(true), withPriority(protocol.High), withCPUs(1.3))
+}
+
+func (c *cluster) sendLargeArrays() {
+	c.submitWithRetry(25*second, withTasks(60), withCPUs(2), withSpot(true), withEstimateS(20))
+	c.submitWithRetry(
+		8*second,
+		withTeam("tight"),
+		withTasks(40),
+		withCPUs(1),
+		withEstimateS(10),
+		withDeadlineS(60),
+	)
+}
+
+func (s *scenario) addBorrowers() {
+	s.addUser(300*second, withTasks(16), withCPUs(2), withPriority(protocol.BestEffort))
+	s.addUser(250*second, withTasks(6), withCPUs(1))
+}
+
+func (s *scenario) addOwners() {
+	for range 4 {
+		s.addUser(60*second, withTeam("tight"), withTasks(6), withCPUs(2))
+	}
+}
+
+func (s *scenario) addUrgentServices() {
+	for range 3 {
+		s.addUser(0, withTasks(2), withCPUs(3), withPriority(protocol.Production))
+	}
+}
+
+func (s *scenario) addSpotJobs() {
+	for i := range 3 {
+		s.addUser(60*second, withTasks(12), withCPUs(4), withSpot(true), withEstimateS(50),
+			withCheckpointS(10), withSaveS(2))
+		s.addUser(0, withTasks(2+i), withCPUs(2), withPriority(protocol.High), withSpot(i == 1))
+	}
+}
+
+func (s *scenario) addVariedJobs() {
+	s.addUser(0, withTasks(4), withSpread(true), withPriority(protocol.Production))
+	s.addUser(0, withTasks(3), withSpread(true), withOneZone(true), withCPUs(3))
+	s.addUser(60*second, withTasks(8), withOneZone(true), withCPUs(2), withEstimateS(60))
+	s.addUser(60*second, withTasks(5), withZone("b"), withCPUs(2), withCheckpointS(10), withSaveS(3))
+	s.addUser(40*second, withTasks(5), withTypes("m16"), withCPUs(9), withEstimateS(30))
+	s.addUser(15*second, withTasks(30), withDeadlineS(40), withCPUs(0.5), withEstimateS(15), withSpot(true))
+	s.addUser(30*second, withTasks(6), withMemoryGB(30), withCPUs(1), withImageGB(6), withImage("large"))
+	failing := s.addUser(5*second, withTasks(2))
+	info := s.fleet.Jobs[failing.id]
+	info.Fails = true
+	s.fleet.Jobs[failing.id] = info
+	s.sim.After(55*second, failing.cancel)
+}
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -1,7 +1,6 @@
 package coordination
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"log/slog"
@@ -12,7 +11,6 @@
 	"pipitgap/internal/config"
 	"pipitgap/internal/fake"
 	"pipitgap/internal/monotime"
-	"pipitgap/internal/peers"
 	"pipitgap/internal/protocol"
 )
 
@@ -36,23 +34,6 @@
 	clusterCounters
 }
 
-// networkFaults are the faults between machines, controllers and users that a test injects.
-type networkFaults struct {
-	disconnectedPairs   map[string]bool // "machine-node" or "node-node" pairs that can't reach each other
-	unreachableMachines map[string]bool // machines whose heartbeats arrive, but nothing reaches them
-	mutedMachines       map[string]bool // machines that are reached, but whose heartbeats don't arrive
-	zonesPartitioned    bool            // the zones can't reach each other
-	refuseConnections   bool            // controllers that are down refuse connections
-	// controllerDownSeen, if set, has the machines whose connection a controller that is down has reset:
-	// their next connections to it get no answer.
-	controllerDownSeen map[string]bool
-	// disconnectionSeen, if set, has the machines that got no answer through a cut: their next connections
-	// are refused.
-	disconnectionSeen map[string]bool
-	// pausedWork has the controllers whose process is paused, with what waits for them.
-	pausedWork map[string]*[]func()
-}
-
 // clusterHooks are functions of a test that are called if they are set.
 type clusterHooks struct {
 	adjustFacts func(*config.Config) // changes the platform's facts as a controller knows them
@@ -72,9 +53,6 @@
 	largestResponse int // bytes
 }
 
-// networkLatency is how long a message takes between workers and controllers.
-const networkLatency = 2 * monotime.Millisecond
-
 // simController is one controller; its environment drops what belongs to an earlier incarnation.
 type simController struct {
 	cluster     *cluster
@@ -83,157 +61,6 @@
 	incarnation int
 }
 
-type simEnv struct {
-	node        *simController
-	incarnation int
-	random      *rand.Rand
-}
-
-func (e *simEnv) alive() bool { return e.node.incarnation == e.incarnation && e.node.controller != nil }
-
-func (e *simEnv) whileAlive(f func()) func() {
-	return func() {
-		if e.alive() {
-			e.node.cluster.runWhenResumed(e.node.name, func() {
-				if e.alive() {
-					f()
-				}
-			})
-		}
-	}
-}
-
-// runWhenResumed calls f now, or when the controller's process resumes if it is paused.
-func (c *cluster) runWhenResumed(node string, f func()) {
-	if waiting := c.pausedWork[node]; waiting != nil {
-		*waiting = append(*waiting, f)
-		return
-	}
-	f()
-}
-
-// pause suspends a controller's process for a while: its clocks run on, and all that comes to it waits.
-func (c *cluster) pause(node string, duration monotime.Micros) {
-	waiting := &[]func(){}
-	c.pausedWork[node] = waiting
-	c.sim.After(duration, func() {
-		delete(c.pausedWork, node)
-		for _, f := range *waiting {
-			f()
-		}
-	})
-}
-
-// reportCall reports a call to the test.
-func (e *simEnv) reportCall(what string, v any) {
-	if e.node.cluster.onCall != nil {
-		raw, _ := json.Marshal(v)
-		e.node.cluster.onCall(e.node.name + " " + what + " " + string(raw))
-	}
-}
-
-// record adds a call to the course that is recorded, if one is, see courses_test.go.
-func (e *simEnv) record(kind string, text func() string) {
-	if e.node.cluster.wire != nil {
-		e.node.cluster.wire(e.node.name, kind, text())
-	}
-}
-
-func (e *simEnv) Now() monotime.Micros { return e.node.cluster.sim.Now() }
-func (e *simEnv) WallClock() int64     { return int64(e.node.cluster.sim.Now()) + 1_000_000_000_000 }
-func (e *simEnv) Rand() *rand.Rand     { return e.random }
-func (e *simEnv) After(duration monotime.Micros, f func()) {
-	e.node.cluster.sim.After(duration, e.whileAlive(f))
-}
-func (e *simEnv) CallStore(c *protocol.StoreCall, callback func(protocol.StoreResult)) {
-	e.reportCall("store", c)
-	e.record("store", func() string { return wireStoreCall(c) })
-	e.node.cluster.store.Call(
-		e.node.name,
-		c,
-		func(result protocol.StoreResult) { e.whileAlive(func() { callback(result) })() },
-	)
-}
-
-func (e *simEnv) CallCloud(c *protocol.CloudCall, back func(protocol.CloudResult)) {
-	e.reportCall("cloud", c)
-	e.record("cloud", func() string { return wireCloudCall(c) })
-	e.node.cluster.cloud.Call(
-		c,
-		func(result protocol.CloudResult) { e.whileAlive(func() { back(result) })() },
-	)
-}
-
-func (e *simEnv) SendCommands(
-	endpoint string,
-	req *protocol.CommandRequest,
-	within monotime.Micros,
-	callback func(protocol.CommandResult),
-) {
-	c := e.node.cluster
-	c.commandCount++
-	e.reportCall(endpoint, req)
-	e.record("command", func() string { return wireCommand(endpoint, req, within) })
-	answered := false
-	answer := func(result protocol.CommandResult) {
-		if !answered {
-			answered = true
-			e.whileAlive(func() { callback(result) })()
-		}
-	}
-	c.sim.After(within, func() { answer(protocol.CommandResult{}) })
-	worker := c.fleet.ByEndpoint[endpoint]
-	if worker == nil || worker.Machine.Gone {
-		return
-	}
-	delay := networkLatency
-	if c.commandDelay != nil {
-		delay += c.commandDelay(worker, req)
-	}
-	execute := func() {
-		result := protocol.CommandResult{Status: 200}
-		if req == nil {
-			result.Heartbeat = *worker.Heartbeat()
-		} else {
-			result = worker.Execute(req)
-		}
-		c.sim.After(networkLatency, func() { answer(result) })
-	}
-	c.sim.After(delay, func() {
-		switch {
-		case worker.Machine.Gone || c.commandIsLost(worker, e.node.name):
-		case worker.Paused:
-			worker.Defer(execute)
-		default:
-			execute()
-		}
-	})
-}
-
-// commandIsLost tells whether a fault keeps a controller's commands from a worker.
-func (c *cluster) commandIsLost(worker *fake.Worker, node string) bool {
-	return worker.Partitioned || c.cannotReach(worker, node) || c.unreachableMachines[worker.Machine.ID]
-}
-
-func (e *simEnv) SendPeerStatus(node string, status peers.Status) {
-	c := e.node.cluster
-	e.record("hint", func() string { return node + " " + wirePeerStatus(&status) })
-	if c.disconnectedPairs[e.node.name+"-"+node] || c.disconnectedPairs[node+"-"+e.node.name] ||
-		c.zonesPartitioned && zoneOfController(e.node.name) != zoneOfController(node) {
-		return
-	}
-	frame := peers.Frame(&status)
-	c.sim.After(networkLatency, func() {
-		if controller := c.nodes[node]; controller.controller != nil {
-			c.runWhenResumed(node, func() {
-				if controller.controller != nil {
-					controller.controller.OnPeerStatus(peers.FromFrame(&frame))
-				}
-			})
-		}
-	})
-}
-
 var testTypes = []protocol.MachineType{
 	{
 		Name:          "m8",
@@ -302,62 +129,6 @@
 	}
 }
 
-// sendHeartbeat carries a worker's heartbeat to a controller through the network faults. back gets status 0
-// at once when the connection is refused or reset, and nothing when there is no answer.
-func (c *cluster) sendHeartbeat(worker *fake.Worker, node string, body []byte, back func(int, []byte)) {
-	machine := worker.Machine.ID
-	if c.cannotReach(worker, node) && c.disconnectionSeen[machine] {
-		c.sim.After(networkLatency, func() { back(0, nil) })
-		return
-	}
-	if c.cannotReach(worker, node) || c.mutedMachines[machine] {
-		if c.disconnectionSeen != nil {
-			// The open connection brings no answer, new ones are refused.
-			c.disconnectionSeen[machine] = true
-		}
-		return
-	}
-	if c.onReport != nil {
-		c.onReport(worker, node, body)
-	}
-	if c.nodes[node].controller == nil && c.refusesConnection(machine) {
-		c.sim.After(networkLatency, func() { back(0, nil) })
-		return
-	}
-	c.sim.After(networkLatency, func() {
-		c.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(response Response) {
-			if c.unreachableMachines[machine] {
-				return
-			}
-			c.sim.After(networkLatency, func() { back(response.Status, response.Body) })
-		})
-	})
-}
-
-// refusesConnection tells whether a controller that is down refuses or resets a machine's connection, rather
-// than not answer.
-func (c *cluster) refusesConnection(machine string) bool {
-	if c.controllerDownSeen != nil && !c.controllerDownSeen[machine] {
-		c.controllerDownSeen[machine] = true
-		return true
-	}
-	return c.refuseConnections
-}
-
-// zoneOfController is the zone of a controller.
-func zoneOfController(node string) string {
-	if node == "n-0" {
-		return "a"
-	}
-	return "b"
-}
-
-// cannotReach tells whether a machine and a controller can't reach each other.
-func (c *cluster) cannotReach(worker *fake.Worker, node string) bool {
-	return c.disconnectedPairs[worker.Machine.ID+"-"+node] ||
-		c.zonesPartitioned && worker.Machine.Zone != zoneOfController(node)
-}
-
 func (c *cluster) nodeConfig(node string) *config.Config {
 	cfg := &config.Config{Node: node, Area: "a", PublicAddr: "127.0.0.1:1", PeerBind: "127.0.0.1:2"}
 	for _, n := range c.nodeNames {
@@ -418,6 +189,30 @@
 	c.sim.After(after, func() { c.startIfDown(node) })
 }
 
+// startWithLeader starts all controllers and waits for a leader.
+func (c *cluster) startWithLeader() *cluster {
+	c.start(c.nodeNames...)
+	c.sim.Run(3 * second)
+	return c
+}
+
+func (c *cluster) leaderNode() *simController {
+	for _, node := range c.nodeNames {
+		if core := c.nodes[node].controller; core != nil && core.membership.IsLeader(c.sim.Now()) {
+			return c.nodes[node]
+		}
+	}
+	return nil
+}
+
+// leaderName is the leader, or the first controller while there is none.
+func (c *cluster) leaderName() string {
+	if leader := c.leaderNode(); leader != nil {
+		return leader.name
+	}
+	return c.nodeNames[0]
+}
+
 // sendRequest sends a request on a new connection; a controller that is down doesn't answer.
 func (c *cluster) sendRequest(node, method, target string, body []byte, back func(Response)) {
 	controller := c.nodes[node]
@@ -523,30 +318,6 @@
 	}
 }
 
-// startWithLeader starts all controllers and waits for a leader.
-func (c *cluster) startWithLeader() *cluster {
-	c.start(c.nodeNames...)
-	c.sim.Run(3 * second)
-	return c
-}
-
-func (c *cluster) leaderNode() *simController {
-	for _, node := range c.nodeNames {
-		if core := c.nodes[node].controller; core != nil && core.membership.IsLeader(c.sim.Now()) {
-			return c.nodes[node]
-		}
-	}
-	return nil
-}
-
-// leaderName is the leader, or the first controller while there is none.
-func (c *cluster) leaderName() string {
-	if leader := c.leaderNode(); leader != nil {
-		return leader.name
-	}
-	return c.nodeNames[0]
-}
-
 // randomDuration draws a time below the given one.
 func (c *cluster) randomDuration(duration monotime.Micros) monotime.Micros {
 	return monotime.Micros(c.sim.Rand.Int64N(int64(duration)))
--- /dev/null
+++ b/internal/coordination/simulated_environment_test.go
@@ -0,0 +1,139 @@
+package coordination
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+
+	"pipitgap/internal/monotime"
+	"pipitgap/internal/peers"
+	"pipitgap/internal/protocol"
+)
+
+type simEnv struct {
+	node        *simController
+	incarnation int
+	random      *rand.Rand
+}
+
+func (e *simEnv) alive() bool { return e.node.incarnation == e.incarnation && e.node.controller != nil }
+
+func (e *simEnv) whileAlive(f func()) func() {
+	return func() {
+		if e.alive() {
+			e.node.cluster.runWhenResumed(e.node.name, func() {
+				if e.alive() {
+					f()
+				}
+			})
+		}
+	}
+}
+
+// reportCall reports a call to the test.
+func (e *simEnv) reportCall(what string, v any) {
+	if e.node.cluster.onCall != nil {
+		raw, _ := json.Marshal(v)
+		e.node.cluster.onCall(e.node.name + " " + what + " " + string(raw))
+	}
+}
+
+// record adds a call to the course that is recorded, if one is, see courses_test.go.
+func (e *simEnv) record(kind string, text func() string) {
+	if e.node.cluster.wire != nil {
+		e.node.cluster.wire(e.node.name, kind, text())
+	}
+}
+
+func (e *simEnv) Now() monotime.Micros { return e.node.cluster.sim.Now() }
+
+func (e *simEnv) WallClock() int64 { return int64(e.node.cluster.sim.Now()) + 1_000_000_000_000 }
+
+func (e *simEnv) Rand() *rand.Rand { return e.random }
+
+func (e *simEnv) After(duration monotime.Micros, f func()) {
+	e.node.cluster.sim.After(duration, e.whileAlive(f))
+}
+
+func (e *simEnv) CallStore(c *protocol.StoreCall, callback func(protocol.StoreResult)) {
+	e.reportCall("store", c)
+	e.record("store", func() string { return wireStoreCall(c) })
+	e.node.cluster.store.Call(
+		e.node.name,
+		c,
+		func(result protocol.StoreResult) { e.whileAlive(func() { callback(result) })() },
+	)
+}
+
+func (e *simEnv) CallCloud(c *protocol.CloudCall, back func(protocol.CloudResult)) {
+	e.reportCall("cloud", c)
+	e.record("cloud", func() string { return wireCloudCall(c) })
+	e.node.cluster.cloud.Call(
+		c,
+		func(result protocol.CloudResult) { e.whileAlive(func() { back(result) })() },
+	)
+}
+
+func (e *simEnv) SendCommands(
+	endpoint string,
+	req *protocol.CommandRequest,
+	within monotime.Micros,
+	callback func(protocol.CommandResult),
+) {
+	c := e.node.cluster
+	c.commandCount++
+	e.reportCall(endpoint, req)
+	e.record("command", func() string { return wireCommand(endpoint, req, within) })
+	answered := false
+	answer := func(result protocol.CommandResult) {
+		if !answered {
+			answered = true
+			e.whileAlive(func() { callback(result) })()
+		}
+	}
+	c.sim.After(within, func() { answer(protocol.CommandResult{}) })
+	worker := c.fleet.ByEndpoint[endpoint]
+	if worker == nil || worker.Machine.Gone {
+		return
+	}
+	delay := networkLatency
+	if c.commandDelay != nil {
+		delay += c.commandDelay(worker, req)
+	}
+	execute := func() {
+		result := protocol.CommandResult{Status: 200}
+		if req == nil {
+			result.Heartbeat = *worker.Heartbeat()
+		} else {
+			result = worker.Execute(req)
+		}
+		c.sim.After(networkLatency, func() { answer(result) })
+	}
+	c.sim.After(delay, func() {
+		switch {
+		case worker.Machine.Gone || c.commandIsLost(worker, e.node.name):
+		case worker.Paused:
+			worker.Defer(execute)
+		default:
+			execute()
+		}
+	})
+}
+
+func (e *simEnv) SendPeerStatus(node string, status peers.Status) {
+	c := e.node.cluster
+	e.record("hint", func() string { return node + " " + wirePeerStatus(&status) })
+	if c.disconnectedPairs[e.node.name+"-"+node] || c.disconnectedPairs[node+"-"+e.node.name] ||
+		c.zonesPartitioned && zoneOfController(e.node.name) != zoneOfController(node) {
+		return
+	}
+	frame := peers.Frame(&status)
+	c.sim.After(networkLatency, func() {
+		if controller := c.nodes[node]; controller.controller != nil {
+			c.runWhenResumed(node, func() {
+				if controller.controller != nil {
+					controller.controller.OnPeerStatus(peers.FromFrame(&frame))
+				}
+			})
+		}
+	})
+}
--- /dev/null
+++ b/internal/coordination/throttled_cancellations_test.go
@@ -0,0 +1,155 @@
+package coordination
+
+import (
+	"testing"
+
+	"pipitgap/internal/monotime"
+)
+
+// throttledThenStoreOutage is the combination that broke most invariants: the state service rejects the
+// leader alone, users cancel through another controller, and then the service is down for all, for
+// longer than the tasks of a cancelled job may keep running.
+func throttledThenStoreOutage(sincePrevious monotime.Micros, more ...fault) []fault {
+	return append([]fault{
+		storeRejectsController(70*second, leaderController, 14*second),
+		cancelRunningJobs(70*second+second/10, 4, 0),
+		cancelRunningJobs(70*second+sincePrevious*8/10, 4, 0),
+		storeOutage(70*second+sincePrevious, 54*second),
+	}, more...)
+}
+
+// TestCancellationReachesControllerThrottledAlone: the owner of the machines learns of cancellations from
+// its peers, or lets the leases expire in time. The workers report to the old leader all the while.
+func TestCancellationReachesControllerThrottledAlone(t *testing.T) {
+	cases := []struct {
+		name   string
+		leases leaseDurations
+		faults []fault
+	}{
+		{"alone", defaultLeases, throttledThenStoreOutage(2 * second)},
+		{"a second apart", defaultLeases, throttledThenStoreOutage(second)},
+		{
+			"longer leases",
+			leaseDurations{4 * second, 22 * second, 42 * second},
+			throttledThenStoreOutage(2 * second),
+		},
+		{
+			"still longer leases",
+			leaseDurations{5 * second, 28 * second, 53 * second},
+			throttledThenStoreOutage(2 * second),
+		},
+		{
+			"short leases and many reports",
+			leaseDurations{8 * second / 10, 10 * second, 30 * second},
+			throttledThenStoreOutage(2 * second),
+		},
+		{
+			"just after an election",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, crashController(64*second, leaderController, 3*second)),
+		},
+		{
+			"in an election",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, crashController(69*second, leaderController, second/2)),
+		},
+		{
+			"the store rejects two controllers",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				storeRejectsController(70*second, followerController(1), 14*second),
+			),
+		},
+		{
+			"the other controllers restart as the outage begins",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				crashController(72*second, followerController(1), 3*second),
+				crashController(72*second, followerController(2), 3*second),
+			),
+		},
+		{
+			"a controller restarts before all peers know the cancellations",
+			defaultLeases,
+			throttledThenStoreOutage(second, crashController(71*second, followerController(1), second/2)),
+		},
+		{
+			"the owner is cut off from its peers",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, peerPartition(71*second, leaderController, 60*second)),
+		},
+		{
+			"another controller is cut off from its peers",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, peerPartition(71*second, followerController(1), 60*second)),
+		},
+		{
+			"the owner is cut off from its peers before the outage only",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, peerPartition(70*second, leaderController, 10*second)),
+		},
+		{
+			"machines hang",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, cancelRunningJobs(71*second, 4, 10*second)),
+		},
+		{
+			"machines change owners",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				storeRejectsController(60*second, followerController(1), 9*second),
+				crashController(66*second, followerController(2), 20*second),
+			),
+		},
+		{
+			"late commands",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, delayedCommands(60*second, 0.5, 60*second)),
+		},
+		{
+			"the owner's process is paused",
+			defaultLeases,
+			throttledThenStoreOutage(2*second, processPause(73*second, leaderController, 8*second)),
+		},
+		{
+			"twice",
+			defaultLeases,
+			throttledThenStoreOutage(
+				2*second,
+				storeRejectsController(147*second, leaderController, 14*second),
+				cancelRunningJobs(147*second+second/2, 6, 0),
+				storeOutage(148*second+second/2, 54*second),
+			),
+		},
+	}
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			for seed := range uint64(3) {
+				s := newScenario(t, 3000+seed)
+				tc.leases.apply(s)
+				s.runFaults(tc.faults, 215*second)
+				s.requireCancelledTasks(t)
+				if t.Failed() {
+					t.Fatalf("seed %d", seed)
+				}
+			}
+		})
+	}
+}
+
+// requireCancelledTasks fails a scenario that ends with too few cancelled jobs to test cancellations.
+func (s *scenario) requireCancelledTasks(t *testing.T) {
+	t.Helper()
+	n := 0
+	for _, u := range s.users {
+		if u.cancelling && u.finished {
+			n++
+		}
+	}
+	if n < 3 {
+		t.Errorf("only %d jobs were cancelled", n)
+	}
+}
