--- a/internal/api/cancellation_test.go
+++ b/internal/api/cancellation_test.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"cmp"
 	"testing"
 
 	"pipitgap/internal/protocol"
@@ -70,19 +71,10 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newFakeWorld()
-			if tc.world != nil {
-				tc.world(world)
-			}
-			id := newJobID
-			if tc.id != "" {
-				id = tc.id
-			}
-			respond, got := once(t)
-			world.handler().Cancel(id, respond)
-			if got() != tc.want {
-				t.Errorf("got %+v, want %+v", got(), tc.want)
-			}
+			world := newChangedWorld(tc.world)
+			world.expectAnswer(t, tc.want, func(h *Handler, respond Respond) {
+				h.Cancel(cmp.Or(tc.id, newJobID), respond)
+			})
 			if len(world.commits) != tc.commits {
 				t.Errorf("%d commits, want %d", len(world.commits), tc.commits)
 			}
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -63,6 +63,25 @@
 	return w
 }
 
+// newChangedWorld is a world with what a test changes about it, if it does.
+func newChangedWorld(change func(*fakeWorld)) *fakeWorld {
+	w := newFakeWorld()
+	if change != nil {
+		change(w)
+	}
+	return w
+}
+
+// expectAnswer makes a request of a new handler and checks its one answer.
+func (w *fakeWorld) expectAnswer(t *testing.T, want answer, request func(*Handler, Respond)) {
+	t.Helper()
+	respond, got := once(t)
+	request(w.handler(), respond)
+	if got() != want {
+		t.Errorf("got %+v, want %+v", got(), want)
+	}
+}
+
 func (w *fakeWorld) handler() *Handler {
 	return NewHandler(Config{
 		Log:           slog.New(slog.DiscardHandler),
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"cmp"
 	"slices"
 	"testing"
 
@@ -99,19 +100,10 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newFakeWorld()
-			if tc.world != nil {
-				tc.world(world)
-			}
-			id := newJobID
-			if tc.id != "" {
-				id = tc.id
-			}
-			respond, got := once(t)
-			world.handler().Status(id, respond)
-			if got() != tc.want {
-				t.Errorf("got %+v, want %+v", got(), tc.want)
-			}
+			world := newChangedWorld(tc.world)
+			world.expectAnswer(t, tc.want, func(h *Handler, respond Respond) {
+				h.Status(cmp.Or(tc.id, newJobID), respond)
+			})
 			if !slices.Equal(world.reads, tc.reads) {
 				t.Errorf("read %v, want %v", world.reads, tc.reads)
 			}
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -158,19 +158,12 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newFakeWorld()
-			if tc.world != nil {
-				tc.world(world)
-			}
+			world := newChangedWorld(tc.world)
 			body := tc.body
 			if body == nil {
 				body = newSubmission(tc.change)
 			}
-			respond, got := once(t)
-			world.handler().Submit(body, respond)
-			if got() != tc.want {
-				t.Errorf("got %+v, want %+v", got(), tc.want)
-			}
+			world.expectAnswer(t, tc.want, func(h *Handler, respond Respond) { h.Submit(body, respond) })
 			if len(world.commits) != tc.commits {
 				t.Errorf("%d commits, want %d", len(world.commits), tc.commits)
 			}
