--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -99,6 +99,12 @@
 	return config.DisruptionBudget{Team: team, MinAvailable: &config.CountOrPercent{Value: n}}
 }
 
+func minAvailableOfClass(team, class string, n int) config.DisruptionBudget {
+	budget := minAvailable(team, n)
+	budget.Class = class
+	return budget
+}
+
 func nodeZero() *Controller {
 	yes := func(string) bool { return true }
 	return &Controller{Node: "n-0", Live: yes, Responsible: yes, RecordBytes: 4000}
@@ -159,29 +165,14 @@
 		{"the default pace", policyOf(1), cordonedZone(four...), 1, BlockedByBudget},
 		{
 			"a budget of the class",
-			policyOf(
-				0,
-				config.DisruptionBudget{
-					Team:         "t",
-					Class:        "web",
-					MinAvailable: &config.CountOrPercent{Value: 3},
-				},
-			),
+			policyOf(0, minAvailableOfClass("t", "web", 3)),
 			cordonedZone(four...),
 			1,
 			BlockedByBudget,
 		},
 		{
 			"the tighter of two budgets",
-			policyOf(
-				0,
-				minAvailable("t", 1),
-				config.DisruptionBudget{
-					Team:         "t",
-					Class:        "web",
-					MinAvailable: &config.CountOrPercent{Value: 3},
-				},
-			),
+			policyOf(0, minAvailable("t", 1), minAvailableOfClass("t", "web", 3)),
 			cordonedZone(four...),
 			1,
 			BlockedByBudget,
--- a/internal/fake/stubs/commits.go
+++ b/internal/fake/stubs/commits.go
@@ -41,6 +41,18 @@
 	return oldest
 }
 
+// Only returns the one commit that a test wants to be held, or none; the test fails if more or fewer are.
+func (h *HeldCommits) Only(t testing.TB, wanted bool) (commit Commit, ok bool) {
+	t.Helper()
+	if held := len(h.Commits); held > 1 || (held == 1) != wanted {
+		t.Fatalf("%d commits, want one: %t; they are %+v", held, wanted, h.Commits)
+	}
+	if !wanted {
+		return Commit{}, false
+	}
+	return h.Commits[0], true
+}
+
 // AppliedCommits has every commit succeed at once and change the mirror.
 type AppliedCommits struct {
 	Mirror   *mirror.Mirror
--- /dev/null
+++ b/internal/fake/stubs/commits_test.go
@@ -0,0 +1,59 @@
+package stubs
+
+import (
+	"testing"
+
+	"pipitgap/internal/mirror"
+	"pipitgap/internal/protocol"
+	"pipitgap/internal/ratelimit"
+	"pipitgap/internal/storage"
+)
+
+func TestHeldCommitsComeOldestFirst(t *testing.T) {
+	var held HeldCommits
+	var answered []uint64
+	answer := func(result protocol.StoreResult) { answered = append(answered, result.Revision) }
+	if _, ok := held.Only(t, false); ok {
+		t.Error("a commit where none was made")
+	}
+	for _, priority := range []ratelimit.Priority{ratelimit.PriorityLease, ratelimit.PriorityBackground} {
+		held.Commit(priority, protocol.Transaction{}, answer)
+	}
+	oldest := held.TakeOldest(t)
+	if oldest.Priority != ratelimit.PriorityLease {
+		t.Errorf("taken %+v, want the earlier commit", oldest)
+	}
+	oldest.Callback(protocol.StoreResult{Revision: 1})
+	last, ok := held.Only(t, true)
+	if !ok || last.Priority != ratelimit.PriorityBackground {
+		t.Errorf("left is %+v, want the later commit", last)
+	}
+	last.Callback(protocol.StoreResult{Revision: 2})
+	if len(answered) != 2 || answered[0] != 1 || answered[1] != 2 {
+		t.Errorf("answered %v", answered)
+	}
+}
+
+func TestAppliedCommitsChangeTheMirror(t *testing.T) {
+	applied := AppliedCommits{Mirror: mirror.New(), Revision: 7}
+	outcomes := 0
+	commit := func(txn protocol.Transaction) {
+		applied.Commit(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
+			if result.Outcome == protocol.OK {
+				outcomes++
+			}
+		})
+	}
+	key := storage.DrainKey("d")
+	commit(protocol.PutIfUnchanged(key, 0, &storage.Drain{State: storage.DrainActive}))
+	if version := applied.Mirror.VersionOf(key); version != 8 {
+		t.Errorf("put with version %d, want 8", version)
+	}
+	commit(protocol.DeleteIfUnchanged(key, 8))
+	if version := applied.Mirror.VersionOf(key); version != 0 {
+		t.Errorf("still there with version %d", version)
+	}
+	if outcomes != 2 || applied.Made != 2 || applied.Revision != 9 {
+		t.Errorf("%d outcomes, %d commits, revision %d", outcomes, applied.Made, applied.Revision)
+	}
+}
--- a/internal/membership/leader_test.go
+++ b/internal/membership/leader_test.go
@@ -70,16 +70,11 @@
 			tc.arrange(w)
 			w.membership.Campaign(w.now)
 			w.membership.Campaign(w.now)
-			if !tc.want {
-				if len(w.Commits) > 0 {
-					t.Errorf("campaigns: %+v", w.Commits)
-				}
+			election, ok := w.Only(t, tc.want)
+			if !ok {
 				return
 			}
-			if len(w.Commits) != 1 {
-				t.Fatalf("%d elections", len(w.Commits))
-			}
-			txn := w.Commits[0].Transaction
+			txn := election.Transaction
 			condition := protocol.Compare{Key: storage.LeaderKey, Version: tc.version}
 			if len(txn.If) != 1 || txn.If[0] != condition || len(txn.Then) != 1 || txn.Then[0].Lease != 5 {
 				t.Errorf("election %+v", txn)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -35,16 +35,11 @@
 			tc.arrange(w)
 			w.holdLease(5) // which writes the record
 			w.membership.EnsureMemberRecord()
-			if !tc.writes {
-				if len(w.Commits) > 0 {
-					t.Errorf("written: %+v", w.Commits)
-				}
+			write, ok := w.Only(t, tc.writes)
+			if !ok {
 				return
 			}
-			if len(w.Commits) != 1 {
-				t.Fatalf("%d writes", len(w.Commits))
-			}
-			txn := w.Commits[0].Transaction
+			txn := write.Transaction
 			want := []protocol.Compare{{Key: storage.MemberKey(testNode), Version: tc.version}}
 			if tc.partition {
 				want = append(
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -360,15 +360,9 @@
 			c.prepare(t, stub)
 			m.ReleaseDeparted(c.now)
 			m.ReleaseDeparted(c.now)
-			if !c.want {
-				if len(stub.Commits) > 0 {
-					t.Error("released")
-				}
+			if _, ok := stub.Only(t, c.want); !ok {
 				return
 			}
-			if len(stub.Commits) != 1 {
-				t.Fatalf("%d commits, want 1", len(stub.Commits))
-			}
 			versions := comparedVersions(stub.answer(t, protocol.OK))
 			member, asked := versions[storage.MemberKey("n-2")]
 			if versions[storage.PartitionKey("n-2")] != 2 || !asked || member != 0 {
--- a/internal/shards/failover_test.go
+++ b/internal/shards/failover_test.go
@@ -192,14 +192,12 @@
 			w.putShard("p3", "n-2", 1, "i-3")
 			tc.prepare(w)
 			w.m.HandOff(w.clock)
-			if tc.want == 0 {
-				if len(w.Commits) > 0 {
-					t.Errorf("%d commits", len(w.Commits))
-				}
+			commit, ok := w.Only(t, tc.want > 0)
+			if !ok {
 				return
 			}
-			if len(w.Commits) != 1 || len(w.Commits[0].Transaction.Then) != tc.want {
-				t.Fatalf("commits %v, want one of %d shards", w.Commits, tc.want)
+			if len(commit.Transaction.Then) != tc.want {
+				t.Fatalf("commit %v, want one of %d shards", commit, tc.want)
 			}
 			if !w.quotaInFlight {
 				t.Error("others may write quota shares")
