--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -1,7 +1,8 @@
 package agents
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"pipitgap/internal/mirror"
 	"pipitgap/internal/monotime"
@@ -253,16 +254,9 @@
 	return !isBack
 }
 
-// sortAttempts sorts attempts by job and task.
+// sortAttempts sorts attempts by job, task and number.
 func sortAttempts(keys []AttemptID) {
-	sort.Slice(keys, func(a, b int) bool {
-		x, y := keys[a], keys[b]
-		if x.Task.Job != y.Task.Job {
-			return x.Task.Job < y.Task.Job
-		}
-		if x.Task.Index != y.Task.Index {
-			return x.Task.Index < y.Task.Index
-		}
-		return x.Attempt < y.Attempt
+	slices.SortFunc(keys, func(a, b AttemptID) int {
+		return cmp.Or(a.Task.Compare(b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
 }
--- a/internal/mirror/task_id.go
+++ b/internal/mirror/task_id.go
@@ -32,7 +32,10 @@
 
 // SortedTaskIDs returns the tasks of a machine in order.
 func SortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
-	return slices.SortedFunc(maps.Keys(attempts), func(a, b TaskID) int {
-		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Index, b.Index))
-	})
+	return slices.SortedFunc(maps.Keys(attempts), TaskID.Compare)
+}
+
+// Compare orders tasks by job, then by index: negative if t comes before other, 0 if they are the same.
+func (t TaskID) Compare(other TaskID) int {
+	return cmp.Or(cmp.Compare(t.Job, other.Job), cmp.Compare(t.Index, other.Index))
 }
