--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -358,7 +358,7 @@
 func TestPaths(t *testing.T) {
 	cases := []struct{ page, folder, want string }{
 		{"[a](design.md#x)", "docs", "docs/design.md"},
-		{"[a](../docs/b.md)", "docs/operators", "docs/docs/b.md"},
+		{"[a](../notes/b.md)", "docs/operators", "docs/notes/b.md"},
 		{"[a](https://example.org/x.md)", "docs", ""},
 		{"`internal/quota`, `cmd/pipitgap`, `gap2/open/x`", ".", "internal/quota cmd/pipitgap"},
 		{"`go test ./internal/quota`", ".", ""},
