--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -47,7 +47,7 @@
 }
 
 // add adds a run or a reap.
-func (b *commandBatch) add(op string, key AttemptID) {
+func (b *commandBatch) add(op protocol.CommandOp, key AttemptID) {
 	b.commands = append(b.commands, protocol.Command{Op: op, Task: key.Task.String(), Attempt: key.Attempt})
 }
 
--- a/internal/agents/commands_test.go
+++ b/internal/agents/commands_test.go
@@ -26,8 +26,8 @@
 
 // TestNextCommands: what a report leads to, beside what TestReportsProveAttemptsGone shows.
 func TestNextCommands(t *testing.T) {
-	kill, reap, run := protocol.CmdKill, protocol.CmdReap, protocol.CmdRun
-	status := func(task string, attempt uint64, state string) protocol.TaskStatus {
+	kill, reap, run := string(protocol.CmdKill), string(protocol.CmdReap), string(protocol.CmdRun)
+	status := func(task string, attempt uint64, state protocol.TaskState) protocol.TaskStatus {
 		return protocol.TaskStatus{Task: task, Attempt: attempt, State: state, Cause: protocol.CauseError}
 	}
 	cases := []struct {
@@ -158,7 +158,7 @@
 		t.Fatal("a second request while the first is in flight")
 	}
 	f.probes[0].callback(protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 2, testBase+1)})
-	if len(f.probes) != 2 || describe(f.probes[1].request.Commands) != protocol.CmdKill+" j-1/0 1 grace 0" {
+	if len(f.probes) != 2 || describe(f.probes[1].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
 		t.Fatalf("after the answer: requests %+v", f.probes)
 	}
 	f.machine.Shard.Record.Claim++
--- a/internal/agents/reports_test.go
+++ b/internal/agents/reports_test.go
@@ -77,7 +77,7 @@
 		cancelled bool
 		killed    uint64 // token of an earlier kill
 		settled   bool
-		commands  string // the commands that follow, if any
+		commands  protocol.CommandOp // the commands that follow, if any
 	}{
 		{"exited", testBase, []protocol.TaskStatus{exited}, false, 0, true, ""},
 		{
@@ -121,7 +121,7 @@
 		if got := agent.HasOutcome(testAttempt); got != tc.settled {
 			t.Errorf("%s: settled %v", tc.name, got)
 		}
-		sent := ""
+		sent := protocol.CommandOp("")
 		for _, command := range agent.NextCommands(machine, replica.Jobs, monotime.Second) {
 			sent += command.Op
 		}
--- a/internal/fake/worker_attempts.go
+++ b/internal/fake/worker_attempts.go
@@ -14,8 +14,8 @@
 // Attempt is an attempt of a task on a worker.
 type Attempt struct {
 	Number uint64
-	State  string
-	Cause  string
+	State  protocol.TaskState
+	Cause  protocol.ExitCause
 	// generation changes when scheduled events of the attempt are void.
 	generation int
 }
@@ -26,7 +26,7 @@
 }
 
 // exit ends the attempt for a cause.
-func (a *Attempt) exit(cause string) { a.State, a.Cause = protocol.StateExited, cause }
+func (a *Attempt) exit(cause protocol.ExitCause) { a.State, a.Cause = protocol.StateExited, cause }
 
 // Execute executes a direct command batch and answers with a heartbeat: 409 for a batch with an older fencing
 // token or for another incarnation.
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -47,26 +47,41 @@
 	return nil
 }
 
-// Task states, causes and commands on the wire.
+// TaskState is the state of a task on a machine, as its worker reports it.
+type TaskState string
+
+// Task states.
+const (
+	StatePulling  TaskState = "pulling"
+	StateRunning  TaskState = "running"
+	StateFlushing TaskState = "flushing"
+	StateExited   TaskState = "exited"
+)
+
+// ExitCause is why a task has exited, as its worker reports it.
+type ExitCause string
+
+// Causes of exits.
+const (
+	CauseDone        ExitCause = "done"
+	CauseStopped     ExitCause = "stopped"
+	CauseError       ExitCause = "error"
+	CauseMachineFull ExitCause = "full"
+	CauseBusy        ExitCause = "busy"
+	CauseUnknown     ExitCause = "unknown"
+)
+
+// CommandOp is what a command has a worker do with a task.
+type CommandOp string
+
+// Commands.
 const (
-	StatePulling  = "pulling"
-	StateRunning  = "running"
-	StateFlushing = "flushing"
-	StateExited   = "exited"
-
-	CauseDone        = "done"
-	CauseStopped     = "stopped"
-	CauseError       = "error"
-	CauseMachineFull = "full"
-	CauseBusy        = "busy"
-	CauseUnknown     = "unknown"
-
-	CmdRun  = "run"
-	CmdKill = "kill"
-	CmdReap = "reap"
+	CmdRun  CommandOp = "run"
+	CmdKill CommandOp = "kill"
+	CmdReap CommandOp = "reap" // forget an attempt that has exited
 )
 
-// Job states as users see them.
+// Statuses of jobs as users see them.
 const (
 	JobPending   = "pending"
 	JobRunning   = "running"
@@ -95,11 +110,11 @@
 
 // TaskStatus is one task in a worker's report.
 type TaskStatus struct {
-	Task            string `msgpack:"pip"`
-	Attempt         uint64 `msgpack:"try_no"`
-	State           string `msgpack:"status"`
-	Cause           string `msgpack:"cause,omitempty"`
-	CheckpointSaved bool   `msgpack:"kept,omitempty"`
+	Task            string    `msgpack:"pip"`
+	Attempt         uint64    `msgpack:"try_no"`
+	State           TaskState `msgpack:"status"`
+	Cause           ExitCause `msgpack:"cause,omitempty"`
+	CheckpointSaved bool      `msgpack:"kept,omitempty"`
 }
 
 // Heartbeat is a worker's report.
@@ -154,10 +169,10 @@
 
 // Command is an order to a worker.
 type Command struct {
-	Op      string   `msgpack:"call"`
-	Task    string   `msgpack:"pip"`
-	Attempt uint64   `msgpack:"try_no"`
-	GraceS  *float64 `msgpack:"leeway_s,omitempty"`
+	Op      CommandOp `msgpack:"call"`
+	Task    string    `msgpack:"pip"`
+	Attempt uint64    `msgpack:"try_no"`
+	GraceS  *float64  `msgpack:"leeway_s,omitempty"`
 }
 
 // HeartbeatReply answers a report.
