--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -120,7 +120,8 @@
 	case faulty:
 		m.scheduler.ClearFailuresOn(machine)
 		m.RequestRemoval(machine, removalFaulty)
-	case agent.InterruptionNoticed() && machine.Record.State != storage.MachineDraining && !agent.IsStoppingAny():
+	case agent.InterruptionNoticed() && machine.Record.State != storage.MachineDraining &&
+		!agent.IsStoppingAny():
 		check.interruptionNoticed++
 		m.vacateInterruptedMachine(machine)
 	}
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -115,7 +115,8 @@
 	h.readRecord(storage.KindJobResult, id, callback, missing, func(value protocol.Raw) {
 		var result storage.JobResult
 		if protocol.Unmarshal(value, &result) != nil {
-			callback(failedLookup(id, h.deferRequest(transport.StatusUnavailable, "final state can't be read")))
+			rejection := h.deferRequest(transport.StatusUnavailable, "final state can't be read")
+			callback(failedLookup(id, rejection))
 			return
 		}
 		h.mirror.Results.Add(id, result.State)
--- a/internal/autoscaling/fleet/catalog.go
+++ b/internal/autoscaling/fleet/catalog.go
@@ -24,7 +24,8 @@
 			continue
 		}
 		key := storage.MachineTypeKey(name)
-		r.Commit(ratelimit.PriorityBackground, key, protocol.PutIfUnchanged(key, stored.Version, &record), nil)
+		txn := protocol.PutIfUnchanged(key, stored.Version, &record)
+		r.Commit(ratelimit.PriorityBackground, key, txn, nil)
 	}
 }
 
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -24,7 +24,7 @@
 }
 
 // unfilledKeySuffix marks the record that quarantines an offer of which a request got fewer machines than it
-// asked for: the request's key with this suffix.
+// wanted: the request's key with this suffix.
 const unfilledKeySuffix = "-rest"
 
 // reconcileScaleOuts takes the next step of every scale-out request.
@@ -42,7 +42,8 @@
 			if age > r.cfg.Settings.OfferQuarantine.Micros() {
 				r.term.backoffs.NoteOfferRecovery()
 				key := storage.ScaleOutKey(name)
-				r.Commit(ratelimit.PriorityBackground, key, protocol.DeleteIfUnchanged(key, request.Version), nil)
+				txn := protocol.DeleteIfUnchanged(key, request.Version)
+				r.Commit(ratelimit.PriorityBackground, key, txn, nil)
 			}
 		case storage.ScaleOutProvisioning:
 			r.reconcileProvisioning(name, request, age)
@@ -67,7 +68,8 @@
 	case unclaimable && len(connected) > 0:
 		record := request.Record
 		record.Live, record.Own = connected, nil
-		r.Commit(ratelimit.PriorityShardUpdate, key, protocol.PutIfUnchanged(key, request.Version, &record), nil)
+		txn := protocol.PutIfUnchanged(key, request.Version, &record)
+		r.Commit(ratelimit.PriorityShardUpdate, key, txn, nil)
 	}
 }
 
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -101,7 +101,8 @@
 				break
 			}
 			if demand.allowsMachine(bin.Offer) && demand.Need.FitsIn(bin.Capacity) {
-				expected += bin.absorb(demand, rule.horizonSeconds(demand, bin), float64(demand.Tasks)-expected)
+				within := rule.horizonSeconds(demand, bin)
+				expected += bin.absorb(demand, within, float64(demand.Tasks)-expected)
 			}
 		}
 		demand.Tasks -= min(demand.Tasks, int(expected))
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -35,8 +35,10 @@
 
 // demandAndSupply lists the tasks without room that the quotas let run, those that drains want replaced among
 // them, and the machines that are up or requested.
-func (a *autoscaler) demandAndSupply(snapshot *autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin) {
-	waiting := append(
+func (a *autoscaler) demandAndSupply(
+	snapshot *autoscaling.Snapshot,
+) (waiting []*autoscaling.Demand, supply []*autoscaling.Bin) {
+	waiting = append(
 		snapshot.UnplacedDemand(a.c.scheduler.OrderedQueue()),
 		a.c.drains.ReplacementDemands()...,
 	)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -63,7 +63,10 @@
 				controller.HandleRequest(message.Method, message.Target, message.Body, r.Respond)
 			})
 			if !delivered {
-				r.Respond(transport.Response{Status: transport.StatusUnavailable, RetryAfter: retryAfterFullMailbox})
+				r.Respond(transport.Response{
+					Status:     transport.StatusUnavailable,
+					RetryAfter: retryAfterFullMailbox,
+				})
 			}
 		},
 		OnPeerFrame: func(frame []byte) {
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -209,7 +209,7 @@
 	for _, id := range s.Selected(&record.Drain) {
 		machine, _ := s.Machine(id)
 		switch {
-		case machine.State == storage.MachineRemoving || len(machine.Replicas) == 0 && len(machine.ArrayUsage) == 0:
+		case machine.State == storage.MachineRemoving || machine.isEmpty():
 		case machine.hasPermits():
 			begun = append(begun, id)
 		default:
@@ -220,6 +220,9 @@
 	return step[:min(len(step), record.MaxParallel)]
 }
 
+// isEmpty reports whether no task holds anything on a machine.
+func (m *Machine) isEmpty() bool { return len(m.Replicas) == 0 && len(m.ArrayUsage) == 0 }
+
 // hasPermits reports whether a replica on a machine is under a permit.
 func (m *Machine) hasPermits() bool {
 	for _, replica := range m.Replicas {
--- a/internal/drain/drainer/evictions.go
+++ b/internal/drain/drainer/evictions.go
@@ -31,7 +31,8 @@
 	for task, number := range machine.Attempts {
 		attempt := agents.AttemptID{Task: task, Attempt: number}
 		job := d.deps.Mirror.Jobs[task.Job]
-		if job == nil || !job.IsOpen() || machine.agent.IsStopping(attempt) || machine.agent.HasOutcome(attempt) ||
+		if job == nil || !job.IsOpen() ||
+			machine.agent.IsStopping(attempt) || machine.agent.HasOutcome(attempt) ||
 			d.needsPermit(job) || d.endsSoon(machine.agent, attempt, job, startedAt, now) {
 			continue
 		}
--- a/internal/drain/drainer/snapshot.go
+++ b/internal/drain/drainer/snapshot.go
@@ -11,7 +11,8 @@
 // beyond the records.
 func (d *Drainer) Snapshot() *drain.Snapshot {
 	records, machineTypes := d.deps.Mirror, d.deps.Machines.MachineTypes()
-	builder := records.DrainSnapshotBuilder(d.deps.Clock.WallClock(), machineTypes, d.deps.Jobs.IsCrashLooping)
+	wall := d.deps.Clock.WallClock()
+	builder := records.DrainSnapshotBuilder(wall, machineTypes, d.deps.Jobs.IsCrashLooping)
 	for _, id := range sortedmap.Keys(records.Machines) {
 		machine := records.Machines[id]
 		if machine.Record == nil {
--- a/internal/drain/drainer/states.go
+++ b/internal/drain/drainer/states.go
@@ -41,7 +41,8 @@
 			continue
 		}
 		for _, id := range autoscaling.MissingMachines(d.deps.Mirror, request) {
-			if drain.Covers(record, id, request.Record.MachineType, request.Record.Zone, request.Record.Spot) {
+			wanted := &request.Record
+			if drain.Covers(record, id, wanted.MachineType, wanted.Zone, wanted.Spot) {
 				return true
 			}
 		}
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -249,7 +249,8 @@
 	next := &s
 	for _, team := range sortedmap.Keys(s.permits) {
 		for _, permit := range s.permits[team].Permits {
-			if _, replica, held := next.replicaOf(permit.Job, permit.Task); !held || replica.Attempt == permit.Attempt {
+			_, replica, held := next.replicaOf(permit.Job, permit.Task)
+			if !held || replica.Attempt == permit.Attempt {
 				next = next.withPermit(permit)
 			}
 		}
--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -101,7 +101,8 @@
 	}
 	if p.WorkerLease < p.HeartbeatInterval+WorkerAnswerTimeout+WorkerRetryPause {
 		out = append(out, Warning{"facts.workers.lease_s",
-			"a worker whose controller doesn't answer reaches no other before lease expiry: its tasks are lost"})
+			"a worker whose controller doesn't answer reaches no other before lease expiry: " +
+				"its tasks are lost"})
 	}
 	if p.CancellationDeadline < p.WorkerLease+leaseExpiryMargin+minRenewalWindow {
 		out = append(out, Warning{"facts.workers.cancel_s",
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -164,7 +164,8 @@
 // sameRequest reports that two drains came of the same request, whenever it was made.
 func sameRequest(a, b *storage.Drain) bool {
 	lasts := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
-	return reflect.DeepEqual(a.Selector, b.Selector) && a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
+	return reflect.DeepEqual(a.Selector, b.Selector) &&
+		a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
 		a.MaxParallel == b.MaxParallel &&
 		(a.LastMachine == "") == (b.LastMachine == "") &&
 		lasts(a) == lasts(b)
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	wholePercent = 100
 	// bestEffortShardPercent is how much of what a shard may be filled to is for arrays of the lowest
 	// priority.
 	bestEffortShardPercent = 80
@@ -109,7 +110,7 @@
 // machine though there is room for all of them.
 func (sc *Scheduler) shardBytesFor(spec *storage.JobSpec) int {
 	if !spec.Service && spec.Priority == int(protocol.BestEffort) {
-		return sc.AssignmentShardBytes() * bestEffortShardPercent / 100
+		return sc.AssignmentShardBytes() * bestEffortShardPercent / wholePercent
 	}
 	return sc.AssignmentShardBytes()
 }
--- a/internal/placement/dependencies.go
+++ b/internal/placement/dependencies.go
@@ -95,7 +95,7 @@
 // Drains tells what drains and disruption budgets reserve and protect.
 type Drains interface {
 	ReservedByMachine() map[string]resources.Vector
-	ForEachReservation(visit func(*storage.Permit, *mirror.Job))
+	ForEachReservation(callback func(*storage.Permit, *mirror.Job))
 	ProtectsFromPreemption(job *mirror.Job) bool
 	TracksStart(spec *storage.JobSpec) bool
 }
--- a/internal/placement/scavenger.go
+++ b/internal/placement/scavenger.go
@@ -58,9 +58,9 @@
 	if sc.isPreempting(job.ID, request.now) {
 		return true
 	}
-	made, machines, saveSeconds := 0, map[string]bool{}, 0.0
+	tasksWithRoom, machines, saveSeconds := 0, map[string]bool{}, 0.0
 	for _, candidate := range request.candidates {
-		if made >= request.tasks {
+		if tasksWithRoom >= request.tasks {
 			break
 		}
 		if candidate.HeldBack || !sc.mayPreemptOn(candidate, job, request.zones) {
@@ -70,12 +70,12 @@
 			return sc.preemptibleBy(job, victim)
 		})
 		selection := scheduling.SelectScavengers(
-			victims, job.TaskResources, candidate.Free, request.tasks-made,
+			victims, job.TaskResources, candidate.Free, request.tasks-tasksWithRoom,
 		)
 		if len(selection.Victims) == 0 {
 			continue
 		}
-		made += selection.Tasks
+		tasksWithRoom += selection.Tasks
 		saveSeconds = max(saveSeconds, selection.SaveSeconds())
 		sc.stopVictims("scavenger task preempted", candidate, selection.Victims, job)
 		machines[candidate.MachineID] = true
--- a/internal/protocol/outcomes.go
+++ b/internal/protocol/outcomes.go
@@ -24,7 +24,8 @@
 // String names the outcome for log lines and errors.
 func (o Outcome) String() string {
 	return [...]string{
-		"unknown", "ok", "conflict", "not found", "too old", "rejected", "no capacity", "throttled", "unavailable",
+		"unknown", "ok", "conflict", "not found", "too old", "rejected",
+		"no capacity", "throttled", "unavailable",
 	}[o]
 }
 
--- a/internal/protocol/worker_calls.go
+++ b/internal/protocol/worker_calls.go
@@ -25,7 +25,8 @@
 		}
 	}
 	message, outcome := send(client, request)
-	if outcome == Unknown || message.Status != transport.StatusOK && message.Status != transport.StatusConflict {
+	if outcome == Unknown ||
+		message.Status != transport.StatusOK && message.Status != transport.StatusConflict {
 		return CommandResult{}
 	}
 	result := CommandResult{Status: message.Status}
