--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,14 +23,24 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective repeats one of the users' aims.
+// ObjectiveKind says what an objective bounds.
+type ObjectiveKind string
+
+// Kinds of objectives. Others may be set and bind nothing here.
+const (
+	ObjectiveFinished ObjectiveKind = "finished" // jobs of the class are to have ended within a time
+	ObjectiveWait     ObjectiveKind = "wait"     // jobs of the class are to have started within a time
+	ObjectiveDeadline ObjectiveKind = "deadline" // they are to have ended within a multiple of their deadlines
+)
+
+// Objective is a service-level objective of the users' for a class of jobs.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	AfterS  float64 `toml:"after_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
+	Kind    ObjectiveKind `toml:"kind"`
+	Class   string        `toml:"class"`
+	WithinS float64       `toml:"within_s"`
+	AfterS  float64       `toml:"after_s"`
+	Share   float64       `toml:"share"`
+	Times   float64       `toml:"times"`
 }
 
 // Workers are the durations of the workers' protocol.
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -240,6 +240,6 @@
 	}
 	p.zoneConstraint.AddTasks(candidate.Record.Zone, 1)
 	if p.oneCommitAtATime {
-		p.request.Fence = update
+		p.request.OnlyWrite = update
 	}
 }
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -161,9 +161,9 @@
 	adopted := ranges
 	for _, taskRange := range ranges {
 		partition := taskRange.Partition
-		gone := !sc.deps.Membership.IsMember(partition) &&
+		departed := !sc.deps.Membership.IsMember(partition) &&
 			now-sc.deps.Membership.AbsentSince(partition, now) > orphanedRangeDelay
-		if gone || sc.deps.Reachability.IsCutOffFromWorkers(partition, now) {
+		if departed || sc.deps.Reachability.IsCutOffFromWorkers(partition, now) {
 			adopted = storage.AssignRange(adopted, taskRange.First, taskRange.End, sc.config.Node)
 		}
 	}
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -88,18 +88,18 @@
 		return 0
 	}
 	spec, ranges := &job.Record.Spec, job.Record.TaskRanges
-	whole, most := spec.OneZone || spec.Spread, room
-	if whole { // its tasks stay together
-		most = math.MaxInt
+	keepTogether, maxTasks := spec.OneZone || spec.Spread, room
+	if keepTogether { // its tasks stay together
+		maxTasks = math.MaxInt
 	}
 	for k := len(ranges) - 1; k >= 0; k-- {
 		taskRange := ranges[k]
 		if taskRange.Partition == sc.config.Node || sc.ownerHasGracePeriod(job, taskRange.Partition, work) {
 			continue
 		}
-		tail := scheduling.WaitingTail(taskRange, job.TaskStates, most)
+		tail := scheduling.WaitingTail(taskRange, job.TaskStates, maxTasks)
 		if tail.Waiting == 0 ||
-			whole && tail.Waiting > room && sc.deps.Membership.IsMember(taskRange.Partition) {
+			keepTogether && tail.Waiting > room && sc.deps.Membership.IsMember(taskRange.Partition) {
 			continue
 		}
 		if !sc.ReassignTaskRanges(
@@ -138,17 +138,17 @@
 		shareLeft = sc.deps.Quota.Left(team)
 		work.quotaLeftByTeam[team] = shareLeft
 	}
-	within := job.TaskResources.CountIn(shareLeft)
-	if within >= room {
+	tasksInShare := job.TaskResources.CountIn(shareLeft)
+	if tasksInShare >= room {
 		return room
 	}
 	sc.deps.Quota.NoteShortage(team, quota.UnmetDemand{
 		TaskResources:  job.TaskResources,
-		Tasks:          min(room-within, job.UnassignedTasks()),
+		Tasks:          min(room-tasksInShare, job.UnassignedTasks()),
 		ShareLeft:      shareLeft,
 		HasMachineRoom: true,
 	})
-	return within
+	return tasksInShare
 }
 
 // ownerHasGracePeriod tells whether a live partition that seems to have room for a job's tasks still has time
@@ -168,17 +168,17 @@
 	taskResources resources.Vector,
 	spec *storage.JobSpec,
 	candidates []*candidateMachine,
-	n int,
+	tasks int,
 ) {
 	for _, candidate := range candidates {
-		if n <= 0 {
+		if tasks <= 0 {
 			return
 		}
 		if !candidate.HeldBack && candidate.ReservedForJob == "" &&
 			scheduling.MachineAllowed(spec, candidate.Record) {
-			k := min(n, taskResources.CountIn(candidate.Free))
-			candidate.Free = candidate.Free.AddScaled(taskResources, -float64(k))
-			n -= k
+			fitting := min(tasks, taskResources.CountIn(candidate.Free))
+			candidate.Free = candidate.Free.AddScaled(taskResources, -float64(fitting))
+			tasks -= fitting
 		}
 	}
 }
--- a/internal/scheduling/machine_choice.go
+++ b/internal/scheduling/machine_choice.go
@@ -79,7 +79,7 @@
 	Failures         *JobFailures // nil: none seen
 	SpotOnly         bool         // ordinary machines only where services keep them in any case
 	FreedQuotaOnly   bool         // only shards whose write gives back enough of the team's share
-	Fence            ShardWrite   // the only write that may take the job's tasks; nil: any
+	OnlyWrite        ShardWrite   // the only write that may take the job's tasks; nil: any
 	MaxShardBytes    int
 	MaxShardCompares int     // that a shard's write may have before the job is added to it
 	FleetServiceCPUs float64 // CPUs that all services hold
@@ -96,7 +96,7 @@
 }
 
 func (r *MachineRequest) acceptsShard(shard ShardWrite) bool {
-	if r.Fence != nil && shard != r.Fence {
+	if r.OnlyWrite != nil && shard != r.OnlyWrite {
 		return false
 	}
 	if r.FreedQuotaOnly && !r.Need.FitsIn(shard.FreedQuota(r.Spec.Team)) {
--- a/internal/scheduling/objectives.go
+++ b/internal/scheduling/objectives.go
@@ -8,13 +8,6 @@
 	"pipitgap/internal/storage"
 )
 
-// Kinds of objectives in the configuration.
-const (
-	objectiveFinished = "finished" // its class is to have ended within a time
-	objectiveWait     = "wait"     // its class is to have started within a time
-	objectiveDeadline = "deadline" // it is to have ended within a multiple of its own deadline
-)
-
 // LatestStarts are the times by which the objectives want a job's tasks to start, in seconds from its
 // submission, the shortest first. A task is expected to run for so many seconds. Without an objective the
 // only one is infinite.
@@ -24,11 +17,11 @@
 	for _, objective := range objectives {
 		switch {
 		case objective.Class != spec.Class || spec.Service:
-		case objective.Kind == objectiveFinished:
+		case objective.Kind == config.ObjectiveFinished:
 			starts = append(starts, objective.WithinS-runSeconds)
-		case objective.Kind == objectiveWait:
+		case objective.Kind == config.ObjectiveWait:
 			starts = append(starts, objective.WithinS)
-		case objective.Kind == objectiveDeadline && spec.DeadlineS > 0 && objective.Times > 0:
+		case objective.Kind == config.ObjectiveDeadline && spec.DeadlineS > 0 && objective.Times > 0:
 			starts = append(starts, objective.Times*spec.DeadlineS-runSeconds)
 			hasDeadlineObjective = true
 		}
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -102,8 +102,8 @@
 	for _, score := range scores {
 		best, most := fallback, 0
 		for _, partition := range partitions {
-			if offer := score(partition); offer > most {
-				best, most = partition, offer
+			if value := score(partition); value > most {
+				best, most = partition, value
 			}
 		}
 		if most > 0 {
--- a/internal/scheduling/start_progress.go
+++ b/internal/scheduling/start_progress.go
@@ -45,11 +45,11 @@
 
 // Stalled tells whether nothing has started for so long that the array is starved from now on.
 func (p *StartProgress) Stalled(now monotime.Micros) bool {
-	after := starvedAfter
+	limit := starvedAfter
 	if p.startedHighWater > 0 {
-		after = starvedAgainAfter
+		limit = starvedAgainAfter
 	}
-	return now-p.progressAt > after
+	return now-p.progressAt > limit
 }
 
 // BeginCatchUp sets what a stalled array is to get, and tells whether that is anything. One of the scavenger
--- a/internal/scheduling/task_ranges.go
+++ b/internal/scheduling/task_ranges.go
@@ -34,9 +34,9 @@
 	sharing := min(len(rooms), max(1, left/minTasksPerRange))
 	for i := range sharing {
 		partitionsLeft := sharing - i
-		more := (left + partitionsLeft - 1) / partitionsLeft
-		sizes[i] += more
-		left -= more
+		extra := (left + partitionsLeft - 1) / partitionsLeft
+		sizes[i] += extra
+		left -= extra
 	}
 	var ranges []storage.TaskRange
 	first := 0
--- a/internal/storage/shard_decode.go
+++ b/internal/storage/shard_decode.go
@@ -114,7 +114,7 @@
 		return false
 	}
 	for id, before := range d.previous.Machines {
-		if now, ok := d.machineByNumber[before.Number]; ok && now != id {
+		if current, ok := d.machineByNumber[before.Number]; ok && current != id {
 			return false
 		}
 	}
