--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -94,19 +94,19 @@
 func (r *Relay) MessagesFor(
 	name string, now monotime.Micros, mirrorRevision uint64, recordsLoaded bool,
 ) []RoundMessage {
-	p := r.peers[name]
-	if p == nil {
+	peer := r.peers[name]
+	if peer == nil {
 		return nil
 	}
 	r.round++
-	list := r.Since(p.mirrorRevision)
+	list := r.Since(peer.mirrorRevision)
 	parts := max(1, (len(list)+maxCommittedPerMessage-1)/maxCommittedPerMessage)
 	out := make([]RoundMessage, 0, parts)
 	for i := range parts {
 		begin, end := i*maxCommittedPerMessage, min(len(list), (i+1)*maxCommittedPerMessage)
 		out = append(out, RoundMessage{
 			Incarnation: r.incarnation, Clock: now,
-			EchoedIncarnation: p.incarnation, EchoedClock: p.clock,
+			EchoedIncarnation: peer.incarnation, EchoedClock: peer.clock,
 			MirrorRevision: mirrorRevision, RecordsLoaded: recordsLoaded,
 			Round: r.round, MessagesInRound: parts, Committed: list[begin:end],
 		})
@@ -117,11 +117,11 @@
 // Receive takes a peer's message and returns the cancellations in it that were not
 // known yet. The caller must act on them before it asks for ConfirmedUntil again.
 func (r *Relay) Receive(name string, m RoundMessage) []Committed {
-	p := r.peers[name]
-	if p == nil {
+	peer := r.peers[name]
+	if peer == nil {
 		return nil
 	}
-	p.noteSender(m)
+	peer.noteSender(m)
 	var fresh []Committed
 	for _, c := range m.Committed {
 		if _, known := r.committed[c.Job]; !known {
@@ -129,8 +129,8 @@
 			fresh = append(fresh, c)
 		}
 	}
-	if p.roundComplete(m) && m.RecordsLoaded && m.EchoedIncarnation == r.incarnation {
-		p.knownUntil = max(p.knownUntil, m.EchoedClock)
+	if peer.roundComplete(m) && m.RecordsLoaded && m.EchoedIncarnation == r.incarnation {
+		peer.knownUntil = max(peer.knownUntil, m.EchoedClock)
 	}
 	return fresh
 }
@@ -163,8 +163,8 @@
 // was after it had received the clock reading that it echoes.
 func (r *Relay) ConfirmedUntil(mirrored, now monotime.Micros) monotime.Micros {
 	heard := now
-	for _, p := range r.peers {
-		heard = min(heard, p.knownUntil)
+	for _, peer := range r.peers {
+		heard = min(heard, peer.knownUntil)
 	}
 	return max(mirrored, heard)
 }
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -55,15 +55,15 @@
 
 // scopesOf lists the scopes that a job's replicas count in: its team's and its class's, as far as they have a
 // budget; its class's, with the default budget, if neither has one.
-func (p *Policy) scopesOf(j *Job) []Scope {
+func (p *Policy) scopesOf(job *Job) []Scope {
 	var scopes []Scope
-	for _, scope := range []Scope{{Team: j.Team}, {Team: j.Team, Class: j.Class}} {
+	for _, scope := range []Scope{{Team: job.Team}, {Team: job.Team, Class: job.Class}} {
 		if _, ok := p.budgetFor(scope); ok {
 			scopes = append(scopes, scope)
 		}
 	}
 	if len(scopes) == 0 {
-		scopes = append(scopes, Scope{Team: j.Team, Class: j.Class})
+		scopes = append(scopes, Scope{Team: job.Team, Class: job.Class})
 	}
 	return scopes
 }
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -87,9 +87,9 @@
 }
 
 // Decide works out what a controller is to do for all drains.
-func (p *Policy) Decide(s *Snapshot, c *Controller) *Decision {
+func (p *Policy) Decide(s *Snapshot, controller *Controller) *Decision {
 	d := &decider{
-		policy: p, snapshot: s, controller: c, availability: p.availabilityByScope(s),
+		policy: p, snapshot: s, controller: controller, availability: p.availabilityByScope(s),
 		unplaceable: map[placementKey]bool{}, recordBytes: map[string]int{},
 		decision: &Decision{Granted: map[string][]storage.Permit{}, Completed: map[string][]storage.Permit{}},
 	}
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -67,8 +67,8 @@
 			Zones:    []string{"a", "b"},
 		},
 	)
-	for name, d := range f.drains {
-		b.AddDrain(name, 50, d)
+	for name, record := range f.drains {
+		b.AddDrain(name, 50, record)
 	}
 	for team, permits := range f.permits {
 		b.AddPermits(team, 60, storage.Permits{Permits: permits})
@@ -229,16 +229,16 @@
 		}(), 4, ""},
 		{"paused", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
-			d := zoneDrain("a")
-			d.State = storage.DrainPaused
-			f.drains["rack"] = d
+			record := zoneDrain("a")
+			record.State = storage.DrainPaused
+			f.drains["rack"] = record
 			return f
 		}(), 0, ""},
 		{"past the deadline", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
-			d := zoneDrain("a")
-			d.DeadlineAt = 900
-			f.drains["rack"] = d
+			record := zoneDrain("a")
+			record.DeadlineAt = 900
+			f.drains["rack"] = record
 			return f
 		}(), 0, BlockedByDeadline},
 		{"not cordoned yet", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
@@ -250,9 +250,9 @@
 		}(), 0, BlockedByCordon},
 		{"two machines at a time", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := cordonedZone(four...)
-			d := zoneDrain("a")
-			d.MaxParallel = 2
-			f.drains["rack"] = d
+			record := zoneDrain("a")
+			record.MaxParallel = 2
+			f.drains["rack"] = record
 			return f
 		}(), 3, ""},
 	}
@@ -261,7 +261,7 @@
 		if got := granted(d); got != tc.grants {
 			t.Errorf("%s: %d permits, want %d; blocked %+v", tc.name, got, tc.grants, d.Blocked)
 		}
-		ofKind := slices.ContainsFunc(d.Blocked, func(b Blockage) bool { return b.Kind == tc.blocked })
+		ofKind := slices.ContainsFunc(d.Blocked, func(blockage Blockage) bool { return blockage.Kind == tc.blocked })
 		if tc.blocked == "" && len(d.Blocked) > 0 || tc.blocked != "" && !ofKind {
 			t.Errorf("%s: blocked %+v, want %q", tc.name, d.Blocked, tc.blocked)
 		}
@@ -270,9 +270,9 @@
 
 // TestPermitRecordBounded: a team's record takes no more permits than it can hold.
 func TestPermitRecordBounded(t *testing.T) {
-	c := nodeZero()
-	c.RecordBytes = 170 // two permits
-	d := policyOf(0, minAvailable("t", 0)).Decide(cordonedZone("j-1 j-1 j-1").build(), c)
+	controller := nodeZero()
+	controller.RecordBytes = 170 // two permits
+	d := policyOf(0, minAvailable("t", 0)).Decide(cordonedZone("j-1 j-1 j-1").build(), controller)
 	if granted(d) != 2 || d.Blocked[0].Kind != BlockedByPermits {
 		t.Errorf("%d permits, blocked %+v", granted(d), d.Blocked)
 	}
@@ -297,9 +297,9 @@
 			2,
 		},
 		{"the drain was aborted", func(f *fleetSpec) {
-			d := zoneDrain("a")
-			d.State = storage.DrainAborted
-			f.drains["rack"] = d
+			record := zoneDrain("a")
+			record.State = storage.DrainAborted
+			f.drains["rack"] = record
 		}, 0, 1, 0, 2},
 		{"stopped, not started again", func(f *fleetSpec) { f.machines["i-1"] = nil }, 0, 0, 0, 0},
 		{"starting at its new place", func(f *fleetSpec) {
@@ -378,9 +378,9 @@
 		len(plan.Steps) > 0 {
 		t.Errorf("without room: %+v", plan)
 	}
-	d := zoneDrain("a")
-	d.Replace = true
-	plan = policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", d)
+	record := zoneDrain("a")
+	record.Replace = true
+	plan = policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", record)
 	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].ScaleOut) == 0 ||
 		!strings.Contains(plan.Steps[0].ScaleOut[0], "zone b") {
 		t.Errorf("with replacement: %+v", plan)
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -49,9 +49,13 @@
 }
 
 // Plan works out the steps of a drain, changing nothing.
-func (p *Policy) Plan(s *Snapshot, name string, d storage.Drain) *Plan {
-	planner := &planner{policy: p, snapshot: s.withDrain(name, d), record: DrainRecord{Drain: d, Name: name}}
-	plan := &Plan{Machines: s.Selected(&d)}
+func (p *Policy) Plan(s *Snapshot, name string, record storage.Drain) *Plan {
+	planner := &planner{
+		policy:   p,
+		snapshot: s.withDrain(name, record),
+		record:   DrainRecord{Drain: record, Name: name},
+	}
+	plan := &Plan{Machines: s.Selected(&record)}
 	planner.cordon(plan.Machines)
 	for len(plan.Steps) < maxPlanSteps {
 		step, blocked := planner.nextStep()
@@ -65,13 +69,13 @@
 }
 
 // withDrain returns a snapshot in which a drain stands.
-func (s *Snapshot) withDrain(name string, d storage.Drain) *Snapshot {
+func (s *Snapshot) withDrain(name string, record storage.Drain) *Snapshot {
 	next := *s
 	next.drains = slices.DeleteFunc(
 		slices.Clone(s.drains),
-		func(o DrainRecord) bool { return o.Name == name },
+		func(other DrainRecord) bool { return other.Name == name },
 	)
-	next.drains = append(next.drains, DrainRecord{Drain: d, Name: name})
+	next.drains = append(next.drains, DrainRecord{Drain: record, Name: name})
 	return &next
 }
 
@@ -115,15 +119,20 @@
 	everybody := func(string) bool { return true }
 	tried := p.snapshot
 	for _, node := range p.owners() {
-		c := &Controller{Node: node, Live: everybody, Responsible: everybody, RecordBytes: planRecordBytes}
-		d := p.policy.Decide(tried, c)
-		for team, permits := range d.Granted {
+		controller := &Controller{
+			Node:        node,
+			Live:        everybody,
+			Responsible: everybody,
+			RecordBytes: planRecordBytes,
+		}
+		decision := p.policy.Decide(tried, controller)
+		for team, permits := range decision.Granted {
 			all.Granted[team] = append(all.Granted[team], permits...)
 			for _, permit := range permits {
 				tried = tried.withPermit(permit)
 			}
 		}
-		all.Blocked = d.Blocked
+		all.Blocked = decision.Blocked
 	}
 	return all
 }
@@ -163,11 +172,11 @@
 // scaleOutFor adds a machine like the one that is drained for the first replica that no machine can take. It
 // tells whether it did.
 func (p *planner) scaleOutFor(blocked []Blockage, step *Step) bool {
-	for _, b := range blocked {
-		if b.Kind != BlockedByCapacity {
+	for _, blockage := range blocked {
+		if blockage.Kind != BlockedByCapacity {
 			continue
 		}
-		like, _ := p.snapshot.Machine(b.Machine)
+		like, _ := p.snapshot.Machine(blockage.Machine)
 		if machine, ok := p.simulateScaleOut(like); ok {
 			step.ScaleOut = append(step.ScaleOut, fmt.Sprintf("%s in zone %s", machine.Type, machine.Zone))
 			p.snapshot = p.snapshot.withMachine(machine)
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -7,36 +7,39 @@
 )
 
 // Covers reports whether a machine belongs to a drain.
-func Covers(d *storage.Drain, id, machineType, zone string, spot bool) bool {
-	if d.LastMachine != "" && id > d.LastMachine {
+func Covers(record *storage.Drain, id, machineType, zone string, spot bool) bool {
+	if record.LastMachine != "" && id > record.LastMachine {
 		return false
 	}
-	return matches(&d.Selector, id, machineType, zone, spot)
+	return matches(&record.Selector, id, machineType, zone, spot)
 }
 
 // matches reports whether a selector names a machine, or its zone, type and capacity type.
-func matches(s *storage.Selector, id, machineType, zone string, spot bool) bool {
-	if len(s.Machines) > 0 {
-		return slices.Contains(s.Machines, id)
+func matches(selector *storage.Selector, id, machineType, zone string, spot bool) bool {
+	if len(selector.Machines) > 0 {
+		return slices.Contains(selector.Machines, id)
 	}
-	return matchesOffer(s, machineType, zone, spot)
+	return matchesOffer(selector, machineType, zone, spot)
 }
 
 // matchesOffer reports whether a selector by zone, type and capacity type matches an offer.
-func matchesOffer(s *storage.Selector, machineType, zone string, spot bool) bool {
-	return (s.Zone == "" || s.Zone == zone) && (s.Type == "" || s.Type == machineType) &&
-		(s.CapacityType == storage.AnyCapacity || s.CapacityType == storage.CapacityTypeOf(spot))
+func matchesOffer(selector *storage.Selector, machineType, zone string, spot bool) bool {
+	return (selector.Zone == "" || selector.Zone == zone) &&
+		(selector.Type == "" || selector.Type == machineType) &&
+		(selector.CapacityType == storage.AnyCapacity || selector.CapacityType == storage.CapacityTypeOf(spot))
 }
 
 // ClosesOffer reports whether a drain keeps an offer (type, zone, spot or on demand) from being requested:
 // such machines would have to be drained as well.
-func ClosesOffer(d *storage.Drain, machineType, zone string, spot bool) bool {
-	return d.State.Unfinished() && d.ClosesOffers() && matchesOffer(&d.Selector, machineType, zone, spot)
+func ClosesOffer(record *storage.Drain, machineType, zone string, spot bool) bool {
+	return record.State.Unfinished() && record.ClosesOffers() &&
+		matchesOffer(&record.Selector, machineType, zone, spot)
 }
 
 // SelectorEmpty reports whether a selector names nothing.
-func SelectorEmpty(s *storage.Selector) bool {
-	return len(s.Machines) == 0 && s.Zone == "" && s.Type == "" && s.CapacityType == storage.AnyCapacity
+func SelectorEmpty(selector *storage.Selector) bool {
+	return len(selector.Machines) == 0 && selector.Zone == "" && selector.Type == "" &&
+		selector.CapacityType == storage.AnyCapacity
 }
 
 // drainCovering returns the unfinished drain that a machine belongs to. Drains don't overlap.
@@ -51,10 +54,10 @@
 }
 
 // Selected lists the ids of the machines that belong to a drain, in order.
-func (s *Snapshot) Selected(d *storage.Drain) []string {
+func (s *Snapshot) Selected(record *storage.Drain) []string {
 	var selected []string
 	s.ForEachMachine(func(machine *Machine) bool {
-		if Covers(d, machine.ID, machine.Type, machine.Zone, machine.Spot) {
+		if Covers(record, machine.ID, machine.Type, machine.Zone, machine.Spot) {
 			selected = append(selected, machine.ID)
 		}
 		return true
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -226,14 +226,14 @@
 }
 
 // AddJob adds an unfinished service.
-func (b *Builder) AddJob(j *Job) { b.snapshot.jobs[j.ID] = j }
+func (b *Builder) AddJob(job *Job) { b.snapshot.jobs[job.ID] = job }
 
 // AddType adds a machine type.
 func (b *Builder) AddType(t TypeCapacity) { b.snapshot.types[t.Name] = t }
 
 // AddDrain adds a drain.
-func (b *Builder) AddDrain(name string, version uint64, d storage.Drain) {
-	b.snapshot.drains = append(b.snapshot.drains, DrainRecord{Drain: d, Name: name, Version: version})
+func (b *Builder) AddDrain(name string, version uint64, record storage.Drain) {
+	b.snapshot.drains = append(b.snapshot.drains, DrainRecord{Drain: record, Name: name, Version: version})
 }
 
 // AddPermits adds a team's permits.
--- a/internal/mirror/drain_snapshot.go
+++ b/internal/mirror/drain_snapshot.go
@@ -13,10 +13,10 @@
 	types map[string]protocol.MachineType,
 	failing func(*Job) bool,
 ) *drain.Builder {
-	b := drain.NewBuilder(m.WatchedRevision, wall)
+	builder := drain.NewBuilder(m.WatchedRevision, wall)
 	for id, job := range m.Jobs {
 		if spec := &job.Record.Spec; spec.Service && job.IsOpen() {
-			b.AddJob(
+			builder.AddJob(
 				&drain.Job{
 					ID:       id,
 					Team:     spec.Team,
@@ -35,17 +35,17 @@
 		}
 	}
 	for name, machineType := range types {
-		b.AddType(
+		builder.AddType(
 			drain.TypeCapacity{Name: name, Capacity: MachineCapacity(&machineType), Zones: machineType.Zones},
 		)
 	}
 	for name, drainEntry := range m.Drains {
-		b.AddDrain(name, drainEntry.Version, drainEntry.Record)
+		builder.AddDrain(name, drainEntry.Version, drainEntry.Record)
 	}
 	for team, permits := range m.PermitsByTeam {
-		b.AddPermits(team, permits.Version, permits.Record)
+		builder.AddPermits(team, permits.Version, permits.Record)
 	}
-	return b
+	return builder
 }
 
 // DrainSnapshotMachine returns a machine as the records have it.
--- a/internal/mirror/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -33,18 +33,18 @@
 // other, then all changes since the first are applied. txnOps is how many operations the state service takes
 // in a transaction. Errors wrap ErrStoreUnavailable.
 func ReadRecords(call StoreCaller, txnOps int) (*RecordSnapshot, error) {
-	s := &RecordSnapshot{mirror: New(), machineTypes: map[string]protocol.MachineType{}}
-	firstRevision, err := s.readLists(call)
+	snapshot := &RecordSnapshot{mirror: New(), machineTypes: map[string]protocol.MachineType{}}
+	firstRevision, err := snapshot.readLists(call)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.readResults(call, comparesPerOp*txnOps); err != nil {
+	if err := snapshot.readResults(call, comparesPerOp*txnOps); err != nil {
 		return nil, err
 	}
-	if err := s.readDrainRegistry(call); err != nil {
+	if err := snapshot.readDrainRegistry(call); err != nil {
 		return nil, err
 	}
-	return s, s.catchUp(call, firstRevision)
+	return snapshot, snapshot.catchUp(call, firstRevision)
 }
 
 // callWithin makes a call with the timeout of a reading.
@@ -131,13 +131,13 @@
 
 // DrainSnapshot returns the reading in the form in which drains are decided.
 func (r *RecordSnapshot) DrainSnapshot(wall int64) *drain.Snapshot {
-	b := r.mirror.DrainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
+	builder := r.mirror.DrainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
 	for _, id := range sortedmap.Keys(r.mirror.Machines) {
 		if machine := r.mirror.Machines[id]; machine.Record != nil {
-			b.AddMachine(r.mirror.DrainSnapshotMachine(machine, r.machineTypes))
+			builder.AddMachine(r.mirror.DrainSnapshotMachine(machine, r.machineTypes))
 		}
 	}
-	return b.Build()
+	return builder.Build()
 }
 
 // IsMember reports whether a controller is a member.
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -124,16 +124,16 @@
 
 // checkSelector looks for names of zones, types and machines that don't exist.
 func (d *DrainOperator) checkSelector(
-	s *storage.Selector, reading *mirror.RecordSnapshot, fleet *drain.Snapshot,
+	selector *storage.Selector, reading *mirror.RecordSnapshot, fleet *drain.Snapshot,
 ) error {
-	if s.Zone != "" && !slices.Contains(d.Zones, s.Zone) {
-		return fmt.Errorf("%w: zone %q", ErrNotFound, s.Zone)
+	if selector.Zone != "" && !slices.Contains(d.Zones, selector.Zone) {
+		return fmt.Errorf("%w: zone %q", ErrNotFound, selector.Zone)
 	}
-	if s.Type != "" && !reading.HasMachineType(s.Type) {
-		return fmt.Errorf("%w: machine type %q", ErrNotFound, s.Type)
+	if selector.Type != "" && !reading.HasMachineType(selector.Type) {
+		return fmt.Errorf("%w: machine type %q", ErrNotFound, selector.Type)
 	}
 	var unknown []string
-	for _, id := range s.Machines {
+	for _, id := range selector.Machines {
 		if _, ok := fleet.Machine(id); !ok {
 			unknown = append(unknown, id)
 		}
@@ -341,15 +341,15 @@
 }
 
 // describeSelector says what a selector selects, as the commands print it.
-func describeSelector(s *storage.Selector) string {
-	if n := len(s.Machines); n > 0 {
+func describeSelector(selector *storage.Selector) string {
+	if n := len(selector.Machines); n > 0 {
 		return fmt.Sprintf("%d machines by name", n)
 	}
 	var parts []string
 	for _, part := range []struct{ name, value string }{
-		{"zone", s.Zone},
-		{"type", s.Type},
-		{"kind", string(s.CapacityType)},
+		{"zone", selector.Zone},
+		{"type", selector.Type},
+		{"kind", string(selector.CapacityType)},
 	} {
 		if part.value != "" {
 			parts = append(parts, part.name+" "+part.value)
