--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,18 +9,18 @@
 
 // Peer is another controller.
 type Peer struct {
-	Node string `toml:"node"`
-	Area string `toml:"area"`
-	Addr string `toml:"addr"`
+	Node string `toml:"node"` // name
+	Area string `toml:"area"` // zone
+	Addr string `toml:"addr"` // address and port for frames between controllers
 }
 
 // Team has a guarantee and a limit; 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
-	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
-	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	CPUs    float64 `toml:"cpus"`     // guaranteed
+	CPUsMax float64 `toml:"cpus_max"` // limit
+	GPUs    float64 `toml:"gpus"`     // guaranteed
+	GPUsMax float64 `toml:"gpus_max"` // limit
 }
 
 // ObjectiveKind says what an objective bounds.
@@ -30,17 +30,18 @@
 const (
 	ObjectiveFinished ObjectiveKind = "finished" // jobs of the class are to have ended within a time
 	ObjectiveWait     ObjectiveKind = "wait"     // jobs of the class are to have started within a time
-	ObjectiveDeadline ObjectiveKind = "deadline" // they are to have ended within a multiple of their deadlines
+	// they are to have ended within a multiple of their deadlines
+	ObjectiveDeadline ObjectiveKind = "deadline"
 )
 
 // Objective is a service-level objective of the users' for a class of jobs.
 type Objective struct {
 	Kind    ObjectiveKind `toml:"kind"`
-	Class   string        `toml:"class"`
-	WithinS float64       `toml:"within_s"`
+	Class   string        `toml:"class"`    // job class
+	WithinS float64       `toml:"within_s"` // seconds
 	AfterS  float64       `toml:"after_s"`
 	Share   float64       `toml:"share"`
-	Times   float64       `toml:"times"`
+	Times   float64       `toml:"times"` // multiple of a job's deadline
 }
 
 // Workers are the durations of the workers' protocol.
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -105,8 +105,8 @@
 }
 
 // hasSpareWrites reports whether the state service has changes to spare. Each move costs several, of the
-// shards too, and users and running tasks need the same ones: near the state service's limit, moves would keep
-// submissions waiting.
+// shards too, and users and running tasks need the same ones: near the state service's limit, moves would
+// keep submissions waiting.
 func (d *Drainer) hasSpareWrites(now monotime.Micros) bool {
 	return !d.deps.Store.UserCallsWaiting(now) && d.deps.Store.HasSpareWrites(now, spareWriteFraction)
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -14,22 +14,22 @@
 // order, and by this controller's own commits, which may be ahead of the watch; versions keep each record
 // from going back. Other packages read its fields and write none.
 type Mirror struct {
-	WatchedRevision   uint64 // the watch is complete up to here
-	NewestRevision    uint64 // the newest revision seen in any answer
-	Jobs              map[string]*Job
-	Shards            map[string]*Shard
-	Machines          map[string]*Machine
-	UseByTeam         map[string]resources.Vector
-	Partitions        map[string]*PartitionEntry
-	ScaleOuts         map[string]*ScaleOutEntry
-	ScaleOutOfMachine map[string]string // machine: the request that it came with
-	ScaleIns          map[string]*ScaleInEntry
-	ScaleInOfMachine  map[string]string // machine: the scale-in request that names it
-	MachineTypes      map[string]MachineTypeEntry
-	Members           map[string]MemberEntry
+	WatchedRevision   uint64                      // the watch is complete up to here
+	NewestRevision    uint64                      // the newest revision seen in any answer
+	Jobs              map[string]*Job             // unfinished ones, by id
+	Shards            map[string]*Shard           // by name
+	Machines          map[string]*Machine         // by id
+	UseByTeam         map[string]resources.Vector // resources of all attempts
+	Partitions        map[string]*PartitionEntry  // by controller
+	ScaleOuts         map[string]*ScaleOutEntry   // by name
+	ScaleOutOfMachine map[string]string           // machine: the request that it came with
+	ScaleIns          map[string]*ScaleInEntry    // by name
+	ScaleInOfMachine  map[string]string           // machine: the scale-in request that names it
+	MachineTypes      map[string]MachineTypeEntry // by name
+	Members           map[string]MemberEntry      // by controller
 	Leader            storage.Leader
 	LeaderVersion     uint64
-	Drains            map[string]DrainEntry
+	Drains            map[string]DrainEntry   // by name
 	PermitsByTeam     map[string]PermitsEntry // by team
 	ownDeletions      map[string]uint64       // own deletions ahead of the watch
 	Results           *ResultCache
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -28,7 +28,7 @@
 	update  *shards.Update // the update of its shard, which assigns tasks to it
 }
 
-// Schedulable tells whether new tasks may go to a machine of this partition: its worker takes tasks, having
+// Schedulable reports whether new tasks may go to a machine of this partition: its worker takes tasks, having
 // acknowledged an answer recently, and the machine isn't suspected to be faulty.
 func (sc *Scheduler) Schedulable(machine *mirror.Machine, now monotime.Micros) bool {
 	agent := sc.deps.Agents.Of(machine)
--- a/internal/placement/drain_reservations.go
+++ b/internal/placement/drain_reservations.go
@@ -46,7 +46,7 @@
 	return r
 }
 
-// hasReservationFor tells whether anything is reserved for replicas of a job.
+// hasReservationFor reports whether anything is reserved for replicas of a job.
 func (r *drainReservations) hasReservationFor(job *mirror.Job) bool {
 	return r != nil && len(r.byJob[job.ID]) > 0
 }
@@ -91,7 +91,7 @@
 	r.byJob[job.ID] = left
 }
 
-// assignedThisPass tells whether the current pass assigns a task.
+// assignedThisPass reports whether the current pass assigns a task.
 func (r *drainReservations) assignedThisPass(task mirror.TaskID) bool {
 	for _, update := range r.updates {
 		if update.AssignsTask(task) {
--- a/internal/placement/failure_attribution.go
+++ b/internal/placement/failure_attribution.go
@@ -47,7 +47,7 @@
 	return scheduling.AttributeByMachines(failures.FailedMachines() + sc.deps.Peers.FailedMachines(id))
 }
 
-// IsCrashLooping tells whether an open job is placed for an occasional trial only.
+// IsCrashLooping reports whether an open job is placed for an occasional trial only.
 func (sc *Scheduler) IsCrashLooping(job *mirror.Job) bool {
 	return sc.AttributeFailures(job.ID) == scheduling.JobAtFault && job.IsOpen()
 }
@@ -79,12 +79,12 @@
 	}
 }
 
-// crashLoopTrials tells how many tasks of a job in a crash loop may be placed now.
+// crashLoopTrials returns how many tasks of a job in a crash loop may be placed now.
 func (sc *Scheduler) crashLoopTrials(job *mirror.Job, now monotime.Micros) int {
 	return sc.trackingOf(job.ID).failures.Trials(job.AssignedTasks, now, sc.config.Backoff)
 }
 
-// MayScaleOutForTrial tells whether a machine may be requested for a trial of a job in a crash loop.
+// MayScaleOutForTrial reports whether a machine may be requested for a trial of a job in a crash loop.
 func (sc *Scheduler) MayScaleOutForTrial(job *mirror.Job, now monotime.Micros) bool {
 	return sc.trackingOf(job.ID).failures.MayScaleOutForTrial(job.AssignedTasks, now, sc.config.Backoff)
 }
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -80,7 +80,7 @@
 	return jobPlan
 }
 
-// recordIsSettled tells whether the job's record, as the mirror has it, says who places its tasks.
+// recordIsSettled reports whether the job's record, as the mirror has it, says who places its tasks.
 func (p *jobPlacement) recordIsSettled() bool {
 	sc, job := p.scheduler, p.job
 	if p.now < p.tracking.placeNotBefore || sc.deps.RecordWrites.Contains(job.ID) {
@@ -131,7 +131,7 @@
 	return p.fittingAtStart
 }
 
-// assignTasks gives the job's tasks of this partition's ranges to machines, as far as there is room.
+// assignTasks returns the job's tasks of this partition's ranges to machines, as far as there is room.
 func (p *jobPlacement) assignTasks() {
 	job := p.job
 	for _, taskRange := range job.Record.TaskRanges {
@@ -156,7 +156,7 @@
 	}
 }
 
-// assignTask gives one task to a machine, or notes why it can't.
+// assignTask returns one task to a machine, or notes why it can't.
 func (p *jobPlacement) assignTask(task int) {
 	sc, job := p.scheduler, p.job
 	// What a shard's own attempts give back can be used by the same write.
@@ -185,7 +185,7 @@
 	p.maxTasks--
 }
 
-// needsNewMachine tells whether a task can't just follow the one before.
+// needsNewMachine reports whether a task can't just follow the one before.
 func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
 	candidate, taskResources := p.chosenMachine, p.job.TaskResources
 	return candidate == nil ||
--- a/internal/placement/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// urgentInOtherPartition tells whether the job waits at other partitions only and has an objective that it
+// urgentInOtherPartition reports whether the job waits at other partitions only and has an objective that it
 // can still meet. It goes before what is less urgent here: otherwise small jobs of large tasks miss their
 // deadlines in a partition without a gap while others give theirs to tasks that have time.
 func (p *jobPlacement) urgentInOtherPartition() bool {
@@ -102,7 +102,7 @@
 	}
 }
 
-// preemptScavengers stops preemptible work for the tasks that the quota allows, and tells whether room is
+// preemptScavengers stops preemptible work for the tasks that the quota allows, and reports whether room is
 // being made.
 func (p *jobPlacement) preemptScavengers() bool {
 	tasks := min(p.pendingTasks, p.job.TaskResources.CountIn(p.quotaRoom))
@@ -110,7 +110,7 @@
 		p.scheduler.preemptScavengers(p.preemptionRequest(tasks, false))
 }
 
-// mayReclaimGuarantee tells whether an array may stop what other teams run beyond their guarantees.
+// mayReclaimGuarantee reports whether an array may stop what other teams run beyond their guarantees.
 func (p *jobPlacement) mayReclaimGuarantee() bool {
 	return p.wallNow-p.job.Record.AcceptedAt > int64(guaranteePreemptionDelay) &&
 		p.scheduler.entitledToGuarantee(p.job)
--- a/internal/placement/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -23,7 +23,7 @@
 	stolenUntil     monotime.Micros // for which room is kept until then
 }
 
-// trackingOf gives what is noted about a job, and begins it if there is nothing yet.
+// trackingOf returns what is noted about a job, and begins it if there is nothing yet.
 func (sc *Scheduler) trackingOf(id string) *jobTracking {
 	return mapentry.GetOrNew(sc.jobStates, id)
 }
@@ -60,7 +60,7 @@
 	tracking.placeNotBefore = max(tracking.placeNotBefore, until)
 }
 
-// PlacementDelayed tells whether a job's tasks may not be placed yet.
+// PlacementDelayed reports whether a job's tasks may not be placed yet.
 func (sc *Scheduler) PlacementDelayed(id string, now monotime.Micros) bool {
 	tracking := sc.jobStates[id]
 	return tracking != nil && now < tracking.placeNotBefore
--- a/internal/placement/objectives.go
+++ b/internal/placement/objectives.go
@@ -17,7 +17,7 @@
 	return scheduling.LatestStarts(sc.config.Objectives, spec, runSeconds)
 }
 
-// hasObjective tells whether anything bounds when a job's tasks are to start.
+// hasObjective reports whether anything bounds when a job's tasks are to start.
 func (sc *Scheduler) hasObjective(spec *storage.JobSpec) bool {
 	return !math.IsInf(sc.latestStarts(spec)[0], 1)
 }
--- a/internal/placement/placement_pass.go
+++ b/internal/placement/placement_pass.go
@@ -45,8 +45,8 @@
 	preemptibleRunning bool // whether any running work is preemptible by arrays
 }
 
-// placeTasks gives the waiting tasks of this partition's ranges to machines of the updates; where nothing has
-// room it makes some, or looks for the partition that could.
+// placeTasks returns the waiting tasks of this partition's ranges to machines of the updates; where nothing
+// has room it makes some, or looks for the partition that could.
 func (sc *Scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
 	if sc.deps.Catalog.MachineTypes() == nil || !sc.deps.Membership.HoldsLease(now) {
 		return
@@ -160,7 +160,7 @@
 	return p.partitionCapacity
 }
 
-// anyPreemptible tells whether any running work is preemptible by arrays.
+// anyPreemptible reports whether any running work is preemptible by arrays.
 func (p *placement) anyPreemptible() bool {
 	if !p.preemptibleChecked {
 		p.preemptibleChecked = true
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -44,7 +44,7 @@
 	scheduling.VictimSelection
 }
 
-// isPreempting tells whether tasks are being stopped for a job.
+// isPreempting reports whether tasks are being stopped for a job.
 func (sc *Scheduler) isPreempting(job string, now monotime.Micros) bool {
 	pending := sc.preemptions[job]
 	return pending != nil && now < pending.expiresAt
@@ -70,7 +70,7 @@
 	return sc.notePreemption(job, machines, request.now+preemptionTimeout)
 }
 
-// notePreemption keeps the machines on which tasks were stopped for a job, and tells whether there are any.
+// notePreemption keeps the machines on which tasks were stopped for a job, and reports whether there are any.
 func (sc *Scheduler) notePreemption(
 	job *mirror.Job,
 	machines map[string]bool,
@@ -105,7 +105,7 @@
 	return best, ok
 }
 
-// mayPreemptOn tells whether tasks may be stopped on a machine for a job.
+// mayPreemptOn reports whether tasks may be stopped on a machine for a job.
 func (sc *Scheduler) mayPreemptOn(
 	candidate *candidateMachine,
 	job *mirror.Job,
@@ -202,7 +202,7 @@
 	sc.deps.Agents.SyncCommands(candidate.machine)
 }
 
-// mayPreempt tells whether a task of victim may be stopped for job: one of lower priority
+// mayPreempt reports whether a task of victim may be stopped for job: one of lower priority
 // for a service; one that another team runs beyond its guarantee, so that job's team
 // gets its own. The protocol would let that be of any priority; of a higher one it
 // would be placed again first, and the two would stop each other for ever. Services with a
@@ -220,13 +220,13 @@
 		sc.exceedsGuarantee(victim.Record.Spec.Team, resources.Vector{})
 }
 
-// entitledToGuarantee tells whether a job's team has a guarantee and the job's next task lies within it.
+// entitledToGuarantee reports whether a job's team has a guarantee and the job's next task lies within it.
 func (sc *Scheduler) entitledToGuarantee(job *mirror.Job) bool {
 	limits, _ := sc.deps.Quota.Limits(job.Record.Spec.Team)
 	return limits.Guaranteed() && sc.withinGuarantee(job)
 }
 
-// exceedsGuarantee tells whether a team uses more than its guarantee, less what is to be
+// exceedsGuarantee reports whether a team uses more than its guarantee, less what is to be
 // stopped of it.
 func (sc *Scheduler) exceedsGuarantee(name string, less resources.Vector) bool {
 	limits, _ := sc.deps.Quota.Limits(name)
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -79,7 +79,7 @@
 	return usage
 }
 
-// isStarved tells whether an array has got nothing for a long time, see scheduling.StartProgress.
+// isStarved reports whether an array has got nothing for a long time, see scheduling.StartProgress.
 func (sc *Scheduler) isStarved(job *mirror.Job, now monotime.Micros) bool {
 	if job.Record.Spec.Service {
 		return false
@@ -96,14 +96,14 @@
 		progress.BeginCatchUp(started, job.UnassignedTasks(), sc.IsScavenger(job))
 }
 
-// withinGuarantee tells whether one more task of a job lies within its team's guarantee.
+// withinGuarantee reports whether one more task of a job lies within its team's guarantee.
 func (sc *Scheduler) withinGuarantee(job *mirror.Job) bool {
 	limits, _ := sc.deps.Quota.Limits(job.Record.Spec.Team)
 	use := sc.deps.Mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
 	return limits.GuaranteeCovers(use)
 }
 
-// DescribeWait tells how urgent a job is and what keeps it waiting.
+// DescribeWait returns how urgent a job is and what keeps it waiting.
 func (sc *Scheduler) DescribeWait(job *mirror.Job) string {
 	spec, now, wall := &job.Record.Spec, sc.deps.Environment.Now(), sc.deps.Environment.WallClock()
 	slack := sc.SlackOf(job, wall)
--- a/internal/placement/scavenger.go
+++ b/internal/placement/scavenger.go
@@ -16,7 +16,7 @@
 // may be requested for it: it must begin at some time, wherever nothing else is to be had.
 const scavengerStartDelay = monotime.Minute
 
-// IsScavenger tells whether a job is of the scavenger class.
+// IsScavenger reports whether a job is of the scavenger class.
 func (sc *Scheduler) IsScavenger(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	if !scheduling.MayBeScavenger(spec) {
@@ -26,7 +26,7 @@
 	return !limits.Guaranteed() && !sc.hasObjective(spec)
 }
 
-// IsSpotOnly tells whether a job is held to spot machines and to what is there in any case:
+// IsSpotOnly reports whether a job is held to spot machines and to what is there in any case:
 // a scavenger job, once it has begun or as long as it needn't have.
 func (sc *Scheduler) IsSpotOnly(job *mirror.Job) bool {
 	if !sc.IsScavenger(job) {
@@ -36,7 +36,7 @@
 		monotime.Micros(sc.deps.Environment.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay
 }
 
-// IsPreemptible tells whether a job's tasks may be stopped for arrays of higher priority: they have no
+// IsPreemptible reports whether a job's tasks may be stopped for arrays of higher priority: they have no
 // objective, their work can be saved, and their team uses more than its guarantee. Work with an objective
 // would miss it if it were stopped, and begins again only when as much room is free at once.
 func (sc *Scheduler) IsPreemptible(job *mirror.Job) bool {
@@ -45,7 +45,7 @@
 		sc.exceedsGuarantee(spec.Team, resources.Vector{})
 }
 
-// preemptibleBy tells whether a running task may be stopped for any of higher priority.
+// preemptibleBy reports whether a running task may be stopped for any of higher priority.
 func (sc *Scheduler) preemptibleBy(job, victim *mirror.Job) bool {
 	return victim.Record.Spec.Priority < job.Record.Spec.Priority && sc.IsPreemptible(victim)
 }
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -51,7 +51,7 @@
 // RequestPass has a pass run at the next fast tick that one is due: something has changed that it may act on.
 func (sc *Scheduler) RequestPass() { sc.passNeeded = true }
 
-// PassDue tells whether a pass has been requested and may run now.
+// PassDue reports whether a pass has been requested and may run now.
 func (sc *Scheduler) PassDue(now monotime.Micros) bool { return sc.passNeeded && now >= sc.nextPassAt }
 
 // DelayPassUntil lets no pass run before an instant.
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -41,7 +41,7 @@
 	return scheduling.DivideTasks(spec.Tasks, rooms)
 }
 
-// wholeJobRange gives all tasks of a new job to one partition.
+// wholeJobRange returns all tasks of a new job to one partition.
 func (sc *Scheduler) wholeJobRange(spec *storage.JobSpec) []storage.TaskRange {
 	return []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: sc.partitionForNewJob(spec)}}
 }
@@ -83,9 +83,9 @@
 	return out
 }
 
-// ReassignTaskRanges changes which partitions place a job's tasks, and tells whether the write is under way.
-// Whatever a range's owner assigned before stands in the shards by then, whatever it would assign after fails
-// on the record's version; so the new owner may begin once its mirror has come that far.
+// ReassignTaskRanges changes which partitions place a job's tasks, and reports whether the write is under
+// way. Whatever a range's owner assigned before stands in the shards by then, whatever it would assign after
+// fails on the record's version; so the new owner may begin once its mirror has come that far.
 func (sc *Scheduler) ReassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
 	// Both this and an assignment change or ask for the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
@@ -114,8 +114,8 @@
 	return true
 }
 
-// handOverTasks gives the waiting tasks that this partition has of a job to one that can make room, and tells
-// whether the write is under way.
+// handOverTasks returns the waiting tasks that this partition has of a job to one that can make room, and
+// tells whether the write is under way.
 func (sc *Scheduler) handOverTasks(job *mirror.Job, to string) bool {
 	for _, taskRange := range job.Record.TaskRanges {
 		if taskRange.Partition != sc.config.Node {
@@ -153,7 +153,7 @@
 	}
 }
 
-// withoutOrphanedRanges gives the orphaned ones among a job's ranges to this partition.
+// withoutOrphanedRanges returns the orphaned ones among a job's ranges to this partition.
 func (sc *Scheduler) withoutOrphanedRanges(
 	ranges []storage.TaskRange,
 	now monotime.Micros,
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -114,7 +114,7 @@
 	return 0
 }
 
-// mayStealTasksOf tells whether a job has tasks at other partitions, and may be reassigned now.
+// mayStealTasksOf reports whether a job has tasks at other partitions, and may be reassigned now.
 func (sc *Scheduler) mayStealTasksOf(job *mirror.Job) bool {
 	ranges := job.Record.TaskRanges
 	allHere := len(ranges) == 1 && ranges[0].Partition == sc.config.Node
@@ -151,8 +151,8 @@
 	return tasksInShare
 }
 
-// ownerHasGracePeriod tells whether a live partition that seems to have room for a job's tasks still has time
-// to place them.
+// ownerHasGracePeriod reports whether a live partition that seems to have room for a job's tasks still has
+// time to place them.
 func (sc *Scheduler) ownerHasGracePeriod(job *mirror.Job, partition string, work workStealing) bool {
 	if !sc.deps.Membership.IsMember(partition) ||
 		work.capacities.tasksFitting(&job.Record.Spec, partition) == 0 {
--- a/internal/protocol/cloud_calls.go
+++ b/internal/protocol/cloud_calls.go
@@ -29,18 +29,18 @@
 type CloudCall struct {
 	Op      CloudOp
 	Create  CreateMachinesRequest
-	Delete  []string
-	After   string
+	Delete  []string // machines
+	After   string   // list: the machine after which it continues
 	Timeout monotime.Micros
 }
 
 // CloudResult answers it.
 type CloudResult struct {
 	Outcome Outcome
-	Types   []MachineType
-	Created []string
+	Types   []MachineType // of the catalog
+	Created []string      // machines
 	Listed  []ListedMachine
-	More    bool
+	More    bool // further pages of the list follow
 }
 
 // CallCloud performs a call of the cloud and waits for it.
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -93,8 +93,8 @@
 type JobStatusReply struct {
 	ID      string `msgpack:"id"`
 	Status  string `msgpack:"status"`
-	Done    int    `msgpack:"done"`
-	Running int    `msgpack:"running"`
+	Done    int    `msgpack:"done"`    // completed tasks
+	Running int    `msgpack:"running"` // tasks on machines
 }
 
 // AcceptedReply answers a submission or a cancellation.
@@ -110,24 +110,24 @@
 
 // TaskStatus is one task in a worker's report.
 type TaskStatus struct {
-	Task            string    `msgpack:"pip"`
-	Attempt         uint64    `msgpack:"try_no"`
+	Task            string    `msgpack:"pip"`    // the job, a slash and the index
+	Attempt         uint64    `msgpack:"try_no"` // number of the attempt
 	State           TaskState `msgpack:"status"`
-	Cause           ExitCause `msgpack:"cause,omitempty"`
-	CheckpointSaved bool      `msgpack:"kept,omitempty"`
+	Cause           ExitCause `msgpack:"cause,omitempty"` // of an exited task
+	CheckpointSaved bool      `msgpack:"kept,omitempty"`  // the progress was saved
 }
 
 // Heartbeat is a worker's report.
 type Heartbeat struct {
 	Machine             string       `msgpack:"tree"`
-	Endpoint            string       `msgpack:"endpoint"`
-	Type                string       `msgpack:"breed"`
+	Endpoint            string       `msgpack:"endpoint"` // address and port of the worker
+	Type                string       `msgpack:"breed"`    // machine type
 	Zone                string       `msgpack:"grove"`
-	Spot                bool         `msgpack:"borrowed"`
-	Incarnation         uint64       `msgpack:"roost"`
-	Sequence            uint64       `msgpack:"chirp"`
-	FencingToken        uint64       `msgpack:"baton"`
-	InterruptionNoticeS *float64     `msgpack:"warning_s"`
+	Spot                bool         `msgpack:"borrowed"`  // spot instance
+	Incarnation         uint64       `msgpack:"roost"`     // of the agent
+	Sequence            uint64       `msgpack:"chirp"`     // counts the heartbeats of an incarnation
+	FencingToken        uint64       `msgpack:"baton"`     // the highest that the agent has seen
+	InterruptionNoticeS *float64     `msgpack:"warning_s"` // until the cloud takes the machine; nil: not announced
 	Tasks               []TaskStatus `msgpack:"pips"`
 }
 
@@ -170,26 +170,26 @@
 // Command is an order to a worker.
 type Command struct {
 	Op      CommandOp `msgpack:"call"`
-	Task    string    `msgpack:"pip"`
-	Attempt uint64    `msgpack:"try_no"`
-	GraceS  *float64  `msgpack:"leeway_s,omitempty"`
+	Task    string    `msgpack:"pip"`                // the job, a slash and the index
+	Attempt uint64    `msgpack:"try_no"`             // number of the attempt
+	GraceS  *float64  `msgpack:"leeway_s,omitempty"` // seconds that a killed task has to save its progress
 }
 
 // HeartbeatReply answers a report.
 type HeartbeatReply struct {
-	FencingToken uint64    `msgpack:"baton"`
+	FencingToken uint64    `msgpack:"baton"` // of the commands
 	Commands     []Command `msgpack:"calls"`
 }
 
 // Redirect goes with 421.
 type Redirect struct {
-	Leader string `msgpack:"flock_lead,omitempty"`
+	Leader string `msgpack:"flock_lead,omitempty"` // the controller to turn to; "": any other
 }
 
 // CommandRequest is a direct command batch.
 type CommandRequest struct {
-	FencingToken uint64    `msgpack:"baton"`
-	Incarnation  uint64    `msgpack:"roost"`
+	FencingToken uint64    `msgpack:"baton"` // of the commands
+	Incarnation  uint64    `msgpack:"roost"` // the agent that the commands are for
 	Commands     []Command `msgpack:"calls"`
 }
 
@@ -199,11 +199,11 @@
 	CPUs          float64  `msgpack:"cores"`
 	GPUs          float64  `msgpack:"accelerators"`
 	MemoryGB      float64  `msgpack:"memory_gb"`
-	CacheGB       float64  `msgpack:"local_gb"`
-	FetchGBPerS   float64  `msgpack:"pull_gb_per_s"`
+	CacheGB       float64  `msgpack:"local_gb"`      // local storage
+	FetchGBPerS   float64  `msgpack:"pull_gb_per_s"` // rate at which images are fetched
 	OnDemandPrice float64  `msgpack:"rate"`
 	SpotPrice     float64  `msgpack:"low_price"`
-	BootS         float64  `msgpack:"ready_s"`
+	BootS         float64  `msgpack:"ready_s"` // seconds from the request until a machine is up
 	Zones         []string `msgpack:"groves"`
 }
 
@@ -215,10 +215,10 @@
 // CreateMachinesRequest requests machines of one offer. A request that is repeated under its name gets the
 // same machines.
 type CreateMachinesRequest struct {
-	Name  string `msgpack:"ask"`
+	Name  string `msgpack:"ask"` // identifies the request
 	Type  string `msgpack:"breed"`
 	Zone  string `msgpack:"grove"`
-	Spot  bool   `msgpack:"borrowed"`
+	Spot  bool   `msgpack:"borrowed"` // spot instances
 	Count int    `msgpack:"number"`
 }
 
@@ -240,28 +240,28 @@
 	Zone     string  `msgpack:"grove"`
 	Spot     bool    `msgpack:"borrowed"`
 	State    string  `msgpack:"status"`
-	AgeS     float64 `msgpack:"held_s"`
+	AgeS     float64 `msgpack:"held_s"` // seconds since it was created
 }
 
 // MachineList is a page of the cloud's list.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"trees"`
-	More     bool            `msgpack:"has_next"`
+	More     bool            `msgpack:"has_next"` // further pages follow
 }
 
 // KeyValue is a key of the state service.
 type KeyValue struct {
 	Key     string `msgpack:"path"`
 	Value   Raw    `msgpack:"value"`
-	Version uint64 `msgpack:"stamp"`
-	Lease   uint64 `msgpack:"tenure"`
+	Version uint64 `msgpack:"stamp"`  // revision of the last change
+	Lease   uint64 `msgpack:"tenure"` // the record is deleted with it; 0: none
 }
 
 // KeyValueList is a page of keys.
 type KeyValueList struct {
 	Items    []KeyValue `msgpack:"pairs"`
-	More     bool       `msgpack:"has_next"`
-	Revision uint64     `msgpack:"epoch"`
+	More     bool       `msgpack:"has_next"` // further pages follow
+	Revision uint64     `msgpack:"epoch"`    // at which the page was read
 }
 
 // Compare is a condition of a transaction; version 0: the key does not exist.
@@ -274,14 +274,14 @@
 type Op struct {
 	Put    string `msgpack:"write,omitempty"`
 	Value  Raw    `msgpack:"value,omitempty"`
-	Lease  uint64 `msgpack:"tenure,omitempty"`
+	Lease  uint64 `msgpack:"tenure,omitempty"` // that the put record is deleted with
 	Delete string `msgpack:"drop,omitempty"`
 }
 
 // Transaction is a transaction.
 type Transaction struct {
-	If   []Compare `msgpack:"if"`
-	Then []Op      `msgpack:"apply,omitempty"`
+	If   []Compare `msgpack:"if"`              // all must hold
+	Then []Op      `msgpack:"apply,omitempty"` // made together
 }
 
 // PutIfUnchanged writes a record on the condition that it still has the version; 0: that it doesn't exist.
@@ -303,12 +303,12 @@
 // TransactionReply answers a transaction.
 type TransactionReply struct {
 	Revision uint64   `msgpack:"epoch"`
-	Failed   []string `msgpack:"failed"`
+	Failed   []string `msgpack:"failed"` // keys whose conditions failed
 }
 
 // LeaseRequest opens a lease.
 type LeaseRequest struct {
-	TTLMillis int64 `msgpack:"ttl_ms"`
+	TTLMillis int64 `msgpack:"ttl_ms"` // milliseconds without a renewal until the lease ends
 }
 
 // LeaseReply names it.
@@ -318,14 +318,14 @@
 
 // Event is a change seen by a watch.
 type Event struct {
-	Put     string `msgpack:"write"`
+	Put     string `msgpack:"write"` // key
 	Value   Raw    `msgpack:"value"`
-	Version uint64 `msgpack:"stamp"`
-	Delete  string `msgpack:"drop"`
+	Version uint64 `msgpack:"stamp"` // revision of the change
+	Delete  string `msgpack:"drop"`  // key
 }
 
 // WatchReply answers a watch.
 type WatchReply struct {
-	Revision uint64  `msgpack:"epoch"`
+	Revision uint64  `msgpack:"epoch"` // up to which the events are complete
 	Events   []Event `msgpack:"log"`
 }
--- a/internal/protocol/store_calls.go
+++ b/internal/protocol/store_calls.go
@@ -25,13 +25,13 @@
 type StoreCall struct {
 	Op           StoreOp
 	Key          string // get, list and watch: the key or prefix
-	After        string
-	Limit        int
+	After        string // list: the key after which it continues
+	Limit        int    // list: most records of a page
 	Transaction  Transaction
-	Lease        uint64
-	TTL          monotime.Micros
-	FromRevision uint64
-	MaxBlock     monotime.Micros
+	Lease        uint64          // keep-alive
+	TTL          monotime.Micros // grant of a lease
+	FromRevision uint64          // watch: changes after this one
+	MaxBlock     monotime.Micros // watch: how long to wait for a change
 	Timeout      monotime.Micros // deadline
 }
 
@@ -41,13 +41,13 @@
 // StoreResult answers it.
 type StoreResult struct {
 	Outcome  Outcome
-	Item     KeyValue
-	Items    []KeyValue
-	More     bool
-	Revision uint64
-	Failed   []string
-	Lease    uint64
-	Events   []Event
+	Item     KeyValue   // of a get
+	Items    []KeyValue // of a list
+	More     bool       // further pages follow
+	Revision uint64     // of the answer, or of the commit
+	Failed   []string   // keys whose conditions failed
+	Lease    uint64     // granted
+	Events   []Event    // of a watch
 }
 
 // CallStore performs a call of the state service and waits for it.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -26,34 +26,41 @@
 // Submission is a job as its user described it.
 type Submission struct {
 	ID          string
-	Class, Team string
-	Service     bool
+	Class, Team string // job class and owning team
+	Service     bool   // a service; otherwise an array
 	Priority    Priority
-	Tasks       int
-	CPUs, GPUs  float64
-	MemoryGB    float64
+	Tasks       int     // tasks of an array, replicas of a service
+	CPUs, GPUs  float64 // of each task
+	MemoryGB    float64 // of each task
 	Image       string
-	ImageGB     float64
+	ImageGB     float64  // size of the image
 	Types       []string // nil: any
 	Zone        string   // "": any
-	OneZone     bool
-	Spread      bool
-	Spot        bool
-	EstimateS   float64
-	CheckpointS float64
-	SaveS       float64
-	DeadlineS   float64 // 0: none
+	OneZone     bool     // all tasks in one zone
+	Spread      bool     // at most half of the tasks in a zone
+	Spot        bool     // may run on spot machines
+	EstimateS   float64  // expected run of a task, in seconds
+	CheckpointS float64  // seconds between two saves of the progress; 0: it is never saved
+	SaveS       float64  // seconds that a save takes
+	DeadlineS   float64  // 0: none
 }
 
+// jobIDPrefix begins the ids of jobs.
+const jobIDPrefix = "j-"
+
 // ValidJobID reports whether an id has the users' form: j- and then letters,
 // digits, '-' or '_'.
 func ValidJobID(id string) bool {
-	return strings.HasPrefix(id, "j-") && len(id) > 2 && ValidKeyPart(id)
+	rest, ok := strings.CutPrefix(id, jobIDPrefix)
+	return ok && rest != "" && ValidKeyPart(id)
 }
 
+// maxKeyPartBytes is the longest name that is accepted as a part of a key.
+const maxKeyPartBytes = 100
+
 // ValidKeyPart reports whether a name can stand in a key of the state service.
 func ValidKeyPart(s string) bool {
-	if s == "" || len(s) > 100 {
+	if s == "" || len(s) > maxKeyPartBytes {
 		return false
 	}
 	for i := 0; i < len(s); i++ {
--- a/internal/scheduling/job_failures.go
+++ b/internal/scheduling/job_failures.go
@@ -32,10 +32,10 @@
 	return f.lastFailureAt
 }
 
-// Excludes tells whether the job isn't tried on a machine again.
+// Excludes reports whether the job isn't tried on a machine again.
 func (f *JobFailures) Excludes(machine string) bool { return f != nil && f.excludedMachines[machine] }
 
-// ExcludesAny tells whether there is such a machine.
+// ExcludesAny reports whether there is such a machine.
 func (f *JobFailures) ExcludesAny() bool { return f != nil && len(f.excludedMachines) > 0 }
 
 // Record notes that a task of the job has failed on a machine.
@@ -68,6 +68,7 @@
 	f.endBackoff()
 }
 
+// endBackoff lets the job be tried at once, and its next pause be the first again.
 func (f *JobFailures) endBackoff() { f.nextTrialAt, f.backoffDelay = 0, 0 }
 
 // BackOff puts off the next trial of a job in a crash loop, longer each time; it changes nothing while a
@@ -84,7 +85,7 @@
 	f.nextTrialAt = now + f.backoffDelay
 }
 
-// Trials tells how many tasks of a job in a crash loop may be placed now: one at a time, the next after a
+// Trials returns how many tasks of a job in a crash loop may be placed now: one at a time, the next after a
 // pause that grows. A job that other controllers found to be one begins with the first pause.
 func (f *JobFailures) Trials(assignedTasks int, now monotime.Micros, limits Backoff) int {
 	if f.backoffDelay == 0 {
@@ -99,8 +100,8 @@
 	return 1
 }
 
-// MayScaleOutForTrial tells whether a machine may be requested for a trial, if there is no room at all: once
-// in the longest pause. The machines may be at fault after all, and where nothing else keeps any the job
+// MayScaleOutForTrial reports whether a machine may be requested for a trial, if there is no room at all:
+// once in the longest pause. The machines may be at fault after all, and where nothing else keeps any the job
 // would wait for ever.
 func (f *JobFailures) MayScaleOutForTrial(assignedTasks int, now monotime.Micros, limits Backoff) bool {
 	return assignedTasks == 0 && (f.trialDemandAt == 0 || now-f.trialDemandAt >= limits.Max)
--- a/internal/scheduling/machine_choice.go
+++ b/internal/scheduling/machine_choice.go
@@ -42,7 +42,7 @@
 	MaxBytes() int
 	// Compares counts the records that the write is conditional on.
 	Compares() int
-	// AssignsJob tells whether the write assigns tasks of a job already.
+	// AssignsJob reports whether the write assigns tasks of a job already.
 	AssignsJob(job string) bool
 	// FreedQuota is what the write gives back of a team's share and hasn't used again.
 	FreedQuota(team string) resources.Vector
@@ -63,8 +63,8 @@
 	Shard          ShardWrite      // the write that assigns tasks to it
 }
 
-// AvailableTo tells whether a job may use what is free on the machine. Room that is being made is for the job
-// it is made for: if others took what is free before the stopped tasks are gone, more would have to be
+// AvailableTo reports whether a job may use what is free on the machine. Room that is being made is for the
+// job it is made for: if others took what is free before the stopped tasks are gone, more would have to be
 // stopped.
 func (c *Candidate) AvailableTo(job string) bool {
 	return c.ReservedForJob == "" || c.ReservedForJob == job
@@ -85,7 +85,7 @@
 	FleetServiceCPUs float64 // CPUs that all services hold
 }
 
-// Accepts tells whether a task may go to a candidate.
+// Accepts reports whether a task may go to a candidate.
 func (r *MachineRequest) Accepts(c *Candidate) bool {
 	return r.Need.FitsIn(c.Free) && c.AvailableTo(r.JobID) &&
 		MachineAllowed(r.Spec, c.Record) && r.Zones.Allows(c.Record.Zone) &&
@@ -95,6 +95,7 @@
 		!(r.SpotOnly && !c.Record.Spot && c.ServiceCPUs == 0)
 }
 
+// acceptsShard reports whether the write of a machine's shard may take a task.
 func (r *MachineRequest) acceptsShard(shard ShardWrite) bool {
 	if r.OnlyWrite != nil && shard != r.OnlyWrite {
 		return false
--- a/internal/scheduling/objectives.go
+++ b/internal/scheduling/objectives.go
@@ -45,11 +45,11 @@
 	Missed  int     // objectives that can't be met any more
 }
 
-// CanMeetObjective tells whether there is an objective that can still be met if the job doesn't wait for
+// CanMeetObjective reports whether there is an objective that can still be met if the job doesn't wait for
 // long.
 func (s Slack) CanMeetObjective() bool { return s.Seconds >= 0 && !math.IsInf(s.Seconds, 1) }
 
-// IsLate tells whether the job waits behind all that are in time.
+// IsLate reports whether the job waits behind all that are in time.
 func (s Slack) IsLate() bool { return s.Missed >= lateAfterMissedObjectives }
 
 // SlackOf is the slack of a job of an age, see LatestStarts.
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -46,6 +46,7 @@
 	return p.countTasks(spec, need, partition, (*MachineRoom).hasImage)
 }
 
+// hasImage reports whether tasks have brought an image to the machine.
 func (m *MachineRoom) hasImage(image string) bool { return m.CachedImages[image] }
 
 // anyMachine is the condition of jobs for which every machine counts, whatever images it has.
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -19,6 +19,7 @@
 	SaveSeconds    float64 // how long it may take to save its work
 }
 
+// taskName names the task as messages to workers do.
 func (v *Victim) taskName() string { return v.Job + "/" + strconv.Itoa(v.Task) }
 
 // VictimRequest is a task that room is to be made for on one machine.
@@ -27,7 +28,7 @@
 	Service  bool
 	Priority int
 	Free     resources.Vector // on the machine
-	// ExceedsGuarantee tells whether a team uses more than its guarantee, less what is to be stopped of it.
+	// ExceedsGuarantee reports whether a team uses more than its guarantee, less what is to be stopped of it.
 	ExceedsGuarantee func(team string, less resources.Vector) bool
 }
 
@@ -37,7 +38,7 @@
 	LostCPUSeconds float64
 }
 
-// Select picks the tasks whose stop makes room for one task with the least work lost, and tells whether any
+// Select picks the tasks whose stop makes room for one task with the least work lost, and reports whether any
 // do. It sorts possible. A service preempts what has a lower priority; all else only takes back what a team
 // has beyond its guarantee.
 func (r *VictimRequest) Select(possible []Victim) (selection VictimSelection, ok bool) {
--- a/internal/scheduling/queue_order.go
+++ b/internal/scheduling/queue_order.go
@@ -34,7 +34,7 @@
 	CrashLooping      bool    // placed for an occasional trial only, after all others
 }
 
-// NeedsDeadlineBoost tells whether a job that has missed its first objectives is about to miss the next.
+// NeedsDeadlineBoost reports whether a job that has missed its first objectives is about to miss the next.
 func NeedsDeadlineBoost(slack Slack) bool {
 	return slack.IsLate() && slack.Seconds >= 0 && slack.Seconds < deadlineBoostWindowSeconds
 }
@@ -90,7 +90,7 @@
 	sort.Slice(entries, func(a, b int) bool { return entries[a].Before(&entries[b]) })
 }
 
-// AnyDeadlineBoost tells whether LimitDeadlineBoost has anything to limit.
+// AnyDeadlineBoost reports whether LimitDeadlineBoost has anything to limit.
 func AnyDeadlineBoost(entries []QueueEntry) bool {
 	for i := range entries {
 		if entries[i].DeadlineBoost {
--- a/internal/scheduling/start_progress.go
+++ b/internal/scheduling/start_progress.go
@@ -20,7 +20,7 @@
 	progressAt       monotime.Micros // when the high water last rose; 0: not seen yet
 }
 
-// Begun tells whether the job has been seen before.
+// Begun reports whether the job has been seen before.
 func (p *StartProgress) Begun() bool { return p.progressAt != 0 }
 
 // Begin notes a job that is seen for the first time. waited is how long ago it was accepted: with nothing
@@ -39,11 +39,11 @@
 	}
 }
 
-// CatchingUp tells whether the array is starved since earlier and hasn't got what it is to get: room comes
+// CatchingUp reports whether the array is starved since earlier and hasn't got what it is to get: room comes
 // bit by bit.
 func (p *StartProgress) CatchingUp(started int) bool { return started < p.startedTarget }
 
-// Stalled tells whether nothing has started for so long that the array is starved from now on.
+// Stalled reports whether nothing has started for so long that the array is starved from now on.
 func (p *StartProgress) Stalled(now monotime.Micros) bool {
 	limit := starvedAfter
 	if p.startedHighWater > 0 {
@@ -52,8 +52,8 @@
 	return now-p.progressAt > limit
 }
 
-// BeginCatchUp sets what a stalled array is to get, and tells whether that is anything. One of the scavenger
-// class gets a single task, so that it begins, and never more: the rest is for spare room.
+// BeginCatchUp sets what a stalled array is to get, and reports whether that is anything. One of the
+// scavenger class gets a single task, so that it begins, and never more: the rest is for spare room.
 func (p *StartProgress) BeginCatchUp(started, waiting int, scavenger bool) bool {
 	if !scavenger {
 		p.startedTarget = started + max(1, waiting/starvedTaskDivisor)
--- a/internal/scheduling/zone_constraint.go
+++ b/internal/scheduling/zone_constraint.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// RestrictsZones tells whether the job has such a rule at all.
+// RestrictsZones reports whether the job has such a rule at all.
 func (z *ZoneConstraint) RestrictsZones() bool { return z.oneZone || z.spread }
 
-// Allows tells whether a zone may take one more task.
+// Allows reports whether a zone may take one more task.
 func (z *ZoneConstraint) Allows(zone string) bool { return z.RemainingIn(zone) > 0 }
 
 // RemainingIn counts the tasks that the rule lets a zone take, protocol.MaxTasks where nothing limits them.
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -79,25 +79,25 @@
 
 // JobSpec is what is stored of a submission.
 type JobSpec struct {
-	Class        string   `msgpack:"l"`
+	Class        string   `msgpack:"l"` // job class
 	Team         string   `msgpack:"t"`
-	Service      bool     `msgpack:"s,omitempty"`
+	Service      bool     `msgpack:"s,omitempty"` // a service; otherwise an array
 	Priority     int      `msgpack:"r"`
-	Tasks        int      `msgpack:"n"`
-	CPUs         float64  `msgpack:"c"`
-	GPUs         float64  `msgpack:"g,omitempty"`
-	MemoryGB     float64  `msgpack:"m"`
+	Tasks        int      `msgpack:"n"`           // tasks of an array, replicas of a service
+	CPUs         float64  `msgpack:"c"`           // of each task
+	GPUs         float64  `msgpack:"g,omitempty"` // of each task
+	MemoryGB     float64  `msgpack:"m"`           // of each task
 	Image        string   `msgpack:"i"`
-	ImageGB      float64  `msgpack:"ig"`
-	MachineTypes []string `msgpack:"y,omitempty"`
-	Zone         string   `msgpack:"z,omitempty"`
-	OneZone      bool     `msgpack:"oz,omitempty"`
-	Spread       bool     `msgpack:"sp,omitempty"`
-	Spot         bool     `msgpack:"b,omitempty"`
-	EstimateS    float64  `msgpack:"e"`
-	CheckpointS  float64  `msgpack:"k,omitempty"`
-	SaveS        float64  `msgpack:"v,omitempty"`
-	DeadlineS    float64  `msgpack:"d,omitempty"`
+	ImageGB      float64  `msgpack:"ig"`           // size of the image
+	MachineTypes []string `msgpack:"y,omitempty"`  // allowed; nil: any
+	Zone         string   `msgpack:"z,omitempty"`  // the only allowed one; "": any
+	OneZone      bool     `msgpack:"oz,omitempty"` // all tasks in one zone
+	Spread       bool     `msgpack:"sp,omitempty"` // at most half of the tasks in a zone
+	Spot         bool     `msgpack:"b,omitempty"`  // may run on spot machines
+	EstimateS    float64  `msgpack:"e"`            // expected run of a task, in seconds
+	CheckpointS  float64  `msgpack:"k,omitempty"`  // seconds between two saves of the progress; 0: none
+	SaveS        float64  `msgpack:"v,omitempty"`  // seconds that a save takes
+	DeadlineS    float64  `msgpack:"d,omitempty"`  // seconds from the acceptance; 0: none
 }
 
 // AllowsMachine reports whether the job's tasks may run on a machine type in a zone; a zone of "" stands for
@@ -123,7 +123,7 @@
 // take is at most its quota share, and all partitions' shares together are at most the team's limit. A share
 // is raised on the condition that no partition's record has changed, so assignments need no common record.
 type Partition struct {
-	QuotaShares map[string]QuotaShare `msgpack:"s"`
+	QuotaShares map[string]QuotaShare `msgpack:"s"` // by team
 }
 
 // QuotaShare is a partition's share of a team's limit.
@@ -150,12 +150,12 @@
 	Phase       ScaleOutPhase     `msgpack:"p"`
 	MachineType string            `msgpack:"y"`
 	Zone        string            `msgpack:"z"`
-	Spot        bool              `msgpack:"b,omitempty"`
-	Count       int               `msgpack:"n"`
-	Machines    []string          `msgpack:"m,omitempty"`
-	Live        []string          `msgpack:"l,omitempty"`
-	Own         map[string]string `msgpack:"w,omitempty"`
-	PhaseSince  int64             `msgpack:"t"` // time of day, microseconds
+	Spot        bool              `msgpack:"b,omitempty"` // spot instances
+	Count       int               `msgpack:"n"`           // machines requested
+	Machines    []string          `msgpack:"m,omitempty"` // provided by the cloud
+	Live        []string          `msgpack:"l,omitempty"` // controllers when the record was written
+	Own         map[string]string `msgpack:"w,omitempty"` // by machine: the controller that may claim it
+	PhaseSince  int64             `msgpack:"t"`           // time of day, microseconds
 }
 
 // ScaleInRequest is the record of KindScaleIn: machines that are deleted together. It is written before the
@@ -163,10 +163,10 @@
 // the record is kept for a while, so that late heartbeats from these machines are rejected.
 type ScaleInRequest struct {
 	Machines   []string `msgpack:"m"`
-	StateSince int64    `msgpack:"t"` // time of day, microseconds
-	Attempts   int      `msgpack:"n,omitempty"`
-	Failed     bool     `msgpack:"f,omitempty"`
-	Deleted    bool     `msgpack:"g,omitempty"`
+	StateSince int64    `msgpack:"t"`           // time of day, microseconds
+	Attempts   int      `msgpack:"n,omitempty"` // failed calls
+	Failed     bool     `msgpack:"f,omitempty"` // flagged, and tried at long intervals
+	Deleted    bool     `msgpack:"g,omitempty"` // the cloud has confirmed the deletion
 }
 
 // MachineType is the record of KindMachineType: a machine type as the cloud's catalog has it.
@@ -174,22 +174,22 @@
 	CPUs          float64  `msgpack:"c"`
 	GPUs          float64  `msgpack:"g"`
 	MemoryGB      float64  `msgpack:"m"`
-	CacheGB       float64  `msgpack:"k"`
-	FetchGBPerS   float64  `msgpack:"f"`
+	CacheGB       float64  `msgpack:"k"` // local storage
+	FetchGBPerS   float64  `msgpack:"f"` // rate at which images are fetched
 	OnDemandPrice float64  `msgpack:"p"`
 	SpotPrice     float64  `msgpack:"s"`
-	BootS         float64  `msgpack:"b"`
+	BootS         float64  `msgpack:"b"` // seconds from the request until a machine is up
 	Zones         []string `msgpack:"z"`
 }
 
 // Member is the record of KindMember: a live controller. It is deleted with the controller's lease.
 type Member struct {
-	Incarnation uint64 `msgpack:"i"`
+	Incarnation uint64 `msgpack:"i"` // of the controller
 	Zone        string `msgpack:"z"`
 }
 
 // Leader is the record of KindLeader.
 type Leader struct {
-	Node        string `msgpack:"o"`
-	Incarnation uint64 `msgpack:"i"`
+	Node        string `msgpack:"o"` // the controller that leads
+	Incarnation uint64 `msgpack:"i"` // of that controller
 }
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -27,11 +27,11 @@
 // were completed there. A shard has one owner, who alone writes it; a takeover changes its version, so that
 // no late write of an earlier owner can succeed. Decoded entries are never changed in place.
 type Shard struct {
-	Owner       string
-	Incarnation uint64
-	Claim       uint64
-	Machines    map[string]*ShardMachine
-	Jobs        map[string]*ShardJob
+	Owner       string                   // the controller that writes it
+	Incarnation uint64                   // of the owner
+	Claim       uint64                   // number of the claim; fencing tokens begin with it
+	Machines    map[string]*ShardMachine // by id
+	Jobs        map[string]*ShardJob     // by id
 }
 
 // ShardMachine is a machine in a shard.
@@ -39,8 +39,8 @@
 	Number   int // its short name within the shard
 	Type     string
 	Zone     string
-	Spot     bool
-	Endpoint string
+	Spot     bool   // spot instance
+	Endpoint string // address and port of the machine's worker
 	State    MachineState
 	Claim    uint64 // when above the shard's: the machine came from another partition's shard
 }
@@ -54,9 +54,9 @@
 
 // Attempt is an attempt on a machine.
 type Attempt struct {
-	Task    int
+	Task    int // index
 	Machine string
-	Number  uint64
+	Number  uint64 // of the attempt among those at its task
 	// Starting says that the attempt isn't known to be running yet. It is stored only for replicas whose
 	// availability is guarded, see package drain.
 	Starting bool
--- a/internal/storage/shard_decode.go
+++ b/internal/storage/shard_decode.go
@@ -45,6 +45,7 @@
 	return d.shard, nil
 }
 
+// malformedEntry is the error of an entry that can't be read.
 func malformedEntry(entry string) error { return fmt.Errorf("%w: entry %q", ErrMalformedShard, entry) }
 
 // decodeMachines reads the entries of the machines.
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -14,7 +14,7 @@
 // Response is an answer on its way to a connection.
 type Response struct {
 	Status     int
-	RetryAfter int
+	RetryAfter int // seconds; 0: not named
 	Body       []byte
 }
 
