--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -55,7 +55,7 @@
 	return suspended
 }
 
-// MessagesFor makes a round of messages for a peer. recordsLoaded tells whether all records have been read by
+// MessagesFor makes a round of messages for a peer. recordsLoaded says whether all records have been read by
 // this incarnation of the controller.
 func (cs *Cancellations) MessagesFor(
 	peer string, now monotime.Micros, recordsLoaded bool,
--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -25,7 +25,7 @@
 	return mapentry.GetOrNew(a.sentCommands, key)
 }
 
-// KillSent reports whether the agent was ever sent a kill of an attempt that the store held on the machine.
+// KillSent reports whether the agent was ever sent a kill of an attempt that the records held on the machine.
 func (a *Agent) KillSent(key AttemptID) bool {
 	record := a.sentCommands[key]
 	return record != nil && record.killToken != 0
@@ -92,7 +92,7 @@
 	for _, key := range unexpected {
 		record := a.recordOf(key)
 		if a.HasExited(key) {
-			// Its outcome is in the records, or nobody wants it.
+			// Its outcome is in the records, or its attempt is in none of them any more.
 			if batch.due(&record.reapSentAt) {
 				batch.add(protocol.CmdReap, key)
 			}
@@ -131,7 +131,7 @@
 }
 
 // killAttempts adds the kills of attempts that the records hold. The first one's token is kept: once the
-// agent has taken it up, an attempt that it doesn't report is gone for good.
+// agent has taken it up, an attempt that it doesn't report has ended for good.
 func (a *Agent) killAttempts(batch *commandBatch, kills []AttemptID, jobs map[string]*mirror.Job) {
 	nextToken := a.Token() + 1
 	for _, key := range kills {
--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -41,7 +41,7 @@
 type Environment interface {
 	Now() monotime.Micros
 	After(delay monotime.Micros, callback func())
-	// SendCommands sends a request to the worker at an endpoint; nil asks for its report only. A result with
+	// SendCommands sends a request to the worker at an endpoint; nil only requests its report. A result with
 	// status 0 has no report.
 	SendCommands(
 		endpoint string,
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -174,7 +174,7 @@
 	})
 }
 
-// verifyReport asks a worker itself whether it is where a report says. Copies of reports come late, and a
+// verifyReport probes a worker to confirm that it is where a report says. Copies of reports come late, and a
 // machine may be heard that can't be reached: neither may cause a claim. requireNextSequence: no heartbeat
 // may lie between.
 func (m *Manager) verifyReport(report *protocol.Heartbeat, requireNextSequence bool, callback func(ok bool)) {
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -182,7 +182,7 @@
 	})
 }
 
-// Probe asks a worker for its report. What it says is taken like any report: it proves nothing before the
+// Probe requests the report of a worker, which is taken like any other: it proves nothing before the
 // worker has seen a token of this claim. syncAfterwards sends commands at once; it must be false if the
 // machine was another controller's, who may still be answering it: a higher token would have the worker drop
 // those answers, and its lease would end.
--- a/internal/autoscaling/backoff.go
+++ b/internal/autoscaling/backoff.go
@@ -72,7 +72,7 @@
 	return now < state.retryAt
 }
 
-// Update follows a job after a pass that met some of its demand, or none. It tells whether the job has just
+// Update follows a job after a pass that met some of its demand, or none. It reports whether the job has just
 // come to the ceiling.
 func (b *Backoffs) Update(jobID string, met bool, now monotime.Micros) (suspended bool) {
 	if met {
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -56,7 +56,7 @@
 	Designated(request *mirror.ScaleOutEntry, machineID string) string
 }
 
-// Workload gives what a pass plans for.
+// Workload provides what a pass plans for.
 type Workload interface {
 	Snapshot(now monotime.Micros) *autoscaling.Snapshot
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
--- a/internal/autoscaling/scalein/reconciler.go
+++ b/internal/autoscaling/scalein/reconciler.go
@@ -34,7 +34,7 @@
 	ReplacementDemands() []*autoscaling.Demand
 }
 
-// Workload gives demand and supply, as for the autoscaler's passes.
+// Workload provides demand and supply, as for the autoscaler's passes.
 type Workload interface {
 	Snapshot(now monotime.Micros) *autoscaling.Snapshot
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -90,7 +90,7 @@
 }
 
 // MessagesFor makes a round for a peer. mirrorRevision is the revision that the own mirror has
-// reached; recordsLoaded tells whether all records have been read by this incarnation.
+// reached; recordsLoaded says whether all records have been read by this incarnation.
 func (r *Relay) MessagesFor(
 	name string, now monotime.Micros, mirrorRevision uint64, recordsLoaded bool,
 ) []RoundMessage {
@@ -115,7 +115,7 @@
 }
 
 // Receive takes a peer's message and returns the cancellations in it that were not
-// known yet. The caller must act on them before it asks for ConfirmedUntil again.
+// known yet. The caller must act on them before it calls ConfirmedUntil again.
 func (r *Relay) Receive(name string, m RoundMessage) []Committed {
 	peer := r.peers[name]
 	if peer == nil {
--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -6,8 +6,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// autoscaler gives package autoscaling its inputs. While this controller is the leader, fleet carries the
-// plans out.
+// autoscaler provides package autoscaling with its inputs. While this controller is the leader, fleet carries
+// the plans out.
 type autoscaler struct {
 	c     *Controller
 	fleet *fleet.Reconciler
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -46,8 +46,8 @@
 	return names
 }
 
-// agentShards gives package agents the claims on machines. Their manager is made later than that of the
-// agents, which it needs itself.
+// agentShards provides package agents with the claims on machines. Their manager is made later than that of
+// the agents, which it needs itself.
 type agentShards struct{ c *Controller }
 
 func (s agentShards) Owns(shard *mirror.Shard) bool { return s.c.shards.Owns(shard) }
@@ -68,7 +68,7 @@
 
 func (s agentShards) ExpireClaimRequests(now monotime.Micros) { s.c.shards.ExpireClaimRequests(now) }
 
-// agentScheduler gives package agents the placement of tasks.
+// agentScheduler provides package agents with the placement of tasks.
 type agentScheduler struct{ c *Controller }
 
 func (s agentScheduler) RequestPass() { s.c.scheduler.RequestPass() }
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -13,7 +13,7 @@
 	"pipitgap/internal/storage"
 )
 
-// jobPolicy gives package autoscaling what the scheduler and the quotas say of jobs.
+// jobPolicy provides package autoscaling with what the scheduler and the quotas say of jobs.
 type jobPolicy struct{ c *Controller }
 
 func (p jobPolicy) IsDelayed(job *mirror.Job, now monotime.Micros) bool {
@@ -92,7 +92,7 @@
 	return f.c.agents.DesignatedController(request, machineID)
 }
 
-// fleetWorkload gives packages fleet and scalein what a pass plans for.
+// fleetWorkload provides packages fleet and scalein with what a pass plans for.
 type fleetWorkload struct{ autoscaler *autoscaler }
 
 func (w fleetWorkload) Snapshot(now monotime.Micros) *autoscaling.Snapshot {
--- a/internal/coordination/wiring_drains.go
+++ b/internal/coordination/wiring_drains.go
@@ -11,7 +11,7 @@
 	"pipitgap/internal/storage"
 )
 
-// drainDependencies gives the drainer what it needs of the other subjects.
+// drainDependencies provides the drainer with what it needs of the other subjects.
 type drainDependencies struct{ c *Controller }
 
 // newDrainer makes the drainer; it is nil if the settings don't turn drains on.
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -8,7 +8,7 @@
 	"pipitgap/internal/resources"
 )
 
-// quotaDependencies gives the quota manager what it needs of shards, peers and reachability.
+// quotaDependencies provides the quota manager with what it needs of shards, peers and reachability.
 type quotaDependencies struct{ c *Controller }
 
 // newQuotaManager makes what keeps this controller's shares of the teams' limits.
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -9,7 +9,7 @@
 	"pipitgap/internal/storage"
 )
 
-// shardDependencies gives the shard manager what it needs of the other subjects.
+// shardDependencies provides the shard manager with what it needs of the other subjects.
 type shardDependencies struct{ c *Controller }
 
 // newShardManager makes what owns this controller's shards.
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -27,7 +27,7 @@
 	clock               func() monotime.Micros
 	random              *rand.Rand
 	mailbox             chan func()
-	closed              chan struct{} // nobody reads the mailbox any more
+	closed              chan struct{} // the mailbox is no longer read
 	store               *transport.Client
 	cloud               *transport.Client
 	peers               map[string]*transport.PeerLink
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -66,7 +66,7 @@
 type Agents interface {
 	// Of is nil for a machine that isn't this controller's.
 	Of(*mirror.Machine) *agents.Agent
-	// SyncCommands sends an agent the commands that its state asks for.
+	// SyncCommands sends an agent the commands that its state requires.
 	SyncCommands(*mirror.Machine)
 }
 
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -11,8 +11,8 @@
 	leaseCallTimeout = 1 * monotime.Second
 	// leaseRenewalsPerTTL is how often the lease is renewed within its time to live.
 	leaseRenewalsPerTTL = 4
-	// leaseRetryDelay is how long after a failure the lease is asked for or renewed again. A grant adds a
-	// random part, as all controllers ask for one after an outage.
+	// leaseRetryDelay is how long after a failure the lease is requested or renewed again. A grant adds a
+	// random part, as all controllers request one after an outage.
 	leaseRetryDelay       = 300 * monotime.Millisecond
 	leaseGrantRetryJitter = 400 * monotime.Millisecond
 	// leaseClockDivisor is the part of the lease that is given up to the difference of two clocks' rates.
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -37,7 +37,7 @@
 	)
 }
 
-// Environment gives time, timers and randomness. Callbacks come on the caller's goroutine.
+// Environment provides time, timers and randomness. Callbacks come on the caller's goroutine.
 type Environment interface {
 	Now() monotime.Micros
 	Rand() *rand.Rand
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -92,7 +92,7 @@
 	})
 }
 
-// getResults reads some results by their keys, and then tells whether all were read.
+// getResults reads some results by their keys, and then reports whether all were read.
 func (l *load) getResults(keys []string, done func(ok bool)) {
 	missing, allRead := len(keys), true
 	for _, key := range keys {
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -20,13 +20,13 @@
 )
 
 // FromSeconds converts a wire amount, saturating far below overflow.
-func FromSeconds(s float64) Micros {
-	const most = 1e12 // some 11 days in microseconds times 1000
-	v := s * float64(Second)
-	if math.IsNaN(v) || v < 0 {
+func FromSeconds(seconds float64) Micros {
+	const maxMicros = 1e12 // about 11.6 days
+	micros := seconds * float64(Second)
+	if math.IsNaN(micros) || micros < 0 {
 		return 0
 	}
-	return Micros(math.Min(v, most))
+	return Micros(math.Min(micros, maxMicros))
 }
 
 // FromDuration converts a standard duration.
--- a/internal/placement/dependencies.go
+++ b/internal/placement/dependencies.go
@@ -83,7 +83,7 @@
 	WatchInterval() monotime.Micros
 	ShardWritesPerSecond() float64
 	// NextWriteAllowedAt is when the next write may be spent if all controllers together may spend a fraction
-	// of the store's writes on its purpose.
+	// of the state service's writes on its purpose.
 	NextWriteAllowedAt(fraction float64) monotime.Micros
 }
 
--- a/internal/placement/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -64,7 +64,7 @@
 	p.scheduler.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, fraction)
 }
 
-// preemptionRequest asks for room for so many tasks of the job by stopping others.
+// preemptionRequest requests room for so many tasks of the job by stopping others.
 func (p *jobPlacement) preemptionRequest(tasks int, besideImage bool) preemptionRequest {
 	return preemptionRequest{
 		job:         p.job,
--- a/internal/placement/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -6,7 +6,7 @@
 	"pipitgap/internal/scheduling"
 )
 
-// jobTracking is what a controller notes about a job beside the store.
+// jobTracking is what a controller notes about a job beside the records.
 type jobTracking struct {
 	failures       scheduling.JobFailures
 	progress       scheduling.StartProgress
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -27,7 +27,7 @@
 	machines  map[string]bool // what is free on them until then is the job's
 }
 
-// preemptionRequest asks for room for tasks of a job by stopping others.
+// preemptionRequest requests room for tasks of a job by stopping others.
 type preemptionRequest struct {
 	job        *mirror.Job
 	tasks      int // for how many of its tasks
@@ -52,7 +52,7 @@
 
 // preemptFor stops tasks so that up to as many tasks of a job as requested get room on the partition's
 // machines; the cheapest loss first, see mayPreempt. For its priority only a service preempts: an array gains
-// little by it and the work thrown away is paid for. It tells whether room is being made.
+// little by it and the work thrown away is paid for. It reports whether room is being made.
 func (sc *Scheduler) preemptFor(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -21,7 +21,7 @@
 	minBacklogCPUs = 0.01
 	// orphanedRangeDelay is how long a controller must be gone until others place the tasks of its ranges.
 	orphanedRangeDelay = 1 * monotime.Second
-	// Fractions of the store's writes that all controllers together may spend on reassignments.
+	// Fractions of the state service's writes that all controllers together may spend on reassignments.
 	orphanedRangeWrites = 0.4
 	workStealingWrites  = 0.1
 )
@@ -87,7 +87,7 @@
 // way. Whatever a range's owner assigned before stands in the shards by then, whatever it would assign after
 // fails on the record's version; so the new owner may begin once its mirror has come that far.
 func (sc *Scheduler) ReassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
-	// Both this and an assignment change or ask for the job's record: with one of the
+	// Both this and an assignment change or compare the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
 	// handing a job to and fro without ever starting it.
 	if sc.deps.RecordWrites.Contains(job.ID) || sc.jobsInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -127,7 +127,7 @@
 	Incarnation         uint64       `msgpack:"roost"`     // of the agent
 	Sequence            uint64       `msgpack:"chirp"`     // counts the heartbeats of an incarnation
 	FencingToken        uint64       `msgpack:"baton"`     // the highest that the agent has seen
-	InterruptionNoticeS *float64     `msgpack:"warning_s"` // until the cloud takes the machine; nil: not announced
+	InterruptionNoticeS *float64     `msgpack:"warning_s"` // nil: no interruption announced
 	Tasks               []TaskStatus `msgpack:"pips"`
 }
 
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -26,7 +26,7 @@
 // Paths of the cloud.
 const (
 	CatalogPath        = "/catalog"
-	MachinesPath       = "/rentals" // lists (GET) and rents (POST)
+	MachinesPath       = "/rentals" // lists (GET) and requests (POST) machines
 	DeleteMachinesPath = "/rentals/delete"
 )
 
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -124,8 +124,8 @@
 	})
 }
 
-// compareOthers asks for the records of the other controllers as they are: of those of the deployment, and of
-// those that have a record still.
+// compareOthers has the commit compare the records of the other controllers with the mirror: of those of the
+// deployment, and of those that have a record still.
 func (m *Manager) compareOthers() []protocol.Compare {
 	names := map[string]bool{}
 	for _, node := range m.cfg.Controllers {
--- a/internal/quota/quotashares/manager.go
+++ b/internal/quota/quotashares/manager.go
@@ -67,7 +67,7 @@
 	Store       Store
 	Shards      Shards
 	Peers       Peers
-	RequestPass func() // asks for a scheduling pass, as what may be assigned has changed
+	RequestPass func() // requests a scheduling pass, as what may be assigned has changed
 	Log         *slog.Logger
 }
 
--- a/internal/quota/quotashares/transfer.go
+++ b/internal/quota/quotashares/transfer.go
@@ -69,7 +69,7 @@
 
 // Transfer has the shares of the teams' limits follow tasks that go over from one controller's shards into
 // another's: it adds the change of both controllers' records to the transaction. comparedKeys has the keys
-// that the transaction already asks for, and gets those that are added. Several transfers may go into one
+// that the transaction already compares, and gets those that are added. Several transfers may go into one
 // transaction.
 func (m *Manager) Transfer(
 	txn *protocol.Transaction,
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -37,7 +37,7 @@
 type Environment interface {
 	Now() monotime.Micros
 	Rand() *rand.Rand
-	// SendCommands sends a request to the worker at an endpoint; nil asks for its heartbeat only.
+	// SendCommands sends a request to the worker at an endpoint; nil only requests its heartbeat.
 	SendCommands(
 		endpoint string,
 		request *protocol.CommandRequest,
--- a/internal/reachability/workers.go
+++ b/internal/reachability/workers.go
@@ -88,7 +88,7 @@
 	return machines
 }
 
-// probe asks a machine itself for its heartbeat and reports whether it has answered.
+// probe requests the heartbeat of a machine and reports whether it has answered.
 func (r *Reachability) probe(machine *mirror.Machine, callback func(reached bool)) {
 	r.env.SendCommands(
 		machine.Record.Endpoint,
--- a/internal/scheduling/runtime_estimates.go
+++ b/internal/scheduling/runtime_estimates.go
@@ -14,7 +14,7 @@
 )
 
 // RuntimeEstimates corrects the owners' estimates of run times by what tasks of the same class have lately
-// taken: on some days the estimates of a class are mostly too high or mostly too low.
+// taken: the estimates of a class can be mostly too high, or mostly too low, for a while.
 type RuntimeEstimates struct {
 	biasByClass map[string]float64 // moving average of the logarithm of run time over estimate
 }
--- a/internal/shards/dependencies.go
+++ b/internal/shards/dependencies.go
@@ -94,7 +94,7 @@
 	UpdateOwnership(machine *mirror.Machine)
 	// SyncCommands sends a machine the commands that it lacks.
 	SyncCommands(machine *mirror.Machine)
-	// Probe asks a machine that was just claimed for its status, and sends commands after it if wanted.
+	// Probe requests the status of a machine that was just claimed, and sends commands after it if wanted.
 	Probe(machine *mirror.Machine, syncAfterwards bool)
 	// DesignatedController names the controller that may claim a machine of a scale-out request.
 	DesignatedController(request *mirror.ScaleOutEntry, machine string) string
--- a/internal/shards/failover.go
+++ b/internal/shards/failover.go
@@ -60,7 +60,7 @@
 		membership.RendezvousOwner(shard.Name, controllers) == m.cfg.Node
 }
 
-// claim takes over shards of one owner, as many as a commit takes, and tells how many these are.
+// claim takes over shards of one owner, as many as a commit takes, and returns how many these are.
 func (m *Manager) claim(owner string, shards []*mirror.Shard) int {
 	transfer := m.buildTransfer(shards, m.cfg.Node, m.cfg.Incarnation)
 	for _, shard := range transfer.shards {
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -52,8 +52,8 @@
 	return update
 }
 
-// prepare prepares the next version of a shard: attempts that have ended are released, machines that are gone
-// are taken out, states and marks are corrected, and entries of jobs that are over are dropped.
+// prepare prepares the next version of a shard: attempts that have ended are released, machines that are
+// deleted are taken out, states and marks are corrected, and entries of jobs that are over are dropped.
 func (m *Manager) prepare(shard *mirror.Shard, now monotime.Micros) *Update {
 	update := NewUpdate(shard.Name, shard, shard.Record.Clone())
 	update.losses = m.drains.NewLosses()
@@ -87,13 +87,13 @@
 	return update
 }
 
-// scaledIn reports whether a machine is known to be gone by a scale-in request.
+// scaledIn reports whether a scale-in request says that a machine is deleted.
 func (m *Manager) scaledIn(machine string) bool {
 	scaleIn := m.mirror.ScaleIns[m.mirror.ScaleInOfMachine[machine]]
 	return scaleIn != nil && scaleIn.Record.Deleted
 }
 
-// releaseMachine takes a machine that is gone out of a shard, with all that it held.
+// releaseMachine takes a deleted machine out of a shard, with all that it held.
 func (m *Manager) releaseMachine(update *Update, machine *mirror.Machine) {
 	for task := range machine.Attempts {
 		m.release(update, machine, task, false)
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -67,7 +67,7 @@
 	return mapentry.GetOrNew(m.trackers, shard)
 }
 
-// forgetIdleTrackers drops the trackers of shards that are gone.
+// forgetIdleTrackers drops the trackers of shards that no longer exist.
 func (m *Manager) forgetIdleTrackers() {
 	for name, t := range m.trackers {
 		if t.idle() && m.mirror.Shards[name] == nil && m.newShards[name] == nil {
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -73,7 +73,7 @@
 		_ = cc.conn.Close()
 	}
 	select {
-	case <-c.closed: // meanwhile: nobody would come for it
+	case <-c.closed: // meanwhile: the kept connection would never be closed
 		c.closeIdle()
 	default:
 	}
--- a/internal/transport/status.go
+++ b/internal/transport/status.go
@@ -10,7 +10,7 @@
 	StatusMethodNotAllowed   = 405
 	StatusTimeout            = 408
 	StatusConflict           = 409
-	StatusGone               = 410 // of the state service: the revision asked for is compacted
+	StatusGone               = 410 // of the state service: the requested revision is compacted
 	StatusContentTooLarge    = 413
 	StatusURITooLong         = 414
 	StatusRedirect           = 421 // another controller is to be called
