--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -100,7 +100,7 @@
 	answersLost bool // and the controller's answers don't reach it
 }
 
-// settleAbsentAttempts returns an outcome to the attempts that a report proves gone by lacking them, and
+// settleAbsentAttempts records an outcome of the attempts that a report proves ended by lacking them, and
 // lists those that it has as exited, in order.
 func (a *Agent) settleAbsentAttempts(
 	machine *mirror.Machine,
@@ -137,7 +137,7 @@
 	return record != nil && record.killToken != 0 && acknowledged >= record.killToken
 }
 
-// settleExits returns the exited attempts their outcomes and returns those that had none before.
+// settleExits records the outcomes of the exited attempts and returns those that had none before.
 func (a *Agent) settleExits(exited []AttemptID, jobs map[string]*mirror.Job) []Exit {
 	var exits []Exit
 	for _, key := range exited {
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -131,7 +131,7 @@
 	return p.fittingAtStart
 }
 
-// assignTasks returns the job's tasks of this partition's ranges to machines, as far as there is room.
+// assignTasks assigns the job's tasks of this partition's ranges to machines, as far as there is room.
 func (p *jobPlacement) assignTasks() {
 	job := p.job
 	for _, taskRange := range job.Record.TaskRanges {
@@ -156,7 +156,7 @@
 	}
 }
 
-// assignTask returns one task to a machine, or notes why it can't.
+// assignTask assigns one task to a machine, or notes why it can't.
 func (p *jobPlacement) assignTask(task int) {
 	sc, job := p.scheduler, p.job
 	// What a shard's own attempts give back can be used by the same write.
--- a/internal/placement/placement_pass.go
+++ b/internal/placement/placement_pass.go
@@ -45,7 +45,7 @@
 	preemptibleRunning bool // whether any running work is preemptible by arrays
 }
 
-// placeTasks returns the waiting tasks of this partition's ranges to machines of the updates; where nothing
+// placeTasks assigns the waiting tasks of this partition's ranges to machines of the updates; where nothing
 // has room it makes some, or looks for the partition that could.
 func (sc *Scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
 	if sc.deps.Catalog.MachineTypes() == nil || !sc.deps.Membership.HoldsLease(now) {
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -41,7 +41,7 @@
 	return scheduling.DivideTasks(spec.Tasks, rooms)
 }
 
-// wholeJobRange returns all tasks of a new job to one partition.
+// wholeJobRange assigns all tasks of a new job to one partition.
 func (sc *Scheduler) wholeJobRange(spec *storage.JobSpec) []storage.TaskRange {
 	return []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: sc.partitionForNewJob(spec)}}
 }
@@ -114,7 +114,7 @@
 	return true
 }
 
-// handOverTasks returns the waiting tasks that this partition has of a job to one that can make room, and
+// handOverTasks transfers the waiting tasks that this partition has of a job to one that can make room, and
 // tells whether the write is under way.
 func (sc *Scheduler) handOverTasks(job *mirror.Job, to string) bool {
 	for _, taskRange := range job.Record.TaskRanges {
@@ -153,7 +153,7 @@
 	}
 }
 
-// withoutOrphanedRanges returns the orphaned ones among a job's ranges to this partition.
+// withoutOrphanedRanges assigns the orphaned ones among a job's ranges to this partition.
 func (sc *Scheduler) withoutOrphanedRanges(
 	ranges []storage.TaskRange,
 	now monotime.Micros,
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -134,8 +134,8 @@
 	return share
 }
 
-// lowered returns up what lies more than twice a margin above what is used, down to the margin: within it
-// the share stays, or each small change of use would cost a write.
+// lowered returns the share without what lies more than twice a margin above what is used, down to the
+// margin: within it the share stays, or each small change of use would cost a write.
 func (in *ShareInputs) lowered(margin resources.Vector) storage.QuotaShare {
 	current := in.Current
 	lower := storage.QuotaShare{
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -61,7 +61,7 @@
 
 	// HasAgent reports whether a machine is claimed by this controller.
 	HasAgent func(machine *mirror.Machine) bool
-	// HandOffShards returns this controller's shards to others.
+	// HandOffShards transfers this controller's shards to others.
 	HandOffShards func(now monotime.Micros)
 	// RequestPass requests a scheduling pass.
 	RequestPass func()
--- a/internal/shards/failover.go
+++ b/internal/shards/failover.go
@@ -89,9 +89,9 @@
 	m.log.Info("shards claimed", "from_node", owner, "shards", len(shards), "machines", machines)
 }
 
-// HandOff returns this controller's shards to others that reach their workers, when it doesn't reach its own.
-// Its workers turn to the others when it doesn't answer; claims of single machines, each against the writes
-// of this controller, would take longer than the leases of most.
+// HandOff transfers this controller's shards to others that reach their workers, when it doesn't reach its
+// own. Its workers turn to the others when it doesn't answer; claims of single machines, each against the
+// writes of this controller, would take longer than the leases of most.
 func (m *Manager) HandOff(now monotime.Micros) {
 	if m.quota.WriteInFlight() || m.store.Unavailable() || !m.membership.HoldsLease(now) ||
 		m.store.WatchOverdue(now) {
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -136,7 +136,7 @@
 	u.AddCompare(storage.JobResultKey(job.ID), 0)
 }
 
-// Assign returns a task of a job to a machine of the shard. With joinsRange the attempt before it in the
+// Assign assigns a task of a job to a machine of the shard. With joinsRange the attempt before it in the
 // job's entry is of the task before, on the same machine: the encoded range grows by one number only.
 func (u *Update) Assign(job *mirror.Job, attempt storage.Attempt, joinsRange bool) {
 	if joinsRange {
