--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -39,7 +39,9 @@
 
 // Environment is the clock and the connection to the workers. Callbacks come on the controller's goroutine.
 type Environment interface {
+	// Now reads the steady clock.
 	Now() monotime.Micros
+	// After calls back after a delay.
 	After(delay monotime.Micros, callback func())
 	// SendCommands sends a request to the worker at an endpoint; nil only requests its report. A result with
 	// status 0 has no report.
@@ -71,8 +73,11 @@
 
 // RecordWrites notes the keys of records with a write in flight.
 type RecordWrites interface {
+	// Contains reports whether a change of a record is in flight.
 	Contains(key string) bool
+	// Begin marks a record as being changed.
 	Begin(key string)
+	// End takes the mark off.
 	End(key string)
 }
 
@@ -86,6 +91,7 @@
 
 // Membership knows which controllers are members.
 type Membership interface {
+	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
 }
 
@@ -107,6 +113,7 @@
 
 // Peers holds the last status of each other controller.
 type Peers interface {
+	// HeardRecently reports whether a status of a controller has come lately.
 	HeardRecently(node string, now monotime.Micros) bool
 	// LastHeardAt is when a controller last sent its status; 0: never.
 	LastHeardAt(node string) monotime.Micros
@@ -114,6 +121,7 @@
 
 // Shards holds the claims on the machines.
 type Shards interface {
+	// Owns reports whether a shard belongs to this incarnation of the controller.
 	Owns(shard *mirror.Shard) bool
 	// ClaimObservedAt is when the present claim on a shard was first seen.
 	ClaimObservedAt(shard string) monotime.Micros
@@ -128,6 +136,7 @@
 
 // Scheduler places tasks and learns from how they end.
 type Scheduler interface {
+	// RequestPass has a scheduling pass run soon.
 	RequestPass()
 	// RecordExit learns from how an attempt at a task of a job ended.
 	RecordExit(machine *mirror.Machine, job *mirror.Job, exit Exit)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -25,11 +25,13 @@
 type Environment interface {
 	Now() monotime.Micros // the steady clock
 	WallClock() int64     // time of day, microseconds
+	// Rand is the source of randomness.
 	Rand() *rand.Rand
 }
 
 // StateService is the queue of calls to the state service.
 type StateService interface {
+	// Call queues a call under its priority; the callback gets its result once.
 	Call(ratelimit.Priority, *protocol.StoreCall, func(protocol.StoreResult))
 	// Unavailable reports an outage, as this controller sees it.
 	Unavailable() bool
@@ -85,6 +87,7 @@
 
 // Cancellations passes committed cancellations on to the other controllers.
 type Cancellations interface {
+	// Add keeps a cancellation for the other controllers. It is called before any user gets the answer.
 	Add(cancellation.Committed)
 }
 
@@ -108,7 +111,7 @@
 
 // Counters counts since the start.
 type Counters struct {
-	JobsAccepted     int
+	JobsAccepted     int // submissions committed
 	RequestsDeferred int // rejected for now, to be retried
 }
 
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -29,9 +29,9 @@
 
 // Rejection is the reason why a request isn't carried out.
 type Rejection struct {
-	Status     int
-	RetryAfter int // seconds; 0: retrying doesn't help
-	Reason     string
+	Status     int    // of the HTTP response
+	RetryAfter int    // seconds; 0: retrying doesn't help
+	Reason     string // for the user
 }
 
 // Error returns the reason.
--- a/internal/autoscaling/bin.go
+++ b/internal/autoscaling/bin.go
@@ -36,7 +36,7 @@
 
 // RunningTask is a task that will end by itself, or several like it.
 type RunningTask struct {
-	CPUs            float64
+	CPUs            float64 // of the task
 	ExpectedSeconds float64 // its run in all; how far it has come isn't known
 }
 
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -12,7 +12,7 @@
 type Demand struct {
 	Spec  *storage.JobSpec
 	Need  resources.Vector // of one task
-	Tasks int
+	Tasks int              // without room
 	JobID string
 
 	QueueIndex      int            // place in the queue, the most urgent first
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -23,12 +23,15 @@
 type Environment interface {
 	Now() monotime.Micros // the steady clock
 	WallClock() int64     // microseconds, as in the records
+	// After calls back after a delay.
 	After(monotime.Micros, func())
+	// CallCloud makes a call of the cloud; the callback gets its result once.
 	CallCloud(*protocol.CloudCall, func(protocol.CloudResult))
 }
 
 // Membership tells whether this controller is the leader.
 type Membership interface {
+	// IsLeader reports whether this controller leads.
 	IsLeader(now monotime.Micros) bool
 	// LeadershipCompare is the condition that holds only while this controller's term lasts.
 	LeadershipCompare() protocol.Compare
@@ -36,6 +39,7 @@
 
 // Store commits transactions to the state service.
 type Store interface {
+	// Unavailable reports whether the state service has lately not answered.
 	Unavailable() bool
 	// Commit applies a successful transaction to the mirror before it calls back.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
@@ -51,6 +55,7 @@
 
 // Controllers tells which controllers can claim machines.
 type Controllers interface {
+	// Connected lists the live controllers that aren't known to be cut off from their workers.
 	Connected() []string
 	// Designated is the controller that is to claim a machine of a request.
 	Designated(request *mirror.ScaleOutEntry, machineID string) string
@@ -58,7 +63,9 @@
 
 // Workload provides what a pass plans for.
 type Workload interface {
+	// Snapshot is what demand and supply are read from.
 	Snapshot(now monotime.Micros) *autoscaling.Snapshot
+	// DemandAndSupply lists the tasks without room that the quotas let run, and the machines up or requested.
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
 	// NoteTrialDemand is called for jobs whose demand of the pass is a trial, see autoscaling.Demand.
 	NoteTrialDemand(jobID string, now monotime.Micros)
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -25,7 +25,7 @@
 // ScaleOut is a number of machines of one offer to be requested.
 type ScaleOut struct {
 	Offer
-	Machines int
+	Machines int // to be requested
 }
 
 // PlaceDemand places the demand on the machines that are up or requested, and returns all demands, headroom
--- a/internal/autoscaling/scalein/reconciler.go
+++ b/internal/autoscaling/scalein/reconciler.go
@@ -36,7 +36,9 @@
 
 // Workload provides demand and supply, as for the autoscaler's passes.
 type Workload interface {
+	// Snapshot is what demand and supply are read from.
 	Snapshot(now monotime.Micros) *autoscaling.Snapshot
+	// DemandAndSupply lists the tasks without room that the quotas let run, and the machines up or requested.
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
 }
 
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -13,8 +13,8 @@
 
 // Committed is a cancellation that the state service holds. It is final.
 type Committed struct {
-	Job      string
-	Revision uint64
+	Job      string // id
+	Revision uint64 // of the commit
 }
 
 // RoundMessage is one of the messages of a round: together they carry every committed
@@ -26,8 +26,8 @@
 	EchoedClock       monotime.Micros // received from the receiver
 	MirrorRevision    uint64          // the revision that the sender's mirror has reached
 	RecordsLoaded     bool            // the sender knows what its earlier incarnations had committed
-	Round             uint64
-	MessagesInRound   int
+	Round             uint64          // counts the rounds of the sender
+	MessagesInRound   int             // the round is complete with so many
 	Committed         []Committed
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -54,10 +54,10 @@
 
 // Config is what the platform hands over.
 type Config struct {
-	Node       string `toml:"node"`
-	Area       string `toml:"area"`
-	PublicAddr string `toml:"public_addr"`
-	PeerBind   string `toml:"peer_bind"`
+	Node       string `toml:"node"`        // this controller's name
+	Area       string `toml:"area"`        // this controller's zone
+	PublicAddr string `toml:"public_addr"` // for users and workers
+	PeerBind   string `toml:"peer_bind"`   // for the other controllers
 	Peers      []Peer `toml:"known"`
 	External   struct {
 		Cloud string `toml:"cloud"`
--- a/internal/config/drain_settings.go
+++ b/internal/config/drain_settings.go
@@ -111,7 +111,7 @@
 
 // CountOrPercent is a number of replicas, or a percentage of them.
 type CountOrPercent struct {
-	Value   int
+	Value   int // replicas, or percent of them
 	Percent bool
 }
 
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -32,15 +32,20 @@
 	Now() monotime.Micros // the steady clock
 	WallClock() int64     // time of day, microseconds
 	Rand() *rand.Rand     // injected randomness
+	// After calls back after a delay.
 	After(monotime.Micros, func())
+	// CallStore makes a call of the state service; the callback gets its result once.
 	CallStore(*protocol.StoreCall, func(protocol.StoreResult))
+	// CallCloud makes a call of the cloud; the callback gets its result once.
 	CallCloud(*protocol.CloudCall, func(protocol.CloudResult))
+	// SendCommands sends a request to the worker at an endpoint; nil only requests its report.
 	SendCommands(
 		endpoint string,
 		req *protocol.CommandRequest,
 		within monotime.Micros,
 		callback func(protocol.CommandResult),
 	)
+	// SendPeerStatus sends a status to another controller; it may be lost.
 	SendPeerStatus(node string, status peers.Status)
 }
 
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -48,6 +48,7 @@
 
 // agentShards provides package agents with the claims on machines. Their manager is made later than that of
 // the agents, which it needs itself.
+// Its methods are described at agents.Shards.
 type agentShards struct{ c *Controller }
 
 func (s agentShards) Owns(shard *mirror.Shard) bool { return s.c.shards.Owns(shard) }
@@ -69,6 +70,7 @@
 func (s agentShards) ExpireClaimRequests(now monotime.Micros) { s.c.shards.ExpireClaimRequests(now) }
 
 // agentScheduler provides package agents with the placement of tasks.
+// Its methods are described at agents.Scheduler.
 type agentScheduler struct{ c *Controller }
 
 func (s agentScheduler) RequestPass() { s.c.scheduler.RequestPass() }
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -14,6 +14,7 @@
 )
 
 // jobPolicy provides package autoscaling with what the scheduler and the quotas say of jobs.
+// Its methods are described at autoscaling.JobPolicy.
 type jobPolicy struct{ c *Controller }
 
 func (p jobPolicy) IsDelayed(job *mirror.Job, now monotime.Micros) bool {
@@ -84,6 +85,7 @@
 }
 
 // fleetControllers tells package fleet which controllers can claim machines.
+// Its methods are described at fleet.Controllers.
 type fleetControllers struct{ c *Controller }
 
 func (f fleetControllers) Connected() []string { return f.c.reachability.ConnectedControllers() }
@@ -93,6 +95,7 @@
 }
 
 // fleetWorkload provides packages fleet and scalein with what a pass plans for.
+// Its methods are described at fleet.Workload.
 type fleetWorkload struct{ autoscaler *autoscaler }
 
 func (w fleetWorkload) Snapshot(now monotime.Micros) *autoscaling.Snapshot {
--- a/internal/coordination/wiring_drains.go
+++ b/internal/coordination/wiring_drains.go
@@ -12,6 +12,7 @@
 )
 
 // drainDependencies provides the drainer with what it needs of the other subjects.
+// Its methods are described at drainer.Jobs and drainer.Machines.
 type drainDependencies struct{ c *Controller }
 
 // newDrainer makes the drainer; it is nil if the settings don't turn drains on.
@@ -54,6 +55,7 @@
 
 // drainStore is the state service as the drainer sees it. Users' calls that wait at any controller count, and
 // what the leader alone may write is committed by the fleet's reconciliation.
+// Its methods are described at drainer.Store.
 type drainStore struct {
 	stateService
 	c *Controller
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -9,6 +9,7 @@
 )
 
 // quotaDependencies provides the quota manager with what it needs of shards, peers and reachability.
+// Its methods are described at quotashares.Shards and quotashares.Peers.
 type quotaDependencies struct{ c *Controller }
 
 // newQuotaManager makes what keeps this controller's shares of the teams' limits.
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -10,6 +10,7 @@
 )
 
 // shardDependencies provides the shard manager with what it needs of the other subjects.
+// Its methods are described at shards.Peers, shards.Drains and shards.Passes.
 type shardDependencies struct{ c *Controller }
 
 // newShardManager makes what owns this controller's shards.
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -48,6 +48,7 @@
 }
 
 // replicaObserver brings the state of the replica to the other subjects.
+// Its methods are described at mirror.Observer.
 type replicaObserver struct{ c *Controller }
 
 func (o replicaObserver) BeforeReplace(loaded *mirror.Mirror) { o.c.agents.KeepOnly(loaded) }
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -55,9 +55,9 @@
 type Blockage struct {
 	Drain   string    `json:"drain"`
 	Machine string    `json:"machine"`
-	Task    string    `json:"task,omitempty"`
+	Task    string    `json:"task,omitempty"` // "": the machine as a whole waits
 	Kind    BlockKind `json:"kind"`
-	Reason  string    `json:"reason"`
+	Reason  string    `json:"reason"` // for operators
 }
 
 // permitBytes is the size of a permit in its record, at most.
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -38,13 +38,17 @@
 type Membership interface {
 	// HoldsLease reports whether this controller's own lease can't have expired yet.
 	HoldsLease(now monotime.Micros) bool
+	// IsLeader reports whether this controller leads.
 	IsLeader(now monotime.Micros) bool
+	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
+	// LiveControllers lists the controllers that are members, in order.
 	LiveControllers() []string
 }
 
 // Store commits transactions to the state service, and tells what its rate limits leave.
 type Store interface {
+	// Unavailable reports whether the state service has lately not answered.
 	Unavailable() bool
 	// IsMirrorStale reports whether the mirror lacks changes that are too old for decisions on drains.
 	IsMirrorStale(now monotime.Micros) bool
@@ -74,6 +78,7 @@
 type Jobs interface {
 	// IsCrashLooping reports whether a job fails wherever it runs.
 	IsCrashLooping(*mirror.Job) bool
+	// ExpectedRunSeconds is the expected run of a task.
 	ExpectedRunSeconds(*storage.JobSpec) float64
 	// ZoneConstraint is a job's rule on zones as its tasks stand now; each call gives one of its own.
 	ZoneConstraint(*mirror.Job) autoscaling.ZoneConstraint
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -10,10 +10,10 @@
 
 // Move is the move of a replica from one machine to another.
 type Move struct {
-	Task string `json:"task"`
+	Task string `json:"task"` // the job, a slash and the index
 	Team string `json:"team"`
-	From string `json:"from"`
-	To   string `json:"to"`
+	From string `json:"from"` // machine
+	To   string `json:"to"`   // machine
 }
 
 // Step is what a plan does at once.
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -14,19 +14,19 @@
 
 // Replica is an attempt of a service's task on a machine.
 type Replica struct {
-	Job         string
-	Task        int
-	Attempt     uint64
-	Starting    bool // not known to be running yet
-	UnderPermit bool // to be stopped under a permit
+	Job         string // id
+	Task        int    // index
+	Attempt     uint64 // number
+	Starting    bool   // not known to be running yet
+	UnderPermit bool   // to be stopped under a permit
 }
 
 // Machine is a machine with the replicas on it.
 type Machine struct {
 	ID, Type, Zone string
-	Spot           bool
+	Spot           bool // spot instance
 	State          storage.MachineState
-	Owner          string
+	Owner          string           // the controller that holds its shard
 	Free           resources.Vector // used by no task, and reserved by no permit
 	Replicas       []Replica
 	ArrayUsage     []ArrayUsage // what array tasks use, by priority
@@ -35,7 +35,7 @@
 // ArrayUsage is what the array tasks of one priority use on a machine.
 type ArrayUsage struct {
 	Priority  int
-	Tasks     int
+	Tasks     int // number of tasks
 	Resources resources.Vector
 }
 
@@ -58,13 +58,13 @@
 // Job is an unfinished service.
 type Job struct {
 	ID, Team, Class string
-	Replicas        int
+	Replicas        int // desired
 	PerTask         resources.Vector
 	Priority        int
 	Types           []string // allowed machine types; nil: any
 	Zone            string   // the only allowed zone; "": any
-	OneZone, Spread bool
-	Spot            bool
+	OneZone, Spread bool     // all replicas in one zone; or at most half of them in a zone
+	Spot            bool     // may run on spot machines
 	// Failing says that the job fails wherever it runs: it has no availability to protect.
 	Failing bool
 }
@@ -98,8 +98,8 @@
 // Snapshot is the fleet at one revision of the state service. It never changes: trying a step gives another
 // snapshot, which shares nearly everything with it.
 type Snapshot struct {
-	Revision  uint64
-	Wall      int64 // wall clock, microseconds
+	Revision  uint64 // of the state service
+	Wall      int64  // wall clock, microseconds
 	machines  *immutable.SortedMap[string, *Machine]
 	jobs      map[string]*Job
 	types     map[string]TypeCapacity
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -12,12 +12,12 @@
 	Name      string             `json:"name"`
 	State     storage.DrainState `json:"state"`
 	Reason    string             `json:"reason,omitempty"`
-	Revision  uint64             `json:"revision"`
+	Revision  uint64             `json:"revision"` // of the state service
 	Machines  []MachineProgress  `json:"machines"`
 	Permits   int                `json:"permits"` // moves in progress
 	Blocked   []Blockage         `json:"blocked,omitempty"`
-	StartedAt int64              `json:"started_at_us"`
-	EndedAt   int64              `json:"ended_at_us,omitempty"`
+	StartedAt int64              `json:"started_at_us"`         // time of day
+	EndedAt   int64              `json:"ended_at_us,omitempty"` // time of day; 0: not yet
 }
 
 // MachineProgress is a machine of a drain that isn't terminated yet.
@@ -108,12 +108,12 @@
 type TeamStatus struct {
 	Team            string `json:"team"`
 	Class           string `json:"class,omitempty"`
-	Budgeted        bool   `json:"budgeted"`
-	Desired         int    `json:"desired"`
-	Available       int    `json:"available"`
-	MinAvailable    int    `json:"must_stay"`
+	Budgeted        bool   `json:"budgeted"`  // false: the default pace
+	Desired         int    `json:"desired"`   // replicas that its jobs should have
+	Available       int    `json:"available"` // replicas
+	MinAvailable    int    `json:"must_stay"` // replicas
 	ReserveMachines int    `json:"reserve_machines"`
-	WorstLoss       int    `json:"lost_with_reserve"`
+	WorstLoss       int    `json:"lost_with_reserve"` // replicas on as many of its fullest machines
 }
 
 // Teams lists the availability of all scopes with services, by their names.
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -17,6 +17,7 @@
 // Committer makes conditional changes of the state service; one that succeeds is in the mirror before the
 // callback.
 type Committer interface {
+	// Commit makes a conditional change; on success it is in the mirror before the callback is called.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
 }
 
@@ -28,18 +29,23 @@
 
 // PriorityClasses tells the class in which changes of a job's records are queued.
 type PriorityClasses interface {
+	// PriorityClass is the class for a job: otherwise, or that of bursts.
 	PriorityClass(spec *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority
 }
 
 // WritesInFlight marks the jobs whose record is being changed by this controller.
 type WritesInFlight interface {
+	// Contains reports whether a change of a record is in flight.
 	Contains(job string) bool
+	// Begin marks a record as being changed.
 	Begin(job string)
+	// End takes the mark off.
 	End(job string)
 }
 
 // Membership knows the controllers that the jobs are divided among.
 type Membership interface {
+	// LiveControllers lists the controllers that are members, in order.
 	LiveControllers() []string
 }
 
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -16,6 +16,7 @@
 
 // Store makes calls of the state service.
 type Store interface {
+	// Call queues a call under its priority; the callback gets its result once.
 	Call(priority ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult))
 	// Unavailable reports whether the state service has lately not answered.
 	Unavailable() bool
@@ -39,8 +40,11 @@
 
 // Environment provides time, timers and randomness. Callbacks come on the caller's goroutine.
 type Environment interface {
+	// Now reads the steady clock.
 	Now() monotime.Micros
+	// Rand is the source of randomness.
 	Rand() *rand.Rand
+	// After calls back after a delay.
 	After(delay monotime.Micros, callback func())
 }
 
--- a/internal/mirror/job.go
+++ b/internal/mirror/job.go
@@ -9,13 +9,13 @@
 type Job struct {
 	ID            string
 	Record        storage.OpenJob
-	Version       uint64
+	Version       uint64 // of the open record
 	TaskResources resources.Vector
 	FinalState    storage.JobState // from its result, if it has one
 	FinalRevision uint64           // version of the result
 	TaskStates    []uint8          // of each task, 0: pending; see assignedUnit
-	DoneTasks     int
-	AssignedTasks int // tasks with an attempt on some machine
+	DoneTasks     int              // tasks that are completed
+	AssignedTasks int              // tasks with an attempt on some machine
 }
 
 // A task's state counts the shards that hold an attempt of it, and those in which it is done. While a machine
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -28,7 +28,7 @@
 	MachineTypes      map[string]MachineTypeEntry // by name
 	Members           map[string]MemberEntry      // by controller
 	Leader            storage.Leader
-	LeaderVersion     uint64
+	LeaderVersion     uint64                  // 0: there is no leader record
 	Drains            map[string]DrainEntry   // by name
 	PermitsByTeam     map[string]PermitsEntry // by team
 	ownDeletions      map[string]uint64       // own deletions ahead of the watch
--- a/internal/mirror/shard_sums.go
+++ b/internal/mirror/shard_sums.go
@@ -11,7 +11,7 @@
 type Shard struct {
 	Name      string
 	Record    *storage.Shard
-	Version   uint64
+	Version   uint64                      // of the record
 	UseByTeam map[string]resources.Vector // by team, the resources of its attempts
 }
 
--- a/internal/mirror/task_id.go
+++ b/internal/mirror/task_id.go
@@ -10,8 +10,8 @@
 
 // TaskID names a task.
 type TaskID struct {
-	Job   string
-	Index int
+	Job   string // id
+	Index int    // from 0
 }
 
 // String returns the form in which messages to workers name a task: the job, a slash and the index.
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -40,7 +40,7 @@
 	RemoveAtOnce bool            // remove empty machines without a delay
 	MaxParallel  int             // machines being emptied at a time
 	Deadline     monotime.Micros // no step begins so long after the start; 0: never
-	DryRun       bool
+	DryRun       bool            // show the plan and change nothing
 }
 
 // StartResult answers a start.
@@ -238,8 +238,8 @@
 	Name         string             `json:"name"`
 	State        storage.DrainState `json:"state"`
 	Reason       string             `json:"reason,omitempty"`
-	Selection    string             `json:"selects"`
-	MachinesLeft int                `json:"machines_left"`
+	Selection    string             `json:"selects"`       // what it selects, as text
+	MachinesLeft int                `json:"machines_left"` // 0 once it has ended
 }
 
 // List lists all drains, also those that ended within the last day.
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -17,8 +17,8 @@
 // Status is what a controller sends to the others about itself. It decides nothing: it speeds things up, and
 // tells an outage of the state service from the sender's own isolation. See Frame for its wire form.
 type Status struct {
-	Node        string
-	Incarnation uint64
+	Node        string // the sender
+	Incarnation uint64 // of the sender
 	// StateServiceReachable says that the sender has lately had an answer from the state service.
 	StateServiceReachable bool
 	// WaitingUserRequests is the number of users' requests that wait there for the state service.
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -42,7 +42,7 @@
 // Counters counts what the scheduler has done since it was made.
 type Counters struct {
 	MachinesExamined int // machines looked at for tasks
-	TasksFailed      int
+	TasksFailed      int // exits with an error
 }
 
 // Counters are the counts so far.
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -196,9 +196,9 @@
 // MachineType is an entry of the cloud's catalogue.
 type MachineType struct {
 	Name          string   `msgpack:"name"`
-	CPUs          float64  `msgpack:"cores"`
-	GPUs          float64  `msgpack:"accelerators"`
-	MemoryGB      float64  `msgpack:"memory_gb"`
+	CPUs          float64  `msgpack:"cores"`         // of a machine
+	GPUs          float64  `msgpack:"accelerators"`  // of a machine
+	MemoryGB      float64  `msgpack:"memory_gb"`     // of a machine
 	CacheGB       float64  `msgpack:"local_gb"`      // local storage
 	FetchGBPerS   float64  `msgpack:"pull_gb_per_s"` // rate at which images are fetched
 	OnDemandPrice float64  `msgpack:"rate"`
@@ -215,11 +215,11 @@
 // CreateMachinesRequest requests machines of one offer. A request that is repeated under its name gets the
 // same machines.
 type CreateMachinesRequest struct {
-	Name  string `msgpack:"ask"` // identifies the request
-	Type  string `msgpack:"breed"`
+	Name  string `msgpack:"ask"`   // identifies the request
+	Type  string `msgpack:"breed"` // machine type
 	Zone  string `msgpack:"grove"`
 	Spot  bool   `msgpack:"borrowed"` // spot instances
-	Count int    `msgpack:"number"`
+	Count int    `msgpack:"number"`   // machines
 }
 
 // CreateMachinesReply names the machines that the cloud provides.
@@ -272,10 +272,10 @@
 
 // Op is a put (Put set) or a delete.
 type Op struct {
-	Put    string `msgpack:"write,omitempty"`
+	Put    string `msgpack:"write,omitempty"` // key
 	Value  Raw    `msgpack:"value,omitempty"`
 	Lease  uint64 `msgpack:"tenure,omitempty"` // that the put record is deleted with
-	Delete string `msgpack:"drop,omitempty"`
+	Delete string `msgpack:"drop,omitempty"`   // key
 }
 
 // Transaction is a transaction.
@@ -302,7 +302,7 @@
 
 // TransactionReply answers a transaction.
 type TransactionReply struct {
-	Revision uint64   `msgpack:"epoch"`
+	Revision uint64   `msgpack:"epoch"`  // of the commit
 	Failed   []string `msgpack:"failed"` // keys whose conditions failed
 }
 
--- a/internal/protocol/worker_calls.go
+++ b/internal/protocol/worker_calls.go
@@ -8,7 +8,7 @@
 // CommandResult answers a direct command batch. With Status 200 or 409 it carries
 // the worker's report; 0 means that there was no usable response.
 type CommandResult struct {
-	Status    int
+	Status    int // of the HTTP response
 	Heartbeat Heartbeat
 }
 
--- a/internal/quota/quotashares/manager.go
+++ b/internal/quota/quotashares/manager.go
@@ -29,6 +29,7 @@
 type Membership interface {
 	// HoldsLease reports whether this controller's own lease can't have expired yet.
 	HoldsLease(now monotime.Micros) bool
+	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
 	// AbsentSince is since when a controller has been seen not to be a member.
 	AbsentSince(node string, now monotime.Micros) monotime.Micros
@@ -36,6 +37,7 @@
 
 // Store commits transactions to the state service.
 type Store interface {
+	// Unavailable reports whether the state service has lately not answered.
 	Unavailable() bool
 	// BudgetSharers is the number of live controllers, at least 1.
 	BudgetSharers() int
@@ -45,6 +47,7 @@
 
 // Shards tells what commits of this controller's shards may change.
 type Shards interface {
+	// CommitInFlight reports whether a commit of any own shard is in flight.
 	CommitInFlight() bool
 	// UseInDoubt is what updates whose commits have no outcome yet may have assigned to a team's tasks.
 	UseInDoubt(team string) resources.Vector
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -20,7 +20,7 @@
 // UnmetDemand is tasks of one job that a controller's share keeps waiting.
 type UnmetDemand struct {
 	TaskResources  resources.Vector // of each task
-	Tasks          int
+	Tasks          int              // that wait
 	ShareLeft      resources.Vector // what is left of the controller's share
 	HasMachineRoom bool             // a machine has room for one of them
 }
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -30,8 +30,8 @@
 
 // Rates are the budget of a token bucket.
 type Rates struct {
-	PerSecond float64
-	Burst     float64
+	PerSecond float64 // tokens added
+	Burst     float64 // tokens held at most
 }
 
 // Queue paces the calls of one controller to its share of the limits of the state service. Each call costs a
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -19,6 +19,7 @@
 
 // Membership tells which controllers are members.
 type Membership interface {
+	// LiveControllers lists the controllers that are members, in order.
 	LiveControllers() []string
 	// LeaseRenewedAt returns when this controller's lease was last renewed.
 	LeaseRenewedAt() monotime.Micros
@@ -35,7 +36,9 @@
 // Environment is the clock, randomness and the connection to the workers. Callbacks come on the caller's
 // goroutine, never before SendCommands returns.
 type Environment interface {
+	// Now reads the steady clock.
 	Now() monotime.Micros
+	// Rand is the source of randomness.
 	Rand() *rand.Rand
 	// SendCommands sends a request to the worker at an endpoint; nil only requests its heartbeat.
 	SendCommands(
--- a/internal/shards/dependencies.go
+++ b/internal/shards/dependencies.go
@@ -38,6 +38,7 @@
 
 // Store is the state service.
 type Store interface {
+	// Unavailable reports whether the state service has lately not answered.
 	Unavailable() bool
 	// WatchOverdue reports whether the watch hasn't answered for so long that the mirror may be outdated.
 	WatchOverdue(now monotime.Micros) bool
@@ -49,10 +50,13 @@
 
 // Membership knows which controllers are members.
 type Membership interface {
+	// HoldsLease reports whether this controller's own lease can't have expired yet.
 	HoldsLease(now monotime.Micros) bool
+	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
 	// AbsentSince is since when a controller that is no member has been missing.
 	AbsentSince(node string, now monotime.Micros) monotime.Micros
+	// LiveControllers lists the controllers that are members, in order.
 	LiveControllers() []string
 }
 
@@ -60,6 +64,7 @@
 type Peers interface {
 	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
 	ConnectedControllers() []string
+	// HeardFromRecently reports whether a status of a controller has come lately.
 	HeardFromRecently(node string, now monotime.Micros) bool
 	// ReachesWorkers reports whether a controller has reported that it reaches its workers.
 	ReachesWorkers(node string) bool
@@ -67,9 +72,11 @@
 
 // Quota keeps the controllers' shares of the teams' limits.
 type Quota interface {
+	// WriteInFlight reports whether a commit is in flight that changes this controller's shares.
 	WriteInFlight() bool
 	// BeginWrite keeps others from writing shares until EndWrite: a commit of the manager changes them.
 	BeginWrite()
+	// EndWrite marks that the announced commit has its outcome.
 	EndWrite()
 	// Transfer adds to a transaction that the shares of the teams' limits follow attempts from one
 	// controller to another; comparedKeys are those that the transaction compares already.
@@ -127,6 +134,7 @@
 
 // Passes schedules the passes that prepare and commit updates.
 type Passes interface {
+	// Request has a pass run soon.
 	Request()
 	// HandleCommitResult follows what became of an update that assigned some tasks: it requests the next
 	// pass, and delays it where it would decide on the same outdated record.
