--- a/cmd/pipitgap/drain_output.go
+++ b/cmd/pipitgap/drain_output.go
@@ -77,13 +77,7 @@
 		fmt.Fprintf(
 			w,
 			"team %s\t%s\t%d of %d available\t%d must stay\t%d on its %d fullest machines (reserve)\n",
-			t.Team,
-			t.Class,
-			t.Available,
-			t.Desired,
-			t.MinAvailable,
-			t.WorstLoss,
-			t.ReserveMachines,
+			t.Team, t.Class, t.Available, t.Desired, t.MinAvailable, t.WorstLoss, t.ReserveMachines,
 		)
 	}
 }
@@ -136,11 +130,7 @@
 		fmt.Fprintf(
 			w,
 			"%s\t%s\t%s\t%d machines left\t%s\n",
-			d.Name,
-			d.State,
-			d.Selection,
-			d.MachinesLeft,
-			d.Reason,
+			d.Name, d.State, d.Selection, d.MachinesLeft, d.Reason,
 		)
 	}
 }
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -94,10 +94,7 @@
 	for i := range c.cfg.Facts.Teams {
 		if team := &c.cfg.Facts.Teams[i]; team.CPUsMax > 0 {
 			summary += fmt.Sprintf(
-				" %s %.0f/%.0f",
-				team.Name,
-				c.mirror.UseByTeam[team.Name].CPUs,
-				team.CPUsMax,
+				" %s %.0f/%.0f", team.Name, c.mirror.UseByTeam[team.Name].CPUs, team.CPUsMax,
 			)
 		}
 	}
