--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -84,7 +84,9 @@
 	}
 	store := transport.NewClient(cfg.External.State, operatorConnections, operatorBody)
 	op := &operator.Operator{
-		Call:              func(c *protocol.StoreCall) protocol.StoreResult { return protocol.CallStore(store, c) },
+		Call: func(call *protocol.StoreCall) protocol.StoreResult {
+			return protocol.CallStore(store, call)
+		},
 		Sleep:             func(d monotime.Micros) { time.Sleep(d.Duration()) },
 		WallClock:         func() int64 { return time.Now().UnixMicro() },
 		MaxTransactionOps: cfg.Facts.State.TxnOps,
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -44,6 +44,7 @@
 	return response
 }
 
+// errNoSuchJob rejects a request about a job that was never accepted.
 var errNoSuchJob = &Rejection{Status: transport.StatusNotFound, Reason: reasonNoSuchJob}
 
 // deferRequest makes the rejection of a request that can't be taken now.
--- a/internal/config/drain_settings.go
+++ b/internal/config/drain_settings.go
@@ -115,6 +115,7 @@
 	Percent bool
 }
 
+// wholePercent is all replicas, in percent.
 const wholePercent = 100
 
 // roundedUp returns the amount of a number of replicas, a part of one counted as one.
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -138,7 +138,8 @@
 func (c *Controller) Start() {
 	c.log.Info("controller starting", "node", c.node, "incarnation", c.incarnation)
 	for _, warning := range c.durations.Warnings() {
-		c.log.Warn("platform durations not covered", "field", warning.Field, "consequence", warning.Consequence)
+		c.log.Warn("platform durations not covered",
+			"field", warning.Field, "consequence", warning.Consequence)
 	}
 	c.membership.RequestLease()
 	c.replica.Load()
--- a/internal/daemon/timers.go
+++ b/internal/daemon/timers.go
@@ -13,12 +13,14 @@
 	seq   uint64
 }
 
+// timerItem is a timer; seq orders those that are due at the same time.
 type timerItem struct {
 	due      monotime.Micros
 	seq      uint64
 	callback func()
 }
 
+// timerItems is the heap of the timers, see heap.Interface.
 type timerItems []timerItem
 
 func (t timerItems) Len() int { return len(t) }
--- a/internal/daemon/worker_pool.go
+++ b/internal/daemon/worker_pool.go
@@ -11,6 +11,7 @@
 	clients    map[string]*pooledClient
 }
 
+// pooledClient is the client of one worker.
 type pooledClient struct {
 	client   *transport.Client
 	lastUsed uint64 // when, in turns of the pool
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -26,7 +26,8 @@
 func matchesOffer(selector *storage.Selector, machineType, zone string, spot bool) bool {
 	return (selector.Zone == "" || selector.Zone == zone) &&
 		(selector.Type == "" || selector.Type == machineType) &&
-		(selector.CapacityType == storage.AnyCapacity || selector.CapacityType == storage.CapacityTypeOf(spot))
+		(selector.CapacityType == storage.AnyCapacity ||
+			selector.CapacityType == storage.CapacityTypeOf(spot))
 }
 
 // ClosesOffer reports whether a drain keeps an offer (type, zone, spot or on demand) from being requested:
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -16,6 +16,7 @@
 	Production
 )
 
+// priorities are the priorities by their names on the wire.
 var priorities = map[string]Priority{
 	"prod": Production, "high": High, "standard": Standard, "best_effort": BestEffort,
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -18,6 +18,7 @@
 	maxBody   int
 }
 
+// clientConn is a kept connection, with what is left of the response being read.
 type clientConn struct {
 	conn   net.Conn
 	parser Parser
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -38,6 +38,7 @@
 	conns map[evio.Conn]*serverConn
 }
 
+// serverConn is a connection of a user, a worker or a peer. It has one request at a time.
 type serverConn struct {
 	server             *Server
 	eventConn          evio.Conn
