--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -22,7 +22,7 @@
 // Values of Outcome.
 const (
 	OutcomeCompleted Outcome = iota // the task is done
-	OutcomeRetry                    // the attempt is gone and the task is to be run again
+	OutcomeRetry                    // the attempt has ended and the task is to be run again
 )
 
 // Agent is what a controller knows of the worker agent on a machine whose claim it holds.
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -86,7 +86,7 @@
 	case now-firstContactAt > m.durations.AdoptionDelay || m.mustAdoptBeforeLeaseEnds(owner, now):
 		m.takeOverMachine(machine, report, respond)
 	default:
-		// Crashed, perhaps back in a moment; or cut off, then its membership ends.
+		// The owner has crashed and may be back soon, or it is cut off and its membership will end.
 		respond(redirectResponse(""))
 	}
 }
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -35,12 +35,13 @@
 	interruptionNoticed      int // machines that the cloud is about to take back
 }
 
-// CheckMachines looks after the own machines: leases that have ended, silence, interruption notices, faults.
+// CheckMachines checks this controller's machines for leases that have ended, silence, interruption notices
+// and faults, and requests the removal of those that can't be used any more.
 func (m *Manager) CheckMachines(now monotime.Micros) {
 	m.expireOrphanContacts(now)
 	m.shards.ExpireClaimRequests(now)
-	// Without a fresh mirror a claim may have moved on long ago: after a cut of this controller's own all
-	// machines look silent, and are no longer its own.
+	// Without a fresh mirror the machines may have been claimed by other controllers: after this controller
+	// was cut off, all of them look silent.
 	if _, onlyHere := m.reachability.StoreUnreachableOnlyHere(now); onlyHere || m.store.Unavailable() ||
 		m.replica.WatchOverdue(now) {
 		return
@@ -88,7 +89,7 @@
 	if check.now-resumedAt > m.durations.SuspicionTimeout || resumedAt == 0 {
 		m.reachability.UpdateReachability(overall, check.now)
 	}
-	check.silent = max(check.silent, 1) - 1 // one alone may always be the one
+	check.silent = max(check.silent, 1) - 1 // a single silent machine is no sign of a wider failure
 	for zone, silence := range zones {
 		if silence.IsUnreachable() {
 			m.zoneUnreachableAt[zone] = check.now
@@ -96,7 +97,7 @@
 	}
 }
 
-// checkMachine looks after one machine.
+// checkMachine checks one machine, see CheckMachines.
 func (m *Manager) checkMachine(machine *mirror.Machine, check *healthCheck) {
 	agent := m.Of(machine)
 	if agent.LeaseHasEnded(check.now, m.durations.LeaseExpiryProof) {
@@ -132,8 +133,9 @@
 	agent := m.Of(machine)
 	silence := m.silenceOf(agent, check.now)
 	keepForZone := m.keepsForUnreachableZone(machine, check.now)
-	// Cancelled tasks must be gone in time. Until then the lease may end, or another controller reach the
-	// machine: all the tasks there are a high price for one that was cancelled a moment before the trouble.
+	// The tasks of cancelled jobs must end in time, at the latest by the deletion of their machine. That
+	// costs all other tasks there too, so it waits: the lease may end first, or another controller reach the
+	// machine.
 	giveUp := m.durations.LeaseExpiryProof + 2*m.durations.HeartbeatInterval
 	overdue := m.durations.CancellationDeadline / 2
 	if keepForZone {
@@ -148,8 +150,8 @@
 	case agent.InterruptionNoticed() && silence > m.durations.PlacementSilenceLimit:
 		return removalInterrupted
 	case silence > m.durations.SuspicionTimeout && fewSilent && agent.ClaimAcknowledged() && !keepForZone:
-		// Deleting it proves its tasks gone long before its lease would. Not when many are silent: then it
-		// is this controller that is cut off.
+		// Its deletion proves that its tasks have ended long before its lease would. Not when many machines
+		// are silent: then this controller is the one that is cut off.
 		return removalUnreachable
 	}
 	return ""
@@ -194,8 +196,8 @@
 	return false
 }
 
-// vacateInterruptedMachine stops what gains by it before the cloud takes a machine back: services start
-// elsewhere now rather than later, checkpointed work is saved.
+// vacateInterruptedMachine stops tasks before the cloud takes a machine back, where that helps: services
+// start elsewhere now rather than later, and arrays with checkpoints save their progress.
 func (m *Manager) vacateInterruptedMachine(machine *mirror.Machine) {
 	agent := m.Of(machine)
 	for task, attempt := range machine.Attempts {
@@ -209,7 +211,7 @@
 	}
 }
 
-// logCheck writes one line for each trouble, however many machines share it.
+// logCheck logs one line for each kind of failure, however many machines it concerns.
 func (m *Manager) logCheck(check *healthCheck) {
 	if check.leasesExpired > 0 {
 		m.log.Info("machines lost", "state", logging.ConditionBegin,
@@ -231,7 +233,7 @@
 	}
 }
 
-// logRemovals writes one line a reason, however many machines share it.
+// logRemovals logs one line for each reason, however many machines are removed for it.
 func (m *Manager) logRemovals() {
 	for _, reason := range sortedmap.Keys(m.unloggedRemovals) {
 		ids := m.unloggedRemovals[reason]
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -52,7 +52,7 @@
 		return protocol.ErrorResponse(transport.StatusUnavailable, "records not read yet"), true
 	}
 	if m.pauses.IsStale(m.replica.FreshAt(), now) {
-		// It may have waited here for as long as the process was paused.
+		// The heartbeat may have waited here for as long as the process was paused.
 		return protocol.ErrorResponse(transport.StatusUnavailable, "stood still"), true
 	}
 	if m.cancellations.SuspendsLeaseRenewal(now) {
@@ -61,7 +61,7 @@
 	return transport.Response{}, false
 }
 
-// dispatchHeartbeat answers a heartbeat by whose its machine is.
+// dispatchHeartbeat answers a heartbeat depending on which controller has claimed its machine.
 func (m *Manager) dispatchHeartbeat(
 	report *protocol.Heartbeat,
 	respond func(transport.Response),
@@ -109,13 +109,13 @@
 
 // redirectsAway reports whether a worker of an own machine is to look for another controller, because this
 // one is cut off and others, if there are any, have its machines. A worker that comes back within its lease
-// has found nobody: then this controller is the one that is left, or the zone is cut off with it, and it
+// has found no other controller: then this one is the only one left, or the zone is cut off with it, and it
 // answers as before.
 func (m *Manager) redirectsAway(agent *Agent, now monotime.Micros) bool {
 	return m.reachability.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
 }
 
-// answerHeartbeat applies a heartbeat from an own machine and gives the answer.
+// answerHeartbeat applies a heartbeat from an own machine and returns the answer.
 func (m *Manager) answerHeartbeat(machine *mirror.Machine, report *protocol.Heartbeat) transport.Response {
 	agent := m.Of(machine)
 	arrival, ok := agent.Receive(report, m.env.Now())
@@ -138,8 +138,8 @@
 	name := m.mirror.ScaleOutOfMachine[report.Machine]
 	request := m.mirror.ScaleOuts[name]
 	if request == nil {
-		// Its request isn't written yet, or nobody expects the machine: the leader finds it in the cloud's
-		// list.
+		// The machine's scale-out request isn't written yet, or there is none: then the leader finds the
+		// machine in the cloud's list.
 		respond(redirectResponse(""))
 		return
 	}
@@ -148,10 +148,10 @@
 		m.claimNewMachine(request, report, respond)
 		return
 	}
-	// It has nothing on it yet, so there is no hurry to claim it here.
+	// No task runs on it yet, so the designated controller has time to claim it.
 	firstContactAt := m.recordOrphanContact(report.Machine, 0, now)
 	if now-firstContactAt >= m.durations.WorkerLease/2 {
-		// It was sent there and has come back: it can't reach that controller.
+		// The worker was redirected and has come back: it can't reach the designated controller.
 		respond(redirectResponse(""))
 		m.designateThisController(name, report, now)
 		return
@@ -183,7 +183,7 @@
 }
 
 // designateThisController writes into a scale-out request that this controller may claim a machine. Once that
-// is written, nobody else's claim can follow.
+// is written, no other controller's claim can succeed.
 func (m *Manager) designateThisController(
 	requestName string,
 	report *protocol.Heartbeat,
--- a/internal/agents/replies.go
+++ b/internal/agents/replies.go
@@ -55,8 +55,8 @@
 	doubtful := arrival.restarted || arrival.sincePrevious > silenceLimit ||
 		a.tokens.unacknowledgedCount >= maxUnacknowledged
 	if a.tokens.claimAcknowledged && doubtful && a.tokens.requested <= acknowledged {
-		// It was away, or shows no effect of the answers: it must show a token that only this one can have
-		// brought it.
+		// The agent was silent, or shows no effect of the answers: it must show a token that only the answer
+		// to this heartbeat can have brought it.
 		if len(commands) == 0 {
 			a.tokenCounter++
 		}
--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -82,7 +82,7 @@
 // its lease had ended.
 func (a *Agent) acknowledgeClaim(now monotime.Micros) (leaseRegained bool) {
 	if !a.tokens.claimAcknowledged {
-		// An earlier owner's answers were good until now.
+		// Until now the lease may have been renewed by an earlier owner's answers.
 		a.tokens.claimAcknowledged, a.heartbeats.lastAnsweredAt = true, now
 	}
 	if !a.IsReachable() {
@@ -96,8 +96,8 @@
 
 // absence is what it means that a report lacks an attempt.
 type absence struct {
-	restarted   bool // the agent has a new incarnation: all that was there before is gone
-	answersLost bool // and the controller's answers don't reach it
+	restarted   bool // the agent has a new incarnation: all earlier attempts have ended
+	answersLost bool // and this controller's answers don't reach it
 }
 
 // settleAbsentAttempts records an outcome of the attempts that a report proves ended by lacking them, and
