--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -26,7 +26,7 @@
 		h.CommitCancellation(id, respond)
 		return
 	}
-	// The mirror doesn't hold it: it is over, was never accepted, or is new.
+	// The mirror doesn't hold the job: it has ended, was never accepted, or is new.
 	h.lookUp(id, func(l lookup) {
 		if state, ok := h.cachedResult(id); ok {
 			respond(endedResponse(id, state))
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -33,7 +33,7 @@
 		return
 	}
 	now := r.now()
-	if !r.deps.Membership.IsLeader(now) { // another leader may have made requests since
+	if !r.deps.Membership.IsLeader(now) { // another leader may have requested machines since
 		r.term.listInFlight = false
 		return
 	}
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -63,7 +63,7 @@
 		}
 		crashLooping := s.Jobs.IsCrashLooping(job)
 		if crashLooping && !s.Jobs.MayScaleOutForTrial(job, s.Now) {
-			continue // its trials run on what is free
+			continue // its trials run on machines that are up
 		}
 		team := job.Record.Spec.Team
 		quota, ok := quotas[team]
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -121,7 +121,7 @@
 	callback func(protocol.CommandResult),
 ) {
 	if e.commandsInFlight >= e.maxCommandsInFlight {
-		// Guards the socket limit; the worker's next report brings the commands.
+		// Keeps within the socket limit; the answer to the worker's next heartbeat carries the commands.
 		e.After(monotime.Millisecond, func() { callback(protocol.CommandResult{}) })
 		return
 	}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -52,7 +52,7 @@
 		m.lease.id = result.Lease
 		m.lease.renewed(sentAt)
 		m.lease.grantedAt = m.env.Now()
-		m.replica.WhenCurrent(func(bool) {}) // the mirror catches up at once, see IsLeader
+		m.replica.WhenCurrent(func(bool) {}) // has the mirror catch up at once, which IsLeader waits for
 		m.EnsureMemberRecord()
 	})
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -183,8 +183,8 @@
 // watch.
 func (m *Mirror) isNews(key string, event protocol.Event, ownCommit bool) bool {
 	if event.Version <= m.WatchedRevision {
-		// An answer that comes after a newer one: the watch has passed this change, and the record may have
-		// been deleted since.
+		// The event is from an answer that comes after a newer one: the watch has passed this change, and the
+		// record may have been deleted since.
 		return false
 	}
 	version := m.VersionOf(key)
--- a/internal/mirror/shard_sums.go
+++ b/internal/mirror/shard_sums.go
@@ -101,7 +101,7 @@
 	}
 	machine.Used = machine.Used.AddScaled(job.TaskResources, float64(sign))
 	if len(machine.Attempts) == 0 {
-		machine.Used = resources.Vector{} // no rounding error is left
+		machine.Used = resources.Vector{} // without rounding errors
 	}
 	AddUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
 	AddUse(m.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -40,7 +40,7 @@
 	lastAssigned   storage.Attempt
 }
 
-// beginJob prepares the placement of a job's tasks; nil if it isn't its time.
+// beginJob prepares the placement of a job's tasks; nil if they can't be placed in this pass.
 func (p *placement) beginJob(job *mirror.Job) *jobPlacement {
 	sc, spec := p.scheduler, &job.Record.Spec
 	jobPlan := &jobPlacement{
@@ -159,7 +159,7 @@
 // assignTask assigns one task to a machine, or notes why it can't.
 func (p *jobPlacement) assignTask(task int) {
 	sc, job := p.scheduler, p.job
-	// What a shard's own attempts give back can be used by the same write.
+	// Quota that a shard's write releases can be used again by the same write.
 	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
 	if p.needsNewMachine(task, freedQuotaOnly) {
 		p.request.FreedQuotaOnly = freedQuotaOnly
@@ -176,7 +176,7 @@
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
 	if p.spec.Service && !withImage && !waitedForImage(job, p.wallNow) &&
 		sc.preemptFor(p.preemptionRequest(1, true)) {
-		// Room is being made beside the image: sooner than a fetch.
+		// Room is being made on a machine that has the image, which is sooner than a fetch.
 		p.maxTasks = 0
 		return
 	}
--- a/internal/placement/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -43,7 +43,7 @@
 		return
 	}
 	if p.now < sc.nextWorkStealAt {
-		return // others use the room until a write may be spent
+		return // until a write is allowed, other tasks use the room
 	}
 	tasks := sc.stealTasksOfJob(job, workStealing{
 		candidates:      p.candidates,
@@ -88,9 +88,8 @@
 		}
 		tasks = min(p.pendingTasks, guaranteePreemptionBatch)
 	}
-	// Each hand-over costs a write, and so does taking tasks over, which comes after: the time of the last
-	// hand-over is only noted where one was made, so that a service has its turn as soon as a write is
-	// allowed.
+	// A hand-over costs a write, and so does work stealing later in the pass. The time of the last hand-over
+	// is only noted if one was made, so that a service is handed over as soon as a write is allowed.
 	if sc.preemptFor(p.preemptionRequest(tasks, false)) ||
 		p.now-p.tracking.reassignment.handedOverAt <= reassignmentInterval ||
 		p.now < sc.nextWorkStealAt {
--- a/internal/placement/placement_pass.go
+++ b/internal/placement/placement_pass.go
@@ -107,7 +107,7 @@
 	jobPlan.assignTasks()
 	p.quotaLeft[jobPlan.spec.Team] = jobPlan.quotaRoom
 	if jobPlan.crashLooping {
-		return // nothing is held, stopped or fetched for it
+		return // no room is kept or made for it, and no tasks are taken over
 	}
 	if jobPlan.quotaShort {
 		jobPlan.noteQuotaShortage()
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -29,8 +29,8 @@
 	updates = sc.deps.Shards.AdmitClaimRequests(updates, now)
 	sc.placeTasks(updates, now)
 	written := 0
-	// Updates that take machines over change the controller's quota shares, which the assignments of the
-	// others compare: they go last, or all others would fail.
+	// Updates that take machines over change this controller's quota shares, on which the assignments of the
+	// other updates are conditional: they are committed last, or all others would fail.
 	for _, takingOver := range []bool{false, true} {
 		for _, update := range updates {
 			if update.Changed() && update.ChangesOtherRecords() == takingOver {
--- a/internal/scheduling/job_failures.go
+++ b/internal/scheduling/job_failures.go
@@ -95,7 +95,7 @@
 		return 0
 	}
 	if f.backoffDelay >= limits.Max {
-		clear(f.excludedMachines) // it has been tried everywhere
+		clear(f.excludedMachines) // at the longest pause every machine is tried again
 	}
 	return 1
 }
--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -21,8 +21,8 @@
 	updates       []*Update
 	memberVersion uint64          // of the controller's own member record
 	inDoubt       map[string]bool // machines that a commit in doubt may have claimed
-	// One commit a pass takes machines over, from a few shards: each such commit changes the quota shares of
-	// this controller, so that of several only one could succeed.
+	// Only one commit of a pass takes machines over, from a few shards: each such commit changes this
+	// controller's quota shares, so only one of several could succeed.
 	takeoverUpdate *Update
 	sources        map[string]bool // the shards that it takes from
 }
@@ -30,8 +30,8 @@
 // AdmitClaimRequests puts machines that wait to be claimed into the updates of a pass, and opens new shards
 // where no other has the room. It gives the updates with those of new shards added.
 func (m *Manager) AdmitClaimRequests(updates []*Update, now monotime.Micros) []*Update {
-	// Only as the present member: what an earlier incarnation or a lapsed membership has sent must not put a
-	// machine into a second shard.
+	// Every claim is conditional on this controller's present member record: a commit of an earlier
+	// incarnation or membership that arrives late must not put a machine into a second shard.
 	member := m.mirror.Members[m.cfg.Node]
 	if member.Version == 0 || member.Record.Incarnation != m.cfg.Incarnation ||
 		m.mirror.WatchedRevision < member.Version {
@@ -102,7 +102,7 @@
 	source := machine.Shard.Name
 	if request.fromShard == nil || request.fromShard.Name != source ||
 		!a.membership.IsMember(machine.Owner()) || a.claimsInFlight[source] {
-		return // it is being claimed in another way
+		return // the machine has moved, or its whole shard is being claimed
 	}
 	if !a.sources[source] && len(a.sources) >= a.takeoverLimiter.sourceLimit {
 		return
@@ -115,7 +115,7 @@
 			update = a.open()
 		}
 	case !a.fits(update, need):
-		return // the next pass takes the rest
+		return // the next pass takes over the rest
 	}
 	if !a.reserve(update, machine.ID, need) {
 		return
--- a/internal/shards/commit.go
+++ b/internal/shards/commit.go
@@ -37,7 +37,7 @@
 	}
 	encoded, size := update.next.Encode()
 	if size > m.cfg.MaxValueBytes {
-		// The bound on what is assigned keeps this from happening.
+		// Can't happen while the bound on assignments holds, see Update.MaxBytes.
 		m.log.Error("shard exceeds value size limit", "shard", update.name, "bytes", size)
 	}
 	txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
--- a/internal/shards/failover.go
+++ b/internal/shards/failover.go
@@ -25,7 +25,7 @@
 		for len(shards) > 0 {
 			shards = shards[m.claim(owner, shards):]
 			if owner != m.cfg.Node {
-				break // one commit at a time: all of them change the same quota shares
+				break // one commit at a time, as each changes the same quota shares
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 		m.passes.Request()
 		if result.Outcome == protocol.OK {
 			m.log.Info("shards transferred", "to_node", to, "shards", len(transfer.shards))
-			m.HandOff(m.now()) // the rest, and those of other destinations
+			m.HandOff(m.now()) // the remaining shards, and those of other destinations
 		}
 	})
 }
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -58,7 +58,7 @@
 	update := NewUpdate(shard.Name, shard, shard.Record.Clone())
 	update.losses = m.drains.NewLosses()
 	t := m.trackerOf(shard.Name)
-	update.changed = len(t.updatesInDoubt) > 0 // writing the shard anew settles what became of them
+	update.changed = len(t.updatesInDoubt) > 0 // a new version of the shard settles their outcomes
 	marked := false
 	for _, id := range sortedmap.Keys(shard.Record.Machines) {
 		machine := m.mirror.Machines[id]
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -10,9 +10,9 @@
 // tracker is what is kept about an own shard beside the mirror.
 type tracker struct {
 	commitInFlightSince monotime.Micros // 0: no commit is in flight
-	// What commits in flight or without an answer may yet bring about. Each was conditional on a version of
-	// the shard, and only once the mirror shows another one is it settled whether it came about. A later
-	// commit that fails doesn't settle it: it may fail because of the first.
+	// Updates whose commits are in flight or got no answer, and may still be applied. Each is conditional on
+	// a version of the shard; its outcome is known only once the mirror shows another version. A later commit
+	// that fails settles nothing: it may have failed because of the first.
 	updatesInDoubt []*Update
 	// since when the shard holds entries of jobs that are over, or outdated marks; 0: it doesn't
 	staleSince monotime.Micros
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -54,7 +54,7 @@
 
 // Respond sends the response.
 func (r *Request) Respond(response Response) {
-	// The channel holds one answer and a request has one: this never blocks.
+	// The channel holds one answer and a request has only one, so this never blocks.
 	select {
 	case r.conn.responses <- response:
 		r.conn.eventConn.Wake()
