--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -57,7 +57,7 @@
 // never answered: it proves nothing, and its answer would renew no lease.
 type heartbeatState struct {
 	lastIncarnation, lastSequence uint64
-	lastAt                        monotime.Micros
+	lastReceivedAt                monotime.Micros
 	lastAnsweredAt                monotime.Micros // the lease may run from here
 	redirectedAt                  monotime.Micros // when last sent to look for another controller; 0: never
 }
@@ -67,8 +67,8 @@
 type tokenState struct {
 	acknowledged        uint64 // shown by the newest report
 	claimAcknowledged   bool   // the agent has seen a token of this claim
-	requested           uint64 // to be shown before the agent counts as reachable
-	lastAnswered        uint64 // of the last answer to a heartbeat
+	required            uint64 // to be shown before the agent counts as reachable
+	inLastReply         uint64 // of the last answer to a heartbeat
 	unacknowledgedCount int    // heartbeats in a row that don't show the token of the last answer
 	lastReachedAt       monotime.Micros
 }
@@ -78,8 +78,8 @@
 func New(claimNumber uint64, now monotime.Micros) *Agent {
 	return &Agent{
 		claimNumber:      claimNumber,
-		heartbeats:       heartbeatState{lastAt: now, lastAnsweredAt: now},
-		tokens:           tokenState{requested: baseToken(claimNumber), lastReachedAt: now},
+		heartbeats:       heartbeatState{lastReceivedAt: now, lastAnsweredAt: now},
+		tokens:           tokenState{required: baseToken(claimNumber), lastReachedAt: now},
 		reportedAttempts: map[AttemptID]protocol.TaskStatus{},
 		pendingOutcomes:  map[AttemptID]Outcome{},
 		sentCommands:     map[AttemptID]*commandRecord{},
@@ -105,7 +105,7 @@
 func (a *Agent) HasReported() bool { return a.incarnation != 0 }
 
 // IsReachable reports whether the newest report showed that the controller's answers arrive.
-func (a *Agent) IsReachable() bool { return a.tokens.acknowledged >= a.tokens.requested }
+func (a *Agent) IsReachable() bool { return a.tokens.acknowledged >= a.tokens.required }
 
 // LastReachedAt is when the agent last showed that the controller's answers reach it.
 func (a *Agent) LastReachedAt() monotime.Micros { return a.tokens.lastReachedAt }
@@ -144,8 +144,8 @@
 // SetRemovalReason notes why the machine is to be removed.
 func (a *Agent) SetRemovalReason(reason RemovalReason) { a.removalReason = reason }
 
-// recheckRemoval cancels a removal because the machine was empty, if it got tasks meanwhile.
-func (a *Agent) recheckRemoval(machine *mirror.Machine) {
+// cancelRemovalIfOccupied cancels a removal because the machine was empty, if it got tasks meanwhile.
+func (a *Agent) cancelRemovalIfOccupied(machine *mirror.Machine) {
 	if (a.removalReason == RemovalIdle || a.removalReason == RemovalDrained) && len(machine.Attempts) > 0 {
 		a.removalReason = ""
 	}
@@ -229,12 +229,12 @@
 	}
 }
 
-// LeaseHasEnded reports whether the lease must have ended by now unnoticed: proof is how long after its last
+// LeaseNewlyExpired reports whether the lease must have ended by now unnoticed: proof is how long after its last
 // renewal it surely has. A new incarnation has a lease from its own beginning, answered or not: what direct
 // commands start in it runs on though no report arrives.
-func (a *Agent) LeaseHasEnded(now, proof monotime.Micros) bool {
+func (a *Agent) LeaseNewlyExpired(now, expiryProof monotime.Micros) bool {
 	return !a.leaseExpired && a.tokens.claimAcknowledged &&
-		now-max(a.heartbeats.lastAnsweredAt, a.incarnationSeenAt) > proof
+		now-max(a.heartbeats.lastAnsweredAt, a.incarnationSeenAt) > expiryProof
 }
 
 // ExpireLease settles all that is on the machine: its lease has ended. Until the agent shows a token of this
@@ -249,9 +249,9 @@
 // RedirectOnce reports whether the agent is to be sent to look for another controller, which is done once per
 // lease: one that comes back sooner has found no other.
 func (a *Agent) RedirectOnce(now, workerLease monotime.Micros) bool {
-	isBack := a.heartbeats.redirectedAt != 0 && now-a.heartbeats.redirectedAt < workerLease
+	returnedWithinLease := a.heartbeats.redirectedAt != 0 && now-a.heartbeats.redirectedAt < workerLease
 	a.heartbeats.redirectedAt = max(now, 1)
-	return !isBack
+	return !returnedWithinLease
 }
 
 // sortAttempts sorts attempts by job, task and number.
--- a/internal/agents/agent_test.go
+++ b/internal/agents/agent_test.go
@@ -19,7 +19,7 @@
 		{"never reported", func(a *Agent) { a.incarnation = 0 }, false},
 		{"claim not acknowledged", func(a *Agent) { a.tokens.claimAcknowledged = false }, false},
 		{"lease expired", func(a *Agent) { a.leaseExpired = true }, false},
-		{"a token is awaited", func(a *Agent) { a.tokens.requested++ }, false},
+		{"a token is awaited", func(a *Agent) { a.tokens.required++ }, false},
 		{"interrupted", func(a *Agent) { a.interruptionNoticed = true }, false},
 		{"to be removed", func(a *Agent) { a.removalReason = RemovalIdle }, false},
 		{"silent", func(a *Agent) { a.tokens.lastReachedAt = -silenceLimit }, false},
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestFirstOutcomeStays: an attempt's outcome isn't replaced by a later one, and is kept for as long as the store
+// TestFirstOutcomeIsKept: an attempt's outcome isn't replaced by a later one, and is kept for as long as the store
 // holds the attempt.
-func TestFirstOutcomeStays(t *testing.T) {
+func TestFirstOutcomeIsKept(t *testing.T) {
 	_, machine := newMirrorWithAttempt(t, storage.JobSpec{})
 	agent := New(testClaim, 0)
 	agent.RecordOutcome(testAttempt, OutcomeCompleted)
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestReceiveOnlyNewHeartbeats: a copy of a heartbeat is never answered, nor one of an incarnation that is over.
-func TestReceiveOnlyNewHeartbeats(t *testing.T) {
+// TestReceiveRejectsStaleHeartbeats: a copy of a heartbeat is never answered, nor one of an incarnation that is over.
+func TestReceiveRejectsStaleHeartbeats(t *testing.T) {
 	cases := []struct {
 		name                  string
 		incarnation, sequence uint64
--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -37,8 +37,8 @@
 	commands []protocol.Command
 }
 
-// due reports whether a command that was last sent at a time may be added, and notes that it is.
-func (b *commandBatch) due(sentAt *monotime.Micros) bool {
+// markIfDue reports whether a command that was last sent at a time may be added, and notes that it is.
+func (b *commandBatch) markIfDue(sentAt *monotime.Micros) bool {
 	if len(b.commands) >= maxCommandsPerBatch || *sentAt != 0 && b.now-*sentAt < commandRepeatInterval {
 		return false
 	}
@@ -70,7 +70,7 @@
 	kills, runs := a.unfinishedAttempts(machine, jobs)
 	a.killAttempts(batch, kills, jobs)
 	for _, key := range runs {
-		if batch.due(&a.recordOf(key).runSentAt) {
+		if batch.markIfDue(&a.recordOf(key).runSentAt) {
 			batch.add(protocol.CmdRun, key)
 		}
 	}
@@ -93,10 +93,10 @@
 		record := a.recordOf(key)
 		if a.HasExited(key) {
 			// Its outcome is in the records, or its attempt is in none of them any more.
-			if batch.due(&record.reapSentAt) {
+			if batch.markIfDue(&record.reapSentAt) {
 				batch.add(protocol.CmdReap, key)
 			}
-		} else if batch.due(&record.killSentAt) {
+		} else if batch.markIfDue(&record.killSentAt) {
 			batch.addKill(key, 0)
 		}
 	}
@@ -136,7 +136,7 @@
 	nextToken := a.Token() + 1
 	for _, key := range kills {
 		record := a.recordOf(key)
-		if !batch.due(&record.killSentAt) {
+		if !batch.markIfDue(&record.killSentAt) {
 			continue
 		}
 		if record.killToken == 0 {
@@ -189,8 +189,8 @@
 	}
 }
 
-// TakeResync reports whether more is to be sent since the last request began, once.
-func (a *Agent) TakeResync() bool {
+// ConsumeResync reports whether more is to be sent since the last request began, once.
+func (a *Agent) ConsumeResync() bool {
 	needed := a.resyncNeeded
 	a.resyncNeeded = false
 	return needed
--- a/internal/agents/commands_test.go
+++ b/internal/agents/commands_test.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// describe gives a batch as text: each command with its task, attempt and seconds of grace.
-func describe(commands []protocol.Command) string {
+// formatCommands gives a batch as text: each command with its task, attempt and seconds of grace.
+func formatCommands(commands []protocol.Command) string {
 	var parts []string
 	for _, command := range commands {
 		part := fmt.Sprintf("%s %s %d", command.Op, command.Task, command.Attempt)
@@ -24,7 +24,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// TestNextCommands: what a report leads to, beside what TestReportsProveAttemptsGone shows.
+// TestNextCommands: what a report leads to, beside what TestReportsProveAttemptsEnded shows.
 func TestNextCommands(t *testing.T) {
 	kill, reap, run := string(protocol.CmdKill), string(protocol.CmdReap), string(protocol.CmdRun)
 	status := func(task string, attempt uint64, state protocol.TaskState) protocol.TaskStatus {
@@ -85,7 +85,7 @@
 			tc.prepare(agent, machine)
 		}
 		before := agent.Token()
-		got := describe(agent.NextCommands(machine, replica.Jobs, monotime.Second))
+		got := formatCommands(agent.NextCommands(machine, replica.Jobs, monotime.Second))
 		if got != tc.commands {
 			t.Errorf("%s: %s", tc.name, got)
 		}
@@ -103,17 +103,17 @@
 	next := func(at monotime.Micros) []protocol.Command { return agent.NextCommands(machine, replica.Jobs, at) }
 	first := next(0)
 	if len(first) != 1 {
-		t.Fatalf("commands %s", describe(first))
+		t.Fatalf("commands %s", formatCommands(first))
 	}
 	if again := next(commandRepeatInterval - 1); len(again) != 0 {
-		t.Errorf("repeated too soon: %s", describe(again))
+		t.Errorf("repeated too soon: %s", formatCommands(again))
 	}
 	if again := next(commandRepeatInterval + 1); len(again) != 1 {
-		t.Errorf("not repeated: %s", describe(again))
+		t.Errorf("not repeated: %s", formatCommands(again))
 	}
 	agent.RepeatCommands(first)
 	if again := next(commandRepeatInterval + 2); len(again) != 1 {
-		t.Errorf("not repeated after a failure: %s", describe(again))
+		t.Errorf("not repeated after a failure: %s", formatCommands(again))
 	}
 }
 
@@ -137,33 +137,33 @@
 	}
 }
 
-// TestCommandRequests: direct requests go one at a time, and what has come up meanwhile follows.
-func TestCommandRequests(t *testing.T) {
+// TestCommandRequestsAreSerialized: direct requests go one at a time, and what has come up meanwhile follows.
+func TestCommandRequestsAreSerialized(t *testing.T) {
 	f := newFixture(t)
 	f.SyncCommands(f.machine)
-	if len(f.probes) != 0 {
+	if len(f.workerRequests) != 0 {
 		t.Fatal("commands were sent to an agent that hasn't reported")
 	}
 	report := testReport(1, 1, testBase)
 	report.Tasks = nil
 	f.applyReport(f.machine, report)
 	f.SyncCommands(f.machine)
-	if len(f.probes) != 1 || f.probes[0].request.Incarnation != 1 ||
-		f.probes[0].request.FencingToken != testBase+1 {
-		t.Fatalf("requests %+v", f.probes)
+	if len(f.workerRequests) != 1 || f.workerRequests[0].request.Incarnation != 1 ||
+		f.workerRequests[0].request.FencingToken != testBase+1 {
+		t.Fatalf("requests %+v", f.workerRequests)
 	}
 	cancelJob(f.replica)
 	f.SyncCommands(f.machine)
-	if len(f.probes) != 1 {
+	if len(f.workerRequests) != 1 {
 		t.Fatal("a second request while the first is in flight")
 	}
-	f.probes[0].callback(protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 2, testBase+1)})
-	if len(f.probes) != 2 || describe(f.probes[1].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
-		t.Fatalf("after the answer: requests %+v", f.probes)
+	f.workerRequests[0].callback(protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 2, testBase+1)})
+	if len(f.workerRequests) != 2 || formatCommands(f.workerRequests[1].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
+		t.Fatalf("after the answer: requests %+v", f.workerRequests)
 	}
 	f.machine.Shard.Record.Claim++
 	f.UpdateOwnership(f.machine)
-	f.probes[1].callback(protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 3, testBase+2)})
+	f.workerRequests[1].callback(protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 3, testBase+2)})
 	if f.Of(f.machine).HasReported() {
 		t.Error("an answer to a request under an earlier claim was applied")
 	}
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// contactGap ends a run of contacts: a worker that comes again after longer has been elsewhere.
-	contactGap = 20 * monotime.Second
+	// maxContactGap ends a run of contacts: a worker that comes again after longer has been elsewhere.
+	maxContactGap = 20 * monotime.Second
 	// contactRetention is how long a contact is kept after its last heartbeat.
 	contactRetention = monotime.Minute
-	// ownerReturnDelay is how long a worker that has lost an owner just heard is held: until the owner's next
+	// ownerStatusWait is how long a worker that has lost an owner just heard is held: until the owner's next
 	// status. If it has crashed just now all its machines come here, and it is back before all could be
 	// moved.
-	ownerReturnDelay = durations.SlowTickInterval + 2*durations.FastTickInterval
+	ownerStatusWait = durations.SlowTickInterval + 2*durations.FastTickInterval
 )
 
 // orphanContact is a run of heartbeats from a worker whose machine is another controller's.
@@ -35,7 +35,7 @@
 	now monotime.Micros,
 ) monotime.Micros {
 	contact := m.orphanContacts[machine]
-	if contact == nil || now-contact.lastAt > contactGap || contact.claimNumber != claimNumber {
+	if contact == nil || now-contact.lastAt > maxContactGap || contact.claimNumber != claimNumber {
 		contact = &orphanContact{firstAt: now, claimNumber: claimNumber}
 		m.orphanContacts[machine] = contact
 	}
@@ -79,7 +79,7 @@
 		respond(redirectResponse(owner)) // it has just come back and claims its shards
 	case m.peers.HeardRecently(owner, now):
 		if m.hasLostLiveOwner(machine, report, firstContactAt, now) {
-			m.takeOverUnlessOwnerReturns(machine, report, respond, now)
+			m.takeOverAfterOwnerStatus(machine, report, respond, now)
 			return
 		}
 		respond(redirectResponse(owner))
@@ -118,17 +118,17 @@
 		now-m.shards.ClaimObservedAt(machine.Shard.Name) > m.durations.WorkerLease
 }
 
-// takeOverUnlessOwnerReturns waits for the next status of a machine's owner, and takes the machine over if
+// takeOverAfterOwnerStatus waits for the next status of a machine's owner, and takes the machine over if
 // the owner is alive, and so has lost its worker, or if the lease leaves no time for the worker to go
 // elsewhere.
-func (m *Manager) takeOverUnlessOwnerReturns(
+func (m *Manager) takeOverAfterOwnerStatus(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
 	respond func(transport.Response),
 	now monotime.Micros,
 ) {
 	owner, claimNumber := machine.Owner(), machine.Claim()
-	m.env.After(ownerReturnDelay, func() {
+	m.env.After(ownerStatusWait, func() {
 		silent := m.peers.LastHeardAt(owner) <= now
 		machine := m.mirror.Machines[report.Machine]
 		if silent && !m.mustAdoptBeforeLeaseEnds(owner, m.env.Now()) ||
@@ -146,16 +146,16 @@
 // that is silent for longer than memberships last and is a member all the same won't answer the worker the
 // next time either.
 func (m *Manager) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
-	tryAll := durations.WorkerRetryPause
+	fullRetryTime := durations.WorkerRetryPause
 	for _, peer := range m.peerNames {
-		tryAll += durations.WorkerRetryPause
+		fullRetryTime += durations.WorkerRetryPause
 		if !m.peers.HeardRecently(peer, now) {
-			tryAll += durations.WorkerAnswerTimeout
+			fullRetryTime += durations.WorkerAnswerTimeout
 		}
 	}
 	silence := now - m.peers.LastHeardAt(owner)
 	return silence > m.durations.MembershipTTL ||
-		silence+tryAll > m.durations.WorkerLease-m.durations.HeartbeatInterval
+		silence+fullRetryTime > m.durations.WorkerLease-m.durations.HeartbeatInterval
 }
 
 // takeOverMachine claims a machine of another controller if its worker itself confirms its report.
--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -16,20 +16,20 @@
 func TestOrphanedWorkers(t *testing.T) {
 	const membershipTTL = 6 * second // of the durations in these tests
 	cases := []struct {
-		name       string
-		owner      string
-		member     uint64          // incarnation of the owner's member record; 0: it has none
-		silence    monotime.Micros // of the owner
-		pause      monotime.Micros // between two heartbeats; 0: there is one
-		token      uint64
-		status     int // 0: not answered at once
-		redirected string
-		lease      float64 // of workers in seconds; 0: that of testWorkers
-		successor  string
-		claims     int // requests for a claim that were made at once
-		probes     int
-		timersSet  int
-		claimAge   monotime.Micros // since when the owner's claim is known
+		name           string
+		owner          string
+		member         uint64          // incarnation of the owner's member record; 0: it has none
+		silence        monotime.Micros // of the owner
+		pause          monotime.Micros // between two heartbeats; 0: there is one
+		token          uint64
+		status         int // 0: not answered at once
+		redirected     string
+		lease          float64 // of workers in seconds; 0: that of testWorkers
+		successor      string
+		claims         int // requests for a claim that were made at once
+		workerRequests int
+		timersSet      int
+		claimAge       monotime.Micros // since when the owner's claim is known
 	}{
 		{name: "of an earlier incarnation", owner: "n-0", claims: 1},
 		{name: "owner gone, other successor", owner: "n-1", successor: "n-2", status: 421, redirected: "n-2"},
@@ -60,11 +60,11 @@
 		},
 		{
 			name: "owner silent for longer than memberships last", owner: "n-1", member: 1,
-			silence: 9 * second, lease: 60, probes: 1,
+			silence: 9 * second, lease: 60, workerRequests: 1,
 		},
 		{name: "owner silent, long lease", owner: "n-1", member: 1, silence: 7 * second, lease: 60, status: 421},
 		{name: "owner silent", owner: "n-1", member: 1, silence: 2 * second, status: 421},
-		{name: "owner silent for long", owner: "n-1", member: 1, silence: membershipTTL + second, probes: 1},
+		{name: "owner silent for long", owner: "n-1", member: 1, silence: membershipTTL + second, workerRequests: 1},
 	}
 	for _, tc := range cases {
 		f := newFixture(t)
@@ -92,20 +92,20 @@
 		if status != tc.status || redirected != tc.redirected {
 			t.Errorf("%s: answered %d, to %q", tc.name, status, redirected)
 		}
-		if len(f.claimRequests) != tc.claims || len(f.probes) != tc.probes || len(f.timers) != tc.timersSet {
+		if len(f.claimRequests) != tc.claims || len(f.workerRequests) != tc.workerRequests || len(f.timers) != tc.timersSet {
 			t.Errorf("%s: %d claims, %d probes, %d timers", tc.name,
-				len(f.claimRequests), len(f.probes), len(f.timers))
+				len(f.claimRequests), len(f.workerRequests), len(f.timers))
 		}
 	}
 }
 
-// TestTakeOverNeedsFreshReport: a machine of another controller is claimed only if its worker itself confirms
+// TestTakeoverRequiresConfirmedReport: a machine of another controller is claimed only if its worker itself confirms
 // the report on which it is.
-func TestTakeOverNeedsFreshReport(t *testing.T) {
+func TestTakeoverRequiresConfirmedReport(t *testing.T) {
 	cases := []struct {
-		name    string
-		current protocol.CommandResult
-		claimed bool
+		name        string
+		probeResult protocol.CommandResult
+		claimed     bool
 	}{
 		{"no answer", protocol.CommandResult{}, false},
 		{"the next report", protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 6, 0)}, true},
@@ -126,7 +126,7 @@
 			testReport(1, 5, 0),
 			func(response transport.Response) { answered = response.Status },
 		)
-		f.probes[0].callback(tc.current)
+		f.workerRequests[0].callback(tc.probeResult)
 		if claimed := len(f.claimRequests) == 1; claimed != tc.claimed || claimed && answered != 0 {
 			t.Errorf("%s: claimed %v, answered %d", tc.name, claimed, answered)
 		}
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestClaimRequestAnswersWorker: what a worker is answered once its claim is made, or isn't.
-func TestClaimRequestAnswersWorker(t *testing.T) {
+// TestWorkerResponseAfterClaimRequest: what a worker is answered once its claim is made, or isn't.
+func TestWorkerResponseAfterClaimRequest(t *testing.T) {
 	cases := []struct {
 		name       string
 		claimed    bool
@@ -196,19 +196,19 @@
 	}
 }
 
-// TestOrphanContactsBeginAnew: when a run of heartbeats from another controller's worker begins.
-func TestOrphanContactsBeginAnew(t *testing.T) {
+// TestOrphanContactRuns: when a run of heartbeats from another controller's worker begins.
+func TestOrphanContactRuns(t *testing.T) {
 	cases := []struct {
 		name   string
 		claim  uint64
 		pause  monotime.Micros
 		checks bool // the controller checks its machines in the pause
-		anew   bool
+		newRun bool
 	}{
-		{"goes on", 1, contactGap, false, false},
-		{"after a pause", 1, contactGap + 1, false, true},
+		{"goes on", 1, maxContactGap, false, false},
+		{"after a pause", 1, maxContactGap + 1, false, true},
 		{"under a new claim", 2, second, false, true},
-		{"a check forgets nothing so soon", 1, contactGap, true, false},
+		{"a check forgets nothing so soon", 1, maxContactGap, true, false},
 	}
 	for _, tc := range cases {
 		f := newFixture(t)
@@ -217,8 +217,8 @@
 		if tc.checks {
 			f.CheckMachines(f.now)
 		}
-		if anew := f.recordOrphanContact("i-9", tc.claim, f.now) != first; anew != tc.anew {
-			t.Errorf("%s: begins anew %v", tc.name, anew)
+		if newRun := f.recordOrphanContact("i-9", tc.claim, f.now) != first; newRun != tc.newRun {
+			t.Errorf("%s: begins anew %v", tc.name, newRun)
 		}
 	}
 	f := newFixture(t)
@@ -229,13 +229,13 @@
 	}
 }
 
-// TestOwnerReturnDelay: what becomes of a worker that has lost a live owner, once the owner's next status is due.
-func TestOwnerReturnDelay(t *testing.T) {
+// TestTakeoverAfterOwnerStatusWait: what becomes of a worker that has lost a live owner, once the owner's next status is due.
+func TestTakeoverAfterOwnerStatusWait(t *testing.T) {
 	cases := []struct {
-		name   string
-		during func(f *fixture)
-		probes int
-		status int
+		name           string
+		whileWaiting   func(f *fixture)
+		workerRequests int
+		status         int
 	}{
 		{"the owner is heard", func(f *fixture) { f.lastHeardAt["n-1"] = f.now + 1 }, 1, 0},
 		{"the owner falls silent", func(*fixture) {}, 0, 421},
@@ -260,13 +260,13 @@
 		f.UpdateOwnership(f.machine)
 		f.lastHeardAt["n-1"] = f.now
 		status := 0
-		f.takeOverUnlessOwnerReturns(f.machine, testReport(1, 1, testBase),
+		f.takeOverAfterOwnerStatus(f.machine, testReport(1, 1, testBase),
 			func(response transport.Response) { status = response.Status }, f.now)
-		tc.during(f)
-		f.now += ownerReturnDelay
+		tc.whileWaiting(f)
+		f.now += ownerStatusWait
 		f.fireTimers()
-		if len(f.probes) != tc.probes || status != tc.status {
-			t.Errorf("%s: %d probes, answered %d", tc.name, len(f.probes), status)
+		if len(f.workerRequests) != tc.workerRequests || status != tc.status {
+			t.Errorf("%s: %d probes, answered %d", tc.name, len(f.workerRequests), status)
 		}
 	}
 }
--- a/internal/agents/failures.go
+++ b/internal/agents/failures.go
@@ -14,8 +14,8 @@
 // Bounds from which a machine counts as slow.
 const (
 	slowdownWeightSamples = 8   // samples that the smoothing averages over
-	slowSamples           = 6   // samples needed for a judgement
-	slowLogSlowdown       = 1.1 // three times as long as expected
+	minSlowdownSamples    = 6   // samples needed for a judgement
+	slowLogThreshold      = 1.1 // three times as long as expected
 )
 
 // RecordFailure counts a failed task of a job.
@@ -41,7 +41,7 @@
 
 // IsSlow reports whether tasks run far longer than expected on the machine, again and again.
 func (h *FailureHistory) IsSlow() bool {
-	return h.slowdownSamples >= slowSamples && h.logSlowdown > slowLogSlowdown
+	return h.slowdownSamples >= minSlowdownSamples && h.logSlowdown > slowLogThreshold
 }
 
 // FailureProne reports whether the machine gets no more tasks because too much failed there.
--- a/internal/agents/failures_test.go
+++ b/internal/agents/failures_test.go
@@ -12,8 +12,8 @@
 	}{
 		{"as expected", 1, 20, false},
 		{"twice as long", 2, 20, false},
-		{"four times as long, too few tasks", 4, slowSamples - 1, false},
-		{"four times as long", 4, slowSamples, true},
+		{"four times as long, too few tasks", 4, minSlowdownSamples - 1, false},
+		{"four times as long", 4, minSlowdownSamples, true},
 		{"without estimates", 0, 20, false},
 	}
 	for _, tc := range cases {
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -100,7 +100,7 @@
 // checkMachine checks one machine, see CheckMachines.
 func (m *Manager) checkMachine(machine *mirror.Machine, check *healthCheck) {
 	agent := m.Of(machine)
-	if agent.LeaseHasEnded(check.now, m.durations.LeaseExpiryProof) {
+	if agent.LeaseNewlyExpired(check.now, m.durations.LeaseExpiryProof) {
 		check.leasesExpired++
 		check.tasksLost += len(machine.Attempts)
 		agent.ExpireLease(machine)
@@ -136,16 +136,16 @@
 	// The tasks of cancelled jobs must end in time, at the latest by the deletion of their machine. That
 	// costs all other tasks there too, so it waits: the lease may end first, or another controller reach the
 	// machine.
-	giveUp := m.durations.LeaseExpiryProof + 2*m.durations.HeartbeatInterval
-	overdue := m.durations.CancellationDeadline / 2
+	unreachableTimeout := m.durations.LeaseExpiryProof + 2*m.durations.HeartbeatInterval
+	cancelledTimeout := m.durations.CancellationDeadline / 2
 	if keepForZone {
-		giveUp, overdue = 3*m.durations.LeaseExpiryProof, 3*m.durations.CancellationDeadline/4
+		unreachableTimeout, cancelledTimeout = 3*m.durations.LeaseExpiryProof, 3*m.durations.CancellationDeadline/4
 	}
 	fewSilent := 3*check.silent <= check.owned
 	switch {
-	case silence > giveUp:
+	case silence > unreachableTimeout:
 		return removalUnreachable
-	case silence > m.durations.SuspicionTimeout && m.holdsCancelled(machine, overdue):
+	case silence > m.durations.SuspicionTimeout && m.holdsCancelled(machine, cancelledTimeout):
 		return removalCancelledUnreachable
 	case agent.InterruptionNoticed() && silence > m.durations.PlacementSilenceLimit:
 		return removalInterrupted
@@ -163,8 +163,8 @@
 // lease: if they were deleted for their silence, its capacity would wait for new machines to boot. Not so
 // where services are: a deletion lets them start elsewhere.
 func (m *Manager) keepsForUnreachableZone(machine *mirror.Machine, now monotime.Micros) bool {
-	at, unreachable := m.zoneUnreachableAt[machine.Record.Zone]
-	return unreachable && now-at < m.durations.WorkerLease && !m.holdsService(machine)
+	observedAt, unreachable := m.zoneUnreachableAt[machine.Record.Zone]
+	return unreachable && now-observedAt < m.durations.WorkerLease && !m.holdsService(machine)
 }
 
 // RequestRemoval has a machine removed: its shard says so, and the leader has it terminated.
@@ -176,10 +176,10 @@
 
 // holdsCancelled reports whether the records hold tasks there of jobs that were cancelled at least so long
 // ago. What this controller hasn't seen being cancelled was so for an unknown time: long enough.
-func (m *Manager) holdsCancelled(machine *mirror.Machine, since monotime.Micros) bool {
+func (m *Manager) holdsCancelled(machine *mirror.Machine, minAge monotime.Micros) bool {
 	for task := range machine.Attempts {
 		if job := m.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
-			m.env.Now()-m.scheduler.FinalSeenAt(task.Job) >= since {
+			m.env.Now()-m.scheduler.FinalSeenAt(task.Job) >= minAge {
 			return true
 		}
 	}
@@ -220,12 +220,12 @@
 	if check.interruptionNoticed > 0 {
 		m.log.Info("spot interruption notice", "machines", check.interruptionNoticed)
 	}
-	many := check.silent >= manySilentMachines
-	if many == m.manySilentLogged {
+	manySilent := check.silent >= manySilentMachines
+	if manySilent == m.manySilentLogged {
 		return
 	}
-	m.manySilentLogged = many
-	if many {
+	m.manySilentLogged = manySilent
+	if manySilent {
 		m.log.Info("machines unreachable", "state", logging.ConditionBegin,
 			"machines", check.silent+1, "machines_owned", check.owned)
 	} else {
--- a/internal/agents/health_test.go
+++ b/internal/agents/health_test.go
@@ -133,7 +133,7 @@
 	if !f.Of(f.machine).IsStopping(testAttempt) {
 		t.Fatal("the service isn't stopped")
 	}
-	if len(f.probes) != 1 || describe(f.probes[0].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
-		t.Errorf("requests %+v", f.probes)
+	if len(f.workerRequests) != 1 || formatCommands(f.workerRequests[0].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
+		t.Errorf("requests %+v", f.workerRequests)
 	}
 }
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -36,15 +36,15 @@
 		return
 	}
 	now := m.env.Now()
-	if refusal, refused := m.refuseAll(now); refused {
+	if refusal, refused := m.refusalForAll(now); refused {
 		respond(refusal)
 		return
 	}
 	m.dispatchHeartbeat(&report, m.logResponse(&report, respond, now), now)
 }
 
-// refuseAll returns the answer to any heartbeat while none may renew a lease here.
-func (m *Manager) refuseAll(now monotime.Micros) (refusal transport.Response, refused bool) {
+// refusalForAll returns the answer to any heartbeat while none may renew a lease here.
+func (m *Manager) refusalForAll(now monotime.Micros) (refusal transport.Response, refused bool) {
 	if peer, onlyHere := m.reachability.StoreUnreachableOnlyHere(now); onlyHere {
 		return redirectResponse(peer), true
 	}
@@ -69,7 +69,7 @@
 ) {
 	machine := m.mirror.Machines[report.Machine]
 	switch {
-	case machine != nil && m.Has(machine) && m.redirectsAway(m.Of(machine), now):
+	case machine != nil && m.Has(machine) && m.shouldFailOver(m.Of(machine), now):
 		respond(protocol.ErrorResponse(transport.StatusUnavailable, "cut off from all others"))
 	case machine != nil && m.Has(machine):
 		respond(m.answerHeartbeat(machine, report))
@@ -107,25 +107,25 @@
 	}
 }
 
-// redirectsAway reports whether a worker of an own machine is to look for another controller, because this
+// shouldFailOver reports whether a worker of an own machine is to look for another controller, because this
 // one is cut off and others, if there are any, have its machines. A worker that comes back within its lease
 // has found no other controller: then this one is the only one left, or the zone is cut off with it, and it
 // answers as before.
-func (m *Manager) redirectsAway(agent *Agent, now monotime.Micros) bool {
+func (m *Manager) shouldFailOver(agent *Agent, now monotime.Micros) bool {
 	return m.reachability.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
 }
 
 // answerHeartbeat applies a heartbeat from an own machine and returns the answer.
 func (m *Manager) answerHeartbeat(machine *mirror.Machine, report *protocol.Heartbeat) transport.Response {
 	agent := m.Of(machine)
-	arrival, ok := agent.Receive(report, m.env.Now())
+	received, ok := agent.Receive(report, m.env.Now())
 	if !ok {
 		return protocol.ErrorResponse(transport.StatusUnavailable, "seen before") // a late copy
 	}
 	if agent.IsNewer(report) {
 		m.applyReport(machine, report)
 	}
-	reply := agent.Reply(arrival, machine, m.mirror.Jobs, m.durations.PlacementSilenceLimit)
+	reply := agent.Reply(received, machine, m.mirror.Jobs, m.durations.PlacementSilenceLimit)
 	return transport.Response{Status: transport.StatusOK, Body: protocol.MustMarshal(reply)}
 }
 
--- a/internal/agents/heartbeats_test.go
+++ b/internal/agents/heartbeats_test.go
@@ -11,14 +11,14 @@
 
 const second = monotime.Second
 
-// TestLeaseExpiryIsProvenPerIncarnation: when a lease is taken to have ended. What was wrong once: tasks
+// TestLeaseExpiryPerIncarnation: when a lease is taken to have ended. What was wrong once: tasks
 // that a direct command started in a new incarnation, whose heartbeats never arrived,
 // were taken to have ended with the lease of the incarnation before, and ran twice.
-func TestLeaseExpiryIsProvenPerIncarnation(t *testing.T) {
+func TestLeaseExpiryPerIncarnation(t *testing.T) {
 	cases := []struct {
-		name  string
-		after func(f *fixture) // 10 s after the last answered heartbeat
-		lost  bool             // 14 s after that heartbeat
+		name    string
+		event   func(f *fixture) // 10 s after the last answered heartbeat
+		expired bool             // 14 s after that heartbeat
 	}{
 		{"silence", func(*fixture) {}, true},
 		{"a newer heartbeat", func(f *fixture) {
@@ -41,31 +41,31 @@
 		f := newFixture(t)
 		agent := f.Of(f.machine)
 		f.answerHeartbeat(f.machine, testReport(1, 5, testBase))
-		f.run(10 * second)
-		tc.after(f)
-		f.run(4 * second)
-		if agent.LeaseExpired() != tc.lost {
+		f.advance(10 * second)
+		tc.event(f)
+		f.advance(4 * second)
+		if agent.LeaseExpired() != tc.expired {
 			t.Errorf("%s: lost %v", tc.name, agent.LeaseExpired())
 		}
-		f.run(13 * second)
+		f.advance(13 * second)
 		if !agent.LeaseExpired() || !agent.HasOutcome(testAttempt) {
 			t.Errorf("%s: never lost", tc.name)
 		}
 	}
 }
 
-// TestMachineIsAliveOnlyIfTokenReturns: what shows that a machine may get tasks. A machine that is heard
+// TestAcceptsTasksOnlyAfterTokenAcknowledged: what shows that a machine may get tasks. A machine that is heard
 // needn't be reached: a token that only our answer can have brought must come back.
-func TestMachineIsAliveOnlyIfTokenReturns(t *testing.T) {
+func TestAcceptsTasksOnlyAfterTokenAcknowledged(t *testing.T) {
 	const base = testBase
 	type step struct {
 		incarnation, sequence, token uint64
 		pause                        monotime.Micros // seconds before it
 	}
 	cases := []struct {
-		name   string
-		steps  []step
-		usable bool
+		name    string
+		steps   []step
+		accepts bool
 	}{
 		{"has seen our claim", []step{{1, 5, base, 0}}, true},
 		{"hasn't seen our claim", []step{{1, 5, 7, 0}, {1, 6, 7, 1}}, false},
@@ -88,11 +88,11 @@
 		f := newFixture(t)
 		agent := f.Of(f.machine)
 		for _, s := range tc.steps {
-			f.run(s.pause * second)
+			f.advance(s.pause * second)
 			f.answerHeartbeat(f.machine, testReport(s.incarnation, s.sequence, s.token))
 		}
 		agent.removalReason = ""
-		if got := agent.AcceptsTasks(f.now, f.durations.PlacementSilenceLimit); got != tc.usable {
+		if got := agent.AcceptsTasks(f.now, f.durations.PlacementSilenceLimit); got != tc.accepts {
 			t.Errorf("%s: usable %v", tc.name, got)
 		}
 	}
@@ -103,7 +103,7 @@
 func TestHeartbeatsAreRefused(t *testing.T) {
 	cases := []struct {
 		name       string
-		set        func(f *fixture)
+		prepare    func(f *fixture)
 		status     int
 		redirected string
 	}{
@@ -122,7 +122,7 @@
 	}
 	for _, tc := range cases {
 		f := newFixture(t)
-		tc.set(f)
+		tc.prepare(f)
 		if status, redirected := f.send(testReport(1, 1, testBase)); status != tc.status ||
 			redirected != tc.redirected {
 			t.Errorf("%s: answered %d, to %q", tc.name, status, redirected)
@@ -146,18 +146,18 @@
 	}
 }
 
-// TestRedirectedWorkerIsAnsweredWhenItComesBack: a worker that was sent away while this controller is cut
+// TestReturningWorkerIsAnswered: a worker that was sent away while this controller is cut
 // off, and comes back within its lease, has found no other.
-func TestRedirectedWorkerIsAnsweredWhenItComesBack(t *testing.T) {
+func TestReturningWorkerIsAnswered(t *testing.T) {
 	f := newFixture(t)
 	f.superseded = true
 	for i, want := range []int{503, 200, 200} {
 		if status, _ := f.send(testReport(1, uint64(i+1), testBase)); status != want {
 			t.Errorf("heartbeat %d: answered %d, want %d", i, status, want)
 		}
-		f.run(2 * second)
+		f.advance(2 * second)
 	}
-	f.run(12 * second)
+	f.advance(12 * second)
 	if status, _ := f.send(testReport(1, 9, testBase)); status != 503 {
 		t.Errorf("after a lease elsewhere: answered %d", status)
 	}
@@ -166,13 +166,13 @@
 // TestUnclaimedWorkers: who claims a machine that has come up.
 func TestUnclaimedWorkers(t *testing.T) {
 	cases := []struct {
-		name       string
-		live       string // the only controller that rendezvous hashing may name
-		designated string
-		member     bool
-		pause      monotime.Micros // before a second heartbeat
-		redirected string
-		probes     int // 1: the worker is asked itself, before a claim or a new designation
+		name           string
+		live           string // the only controller that rendezvous hashing may name
+		designated     string
+		member         bool
+		pause          monotime.Micros // before a second heartbeat
+		redirected     string
+		workerRequests int // 1: the worker is asked itself, before a claim or a new designation
 	}{
 		{"falls to this controller", "n-0", "", false, 0, "", 1},
 		{"falls to another", "n-1", "", true, 0, "n-1", 0},
@@ -202,8 +202,8 @@
 			f.now += tc.pause
 			_, redirected = f.send(report)
 		}
-		if redirected != tc.redirected || len(f.probes) != tc.probes {
-			t.Errorf("%s: redirected to %q, %d probes", tc.name, redirected, len(f.probes))
+		if redirected != tc.redirected || len(f.workerRequests) != tc.workerRequests {
+			t.Errorf("%s: redirected to %q, %d probes", tc.name, redirected, len(f.workerRequests))
 		}
 	}
 }
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -115,8 +115,8 @@
 
 // DesignatedController names the controller that may claim a machine of a scale-out request.
 func (m *Manager) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
-	if to := request.Record.Own[machine]; to != "" {
-		return to
+	if designated := request.Record.Own[machine]; designated != "" {
+		return designated
 	}
 	return membership.RendezvousOwner(machine, request.Record.Live)
 }
@@ -144,10 +144,10 @@
 		if entry == nil || !m.shards.Owns(shard) {
 			continue
 		}
-		for _, held := range entry.Attempts {
-			machine := m.mirror.Machines[held.Machine]
-			if !synced[held.Machine] && machine != nil && m.Has(machine) {
-				synced[held.Machine] = true
+		for _, attempt := range entry.Attempts {
+			machine := m.mirror.Machines[attempt.Machine]
+			if !synced[attempt.Machine] && machine != nil && m.Has(machine) {
+				synced[attempt.Machine] = true
 				m.SyncCommands(machine)
 			}
 		}
@@ -176,7 +176,7 @@
 		if result.Status != 0 && report.Machine == machine.ID && report.Valid() && agent.IsNewer(report) {
 			m.applyReport(machine, report)
 		}
-		if result.OK() && agent.TakeResync() {
+		if result.OK() && agent.ConsumeResync() {
 			m.SyncCommands(machine)
 		}
 	})
@@ -209,7 +209,7 @@
 // DesiredState is the state that an own machine's record should have.
 func (m *Manager) DesiredState(machine *mirror.Machine) storage.MachineState {
 	agent := m.Of(machine)
-	agent.recheckRemoval(machine)
+	agent.cancelRemovalIfOccupied(machine)
 	switch {
 	case machine.Record.State == storage.MachineRemoving || agent.RemovalReason() != "":
 		return storage.MachineRemoving
--- a/internal/agents/manager_test.go
+++ b/internal/agents/manager_test.go
@@ -21,8 +21,8 @@
 	callback func()
 }
 
-// probe is a request to a worker that waits for its answer.
-type probe struct {
+// workerRequest is a request to a worker that waits for its answer.
+type workerRequest struct {
 	endpoint string
 	request  *protocol.CommandRequest
 	callback func(protocol.CommandResult)
@@ -37,9 +37,9 @@
 
 // stubs stands for the other subjects of n-0, which are as a test sets them.
 type stubs struct {
-	now    monotime.Micros
-	timers []timer
-	probes []probe
+	now            monotime.Micros
+	timers         []timer
+	workerRequests []workerRequest
 
 	notReady, mirrorStale, watchOverdue, unavailable bool
 	unavailableOnlyHere                              string // the controller that reaches the state service
@@ -73,7 +73,7 @@
 	_ monotime.Micros,
 	callback func(protocol.CommandResult),
 ) {
-	s.probes = append(s.probes, probe{endpoint, request, callback})
+	s.workerRequests = append(s.workerRequests, workerRequest{endpoint, request, callback})
 }
 
 func (s *stubs) Ready() bool                       { return !s.notReady }
@@ -183,8 +183,8 @@
 	return f
 }
 
-// run lets time pass, with the checks that the controller makes meanwhile.
-func (f *fixture) run(duration monotime.Micros) {
+// advance lets time pass, with the checks that the controller makes meanwhile.
+func (f *fixture) advance(duration monotime.Micros) {
 	for end := f.now + duration; f.now < end; {
 		f.now = min(end, f.now+durations.SlowTickInterval)
 		f.fireTimers()
--- a/internal/agents/replies.go
+++ b/internal/agents/replies.go
@@ -9,59 +9,59 @@
 // maxUnacknowledged is how many heartbeats in a row may fail to show the token of the answer before.
 const maxUnacknowledged = 2
 
-// Arrival is a heartbeat that is to be answered.
-type Arrival struct {
+// ReceivedHeartbeat is a heartbeat that is to be answered.
+type ReceivedHeartbeat struct {
 	report        *protocol.Heartbeat
-	at            monotime.Micros
+	receivedAt    monotime.Micros
 	sincePrevious monotime.Micros // since the heartbeat before
 	restarted     bool            // the agent has a new incarnation
 }
 
 // Receive takes a heartbeat that is to be answered; ok is false for a late copy of one that came before. A
 // report that is newer is to be applied between this and Reply.
-func (a *Agent) Receive(report *protocol.Heartbeat, now monotime.Micros) (arrival Arrival, ok bool) {
+func (a *Agent) Receive(report *protocol.Heartbeat, now monotime.Micros) (received ReceivedHeartbeat, ok bool) {
 	last := &a.heartbeats
 	if report.Incarnation < last.lastIncarnation ||
 		report.Incarnation == last.lastIncarnation && report.Sequence <= last.lastSequence ||
 		report.Incarnation < a.incarnation {
-		return Arrival{}, false
+		return ReceivedHeartbeat{}, false
 	}
-	arrival = Arrival{
+	received = ReceivedHeartbeat{
 		report:        report,
-		at:            now,
-		sincePrevious: now - last.lastAt,
+		receivedAt:    now,
+		sincePrevious: now - last.lastReceivedAt,
 		restarted:     a.restartedBy(report),
 	}
-	last.lastIncarnation, last.lastSequence, last.lastAt = report.Incarnation, report.Sequence, now
-	return arrival, true
+	last.lastIncarnation, last.lastSequence, last.lastReceivedAt = report.Incarnation, report.Sequence, now
+	return received, true
 }
 
 // Reply answers a heartbeat, which renews the agent's lease. silenceLimit is the silence after which the
 // agent must show anew that answers reach it.
 func (a *Agent) Reply(
-	arrival Arrival,
+	received ReceivedHeartbeat,
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
 	silenceLimit monotime.Micros,
 ) *protocol.HeartbeatReply {
-	acknowledged := arrival.report.FencingToken
-	a.heartbeats.lastAnsweredAt = arrival.at
-	if acknowledged < a.tokens.lastAnswered {
+	acknowledged := received.report.FencingToken
+	a.heartbeats.lastAnsweredAt = received.receivedAt
+	if acknowledged < a.tokens.inLastReply {
 		a.tokens.unacknowledgedCount++
 	} else {
 		a.tokens.unacknowledgedCount = 0
 	}
-	commands := a.NextCommands(machine, jobs, arrival.at)
-	doubtful := arrival.restarted || arrival.sincePrevious > silenceLimit ||
+	commands := a.NextCommands(machine, jobs, received.receivedAt)
+	mustProveReachability := received.restarted || received.sincePrevious > silenceLimit ||
 		a.tokens.unacknowledgedCount >= maxUnacknowledged
-	if a.tokens.claimAcknowledged && doubtful && a.tokens.requested <= acknowledged {
+	if a.tokens.claimAcknowledged && mustProveReachability && a.tokens.required <= acknowledged {
 		// The agent was silent, or shows no effect of the answers: it must show a token that only the answer
 		// to this heartbeat can have brought it.
 		if len(commands) == 0 {
 			a.tokenCounter++
 		}
-		a.tokens.requested = a.Token()
+		a.tokens.required = a.Token()
 	}
-	a.tokens.lastAnswered = a.Token()
+	a.tokens.inLastReply = a.Token()
 	return &protocol.HeartbeatReply{FencingToken: a.Token(), Commands: commands}
 }
--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -48,8 +48,8 @@
 	// That an agent has a new incarnation though its last heartbeats were answered in time shows that the
 	// answers don't arrive: then its tasks are better run elsewhere.
 	answersLost := restarted && now-a.heartbeats.lastAnsweredAt < workerLease-durations.WorkerAnswerTimeout
-	exited := a.settleAbsentAttempts(machine, jobs, report, absence{restarted, answersLost})
-	result.Exits = a.settleExits(exited, jobs)
+	exited := a.recordAbsentAttempts(machine, jobs, report, absenceEvidence{restarted, answersLost})
+	result.Exits = a.recordExits(exited, jobs)
 	result.HasPendingOutcomes = len(a.pendingOutcomes) > 0
 	a.updateRunningSince(now)
 	a.forgetReleasedAttempts(machine)
@@ -94,19 +94,19 @@
 	return leaseRegained
 }
 
-// absence is what it means that a report lacks an attempt.
-type absence struct {
+// absenceEvidence is what it means that a report lacks an attempt.
+type absenceEvidence struct {
 	restarted   bool // the agent has a new incarnation: all earlier attempts have ended
 	answersLost bool // and this controller's answers don't reach it
 }
 
-// settleAbsentAttempts records an outcome of the attempts that a report proves ended by lacking them, and
+// recordAbsentAttempts records an outcome of the attempts that a report proves ended by lacking them, and
 // lists those that it has as exited, in order.
-func (a *Agent) settleAbsentAttempts(
+func (a *Agent) recordAbsentAttempts(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
 	report *protocol.Heartbeat,
-	absent absence,
+	evidence absenceEvidence,
 ) (exited []AttemptID) {
 	for task, attempt := range machine.Attempts {
 		key := AttemptID{task, attempt}
@@ -120,9 +120,9 @@
 		case reported && status.State == protocol.StateExited:
 			exited = append(exited, key)
 		case reported:
-		case absent.restarted && (absent.answersLost || unwanted):
+		case evidence.restarted && (evidence.answersLost || unwanted):
 			a.RecordOutcome(key, OutcomeRetry)
-		case unwanted && a.killOutranksRun(key, report.FencingToken):
+		case unwanted && a.killAcknowledged(key, report.FencingToken):
 			a.RecordOutcome(key, OutcomeRetry)
 		}
 	}
@@ -130,15 +130,15 @@
 	return exited
 }
 
-// killOutranksRun reports whether the agent has taken up the kill of an attempt, which outranks every batch
+// killAcknowledged reports whether the agent has taken up the kill of an attempt, which outranks every batch
 // with its run: an attempt that is absent after that isn't there and can't start any more.
-func (a *Agent) killOutranksRun(key AttemptID, acknowledged uint64) bool {
+func (a *Agent) killAcknowledged(key AttemptID, acknowledged uint64) bool {
 	record := a.sentCommands[key]
 	return record != nil && record.killToken != 0 && acknowledged >= record.killToken
 }
 
-// settleExits records the outcomes of the exited attempts and returns those that had none before.
-func (a *Agent) settleExits(exited []AttemptID, jobs map[string]*mirror.Job) []Exit {
+// recordExits records the outcomes of the exited attempts and returns those that had none before.
+func (a *Agent) recordExits(exited []AttemptID, jobs map[string]*mirror.Job) []Exit {
 	var exits []Exit
 	for _, key := range exited {
 		status := a.reportedAttempts[key]
--- a/internal/agents/reports_test.go
+++ b/internal/agents/reports_test.go
@@ -61,8 +61,8 @@
 	)
 }
 
-// TestReportsProveAttemptsGone: what a report proves, and what must not be said to a worker.
-func TestReportsProveAttemptsGone(t *testing.T) {
+// TestReportsProveAttemptsEnded: what a report proves, and what must not be said to a worker.
+func TestReportsProveAttemptsEnded(t *testing.T) {
 	exited := protocol.TaskStatus{
 		Task:    "j-1/0",
 		Attempt: 1,
@@ -71,13 +71,13 @@
 	}
 	running := protocol.TaskStatus{Task: "j-1/0", Attempt: 1, State: protocol.StateRunning}
 	cases := []struct {
-		name      string
-		token     uint64
-		tasks     []protocol.TaskStatus
-		cancelled bool
-		killed    uint64 // token of an earlier kill
-		settled   bool
-		commands  protocol.CommandOp // the commands that follow, if any
+		name       string
+		token      uint64
+		tasks      []protocol.TaskStatus
+		cancelled  bool
+		killToken  uint64 // token of an earlier kill
+		hasOutcome bool
+		commands   protocol.CommandOp // the commands that follow, if any
 	}{
 		{"exited", testBase, []protocol.TaskStatus{exited}, false, 0, true, ""},
 		{
@@ -102,8 +102,8 @@
 			cancelJob(replica)
 		}
 		agent := New(testClaim, 0)
-		if tc.killed != 0 {
-			agent.recordOf(testAttempt).killToken = tc.killed
+		if tc.killToken != 0 {
+			agent.recordOf(testAttempt).killToken = tc.killToken
 		}
 		agent.ApplyReport(
 			machine,
@@ -118,7 +118,7 @@
 			0,
 			testLease,
 		)
-		if got := agent.HasOutcome(testAttempt); got != tc.settled {
+		if got := agent.HasOutcome(testAttempt); got != tc.hasOutcome {
 			t.Errorf("%s: settled %v", tc.name, got)
 		}
 		sent := protocol.CommandOp("")
