--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -12,8 +12,8 @@
 	"pipitgap/internal/storage"
 )
 
-// Cancellations keeps the mirror and the exchange of committed cancellations between controllers in step, and
-// decides from that whether leases may be renewed.
+// Cancellations synchronizes the mirror with the committed cancellations that controllers exchange, and
+// decides whether that knowledge is recent enough to renew worker leases.
 type Cancellations struct {
 	mirror        *mirror.Mirror
 	relay         *cancellation.Relay
@@ -21,12 +21,12 @@
 	renewalWindow monotime.Micros
 	log           *slog.Logger
 
-	renewalSuspended bool // as logged last
+	renewalSuspended bool // the state in the last log line
 }
 
-// NewCancellations begins the exchange of a controller's present incarnation with its peers. freshAt gives
-// when the request was sent that last brought the mirror up to date; renewalWindow is up to which age of what
-// is known leases are renewed.
+// NewCancellations starts the exchange between a controller's current incarnation and its peers. freshAt
+// returns when the request was sent that last brought the mirror up to date. Leases are renewed while the
+// knowledge of cancellations is younger than renewalWindow.
 func NewCancellations(
 	replica *mirror.Mirror,
 	relay *cancellation.Relay,
@@ -43,9 +43,9 @@
 	}
 }
 
-// SuspendsLeaseRenewal reports whether heartbeats must go unanswered: another controller may have confirmed a
-// cancellation that isn't known here, so long ago that its tasks would outlast their time if their lease were
-// renewed now.
+// SuspendsLeaseRenewal reports whether heartbeats must go unanswered. Another controller may have confirmed a
+// cancellation that is unknown here, so long ago that the job's tasks would outlive the cancellation deadline
+// if their workers' leases were renewed now.
 func (cs *Cancellations) SuspendsLeaseRenewal(now monotime.Micros) bool {
 	suspended := now-cs.relay.ConfirmedUntil(cs.freshAt(), now) >= cs.renewalWindow
 	if suspended != cs.renewalSuspended {
@@ -55,16 +55,17 @@
 	return suspended
 }
 
-// MessagesFor makes a round of messages for a peer. recordsLoaded says whether all records have been read by
-// this incarnation of the controller.
+// MessagesFor returns the messages of one round for a peer. recordsLoaded says whether this incarnation of
+// the controller has read all records.
 func (cs *Cancellations) MessagesFor(
 	peer string, now monotime.Micros, recordsLoaded bool,
 ) []cancellation.RoundMessage {
 	return cs.relay.MessagesFor(peer, now, cs.mirror.WatchedRevision, recordsLoaded)
 }
 
-// Receive takes over the cancellations in a peer's message that the mirror hasn't yet. They are committed, so
-// nothing can undo them: own workers get commands to stop the tasks, and users get the result.
+// Receive applies the cancellations in a peer's message that the mirror lacks. They are committed and
+// therefore final: the workers of this controller receive commands to stop the tasks, and users see the
+// result.
 func (cs *Cancellations) Receive(peer string, message cancellation.RoundMessage) {
 	for _, cancelled := range cs.relay.Receive(peer, message) {
 		if cancelled.Revision > cs.mirror.WatchedRevision {
@@ -73,22 +74,23 @@
 	}
 }
 
-// Add keeps a cancellation for the peers that this controller has committed itself. It must be called before
-// any user gets an answer that confirms it.
+// Add stores a cancellation that this controller has committed, to send it to the peers. It must be called
+// before any user receives an answer that confirms the cancellation.
 func (cs *Cancellations) Add(committed cancellation.Committed) { cs.relay.Add(committed) }
 
-// Record keeps a job's cancellation for the peers if the mirror holds one.
+// Record stores the cancellation of a job, to send it to the peers, if the mirror contains one.
 func (cs *Cancellations) Record(job *mirror.Job) {
 	if job != nil && job.FinalState == storage.JobCancelled && job.FinalRevision != 0 {
 		cs.Add(cancellation.Committed{Job: job.ID, Revision: job.FinalRevision})
 	}
 }
 
-// Forget drops the cancellation of a job of which nothing is left on any machine.
+// Forget drops the cancellation of a job that has no tasks left on any machine.
 func (cs *Cancellations) Forget(job string) { cs.relay.Forget(job) }
 
-// Reconcile brings mirror and exchange together when all records were read anew: the mirror gets what was
-// committed after they were, the exchange keeps nothing of jobs that are gone.
+// Reconcile synchronizes the mirror and the exchange after all records have been read again. The mirror
+// receives the cancellations that were committed after the read, and the exchange drops those of jobs that no
+// longer exist.
 func (cs *Cancellations) Reconcile() {
 	for _, id := range sortedmap.Keys(cs.mirror.Jobs) {
 		cs.Record(cs.mirror.Jobs[id])
@@ -102,7 +104,7 @@
 	}
 }
 
-// apply brings a committed cancellation into the mirror ahead of the watch.
+// apply writes a committed cancellation into the mirror ahead of the watch.
 func (cs *Cancellations) apply(cancelled cancellation.Committed) {
 	cs.mirror.ApplyPut(
 		storage.JobResultKey(cancelled.Job),
--- a/internal/agents/commands.go
+++ b/internal/agents/commands.go
@@ -8,36 +8,38 @@
 )
 
 const (
-	// maxCommandsPerBatch bounds a batch to well under 64 KiB; the rest follows in the next.
+	// maxCommandsPerBatch bounds a batch to well under 64 KiB. The next batch carries the remaining commands.
 	maxCommandsPerBatch = 400
-	// commandRepeatInterval is how long a command isn't repeated while the reports show no effect of it.
+	// commandRepeatInterval is the minimum time between two sends of a command whose effect the reports do
+	// not show.
 	commandRepeatInterval = monotime.Second
 )
 
-// commandRecord is which commands were sent about an attempt, and when.
+// commandRecord records which commands were sent for an attempt, and when.
 type commandRecord struct {
-	runSentAt, killSentAt, reapSentAt monotime.Micros // 0: not sent, or to be sent anew
+	runSentAt, killSentAt, reapSentAt monotime.Micros // 0: not sent, or must be sent again
 	killToken                         uint64          // fencing token of the first batch with a kill; 0: none
 }
 
-// recordOf returns the record of the commands about an attempt.
+// recordOf returns the record of the commands sent for an attempt, and creates it if there is none.
 func (a *Agent) recordOf(key AttemptID) *commandRecord {
 	return mapentry.GetOrNew(a.sentCommands, key)
 }
 
-// KillSent reports whether the agent was ever sent a kill of an attempt that the records held on the machine.
+// KillSent reports whether a kill was ever sent for an attempt that the records assigned to the machine.
 func (a *Agent) KillSent(key AttemptID) bool {
 	record := a.sentCommands[key]
 	return record != nil && record.killToken != 0
 }
 
-// commandBatch is a batch of commands in the making.
+// commandBatch collects the commands of one batch.
 type commandBatch struct {
 	now      monotime.Micros
 	commands []protocol.Command
 }
 
-// markIfDue reports whether a command that was last sent at a time may be added, and notes that it is.
+// markIfDue reports whether a command that was last sent at sentAt is due and fits into the batch. If so, it
+// sets sentAt to the current time.
 func (b *commandBatch) markIfDue(sentAt *monotime.Micros) bool {
 	if len(b.commands) >= maxCommandsPerBatch || *sentAt != 0 && b.now-*sentAt < commandRepeatInterval {
 		return false
@@ -46,20 +48,19 @@
 	return true
 }
 
-// add adds a run or a reap.
+// add appends a command.
 func (b *commandBatch) add(op protocol.CommandOp, key AttemptID) {
 	b.commands = append(b.commands, protocol.Command{Op: op, Task: key.Task.String(), Attempt: key.Attempt})
 }
 
-// addKill adds a kill that gives the task so many seconds to save its progress.
+// addKill appends a kill that gives the task graceSeconds to save its progress.
 func (b *commandBatch) addKill(key AttemptID, graceSeconds float64) {
 	b.add(protocol.CmdKill, key)
 	b.commands[len(b.commands)-1].GraceS = &graceSeconds
 }
 
-// NextCommands works out which commands the agent needs, reaps and kills before runs. A batch that isn't
-// empty gets a token of its own, above all earlier ones, so that a late copy of an earlier batch can't undo
-// it.
+// NextCommands returns the commands that the agent needs: reaps and kills first, then runs. Each non-empty
+// batch has a new token above all earlier ones, so a delayed copy of an earlier batch cannot undo it.
 func (a *Agent) NextCommands(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
@@ -80,7 +81,8 @@
 	return batch.commands
 }
 
-// endUnexpectedAttempts adds what ends attempts that the agent reports and the records don't hold.
+// endUnexpectedAttempts adds a reap or kill for each attempt that the agent reports and the records do not
+// contain.
 func (a *Agent) endUnexpectedAttempts(batch *commandBatch, machine *mirror.Machine) {
 	var unexpected []AttemptID
 	for key := range a.reportedAttempts {
@@ -92,7 +94,7 @@
 	for _, key := range unexpected {
 		record := a.recordOf(key)
 		if a.HasExited(key) {
-			// Its outcome is in the records, or its attempt is in none of them any more.
+			// The records contain the attempt's outcome, or they no longer contain the attempt.
 			if batch.markIfDue(&record.reapSentAt) {
 				batch.add(protocol.CmdReap, key)
 			}
@@ -102,7 +104,8 @@
 	}
 }
 
-// unfinishedAttempts lists the attempts on the machine that are to be killed and to be run, both in order.
+// unfinishedAttempts returns the attempts on the machine that must be killed and those that must be run, each
+// list sorted.
 func (a *Agent) unfinishedAttempts(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
@@ -130,8 +133,8 @@
 	return kills, runs
 }
 
-// killAttempts adds the kills of attempts that the records hold. The first one's token is kept: once the
-// agent has taken it up, an attempt that it doesn't report has ended for good.
+// killAttempts adds the kills of attempts that the records contain. It keeps the token of the first kill:
+// once the agent has acknowledged that token, an attempt that it does not report has ended for good.
 func (a *Agent) killAttempts(batch *commandBatch, kills []AttemptID, jobs map[string]*mirror.Job) {
 	nextToken := a.Token() + 1
 	for _, key := range kills {
@@ -144,14 +147,15 @@
 		}
 		graceSeconds := 0.0
 		if job := jobs[key.Task.Job]; job.IsOpen() && job.Record.Spec.CheckpointS > 0 {
-			graceSeconds = job.Record.Spec.SaveS // its progress is worth saving
+			graceSeconds = job.Record.Spec.SaveS // a job with checkpoints that continues: save the progress
 		}
 		batch.addKill(key, graceSeconds)
 	}
 }
 
-// BeginCommandRequest returns the commands that are to be sent directly, ahead of the next heartbeat; nil:
-// none. One request is in flight at a time, and the Agent must get its end by EndCommandRequest.
+// BeginCommandRequest returns a request with the commands to send directly, ahead of the next heartbeat, or
+// nil if there are none. Only one request may be in flight at a time. The caller must call EndCommandRequest
+// when it completes.
 func (a *Agent) BeginCommandRequest(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
@@ -176,10 +180,11 @@
 	}
 }
 
-// EndCommandRequest ends the request in flight.
+// EndCommandRequest records that no command request is in flight.
 func (a *Agent) EndCommandRequest() { a.commandInFlight = false }
 
-// RepeatCommands has commands sent again, with a new token: they weren't executed, or aren't known to be.
+// RepeatCommands makes commands due again, in a batch with a new token, because the agent did not execute
+// them or may not have done so.
 func (a *Agent) RepeatCommands(commands []protocol.Command) {
 	for _, command := range commands {
 		if task, ok := mirror.ParseTaskID(command.Task); ok {
@@ -189,7 +194,8 @@
 	}
 }
 
-// ConsumeResync reports whether more is to be sent since the last request began, once.
+// ConsumeResync reports whether commands may have become due while a request was in flight, and clears that
+// flag.
 func (a *Agent) ConsumeResync() bool {
 	needed := a.resyncNeeded
 	a.resyncNeeded = false
--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -11,14 +11,14 @@
 	"pipitgap/internal/reachability"
 )
 
-// Config is what stays the same for as long as the controller runs.
+// Config holds the settings that do not change while the controller runs.
 type Config struct {
-	Node      string   // the controller's name
+	Node      string   // name of this controller
 	Peers     []string // names of the other controllers
 	Durations durations.Platform
 }
 
-// Dependencies are the other subjects that a Manager works with.
+// Dependencies are the components that a Manager uses.
 type Dependencies struct {
 	Mirror        *mirror.Mirror
 	Environment   Environment
@@ -32,19 +32,20 @@
 	Shards        Shards
 	Scheduler     Scheduler
 	Cancellations LeasePolicy
-	// IsCordoned reports whether a drain keeps new tasks from a machine.
+	// IsCordoned reports whether a drain bars a machine from new tasks.
 	IsCordoned func(machine *mirror.Machine) bool
 	Log        *slog.Logger
 }
 
-// Environment is the clock and the connection to the workers. Callbacks come on the controller's goroutine.
+// Environment provides the clock and the connection to the workers. It runs callbacks on the controller's
+// goroutine.
 type Environment interface {
-	// Now reads the steady clock.
+	// Now returns the time of the monotonic clock.
 	Now() monotime.Micros
-	// After calls back after a delay.
+	// After runs a callback after a delay.
 	After(delay monotime.Micros, callback func())
-	// SendCommands sends a request to the worker at an endpoint; nil only requests its report. A result with
-	// status 0 has no report.
+	// SendCommands sends a request to the worker at an endpoint. A nil request only asks for the worker's
+	// report. A result with status 0 contains no report.
 	SendCommands(
 		endpoint string,
 		request *protocol.CommandRequest,
@@ -53,102 +54,105 @@
 	)
 }
 
-// Store is the state service.
+// Store is the connection to the state service.
 type Store interface {
-	// Unavailable reports whether this controller doesn't reach it.
+	// Unavailable reports whether this controller cannot reach the state service.
 	Unavailable() bool
 }
 
-// Replica keeps the mirror up to date.
+// Replica keeps the mirror of the records up to date.
 type Replica interface {
 	// Ready reports whether the records have been read.
 	Ready() bool
-	// FreshAt is when the request was sent that last brought the mirror up to date.
+	// FreshAt returns when the request was sent that last brought the mirror up to date.
 	FreshAt() monotime.Micros
-	// WatchOverdue reports whether the watch hasn't answered for so long that the mirror may be outdated.
+	// WatchOverdue reports whether the watch has not answered for so long that the mirror may be outdated.
 	WatchOverdue(now monotime.Micros) bool
-	// Commit makes a conditional write; on success it is in the mirror before callback is called.
+	// Commit sends a conditional write. After a success the mirror contains the write before callback runs.
 	Commit(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult))
 }
 
-// RecordWrites notes the keys of records with a write in flight.
+// RecordWrites tracks the keys of records with a write in flight.
 type RecordWrites interface {
-	// Contains reports whether a change of a record is in flight.
+	// Contains reports whether a write of a record is in flight.
 	Contains(key string) bool
-	// Begin marks a record as being changed.
+	// Begin marks a record as having a write in flight.
 	Begin(key string)
-	// End takes the mark off.
+	// End removes that mark.
 	End(key string)
 }
 
-// Pauses tells when the process was paused while its clocks ran.
+// Pauses detects pauses of the process during which its clocks kept running.
 type Pauses interface {
-	// IsStale reports whether what was up to date at an instant must not be trusted because of a pause since.
+	// IsStale reports whether data that was up to date at freshAt must not be trusted because the process has
+	// been paused since.
 	IsStale(freshAt, now monotime.Micros) bool
-	// ResumedFromPauseAt is when the last pause ended; 0: there was none.
+	// ResumedFromPauseAt returns when the last pause ended; 0: there was none.
 	ResumedFromPauseAt() monotime.Micros
 }
 
-// Membership knows which controllers are members.
+// Membership knows which controllers are members of the cluster.
 type Membership interface {
 	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
 }
 
-// Reachability judges whom this controller and the others reach.
+// Reachability determines what this controller and the other controllers can reach.
 type Reachability interface {
-	// StoreUnreachableOnlyHere names a controller that reaches the state service while this one doesn't.
+	// StoreUnreachableOnlyHere returns a controller that reaches the state service while this one does not.
 	StoreUnreachableOnlyHere(now monotime.Micros) (peer string, onlyHere bool)
-	// IsSuperseded reports whether this controller reaches neither the state service nor any other for so
-	// long that the others, if there are any, have taken its machines over.
+	// IsSuperseded reports whether this controller has reached neither the state service nor any other
+	// controller for so long that the other controllers, if there are any, have claimed its machines.
 	IsSuperseded(now monotime.Micros) bool
-	// IsCutOffFromWorkers reports whether a controller is known not to reach its workers.
+	// IsCutOffFromWorkers reports whether a controller is known to be unable to reach its workers.
 	IsCutOffFromWorkers(node string, now monotime.Micros) bool
-	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
+	// ConnectedControllers returns the live controllers that are not known to be cut off from their workers.
 	ConnectedControllers() []string
-	// UpdateReachability judges from the silence of all own machines whether this controller reaches its
-	// workers.
+	// UpdateReachability determines from the silence of all machines of this controller whether the
+	// controller reaches its workers.
 	UpdateReachability(overall reachability.SilenceCount, now monotime.Micros)
 }
 
-// Peers holds the last status of each other controller.
+// Peers holds the last status received from each other controller.
 type Peers interface {
-	// HeardRecently reports whether a status of a controller has come lately.
+	// HeardRecently reports whether a controller's status has been received recently.
 	HeardRecently(node string, now monotime.Micros) bool
-	// LastHeardAt is when a controller last sent its status; 0: never.
+	// LastHeardAt returns when the last status of a controller was received; 0: never.
 	LastHeardAt(node string) monotime.Micros
 }
 
-// Shards holds the claims on the machines.
+// Shards manages the claims on machines.
 type Shards interface {
 	// Owns reports whether a shard belongs to this incarnation of the controller.
 	Owns(shard *mirror.Shard) bool
-	// ClaimObservedAt is when the present claim on a shard was first seen.
+	// ClaimObservedAt returns when the current claim on a shard was first observed.
 	ClaimObservedAt(shard string) monotime.Micros
-	// ClaimOrphaned claims the shards of controllers that are gone, as far as they fall to this one.
+	// ClaimOrphaned claims the shards of failed controllers that this controller must take over.
 	ClaimOrphaned(now monotime.Micros)
-	// RequestClaim has a machine taken into the shards by the next pass, out of fromShard if it isn't nil.
-	// The callback is called once the machine is claimed, or won't be.
+	// RequestClaim requests that the next pass claims a machine into a shard of this controller. fromShard is
+	// the shard that the machine is taken from, or nil. The callback runs once the machine is claimed, or
+	// once the request is refused.
 	RequestClaim(report *protocol.Heartbeat, fromShard *mirror.Shard, callback func(claimed bool))
-	// ExpireClaimRequests refuses the machines that have waited for too long.
+	// ExpireClaimRequests refuses the claim requests that have waited too long.
 	ExpireClaimRequests(now monotime.Micros)
 }
 
-// Scheduler places tasks and learns from how they end.
+// Scheduler places tasks and learns from their exits.
 type Scheduler interface {
-	// RequestPass has a scheduling pass run soon.
+	// RequestPass requests a scheduling pass that runs soon.
 	RequestPass()
-	// RecordExit learns from how an attempt at a task of a job ended.
+	// RecordExit updates the failure and run-time statistics with the exit of an attempt at a task of a job.
 	RecordExit(machine *mirror.Machine, job *mirror.Job, exit Exit)
-	// MachineFault judges a machine from the failures there.
+	// MachineFault judges from the failures on a machine whether the machine is faulty or failure-prone.
 	MachineFault(agent *Agent) (faulty, failureProne bool)
-	// ClearFailuresOn takes back what the failures on a faulty machine have said of jobs.
+	// ClearFailuresOn withdraws the failures on a faulty machine as evidence against the jobs that failed
+	// there.
 	ClearFailuresOn(machine *mirror.Machine)
-	// FinalSeenAt is when the final result of a job was first seen; 0: it had it before.
+	// FinalSeenAt returns when this controller observed the final result of a job; 0: it did not observe it.
 	FinalSeenAt(job string) monotime.Micros
 }
 
-// LeasePolicy decides whether leases may be renewed.
+// LeasePolicy decides whether worker leases may be renewed.
 type LeasePolicy interface {
 	// SuspendsLeaseRenewal reports whether heartbeats must go unanswered so that leases expire.
 	SuspendsLeaseRenewal(now monotime.Micros) bool
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -10,25 +10,27 @@
 )
 
 const (
-	// maxContactGap ends a run of contacts: a worker that comes again after longer has been elsewhere.
+	// maxContactGap is the longest gap between two heartbeats of one contact. After a longer gap, the worker
+	// has been with another controller in the meantime.
 	maxContactGap = 20 * monotime.Second
 	// contactRetention is how long a contact is kept after its last heartbeat.
 	contactRetention = monotime.Minute
-	// ownerStatusWait is how long a worker that has lost an owner just heard is held: until the owner's next
-	// status. If it has crashed just now all its machines come here, and it is back before all could be
-	// moved.
+	// ownerStatusWait is how long the answer to a worker is delayed if the worker has lost an owner that was
+	// heard recently: until the owner's next status is due. If the owner has just crashed, the workers of all
+	// its machines contact this controller, and the owner is back before all of the machines could be
+	// claimed.
 	ownerStatusWait = durations.SlowTickInterval + 2*durations.FastTickInterval
 )
 
-// orphanContact is a run of heartbeats from a worker whose machine is another controller's.
+// orphanContact is a series of heartbeats from a worker whose machine another controller owns or may claim.
 type orphanContact struct {
 	firstAt, lastAt monotime.Micros
-	claimNumber     uint64 // under which its owner held the machine
+	claimNumber     uint64 // claim under which the owner held the machine; 0: unclaimed
 }
 
-// recordOrphanContact notes a heartbeat from another controller's worker, and tells when this run of them
-// began. A new claim begins it anew: an owner that was gone for a moment and has claimed its machines again
-// must have the time to be found by their workers.
+// recordOrphanContact records a heartbeat from another controller's worker, and returns when the current
+// contact started. A new claim starts a new contact: an owner that failed briefly and has claimed its
+// machines again must have time to be found by their workers.
 func (m *Manager) recordOrphanContact(
 	machine string,
 	claimNumber uint64,
@@ -43,7 +45,7 @@
 	return contact.firstAt
 }
 
-// expireOrphanContacts forgets workers of other controllers that haven't come for long.
+// expireOrphanContacts deletes the contacts whose last heartbeat is older than contactRetention.
 func (m *Manager) expireOrphanContacts(now monotime.Micros) {
 	for id, contact := range m.orphanContacts {
 		if now-contact.lastAt > contactRetention {
@@ -52,10 +54,10 @@
 	}
 }
 
-// handleOrphanedWorker answers a worker whose machine is another controller's. A worker stays with a
-// controller that answers; one that comes here has lost its owner, unless this is a copy of an old report.
-// The machine is taken over if its owner can't be the one that is back for it in a moment, and the worker
-// itself confirms its report.
+// handleOrphanedWorker answers a worker whose machine another controller owns. A worker stays with a
+// controller that answers it. A worker that contacts this controller has therefore lost its owner, unless its
+// heartbeat is a delayed duplicate. This controller claims the machine if the owner cannot be expected to
+// return within moments, and if the worker itself confirms its report.
 func (m *Manager) handleOrphanedWorker(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -76,7 +78,7 @@
 		}
 		m.claimWithShard(report, respond, now)
 	case member.Record.Incarnation != machine.Shard.Record.Incarnation:
-		respond(redirectResponse(owner)) // it has just come back and claims its shards
+		respond(redirectResponse(owner)) // the owner has just restarted and is claiming its shards
 	case m.peers.HeardRecently(owner, now):
 		if m.hasLostLiveOwner(machine, report, firstContactAt, now) {
 			m.takeOverAfterOwnerStatus(machine, report, respond, now)
@@ -86,12 +88,13 @@
 	case now-firstContactAt > m.durations.AdoptionDelay || m.mustAdoptBeforeLeaseEnds(owner, now):
 		m.takeOverMachine(machine, report, respond)
 	default:
-		// The owner has crashed and may be back soon, or it is cut off and its membership will end.
+		// The owner has crashed and may restart soon, or it is cut off and its membership will end.
 		respond(redirectResponse(""))
 	}
 }
 
-// claimWithShard claims the shards whose owner is gone, and answers a worker once its machine came with them.
+// claimWithShard claims the shards of failed owners, and answers a worker once its machine is claimed with
+// them.
 func (m *Manager) claimWithShard(
 	report *protocol.Heartbeat,
 	respond func(transport.Response),
@@ -101,11 +104,12 @@
 	m.requestClaim(report, nil, respond)
 }
 
-// hasLostLiveOwner reports whether a worker has lost an owner that is alive, or was a moment ago. A worker
-// that has come here for long, or was the owner's for longer than a lease, isn't sent back: its lease may not
-// last for another attempt. A worker that tries all controllers because its owner was gone for a moment must
-// find it again. A token of the owner's new claim alone doesn't show that it did: direct commands bring one
-// too.
+// hasLostLiveOwner reports whether a worker has lost an owner whose status was received recently. This holds
+// if the worker has contacted this controller for longer than AdoptionDelay, or if the owner's claim, which
+// the worker has acknowledged, is older than a worker lease. Such a worker is not sent back to the owner,
+// because its lease may expire before another attempt. Otherwise the worker may be trying all controllers
+// because its owner failed briefly, and it must find the owner again. The token of the owner's new claim
+// alone does not prove that it has: direct commands carry that token too.
 func (m *Manager) hasLostLiveOwner(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -118,9 +122,9 @@
 		now-m.shards.ClaimObservedAt(machine.Shard.Name) > m.durations.WorkerLease
 }
 
-// takeOverAfterOwnerStatus waits for the next status of a machine's owner, and takes the machine over if
-// the owner is alive, and so has lost its worker, or if the lease leaves no time for the worker to go
-// elsewhere.
+// takeOverAfterOwnerStatus waits for the next status of a machine's owner. It then takes the machine over if
+// the owner is alive, and so has lost its worker, or if the worker's lease leaves no time to try another
+// controller.
 func (m *Manager) takeOverAfterOwnerStatus(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -141,10 +145,10 @@
 	})
 }
 
-// mustAdoptBeforeLeaseEnds reports whether a worker that has lost a silent owner must be adopted now: if it
-// tries all controllers once more, waiting at each that is silent, its lease may end on the way. An owner
-// that is silent for longer than memberships last and is a member all the same won't answer the worker the
-// next time either.
+// mustAdoptBeforeLeaseEnds reports whether a worker that has lost a silent owner must be adopted now. If the
+// worker tried all controllers once more, and waited for a timeout at each silent one, its lease could expire
+// on the way. An owner that has been silent for longer than MembershipTTL and is still a member will not
+// answer the worker's next attempt either.
 func (m *Manager) mustAdoptBeforeLeaseEnds(owner string, now monotime.Micros) bool {
 	fullRetryTime := durations.WorkerRetryPause
 	for _, peer := range m.peerNames {
@@ -158,7 +162,7 @@
 		silence+fullRetryTime > m.durations.WorkerLease-m.durations.HeartbeatInterval
 }
 
-// takeOverMachine claims a machine of another controller if its worker itself confirms its report.
+// takeOverMachine claims another controller's machine if the machine's worker itself confirms its report.
 func (m *Manager) takeOverMachine(
 	machine *mirror.Machine,
 	report *protocol.Heartbeat,
@@ -174,9 +178,9 @@
 	})
 }
 
-// verifyReport probes a worker to confirm that it is where a report says. Copies of reports come late, and a
-// machine may be heard that can't be reached: neither may cause a claim. requireNextSequence: no heartbeat
-// may lie between.
+// verifyReport probes a worker to confirm a report and the endpoint in it. Duplicates of a report may arrive
+// late, and a machine whose heartbeats arrive may still be unreachable; neither may cause a claim. If
+// requireNextSequence is true, the worker must not have sent another heartbeat in between.
 func (m *Manager) verifyReport(report *protocol.Heartbeat, requireNextSequence bool, callback func(ok bool)) {
 	m.env.SendCommands(
 		report.Endpoint,
@@ -193,9 +197,9 @@
 	)
 }
 
-// requestClaim has a machine claimed by the next pass and answers its worker after that. fromShard is the
-// shard of another controller that the machine is taken from; without one, a machine that is in a shard waits
-// for the claim that is on its way.
+// requestClaim requests that the next pass claims a machine, and then answers the machine's worker. fromShard
+// is the shard of another controller that the machine is taken from. If it is nil, a machine that already
+// belongs to a shard waits for the claim that is in progress.
 func (m *Manager) requestClaim(
 	report *protocol.Heartbeat,
 	fromShard *mirror.Shard,
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -9,12 +9,12 @@
 	"pipitgap/internal/storage"
 )
 
-// RemovalReason is why a machine is to be deleted, as it is logged; "": it isn't.
+// RemovalReason is why a machine must be deleted, as logged; "": it stays.
 type RemovalReason string
 
-// Reasons for deleting a machine.
+// Reasons for the deletion of a machine.
 const (
-	// RemovalIdle and RemovalDrained hold only while the machine is empty.
+	// RemovalIdle and RemovalDrained are valid only while the machine is empty.
 	RemovalIdle    RemovalReason = "idle"
 	RemovalDrained RemovalReason = "drained"
 
@@ -24,24 +24,24 @@
 	removalInterrupted          RemovalReason = "spot interruption"
 )
 
-// manySilentMachines is how many machines beside one must be silent for a line in the log.
+// manySilentMachines is how many machines must be silent, in addition to the first, before that is logged.
 const manySilentMachines = 3
 
-// healthCheck is one look at all own machines.
+// healthCheck holds the counts of one check of all machines of this controller.
 type healthCheck struct {
 	now                      monotime.Micros
-	owned, silent            int // machines, and those of them that are silent beyond a first one
-	leasesExpired, tasksLost int // machines whose leases have ended just now, and what they held
-	interruptionNoticed      int // machines that the cloud is about to take back
+	owned, silent            int // machines of this controller, and silent ones beyond the first
+	leasesExpired, tasksLost int // machines whose leases have just expired, and their tasks
+	interruptionNoticed      int // machines that the cloud is about to reclaim
 }
 
-// CheckMachines checks this controller's machines for leases that have ended, silence, interruption notices
-// and faults, and requests the removal of those that can't be used any more.
+// CheckMachines checks this controller's machines for expired leases, silence, interruption notices and
+// faults, and requests the removal of machines that are no longer usable.
 func (m *Manager) CheckMachines(now monotime.Micros) {
 	m.expireOrphanContacts(now)
 	m.shards.ExpireClaimRequests(now)
-	// Without a fresh mirror the machines may have been claimed by other controllers: after this controller
-	// was cut off, all of them look silent.
+	// If the mirror is outdated, other controllers may have claimed the machines: after this controller was
+	// cut off, all of them look silent.
 	if _, onlyHere := m.reachability.StoreUnreachableOnlyHere(now); onlyHere || m.store.Unavailable() ||
 		m.replica.WatchOverdue(now) {
 		return
@@ -57,14 +57,15 @@
 	m.logRemovals()
 }
 
-// silenceOf is how long an agent hasn't shown that it is reached; during a pause of this process none could.
+// silenceOf returns how long the agent has not proved that answers reach it. The time of a process pause does
+// not count, because no agent can prove it then.
 func (m *Manager) silenceOf(agent *Agent, now monotime.Micros) monotime.Micros {
 	return now - max(agent.LastReachedAt(), m.pauses.ResumedFromPauseAt())
 }
 
-// countSilentMachines counts the silent machines, by zone too, and judges from that whether this controller,
-// or a zone, is cut off. A machine that was claimed but not heard yet may still be looking for this
-// controller: it has until its lease must have ended.
+// countSilentMachines counts the silent machines, in total and by zone, and determines from the counts
+// whether this controller or a zone is cut off. A claimed machine that has not yet reported may still be
+// looking for this controller. It has until its lease must have expired.
 func (m *Manager) countSilentMachines(check *healthCheck) {
 	zones, overall := map[string]*reachability.SilenceCount{}, reachability.SilenceCount{}
 	for _, machine := range m.mirror.Machines {
@@ -89,7 +90,7 @@
 	if check.now-resumedAt > m.durations.SuspicionTimeout || resumedAt == 0 {
 		m.reachability.UpdateReachability(overall, check.now)
 	}
-	check.silent = max(check.silent, 1) - 1 // a single silent machine is no sign of a wider failure
+	check.silent = max(check.silent, 1) - 1 // one silent machine alone does not indicate a wider failure
 	for zone, silence := range zones {
 		if silence.IsUnreachable() {
 			m.zoneUnreachableAt[zone] = check.now
@@ -97,7 +98,7 @@
 	}
 }
 
-// checkMachine checks one machine, see CheckMachines.
+// checkMachine checks one machine; see CheckMachines.
 func (m *Manager) checkMachine(machine *mirror.Machine, check *healthCheck) {
 	agent := m.Of(machine)
 	if agent.LeaseNewlyExpired(check.now, m.durations.LeaseExpiryProof) {
@@ -128,14 +129,14 @@
 	}
 }
 
-// silenceRemovalReason returns why a silent machine is to be removed, or "" if it isn't.
+// silenceRemovalReason returns why a silent machine must be removed, or "" if it stays.
 func (m *Manager) silenceRemovalReason(machine *mirror.Machine, check *healthCheck) RemovalReason {
 	agent := m.Of(machine)
 	silence := m.silenceOf(agent, check.now)
 	keepForZone := m.keepsForUnreachableZone(machine, check.now)
-	// The tasks of cancelled jobs must end in time, at the latest by the deletion of their machine. That
-	// costs all other tasks there too, so it waits: the lease may end first, or another controller reach the
-	// machine.
+	// The tasks of a cancelled job must end before the cancellation deadline, if necessary by the deletion of
+	// their machine. A deletion also ends all other tasks on the machine, so it is delayed: the lease may
+	// expire first, or another controller may reach the machine.
 	unreachableTimeout := m.durations.LeaseExpiryProof + 2*m.durations.HeartbeatInterval
 	cancelledTimeout := m.durations.CancellationDeadline / 2
 	if keepForZone {
@@ -150,32 +151,35 @@
 	case agent.InterruptionNoticed() && silence > m.durations.PlacementSilenceLimit:
 		return removalInterrupted
 	case silence > m.durations.SuspicionTimeout && fewSilent && agent.ClaimAcknowledged() && !keepForZone:
-		// Its deletion proves that its tasks have ended long before its lease would. Not when many machines
-		// are silent: then this controller is the one that is cut off.
+		// Deleting the machine proves that its tasks have ended long before lease expiry would. This does not
+		// apply when many machines are silent: then this controller is the one that is cut off.
 		return removalUnreachable
 	}
 	return ""
 }
 
-// keepsForUnreachableZone reports whether a machine is to be kept because its zone as a whole is unreachable,
-// by this controller's own machines there. (What the log calls "zone unreachable" is the leader's judgement
-// by all machines, see fleet.Reconciler.) A zone that is cut off comes back with its machines, each within a
-// lease: if they were deleted for their silence, its capacity would wait for new machines to boot. Not so
-// where services are: a deletion lets them start elsewhere.
+// keepsForUnreachableZone reports whether a machine must be kept because its whole zone is unreachable,
+// judged by this controller's own machines there. (The log message "zone unreachable" is the leader's
+// judgement by all machines; see fleet.Reconciler.) After a network partition of a zone its machines are
+// reachable again, each within a lease. If they were deleted for their silence, the zone would lack capacity
+// until new machines have booted. Machines that run services are an exception: their deletion lets the
+// services start elsewhere.
 func (m *Manager) keepsForUnreachableZone(machine *mirror.Machine, now monotime.Micros) bool {
 	observedAt, unreachable := m.zoneUnreachableAt[machine.Record.Zone]
 	return unreachable && now-observedAt < m.durations.WorkerLease && !m.holdsService(machine)
 }
 
-// RequestRemoval has a machine removed: its shard says so, and the leader has it terminated.
+// RequestRemoval requests the removal of a machine: the machine's shard records the request, and the leader
+// deletes the machine.
 func (m *Manager) RequestRemoval(machine *mirror.Machine, reason RemovalReason) {
 	m.Of(machine).SetRemovalReason(reason)
 	m.scheduler.RequestPass()
 	m.unloggedRemovals[reason] = append(m.unloggedRemovals[reason], machine.ID)
 }
 
-// holdsCancelled reports whether the records hold tasks there of jobs that were cancelled at least so long
-// ago. What this controller hasn't seen being cancelled was so for an unknown time: long enough.
+// holdsCancelled reports whether the records assign tasks to the machine whose jobs were cancelled at least
+// minAge ago. If this controller did not observe the cancellation, its age is unknown and counts as
+// sufficient.
 func (m *Manager) holdsCancelled(machine *mirror.Machine, minAge monotime.Micros) bool {
 	for task := range machine.Attempts {
 		if job := m.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
@@ -186,7 +190,7 @@
 	return false
 }
 
-// holdsService reports whether the records hold replicas of services there.
+// holdsService reports whether the records assign replicas of services to the machine.
 func (m *Manager) holdsService(machine *mirror.Machine) bool {
 	for task := range machine.Attempts {
 		if job := m.mirror.Jobs[task.Job]; job != nil && job.Record.Spec.Service {
@@ -196,8 +200,8 @@
 	return false
 }
 
-// vacateInterruptedMachine stops tasks before the cloud takes a machine back, where that helps: services
-// start elsewhere now rather than later, and arrays with checkpoints save their progress.
+// vacateInterruptedMachine stops tasks before the cloud reclaims a machine, if that helps: services start
+// elsewhere sooner, and arrays with checkpoints save their progress.
 func (m *Manager) vacateInterruptedMachine(machine *mirror.Machine) {
 	agent := m.Of(machine)
 	for task, attempt := range machine.Attempts {
@@ -211,7 +215,7 @@
 	}
 }
 
-// logCheck logs one line for each kind of failure, however many machines it concerns.
+// logCheck logs one line for each kind of failure, regardless of the number of machines.
 func (m *Manager) logCheck(check *healthCheck) {
 	if check.leasesExpired > 0 {
 		m.log.Info("machines lost", "state", logging.ConditionBegin,
@@ -233,7 +237,7 @@
 	}
 }
 
-// logRemovals logs one line for each reason, however many machines are removed for it.
+// logRemovals logs one line for each reason, regardless of the number of machines.
 func (m *Manager) logRemovals() {
 	for _, reason := range sortedmap.Keys(m.unloggedRemovals) {
 		ids := m.unloggedRemovals[reason]
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -12,11 +12,11 @@
 	"pipitgap/internal/transport"
 )
 
-// designationPause lies between two changes of the controller that may claim a machine: each rewrites the
-// scale-out request, which makes the claims of all its other machines fail.
+// designationPause is the minimum time between two changes of designated controllers. Each change rewrites
+// the scale-out request, which makes the claims of all other machines of that request fail.
 const designationPause = 2 * monotime.Second
 
-// redirectResponse sends a worker to a controller; empty: to any other.
+// redirectResponse redirects a worker to a controller, or to any other controller if the name is empty.
 func redirectResponse(controller string) transport.Response {
 	return transport.Response{
 		Status: transport.StatusRedirect,
@@ -24,7 +24,7 @@
 	}
 }
 
-// HandleHeartbeat answers a worker's heartbeat, at once or after a claim on its machine.
+// HandleHeartbeat answers a worker's heartbeat, either immediately or after its machine has been claimed.
 func (m *Manager) HandleHeartbeat(body []byte, respond func(transport.Response)) {
 	var report protocol.Heartbeat
 	if err := protocol.Unmarshal(body, &report); err != nil {
@@ -43,7 +43,7 @@
 	m.dispatchHeartbeat(&report, m.logResponse(&report, respond, now), now)
 }
 
-// refusalForAll returns the answer to any heartbeat while none may renew a lease here.
+// refusalForAll returns the response to every heartbeat while this controller may not renew any lease.
 func (m *Manager) refusalForAll(now monotime.Micros) (refusal transport.Response, refused bool) {
 	if peer, onlyHere := m.reachability.StoreUnreachableOnlyHere(now); onlyHere {
 		return redirectResponse(peer), true
@@ -52,7 +52,7 @@
 		return protocol.ErrorResponse(transport.StatusUnavailable, "records not read yet"), true
 	}
 	if m.pauses.IsStale(m.replica.FreshAt(), now) {
-		// The heartbeat may have waited here for as long as the process was paused.
+		// The heartbeat may have waited in this process for as long as the process was paused.
 		return protocol.ErrorResponse(transport.StatusUnavailable, "stood still"), true
 	}
 	if m.cancellations.SuspendsLeaseRenewal(now) {
@@ -61,7 +61,7 @@
 	return transport.Response{}, false
 }
 
-// dispatchHeartbeat answers a heartbeat depending on which controller has claimed its machine.
+// dispatchHeartbeat answers a heartbeat according to which controller has claimed its machine.
 func (m *Manager) dispatchHeartbeat(
 	report *protocol.Heartbeat,
 	respond func(transport.Response),
@@ -74,7 +74,7 @@
 	case machine != nil && m.Has(machine):
 		respond(m.answerHeartbeat(machine, report))
 	case m.mirror.ScaleInOfMachine[report.Machine] != "":
-		// Deleted, or about to be: a report that was held back on its way must not have it claimed again.
+		// The machine is deleted or about to be: a delayed report must not cause a new claim.
 		respond(protocol.ErrorResponse(transport.StatusUnavailable, "machine is being given back"))
 	case machine != nil && machine.Record != nil:
 		m.handleOrphanedWorker(machine, report, respond, now)
@@ -83,7 +83,7 @@
 	}
 }
 
-// logResponse returns a respond function that logs the answer first, if the log has that level.
+// logResponse wraps respond so that it logs the response first, if debug logging is enabled.
 func (m *Manager) logResponse(
 	report *protocol.Heartbeat,
 	respond func(transport.Response),
@@ -107,20 +107,20 @@
 	}
 }
 
-// shouldFailOver reports whether a worker of an own machine is to look for another controller, because this
-// one is cut off and others, if there are any, have its machines. A worker that comes back within its lease
-// has found no other controller: then this one is the only one left, or the zone is cut off with it, and it
-// answers as before.
+// shouldFailOver reports whether a worker of this controller's machine must look for another controller,
+// because this one is cut off and the other controllers, if there are any, have claimed its machines. A
+// worker that returns within its lease has found no other controller: this one is the only one left, or the
+// zone is cut off together with it. It then answers the worker as before.
 func (m *Manager) shouldFailOver(agent *Agent, now monotime.Micros) bool {
 	return m.reachability.IsSuperseded(now) && agent.RedirectOnce(now, m.durations.WorkerLease)
 }
 
-// answerHeartbeat applies a heartbeat from an own machine and returns the answer.
+// answerHeartbeat applies a heartbeat from a machine of this controller and returns the response.
 func (m *Manager) answerHeartbeat(machine *mirror.Machine, report *protocol.Heartbeat) transport.Response {
 	agent := m.Of(machine)
 	received, ok := agent.Receive(report, m.env.Now())
 	if !ok {
-		return protocol.ErrorResponse(transport.StatusUnavailable, "seen before") // a late copy
+		return protocol.ErrorResponse(transport.StatusUnavailable, "seen before") // a delayed duplicate
 	}
 	if agent.IsNewer(report) {
 		m.applyReport(machine, report)
@@ -138,8 +138,8 @@
 	name := m.mirror.ScaleOutOfMachine[report.Machine]
 	request := m.mirror.ScaleOuts[name]
 	if request == nil {
-		// The machine's scale-out request isn't written yet, or there is none: then the leader finds the
-		// machine in the cloud's list.
+		// The machine's scale-out request is not written yet, or there is none. In the latter case the leader
+		// finds the machine in the cloud's list.
 		respond(redirectResponse(""))
 		return
 	}
@@ -148,10 +148,10 @@
 		m.claimNewMachine(request, report, respond)
 		return
 	}
-	// No task runs on it yet, so the designated controller has time to claim it.
+	// The machine runs no task yet, so the designated controller has time to claim it.
 	firstContactAt := m.recordOrphanContact(report.Machine, 0, now)
 	if now-firstContactAt >= m.durations.WorkerLease/2 {
-		// The worker was redirected and has come back: it can't reach the designated controller.
+		// The worker was redirected and has returned: it cannot reach the designated controller.
 		respond(redirectResponse(""))
 		m.designateThisController(name, report, now)
 		return
@@ -159,11 +159,11 @@
 	if m.membership.IsMember(designated) && !m.reachability.IsCutOffFromWorkers(designated, now) {
 		respond(redirectResponse(designated))
 	} else {
-		respond(redirectResponse("")) // the leader is about to name another
+		respond(redirectResponse("")) // the leader is about to designate another controller
 	}
 }
 
-// claimNewMachine claims a machine that has come up and that this controller may claim.
+// claimNewMachine claims a new machine that this controller is designated to claim.
 func (m *Manager) claimNewMachine(
 	request *mirror.ScaleOutEntry,
 	report *protocol.Heartbeat,
@@ -182,8 +182,8 @@
 	})
 }
 
-// designateThisController writes into a scale-out request that this controller may claim a machine. Once that
-// is written, no other controller's claim can succeed.
+// designateThisController records in a scale-out request that this controller may claim a machine. Once that
+// is committed, no other controller's claim of the machine can succeed.
 func (m *Manager) designateThisController(
 	requestName string,
 	report *protocol.Heartbeat,
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -38,17 +38,17 @@
 	log           *slog.Logger
 
 	byMachine map[string]*Agent
-	// when the controller that may claim a machine may change again
+	// the earliest time of the next change of a machine's designated controller
 	nextDesignationChangeAt monotime.Micros
-	// by machine, workers of other controllers that came here
+	// by machine: contacts by workers whose machines other controllers own
 	orphanContacts    map[string]*orphanContact
 	zoneUnreachableAt map[string]monotime.Micros // when a zone's machines were last silent as a whole
-	// the condition of many silent machines is logged as begun
+	// whether the beginning of the condition "machines unreachable" is logged
 	manySilentLogged bool
-	unloggedRemovals map[RemovalReason][]string // machines to be removed, by reason
+	unloggedRemovals map[RemovalReason][]string // by reason: machines marked for removal since the last log line
 }
 
-// NewManager makes a Manager without Agents.
+// NewManager returns a Manager without Agents.
 func NewManager(config Config, dependencies Dependencies) *Manager {
 	return &Manager{
 		node:              config.Node,
@@ -75,13 +75,13 @@
 	}
 }
 
-// Of returns the Agent of a machine, or nil if the machine isn't claimed by this controller.
+// Of returns the Agent of a machine, or nil if this controller has not claimed the machine.
 func (m *Manager) Of(machine *mirror.Machine) *Agent { return m.byMachine[machine.ID] }
 
-// Has reports whether a machine is claimed by this controller.
+// Has reports whether this controller has claimed a machine.
 func (m *Manager) Has(machine *mirror.Machine) bool { return m.Of(machine) != nil }
 
-// UpdateOwnership follows a change of the shard that a machine is in.
+// UpdateOwnership creates, replaces or deletes the Agent of a machine after a change of the machine's shard.
 func (m *Manager) UpdateOwnership(machine *mirror.Machine) {
 	if machine.Shard == nil || !m.shards.Owns(machine.Shard) {
 		delete(m.byMachine, machine.ID)
@@ -92,10 +92,10 @@
 	}
 }
 
-// Release forgets the Agent of a machine that no longer is in a shard.
+// Release deletes the Agent of a machine that no longer belongs to a shard.
 func (m *Manager) Release(machine string) { delete(m.byMachine, machine) }
 
-// KeepOnly forgets the Agents of machines that a newly loaded mirror hasn't.
+// KeepOnly deletes the Agents of machines that a newly loaded mirror does not contain.
 func (m *Manager) KeepOnly(loaded *mirror.Mirror) {
 	for id := range m.byMachine {
 		if loaded.Machines[id] == nil {
@@ -104,8 +104,8 @@
 	}
 }
 
-// EachEndedAttempt calls release for each task whose attempt on an own machine has ended. Outcomes of
-// attempts that the machine's shard doesn't hold are dropped.
+// EachEndedAttempt calls release for each task whose attempt on a machine of this controller has ended. It
+// drops outcomes of attempts that the machine's shard does not contain.
 func (m *Manager) EachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
@@ -113,7 +113,7 @@
 	m.Of(machine).EachEndedAttempt(machine, release)
 }
 
-// DesignatedController names the controller that may claim a machine of a scale-out request.
+// DesignatedController returns the controller that may claim a machine of a scale-out request.
 func (m *Manager) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
 	if designated := request.Record.Own[machine]; designated != "" {
 		return designated
@@ -121,7 +121,7 @@
 	return membership.RendezvousOwner(machine, request.Record.Live)
 }
 
-// applyReport takes over a report of a worker that is newer than what is known.
+// applyReport applies a worker's report that is newer than the last applied one.
 func (m *Manager) applyReport(machine *mirror.Machine, report *protocol.Heartbeat) {
 	result := m.Of(machine).ApplyReport(machine, m.mirror.Jobs, report, m.env.Now(), m.durations.WorkerLease)
 	if result.LeaseRegained {
@@ -135,7 +135,7 @@
 	}
 }
 
-// SyncCommandsOfJob sends commands to every own machine that has tasks of a job.
+// SyncCommandsOfJob sends commands to every machine of this controller that has tasks of a job.
 func (m *Manager) SyncCommandsOfJob(job *mirror.Job) {
 	synced := map[string]bool{}
 	for _, name := range sortedmap.Keys(m.mirror.Shards) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// SyncCommands sends a worker directly what the answer to its next heartbeat would bring.
+// SyncCommands directly sends a worker the commands that the answer to its next heartbeat would carry.
 func (m *Manager) SyncCommands(machine *mirror.Machine) {
 	agent := m.Of(machine)
 	if agent == nil || machine.Record == nil {
@@ -167,7 +167,7 @@
 	m.env.SendCommands(machine.Record.Endpoint, request, commandTimeout, func(result protocol.CommandResult) {
 		agent.EndCommandRequest()
 		if m.Of(machine) != agent {
-			return // the claim has moved on
+			return // the machine has been claimed again or released
 		}
 		if !result.OK() {
 			agent.RepeatCommands(request.Commands)
@@ -182,10 +182,11 @@
 	})
 }
 
-// Probe requests the report of a worker, which is taken like any other: it proves nothing before the
-// worker has seen a token of this claim. syncAfterwards sends commands at once; it must be false if the
-// machine was another controller's, who may still be answering it: a higher token would have the worker drop
-// those answers, and its lease would end.
+// Probe requests a worker's report and applies it like any other report: it proves nothing until the worker
+// has acknowledged a token of this claim. If syncAfterwards is true, Probe also sends commands at once. It
+// must be false if another controller owned the machine before, because that controller may still be
+// answering the worker: a higher token would make the worker reject those answers, and its lease would
+// expire.
 func (m *Manager) Probe(machine *mirror.Machine, syncAfterwards bool) {
 	if machine == nil || !m.Has(machine) || machine.Record == nil {
 		return
@@ -206,7 +207,7 @@
 	})
 }
 
-// DesiredState is the state that an own machine's record should have.
+// DesiredState returns the state that the record of a machine of this controller should have.
 func (m *Manager) DesiredState(machine *mirror.Machine) storage.MachineState {
 	agent := m.Of(machine)
 	agent.cancelRemovalIfOccupied(machine)
--- a/internal/agents/replies.go
+++ b/internal/agents/replies.go
@@ -6,19 +6,19 @@
 	"pipitgap/internal/protocol"
 )
 
-// maxUnacknowledged is how many heartbeats in a row may fail to show the token of the answer before.
+// maxUnacknowledged is how many consecutive heartbeats may lack the token of the previous answer.
 const maxUnacknowledged = 2
 
-// ReceivedHeartbeat is a heartbeat that is to be answered.
+// ReceivedHeartbeat is a heartbeat that must be answered.
 type ReceivedHeartbeat struct {
 	report        *protocol.Heartbeat
 	receivedAt    monotime.Micros
-	sincePrevious monotime.Micros // since the heartbeat before
+	sincePrevious monotime.Micros // since the previous heartbeat
 	restarted     bool            // the agent has a new incarnation
 }
 
-// Receive takes a heartbeat that is to be answered; ok is false for a late copy of one that came before. A
-// report that is newer is to be applied between this and Reply.
+// Receive accepts a heartbeat that must be answered; ok is false for a delayed duplicate of an earlier one.
+// If the report is newer than the last applied one, the caller must apply it between Receive and Reply.
 func (a *Agent) Receive(report *protocol.Heartbeat, now monotime.Micros) (received ReceivedHeartbeat, ok bool) {
 	last := &a.heartbeats
 	if report.Incarnation < last.lastIncarnation ||
@@ -36,8 +36,8 @@
 	return received, true
 }
 
-// Reply answers a heartbeat, which renews the agent's lease. silenceLimit is the silence after which the
-// agent must show anew that answers reach it.
+// Reply answers a heartbeat, which renews the agent's lease. After a silence longer than silenceLimit the
+// agent must prove again that answers reach it.
 func (a *Agent) Reply(
 	received ReceivedHeartbeat,
 	machine *mirror.Machine,
@@ -55,8 +55,8 @@
 	mustProveReachability := received.restarted || received.sincePrevious > silenceLimit ||
 		a.tokens.unacknowledgedCount >= maxUnacknowledged
 	if a.tokens.claimAcknowledged && mustProveReachability && a.tokens.required <= acknowledged {
-		// The agent was silent, or shows no effect of the answers: it must show a token that only the answer
-		// to this heartbeat can have brought it.
+		// The agent was silent or restarted, or its heartbeats lack the tokens of the answers. It must now
+		// show a token that only the answer to this heartbeat can deliver.
 		if len(commands) == 0 {
 			a.tokenCounter++
 		}
--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -7,29 +7,29 @@
 	"pipitgap/internal/protocol"
 )
 
-// Exit is an attempt that a report has as exited, for the first time.
+// Exit is an attempt that a report lists as exited for the first time.
 type Exit struct {
 	Task    mirror.TaskID
 	Status  protocol.TaskStatus
-	Started bool            // it was reported as running before
-	Since   monotime.Micros // when it was first
+	Started bool            // an earlier report listed it as running
+	Since   monotime.Micros // when a report first listed it as running
 }
 
-// ReportResult is what follows from a report, beyond the Agent itself.
+// ReportResult holds the consequences of a report outside the Agent.
 type ReportResult struct {
-	LeaseRegained      bool   // the agent is reachable again after its lease had ended
-	Exits              []Exit // in the order of jobs and tasks
-	HasPendingOutcomes bool   // there are outcomes for the records
+	LeaseRegained      bool   // the agent is reachable again after lease expiry
+	Exits              []Exit // sorted by job and task
+	HasPendingOutcomes bool   // there are outcomes that are not yet in the records
 }
 
-// IsNewer reports whether a report is newer than the one applied last.
+// IsNewer reports whether a report is newer than the last applied one.
 func (a *Agent) IsNewer(report *protocol.Heartbeat) bool {
 	return report.Incarnation > a.incarnation ||
 		report.Incarnation == a.incarnation && report.Sequence > a.sequence
 }
 
-// ApplyReport takes over a report that is newer than the one before. jobs are the unfinished jobs;
-// workerLease is how long an agent's lease runs.
+// ApplyReport applies a report that is newer than the previous one. jobs are the unfinished jobs;
+// workerLease is the length of an agent's lease.
 func (a *Agent) ApplyReport(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
@@ -38,15 +38,15 @@
 ) ReportResult {
 	restarted := a.restartedBy(report)
 	a.recordReport(report, now)
-	// A report from before the agent saw this claim may be older than the previous owner's last commands: it
-	// proves nothing, not even that the machine is still there.
+	// An agent may have made a report without this claim's token before it executed the previous owner's last
+	// commands. Such a report proves nothing, not even that the machine still exists.
 	if report.FencingToken < a.BaseToken() {
 		return ReportResult{}
 	}
 	var result ReportResult
 	result.LeaseRegained = a.acknowledgeClaim(now)
-	// That an agent has a new incarnation though its last heartbeats were answered in time shows that the
-	// answers don't arrive: then its tasks are better run elsewhere.
+	// A new incarnation although the last heartbeats were answered in time shows that the answers do not
+	// reach the agent. It is better to run its tasks elsewhere.
 	answersLost := restarted && now-a.heartbeats.lastAnsweredAt < workerLease-durations.WorkerAnswerTimeout
 	exited := a.recordAbsentAttempts(machine, jobs, report, absenceEvidence{restarted, answersLost})
 	result.Exits = a.recordExits(exited, jobs)
@@ -56,12 +56,13 @@
 	return result
 }
 
-// restartedBy reports whether a report shows a new incarnation of an agent that had another before.
+// restartedBy reports whether a report shows a new incarnation of an agent whose earlier incarnation is
+// known.
 func (a *Agent) restartedBy(report *protocol.Heartbeat) bool {
 	return a.incarnation != 0 && report.Incarnation > a.incarnation
 }
 
-// recordReport takes over what a report says of the agent.
+// recordReport stores the contents of a report.
 func (a *Agent) recordReport(report *protocol.Heartbeat, now monotime.Micros) {
 	if report.Incarnation > a.incarnation {
 		a.incarnationSeenAt = now
@@ -78,11 +79,11 @@
 	}
 }
 
-// acknowledgeClaim notes that the agent has seen this claim, and reports whether it is reachable again after
-// its lease had ended.
+// acknowledgeClaim records that the agent has acknowledged this claim, and reports whether the agent is
+// reachable again after its lease had expired.
 func (a *Agent) acknowledgeClaim(now monotime.Micros) (leaseRegained bool) {
 	if !a.tokens.claimAcknowledged {
-		// Until now the lease may have been renewed by an earlier owner's answers.
+		// Until now, answers of an earlier owner may have renewed the lease.
 		a.tokens.claimAcknowledged, a.heartbeats.lastAnsweredAt = true, now
 	}
 	if !a.IsReachable() {
@@ -94,14 +95,14 @@
 	return leaseRegained
 }
 
-// absenceEvidence is what it means that a report lacks an attempt.
+// absenceEvidence is what is known of the agent when a report lacks an attempt.
 type absenceEvidence struct {
 	restarted   bool // the agent has a new incarnation: all earlier attempts have ended
-	answersLost bool // and this controller's answers don't reach it
+	answersLost bool // this controller's answers do not reach the new incarnation
 }
 
-// recordAbsentAttempts records an outcome of the attempts that a report proves ended by lacking them, and
-// lists those that it has as exited, in order.
+// recordAbsentAttempts records an outcome for each attempt whose absence from a report proves that it has
+// ended, and returns the attempts that the report lists as exited, sorted.
 func (a *Agent) recordAbsentAttempts(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
@@ -130,14 +131,15 @@
 	return exited
 }
 
-// killAcknowledged reports whether the agent has taken up the kill of an attempt, which outranks every batch
-// with its run: an attempt that is absent after that isn't there and can't start any more.
+// killAcknowledged reports whether the agent has acknowledged the kill of an attempt. The kill has a higher
+// token than every batch that runs the attempt: if a report lacks the attempt after that, the attempt is not
+// running and cannot start any more.
 func (a *Agent) killAcknowledged(key AttemptID, acknowledged uint64) bool {
 	record := a.sentCommands[key]
 	return record != nil && record.killToken != 0 && acknowledged >= record.killToken
 }
 
-// recordExits records the outcomes of the exited attempts and returns those that had none before.
+// recordExits records the outcomes of the exited attempts and returns the exits that had no outcome before.
 func (a *Agent) recordExits(exited []AttemptID, jobs map[string]*mirror.Job) []Exit {
 	var exits []Exit
 	for _, key := range exited {
@@ -156,7 +158,7 @@
 	return exits
 }
 
-// updateRunningSince keeps when the attempts of the newest report were first running.
+// updateRunningSince tracks when a report first listed each attempt of the newest report as running.
 func (a *Agent) updateRunningSince(now monotime.Micros) {
 	for key, status := range a.reportedAttempts {
 		if _, ok := a.runningSince[key]; !ok && status.State == protocol.StateRunning {
@@ -170,7 +172,7 @@
 	}
 }
 
-// forgetReleasedAttempts drops what is kept of attempts that the records hold no longer.
+// forgetReleasedAttempts drops the state of attempts that the records no longer contain.
 func (a *Agent) forgetReleasedAttempts(machine *mirror.Machine) {
 	for key := range a.stoppingAttempts {
 		if machine.Attempts[key.Task] != key.Attempt {
