--- a/internal/agents/cancellations_test.go
+++ b/internal/agents/cancellations_test.go
@@ -10,7 +10,8 @@
 	"pipitgap/internal/storage"
 )
 
-// newTestCancellations begins the exchange of n-0 with n-1, with a mirror that was last up to date at a time.
+// newTestCancellations returns the Cancellations of n-0 with the peer n-1 and a mirror that was last up to
+// date at freshAt.
 func newTestCancellations(replica *mirror.Mirror, freshAt monotime.Micros) *Cancellations {
 	return NewCancellations(
 		replica,
@@ -21,7 +22,8 @@
 	)
 }
 
-// TestLeaseRenewalIsSuspended: leases are renewed for as long as what is known of cancellations is young enough.
+// TestLeaseRenewalIsSuspended checks that leases are renewed only while the knowledge of cancellations is
+// younger than the renewal window.
 func TestLeaseRenewalIsSuspended(t *testing.T) {
 	cs := newTestCancellations(mirror.New(), 50*second)
 	for _, tc := range []struct {
@@ -29,19 +31,19 @@
 		suspended bool
 	}{{50 * second, false}, {60*second - 1, false}, {60 * second, true}, {59 * second, false}} {
 		if got := cs.SuspendsLeaseRenewal(tc.at); got != tc.suspended {
-			t.Errorf("at %d s: suspended %v", tc.at/second, got)
+			t.Errorf("at %d s: got suspended %v, want %v", tc.at/second, got, tc.suspended)
 		}
 	}
 }
 
-// TestPeerCancellationsAreApplied: a peer's cancellation reaches the mirror ahead of the watch, unless the watch has
-// passed its revision.
+// TestPeerCancellationsAreApplied checks that a cancellation from a peer is applied to the mirror ahead of
+// the watch, unless the watch has already passed its revision.
 func TestPeerCancellationsAreApplied(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		revision  uint64
 		cancelled bool
-	}{{"newer than the mirror", 21, true}, {"known to the watch", 20, false}} {
+	}{{"newer than the mirror", 21, true}, {"not newer than the mirror", 20, false}} {
 		replica, _ := newMirrorWithAttempt(t, storage.JobSpec{})
 		replica.WatchedRevision = 20
 		cs := newTestCancellations(replica, 0)
@@ -50,13 +52,13 @@
 			Committed: []cancellation.Committed{{Job: testTask.Job, Revision: tc.revision}},
 		})
 		if cancelled := replica.Jobs[testTask.Job].FinalState == storage.JobCancelled; cancelled != tc.cancelled {
-			t.Errorf("%s: cancelled %v", tc.name, cancelled)
+			t.Errorf("%s: got cancelled %v, want %v", tc.name, cancelled, tc.cancelled)
 		}
 	}
 }
 
-// TestReconcileCancellations: after all records were read anew the exchange has the cancellations that they hold and
-// none of jobs that are gone.
+// TestReconcileCancellations checks that, after all records have been read again, the exchange contains the
+// cancellations in the records and none of jobs that no longer exist.
 func TestReconcileCancellations(t *testing.T) {
 	replica, _ := newMirrorWithAttempt(t, storage.JobSpec{})
 	cancelJob(replica)
@@ -66,10 +68,10 @@
 	cs.Reconcile()
 	messages := cs.MessagesFor("n-1", 0, true)
 	if len(messages) != 1 || len(messages[0].Committed) != 1 || messages[0].Committed[0].Job != testTask.Job {
-		t.Errorf("messages %+v", messages)
+		t.Errorf("got messages %+v, want one with the cancellation of %s only", messages, testTask.Job)
 	}
 	cs.Forget(testTask.Job)
 	if messages := cs.MessagesFor("n-1", 0, true); len(messages[0].Committed) != 0 {
-		t.Errorf("after its end: messages %+v", messages)
+		t.Errorf("after Forget: got messages %+v, want the first without cancellations", messages)
 	}
 }
--- a/internal/agents/commands_test.go
+++ b/internal/agents/commands_test.go
@@ -11,7 +11,7 @@
 	"pipitgap/internal/storage"
 )
 
-// formatCommands gives a batch as text: each command with its task, attempt and seconds of grace.
+// formatCommands formats a batch: each command with its task, attempt and grace period in seconds.
 func formatCommands(commands []protocol.Command) string {
 	var parts []string
 	for _, command := range commands {
@@ -24,7 +24,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// TestNextCommands: what a report leads to, beside what TestReportsProveAttemptsEnded shows.
+// TestNextCommands checks the commands that follow from a report, in cases that TestReportsProveAttemptsEnded
+// does not cover.
 func TestNextCommands(t *testing.T) {
 	kill, reap, run := string(protocol.CmdKill), string(protocol.CmdReap), string(protocol.CmdRun)
 	status := func(task string, attempt uint64, state protocol.TaskState) protocol.TaskStatus {
@@ -38,12 +39,12 @@
 		commands string
 	}{
 		{
-			name:     "another attempt runs than the one assigned",
+			name:     "running attempt differs from the assigned one",
 			tasks:    []protocol.TaskStatus{status("j-1/0", 2, protocol.StateRunning)},
 			commands: kill + " j-1/0 2 grace 0, " + run + " j-1/0 1",
 		},
 		{
-			name: "unexpected attempts in order, exited ones reaped",
+			name: "unexpected attempts are sorted, and reaped if exited",
 			tasks: []protocol.TaskStatus{
 				status("j-9/0", 1, protocol.StateRunning),
 				status("j-2/1", 1, protocol.StateExited),
@@ -61,7 +62,7 @@
 			commands: kill + " j-1/0 1 grace 0",
 		},
 		{
-			name:  "preempted, its progress is saved",
+			name:  "preempted with checkpoints",
 			spec:  storage.JobSpec{CheckpointS: 60, SaveS: 7},
 			tasks: []protocol.TaskStatus{status("j-1/0", 1, protocol.StateRunning)},
 			prepare: func(agent *Agent, _ *mirror.Machine) {
@@ -70,7 +71,7 @@
 			commands: kill + " j-1/0 1 grace 7",
 		},
 		{
-			name:     "nothing starts once the lease has ended",
+			name:     "no run after lease expiry",
 			prepare:  func(agent *Agent, machine *mirror.Machine) { agent.leaseExpired = true },
 			commands: "",
 		},
@@ -87,37 +88,38 @@
 		before := agent.Token()
 		got := formatCommands(agent.NextCommands(machine, replica.Jobs, monotime.Second))
 		if got != tc.commands {
-			t.Errorf("%s: %s", tc.name, got)
+			t.Errorf("%s: got commands %q, want %q", tc.name, got, tc.commands)
 		}
 		if raised := agent.Token() > before; raised != (tc.commands != "") {
-			t.Errorf("%s: token raised %v", tc.name, raised)
+			t.Errorf("%s: got token raised %v, want %v", tc.name, raised, tc.commands != "")
 		}
 	}
 }
 
-// TestCommandsAreRepeated: a command whose effect doesn't show is sent again after a pause, or at once if its
-// request failed.
+// TestCommandsAreRepeated checks that a command without a visible effect is sent again after
+// commandRepeatInterval, or immediately if its request failed.
 func TestCommandsAreRepeated(t *testing.T) {
 	replica, machine := newMirrorWithAttempt(t, storage.JobSpec{})
 	agent := New(testClaim, 0)
 	next := func(at monotime.Micros) []protocol.Command { return agent.NextCommands(machine, replica.Jobs, at) }
 	first := next(0)
 	if len(first) != 1 {
-		t.Fatalf("commands %s", formatCommands(first))
+		t.Fatalf("first batch: got commands %q, want one", formatCommands(first))
 	}
 	if again := next(commandRepeatInterval - 1); len(again) != 0 {
-		t.Errorf("repeated too soon: %s", formatCommands(again))
+		t.Errorf("before commandRepeatInterval: got commands %q, want none", formatCommands(again))
 	}
 	if again := next(commandRepeatInterval + 1); len(again) != 1 {
-		t.Errorf("not repeated: %s", formatCommands(again))
+		t.Errorf("after commandRepeatInterval: got commands %q, want one", formatCommands(again))
 	}
 	agent.RepeatCommands(first)
 	if again := next(commandRepeatInterval + 2); len(again) != 1 {
-		t.Errorf("not repeated after a failure: %s", formatCommands(again))
+		t.Errorf("after a failed request: got commands %q, want one", formatCommands(again))
 	}
 }
 
-// TestBatchIsBounded: no batch has more commands than fit; the rest follows in the next.
+// TestBatchIsBounded checks that a batch has at most maxCommandsPerBatch commands and that the next batch
+// carries the remaining ones.
 func TestBatchIsBounded(t *testing.T) {
 	replica, machine := newMirrorWithAttempt(t, storage.JobSpec{})
 	agent := New(testClaim, 0)
@@ -132,17 +134,18 @@
 	agent.ApplyReport(machine, replica.Jobs, report, 0, testLease)
 	for i, want := range []int{maxCommandsPerBatch, 5, 0} {
 		if got := len(agent.NextCommands(machine, replica.Jobs, 1)); got != want {
-			t.Errorf("batch %d has %d commands, want %d", i, got, want)
+			t.Errorf("batch %d: got %d commands, want %d", i, got, want)
 		}
 	}
 }
 
-// TestCommandRequestsAreSerialized: direct requests go one at a time, and what has come up meanwhile follows.
+// TestCommandRequestsAreSerialized checks that only one direct request is in flight at a time, and that the
+// commands that become due meanwhile are sent after it.
 func TestCommandRequestsAreSerialized(t *testing.T) {
 	f := newFixture(t)
 	f.SyncCommands(f.machine)
 	if len(f.workerRequests) != 0 {
-		t.Fatal("commands were sent to an agent that hasn't reported")
+		t.Fatalf("before the first report: got %d command requests, want 0", len(f.workerRequests))
 	}
 	report := testReport(1, 1, testBase)
 	report.Tasks = nil
@@ -150,21 +153,23 @@
 	f.SyncCommands(f.machine)
 	if len(f.workerRequests) != 1 || f.workerRequests[0].request.Incarnation != 1 ||
 		f.workerRequests[0].request.FencingToken != testBase+1 {
-		t.Fatalf("requests %+v", f.workerRequests)
+		t.Fatalf("after the first report: got requests %+v, want one of incarnation 1 with token %d",
+			f.workerRequests, testBase+1)
 	}
 	cancelJob(f.replica)
 	f.SyncCommands(f.machine)
 	if len(f.workerRequests) != 1 {
-		t.Fatal("a second request while the first is in flight")
+		t.Fatalf("with a request in flight: got %d requests in total, want 1", len(f.workerRequests))
 	}
 	f.workerRequests[0].callback(protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 2, testBase+1)})
-	if len(f.workerRequests) != 2 || formatCommands(f.workerRequests[1].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
-		t.Fatalf("after the answer: requests %+v", f.workerRequests)
+	if len(f.workerRequests) != 2 ||
+		formatCommands(f.workerRequests[1].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
+		t.Fatalf("after the answer: got requests %+v, want two, the second with a kill", f.workerRequests)
 	}
 	f.machine.Shard.Record.Claim++
 	f.UpdateOwnership(f.machine)
 	f.workerRequests[1].callback(protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 3, testBase+2)})
 	if f.Of(f.machine).HasReported() {
-		t.Error("an answer to a request under an earlier claim was applied")
+		t.Error("got the answer to a request of an earlier claim applied, want it dropped")
 	}
 }
--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -12,33 +12,33 @@
 	"pipitgap/internal/transport"
 )
 
-// TestOrphanedWorkers: what happens to a worker whose machine is another controller's.
+// TestOrphanedWorkers checks the answer to a worker whose machine another controller owns.
 func TestOrphanedWorkers(t *testing.T) {
-	const membershipTTL = 6 * second // of the durations in these tests
+	const membershipTTL = 6 * second // follows from testWorkers
 	cases := []struct {
 		name           string
 		owner          string
-		member         uint64          // incarnation of the owner's member record; 0: it has none
-		silence        monotime.Micros // of the owner
-		pause          monotime.Micros // between two heartbeats; 0: there is one
+		member         uint64          // incarnation in the owner's member record; 0: no member
+		silence        monotime.Micros // time since the owner's last status
+		pause          monotime.Micros // between two heartbeats; 0: only one heartbeat
 		token          uint64
-		status         int // 0: not answered at once
+		status         int // 0: not answered immediately
 		redirected     string
-		lease          float64 // of workers in seconds; 0: that of testWorkers
+		lease          float64 // worker lease in seconds; 0: that of testWorkers
 		successor      string
-		claims         int // requests for a claim that were made at once
+		claims         int // claim requests made immediately
 		workerRequests int
 		timersSet      int
-		claimAge       monotime.Micros // since when the owner's claim is known
+		claimAge       monotime.Micros // time since the owner's claim was observed
 	}{
-		{name: "of an earlier incarnation", owner: "n-0", claims: 1},
-		{name: "owner gone, other successor", owner: "n-1", successor: "n-2", status: 421, redirected: "n-2"},
-		{name: "owner gone, this successor", owner: "n-1", successor: "n-0", claims: 1},
+		{name: "owner is an earlier incarnation", owner: "n-0", claims: 1},
+		{name: "owner not a member, other successor", owner: "n-1", successor: "n-2", status: 421, redirected: "n-2"},
+		{name: "owner not a member, this controller is the successor", owner: "n-1", successor: "n-0", claims: 1},
 		{name: "owner has restarted", owner: "n-1", member: 2, silence: 2 * second, status: 421, redirected: "n-1"},
 		{name: "owner alive", owner: "n-1", member: 1, status: 421, redirected: "n-1"},
-		{name: "owner alive, comes back", owner: "n-1", member: 1, pause: 5 * second, timersSet: 1},
+		{name: "owner alive, worker returns", owner: "n-1", member: 1, pause: 5 * second, timersSet: 1},
 		{
-			name:      "owner alive, had it for long",
+			name:      "owner alive, long-standing claim",
 			owner:     "n-1",
 			member:    1,
 			token:     testBase,
@@ -46,7 +46,7 @@
 			timersSet: 1,
 		},
 		{
-			name:       "owner alive, had it shortly",
+			name:       "owner alive, recent claim",
 			owner:      "n-1",
 			member:     1,
 			token:      testBase,
@@ -55,16 +55,19 @@
 			redirected: "n-1",
 		},
 		{
-			name: "owner alive, had it for long, not seen by the worker", owner: "n-1", member: 1,
+			name: "owner alive, long-standing claim, not acknowledged by the worker", owner: "n-1", member: 1,
 			token: testBase - 1, claimAge: 13 * second, status: 421, redirected: "n-1",
 		},
 		{
-			name: "owner silent for longer than memberships last", owner: "n-1", member: 1,
+			name: "owner silent for longer than the membership TTL, long lease", owner: "n-1", member: 1,
 			silence: 9 * second, lease: 60, workerRequests: 1,
 		},
 		{name: "owner silent, long lease", owner: "n-1", member: 1, silence: 7 * second, lease: 60, status: 421},
 		{name: "owner silent", owner: "n-1", member: 1, silence: 2 * second, status: 421},
-		{name: "owner silent for long", owner: "n-1", member: 1, silence: membershipTTL + second, workerRequests: 1},
+		{
+			name: "owner silent for longer than the membership TTL", owner: "n-1", member: 1,
+			silence: membershipTTL + second, workerRequests: 1,
+		},
 	}
 	for _, tc := range cases {
 		f := newFixture(t)
@@ -90,17 +93,19 @@
 			status, redirected = f.send(testReport(1, 2, tc.token))
 		}
 		if status != tc.status || redirected != tc.redirected {
-			t.Errorf("%s: answered %d, to %q", tc.name, status, redirected)
+			t.Errorf("%s: got status %d and redirect to %q, want %d and %q",
+				tc.name, status, redirected, tc.status, tc.redirected)
 		}
 		if len(f.claimRequests) != tc.claims || len(f.workerRequests) != tc.workerRequests || len(f.timers) != tc.timersSet {
-			t.Errorf("%s: %d claims, %d probes, %d timers", tc.name,
-				len(f.claimRequests), len(f.workerRequests), len(f.timers))
+			t.Errorf("%s: got %d claim requests, %d probes and %d timers, want %d, %d and %d", tc.name,
+				len(f.claimRequests), len(f.workerRequests), len(f.timers),
+				tc.claims, tc.workerRequests, tc.timersSet)
 		}
 	}
 }
 
-// TestTakeoverRequiresConfirmedReport: a machine of another controller is claimed only if its worker itself confirms
-// the report on which it is.
+// TestTakeoverRequiresConfirmedReport checks that another controller's machine is claimed only if its worker
+// confirms the report that led to the claim.
 func TestTakeoverRequiresConfirmedReport(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -108,14 +113,14 @@
 		claimed     bool
 	}{
 		{"no answer", protocol.CommandResult{}, false},
-		{"the next report", protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 6, 0)}, true},
-		{"the same report", protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 5, 0)}, false},
+		{"next sequence number", protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 6, 0)}, true},
+		{"same sequence number", protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 5, 0)}, false},
 		{
-			"a heartbeat lies between",
+			"another heartbeat in between",
 			protocol.CommandResult{Status: 200, Heartbeat: *testReport(1, 7, 0)},
 			false,
 		},
-		{"a new incarnation", protocol.CommandResult{Status: 200, Heartbeat: *testReport(2, 6, 0)}, false},
+		{"new incarnation", protocol.CommandResult{Status: 200, Heartbeat: *testReport(2, 6, 0)}, false},
 		{"refused", protocol.CommandResult{Status: 409, Heartbeat: *testReport(1, 6, 0)}, false},
 	}
 	for _, tc := range cases {
@@ -128,18 +133,20 @@
 		)
 		f.workerRequests[0].callback(tc.probeResult)
 		if claimed := len(f.claimRequests) == 1; claimed != tc.claimed || claimed && answered != 0 {
-			t.Errorf("%s: claimed %v, answered %d", tc.name, claimed, answered)
+			t.Errorf("%s: got claim requested %v and status %d, want %v and status 0 if requested",
+				tc.name, claimed, answered, tc.claimed)
 		}
 		if !tc.claimed && answered != 421 {
-			t.Errorf("%s: answered %d", tc.name, answered)
+			t.Errorf("%s: got status %d, want 421", tc.name, answered)
 		}
 		if tc.claimed && f.claimRequests[0].fromShard != f.machine.Shard {
-			t.Errorf("%s: not claimed out of its shard", tc.name)
+			t.Errorf("%s: got a claim request without the machine's shard, want it as fromShard", tc.name)
 		}
 	}
 }
 
-// TestWorkerResponseAfterClaimRequest: what a worker is answered once its claim is made, or isn't.
+// TestWorkerResponseAfterClaimRequest checks the answer to a worker after its claim request succeeds or
+// fails.
 func TestWorkerResponseAfterClaimRequest(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -150,8 +157,8 @@
 		redirected string
 	}{
 		{"claimed", true, "n-0", true, 200, ""},
-		{"not claimed, and another's", false, "n-1", true, 421, "n-1"},
-		{"not claimed, its owner gone", false, "n-1", false, 503, ""},
+		{"refused, machine has a live owner", false, "n-1", true, 421, "n-1"},
+		{"refused, owner not a member", false, "n-1", false, 503, ""},
 	}
 	for _, tc := range cases {
 		f := newFixture(t)
@@ -168,47 +175,49 @@
 			}
 		}
 		if response.Status != tc.status || redirect.Leader != tc.redirected {
-			t.Errorf("%s: answered %d, to %q", tc.name, response.Status, redirect.Leader)
+			t.Errorf("%s: got status %d and redirect to %q, want %d and %q",
+				tc.name, response.Status, redirect.Leader, tc.status, tc.redirected)
 		}
 	}
 }
 
-// TestUpdateOwnership: an Agent lasts as long as the claim under which it was made.
+// TestUpdateOwnership checks that an Agent is kept exactly as long as the claim for which it was created.
 func TestUpdateOwnership(t *testing.T) {
 	f := newFixture(t)
 	before := f.Of(f.machine)
 	f.UpdateOwnership(f.machine)
 	if f.Of(f.machine) != before {
-		t.Error("a new Agent under the same claim")
+		t.Error("same claim: got a new Agent, want the existing one")
 	}
 	f.machine.Shard.Record.Claim++
 	f.UpdateOwnership(f.machine)
 	if agent := f.Of(f.machine); agent == before || agent.ClaimNumber() != testClaim+1 {
-		t.Error("the same Agent under a new claim")
+		t.Errorf("new claim: got an Agent of claim %d, same as before: %v; want a new one of claim %d",
+			agent.ClaimNumber(), agent == before, testClaim+1)
 	}
 	f.KeepOnly(f.replica)
 	if !f.Has(f.machine) {
-		t.Error("forgotten though the mirror has its machine")
+		t.Error("KeepOnly with the machine in the mirror: got its Agent deleted, want it kept")
 	}
 	f.KeepOnly(mirror.New())
 	if f.Has(f.machine) {
-		t.Error("kept though the mirror hasn't its machine")
+		t.Error("KeepOnly without the machine in the mirror: got its Agent kept, want it deleted")
 	}
 }
 
-// TestOrphanContactRuns: when a run of heartbeats from another controller's worker begins.
+// TestOrphanContactRuns checks when a heartbeat from another controller's worker starts a new contact.
 func TestOrphanContactRuns(t *testing.T) {
 	cases := []struct {
 		name   string
 		claim  uint64
 		pause  monotime.Micros
-		checks bool // the controller checks its machines in the pause
+		checks bool // CheckMachines runs during the pause
 		newRun bool
 	}{
-		{"goes on", 1, maxContactGap, false, false},
-		{"after a pause", 1, maxContactGap + 1, false, true},
-		{"under a new claim", 2, second, false, true},
-		{"a check forgets nothing so soon", 1, maxContactGap, true, false},
+		{"pause of the maximum gap", 1, maxContactGap, false, false},
+		{"longer pause", 1, maxContactGap + 1, false, true},
+		{"new claim", 2, second, false, true},
+		{"CheckMachines within the retention time", 1, maxContactGap, true, false},
 	}
 	for _, tc := range cases {
 		f := newFixture(t)
@@ -218,18 +227,19 @@
 			f.CheckMachines(f.now)
 		}
 		if newRun := f.recordOrphanContact("i-9", tc.claim, f.now) != first; newRun != tc.newRun {
-			t.Errorf("%s: begins anew %v", tc.name, newRun)
+			t.Errorf("%s: got new contact %v, want %v", tc.name, newRun, tc.newRun)
 		}
 	}
 	f := newFixture(t)
 	f.recordOrphanContact("i-9", 1, f.now)
 	f.CheckMachines(f.now + contactRetention + 1)
 	if len(f.orphanContacts) != 0 {
-		t.Error("a contact is never forgotten")
+		t.Errorf("after contactRetention: got %d contacts, want 0", len(f.orphanContacts))
 	}
 }
 
-// TestTakeoverAfterOwnerStatusWait: what becomes of a worker that has lost a live owner, once the owner's next status is due.
+// TestTakeoverAfterOwnerStatusWait checks how a worker that has lost a live owner is answered when the
+// owner's next status is due.
 func TestTakeoverAfterOwnerStatusWait(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -237,17 +247,17 @@
 		workerRequests int
 		status         int
 	}{
-		{"the owner is heard", func(f *fixture) { f.lastHeardAt["n-1"] = f.now + 1 }, 1, 0},
-		{"the owner falls silent", func(*fixture) {}, 0, 421},
-		{"claimed anew", func(f *fixture) {
+		{"owner sends its status", func(f *fixture) { f.lastHeardAt["n-1"] = f.now + 1 }, 1, 0},
+		{"owner becomes silent", func(*fixture) {}, 0, 421},
+		{"owner has a new claim", func(f *fixture) {
 			f.lastHeardAt["n-1"] = f.now + 1
 			f.machine.Shard.Record.Claim++
 		}, 0, 421},
-		{"claimed by another", func(f *fixture) {
+		{"another controller has the claim", func(f *fixture) {
 			f.lastHeardAt["n-1"] = f.now + 1
 			f.machine.Shard.Record.Owner = "n-2"
 		}, 0, 421},
-		{"claimed here", func(f *fixture) {
+		{"this controller has the claim", func(f *fixture) {
 			f.lastHeardAt["n-1"] = f.now + 1
 			f.ownedBy = "n-1"
 			f.UpdateOwnership(f.machine)
@@ -266,7 +276,8 @@
 		f.now += ownerStatusWait
 		f.fireTimers()
 		if len(f.workerRequests) != tc.workerRequests || status != tc.status {
-			t.Errorf("%s: %d probes, answered %d", tc.name, len(f.workerRequests), status)
+			t.Errorf("%s: got %d probes and status %d, want %d and %d",
+				tc.name, len(f.workerRequests), status, tc.workerRequests, tc.status)
 		}
 	}
 }
--- a/internal/agents/failures_test.go
+++ b/internal/agents/failures_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSlowMachine: a machine is slow once enough tasks ran far longer than expected.
+// TestSlowMachine checks that a machine counts as slow only after enough tasks ran far longer than expected.
 func TestSlowMachine(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -22,22 +22,22 @@
 			history.RecordSpeed(100*tc.ratio, 100)
 		}
 		if got := history.IsSlow(); got != tc.slow {
-			t.Errorf("%s: slow %v", tc.name, got)
+			t.Errorf("%s: got slow %v, want %v", tc.name, got, tc.slow)
 		}
 	}
 }
 
-// TestFailuresCountSinceCompletion: a task that completes takes back the failures before.
+// TestFailuresCountSinceCompletion checks that a completed task resets the failure counts of its machine.
 func TestFailuresCountSinceCompletion(t *testing.T) {
 	history := &New(1, 0).failures
 	history.RecordFailure("j-1")
 	history.RecordFailure("j-1")
 	history.RecordFailure("j-2")
 	if n := history.ByJob()["j-1"]; n != 2 || len(history.ByJob()) != 2 {
-		t.Errorf("failures %v", history.ByJob())
+		t.Errorf("got failures %v, want 2 of j-1 and those of one other job", history.ByJob())
 	}
 	history.RecordCompletion()
 	if len(history.ByJob()) != 0 {
-		t.Errorf("after a completion: %v", history.ByJob())
+		t.Errorf("after a completion: got failures %v, want none", history.ByJob())
 	}
 }
--- a/internal/agents/health_test.go
+++ b/internal/agents/health_test.go
@@ -8,20 +8,20 @@
 	"pipitgap/internal/storage"
 )
 
-// TestSilentMachinesAreRemoved: why and when a machine that has fallen silent is given back.
+// TestSilentMachinesAreRemoved checks when and for which reason a silent machine is removed.
 func TestSilentMachinesAreRemoved(t *testing.T) {
 	cases := []struct {
 		name    string
 		prepare func(f *fixture)
-		silence monotime.Micros // since its last heartbeat
+		silence monotime.Micros // since the last heartbeat
 		reason  RemovalReason
 	}{
-		{"heard lately", func(*fixture) {}, 6 * second, ""},
-		{"silent for three heartbeats", func(*fixture) {}, 7 * second, removalUnreachable},
+		{"silent for less than the suspicion timeout", func(*fixture) {}, 6 * second, ""},
+		{"silent for longer than the suspicion timeout", func(*fixture) {}, 7 * second, removalUnreachable},
 		{"the mirror may be outdated", func(f *fixture) { f.watchOverdue = true }, 60 * second, ""},
 		{"state service unavailable", func(f *fixture) { f.unavailable = true }, 60 * second, ""},
 		{
-			"only others reach the state service",
+			"only another controller reaches the state service",
 			func(f *fixture) { f.unavailableOnlyHere = "n-1" },
 			60 * second,
 			"",
@@ -33,13 +33,13 @@
 			removalInterrupted,
 		},
 		{
-			"spot interruption, heard",
+			"spot interruption, silent for less than the placement limit",
 			func(f *fixture) { f.Of(f.machine).interruptionNoticed = true },
 			4 * second,
 			"",
 		},
 		{
-			"cancelled tasks",
+			"task of a cancelled job",
 			func(f *fixture) { cancelJob(f.replica) },
 			7 * second,
 			removalCancelledUnreachable,
@@ -51,7 +51,7 @@
 			"",
 		},
 		{
-			"claim not acknowledged for long",
+			"claim not acknowledged, silent for longer than the lease proof and two heartbeats",
 			func(f *fixture) { f.Of(f.machine).tokens.claimAcknowledged = false },
 			18 * second,
 			removalUnreachable,
@@ -66,12 +66,12 @@
 		f.now += tc.silence
 		f.CheckMachines(f.now)
 		if got := f.Of(f.machine).RemovalReason(); got != tc.reason {
-			t.Errorf("%s: removed for %q, want %q", tc.name, got, tc.reason)
+			t.Errorf("%s: got removal reason %q, want %q", tc.name, got, tc.reason)
 		}
 	}
 }
 
-// TestDesiredState: the state that a machine's record should have.
+// TestDesiredState checks the desired state of a machine's record.
 func TestDesiredState(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -80,7 +80,7 @@
 		empty    bool
 		want     storage.MachineState
 	}{
-		{"nothing", storage.MachineOpen, func(*Agent) {}, false, storage.MachineOpen},
+		{"open machine", storage.MachineOpen, func(*Agent) {}, false, storage.MachineOpen},
 		{"reachable again", storage.MachineUnreachable, func(*Agent) {}, false, storage.MachineOpen},
 		{
 			"suspect",
@@ -93,14 +93,14 @@
 			"interrupted", storage.MachineOpen, func(a *Agent) { a.interruptionNoticed = true }, false,
 			storage.MachineDraining,
 		},
-		{"draining stays", storage.MachineDraining, func(*Agent) {}, false, storage.MachineDraining},
-		{"removing stays", storage.MachineRemoving, func(*Agent) {}, false, storage.MachineRemoving},
+		{"draining is kept", storage.MachineDraining, func(*Agent) {}, false, storage.MachineDraining},
+		{"removing is kept", storage.MachineRemoving, func(*Agent) {}, false, storage.MachineRemoving},
 		{
 			"idle", storage.MachineOpen, func(a *Agent) { a.SetRemovalReason(RemovalIdle) }, true,
 			storage.MachineRemoving,
 		},
 		{
-			"idle, got tasks meanwhile", storage.MachineOpen, func(a *Agent) { a.SetRemovalReason(RemovalIdle) }, false,
+			"idle, then occupied", storage.MachineOpen, func(a *Agent) { a.SetRemovalReason(RemovalIdle) }, false,
 			storage.MachineOpen,
 		},
 		{
@@ -116,13 +116,13 @@
 		}
 		tc.prepare(f.Of(f.machine))
 		if got := f.DesiredState(f.machine); got != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: got state %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestInterruptedMachineIsVacated: before the cloud takes a machine back, services on it are stopped so that they
-// start elsewhere.
+// TestInterruptedMachineIsVacated checks that services on a machine with an interruption notice are stopped,
+// so that they can start elsewhere before the cloud reclaims the machine.
 func TestInterruptedMachineIsVacated(t *testing.T) {
 	f := newFixture(t)
 	notice := 120.0
@@ -131,9 +131,10 @@
 	f.answerHeartbeat(f.machine, report)
 	f.CheckMachines(f.now)
 	if !f.Of(f.machine).IsStopping(testAttempt) {
-		t.Fatal("the service isn't stopped")
+		t.Fatal("got no stop of the service's attempt, want one")
 	}
-	if len(f.workerRequests) != 1 || formatCommands(f.workerRequests[0].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
-		t.Errorf("requests %+v", f.workerRequests)
+	if len(f.workerRequests) != 1 ||
+		formatCommands(f.workerRequests[0].request.Commands) != string(protocol.CmdKill)+" j-1/0 1 grace 0" {
+		t.Errorf("got requests %+v, want one with a kill of the service's attempt", f.workerRequests)
 	}
 }
--- a/internal/agents/manager_test.go
+++ b/internal/agents/manager_test.go
@@ -15,13 +15,13 @@
 	"pipitgap/internal/transport"
 )
 
-// timer is a callback that is due at a time.
+// timer is a callback that is due at an instant.
 type timer struct {
 	at       monotime.Micros
 	callback func()
 }
 
-// workerRequest is a request to a worker that waits for its answer.
+// workerRequest is a request to a worker that has not been answered yet.
 type workerRequest struct {
 	endpoint string
 	request  *protocol.CommandRequest
@@ -35,7 +35,7 @@
 	callback  func(claimed bool)
 }
 
-// stubs stands for the other subjects of n-0, which are as a test sets them.
+// stubs implements the dependencies of the controller n-0 with results that a test sets.
 type stubs struct {
 	now            monotime.Micros
 	timers         []timer
@@ -139,16 +139,16 @@
 // testWorkers are the platform's durations in these tests.
 var testWorkers = config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32}
 
-// fixture is a Manager of n-0 with stubs for all it needs.
+// fixture is the Manager of the controller n-0 with stubs for its dependencies.
 type fixture struct {
 	t *testing.T
 	*stubs
 	replica *mirror.Mirror
-	machine *mirror.Machine // i-1
+	machine *mirror.Machine // the machine i-1
 	*Manager
 }
 
-// newFixture makes a Manager whose mirror holds a running service on the machine i-1 of n-0's.
+// newFixture returns a Manager whose mirror contains a service assigned to the machine i-1 of n-0.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	s := &stubs{
@@ -183,7 +183,7 @@
 	return f
 }
 
-// advance lets time pass, with the checks that the controller makes meanwhile.
+// advance moves the clock forward and runs the controller's timers and machine checks on the way.
 func (f *fixture) advance(duration monotime.Micros) {
 	for end := f.now + duration; f.now < end; {
 		f.now = min(end, f.now+durations.SlowTickInterval)
@@ -204,7 +204,7 @@
 	}
 }
 
-// testReport is a report of i-1 with its one task running.
+// testReport returns a report of the machine i-1 with its only task running.
 func testReport(incarnation, sequence, token uint64) *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Machine:      "i-1",
@@ -218,7 +218,8 @@
 	}
 }
 
-// send sends a heartbeat and returns the answer's status, 0 if none has come yet, and where it redirects.
+// send sends a heartbeat. It returns the status of the answer, or 0 if there is none yet, and the controller
+// that the answer redirects to.
 func (f *fixture) send(report *protocol.Heartbeat) (status int, redirectedTo string) {
 	f.t.Helper()
 	f.HandleHeartbeat(protocol.MustMarshal(report), func(response transport.Response) {
--- a/internal/agents/reports_test.go
+++ b/internal/agents/reports_test.go
@@ -20,8 +20,8 @@
 	testAttempt = AttemptID{testTask, 1}
 )
 
-// newMirrorWithAttempt puts a job with the given requirements into a mirror, with its one task assigned to
-// the machine i-1 of n-0's under testClaim.
+// newMirrorWithAttempt returns a mirror with one job of the given requirements. Its only task is assigned to
+// the machine i-1 of n-0, which is claimed under testClaim.
 func newMirrorWithAttempt(t *testing.T, spec storage.JobSpec) (*mirror.Mirror, *mirror.Machine) {
 	t.Helper()
 	spec.Tasks, spec.CPUs = 1, 1
@@ -52,7 +52,7 @@
 	return replica, replica.Machines["i-1"]
 }
 
-// cancelJob gives the job of newMirrorWithAttempt its final result.
+// cancelJob stores a cancellation as the final result of the job of newMirrorWithAttempt.
 func cancelJob(replica *mirror.Mirror) {
 	replica.ApplyPut(
 		storage.JobResultKey(testTask.Job),
@@ -61,7 +61,8 @@
 	)
 }
 
-// TestReportsProveAttemptsEnded: what a report proves, and what must not be said to a worker.
+// TestReportsProveAttemptsEnded checks which reports prove that an attempt has ended, and which commands
+// follow.
 func TestReportsProveAttemptsEnded(t *testing.T) {
 	exited := protocol.TaskStatus{
 		Task:    "j-1/0",
@@ -75,13 +76,13 @@
 		token      uint64
 		tasks      []protocol.TaskStatus
 		cancelled  bool
-		killToken  uint64 // token of an earlier kill
+		killToken  uint64 // fencing token of an earlier kill; 0: none
 		hasOutcome bool
-		commands   protocol.CommandOp // the commands that follow, if any
+		commands   protocol.CommandOp // commands that follow, concatenated; empty: none
 	}{
 		{"exited", testBase, []protocol.TaskStatus{exited}, false, 0, true, ""},
 		{
-			"exited, by a report from before our claim",
+			"exited, in a report without a token of this claim",
 			testBase - 1,
 			[]protocol.TaskStatus{exited},
 			false,
@@ -93,8 +94,8 @@
 		{"absent", testBase, nil, false, 0, false, protocol.CmdRun},
 		{"cancelled, running", testBase, []protocol.TaskStatus{running}, true, 0, false, protocol.CmdKill},
 		{"cancelled, absent, kill not sent yet", testBase, nil, true, 0, false, protocol.CmdKill},
-		{"cancelled, absent, kill not seen", testBase + 4, nil, true, testBase + 5, false, protocol.CmdKill},
-		{"cancelled, absent after the kill", testBase + 5, nil, true, testBase + 5, true, ""},
+		{"cancelled, absent, kill not acknowledged", testBase + 4, nil, true, testBase + 5, false, protocol.CmdKill},
+		{"cancelled, absent, kill acknowledged", testBase + 5, nil, true, testBase + 5, true, ""},
 	}
 	for _, tc := range cases {
 		replica, machine := newMirrorWithAttempt(t, storage.JobSpec{})
@@ -119,17 +120,17 @@
 			testLease,
 		)
 		if got := agent.HasOutcome(testAttempt); got != tc.hasOutcome {
-			t.Errorf("%s: settled %v", tc.name, got)
+			t.Errorf("%s: got HasOutcome %v, want %v", tc.name, got, tc.hasOutcome)
 		}
 		sent := protocol.CommandOp("")
 		for _, command := range agent.NextCommands(machine, replica.Jobs, monotime.Second) {
 			sent += command.Op
 		}
 		if sent != tc.commands {
-			t.Errorf("%s: commands %q, want %q", tc.name, sent, tc.commands)
+			t.Errorf("%s: got commands %q, want %q", tc.name, sent, tc.commands)
 		}
-		// Once a release is on its way the attempt must not be started again,
-		// though the worker, in a new incarnation, does not have it.
+		// While a release is in flight, the attempt must not be started again, even if a new incarnation of
+		// the worker does not report it.
 		agent.RecordOutcome(testAttempt, OutcomeRetry)
 		agent.ApplyReport(
 			machine,
@@ -140,7 +141,7 @@
 		)
 		for _, command := range agent.NextCommands(machine, replica.Jobs, 10*monotime.Second) {
 			if command.Op == protocol.CmdRun {
-				t.Errorf("%s: started again while its release is on its way", tc.name)
+				t.Errorf("%s: got a run while the release is in flight, want none", tc.name)
 			}
 		}
 	}
