--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -205,14 +205,14 @@
 	}
 }
 
-// TestOrphanContactRuns checks when a heartbeat from another controller's worker starts a new contact.
-func TestOrphanContactRuns(t *testing.T) {
+// TestNewOrphanContact checks when a heartbeat from another controller's worker starts a new contact.
+func TestNewOrphanContact(t *testing.T) {
 	cases := []struct {
 		name   string
 		claim  uint64
 		pause  monotime.Micros
 		checks bool // CheckMachines runs during the pause
-		newRun bool
+		newContact bool
 	}{
 		{"pause of the maximum gap", 1, maxContactGap, false, false},
 		{"longer pause", 1, maxContactGap + 1, false, true},
@@ -226,8 +226,8 @@
 		if tc.checks {
 			f.CheckMachines(f.now)
 		}
-		if newRun := f.recordOrphanContact("i-9", tc.claim, f.now) != first; newRun != tc.newRun {
-			t.Errorf("%s: got new contact %v, want %v", tc.name, newRun, tc.newRun)
+		if newContact := f.recordOrphanContact("i-9", tc.claim, f.now) != first; newContact != tc.newContact {
+			t.Errorf("%s: got new contact %v, want %v", tc.name, newContact, tc.newContact)
 		}
 	}
 	f := newFixture(t)
