--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -160,7 +160,7 @@
 
 // keepsForUnreachableZone reports whether a machine must be kept because its whole zone is unreachable,
 // judged by this controller's own machines there. (The log message "zone unreachable" is the leader's
-// judgement by all machines; see fleet.Reconciler.) After a network partition of a zone its machines are
+// judgment by all machines; see fleet.Reconciler.) After a network partition of a zone its machines are
 // reachable again, each within a lease. If they were deleted for their silence, the zone would lack capacity
 // until new machines have booted. Machines that run services are an exception: their deletion lets the
 // services start elsewhere.
--- a/internal/agents/replies.go
+++ b/internal/agents/replies.go
@@ -13,7 +13,7 @@
 type ReceivedHeartbeat struct {
 	report        *protocol.Heartbeat
 	receivedAt    monotime.Micros
-	sincePrevious monotime.Micros // since the previous heartbeat
+	sincePrevious monotime.Micros // time since the previous heartbeat
 	restarted     bool            // the agent has a new incarnation
 }
 
