--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -208,10 +208,10 @@
 // TestNewOrphanContact checks when a heartbeat from another controller's worker starts a new contact.
 func TestNewOrphanContact(t *testing.T) {
 	cases := []struct {
-		name   string
-		claim  uint64
-		pause  monotime.Micros
-		checks bool // CheckMachines runs during the pause
+		name       string
+		claim      uint64
+		pause      monotime.Micros
+		checks     bool // CheckMachines runs during the pause
 		newContact bool
 	}{
 		{"pause of the maximum gap", 1, maxContactGap, false, false},
