--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -37,26 +37,26 @@
 
 // Remaining is what the team may use beyond what it uses; infinite for a resource without a limit.
 func (l Limits) Remaining(used resources.Vector) resources.Vector {
-	left := Unlimited()
+	remaining := Unlimited()
 	if l.MaxCPUs > 0 {
-		left.CPUs = resources.Round(l.MaxCPUs) - used.CPUs
+		remaining.CPUs = resources.Round(l.MaxCPUs) - used.CPUs
 	}
 	if l.MaxGPUs > 0 {
-		left.GPUs = resources.Round(l.MaxGPUs) - used.GPUs
+		remaining.GPUs = resources.Round(l.MaxGPUs) - used.GPUs
 	}
-	return left
+	return remaining
 }
 
 // RemainingOfShare is what a share leaves beyond what is used of it; infinite for a resource without a limit.
 func (l Limits) RemainingOfShare(share, used resources.Vector) resources.Vector {
-	left := Unlimited()
+	remaining := Unlimited()
 	if l.MaxCPUs > 0 {
-		left.CPUs = share.CPUs - used.CPUs
+		remaining.CPUs = share.CPUs - used.CPUs
 	}
 	if l.MaxGPUs > 0 {
-		left.GPUs = share.GPUs - used.GPUs
+		remaining.GPUs = share.GPUs - used.GPUs
 	}
-	return left
+	return remaining
 }
 
 // Permits reports whether the limits leave room for an amount when the team uses nothing else.
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -28,7 +28,7 @@
 		return
 	}
 	next := m.beginAdjustment()
-	lacking := map[string]monotime.Micros{}
+	shortSince := map[string]monotime.Micros{}
 	for i := range m.cfg.Teams {
 		team := m.cfg.Teams[i].Name
 		limits, _ := m.Limits(team)
@@ -36,15 +36,15 @@
 			continue
 		}
 		decision := quota.DecideShare(m.shareInputs(team, limits, next.record.QuotaShares[team], now))
-		if decision.Lacking {
-			lacking[team] = now
-			if since, before := m.lackingSince[team]; before {
-				lacking[team] = since
+		if decision.ShortOfQuota {
+			shortSince[team] = now
+			if since, before := m.shortOfQuotaSince[team]; before {
+				shortSince[team] = since
 			}
 		}
 		next.setShare(team, decision.Share)
 	}
-	m.lackingSince = lacking
+	m.shortOfQuotaSince = shortSince
 	clear(m.shortages)
 	if next.changed {
 		m.commit(next)
@@ -53,9 +53,9 @@
 
 // beginAdjustment copies this controller's record. Commits in doubt are settled by writing it anew.
 func (m *Manager) beginAdjustment() *adjustment {
-	next := &adjustment{record: m.copyOfRecord(m.cfg.Node), version: m.ownVersion()}
-	m.resolveInDoubt()
-	next.changed = len(m.inDoubt) > 0
+	next := &adjustment{record: m.copyOfRecord(m.cfg.Node), version: m.ownRecordVersion()}
+	m.dropSettledCommits()
+	next.changed = len(m.commitsInDoubt) > 0
 	return next
 }
 
@@ -68,10 +68,10 @@
 	return record
 }
 
-// resolveInDoubt forgets commits that were conditional on another version than the record's.
-func (m *Manager) resolveInDoubt() {
-	version := m.ownVersion()
-	m.inDoubt = slices.DeleteFunc(m.inDoubt, func(doubt sharesInDoubt) bool {
+// dropSettledCommits forgets commits that were conditional on another version than the record's.
+func (m *Manager) dropSettledCommits() {
+	version := m.ownRecordVersion()
+	m.commitsInDoubt = slices.DeleteFunc(m.commitsInDoubt, func(doubt commitInDoubt) bool {
 		return doubt.version != version
 	})
 }
@@ -101,7 +101,7 @@
 		Use:                m.ownUse(team),
 		Unallocated:        m.Unallocated(team),
 		Shortage:           m.shortages[team],
-		LackedByPeer:       reported && now-reportedAt < lackReportIntervals*m.cfg.PeerStatusInterval,
+		ReportedByPeer:     reported && now-reportedAt < shortageReportIntervals*m.cfg.PeerStatusInterval,
 		WorkersUnreachable: m.deps.Peers.WorkersUnreachable(),
 		Controllers:        m.deps.Store.BudgetSharers(),
 	}
@@ -112,21 +112,21 @@
 	key := storage.PartitionKey(m.cfg.Node)
 	txn := protocol.PutIfUnchanged(key, next.version, &next.record)
 	if next.raised {
-		txn.If = append(txn.If, m.compareOthers()...)
+		txn.If = append(txn.If, m.compareOtherRecords()...)
 	}
 	m.writeInFlight = true
 	m.deps.Store.Commit(ratelimit.PriorityShardUpdate, txn, func(result protocol.StoreResult) {
 		m.writeInFlight = false
 		m.deps.RequestPass()
 		if result.Outcome == protocol.Unknown {
-			m.inDoubt = append(m.inDoubt, sharesInDoubt{next.version, next.record})
+			m.commitsInDoubt = append(m.commitsInDoubt, commitInDoubt{next.version, next.record})
 		}
 	})
 }
 
-// compareOthers has the commit compare the records of the other controllers with the mirror: of those of the
+// compareOtherRecords has the commit compare the records of the other controllers with the mirror: of those of the
 // deployment, and of those that have a record still.
-func (m *Manager) compareOthers() []protocol.Compare {
+func (m *Manager) compareOtherRecords() []protocol.Compare {
 	names := map[string]bool{}
 	for _, node := range m.cfg.Controllers {
 		names[node] = true
--- a/internal/quota/quotashares/manager.go
+++ b/internal/quota/quotashares/manager.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// lackReportDelay is how long a controller lacks some of a limit before it says so: while machines
+	// shortageReportDelay is how long a controller lacks some of a limit before it says so: while machines
 	// come up and jobs end, shares move by themselves.
-	lackReportDelay = 8 * monotime.Second
-	// lackReportIntervals is for how many intervals of the peers' status a report counts that a peer lacks
+	shortageReportDelay = 8 * monotime.Second
+	// shortageReportIntervals is for how many intervals of the peers' status a report counts that a peer lacks
 	// some of a limit.
-	lackReportIntervals = 3
-	// departedDelay is how long a controller is absent before its shares are deleted.
-	departedDelay = monotime.Second
+	shortageReportIntervals = 3
+	// departureGracePeriod is how long a controller is absent before its shares are deleted.
+	departureGracePeriod = monotime.Second
 )
 
 // Membership tells which controllers are members of the cluster.
@@ -88,17 +88,17 @@
 	cfg  Config
 	deps Dependencies
 
-	writeInFlight    bool
-	releasesInFlight map[string]bool            // departed controllers whose record is being deleted
-	shortages        map[string]*quota.Shortage // by team, since the last adjustment
-	inDoubt          []sharesInDoubt
-	lackingSince     map[string]monotime.Micros // by team: since when a task's worth of the limit is lacking
+	writeInFlight     bool
+	releasesInFlight  map[string]bool            // departed controllers whose record is being deleted
+	shortages         map[string]*quota.Shortage // by team, since the last adjustment
+	commitsInDoubt    []commitInDoubt
+	shortOfQuotaSince map[string]monotime.Micros // by team: since when a task's worth of the limit is lacking
 }
 
-// sharesInDoubt are shares that a commit without an outcome may yet bring about: it is conditional on a
+// commitInDoubt are shares that a commit without an outcome may yet bring about: it is conditional on a
 // version of this controller's record, and nothing else changes that version when tasks are assigned under
 // it.
-type sharesInDoubt struct {
+type commitInDoubt struct {
 	version uint64
 	record  storage.Partition
 }
@@ -106,11 +106,11 @@
 // New makes the manager of a controller's shares.
 func New(cfg Config, deps Dependencies) *Manager {
 	return &Manager{
-		cfg:              cfg,
-		deps:             deps,
-		releasesInFlight: map[string]bool{},
-		shortages:        map[string]*quota.Shortage{},
-		lackingSince:     map[string]monotime.Micros{},
+		cfg:               cfg,
+		deps:              deps,
+		releasesInFlight:  map[string]bool{},
+		shortages:         map[string]*quota.Shortage{},
+		shortOfQuotaSince: map[string]monotime.Micros{},
 	}
 }
 
@@ -146,8 +146,8 @@
 // ownShare is what this controller may use of a team's limit, whatever becomes of commits in doubt.
 func (m *Manager) ownShare(team string) resources.Vector {
 	share := m.ShareOf(m.cfg.Node, team)
-	version := m.ownVersion()
-	for _, doubt := range m.inDoubt {
+	version := m.ownRecordVersion()
+	for _, doubt := range m.commitsInDoubt {
 		if doubt.version == version {
 			possible := quota.ShareAmount(&doubt.record, team)
 			share.CPUs = min(share.CPUs, possible.CPUs)
@@ -157,8 +157,8 @@
 	return share
 }
 
-// ownVersion is the version of this controller's record in the mirror, 0 if it has none.
-func (m *Manager) ownVersion() uint64 {
+// ownRecordVersion is the version of this controller's record in the mirror, 0 if it has none.
+func (m *Manager) ownRecordVersion() uint64 {
 	return m.deps.Mirror.VersionOf(storage.PartitionKey(m.cfg.Node))
 }
 
@@ -187,20 +187,20 @@
 // Unallocated is what no controller has of a team's limit.
 func (m *Manager) Unallocated(team string) resources.Vector {
 	limits, _ := m.Limits(team)
-	left := limits.Remaining(resources.Vector{})
+	unallocated := limits.Remaining(resources.Vector{})
 	for _, partition := range m.deps.Mirror.Partitions {
 		share := partition.Record.QuotaShares[team]
-		left = left.Minus(resources.New(share.CPUs, share.GPUs, 0))
+		unallocated = unallocated.Minus(resources.New(share.CPUs, share.GPUs, 0))
 	}
-	return left
+	return unallocated
 }
 
 // TeamsLacking lists the teams of whose limit a task's worth has been lacking for so long that the other
 // controllers should lower shares they don't use.
 func (m *Manager) TeamsLacking(now monotime.Micros) []string {
 	var teams []string
-	for _, team := range sortedmap.Keys(m.lackingSince) {
-		if now-m.lackingSince[team] >= lackReportDelay {
+	for _, team := range sortedmap.Keys(m.shortOfQuotaSince) {
+		if now-m.shortOfQuotaSince[team] >= shortageReportDelay {
 			teams = append(teams, team)
 		}
 	}
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -18,17 +18,17 @@
 // controllerStub stands for what a manager needs of its controller. Commits are held until they are answered.
 type controllerStub struct {
 	stubs.HeldCommits
-	mirror         *mirror.Mirror
-	members        map[string]bool
-	holdsLease     bool
-	unavailable    bool
-	commitInFlight bool
-	useInDoubt     resources.Vector
-	lackReportedAt map[string]monotime.Micros
-	unreachable    bool
-	successor      string
-	passes         int
-	revision       uint64
+	mirror             *mirror.Mirror
+	members            map[string]bool
+	holdsLease         bool
+	unavailable        bool
+	commitInFlight     bool
+	useInDoubt         resources.Vector
+	shortageReportedAt map[string]monotime.Micros
+	unreachable        bool
+	successor          string
+	passes             int
+	revision           uint64
 }
 
 func (s *controllerStub) HoldsLease(monotime.Micros) bool { return s.holdsLease }
@@ -46,7 +46,7 @@
 func (s *controllerStub) UseInDoubt(string) resources.Vector { return s.useInDoubt }
 
 func (s *controllerStub) QuotaLackReportedAt(team string) (monotime.Micros, bool) {
-	at, ok := s.lackReportedAt[team]
+	at, ok := s.shortageReportedAt[team]
 	return at, ok
 }
 
@@ -99,12 +99,12 @@
 // has a limit of 20 CPUs.
 func newManager() (*Manager, *controllerStub) {
 	stub := &controllerStub{
-		mirror:         mirror.New(),
-		members:        map[string]bool{"n-0": true, "n-1": true},
-		holdsLease:     true,
-		lackReportedAt: map[string]monotime.Micros{},
-		successor:      "n-0",
-		revision:       1,
+		mirror:             mirror.New(),
+		members:            map[string]bool{"n-0": true, "n-1": true},
+		holdsLease:         true,
+		shortageReportedAt: map[string]monotime.Micros{},
+		successor:          "n-0",
+		revision:           1,
 	}
 	return New(
 		Config{
@@ -126,7 +126,7 @@
 }
 
 // short is a task of the team "tight" that finds nothing left of the share but room on a machine.
-func short(cpus float64) quota.UnmetDemand {
+func unmetDemand(cpus float64) quota.UnmetDemand {
 	return quota.UnmetDemand{
 		TaskResources:  resources.Vector{CPUs: cpus},
 		Tasks:          1,
@@ -182,7 +182,7 @@
 	m, stub := newManager()
 	stub.putShares("n-1", 4)
 	stub.putShares("left", 1)
-	m.NoteShortage("tight", short(4))
+	m.NoteShortage("tight", unmetDemand(4))
 	m.Adjust(0)
 	if !m.WriteInFlight() {
 		t.Fatal("no write in flight")
@@ -210,7 +210,7 @@
 		t.Errorf("the share is %v CPUs", got)
 	}
 
-	stub.lackReportedAt["tight"] = 0
+	stub.shortageReportedAt["tight"] = 0
 	m.Adjust(monotime.Second)
 	versions = comparedVersions(stub.answer(t, protocol.OK))
 	if _, ok := versions[storage.PartitionKey("n-0")]; !ok || len(versions) != 1 {
@@ -229,11 +229,11 @@
 		"the lease may have expired":       func(s *controllerStub, _ *Manager) { s.holdsLease = false },
 		"another subject writes shares":    func(_ *controllerStub, m *Manager) { m.BeginWrite() },
 	}
-	for name, hinder := range cases {
+	for name, block := range cases {
 		t.Run(name, func(t *testing.T) {
 			m, stub := newManager()
-			m.NoteShortage("tight", short(4))
-			hinder(stub, m)
+			m.NoteShortage("tight", unmetDemand(4))
+			block(stub, m)
 			m.Adjust(0)
 			if len(stub.Commits) > 0 {
 				t.Error("a share was changed")
@@ -246,13 +246,13 @@
 func TestShareInDoubt(t *testing.T) {
 	m, stub := newManager()
 	stub.putShares("n-0", 8)
-	stub.lackReportedAt["tight"] = 0
+	stub.shortageReportedAt["tight"] = 0
 	m.Adjust(0) // lowers it to nothing
 	stub.answer(t, protocol.Unknown)
 	if got := m.Left("tight").CPUs; got != 0 {
 		t.Errorf("%v CPUs left while the lowering is in doubt", got)
 	}
-	delete(stub.lackReportedAt, "tight")
+	delete(stub.shortageReportedAt, "tight")
 	m.Adjust(monotime.Second) // nothing to change, but the doubt to settle
 	stub.answer(t, protocol.OK)
 	if got := m.Left("tight").CPUs; got != 8 {
@@ -274,12 +274,12 @@
 		want    []string
 	}{
 		{monotime.Second, true, nil},
-		{monotime.Second + lackReportDelay - 1, true, nil},
-		{monotime.Second + lackReportDelay, true, []string{"tight"}},
-		{2*monotime.Second + lackReportDelay, false, nil},
+		{monotime.Second + shortageReportDelay - 1, true, nil},
+		{monotime.Second + shortageReportDelay, true, []string{"tight"}},
+		{2*monotime.Second + shortageReportDelay, false, nil},
 	} {
 		if step.lacking {
-			m.NoteShortage("tight", short(1))
+			m.NoteShortage("tight", unmetDemand(1))
 		}
 		m.Adjust(step.at)
 		if got := m.TeamsLacking(step.at); !slices.Equal(got, step.want) {
@@ -296,7 +296,7 @@
 	}{{3*monotime.Second - 1, true}, {3 * monotime.Second, false}} {
 		m, stub := newManager()
 		stub.putShares("n-0", 8)
-		stub.lackReportedAt["tight"] = 0
+		stub.shortageReportedAt["tight"] = 0
 		m.Adjust(c.now)
 		if lowered := len(stub.Commits) > 0; lowered != c.lowered {
 			t.Errorf("at %v: lowered %v, want %v", c.now, lowered, c.lowered)
@@ -313,42 +313,42 @@
 		now     monotime.Micros
 		want    bool
 	}{
-		{"departed", func(*testing.T, *controllerStub) {}, departedDelay + 1, true},
-		{"just departed", func(*testing.T, *controllerStub) {}, departedDelay, false},
+		{"departed", func(*testing.T, *controllerStub) {}, departureGracePeriod + 1, true},
+		{"just departed", func(*testing.T, *controllerStub) {}, departureGracePeriod, false},
 		{
 			"a member",
 			func(_ *testing.T, s *controllerStub) { s.members["n-2"] = true },
-			departedDelay + 1,
+			departureGracePeriod + 1,
 			false,
 		},
 		{
 			"left to its successor",
 			func(_ *testing.T, s *controllerStub) { s.successor = "n-1" },
-			departedDelay + 1,
+			departureGracePeriod + 1,
 			false,
 		},
 		{
 			"it owns a shard",
 			func(t *testing.T, s *controllerStub) { s.putShard(t, "n-2", 0) },
-			departedDelay + 1,
+			departureGracePeriod + 1,
 			false,
 		},
 		{
 			"the watch is behind",
 			func(_ *testing.T, s *controllerStub) { s.mirror.WatchedRevision = 0 },
-			departedDelay + 1,
+			departureGracePeriod + 1,
 			false,
 		},
 		{
 			"the lease may have expired",
 			func(_ *testing.T, s *controllerStub) { s.holdsLease = false },
-			departedDelay + 1,
+			departureGracePeriod + 1,
 			false,
 		},
 		{
 			"the state service is unavailable",
 			func(_ *testing.T, s *controllerStub) { s.unavailable = true },
-			departedDelay + 1,
+			departureGracePeriod + 1,
 			false,
 		},
 	}
--- a/internal/quota/quotashares/transfer.go
+++ b/internal/quota/quotashares/transfer.go
@@ -19,21 +19,21 @@
 		return
 	}
 	for _, node := range sortedmap.Keys(m.deps.Mirror.Partitions) {
-		if m.mayRelease(node, now) {
+		if m.mayReleaseSharesOf(node, now) {
 			m.release(node)
 		}
 	}
 }
 
-// mayRelease reports whether it is for this controller to delete another's record, and the other has
+// mayReleaseSharesOf reports whether it is for this controller to delete another's record, and the other has
 // departed.
-func (m *Manager) mayRelease(node string, now monotime.Micros) bool {
+func (m *Manager) mayReleaseSharesOf(node string, now monotime.Micros) bool {
 	return node != m.cfg.Node &&
 		m.deps.Peers.SuccessorOf(node) == m.cfg.Node &&
 		!m.releasesInFlight[node] &&
 		m.deps.Mirror.WatchedRevision >= m.deps.Mirror.Partitions[node].Version &&
 		!m.deps.Membership.IsMember(node) &&
-		now-m.deps.Membership.AbsentSince(node, now) > departedDelay &&
+		now-m.deps.Membership.AbsentSince(node, now) > departureGracePeriod &&
 		!m.ownsShards(node)
 }
 
@@ -85,7 +85,7 @@
 		limits, _ := m.Limits(team)
 		return limits.Limited()
 	}
-	if !quota.MoveUse(&source.record, &target.record, useByTeam, limited) {
+	if !quota.MoveShares(&source.record, &target.record, useByTeam, limited) {
 		return
 	}
 	for _, pending := range []pendingRecord{source, target} {
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -25,16 +25,16 @@
 	HasMachineRoom bool             // a machine has room for one of them
 }
 
-// shortPerTask is what the share lacks for a single task.
-func (u UnmetDemand) shortPerTask() resources.Vector {
-	short := resources.Vector{}
+// shortfallPerTask is what the share lacks for a single task.
+func (u UnmetDemand) shortfallPerTask() resources.Vector {
+	shortfall := resources.Vector{}
 	if !math.IsInf(u.ShareLeft.CPUs, 1) {
-		short.CPUs = max(0, u.TaskResources.CPUs-u.ShareLeft.CPUs)
+		shortfall.CPUs = max(0, u.TaskResources.CPUs-u.ShareLeft.CPUs)
 	}
 	if !math.IsInf(u.ShareLeft.GPUs, 1) {
-		short.GPUs = max(0, u.TaskResources.GPUs-u.ShareLeft.GPUs)
+		shortfall.GPUs = max(0, u.TaskResources.GPUs-u.ShareLeft.GPUs)
 	}
-	return short
+	return shortfall
 }
 
 // Shortage is what a controller's share of a team's limit lacked since the share was last adjusted.
@@ -45,18 +45,18 @@
 }
 
 // AddDemand returns the shortage with another job's tasks; before is nil if there was none.
-func AddDemand(before *Shortage, demand UnmetDemand) *Shortage {
-	short := demand.shortPerTask()
-	if before == nil {
-		before = &Shortage{PerTask: short}
+func AddDemand(previous *Shortage, demand UnmetDemand) *Shortage {
+	shortfall := demand.shortfallPerTask()
+	if previous == nil {
+		previous = &Shortage{PerTask: shortfall}
 	}
-	after := *before
-	if short.CPUs+short.GPUs < after.PerTask.CPUs+after.PerTask.GPUs {
-		after.PerTask = short
+	updated := *previous
+	if shortfall.CPUs+shortfall.GPUs < updated.PerTask.CPUs+updated.PerTask.GPUs {
+		updated.PerTask = shortfall
 	}
-	after.Total = after.Total.AddScaled(demand.TaskResources, float64(demand.Tasks))
-	after.HasMachineRoom = after.HasMachineRoom || demand.HasMachineRoom
-	return &after
+	updated.Total = updated.Total.AddScaled(demand.TaskResources, float64(demand.Tasks))
+	updated.HasMachineRoom = updated.HasMachineRoom || demand.HasMachineRoom
+	return &updated
 }
 
 // ShareInputs is all that the decision about a controller's share of one team's limit depends on.
@@ -66,7 +66,7 @@
 	Use                resources.Vector // what the controller's shards take, at most
 	Unallocated        resources.Vector // what no controller has of the limit
 	Shortage           *Shortage        // nil: the share keeps nothing waiting
-	LackedByPeer       bool             // another controller reported lately that it lacks some of the limit
+	ReportedByPeer     bool             // another controller reported lately that it lacks some of the limit
 	WorkersUnreachable bool             // nothing can start at this controller
 	Controllers        int              // live controllers that divide the limit, at least 1
 }
@@ -74,35 +74,35 @@
 // ShareDecision is what a share should become.
 type ShareDecision struct {
 	Share storage.QuotaShare
-	// Lacking: what is unallocated isn't enough for a single task that has room on a machine here.
-	Lacking bool
+	// ShortOfQuota: what is unallocated isn't enough for a single task that has room on a machine here.
+	ShortOfQuota bool
 }
 
 // DecideShare decides what a controller's share of a team's limit should become.
 func DecideShare(in ShareInputs) ShareDecision {
 	shortage := in.Shortage
 	switch {
-	case shortage != nil && in.unallocatedBelow(shortage.PerTask):
+	case shortage != nil && in.unallocatedIsBelow(shortage.PerTask):
 		// Not enough for a single task here, and what is left over here may be what another controller
 		// lacks: several such rests add up to a task.
-		return ShareDecision{Share: in.lowered(resources.Vector{}), Lacking: shortage.HasMachineRoom}
+		return ShareDecision{Share: in.loweredShare(resources.Vector{}), ShortOfQuota: shortage.HasMachineRoom}
 	case in.WorkersUnreachable:
-		return ShareDecision{Share: in.lowered(resources.Vector{})}
-	case in.LackedByPeer && (shortage == nil || !shortage.HasMachineRoom):
+		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
+	case in.ReportedByPeer && (shortage == nil || !shortage.HasMachineRoom):
 		// Another controller could start tasks at once; here they would wait for machines.
-		return ShareDecision{Share: in.lowered(resources.Vector{})}
+		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
 	case shortage != nil:
-		return ShareDecision{Share: in.raised()}
+		return ShareDecision{Share: in.raisedShare()}
 	case in.unallocatedSuffices():
 		return ShareDecision{Share: in.Current}
 	}
 	fraction := unusedFraction / float64(in.Controllers)
 	margin := resources.Vector{CPUs: fraction * in.Limits.MaxCPUs, GPUs: fraction * in.Limits.MaxGPUs}
-	return ShareDecision{Share: in.lowered(margin)}
+	return ShareDecision{Share: in.loweredShare(margin)}
 }
 
-// unallocatedBelow reports whether less of the limit is unallocated than is needed.
-func (in *ShareInputs) unallocatedBelow(need resources.Vector) bool {
+// unallocatedIsBelow reports whether less of the limit is unallocated than is needed.
+func (in *ShareInputs) unallocatedIsBelow(need resources.Vector) bool {
 	return in.Unallocated.CPUs+resources.Tolerance < need.CPUs ||
 		in.Unallocated.GPUs+resources.Tolerance < need.GPUs
 }
@@ -115,36 +115,38 @@
 
 // raised takes what is lacking, and half of an even part of what is left then: a raise costs a write, and
 // what one controller has no other can use.
-func (in *ShareInputs) raised() storage.QuotaShare {
+func (in *ShareInputs) raisedShare() storage.QuotaShare {
 	fraction := 1 / (2 * float64(in.Controllers))
-	grow := func(have, short, left float64) float64 {
-		grown := resources.Round(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
-		if grown > have+resources.Tolerance {
+	growTo := func(current, shortfall, unallocated float64) float64 {
+		grown := resources.Round(
+			current + min(max(0, unallocated), max(shortfall, 0)+max(0, unallocated-shortfall)*fraction),
+		)
+		if grown > current+resources.Tolerance {
 			return grown
 		}
-		return have
+		return current
 	}
 	share := in.Current
 	if in.Limits.MaxCPUs > 0 {
-		share.CPUs = grow(share.CPUs, in.Shortage.Total.CPUs, in.Unallocated.CPUs)
+		share.CPUs = growTo(share.CPUs, in.Shortage.Total.CPUs, in.Unallocated.CPUs)
 	}
 	if in.Limits.MaxGPUs > 0 {
-		share.GPUs = grow(share.GPUs, in.Shortage.Total.GPUs, in.Unallocated.GPUs)
+		share.GPUs = growTo(share.GPUs, in.Shortage.Total.GPUs, in.Unallocated.GPUs)
 	}
 	return share
 }
 
 // lowered returns the share without what lies more than twice a margin above what is used, down to the
 // margin: within it the share stays, or each small change of use would cost a write.
-func (in *ShareInputs) lowered(margin resources.Vector) storage.QuotaShare {
+func (in *ShareInputs) loweredShare(margin resources.Vector) storage.QuotaShare {
 	current := in.Current
-	lower := storage.QuotaShare{
+	lowered := storage.QuotaShare{
 		CPUs: max(0, min(current.CPUs, in.Use.CPUs+margin.CPUs)),
 		GPUs: max(0, min(current.GPUs, in.Use.GPUs+margin.GPUs)),
 	}
-	if lower.CPUs < current.CPUs-resources.Tolerance-margin.CPUs ||
-		lower.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
-		return lower
+	if lowered.CPUs < current.CPUs-resources.Tolerance-margin.CPUs ||
+		lowered.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
+		return lowered
 	}
 	return current
 }
@@ -154,9 +156,9 @@
 	return after.CPUs > before.CPUs+resources.Tolerance || after.GPUs > before.GPUs+resources.Tolerance
 }
 
-// MoveUse has shares follow tasks that go over from one controller's shards into another's: it moves what the
+// MoveShares has shares follow tasks that go over from one controller's shards into another's: it moves what the
 // tasks take from the one record to the other. It reports whether a team with a limit was among them.
-func MoveUse(
+func MoveShares(
 	from, to *storage.Partition,
 	useByTeam map[string]resources.Vector,
 	limited func(team string) bool,
--- a/internal/quota/share_test.go
+++ b/internal/quota/share_test.go
@@ -10,8 +10,8 @@
 
 func cpus(amount float64) resources.Vector { return resources.Vector{CPUs: amount} }
 
-// near tells whether two shares are the same but for the rounding of amounts.
-func near(a, b storage.QuotaShare) bool {
+// sharesEqual tells whether two shares are the same but for the rounding of amounts.
+func sharesEqual(a, b storage.QuotaShare) bool {
 	within := func(x, y float64) bool { return x-y < resources.Tolerance && y-x < resources.Tolerance }
 	return within(a.CPUs, b.CPUs) && within(a.GPUs, b.GPUs)
 }
@@ -76,12 +76,12 @@
 				Use:                cpus(10),
 				Unallocated:        cpus(c.unallocated),
 				Shortage:           c.shortage,
-				LackedByPeer:       c.peerLacks,
+				ReportedByPeer:     c.peerLacks,
 				WorkersUnreachable: c.unreachable,
 				Controllers:        5,
 			})
-			if want := (storage.QuotaShare{CPUs: c.want}); !near(got.Share, want) ||
-				got.Lacking != c.lacking {
+			if want := (storage.QuotaShare{CPUs: c.want}); !sharesEqual(got.Share, want) ||
+				got.ShortOfQuota != c.lacking {
 				t.Errorf("got %+v, want %v CPUs, lacking %v", got, c.want, c.lacking)
 			}
 		})
@@ -93,21 +93,21 @@
 	in := ShareInputs{Limits: Limits{MaxCPUs: 100}, Use: cpus(10), Controllers: 5} // a margin of 4 CPUs
 	for _, c := range []struct{ current, want float64 }{{10, 10}, {14, 14}, {18, 18}, {18.1, 14}, {4, 4}} {
 		in.Current = storage.QuotaShare{CPUs: c.current}
-		if got := DecideShare(in).Share; !near(got, storage.QuotaShare{CPUs: c.want}) {
+		if got := DecideShare(in).Share; !sharesEqual(got, storage.QuotaShare{CPUs: c.want}) {
 			t.Errorf("of %v CPUs it keeps %v, want %v", c.current, got.CPUs, c.want)
 		}
 	}
 }
 
-// TestDecideShareBoundsGPUsApart: each resource with a limit is raised for itself, one without a limit never.
-func TestDecideShareBoundsGPUsApart(t *testing.T) {
+// TestDecideShareTreatsResourcesSeparately: each resource with a limit is raised for itself, one without a limit never.
+func TestDecideShareTreatsResourcesSeparately(t *testing.T) {
 	got := DecideShare(ShareInputs{
 		Limits:      Limits{MaxGPUs: 8},
 		Unallocated: Limits{MaxGPUs: 8}.Remaining(resources.Vector{}),
 		Shortage:    &Shortage{Total: resources.Vector{CPUs: 16, GPUs: 2}, HasMachineRoom: true},
 		Controllers: 1,
 	})
-	if want := (storage.QuotaShare{GPUs: 5}); !near(got.Share, want) {
+	if want := (storage.QuotaShare{GPUs: 5}); !sharesEqual(got.Share, want) {
 		t.Errorf("got %+v, want %+v", got.Share, want)
 	}
 }
@@ -137,15 +137,15 @@
 	}
 }
 
-// TestMoveUse: shares of teams with a limit follow what is used, none below zero; others stay.
-func TestMoveUse(t *testing.T) {
+// TestMoveShares: shares of teams with a limit follow what is used, none below zero; others stay.
+func TestMoveShares(t *testing.T) {
 	from := storage.Partition{
 		QuotaShares: map[string]storage.QuotaShare{"a": {CPUs: 10, GPUs: 1}, "b": {CPUs: 2}},
 	}
 	to := storage.Partition{QuotaShares: map[string]storage.QuotaShare{"a": {CPUs: 3}}}
 	limited := func(team string) bool { return team != "free" }
 	use := map[string]resources.Vector{"a": {CPUs: 4, GPUs: 1}, "b": {CPUs: 3}, "free": {CPUs: 5}}
-	if !MoveUse(&from, &to, use, limited) {
+	if !MoveShares(&from, &to, use, limited) {
 		t.Fatal("nothing was moved")
 	}
 	for team, want := range map[string][2]storage.QuotaShare{
@@ -155,7 +155,7 @@
 			t.Errorf("%s: got %+v, want %+v", team, got, want)
 		}
 	}
-	if MoveUse(&from, &to, map[string]resources.Vector{"free": {CPUs: 5}}, limited) {
+	if MoveShares(&from, &to, map[string]resources.Vector{"free": {CPUs: 5}}, limited) {
 		t.Error("a team without a limit was moved")
 	}
 }
--- a/internal/scheduling/failure_attribution.go
+++ b/internal/scheduling/failure_attribution.go
@@ -10,12 +10,12 @@
 // ever completed, and whose tasks failed on the machine.
 
 const (
-	// jobFaultMachines is on how many machines a job fails, nothing completed, until the fault is its own.
-	jobFaultMachines = 3
-	// machineFaultFailures is how many failures, since something last completed there, make a machine faulty.
-	machineFaultFailures = 2
-	// healthyReplicaAfter is how long after its last failure a running service counts as free of faults.
-	healthyReplicaAfter = 10 * monotime.Second
+	// jobFaultMinMachines is on how many machines a job fails, nothing completed, until the fault is its own.
+	jobFaultMinMachines = 3
+	// machineFaultMinFailures is how many failures, since something last completed there, make a machine faulty.
+	machineFaultMinFailures = 2
+	// healthyReplicaDelay is how long after its last failure a running service counts as free of faults.
+	healthyReplicaDelay = 10 * monotime.Second
 )
 
 // Attribution says whose fault a job's failures are.
@@ -48,7 +48,7 @@
 	case job.DoneTasks > 0:
 		return MachineAtFault
 	case job.Service && job.AssignedTasks > 0 &&
-		job.SeenFailing && job.SinceLastFailure > healthyReplicaAfter:
+		job.SeenFailing && job.SinceLastFailure > healthyReplicaDelay:
 		return MachineAtFault
 	}
 	return FaultUnknown
@@ -57,7 +57,7 @@
 // AttributeByMachines judges a job, nothing of which has completed, by the number of machines it has failed
 // on.
 func AttributeByMachines(failedMachines int) Attribution {
-	if failedMachines >= jobFaultMachines {
+	if failedMachines >= jobFaultMinMachines {
 		return JobAtFault
 	}
 	return FaultUnknown
@@ -80,17 +80,17 @@
 	if machine.Slow {
 		return MachineFault{Faulty: true, Doubtful: true}
 	}
-	against, unknown := 0, 0
+	machineFailures, unknownFailures := 0, 0
 	for job, failures := range machine.FailuresByJob {
 		switch attribution(job) {
 		case MachineAtFault:
-			against += failures
+			machineFailures += failures
 		case FaultUnknown:
-			unknown += failures
+			unknownFailures += failures
 		}
 	}
 	return MachineFault{
-		Faulty:   against >= machineFaultFailures,
-		Doubtful: against+unknown >= machineFaultFailures,
+		Faulty:   machineFailures >= machineFaultMinFailures,
+		Doubtful: machineFailures+unknownFailures >= machineFaultMinFailures,
 	}
 }
--- a/internal/scheduling/failures_test.go
+++ b/internal/scheduling/failures_test.go
@@ -24,7 +24,7 @@
 			"a service that has just failed",
 			JobEvidence{
 				Open: true, Service: true, AssignedTasks: 1,
-				SeenFailing: true, SinceLastFailure: healthyReplicaAfter,
+				SeenFailing: true, SinceLastFailure: healthyReplicaDelay,
 			},
 			FaultUnknown,
 		},
@@ -32,7 +32,7 @@
 			"a service that runs since",
 			JobEvidence{
 				Open: true, Service: true, AssignedTasks: 1,
-				SeenFailing: true, SinceLastFailure: healthyReplicaAfter + 1,
+				SeenFailing: true, SinceLastFailure: healthyReplicaDelay + 1,
 			},
 			MachineAtFault,
 		},
@@ -40,7 +40,7 @@
 			"an array that runs since",
 			JobEvidence{
 				Open: true, AssignedTasks: 1,
-				SeenFailing: true, SinceLastFailure: healthyReplicaAfter + 1,
+				SeenFailing: true, SinceLastFailure: healthyReplicaDelay + 1,
 			},
 			FaultUnknown,
 		},
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestWithdrawnFailures: failures on a machine that turns out faulty no longer speak against the job.
-func TestWithdrawnFailures(t *testing.T) {
+// TestWithdrawFailures: failures on a machine that turns out faulty no longer speak against the job.
+func TestWithdrawFailures(t *testing.T) {
 	limits := Backoff{First: monotime.Second, Max: monotime.Second}
 	var failures JobFailures
 	for _, machine := range []string{"i-1", "i-2", "i-1"} {
@@ -138,21 +138,21 @@
 func TestScaleOutForTrial(t *testing.T) {
 	limits := Backoff{First: monotime.Second, Max: 60 * monotime.Second}
 	var failures JobFailures
-	allowed := func(assigned int, now monotime.Micros, want bool) {
+	expect := func(assigned int, now monotime.Micros, want bool) {
 		t.Helper()
 		if got := failures.MayScaleOutForTrial(assigned, now, limits); got != want {
 			t.Errorf("at %v with %d tasks assigned: %v", now, assigned, got)
 		}
 	}
-	allowed(0, 0, true)
-	allowed(1, 0, false)
+	expect(0, 0, true)
+	expect(1, 0, false)
 	failures.RecordTrialDemand(0)
-	allowed(0, 59*monotime.Second, false)
-	allowed(0, 61*monotime.Second, true)
+	expect(0, 59*monotime.Second, false)
+	expect(0, 61*monotime.Second, true)
 }
 
-// TestNilFailures: what nothing is noted of has no failures.
-func TestNilFailures(t *testing.T) {
+// TestNilJobFailures: what nothing is noted of has no failures.
+func TestNilJobFailures(t *testing.T) {
 	var failures *JobFailures
 	if failures.FailedMachines() != 0 || failures.LastFailureAt() != 0 || failures.Excludes("i-1") ||
 		failures.ExcludesAny() {
--- a/internal/scheduling/machine_choice.go
+++ b/internal/scheduling/machine_choice.go
@@ -14,10 +14,10 @@
 	// use spot machines: more than anything else that is weighed.
 	LessPreferredPenalty  = 1e5
 	ordinaryMachineFactor = 10
-	// spotBesideServicesPenalty is what a tight fit or an image at hand must be worth for a task to go to a
+	// spotInsteadOfServicesPenalty is what a tight fit or an image at hand must be worth for a task to go to a
 	// spot machine rather than beside services. An ordinary machine with services stays in any case: filling
 	// it first leaves spot machines to empty.
-	spotBesideServicesPenalty = 50
+	spotInsteadOfServicesPenalty = 50
 	// serviceImageFetchPenalty is added where a service's image is missing: it counts as started only once
 	// the image is there, and it stays, so it pays to wait for nothing else.
 	serviceImageFetchPenalty = 1000
@@ -114,7 +114,7 @@
 		score += ordinaryMachineFactor * LessPreferredPenalty
 	}
 	if r.Spec.Spot && c.Record.Spot {
-		score += spotBesideServicesPenalty
+		score += spotInsteadOfServicesPenalty
 	}
 	if c.Closing {
 		score += LessPreferredPenalty
--- a/internal/scheduling/machine_choice_test.go
+++ b/internal/scheduling/machine_choice_test.go
@@ -53,7 +53,7 @@
 func TestMachineRequestAccepts(t *testing.T) {
 	failures := &JobFailures{}
 	failures.Record("i-1", 1)
-	fence := &shardWrite{}
+	onlyWrite := &shardWrite{}
 	for _, tc := range []struct {
 		name      string
 		spec      storage.JobSpec
@@ -78,9 +78,10 @@
 			func(r *MachineRequest) { r.SpotOnly = true }, func(c *Candidate) { c.ServiceCPUs = 1 }, true},
 		{"spot only, spot", storage.JobSpec{Spot: true}, func(r *MachineRequest) { r.SpotOnly = true },
 			func(c *Candidate) { c.Record.Spot = true }, true},
-		{"another shard than its fence", storage.JobSpec{}, func(r *MachineRequest) { r.OnlyWrite = fence }, nil, false},
-		{"its fence", storage.JobSpec{}, func(r *MachineRequest) { r.OnlyWrite = fence },
-			func(c *Candidate) { c.Shard = fence }, true},
+		{"another shard than its fence", storage.JobSpec{},
+			func(r *MachineRequest) { r.OnlyWrite = onlyWrite }, nil, false},
+		{"its fence", storage.JobSpec{}, func(r *MachineRequest) { r.OnlyWrite = onlyWrite },
+			func(c *Candidate) { c.Shard = onlyWrite }, true},
 		{"nothing freed", storage.JobSpec{}, func(r *MachineRequest) { r.FreedQuotaOnly = true }, nil, false},
 		{"enough freed", storage.JobSpec{}, func(r *MachineRequest) { r.FreedQuotaOnly = true },
 			func(c *Candidate) { c.Shard = &shardWrite{freed: resources.Vector{CPUs: 2}} }, true},
@@ -101,7 +102,7 @@
 	free := func(cpus float64) func(*Candidate) { return func(c *Candidate) { c.Free.CPUs = cpus } }
 	services := func(cpus float64) func(*Candidate) { return func(c *Candidate) { c.ServiceCPUs = cpus } }
 	image := func(c *Candidate) { c.CachedImages = map[string]bool{"image": true} }
-	both := func(changes ...func(*Candidate)) func(*Candidate) {
+	all := func(changes ...func(*Candidate)) func(*Candidate) {
 		return func(c *Candidate) {
 			for _, change := range changes {
 				change(c)
@@ -115,14 +116,14 @@
 		better, worse func(*Candidate)
 	}{
 		{"the tightest fit", storage.JobSpec{}, free(2), free(4)},
-		{"an image before a slightly tighter fit", storage.JobSpec{}, both(image, free(9)), free(2)},
-		{"a much tighter fit before an image", storage.JobSpec{}, free(2), both(image, free(11))},
-		{"a service: an image before any fit", storage.JobSpec{Service: true}, both(image, free(64)), free(2)},
-		{"spot before ordinary", storage.JobSpec{Spot: true}, both(spot, free(64)), free(2)},
-		{"a closing spot machine before ordinary", storage.JobSpec{Spot: true}, both(spot, closing), nil},
+		{"an image before a slightly tighter fit", storage.JobSpec{}, all(image, free(9)), free(2)},
+		{"a much tighter fit before an image", storage.JobSpec{}, free(2), all(image, free(11))},
+		{"a service: an image before any fit", storage.JobSpec{Service: true}, all(image, free(64)), free(2)},
+		{"spot before ordinary", storage.JobSpec{Spot: true}, all(spot, free(64)), free(2)},
+		{"a closing spot machine before ordinary", storage.JobSpec{Spot: true}, all(spot, closing), nil},
 		{"beside services before spot", storage.JobSpec{Spot: true}, services(1), spot},
-		{"a far tighter spot machine before services", storage.JobSpec{Spot: true}, both(spot, free(2)),
-			both(services(1), free(53))},
+		{"a far tighter spot machine before services", storage.JobSpec{Spot: true}, all(spot, free(2)),
+			all(services(1), free(53))},
 		{"open before closing", storage.JobSpec{}, free(64), closing},
 		{"a service: beside services", storage.JobSpec{Service: true}, services(2), nil},
 		{"a service: up to a quarter", storage.JobSpec{Service: true}, services(2), services(5)},
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -57,12 +57,12 @@
 	spec *storage.JobSpec,
 	need resources.Vector,
 	partition string,
-	counts func(machine *MachineRoom, image string) bool,
+	includes func(machine *MachineRoom, image string) bool,
 ) int {
 	tasks := 0
 	for i := range p.machines[partition] {
 		machine := &p.machines[partition][i]
-		if counts(machine, spec.Image) && MachineAllowed(spec, machine.Record) {
+		if includes(machine, spec.Image) && MachineAllowed(spec, machine.Record) {
 			tasks += need.CountIn(machine.Free)
 		}
 	}
@@ -101,13 +101,13 @@
 // in order of preference, and the fallback is taken where no score finds anything.
 func BestPartition(partitions []string, fallback string, scores ...PartitionScore) string {
 	for _, score := range scores {
-		best, most := fallback, 0
+		best, bestScore := fallback, 0
 		for _, partition := range partitions {
-			if value := score(partition); value > most {
-				best, most = partition, value
+			if value := score(partition); value > bestScore {
+				best, bestScore = partition, value
 			}
 		}
-		if most > 0 {
+		if bestScore > 0 {
 			return best
 		}
 	}
--- a/internal/scheduling/partition_capacity_test.go
+++ b/internal/scheduling/partition_capacity_test.go
@@ -24,11 +24,11 @@
 	add("n-1", "i-5", 0, "y", false)
 	need := resources.Vector{CPUs: 2}
 	for _, tc := range []struct {
-		name                       string
-		spec                       storage.JobSpec
-		partition                  string
-		tasks, besideImage         int
-		preempting, imagePreempted int
+		name                              string
+		spec                              storage.JobSpec
+		partition                         string
+		tasks, tasksWithImage             int
+		preemptible, preemptibleWithImage int
 	}{
 		{"ordinary machines", storage.JobSpec{Image: "x"}, "n-0", 5, 4, 2, 1},
 		{"spot ones too", storage.JobSpec{Image: "x", Spot: true}, "n-0", 9, 8, 3, 2},
@@ -40,15 +40,15 @@
 			Spec: &tc.spec, Need: need,
 			Freed: func(string) resources.Vector { return resources.Vector{CPUs: 1} },
 		}
-		beside := fit
-		beside.BesideImage = true
+		withImage := fit
+		withImage.BesideImage = true
 		got := [4]int{
 			capacity.TasksFitting(&tc.spec, need, tc.partition),
 			capacity.TasksFittingBesideImage(&tc.spec, need, tc.partition),
 			capacity.MachinesAfterPreemption(tc.partition, fit),
-			capacity.MachinesAfterPreemption(tc.partition, beside),
+			capacity.MachinesAfterPreemption(tc.partition, withImage),
 		}
-		if want := [4]int{tc.tasks, tc.besideImage, tc.preempting, tc.imagePreempted}; got != want {
+		if want := [4]int{tc.tasks, tc.tasksWithImage, tc.preemptible, tc.preemptibleWithImage}; got != want {
 			t.Errorf("%s: %v, want %v", tc.name, got, want)
 		}
 	}
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -39,12 +39,12 @@
 }
 
 // Select picks the tasks whose stop makes room for one task with the least work lost, and reports whether any
-// do. It sorts possible. A service preempts what has a lower priority; all else only takes back what a team
+// do. It sorts candidates. A service preempts what has a lower priority; all else only takes back what a team
 // has beyond its guarantee.
-func (r *VictimRequest) Select(possible []Victim) (selection VictimSelection, ok bool) {
-	sortByLoss(possible)
+func (r *VictimRequest) Select(candidates []Victim) (selection VictimSelection, ok bool) {
+	sortByLoss(candidates)
 	free, stoppedByTeam := r.Free, map[string]resources.Vector{}
-	for _, victim := range possible {
+	for _, victim := range candidates {
 		if r.Need.FitsIn(free) {
 			break
 		}
@@ -87,25 +87,25 @@
 	return longest
 }
 
-// SelectScavengers stops as many of the possible tasks, which it sorts, the last tasks of a job first, as
+// SelectScavengers stops as many of the candidates tasks, which it sorts, the last tasks of a job first, as
 // make room beside what is free for up to want tasks of a need.
-func SelectScavengers(possible []Victim, need, free resources.Vector, want int) ScavengerSelection {
-	sort.Slice(possible, func(a, b int) bool {
-		x, y := &possible[a], &possible[b]
+func SelectScavengers(candidates []Victim, need, free resources.Vector, wantTasks int) ScavengerSelection {
+	sort.Slice(candidates, func(a, b int) bool {
+		x, y := &candidates[a], &candidates[b]
 		return x.Job < y.Job || x.Job == y.Job && x.Task > y.Task
 	})
-	stopped, tasks := 0, 0
-	for tasks < want {
-		next, available := stopped, free
-		for next < len(possible) && !need.FitsIn(available) {
-			available = available.Plus(possible[next].Need)
-			next++
+	victimCount, tasks := 0, 0
+	for tasks < wantTasks {
+		nextCount, available := victimCount, free
+		for nextCount < len(candidates) && !need.FitsIn(available) {
+			available = available.Plus(candidates[nextCount].Need)
+			nextCount++
 		}
-		if next == stopped || !need.FitsIn(available) {
+		if nextCount == victimCount || !need.FitsIn(available) {
 			break
 		}
-		stopped, free = next, available.Minus(need)
+		victimCount, free = nextCount, available.Minus(need)
 		tasks++
 	}
-	return ScavengerSelection{Victims: possible[:stopped], Tasks: tasks}
+	return ScavengerSelection{Victims: candidates[:victimCount], Tasks: tasks}
 }
--- a/internal/scheduling/preemption_test.go
+++ b/internal/scheduling/preemption_test.go
@@ -29,14 +29,14 @@
 		}
 	}
 	for _, tc := range []struct {
-		name     string
-		service  bool
-		free     float64
-		exceeds  float64 // by how many CPUs each team exceeds its guarantee
-		possible []Victim
-		want     []string
-		loss     float64
-		ok       bool
+		name       string
+		service    bool
+		free       float64
+		exceeds    float64 // by how many CPUs each team exceeds its guarantee
+		candidates []Victim
+		want       []string
+		loss       float64
+		ok         bool
 	}{
 		{"nothing to stop", true, 0, 0, nil, nil, 0, false},
 		{"room is there: no victim", true, 4, 0, []Victim{victim(1, 0, 4, 1, "x")}, nil, 0, false},
@@ -63,7 +63,7 @@
 				return tc.exceeds-less.CPUs > 0
 			},
 		}
-		got, ok := request.Select(tc.possible)
+		got, ok := request.Select(tc.candidates)
 		if ok != tc.ok || got.LostCPUSeconds != tc.loss || !slices.Equal(taskNames(got.Victims), tc.want) {
 			t.Errorf("%s: %v, %v lost, %v", tc.name, taskNames(got.Victims), got.LostCPUSeconds, ok)
 		}
@@ -83,13 +83,13 @@
 		return victims
 	}
 	for _, tc := range []struct {
-		name     string
-		possible []Victim
-		free     float64
-		want     int
-		victims  []string
-		tasks    int
-		save     float64
+		name       string
+		candidates []Victim
+		free       float64
+		want       int
+		victims    []string
+		tasks      int
+		save       float64
 	}{
 		{"nothing runs", nil, 0, 1, nil, 0, 0},
 		{"room is there", running(2, 4), 4, 1, nil, 0, 0},
@@ -102,7 +102,7 @@
 		{"what is left of a larger one is used", running(1, 6), 2, 2, []string{"j/0"}, 1, 0},
 	} {
 		got := SelectScavengers(
-			tc.possible,
+			tc.candidates,
 			resources.Vector{CPUs: 4},
 			resources.Vector{CPUs: tc.free},
 			tc.want,
--- a/internal/scheduling/queue_order.go
+++ b/internal/scheduling/queue_order.go
@@ -113,7 +113,7 @@
 // late; if all of it went first, all that comes after would be late too. What they hold counts, not what
 // waits: others are boosted as these end.
 func LimitDeadlineBoost(entries []QueueEntry, usage LateUsage) {
-	for _, entry := range boostedByWork(entries) {
+	for _, entry := range boostedByWaitingWork(entries) {
 		team := entry.Job.Spec.Team
 		usableCPUs := usage.FleetCPUs
 		if limit := usage.TeamMax(team); limit > 0 {
@@ -127,8 +127,8 @@
 	}
 }
 
-// boostedByWork lists the boosted entries, those with the least waiting work first.
-func boostedByWork(entries []QueueEntry) []*QueueEntry {
+// boostedByWaitingWork lists the boosted entries, those with the least waiting work first.
+func boostedByWaitingWork(entries []QueueEntry) []*QueueEntry {
 	var boosted []*QueueEntry
 	for i := range entries {
 		if entries[i].DeadlineBoost {
--- a/internal/scheduling/start_progress_test.go
+++ b/internal/scheduling/start_progress_test.go
@@ -6,8 +6,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// starved plays one look at an array, as a pass does.
-func starved(p *StartProgress, started, waiting int, scavenger bool, now monotime.Micros) bool {
+// isStarved plays one look at an array, as a pass does.
+func isStarved(p *StartProgress, started, waiting int, scavenger bool, now monotime.Micros) bool {
 	if !p.Begun() {
 		p.Begin(started, 0, now)
 	}
@@ -20,9 +20,9 @@
 func TestStarvation(t *testing.T) {
 	const second = monotime.Second
 	for _, tc := range []struct {
-		name      string
-		scavenger bool
-		looks     []struct {
+		name         string
+		scavenger    bool
+		observations []struct {
 			at      monotime.Micros
 			started int
 			want    bool
@@ -54,18 +54,24 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var progress StartProgress
-			for _, look := range tc.looks {
-				if got := starved(&progress, look.started, 40-look.started, tc.scavenger, look.at); got != look.want {
-					t.Errorf("at %v s with %d started: %v", look.at.Seconds(), look.started, got)
+			for _, observation := range tc.observations {
+				if got := isStarved(
+					&progress,
+					observation.started,
+					40-observation.started,
+					tc.scavenger,
+					observation.at,
+				); got != observation.want {
+					t.Errorf("at %v s with %d started: %v", observation.at.Seconds(), observation.started, got)
 				}
 			}
 		})
 	}
 }
 
-// TestWaitBeforeFirstSight: what a job waited before this controller saw it counts, up to twice the bound,
+// TestStarvationCountsWaitBeforeBegin: what a job waited before this controller saw it counts, up to twice the bound,
 // and only if nothing of it has started.
-func TestWaitBeforeFirstSight(t *testing.T) {
+func TestStarvationCountsWaitBeforeBegin(t *testing.T) {
 	const now = 1000 * monotime.Second
 	for _, tc := range []struct {
 		name    string
@@ -73,10 +79,10 @@
 		waited  monotime.Micros
 		want    bool
 	}{
-		{"waited for long", 0, starvedAfter + 1, true},
-		{"not for long", 0, starvedAfter, false},
-		{"clock went back", 0, -starvedAfter, false},
-		{"for long, but some have started", 1, 2 * starvedAfter, false},
+		{"waited for long", 0, starvationTimeout + 1, true},
+		{"not for long", 0, starvationTimeout, false},
+		{"clock went back", 0, -starvationTimeout, false},
+		{"for long, but some have started", 1, 2 * starvationTimeout, false},
 	} {
 		var progress StartProgress
 		progress.Begin(tc.started, tc.waited, now)
--- a/internal/scheduling/task_ranges.go
+++ b/internal/scheduling/task_ranges.go
@@ -26,17 +26,17 @@
 // rest evenly to the first ones. A job too large for any partition is so spread over all of them.
 func DivideTasks(tasks int, rooms []PartitionRoom) []storage.TaskRange {
 	sizes := make([]int, len(rooms))
-	left := tasks
+	unplaced := tasks
 	for i, room := range rooms {
-		sizes[i] = min(left, max(0, room.Tasks))
-		left -= sizes[i]
+		sizes[i] = min(unplaced, max(0, room.Tasks))
+		unplaced -= sizes[i]
 	}
-	sharing := min(len(rooms), max(1, left/minTasksPerRange))
-	for i := range sharing {
-		partitionsLeft := sharing - i
-		extra := (left + partitionsLeft - 1) / partitionsLeft
-		sizes[i] += extra
-		left -= extra
+	recipients := min(len(rooms), max(1, unplaced/minTasksPerRange))
+	for i := range recipients {
+		recipientsLeft := recipients - i
+		overflow := (unplaced + recipientsLeft - 1) / recipientsLeft
+		sizes[i] += overflow
+		unplaced -= overflow
 	}
 	var ranges []storage.TaskRange
 	first := 0
