--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,8 +1,8 @@
-// Package quota decides what a team may use: its limits and guarantees, and how a controller's share of a
-// limit should change.
+// Package quota evaluates the teams' resource limits and guarantees, and decides how a controller's share of
+// a team's limit should change.
 //
-// A team's limit is divided into shares, one a controller, so that controllers can assign tasks without a
-// common record: what the tasks in a controller's shards take is at most its share, and all shares together
-// are at most the limit. All decisions are pure functions of their arguments; package quotashares reads the
-// records, calls them and commits what they decide.
+// Each team's limit is divided into shares, one per controller, so that controllers can assign tasks without
+// contending for a common record. The tasks in a controller's shards use at most the controller's share, and
+// the shares of all controllers add up to at most the limit. All decisions are pure functions of their
+// arguments. Package quotashares reads the records, calls these functions and commits their decisions.
 package quota
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -8,10 +8,11 @@
 	"pipitgap/internal/storage"
 )
 
-// Limits is what a team may use at most and what it is guaranteed; 0 is no limit and no guarantee.
+// Limits holds a team's resource limits and guarantees. A value of 0 means no limit or no guarantee.
 type Limits struct{ GuaranteedCPUs, MaxCPUs, GuaranteedGPUs, MaxGPUs float64 }
 
-// LimitsOf returns a team's limits; ok is false if the configuration has no such team.
+// LimitsOf returns the limits of the team with the given name. ok is false if the configuration has no such
+// team.
 func LimitsOf(teams []config.Team, name string) (limits Limits, ok bool) {
 	for i := range teams {
 		team := &teams[i]
@@ -27,15 +28,16 @@
 	return Limits{}, false
 }
 
-// Unlimited is an amount that bounds nothing.
+// Unlimited returns an infinite amount of every resource.
 func Unlimited() resources.Vector {
 	return resources.Vector{CPUs: math.Inf(1), GPUs: math.Inf(1), MemoryGB: math.Inf(1)}
 }
 
-// Limited reports whether the team has a limit of any resource.
+// Limited reports whether the team has a limit on any resource.
 func (l Limits) Limited() bool { return l.MaxCPUs > 0 || l.MaxGPUs > 0 }
 
-// Remaining is what the team may use beyond what it uses; infinite for a resource without a limit.
+// Remaining returns the part of the limits that is not used. It is infinite for a resource without a limit,
+// and negative if the team uses more than its limit.
 func (l Limits) Remaining(used resources.Vector) resources.Vector {
 	remaining := Unlimited()
 	if l.MaxCPUs > 0 {
@@ -47,7 +49,8 @@
 	return remaining
 }
 
-// RemainingOfShare is what a share leaves beyond what is used of it; infinite for a resource without a limit.
+// RemainingOfShare returns the unused part of a controller's share of the limits. It is infinite for a
+// resource without a limit.
 func (l Limits) RemainingOfShare(share, used resources.Vector) resources.Vector {
 	remaining := Unlimited()
 	if l.MaxCPUs > 0 {
@@ -59,22 +62,23 @@
 	return remaining
 }
 
-// Permits reports whether the limits leave room for an amount when the team uses nothing else.
+// Permits reports whether the given amounts alone are within the limits, ignoring what the team already uses.
 func (l Limits) Permits(cpus, gpus float64) bool {
 	return (l.MaxCPUs <= 0 || cpus <= l.MaxCPUs+resources.Tolerance) &&
 		(l.MaxGPUs <= 0 || gpus <= l.MaxGPUs+resources.Tolerance)
 }
 
-// Guaranteed reports whether the team has a guarantee of any resource.
+// Guaranteed reports whether the team has a guarantee for any resource.
 func (l Limits) Guaranteed() bool { return l.GuaranteedCPUs > 0 || l.GuaranteedGPUs > 0 }
 
-// GuaranteeCovers reports whether an amount lies within the team's guarantee.
+// GuaranteeCovers reports whether the given usage is within the team's guarantee.
 func (l Limits) GuaranteeCovers(use resources.Vector) bool {
 	return use.CPUs <= l.GuaranteedCPUs+resources.Tolerance &&
 		use.GPUs <= l.GuaranteedGPUs+resources.Tolerance
 }
 
-// ShareAmount is what a partition's record lets it use of a team's limit. Memory has no limit.
+// ShareAmount returns a partition's share of a team's limit, according to the partition's record. Memory is
+// not limited.
 func ShareAmount(partition *storage.Partition, team string) resources.Vector {
 	share := partition.QuotaShares[team]
 	return resources.Vector{
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -12,16 +12,17 @@
 	"pipitgap/internal/storage"
 )
 
-// adjustment is a change of this controller's record in the making.
+// adjustment is a new version of this controller's record that isn't committed yet.
 type adjustment struct {
 	record  storage.Partition
-	version uint64 // of the record that it replaces
+	version uint64 // version of the record that it replaces
 	changed bool
-	raised  bool // some share grows
+	raised  bool // whether some share grows
 }
 
-// Adjust raises the shares of which assignments lacked some, and lowers those that aren't used where a limit
-// is nearly allocated. It does nothing while a commit in flight may change what it decides on.
+// Adjust raises the shares for which shortages were noted since the last adjustment. It lowers shares that
+// aren't fully used, mainly when little of the limit is unallocated (see quota.DecideShare). It does nothing
+// while a commit in flight may change the inputs of the decision.
 func (m *Manager) Adjust(now monotime.Micros) {
 	if m.writeInFlight || m.deps.Store.Unavailable() || !m.deps.Membership.HoldsLease(now) ||
 		m.deps.Shards.CommitInFlight() {
@@ -51,7 +52,9 @@
 	}
 }
 
-// beginAdjustment copies this controller's record. Commits in doubt are settled by writing it anew.
+// beginAdjustment copies this controller's record. If the outcome of an earlier commit is unknown, it marks
+// the copy as changed: writing the record again changes its version, after which the earlier commit can't
+// apply.
 func (m *Manager) beginAdjustment() *adjustment {
 	next := &adjustment{record: m.copyOfRecord(m.cfg.Node), version: m.ownRecordVersion()}
 	m.dropSettledCommits()
@@ -59,7 +62,7 @@
 	return next
 }
 
-// copyOfRecord copies a controller's record; one without a record has no shares.
+// copyOfRecord copies a controller's record. The copy has no shares if the controller has no record.
 func (m *Manager) copyOfRecord(node string) storage.Partition {
 	record := storage.Partition{QuotaShares: map[string]storage.QuotaShare{}}
 	if partition := m.deps.Mirror.Partitions[node]; partition != nil {
@@ -68,7 +71,8 @@
 	return record
 }
 
-// dropSettledCommits forgets commits that were conditional on another version than the record's.
+// dropSettledCommits drops the commits in doubt that are conditional on another version than the record's
+// current one.
 func (m *Manager) dropSettledCommits() {
 	version := m.ownRecordVersion()
 	m.commitsInDoubt = slices.DeleteFunc(m.commitsInDoubt, func(doubt commitInDoubt) bool {
@@ -76,7 +80,7 @@
 	})
 }
 
-// setShare sets a team's share in the new record, and notes whether that changes or raises it.
+// setShare sets a team's share in the new record and notes whether the share changes or grows.
 func (a *adjustment) setShare(team string, share storage.QuotaShare) {
 	before := a.record.QuotaShares[team]
 	if share == before {
@@ -87,7 +91,7 @@
 	a.changed = true
 }
 
-// shareInputs collects what the decision about this controller's share of a team's limit depends on.
+// shareInputs collects the inputs for the decision about this controller's share of a team's limit.
 func (m *Manager) shareInputs(
 	team string,
 	limits quota.Limits,
@@ -107,7 +111,7 @@
 	}
 }
 
-// commit writes this controller's record. A raise is conditional on the records of all controllers.
+// commit writes this controller's record. A raise is conditional on the versions of all controllers' records.
 func (m *Manager) commit(next *adjustment) {
 	key := storage.PartitionKey(m.cfg.Node)
 	txn := protocol.PutIfUnchanged(key, next.version, &next.record)
@@ -124,8 +128,8 @@
 	})
 }
 
-// compareOtherRecords has the commit compare the records of the other controllers with the mirror: of those of the
-// deployment, and of those that have a record still.
+// compareOtherRecords returns comparisons of the other controllers' record versions with the mirror. It
+// covers the controllers of the deployment and any other controller that still has a record.
 func (m *Manager) compareOtherRecords() []protocol.Compare {
 	names := map[string]bool{}
 	for _, node := range m.cfg.Controllers {
--- a/internal/quota/quotashares/manager.go
+++ b/internal/quota/quotashares/manager.go
@@ -15,66 +15,67 @@
 )
 
 const (
-	// shortageReportDelay is how long a controller lacks some of a limit before it says so: while machines
-	// come up and jobs end, shares move by themselves.
+	// shortageReportDelay is how long a shortage lasts before a controller reports it to the other
+	// controllers. While machines start and jobs end, shares move between controllers without a report.
 	shortageReportDelay = 8 * monotime.Second
-	// shortageReportIntervals is for how many intervals of the peers' status a report counts that a peer lacks
-	// some of a limit.
+	// shortageReportIntervals is how long a peer's shortage report stays valid, in peer status intervals.
 	shortageReportIntervals = 3
-	// departureGracePeriod is how long a controller is absent before its shares are deleted.
+	// departureGracePeriod is how long a controller must be absent before its shares are deleted.
 	departureGracePeriod = monotime.Second
 )
 
-// Membership tells which controllers are members of the cluster.
+// Membership provides the membership of controllers in the cluster.
 type Membership interface {
-	// HoldsLease reports whether this controller's own lease can't have expired yet.
+	// HoldsLease reports whether this controller's own lease is certain not to have expired.
 	HoldsLease(now monotime.Micros) bool
 	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
-	// AbsentSince is since when a controller has been seen not to be a member.
+	// AbsentSince returns when a controller was first seen not to be a member.
 	AbsentSince(node string, now monotime.Micros) monotime.Micros
 }
 
 // Store commits transactions to the state service.
 type Store interface {
-	// Unavailable reports whether the state service has lately not answered.
+	// Unavailable reports whether the state service recently failed to respond.
 	Unavailable() bool
-	// BudgetSharers is the number of live controllers, at least 1.
+	// BudgetSharers returns the number of live controllers, at least 1.
 	BudgetSharers() int
-	// Commit applies a successful transaction to the mirror before it calls back.
+	// Commit submits a transaction. It applies a successful one to the mirror before it calls the callback.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
 }
 
-// Shards tells what commits of this controller's shards may change.
+// Shards provides the state of the commits of this controller's shards.
 type Shards interface {
-	// CommitInFlight reports whether a commit of any own shard is in flight.
+	// CommitInFlight reports whether a commit of any of this controller's shards is in flight.
 	CommitInFlight() bool
-	// UseInDoubt is what updates whose commits have no outcome yet may have assigned to a team's tasks.
+	// UseInDoubt returns the resources that commits without a known outcome may have assigned to a team's
+	// tasks.
 	UseInDoubt(team string) resources.Vector
 }
 
-// Peers tells what the other controllers report and which of them can take over from another.
+// Peers provides the other controllers' reports and the assignment of successors to departed controllers.
 type Peers interface {
-	// QuotaLackReportedAt is when a peer last reported that it lacks some of a team's limit.
+	// QuotaLackReportedAt returns when a peer last reported a shortage of a team's limit. ok is false if no
+	// peer did.
 	QuotaLackReportedAt(team string) (at monotime.Micros, ok bool)
 	// WorkersUnreachable reports whether this controller has lost contact with its workers.
 	WorkersUnreachable() bool
-	// SuccessorOf is the controller that takes over what a departed one leaves.
+	// SuccessorOf returns the controller that takes over from the given controller after its departure.
 	SuccessorOf(node string) string
 }
 
-// Dependencies are what a Manager needs of the controller it belongs to.
+// Dependencies holds the parts of the controller that a Manager uses.
 type Dependencies struct {
 	Mirror      *mirror.Mirror
 	Membership  Membership
 	Store       Store
 	Shards      Shards
 	Peers       Peers
-	RequestPass func() // requests a scheduling pass, as what may be assigned has changed
+	RequestPass func() // requests a scheduling pass because the quota available for assignment may have changed
 	Log         *slog.Logger
 }
 
-// Config has the values that a Manager is made with.
+// Config holds the settings of a Manager.
 type Config struct {
 	Node        string
 	Controllers []string // the names of all controllers of the deployment
@@ -83,7 +84,7 @@
 	PeerStatusInterval monotime.Micros
 }
 
-// Manager owns one controller's shares of the teams' limits. It is used by one goroutine.
+// Manager owns one controller's shares of the teams' limits. It is not safe for concurrent use.
 type Manager struct {
 	cfg  Config
 	deps Dependencies
@@ -92,18 +93,18 @@
 	releasesInFlight  map[string]bool            // departed controllers whose record is being deleted
 	shortages         map[string]*quota.Shortage // by team, since the last adjustment
 	commitsInDoubt    []commitInDoubt
-	shortOfQuotaSince map[string]monotime.Micros // by team: since when a task's worth of the limit is lacking
+	shortOfQuotaSince map[string]monotime.Micros // by team, see TeamsLacking
 }
 
-// commitInDoubt are shares that a commit without an outcome may yet bring about: it is conditional on a
-// version of this controller's record, and nothing else changes that version when tasks are assigned under
-// it.
+// commitInDoubt is a commit of this controller's record with an unknown outcome. It is conditional on a
+// version of the record. Assigning tasks doesn't change that version, so the commit may still apply after
+// assignments that were based on the old shares.
 type commitInDoubt struct {
 	version uint64
 	record  storage.Partition
 }
 
-// New makes the manager of a controller's shares.
+// New returns a Manager for the shares of the controller cfg.Node.
 func New(cfg Config, deps Dependencies) *Manager {
 	return &Manager{
 		cfg:               cfg,
@@ -114,27 +115,29 @@
 	}
 }
 
-// Limits returns a team's limits; ok is false for a team that the configuration doesn't have.
+// Limits returns a team's limits. ok is false if the configuration has no such team.
 func (m *Manager) Limits(team string) (limits quota.Limits, ok bool) {
 	return quota.LimitsOf(m.cfg.Teams, team)
 }
 
-// NoteShortage notes that the share of a team's limit keeps tasks waiting, for the next adjustment.
+// NoteShortage records, for the next adjustment, that tasks wait because the share of a team's limit is too
+// small.
 func (m *Manager) NoteShortage(team string, demand quota.UnmetDemand) {
 	m.shortages[team] = quota.AddDemand(m.shortages[team], demand)
 }
 
-// WriteInFlight reports whether a commit is in flight that changes this controller's shares. Assignments
-// depend on the record it writes.
+// WriteInFlight reports whether a commit that changes this controller's shares is in flight. Assignments are
+// conditional on the record that this commit writes.
 func (m *Manager) WriteInFlight() bool { return m.writeInFlight }
 
-// BeginWrite marks that a commit of another subject changes this controller's shares.
+// BeginWrite marks the start of a commit that another component issues and that changes this controller's
+// shares.
 func (m *Manager) BeginWrite() { m.writeInFlight = true }
 
-// EndWrite marks that the commit that BeginWrite announced has its outcome.
+// EndWrite marks the end of the commit that BeginWrite announced.
 func (m *Manager) EndWrite() { m.writeInFlight = false }
 
-// ShareOf is what a controller may use of a team's limit, by its record.
+// ShareOf returns a controller's share of a team's limit, according to the controller's record.
 func (m *Manager) ShareOf(node, team string) resources.Vector {
 	partition := m.deps.Mirror.Partitions[node]
 	if partition == nil {
@@ -143,7 +146,8 @@
 	return quota.ShareAmount(&partition.Record, team)
 }
 
-// ownShare is what this controller may use of a team's limit, whatever becomes of commits in doubt.
+// ownShare returns the part of a team's limit that this controller may use whether or not its commits in
+// doubt apply: the minimum of the current share and the shares in those commits.
 func (m *Manager) ownShare(team string) resources.Vector {
 	share := m.ShareOf(m.cfg.Node, team)
 	version := m.ownRecordVersion()
@@ -157,14 +161,14 @@
 	return share
 }
 
-// ownRecordVersion is the version of this controller's record in the mirror, 0 if it has none.
+// ownRecordVersion returns the version of this controller's record in the mirror, or 0 if it has no record.
 func (m *Manager) ownRecordVersion() uint64 {
 	return m.deps.Mirror.VersionOf(storage.PartitionKey(m.cfg.Node))
 }
 
-// ownUse is what this controller's shards take of a team's limit, at most. What a commit in doubt may have
-// assigned counts as well, and so do shards of an earlier incarnation that haven't been claimed again: they
-// are within the same share.
+// ownUse returns an upper bound on the part of a team's limit that this controller's shards use. It includes
+// assignments by commits in doubt. It also includes shards of an earlier incarnation of this controller that
+// haven't been claimed again, because they use the same share.
 func (m *Manager) ownUse(team string) resources.Vector {
 	use := resources.Vector{}
 	for _, shard := range m.deps.Mirror.Shards {
@@ -175,7 +179,8 @@
 	return use.Plus(m.deps.Shards.UseInDoubt(team))
 }
 
-// Left is what this controller may still assign to a team's tasks; infinite without a limit.
+// Left returns the resources that this controller may still assign to a team's tasks. They are infinite
+// without a limit.
 func (m *Manager) Left(team string) resources.Vector {
 	limits, _ := m.Limits(team)
 	if !limits.Limited() {
@@ -184,7 +189,7 @@
 	return limits.RemainingOfShare(m.ownShare(team), m.ownUse(team))
 }
 
-// Unallocated is what no controller has of a team's limit.
+// Unallocated returns the part of a team's limit that is in no controller's share.
 func (m *Manager) Unallocated(team string) resources.Vector {
 	limits, _ := m.Limits(team)
 	unallocated := limits.Remaining(resources.Vector{})
@@ -195,8 +200,9 @@
 	return unallocated
 }
 
-// TeamsLacking lists the teams of whose limit a task's worth has been lacking for so long that the other
-// controllers should lower shares they don't use.
+// TeamsLacking lists the teams whose limit has had too little unallocated for a single waiting task for at
+// least shortageReportDelay although a machine has room for the task. The other controllers should lower
+// their unused shares of these limits.
 func (m *Manager) TeamsLacking(now monotime.Micros) []string {
 	var teams []string
 	for _, team := range sortedmap.Keys(m.shortOfQuotaSince) {
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -15,7 +15,7 @@
 	"pipitgap/internal/storage"
 )
 
-// controllerStub stands for what a manager needs of its controller. Commits are held until they are answered.
+// controllerStub implements the dependencies of a Manager. It holds commits until answer completes them.
 type controllerStub struct {
 	stubs.HeldCommits
 	mirror             *mirror.Mirror
@@ -54,7 +54,8 @@
 
 func (s *controllerStub) SuccessorOf(string) string { return s.successor }
 
-// answer gives the oldest commit its outcome; one that is OK is applied to the mirror first.
+// answer completes the oldest commit with the given outcome. It first applies a successful commit to the
+// mirror.
 func (s *controllerStub) answer(t *testing.T, outcome protocol.Outcome) protocol.Transaction {
 	t.Helper()
 	commit := s.TakeOldest(t)
@@ -66,14 +67,14 @@
 	return commit.Transaction
 }
 
-// putShares sets a controller's record of shares of the team "tight", in CPUs.
+// putShares sets a controller's share of the limit of team "tight", in CPUs.
 func (s *controllerStub) putShares(node string, cpus float64) {
 	s.revision++
 	record := storage.Partition{QuotaShares: map[string]storage.QuotaShare{"tight": {CPUs: cpus}}}
 	s.mirror.ApplyPut(storage.PartitionKey(node), protocol.MustMarshal(&record), s.revision)
 }
 
-// putShard sets the shard "s" with tasks of the team "tight", of 2 CPUs each.
+// putShard stores shard "s" with the given number of tasks of team "tight", each of which uses 2 CPUs.
 func (s *controllerStub) putShard(t *testing.T, owner string, tasks int) {
 	t.Helper()
 	s.revision++
@@ -95,8 +96,8 @@
 	s.mirror.ApplyPut(storage.ShardKey("s"), encoded, s.revision)
 }
 
-// newManager makes the manager of n-0, one of three controllers, of which n-0 and n-1 are members. The team "tight"
-// has a limit of 20 CPUs.
+// newManager returns the Manager of n-0 and its stub. There are three controllers, of which n-0 and n-1 are
+// members. Team "tight" has a limit of 20 CPUs, and team "free" has none.
 func newManager() (*Manager, *controllerStub) {
 	stub := &controllerStub{
 		mirror:             mirror.New(),
@@ -125,7 +126,7 @@
 	), stub
 }
 
-// short is a task of the team "tight" that finds nothing left of the share but room on a machine.
+// unmetDemand returns the demand of one waiting task. Nothing of the share is left, but a machine has room.
 func unmetDemand(cpus float64) quota.UnmetDemand {
 	return quota.UnmetDemand{
 		TaskResources:  resources.Vector{CPUs: cpus},
@@ -135,7 +136,7 @@
 	}
 }
 
-// comparedVersions gives the versions that a transaction asks for, by key.
+// comparedVersions returns the versions that a transaction is conditional on, by key.
 func comparedVersions(txn protocol.Transaction) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, compare := range txn.If {
@@ -144,7 +145,8 @@
 	return versions
 }
 
-// TestLeft: what is left of a share, by whose shards hold the tasks and what is in doubt.
+// TestLeft checks that the remaining share deducts tasks in this controller's own shards and assignments by
+// commits in doubt, but not tasks in another controller's shards.
 func TestLeft(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -152,8 +154,8 @@
 		useInDoubt float64
 		left       float64
 	}{
-		{"own shard, of whatever incarnation", "n-0", 0, 6},
-		{"own shard and an update in doubt", "n-0", 2, 4},
+		{"own shard of any incarnation", "n-0", 0, 6},
+		{"own shard and a commit in doubt", "n-0", 2, 4},
 		{"another controller's shard", "n-1", 0, 10},
 	}
 	for _, c := range cases {
@@ -164,70 +166,73 @@
 			stub.putShard(t, c.owner, 2)
 			stub.useInDoubt = resources.Vector{CPUs: c.useInDoubt}
 			if got := m.Left("tight").CPUs; got != c.left {
-				t.Errorf("%v CPUs left, want %v", got, c.left)
+				t.Errorf("got %v CPUs left, want %v", got, c.left)
 			}
 			if got := m.Unallocated("tight").CPUs; got != 2 {
-				t.Errorf("%v CPUs unallocated, want 2", got)
+				t.Errorf("got %v CPUs unallocated, want 2", got)
 			}
 			if got := m.Left("free"); got != quota.Unlimited() {
-				t.Errorf("%+v left of no limit", got)
+				t.Errorf("team without a limit: got %+v left, want an unlimited amount", got)
 			}
 		})
 	}
 }
 
-// TestRaiseIsConditionalOnAllRecords: a raise asks for the record of every controller, of those that have left the
-// deployment too; a lowering asks for the own record alone.
+// TestRaiseIsConditionalOnAllRecords checks that a raise is conditional on the records of all controllers,
+// including one that is no longer part of the deployment, and that a lowering is conditional on the own record
+// only. Without these conditions, concurrent raises could allocate more than the limit.
 func TestRaiseIsConditionalOnAllRecords(t *testing.T) {
 	m, stub := newManager()
 	stub.putShares("n-1", 4)
-	stub.putShares("left", 1)
+	stub.putShares("decommissioned", 1)
 	m.NoteShortage("tight", unmetDemand(4))
 	m.Adjust(0)
 	if !m.WriteInFlight() {
-		t.Fatal("no write in flight")
+		t.Fatal("after a shortage: no write in flight, want one")
 	}
 	m.Adjust(0)
 	if len(stub.Commits) != 1 {
-		t.Fatalf("%d commits in flight", len(stub.Commits))
+		t.Fatalf("got %d commits in flight, want 1", len(stub.Commits))
 	}
 	versions := comparedVersions(stub.answer(t, protocol.OK))
 	want := map[string]uint64{
-		storage.PartitionKey("n-0"):  0,
-		storage.PartitionKey("n-1"):  2,
-		storage.PartitionKey("n-2"):  0,
-		storage.PartitionKey("left"): 3,
+		storage.PartitionKey("n-0"):            0,
+		storage.PartitionKey("n-1"):            2,
+		storage.PartitionKey("n-2"):            0,
+		storage.PartitionKey("decommissioned"): 3,
 	}
 	for key, version := range want {
 		if got, ok := versions[key]; !ok || got != version {
-			t.Errorf("%s: asks for version %v (%v), want %v", key, got, ok, version)
+			t.Errorf("raise, key %s: got version %v (compared: %v), want version %v", key, got, ok, version)
 		}
 	}
 	if len(versions) != len(want) || m.WriteInFlight() || stub.passes != 1 {
-		t.Errorf("asks for %v; write in flight: %v; %d passes", versions, m.WriteInFlight(), stub.passes)
+		t.Errorf("raise: got compared versions %v, write in flight %v, %d requested passes; want %v, false, 1",
+			versions, m.WriteInFlight(), stub.passes, want)
 	}
 	if got := m.ShareOf("n-0", "tight").CPUs; got < 4 {
-		t.Errorf("the share is %v CPUs", got)
+		t.Errorf("share after the raise: got %v CPUs, want at least 4", got)
 	}
 
 	stub.shortageReportedAt["tight"] = 0
 	m.Adjust(monotime.Second)
 	versions = comparedVersions(stub.answer(t, protocol.OK))
 	if _, ok := versions[storage.PartitionKey("n-0")]; !ok || len(versions) != 1 {
-		t.Errorf("a lowering asks for %v", versions)
+		t.Errorf("lowering: got compared versions %v, want only the record of n-0", versions)
 	}
 	if got := m.ShareOf("n-0", "tight").CPUs; got != 0 {
-		t.Errorf("the unused share is %v CPUs", got)
+		t.Errorf("unused share after the lowering: got %v CPUs, want 0", got)
 	}
 }
 
-// TestAdjustWaits: no share is changed while that could go wrong.
+// TestAdjustWaits checks that Adjust commits nothing while its inputs may be outdated or its commit may be
+// unsafe.
 func TestAdjustWaits(t *testing.T) {
 	cases := map[string]func(*controllerStub, *Manager){
 		"a commit of a shard is in flight": func(s *controllerStub, _ *Manager) { s.commitInFlight = true },
 		"the state service is unavailable": func(s *controllerStub, _ *Manager) { s.unavailable = true },
 		"the lease may have expired":       func(s *controllerStub, _ *Manager) { s.holdsLease = false },
-		"another subject writes shares":    func(_ *controllerStub, m *Manager) { m.BeginWrite() },
+		"another component writes shares":  func(_ *controllerStub, m *Manager) { m.BeginWrite() },
 	}
 	for name, block := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -236,35 +241,37 @@
 			block(stub, m)
 			m.Adjust(0)
 			if len(stub.Commits) > 0 {
-				t.Error("a share was changed")
+				t.Errorf("got %d commits, want none", len(stub.Commits))
 			}
 		})
 	}
 }
 
-// TestShareInDoubt: after a commit without an outcome the lesser share counts, until the record is written anew.
+// TestShareInDoubt checks that after a commit with an unknown outcome the smaller share counts until the record
+// is written again. Otherwise tasks could be assigned to a share that the commit has already lowered.
 func TestShareInDoubt(t *testing.T) {
 	m, stub := newManager()
 	stub.putShares("n-0", 8)
 	stub.shortageReportedAt["tight"] = 0
-	m.Adjust(0) // lowers it to nothing
+	m.Adjust(0) // lowers the share to 0
 	stub.answer(t, protocol.Unknown)
 	if got := m.Left("tight").CPUs; got != 0 {
-		t.Errorf("%v CPUs left while the lowering is in doubt", got)
+		t.Errorf("got %v CPUs left while the lowering is in doubt, want 0", got)
 	}
 	delete(stub.shortageReportedAt, "tight")
-	m.Adjust(monotime.Second) // nothing to change, but the doubt to settle
+	m.Adjust(monotime.Second) // changes no share, but writes the record to resolve the commit in doubt
 	stub.answer(t, protocol.OK)
 	if got := m.Left("tight").CPUs; got != 8 {
-		t.Errorf("%v CPUs left once the record was written anew, want 8", got)
+		t.Errorf("got %v CPUs left after the record was written again, want 8", got)
 	}
 	m.Adjust(2 * monotime.Second)
 	if len(stub.Commits) > 0 {
-		t.Error("the record is written again")
+		t.Errorf("no commit in doubt and no share to change: got %d commits, want none", len(stub.Commits))
 	}
 }
 
-// TestTeamsLacking: a lack is reported once it has lasted, and no more once it is over.
+// TestTeamsLacking checks that a shortage is reported after shortageReportDelay, and no longer once it is
+// over.
 func TestTeamsLacking(t *testing.T) {
 	m, stub := newManager()
 	stub.putShares("n-1", 20)
@@ -283,12 +290,12 @@
 		}
 		m.Adjust(step.at)
 		if got := m.TeamsLacking(step.at); !slices.Equal(got, step.want) {
-			t.Errorf("at %v: %v, want %v", step.at, got, step.want)
+			t.Errorf("at %v: got teams %v, want %v", step.at, got, step.want)
 		}
 	}
 }
 
-// TestPeerReportExpires: a peer's report of a lack counts for three of the intervals of the peers' status.
+// TestPeerReportExpires checks that a peer's shortage report is valid for three peer status intervals.
 func TestPeerReportExpires(t *testing.T) {
 	for _, c := range []struct {
 		now     monotime.Micros
@@ -299,13 +306,14 @@
 		stub.shortageReportedAt["tight"] = 0
 		m.Adjust(c.now)
 		if lowered := len(stub.Commits) > 0; lowered != c.lowered {
-			t.Errorf("at %v: lowered %v, want %v", c.now, lowered, c.lowered)
+			t.Errorf("at %v: got lowered %v, want %v", c.now, lowered, c.lowered)
 		}
 	}
 }
 
-// TestReleaseDeparted: the record of a controller is deleted only once it has departed with all of its shards taken
-// over, by its successor, on the condition that it is still the same and no member.
+// TestReleaseDeparted checks that only the successor of a departed controller deletes its record, and only after
+// all of its shards are taken over. The deletion is conditional on the record's version and on the absence of a
+// member record.
 func TestReleaseDeparted(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -313,28 +321,38 @@
 		now     monotime.Micros
 		want    bool
 	}{
-		{"departed", func(*testing.T, *controllerStub) {}, departureGracePeriod + 1, true},
-		{"just departed", func(*testing.T, *controllerStub) {}, departureGracePeriod, false},
 		{
-			"a member",
+			"departed for longer than the grace period",
+			func(*testing.T, *controllerStub) {},
+			departureGracePeriod + 1,
+			true,
+		},
+		{
+			"departed for exactly the grace period",
+			func(*testing.T, *controllerStub) {},
+			departureGracePeriod,
+			false,
+		},
+		{
+			"still a member",
 			func(_ *testing.T, s *controllerStub) { s.members["n-2"] = true },
 			departureGracePeriod + 1,
 			false,
 		},
 		{
-			"left to its successor",
+			"another controller is the successor",
 			func(_ *testing.T, s *controllerStub) { s.successor = "n-1" },
 			departureGracePeriod + 1,
 			false,
 		},
 		{
-			"it owns a shard",
+			"still owns a shard",
 			func(t *testing.T, s *controllerStub) { s.putShard(t, "n-2", 0) },
 			departureGracePeriod + 1,
 			false,
 		},
 		{
-			"the watch is behind",
+			"watch is behind the record's version",
 			func(_ *testing.T, s *controllerStub) { s.mirror.WatchedRevision = 0 },
 			departureGracePeriod + 1,
 			false,
@@ -364,19 +382,20 @@
 				return
 			}
 			versions := comparedVersions(stub.answer(t, protocol.OK))
-			member, asked := versions[storage.MemberKey("n-2")]
-			if versions[storage.PartitionKey("n-2")] != 2 || !asked || member != 0 {
-				t.Errorf("asks for %v", versions)
+			member, compared := versions[storage.MemberKey("n-2")]
+			if versions[storage.PartitionKey("n-2")] != 2 || !compared || member != 0 {
+				t.Errorf("got compared versions %v, want 2 for the record and 0 for the member record of n-2", versions)
 			}
 			if stub.mirror.Partitions["n-2"] != nil || m.Unallocated("tight").CPUs != 20 {
-				t.Error("the shares are still there")
+				t.Errorf("got record %v and %v CPUs unallocated, want no record and 20 CPUs",
+					stub.mirror.Partitions["n-2"], m.Unallocated("tight").CPUs)
 			}
 		})
 	}
 }
 
-// TestTransfer: two transfers in one transaction change each record once, and sum up; a team without a limit
-// changes nothing.
+// TestTransfer checks that several transfers in one transaction add up and write each record once, and that
+// teams without a limit change nothing.
 func TestTransfer(t *testing.T) {
 	m, stub := newManager()
 	stub.putShares("n-2", 9)
@@ -389,14 +408,15 @@
 	}
 	m.Transfer(&txn, compared, "unknown", "n-0", map[string]resources.Vector{"tight": {CPUs: 1}})
 	if len(txn.Then) != 2 || len(txn.If) != 2 || len(compared) != 2 {
-		t.Fatalf("%d changes, asks for %v", len(txn.Then), comparedVersions(txn))
+		t.Fatalf("got %d operations, compared versions %v and compared keys %v, want 2 of each",
+			len(txn.Then), comparedVersions(txn), compared)
 	}
 	versions := comparedVersions(txn)
 	if versions[storage.PartitionKey("n-2")] != 2 || versions[storage.PartitionKey("n-0")] != 0 {
-		t.Errorf("asks for %v", versions)
+		t.Errorf("got compared versions %v, want 2 for n-2 and 0 for n-0", versions)
 	}
 	stub.mirror.ApplyCommit(&txn, stub.revision+1)
 	if from, to := m.ShareOf("n-2", "tight").CPUs, m.ShareOf("n-0", "tight").CPUs; from != 3 || to != 6 {
-		t.Errorf("shares of %v and %v CPUs, want 3 and 6", from, to)
+		t.Errorf("got shares of %v CPUs for n-2 and %v CPUs for n-0, want 3 and 6", from, to)
 	}
 }
--- a/internal/quota/quotashares/transfer.go
+++ b/internal/quota/quotashares/transfer.go
@@ -10,10 +10,13 @@
 	"pipitgap/internal/storage"
 )
 
-// ReleaseDeparted deletes the records of departed controllers whose shards have all been taken over. Their
-// shares went with the shards but for what they kept unused, which nobody else could use. The commit is
-// conditional on the record, so that a late write of the departed controller fails, and on its not being a
-// member again: one that is only cut off from its machines lowers its shares itself.
+// ReleaseDeparted deletes the records of departed controllers whose shards have all been taken over. A
+// takeover moves the used part of the shares along with the shards. The unused part stays in the record, and
+// no other controller can use it until the record is deleted.
+//
+// The commit is conditional on the record's version, so that a late write by the departed controller fails.
+// It is also conditional on the controller not being a member again, because a controller that is only cut
+// off from its machines lowers its shares itself.
 func (m *Manager) ReleaseDeparted(now monotime.Micros) {
 	if m.deps.Store.Unavailable() || m.writeInFlight || !m.deps.Membership.HoldsLease(now) {
 		return
@@ -25,8 +28,8 @@
 	}
 }
 
-// mayReleaseSharesOf reports whether it is for this controller to delete another's record, and the other has
-// departed.
+// mayReleaseSharesOf reports whether the given controller has departed and this controller, as its successor,
+// may delete its record.
 func (m *Manager) mayReleaseSharesOf(node string, now monotime.Micros) bool {
 	return node != m.cfg.Node &&
 		m.deps.Peers.SuccessorOf(node) == m.cfg.Node &&
@@ -37,7 +40,7 @@
 		!m.ownsShards(node)
 }
 
-// ownsShards reports whether the mirror shows any shard of a controller.
+// ownsShards reports whether a controller owns any shard in the mirror.
 func (m *Manager) ownsShards(node string) bool {
 	for _, shard := range m.deps.Mirror.Shards {
 		if shard.Record.Owner == node {
@@ -47,7 +50,7 @@
 	return false
 }
 
-// release deletes a departed controller's record, see ReleaseDeparted.
+// release deletes a departed controller's record under the conditions that ReleaseDeparted describes.
 func (m *Manager) release(node string) {
 	key := storage.PartitionKey(node)
 	m.releasesInFlight[node] = true
@@ -67,9 +70,9 @@
 	})
 }
 
-// Transfer has the shares of the teams' limits follow tasks that go over from one controller's shards into
-// another's: it adds the change of both controllers' records to the transaction. comparedKeys has the keys
-// that the transaction already compares, and gets those that are added. Several transfers may go into one
+// Transfer moves shares of the teams' limits along with tasks that move from one controller's shards to
+// another's. It adds the writes of both controllers' records to txn. comparedKeys holds the keys that txn
+// already compares; Transfer adds the keys that it compares. It may be called several times for the same
 // transaction.
 func (m *Manager) Transfer(
 	txn *protocol.Transaction,
@@ -78,7 +81,7 @@
 	useByTeam map[string]resources.Vector,
 ) {
 	if m.deps.Mirror.Partitions[from] == nil {
-		return // it never had any: none of its teams has a limit
+		return // the controller has never had a share, because none of its teams has a limit
 	}
 	source, target := m.pendingRecord(txn, from), m.pendingRecord(txn, to)
 	limited := func(team string) bool {
@@ -93,14 +96,15 @@
 	}
 }
 
-// pendingRecord is a controller's record as a transaction in the making leaves it.
+// pendingRecord is a controller's record with the changes of a transaction that isn't committed yet.
 type pendingRecord struct {
 	key       string
 	record    storage.Partition
-	operation int // the transaction's operation that writes it, -1 if none does
+	operation int // index of the operation in the transaction that writes the record, -1 if there is none
 }
 
-// pendingRecord returns a controller's record as a transaction leaves it, or as the mirror has it.
+// pendingRecord returns a controller's record as txn writes it, or the mirror's record if txn doesn't write
+// one.
 func (m *Manager) pendingRecord(txn *protocol.Transaction, node string) pendingRecord {
 	pending := pendingRecord{
 		key:       storage.PartitionKey(node),
@@ -123,7 +127,7 @@
 	return pending
 }
 
-// putRecord has a transaction write a record, on the condition of its version in the mirror.
+// putRecord adds the write of a record to txn, conditional on the record's version in the mirror.
 func (m *Manager) putRecord(txn *protocol.Transaction, comparedKeys map[string]bool, pending pendingRecord) {
 	operation := protocol.Op{Put: pending.key, Value: protocol.MustMarshal(&pending.record)}
 	if pending.operation >= 0 {
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -8,24 +8,27 @@
 	"pipitgap/internal/storage"
 )
 
-// Bounds of how shares of the teams' limits change.
+// Thresholds for changing the shares of a team's limit.
 const (
-	// unusedFraction is the part of a team's limit that all controllers together keep beyond what they use:
-	// use goes up and down, and each change of a share is a write.
+	// unusedFraction is the fraction of a team's limit that all controllers together may keep in their shares
+	// in addition to what they use. Usage fluctuates, and each change of a share costs a write.
 	unusedFraction = 0.2
-	// lowUnallocatedFraction is the unallocated part of a limit below which unused shares are lowered.
+	// lowUnallocatedFraction is the unallocated fraction of a limit at or below which controllers lower
+	// shares that they don't fully use.
 	lowUnallocatedFraction = 0.15
 )
 
-// UnmetDemand is tasks of one job that a controller's share keeps waiting.
+// UnmetDemand describes the tasks of one job that wait because too little of the controller's share of the
+// team's limit is left.
 type UnmetDemand struct {
-	TaskResources  resources.Vector // of each task
-	Tasks          int              // that wait
-	ShareLeft      resources.Vector // what is left of the controller's share
-	HasMachineRoom bool             // a machine has room for one of them
+	TaskResources  resources.Vector // resources of each task
+	Tasks          int              // number of waiting tasks
+	ShareLeft      resources.Vector // unused part of the controller's share
+	HasMachineRoom bool             // whether some machine has room for one of the tasks
 }
 
-// shortfallPerTask is what the share lacks for a single task.
+// shortfallPerTask returns the resources that a single task needs in addition to the unused part of the
+// share.
 func (u UnmetDemand) shortfallPerTask() resources.Vector {
 	shortfall := resources.Vector{}
 	if !math.IsInf(u.ShareLeft.CPUs, 1) {
@@ -39,12 +42,13 @@
 
 // Shortage is what a controller's share of a team's limit lacked since the share was last adjusted.
 type Shortage struct {
-	PerTask        resources.Vector // for the task that lacks least
+	PerTask        resources.Vector // smallest shortfall of any single task
 	Total          resources.Vector // for all tasks
-	HasMachineRoom bool             // a machine has room for one of them
+	HasMachineRoom bool             // whether some machine has room for one of the tasks
 }
 
-// AddDemand returns the shortage with another job's tasks; before is nil if there was none.
+// AddDemand returns a copy of the previous shortage with another job's tasks added. previous is nil if there
+// was no shortage.
 func AddDemand(previous *Shortage, demand UnmetDemand) *Shortage {
 	shortfall := demand.shortfallPerTask()
 	if previous == nil {
@@ -59,37 +63,40 @@
 	return &updated
 }
 
-// ShareInputs is all that the decision about a controller's share of one team's limit depends on.
+// ShareInputs holds everything that DecideShare needs to know about a controller's share of one team's limit.
 type ShareInputs struct {
 	Limits             Limits
 	Current            storage.QuotaShare
-	Use                resources.Vector // what the controller's shards take, at most
-	Unallocated        resources.Vector // what no controller has of the limit
-	Shortage           *Shortage        // nil: the share keeps nothing waiting
-	ReportedByPeer     bool             // another controller reported lately that it lacks some of the limit
-	WorkersUnreachable bool             // nothing can start at this controller
-	Controllers        int              // live controllers that divide the limit, at least 1
+	Use                resources.Vector // upper bound on the resources used by tasks in the controller's shards
+	Unallocated        resources.Vector // part of the limit that is in no controller's share
+	Shortage           *Shortage        // nil if no task waits for the share to grow
+	ReportedByPeer     bool             // whether another controller recently reported a shortage of this limit
+	WorkersUnreachable bool             // whether this controller can't reach its workers and so can't start tasks
+	Controllers        int              // number of live controllers that divide the limit, at least 1
 }
 
-// ShareDecision is what a share should become.
+// ShareDecision is the result of DecideShare.
 type ShareDecision struct {
-	Share storage.QuotaShare
-	// ShortOfQuota: what is unallocated isn't enough for a single task that has room on a machine here.
+	Share storage.QuotaShare // the new share
+	// ShortOfQuota is true if the unallocated part of the limit is too small for even one waiting task
+	// although a machine of this controller has room for that task.
 	ShortOfQuota bool
 }
 
-// DecideShare decides what a controller's share of a team's limit should become.
+// DecideShare returns the new share that a controller should have of a team's limit.
 func DecideShare(in ShareInputs) ShareDecision {
 	shortage := in.Shortage
 	switch {
 	case shortage != nil && in.unallocatedIsBelow(shortage.PerTask):
-		// Not enough for a single task here, and what is left over here may be what another controller
-		// lacks: several such rests add up to a task.
+		// The unallocated part of the limit is too small for a single task of this controller. The unused
+		// part of its share may still help another controller: the unused parts of several shares can add up
+		// to enough for a task.
 		return ShareDecision{Share: in.loweredShare(resources.Vector{}), ShortOfQuota: shortage.HasMachineRoom}
 	case in.WorkersUnreachable:
 		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
 	case in.ReportedByPeer && (shortage == nil || !shortage.HasMachineRoom):
-		// Another controller could start tasks at once; here they would wait for machines.
+		// The other controller can start tasks immediately. Tasks of this controller would have to wait for a
+		// machine.
 		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
 	case shortage != nil:
 		return ShareDecision{Share: in.raisedShare()}
@@ -101,20 +108,22 @@
 	return ShareDecision{Share: in.loweredShare(margin)}
 }
 
-// unallocatedIsBelow reports whether less of the limit is unallocated than is needed.
+// unallocatedIsBelow reports whether the unallocated part of the limit is less than need, in any resource.
 func (in *ShareInputs) unallocatedIsBelow(need resources.Vector) bool {
 	return in.Unallocated.CPUs+resources.Tolerance < need.CPUs ||
 		in.Unallocated.GPUs+resources.Tolerance < need.GPUs
 }
 
-// unallocatedSuffices reports whether so much is unallocated that shares needn't be lowered.
+// unallocatedSuffices reports whether the unallocated part of the limit is large enough that controllers
+// needn't lower their shares.
 func (in *ShareInputs) unallocatedSuffices() bool {
 	return in.Unallocated.CPUs > lowUnallocatedFraction*in.Limits.MaxCPUs &&
 		(in.Limits.MaxGPUs == 0 || in.Unallocated.GPUs > lowUnallocatedFraction*in.Limits.MaxGPUs)
 }
 
-// raised takes what is lacking, and half of an even part of what is left then: a raise costs a write, and
-// what one controller has no other can use.
+// raisedShare adds the shortage to the share, up to the unallocated part of the limit. It also adds half of
+// this controller's even part of what then remains unallocated. The extra amount makes raises less frequent,
+// since each costs a write. It is small because other controllers can't use what this controller holds.
 func (in *ShareInputs) raisedShare() storage.QuotaShare {
 	fraction := 1 / (2 * float64(in.Controllers))
 	growTo := func(current, shortfall, unallocated float64) float64 {
@@ -136,8 +145,9 @@
 	return share
 }
 
-// lowered returns the share without what lies more than twice a margin above what is used, down to the
-// margin: within it the share stays, or each small change of use would cost a write.
+// loweredShare lowers the share to the usage plus margin if the share exceeds the usage by more than twice
+// the margin in any resource. Otherwise it returns the share unchanged. Without this hysteresis, each small
+// change of usage would cost a write.
 func (in *ShareInputs) loweredShare(margin resources.Vector) storage.QuotaShare {
 	current := in.Current
 	lowered := storage.QuotaShare{
@@ -151,13 +161,14 @@
 	return current
 }
 
-// Raises reports whether a share grows, in any resource, from before to after.
+// Raises reports whether after exceeds before in any resource.
 func Raises(before, after storage.QuotaShare) bool {
 	return after.CPUs > before.CPUs+resources.Tolerance || after.GPUs > before.GPUs+resources.Tolerance
 }
 
-// MoveShares has shares follow tasks that go over from one controller's shards into another's: it moves what the
-// tasks take from the one record to the other. It reports whether a team with a limit was among them.
+// MoveShares moves quota shares from one controller's record to another's when tasks move between their
+// shards. It moves the amount that the tasks use, for each team with a limit, and reports whether there is
+// such a team.
 func MoveShares(
 	from, to *storage.Partition,
 	useByTeam map[string]resources.Vector,
--- a/internal/quota/share_test.go
+++ b/internal/quota/share_test.go
@@ -10,13 +10,14 @@
 
 func cpus(amount float64) resources.Vector { return resources.Vector{CPUs: amount} }
 
-// sharesEqual tells whether two shares are the same but for the rounding of amounts.
+// sharesEqual reports whether two shares are equal within the rounding tolerance.
 func sharesEqual(a, b storage.QuotaShare) bool {
 	within := func(x, y float64) bool { return x-y < resources.Tolerance && y-x < resources.Tolerance }
 	return within(a.CPUs, b.CPUs) && within(a.GPUs, b.GPUs)
 }
 
-// TestDecideShare: a share of a limit of 100 CPUs, of which this controller has 20 and uses 10, one of five.
+// TestDecideShare checks the new share of one of five controllers. The team's limit is 100 CPUs; the
+// controller's current share is 20 CPUs, of which it uses 10.
 func TestDecideShare(t *testing.T) {
 	shortage := func(perTask, total float64, room bool) *Shortage {
 		return &Shortage{PerTask: cpus(perTask), Total: cpus(total), HasMachineRoom: room}
@@ -30,10 +31,13 @@
 		want        float64
 		lacking     bool
 	}{
-		{"nothing is short, much is unallocated", 16, nil, false, false, 20, false},
-		{"nothing is short, little is unallocated: down to use and margin", 15, nil, false, false, 14, false},
+		{"no shortage, much is unallocated: share is unchanged", 16, nil, false, false, 20, false},
 		{
-			"a shortage takes it all, and a tenth of what is left then",
+			"no shortage, little is unallocated: share is lowered to usage plus margin",
+			15, nil, false, false, 14, false,
+		},
+		{
+			"shortage: share grows by the whole shortage plus a tenth of the remaining unallocated CPUs",
 			30,
 			shortage(1, 10, true),
 			false,
@@ -41,10 +45,13 @@
 			32,
 			false,
 		},
-		{"a shortage takes no more than there is", 4, shortage(1, 10, true), false, false, 24, false},
-		{"a shortage without room on machines", 30, shortage(1, 10, false), false, false, 32, false},
 		{
-			"not enough for a task: what isn't used is given up",
+			"shortage larger than the unallocated CPUs: share grows by all of them",
+			4, shortage(1, 10, true), false, false, 24, false,
+		},
+		{"shortage without room on machines", 30, shortage(1, 10, false), false, false, 32, false},
+		{
+			"unallocated CPUs too few for one task: share is lowered to usage",
 			3,
 			shortage(4, 10, true),
 			false,
@@ -52,14 +59,23 @@
 			10,
 			true,
 		},
-		{"not enough for a task, nor room on a machine", 3, shortage(4, 10, false), false, false, 10, false},
-		{"just enough for a task", 4, shortage(4, 4, true), false, false, 24, false},
-		{"a peer lacks some: what isn't used is given up", 16, nil, true, false, 10, false},
-		{"a peer lacks some, and this one has no room", 30, shortage(1, 10, false), true, false, 10, false},
-		{"a peer lacks some, and this one has room", 30, shortage(1, 10, true), true, false, 32, false},
-		{"its workers are unreachable", 30, shortage(1, 10, true), false, true, 10, false},
 		{
-			"its workers are unreachable and too little is left",
+			"unallocated CPUs too few for one task, no room on machines",
+			3, shortage(4, 10, false), false, false, 10, false,
+		},
+		{"unallocated CPUs exactly enough for one task", 4, shortage(4, 4, true), false, false, 24, false},
+		{"a peer reports a shortage: share is lowered to usage", 16, nil, true, false, 10, false},
+		{
+			"a peer reports a shortage, this controller has one without room on machines",
+			30, shortage(1, 10, false), true, false, 10, false,
+		},
+		{
+			"a peer reports a shortage, this controller has one with room on machines",
+			30, shortage(1, 10, true), true, false, 32, false,
+		},
+		{"workers are unreachable", 30, shortage(1, 10, true), false, true, 10, false},
+		{
+			"workers are unreachable, unallocated CPUs too few for one task",
 			3,
 			shortage(4, 10, true),
 			false,
@@ -82,24 +98,26 @@
 			})
 			if want := (storage.QuotaShare{CPUs: c.want}); !sharesEqual(got.Share, want) ||
 				got.ShortOfQuota != c.lacking {
-				t.Errorf("got %+v, want %v CPUs, lacking %v", got, c.want, c.lacking)
+				t.Errorf("got %+v, want %v CPUs and ShortOfQuota %v", got, c.want, c.lacking)
 			}
 		})
 	}
 }
 
-// TestDecideShareKeepsSmallSurplus: a share within twice the margin of what is used stays as it is.
+// TestDecideShareKeepsSmallSurplus checks that a share is lowered only if it exceeds the usage by more than
+// twice the margin.
 func TestDecideShareKeepsSmallSurplus(t *testing.T) {
-	in := ShareInputs{Limits: Limits{MaxCPUs: 100}, Use: cpus(10), Controllers: 5} // a margin of 4 CPUs
+	in := ShareInputs{Limits: Limits{MaxCPUs: 100}, Use: cpus(10), Controllers: 5} // the margin is 4 CPUs
 	for _, c := range []struct{ current, want float64 }{{10, 10}, {14, 14}, {18, 18}, {18.1, 14}, {4, 4}} {
 		in.Current = storage.QuotaShare{CPUs: c.current}
 		if got := DecideShare(in).Share; !sharesEqual(got, storage.QuotaShare{CPUs: c.want}) {
-			t.Errorf("of %v CPUs it keeps %v, want %v", c.current, got.CPUs, c.want)
+			t.Errorf("current share of %v CPUs: got new share of %v CPUs, want %v", c.current, got.CPUs, c.want)
 		}
 	}
 }
 
-// TestDecideShareTreatsResourcesSeparately: each resource with a limit is raised for itself, one without a limit never.
+// TestDecideShareTreatsResourcesSeparately checks that a share grows in each limited resource independently
+// and never in a resource without a limit.
 func TestDecideShareTreatsResourcesSeparately(t *testing.T) {
 	got := DecideShare(ShareInputs{
 		Limits:      Limits{MaxGPUs: 8},
@@ -112,7 +130,8 @@
 	}
 }
 
-// TestAddDemand: a shortage sums what is lacking, and keeps the least that helps a task.
+// TestAddDemand checks that AddDemand sums the demand of all tasks, keeps the smallest shortfall of a single
+// task and doesn't modify the previous shortage.
 func TestAddDemand(t *testing.T) {
 	left := Limits{MaxCPUs: 1}.Remaining(cpus(0)) // one CPU, any number of GPUs
 	var shortage *Shortage
@@ -132,12 +151,13 @@
 			t.Errorf("step %d: got %+v, want %+v", i, *shortage, step.want)
 		}
 		if before == shortage {
-			t.Errorf("step %d: the shortage before is changed", i)
+			t.Errorf("step %d: AddDemand returned the previous shortage, want a copy", i)
 		}
 	}
 }
 
-// TestMoveShares: shares of teams with a limit follow what is used, none below zero; others stay.
+// TestMoveShares checks that the shares of limited teams move by what the tasks use, that no share becomes
+// negative, and that the shares of teams without a limit don't change.
 func TestMoveShares(t *testing.T) {
 	from := storage.Partition{
 		QuotaShares: map[string]storage.QuotaShare{"a": {CPUs: 10, GPUs: 1}, "b": {CPUs: 2}},
@@ -146,39 +166,40 @@
 	limited := func(team string) bool { return team != "free" }
 	use := map[string]resources.Vector{"a": {CPUs: 4, GPUs: 1}, "b": {CPUs: 3}, "free": {CPUs: 5}}
 	if !MoveShares(&from, &to, use, limited) {
-		t.Fatal("nothing was moved")
+		t.Fatal("MoveShares returned false for limited teams, want true")
 	}
 	for team, want := range map[string][2]storage.QuotaShare{
 		"a": {{CPUs: 6}, {CPUs: 7, GPUs: 1}}, "b": {{}, {CPUs: 3}}, "free": {{}, {}},
 	} {
 		if got := [2]storage.QuotaShare{from.QuotaShares[team], to.QuotaShares[team]}; got != want {
-			t.Errorf("%s: got %+v, want %+v", team, got, want)
+			t.Errorf("team %s: got shares %+v, want %+v", team, got, want)
 		}
 	}
 	if MoveShares(&from, &to, map[string]resources.Vector{"free": {CPUs: 5}}, limited) {
-		t.Error("a team without a limit was moved")
+		t.Error("MoveShares returned true for a team without a limit, want false")
 	}
 }
 
-// TestLimits: limits at their bound, guarantees, and teams that aren't configured.
+// TestLimits covers amounts at and just above limits and guarantees, a team without limits and a team that
+// isn't configured.
 func TestLimits(t *testing.T) {
 	teams := []config.Team{{Name: "a", CPUs: 4, CPUsMax: 8, GPUs: 1, GPUsMax: 2}, {Name: "free"}}
 	limits, ok := LimitsOf(teams, "a")
 	if want := (Limits{GuaranteedCPUs: 4, MaxCPUs: 8, GuaranteedGPUs: 1, MaxGPUs: 2}); !ok || limits != want {
-		t.Fatalf("got %+v, %v", limits, ok)
+		t.Fatalf("team a: got limits %+v, found %v, want %+v, found true", limits, ok, want)
 	}
 	free, ok := LimitsOf(teams, "free")
 	if !ok || free.Limited() || free.Guaranteed() {
-		t.Errorf("free: got %+v, %v", free, ok)
+		t.Errorf("team free: got limits %+v, found %v, want no limits or guarantees, found true", free, ok)
 	}
 	if _, ok := LimitsOf(teams, "unknown"); ok {
-		t.Error("a team that isn't configured has limits")
+		t.Error("LimitsOf found a team that isn't configured")
 	}
 	if left := free.Remaining(cpus(100)); left != Unlimited() {
-		t.Errorf("a team without a limit has %+v left", left)
+		t.Errorf("team without limits: got %+v remaining, want an unlimited amount", left)
 	}
 	if left := limits.Remaining(resources.Vector{CPUs: 9, GPUs: 2}); left.CPUs != -1 || left.GPUs != 0 {
-		t.Errorf("got %+v left", left)
+		t.Errorf("team a: got %+v remaining, want -1 CPUs and 0 GPUs", left)
 	}
 	for _, c := range []struct {
 		cpus, gpus         float64
@@ -188,13 +209,13 @@
 		{8.1, 2, false, false}, {8, 2.1, false, false},
 	} {
 		if got := limits.Permits(c.cpus, c.gpus); got != c.permitted {
-			t.Errorf("%v CPUs, %v GPUs: permitted %v", c.cpus, c.gpus, got)
+			t.Errorf("%v CPUs, %v GPUs: got permitted %v, want %v", c.cpus, c.gpus, got, c.permitted)
 		}
 		if got := limits.GuaranteeCovers(resources.Vector{CPUs: c.cpus, GPUs: c.gpus}); got != c.covered {
-			t.Errorf("%v CPUs, %v GPUs: covered %v", c.cpus, c.gpus, got)
+			t.Errorf("%v CPUs, %v GPUs: got covered %v, want %v", c.cpus, c.gpus, got, c.covered)
 		}
 		if !free.Permits(c.cpus, c.gpus) {
-			t.Errorf("%v CPUs, %v GPUs: not permitted without a limit", c.cpus, c.gpus)
+			t.Errorf("%v CPUs, %v GPUs: team without limits: got permitted false, want true", c.cpus, c.gpus)
 		}
 	}
 }
