--- a/internal/scheduling/doc.go
+++ b/internal/scheduling/doc.go
@@ -1,8 +1,8 @@
-// Package scheduling decides which jobs go first, which machines their tasks may use and which running tasks
-// are preempted for them.
+// Package scheduling orders the queue of waiting jobs, chooses machines for their tasks and selects running
+// tasks to preempt for them.
 //
-// It holds no clock, makes no calls and knows neither the mirror nor the actor: the caller passes instants
-// and a snapshot of what decides, and carries out what it gets back. Types with state of their own
-// (RuntimeEstimates, JobFailures, StartProgress) are written by their methods only and aren't safe for
-// concurrent use.
+// The package reads no clock, performs no I/O and doesn't depend on the mirror or the actor. The caller
+// passes the current time and a snapshot of the relevant state, and carries out the returned decisions. The
+// state of RuntimeEstimates, JobFailures and StartProgress is modified by their methods only. These types
+// aren't safe for concurrent use.
 package scheduling
--- a/internal/scheduling/failure_attribution.go
+++ b/internal/scheduling/failure_attribution.go
@@ -4,43 +4,46 @@
 	"pipitgap/internal/monotime"
 )
 
-// A task that fails speaks against its machine or against its job. Judging by the machine alone, a few faulty
-// jobs would cost many good machines; judging by the job alone, a machine on which everything fails would go
-// on taking tasks. So both sides count: on which other machines the job has failed, whether any of its tasks
-// ever completed, and whose tasks failed on the machine.
+// A failed task is evidence against its machine or its job. If only machines were blamed, a few faulty jobs
+// would cause the removal of many good machines. If only jobs were blamed, a machine on which everything
+// fails would keep getting tasks. Attribution therefore considers both: on which other machines the job has
+// failed, whether any of the job's tasks has completed, and which jobs' tasks have failed on the machine.
 
 const (
-	// jobFaultMinMachines is on how many machines a job fails, nothing completed, until the fault is its own.
+	// jobFaultMinMachines is the number of machines on which a job without completed tasks must fail before
+	// its failures are attributed to the job.
 	jobFaultMinMachines = 3
-	// machineFaultMinFailures is how many failures, since something last completed there, make a machine faulty.
+	// machineFaultMinFailures is the number of failures since a task last completed on a machine that make
+	// the machine faulty.
 	machineFaultMinFailures = 2
-	// healthyReplicaDelay is how long after its last failure a running service counts as free of faults.
+	// healthyReplicaDelay is how long after its last failure a running service is considered free of faults.
 	healthyReplicaDelay = 10 * monotime.Second
 )
 
-// Attribution says whose fault a job's failures are.
+// Attribution is the cause to which a job's failures are attributed.
 type Attribution uint8
 
 // The attributions of a job's failures.
 const (
 	FaultUnknown   Attribution = iota
-	MachineAtFault             // some of the job's tasks have completed: its failures are the machines'
-	JobAtFault                 // its failures are its own, or no longer say anything
+	MachineAtFault             // some of the job's tasks have completed, so the machines cause its failures
+	JobAtFault                 // the job causes its failures, or they are no longer evidence against machines
 )
 
-// JobEvidence is what the records tell of a job that has failed.
+// JobEvidence holds the records about a job that has failed.
 type JobEvidence struct {
 	Open          bool
 	Service       bool
 	DoneTasks     int
 	AssignedTasks int
-	// Whether this controller has seen it fail, and how long ago it last did.
+	// Whether this controller has seen the job fail, and the time since the last failure.
 	SeenFailing      bool
 	SinceLastFailure monotime.Micros
 }
 
-// AttributeByProgress judges by whether any of the job's tasks completed; FaultUnknown where that isn't known
-// yet.
+// AttributeByProgress attributes a job's failures by whether any of its tasks has completed or, for a
+// service, has run without failure for longer than healthyReplicaDelay. It returns FaultUnknown for an open
+// job without such progress, and JobAtFault for a job that is no longer open.
 func AttributeByProgress(job JobEvidence) Attribution {
 	switch {
 	case !job.Open:
@@ -54,8 +57,8 @@
 	return FaultUnknown
 }
 
-// AttributeByMachines judges a job, nothing of which has completed, by the number of machines it has failed
-// on.
+// AttributeByMachines attributes the failures of a job without completed tasks by the number of machines that
+// it has failed on.
 func AttributeByMachines(failedMachines int) Attribution {
 	if failedMachines >= jobFaultMinMachines {
 		return JobAtFault
@@ -63,19 +66,19 @@
 	return FaultUnknown
 }
 
-// MachineEvidence is what is known of a machine's failures since something last completed there.
+// MachineEvidence holds the failures on a machine since a task last completed there.
 type MachineEvidence struct {
 	FailuresByJob map[string]int
-	Slow          bool // its tasks take far longer than expected, again and again
+	Slow          bool // tasks on the machine repeatedly take far longer than expected
 }
 
-// MachineFault is the judgement on a machine.
+// MachineFault is the result of AttributeToMachine.
 type MachineFault struct {
-	Faulty   bool // jobs that run elsewhere fail on it, or it is far too slow
-	Doubtful bool // it may be faulty: it gets no more tasks until that is known
+	Faulty   bool // jobs that run elsewhere fail on the machine, or it is far too slow
+	Doubtful bool // the machine may be faulty and gets no more tasks until this is known
 }
 
-// AttributeToMachine judges a machine by whose fault each job's failures are.
+// AttributeToMachine decides whether a machine is faulty from the attribution of each job's failures.
 func AttributeToMachine(machine MachineEvidence, attribution func(job string) Attribution) MachineFault {
 	if machine.Slow {
 		return MachineFault{Faulty: true, Doubtful: true}
--- a/internal/scheduling/job_failures.go
+++ b/internal/scheduling/job_failures.go
@@ -2,21 +2,23 @@
 
 import "pipitgap/internal/monotime"
 
-// Backoff bounds the pauses between the trials of a job in a crash loop.
+// Backoff holds the first and the longest delay between trials of a crash-looping job. Each delay is twice
+// the previous one (exponential backoff).
 type Backoff struct{ First, Max monotime.Micros }
 
-// JobFailures is what one controller has seen of a job's failures, and when the job is tried again. The zero
-// value has seen none; reading a nil one is allowed.
+// JobFailures records the failures of a job that one controller has seen, and when the job may be tried
+// again. The zero value has no failures. The read methods FailedMachines, LastFailureAt, Excludes and
+// ExcludesAny accept a nil receiver.
 type JobFailures struct {
-	failedMachines   int             // machines it has failed on, with nothing completed since
-	excludedMachines map[string]bool // machines it isn't tried on again
+	failedMachines   int             // machines that the job has failed on since a task last completed
+	excludedMachines map[string]bool // machines that the job isn't placed on again
 	lastFailureAt    monotime.Micros
 	nextTrialAt      monotime.Micros
-	backoffDelay     monotime.Micros // the pause before the next trial; 0: not backed off
-	trialDemandAt    monotime.Micros // when a machine was last wanted for a trial; 0: never
+	backoffDelay     monotime.Micros // delay before the next trial; 0 without backoff
+	trialDemandAt    monotime.Micros // when a machine was last requested for a trial; 0 if never
 }
 
-// FailedMachines counts the machines that the job has failed on with nothing completed since.
+// FailedMachines returns the number of machines that the job has failed on since a task of it last completed.
 func (f *JobFailures) FailedMachines() int {
 	if f == nil {
 		return 0
@@ -24,7 +26,7 @@
 	return f.failedMachines
 }
 
-// LastFailureAt is when a task of the job last failed; 0: never.
+// LastFailureAt returns when a task of the job last failed, or 0 if none has.
 func (f *JobFailures) LastFailureAt() monotime.Micros {
 	if f == nil {
 		return 0
@@ -32,13 +34,13 @@
 	return f.lastFailureAt
 }
 
-// Excludes reports whether the job isn't tried on a machine again.
+// Excludes reports whether the job must not be placed on a machine again.
 func (f *JobFailures) Excludes(machine string) bool { return f != nil && f.excludedMachines[machine] }
 
-// ExcludesAny reports whether there is such a machine.
+// ExcludesAny reports whether any machine is excluded for the job.
 func (f *JobFailures) ExcludesAny() bool { return f != nil && len(f.excludedMachines) > 0 }
 
-// Record notes that a task of the job has failed on a machine.
+// Record records that a task of the job has failed on a machine.
 func (f *JobFailures) Record(machine string, now monotime.Micros) {
 	f.lastFailureAt = now
 	if f.excludedMachines[machine] {
@@ -51,14 +53,14 @@
 	f.failedMachines++
 }
 
-// RecordCompletion forgets the failures: a task of the job has completed.
+// RecordCompletion records that a task of the job has completed. It clears the failures and the backoff.
 func (f *JobFailures) RecordCompletion() {
 	f.failedMachines = 0
 	f.endBackoff()
 	clear(f.excludedMachines)
 }
 
-// Withdraw takes back what the failures on a machine have said of the job: the machine is faulty.
+// Withdraw removes the failures on a machine that turned out to be faulty, and ends the backoff.
 func (f *JobFailures) Withdraw(machine string) {
 	if !f.excludedMachines[machine] {
 		return
@@ -68,11 +70,11 @@
 	f.endBackoff()
 }
 
-// endBackoff lets the job be tried at once, and its next pause be the first again.
+// endBackoff allows an immediate trial. The next delay is again the first one.
 func (f *JobFailures) endBackoff() { f.nextTrialAt, f.backoffDelay = 0, 0 }
 
-// BackOff puts off the next trial of a job in a crash loop, longer each time; it changes nothing while a
-// pause lasts.
+// BackOff delays the next trial of a crash-looping job with exponential backoff. It does nothing while the
+// current delay lasts.
 func (f *JobFailures) BackOff(now monotime.Micros, limits Backoff) {
 	if now < f.nextTrialAt {
 		return
@@ -85,8 +87,9 @@
 	f.nextTrialAt = now + f.backoffDelay
 }
 
-// Trials returns how many tasks of a job in a crash loop may be placed now: one at a time, the next after a
-// pause that grows. A job that other controllers found to be one begins with the first pause.
+// Trials returns how many tasks of a crash-looping job may be placed now: 1 if no task is assigned and the
+// delay is over, otherwise 0. If other controllers found the job to be crash-looping, it starts with the
+// first delay, which then grows as described at BackOff.
 func (f *JobFailures) Trials(assignedTasks int, now monotime.Micros, limits Backoff) int {
 	if f.backoffDelay == 0 {
 		f.BackOff(now, limits)
@@ -95,17 +98,17 @@
 		return 0
 	}
 	if f.backoffDelay >= limits.Max {
-		clear(f.excludedMachines) // at the longest pause every machine is tried again
+		clear(f.excludedMachines) // at the longest delay, all machines may be tried again
 	}
 	return 1
 }
 
-// MayScaleOutForTrial reports whether a machine may be requested for a trial, if there is no room at all:
-// once in the longest pause. The machines may be at fault after all, and where nothing else keeps any the job
-// would wait for ever.
+// MayScaleOutForTrial reports whether a machine may be requested for a trial if no machine has room. It
+// allows one request per longest delay. The failures may be the machines' fault after all, and if no other
+// job keeps any machine running, the job would otherwise wait forever.
 func (f *JobFailures) MayScaleOutForTrial(assignedTasks int, now monotime.Micros, limits Backoff) bool {
 	return assignedTasks == 0 && (f.trialDemandAt == 0 || now-f.trialDemandAt >= limits.Max)
 }
 
-// RecordTrialDemand notes that a machine is wanted for a trial.
+// RecordTrialDemand records that a machine is requested for a trial.
 func (f *JobFailures) RecordTrialDemand(now monotime.Micros) { f.trialDemandAt = max(now, 1) }
--- a/internal/scheduling/job_rules.go
+++ b/internal/scheduling/job_rules.go
@@ -8,33 +8,34 @@
 	"pipitgap/internal/storage"
 )
 
-// MachineAllowed reports whether a job's tasks may run on a machine, whatever room it has.
+// MachineAllowed reports whether a job's tasks may run on a machine, regardless of the room on it.
 func MachineAllowed(spec *storage.JobSpec, machine *storage.ShardMachine) bool {
 	return spec.AllowsMachine(machine.Type, machine.Zone) && (spec.Spot || !machine.Spot)
 }
 
-// MayBeScavenger reports whether a job is of the scavenger class by its submission alone: an array of the
-// lowest priority, without a deadline, that may use spot machines. It is one if, further, its team has no
-// guarantee and its class no objective.
+// MayBeScavenger reports whether a job's specification meets the requirements of the scavenger class: an
+// array of the lowest priority, without a deadline, that may use spot machines. The job is in the scavenger
+// class if, in addition, its team has no guarantee and its class has no objective.
 func MayBeScavenger(spec *storage.JobSpec) bool {
 	return !spec.Service && spec.Spot && spec.Priority == int(protocol.BestEffort) && spec.DeadlineS <= 0
 }
 
-// MayBePreemptible reports whether a job's tasks may be stopped for arrays of higher priority as far as its
-// submission decides: an array that saves its work. It is if, further, nothing bounds when it is to start and
-// its team uses more than its guarantee.
+// MayBePreemptible reports whether a job's specification allows the preemption of its tasks for arrays of
+// higher priority: the job is an array that saves checkpoints. The job is preemptible if, in addition, no
+// objective or deadline bounds when it starts and its team uses more than its guarantee.
 func MayBePreemptible(spec *storage.JobSpec) bool { return !spec.Service && spec.CheckpointS > 0 }
 
-// TaskShape is what decides on which machines a task may run and whether it fits there; with a team, also
-// within which team's limit. Of thousands of waiting tasks most have a shape in common, and each pass looks
-// at all machines once for all of these.
+// TaskShape holds the properties that determine which machines a task may run on and whether it fits there.
+// If team is set, it also identifies the limit that applies. Most of the thousands of waiting tasks share a
+// shape with others, so a pass examines all machines only once per shape.
 type TaskShape struct {
 	need                     resources.Vector
 	spot                     bool
 	zone, allowedTypes, team string
 }
 
-// ShapeOf returns the shape of a job's tasks, each of which needs so much; a team of "" leaves limits out.
+// ShapeOf returns the shape of a job's tasks. need is the resources of each task. An empty team ignores
+// limits.
 func ShapeOf(spec *storage.JobSpec, need resources.Vector, team string) TaskShape {
 	types := ""
 	if spec.MachineTypes != nil {
--- a/internal/scheduling/machine_choice.go
+++ b/internal/scheduling/machine_choice.go
@@ -5,87 +5,90 @@
 	"pipitgap/internal/storage"
 )
 
-// MaxTasksPerMachine is how many tasks a machine takes: as many as a report of 64 KiB can name.
+// MaxTasksPerMachine is the maximum number of tasks on a machine: as many as a report of 64 KiB can name.
 const MaxTasksPerMachine = 300
 
-// Scores of a candidate, in CPUs left free: the lowest is best, so that the tightest fit wins among equals.
+// Parts of a candidate's score. The unit is free CPUs and the lowest score is best, so the tightest fit (best
+// fit) wins among otherwise equal candidates.
 const (
-	// LessPreferredPenalty is added for a closing machine, and tenfold for an ordinary one to a task that may
-	// use spot machines: more than anything else that is weighed.
+	// LessPreferredPenalty is added for a closing machine. For a task that may use spot machines, ten times
+	// this penalty is added for an ordinary machine without services. Both outweigh every other part of a
+	// score.
 	LessPreferredPenalty  = 1e5
 	ordinaryMachineFactor = 10
-	// spotInsteadOfServicesPenalty is what a tight fit or an image at hand must be worth for a task to go to a
-	// spot machine rather than beside services. An ordinary machine with services stays in any case: filling
-	// it first leaves spot machines to empty.
+	// spotInsteadOfServicesPenalty is added for a spot machine. A task goes to a spot machine instead of an
+	// ordinary machine with services only if a tighter fit or a cached image outweighs this penalty. The
+	// ordinary machine stays in any case, and filling it first lets spot machines become empty.
 	spotInsteadOfServicesPenalty = 50
 	// serviceImageFetchPenalty is added where a service's image is missing: it counts as started only once
 	// the image is there, and it stays, so it pays to wait for nothing else.
 	serviceImageFetchPenalty = 1000
 	imageFetchPenaltyPerGB   = 4
-	// servicePackingWeight is how much a CPU of services draws services to their machine, up to the target,
-	// and keeps them off beyond it.
+	// servicePackingWeight is the score change for a service per CPU that services already hold on a machine:
+	// a bonus up to the packing target, and a penalty per CPU beyond the target.
 	servicePackingWeight = 8
 )
 
-// Services are drawn to a machine until they hold 1/servicePackingDivisor of it, or
-// servicePackingFleetFraction of what all services hold, if that is more: then losing the machine is no more
-// of a loss. They are drawn to it up to servicePackingMaxFraction of it at most.
+// Packing target of services, see servicePackingTarget. Services are packed on a machine until they hold
+// 1/servicePackingDivisor of its CPUs, or servicePackingFleetFraction of the CPUs of all services if that is
+// more. In the second case the loss of the machine still affects only that fraction of all services. The
+// target is at most servicePackingMaxFraction of the machine's CPUs.
 const (
 	servicePackingDivisor       = 4
 	servicePackingFleetFraction = 0.02
 	servicePackingMaxFraction   = 0.75
 )
 
-// ShardWrite is the write under way of a machine's shard, which an assignment becomes a part of.
+// ShardWrite is the pending write of a machine's shard. Assignments to the machine are added to this write.
 type ShardWrite interface {
-	// MaxBytes is how large the shard may come to be.
+	// MaxBytes returns an upper bound on the encoded size of the written shard.
 	MaxBytes() int
-	// Compares counts the records that the write is conditional on.
+	// Compares returns the number of records that the write is conditional on.
 	Compares() int
-	// AssignsJob reports whether the write assigns tasks of a job already.
+	// AssignsJob reports whether the write already assigns tasks of a job.
 	AssignsJob(job string) bool
-	// FreedQuota is what the write gives back of a team's share and hasn't used again.
+	// FreedQuota returns the part of a team's share that the write releases and doesn't assign again.
 	FreedQuota(team string) resources.Vector
 }
 
-// Candidate is a machine with the room that a pass still has on it.
+// Candidate is a machine with the room that a scheduling pass has not used yet.
 type Candidate struct {
 	MachineID      string
 	Record         *storage.ShardMachine
-	TypeCPUs       float64          // CPUs of a machine of its type
-	Free           resources.Vector // what is free, and not yet used by the pass
-	ServiceCPUs    float64          // CPUs that services hold, those placed by the pass too
+	TypeCPUs       float64          // total CPUs of a machine of this type
+	Free           resources.Vector // free resources minus those that the pass has used
+	ServiceCPUs    float64          // CPUs that services hold, including services placed by the pass
 	TaskCount      int
-	CachedImages   map[string]bool // images that tasks have brought there
-	Closing        bool            // about to be removed; reopened if nothing else has room
-	HeldBack       bool            // kept for a more urgent job that hasn't room yet
-	ReservedForJob string          // the job for which tasks are being stopped there; "" if none
-	Shard          ShardWrite      // the write that assigns tasks to it
+	CachedImages   map[string]bool // images that tasks have fetched to the machine
+	Closing        bool            // about to be removed; reopened if no other machine has room
+	HeldBack       bool            // kept for a more urgent job that doesn't have room yet
+	ReservedForJob string          // job for which tasks on the machine are being stopped; "" if none
+	Shard          ShardWrite      // write that assigns tasks to the machine
 }
 
-// AvailableTo reports whether a job may use what is free on the machine. Room that is being made is for the
-// job it is made for: if others took what is free before the stopped tasks are gone, more would have to be
-// stopped.
+// AvailableTo reports whether a job may use the free resources of the machine. While tasks are being stopped
+// for a job, only this job may use them. If other jobs used them before the stopped tasks end, more tasks
+// would have to be stopped.
 func (c *Candidate) AvailableTo(job string) bool {
 	return c.ReservedForJob == "" || c.ReservedForJob == job
 }
 
-// MachineRequest is what a machine for a task of a job must meet.
+// MachineRequest holds the requirements for a machine for a task of a job.
 type MachineRequest struct {
 	JobID            string
 	Spec             *storage.JobSpec
 	Need             resources.Vector
 	Zones            *ZoneConstraint
-	Failures         *JobFailures // nil: none seen
-	SpotOnly         bool         // ordinary machines only where services keep them in any case
-	FreedQuotaOnly   bool         // only shards whose write gives back enough of the team's share
-	OnlyWrite        ShardWrite   // the only write that may take the job's tasks; nil: any
+	Failures         *JobFailures // nil if the job has no recorded failures
+	SpotOnly         bool         // accept ordinary machines only if services keep them in any case
+	FreedQuotaOnly   bool         // accept only shards whose write releases enough of the team's share
+	OnlyWrite        ShardWrite   // only write that may assign the job's tasks; nil allows any
 	MaxShardBytes    int
-	MaxShardCompares int     // that a shard's write may have before the job is added to it
-	FleetServiceCPUs float64 // CPUs that all services hold
+	MaxShardCompares int     // a write with this many compares can't take another job
+	FleetServiceCPUs float64 // CPUs that services hold on all machines
 }
 
-// Accepts reports whether a task may go to a candidate.
+// Accepts reports whether a task of the job may be placed on a candidate.
 func (r *MachineRequest) Accepts(c *Candidate) bool {
 	return r.Need.FitsIn(c.Free) && c.AvailableTo(r.JobID) &&
 		MachineAllowed(r.Spec, c.Record) && r.Zones.Allows(c.Record.Zone) &&
@@ -95,7 +98,7 @@
 		!(r.SpotOnly && !c.Record.Spot && c.ServiceCPUs == 0)
 }
 
-// acceptsShard reports whether the write of a machine's shard may take a task.
+// acceptsShard reports whether a task of the job may be added to the write of a machine's shard.
 func (r *MachineRequest) acceptsShard(shard ShardWrite) bool {
 	if r.OnlyWrite != nil && shard != r.OnlyWrite {
 		return false
@@ -107,7 +110,7 @@
 		(shard.Compares() < r.MaxShardCompares || shard.AssignsJob(r.JobID))
 }
 
-// Score weighs a candidate that the request accepts, the lowest being the best.
+// Score returns the score of a candidate that the request accepts. The lowest score is best.
 func (r *MachineRequest) Score(c *Candidate) float64 {
 	score := c.Free.CPUs
 	if r.Spec.Spot && !c.Record.Spot && c.ServiceCPUs == 0 {
@@ -125,8 +128,8 @@
 	if !r.Spec.Service {
 		return score
 	}
-	// Services kept together leave other machines to empty. But not too many: all of them go down with their
-	// machine.
+	// Packing services together lets other machines become empty. The packing target limits how many services
+	// fail together with their machine.
 	target := r.servicePackingTarget(c.TypeCPUs)
 	if c.ServiceCPUs <= target {
 		return score - servicePackingWeight*c.ServiceCPUs
@@ -134,7 +137,7 @@
 	return score + servicePackingWeight*(c.ServiceCPUs-target)
 }
 
-// servicePackingTarget is up to how many of a machine's CPUs services are drawn to it.
+// servicePackingTarget returns the number of a machine's CPUs up to which services are packed on it.
 func (r *MachineRequest) servicePackingTarget(machineCPUs float64) float64 {
 	return min(
 		max(machineCPUs/servicePackingDivisor, servicePackingFleetFraction*r.FleetServiceCPUs),
@@ -142,7 +145,7 @@
 	)
 }
 
-// imageFetchPenalty weighs an image fetch against a tighter fit.
+// imageFetchPenalty returns the penalty for a machine without the job's image, in free CPUs.
 func imageFetchPenalty(spec *storage.JobSpec) float64 {
 	if spec.Service {
 		return serviceImageFetchPenalty + imageFetchPenaltyPerGB*spec.ImageGB
--- a/internal/scheduling/objectives.go
+++ b/internal/scheduling/objectives.go
@@ -8,9 +8,10 @@
 	"pipitgap/internal/storage"
 )
 
-// LatestStarts are the times by which the objectives want a job's tasks to start, in seconds from its
-// submission, the shortest first. A task is expected to run for so many seconds. Without an objective the
-// only one is infinite.
+// LatestStarts returns the latest times at which a job's tasks can start and still meet each of the job's
+// objectives, in seconds since its submission and in ascending order. The job's own deadline counts as an
+// objective if no deadline objective applies to it. runSeconds is the expected run time of a task. Without an
+// objective, the only element is infinity.
 func LatestStarts(objectives []config.Objective, spec *storage.JobSpec, runSeconds float64) []float64 {
 	var starts []float64
 	hasDeadlineObjective := false
@@ -36,23 +37,25 @@
 	return starts
 }
 
-// lateAfterMissedObjectives is past how many objectives a job waits behind all that are in time.
+// lateAfterMissedObjectives is the number of missed objectives at which a job counts as late: it waits behind
+// all jobs that are in time.
 const lateAfterMissedObjectives = 2
 
-// Slack is how long a job's waiting tasks may still wait.
+// Slack is the time that a job's waiting tasks can still wait.
 type Slack struct {
-	Seconds float64 // until the first objective that can still be met is missed; negative if none can
-	Missed  int     // objectives that can't be met any more
+	Seconds float64 // time until the job misses the next objective; negative if it can meet none
+	Missed  int     // number of objectives that the job can no longer meet
 }
 
-// CanMeetObjective reports whether there is an objective that can still be met if the job doesn't wait for
+// CanMeetObjective reports whether the job has an objective that it can still meet if it doesn't wait for too
 // long.
 func (s Slack) CanMeetObjective() bool { return s.Seconds >= 0 && !math.IsInf(s.Seconds, 1) }
 
-// IsLate reports whether the job waits behind all that are in time.
+// IsLate reports whether the job has missed so many objectives that it waits behind all jobs that are in
+// time.
 func (s Slack) IsLate() bool { return s.Missed >= lateAfterMissedObjectives }
 
-// SlackOf is the slack of a job of an age, see LatestStarts.
+// SlackOf returns the slack of a job with the given latest starts (see LatestStarts) and age.
 func SlackOf(latestStarts []float64, ageSeconds float64) Slack {
 	missed := 0
 	for missed < len(latestStarts) && latestStarts[missed] < ageSeconds {
--- a/internal/scheduling/objectives_test.go
+++ b/internal/scheduling/objectives_test.go
@@ -23,12 +23,13 @@
 	}{
 		{"objectives of its class", storage.JobSpec{Class: "x"}, []float64{20, 90}},
 		{"with a deadline", storage.JobSpec{Class: "x", DeadlineS: 40}, []float64{20, 50, 90}},
-		{"a deadline that no objective stretches", storage.JobSpec{Class: "y", DeadlineS: 40}, []float64{5, 30}},
-		{"none", storage.JobSpec{Class: "z"}, []float64{math.Inf(1)}},
-		{"a service", storage.JobSpec{Class: "x", Service: true}, []float64{math.Inf(1)}},
+		{"with a deadline but no deadline objective",
+			storage.JobSpec{Class: "y", DeadlineS: 40}, []float64{5, 30}},
+		{"no objective", storage.JobSpec{Class: "z"}, []float64{math.Inf(1)}},
+		{"service", storage.JobSpec{Class: "x", Service: true}, []float64{math.Inf(1)}},
 	} {
 		if got := LatestStarts(objectives, &tc.spec, 10); !slices.Equal(got, tc.want) {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: got %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
@@ -41,15 +42,16 @@
 		want    Slack
 		canMeet bool
 	}{
-		{"in time", []float64{20, 90}, 5, Slack{15, 0}, true},
-		{"just in time", []float64{20, 90}, 20, Slack{0, 0}, true},
-		{"past the first", []float64{20, 90}, 21, Slack{69, 1}, true},
-		{"past all", []float64{20, 90}, 100, Slack{-10, 2}, false},
+		{"before the first latest start", []float64{20, 90}, 5, Slack{15, 0}, true},
+		{"exactly at the first latest start", []float64{20, 90}, 20, Slack{0, 0}, true},
+		{"past the first latest start", []float64{20, 90}, 21, Slack{69, 1}, true},
+		{"past all latest starts", []float64{20, 90}, 100, Slack{-10, 2}, false},
 		{"without an objective", []float64{math.Inf(1)}, 1000, Slack{math.Inf(1), 0}, false},
 	} {
 		got := SlackOf(tc.starts, tc.age)
 		if got != tc.want || got.CanMeetObjective() != tc.canMeet {
-			t.Errorf("%s: %+v, can meet one %v", tc.name, got, got.CanMeetObjective())
+			t.Errorf("%s: got %+v, can meet an objective %v; want %+v, %v",
+				tc.name, got, got.CanMeetObjective(), tc.want, tc.canMeet)
 		}
 	}
 }
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -5,30 +5,31 @@
 	"pipitgap/internal/storage"
 )
 
-// MachineRoom is a machine with what is free on it.
+// MachineRoom is a machine with its free resources.
 type MachineRoom struct {
 	MachineID    string
 	Record       *storage.ShardMachine
 	Free         resources.Vector
-	CachedImages map[string]bool // images that tasks have brought there
+	CachedImages map[string]bool // images that tasks have fetched to the machine
 }
 
-// PartitionCapacity is the free room of every partition.
+// PartitionCapacity holds the free resources of each partition's machines.
 type PartitionCapacity struct {
 	machines map[string][]MachineRoom // by partition
 }
 
-// NewPartitionCapacity returns a capacity without machines.
+// NewPartitionCapacity returns a PartitionCapacity without machines.
 func NewPartitionCapacity() *PartitionCapacity {
 	return &PartitionCapacity{machines: map[string][]MachineRoom{}}
 }
 
-// Add counts a machine in.
+// Add adds a machine to a partition.
 func (p *PartitionCapacity) Add(partition string, machine MachineRoom) {
 	p.machines[partition] = append(p.machines[partition], machine)
 }
 
-// TasksFitting counts the tasks of a job, each of which needs so much, that fit into a partition.
+// TasksFitting returns how many tasks of a job fit on a partition's machines. need is the resources of each
+// task.
 func (p *PartitionCapacity) TasksFitting(
 	spec *storage.JobSpec,
 	need resources.Vector,
@@ -37,7 +38,7 @@
 	return p.countTasks(spec, need, partition, anyMachine)
 }
 
-// TasksFittingBesideImage counts those of a job's tasks that fit on machines which have their image.
+// TasksFittingBesideImage is like TasksFitting but counts only machines that have the job's image.
 func (p *PartitionCapacity) TasksFittingBesideImage(
 	spec *storage.JobSpec,
 	need resources.Vector,
@@ -46,13 +47,13 @@
 	return p.countTasks(spec, need, partition, (*MachineRoom).hasImage)
 }
 
-// hasImage reports whether tasks have brought an image to the machine.
+// hasImage reports whether tasks have fetched an image to the machine.
 func (m *MachineRoom) hasImage(image string) bool { return m.CachedImages[image] }
 
-// anyMachine is the condition of jobs for which every machine counts, whatever images it has.
+// anyMachine is a filter for countTasks that includes every machine, regardless of its images.
 func anyMachine(*MachineRoom, string) bool { return true }
 
-// countTasks counts the tasks of a job that fit on those machines of a partition that count for its image.
+// countTasks returns how many tasks of a job fit on those machines of a partition that the filter includes.
 func (p *PartitionCapacity) countTasks(
 	spec *storage.JobSpec,
 	need resources.Vector,
@@ -69,16 +70,17 @@
 	return tasks
 }
 
-// PreemptionFit is a task that may get room by stopping others.
+// PreemptionFit describes a task that may preempt other tasks to get room.
 type PreemptionFit struct {
 	Spec        *storage.JobSpec
 	Need        resources.Vector
-	BesideImage bool // on machines that have its image only
-	// Freed is what the tasks hold that may be stopped for it on a machine.
+	BesideImage bool // only consider machines that have the task's image
+	// Freed returns the resources of those tasks on a machine that may be stopped for the task.
 	Freed func(machine string) resources.Vector
 }
 
-// MachinesAfterPreemption counts the machines of a partition on which a task would fit after such stops.
+// MachinesAfterPreemption returns the number of machines in a partition on which the task would fit after all
+// permitted preemptions.
 func (p *PartitionCapacity) MachinesAfterPreemption(partition string, fit PreemptionFit) int {
 	count := 0
 	for i := range p.machines[partition] {
@@ -94,11 +96,12 @@
 	return count
 }
 
-// PartitionScore weighs a partition for a job; zero where it has nothing to offer.
+// PartitionScore returns the suitability of a partition for a job, or 0 if the partition is unsuitable.
 type PartitionScore func(partition string) int
 
-// BestPartition names the partition that the first score has most to offer by which any has; partitions come
-// in order of preference, and the fallback is taken where no score finds anything.
+// BestPartition returns the partition with the highest value of the first score that is positive for any
+// partition. Among equal values, the first partition in the list wins, so partitions must be in order of
+// preference. If no score is positive, BestPartition returns fallback.
 func BestPartition(partitions []string, fallback string, scores ...PartitionScore) string {
 	for _, score := range scores {
 		best, bestScore := fallback, 0
--- a/internal/scheduling/partition_capacity_test.go
+++ b/internal/scheduling/partition_capacity_test.go
@@ -31,7 +31,7 @@
 		preemptible, preemptibleWithImage int
 	}{
 		{"ordinary machines", storage.JobSpec{Image: "x"}, "n-0", 5, 4, 2, 1},
-		{"spot ones too", storage.JobSpec{Image: "x", Spot: true}, "n-0", 9, 8, 3, 2},
+		{"ordinary and spot machines", storage.JobSpec{Image: "x", Spot: true}, "n-0", 9, 8, 3, 2},
 		{"room by preemption", storage.JobSpec{Image: "x"}, "n-1", 0, 0, 1, 1},
 		{"another zone", storage.JobSpec{Image: "x", Zone: "b"}, "n-0", 0, 0, 0, 0},
 		{"unknown partition", storage.JobSpec{Image: "x"}, "n-2", 0, 0, 0, 0},
@@ -49,7 +49,8 @@
 			capacity.MachinesAfterPreemption(tc.partition, withImage),
 		}
 		if want := [4]int{tc.tasks, tc.tasksWithImage, tc.preemptible, tc.preemptibleWithImage}; got != want {
-			t.Errorf("%s: %v, want %v", tc.name, got, want)
+			t.Errorf("%s: got [tasks, tasks with image, preemptible machines, those with image] %v, want %v",
+				tc.name, got, want)
 		}
 	}
 }
@@ -63,13 +64,14 @@
 		scores []PartitionScore
 		want   string
 	}{
-		{"the most", []PartitionScore{scoring(map[string]int{"a": 1, "b": 2, "c": 2})}, "b"},
-		{"the first score that finds any", []PartitionScore{scoring(nil), scoring(map[string]int{"c": 1}),
+		{"highest value, first of equals",
+			[]PartitionScore{scoring(map[string]int{"a": 1, "b": 2, "c": 2})}, "b"},
+		{"first score with a positive value", []PartitionScore{scoring(nil), scoring(map[string]int{"c": 1}),
 			scoring(map[string]int{"a": 9})}, "c"},
-		{"none", []PartitionScore{scoring(nil)}, "self"},
+		{"no positive value: fallback", []PartitionScore{scoring(nil)}, "self"},
 	} {
 		if got := BestPartition([]string{"a", "b", "c"}, "self", tc.scores...); got != tc.want {
-			t.Errorf("%s: %s, want %s", tc.name, got, tc.want)
+			t.Errorf("%s: got partition %s, want %s", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -7,40 +7,40 @@
 	"pipitgap/internal/resources"
 )
 
-// Victim is a running task that may be stopped for another.
+// Victim is a running task that may be preempted for another task.
 type Victim struct {
 	Job            string
-	Task           int // its index
+	Task           int // index of the task in its job
 	Attempt        uint64
 	Team           string
 	Priority       int
 	Need           resources.Vector
-	LostCPUSeconds float64 // work that stopping it throws away
-	SaveSeconds    float64 // how long it may take to save its work
+	LostCPUSeconds float64 // work that is lost if the task is stopped
+	SaveSeconds    float64 // maximum time that the task takes to save its work
 }
 
-// taskName names the task as messages to workers do.
+// taskName returns the task's name in the format that messages to workers use.
 func (v *Victim) taskName() string { return v.Job + "/" + strconv.Itoa(v.Task) }
 
-// VictimRequest is a task that room is to be made for on one machine.
+// VictimRequest describes a task for which tasks on one machine are to be preempted.
 type VictimRequest struct {
 	Need     resources.Vector
 	Service  bool
 	Priority int
-	Free     resources.Vector // on the machine
-	// ExceedsGuarantee reports whether a team uses more than its guarantee, less what is to be stopped of it.
+	Free     resources.Vector // free resources of the machine
+	// ExceedsGuarantee reports whether a team's usage, after deducting less, exceeds the team's guarantee.
 	ExceedsGuarantee func(team string, less resources.Vector) bool
 }
 
-// VictimSelection is which tasks make the room, and what that costs.
+// VictimSelection holds the tasks to preempt and the CPU seconds of work that this loses.
 type VictimSelection struct {
 	Victims        []Victim
 	LostCPUSeconds float64
 }
 
-// Select picks the tasks whose stop makes room for one task with the least work lost, and reports whether any
-// do. It sorts candidates. A service preempts what has a lower priority; all else only takes back what a team
-// has beyond its guarantee.
+// Select selects candidates to preempt for one task, those with the least lost work first. ok is true if any
+// task is selected and the selected tasks make enough room. Select sorts candidates. A service may preempt any task of lower priority.
+// All other preemption is limited to what a team uses beyond its guarantee.
 func (r *VictimRequest) Select(candidates []Victim) (selection VictimSelection, ok bool) {
 	sortByLoss(candidates)
 	free, stoppedByTeam := r.Free, map[string]resources.Vector{}
@@ -61,7 +61,7 @@
 	return selection, r.Need.FitsIn(free) && len(selection.Victims) > 0
 }
 
-// sortByLoss puts the tasks first whose stop throws away the least work.
+// sortByLoss sorts tasks by the work that is lost if they are stopped, least first.
 func sortByLoss(victims []Victim) {
 	sort.Slice(victims, func(a, b int) bool {
 		if victims[a].LostCPUSeconds != victims[b].LostCPUSeconds {
@@ -71,14 +71,13 @@
 	})
 }
 
-// ScavengerSelection is which tasks of the scavenger class are stopped, and for how many tasks that makes
-// room.
+// ScavengerSelection holds the scavenger tasks to stop and the number of tasks that get room.
 type ScavengerSelection struct {
 	Victims []Victim
 	Tasks   int
 }
 
-// SaveSeconds is how long the slowest of them may take to save its work.
+// SaveSeconds returns the maximum time that any of the victims takes to save its work.
 func (s *ScavengerSelection) SaveSeconds() float64 {
 	longest := 0.0
 	for _, victim := range s.Victims {
@@ -87,8 +86,9 @@
 	return longest
 }
 
-// SelectScavengers stops as many of the candidates tasks, which it sorts, the last tasks of a job first, as
-// make room beside what is free for up to want tasks of a need.
+// SelectScavengers selects candidates to stop until the resources that they hold and the free resources have
+// room for wantTasks tasks. need is the resources of each of these tasks. If the candidates don't suffice,
+// fewer tasks get room. SelectScavengers sorts candidates and selects the last tasks of a job first.
 func SelectScavengers(candidates []Victim, need, free resources.Vector, wantTasks int) ScavengerSelection {
 	sort.Slice(candidates, func(a, b int) bool {
 		x, y := &candidates[a], &candidates[b]
--- a/internal/scheduling/queue_order.go
+++ b/internal/scheduling/queue_order.go
@@ -7,53 +7,61 @@
 )
 
 const (
-	// deadlineBoostWindowSeconds is how long before its next objective a late job goes before those in time.
+	// deadlineBoostWindowSeconds is how long before it misses its next objective a late job gets the boost.
 	deadlineBoostWindowSeconds = 40.0
-	// deadlineBoostMaxFraction is which fraction of what a team can use its late jobs may hold by that.
+	// deadlineBoostMaxFraction limits the CPUs of a team's late jobs, as a fraction of the CPUs that the team
+	// can use. Above the limit, no more of the team's jobs get the boost.
 	deadlineBoostMaxFraction = 0.3
 )
 
-// QueuedJob is an open job with waiting tasks.
+// QueuedJob is an open job that has waiting tasks.
 type QueuedJob struct {
 	ID              string
 	Spec            *storage.JobSpec
-	AcceptedAt      int64   // time of day, microseconds
-	UnassignedTasks int     // tasks that wait
-	TaskCPUs        float64 // CPUs of each
+	AcceptedAt      int64   // wall clock time in microseconds
+	UnassignedTasks int     // number of waiting tasks
+	TaskCPUs        float64 // CPUs of each task
 }
 
-// QueueEntry is a job with what decides its place in the queue.
+// QueueEntry is a job with the properties that determine its position in the queue.
 type QueueEntry struct {
 	Job               QueuedJob
-	SlackSeconds      float64 // seconds that it may still wait and meet its next objective
-	WaitingCPUSeconds float64 // CPU seconds of the tasks that wait
-	MissedObjectives  int     // objectives that it can't meet any more
-	DeadlineBoost     bool    // late, and soon past the next objective too
-	WithinGuarantee   bool    // one more of its tasks lies within its team's guarantee
-	Starved           bool    // see StartProgress
-	CrashLooping      bool    // placed for an occasional trial only, after all others
+	SlackSeconds      float64 // how long the job can still wait and meet its next objective
+	WaitingCPUSeconds float64 // expected CPU seconds of the waiting tasks
+	MissedObjectives  int     // number of objectives that the job can no longer meet
+	DeadlineBoost     bool    // the job is late and about to miss its next objective too
+	WithinGuarantee   bool    // one more task of the job is within its team's guarantee
+	Starved           bool    // the array is starved, see StartProgress
+	CrashLooping      bool    // the job only gets occasional trials, after all other jobs
 }
 
-// NeedsDeadlineBoost reports whether a job that has missed its first objectives is about to miss the next.
+// NeedsDeadlineBoost reports whether a job is late and about to miss its next objective.
 func NeedsDeadlineBoost(slack Slack) bool {
 	return slack.IsLate() && slack.Seconds >= 0 && slack.Seconds < deadlineBoostWindowSeconds
 }
 
-// LeaveForTrials takes all precedence from a job in a crash loop.
+// LeaveForTrials marks the job as crash-looping and removes its boost and its other precedence.
 func (e *QueueEntry) LeaveForTrials() {
 	e.CrashLooping = true
 	e.DeadlineBoost, e.WithinGuarantee, e.Starved = false, false, false
 }
 
-// Before orders jobs: higher priority first; of the same priority those first whose team doesn't yet use its
-// guarantee, then those that can still meet the first of their objectives, then those that can meet the next,
-// the least waiting work first; last, the oldest first, those that can meet none. Past what can be done,
-// ordering by deadline would have every job end just after its own: a few large ones wait instead, not
-// without limit, and the many others are in time. Those few must not wait for ever either: shortly before the
-// next of its objectives passes, a job that is past its first ones goes before all that are in time. Before
-// all other arrays, whatever their priority, comes a starved one, with a part of its tasks.
+// Before reports whether e goes before other in the queue. It compares, in this order:
 //
-// The order isn't transitive: SortQueue's result depends on the order of its input.
+//   - Crash-looping jobs go last.
+//   - A starved array goes before all other arrays, regardless of priority, with a fraction of its tasks.
+//   - Higher priority goes first.
+//   - Jobs whose team doesn't use its full guarantee yet go first.
+//   - Boosted jobs go first. A job that has missed its first objectives is boosted shortly before it misses the
+//     next one, so that large jobs don't wait forever.
+//   - Otherwise, jobs that have missed fewer objectives go first.
+//   - If neither job has missed all of its objectives, the one with the least waiting work goes first.
+//   - The job that was accepted first goes first, then the one with the smaller ID.
+//
+// Under overload, earliest deadline first would finish every job just after its deadline. Least work first
+// instead delays a few large jobs, for a limited time, and the many other jobs finish in time.
+//
+// The order isn't transitive, so the result of SortQueue depends on the order of its input.
 func (e *QueueEntry) Before(other *QueueEntry) bool {
 	if e.CrashLooping != other.CrashLooping {
 		return other.CrashLooping
@@ -85,12 +93,12 @@
 	return e.Job.ID < other.Job.ID
 }
 
-// SortQueue puts the most urgent job first.
+// SortQueue sorts the entries with Before, most urgent first.
 func SortQueue(entries []QueueEntry) {
 	sort.Slice(entries, func(a, b int) bool { return entries[a].Before(&entries[b]) })
 }
 
-// AnyDeadlineBoost reports whether LimitDeadlineBoost has anything to limit.
+// AnyDeadlineBoost reports whether any entry has the boost. If none has, LimitDeadlineBoost does nothing.
 func AnyDeadlineBoost(entries []QueueEntry) bool {
 	for i := range entries {
 		if entries[i].DeadlineBoost {
@@ -100,18 +108,20 @@
 	return false
 }
 
-// LateUsage is what late jobs hold, and what bounds it.
+// LateUsage holds the CPUs that late jobs use and the amounts from which LimitDeadlineBoost derives their
+// limits.
 type LateUsage struct {
 	FleetCPUs float64 // CPUs of all machines
-	// CPUs that each team's late jobs hold; added to by LimitDeadlineBoost
+	// CPUsByTeam is the number of CPUs that each team's late jobs hold. LimitDeadlineBoost adds to it.
 	CPUsByTeam map[string]float64
-	TeamMax    func(team string) float64 // a team's limit of CPUs; 0: none
+	TeamMax    func(team string) float64 // a team's CPU limit, 0 if it has none
 }
 
-// LimitDeadlineBoost leaves the boost, of each team's entries that have it, to those with the least work, as
-// far as late jobs hold no more than a fraction of what the team can use. After a burst most that waits is
-// late; if all of it went first, all that comes after would be late too. What they hold counts, not what
-// waits: others are boosted as these end.
+// LimitDeadlineBoost removes the boost from entries so that each team's late jobs hold at most about
+// deadlineBoostMaxFraction of the CPUs that the team can use. Entries with the least waiting work keep the
+// boost. After a burst, most waiting jobs are late. If all of them went first, all later jobs would be late
+// too. Only the CPUs that late jobs hold count, including those of the entries that keep the boost, and not
+// the CPUs of all waiting jobs. Other entries get the boost when these jobs end.
 func LimitDeadlineBoost(entries []QueueEntry, usage LateUsage) {
 	for _, entry := range boostedByWaitingWork(entries) {
 		team := entry.Job.Spec.Team
@@ -127,7 +137,7 @@
 	}
 }
 
-// boostedByWaitingWork lists the boosted entries, those with the least waiting work first.
+// boostedByWaitingWork returns the boosted entries, sorted by waiting work, least first.
 func boostedByWaitingWork(entries []QueueEntry) []*QueueEntry {
 	var boosted []*QueueEntry
 	for i := range entries {
--- a/internal/scheduling/queue_order_test.go
+++ b/internal/scheduling/queue_order_test.go
@@ -6,8 +6,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestQueueOrder: higher priority, then what can still meet its objectives, the least work
-// first; starved ones before any of that.
+// TestQueueOrder checks that a goes before b and not vice versa. Among the criteria of Before, it covers
+// starvation, priority, boost, missed objectives, waiting work and age.
 func TestQueueOrder(t *testing.T) {
 	makeJob := func(id string, priority int, at int64) QueuedJob {
 		return QueuedJob{ID: id, AcceptedAt: at, Spec: &storage.JobSpec{Priority: priority}}
@@ -17,42 +17,42 @@
 		a, b QueueEntry
 	}{
 		{
-			"priority",
+			"higher priority",
 			QueueEntry{Job: makeJob("b", 3, 9), SlackSeconds: 90},
 			QueueEntry{Job: makeJob("a", 2, 1), SlackSeconds: 1},
 		},
 		{
-			"priority, though late",
+			"higher priority, although late",
 			QueueEntry{Job: makeJob("b", 3, 9), MissedObjectives: 2},
 			QueueEntry{Job: makeJob("a", 2, 1)},
 		},
 		{
-			"least work",
+			"least waiting work",
 			QueueEntry{Job: makeJob("b", 1, 9), SlackSeconds: 9, WaitingCPUSeconds: 1},
 			QueueEntry{Job: makeJob("a", 1, 1), SlackSeconds: 2, WaitingCPUSeconds: 2},
 		},
 		{
-			"in time before late",
+			"no missed objective before one missed objective",
 			QueueEntry{Job: makeJob("b", 1, 9), WaitingCPUSeconds: 9},
 			QueueEntry{Job: makeJob("a", 1, 1), WaitingCPUSeconds: 1, MissedObjectives: 1},
 		},
 		{
-			"starved before the like of higher priority",
+			"starved array before an array of higher priority",
 			QueueEntry{Job: makeJob("b", 0, 9), Starved: true},
 			QueueEntry{Job: makeJob("a", 1, 1)},
 		},
 		{
-			"just late before long late",
+			"fewer missed objectives, neither can meet another one",
 			QueueEntry{Job: makeJob("b", 1, 9), SlackSeconds: -5},
 			QueueEntry{Job: makeJob("a", 1, 1), SlackSeconds: -50, MissedObjectives: 2},
 		},
 		{
-			"oldest of the long late",
+			"oldest of two that can't meet any objective",
 			QueueEntry{Job: makeJob("b", 1, 1), SlackSeconds: -5, MissedObjectives: 2},
 			QueueEntry{Job: makeJob("a", 1, 2), SlackSeconds: -50, MissedObjectives: 2},
 		},
 		{
-			"urgent before in time",
+			"boosted before in time",
 			QueueEntry{
 				Job:               makeJob("b", 1, 9),
 				DeadlineBoost:     true,
@@ -62,21 +62,24 @@
 			QueueEntry{Job: makeJob("a", 1, 1), WaitingCPUSeconds: 1},
 		},
 		{
-			"priority before urgent",
+			"higher priority before boosted",
 			QueueEntry{Job: makeJob("b", 2, 9)},
 			QueueEntry{Job: makeJob("a", 1, 1), DeadlineBoost: true, MissedObjectives: 2},
 		},
-		{"id at last", QueueEntry{Job: makeJob("a", 1, 1)}, QueueEntry{Job: makeJob("b", 1, 1)}},
+		{"smaller ID if all else is equal",
+			QueueEntry{Job: makeJob("a", 1, 1)}, QueueEntry{Job: makeJob("b", 1, 1)}},
 	}
 	for _, tc := range cases {
 		if !tc.a.Before(&tc.b) || tc.b.Before(&tc.a) {
-			t.Error(tc.name)
+			t.Errorf("%s: got a before b %v, b before a %v; want true, false",
+				tc.name, tc.a.Before(&tc.b), tc.b.Before(&tc.a))
 		}
 	}
 }
 
-// TestDeadlineBoostLimit: of each team's boosted entries those with the least work keep the boost, until its
-// late jobs hold more than the fraction of what the team can use.
+// TestDeadlineBoostLimit checks that each team's boosted entries with the least waiting work keep the boost,
+// and that no more do once the team's late jobs hold more than deadlineBoostMaxFraction of the CPUs that the
+// team can use.
 func TestDeadlineBoostLimit(t *testing.T) {
 	entry := func(id, team string, cpus, work float64) QueueEntry {
 		return QueueEntry{
@@ -96,7 +99,8 @@
 		entry("other", "other", 1, 10), plain,
 	}
 	if !AnyDeadlineBoost(entries) || AnyDeadlineBoost([]QueueEntry{plain}) {
-		t.Error("what has the boost isn't found")
+		t.Errorf("AnyDeadlineBoost: got %v for boosted entries and %v without, want true and false",
+			AnyDeadlineBoost(entries), AnyDeadlineBoost([]QueueEntry{plain}))
 	}
 	LimitDeadlineBoost(entries, LateUsage{
 		FleetCPUs:  100,
@@ -106,7 +110,7 @@
 	want := map[string]bool{"small": true, "other": true}
 	for _, e := range entries {
 		if e.DeadlineBoost != want[e.Job.ID] {
-			t.Errorf("%s: boosted %v", e.Job.ID, e.DeadlineBoost)
+			t.Errorf("%s: got boosted %v, want %v", e.Job.ID, e.DeadlineBoost, want[e.Job.ID])
 		}
 	}
 }
@@ -120,7 +124,7 @@
 		{0, 2, true}, {39.9, 3, true}, {40, 2, false}, {-0.1, 2, false}, {10, 1, false},
 	} {
 		if got := NeedsDeadlineBoost(Slack{tc.slack, tc.missed}); got != tc.want {
-			t.Errorf("slack %v, %d missed: %v", tc.slack, tc.missed, got)
+			t.Errorf("slack %v s, %d missed objectives: got %v, want %v", tc.slack, tc.missed, got, tc.want)
 		}
 	}
 }
--- a/internal/scheduling/start_progress.go
+++ b/internal/scheduling/start_progress.go
@@ -3,28 +3,32 @@
 import "pipitgap/internal/monotime"
 
 const (
-	// starvationTimeout is how long an array may wait until the first of its tasks starts.
+	// starvationTimeout is how long an array without started tasks may wait before it is starved.
 	starvationTimeout = 100 * monotime.Second
-	// repeatedStarvationTimeout is the same once some have.
+	// repeatedStarvationTimeout is how long an array with started tasks may wait for the next start before it
+	// is starved.
 	repeatedStarvationTimeout = 45 * monotime.Second
-	// catchUpTaskDivisor is which fraction of its waiting tasks a starved array gets before others.
+	// catchUpTaskDivisor determines how many tasks of a starved array go before other jobs: the waiting tasks
+	// divided by this number.
 	catchUpTaskDivisor = 4
 )
 
-// StartProgress follows how an array's tasks start. Under lasting load those that are late already, large or
-// of low priority would never have their turn; an array is starved once nothing more of it has started for
-// long, and stays so until a part of its waiting tasks has. The zero value has seen nothing.
+// StartProgress tracks the starts of an array's tasks to detect starvation. Under sustained load, arrays that
+// are already late, large or of low priority would otherwise never start. An array is starved if no further
+// task has started for a long time, and stays starved until a fraction of its waiting tasks has started. The
+// zero value has no observations.
 type StartProgress struct {
-	maxStarted     int             // most tasks that had started so far
-	catchUpTarget  int             // tasks that are to have started before it is starved no more
-	lastProgressAt monotime.Micros // when the high water last rose; 0: not seen yet
+	maxStarted     int             // highest number of started tasks seen so far
+	catchUpTarget  int             // number of started tasks at which the array is no longer starved
+	lastProgressAt monotime.Micros // when maxStarted last grew; 0 before Begin
 }
 
-// Begun reports whether the job has been seen before.
+// Begun reports whether Begin has been called.
 func (p *StartProgress) Begun() bool { return p.lastProgressAt != 0 }
 
-// Begin notes a job that is seen for the first time. waited is how long ago it was accepted: with nothing
-// started it may have waited before this controller began.
+// Begin starts tracking a job. waited is the time since the job was accepted. If no task has started, this
+// time counts, up to twice starvationTimeout, because the job may have waited since before this controller
+// started.
 func (p *StartProgress) Begin(started int, waited, now monotime.Micros) {
 	p.lastProgressAt = max(1, now)
 	if started == 0 {
@@ -32,18 +36,19 @@
 	}
 }
 
-// Observe notes how many tasks have started by now.
+// Observe records the number of tasks that have started.
 func (p *StartProgress) Observe(started int, now monotime.Micros) {
 	if started > p.maxStarted {
 		p.maxStarted, p.lastProgressAt = started, now
 	}
 }
 
-// CatchingUp reports whether the array is starved since earlier and hasn't got what it is to get: room comes
-// bit by bit.
+// CatchingUp reports whether the array was found starved earlier and its catch-up target isn't reached yet.
+// Reaching the target can take several passes because room becomes available gradually.
 func (p *StartProgress) CatchingUp(started int) bool { return started < p.catchUpTarget }
 
-// Stalled reports whether nothing has started for so long that the array is starved from now on.
+// Stalled reports whether the array has become starved because no further task has started within the
+// timeout.
 func (p *StartProgress) Stalled(now monotime.Micros) bool {
 	limit := starvationTimeout
 	if p.maxStarted > 0 {
@@ -52,8 +57,9 @@
 	return now-p.lastProgressAt > limit
 }
 
-// BeginCatchUp sets what a stalled array is to get, and reports whether that is anything. One of the
-// scavenger class gets a single task, so that it begins, and never more: the rest is for spare room.
+// BeginCatchUp sets the catch-up target of a stalled array and reports whether the array gets one. A
+// scavenger array gets a single task, so that it starts, and gets no target once a task has started. Its
+// other tasks use spare room only.
 func (p *StartProgress) BeginCatchUp(started, waiting int, scavenger bool) bool {
 	if !scavenger {
 		p.catchUpTarget = started + max(1, waiting/catchUpTaskDivisor)
@@ -66,5 +72,5 @@
 	return true
 }
 
-// Missing counts the tasks that a starved array still lacks, at least one.
+// Missing returns the number of tasks that a starved array needs to reach its catch-up target, at least 1.
 func (p *StartProgress) Missing(started int) int { return max(1, p.catchUpTarget-started) }
--- a/internal/scheduling/start_progress_test.go
+++ b/internal/scheduling/start_progress_test.go
@@ -6,7 +6,7 @@
 	"pipitgap/internal/monotime"
 )
 
-// isStarved plays one look at an array, as a pass does.
+// isStarved tracks an array like a scheduling pass does and reports whether the array is starved.
 func isStarved(p *StartProgress, started, waiting int, scavenger bool, now monotime.Micros) bool {
 	if !p.Begun() {
 		p.Begin(started, 0, now)
@@ -15,8 +15,9 @@
 	return p.CatchingUp(started) || p.Stalled(now) && p.BeginCatchUp(started, waiting, scavenger)
 }
 
-// TestStarvation: an array that gets nothing for long is starved until a part of its tasks has started, and
-// again sooner once some have.
+// TestStarvation checks that an array without starts becomes starved after starvationTimeout and stays
+// starved until a fraction of its waiting tasks has started. After that, the shorter
+// repeatedStarvationTimeout applies.
 func TestStarvation(t *testing.T) {
 	const second = monotime.Second
 	for _, tc := range []struct {
@@ -36,20 +37,20 @@
 			{1 * second, 0, false},
 			{101 * second, 0, false},
 			{101*second + 1, 0, true},
-			{102 * second, 9, true},   // a quarter of 40 is ten
-			{103 * second, 10, false}, // it has them
+			{102 * second, 9, true},   // target: a quarter of 40 tasks is 10
+			{103 * second, 10, false}, // target reached
 			{148 * second, 10, false},
-			{148*second + 1, 10, true}, // after the shorter time
+			{148*second + 1, 10, true}, // starved again after the shorter timeout
 		}},
-		{"of the scavenger class", true, []struct {
+		{"scavenger class", true, []struct {
 			at      monotime.Micros
 			started int
 			want    bool
 		}{
 			{1 * second, 0, false},
 			{102 * second, 0, true},
-			{103 * second, 1, false}, // one task is enough,
-			{500 * second, 1, false}, // and it is never starved again
+			{103 * second, 1, false}, // one task is enough
+			{500 * second, 1, false}, // never starved again
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -62,15 +63,16 @@
 					tc.scavenger,
 					observation.at,
 				); got != observation.want {
-					t.Errorf("at %v s with %d started: %v", observation.at.Seconds(), observation.started, got)
+					t.Errorf("at %v s with %d started tasks: got starved %v, want %v",
+						observation.at.Seconds(), observation.started, got, observation.want)
 				}
 			}
 		})
 	}
 }
 
-// TestStarvationCountsWaitBeforeBegin: what a job waited before this controller saw it counts, up to twice the bound,
-// and only if nothing of it has started.
+// TestStarvationCountsWaitBeforeBegin checks that the time that a job waited before this controller saw it
+// counts, up to twice starvationTimeout, but only if none of its tasks has started.
 func TestStarvationCountsWaitBeforeBegin(t *testing.T) {
 	const now = 1000 * monotime.Second
 	for _, tc := range []struct {
@@ -79,16 +81,16 @@
 		waited  monotime.Micros
 		want    bool
 	}{
-		{"waited for long", 0, starvationTimeout + 1, true},
-		{"not for long", 0, starvationTimeout, false},
-		{"clock went back", 0, -starvationTimeout, false},
-		{"for long, but some have started", 1, 2 * starvationTimeout, false},
+		{"waited longer than the timeout", 0, starvationTimeout + 1, true},
+		{"waited exactly the timeout", 0, starvationTimeout, false},
+		{"negative wait after a clock step", 0, -starvationTimeout, false},
+		{"waited longer than the timeout, but a task has started", 1, 2 * starvationTimeout, false},
 	} {
 		var progress StartProgress
 		progress.Begin(tc.started, tc.waited, now)
 		progress.Observe(tc.started, now)
 		if got := progress.Stalled(now); got != tc.want {
-			t.Errorf("%s: stalled %v", tc.name, got)
+			t.Errorf("%s: got stalled %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/scheduling/task_ranges.go
+++ b/internal/scheduling/task_ranges.go
@@ -6,24 +6,26 @@
 	"pipitgap/internal/storage"
 )
 
-// minTasksPerRange is how many of the tasks without room a partition gets at least: each partition that has
-// some of a job holds a record of it.
+// minTasksPerRange is the minimum number of tasks that a partition gets when tasks without room are divided
+// among several partitions. The minimum limits the number of records, since each partition with tasks of a
+// job holds a record of the job.
 const minTasksPerRange = 24
 
-// PartitionRoom is how many tasks of a job a partition has room for, less what already waits there; negative
-// where more waits than there is room for.
+// PartitionRoom is a partition's room for tasks of a job.
 type PartitionRoom struct {
 	Partition string
-	Tasks     int
+	Tasks     int // tasks that fit minus those that already wait there; negative if more wait than fit
 }
 
-// SortByRoom puts the partition with the most room first, or the least burdened where none has any.
+// SortByRoom sorts partitions by room, largest first. Partitions without room come last, those with the
+// fewest excess waiting tasks first.
 func SortByRoom(rooms []PartitionRoom) {
 	sort.SliceStable(rooms, func(a, b int) bool { return rooms[a].Tasks > rooms[b].Tasks })
 }
 
-// DivideTasks divides a job's tasks among partitions in their order: to each what it has room for, and the
-// rest evenly to the first ones. A job too large for any partition is so spread over all of them.
+// DivideTasks divides a job's tasks among partitions in the given order. Each partition gets the tasks that
+// it has room for. The first partitions get the remaining tasks in equal parts of at least minTasksPerRange.
+// This spreads a job that is too large for any partition over all of them.
 func DivideTasks(tasks int, rooms []PartitionRoom) []storage.TaskRange {
 	sizes := make([]int, len(rooms))
 	unplaced := tasks
@@ -52,14 +54,14 @@
 	return ranges
 }
 
-// Tail is the end of a task range.
+// Tail is the last part of a task range.
 type Tail struct {
-	First   int // index of its first task
-	Waiting int // tasks in it that wait
+	First   int // index of the first task
+	Waiting int // number of waiting tasks in the tail
 }
 
-// WaitingTail is the shortest tail of a range with so many waiting tasks, or the whole range if there are
-// fewer. A task waits whose state is zero.
+// WaitingTail returns the shortest tail of a range that contains the given number of waiting tasks, or the
+// whole range if it contains fewer. A task is waiting if its state is zero.
 func WaitingTail(taskRange storage.TaskRange, taskStates []uint8, tasks int) Tail {
 	tail := Tail{First: taskRange.End}
 	for tail.First > taskRange.First && tail.Waiting < tasks {
--- a/internal/scheduling/zone_constraint.go
+++ b/internal/scheduling/zone_constraint.go
@@ -5,15 +5,16 @@
 	"pipitgap/internal/storage"
 )
 
-// ZoneConstraint keeps a job's tasks in one zone, or spread so that no zone has more than half of them. It
-// counts the tasks that each zone already has. Without either rule it allows everything and counts nothing.
+// ZoneConstraint restricts a job's tasks to one zone, or spreads them so that no zone has more than half of
+// them, rounded up. It counts the tasks that each zone already has. For a job without either restriction it
+// allows every zone and counts nothing.
 type ZoneConstraint struct {
 	oneZone, spread bool
 	maxPerZone      int
 	tasksByZone     map[string]int
 }
 
-// NewZoneConstraint returns the rule of a job none of whose tasks is placed yet.
+// NewZoneConstraint returns the constraint of a job without placed tasks.
 func NewZoneConstraint(spec *storage.JobSpec) *ZoneConstraint {
 	return &ZoneConstraint{
 		oneZone:     spec.OneZone,
@@ -23,13 +24,14 @@
 	}
 }
 
-// RestrictsZones reports whether the job has such a rule at all.
+// RestrictsZones reports whether the job has a zone restriction.
 func (z *ZoneConstraint) RestrictsZones() bool { return z.oneZone || z.spread }
 
-// Allows reports whether a zone may take one more task.
+// Allows reports whether one more task may be placed in a zone.
 func (z *ZoneConstraint) Allows(zone string) bool { return z.RemainingIn(zone) > 0 }
 
-// RemainingIn counts the tasks that the rule lets a zone take, protocol.MaxTasks where nothing limits them.
+// RemainingIn returns the number of further tasks that may be placed in a zone, or protocol.MaxTasks without
+// a limit.
 func (z *ZoneConstraint) RemainingIn(zone string) int {
 	if z.oneZone && len(z.tasksByZone) > 0 && z.tasksByZone[zone] == 0 {
 		return 0
@@ -40,7 +42,7 @@
 	return protocol.MaxTasks
 }
 
-// AddTasks counts tasks placed in a zone.
+// AddTasks adds to the count of tasks placed in a zone.
 func (z *ZoneConstraint) AddTasks(zone string, count int) {
 	if count > 0 && z.RestrictsZones() {
 		z.tasksByZone[zone] += count
