--- a/internal/scheduling/preemption.go
+++ b/internal/scheduling/preemption.go
@@ -39,8 +39,8 @@
 }
 
 // Select selects candidates to preempt for one task, those with the least lost work first. ok is true if any
-// task is selected and the selected tasks make enough room. Select sorts candidates. A service may preempt any task of lower priority.
-// All other preemption is limited to what a team uses beyond its guarantee.
+// task is selected and the selected tasks make enough room. Select sorts candidates. A service may preempt
+// any task of lower priority. All other preemption is limited to what a team uses beyond its guarantee.
 func (r *VictimRequest) Select(candidates []Victim) (selection VictimSelection, ok bool) {
 	sortByLoss(candidates)
 	free, stoppedByTeam := r.Free, map[string]resources.Vector{}
