--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -105,7 +105,7 @@
 		Use:                m.ownUse(team),
 		Unallocated:        m.Unallocated(team),
 		Shortage:           m.shortages[team],
-		ReportedByPeer:     reported && now-reportedAt < shortageReportIntervals*m.cfg.PeerStatusInterval,
+		PeerShortage:       reported && now-reportedAt < shortageReportIntervals*m.cfg.PeerStatusInterval,
 		WorkersUnreachable: m.deps.Peers.WorkersUnreachable(),
 		Controllers:        m.deps.Store.BudgetSharers(),
 	}
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -276,16 +276,16 @@
 	m, stub := newManager()
 	stub.putShares("n-1", 20)
 	for _, step := range []struct {
-		at      monotime.Micros
-		lacking bool
-		want    []string
+		at           monotime.Micros
+		shortOfQuota bool
+		want         []string
 	}{
 		{monotime.Second, true, nil},
 		{monotime.Second + shortageReportDelay - 1, true, nil},
 		{monotime.Second + shortageReportDelay, true, []string{"tight"}},
 		{2*monotime.Second + shortageReportDelay, false, nil},
 	} {
-		if step.lacking {
+		if step.shortOfQuota {
 			m.NoteShortage("tight", unmetDemand(1))
 		}
 		m.Adjust(step.at)
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -70,7 +70,7 @@
 	Use                resources.Vector // upper bound on the resources used by tasks in the controller's shards
 	Unallocated        resources.Vector // part of the limit that is in no controller's share
 	Shortage           *Shortage        // nil if no task waits for the share to grow
-	ReportedByPeer     bool             // whether another controller recently reported a shortage of this limit
+	PeerShortage       bool             // whether another controller recently reported a shortage of this limit
 	WorkersUnreachable bool             // whether this controller can't reach its workers and so can't start tasks
 	Controllers        int              // number of live controllers that divide the limit, at least 1
 }
@@ -94,7 +94,7 @@
 		return ShareDecision{Share: in.loweredShare(resources.Vector{}), ShortOfQuota: shortage.HasMachineRoom}
 	case in.WorkersUnreachable:
 		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
-	case in.ReportedByPeer && (shortage == nil || !shortage.HasMachineRoom):
+	case in.PeerShortage && (shortage == nil || !shortage.HasMachineRoom):
 		// The other controller can start tasks immediately. Tasks of this controller would have to wait for a
 		// machine.
 		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
--- a/internal/quota/share_test.go
+++ b/internal/quota/share_test.go
@@ -23,13 +23,13 @@
 		return &Shortage{PerTask: cpus(perTask), Total: cpus(total), HasMachineRoom: room}
 	}
 	cases := []struct {
-		name        string
-		unallocated float64
-		shortage    *Shortage
-		peerLacks   bool
-		unreachable bool
-		want        float64
-		lacking     bool
+		name         string
+		unallocated  float64
+		shortage     *Shortage
+		peerShortage bool
+		unreachable  bool
+		want         float64
+		shortOfQuota bool
 	}{
 		{"no shortage, much is unallocated: share is unchanged", 16, nil, false, false, 20, false},
 		{
@@ -92,13 +92,13 @@
 				Use:                cpus(10),
 				Unallocated:        cpus(c.unallocated),
 				Shortage:           c.shortage,
-				ReportedByPeer:     c.peerLacks,
+				PeerShortage:       c.peerShortage,
 				WorkersUnreachable: c.unreachable,
 				Controllers:        5,
 			})
 			if want := (storage.QuotaShare{CPUs: c.want}); !sharesEqual(got.Share, want) ||
-				got.ShortOfQuota != c.lacking {
-				t.Errorf("got %+v, want %v CPUs and ShortOfQuota %v", got, c.want, c.lacking)
+				got.ShortOfQuota != c.shortOfQuota {
+				t.Errorf("got %+v, want %v CPUs and ShortOfQuota %v", got, c.want, c.shortOfQuota)
 			}
 		})
 	}
