--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -71,7 +71,7 @@
 	Unallocated        resources.Vector // part of the limit that is in no controller's share
 	Shortage           *Shortage        // nil if no task waits for the share to grow
 	PeerShortage       bool             // whether another controller recently reported a shortage of this limit
-	WorkersUnreachable bool             // whether this controller can't reach its workers and so can't start tasks
+	WorkersUnreachable bool             // whether this controller can't reach its workers, so nothing can start
 	Controllers        int              // number of live controllers that divide the limit, at least 1
 }
 
