--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -8,155 +8,168 @@
 	"pipitgap/internal/storage"
 )
 
-// Bounds of how shares of the teams' limits change.
+// Thresholds for changing the shares of a team's limit.
 const (
-	// unusedFraction is the part of a team's limit that all controllers together keep beyond what they use:
-	// use goes up and down, and each change of a share is a write.
+	// unusedFraction is the fraction of a team's limit that all controllers together may keep in their shares
+	// in addition to what they use. Usage fluctuates, and each change of a share costs a write.
 	unusedFraction = 0.2
-	// lowUnallocatedFraction is the unallocated part of a limit below which unused shares are lowered.
+	// lowUnallocatedFraction is the unallocated fraction of a limit at or below which controllers lower
+	// shares that they don't fully use.
 	lowUnallocatedFraction = 0.15
 )
 
-// UnmetDemand is tasks of one job that a controller's share keeps waiting.
+// UnmetDemand describes the tasks of one job that wait because too little of the controller's share of the
+// team's limit is left.
 type UnmetDemand struct {
-	TaskResources  resources.Vector // of each task
-	Tasks          int              // that wait
-	ShareLeft      resources.Vector // what is left of the controller's share
-	HasMachineRoom bool             // a machine has room for one of them
+	TaskResources  resources.Vector // resources of each task
+	Tasks          int              // number of waiting tasks
+	ShareLeft      resources.Vector // unused part of the controller's share
+	HasMachineRoom bool             // whether some machine has room for one of the tasks
 }
 
-// shortPerTask is what the share lacks for a single task.
-func (u UnmetDemand) shortPerTask() resources.Vector {
-	short := resources.Vector{}
+// shortfallPerTask returns the resources that a single task needs in addition to the unused part of the
+// share.
+func (u UnmetDemand) shortfallPerTask() resources.Vector {
+	shortfall := resources.Vector{}
 	if !math.IsInf(u.ShareLeft.CPUs, 1) {
-		short.CPUs = max(0, u.TaskResources.CPUs-u.ShareLeft.CPUs)
+		shortfall.CPUs = max(0, u.TaskResources.CPUs-u.ShareLeft.CPUs)
 	}
 	if !math.IsInf(u.ShareLeft.GPUs, 1) {
-		short.GPUs = max(0, u.TaskResources.GPUs-u.ShareLeft.GPUs)
+		shortfall.GPUs = max(0, u.TaskResources.GPUs-u.ShareLeft.GPUs)
 	}
-	return short
+	return shortfall
 }
 
 // Shortage is what a controller's share of a team's limit lacked since the share was last adjusted.
 type Shortage struct {
-	PerTask        resources.Vector // for the task that lacks least
+	PerTask        resources.Vector // smallest shortfall of any single task
 	Total          resources.Vector // for all tasks
-	HasMachineRoom bool             // a machine has room for one of them
+	HasMachineRoom bool             // whether some machine has room for one of the tasks
 }
 
-// AddDemand returns the shortage with another job's tasks; before is nil if there was none.
-func AddDemand(before *Shortage, demand UnmetDemand) *Shortage {
-	short := demand.shortPerTask()
-	if before == nil {
-		before = &Shortage{PerTask: short}
+// AddDemand returns a copy of the previous shortage with another job's tasks added. previous is nil if there
+// was no shortage.
+func AddDemand(previous *Shortage, demand UnmetDemand) *Shortage {
+	shortfall := demand.shortfallPerTask()
+	if previous == nil {
+		previous = &Shortage{PerTask: shortfall}
 	}
-	after := *before
-	if short.CPUs+short.GPUs < after.PerTask.CPUs+after.PerTask.GPUs {
-		after.PerTask = short
+	updated := *previous
+	if shortfall.CPUs+shortfall.GPUs < updated.PerTask.CPUs+updated.PerTask.GPUs {
+		updated.PerTask = shortfall
 	}
-	after.Total = after.Total.AddScaled(demand.TaskResources, float64(demand.Tasks))
-	after.HasMachineRoom = after.HasMachineRoom || demand.HasMachineRoom
-	return &after
+	updated.Total = updated.Total.AddScaled(demand.TaskResources, float64(demand.Tasks))
+	updated.HasMachineRoom = updated.HasMachineRoom || demand.HasMachineRoom
+	return &updated
 }
 
-// ShareInputs is all that the decision about a controller's share of one team's limit depends on.
+// ShareInputs holds everything that DecideShare needs to know about a controller's share of one team's limit.
 type ShareInputs struct {
 	Limits             Limits
 	Current            storage.QuotaShare
-	Use                resources.Vector // what the controller's shards take, at most
-	Unallocated        resources.Vector // what no controller has of the limit
-	Shortage           *Shortage        // nil: the share keeps nothing waiting
-	LackedByPeer       bool             // another controller reported lately that it lacks some of the limit
-	WorkersUnreachable bool             // nothing can start at this controller
-	Controllers        int              // live controllers that divide the limit, at least 1
+	Use                resources.Vector // upper bound on the resources used by tasks in the controller's shards
+	Unallocated        resources.Vector // part of the limit that is in no controller's share
+	Shortage           *Shortage        // nil if no task waits for the share to grow
+	PeerShortage       bool             // whether another controller recently reported a shortage of this limit
+	WorkersUnreachable bool             // whether this controller can't reach its workers, so nothing can start
+	Controllers        int              // number of live controllers that divide the limit, at least 1
 }
 
-// ShareDecision is what a share should become.
+// ShareDecision is the result of DecideShare.
 type ShareDecision struct {
-	Share storage.QuotaShare
-	// Lacking: what is unallocated isn't enough for a single task that has room on a machine here.
-	Lacking bool
+	Share storage.QuotaShare // the new share
+	// ShortOfQuota is true if the unallocated part of the limit is too small for even one waiting task
+	// although a machine of this controller has room for that task.
+	ShortOfQuota bool
 }
 
-// DecideShare decides what a controller's share of a team's limit should become.
+// DecideShare returns the new share that a controller should have of a team's limit.
 func DecideShare(in ShareInputs) ShareDecision {
 	shortage := in.Shortage
 	switch {
-	case shortage != nil && in.unallocatedBelow(shortage.PerTask):
-		// Not enough for a single task here, and what is left over here may be what another controller
-		// lacks: several such rests add up to a task.
-		return ShareDecision{Share: in.lowered(resources.Vector{}), Lacking: shortage.HasMachineRoom}
+	case shortage != nil && in.unallocatedIsBelow(shortage.PerTask):
+		// The unallocated part of the limit is too small for a single task of this controller. The unused
+		// part of its share may still help another controller: the unused parts of several shares can add up
+		// to enough for a task.
+		return ShareDecision{Share: in.loweredShare(resources.Vector{}), ShortOfQuota: shortage.HasMachineRoom}
 	case in.WorkersUnreachable:
-		return ShareDecision{Share: in.lowered(resources.Vector{})}
-	case in.LackedByPeer && (shortage == nil || !shortage.HasMachineRoom):
-		// Another controller could start tasks at once; here they would wait for machines.
-		return ShareDecision{Share: in.lowered(resources.Vector{})}
+		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
+	case in.PeerShortage && (shortage == nil || !shortage.HasMachineRoom):
+		// The other controller can start tasks immediately. Tasks of this controller would have to wait for a
+		// machine.
+		return ShareDecision{Share: in.loweredShare(resources.Vector{})}
 	case shortage != nil:
-		return ShareDecision{Share: in.raised()}
+		return ShareDecision{Share: in.raisedShare()}
 	case in.unallocatedSuffices():
 		return ShareDecision{Share: in.Current}
 	}
 	fraction := unusedFraction / float64(in.Controllers)
 	margin := resources.Vector{CPUs: fraction * in.Limits.MaxCPUs, GPUs: fraction * in.Limits.MaxGPUs}
-	return ShareDecision{Share: in.lowered(margin)}
+	return ShareDecision{Share: in.loweredShare(margin)}
 }
 
-// unallocatedBelow reports whether less of the limit is unallocated than is needed.
-func (in *ShareInputs) unallocatedBelow(need resources.Vector) bool {
+// unallocatedIsBelow reports whether the unallocated part of the limit is less than need, in any resource.
+func (in *ShareInputs) unallocatedIsBelow(need resources.Vector) bool {
 	return in.Unallocated.CPUs+resources.Tolerance < need.CPUs ||
 		in.Unallocated.GPUs+resources.Tolerance < need.GPUs
 }
 
-// unallocatedSuffices reports whether so much is unallocated that shares needn't be lowered.
+// unallocatedSuffices reports whether the unallocated part of the limit is large enough that controllers
+// needn't lower their shares.
 func (in *ShareInputs) unallocatedSuffices() bool {
 	return in.Unallocated.CPUs > lowUnallocatedFraction*in.Limits.MaxCPUs &&
 		(in.Limits.MaxGPUs == 0 || in.Unallocated.GPUs > lowUnallocatedFraction*in.Limits.MaxGPUs)
 }
 
-// raised takes what is lacking, and half of an even part of what is left then: a raise costs a write, and
-// what one controller has no other can use.
-func (in *ShareInputs) raised() storage.QuotaShare {
+// raisedShare adds the shortage to the share, up to the unallocated part of the limit. It also adds half of
+// this controller's even part of what then remains unallocated. The extra amount makes raises less frequent,
+// since each costs a write. It is small because other controllers can't use what this controller holds.
+func (in *ShareInputs) raisedShare() storage.QuotaShare {
 	fraction := 1 / (2 * float64(in.Controllers))
-	grow := func(have, short, left float64) float64 {
-		grown := resources.Round(have + min(max(0, left), max(short, 0)+max(0, left-short)*fraction))
-		if grown > have+resources.Tolerance {
+	growTo := func(current, shortfall, unallocated float64) float64 {
+		grown := resources.Round(
+			current + min(max(0, unallocated), max(shortfall, 0)+max(0, unallocated-shortfall)*fraction),
+		)
+		if grown > current+resources.Tolerance {
 			return grown
 		}
-		return have
+		return current
 	}
 	share := in.Current
 	if in.Limits.MaxCPUs > 0 {
-		share.CPUs = grow(share.CPUs, in.Shortage.Total.CPUs, in.Unallocated.CPUs)
+		share.CPUs = growTo(share.CPUs, in.Shortage.Total.CPUs, in.Unallocated.CPUs)
 	}
 	if in.Limits.MaxGPUs > 0 {
-		share.GPUs = grow(share.GPUs, in.Shortage.Total.GPUs, in.Unallocated.GPUs)
+		share.GPUs = growTo(share.GPUs, in.Shortage.Total.GPUs, in.Unallocated.GPUs)
 	}
 	return share
 }
 
-// lowered returns the share without what lies more than twice a margin above what is used, down to the
-// margin: within it the share stays, or each small change of use would cost a write.
-func (in *ShareInputs) lowered(margin resources.Vector) storage.QuotaShare {
+// loweredShare lowers the share to the usage plus margin if the share exceeds the usage by more than twice
+// the margin in any resource. Otherwise it returns the share unchanged. Without this hysteresis, each small
+// change of usage would cost a write.
+func (in *ShareInputs) loweredShare(margin resources.Vector) storage.QuotaShare {
 	current := in.Current
-	lower := storage.QuotaShare{
+	lowered := storage.QuotaShare{
 		CPUs: max(0, min(current.CPUs, in.Use.CPUs+margin.CPUs)),
 		GPUs: max(0, min(current.GPUs, in.Use.GPUs+margin.GPUs)),
 	}
-	if lower.CPUs < current.CPUs-resources.Tolerance-margin.CPUs ||
-		lower.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
-		return lower
+	if lowered.CPUs < current.CPUs-resources.Tolerance-margin.CPUs ||
+		lowered.GPUs < current.GPUs-resources.Tolerance-margin.GPUs {
+		return lowered
 	}
 	return current
 }
 
-// Raises reports whether a share grows, in any resource, from before to after.
+// Raises reports whether after exceeds before in any resource.
 func Raises(before, after storage.QuotaShare) bool {
 	return after.CPUs > before.CPUs+resources.Tolerance || after.GPUs > before.GPUs+resources.Tolerance
 }
 
-// MoveUse has shares follow tasks that go over from one controller's shards into another's: it moves what the
-// tasks take from the one record to the other. It reports whether a team with a limit was among them.
-func MoveUse(
+// MoveShares moves quota shares from one controller's record to another's when tasks move between their
+// shards. It moves the amount that the tasks use, for each team with a limit, and reports whether there is
+// such a team.
+func MoveShares(
 	from, to *storage.Partition,
 	useByTeam map[string]resources.Vector,
 	limited func(team string) bool,
--- a/internal/scheduling/partition_capacity_test.go
+++ b/internal/scheduling/partition_capacity_test.go
@@ -24,14 +24,14 @@
 	add("n-1", "i-5", 0, "y", false)
 	need := resources.Vector{CPUs: 2}
 	for _, tc := range []struct {
-		name                       string
-		spec                       storage.JobSpec
-		partition                  string
-		tasks, besideImage         int
-		preempting, imagePreempted int
+		name                              string
+		spec                              storage.JobSpec
+		partition                         string
+		tasks, tasksWithImage             int
+		preemptible, preemptibleWithImage int
 	}{
 		{"ordinary machines", storage.JobSpec{Image: "x"}, "n-0", 5, 4, 2, 1},
-		{"spot ones too", storage.JobSpec{Image: "x", Spot: true}, "n-0", 9, 8, 3, 2},
+		{"ordinary and spot machines", storage.JobSpec{Image: "x", Spot: true}, "n-0", 9, 8, 3, 2},
 		{"room by preemption", storage.JobSpec{Image: "x"}, "n-1", 0, 0, 1, 1},
 		{"another zone", storage.JobSpec{Image: "x", Zone: "b"}, "n-0", 0, 0, 0, 0},
 		{"unknown partition", storage.JobSpec{Image: "x"}, "n-2", 0, 0, 0, 0},
@@ -40,16 +40,17 @@
 			Spec: &tc.spec, Need: need,
 			Freed: func(string) resources.Vector { return resources.Vector{CPUs: 1} },
 		}
-		beside := fit
-		beside.BesideImage = true
+		withImage := fit
+		withImage.BesideImage = true
 		got := [4]int{
 			capacity.TasksFitting(&tc.spec, need, tc.partition),
 			capacity.TasksFittingBesideImage(&tc.spec, need, tc.partition),
 			capacity.MachinesAfterPreemption(tc.partition, fit),
-			capacity.MachinesAfterPreemption(tc.partition, beside),
+			capacity.MachinesAfterPreemption(tc.partition, withImage),
 		}
-		if want := [4]int{tc.tasks, tc.besideImage, tc.preempting, tc.imagePreempted}; got != want {
-			t.Errorf("%s: %v, want %v", tc.name, got, want)
+		if want := [4]int{tc.tasks, tc.tasksWithImage, tc.preemptible, tc.preemptibleWithImage}; got != want {
+			t.Errorf("%s: got [tasks, tasks with image, preemptible machines, those with image] %v, want %v",
+				tc.name, got, want)
 		}
 	}
 }
@@ -63,13 +64,14 @@
 		scores []PartitionScore
 		want   string
 	}{
-		{"the most", []PartitionScore{scoring(map[string]int{"a": 1, "b": 2, "c": 2})}, "b"},
-		{"the first score that finds any", []PartitionScore{scoring(nil), scoring(map[string]int{"c": 1}),
+		{"highest value, first of equals",
+			[]PartitionScore{scoring(map[string]int{"a": 1, "b": 2, "c": 2})}, "b"},
+		{"first score with a positive value", []PartitionScore{scoring(nil), scoring(map[string]int{"c": 1}),
 			scoring(map[string]int{"a": 9})}, "c"},
-		{"none", []PartitionScore{scoring(nil)}, "self"},
+		{"no positive value: fallback", []PartitionScore{scoring(nil)}, "self"},
 	} {
 		if got := BestPartition([]string{"a", "b", "c"}, "self", tc.scores...); got != tc.want {
-			t.Errorf("%s: %s, want %s", tc.name, got, tc.want)
+			t.Errorf("%s: got partition %s, want %s", tc.name, got, tc.want)
 		}
 	}
 }
