--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -64,12 +64,12 @@
 	case inShard:
 		a.takeOver(request, machine)
 	default:
-		a.addNew(request)
+		a.admitNewMachine(request)
 	}
 }
 
-// addNew puts a machine that has come up into the shard with the most room.
-func (a *admission) addNew(request *claimRequest) {
+// admitNewMachine puts a machine that has come up into the shard with the most room.
+func (a *admission) admitNewMachine(request *claimRequest) {
 	heartbeat := &request.heartbeat
 	id := heartbeat.Machine
 	scaleOutName := a.mirror.ScaleOutOfMachine[id]
@@ -78,10 +78,10 @@
 		a.mirror.WatchedRevision < scaleOut.Version {
 		return
 	}
-	need := a.needOf(request, 0)
-	update := a.roomiest(need)
+	need := a.spaceNeedOf(request, 0)
+	update := a.leastFilled(need)
 	if update == nil {
-		update = a.open()
+		update = a.addNewShard()
 	}
 	if !a.reserve(update, id, need) {
 		return
@@ -107,12 +107,12 @@
 	if !a.sources[source] && len(a.sources) >= a.takeoverLimiter.sourceLimit {
 		return
 	}
-	need := a.needOf(request, len(machine.Attempts))
+	need := a.spaceNeedOf(request, len(machine.Attempts))
 	update := a.takeoverUpdate
 	switch {
 	case update == nil:
-		if update = a.roomiest(need); update == nil {
-			update = a.open()
+		if update = a.leastFilled(need); update == nil {
+			update = a.addNewShard()
 		}
 	case !a.fits(update, need):
 		return // the next pass takes over the rest
@@ -124,29 +124,29 @@
 	a.moveMachine(update, machine, request.heartbeat.Endpoint)
 }
 
-// roomNeed is the room that a machine needs in a shard.
-type roomNeed struct {
+// spaceNeed is the room that a machine needs in a shard.
+type spaceNeed struct {
 	plannedBytes int // once it is full
 	bytes        int // with the attempts that are on it now
 }
 
-// needOf estimates the room that a machine needs in a shard, given the attempts that come along with it.
-func (a *admission) needOf(request *claimRequest, attempts int) roomNeed {
-	return roomNeed{
+// spaceNeedOf estimates the room that a machine needs in a shard, given the attempts that come along with it.
+func (a *admission) spaceNeedOf(request *claimRequest, attempts int) spaceNeed {
+	return spaceNeed{
 		plannedBytes: a.bytesForMachine(request.heartbeat.Type),
 		bytes:        bytesPerMachine + bytesPerMovedAttempt*attempts,
 	}
 }
 
 // fits reports whether a shard has room for another machine.
-func (a *admission) fits(update *Update, need roomNeed) bool {
+func (a *admission) fits(update *Update, need spaceNeed) bool {
 	limit := FillBytes(a.cfg.MaxValueBytes)
 	return update.plannedBytes+need.plannedBytes <= limit && update.maxBytes+need.bytes <= limit
 }
 
-// roomiest returns the update of the shard with the most room of those that a machine fits in; nil if there
+// leastFilled returns the update of the shard with the most room of those that a machine fits in; nil if there
 // is none.
-func (a *admission) roomiest(need roomNeed) *Update {
+func (a *admission) leastFilled(need spaceNeed) *Update {
 	var best *Update
 	for _, update := range a.updates {
 		if a.fits(update, need) && (best == nil || update.plannedBytes < best.plannedBytes) {
@@ -157,14 +157,14 @@
 }
 
 // open opens a new shard.
-func (a *admission) open() *Update {
-	update := a.openShard()
+func (a *admission) addNewShard() *Update {
+	update := a.createShard()
 	a.updates = append(a.updates, update)
 	return update
 }
 
 // reserve has an update claim a machine; false if its commit would compare too many records.
-func (a *admission) reserve(update *Update, machine string, need roomNeed) bool {
+func (a *admission) reserve(update *Update, machine string, need spaceNeed) bool {
 	if update.Compares() > maxComparesPerOp*a.cfg.MaxTxnOps {
 		return false
 	}
@@ -179,46 +179,46 @@
 // moveMachine takes a machine with all its attempts out of another controller's shard and puts it into an
 // update, in one commit that is conditional on both shards.
 func (m *Manager) moveMachine(update *Update, machine *mirror.Machine, endpoint string) {
-	from := machine.Shard
-	left := update.otherShard(from)
-	delete(left.Machines, machine.ID)
+	source := machine.Shard
+	remaining := update.sourceRecord(source)
+	delete(remaining.Machines, machine.ID)
 	record := *machine.Record
 	record.Endpoint = endpoint
 	record.Claim = max(machine.Claim(), update.next.Claim) + 1
 	update.next.AddMachine(machine.ID, record)
 	useByTeam := map[string]resources.Vector{}
 	for task, attempt := range machine.Attempts {
-		before, _ := from.Record.FindAttempt(task.Job, task.Index)
-		left.Release(task.Job, task.Index, false)
+		previous, _ := source.Record.FindAttempt(task.Job, task.Index)
+		remaining.Release(task.Job, task.Index, false)
 		update.next.Assign(task.Job, storage.Attempt{
 			Task:     task.Index,
 			Machine:  machine.ID,
 			Number:   attempt,
-			Starting: before.Starting,
+			Starting: previous.Starting,
 		})
 		if job := m.mirror.Jobs[task.Job]; job != nil {
 			mirror.AddUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
 	}
-	update.putOtherShard(from, left)
-	m.quota.Transfer(&update.txn, update.comparedKeys, from.Record.Owner, m.cfg.Node, useByTeam)
+	update.putSourceRecord(source, remaining)
+	m.quota.Transfer(&update.txn, update.comparedKeys, source.Record.Owner, m.cfg.Node, useByTeam)
 }
 
-// otherShard returns a copy of the record of a shard that machines are taken from, without those that the
+// sourceRecord returns a copy of the record of a shard that machines are taken from, without those that the
 // update has taken already.
-func (u *Update) otherShard(shard *mirror.Shard) *storage.Shard {
+func (u *Update) sourceRecord(shard *mirror.Shard) *storage.Shard {
 	record := shard.Record
-	if i := u.putOf(storage.ShardKey(shard.Name)); i >= 0 {
+	if i := u.findPut(storage.ShardKey(shard.Name)); i >= 0 {
 		record, _ = storage.DecodeShard(u.txn.Then[i].Value, nil)
 	}
 	return record.Clone()
 }
 
-// putOtherShard has the update's commit write the record of a shard that machines are taken from.
-func (u *Update) putOtherShard(shard *mirror.Shard, record *storage.Shard) {
+// putSourceRecord has the update's commit write the record of a shard that machines are taken from.
+func (u *Update) putSourceRecord(shard *mirror.Shard, record *storage.Shard) {
 	key := storage.ShardKey(shard.Name)
 	encoded, _ := record.Encode()
-	if i := u.putOf(key); i >= 0 {
+	if i := u.findPut(key); i >= 0 {
 		u.txn.Then[i].Value = encoded
 		return
 	}
@@ -226,8 +226,8 @@
 	u.txn.Then = append(u.txn.Then, protocol.Op{Put: key, Value: encoded})
 }
 
-// putOf finds the operation of the update's commit that writes a key; -1 if there is none.
-func (u *Update) putOf(key string) int {
+// findPut finds the operation of the update's commit that writes a key; -1 if there is none.
+func (u *Update) findPut(key string) int {
 	for i, operation := range u.txn.Then {
 		if operation.Put == key {
 			return i
--- a/internal/shards/admission_test.go
+++ b/internal/shards/admission_test.go
@@ -10,60 +10,60 @@
 	"pipitgap/internal/storage"
 )
 
-// request has a machine wait for its claim; the results of the callback are appended to answers.
-func (w *world) request(machine string, from *mirror.Shard, answers *[]bool) {
+// request has a machine wait for its claim; the results of the callback are appended to claimResults.
+func (h *harness) requestClaim(machine string, from *mirror.Shard, claimResults *[]bool) {
 	heartbeat := protocol.Heartbeat{Machine: machine, Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1"}
-	w.m.RequestClaim(&heartbeat, from, func(claimed bool) { *answers = append(*answers, claimed) })
+	h.m.RequestClaim(&heartbeat, from, func(claimed bool) { *claimResults = append(*claimResults, claimed) })
 }
 
 // Which machines that have come up are claimed.
 func TestAdmitNewMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change func(w *world)
+		change func(h *harness)
 		want   bool
 	}{
-		{"designated", func(*world) {}, true},
-		{"designated to another controller", func(w *world) {
-			w.putScaleOut("r", &storage.ScaleOutRequest{
+		{"designated", func(*harness) {}, true},
+		{"designated to another controller", func(h *harness) {
+			h.putScaleOut("r", &storage.ScaleOutRequest{
 				Machines: []string{"i-1"}, Own: map[string]string{"i-1": "n-1"},
 			})
 		}, false},
-		{"of no request", func(w *world) {
-			w.putScaleOut("r", &storage.ScaleOutRequest{Machines: []string{"i-2"}})
+		{"of no request", func(h *harness) {
+			h.putScaleOut("r", &storage.ScaleOutRequest{Machines: []string{"i-2"}})
 		}, false},
-		{"not a member", func(w *world) {
+		{"not a member", func(h *harness) {
 			member := storage.Member{Incarnation: ownIncarnation - 1}
-			w.put(storage.MemberKey(ownNode), protocol.MustMarshal(&member))
+			h.put(storage.MemberKey(ownNode), protocol.MustMarshal(&member))
 		}, false},
-		{"to be scaled in", func(w *world) {
+		{"to be scaled in", func(h *harness) {
 			record := storage.ScaleInRequest{Machines: []string{"i-1"}}
-			w.put(storage.ScaleInKey("s"), protocol.MustMarshal(&record))
+			h.put(storage.ScaleInKey("s"), protocol.MustMarshal(&record))
 		}, false},
-		{"waiting for too long", func(w *world) { w.clock += claimRequestTimeout + 1 }, false},
+		{"waiting for too long", func(h *harness) { h.clock += claimRequestTimeout + 1 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.putScaleOut("r", &storage.ScaleOutRequest{
+			h := newHarness(t)
+			h.putScaleOut("r", &storage.ScaleOutRequest{
 				Machines: []string{"i-1"}, Own: map[string]string{"i-1": ownNode},
 			})
-			var answers []bool
-			w.request("i-1", nil, &answers)
-			tc.change(w)
-			updates := w.m.AdmitClaimRequests(w.m.PrepareUpdates(w.clock), w.clock)
+			var claimResults []bool
+			h.requestClaim("i-1", nil, &claimResults)
+			tc.change(h)
+			updates := h.m.AdmitClaimRequests(h.m.PrepareUpdates(h.clock), h.clock)
 			if got := len(updates) == 1 && updates[0].Machines()["i-1"] != nil; got != tc.want {
 				t.Fatalf("claimed: %v, want %v", got, tc.want)
 			}
 			if !tc.want {
 				return
 			}
-			w.m.Commit(updates[0], w.clock)
-			if again := w.m.AdmitClaimRequests(nil, w.clock); len(again) > 0 {
+			h.m.Commit(updates[0], h.clock)
+			if again := h.m.AdmitClaimRequests(nil, h.clock); len(again) > 0 {
 				t.Error("claimed twice")
 			}
-			w.answer(protocol.StoreResult{Outcome: protocol.OK})
-			if len(answers) != 1 || !answers[0] {
-				t.Errorf("answered %v", answers)
+			h.completeCommit(protocol.StoreResult{Outcome: protocol.OK})
+			if len(claimResults) != 1 || !claimResults[0] {
+				t.Errorf("answered %v", claimResults)
 			}
 		})
 	}
@@ -71,33 +71,33 @@
 
 // A machine that waits for too long is refused, once.
 func TestExpireClaimRequests(t *testing.T) {
-	w := newWorld(t)
-	var answers []bool
-	w.request("i-1", nil, &answers)
-	w.m.ExpireClaimRequests(w.clock + claimRequestTimeout)
-	if len(answers) > 0 {
+	h := newHarness(t)
+	var claimResults []bool
+	h.requestClaim("i-1", nil, &claimResults)
+	h.m.ExpireClaimRequests(h.clock + claimRequestTimeout)
+	if len(claimResults) > 0 {
 		t.Error("refused too early")
 	}
-	w.m.ExpireClaimRequests(w.clock + claimRequestTimeout + 1)
-	w.m.ExpireClaimRequests(w.clock + 2*claimRequestTimeout)
-	if len(answers) != 1 || answers[0] {
-		t.Errorf("answered %v", answers)
+	h.m.ExpireClaimRequests(h.clock + claimRequestTimeout + 1)
+	h.m.ExpireClaimRequests(h.clock + 2*claimRequestTimeout)
+	if len(claimResults) != 1 || claimResults[0] {
+		t.Errorf("answered %v", claimResults)
 	}
 }
 
 // Machines that have come up fill the shard with the most room, and a new one once none has any.
 func TestAdmissionOpensShards(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	scaleOut := &storage.ScaleOutRequest{Own: map[string]string{}}
-	var answers []bool
-	perShard := FillBytes(w.m.cfg.MaxValueBytes) / w.m.bytesForMachine("m8")
+	var claimResults []bool
+	perShard := FillBytes(h.m.cfg.MaxValueBytes) / h.m.bytesForMachine("m8")
 	for i := 0; i <= perShard; i++ {
 		id := fmt.Sprintf("i-%06d", i)
 		scaleOut.Machines, scaleOut.Own[id] = append(scaleOut.Machines, id), ownNode
-		w.request(id, nil, &answers)
+		h.requestClaim(id, nil, &claimResults)
 	}
-	w.putScaleOut("r", scaleOut)
-	updates := w.m.AdmitClaimRequests(nil, w.clock)
+	h.putScaleOut("r", scaleOut)
+	updates := h.m.AdmitClaimRequests(nil, h.clock)
 	if len(updates) != 2 || len(updates[0].Machines()) != perShard || len(updates[1].Machines()) != 1 {
 		t.Errorf("%d shards, want two, the first with %d machines", len(updates), perShard)
 	}
@@ -120,16 +120,16 @@
 		{"alike", [][]string{{"i-1"}, {"i-2"}}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
+			h := newHarness(t)
 			for i, machines := range tc.shards {
-				w.putShard(fmt.Sprint("p", i), ownNode, ownIncarnation, machines...)
+				h.putShard(fmt.Sprint("p", i), ownNode, ownIncarnation, machines...)
 			}
-			w.putScaleOut("r", &storage.ScaleOutRequest{
+			h.putScaleOut("r", &storage.ScaleOutRequest{
 				Machines: []string{"i-9"}, Own: map[string]string{"i-9": ownNode},
 			})
-			var answers []bool
-			w.request("i-9", nil, &answers)
-			updates := w.m.AdmitClaimRequests(w.m.PrepareUpdates(w.clock), w.clock)
+			var claimResults []bool
+			h.requestClaim("i-9", nil, &claimResults)
+			updates := h.m.AdmitClaimRequests(h.m.PrepareUpdates(h.clock), h.clock)
 			if len(updates) != 2 || updates[tc.want].Machines()["i-9"] == nil {
 				t.Errorf("not in shard %d", tc.want)
 			}
@@ -140,74 +140,74 @@
 // Machines whose owner has lost them move with their attempts, in one commit that is conditional on both shards,
 // from as many shards as the limiter allows; those of shards that the last commit failed on come last.
 func TestTakeOver(t *testing.T) {
-	w := newWorld(t)
-	w.members["n-1"] = true
-	w.putJob("j-1", 2)
-	var answers []bool
+	h := newHarness(t)
+	h.members["n-1"] = true
+	h.putJob("j-1", 2)
+	var claimResults []bool
 	for i := 0; i < maxTakeoverSources+1; i++ {
 		a, b := fmt.Sprintf("i-%d0", i), fmt.Sprintf("i-%d1", i)
-		shard := w.putShard(fmt.Sprint("p", i), "n-1", 1, a, b)
-		w.request(a, shard, &answers)
-		w.request(b, shard, &answers)
+		shard := h.putShard(fmt.Sprint("p", i), "n-1", 1, a, b)
+		h.requestClaim(a, shard, &claimResults)
+		h.requestClaim(b, shard, &claimResults)
 	}
-	take := func() *Update {
+	admitTakeovers := func() *Update {
 		t.Helper()
-		updates := w.m.AdmitClaimRequests(w.m.PrepareUpdates(w.clock), w.clock)
+		updates := h.m.AdmitClaimRequests(h.m.PrepareUpdates(h.clock), h.clock)
 		if len(updates) != 1 || !updates[0].ChangesOtherRecords() {
 			t.Fatalf("%d updates, want one that changes others' shards", len(updates))
 		}
 		return updates[0]
 	}
-	update := take()
+	update := admitTakeovers()
 	if got := len(update.Machines()); got != 2*maxTakeoverSources {
 		t.Errorf("%d machines, want %d", got, 2*maxTakeoverSources)
 	}
 	if got := len(update.txn.Then); got != maxTakeoverSources {
 		t.Errorf("%d other shards written, want %d", got, maxTakeoverSources)
 	}
-	left, err := storage.DecodeShard(update.txn.Then[0].Value, nil)
-	if err != nil || len(left.Machines) != 0 {
-		t.Errorf("left of the first shard: %v, %v", left, err)
+	remaining, err := storage.DecodeShard(update.txn.Then[0].Value, nil)
+	if err != nil || len(remaining.Machines) != 0 {
+		t.Errorf("left of the first shard: %v, %v", remaining, err)
 	}
 	if attempt, ok := update.next.FindAttempt("j-1", 0); !ok || attempt.Number != 1 {
 		t.Errorf("attempts didn't come along: %v", update.next.Jobs["j-1"])
 	}
 	for id, machine := range update.Machines() {
-		if machine.Claim <= w.mirror.Machines[id].Claim() {
-			t.Errorf("%s: claim %d doesn't outrank %d", id, machine.Claim, w.mirror.Machines[id].Claim())
+		if machine.Claim <= h.mirror.Machines[id].Claim() {
+			t.Errorf("%s: claim %d doesn't outrank %d", id, machine.Claim, h.mirror.Machines[id].Claim())
 		}
 	}
-	w.m.Commit(update, w.clock)
-	w.answer(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{storage.ShardKey("p0")}})
-	update = take()
+	h.m.Commit(update, h.clock)
+	h.completeCommit(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{storage.ShardKey("p0")}})
+	update = admitTakeovers()
 	if update.Machines()["i-00"] != nil || len(update.txn.Then) != maxTakeoverSources/2 {
 		t.Errorf("after a conflict on p0: machines %v", update.Machines())
 	}
 }
 
 // Which machines of other controllers' shards are taken over.
-func TestMayTakeOver(t *testing.T) {
+func TestTakeOverConditions(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change func(w *world)
+		change func(h *harness)
 		want   bool
 	}{
-		{"owner is a member that lost it", func(*world) {}, true},
-		{"owner is gone: its shards are claimed whole", func(w *world) { w.members["n-1"] = false }, false},
-		{"moved to another shard", func(w *world) {
-			w.putShard("p", "n-1", 1)
-			w.putShard("q", "n-1", 1, "i-1")
+		{"owner is a member that lost it", func(*harness) {}, true},
+		{"owner is gone: its shards are claimed whole", func(h *harness) { h.members["n-1"] = false }, false},
+		{"moved to another shard", func(h *harness) {
+			h.putShard("p", "n-1", 1)
+			h.putShard("q", "n-1", 1, "i-1")
 		}, false},
-		{"shard is being claimed", func(w *world) { w.m.claimsInFlight["p"] = true }, false},
-		{"owned already", func(w *world) { w.ownMachines["i-1"] = true }, false},
+		{"shard is being claimed", func(h *harness) { h.m.claimsInFlight["p"] = true }, false},
+		{"owned already", func(h *harness) { h.ownMachines["i-1"] = true }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.members["n-1"] = true
-			var answers []bool
-			w.request("i-1", w.putShard("p", "n-1", 1, "i-1"), &answers)
-			tc.change(w)
-			if got := len(w.m.AdmitClaimRequests(nil, w.clock)) == 1; got != tc.want {
+			h := newHarness(t)
+			h.members["n-1"] = true
+			var claimResults []bool
+			h.requestClaim("i-1", h.putShard("p", "n-1", 1, "i-1"), &claimResults)
+			tc.change(h)
+			if got := len(h.m.AdmitClaimRequests(nil, h.clock)) == 1; got != tc.want {
 				t.Errorf("taken over: %v", got)
 			}
 		})
@@ -216,19 +216,19 @@
 
 // A claim is known since it was first seen, whatever else changes of its shard.
 func TestClaimObservedAt(t *testing.T) {
-	w := newWorld(t)
-	w.putShard("p", "n-1", 1, "i-1")
-	first := w.clock
-	w.clock += monotime.Second
-	w.putShard("p", "n-1", 1, "i-1", "i-2")
-	if got := w.m.ClaimObservedAt("p"); got != first {
+	h := newHarness(t)
+	h.putShard("p", "n-1", 1, "i-1")
+	first := h.clock
+	h.clock += monotime.Second
+	h.putShard("p", "n-1", 1, "i-1", "i-2")
+	if got := h.m.ClaimObservedAt("p"); got != first {
 		t.Errorf("same claim: since %d, want %d", got, first)
 	}
-	w.putShard("p", "n-1", 2, "i-1")
-	if got := w.m.ClaimObservedAt("p"); got != w.clock {
-		t.Errorf("new incarnation: since %d, want %d", got, w.clock)
+	h.putShard("p", "n-1", 2, "i-1")
+	if got := h.m.ClaimObservedAt("p"); got != h.clock {
+		t.Errorf("new incarnation: since %d, want %d", got, h.clock)
 	}
-	if got := w.m.ClaimObservedAt("unknown"); got != 0 {
+	if got := h.m.ClaimObservedAt("unknown"); got != 0 {
 		t.Errorf("unknown shard: since %d", got)
 	}
 }
--- a/internal/shards/failover_test.go
+++ b/internal/shards/failover_test.go
@@ -12,8 +12,8 @@
 
 // What a commit takes of shards is bounded by bytes too. A controller that had inherited all shards and came back
 // could never claim them: together they were more than a commit may hold.
-func TestShardClaimsAreBoundedInBytes(t *testing.T) {
-	w := newWorld(t)
+func TestTransferBytesAreBounded(t *testing.T) {
+	h := newHarness(t)
 	var shards []*mirror.Shard
 	for i := 0; i < 12; i++ {
 		record := &storage.Shard{
@@ -37,16 +37,16 @@
 	}
 	n := 0
 	for len(shards) > 0 {
-		transfer := w.m.buildTransfer(shards, "n-0", 1)
-		taken := len(transfer.shards)
+		transfer := h.m.buildTransfer(shards, "n-0", 1)
+		shardCount := len(transfer.shards)
 		size := 0
 		for _, operation := range transfer.txn.Then {
 			size += len(operation.Value)
 		}
-		if taken == 0 || size > 64<<10 {
-			t.Fatalf("%d shards of %d bytes in a commit", taken, size)
+		if shardCount == 0 || size > 64<<10 {
+			t.Fatalf("%d shards of %d bytes in a commit", shardCount, size)
 		}
-		shards = shards[taken:]
+		shards = shards[shardCount:]
 		n++
 	}
 	if n < 2 || n > 4 {
@@ -69,20 +69,20 @@
 		{"from an earlier incarnation", ownNode, false, 1, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.throttled = tc.throttled
+			h := newHarness(t)
+			h.throttled = tc.throttled
 			var shards []*mirror.Shard
 			for i := 0; i < 25; i++ {
 				record := emptyShard(tc.from, 1)
 				record.AddMachine("i-1", storage.ShardMachine{Claim: 5})
 				shards = append(shards, &mirror.Shard{Name: fmt.Sprint("p", i), Record: record, Version: 3})
 			}
-			transfer := w.m.buildTransfer(shards, ownNode, ownIncarnation)
+			transfer := h.m.buildTransfer(shards, ownNode, ownIncarnation)
 			if got := len(transfer.shards); got != tc.want {
 				t.Errorf("%d shards, want %d", got, tc.want)
 			}
-			if w.quotaTransfers != tc.quotaTransfers {
-				t.Errorf("%d transfers of quota, want %d", w.quotaTransfers, tc.quotaTransfers)
+			if h.quotaTransfers != tc.quotaTransfers {
+				t.Errorf("%d transfers of quota, want %d", h.quotaTransfers, tc.quotaTransfers)
 			}
 			record, err := storage.DecodeShard(transfer.txn.Then[0].Value, nil)
 			if err != nil {
@@ -117,20 +117,20 @@
 		{"orphaned, another succeeds", "n-1", 1, false, []string{"n-2"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.live, w.members[tc.owner] = tc.live, tc.member
-			w.putShard("p", tc.owner, tc.incarnation, "i-1")
-			w.m.ClaimOrphaned(w.clock)
-			w.m.ClaimOrphaned(w.clock) // one that is being claimed isn't claimed again
-			if got := len(w.Commits) == 1; got != tc.want {
-				t.Fatalf("%d commits, want one: %v", len(w.Commits), tc.want)
+			h := newHarness(t)
+			h.liveControllers, h.members[tc.owner] = tc.live, tc.member
+			h.putShard("p", tc.owner, tc.incarnation, "i-1")
+			h.m.ClaimOrphaned(h.clock)
+			h.m.ClaimOrphaned(h.clock) // one that is being claimed isn't claimed again
+			if got := len(h.Commits) == 1; got != tc.want {
+				t.Fatalf("%d commits, want one: %v", len(h.Commits), tc.want)
 			}
 			if !tc.want {
 				return
 			}
-			w.answer(protocol.StoreResult{Outcome: protocol.OK})
-			if !w.m.Owns(w.mirror.Shards["p"]) || !slices.Equal(w.probed, []string{"i-1"}) {
-				t.Errorf("owned by %s, probed %v", w.mirror.Shards["p"].Record.Owner, w.probed)
+			h.completeCommit(protocol.StoreResult{Outcome: protocol.OK})
+			if !h.m.Owns(h.mirror.Shards["p"]) || !slices.Equal(h.probed, []string{"i-1"}) {
+				t.Errorf("owned by %s, probed %v", h.mirror.Shards["p"].Record.Owner, h.probed)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 
 // Shards go to controllers that are heard and reach their workers; to any if none is heard.
 func TestHandOffDestinations(t *testing.T) {
-	yes := func(nodes ...string) map[string]bool {
+	nodeSet := func(nodes ...string) map[string]bool {
 		set := map[string]bool{}
 		for _, node := range nodes {
 			set[node] = true
@@ -147,20 +147,20 @@
 	}
 	for _, tc := range []struct {
 		name         string
-		heard        map[string]bool
+		recentPeers  map[string]bool
 		reachWorkers map[string]bool
 		want         []string
 	}{
-		{"all connected", yes("n-1", "n-2"), yes("n-1", "n-2"), []string{"n-1", "n-2"}},
-		{"one cut off too", yes("n-1", "n-2"), yes("n-2"), []string{"n-2"}},
-		{"all cut off", yes("n-1", "n-2"), yes(), nil},
-		{"what a silent one has reported doesn't count", yes("n-1"), yes("n-2"), nil},
-		{"isolated", yes(), yes(), []string{"n-1", "n-2"}},
+		{"all connected", nodeSet("n-1", "n-2"), nodeSet("n-1", "n-2"), []string{"n-1", "n-2"}},
+		{"one cut off too", nodeSet("n-1", "n-2"), nodeSet("n-2"), []string{"n-2"}},
+		{"all cut off", nodeSet("n-1", "n-2"), nodeSet(), nil},
+		{"what a silent one has reported doesn't count", nodeSet("n-1"), nodeSet("n-2"), nil},
+		{"isolated", nodeSet(), nodeSet(), []string{"n-1", "n-2"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.heard, w.reachWorkers = tc.heard, tc.reachWorkers
-			if got := w.m.handOffDestinations(w.clock); !slices.Equal(got, tc.want) {
+			h := newHarness(t)
+			h.recentPeers, h.reachWorkers = tc.recentPeers, tc.reachWorkers
+			if got := h.m.handOffDestinations(h.clock); !slices.Equal(got, tc.want) {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
@@ -169,41 +169,41 @@
 
 // A shard with a commit in doubt isn't handed off, and none while the mirror may be outdated or quota shares are
 // being written.
-func TestHandOffWaits(t *testing.T) {
+func TestHandOffPreconditions(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		prepare func(w *world)
+		prepare func(h *harness)
 		want    int // shards
 	}{
-		{"nothing in the way", func(*world) {}, 2},
-		{"silent watch", func(w *world) { w.watchSilent = true }, 0},
-		{"quota shares in flight", func(w *world) { w.quotaInFlight = true }, 0},
-		{"commit in doubt", func(w *world) {
-			shard := w.mirror.Shards["p1"]
-			w.m.Commit(NewUpdate("p1", shard, shard.Record.Clone()), w.clock)
-			w.answer(protocol.StoreResult{Outcome: protocol.Unknown})
+		{"nothing in the way", func(*harness) {}, 2},
+		{"silent watch", func(h *harness) { h.watchOverdue = true }, 0},
+		{"quota shares in flight", func(h *harness) { h.quotaInFlight = true }, 0},
+		{"commit in doubt", func(h *harness) {
+			shard := h.mirror.Shards["p1"]
+			h.m.Commit(NewUpdate("p1", shard, shard.Record.Clone()), h.clock)
+			h.completeCommit(protocol.StoreResult{Outcome: protocol.Unknown})
 		}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.heard["n-1"], w.reachWorkers["n-1"] = true, true
-			w.putShard("p1", ownNode, ownIncarnation, "i-1")
-			w.putShard("p2", ownNode, ownIncarnation, "i-2")
-			w.putShard("p3", "n-2", 1, "i-3")
-			tc.prepare(w)
-			w.m.HandOff(w.clock)
-			commit, ok := w.Only(t, tc.want > 0)
+			h := newHarness(t)
+			h.recentPeers["n-1"], h.reachWorkers["n-1"] = true, true
+			h.putShard("p1", ownNode, ownIncarnation, "i-1")
+			h.putShard("p2", ownNode, ownIncarnation, "i-2")
+			h.putShard("p3", "n-2", 1, "i-3")
+			tc.prepare(h)
+			h.m.HandOff(h.clock)
+			commit, ok := h.Only(t, tc.want > 0)
 			if !ok {
 				return
 			}
 			if len(commit.Transaction.Then) != tc.want {
 				t.Fatalf("commit %v, want one of %d shards", commit, tc.want)
 			}
-			if !w.quotaInFlight {
+			if !h.quotaInFlight {
 				t.Error("others may write quota shares")
 			}
-			w.answer(protocol.StoreResult{Outcome: protocol.Conflict})
-			if w.quotaInFlight {
+			h.completeCommit(protocol.StoreResult{Outcome: protocol.Conflict})
+			if h.quotaInFlight {
 				t.Error("quota shares are held after the commit's outcome")
 			}
 		})
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -18,8 +18,8 @@
 	ownIncarnation = 7
 )
 
-// world is a Manager with all that it depends on: facts that a test sets, and what the manager has done.
-type world struct {
+// harness is a Manager with all that it depends on: facts that a test sets, and what the manager has done.
+type harness struct {
 	stubs.HeldCommits
 	t        *testing.T
 	m        *Manager
@@ -27,101 +27,101 @@
 	clock    monotime.Micros
 	revision uint64 // the newest one in the mirror
 
-	throttled      bool
-	watchSilent    bool
-	live           []string        // controllers
-	members        map[string]bool // that are in the mirror too
-	heard          map[string]bool // peers
-	reachWorkers   map[string]bool // peers
-	ownMachines    map[string]bool
-	ended          map[mirror.TaskID]bool // attempts, with whether they were completed
-	states         map[string]storage.MachineState
-	marksChange    bool
-	drainsWaiting  bool
-	quotaInFlight  bool
-	quotaTransfers int
-
-	completed []string // jobs
-	synced    []string // machines
-	probed    []string // machines
-	lost      []mirror.TaskID
-	requests  int // of passes
-}
-
-func newWorld(t *testing.T) *world {
+	throttled           bool
+	watchOverdue        bool
+	liveControllers     []string
+	members             map[string]bool // that are in the mirror too
+	recentPeers         map[string]bool // peers
+	reachWorkers        map[string]bool // peers
+	ownMachines         map[string]bool
+	endedAttempts       map[mirror.TaskID]bool // attempts, with whether they were completed
+	states              map[string]storage.MachineState
+	startingMarksChange bool
+	drainsHaveWork      bool
+	quotaInFlight       bool
+	quotaTransfers      int
+
+	completedJobs []string // jobs
+	synced        []string // machines
+	probed        []string // machines
+	lostTasks     []mirror.TaskID
+	passRequests  int // of passes
+}
+
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	w := &world{
-		t:            t,
-		mirror:       mirror.New(),
-		clock:        100 * monotime.Second,
-		live:         []string{ownNode, "n-1", "n-2"},
-		members:      map[string]bool{},
-		heard:        map[string]bool{},
-		reachWorkers: map[string]bool{},
-		ownMachines:  map[string]bool{},
-		ended:        map[mirror.TaskID]bool{},
-		states:       map[string]storage.MachineState{},
+	h := &harness{
+		t:               t,
+		mirror:          mirror.New(),
+		clock:           100 * monotime.Second,
+		liveControllers: []string{ownNode, "n-1", "n-2"},
+		members:         map[string]bool{},
+		recentPeers:     map[string]bool{},
+		reachWorkers:    map[string]bool{},
+		ownMachines:     map[string]bool{},
+		endedAttempts:   map[mirror.TaskID]bool{},
+		states:          map[string]storage.MachineState{},
 	}
-	w.m = NewManager(
+	h.m = NewManager(
 		Config{Node: ownNode, Incarnation: ownIncarnation, MaxTxnOps: 20, MaxValueBytes: 16 << 10},
 		Dependencies{
-			Mirror: w.mirror, Store: w, Membership: w, Peers: w, Quota: w, Agents: w, Drains: w, Jobs: w, Passes: w,
+			Mirror: h.mirror, Store: h, Membership: h, Peers: h, Quota: h, Agents: h, Drains: h, Jobs: h, Passes: h,
 			MachineType: func(string) protocol.MachineType { return protocol.MachineType{CPUs: 8} },
-			Now:         func() monotime.Micros { return w.clock },
+			Now:         func() monotime.Micros { return h.clock },
 			Log:         slog.New(slog.DiscardHandler),
 		},
 	)
-	w.mirror.Observe(func(kind storage.Kind, name string) {
+	h.mirror.Observe(func(kind storage.Kind, name string) {
 		if kind == storage.KindShard {
-			w.m.HandleShardChange(name)
+			h.m.HandleShardChange(name)
 		}
 	}, func(string) {})
-	w.put(
+	h.put(
 		storage.MemberKey(ownNode),
 		protocol.MustMarshal(&storage.Member{Incarnation: ownIncarnation}),
 	)
-	return w
+	return h
 }
 
 // put writes a record into the mirror, with the next revision.
-func (w *world) put(key string, value protocol.Raw) uint64 {
-	w.revision++
-	w.mirror.ApplyEvents([]protocol.Event{{Put: key, Value: value, Version: w.revision}}, w.revision)
-	return w.revision
+func (h *harness) put(key string, value protocol.Raw) uint64 {
+	h.revision++
+	h.mirror.ApplyEvents([]protocol.Event{{Put: key, Value: value, Version: h.revision}}, h.revision)
+	return h.revision
 }
 
 // putShard writes a shard with some machines into the mirror, on which the tasks of job j-1 run, one on each.
-func (w *world) putShard(name, owner string, incarnation uint64, machines ...string) *mirror.Shard {
+func (h *harness) putShard(name, owner string, incarnation uint64, machines ...string) *mirror.Shard {
 	record := emptyShard(owner, incarnation)
 	for i, id := range machines {
 		record.AddMachine(id, storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen})
 		record.Assign("j-1", storage.Attempt{Task: i, Machine: id, Number: 1})
 	}
 	encoded, _ := record.Encode()
-	w.put(storage.ShardKey(name), encoded)
-	return w.mirror.Shards[name]
+	h.put(storage.ShardKey(name), encoded)
+	return h.mirror.Shards[name]
 }
 
 // putJob writes an open job of some tasks into the mirror.
-func (w *world) putJob(id string, tasks int) *mirror.Job {
-	w.put(storage.OpenJobKey(id), protocol.MustMarshal(&storage.OpenJob{
+func (h *harness) putJob(id string, tasks int) *mirror.Job {
+	h.put(storage.OpenJobKey(id), protocol.MustMarshal(&storage.OpenJob{
 		Spec: storage.JobSpec{Team: "team", Tasks: tasks, CPUs: 2},
 	}))
-	return w.mirror.Jobs[id]
+	return h.mirror.Jobs[id]
 }
 
 // putScaleOut writes a scale-out request that has brought a machine into the mirror.
-func (w *world) putScaleOut(name string, record *storage.ScaleOutRequest) {
-	w.put(storage.ScaleOutKey(name), protocol.MustMarshal(record))
+func (h *harness) putScaleOut(name string, record *storage.ScaleOutRequest) {
+	h.put(storage.ScaleOutKey(name), protocol.MustMarshal(record))
 }
 
 // answer gives the oldest commit its outcome; a successful one is in the mirror before, as the store's.
-func (w *world) answer(result protocol.StoreResult) {
-	w.t.Helper()
-	commit := w.TakeOldest(w.t)
+func (h *harness) completeCommit(result protocol.StoreResult) {
+	h.t.Helper()
+	commit := h.TakeOldest(h.t)
 	if result.Outcome == protocol.OK {
-		w.revision++
-		w.mirror.ApplyCommit(&commit.Transaction, w.revision)
+		h.revision++
+		h.mirror.ApplyCommit(&commit.Transaction, h.revision)
 	}
 	commit.Callback(result)
 }
@@ -136,87 +136,87 @@
 	}
 }
 
-func (w *world) Unavailable() bool                      { return false }
-func (w *world) WatchOverdue(monotime.Micros) bool      { return w.watchSilent }
-func (w *world) ThrottledWithin(_ monotime.Micros) bool { return w.throttled }
+func (h *harness) Unavailable() bool                      { return false }
+func (h *harness) WatchOverdue(monotime.Micros) bool      { return h.watchOverdue }
+func (h *harness) ThrottledWithin(_ monotime.Micros) bool { return h.throttled }
 
-func (w *world) HoldsLease(monotime.Micros) bool { return true }
-func (w *world) IsMember(node string) bool       { return w.members[node] }
+func (h *harness) HoldsLease(monotime.Micros) bool { return true }
+func (h *harness) IsMember(node string) bool       { return h.members[node] }
 
-func (w *world) AbsentSince(string, monotime.Micros) monotime.Micros { return 0 }
+func (h *harness) AbsentSince(string, monotime.Micros) monotime.Micros { return 0 }
 
-func (w *world) LiveControllers() []string      { return w.live }
-func (w *world) ConnectedControllers() []string { return w.live }
+func (h *harness) LiveControllers() []string      { return h.liveControllers }
+func (h *harness) ConnectedControllers() []string { return h.liveControllers }
 
-func (w *world) HeardFromRecently(node string, _ monotime.Micros) bool { return w.heard[node] }
-func (w *world) ReachesWorkers(node string) bool                       { return w.reachWorkers[node] }
+func (h *harness) HeardFromRecently(node string, _ monotime.Micros) bool { return h.recentPeers[node] }
+func (h *harness) ReachesWorkers(node string) bool                       { return h.reachWorkers[node] }
 
-func (w *world) WriteInFlight() bool { return w.quotaInFlight }
-func (w *world) BeginWrite()         { w.quotaInFlight = true }
-func (w *world) EndWrite()           { w.quotaInFlight = false }
+func (h *harness) WriteInFlight() bool { return h.quotaInFlight }
+func (h *harness) BeginWrite()         { h.quotaInFlight = true }
+func (h *harness) EndWrite()           { h.quotaInFlight = false }
 
-func (w *world) Transfer(
+func (h *harness) Transfer(
 	*protocol.Transaction,
 	map[string]bool,
 	string, string,
 	map[string]resources.Vector,
 ) {
-	w.quotaTransfers++
+	h.quotaTransfers++
 }
 
-func (w *world) Has(machine *mirror.Machine) bool { return w.ownMachines[machine.ID] }
+func (h *harness) Has(machine *mirror.Machine) bool { return h.ownMachines[machine.ID] }
 
-func (w *world) EachEndedAttempt(
+func (h *harness) EachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
 ) {
-	for task, completed := range w.ended {
+	for task, completed := range h.endedAttempts {
 		if machine.Attempts[task] != 0 {
 			release(task, completed)
 		}
 	}
 }
 
-func (w *world) DesiredState(machine *mirror.Machine) storage.MachineState {
-	if state, ok := w.states[machine.ID]; ok {
+func (h *harness) DesiredState(machine *mirror.Machine) storage.MachineState {
+	if state, ok := h.states[machine.ID]; ok {
 		return state
 	}
 	return storage.MachineOpen
 }
 
-func (w *world) UpdateOwnership(machine *mirror.Machine) {
-	w.ownMachines[machine.ID] = machine.Shard != nil && w.m.Owns(machine.Shard)
+func (h *harness) UpdateOwnership(machine *mirror.Machine) {
+	h.ownMachines[machine.ID] = machine.Shard != nil && h.m.Owns(machine.Shard)
 }
 
-func (w *world) SyncCommands(machine *mirror.Machine) { w.synced = append(w.synced, machine.ID) }
+func (h *harness) SyncCommands(machine *mirror.Machine) { h.synced = append(h.synced, machine.ID) }
 
-func (w *world) Probe(machine *mirror.Machine, _ bool) { w.probed = append(w.probed, machine.ID) }
+func (h *harness) Probe(machine *mirror.Machine, _ bool) { h.probed = append(h.probed, machine.ID) }
 
-func (w *world) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
+func (h *harness) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
 	return request.Record.Own[machine]
 }
 
-func (w *world) HasWork() bool { return w.drainsWaiting }
+func (h *harness) HasWork() bool { return h.drainsHaveWork }
 
-func (w *world) UpdateStartingMarks(*storage.Shard, *mirror.Machine, monotime.Micros) bool {
-	return w.marksChange
+func (h *harness) UpdateStartingMarks(*storage.Shard, *mirror.Machine, monotime.Micros) bool {
+	return h.startingMarksChange
 }
 
-func (w *world) NewLosses() Losses { return &recordedLosses{world: w} }
+func (h *harness) NewLosses() Losses { return &recordedLosses{harness: h} }
 
 // recordedLosses takes every release for a loss.
 type recordedLosses struct {
-	world *world
-	tasks []mirror.TaskID
+	harness *harness
+	tasks   []mirror.TaskID
 }
 
 func (l *recordedLosses) Record(_ *mirror.Machine, task mirror.TaskID) {
 	l.tasks = append(l.tasks, task)
 }
-func (l *recordedLosses) Count() { l.world.lost = append(l.world.lost, l.tasks...) }
+func (l *recordedLosses) Count() { l.harness.lostTasks = append(l.harness.lostTasks, l.tasks...) }
 
-func (w *world) CompleteIfDone(job string) { w.completed = append(w.completed, job) }
+func (h *harness) CompleteIfDone(job string) { h.completedJobs = append(h.completedJobs, job) }
 
-func (w *world) Request() { w.requests++ }
+func (h *harness) Request() { h.passRequests++ }
 
-func (w *world) HandleCommitResult(protocol.StoreResult, int) { w.requests++ }
+func (h *harness) HandleCommitResult(protocol.StoreResult, int) { h.passRequests++ }
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// openShard begins a new shard, without machines, and gives its update.
-func (m *Manager) openShard() *Update {
+// createShard begins a new shard, without machines, and gives its update.
+func (m *Manager) createShard() *Update {
 	m.shardSequence++
 	name := fmt.Sprintf("%s.%x.%d", m.cfg.Node, m.cfg.Incarnation, m.shardSequence)
 	next := &storage.Shard{
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -17,13 +17,13 @@
 	bytesPerMachine = 60
 	// bytesPerCPU are the bytes that the tasks on one CPU of a machine take.
 	bytesPerCPU = 7
-	// maxFill is the part of the state service's limit of a value up to which a shard is filled.
-	maxFill = 0.95
+	// maxFillFraction is the part of the state service's limit of a value up to which a shard is filled.
+	maxFillFraction = 0.95
 )
 
 // FillBytes is how large a shard may get by assignments, of the bytes that the state service takes in a
 // value.
-func FillBytes(maxValueBytes int) int { return int(maxFill * float64(maxValueBytes)) }
+func FillBytes(maxValueBytes int) int { return int(maxFillFraction * float64(maxValueBytes)) }
 
 // PrepareUpdates prepares the next versions of all own shards that have no commit in flight, new ones last.
 func (m *Manager) PrepareUpdates(now monotime.Micros) []*Update {
@@ -59,7 +59,7 @@
 	update.losses = m.drains.NewLosses()
 	t := m.trackerOf(shard.Name)
 	update.changed = len(t.updatesInDoubt) > 0 // a new version of the shard settles their outcomes
-	marked := false
+	marksChanged := false
 	for _, id := range sortedmap.Keys(shard.Record.Machines) {
 		machine := m.mirror.Machines[id]
 		if machine == nil || machine.Shard != shard {
@@ -70,13 +70,13 @@
 			continue
 		}
 		if m.agents.Has(machine) && m.refreshMachine(update, machine, now) {
-			marked = true
+			marksChanged = true
 		}
 	}
 	stale := m.dropClosedJobs(update, shard)
-	if marked && m.drains.HasWork() {
+	if marksChanged && m.drains.HasWork() {
 		update.changed = true // a drain waits for the marks
-	} else if marked {
+	} else if marksChanged {
 		stale = true
 	}
 	if t.rewriteDue(stale, now) {
@@ -108,8 +108,8 @@
 	m.agents.EachEndedAttempt(machine, func(task mirror.TaskID, completed bool) {
 		m.release(update, machine, task, completed)
 	})
-	if want := m.agents.DesiredState(machine); want != machine.Record.State {
-		update.next.SetMachineState(machine.ID, want)
+	if desired := m.agents.DesiredState(machine); desired != machine.Record.State {
+		update.next.SetMachineState(machine.ID, desired)
 		update.changed = true
 	}
 	return m.drains.UpdateStartingMarks(update.next, machine, now)
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -29,16 +29,16 @@
 
 // resolveUpdates forgets the updates that were conditional on another version than the shard's.
 func (t *tracker) resolveUpdates(version uint64) {
-	t.keepUpdates(func(update *Update) bool { return update.previousVersion() == version })
+	t.retainUpdates(func(update *Update) bool { return update.previousVersion() == version })
 }
 
 // removeUpdate forgets an update that is known not to have been committed.
 func (t *tracker) removeUpdate(update *Update) {
-	t.keepUpdates(func(other *Update) bool { return other != update })
+	t.retainUpdates(func(other *Update) bool { return other != update })
 }
 
-// keepUpdates keeps the updates in doubt that a function selects, in a new slice.
-func (t *tracker) keepUpdates(keep func(*Update) bool) {
+// retainUpdates keeps the updates in doubt that a function selects, in a new slice.
+func (t *tracker) retainUpdates(keep func(*Update) bool) {
 	var kept []*Update
 	for _, update := range t.updatesInDoubt {
 		if keep(update) {
--- a/internal/shards/transfer.go
+++ b/internal/shards/transfer.go
@@ -37,7 +37,7 @@
 	useByTeam := map[string]resources.Vector{}
 	bytes := 0
 	for _, shard := range shards {
-		encoded, size := reowned(shard.Record, to, incarnation).Encode()
+		encoded, size := withOwner(shard.Record, to, incarnation).Encode()
 		if len(t.shards) > 0 && (bytes+size > maxCommitBytes || len(t.shards) >= limit) {
 			break
 		}
@@ -65,9 +65,9 @@
 	return limit
 }
 
-// reowned returns a shard's record under a new owner, with a claim number above all that its machines have
+// withOwner returns a shard's record under a new owner, with a claim number above all that its machines have
 // had.
-func reowned(record *storage.Shard, owner string, incarnation uint64) *storage.Shard {
+func withOwner(record *storage.Shard, owner string, incarnation uint64) *storage.Shard {
 	next := record.Clone()
 	next.Owner, next.Incarnation = owner, incarnation
 	for _, machine := range next.Machines {
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -178,9 +178,9 @@
 	for task := range tasks {
 		description := task.String()
 		if entry := u.next.Jobs[task.Job]; entry != nil {
-			for _, held := range entry.Attempts {
-				if held.Task == task.Index {
-					description += "@" + held.Machine
+			for _, attempt := range entry.Attempts {
+				if attempt.Task == task.Index {
+					description += "@" + attempt.Machine
 				}
 			}
 		}
--- a/internal/shards/updates_test.go
+++ b/internal/shards/updates_test.go
@@ -27,30 +27,30 @@
 		{"no answer", protocol.Unknown, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			job := w.putJob("j-1", 6)
-			w.putShard("p", ownNode, ownIncarnation, "i-1")
-			update := w.m.PrepareUpdates(w.clock)[0]
+			h := newHarness(t)
+			job := h.putJob("j-1", 6)
+			h.putShard("p", ownNode, ownIncarnation, "i-1")
+			update := h.m.PrepareUpdates(h.clock)[0]
 			update.Assign(job, storage.Attempt{Task: task.Index, Machine: "i-1", Number: 2}, false)
-			w.m.Commit(update, w.clock)
-			if !w.m.TasksInDoubt()[task] || w.m.UseInDoubt("team").CPUs != 2 || !w.m.AwaitsCommit(w.clock) {
+			h.m.Commit(update, h.clock)
+			if !h.m.TasksInDoubt()[task] || h.m.UseInDoubt("team").CPUs != 2 || !h.m.AwaitsCommit(h.clock) {
 				t.Fatal("in flight and not in doubt")
 			}
-			if len(w.m.PrepareUpdates(w.clock)) > 0 {
+			if len(h.m.PrepareUpdates(h.clock)) > 0 {
 				t.Error("a second update beside a commit in flight")
 			}
-			w.answer(protocol.StoreResult{Outcome: tc.outcome})
-			if got := w.m.TasksInDoubt()[task]; got != tc.inDoubt {
+			h.completeCommit(protocol.StoreResult{Outcome: tc.outcome})
+			if got := h.m.TasksInDoubt()[task]; got != tc.inDoubt {
 				t.Errorf("in doubt: %v, want %v", got, tc.inDoubt)
 			}
-			if w.m.CommitInFlight() {
+			if h.m.CommitInFlight() {
 				t.Error("in flight after its outcome")
 			}
-			if tc.inDoubt && !w.m.PrepareUpdates(w.clock)[0].Changed() {
+			if tc.inDoubt && !h.m.PrepareUpdates(h.clock)[0].Changed() {
 				t.Error("the shard isn't written anew to settle it")
 			}
-			w.putShard("p", ownNode, ownIncarnation, "i-1") // any other version settles it
-			if w.m.TasksInDoubt()[task] || w.m.UseInDoubt("team").CPUs != 0 {
+			h.putShard("p", ownNode, ownIncarnation, "i-1") // any other version settles it
+			if h.m.TasksInDoubt()[task] || h.m.UseInDoubt("team").CPUs != 0 {
 				t.Error("in doubt at another version")
 			}
 		})
@@ -59,16 +59,16 @@
 
 // A later commit that fails doesn't settle what became of an earlier one without an answer.
 func TestConflictDoesNotSettleEarlierCommit(t *testing.T) {
-	w := newWorld(t)
-	job := w.putJob("j-1", 6)
-	w.putShard("p", ownNode, ownIncarnation, "i-1")
+	h := newHarness(t)
+	job := h.putJob("j-1", 6)
+	h.putShard("p", ownNode, ownIncarnation, "i-1")
 	for i, outcome := range []protocol.Outcome{protocol.Unknown, protocol.Conflict} {
-		update := w.m.PrepareUpdates(w.clock)[0]
+		update := h.m.PrepareUpdates(h.clock)[0]
 		update.Assign(job, storage.Attempt{Task: 3 + i, Machine: "i-1", Number: 2}, false)
-		w.m.Commit(update, w.clock)
-		w.answer(protocol.StoreResult{Outcome: outcome})
+		h.m.Commit(update, h.clock)
+		h.completeCommit(protocol.StoreResult{Outcome: outcome})
 	}
-	inDoubt := w.m.TasksInDoubt()
+	inDoubt := h.m.TasksInDoubt()
 	if len(inDoubt) != 1 || !inDoubt[mirror.TaskID{Job: "j-1", Index: 3}] {
 		t.Errorf("in doubt: %v", inDoubt)
 	}
@@ -76,14 +76,14 @@
 
 // A commit in flight holds the next pass up for a while only.
 func TestAwaitsCommit(t *testing.T) {
-	w := newWorld(t)
-	w.putShard("p", ownNode, ownIncarnation, "i-1")
-	w.m.Commit(w.m.PrepareUpdates(w.clock)[0], w.clock)
+	h := newHarness(t)
+	h.putShard("p", ownNode, ownIncarnation, "i-1")
+	h.m.Commit(h.m.PrepareUpdates(h.clock)[0], h.clock)
 	for _, tc := range []struct {
 		after monotime.Micros
 		want  bool
 	}{{0, true}, {maxInFlightCommitWait - 1, true}, {maxInFlightCommitWait, false}} {
-		if got := w.m.AwaitsCommit(w.clock + tc.after); got != tc.want {
+		if got := h.m.AwaitsCommit(h.clock + tc.after); got != tc.want {
 			t.Errorf("after %v s: %v", tc.after.Seconds(), got)
 		}
 	}
@@ -94,15 +94,15 @@
 	task := mirror.TaskID{Job: "j-1", Index: 0}
 	for _, tc := range []struct {
 		name    string
-		set     func(w *world)
+		set     func(h *harness)
 		after   monotime.Micros // between two passes
 		changed bool
 		check   func(u *Update) bool
 	}{
-		{name: "nothing new", set: func(*world) {}},
+		{name: "nothing new", set: func(*harness) {}},
 		{
 			name:    "completed attempt",
-			set:     func(w *world) { w.ended[task] = true },
+			set:     func(h *harness) { h.endedAttempts[task] = true },
 			changed: true,
 			check: func(u *Update) bool {
 				return u.completedTaskJobs["j-1"] && u.FreedQuota("team").CPUs == 2 &&
@@ -111,45 +111,45 @@
 		},
 		{
 			name:    "failed attempt",
-			set:     func(w *world) { w.ended[task] = false },
+			set:     func(h *harness) { h.endedAttempts[task] = false },
 			changed: true,
 			check:   func(u *Update) bool { return !u.completedTaskJobs["j-1"] && u.releasedTasks[task] },
 		},
 		{
 			name:    "other state",
-			set:     func(w *world) { w.states["i-1"] = storage.MachineCordoned },
+			set:     func(h *harness) { h.states["i-1"] = storage.MachineCordoned },
 			changed: true,
 			check:   func(u *Update) bool { return u.Machines()["i-1"].State == storage.MachineCordoned },
 		},
 		{
 			name: "machine gone",
-			set: func(w *world) {
+			set: func(h *harness) {
 				record := storage.ScaleInRequest{Machines: []string{"i-1"}, Deleted: true}
-				w.put(storage.ScaleInKey("s"), protocol.MustMarshal(&record))
+				h.put(storage.ScaleInKey("s"), protocol.MustMarshal(&record))
 			},
 			changed: true,
 			check:   func(u *Update) bool { return len(u.Machines()) == 0 && u.releasedTasks[task] },
 		},
-		{name: "mark", set: func(w *world) { w.marksChange = true }},
+		{name: "mark", set: func(h *harness) { h.startingMarksChange = true }},
 		{
 			name:    "mark that has waited",
-			set:     func(w *world) { w.marksChange = true },
+			set:     func(h *harness) { h.startingMarksChange = true },
 			after:   staleEntriesRewriteDelay + 1,
 			changed: true,
 		},
 		{
 			name:    "mark that a drain waits for",
-			set:     func(w *world) { w.marksChange, w.drainsWaiting = true, true },
+			set:     func(h *harness) { h.startingMarksChange, h.drainsHaveWork = true, true },
 			changed: true,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.putJob("j-1", 1)
-			w.putShard("p", ownNode, ownIncarnation, "i-1")
-			tc.set(w)
-			w.m.PrepareUpdates(w.clock)
-			update := w.m.PrepareUpdates(w.clock + tc.after)[0]
+			h := newHarness(t)
+			h.putJob("j-1", 1)
+			h.putShard("p", ownNode, ownIncarnation, "i-1")
+			tc.set(h)
+			h.m.PrepareUpdates(h.clock)
+			update := h.m.PrepareUpdates(h.clock + tc.after)[0]
 			if update.Changed() != tc.changed {
 				t.Errorf("changed: %v", update.Changed())
 			}
@@ -161,26 +161,26 @@
 }
 
 // Once an update is in the store its losses count, its jobs are completed and its machines get their commands.
-func TestCommittedUpdateIsActedOn(t *testing.T) {
+func TestCommittedUpdateTriggersFollowUps(t *testing.T) {
 	for _, tc := range []struct {
 		outcome protocol.Outcome
 		want    bool
 	}{{protocol.OK, true}, {protocol.Conflict, false}, {protocol.Unknown, false}} {
-		w := newWorld(t)
-		job := w.putJob("j-1", 2)
-		w.putShard("p", ownNode, ownIncarnation, "i-1")
-		w.ended[mirror.TaskID{Job: "j-1", Index: 0}] = true
-		update := w.m.PrepareUpdates(w.clock)[0]
+		h := newHarness(t)
+		job := h.putJob("j-1", 2)
+		h.putShard("p", ownNode, ownIncarnation, "i-1")
+		h.endedAttempts[mirror.TaskID{Job: "j-1", Index: 0}] = true
+		update := h.m.PrepareUpdates(h.clock)[0]
 		update.Assign(job, storage.Attempt{Task: 1, Machine: "i-1", Number: 2}, false)
-		w.m.Commit(update, w.clock)
-		w.answer(protocol.StoreResult{Outcome: tc.outcome})
-		got := len(w.lost) == 1 && slices.Equal(w.completed, []string{"j-1"}) &&
-			slices.Equal(w.synced, []string{"i-1"})
-		none := len(w.lost)+len(w.completed)+len(w.synced) == 0
+		h.m.Commit(update, h.clock)
+		h.completeCommit(protocol.StoreResult{Outcome: tc.outcome})
+		got := len(h.lostTasks) == 1 && slices.Equal(h.completedJobs, []string{"j-1"}) &&
+			slices.Equal(h.synced, []string{"i-1"})
+		none := len(h.lostTasks)+len(h.completedJobs)+len(h.synced) == 0
 		if tc.want && !got || !tc.want && !none {
-			t.Errorf("%s: lost %v, completed %v, synced %v", tc.outcome, w.lost, w.completed, w.synced)
+			t.Errorf("%s: lost %v, completed %v, synced %v", tc.outcome, h.lostTasks, h.completedJobs, h.synced)
 		}
-		if w.requests == 0 {
+		if h.passRequests == 0 {
 			t.Errorf("%s: no pass is requested", tc.outcome)
 		}
 	}
@@ -190,10 +190,10 @@
 func TestMaxBytesBoundsEncodedSize(t *testing.T) {
 	const tasks = 3000
 	for _, tc := range []struct {
-		name     string
-		step     int // between tasks
-		sameFor  int // tasks that go to the same machine one after another
-		starting bool
+		name      string
+		stride    int // between tasks
+		runLength int // tasks that go to the same machine one after another
+		starting  bool
 	}{
 		{"ranges", 1, 50, false},
 		{"no ranges", 2, 50, false},
@@ -202,15 +202,15 @@
 		{"machines in turn, starting", 1, 1, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.putShard("p", ownNode, ownIncarnation, "i-1", "i-2")
-			update := w.m.PrepareUpdates(w.clock)[0]
-			job := w.putJob("j-100", tasks)
+			h := newHarness(t)
+			h.putShard("p", ownNode, ownIncarnation, "i-1", "i-2")
+			update := h.m.PrepareUpdates(h.clock)[0]
+			job := h.putJob("j-100", tasks)
 			last := storage.Attempt{Task: -2}
-			for task := 0; task < tasks; task += tc.step {
+			for task := 0; task < tasks; task += tc.stride {
 				attempt := storage.Attempt{
 					Task:     task,
-					Machine:  []string{"i-1", "i-2"}[task/tc.sameFor%2],
+					Machine:  []string{"i-1", "i-2"}[task/tc.runLength%2],
 					Number:   1 << 40,
 					Starting: tc.starting,
 				}
@@ -230,8 +230,8 @@
 
 // What an update releases of a team's quota can be used once.
 func TestUseFreedQuota(t *testing.T) {
-	w := newWorld(t)
-	job := w.putJob("j-1", 1)
+	h := newHarness(t)
+	job := h.putJob("j-1", 1)
 	update := NewUpdate("p", nil, emptyShard(ownNode, ownIncarnation))
 	update.release("i-1", mirror.TaskID{Job: "j-1"}, false, job)
 	update.release("i-1", mirror.TaskID{Job: "j-9"}, false, nil) // its record is gone: nothing is known of it
