--- a/internal/membership/leader.go
+++ b/internal/membership/leader.go
@@ -11,12 +11,12 @@
 // was granted may show a leadership of an earlier lease, and doesn't count. Commits of the leader also
 // compare the leader record, see LeadershipCompare.
 func (m *Membership) IsLeader(now monotime.Micros) bool {
-	return m.replica.Ready() && m.leaderByRecord() && m.HoldsLease(now) &&
+	return m.replica.Ready() && m.leaderRecordNamesSelf() && m.HoldsLease(now) &&
 		m.replica.FreshAt() >= m.lease.grantedAt
 }
 
-// leaderByRecord reports whether the leader record names this incarnation of this controller.
-func (m *Membership) leaderByRecord() bool {
+// leaderRecordNamesSelf reports whether the leader record names this incarnation of this controller.
+func (m *Membership) leaderRecordNamesSelf() bool {
 	return m.mirror.LeaderVersion != 0 && m.mirror.Leader.Node == m.node &&
 		m.mirror.Leader.Incarnation == m.incarnation
 }
--- a/internal/membership/leader_test.go
+++ b/internal/membership/leader_test.go
@@ -9,8 +9,8 @@
 )
 
 // setLeader puts a leader record into the mirror.
-func (w *world) setLeader(node string, incarnation uint64) {
-	w.mirror.Leader, w.mirror.LeaderVersion = storage.Leader{Node: node, Incarnation: incarnation}, 9
+func (h *harness) setLeader(node string, incarnation uint64) {
+	h.mirror.Leader, h.mirror.LeaderVersion = storage.Leader{Node: node, Incarnation: incarnation}, 9
 }
 
 // TestIsLeader: the record must name this incarnation, the lease be held, and the mirror be complete and no older
@@ -18,24 +18,24 @@
 func TestIsLeader(t *testing.T) {
 	cases := []struct {
 		name    string
-		arrange func(w *world)
+		arrange func(h *harness)
 		want    bool
 	}{
-		{"named, lease held, mirror fresh", func(*world) {}, true},
-		{"no leader", func(w *world) { w.mirror.LeaderVersion = 0 }, false},
-		{"another controller", func(w *world) { w.setLeader("n-0", testIncarnation) }, false},
-		{"an earlier incarnation", func(w *world) { w.setLeader(testNode, testIncarnation-1) }, false},
-		{"lease expired", func(w *world) { w.now += testTTL }, false},
-		{"mirror incomplete", func(w *world) { w.ready = false }, false},
-		{"mirror from before the lease", func(w *world) { w.freshAt = testStart - 1 }, false},
+		{"named, lease held, mirror fresh", func(*harness) {}, true},
+		{"no leader", func(h *harness) { h.mirror.LeaderVersion = 0 }, false},
+		{"another controller", func(h *harness) { h.setLeader("n-0", testIncarnation) }, false},
+		{"an earlier incarnation", func(h *harness) { h.setLeader(testNode, testIncarnation-1) }, false},
+		{"lease expired", func(h *harness) { h.now += testTTL }, false},
+		{"mirror incomplete", func(h *harness) { h.ready = false }, false},
+		{"mirror from before the lease", func(h *harness) { h.freshAt = testStart - 1 }, false},
 	}
 	for _, tc := range cases {
-		w := newWorld(t)
-		w.holdLease(5)
-		w.freshAt = testStart
-		w.setLeader(testNode, testIncarnation)
-		tc.arrange(w)
-		if got := w.membership.IsLeader(w.now); got != tc.want {
+		h := newHarness(t)
+		h.grantLease(5)
+		h.freshAt = testStart
+		h.setLeader(testNode, testIncarnation)
+		tc.arrange(h)
+		if got := h.membership.IsLeader(h.now); got != tc.want {
 			t.Errorf("%s: %t", tc.name, got)
 		}
 	}
@@ -46,31 +46,31 @@
 func TestCampaign(t *testing.T) {
 	cases := []struct {
 		name    string
-		arrange func(w *world)
+		arrange func(h *harness)
 		version uint64
 		want    bool
 	}{
-		{"vacant", func(*world) {}, 0, true},
+		{"vacant", func(*harness) {}, 0, true},
 		{
 			"its earlier incarnation leads",
-			func(w *world) { w.setLeader(testNode, testIncarnation-1) },
+			func(h *harness) { h.setLeader(testNode, testIncarnation-1) },
 			9,
 			true,
 		},
-		{"it leads", func(w *world) { w.setLeader(testNode, testIncarnation) }, 0, false},
-		{"another leads", func(w *world) { w.setLeader("n-0", testIncarnation-1) }, 0, false},
-		{"lease expired", func(w *world) { w.now += testTTL }, 0, false},
-		{"state service unavailable", func(w *world) { w.unavailable = true }, 0, false},
+		{"it leads", func(h *harness) { h.setLeader(testNode, testIncarnation) }, 0, false},
+		{"another leads", func(h *harness) { h.setLeader("n-0", testIncarnation-1) }, 0, false},
+		{"lease expired", func(h *harness) { h.now += testTTL }, 0, false},
+		{"state service unavailable", func(h *harness) { h.unavailable = true }, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			w.holdLease(5)
-			w.answerCommit(protocol.OK) // the member record
-			tc.arrange(w)
-			w.membership.Campaign(w.now)
-			w.membership.Campaign(w.now)
-			election, ok := w.Only(t, tc.want)
+			h := newHarness(t)
+			h.grantLease(5)
+			h.answerCommit(protocol.OK) // the member record
+			tc.arrange(h)
+			h.membership.Campaign(h.now)
+			h.membership.Campaign(h.now)
+			election, ok := h.Only(t, tc.want)
 			if !ok {
 				return
 			}
@@ -79,9 +79,9 @@
 			if len(txn.If) != 1 || txn.If[0] != condition || len(txn.Then) != 1 || txn.Then[0].Lease != 5 {
 				t.Errorf("election %+v", txn)
 			}
-			w.answerCommit(protocol.Conflict)
-			w.membership.Campaign(w.now + monotime.Second)
-			if len(w.Commits) != 1 {
+			h.answerCommit(protocol.Conflict)
+			h.membership.Campaign(h.now + monotime.Second)
+			if len(h.Commits) != 1 {
 				t.Error("no further election after a lost one")
 			}
 		})
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -30,8 +30,8 @@
 	renewalInFlight bool
 }
 
-// renewed notes that a grant or a renewal that was sent at an instant has succeeded.
-func (l *lease) renewed(sentAt monotime.Micros) {
+// recordRenewal notes that a grant or a renewal that was sent at an instant has succeeded.
+func (l *lease) recordRenewal(sentAt monotime.Micros) {
 	l.renewalSentAt, l.nextRenewalAt = sentAt, sentAt+l.ttl/leaseRenewalsPerTTL
 }
 
@@ -50,7 +50,7 @@
 		}
 		m.lease.grantInFlight = false
 		m.lease.id = result.Lease
-		m.lease.renewed(sentAt)
+		m.lease.recordRenewal(sentAt)
 		m.lease.grantedAt = m.env.Now()
 		m.replica.WhenCurrent(func(bool) {}) // has the mirror catch up at once, which IsLeader waits for
 		m.EnsureMemberRecord()
@@ -77,7 +77,7 @@
 		m.lease.renewalInFlight = false
 		switch result.Outcome {
 		case protocol.OK:
-			m.lease.renewed(now)
+			m.lease.recordRenewal(now)
 		case protocol.NotFound:
 			m.log.Info("controller lease expired")
 			m.lease.id = 0
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -79,23 +79,23 @@
 	lease               lease
 	memberWriteInFlight bool
 	electionInFlight    bool
-	missingSince        map[string]monotime.Micros // by controller that is no member, see AbsentSince
+	absentSince         map[string]monotime.Micros // by controller that is no member, see AbsentSince
 }
 
 // New makes the membership of a controller that holds no lease yet.
 func New(options Options) *Membership {
 	return &Membership{
-		node:         options.Node,
-		incarnation:  options.Incarnation,
-		zone:         options.Zone,
-		controllers:  options.Controllers,
-		mirror:       options.Mirror,
-		store:        options.Store,
-		replica:      options.Replica,
-		env:          options.Environment,
-		log:          options.Log,
-		lease:        lease{ttl: options.TTL},
-		missingSince: map[string]monotime.Micros{},
+		node:        options.Node,
+		incarnation: options.Incarnation,
+		zone:        options.Zone,
+		controllers: options.Controllers,
+		mirror:      options.Mirror,
+		store:       options.Store,
+		replica:     options.Replica,
+		env:         options.Environment,
+		log:         options.Log,
+		lease:       lease{ttl: options.TTL},
+		absentSince: map[string]monotime.Micros{},
 	}
 }
 
@@ -117,7 +117,7 @@
 	leaseID := m.lease.id
 	m.replica.Commit(
 		ratelimit.PriorityLease,
-		m.memberRecordChange(entry.Version),
+		m.memberRecordTxn(entry.Version),
 		func(result protocol.StoreResult) {
 			m.memberWriteInFlight = false
 			if result.Outcome == protocol.Rejected && m.lease.id == leaseID { // the lease has expired
@@ -128,9 +128,9 @@
 	)
 }
 
-// memberRecordChange is the conditional change that writes this controller's member record over the given
+// memberRecordTxn is the conditional change that writes this controller's member record over the given
 // version.
-func (m *Membership) memberRecordChange(version uint64) protocol.Transaction {
+func (m *Membership) memberRecordTxn(version uint64) protocol.Transaction {
 	memberKey := storage.MemberKey(m.node)
 	record := protocol.MustMarshal(&storage.Member{Incarnation: m.incarnation, Zone: m.zone})
 	txn := protocol.Transaction{
@@ -166,9 +166,9 @@
 // AbsentSince returns since when a controller that is no member has been missed: since the first call for it
 // after its membership ended.
 func (m *Membership) AbsentSince(node string, now monotime.Micros) monotime.Micros {
-	since, ok := m.missingSince[node]
+	since, ok := m.absentSince[node]
 	if !ok {
-		m.missingSince[node], since = now, now
+		m.absentSince[node], since = now, now
 	}
 	return since
 }
@@ -177,7 +177,7 @@
 func (m *Membership) HandleMemberChange(node string) {
 	member := m.IsMember(node)
 	if member {
-		delete(m.missingSince, node)
+		delete(m.absentSince, node)
 	}
 	m.log.Info("controller membership", "state", logging.ConditionState(member), "node", node)
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,32 +10,32 @@
 	"pipitgap/internal/storage"
 )
 
-// TestMemberRecordIsWrittenWhenItIsAnothers: it is written when there is none, or that of an earlier incarnation,
+// TestEnsureMemberRecord: it is written when there is none, or that of an earlier incarnation,
 // on condition of the version seen, together with the partition of the quotas.
-func TestMemberRecordIsWrittenWhenItIsAnothers(t *testing.T) {
+func TestEnsureMemberRecord(t *testing.T) {
 	cases := []struct {
 		name      string
-		arrange   func(w *world)
+		arrange   func(h *harness)
 		writes    bool
 		version   uint64 // that the write compares
 		partition bool
 	}{
-		{"none", func(*world) {}, true, 0, false},
-		{"its own", func(w *world) { w.member(testNode, testIncarnation, 3) }, false, 0, false},
-		{"an earlier incarnation's", func(w *world) { w.member(testNode, 6, 3) }, true, 3, false},
-		{"another controller's", func(w *world) { w.member("n-0", testIncarnation, 3) }, true, 0, false},
-		{"with a partition", func(w *world) {
-			w.mirror.Partitions[testNode] = &mirror.PartitionEntry{Version: 4}
+		{"none", func(*harness) {}, true, 0, false},
+		{"its own", func(h *harness) { h.putMember(testNode, testIncarnation, 3) }, false, 0, false},
+		{"an earlier incarnation's", func(h *harness) { h.putMember(testNode, 6, 3) }, true, 3, false},
+		{"another controller's", func(h *harness) { h.putMember("n-0", testIncarnation, 3) }, true, 0, false},
+		{"with a partition", func(h *harness) {
+			h.mirror.Partitions[testNode] = &mirror.PartitionEntry{Version: 4}
 		}, true, 0, true},
-		{"mirror incomplete", func(w *world) { w.ready = false }, false, 0, false},
+		{"mirror incomplete", func(h *harness) { h.ready = false }, false, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			tc.arrange(w)
-			w.holdLease(5) // which writes the record
-			w.membership.EnsureMemberRecord()
-			write, ok := w.Only(t, tc.writes)
+			h := newHarness(t)
+			tc.arrange(h)
+			h.grantLease(5) // which writes the record
+			h.membership.EnsureMemberRecord()
+			write, ok := h.Only(t, tc.writes)
 			if !ok {
 				return
 			}
@@ -64,35 +64,35 @@
 	}
 }
 
-// TestRejectedMemberRecordReplacesLease: the state service rejects a record whose lease has expired.
-func TestRejectedMemberRecordReplacesLease(t *testing.T) {
+// TestRejectedMemberRecordRequestsNewLease: the state service rejects a record whose lease has expired.
+func TestRejectedMemberRecordRequestsNewLease(t *testing.T) {
 	for _, tc := range []struct {
 		outcome protocol.Outcome
 		grants  int
 	}{{protocol.OK, 0}, {protocol.Conflict, 0}, {protocol.Unknown, 0}, {protocol.Rejected, 1}} {
-		w := newWorld(t)
-		w.holdLease(5)
-		w.answerCommit(tc.outcome)
-		if len(w.calls) != tc.grants || w.membership.HoldsLease(w.now) != (tc.grants == 0) {
-			t.Errorf("%v: %d grants, held %t", tc.outcome, len(w.calls), w.membership.HoldsLease(w.now))
+		h := newHarness(t)
+		h.grantLease(5)
+		h.answerCommit(tc.outcome)
+		if len(h.calls) != tc.grants || h.membership.HoldsLease(h.now) != (tc.grants == 0) {
+			t.Errorf("%v: %d grants, held %t", tc.outcome, len(h.calls), h.membership.HoldsLease(h.now))
 		}
 	}
 }
 
 // TestLiveControllers: the members that belong to the deployment, in its order.
 func TestLiveControllers(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	for _, node := range []string{"n-2", "n-9", testNode} {
-		w.member(node, 1, 1)
+		h.putMember(node, 1, 1)
 	}
-	if live := w.membership.LiveControllers(); !slices.Equal(live, []string{testNode, "n-2"}) {
+	if live := h.membership.LiveControllers(); !slices.Equal(live, []string{testNode, "n-2"}) {
 		t.Errorf("live: %v", live)
 	}
 }
 
 // TestAbsentSince: a controller is missed from the first call on, until it is a member again.
 func TestAbsentSince(t *testing.T) {
-	w := newWorld(t)
+	h := newHarness(t)
 	steps := []struct {
 		name   string
 		member bool // whether it is one before the call, and a change of that is seen
@@ -106,12 +106,12 @@
 	}
 	for _, step := range steps {
 		if step.member {
-			w.member("n-0", 1, 1)
-			w.membership.HandleMemberChange("n-0")
-			delete(w.mirror.Members, "n-0")
-			w.membership.HandleMemberChange("n-0")
+			h.putMember("n-0", 1, 1)
+			h.membership.HandleMemberChange("n-0")
+			delete(h.mirror.Members, "n-0")
+			h.membership.HandleMemberChange("n-0")
 		}
-		if got := w.membership.AbsentSince("n-0", step.at); got != step.want {
+		if got := h.membership.AbsentSince("n-0", step.at); got != step.want {
 			t.Errorf("%s: since %d, want %d", step.name, got, step.want)
 		}
 	}
--- a/internal/membership/stubs_test.go
+++ b/internal/membership/stubs_test.go
@@ -26,72 +26,72 @@
 	callback func(protocol.StoreResult)
 }
 
-// world stands for all that a Membership depends on. Calls wait until the test answers them.
-type world struct {
+// harness stands for all that a Membership depends on. Calls wait until the test answers them.
+type harness struct {
 	stubs.HeldCommits
-	t           *testing.T
-	now         monotime.Micros
-	random      *rand.Rand
-	timers      []func()
-	delays      []monotime.Micros
-	unavailable bool
-	calls       []storeCall
-	ready       bool
-	freshAt     monotime.Micros
-	catchUps    int
+	t              *testing.T
+	now            monotime.Micros
+	random         *rand.Rand
+	timers         []func()
+	delays         []monotime.Micros
+	unavailable    bool
+	calls          []storeCall
+	ready          bool
+	freshAt        monotime.Micros
+	mirrorCatchUps int
 
 	mirror     *mirror.Mirror
 	membership *Membership
 }
 
-func newWorld(t *testing.T) *world {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
-	w := &world{t: t, now: testStart, random: rand.New(rand.NewPCG(1, 2)), ready: true, mirror: mirror.New()}
-	w.membership = New(Options{
+	h := &harness{t: t, now: testStart, random: rand.New(rand.NewPCG(1, 2)), ready: true, mirror: mirror.New()}
+	h.membership = New(Options{
 		Node: testNode, Incarnation: testIncarnation, Zone: "a",
 		Controllers: []string{"n-0", testNode, "n-2"}, TTL: testTTL,
-		Mirror: w.mirror, Store: w, Replica: w, Environment: w, Log: slog.New(slog.DiscardHandler),
+		Mirror: h.mirror, Store: h, Replica: h, Environment: h, Log: slog.New(slog.DiscardHandler),
 	})
-	return w
+	return h
 }
 
-func (w *world) Now() monotime.Micros { return w.now }
-func (w *world) Rand() *rand.Rand     { return w.random }
-func (w *world) After(delay monotime.Micros, callback func()) {
-	w.delays, w.timers = append(w.delays, delay), append(w.timers, callback)
+func (h *harness) Now() monotime.Micros { return h.now }
+func (h *harness) Rand() *rand.Rand     { return h.random }
+func (h *harness) After(delay monotime.Micros, callback func()) {
+	h.delays, h.timers = append(h.delays, delay), append(h.timers, callback)
 }
 
-func (w *world) Call(_ ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult)) {
-	w.calls = append(w.calls, storeCall{call, callback})
+func (h *harness) Call(_ ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult)) {
+	h.calls = append(h.calls, storeCall{call, callback})
 }
 
-func (w *world) Unavailable() bool        { return w.unavailable }
-func (w *world) Ready() bool              { return w.ready }
-func (w *world) FreshAt() monotime.Micros { return w.freshAt }
-func (w *world) WhenCurrent(func(bool))   { w.catchUps++ }
+func (h *harness) Unavailable() bool        { return h.unavailable }
+func (h *harness) Ready() bool              { return h.ready }
+func (h *harness) FreshAt() monotime.Micros { return h.freshAt }
+func (h *harness) WhenCurrent(func(bool))   { h.mirrorCatchUps++ }
 
 // answerCall answers the oldest call.
-func (w *world) answerCall(result protocol.StoreResult) {
-	call := w.calls[0]
-	w.calls = w.calls[1:]
+func (h *harness) answerCall(result protocol.StoreResult) {
+	call := h.calls[0]
+	h.calls = h.calls[1:]
 	call.callback(result)
 }
 
 // answerCommit answers the oldest conditional change.
-func (w *world) answerCommit(outcome protocol.Outcome) {
-	w.t.Helper()
-	w.TakeOldest(w.t).Callback(protocol.StoreResult{Outcome: outcome, Revision: 50})
+func (h *harness) answerCommit(outcome protocol.Outcome) {
+	h.t.Helper()
+	h.TakeOldest(h.t).Callback(protocol.StoreResult{Outcome: outcome, Revision: 50})
 }
 
-// holdLease has a lease granted at once.
-func (w *world) holdLease(id uint64) {
-	w.membership.RequestLease()
-	w.answerCall(protocol.StoreResult{Outcome: protocol.OK, Lease: id})
+// grantLease has a lease granted at once.
+func (h *harness) grantLease(id uint64) {
+	h.membership.RequestLease()
+	h.answerCall(protocol.StoreResult{Outcome: protocol.OK, Lease: id})
 }
 
 // member puts a member record into the mirror.
-func (w *world) member(node string, incarnation, version uint64) {
-	w.mirror.Members[node] = mirror.MemberEntry{
+func (h *harness) putMember(node string, incarnation, version uint64) {
+	h.mirror.Members[node] = mirror.MemberEntry{
 		Record: storage.Member{Incarnation: incarnation}, Version: version,
 	}
 }
--- a/internal/peers/table.go
+++ b/internal/peers/table.go
@@ -18,45 +18,45 @@
 // Table holds what the other controllers have last said about themselves. It only speeds things up: what
 // holds is decided by the records in the state service.
 type Table struct {
-	waitingUserCallsThreshold int // a peer with more waiting calls of users than this is short of writes
-	statuses                  map[string]*peerState
+	userCallsThreshold int // a peer with more waiting calls of users than this is short of writes
+	statuses           map[string]*peerState
 	// by team: when a peer last reported that it lacks quota
-	quotaLackReports map[string]monotime.Micros
+	quotaShortageReports map[string]monotime.Micros
 }
 
 // peerState is what one peer has said; its zero value is that of a peer never heard.
 type peerState struct {
-	lastHeardAt        monotime.Micros // when its last status came
+	lastStatusAt       monotime.Micros // when its last status came
 	storeReachableAt   monotime.Micros // when it last reported that it reaches the state service; 0: never
 	userCallsWaitingAt monotime.Micros // when it last reported that many calls of users wait there; 0: never
 	workerReach        WorkerReach     // whether it reaches its workers
 	failingJobs        map[string]int  // by job that fails there: on how many machines
-	heard              bool            // a status has come
+	statusReceived     bool            // a status has come
 }
 
 // NewTable makes the table of a controller that has heard no peer yet. A peer with more than
-// waitingUserCallsThreshold waiting calls of users counts as one where users wait.
-func NewTable(waitingUserCallsThreshold int) *Table {
+// userCallsThreshold waiting calls of users counts as one where users wait.
+func NewTable(userCallsThreshold int) *Table {
 	return &Table{
-		waitingUserCallsThreshold: waitingUserCallsThreshold,
-		statuses:                  map[string]*peerState{},
-		quotaLackReports:          map[string]monotime.Micros{},
+		userCallsThreshold:   userCallsThreshold,
+		statuses:             map[string]*peerState{},
+		quotaShortageReports: map[string]monotime.Micros{},
 	}
 }
 
 // Update keeps the status that a peer has sent.
 func (t *Table) Update(status *Status, now monotime.Micros) {
 	peer := mapentry.GetOrNew(t.statuses, status.Node)
-	peer.lastHeardAt, peer.heard = now, true
+	peer.lastStatusAt, peer.statusReceived = now, true
 	if status.StateServiceReachable {
 		peer.storeReachableAt = now
 	}
-	if status.WaitingUserRequests > t.waitingUserCallsThreshold {
+	if status.WaitingUserRequests > t.userCallsThreshold {
 		peer.userCallsWaitingAt = now
 	}
 	peer.failingJobs, peer.workerReach = status.FailingJobs, status.WorkerReach
 	for _, team := range status.TeamsShortOfQuota {
-		t.quotaLackReports[team] = now
+		t.quotaShortageReports[team] = now
 	}
 }
 
@@ -71,11 +71,11 @@
 // HeardRecently reports whether a status of a peer has come lately.
 func (t *Table) HeardRecently(node string, now monotime.Micros) bool {
 	peer := t.state(node)
-	return peer.heard && now-peer.lastHeardAt < statusValidity
+	return peer.statusReceived && now-peer.lastStatusAt < statusValidity
 }
 
 // LastHeardAt returns when the last status of a peer came; 0 is returned for one that was never heard.
-func (t *Table) LastHeardAt(node string) monotime.Micros { return t.state(node).lastHeardAt }
+func (t *Table) LastHeardAt(node string) monotime.Micros { return t.state(node).lastStatusAt }
 
 // WorkerReach returns what a peer has last said about its workers.
 func (t *Table) WorkerReach(node string) WorkerReach { return t.state(node).workerReach }
@@ -114,6 +114,6 @@
 // QuotaLackReportedAt returns when a peer last reported that it lacks quota of a team; ok is false if none
 // ever did.
 func (t *Table) QuotaLackReportedAt(team string) (at monotime.Micros, ok bool) {
-	at, ok = t.quotaLackReports[team]
+	at, ok = t.quotaShortageReports[team]
 	return at, ok
 }
--- a/internal/peers/table_test.go
+++ b/internal/peers/table_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestLatestStatusCounts: what fails at peers and whether they reach their workers is as each has last said it.
-func TestLatestStatusCounts(t *testing.T) {
+// TestLatestStatusReplacesEarlier: what fails at peers and whether they reach their workers is as each has last said it.
+func TestLatestStatusReplacesEarlier(t *testing.T) {
 	table := NewTable(testThreshold)
 	table.Update(&Status{
 		Node: "n-1", WorkerReach: WorkersUnreachable, FailingJobs: map[string]int{"a": 5, "b": 1},
