--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// bytesPerMovedAttempt is the room in a shard that an attempt needs which comes along with its machine.
+	// bytesPerMovedAttempt is the estimated encoded size of an attempt that moves with its machine.
 	bytesPerMovedAttempt = 40
-	// maxComparesPerOp bounds the compares of an update by the operations that a transaction takes.
+	// maxComparesPerOp is the limit on an update's compares, per operation that a transaction may contain.
 	maxComparesPerOp = 3
 )
 
-// admission is how one pass puts the machines that wait to be claimed into shards.
+// admission assigns machines with pending claim requests to shards during one scheduling pass.
 type admission struct {
 	*Manager
 	updates       []*Update
-	memberVersion uint64          // of the controller's own member record
-	inDoubt       map[string]bool // machines that a commit in doubt may have claimed
-	// Only one commit of a pass takes machines over, from a few shards: each such commit changes this
-	// controller's quota shares, so only one of several could succeed.
+	memberVersion uint64          // version of this controller's member record
+	inDoubt       map[string]bool // machines that an unresolved commit may have claimed
+	// takeoverUpdate is the only update of a pass that takes over machines of other controllers, from at most
+	// sourceLimit shards. Each takeover commit changes this controller's quota shares, so of several such
+	// commits only one could succeed.
 	takeoverUpdate *Update
-	sources        map[string]bool // the shards that it takes from
+	sources        map[string]bool // names of the shards that takeoverUpdate takes machines from
 }
 
-// AdmitClaimRequests puts machines that wait to be claimed into the updates of a pass, and opens new shards
-// where no other has the room. It gives the updates with those of new shards added.
+// AdmitClaimRequests adds machines with pending claim requests to the updates of a pass. It creates new shards
+// for machines that fit into no existing one, and returns the updates including those of new shards.
 func (m *Manager) AdmitClaimRequests(updates []*Update, now monotime.Micros) []*Update {
-	// Every claim is conditional on this controller's present member record: a commit of an earlier
-	// incarnation or membership that arrives late must not put a machine into a second shard.
+	// Every claim is conditional on this controller's current member record. Otherwise a delayed commit of an
+	// earlier incarnation or membership could add a machine to a second shard.
 	member := m.mirror.Members[m.cfg.Node]
 	if member.Version == 0 || member.Record.Incarnation != m.cfg.Incarnation ||
 		m.mirror.WatchedRevision < member.Version {
@@ -50,7 +51,8 @@
 	return a.updates
 }
 
-// admit puts one machine into a shard, if it may be claimed now.
+// admit adds one machine to an update if this controller may claim it now. It completes the request if the
+// machine is already an own one, if a scale-in request names the machine, or after claimRequestTimeout.
 func (a *admission) admit(id string, now monotime.Micros) {
 	request, machine := a.claimRequests[id], a.mirror.Machines[id]
 	inShard := machine != nil && machine.Record != nil
@@ -68,7 +70,8 @@
 	}
 }
 
-// admitNewMachine puts a machine that has come up into the shard with the most room.
+// admitNewMachine adds a new machine to the shard with the most space. The machine must belong to a scale-out
+// request that designates this controller for it.
 func (a *admission) admitNewMachine(request *claimRequest) {
 	heartbeat := &request.heartbeat
 	id := heartbeat.Machine
@@ -97,12 +100,12 @@
 	update.AddCompare(storage.ScaleOutKey(scaleOutName), scaleOut.Version)
 }
 
-// takeOver takes a machine that has lost its owner over from that controller's shard.
+// takeOver moves a machine that has lost contact with its owner out of the owner's shard.
 func (a *admission) takeOver(request *claimRequest, machine *mirror.Machine) {
 	source := machine.Shard.Name
 	if request.fromShard == nil || request.fromShard.Name != source ||
 		!a.membership.IsMember(machine.Owner()) || a.claimsInFlight[source] {
-		return // the machine has moved, or its whole shard is being claimed
+		return // the machine has moved, its owner is absent, or a claim of its whole shard is in flight
 	}
 	if !a.sources[source] && len(a.sources) >= a.takeoverLimiter.sourceLimit {
 		return
@@ -115,7 +118,7 @@
 			update = a.addNewShard()
 		}
 	case !a.fits(update, need):
-		return // the next pass takes over the rest
+		return // the next pass takes over the remaining machines
 	}
 	if !a.reserve(update, machine.ID, need) {
 		return
@@ -124,13 +127,14 @@
 	a.moveMachine(update, machine, request.heartbeat.Endpoint)
 }
 
-// spaceNeed is the room that a machine needs in a shard.
+// spaceNeed is the estimated encoded size of a machine in a shard.
 type spaceNeed struct {
-	plannedBytes int // once it is full
-	bytes        int // with the attempts that are on it now
+	plannedBytes int // with the machine fully used
+	bytes        int // with the machine's current attempts
 }
 
-// spaceNeedOf estimates the room that a machine needs in a shard, given the attempts that come along with it.
+// spaceNeedOf estimates the encoded size of a machine in a shard, given the number of attempts that move with
+// it.
 func (a *admission) spaceNeedOf(request *claimRequest, attempts int) spaceNeed {
 	return spaceNeed{
 		plannedBytes: a.bytesForMachine(request.heartbeat.Type),
@@ -138,14 +142,15 @@
 	}
 }
 
-// fits reports whether a shard has room for another machine.
+// fits reports whether a shard has space for another machine, both now and once all its machines are fully
+// used.
 func (a *admission) fits(update *Update, need spaceNeed) bool {
 	limit := FillBytes(a.cfg.MaxValueBytes)
 	return update.plannedBytes+need.plannedBytes <= limit && update.maxBytes+need.bytes <= limit
 }
 
-// leastFilled returns the update of the shard with the most room of those that a machine fits in; nil if there
-// is none.
+// leastFilled returns the update with the smallest plannedBytes among those that a machine fits into (worst
+// fit). It returns nil if the machine fits into none.
 func (a *admission) leastFilled(need spaceNeed) *Update {
 	var best *Update
 	for _, update := range a.updates {
@@ -156,14 +161,15 @@
 	return best
 }
 
-// open opens a new shard.
+// addNewShard creates a new shard and adds its update to the pass.
 func (a *admission) addNewShard() *Update {
 	update := a.createShard()
 	a.updates = append(a.updates, update)
 	return update
 }
 
-// reserve has an update claim a machine; false if its commit would compare too many records.
+// reserve makes an update claim a machine and reserves space for it. It returns false if the commit already
+// compares too many records.
 func (a *admission) reserve(update *Update, machine string, need spaceNeed) bool {
 	if update.Compares() > maxComparesPerOp*a.cfg.MaxTxnOps {
 		return false
@@ -176,8 +182,8 @@
 	return true
 }
 
-// moveMachine takes a machine with all its attempts out of another controller's shard and puts it into an
-// update, in one commit that is conditional on both shards.
+// moveMachine moves a machine with all its attempts from another controller's shard into an update. The
+// commit is conditional on the versions of both shards.
 func (m *Manager) moveMachine(update *Update, machine *mirror.Machine, endpoint string) {
 	source := machine.Shard
 	remaining := update.sourceRecord(source)
@@ -204,8 +210,8 @@
 	m.quota.Transfer(&update.txn, update.comparedKeys, source.Record.Owner, m.cfg.Node, useByTeam)
 }
 
-// sourceRecord returns a copy of the record of a shard that machines are taken from, without those that the
-// update has taken already.
+// sourceRecord returns a copy of the record of a shard that the update takes machines from. The copy lacks the
+// machines that the update has already taken.
 func (u *Update) sourceRecord(shard *mirror.Shard) *storage.Shard {
 	record := shard.Record
 	if i := u.findPut(storage.ShardKey(shard.Name)); i >= 0 {
@@ -214,7 +220,7 @@
 	return record.Clone()
 }
 
-// putSourceRecord has the update's commit write the record of a shard that machines are taken from.
+// putSourceRecord makes the commit write the record of a shard that the update takes machines from.
 func (u *Update) putSourceRecord(shard *mirror.Shard, record *storage.Shard) {
 	key := storage.ShardKey(shard.Name)
 	encoded, _ := record.Encode()
@@ -226,7 +232,7 @@
 	u.txn.Then = append(u.txn.Then, protocol.Op{Put: key, Value: encoded})
 }
 
-// findPut finds the operation of the update's commit that writes a key; -1 if there is none.
+// findPut returns the index of the operation in txn.Then that writes a key, or -1 if there is none.
 func (u *Update) findPut(key string) int {
 	for i, operation := range u.txn.Then {
 		if operation.Put == key {
--- a/internal/shards/claim_requests.go
+++ b/internal/shards/claim_requests.go
@@ -10,20 +10,21 @@
 	"pipitgap/internal/storage"
 )
 
-// claimRequestTimeout is how long a machine waits to be claimed before its worker is refused.
+// claimRequestTimeout is how long a claim request stays pending before it is rejected.
 const claimRequestTimeout = 2500 * monotime.Millisecond
 
-// claimRequest is a machine whose worker waits to be claimed.
+// claimRequest is the pending request of a worker that this controller claim its machine.
 type claimRequest struct {
 	heartbeat   protocol.Heartbeat
-	fromShard   *mirror.Shard // of another controller, if the machine has lost its owner
+	fromShard   *mirror.Shard // shard of the other controller that owns the machine; nil without a takeover
 	requestedAt monotime.Micros
 	callbacks   []func(claimed bool)
 }
 
-// RequestClaim has a machine taken into the shards by the next pass. fromShard is the shard of another
-// controller that it is taken over from; without one a machine that is in a shard already waits for the claim
-// that is under way. The callback is called once the machine is claimed, or won't be.
+// RequestClaim requests that the next pass claim a machine. fromShard is the shard of another controller from
+// which this controller takes over the machine. If fromShard is nil and the machine is already in a shard, the
+// request waits until this controller has claimed that whole shard. RequestClaim calls the callback when the
+// machine is claimed or the request is rejected.
 func (m *Manager) RequestClaim(
 	heartbeat *protocol.Heartbeat,
 	fromShard *mirror.Shard,
@@ -39,7 +40,7 @@
 	m.passes.Request()
 }
 
-// ExpireClaimRequests refuses the machines that have waited for too long.
+// ExpireClaimRequests rejects the claim requests that have been pending for longer than claimRequestTimeout.
 func (m *Manager) ExpireClaimRequests(now monotime.Micros) {
 	for _, id := range sortedmap.Keys(m.claimRequests) {
 		if now-m.claimRequests[id].requestedAt > claimRequestTimeout {
@@ -48,7 +49,7 @@
 	}
 }
 
-// completeClaimRequest answers those who wait for a machine's claim.
+// completeClaimRequest removes the claim request of a machine and calls its callbacks.
 func (m *Manager) completeClaimRequest(machine string, claimed bool) {
 	request := m.claimRequests[machine]
 	if request == nil {
@@ -60,8 +61,8 @@
 	}
 }
 
-// orderedClaimRequests lists the machines that wait to be claimed; last those of shards on which the commit
-// before has failed.
+// orderedClaimRequests lists the machines with pending claim requests. Machines from shards on which the
+// previous takeover commit conflicted come last.
 func (m *Manager) orderedClaimRequests() []string {
 	ids := sortedmap.Keys(m.claimRequests)
 	conflicted := func(id string) bool {
--- a/internal/shards/commit.go
+++ b/internal/shards/commit.go
@@ -11,7 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// Commit writes the next version of a shard. A new shard that got no machines is dropped instead.
+// Commit writes the next version of a shard. It drops a new shard instead if the shard has no machines and no
+// earlier commit in doubt.
 func (m *Manager) Commit(update *Update, now monotime.Micros) {
 	t := m.trackerOf(update.name)
 	if update.previous == nil && len(update.next.Machines) == 0 && len(t.updatesInDoubt) == 0 {
@@ -26,7 +27,8 @@
 	})
 }
 
-// transaction is what is committed of an update; a shard that holds nothing any more is deleted.
+// transaction returns the transaction that commits an update. It deletes an existing shard that has neither
+// machines nor jobs left.
 func (m *Manager) transaction(update *Update) protocol.Transaction {
 	key := storage.ShardKey(update.name)
 	txn := update.txn
@@ -37,14 +39,15 @@
 	}
 	encoded, size := update.next.Encode()
 	if size > m.cfg.MaxValueBytes {
-		// Can't happen while the bound on assignments holds, see Update.MaxBytes.
+		// Unreachable as long as callers keep Update.MaxBytes below the limit when they assign tasks.
 		m.log.Error("shard exceeds value size limit", "shard", update.name, "bytes", size)
 	}
 	txn.Then = append(txn.Then, protocol.Op{Put: key, Value: encoded})
 	return txn
 }
 
-// handleCommitResult follows what became of an update's commit.
+// handleCommitResult processes the outcome of an update's commit. An unknown outcome leaves the update in doubt
+// unless the mirror already shows another version of the shard.
 func (m *Manager) handleCommitResult(update *Update, t *tracker, result protocol.StoreResult) {
 	m.passes.HandleCommitResult(result, len(update.assignedTasks))
 	if update.ChangesOtherRecords() {
@@ -65,7 +68,8 @@
 	t.removeUpdate(update)
 }
 
-// handleCommitted acts on an update that is in the records.
+// handleCommitted starts the follow-up work of a committed update: it counts lost replicas, completes jobs,
+// answers claim requests and sends commands to the machines.
 func (m *Manager) handleCommitted(update *Update) {
 	if update.losses != nil {
 		update.losses.Count()
--- a/internal/shards/dependencies.go
+++ b/internal/shards/dependencies.go
@@ -11,15 +11,15 @@
 	"pipitgap/internal/storage"
 )
 
-// Config is what stays the same for as long as the controller runs.
+// Config contains the settings of a Manager. They do not change while the controller runs.
 type Config struct {
 	Node          string // the controller's name
-	Incarnation   uint64 // of the controller
-	MaxTxnOps     int    // operations that the state service takes in a transaction
-	MaxValueBytes int    // bytes that it takes in a value
+	Incarnation   uint64 // identifies the run of the controller process
+	MaxTxnOps     int    // maximum number of operations in a transaction of the state service
+	MaxValueBytes int    // maximum size of a value in the state service
 }
 
-// Dependencies are the other subjects that a Manager works with.
+// Dependencies contains the other components that a Manager uses.
 type Dependencies struct {
 	Mirror     *mirror.Mirror
 	Store      Store
@@ -30,56 +30,59 @@
 	Drains     Drains
 	Jobs       Jobs
 	Passes     Passes
-	// MachineType returns a machine type of the catalog; the zero value if it is unknown.
+	// MachineType returns a machine type of the catalog, or the zero value for an unknown name.
 	MachineType func(name string) protocol.MachineType
 	Now         func() monotime.Micros
 	Log         *slog.Logger
 }
 
-// Store is the state service.
+// Store provides access to the state service.
 type Store interface {
-	// Unavailable reports whether the state service has lately not answered.
+	// Unavailable reports whether the state service is unavailable, as this controller observes it.
 	Unavailable() bool
-	// WatchOverdue reports whether the watch hasn't answered for so long that the mirror may be outdated.
+	// WatchOverdue reports whether the watch has gone without an answer for so long that the mirror may be
+	// stale.
 	WatchOverdue(now monotime.Micros) bool
-	// ThrottledWithin reports whether the state service has refused a call for its rate in the last duration.
+	// ThrottledWithin reports whether the state service rate-limited a call within the last duration.
 	ThrottledWithin(duration monotime.Micros) bool
-	// Commit makes a conditional write; on success it is in the mirror before callback is called.
+	// Commit sends a conditional write. After a success the mirror contains the write before the callback runs.
 	Commit(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult))
 }
 
-// Membership knows which controllers are members.
+// Membership reports which controllers are members, and whether this controller holds its lease.
 type Membership interface {
-	// HoldsLease reports whether this controller's own lease can't have expired yet.
+	// HoldsLease reports whether this controller's lease is certainly still valid.
 	HoldsLease(now monotime.Micros) bool
 	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
-	// AbsentSince is since when a controller that is no member has been missing.
+	// AbsentSince returns when this controller first observed the absence of a controller that is no member.
 	AbsentSince(node string, now monotime.Micros) monotime.Micros
-	// LiveControllers lists the controllers that are members, in order.
+	// LiveControllers lists the controllers that are members, in configuration order.
 	LiveControllers() []string
 }
 
-// Peers knows which controllers are heard and reach their workers.
+// Peers reports which controllers send status messages and reach their workers.
 type Peers interface {
-	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
+	// ConnectedControllers lists the live controllers, without those known to be cut off from their workers. It
+	// lists all live controllers if every one is cut off.
 	ConnectedControllers() []string
-	// HeardFromRecently reports whether a status of a controller has come lately.
+	// HeardFromRecently reports whether a recent status message of a controller has arrived.
 	HeardFromRecently(node string, now monotime.Micros) bool
 	// ReachesWorkers reports whether a controller has reported that it reaches its workers.
 	ReachesWorkers(node string) bool
 }
 
-// Quota keeps the controllers' shares of the teams' limits.
+// Quota manages the controllers' shares of the teams' limits.
 type Quota interface {
-	// WriteInFlight reports whether a commit is in flight that changes this controller's shares.
+	// WriteInFlight reports whether a commit that changes this controller's quota shares is in flight.
 	WriteInFlight() bool
-	// BeginWrite keeps others from writing shares until EndWrite: a commit of the manager changes them.
+	// BeginWrite announces a commit of the Manager that changes the quota shares. Until EndWrite no other
+	// component writes them.
 	BeginWrite()
-	// EndWrite marks that the announced commit has its outcome.
+	// EndWrite reports that the announced commit has an outcome.
 	EndWrite()
-	// Transfer adds to a transaction that the shares of the teams' limits follow attempts from one
-	// controller to another; comparedKeys are those that the transaction compares already.
+	// Transfer extends a transaction that moves attempts between controllers. It moves the quota shares that
+	// these attempts use along with them. comparedKeys contains the keys that the transaction already compares.
 	Transfer(
 		txn *protocol.Transaction,
 		comparedKeys map[string]bool,
@@ -88,55 +91,56 @@
 	)
 }
 
-// Agents knows the workers of the controller's machines.
+// Agents manages the communication with the workers of the controller's machines.
 type Agents interface {
-	// Has reports whether a machine is one of the controller's own, with an agent kept for it.
+	// Has reports whether the controller owns a machine and has an agent for it.
 	Has(machine *mirror.Machine) bool
-	// EachEndedAttempt calls release for the tasks whose attempts on an own machine have ended. Outcomes of
-	// attempts that the machine's shard doesn't hold are dropped.
+	// EachEndedAttempt calls release for each task whose attempt on an own machine has ended. It drops the
+	// outcomes of attempts that the machine's shard doesn't contain.
 	EachEndedAttempt(machine *mirror.Machine, release func(task mirror.TaskID, completed bool))
-	// DesiredState is the state that an own machine's record should have.
+	// DesiredState returns the state that the record of an own machine should have.
 	DesiredState(machine *mirror.Machine) storage.MachineState
-	// UpdateOwnership follows a change of the shard that a machine is in.
+	// UpdateOwnership creates or drops the agent of a machine after a change of the machine's shard.
 	UpdateOwnership(machine *mirror.Machine)
-	// SyncCommands sends a machine the commands that it lacks.
+	// SyncCommands sends the worker of a machine the commands that it hasn't received yet.
 	SyncCommands(machine *mirror.Machine)
-	// Probe requests the status of a machine that was just claimed, and sends commands after it if wanted.
+	// Probe requests the status of a newly claimed machine. With syncAfterwards it sends commands after the
+	// status.
 	Probe(machine *mirror.Machine, syncAfterwards bool)
-	// DesignatedController names the controller that may claim a machine of a scale-out request.
+	// DesignatedController returns the controller that may claim a machine of a scale-out request.
 	DesignatedController(request *mirror.ScaleOutEntry, machine string) string
 }
 
-// Drains keeps the marks of starting replicas and counts the replicas that are lost.
+// Drains maintains the start marks of replicas and counts lost replicas.
 type Drains interface {
-	// HasWork reports whether any drain is unfinished or has something left to clean up.
+	// HasWork reports whether any drain is unfinished or still needs cleanup.
 	HasWork() bool
-	// UpdateStartingMarks corrects the marks of an own machine's replicas in the next version of its shard
-	// and reports whether any has changed.
+	// UpdateStartingMarks corrects the start marks of an own machine's replicas in the next version of its
+	// shard. It reports whether any mark changed.
 	UpdateStartingMarks(next *storage.Shard, machine *mirror.Machine, now monotime.Micros) bool
-	// NewLosses makes an empty record of the replicas that one update releases.
+	// NewLosses returns an empty list of the lost replicas of one update.
 	NewLosses() Losses
 }
 
-// Losses are the replicas that one update releases outside of the drains' permits.
+// Losses collects the replicas that one update releases without a permit of a drain.
 type Losses interface {
-	// Record adds a task that is released from a machine, if it counts as a loss.
+	// Record adds a task that the update releases from a machine, if its release counts as a loss.
 	Record(machine *mirror.Machine, task mirror.TaskID)
-	// Count counts the losses, once the update is known to be in the records.
+	// Count adds the collected losses to the total. It is called after the update is committed.
 	Count()
 }
 
-// Jobs completes jobs.
+// Jobs writes the results of jobs.
 type Jobs interface {
-	// CompleteIfDone writes the result of a job whose tasks are all completed.
+	// CompleteIfDone writes the result of a job if all its tasks are completed.
 	CompleteIfDone(job string)
 }
 
-// Passes schedules the passes that prepare and commit updates.
+// Passes requests and delays the scheduling passes that prepare and commit updates.
 type Passes interface {
-	// Request has a pass run soon.
+	// Request requests a scheduling pass.
 	Request()
-	// HandleCommitResult follows what became of an update that assigned some tasks: it requests the next
-	// pass, and delays it where it would decide on the same outdated record.
+	// HandleCommitResult processes the outcome of an update that assigned a number of tasks. It requests the
+	// next pass, and delays that pass where it would use the same outdated records or fail again.
 	HandleCommitResult(result protocol.StoreResult, assignedTasks int)
 }
--- a/internal/shards/doc.go
+++ b/internal/shards/doc.go
@@ -1,17 +1,21 @@
-// Package shards owns the shards of one controller: how their next versions are written, and how machines and
-// whole shards come to it and leave it.
+// Package shards manages the shards that one controller owns: it writes their next versions, and it moves
+// machines and whole shards between controllers.
 //
-// A shard is a record that holds some machines with the attempts on them. Its owner alone writes it, each
-// time by a compare-and-swap on the version that the mirror shows:
+// A shard is a record in the state service that holds a set of machines and the task attempts on these
+// machines. Each shard has one owner. The owner writes a new version by a compare-and-swap on the version that
+// the mirror, the local copy of the records, shows. Another controller writes the shard only to take over the
+// shard or some of its machines:
 //
-//   - A scheduling pass calls PrepareUpdates for the next versions of the shards, AdmitClaimRequests for
-//     machines that wait to be claimed, assigns tasks to the updates, and calls Commit for each that has
-//     changed.
-//   - What a commit in flight or without an answer may have assigned stays in doubt until the mirror shows
-//     another version of the shard: TasksInDoubt, UseInDoubt.
-//   - Failover: ClaimOrphaned takes over the shards of controllers that have gone and of earlier
-//     incarnations, HandOff gives shards away when this controller doesn't reach its workers, and
-//     AdmitClaimRequests takes over single machines whose owner has lost them.
+//   - Scheduling pass: it calls PrepareUpdates for the next versions of the shards and AdmitClaimRequests for
+//     the machines with a pending claim request. It then assigns tasks to the updates and calls Commit for
+//     each changed update.
+//   - Unresolved commits: an assignment is in doubt while its commit is in flight, or after the commit got no
+//     definite answer. It stays in doubt until the mirror shows another version of the shard. See TasksInDoubt
+//     and UseInDoubt.
+//   - Failover: ClaimOrphaned claims the shards of absent controllers and of this controller's earlier
+//     incarnations. HandOff transfers shards to other controllers when this controller cannot reach its
+//     workers. AdmitClaimRequests takes over single machines that have lost contact with their owner.
 //
-// A Manager belongs to one goroutine; the callbacks that it passes on must be called on the same.
+// A Manager is not safe for concurrent use: one goroutine must make all calls, including the callbacks of the
+// dependencies.
 package shards
--- a/internal/shards/failover.go
+++ b/internal/shards/failover.go
@@ -10,11 +10,12 @@
 	"pipitgap/internal/storage"
 )
 
-// absenceBeforeClaim is how long a controller must be no member before its shards are claimed.
+// absenceBeforeClaim is how long a controller must be absent from the members before its successors claim its
+// shards.
 const absenceBeforeClaim = monotime.Second
 
-// ClaimOrphaned claims the shards of this controller's earlier incarnations, and those of controllers that
-// have gone and whose successor it is: whole shards, many to a commit.
+// ClaimOrphaned claims the shards of this controller's earlier incarnations, and the shards of absent
+// controllers that this controller is the successor for. It claims whole shards, several in one commit.
 func (m *Manager) ClaimOrphaned(now monotime.Micros) {
 	if m.store.Unavailable() || !m.membership.HoldsLease(now) {
 		return
@@ -25,13 +26,13 @@
 		for len(shards) > 0 {
 			shards = shards[m.claim(owner, shards):]
 			if owner != m.cfg.Node {
-				break // one commit at a time, as each changes the same quota shares
+				break // each commit changes the same quota shares, so only one at a time can succeed
 			}
 		}
 	}
 }
 
-// orphanedShards lists the shards to claim by their former owner.
+// orphanedShards returns the shards that this controller should claim, by their former owner.
 func (m *Manager) orphanedShards(now monotime.Micros) map[string][]*mirror.Shard {
 	controllers := m.peers.ConnectedControllers()
 	orphaned := map[string][]*mirror.Shard{}
@@ -46,8 +47,8 @@
 	return orphaned
 }
 
-// isSuccessorFor reports whether this controller is to claim a shard: it belongs to an earlier incarnation of
-// it, or to a controller that has gone and whose successor it is.
+// isSuccessorFor reports whether this controller should claim a shard. The shard's owner must be an earlier
+// incarnation of this controller, or an absent controller for whose shard rendezvous hashing selects this one.
 func (m *Manager) isSuccessorFor(shard *mirror.Shard, controllers []string, now monotime.Micros) bool {
 	owner := shard.Record.Owner
 	if owner == m.cfg.Node {
@@ -60,7 +61,7 @@
 		membership.RendezvousOwner(shard.Name, controllers) == m.cfg.Node
 }
 
-// claim takes over shards of one owner, as many as a commit takes, and returns how many these are.
+// claim claims the first shards of one owner, as many as fit into a commit, and returns their number.
 func (m *Manager) claim(owner string, shards []*mirror.Shard) int {
 	transfer := m.buildTransfer(shards, m.cfg.Node, m.cfg.Incarnation)
 	for _, shard := range transfer.shards {
@@ -77,7 +78,8 @@
 	return len(transfer.shards)
 }
 
-// handleClaimed contacts the workers of shards that were claimed.
+// handleClaimed probes the workers of newly claimed shards. It sends them commands at once only if the shards
+// belonged to an earlier incarnation of this controller.
 func (m *Manager) handleClaimed(owner string, shards []*mirror.Shard) {
 	machines := 0
 	for _, shard := range shards {
@@ -89,9 +91,10 @@
 	m.log.Info("shards claimed", "from_node", owner, "shards", len(shards), "machines", machines)
 }
 
-// HandOff transfers this controller's shards to others that reach their workers, when it doesn't reach its
-// own. Its workers turn to the others when it doesn't answer; claims of single machines, each against the
-// writes of this controller, would take longer than the leases of most.
+// HandOff transfers this controller's shards to controllers that reach their workers. It is called when this
+// controller doesn't reach its own workers. Those workers contact other controllers after a missing answer. If
+// these controllers claimed the machines one by one, in competition with the writes of this controller, the
+// claims would take longer than most worker leases last.
 func (m *Manager) HandOff(now monotime.Micros) {
 	if m.quota.WriteInFlight() || m.store.Unavailable() || !m.membership.HoldsLease(now) ||
 		m.store.WatchOverdue(now) {
@@ -117,13 +120,14 @@
 		m.passes.Request()
 		if result.Outcome == protocol.OK {
 			m.log.Info("shards transferred", "to_node", to, "shards", len(transfer.shards))
-			m.HandOff(m.now()) // the remaining shards, and those of other destinations
+			m.HandOff(m.now()) // the remaining shards, including those for other destinations
 		}
 	})
 }
 
-// handOffDestinations lists the controllers that shards may be handed to: those heard that reach their
-// workers, or all others if none is heard: then it is this controller that is cut off.
+// handOffDestinations lists the controllers that may receive this controller's shards. These are the live
+// controllers with a recent status message that reach their workers. If no controller has sent a recent status
+// message, this controller is itself cut off, and the list contains all other live controllers.
 func (m *Manager) handOffDestinations(now monotime.Micros) []string {
 	var connected, others []string
 	isolated := true
@@ -145,8 +149,8 @@
 	return connected
 }
 
-// shardsToHandOff picks the destination of the first own shard that can be handed off, and lists all that go
-// there.
+// shardsToHandOff selects the destination of the first own shard that is ready to be transferred. It returns
+// this destination with all ready shards that rendezvous hashing assigns to it.
 func (m *Manager) shardsToHandOff(destinations []string) (to string, shards []*mirror.Shard) {
 	for _, name := range sortedmap.Keys(m.mirror.Shards) {
 		shard := m.mirror.Shards[name]
--- a/internal/shards/failover_test.go
+++ b/internal/shards/failover_test.go
@@ -10,8 +10,8 @@
 	"pipitgap/internal/storage"
 )
 
-// What a commit takes of shards is bounded by bytes too. A controller that had inherited all shards and came back
-// could never claim them: together they were more than a commit may hold.
+// A transfer commit is limited in bytes as well as in shards. Without the limit a restarted controller that had
+// taken over all shards could never claim them again: together they exceeded the size limit of a commit.
 func TestTransferBytesAreBounded(t *testing.T) {
 	h := newHarness(t)
 	var shards []*mirror.Shard
@@ -44,18 +44,20 @@
 			size += len(operation.Value)
 		}
 		if shardCount == 0 || size > 64<<10 {
-			t.Fatalf("%d shards of %d bytes in a commit", shardCount, size)
+			t.Fatalf("commit: got %d shards of %d bytes, want at least 1 shard and at most %d bytes",
+				shardCount, size, 64<<10)
 		}
 		shards = shards[shardCount:]
 		n++
 	}
 	if n < 2 || n > 4 {
-		t.Errorf("%d commits", n)
+		t.Errorf("commits for all shards: got %d, want 2 to 4", n)
 	}
 }
 
-// A transfer takes as many shards as a transaction holds beside the quota shares, one by one while the state
-// service is throttled or where nothing else changes along, and outranks every claim of their machines.
+// A transfer includes as many shards as fit into a transaction with the quota shares. It includes only one if
+// the state service is throttled or no quota shares move. Its claim number exceeds every claim of the
+// machines.
 func TestBuildTransfer(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
@@ -79,64 +81,68 @@
 			}
 			transfer := h.m.buildTransfer(shards, ownNode, ownIncarnation)
 			if got := len(transfer.shards); got != tc.want {
-				t.Errorf("%d shards, want %d", got, tc.want)
+				t.Errorf("shards in the transfer: got %d, want %d", got, tc.want)
 			}
 			if h.quotaTransfers != tc.quotaTransfers {
-				t.Errorf("%d transfers of quota, want %d", h.quotaTransfers, tc.quotaTransfers)
+				t.Errorf("quota transfers: got %d, want %d", h.quotaTransfers, tc.quotaTransfers)
 			}
 			record, err := storage.DecodeShard(transfer.txn.Then[0].Value, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if record.Owner != ownNode || record.Incarnation != ownIncarnation || record.Claim != 6 {
-				t.Errorf("written: owner %s, incarnation %d, claim %d",
-					record.Owner, record.Incarnation, record.Claim)
+				t.Errorf("written record: got owner %s, incarnation %d, claim %d; want %s, %d, 6",
+					record.Owner, record.Incarnation, record.Claim, ownNode, ownIncarnation)
 			}
 			if compare := transfer.txn.If[0]; compare.Key != storage.ShardKey("p0") || compare.Version != 3 {
-				t.Errorf("conditional on %v", compare)
+				t.Errorf("first compare: got %v, want version 3 of shard p0", compare)
 			}
 		})
 	}
 }
 
-// Shards are claimed of earlier incarnations and of absent controllers only, and their workers are probed once the
-// claim is in the store.
+// A controller claims only the shards of its earlier incarnations and, as their successor, of absent
+// controllers. It probes the workers of these shards after the claim is committed.
 func TestClaimOrphaned(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		owner       string
 		incarnation uint64
-		member      bool     // the owner is
-		live        []string // the only controller, and so the successor
+		member      bool     // whether the owner is a member
+		live        []string // the only live controller, which is therefore the successor
 		want        bool
 	}{
-		{"own", ownNode, ownIncarnation, true, []string{ownNode}, false},
+		{"already owned", ownNode, ownIncarnation, true, []string{ownNode}, false},
 		{"earlier incarnation", ownNode, 1, true, []string{"n-1"}, true},
-		{"of a member", "n-1", 1, true, []string{ownNode}, false},
-		{"orphaned", "n-1", 1, false, []string{ownNode}, true},
-		{"orphaned, another succeeds", "n-1", 1, false, []string{"n-2"}, false},
+		{"owner is a member", "n-1", 1, true, []string{ownNode}, false},
+		{"orphaned, this controller is the successor", "n-1", 1, false, []string{ownNode}, true},
+		{"orphaned, another controller is the successor", "n-1", 1, false, []string{"n-2"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t)
 			h.liveControllers, h.members[tc.owner] = tc.live, tc.member
 			h.putShard("p", tc.owner, tc.incarnation, "i-1")
 			h.m.ClaimOrphaned(h.clock)
-			h.m.ClaimOrphaned(h.clock) // one that is being claimed isn't claimed again
+			h.m.ClaimOrphaned(h.clock) // the shard has a claim in flight and isn't claimed again
 			if got := len(h.Commits) == 1; got != tc.want {
-				t.Fatalf("%d commits, want one: %v", len(h.Commits), tc.want)
+				t.Fatalf("got %d commits, want exactly one: %v", len(h.Commits), tc.want)
 			}
 			if !tc.want {
 				return
 			}
 			h.completeCommit(protocol.StoreResult{Outcome: protocol.OK})
 			if !h.m.Owns(h.mirror.Shards["p"]) || !slices.Equal(h.probed, []string{"i-1"}) {
-				t.Errorf("owned by %s, probed %v", h.mirror.Shards["p"].Record.Owner, h.probed)
+				t.Errorf("after the claim: got owner %s and probed machines %v, want %s and [i-1]",
+					h.mirror.Shards["p"].Record.Owner, h.probed, ownNode)
 			}
 		})
 	}
 }
 
-// Shards go to controllers that are heard and reach their workers; to any if none is heard.
+// HandOff selects controllers that have sent a recent status message and reach their workers. It selects all
+// other controllers if none has sent one.
+//
+// The cases name the state of the other controllers.
 func TestHandOffDestinations(t *testing.T) {
 	nodeSet := func(nodes ...string) map[string]bool {
 		set := map[string]bool{}
@@ -152,32 +158,32 @@
 		want         []string
 	}{
 		{"all connected", nodeSet("n-1", "n-2"), nodeSet("n-1", "n-2"), []string{"n-1", "n-2"}},
-		{"one cut off too", nodeSet("n-1", "n-2"), nodeSet("n-2"), []string{"n-2"}},
-		{"all cut off", nodeSet("n-1", "n-2"), nodeSet(), nil},
-		{"what a silent one has reported doesn't count", nodeSet("n-1"), nodeSet("n-2"), nil},
-		{"isolated", nodeSet(), nodeSet(), []string{"n-1", "n-2"}},
+		{"one cut off from its workers", nodeSet("n-1", "n-2"), nodeSet("n-2"), []string{"n-2"}},
+		{"all cut off from their workers", nodeSet("n-1", "n-2"), nodeSet(), nil},
+		{"outdated report of reachable workers", nodeSet("n-1"), nodeSet("n-2"), nil},
+		{"no recent status message from any", nodeSet(), nodeSet(), []string{"n-1", "n-2"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t)
 			h.recentPeers, h.reachWorkers = tc.recentPeers, tc.reachWorkers
 			if got := h.m.handOffDestinations(h.clock); !slices.Equal(got, tc.want) {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("destinations: got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// A shard with a commit in doubt isn't handed off, and none while the mirror may be outdated or quota shares are
-// being written.
+// HandOff excludes a shard with a commit in doubt. It transfers no shard while the mirror may be stale or a
+// write of quota shares is in flight.
 func TestHandOffPreconditions(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		prepare func(h *harness)
-		want    int // shards
+		want    int // shards in the commit
 	}{
-		{"nothing in the way", func(*harness) {}, 2},
-		{"silent watch", func(h *harness) { h.watchOverdue = true }, 0},
-		{"quota shares in flight", func(h *harness) { h.quotaInFlight = true }, 0},
+		{"all conditions met", func(*harness) {}, 2},
+		{"overdue watch", func(h *harness) { h.watchOverdue = true }, 0},
+		{"quota write in flight", func(h *harness) { h.quotaInFlight = true }, 0},
 		{"commit in doubt", func(h *harness) {
 			shard := h.mirror.Shards["p1"]
 			h.m.Commit(NewUpdate("p1", shard, shard.Record.Clone()), h.clock)
@@ -197,14 +203,15 @@
 				return
 			}
 			if len(commit.Transaction.Then) != tc.want {
-				t.Fatalf("commit %v, want one of %d shards", commit, tc.want)
+				t.Fatalf("commit: got %d operations in %v, want %d shards",
+					len(commit.Transaction.Then), commit, tc.want)
 			}
 			if !h.quotaInFlight {
-				t.Error("others may write quota shares")
+				t.Error("quota write in flight during the commit: got false, want true")
 			}
 			h.completeCommit(protocol.StoreResult{Outcome: protocol.Conflict})
 			if h.quotaInFlight {
-				t.Error("quota shares are held after the commit's outcome")
+				t.Error("quota write in flight after the commit's outcome: got true, want false")
 			}
 		})
 	}
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -12,29 +12,30 @@
 	"pipitgap/internal/storage"
 )
 
-// A controller and its incarnation, for all tests.
+// The controller whose Manager is under test.
 const (
 	ownNode        = "n-0"
 	ownIncarnation = 7
 )
 
-// harness is a Manager with all that it depends on: facts that a test sets, and what the manager has done.
+// harness contains a Manager and fakes of all its dependencies. Tests set the state that the fakes report and
+// check the calls that they record.
 type harness struct {
 	stubs.HeldCommits
 	t        *testing.T
 	m        *Manager
 	mirror   *mirror.Mirror
 	clock    monotime.Micros
-	revision uint64 // the newest one in the mirror
+	revision uint64 // newest revision in the mirror
 
 	throttled           bool
 	watchOverdue        bool
 	liveControllers     []string
-	members             map[string]bool // that are in the mirror too
+	members             map[string]bool // controllers that IsMember reports as members
 	recentPeers         map[string]bool // peers
 	reachWorkers        map[string]bool // peers
 	ownMachines         map[string]bool
-	endedAttempts       map[mirror.TaskID]bool // attempts, with whether they were completed
+	endedAttempts       map[mirror.TaskID]bool // tasks with an ended attempt; true if completed
 	states              map[string]storage.MachineState
 	startingMarksChange bool
 	drainsHaveWork      bool
@@ -45,7 +46,7 @@
 	synced        []string // machines
 	probed        []string // machines
 	lostTasks     []mirror.TaskID
-	passRequests  int // of passes
+	passRequests  int // number of requested passes
 }
 
 func newHarness(t *testing.T) *harness {
@@ -83,14 +84,14 @@
 	return h
 }
 
-// put writes a record into the mirror, with the next revision.
+// put writes a record into the mirror at the next revision, and returns that revision.
 func (h *harness) put(key string, value protocol.Raw) uint64 {
 	h.revision++
 	h.mirror.ApplyEvents([]protocol.Event{{Put: key, Value: value, Version: h.revision}}, h.revision)
 	return h.revision
 }
 
-// putShard writes a shard with some machines into the mirror, on which the tasks of job j-1 run, one on each.
+// putShard writes a shard with the given machines into the mirror. Each machine runs one task of job j-1.
 func (h *harness) putShard(name, owner string, incarnation uint64, machines ...string) *mirror.Shard {
 	record := emptyShard(owner, incarnation)
 	for i, id := range machines {
@@ -102,7 +103,7 @@
 	return h.mirror.Shards[name]
 }
 
-// putJob writes an open job of some tasks into the mirror.
+// putJob writes an open job with a number of tasks into the mirror.
 func (h *harness) putJob(id string, tasks int) *mirror.Job {
 	h.put(storage.OpenJobKey(id), protocol.MustMarshal(&storage.OpenJob{
 		Spec: storage.JobSpec{Team: "team", Tasks: tasks, CPUs: 2},
@@ -110,12 +111,13 @@
 	return h.mirror.Jobs[id]
 }
 
-// putScaleOut writes a scale-out request that has brought a machine into the mirror.
+// putScaleOut writes a scale-out request into the mirror.
 func (h *harness) putScaleOut(name string, record *storage.ScaleOutRequest) {
 	h.put(storage.ScaleOutKey(name), protocol.MustMarshal(record))
 }
 
-// answer gives the oldest commit its outcome; a successful one is in the mirror before, as the store's.
+// completeCommit calls back the oldest commit with a result. Like the real store, it first applies a successful
+// commit to the mirror.
 func (h *harness) completeCommit(result protocol.StoreResult) {
 	h.t.Helper()
 	commit := h.TakeOldest(h.t)
@@ -204,7 +206,7 @@
 
 func (h *harness) NewLosses() Losses { return &recordedLosses{harness: h} }
 
-// recordedLosses takes every release for a loss.
+// recordedLosses counts every released task as a loss.
 type recordedLosses struct {
 	harness *harness
 	tasks   []mirror.TaskID
--- a/internal/shards/manager.go
+++ b/internal/shards/manager.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/storage"
 )
 
-// Manager owns the shards of one controller.
+// Manager manages the shards that one controller owns.
 type Manager struct {
 	cfg         Config
 	mirror      *mirror.Mirror
@@ -26,22 +26,23 @@
 	now         func() monotime.Micros
 	log         *slog.Logger
 
-	trackers        map[string]*tracker       // by own shard
-	newShards       map[string]*storage.Shard // new shards that aren't in the mirror yet
-	shardSequence   int                       // number of the newest one
+	trackers        map[string]*tracker       // by name of an own shard
+	newShards       map[string]*storage.Shard // own shards that are not in the mirror yet, by name
+	shardSequence   int                       // sequence number of the newest shard that this Manager created
 	takeoverLimiter takeoverLimiter
-	claimRequests   map[string]*claimRequest // by machine
-	claimsObserved  map[string]observedClaim // by shard
-	claimsInFlight  map[string]bool          // shards that are being claimed
+	claimRequests   map[string]*claimRequest // by machine identifier
+	claimsObserved  map[string]observedClaim // by shard name
+	claimsInFlight  map[string]bool          // names of shards with a claim commit in flight
 }
 
-// observedClaim is since when the claim that a shard is held under is known.
+// observedClaim records when this controller first saw a shard's claim, which its claim number and the owner's
+// incarnation identify.
 type observedClaim struct {
 	number, incarnation uint64
 	observedAt          monotime.Micros
 }
 
-// NewManager makes a manager without any shards; it finds them in the mirror.
+// NewManager returns a Manager. It reads the existing shards from the mirror.
 func NewManager(cfg Config, deps Dependencies) *Manager {
 	return &Manager{
 		cfg:             cfg,
@@ -66,18 +67,19 @@
 	}
 }
 
-// Owns reports whether a shard belongs to this incarnation of the controller.
+// Owns reports whether this incarnation of the controller owns a shard.
 func (m *Manager) Owns(shard *mirror.Shard) bool {
 	return shard.Record.Owner == m.cfg.Node && shard.Record.Incarnation == m.cfg.Incarnation
 }
 
-// ClaimObservedAt is since when the claim that a shard is held under is known; 0 if the shard is unknown.
+// ClaimObservedAt returns when this controller first saw the current claim of a shard. It returns 0 for an
+// unknown shard.
 func (m *Manager) ClaimObservedAt(shard string) monotime.Micros {
 	return m.claimsObserved[shard].observedAt
 }
 
-// HandleShardChange follows a change of a shard in the mirror: which machines are the controller's now, and
-// that what was in doubt about the version before is settled.
+// HandleShardChange processes a change of a shard in the mirror. It resolves the updates that were in doubt for
+// the previous version, and reports the shard's machines to Agents for a change of ownership.
 func (m *Manager) HandleShardChange(name string) {
 	shard := m.mirror.Shards[name]
 	if t := m.trackers[name]; t != nil {
@@ -99,7 +101,7 @@
 	}
 }
 
-// observeClaim notes when a shard's claim was first seen.
+// observeClaim records the time at which a new claim of a shard appears in the mirror.
 func (m *Manager) observeClaim(shard *mirror.Shard) {
 	record, observed := shard.Record, m.claimsObserved[shard.Name]
 	if observed.number != record.Claim || observed.incarnation != record.Incarnation {
@@ -107,7 +109,7 @@
 	}
 }
 
-// createShard begins a new shard, without machines, and gives its update.
+// createShard adds an empty shard to newShards and returns the update that creates its record.
 func (m *Manager) createShard() *Update {
 	m.shardSequence++
 	name := fmt.Sprintf("%s.%x.%d", m.cfg.Node, m.cfg.Incarnation, m.shardSequence)
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -7,25 +7,26 @@
 	"pipitgap/internal/storage"
 )
 
-// Bounds of what shards hold and of how often they are written.
+// Limits on the size of shards and on the rate of their writes.
 const (
-	// maxInFlightCommitWait is how long a commit in flight holds the next pass up.
+	// maxInFlightCommitWait bounds how long the next pass waits for a commit in flight.
 	maxInFlightCommitWait = 600 * monotime.Millisecond
-	// staleEntriesRewriteDelay is how long stale entries wait for another change to go along with.
+	// staleEntriesRewriteDelay is how long stale entries stay in a shard if no other change causes a write.
 	staleEntriesRewriteDelay = 5 * monotime.Second
-	// bytesPerMachine are the bytes that a machine takes in a shard, with its part of the jobs' identifiers.
+	// bytesPerMachine is the estimated size of a machine in an encoded shard, including its part of the job
+	// identifiers.
 	bytesPerMachine = 60
-	// bytesPerCPU are the bytes that the tasks on one CPU of a machine take.
+	// bytesPerCPU is the estimated size of the tasks on one CPU of a machine.
 	bytesPerCPU = 7
-	// maxFillFraction is the part of the state service's limit of a value up to which a shard is filled.
+	// maxFillFraction is the fraction of the state service's value size limit that assignments may fill.
 	maxFillFraction = 0.95
 )
 
-// FillBytes is how large a shard may get by assignments, of the bytes that the state service takes in a
-// value.
+// FillBytes returns the encoded size up to which a shard accepts assignments, given the value size limit of the
+// state service.
 func FillBytes(maxValueBytes int) int { return int(maxFillFraction * float64(maxValueBytes)) }
 
-// PrepareUpdates prepares the next versions of all own shards that have no commit in flight, new ones last.
+// PrepareUpdates prepares the next versions of all own shards without a commit in flight. New shards come last.
 func (m *Manager) PrepareUpdates(now monotime.Micros) []*Update {
 	m.forgetIdleTrackers()
 	var updates []*Update
@@ -42,7 +43,8 @@
 	return updates
 }
 
-// prepareNew prepares the update of a new shard whose first commit hasn't been made: it is empty again.
+// prepareNew prepares an update of a shard whose creation isn't committed yet. It starts empty again: machines
+// and tasks from an earlier failed update are not kept.
 func (m *Manager) prepareNew(name string) *Update {
 	update := NewUpdate(name, nil, m.newShards[name])
 	update.changed = true
@@ -52,13 +54,13 @@
 	return update
 }
 
-// prepare prepares the next version of a shard: attempts that have ended are released, machines that are
-// deleted are taken out, states and marks are corrected, and entries of jobs that are over are dropped.
+// prepare prepares the next version of a shard. It releases ended attempts, removes deleted machines, corrects
+// machine states and the start marks of replicas, and drops the entries of closed jobs.
 func (m *Manager) prepare(shard *mirror.Shard, now monotime.Micros) *Update {
 	update := NewUpdate(shard.Name, shard, shard.Record.Clone())
 	update.losses = m.drains.NewLosses()
 	t := m.trackerOf(shard.Name)
-	update.changed = len(t.updatesInDoubt) > 0 // a new version of the shard settles their outcomes
+	update.changed = len(t.updatesInDoubt) > 0 // any new version of the shard resolves the updates in doubt
 	marksChanged := false
 	for _, id := range sortedmap.Keys(shard.Record.Machines) {
 		machine := m.mirror.Machines[id]
@@ -75,7 +77,7 @@
 	}
 	stale := m.dropClosedJobs(update, shard)
 	if marksChanged && m.drains.HasWork() {
-		update.changed = true // a drain waits for the marks
+		update.changed = true // an unfinished drain waits for the start marks
 	} else if marksChanged {
 		stale = true
 	}
@@ -87,13 +89,13 @@
 	return update
 }
 
-// scaledIn reports whether a scale-in request says that a machine is deleted.
+// scaledIn reports whether a completed scale-in request has deleted a machine.
 func (m *Manager) scaledIn(machine string) bool {
 	scaleIn := m.mirror.ScaleIns[m.mirror.ScaleInOfMachine[machine]]
 	return scaleIn != nil && scaleIn.Record.Deleted
 }
 
-// releaseMachine takes a deleted machine out of a shard, with all that it held.
+// releaseMachine removes a deleted machine and all attempts on it from a shard.
 func (m *Manager) releaseMachine(update *Update, machine *mirror.Machine) {
 	for task := range machine.Attempts {
 		m.release(update, machine, task, false)
@@ -102,8 +104,8 @@
 	update.changed = true
 }
 
-// refreshMachine releases the attempts of a machine that have ended, and corrects its state and the marks of
-// its replicas; it reports whether a mark has changed.
+// refreshMachine releases the ended attempts of a machine, and corrects its state and the start marks of its
+// replicas. It reports whether a start mark changed.
 func (m *Manager) refreshMachine(update *Update, machine *mirror.Machine, now monotime.Micros) bool {
 	m.agents.EachEndedAttempt(machine, func(task mirror.TaskID, completed bool) {
 		m.release(update, machine, task, completed)
@@ -115,14 +117,14 @@
 	return m.drains.UpdateStartingMarks(update.next, machine, now)
 }
 
-// release takes an attempt that has ended out of a shard.
+// release removes an ended attempt from a shard and records it as a loss if it counts as one.
 func (m *Manager) release(update *Update, machine *mirror.Machine, task mirror.TaskID, completed bool) {
 	update.losses.Record(machine, task)
 	update.release(machine.ID, task, completed, m.mirror.Jobs[task.Job])
 }
 
-// dropClosedJobs drops the entries of jobs that are over and hold nothing in a shard any more; it tells
-// whether there were any.
+// dropClosedJobs removes the entries of closed jobs without attempts from the next version of a shard. It
+// reports whether it removed any.
 func (m *Manager) dropClosedJobs(update *Update, shard *mirror.Shard) bool {
 	dropped := false
 	for id, entry := range shard.Record.Jobs {
@@ -134,13 +136,13 @@
 	return dropped
 }
 
-// bytesForMachine is the room that a machine of a type needs in a shard once it is full.
+// bytesForMachine estimates the encoded size of a fully used machine of a type.
 func (m *Manager) bytesForMachine(typeName string) int {
 	return bytesPerMachine + bytesPerCPU*int(m.machineType(typeName).CPUs)
 }
 
-// plannedBytes is the room that a shard's machines need once they are full. By what they take while they are
-// empty, a shard would get more machines than it has room for the tasks of.
+// plannedBytes estimates the encoded size of a shard with all machines fully used. The size with empty machines
+// would admit more machines than the shard has space for tasks.
 func (m *Manager) plannedBytes(record *storage.Shard) int {
 	bytes := 0
 	for _, machine := range record.Machines {
--- a/internal/shards/takeover_limiter.go
+++ b/internal/shards/takeover_limiter.go
@@ -2,26 +2,29 @@
 
 import "pipitgap/internal/protocol"
 
-// takeoverLimiter bounds how many shards of other controllers a commit takes machines over from. Their owner
-// may be alive, only cut off from these machines, and goes on writing its shards: a commit that compares the
-// versions of several of them can fail time and again.
+// takeoverLimiter limits the number of source shards from which one commit takes over machines. The owner of a
+// source shard may be alive and cut off only from these machines, and may continue to write the shard. A commit
+// that compares the versions of several such shards can therefore conflict repeatedly.
 type takeoverLimiter struct {
-	sourceLimit    int             // shards that the next commit may take from
-	maxSourceLimit int             // and at most
-	conflictedKeys map[string]bool // keys that the last one failed on: they come last
+	sourceLimit    int // maximum number of source shards of the next commit
+	maxSourceLimit int // upper bound of sourceLimit
+	// conflictedKeys are the keys that the last commit conflicted on. The next pass tries their shards last.
+	conflictedKeys map[string]bool
 }
 
-// maxTakeoverSources is how many shards of other controllers a commit may take machines from at most.
+// maxTakeoverSources bounds sourceLimit, whatever the transaction size allows.
 const maxTakeoverSources = 4
 
-// newTakeoverLimiter begins with as many sources as a transaction holds: beside the own shard and quota
-// shares it changes each source and its owner's quota shares.
+// newTakeoverLimiter starts with as many source shards as fit into a transaction, at most maxTakeoverSources. A
+// transaction writes the own shard and the own quota shares, and for each source two records: the source shard
+// and its owner's quota shares.
 func newTakeoverLimiter(maxTxnOps int) takeoverLimiter {
 	limit := max(1, min(maxTakeoverSources, (maxTxnOps-2)/2))
 	return takeoverLimiter{sourceLimit: limit, maxSourceLimit: limit, conflictedKeys: map[string]bool{}}
 }
 
-// recordOutcome follows what became of a commit that took machines over.
+// recordOutcome adapts the limit to the outcome of a takeover commit. A success doubles the limit, a conflict
+// halves it.
 func (l *takeoverLimiter) recordOutcome(result protocol.StoreResult) {
 	clear(l.conflictedKeys)
 	switch result.Outcome {
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -7,37 +7,41 @@
 	"pipitgap/internal/resources"
 )
 
-// tracker is what is kept about an own shard beside the mirror.
+// tracker holds the local state of an own shard: its unresolved commits and the age of its stale entries. The
+// mirror doesn't contain this state.
 type tracker struct {
-	commitInFlightSince monotime.Micros // 0: no commit is in flight
-	// Updates whose commits are in flight or got no answer, and may still be applied. Each is conditional on
-	// a version of the shard; its outcome is known only once the mirror shows another version. A later commit
-	// that fails settles nothing: it may have failed because of the first.
+	commitInFlightSince monotime.Micros // 0 if no commit is in flight
+	// updatesInDoubt are the updates whose commits are in flight, or got no answer and may still be applied.
+	// Each is conditional on a version of the shard. Its outcome is known only after the mirror shows another
+	// version. A conflict of a later commit does not resolve an earlier one, because the earlier commit may
+	// have caused the conflict.
 	updatesInDoubt []*Update
-	// since when the shard holds entries of jobs that are over, or outdated marks; 0: it doesn't
+	// staleSince is the time since which the shard has held entries of closed jobs or outdated start marks; 0
+	// if it holds none.
 	staleSince monotime.Micros
 }
 
-// idle reports whether nothing is in flight or in doubt.
+// idle reports whether the shard has no commit in flight and no update in doubt.
 func (t *tracker) idle() bool { return t.commitInFlightSince == 0 && len(t.updatesInDoubt) == 0 }
 
-// beginCommit notes that the commit of an update is in flight.
+// beginCommit records that the commit of an update is in flight.
 func (t *tracker) beginCommit(update *Update, now monotime.Micros) {
 	t.commitInFlightSince = max(now, 1)
 	t.updatesInDoubt = append(t.updatesInDoubt, update)
 }
 
-// resolveUpdates forgets the updates that were conditional on another version than the shard's.
+// resolveUpdates removes the updates that are conditional on a version other than the shard's current one.
+// Their commits were either applied or can no longer succeed.
 func (t *tracker) resolveUpdates(version uint64) {
 	t.retainUpdates(func(update *Update) bool { return update.previousVersion() == version })
 }
 
-// removeUpdate forgets an update that is known not to have been committed.
+// removeUpdate removes an update whose commit certainly failed.
 func (t *tracker) removeUpdate(update *Update) {
 	t.retainUpdates(func(other *Update) bool { return other != update })
 }
 
-// retainUpdates keeps the updates in doubt that a function selects, in a new slice.
+// retainUpdates replaces updatesInDoubt by a new slice of the updates for which keep returns true.
 func (t *tracker) retainUpdates(keep func(*Update) bool) {
 	var kept []*Update
 	for _, update := range t.updatesInDoubt {
@@ -48,8 +52,8 @@
 	t.updatesInDoubt = kept
 }
 
-// rewriteDue follows whether the shard's next version drops stale entries, and reports whether it should be
-// written for these alone.
+// rewriteDue updates staleSince. It reports whether the shard should be rewritten only to drop stale entries,
+// because no other change has come up within staleEntriesRewriteDelay.
 func (t *tracker) rewriteDue(stale bool, now monotime.Micros) bool {
 	switch {
 	case !stale:
@@ -62,12 +66,12 @@
 	return false
 }
 
-// trackerOf returns the tracker of an own shard, and makes it if there is none.
+// trackerOf returns the tracker of an own shard and creates it if necessary.
 func (m *Manager) trackerOf(shard string) *tracker {
 	return mapentry.GetOrNew(m.trackers, shard)
 }
 
-// forgetIdleTrackers drops the trackers of shards that no longer exist.
+// forgetIdleTrackers deletes the idle trackers of shards that no longer exist.
 func (m *Manager) forgetIdleTrackers() {
 	for name, t := range m.trackers {
 		if t.idle() && m.mirror.Shards[name] == nil && m.newShards[name] == nil {
@@ -76,7 +80,7 @@
 	}
 }
 
-// CommitInFlight reports whether a commit of any own shard is in flight.
+// CommitInFlight reports whether any own shard has a commit in flight.
 func (m *Manager) CommitInFlight() bool {
 	for _, t := range m.trackers {
 		if t.commitInFlightSince != 0 {
@@ -86,8 +90,9 @@
 	return false
 }
 
-// AwaitsCommit reports whether a commit in flight should be waited for before the next pass: one that places
-// on some of the shards only would miss what the others have.
+// AwaitsCommit reports whether the next pass should wait for a commit that has been in flight for less than
+// maxInFlightCommitWait. A pass skips shards with a commit in flight, so it cannot use the free resources of
+// their machines.
 func (m *Manager) AwaitsCommit(now monotime.Micros) bool {
 	for _, t := range m.trackers {
 		if t.commitInFlightSince != 0 && now-t.commitInFlightSince < maxInFlightCommitWait {
@@ -97,8 +102,8 @@
 	return false
 }
 
-// TasksInDoubt lists the tasks that a commit in doubt or in flight may have assigned: until that is settled
-// they must not be assigned again.
+// TasksInDoubt returns the tasks that an unresolved commit may have assigned. These tasks must not be assigned
+// again before the outcome of the commit is known.
 func (m *Manager) TasksInDoubt() map[mirror.TaskID]bool {
 	tasks := map[mirror.TaskID]bool{}
 	for _, t := range m.trackers {
@@ -111,7 +116,7 @@
 	return tasks
 }
 
-// UseInDoubt is what commits in doubt or in flight may have assigned to a team's tasks.
+// UseInDoubt returns the resources that unresolved commits may have assigned to a team's tasks.
 func (m *Manager) UseInDoubt(team string) resources.Vector {
 	use := resources.Vector{}
 	for _, t := range m.trackers {
@@ -122,7 +127,7 @@
 	return use
 }
 
-// machinesInDoubt lists the machines that a commit in doubt or in flight may have claimed.
+// machinesInDoubt returns the machines that an unresolved commit may have claimed.
 func (m *Manager) machinesInDoubt() map[string]bool {
 	machines := map[string]bool{}
 	for _, t := range m.trackers {
--- a/internal/shards/transfer.go
+++ b/internal/shards/transfer.go
@@ -8,28 +8,32 @@
 	"pipitgap/internal/storage"
 )
 
-// Bounds of a commit that changes the owner of shards.
+// Limits of a commit that changes the owner of shards.
 const (
-	// maxShardsWhenThrottled is how many shards go to a commit while the state service is throttled, or where
-	// nothing else changes along. A commit of many writes waits until the state service has as many to spend,
-	// and while all controllers use up what there is, that may take seconds.
+	// maxShardsWhenThrottled is the number of shards in a commit if the state service has recently throttled
+	// calls, or if the commit changes no quota shares. A commit with many writes waits until the rate limit of
+	// the state service has capacity for all of them. This can take seconds while all controllers use up the
+	// limit.
 	maxShardsWhenThrottled = 1
-	recentThrottleWindow   = 2 * monotime.Second
-	// maxCommitBytes are the bytes of a commit, as the state service counts them.
+	// recentThrottleWindow is how long after a throttled call maxShardsWhenThrottled applies.
+	recentThrottleWindow = 2 * monotime.Second
+	// maxCommitBytes bounds the encoded size of the shards in a commit, as the state service counts it. A
+	// commit with a single shard may be larger.
 	maxCommitBytes = 56 << 10
-	// quotaOpsPerTransfer are the operations that the quota shares of both controllers take.
+	// quotaOpsPerTransfer is the number of operations for the quota shares of both controllers.
 	quotaOpsPerTransfer = 2
 )
 
-// transfer is a commit by which shards of one controller go to another.
+// transfer is a commit that changes the owner of shards.
 type transfer struct {
-	shards []*mirror.Shard // as they are before
+	shards []*mirror.Shard // the versions before the commit
 	txn    protocol.Transaction
 }
 
-// buildTransfer prepares the commit by which shards of one owner go to another, for as many of them as a
-// commit takes, but for one at least. It raises their claim numbers, so that the fencing tokens of any
-// earlier owner are outranked, and moves the quota shares that their attempts use.
+// buildTransfer prepares the commit that transfers the first of the given shards of one owner to a new owner.
+// It includes as many shards as fit into a commit, and at least one. The commit raises the claim numbers of
+// the shards, so that new fencing tokens are higher than those of any earlier owner. It also moves the quota
+// shares that the attempts use.
 func (m *Manager) buildTransfer(shards []*mirror.Shard, to string, incarnation uint64) transfer {
 	from := shards[0].Record.Owner
 	limit := m.maxShardsPerTransfer(from, to)
@@ -56,7 +60,7 @@
 	return t
 }
 
-// maxShardsPerTransfer is how many shards go to a commit from one controller to another.
+// maxShardsPerTransfer returns the maximum number of shards in a transfer between two controllers.
 func (m *Manager) maxShardsPerTransfer(from, to string) int {
 	limit := m.cfg.MaxTxnOps - quotaOpsPerTransfer
 	if from == to || m.store.ThrottledWithin(recentThrottleWindow) {
@@ -65,8 +69,8 @@
 	return limit
 }
 
-// withOwner returns a shard's record under a new owner, with a claim number above all that its machines have
-// had.
+// withOwner returns a copy of a shard's record with a new owner. Its claim number is higher than the shard's
+// previous one and those of all its machines.
 func withOwner(record *storage.Shard, owner string, incarnation uint64) *storage.Shard {
 	next := record.Clone()
 	next.Owner, next.Incarnation = owner, incarnation
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -10,42 +10,42 @@
 	"pipitgap/internal/storage"
 )
 
-// Update is the next version of a shard, as one pass prepares it: what it releases and assigns, and what
-// else its commit compares and writes.
+// Update is the next version of a shard that one scheduling pass prepares. It contains the released and
+// assigned attempts, and the compares and writes of other records in the same commit.
 type Update struct {
 	name     string
-	previous *mirror.Shard // nil: a new shard
+	previous *mirror.Shard // nil for a new shard
 	next     *storage.Shard
-	changed  bool // there is something to write
+	changed  bool // the next version must be written
 
-	maxBytes     int // upper bound of the encoded size, with all that was assigned
-	plannedBytes int // bytes that its machines need once they are full
+	maxBytes     int // upper bound of the encoded size, including all assignments so far
+	plannedBytes int // estimated size with all machines filled with tasks
 
-	txn          protocol.Transaction // compares and writes of other records in the same commit
-	comparedKeys map[string]bool      // keys that txn compares already
+	txn          protocol.Transaction // compares and writes of other records
+	comparedKeys map[string]bool      // keys that txn already compares
 
-	freedByMachine    map[string]resources.Vector // by machine: released by this update
-	freedByTeam       map[string]resources.Vector // by team: released and not assigned again
-	assignedByMachine map[string]resources.Vector
-	assignedByTeam    map[string]resources.Vector
+	freedByMachine    map[string]resources.Vector // by machine: resources that this update releases
+	freedByTeam       map[string]resources.Vector // by team: released, minus UseFreedQuota calls
+	assignedByMachine map[string]resources.Vector // by machine: resources that this update assigns
+	assignedByTeam    map[string]resources.Vector // by team: resources that this update assigns
 
 	assignedTasks     map[mirror.TaskID]bool
 	assignedJobs      map[string]bool
 	releasedTasks     map[mirror.TaskID]bool
-	completedTaskJobs map[string]bool // jobs with tasks completed
-	admittedMachines  map[string]bool // machines that the update claims on their request
+	completedTaskJobs map[string]bool // jobs with a task that this update marks as completed
+	admittedMachines  map[string]bool // machines that the update claims for their claim requests
 	machinesToSync    map[string]bool // machines whose desired commands the update changes
 
-	losses Losses // nil if the update releases nothing: that of a new shard
+	losses Losses // nil for a new shard, which releases nothing
 }
 
-// Bytes that an assignment may add to the encoded shard beyond the task's own number.
+// Bytes that an assignment may add to the encoded shard, in addition to the task number.
 const (
-	jobEntryOverheadBytes  = 4  // of a job's entry, beside its identifier
-	taskRangeOverheadBytes = 12 // of a range of tasks that begins
+	jobEntryOverheadBytes  = 4  // of a job's entry, in addition to the job identifier
+	taskRangeOverheadBytes = 12 // of a new range of tasks
 )
 
-// NewUpdate prepares an update of a shard; previous is nil for a new one.
+// NewUpdate returns an update of a shard from the previous version to next. previous is nil for a new shard.
 func NewUpdate(name string, previous *mirror.Shard, next *storage.Shard) *Update {
 	return &Update{
 		name:              name,
@@ -65,7 +65,7 @@
 	}
 }
 
-// previousVersion is the version that the update is conditional on; 0 for a new shard.
+// previousVersion returns the shard version that the commit is conditional on; 0 for a new shard.
 func (u *Update) previousVersion() uint64 {
 	if u.previous == nil {
 		return 0
@@ -73,31 +73,32 @@
 	return u.previous.Version
 }
 
-// Changed reports whether the update has anything to write.
+// Changed reports whether the next version must be written.
 func (u *Update) Changed() bool { return u.changed }
 
-// ChangesOtherRecords reports whether the update's commit writes other records beside the shard: those of
-// shards that machines are taken over from, with the quota shares that follow.
+// ChangesOtherRecords reports whether the update's commit also writes other records. These are the source
+// shards of machines that it takes over, and the quota shares of both controllers.
 func (u *Update) ChangesOtherRecords() bool { return len(u.txn.Then) > 0 }
 
-// Machines are the machines of the shard's next version, by identifier. They must not be changed.
+// Machines returns the machines of the shard's next version by identifier. The caller must not modify them.
 func (u *Update) Machines() map[string]*storage.ShardMachine { return u.next.Machines }
 
-// MaxBytes is an upper bound of the encoded size of the shard's next version.
+// MaxBytes returns an upper bound of the encoded size of the shard's next version.
 func (u *Update) MaxBytes() int { return u.maxBytes }
 
-// ReserveBytes raises the bound of the encoded size.
+// ReserveBytes adds bytes to the upper bound of the encoded size.
 func (u *Update) ReserveBytes(bytes int) { u.maxBytes += bytes }
 
-// FreeAfter is what is free of a machine after the update, from what is free of it before.
+// FreeAfter returns the free resources of a machine after the update, given those before the update.
 func (u *Update) FreeAfter(machine string, free resources.Vector) resources.Vector {
 	return free.AddScaled(u.freedByMachine[machine], 1).AddScaled(u.assignedByMachine[machine], -1)
 }
 
-// FreedQuota is what the update releases of a team's quota and doesn't assign again.
+// FreedQuota returns the part of a team's quota that the update releases and that UseFreedQuota hasn't taken.
 func (u *Update) FreedQuota(team string) resources.Vector { return u.freedByTeam[team] }
 
-// UseFreedQuota takes resources from what the update releases of a team's quota; false if that is too little.
+// UseFreedQuota deducts resources from the quota of a team that the update releases. It deducts nothing and
+// returns false if the released quota is too small.
 func (u *Update) UseFreedQuota(team string, need resources.Vector) bool {
 	freed := u.freedByTeam[team]
 	if !need.FitsIn(freed) {
@@ -107,16 +108,17 @@
 	return true
 }
 
-// AssignsTask reports whether the update assigns a task.
+// AssignsTask reports whether Assign was called for a task.
 func (u *Update) AssignsTask(task mirror.TaskID) bool { return u.assignedTasks[task] }
 
-// AssignsJob reports whether the update assigns tasks of a job.
+// AssignsJob reports whether BeginJob was called for a job.
 func (u *Update) AssignsJob(job string) bool { return u.assignedJobs[job] }
 
-// Compares is how many other records the update's commit compares.
+// Compares returns the number of other records that the update's commit compares.
 func (u *Update) Compares() int { return len(u.txn.If) }
 
-// AddCompare has the commit compare the version of another record too.
+// AddCompare makes the commit conditional on the version of another record. It ignores a key that the commit
+// already compares.
 func (u *Update) AddCompare(key string, version uint64) {
 	if !u.comparedKeys[key] {
 		u.comparedKeys[key] = true
@@ -124,8 +126,8 @@
 	}
 }
 
-// BeginJob prepares the assignment of a job's tasks: they are conditional on its record and on its having no
-// result.
+// BeginJob prepares the assignment of a job's tasks. It makes the commit conditional on the version of the
+// job's record and on the absence of a result record, so that a closed job gets no new attempts.
 func (u *Update) BeginJob(job *mirror.Job) {
 	if u.assignedJobs[job.ID] {
 		return
@@ -136,8 +138,9 @@
 	u.AddCompare(storage.JobResultKey(job.ID), 0)
 }
 
-// Assign assigns a task of a job to a machine of the shard. With joinsRange the attempt before it in the
-// job's entry is of the task before, on the same machine: the encoded range grows by one number only.
+// Assign assigns a task of a job to a machine of the shard. joinsRange means that the preceding attempt in the
+// job's entry belongs to the preceding task on the same machine. The encoding then extends that range of tasks
+// by one number instead of adding a new range.
 func (u *Update) Assign(job *mirror.Job, attempt storage.Attempt, joinsRange bool) {
 	if joinsRange {
 		u.maxBytes += storage.MaxTaskBytes(attempt.Task) + 1
@@ -156,7 +159,8 @@
 	u.machinesToSync[attempt.Machine] = true
 }
 
-// release takes an attempt that has ended off a machine; job is nil if its record is gone.
+// release removes an ended attempt from a machine. job is nil if the job's record no longer exists; its
+// resources are then unknown and not counted as released.
 func (u *Update) release(machine string, task mirror.TaskID, completed bool, job *mirror.Job) {
 	u.changed = true
 	u.releasedTasks[task] = true
@@ -172,7 +176,7 @@
 	u.freedByTeam[team] = u.freedByTeam[team].AddScaled(job.TaskResources, 1)
 }
 
-// describeTasks names tasks for the log, with the machines that they are assigned to.
+// describeTasks formats tasks for the log, each followed by @ and its machine in the next version, if any.
 func (u *Update) describeTasks(tasks map[mirror.TaskID]bool) string {
 	var descriptions []string
 	for task := range tasks {
--- a/internal/shards/updates_test.go
+++ b/internal/shards/updates_test.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// What a commit may have assigned stays in doubt until it is known not to have been made, or the mirror shows
-// another version of the shard.
+// Assignments of a commit stay in doubt until the commit has certainly failed or the mirror shows another
+// version of the shard.
 func TestTasksInDoubt(t *testing.T) {
 	task := mirror.TaskID{Job: "j-1", Index: 5}
 	for _, tc := range []struct {
@@ -34,30 +34,33 @@
 			update.Assign(job, storage.Attempt{Task: task.Index, Machine: "i-1", Number: 2}, false)
 			h.m.Commit(update, h.clock)
 			if !h.m.TasksInDoubt()[task] || h.m.UseInDoubt("team").CPUs != 2 || !h.m.AwaitsCommit(h.clock) {
-				t.Fatal("in flight and not in doubt")
+				t.Fatalf("commit in flight: got tasks %v and %v CPUs in doubt, awaits commit %v; want %v, 2, true",
+					h.m.TasksInDoubt(), h.m.UseInDoubt("team").CPUs, h.m.AwaitsCommit(h.clock), task)
 			}
 			if len(h.m.PrepareUpdates(h.clock)) > 0 {
-				t.Error("a second update beside a commit in flight")
+				t.Error("a second update of the shard was prepared while its commit is in flight, want none")
 			}
 			h.completeCommit(protocol.StoreResult{Outcome: tc.outcome})
 			if got := h.m.TasksInDoubt()[task]; got != tc.inDoubt {
-				t.Errorf("in doubt: %v, want %v", got, tc.inDoubt)
+				t.Errorf("task in doubt after the outcome: got %v, want %v", got, tc.inDoubt)
 			}
 			if h.m.CommitInFlight() {
-				t.Error("in flight after its outcome")
+				t.Error("commit in flight after its outcome: got true, want false")
 			}
 			if tc.inDoubt && !h.m.PrepareUpdates(h.clock)[0].Changed() {
-				t.Error("the shard isn't written anew to settle it")
+				t.Error("next update with a commit in doubt: got unchanged, want changed")
 			}
-			h.putShard("p", ownNode, ownIncarnation, "i-1") // any other version settles it
+			h.putShard("p", ownNode, ownIncarnation, "i-1") // any other version resolves the commit
 			if h.m.TasksInDoubt()[task] || h.m.UseInDoubt("team").CPUs != 0 {
-				t.Error("in doubt at another version")
+				t.Errorf("in doubt at another version: got tasks %v, %v CPUs; want %v resolved, 0 CPUs",
+					h.m.TasksInDoubt(), h.m.UseInDoubt("team").CPUs, task)
 			}
 		})
 	}
 }
 
-// A later commit that fails doesn't settle what became of an earlier one without an answer.
+// A conflict of a later commit doesn't resolve an earlier commit that got no answer: the earlier commit may
+// have caused the conflict.
 func TestConflictDoesNotSettleEarlierCommit(t *testing.T) {
 	h := newHarness(t)
 	job := h.putJob("j-1", 6)
@@ -70,11 +73,11 @@
 	}
 	inDoubt := h.m.TasksInDoubt()
 	if len(inDoubt) != 1 || !inDoubt[mirror.TaskID{Job: "j-1", Index: 3}] {
-		t.Errorf("in doubt: %v", inDoubt)
+		t.Errorf("tasks in doubt: got %v, want only task 3", inDoubt)
 	}
 }
 
-// A commit in flight holds the next pass up for a while only.
+// The next pass waits for a commit in flight, but not longer than maxInFlightCommitWait.
 func TestAwaitsCommit(t *testing.T) {
 	h := newHarness(t)
 	h.putShard("p", ownNode, ownIncarnation, "i-1")
@@ -84,22 +87,23 @@
 		want  bool
 	}{{0, true}, {maxInFlightCommitWait - 1, true}, {maxInFlightCommitWait, false}} {
 		if got := h.m.AwaitsCommit(h.clock + tc.after); got != tc.want {
-			t.Errorf("after %v s: %v", tc.after.Seconds(), got)
+			t.Errorf("after %v s: got awaits commit %v, want %v", tc.after.Seconds(), got, tc.want)
 		}
 	}
 }
 
-// What the next version of a shard says, and whether it is to be written.
+// PrepareUpdates puts ended attempts, machine states and start marks into the next version of a shard, and
+// reports whether that version must be written now.
 func TestPrepare(t *testing.T) {
 	task := mirror.TaskID{Job: "j-1", Index: 0}
 	for _, tc := range []struct {
 		name    string
 		set     func(h *harness)
-		after   monotime.Micros // between two passes
+		after   monotime.Micros // delay between two passes
 		changed bool
 		check   func(u *Update) bool
 	}{
-		{name: "nothing new", set: func(*harness) {}},
+		{name: "no change", set: func(*harness) {}},
 		{
 			name:    "completed attempt",
 			set:     func(h *harness) { h.endedAttempts[task] = true },
@@ -116,13 +120,13 @@
 			check:   func(u *Update) bool { return !u.completedTaskJobs["j-1"] && u.releasedTasks[task] },
 		},
 		{
-			name:    "other state",
+			name:    "different machine state",
 			set:     func(h *harness) { h.states["i-1"] = storage.MachineCordoned },
 			changed: true,
 			check:   func(u *Update) bool { return u.Machines()["i-1"].State == storage.MachineCordoned },
 		},
 		{
-			name: "machine gone",
+			name: "deleted machine",
 			set: func(h *harness) {
 				record := storage.ScaleInRequest{Machines: []string{"i-1"}, Deleted: true}
 				h.put(storage.ScaleInKey("s"), protocol.MustMarshal(&record))
@@ -130,15 +134,15 @@
 			changed: true,
 			check:   func(u *Update) bool { return len(u.Machines()) == 0 && u.releasedTasks[task] },
 		},
-		{name: "mark", set: func(h *harness) { h.startingMarksChange = true }},
+		{name: "new start mark", set: func(h *harness) { h.startingMarksChange = true }},
 		{
-			name:    "mark that has waited",
+			name:    "start mark older than the rewrite delay",
 			set:     func(h *harness) { h.startingMarksChange = true },
 			after:   staleEntriesRewriteDelay + 1,
 			changed: true,
 		},
 		{
-			name:    "mark that a drain waits for",
+			name:    "start mark that a drain waits for",
 			set:     func(h *harness) { h.startingMarksChange, h.drainsHaveWork = true, true },
 			changed: true,
 		},
@@ -151,16 +155,17 @@
 			h.m.PrepareUpdates(h.clock)
 			update := h.m.PrepareUpdates(h.clock + tc.after)[0]
 			if update.Changed() != tc.changed {
-				t.Errorf("changed: %v", update.Changed())
+				t.Errorf("update changed: got %v, want %v", update.Changed(), tc.changed)
 			}
 			if tc.check != nil && !tc.check(update) {
-				t.Errorf("update %+v", update)
+				t.Errorf("update has unexpected contents: %+v", update)
 			}
 		})
 	}
 }
 
-// Once an update is in the store its losses count, its jobs are completed and its machines get their commands.
+// After a successful commit, and only then, the losses are counted, the jobs are completed and the machines
+// get their commands. Every outcome requests another pass.
 func TestCommittedUpdateTriggersFollowUps(t *testing.T) {
 	for _, tc := range []struct {
 		outcome protocol.Outcome
@@ -178,28 +183,29 @@
 			slices.Equal(h.synced, []string{"i-1"})
 		none := len(h.lostTasks)+len(h.completedJobs)+len(h.synced) == 0
 		if tc.want && !got || !tc.want && !none {
-			t.Errorf("%s: lost %v, completed %v, synced %v", tc.outcome, h.lostTasks, h.completedJobs, h.synced)
+			t.Errorf("%s: got lost tasks %v, completed jobs %v, synced machines %v; want one of each: %v",
+				tc.outcome, h.lostTasks, h.completedJobs, h.synced, tc.want)
 		}
 		if h.passRequests == 0 {
-			t.Errorf("%s: no pass is requested", tc.outcome)
+			t.Errorf("%s: got 0 requested passes, want at least 1", tc.outcome)
 		}
 	}
 }
 
-// The bound of the encoded size holds however tasks are assigned.
+// MaxBytes bounds the encoded size for every pattern of assignments.
 func TestMaxBytesBoundsEncodedSize(t *testing.T) {
 	const tasks = 3000
 	for _, tc := range []struct {
 		name      string
-		stride    int // between tasks
-		runLength int // tasks that go to the same machine one after another
+		stride    int // difference between consecutive task numbers
+		runLength int // consecutive tasks on the same machine
 		starting  bool
 	}{
 		{"ranges", 1, 50, false},
 		{"no ranges", 2, 50, false},
 		{"no ranges, starting", 2, 50, true},
-		{"machines in turn", 1, 1, false},
-		{"machines in turn, starting", 1, 1, true},
+		{"alternating machines", 1, 1, false},
+		{"alternating machines, starting", 1, 1, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t)
@@ -218,27 +224,27 @@
 				update.Assign(job, attempt, last.Machine == attempt.Machine && last.Task == task-1)
 				last = attempt
 				if task%100 > 2 {
-					continue // encoding is slow
+					continue // encoding is slow: check only task numbers 0 to 2 of each hundred
 				}
 				if _, size := update.next.Encode(); size > update.MaxBytes() {
-					t.Fatalf("task %d: %d bytes, bound %d", task, size, update.MaxBytes())
+					t.Fatalf("task %d: got %d bytes, want at most %d", task, size, update.MaxBytes())
 				}
 			}
 		})
 	}
 }
 
-// What an update releases of a team's quota can be used once.
+// The quota that an update releases can be used only once.
 func TestUseFreedQuota(t *testing.T) {
 	h := newHarness(t)
 	job := h.putJob("j-1", 1)
 	update := NewUpdate("p", nil, emptyShard(ownNode, ownIncarnation))
 	update.release("i-1", mirror.TaskID{Job: "j-1"}, false, job)
-	update.release("i-1", mirror.TaskID{Job: "j-9"}, false, nil) // its record is gone: nothing is known of it
+	update.release("i-1", mirror.TaskID{Job: "j-9"}, false, nil) // no job record: resources unknown
 	if !update.UseFreedQuota("team", resources.Vector{CPUs: 2}) {
-		t.Error("what was released can't be used")
+		t.Error("first use of the released quota: got false, want true")
 	}
 	if update.UseFreedQuota("team", resources.Vector{CPUs: 2}) {
-		t.Error("it can be used twice")
+		t.Error("second use of the released quota: got true, want false")
 	}
 }
