--- a/internal/shards/dependencies.go
+++ b/internal/shards/dependencies.go
@@ -57,7 +57,7 @@
 	IsMember(node string) bool
 	// AbsentSince returns when this controller first observed the absence of a controller that is no member.
 	AbsentSince(node string, now monotime.Micros) monotime.Micros
-	// LiveControllers lists the controllers that are members, in configuration order.
+	// LiveControllers lists the controllers that are members, sorted by name.
 	LiveControllers() []string
 }
 
@@ -111,7 +111,7 @@
 	DesignatedController(request *mirror.ScaleOutEntry, machine string) string
 }
 
-// Drains maintains the start marks of replicas and counts lost replicas.
+// Drains maintains the start marks of replicas, see storage.Attempt.Starting, and counts lost replicas.
 type Drains interface {
 	// HasWork reports whether any drain is unfinished or still needs cleanup.
 	HasWork() bool
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -25,7 +25,7 @@
 	comparedKeys map[string]bool      // keys that txn already compares
 
 	freedByMachine    map[string]resources.Vector // by machine: resources that this update releases
-	freedByTeam       map[string]resources.Vector // by team: released, minus UseFreedQuota calls
+	freedByTeam       map[string]resources.Vector // by team: released and not yet reused
 	assignedByMachine map[string]resources.Vector // by machine: resources that this update assigns
 	assignedByTeam    map[string]resources.Vector // by team: resources that this update assigns
 
