--- a/internal/membership/leader.go
+++ b/internal/membership/leader.go
@@ -7,9 +7,9 @@
 	"pipitgap/internal/storage"
 )
 
-// IsLeader reports whether this controller leads, by the mirror and its lease. A mirror from before the lease
-// was granted may show a leadership of an earlier lease, and doesn't count. Commits of the leader also
-// compare the leader record, see LeadershipCompare.
+// IsLeader reports whether this controller is the leader, according to the mirror and its own lease. The mirror
+// must be at least as recent as the grant of the lease: an older mirror may show a leadership under an earlier
+// lease. As a second safeguard, the leader's commits compare the leader record, see LeadershipCompare.
 func (m *Membership) IsLeader(now monotime.Micros) bool {
 	return m.replica.Ready() && m.leaderRecordNamesSelf() && m.HoldsLease(now) &&
 		m.replica.FreshAt() >= m.lease.grantedAt
@@ -21,13 +21,14 @@
 		m.mirror.Leader.Incarnation == m.incarnation
 }
 
-// LeadershipCompare is the condition that the leader record hasn't changed.
+// LeadershipCompare returns the transaction condition that the leader record still has the mirror's version.
 func (m *Membership) LeadershipCompare() protocol.Compare {
 	return protocol.Compare{Key: storage.LeaderKey, Version: m.mirror.LeaderVersion}
 }
 
-// Campaign writes the leader record when there is none, or that of an earlier incarnation of this
-// controller.
+// Campaign tries to become the leader. It writes the leader record by a compare-and-swap if no record exists,
+// or if the record names an earlier incarnation of this controller. The record is bound to this controller's
+// lease.
 func (m *Membership) Campaign(now monotime.Micros) {
 	if m.electionInFlight || !m.HoldsLease(now) || m.store.Unavailable() || !m.leadershipVacant() {
 		return
@@ -46,7 +47,8 @@
 	})
 }
 
-// leadershipVacant reports whether there is no leader, or only an earlier incarnation of this controller.
+// leadershipVacant reports whether no leader record exists, or the record names an earlier incarnation of this
+// controller.
 func (m *Membership) leadershipVacant() bool {
 	if m.mirror.LeaderVersion == 0 {
 		return true
--- a/internal/membership/leader_test.go
+++ b/internal/membership/leader_test.go
@@ -13,8 +13,8 @@
 	h.mirror.Leader, h.mirror.LeaderVersion = storage.Leader{Node: node, Incarnation: incarnation}, 9
 }
 
-// TestIsLeader: the record must name this incarnation, the lease be held, and the mirror be complete and no older
-// than the lease.
+// TestIsLeader: a controller is the leader only if the leader record names its incarnation, it holds its
+// lease, and the mirror is complete and at least as recent as the grant of the lease.
 func TestIsLeader(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -22,12 +22,12 @@
 		want    bool
 	}{
 		{"named, lease held, mirror fresh", func(*harness) {}, true},
-		{"no leader", func(h *harness) { h.mirror.LeaderVersion = 0 }, false},
-		{"another controller", func(h *harness) { h.setLeader("n-0", testIncarnation) }, false},
-		{"an earlier incarnation", func(h *harness) { h.setLeader(testNode, testIncarnation-1) }, false},
+		{"no leader record", func(h *harness) { h.mirror.LeaderVersion = 0 }, false},
+		{"record names another controller", func(h *harness) { h.setLeader("n-0", testIncarnation) }, false},
+		{"record names an earlier incarnation", func(h *harness) { h.setLeader(testNode, testIncarnation-1) }, false},
 		{"lease expired", func(h *harness) { h.now += testTTL }, false},
 		{"mirror incomplete", func(h *harness) { h.ready = false }, false},
-		{"mirror from before the lease", func(h *harness) { h.freshAt = testStart - 1 }, false},
+		{"mirror older than the lease", func(h *harness) { h.freshAt = testStart - 1 }, false},
 	}
 	for _, tc := range cases {
 		h := newHarness(t)
@@ -36,13 +36,14 @@
 		h.setLeader(testNode, testIncarnation)
 		tc.arrange(h)
 		if got := h.membership.IsLeader(h.now); got != tc.want {
-			t.Errorf("%s: %t", tc.name, got)
+			t.Errorf("%s: got leader %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestCampaign: a controller that holds its lease takes a vacant leadership, or that of its own earlier
-// incarnation, on condition of the version seen, and one election at a time.
+// TestCampaign: a controller with a lease writes the leader record if no record exists or if the record names
+// its earlier incarnation. The write compares the record's version. Only one such write is in flight at a
+// time.
 func TestCampaign(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -50,15 +51,15 @@
 		version uint64
 		want    bool
 	}{
-		{"vacant", func(*harness) {}, 0, true},
+		{"no leader record", func(*harness) {}, 0, true},
 		{
-			"its earlier incarnation leads",
+			"its earlier incarnation is the leader",
 			func(h *harness) { h.setLeader(testNode, testIncarnation-1) },
 			9,
 			true,
 		},
-		{"it leads", func(h *harness) { h.setLeader(testNode, testIncarnation) }, 0, false},
-		{"another leads", func(h *harness) { h.setLeader("n-0", testIncarnation-1) }, 0, false},
+		{"it is the leader", func(h *harness) { h.setLeader(testNode, testIncarnation) }, 0, false},
+		{"another controller is the leader", func(h *harness) { h.setLeader("n-0", testIncarnation-1) }, 0, false},
 		{"lease expired", func(h *harness) { h.now += testTTL }, 0, false},
 		{"state service unavailable", func(h *harness) { h.unavailable = true }, 0, false},
 	}
@@ -77,12 +78,12 @@
 			txn := election.Transaction
 			condition := protocol.Compare{Key: storage.LeaderKey, Version: tc.version}
 			if len(txn.If) != 1 || txn.If[0] != condition || len(txn.Then) != 1 || txn.Then[0].Lease != 5 {
-				t.Errorf("election %+v", txn)
+				t.Errorf("got transaction %+v, want condition %+v and one write with lease 5", txn, condition)
 			}
 			h.answerCommit(protocol.Conflict)
 			h.membership.Campaign(h.now + monotime.Second)
 			if len(h.Commits) != 1 {
-				t.Error("no further election after a lost one")
+				t.Errorf("commits after a lost election: got %d, want 1", len(h.Commits))
 			}
 		})
 	}
--- a/internal/membership/lease.go
+++ b/internal/membership/lease.go
@@ -7,35 +7,39 @@
 )
 
 const (
-	// leaseCallTimeout bounds the grant and the renewal of the lease, which leave no time for long waits.
+	// leaseCallTimeout is the timeout of a lease grant or renewal call. The lease leaves no time for longer waits.
 	leaseCallTimeout = 1 * monotime.Second
-	// leaseRenewalsPerTTL is how often the lease is renewed within its time to live.
+	// leaseRenewalsPerTTL is the number of lease renewals per time to live.
 	leaseRenewalsPerTTL = 4
-	// leaseRetryDelay is how long after a failure the lease is requested or renewed again. A grant adds a
-	// random part, as all controllers request one after an outage.
-	leaseRetryDelay       = 300 * monotime.Millisecond
+	// leaseRetryDelay is the delay before a failed lease grant or renewal is retried.
+	leaseRetryDelay = 300 * monotime.Millisecond
+	// leaseGrantRetryJitter bounds the random addition to leaseRetryDelay for grants. Without jitter all
+	// controllers would request their leases at the same time after an outage.
 	leaseGrantRetryJitter = 400 * monotime.Millisecond
-	// leaseClockDivisor is the part of the lease that is given up to the difference of two clocks' rates.
+	// leaseClockDivisor defines the safety margin for clock drift: this controller treats its lease as expired
+	// 1/leaseClockDivisor of the time to live early, because its clock may run at a different rate than that of
+	// the state service.
 	leaseClockDivisor = 100
 )
 
-// lease is this controller's lease at the state service, as far as it is known here.
+// lease is this controller's local view of its lease at the state service.
 type lease struct {
 	ttl             monotime.Micros
-	id              uint64          // 0: none
-	renewalSentAt   monotime.Micros // send time of the last renewal, or grant, that succeeded
-	grantedAt       monotime.Micros // when the grant's answer came
+	id              uint64          // 0 if this controller holds no lease
+	renewalSentAt   monotime.Micros // send time of the last successful renewal or grant
+	grantedAt       monotime.Micros // receive time of the grant
 	nextRenewalAt   monotime.Micros
-	grantInFlight   bool // or its retry is
+	grantInFlight   bool // also set while a retry is scheduled
 	renewalInFlight bool
 }
 
-// recordRenewal notes that a grant or a renewal that was sent at an instant has succeeded.
+// recordRenewal records the success of a grant or a renewal that was sent at sentAt.
 func (l *lease) recordRenewal(sentAt monotime.Micros) {
 	l.renewalSentAt, l.nextRenewalAt = sentAt, sentAt+l.ttl/leaseRenewalsPerTTL
 }
 
-// RequestLease has the state service grant a lease, and retries until it has.
+// RequestLease requests a lease from the state service and retries until it is granted. It does nothing while a
+// request is in flight.
 func (m *Membership) RequestLease() {
 	if m.lease.grantInFlight {
 		return
@@ -52,12 +56,13 @@
 		m.lease.id = result.Lease
 		m.lease.recordRenewal(sentAt)
 		m.lease.grantedAt = m.env.Now()
-		m.replica.WhenCurrent(func(bool) {}) // has the mirror catch up at once, which IsLeader waits for
+		m.replica.WhenCurrent(func(bool) {}) // updates the mirror at once, because IsLeader needs a recent one
 		m.EnsureMemberRecord()
 	})
 }
 
-// retryGrant requests the lease again after a pause with jitter: all controllers do so after an outage.
+// retryGrant requests the lease again after a delay with jitter. The jitter spreads the requests of all
+// controllers after an outage.
 func (m *Membership) retryGrant() {
 	jitter := monotime.RandomBelow(m.env.Rand(), leaseGrantRetryJitter)
 	m.env.After(leaseRetryDelay+jitter, func() {
@@ -66,7 +71,8 @@
 	})
 }
 
-// RenewLease renews the lease when that is due; one that has expired is replaced by a new one.
+// RenewLease renews the lease when its next renewal is due. It requests a new lease if the state service
+// reports that the lease has expired.
 func (m *Membership) RenewLease(now monotime.Micros) {
 	if m.lease.id == 0 || m.lease.renewalInFlight || now < m.lease.nextRenewalAt {
 		return
@@ -88,12 +94,12 @@
 	})
 }
 
-// HoldsLease reports whether the lease can't have expired yet, by the monotonic clock. It is counted from
-// when its last renewal was sent.
+// HoldsLease reports whether the lease is certainly still valid. The time to live counts from the send time
+// of the last successful renewal, on the monotonic clock, minus a margin for clock drift.
 func (m *Membership) HoldsLease(now monotime.Micros) bool {
 	return m.lease.id != 0 && now-m.lease.renewalSentAt < m.lease.ttl-m.lease.ttl/leaseClockDivisor
 }
 
-// LeaseRenewedAt returns when the last successful grant or renewal of the lease was sent, whether or not the
-// lease has expired since; 0 is returned if there was none.
+// LeaseRenewedAt returns the send time of the last successful grant or renewal, even if the lease has expired
+// since. It returns 0 if no lease was ever granted.
 func (m *Membership) LeaseRenewedAt() monotime.Micros { return m.lease.renewalSentAt }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership keeps this controller's lease and member record, and tells which controllers are
-// members, which one leads, and which one a key belongs to.
+// Package membership maintains this controller's lease and member record, and takes part in leader elections.
+// It reports which controllers are members, which one is the leader, and which one owns a key.
 package membership
 
 import (
@@ -14,23 +14,24 @@
 	"pipitgap/internal/storage"
 )
 
-// Store makes calls of the state service.
+// Store sends calls to the state service.
 type Store interface {
-	// Call queues a call under its priority; the callback gets its result once.
+	// Call queues a call at a priority. The callback receives the result exactly once.
 	Call(priority ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult))
-	// Unavailable reports whether the state service has lately not answered.
+	// Unavailable reports whether the state service is unavailable, as this controller observes it.
 	Unavailable() bool
 }
 
-// Replica keeps the mirror up to date.
+// Replica keeps the mirror, the local copy of the state service's records, up to date.
 type Replica interface {
-	// Ready reports whether the mirror is complete.
+	// Ready reports whether the mirror contains all records.
 	Ready() bool
-	// FreshAt returns the instant that the mirror is no older than.
+	// FreshAt returns a time such that the mirror contains all changes made before it.
 	FreshAt() monotime.Micros
-	// WhenCurrent has the mirror catch up and calls back when it is no older than the call.
+	// WhenCurrent requests an update of the mirror. It calls back after the mirror contains all changes made
+	// before this call, or with false if the state service doesn't answer.
 	WhenCurrent(callback func(ok bool))
-	// Commit makes a conditional change; on success it is in the mirror before callback is called.
+	// Commit sends a conditional write. After a success the mirror contains the write before the callback runs.
 	Commit(
 		priority ratelimit.Priority,
 		txn protocol.Transaction,
@@ -38,23 +39,23 @@
 	)
 }
 
-// Environment provides time, timers and randomness. Callbacks come on the caller's goroutine.
+// Environment provides time, timers and randomness. It runs callbacks on the goroutine that uses Membership.
 type Environment interface {
-	// Now reads the steady clock.
+	// Now returns the time of the monotonic clock.
 	Now() monotime.Micros
-	// Rand is the source of randomness.
+	// Rand returns the source of randomness.
 	Rand() *rand.Rand
-	// After calls back after a delay.
+	// After runs a callback after a delay.
 	After(delay monotime.Micros, callback func())
 }
 
-// Options is what a Membership is made of.
+// Options contains the settings and dependencies of a Membership.
 type Options struct {
 	Node        string
-	Incarnation uint64 // of this process; it tells its member record from that of an earlier one
+	Incarnation uint64 // identifies this process run, so that its records differ from those of earlier runs
 	Zone        string
-	Controllers []string        // every controller of the deployment, this one included, in order
-	TTL         monotime.Micros // of the lease
+	Controllers []string        // all controllers of the deployment, including this one, sorted by name
+	TTL         monotime.Micros // time to live of the lease
 
 	Mirror      *mirror.Mirror
 	Store       Store
@@ -63,8 +64,8 @@
 	Log         *slog.Logger
 }
 
-// Membership holds this controller's lease and member record, takes part in elections, and knows which
-// controllers are members. Its methods are called on one goroutine.
+// Membership maintains this controller's lease and member record, takes part in leader elections, and reports
+// which controllers are members. It is not safe for concurrent use.
 type Membership struct {
 	node        string
 	incarnation uint64
@@ -82,7 +83,7 @@
 	absentSince         map[string]monotime.Micros // by controller that is no member, see AbsentSince
 }
 
-// New makes the membership of a controller that holds no lease yet.
+// New returns the Membership of a controller without a lease.
 func New(options Options) *Membership {
 	return &Membership{
 		node:        options.Node,
@@ -99,12 +100,13 @@
 	}
 }
 
-// EnsureMemberRecord writes this controller's member record if the mirror shows that of another incarnation
-// or none: an earlier incarnation's late write may overwrite it, or its lease may have taken it along.
+// EnsureMemberRecord writes this controller's member record if the mirror shows no record or that of another
+// incarnation. A delayed write of an earlier incarnation may have overwritten the record, or the state
+// service may have deleted the record when its lease expired.
 //
-// This controller's partition of the quotas gets a new version in the same commit. Whoever released that
-// partition while this controller was away compares its version: if that commit is carried out only
-// after this controller has been back and gone again, it conflicts.
+// The same commit writes a new version of this controller's quota partition. Another controller that releases
+// this partition during an absence of this controller compares the partition's version. If that commit is
+// delayed until after this controller has returned and left again, the new version makes it conflict.
 func (m *Membership) EnsureMemberRecord() {
 	if !m.replica.Ready() || m.lease.id == 0 || m.memberWriteInFlight {
 		return
@@ -128,8 +130,8 @@
 	)
 }
 
-// memberRecordTxn is the conditional change that writes this controller's member record over the given
-// version.
+// memberRecordTxn returns the transaction that writes this controller's member record if the record still has
+// the given version. The record is bound to the lease.
 func (m *Membership) memberRecordTxn(version uint64) protocol.Transaction {
 	memberKey := storage.MemberKey(m.node)
 	record := protocol.MustMarshal(&storage.Member{Incarnation: m.incarnation, Zone: m.zone})
@@ -145,8 +147,9 @@
 	return txn
 }
 
-// LiveControllers lists the controllers that are members by the mirror, in order. This one is listed by its
-// record like the others; HoldsLease reports whether it may act on it.
+// LiveControllers lists the controllers that are members according to the mirror, in the order of
+// Options.Controllers. It includes this controller only if the mirror contains its member record. HoldsLease
+// reports whether this controller may act as a member.
 func (m *Membership) LiveControllers() []string {
 	live := make([]string, 0, len(m.controllers))
 	for _, node := range m.controllers {
@@ -157,14 +160,14 @@
 	return live
 }
 
-// IsMember reports whether a controller is a member by the mirror.
+// IsMember reports whether a controller is a member according to the mirror.
 func (m *Membership) IsMember(node string) bool {
 	_, ok := m.mirror.Members[node]
 	return ok
 }
 
-// AbsentSince returns since when a controller that is no member has been missed: since the first call for it
-// after its membership ended.
+// AbsentSince returns the start of the observed absence of a controller that is no member. The absence starts
+// with the first call for this controller after its membership ended.
 func (m *Membership) AbsentSince(node string, now monotime.Micros) monotime.Micros {
 	since, ok := m.absentSince[node]
 	if !ok {
@@ -173,7 +176,8 @@
 	return since
 }
 
-// HandleMemberChange follows a change of a controller's member record in the mirror.
+// HandleMemberChange processes a change of a controller's member record in the mirror. It logs the change,
+// and ends the controller's absence if the controller is a member.
 func (m *Membership) HandleMemberChange(node string) {
 	member := m.IsMember(node)
 	if member {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,21 +10,22 @@
 	"pipitgap/internal/storage"
 )
 
-// TestEnsureMemberRecord: it is written when there is none, or that of an earlier incarnation,
-// on condition of the version seen, together with the partition of the quotas.
+// TestEnsureMemberRecord: a controller writes its member record if the record doesn't exist or belongs to an
+// earlier incarnation. The write compares the record's version, and includes the controller's quota partition
+// if one exists.
 func TestEnsureMemberRecord(t *testing.T) {
 	cases := []struct {
 		name      string
 		arrange   func(h *harness)
 		writes    bool
-		version   uint64 // that the write compares
+		version   uint64 // record version that the write compares
 		partition bool
 	}{
-		{"none", func(*harness) {}, true, 0, false},
-		{"its own", func(h *harness) { h.putMember(testNode, testIncarnation, 3) }, false, 0, false},
-		{"an earlier incarnation's", func(h *harness) { h.putMember(testNode, 6, 3) }, true, 3, false},
-		{"another controller's", func(h *harness) { h.putMember("n-0", testIncarnation, 3) }, true, 0, false},
-		{"with a partition", func(h *harness) {
+		{"no record", func(*harness) {}, true, 0, false},
+		{"record of this incarnation", func(h *harness) { h.putMember(testNode, testIncarnation, 3) }, false, 0, false},
+		{"record of an earlier incarnation", func(h *harness) { h.putMember(testNode, 6, 3) }, true, 3, false},
+		{"record of another controller", func(h *harness) { h.putMember("n-0", testIncarnation, 3) }, true, 0, false},
+		{"no record, with a quota partition", func(h *harness) {
 			h.mirror.Partitions[testNode] = &mirror.PartitionEntry{Version: 4}
 		}, true, 0, true},
 		{"mirror incomplete", func(h *harness) { h.ready = false }, false, 0, false},
@@ -33,7 +34,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t)
 			tc.arrange(h)
-			h.grantLease(5) // which writes the record
+			h.grantLease(5) // a granted lease triggers EnsureMemberRecord
 			h.membership.EnsureMemberRecord()
 			write, ok := h.Only(t, tc.writes)
 			if !ok {
@@ -48,23 +49,25 @@
 				)
 			}
 			if !slices.Equal(txn.If, want) {
-				t.Errorf("conditions %+v, want %+v", txn.If, want)
+				t.Errorf("conditions: got %+v, want %+v", txn.If, want)
 			}
 			if len(txn.Then) != len(want) || txn.Then[0].Put != want[0].Key || txn.Then[0].Lease != 5 {
-				t.Errorf("changes %+v", txn.Then)
+				t.Errorf("operations: got %+v, want %d, the first a put of %s with lease 5",
+					txn.Then, len(want), want[0].Key)
 			}
 			var record storage.Member
 			if err := protocol.Unmarshal(txn.Then[0].Value, &record); err != nil {
 				t.Fatal(err)
 			}
 			if record.Incarnation != testIncarnation || record.Zone != "a" {
-				t.Errorf("record %+v", record)
+				t.Errorf("member record: got %+v, want incarnation %d in zone a", record, testIncarnation)
 			}
 		})
 	}
 }
 
-// TestRejectedMemberRecordRequestsNewLease: the state service rejects a record whose lease has expired.
+// TestRejectedMemberRecordRequestsNewLease: the state service rejects a write under an expired lease. The
+// controller then requests a new lease.
 func TestRejectedMemberRecordRequestsNewLease(t *testing.T) {
 	for _, tc := range []struct {
 		outcome protocol.Outcome
@@ -74,35 +77,37 @@
 		h.grantLease(5)
 		h.answerCommit(tc.outcome)
 		if len(h.calls) != tc.grants || h.membership.HoldsLease(h.now) != (tc.grants == 0) {
-			t.Errorf("%v: %d grants, held %t", tc.outcome, len(h.calls), h.membership.HoldsLease(h.now))
+			t.Errorf("%v: got %d grant calls and lease held %t, want %d and %t",
+				tc.outcome, len(h.calls), h.membership.HoldsLease(h.now), tc.grants, tc.grants == 0)
 		}
 	}
 }
 
-// TestLiveControllers: the members that belong to the deployment, in its order.
+// TestLiveControllers: LiveControllers lists only members that belong to the deployment, in the
+// order of Options.Controllers.
 func TestLiveControllers(t *testing.T) {
 	h := newHarness(t)
 	for _, node := range []string{"n-2", "n-9", testNode} {
 		h.putMember(node, 1, 1)
 	}
 	if live := h.membership.LiveControllers(); !slices.Equal(live, []string{testNode, "n-2"}) {
-		t.Errorf("live: %v", live)
+		t.Errorf("live controllers: got %v, want [%s n-2]", live, testNode)
 	}
 }
 
-// TestAbsentSince: a controller is missed from the first call on, until it is a member again.
+// TestAbsentSince: an absence starts with the first call and ends when the controller is a member again.
 func TestAbsentSince(t *testing.T) {
 	h := newHarness(t)
 	steps := []struct {
 		name   string
-		member bool // whether it is one before the call, and a change of that is seen
+		member bool // before the call, the controller joins and leaves again
 		at     monotime.Micros
 		want   monotime.Micros
 	}{
-		{"first missed", false, 10, 10},
-		{"still", false, 20, 10},
-		{"was back", true, 30, 30},
-		{"gone again", false, 40, 30},
+		{"first call", false, 10, 10},
+		{"still absent", false, 20, 10},
+		{"absent again after a membership", true, 30, 30},
+		{"still absent after that membership", false, 40, 30},
 	}
 	for _, step := range steps {
 		if step.member {
@@ -112,7 +117,7 @@
 			h.membership.HandleMemberChange("n-0")
 		}
 		if got := h.membership.AbsentSince("n-0", step.at); got != step.want {
-			t.Errorf("%s: since %d, want %d", step.name, got, step.want)
+			t.Errorf("%s: got absence since %d, want %d", step.name, got, step.want)
 		}
 	}
 }
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -2,8 +2,9 @@
 
 import "hash/fnv"
 
-// RendezvousOwner returns the controller that a key belongs to by rendezvous hashing: when one of them goes,
-// only its own keys move. It returns "" if there are no controllers.
+// RendezvousOwner returns the controller that owns a key by rendezvous hashing. After the removal of a
+// controller only the keys of that controller change their owner. It returns "" for an empty list of
+// controllers.
 func RendezvousOwner(key string, controllers []string) string {
 	bestScore, owner := uint64(0), ""
 	for _, node := range controllers {
@@ -14,12 +15,13 @@
 	return owner
 }
 
-// rendezvousScore hashes a controller with a key; the controller with the highest score owns the key.
+// rendezvousScore returns the hash of a controller and a key. The controller with the highest score owns the
+// key.
 func rendezvousScore(node, key string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(node + "\x00" + key))
 	score := hash.Sum64()
-	// The last bytes that FNV takes hardly reach its high bits; these steps of a finalizer spread them.
+	// The last input bytes hardly affect the high bits of an FNV hash. These finalizer steps spread their effect.
 	score ^= score >> 33
 	score *= 0xff51afd7ed558ccd
 	score ^= score >> 33
--- a/internal/membership/rendezvous_test.go
+++ b/internal/membership/rendezvous_test.go
@@ -6,8 +6,8 @@
 	"pipitgap/internal/mirror"
 )
 
-// TestRendezvousOwnerIsStableAndBalanced: machines spread over the live controllers, and only those of one
-// that has gone move.
+// TestRendezvousOwnerIsStableAndBalanced: each of three controllers owns at least 60 of 300 keys. After the
+// removal of one controller only its keys change their owner.
 func TestRendezvousOwnerIsStableAndBalanced(t *testing.T) {
 	all := []string{"n-0", "n-1", "n-2"}
 	count := map[string]int{}
@@ -16,37 +16,37 @@
 		destination := RendezvousOwner(id, all)
 		count[destination]++
 		if destination != "n-1" && RendezvousOwner(id, []string{"n-0", "n-2"}) != destination {
-			t.Fatalf("%s moved from %s", id, destination)
+			t.Fatalf("%s: got a new owner without n-1, want %s as before", id, destination)
 		}
 	}
 	for _, node := range all {
 		if count[node] < 60 {
-			t.Errorf("%s is home to %d of 300", node, count[node])
+			t.Errorf("%s: got %d of 300 keys, want at least 60", node, count[node])
 		}
 	}
 }
 
-// TestRendezvousOwnerOfFewControllers: one controller owns all keys, without any a key has no owner, and the
-// order of controllers doesn't matter.
+// TestRendezvousOwnerOfFewControllers: without controllers a key has no owner, and a single controller owns
+// every key. The order of the controllers doesn't matter.
 func TestRendezvousOwnerOfFewControllers(t *testing.T) {
 	cases := []struct {
 		name        string
 		controllers []string
 		want        string
 	}{
-		{"none", nil, ""},
-		{"one", []string{"n-0"}, "n-0"},
-		{"two", []string{"n-0", "n-1"}, RendezvousOwner("key", []string{"n-1", "n-0"})},
+		{"no controller", nil, ""},
+		{"one controller", []string{"n-0"}, "n-0"},
+		{"two controllers in reverse order", []string{"n-0", "n-1"}, RendezvousOwner("key", []string{"n-1", "n-0"})},
 	}
 	for _, tc := range cases {
 		if got := RendezvousOwner("key", tc.controllers); got != tc.want {
-			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
+			t.Errorf("%s: got owner %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestRendezvousOwnerIsFrozen: controllers of two versions must agree on the owner of a key while they run side
-// by side.
+// TestRendezvousOwnerIsFrozen: the owner of a key must not change between versions, because controllers of
+// two versions run side by side during an update.
 func TestRendezvousOwnerIsFrozen(t *testing.T) {
 	controllers := []string{"n-0", "n-1", "n-2"}
 	owners := map[string]string{
@@ -59,7 +59,7 @@
 	}
 	for key, want := range owners {
 		if got := RendezvousOwner(key, controllers); got != want {
-			t.Errorf("%s belongs to %s, want %s", key, got, want)
+			t.Errorf("%s: got owner %s, want %s", key, got, want)
 		}
 	}
 }
--- a/internal/membership/stubs_test.go
+++ b/internal/membership/stubs_test.go
@@ -20,13 +20,14 @@
 	testStart       = 100 * monotime.Second
 )
 
-// storeCall is a call that a stub has taken and not answered yet.
+// storeCall is a call to the state service that awaits its result from the test.
 type storeCall struct {
 	call     *protocol.StoreCall
 	callback func(protocol.StoreResult)
 }
 
-// harness stands for all that a Membership depends on. Calls wait until the test answers them.
+// harness contains a Membership and stubs of all its dependencies. Calls stay pending until the test answers
+// them.
 type harness struct {
 	stubs.HeldCommits
 	t              *testing.T
@@ -70,26 +71,26 @@
 func (h *harness) FreshAt() monotime.Micros { return h.freshAt }
 func (h *harness) WhenCurrent(func(bool))   { h.mirrorCatchUps++ }
 
-// answerCall answers the oldest call.
+// answerCall removes the oldest pending call and calls it back with a result.
 func (h *harness) answerCall(result protocol.StoreResult) {
 	call := h.calls[0]
 	h.calls = h.calls[1:]
 	call.callback(result)
 }
 
-// answerCommit answers the oldest conditional change.
+// answerCommit removes the oldest pending commit and calls it back with an outcome.
 func (h *harness) answerCommit(outcome protocol.Outcome) {
 	h.t.Helper()
 	h.TakeOldest(h.t).Callback(protocol.StoreResult{Outcome: outcome, Revision: 50})
 }
 
-// grantLease has a lease granted at once.
+// grantLease requests a lease and answers the request at once.
 func (h *harness) grantLease(id uint64) {
 	h.membership.RequestLease()
 	h.answerCall(protocol.StoreResult{Outcome: protocol.OK, Lease: id})
 }
 
-// member puts a member record into the mirror.
+// putMember puts a member record into the mirror.
 func (h *harness) putMember(node string, incarnation, version uint64) {
 	h.mirror.Members[node] = mirror.MemberEntry{
 		Record: storage.Member{Incarnation: incarnation}, Version: version,
