--- a/internal/peers/frames.go
+++ b/internal/peers/frames.go
@@ -7,7 +7,7 @@
 	wirecancellation "pipitgap/internal/peerwire/cancellation"
 )
 
-// Frame converts a status to the form in which controllers send it. Its map is shared.
+// Frame converts a status to its wire form. The frame shares the map and the slice of teams with the status.
 func Frame(status *Status) peerwire.Hint {
 	return peerwire.Hint{
 		Node:          status.Node,
@@ -21,7 +21,7 @@
 	}
 }
 
-// FromFrame converts a received frame to a status, see Frame.
+// FromFrame converts a received frame to a status. It is the inverse of Frame.
 func FromFrame(frame *peerwire.Hint) Status {
 	return Status{
 		Node:                  frame.Node,
@@ -35,7 +35,7 @@
 	}
 }
 
-// cancellationFrame converts a round's message to the form in which controllers send it.
+// cancellationFrame converts a message of a cancellation round to its wire form.
 func cancellationFrame(message *cancellation.RoundMessage) peerwire.Message {
 	frame := peerwire.Message{
 		Incarnation:     message.Incarnation,
@@ -54,7 +54,7 @@
 	return frame
 }
 
-// fromCancellationFrame converts a received message, see cancellationFrame.
+// fromCancellationFrame converts a received cancellation message. It is the inverse of cancellationFrame.
 func fromCancellationFrame(frame *peerwire.Message) cancellation.RoundMessage {
 	message := cancellation.RoundMessage{
 		Incarnation:       frame.Incarnation,
--- a/internal/peers/frames_test.go
+++ b/internal/peers/frames_test.go
@@ -8,8 +8,8 @@
 	"pipitgap/internal/peerwire"
 )
 
-// TestPeerFrameKeepsAllFields: every field of a status is sent, and every field of a frame is
-// received. That each goes into the right field is shown by the frames' fixtures in package daemon.
+// TestPeerFrameKeepsAllFields: the conversion from a status to a frame and back loses no field, in either
+// direction. The frame fixtures in package daemon check that each value is in the correct field.
 func TestPeerFrameKeepsAllFields(t *testing.T) {
 	var status Status
 	fixtures.Fill(&status)
@@ -17,7 +17,7 @@
 	frame := Frame(&status)
 	fixtures.AllSet(t, "frame of the status", frame)
 	if back := FromFrame(&frame); !reflect.DeepEqual(back, status) {
-		t.Errorf("%+v comes back as %+v", status, back)
+		t.Errorf("status after conversion to a frame and back: got %+v, want %+v", back, status)
 	}
 
 	var received peerwire.Hint
@@ -26,6 +26,6 @@
 	status = FromFrame(&received)
 	fixtures.AllSet(t, "status of the received frame", status)
 	if again := Frame(&status); !reflect.DeepEqual(again, received) {
-		t.Errorf("%+v is sent again as %+v", received, again)
+		t.Errorf("frame after conversion to a status and back: got %+v, want %+v", again, received)
 	}
 }
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -1,32 +1,34 @@
-// Package peers has what controllers tell each other about themselves: the status, its wire form, and a table
-// of what each has last said.
+// Package peers contains the status messages that controllers exchange about themselves, their conversion to
+// the wire form, and a table of the latest status of each peer.
 package peers
 
 import "pipitgap/internal/cancellation"
 
-// WorkerReach is whether a controller reaches its workers. Its numbers are sent to peers and frozen.
+// WorkerReach is a controller's report whether it reaches its workers. The numeric values are part of the wire
+// format and must not change.
 type WorkerReach int
 
 // Values of WorkerReach.
 const (
 	WorkersUnknown     WorkerReach = iota // it has no workers that could show it
-	WorkersReachable                      // it hears most of its workers
-	WorkersUnreachable                    // all of them are silent, or nearly all
+	WorkersReachable                      // it hears from most of its workers
+	WorkersUnreachable                    // all or nearly all of its workers are silent
 )
 
-// Status is what a controller sends to the others about itself. It decides nothing: it speeds things up, and
-// tells an outage of the state service from the sender's own isolation. See Frame for its wire form.
+// Status is a controller's report about itself to the other controllers. Status messages are hints: the
+// records in the state service decide. A status speeds up reactions, and distinguishes an outage of the state
+// service from the sender's own isolation. See Frame for the wire form.
 type Status struct {
-	Node        string // the sender
-	Incarnation uint64 // of the sender
-	// StateServiceReachable says that the sender has lately had an answer from the state service.
+	Node        string // name of the sender
+	Incarnation uint64 // incarnation of the sender
+	// StateServiceReachable reports that the sender has recently received an answer from the state service.
 	StateServiceReachable bool
-	// WaitingUserRequests is the number of users' requests that wait there for the state service.
+	// WaitingUserRequests is the number of user requests at the sender that wait for the state service.
 	WaitingUserRequests int
 	WorkerReach         WorkerReach
-	FailingJobs         map[string]int // by job that fails there: on how many machines
-	// TeamsShortOfQuota are the teams with a pending task that fits neither into the sender's share
-	// of the team's quota nor into what is unallocated.
+	FailingJobs         map[string]int // by failing job: number of the sender's machines that it fails on
+	// TeamsShortOfQuota lists the teams with a pending task that fits neither into the sender's share of the
+	// team's quota nor into the unallocated part of the quota.
 	TeamsShortOfQuota []string
 
 	Cancellations cancellation.RoundMessage
--- a/internal/peers/table.go
+++ b/internal/peers/table.go
@@ -7,35 +7,36 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// statusValidity is how long what a peer has said counts: a peer that has missed three of its statuses is
-// silent.
+// statusValidity is how long a status of a peer is valid. A peer is considered silent after three missed status
+// messages.
 const statusValidity = 3 * durations.SlowTickInterval
 
-// storeReportValidity is how long a peer's report counts that it reaches the state service. Workers and users
-// are sent to that peer, so it must be recent.
+// storeReportValidity is how long a peer's report that it reaches the state service is valid. The report must
+// be recent, because this controller redirects workers and users to that peer.
 const storeReportValidity = 1500 * monotime.Millisecond
 
-// Table holds what the other controllers have last said about themselves. It only speeds things up: what
-// holds is decided by the records in the state service.
+// Table contains the latest status of each other controller. Its contents are hints that speed up reactions.
+// The records in the state service are authoritative.
 type Table struct {
-	userCallsThreshold int // a peer with more waiting calls of users than this is short of writes
+	// userCallsThreshold is the number of waiting user calls above which a peer is considered short of writes.
+	userCallsThreshold int
 	statuses           map[string]*peerState
-	// by team: when a peer last reported that it lacks quota
+	// quotaShortageReports contains, by team, the time of the last report of a peer that it lacks quota.
 	quotaShortageReports map[string]monotime.Micros
 }
 
-// peerState is what one peer has said; its zero value is that of a peer never heard.
+// peerState is the state that one peer has reported. The zero value describes a peer without any status.
 type peerState struct {
-	lastStatusAt       monotime.Micros // when its last status came
-	storeReachableAt   monotime.Micros // when it last reported that it reaches the state service; 0: never
-	userCallsWaitingAt monotime.Micros // when it last reported that many calls of users wait there; 0: never
-	workerReach        WorkerReach     // whether it reaches its workers
-	failingJobs        map[string]int  // by job that fails there: on how many machines
-	statusReceived     bool            // a status has come
+	lastStatusAt       monotime.Micros // receive time of the last status
+	storeReachableAt   monotime.Micros // time of its last report that it reaches the state service; 0 if none
+	userCallsWaitingAt monotime.Micros // time of the last report above userCallsThreshold; 0 if none
+	workerReach        WorkerReach     // from the last status
+	failingJobs        map[string]int  // by failing job: number of machines, from the last status
+	statusReceived     bool            // at least one status was received
 }
 
-// NewTable makes the table of a controller that has heard no peer yet. A peer with more than
-// userCallsThreshold waiting calls of users counts as one where users wait.
+// NewTable returns an empty table. UserCallsWaiting considers only peers with more than userCallsThreshold
+// waiting user calls.
 func NewTable(userCallsThreshold int) *Table {
 	return &Table{
 		userCallsThreshold:   userCallsThreshold,
@@ -44,7 +45,7 @@
 	}
 }
 
-// Update keeps the status that a peer has sent.
+// Update records a received status of a peer.
 func (t *Table) Update(status *Status, now monotime.Micros) {
 	peer := mapentry.GetOrNew(t.statuses, status.Node)
 	peer.lastStatusAt, peer.statusReceived = now, true
@@ -60,7 +61,7 @@
 	}
 }
 
-// state returns what is known of a peer, which may be nothing.
+// state returns the state of a peer, or the zero value if no status was received from it.
 func (t *Table) state(node string) peerState {
 	if known := t.statuses[node]; known != nil {
 		return *known
@@ -68,20 +69,20 @@
 	return peerState{}
 }
 
-// HeardRecently reports whether a status of a peer has come lately.
+// HeardRecently reports whether a status of a peer was received within statusValidity.
 func (t *Table) HeardRecently(node string, now monotime.Micros) bool {
 	peer := t.state(node)
 	return peer.statusReceived && now-peer.lastStatusAt < statusValidity
 }
 
-// LastHeardAt returns when the last status of a peer came; 0 is returned for one that was never heard.
+// LastHeardAt returns the receive time of a peer's last status, or 0 if none was received.
 func (t *Table) LastHeardAt(node string) monotime.Micros { return t.state(node).lastStatusAt }
 
-// WorkerReach returns what a peer has last said about its workers.
+// WorkerReach returns a peer's last report whether it reaches its workers.
 func (t *Table) WorkerReach(node string) WorkerReach { return t.state(node).workerReach }
 
-// FirstReachingStore returns the first peer, in the order of names, that has lately reported that it reaches
-// the state service, and has done so after the given instant.
+// FirstReachingStore returns the first peer by name that reported, after the given time and within
+// storeReportValidity, that it reaches the state service.
 func (t *Table) FirstReachingStore(after, now monotime.Micros) (node string, ok bool) {
 	for _, node := range sortedmap.Keys(t.statuses) {
 		at := t.statuses[node].storeReachableAt
@@ -92,7 +93,8 @@
 	return "", false
 }
 
-// UserCallsWaiting reports whether a peer reported lately that many calls of users wait there.
+// UserCallsWaiting reports whether, within statusValidity, a peer reported more waiting user calls than the
+// threshold of the table.
 func (t *Table) UserCallsWaiting(now monotime.Micros) bool {
 	for _, peer := range t.statuses {
 		if peer.userCallsWaitingAt != 0 && now-peer.userCallsWaitingAt < statusValidity {
@@ -102,7 +104,8 @@
 	return false
 }
 
-// FailedMachines counts on how many machines of peers a job has failed.
+// FailedMachines returns the number of peers' machines that a job fails on, according to the last status of
+// each peer.
 func (t *Table) FailedMachines(job string) int {
 	n := 0
 	for _, peer := range t.statuses {
@@ -111,8 +114,8 @@
 	return n
 }
 
-// QuotaLackReportedAt returns when a peer last reported that it lacks quota of a team; ok is false if none
-// ever did.
+// QuotaLackReportedAt returns when a peer last reported that it lacks quota of a team. ok is false if no peer
+// has reported it.
 func (t *Table) QuotaLackReportedAt(team string) (at monotime.Micros, ok bool) {
 	at, ok = t.quotaShortageReports[team]
 	return at, ok
--- a/internal/peers/table_test.go
+++ b/internal/peers/table_test.go
@@ -11,12 +11,12 @@
 	testNow       = 100 * monotime.Second
 )
 
-// TestHeardRecently: a peer is heard until it has missed three statuses; one that has said nothing isn't heard,
-// also at the start of the clock.
+// TestHeardRecently: a peer counts as heard until it has missed three status messages. A peer without any
+// status doesn't count as heard, even at time 0.
 func TestHeardRecently(t *testing.T) {
 	table := NewTable(testThreshold)
 	if table.HeardRecently("n-1", 0) {
-		t.Error("a peer that has said nothing is heard")
+		t.Error("peer without any status at time 0: got heard true, want false")
 	}
 	table.Update(&Status{Node: "n-1"}, testNow)
 	cases := []struct {
@@ -25,26 +25,26 @@
 		at   monotime.Micros
 		want bool
 	}{
-		{"at once", "n-1", testNow, true},
+		{"at the receive time", "n-1", testNow, true},
 		{"before the third status is missed", "n-1", testNow + statusValidity - 1, true},
-		{"three statuses missed", "n-1", testNow + statusValidity, false},
+		{"third status missed", "n-1", testNow + statusValidity, false},
 		{"another peer", "n-2", testNow, false},
 	}
 	for _, tc := range cases {
 		if got := table.HeardRecently(tc.node, tc.at); got != tc.want {
-			t.Errorf("%s: %t", tc.name, got)
+			t.Errorf("%s: got heard %t, want %t", tc.name, got, tc.want)
 		}
 	}
 	if at := table.LastHeardAt("n-1"); at != testNow {
-		t.Errorf("heard at %d", at)
+		t.Errorf("last status of n-1: got time %d, want %d", at, testNow)
 	}
 	if at := table.LastHeardAt("n-2"); at != 0 {
-		t.Errorf("never heard, but at %d", at)
+		t.Errorf("last status of n-2, which sent none: got time %d, want 0", at)
 	}
 }
 
-// TestFirstReachingStore: only a recent report from after the given instant counts, and a later status without
-// one doesn't take it back.
+// TestFirstReachingStore: only a recent report after the given time counts. A later status that doesn't
+// report a reachable state service doesn't revoke it.
 func TestFirstReachingStore(t *testing.T) {
 	table := NewTable(testThreshold)
 	table.Update(&Status{Node: "n-3", StateServiceReachable: true}, testNow)
@@ -56,32 +56,33 @@
 		after, now monotime.Micros
 		want       string
 	}{
-		{"the first by name", testNow - 1, testNow + 1, "n-2"},
-		{"reported before", testNow, testNow + 1, ""},
-		{"just recent enough", testNow - 1, testNow + storeReportValidity - 1, "n-2"},
-		{"too long ago", testNow - 1, testNow + storeReportValidity, ""},
+		{"first peer by name", testNow - 1, testNow + 1, "n-2"},
+		{"reported at the given time", testNow, testNow + 1, ""},
+		{"report barely valid", testNow - 1, testNow + storeReportValidity - 1, "n-2"},
+		{"report expired", testNow - 1, testNow + storeReportValidity, ""},
 	}
 	for _, tc := range cases {
 		if got, ok := table.FirstReachingStore(tc.after, tc.now); got != tc.want || ok != (tc.want != "") {
-			t.Errorf("%s: %q %t, want %q", tc.name, got, ok, tc.want)
+			t.Errorf("%s: got %q, %t; want %q, %t", tc.name, got, ok, tc.want, tc.want != "")
 		}
 	}
 }
 
-// TestUserCallsWaiting: users wait at a peer while its last report of more calls than the threshold is recent.
+// TestUserCallsWaiting: a report of more waiting user calls than the threshold counts while it is recent,
+// even after a later status with fewer calls.
 func TestUserCallsWaiting(t *testing.T) {
 	cases := []struct {
 		name    string
-		waiting []int // in statuses, one after the other
-		later   monotime.Micros
+		waiting []int           // waiting calls in successive status messages
+		later   monotime.Micros // time since the last status
 		want    bool
 	}{
-		{"none", []int{0}, 0, false},
-		{"as many as allowed", []int{testThreshold}, 0, false},
-		{"more", []int{testThreshold + 1}, 0, true},
-		{"more, and none since", []int{testThreshold + 1, 0}, 0, true},
-		{"more, for long", []int{testThreshold + 1}, statusValidity - 1, true},
-		{"more, too long ago", []int{testThreshold + 1}, statusValidity, false},
+		{"no calls", []int{0}, 0, false},
+		{"calls at the threshold", []int{testThreshold}, 0, false},
+		{"calls above the threshold", []int{testThreshold + 1}, 0, true},
+		{"above the threshold, later no calls", []int{testThreshold + 1, 0}, 0, true},
+		{"above the threshold, report barely valid", []int{testThreshold + 1}, statusValidity - 1, true},
+		{"above the threshold, report expired", []int{testThreshold + 1}, statusValidity, false},
 	}
 	for _, tc := range cases {
 		table := NewTable(testThreshold)
@@ -89,12 +90,13 @@
 			table.Update(&Status{Node: "n-1", WaitingUserRequests: waiting}, testNow)
 		}
 		if got := table.UserCallsWaiting(testNow + tc.later); got != tc.want {
-			t.Errorf("%s: %t", tc.name, got)
+			t.Errorf("%s: got user calls waiting %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestLatestStatusReplacesEarlier: what fails at peers and whether they reach their workers is as each has last said it.
+// TestLatestStatusReplacesEarlier: the latest status of a peer replaces its failing jobs and its worker
+// reach. The time of an earlier quota shortage report stays.
 func TestLatestStatusReplacesEarlier(t *testing.T) {
 	table := NewTable(testThreshold)
 	table.Update(&Status{
@@ -104,16 +106,17 @@
 	table.Update(&Status{Node: "n-1", WorkerReach: WorkersReachable, FailingJobs: map[string]int{"a": 2}}, testNow+1)
 	table.Update(&Status{Node: "n-2", FailingJobs: map[string]int{"a": 1}}, testNow+1)
 	if a, b := table.FailedMachines("a"), table.FailedMachines("b"); a != 3 || b != 0 {
-		t.Errorf("a fails on %d machines, b on %d", a, b)
+		t.Errorf("failed machines: got %d for job a and %d for job b, want 3 and 0", a, b)
 	}
 	reach := [3]WorkerReach{table.WorkerReach("n-1"), table.WorkerReach("n-2"), table.WorkerReach("n-3")}
 	if reach != [3]WorkerReach{WorkersReachable, WorkersUnknown, WorkersUnknown} {
-		t.Errorf("reach of workers %v", reach)
+		t.Errorf("worker reach of n-1, n-2, n-3: got %v, want %v",
+			reach, [3]WorkerReach{WorkersReachable, WorkersUnknown, WorkersUnknown})
 	}
 	if at, ok := table.QuotaLackReportedAt("red"); !ok || at != testNow {
-		t.Errorf("quota lacks since %d, %t", at, ok)
+		t.Errorf("quota shortage of team red: got time %d, reported %t; want %d, true", at, ok, testNow)
 	}
 	if _, ok := table.QuotaLackReportedAt("blue"); ok {
-		t.Error("a lack of quota that nobody has reported")
+		t.Error("quota shortage of team blue: got reported true, want false")
 	}
 }
