--- a/internal/shards/failover_test.go
+++ b/internal/shards/failover_test.go
@@ -141,8 +141,6 @@
 
 // HandOff selects controllers that have sent a recent status message and reach their workers. It selects all
 // other controllers if none has sent one.
-//
-// The cases name the state of the other controllers.
 func TestHandOffDestinations(t *testing.T) {
 	nodeSet := func(nodes ...string) map[string]bool {
 		set := map[string]bool{}
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -32,8 +32,8 @@
 	watchOverdue        bool
 	liveControllers     []string
 	members             map[string]bool // controllers that IsMember reports as members
-	recentPeers         map[string]bool // peers
-	reachWorkers        map[string]bool // peers
+	recentPeers         map[string]bool // peers with a recent status message
+	reachWorkers        map[string]bool // peers that report reachable workers
 	ownMachines         map[string]bool
 	endedAttempts       map[mirror.TaskID]bool // tasks with an ended attempt; true if completed
 	states              map[string]storage.MachineState
@@ -42,9 +42,9 @@
 	quotaInFlight       bool
 	quotaTransfers      int
 
-	completedJobs []string // jobs
-	synced        []string // machines
-	probed        []string // machines
+	completedJobs []string // jobs passed to CompleteIfDone
+	synced        []string // machines passed to SyncCommands
+	probed        []string // machines passed to Probe
 	lostTasks     []mirror.TaskID
 	passRequests  int // number of requested passes
 }
