--- a/internal/membership/lease_test.go
+++ b/internal/membership/lease_test.go
@@ -7,99 +7,101 @@
 	"pipitgap/internal/protocol"
 )
 
-// TestLeaseIsHeldFromItsSending: the lease counts from when its grant or renewal was sent, and a hundredth less
-// than its time to live; a renewal that fails doesn't extend it.
-func TestLeaseIsHeldFromItsSending(t *testing.T) {
-	held := testTTL - testTTL/leaseClockDivisor
+// TestLeaseTTLCountsFromSendTime: a lease is valid from the send time of its grant or last successful
+// renewal, for 99% of its time to live. A failed renewal doesn't extend it.
+func TestLeaseTTLCountsFromSendTime(t *testing.T) {
+	validity := testTTL - testTTL/leaseClockDivisor
 	cases := []struct {
 		name    string
-		renewal protocol.Outcome // of a renewal that is sent after 2 s and answered after 3 s
+		renewal protocol.Outcome // of a renewal sent after 2 s and answered after 3 s
 		after   monotime.Micros
 		want    bool
 	}{
 		{"granted", protocol.Unknown, 0, true},
-		{"nearly expired", protocol.Unknown, held - 1, true},
-		{"expired", protocol.Unknown, held, false},
-		{"renewed", protocol.OK, held, true},
-		{"renewed and nearly expired", protocol.OK, held + 2*monotime.Second - 1, true},
-		{"renewed and expired", protocol.OK, held + 2*monotime.Second, false},
+		{"nearly expired", protocol.Unknown, validity - 1, true},
+		{"expired", protocol.Unknown, validity, false},
+		{"renewed", protocol.OK, validity, true},
+		{"renewed and nearly expired", protocol.OK, validity + 2*monotime.Second - 1, true},
+		{"renewed and expired", protocol.OK, validity + 2*monotime.Second, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t)
-			if w.membership.HoldsLease(w.now) {
-				t.Error("held before it was granted")
+			h := newHarness(t)
+			if h.membership.HoldsLease(h.now) {
+				t.Error("lease held before the grant: got true, want false")
 			}
-			w.membership.RequestLease()
-			w.now += monotime.Second // the answer comes later
-			w.answerCall(protocol.StoreResult{Outcome: protocol.OK, Lease: 5})
-			w.now = testStart + 2*monotime.Second
-			w.membership.RenewLease(w.now)
-			w.now += monotime.Second
-			w.answerCall(protocol.StoreResult{Outcome: tc.renewal})
-			if got := w.membership.HoldsLease(testStart + tc.after); got != tc.want {
-				t.Errorf("held %t", got)
+			h.membership.RequestLease()
+			h.now += monotime.Second // the grant arrives 1 s after the request
+			h.answerCall(protocol.StoreResult{Outcome: protocol.OK, Lease: 5})
+			h.now = testStart + 2*monotime.Second
+			h.membership.RenewLease(h.now)
+			h.now += monotime.Second
+			h.answerCall(protocol.StoreResult{Outcome: tc.renewal})
+			if got := h.membership.HoldsLease(testStart + tc.after); got != tc.want {
+				t.Errorf("lease held: got %t, want %t", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestLeaseRenewal: the lease is renewed four times in its time to live, one call at a time; after a failure it is
-// tried again soon, and an expired one is replaced.
+// TestLeaseRenewal: the lease is renewed four times per time to live, with one call in flight at a time. A
+// failed renewal is retried after leaseRetryDelay. An expired lease is replaced by a new one.
 func TestLeaseRenewal(t *testing.T) {
-	w := newWorld(t)
-	w.membership.RenewLease(w.now)
-	if len(w.calls) > 0 {
-		t.Fatal("renewed before it was granted")
+	h := newHarness(t)
+	h.membership.RenewLease(h.now)
+	if len(h.calls) > 0 {
+		t.Fatalf("calls before the grant: got %+v, want none", h.calls)
 	}
-	w.holdLease(5)
+	h.grantLease(5)
 	due := testStart + testTTL/4
-	w.membership.RenewLease(due - 1)
-	if len(w.calls) > 0 {
-		t.Fatal("renewed before it is due")
+	h.membership.RenewLease(due - 1)
+	if len(h.calls) > 0 {
+		t.Fatalf("calls before the renewal is due: got %+v, want none", h.calls)
 	}
-	w.now = due
-	w.membership.RenewLease(due)
-	w.membership.RenewLease(due + 1)
-	if len(w.calls) != 1 || w.calls[0].call.Op != protocol.StoreKeepAlive || w.calls[0].call.Lease != 5 {
-		t.Fatalf("calls when due: %+v", w.calls)
+	h.now = due
+	h.membership.RenewLease(due)
+	h.membership.RenewLease(due + 1)
+	if len(h.calls) != 1 || h.calls[0].call.Op != protocol.StoreKeepAlive || h.calls[0].call.Lease != 5 {
+		t.Fatalf("calls when the renewal is due: got %+v, want one renewal of lease 5", h.calls)
 	}
-	w.answerCall(protocol.StoreResult{Outcome: protocol.Unavailable})
-	w.membership.RenewLease(due + leaseRetryDelay - 1)
-	if len(w.calls) > 0 {
-		t.Fatal("renewed again at once after a failure")
+	h.answerCall(protocol.StoreResult{Outcome: protocol.Unavailable})
+	h.membership.RenewLease(due + leaseRetryDelay - 1)
+	if len(h.calls) > 0 {
+		t.Fatalf("calls before the retry delay: got %+v, want none", h.calls)
 	}
-	w.membership.RenewLease(due + leaseRetryDelay)
-	w.answerCall(protocol.StoreResult{Outcome: protocol.NotFound})
-	if w.membership.HoldsLease(w.now) {
-		t.Error("an expired lease is held")
+	h.membership.RenewLease(due + leaseRetryDelay)
+	h.answerCall(protocol.StoreResult{Outcome: protocol.NotFound})
+	if h.membership.HoldsLease(h.now) {
+		t.Error("lease held after its expiry: got true, want false")
 	}
-	if len(w.calls) != 1 || w.calls[0].call.Op != protocol.StoreGrantLease || w.calls[0].call.TTL != testTTL {
-		t.Errorf("calls after it has expired: %+v", w.calls)
+	if len(h.calls) != 1 || h.calls[0].call.Op != protocol.StoreGrantLease || h.calls[0].call.TTL != testTTL {
+		t.Errorf("calls after the lease expired: got %+v, want one grant with TTL %d", h.calls, testTTL)
 	}
 }
 
-// TestLeaseGrantIsRetried: a grant that fails is tried again after a delay with a random part; meanwhile no other
-// is asked for.
+// TestLeaseGrantIsRetried: a failed grant is retried after a delay with jitter. Until then RequestLease sends
+// no other call.
 func TestLeaseGrantIsRetried(t *testing.T) {
-	w := newWorld(t)
-	w.membership.RequestLease()
-	w.membership.RequestLease()
-	if len(w.calls) != 1 {
-		t.Fatalf("%d calls", len(w.calls))
+	h := newHarness(t)
+	h.membership.RequestLease()
+	h.membership.RequestLease()
+	if len(h.calls) != 1 {
+		t.Fatalf("calls after two requests: got %d, want 1", len(h.calls))
 	}
-	w.answerCall(protocol.StoreResult{Outcome: protocol.Unknown})
-	w.membership.RequestLease()
-	if len(w.calls) != 0 || len(w.timers) != 1 ||
-		w.delays[0] < leaseRetryDelay || w.delays[0] >= leaseRetryDelay+leaseGrantRetryJitter {
-		t.Fatalf("%d calls, delays %v", len(w.calls), w.delays)
+	h.answerCall(protocol.StoreResult{Outcome: protocol.Unknown})
+	h.membership.RequestLease()
+	if len(h.calls) != 0 || len(h.timers) != 1 ||
+		h.delays[0] < leaseRetryDelay || h.delays[0] >= leaseRetryDelay+leaseGrantRetryJitter {
+		t.Fatalf("after a failed grant: got %d calls and retry delays %v, want 0 calls and one delay in [%d, %d)",
+			len(h.calls), h.delays, leaseRetryDelay, leaseRetryDelay+leaseGrantRetryJitter)
 	}
-	w.timers[0]()
-	if len(w.calls) != 1 {
-		t.Error("not asked for again")
+	h.timers[0]()
+	if len(h.calls) != 1 {
+		t.Errorf("calls after the retry delay: got %d, want 1", len(h.calls))
 	}
-	w.answerCall(protocol.StoreResult{Outcome: protocol.OK, Lease: 6})
-	if !w.membership.HoldsLease(w.now) || w.catchUps != 1 {
-		t.Errorf("held %t, caught up %d times", w.membership.HoldsLease(w.now), w.catchUps)
+	h.answerCall(protocol.StoreResult{Outcome: protocol.OK, Lease: 6})
+	if !h.membership.HoldsLease(h.now) || h.mirrorCatchUps != 1 {
+		t.Errorf("after the grant: got lease held %t and %d mirror updates, want true and 1",
+			h.membership.HoldsLease(h.now), h.mirrorCatchUps)
 	}
 }
--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// bytesPerMovedAttempt is the room in a shard that an attempt needs which comes along with its machine.
+	// bytesPerMovedAttempt is the estimated encoded size of an attempt that moves with its machine.
 	bytesPerMovedAttempt = 40
-	// maxComparesPerOp bounds the compares of an update by the operations that a transaction takes.
+	// maxComparesPerOp is the limit on an update's compares, per operation that a transaction may contain.
 	maxComparesPerOp = 3
 )
 
-// admission is how one pass puts the machines that wait to be claimed into shards.
+// admission assigns machines with pending claim requests to shards during one scheduling pass.
 type admission struct {
 	*Manager
 	updates       []*Update
-	memberVersion uint64          // of the controller's own member record
-	inDoubt       map[string]bool // machines that a commit in doubt may have claimed
-	// Only one commit of a pass takes machines over, from a few shards: each such commit changes this
-	// controller's quota shares, so only one of several could succeed.
+	memberVersion uint64          // version of this controller's member record
+	inDoubt       map[string]bool // machines that an unresolved commit may have claimed
+	// takeoverUpdate is the only update of a pass that takes over machines of other controllers, from at most
+	// sourceLimit shards. Each takeover commit changes this controller's quota shares, so of several such
+	// commits only one could succeed.
 	takeoverUpdate *Update
-	sources        map[string]bool // the shards that it takes from
+	sources        map[string]bool // names of the shards that takeoverUpdate takes machines from
 }
 
-// AdmitClaimRequests puts machines that wait to be claimed into the updates of a pass, and opens new shards
-// where no other has the room. It gives the updates with those of new shards added.
+// AdmitClaimRequests adds machines with pending claim requests to the updates of a pass. It creates new shards
+// for machines that fit into no existing one, and returns the updates including those of new shards.
 func (m *Manager) AdmitClaimRequests(updates []*Update, now monotime.Micros) []*Update {
-	// Every claim is conditional on this controller's present member record: a commit of an earlier
-	// incarnation or membership that arrives late must not put a machine into a second shard.
+	// Every claim is conditional on this controller's current member record. Otherwise a delayed commit of an
+	// earlier incarnation or membership could add a machine to a second shard.
 	member := m.mirror.Members[m.cfg.Node]
 	if member.Version == 0 || member.Record.Incarnation != m.cfg.Incarnation ||
 		m.mirror.WatchedRevision < member.Version {
@@ -50,7 +51,8 @@
 	return a.updates
 }
 
-// admit puts one machine into a shard, if it may be claimed now.
+// admit adds one machine to an update if this controller may claim it now. It completes the request if the
+// machine is already an own one, if a scale-in request names the machine, or after claimRequestTimeout.
 func (a *admission) admit(id string, now monotime.Micros) {
 	request, machine := a.claimRequests[id], a.mirror.Machines[id]
 	inShard := machine != nil && machine.Record != nil
@@ -64,12 +66,13 @@
 	case inShard:
 		a.takeOver(request, machine)
 	default:
-		a.addNew(request)
+		a.admitNewMachine(request)
 	}
 }
 
-// addNew puts a machine that has come up into the shard with the most room.
-func (a *admission) addNew(request *claimRequest) {
+// admitNewMachine adds a new machine to the shard with the most space. The machine must belong to a scale-out
+// request that designates this controller for it.
+func (a *admission) admitNewMachine(request *claimRequest) {
 	heartbeat := &request.heartbeat
 	id := heartbeat.Machine
 	scaleOutName := a.mirror.ScaleOutOfMachine[id]
@@ -78,10 +81,10 @@
 		a.mirror.WatchedRevision < scaleOut.Version {
 		return
 	}
-	need := a.needOf(request, 0)
-	update := a.roomiest(need)
+	need := a.spaceNeedOf(request, 0)
+	update := a.leastFilled(need)
 	if update == nil {
-		update = a.open()
+		update = a.addNewShard()
 	}
 	if !a.reserve(update, id, need) {
 		return
@@ -97,25 +100,25 @@
 	update.AddCompare(storage.ScaleOutKey(scaleOutName), scaleOut.Version)
 }
 
-// takeOver takes a machine that has lost its owner over from that controller's shard.
+// takeOver moves a machine that has lost contact with its owner out of the owner's shard.
 func (a *admission) takeOver(request *claimRequest, machine *mirror.Machine) {
 	source := machine.Shard.Name
 	if request.fromShard == nil || request.fromShard.Name != source ||
 		!a.membership.IsMember(machine.Owner()) || a.claimsInFlight[source] {
-		return // the machine has moved, or its whole shard is being claimed
+		return // the machine has moved, its owner is absent, or a claim of its whole shard is in flight
 	}
 	if !a.sources[source] && len(a.sources) >= a.takeoverLimiter.sourceLimit {
 		return
 	}
-	need := a.needOf(request, len(machine.Attempts))
+	need := a.spaceNeedOf(request, len(machine.Attempts))
 	update := a.takeoverUpdate
 	switch {
 	case update == nil:
-		if update = a.roomiest(need); update == nil {
-			update = a.open()
+		if update = a.leastFilled(need); update == nil {
+			update = a.addNewShard()
 		}
 	case !a.fits(update, need):
-		return // the next pass takes over the rest
+		return // the next pass takes over the remaining machines
 	}
 	if !a.reserve(update, machine.ID, need) {
 		return
@@ -124,29 +127,31 @@
 	a.moveMachine(update, machine, request.heartbeat.Endpoint)
 }
 
-// roomNeed is the room that a machine needs in a shard.
-type roomNeed struct {
-	plannedBytes int // once it is full
-	bytes        int // with the attempts that are on it now
+// spaceNeed is the estimated encoded size of a machine in a shard.
+type spaceNeed struct {
+	plannedBytes int // with the machine fully used
+	bytes        int // with the machine's current attempts
 }
 
-// needOf estimates the room that a machine needs in a shard, given the attempts that come along with it.
-func (a *admission) needOf(request *claimRequest, attempts int) roomNeed {
-	return roomNeed{
+// spaceNeedOf estimates the encoded size of a machine in a shard, given the number of attempts that move with
+// it.
+func (a *admission) spaceNeedOf(request *claimRequest, attempts int) spaceNeed {
+	return spaceNeed{
 		plannedBytes: a.bytesForMachine(request.heartbeat.Type),
 		bytes:        bytesPerMachine + bytesPerMovedAttempt*attempts,
 	}
 }
 
-// fits reports whether a shard has room for another machine.
-func (a *admission) fits(update *Update, need roomNeed) bool {
+// fits reports whether a shard has space for another machine, both now and once all its machines are fully
+// used.
+func (a *admission) fits(update *Update, need spaceNeed) bool {
 	limit := FillBytes(a.cfg.MaxValueBytes)
 	return update.plannedBytes+need.plannedBytes <= limit && update.maxBytes+need.bytes <= limit
 }
 
-// roomiest returns the update of the shard with the most room of those that a machine fits in; nil if there
-// is none.
-func (a *admission) roomiest(need roomNeed) *Update {
+// leastFilled returns the update with the smallest plannedBytes among those that a machine fits into (worst
+// fit). It returns nil if the machine fits into none.
+func (a *admission) leastFilled(need spaceNeed) *Update {
 	var best *Update
 	for _, update := range a.updates {
 		if a.fits(update, need) && (best == nil || update.plannedBytes < best.plannedBytes) {
@@ -156,15 +161,16 @@
 	return best
 }
 
-// open opens a new shard.
-func (a *admission) open() *Update {
-	update := a.openShard()
+// addNewShard creates a new shard and adds its update to the pass.
+func (a *admission) addNewShard() *Update {
+	update := a.createShard()
 	a.updates = append(a.updates, update)
 	return update
 }
 
-// reserve has an update claim a machine; false if its commit would compare too many records.
-func (a *admission) reserve(update *Update, machine string, need roomNeed) bool {
+// reserve makes an update claim a machine and reserves space for it. It returns false if the commit already
+// compares too many records.
+func (a *admission) reserve(update *Update, machine string, need spaceNeed) bool {
 	if update.Compares() > maxComparesPerOp*a.cfg.MaxTxnOps {
 		return false
 	}
@@ -176,49 +182,49 @@
 	return true
 }
 
-// moveMachine takes a machine with all its attempts out of another controller's shard and puts it into an
-// update, in one commit that is conditional on both shards.
+// moveMachine moves a machine with all its attempts from another controller's shard into an update. The
+// commit is conditional on the versions of both shards.
 func (m *Manager) moveMachine(update *Update, machine *mirror.Machine, endpoint string) {
-	from := machine.Shard
-	left := update.otherShard(from)
-	delete(left.Machines, machine.ID)
+	source := machine.Shard
+	remaining := update.sourceRecord(source)
+	delete(remaining.Machines, machine.ID)
 	record := *machine.Record
 	record.Endpoint = endpoint
 	record.Claim = max(machine.Claim(), update.next.Claim) + 1
 	update.next.AddMachine(machine.ID, record)
 	useByTeam := map[string]resources.Vector{}
 	for task, attempt := range machine.Attempts {
-		before, _ := from.Record.FindAttempt(task.Job, task.Index)
-		left.Release(task.Job, task.Index, false)
+		previous, _ := source.Record.FindAttempt(task.Job, task.Index)
+		remaining.Release(task.Job, task.Index, false)
 		update.next.Assign(task.Job, storage.Attempt{
 			Task:     task.Index,
 			Machine:  machine.ID,
 			Number:   attempt,
-			Starting: before.Starting,
+			Starting: previous.Starting,
 		})
 		if job := m.mirror.Jobs[task.Job]; job != nil {
 			mirror.AddUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
 	}
-	update.putOtherShard(from, left)
-	m.quota.Transfer(&update.txn, update.comparedKeys, from.Record.Owner, m.cfg.Node, useByTeam)
+	update.putSourceRecord(source, remaining)
+	m.quota.Transfer(&update.txn, update.comparedKeys, source.Record.Owner, m.cfg.Node, useByTeam)
 }
 
-// otherShard returns a copy of the record of a shard that machines are taken from, without those that the
-// update has taken already.
-func (u *Update) otherShard(shard *mirror.Shard) *storage.Shard {
+// sourceRecord returns a copy of the record of a shard that the update takes machines from. The copy lacks the
+// machines that the update has already taken.
+func (u *Update) sourceRecord(shard *mirror.Shard) *storage.Shard {
 	record := shard.Record
-	if i := u.putOf(storage.ShardKey(shard.Name)); i >= 0 {
+	if i := u.findPut(storage.ShardKey(shard.Name)); i >= 0 {
 		record, _ = storage.DecodeShard(u.txn.Then[i].Value, nil)
 	}
 	return record.Clone()
 }
 
-// putOtherShard has the update's commit write the record of a shard that machines are taken from.
-func (u *Update) putOtherShard(shard *mirror.Shard, record *storage.Shard) {
+// putSourceRecord makes the commit write the record of a shard that the update takes machines from.
+func (u *Update) putSourceRecord(shard *mirror.Shard, record *storage.Shard) {
 	key := storage.ShardKey(shard.Name)
 	encoded, _ := record.Encode()
-	if i := u.putOf(key); i >= 0 {
+	if i := u.findPut(key); i >= 0 {
 		u.txn.Then[i].Value = encoded
 		return
 	}
@@ -226,8 +232,8 @@
 	u.txn.Then = append(u.txn.Then, protocol.Op{Put: key, Value: encoded})
 }
 
-// putOf finds the operation of the update's commit that writes a key; -1 if there is none.
-func (u *Update) putOf(key string) int {
+// findPut returns the index of the operation in txn.Then that writes a key, or -1 if there is none.
+func (u *Update) findPut(key string) int {
 	for i, operation := range u.txn.Then {
 		if operation.Put == key {
 			return i
