--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -132,7 +132,7 @@
 	}
 	machines = min(machines, max(1, len(candidates)/heldBackDivisor)-held)
 	for range machines {
-		best := sc.nearestToRoom(job, candidates, zones)
+		best := sc.closestToFitting(job, candidates, zones)
 		if best == nil {
 			return
 		}
@@ -140,9 +140,9 @@
 	}
 }
 
-// nearestToRoom finds the machine with the most CPUs free among those that a task of a job would fit on if
+// closestToFitting finds the machine with the most CPUs free among those that a task of a job would fit on if
 // they were empty; nil if there is none that isn't kept for others.
-func (sc *Scheduler) nearestToRoom(
+func (sc *Scheduler) closestToFitting(
 	job *mirror.Job,
 	candidates []*candidateMachine,
 	zones *scheduling.ZoneConstraint,
--- a/internal/placement/drain_reservations.go
+++ b/internal/placement/drain_reservations.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// reserveAgain reserves again what the job hasn't used. A replica that has been placed, wherever that is,
+// restore reserves again what the job hasn't used. A replica that has been placed, wherever that is,
 // needs no reservation any more.
-func (r *drainReservations) reserveAgain(job *mirror.Job) {
+func (r *drainReservations) restore(job *mirror.Job) {
 	if r == nil {
 		return
 	}
--- a/internal/placement/failure_attribution.go
+++ b/internal/placement/failure_attribution.go
@@ -15,7 +15,7 @@
 // failuresOf is what this controller has seen of a job's failures, nil where it has noted nothing about the
 // job.
 func (sc *Scheduler) failuresOf(id string) *scheduling.JobFailures {
-	if tracking := sc.jobStates[id]; tracking != nil {
+	if tracking := sc.trackingByJob[id]; tracking != nil {
 		return &tracking.failures
 	}
 	return nil
@@ -73,7 +73,7 @@
 // ClearFailuresOn takes back what a faulty machine's failures have said of jobs.
 func (sc *Scheduler) ClearFailuresOn(machine *mirror.Machine) {
 	for id := range sc.deps.Agents.Of(machine).Failures().ByJob() {
-		if tracking := sc.jobStates[id]; tracking != nil {
+		if tracking := sc.trackingByJob[id]; tracking != nil {
 			tracking.failures.Withdraw(machine.ID)
 		}
 	}
@@ -92,11 +92,11 @@
 // FailingJobs lists the jobs that fail here and on how many machines, for the other controllers.
 func (sc *Scheduler) FailingJobs() map[string]int {
 	var failing map[string]int
-	for _, id := range sortedmap.Keys(sc.jobStates) {
+	for _, id := range sortedmap.Keys(sc.trackingByJob) {
 		if len(failing) >= maxReportedFailingJobs {
 			break
 		}
-		failedMachines := sc.jobStates[id].failures.FailedMachines()
+		failedMachines := sc.trackingByJob[id].failures.FailedMachines()
 		job := sc.deps.Mirror.Jobs[id]
 		if failedMachines == 0 || job == nil || !job.IsOpen() || job.DoneTasks > 0 {
 			continue
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -10,25 +10,25 @@
 
 // jobPlacement is what a placement does for one job.
 type jobPlacement struct {
-	*placement
+	*placementPass
 	job      *mirror.Job
 	spec     *storage.JobSpec
 	tracking *jobTracking
 
-	spotOnly         bool // held to spot machines, see Scheduler.IsSpotOnly
-	crashLooping     bool // placed for an occasional trial only
-	oneCommitAtATime bool // its tasks go out by one commit at a time
-	preempting       bool // machines are kept for it
-	hasReservation   bool // room is held for replicas of it that are being moved
+	spotOnly          bool // held to spot machines, see Scheduler.IsSpotOnly
+	crashLooping      bool // placed for an occasional trial only
+	oneCommitAtATime  bool // its tasks go out by one commit at a time
+	preemptionPending bool // machines are kept for it
+	hasReservation    bool // room is held for replicas of it that are being moved
 
 	limits         quota.Limits
-	quotaRoom      resources.Vector // left of this partition's share of its team's limit
+	remainingQuota resources.Vector // left of this partition's share of its team's limit
 	zoneConstraint *scheduling.ZoneConstraint
 	request        *scheduling.MachineRequest
 	shape          scheduling.TaskShape // what decides where its tasks may run,
 	teamShape      scheduling.TaskShape // and within which team's limit
 
-	maxTasks        int  // tasks that it may be given
+	assignableTasks int  // tasks that it may be given
 	pendingTasks    int  // tasks of this partition's ranges that wait
 	noRoom          bool // no machine has room for a task
 	quotaShort      bool // the share of the team's limit doesn't allow one
@@ -41,17 +41,17 @@
 }
 
 // beginJob prepares the placement of a job's tasks; nil if they can't be placed in this pass.
-func (p *placement) beginJob(job *mirror.Job) *jobPlacement {
+func (p *placementPass) beginJob(job *mirror.Job) *jobPlacement {
 	sc, spec := p.scheduler, &job.Record.Spec
 	jobPlan := &jobPlacement{
-		placement:        p,
+		placementPass:    p,
 		job:              job,
 		spec:             spec,
 		tracking:         sc.trackingOf(job.ID),
 		spotOnly:         sc.IsSpotOnly(job),
 		crashLooping:     sc.IsCrashLooping(job),
 		oneCommitAtATime: spec.OneZone || spec.Spread,
-		maxTasks:         spec.Tasks,
+		assignableTasks:  spec.Tasks,
 	}
 	trials := 0
 	if jobPlan.crashLooping {
@@ -59,29 +59,29 @@
 			return nil
 		}
 	}
-	if !jobPlan.recordIsSettled() {
-		jobPlan.keepStolenRoom()
+	if !jobPlan.recordIsUpToDate() {
+		jobPlan.reserveRoomForStolenTasks()
 		return nil
 	}
 	if sc.isStarved(job, p.now) {
-		jobPlan.maxTasks = jobPlan.tracking.progress.Missing(job.DoneTasks + job.AssignedTasks)
+		jobPlan.assignableTasks = jobPlan.tracking.progress.Missing(job.DoneTasks + job.AssignedTasks)
 	}
 	if jobPlan.crashLooping {
-		jobPlan.maxTasks = trials
+		jobPlan.assignableTasks = trials
 	}
 	jobPlan.zoneConstraint = ZoneConstraintOf(sc.deps.Mirror, job)
 	jobPlan.request = sc.machineRequest(job, jobPlan.zoneConstraint)
 	jobPlan.request.SpotOnly = jobPlan.spotOnly
 	jobPlan.shardBytesLimit = sc.shardBytesFor(spec)
-	jobPlan.preempting = sc.isPreempting(job.ID, p.now)
+	jobPlan.preemptionPending = sc.isPreempting(job.ID, p.now)
 	jobPlan.hasReservation = p.reservations.hasReservationFor(job)
-	jobPlan.findQuota()
-	jobPlan.recallShortages()
+	jobPlan.loadRemainingQuota()
+	jobPlan.loadKnownShortages()
 	return jobPlan
 }
 
-// recordIsSettled reports whether the job's record, as the mirror has it, says who places its tasks.
-func (p *jobPlacement) recordIsSettled() bool {
+// recordIsUpToDate reports whether the job's record, as the mirror has it, says who places its tasks.
+func (p *jobPlacement) recordIsUpToDate() bool {
 	sc, job := p.scheduler, p.job
 	if p.now < p.tracking.placeNotBefore || sc.deps.RecordWrites.Contains(job.ID) {
 		return false
@@ -89,33 +89,33 @@
 	return sc.deps.Mirror.WatchedRevision >= job.Version || sc.acceptedRevisions[job.ID] == job.Version
 }
 
-// keepStolenRoom keeps the room of tasks that are being taken over from other partitions.
-func (p *jobPlacement) keepStolenRoom() {
-	if stolen := &p.tracking.reassignment; p.now < stolen.stolenUntil {
+// reserveRoomForStolenTasks keeps the room of tasks that are being taken over from other partitions.
+func (p *jobPlacement) reserveRoomForStolenTasks() {
+	if stolen := &p.tracking.reassignment; p.now < stolen.roomReservedUntil {
 		reserveRoom(p.job.TaskResources, p.spec, p.candidates, stolen.stolenTasks)
 	}
 }
 
-// findQuota finds what is left of the partition's share of the team's limit.
-func (p *jobPlacement) findQuota() {
+// loadRemainingQuota finds what is left of the partition's share of the team's limit.
+func (p *jobPlacement) loadRemainingQuota() {
 	p.limits, _ = p.scheduler.deps.Quota.Limits(p.spec.Team)
 	left, known := p.quotaLeft[p.spec.Team]
 	if !known {
 		left = p.scheduler.deps.Quota.Left(p.spec.Team)
 	}
-	p.quotaRoom = left
+	p.remainingQuota = left
 }
 
-// recallShortages recalls what was found in this pass for tasks of the same shape. A job for which room is
+// loadKnownShortages recalls what was found in this pass for tasks of the same shape. A job for which room is
 // kept may still find some. Without a share of the team's limit only what a shard gives back counts.
-func (p *jobPlacement) recallShortages() {
+func (p *jobPlacement) loadKnownShortages() {
 	need := mirror.TaskResources(p.spec)
 	p.shape = scheduling.ShapeOf(p.spec, need, "")
 	p.teamShape = scheduling.ShapeOf(p.spec, need, p.spec.Team)
-	if p.preempting || p.hasReservation {
+	if p.preemptionPending || p.hasReservation {
 		return
 	}
-	withinQuota := p.job.TaskResources.FitsIn(p.quotaRoom)
+	withinQuota := p.job.TaskResources.FitsIn(p.remainingQuota)
 	p.noRoom = withinQuota && p.noRoomFor[p.shape]
 	p.quotaShort = !withinQuota && p.noRoomFor[p.teamShape]
 }
@@ -149,7 +149,7 @@
 				continue
 			}
 			p.pendingTasks++
-			if !p.noRoom && !p.quotaShort && p.maxTasks > 0 {
+			if !p.noRoom && !p.quotaShort && p.assignableTasks > 0 {
 				p.assignTask(i)
 			}
 		}
@@ -160,8 +160,8 @@
 func (p *jobPlacement) assignTask(task int) {
 	sc, job := p.scheduler, p.job
 	// Quota that a shard's write releases can be used again by the same write.
-	freedQuotaOnly := !job.TaskResources.FitsIn(p.quotaRoom)
-	if p.needsNewMachine(task, freedQuotaOnly) {
+	freedQuotaOnly := !job.TaskResources.FitsIn(p.remainingQuota)
+	if p.needsMachineChoice(task, freedQuotaOnly) {
 		p.request.FreedQuotaOnly = freedQuotaOnly
 		p.chosenMachine = sc.chooseMachine(p.request, machineSearch{
 			candidates: p.searchSpace(),
@@ -170,23 +170,23 @@
 		})
 	}
 	if p.chosenMachine == nil {
-		p.noteNoMachine(freedQuotaOnly)
+		p.recordNoMachine(freedQuotaOnly)
 		return
 	}
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
-	if p.spec.Service && !withImage && !waitedForImage(job, p.wallNow) &&
+	if p.spec.Service && !withImage && !imageWaitExceeded(job, p.wallNow) &&
 		sc.preemptFor(p.preemptionRequest(1, true)) {
 		// Room is being made on a machine that has the image, which is sooner than a fetch.
-		p.maxTasks = 0
+		p.assignableTasks = 0
 		return
 	}
-	p.assignToChosen(task)
+	p.assignToChosenMachine(task)
 	p.pendingTasks--
-	p.maxTasks--
+	p.assignableTasks--
 }
 
-// needsNewMachine reports whether a task can't just follow the one before.
-func (p *jobPlacement) needsNewMachine(task int, freedQuotaOnly bool) bool {
+// needsMachineChoice reports whether a task can't just follow the one before.
+func (p *jobPlacement) needsMachineChoice(task int, freedQuotaOnly bool) bool {
 	candidate, taskResources := p.chosenMachine, p.job.TaskResources
 	return candidate == nil ||
 		freedQuotaOnly && !taskResources.FitsIn(candidate.update.FreedQuota(p.spec.Team)) ||
@@ -197,10 +197,10 @@
 		candidate.update.MaxBytes()+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
-// noteNoMachine notes that no machine takes a task of the job, also for others like it.
-func (p *jobPlacement) noteNoMachine(freedQuotaOnly bool) {
+// recordNoMachine notes that no machine takes a task of the job, also for others like it.
+func (p *jobPlacement) recordNoMachine(freedQuotaOnly bool) {
 	p.quotaShort, p.noRoom = freedQuotaOnly, !freedQuotaOnly
-	if p.oneCommitAtATime || p.preempting || p.hasReservation || p.spotOnly ||
+	if p.oneCommitAtATime || p.preemptionPending || p.hasReservation || p.spotOnly ||
 		p.tracking.failures.ExcludesAny() {
 		return
 	}
@@ -208,8 +208,8 @@
 	p.noRoomFor[p.teamShape] = p.noRoomFor[p.teamShape] || p.quotaShort
 }
 
-// assignToChosen writes a task into the update of the chosen machine's shard.
-func (p *jobPlacement) assignToChosen(task int) {
+// assignToChosenMachine writes a task into the update of the chosen machine's shard.
+func (p *jobPlacement) assignToChosenMachine(task int) {
 	sc, job, candidate := p.scheduler, p.job, p.chosenMachine
 	update, machine := candidate.update, candidate.MachineID
 	p.preferred = p.candidatesByUpdate[update]
@@ -225,7 +225,7 @@
 		Number:   sc.deps.Mirror.NewestRevision,
 		Starting: sc.deps.Drains.TracksStart(p.spec),
 	}
-	sc.jobsInPass[job.ID] = true
+	sc.jobsAssignedInPass[job.ID] = true
 	update.Assign(job, p.lastAssigned, joinsRange)
 	sc.deps.ScaleIn.Reopen(machine)
 	candidate.Closing = false
@@ -236,7 +236,7 @@
 	}
 	candidate.machine.CachedImages[p.spec.Image] = true
 	if !p.limits.Limited() || !update.UseFreedQuota(p.spec.Team, job.TaskResources) {
-		p.quotaRoom = p.quotaRoom.AddScaled(job.TaskResources, -1)
+		p.remainingQuota = p.remainingQuota.AddScaled(job.TaskResources, -1)
 	}
 	p.zoneConstraint.AddTasks(candidate.Record.Zone, 1)
 	if p.oneCommitAtATime {
--- a/internal/placement/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -7,18 +7,18 @@
 
 // What a placement does for a job whose tasks found no room or no quota.
 
-// stolenRoomTimeout is how long room is kept for tasks that are being taken over.
-const stolenRoomTimeout = monotime.Second
+// stolenTasksRoomTimeout is how long room is kept for tasks that are being taken over.
+const stolenTasksRoomTimeout = monotime.Second
 
-// noteQuotaShortage notes that the partition's share of the team's limit keeps the job's tasks waiting.
-func (p *jobPlacement) noteQuotaShortage() {
+// reportQuotaShortage notes that the partition's share of the team's limit keeps the job's tasks waiting.
+func (p *jobPlacement) reportQuotaShortage() {
 	if _, known := p.hasRoomFor[p.shape]; !known {
 		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
 	}
 	p.scheduler.deps.Quota.NoteShortage(p.spec.Team, quota.UnmetDemand{
 		TaskResources:  p.job.TaskResources,
 		Tasks:          p.pendingTasks,
-		ShareLeft:      p.quotaRoom,
+		ShareLeft:      p.remainingQuota,
 		HasMachineRoom: p.hasRoomFor[p.shape],
 	})
 }
@@ -51,8 +51,8 @@
 		capacities:      p.freePartitionCapacity(),
 		wall:            p.wallNow,
 	})
-	moves := &p.tracking.reassignment
-	moves.stolenTasks, moves.stolenUntil = tasks, p.now+stolenRoomTimeout
+	reassignment := &p.tracking.reassignment
+	reassignment.stolenTasks, reassignment.roomReservedUntil = tasks, p.now+stolenTasksRoomTimeout
 	p.reassignedThisPass = tasks > 0
 	reserveRoom(job.TaskResources, p.spec, p.candidates, min(tasks, job.UnassignedTasks()))
 }
@@ -65,14 +65,14 @@
 }
 
 // preemptionRequest requests room for so many tasks of the job by stopping others.
-func (p *jobPlacement) preemptionRequest(tasks int, besideImage bool) preemptionRequest {
+func (p *jobPlacement) preemptionRequest(tasks int, cachedImageOnly bool) preemptionRequest {
 	return preemptionRequest{
-		job:         p.job,
-		tasks:       tasks,
-		zones:       p.zoneConstraint,
-		candidates:  p.candidates,
-		now:         p.now,
-		besideImage: besideImage,
+		job:             p.job,
+		tasks:           tasks,
+		zones:           p.zoneConstraint,
+		candidates:      p.candidates,
+		now:             p.now,
+		cachedImageOnly: cachedImageOnly,
 	}
 }
 
@@ -91,7 +91,7 @@
 	// A hand-over costs a write, and so does work stealing later in the pass. The time of the last hand-over
 	// is only noted if one was made, so that a service is handed over as soon as a write is allowed.
 	if sc.preemptFor(p.preemptionRequest(tasks, false)) ||
-		p.now-p.tracking.reassignment.handedOverAt <= reassignmentInterval ||
+		p.now-p.tracking.reassignment.handedOverAt <= handOverInterval ||
 		p.now < sc.nextWorkStealAt {
 		return
 	}
@@ -104,7 +104,7 @@
 // preemptScavengers stops preemptible work for the tasks that the quota allows, and reports whether room is
 // being made.
 func (p *jobPlacement) preemptScavengers() bool {
-	tasks := min(p.pendingTasks, p.job.TaskResources.CountIn(p.quotaRoom))
+	tasks := min(p.pendingTasks, p.job.TaskResources.CountIn(p.remainingQuota))
 	return tasks > 0 && p.anyPreemptible() &&
 		p.scheduler.preemptScavengers(p.preemptionRequest(tasks, false))
 }
--- a/internal/placement/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -17,20 +17,20 @@
 
 // reassignmentTracking is when and how a job's tasks last moved between partitions.
 type reassignmentTracking struct {
-	recordChangedAt monotime.Micros // when the record, which says who places the tasks, last changed
-	handedOverAt    monotime.Micros // when its tasks were last handed to another partition
-	stolenTasks     int             // tasks just taken over from other partitions,
-	stolenUntil     monotime.Micros // for which room is kept until then
+	recordChangedAt   monotime.Micros // when the record, which says who places the tasks, last changed
+	handedOverAt      monotime.Micros // when its tasks were last handed to another partition
+	stolenTasks       int             // tasks just taken over from other partitions,
+	roomReservedUntil monotime.Micros // for which room is kept until then
 }
 
 // trackingOf returns what is noted about a job, and begins it if there is nothing yet.
 func (sc *Scheduler) trackingOf(id string) *jobTracking {
-	return mapentry.GetOrNew(sc.jobStates, id)
+	return mapentry.GetOrNew(sc.trackingByJob, id)
 }
 
 // ForgetJob drops what is noted about a job without a record.
 func (sc *Scheduler) ForgetJob(id string) {
-	delete(sc.jobStates, id)
+	delete(sc.trackingByJob, id)
 	delete(sc.preemptions, id)
 	delete(sc.acceptedRevisions, id)
 }
@@ -62,7 +62,7 @@
 
 // PlacementDelayed reports whether a job's tasks may not be placed yet.
 func (sc *Scheduler) PlacementDelayed(id string, now monotime.Micros) bool {
-	tracking := sc.jobStates[id]
+	tracking := sc.trackingByJob[id]
 	return tracking != nil && now < tracking.placeNotBefore
 }
 
--- a/internal/placement/machine_choice.go
+++ b/internal/placement/machine_choice.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// waitedForImage reports whether a job has waited too long to go on looking for a machine with its image.
-func waitedForImage(job *mirror.Job, wall int64) bool {
+// imageWaitExceeded reports whether a job has waited too long to go on looking for a machine with its image.
+func imageWaitExceeded(job *mirror.Job, wall int64) bool {
 	return wall-job.Record.AcceptedAt > int64(imageWaitLimit)
 }
 
--- a/internal/placement/machine_choice_test.go
+++ b/internal/placement/machine_choice_test.go
@@ -10,9 +10,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestSampledPlacementFindsOnlyRoom: with many machines a sample is looked at, and what only one machine
+// TestSampledPlacementFindsOnlyMachineWithRoom: with many machines a sample is looked at, and what only one machine
 // has room for is found all the same.
-func TestSampledPlacementFindsOnlyRoom(t *testing.T) {
+func TestSampledPlacementFindsOnlyMachineWithRoom(t *testing.T) {
 	c := newTestController()
 	job := &mirror.Job{
 		ID:            "j-1",
--- a/internal/placement/partition_capacity.go
+++ b/internal/placement/partition_capacity.go
@@ -63,13 +63,13 @@
 	if !spec.Service {
 		return scheduling.BestPartition(partitions, sc.config.Node, tasksFitting)
 	}
-	besideImage := fit
-	besideImage.BesideImage = true
+	fitWithImage := fit
+	fitWithImage.BesideImage = true
 	return scheduling.BestPartition(
 		partitions,
 		sc.config.Node,
 		func(partition string) int { return capacity.TasksFittingBesideImage(spec, need, partition) },
-		func(partition string) int { return capacity.MachinesAfterPreemption(partition, besideImage) },
+		func(partition string) int { return capacity.MachinesAfterPreemption(partition, fitWithImage) },
 		tasksFitting,
 		func(partition string) int { return capacity.MachinesAfterPreemption(partition, fit) },
 	)
--- a/internal/placement/placement_pass.go
+++ b/internal/placement/placement_pass.go
@@ -12,15 +12,15 @@
 const (
 	sampleAboveMachines    = 48    // with more machines than this, and
 	sampleAboveComparisons = 20000 // more jobs times machines than this, a sample is looked at
-	reassignmentInterval   = 1 * monotime.Second
+	handOverInterval       = 1 * monotime.Second
 	// guaranteePreemptionDelay is how long a job within a guarantee looks for free room first.
 	guaranteePreemptionDelay = 5 * monotime.Second / 2
 	// guaranteePreemptionBatch is how many tasks of a job get room by its team's guarantee at a time.
 	guaranteePreemptionBatch = 4
 )
 
-// placement is the part of a scheduling pass that gives waiting tasks to machines.
-type placement struct {
+// placementPass is the part of a scheduling pass that gives waiting tasks to machines.
+type placementPass struct {
 	scheduler *Scheduler
 	now       monotime.Micros
 	wallNow   int64 // time of day, microseconds
@@ -55,22 +55,22 @@
 	if len(jobs) == 0 {
 		return
 	}
-	sc.jobsInPass = map[string]bool{}
+	sc.jobsAssignedInPass = map[string]bool{}
 	sc.serviceCPUsAssigned = sc.totalServiceCPUs()
-	p := sc.newPlacement(updates, len(jobs), now)
+	p := sc.newPlacementPass(updates, len(jobs), now)
 	for _, job := range jobs {
 		p.reservations.release(job)
 		p.placeJob(job)
-		p.reservations.reserveAgain(job)
+		p.reservations.restore(job)
 	}
 	sc.adoptOrphanedTasks(jobs, now)
 	sc.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
 }
 
-// newPlacement takes the machines of the updates as candidates, less the room that is kept on them, for so
+// newPlacementPass takes the machines of the updates as candidates, less the room that is kept on them, for so
 // many jobs.
-func (sc *Scheduler) newPlacement(updates []*shards.Update, jobs int, now monotime.Micros) *placement {
-	p := &placement{
+func (sc *Scheduler) newPlacementPass(updates []*shards.Update, jobs int, now monotime.Micros) *placementPass {
+	p := &placementPass{
 		scheduler:      sc,
 		now:            now,
 		wallNow:        sc.deps.Environment.WallClock(),
@@ -99,18 +99,18 @@
 }
 
 // placeJob places a job's tasks, and sees to room for those that find none.
-func (p *placement) placeJob(job *mirror.Job) {
+func (p *placementPass) placeJob(job *mirror.Job) {
 	jobPlan := p.beginJob(job)
 	if jobPlan == nil {
 		return
 	}
 	jobPlan.assignTasks()
-	p.quotaLeft[jobPlan.spec.Team] = jobPlan.quotaRoom
+	p.quotaLeft[jobPlan.spec.Team] = jobPlan.remainingQuota
 	if jobPlan.crashLooping {
 		return // no room is kept or made for it, and no tasks are taken over
 	}
 	if jobPlan.quotaShort {
-		jobPlan.noteQuotaShortage()
+		jobPlan.reportQuotaShortage()
 	}
 	switch {
 	case jobPlan.urgentInOtherPartition():
@@ -122,18 +122,18 @@
 
 // totalServiceCPUs is what all services hold.
 func (sc *Scheduler) totalServiceCPUs() float64 {
-	served := 0.0
+	totalCPUs := 0.0
 	for _, job := range sc.deps.Mirror.Jobs {
 		if job.Record.Spec.Service && job.IsOpen() {
-			served += float64(job.AssignedTasks) * job.TaskResources.CPUs
+			totalCPUs += float64(job.AssignedTasks) * job.TaskResources.CPUs
 		}
 	}
-	return served
+	return totalCPUs
 }
 
 // fittingCandidates lists the candidates with room for a task of a shape. Where samples are looked at and
 // most machines are full, all of them would be looked at again for each task.
-func (p *placement) fittingCandidates(
+func (p *placementPass) fittingCandidates(
 	shape scheduling.TaskShape,
 	taskResources resources.Vector,
 ) []*candidateMachine {
@@ -153,7 +153,7 @@
 }
 
 // freePartitionCapacity is the free room of all partitions.
-func (p *placement) freePartitionCapacity() *PartitionCapacity {
+func (p *placementPass) freePartitionCapacity() *PartitionCapacity {
 	if p.partitionCapacity == nil {
 		p.partitionCapacity = p.scheduler.CapacityByPartition()
 	}
@@ -161,7 +161,7 @@
 }
 
 // anyPreemptible reports whether any running work is preemptible by arrays.
-func (p *placement) anyPreemptible() bool {
+func (p *placementPass) anyPreemptible() bool {
 	if !p.preemptibleChecked {
 		p.preemptibleChecked = true
 		for _, job := range p.scheduler.deps.Mirror.Jobs {
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -35,7 +35,7 @@
 	candidates []*candidateMachine
 	now        monotime.Micros
 	// Only machines that have the job's image, and only for a small loss.
-	besideImage bool
+	cachedImageOnly bool
 }
 
 // preemptionPlan is what is to be stopped on a machine for one task.
@@ -67,11 +67,11 @@
 		sc.stopVictims("task preempted", plan.candidate, plan.Victims, job)
 		machines[plan.candidate.MachineID] = true
 	}
-	return sc.notePreemption(job, machines, request.now+preemptionTimeout)
+	return sc.recordPreemption(job, machines, request.now+preemptionTimeout)
 }
 
-// notePreemption keeps the machines on which tasks were stopped for a job, and reports whether there are any.
-func (sc *Scheduler) notePreemption(
+// recordPreemption keeps the machines on which tasks were stopped for a job, and reports whether there are any.
+func (sc *Scheduler) recordPreemption(
 	job *mirror.Job,
 	machines map[string]bool,
 	expiresAt monotime.Micros,
@@ -143,7 +143,7 @@
 		selection.LostCPUSeconds += imageFetchLossPerGB * spec.ImageGB
 	}
 	worthwhile := hasImage && selection.LostCPUSeconds <= imageFetchLossPerCPU*job.TaskResources.CPUs
-	if request.besideImage && !worthwhile {
+	if request.cachedImageOnly && !worthwhile {
 		return preemptionPlan{}, false
 	}
 	return preemptionPlan{candidate, selection}, true
@@ -157,8 +157,8 @@
 ) []scheduling.Victim {
 	agent := sc.deps.Agents.Of(machine)
 	var victims []scheduling.Victim
-	for task, number := range machine.Attempts {
-		job, attempt := sc.deps.Mirror.Jobs[task.Job], agents.AttemptID{Task: task, Attempt: number}
+	for task, attemptNumber := range machine.Attempts {
+		job, attempt := sc.deps.Mirror.Jobs[task.Job], agents.AttemptID{Task: task, Attempt: attemptNumber}
 		if job == nil || !mayStop(job) || agent.HasOutcome(attempt) || agent.HasExited(attempt) {
 			continue
 		}
@@ -173,7 +173,7 @@
 		victims = append(victims, scheduling.Victim{
 			Job:            task.Job,
 			Task:           task.Index,
-			Attempt:        number,
+			Attempt:        attemptNumber,
 			Team:           spec.Team,
 			Priority:       spec.Priority,
 			Need:           job.TaskResources,
@@ -228,8 +228,8 @@
 
 // exceedsGuarantee reports whether a team uses more than its guarantee, less what is to be
 // stopped of it.
-func (sc *Scheduler) exceedsGuarantee(name string, less resources.Vector) bool {
-	limits, _ := sc.deps.Quota.Limits(name)
-	use := sc.deps.Mirror.UseByTeam[name].AddScaled(less, -1)
+func (sc *Scheduler) exceedsGuarantee(team string, stopping resources.Vector) bool {
+	limits, _ := sc.deps.Quota.Limits(team)
+	use := sc.deps.Mirror.UseByTeam[team].AddScaled(stopping, -1)
 	return !limits.GuaranteeCovers(use)
 }
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -16,7 +16,7 @@
 	const second = monotime.Second
 	c := newTestController()
 	now := c.now
-	mk := func(id string, service bool, cpus float64) *mirror.Job {
+	newJob := func(id string, service bool, cpus float64) *mirror.Job {
 		job := &mirror.Job{
 			ID:            id,
 			Version:       1,
@@ -29,8 +29,8 @@
 		c.mirror.Jobs[id] = job
 		return job
 	}
-	service, array := mk("j-900000", true, 4), mk("j-900001", false, 2)
-	cand := func(id string) *candidateMachine {
+	service, array := newJob("j-900000", true, 4), newJob("j-900001", false, 2)
+	newCandidate := func(id string) *candidateMachine {
 		return newCandidateMachine(
 			&mirror.Machine{ID: id, CachedImages: map[string]bool{}},
 			&storage.ShardMachine{Type: "m8", Zone: "a"},
@@ -38,7 +38,7 @@
 			shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}}),
 		)
 	}
-	candidates := []*candidateMachine{cand("i-1"), cand("i-2")}
+	candidates := []*candidateMachine{newCandidate("i-1"), newCandidate("i-2")}
 	c.scheduler.preemptions[service.ID] = &pendingPreemption{now + second, map[string]bool{"i-1": true}}
 	c.scheduler.reservePreemptedRoom(candidates, now)
 	choose := func(job *mirror.Job) *candidateMachine {
--- a/internal/placement/queue_order_test.go
+++ b/internal/placement/queue_order_test.go
@@ -50,24 +50,24 @@
 		c.scheduler.trackingOf(id).progress.Begin(0, 0, c.now) // not starved
 		return id
 	}
-	fresh := add("free", 5, 2, 1)
-	small := add("free", 120, 2, 4)  // 8 of the machine's 16 CPUs
-	large := add("free", 120, 2, 40) // 80
-	tight := add("tight", 130, 2, 8) // another late one of its team holds 8 of 12 CPUs
+	notLate := add("free", 5, 2, 1)
+	smallLate := add("free", 120, 2, 4)        // 8 of the machine's 16 CPUs
+	largeLate := add("free", 120, 2, 40)       // 80
+	limitedTeamLate := add("tight", 130, 2, 8) // another late one of its team holds 8 of 12 CPUs
 	c.mirror.Jobs[add("tight", 130, 2, 8)].AssignedTasks = 4
-	passed, waiting := add("free", 249, 1, 1), add("free", 80, 1, 1)
-	finish := add("free", 215, 1, 2) // its start is missed, not its end
+	allMissed, nextObjectiveFar := add("free", 249, 1, 1), add("free", 80, 1, 1)
+	nearFinish := add("free", 215, 1, 2) // its start is missed, not its end
 	place := map[string]int{}
 	for i, job := range c.scheduler.OrderedQueue() {
 		place[job.ID] = i
 	}
 	for _, tc := range []struct{ first, then string }{
-		{small, fresh},
-		{finish, fresh},
-		{fresh, large},
-		{fresh, tight},
-		{fresh, passed},
-		{fresh, waiting},
+		{smallLate, notLate},
+		{nearFinish, notLate},
+		{notLate, largeLate},
+		{notLate, limitedTeamLate},
+		{notLate, allMissed},
+		{notLate, nextObjectiveFar},
 	} {
 		if place[tc.first] > place[tc.then] {
 			t.Errorf("%s stands behind %s: %v", tc.first, tc.then, place)
--- a/internal/placement/scavenger.go
+++ b/internal/placement/scavenger.go
@@ -80,5 +80,5 @@
 		sc.stopVictims("scavenger task preempted", candidate, selection.Victims, job)
 		machines[candidate.MachineID] = true
 	}
-	return sc.notePreemption(job, machines, request.now+preemptionTimeout+monotime.FromSeconds(saveSeconds))
+	return sc.recordPreemption(job, machines, request.now+preemptionTimeout+monotime.FromSeconds(saveSeconds))
 }
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -11,15 +11,15 @@
 	deps   Dependencies
 	config Config
 
-	passNeeded                  bool            // a pass may find something to do
-	nextPassAt                  monotime.Micros // no pass before
-	nextOrphanedTasksTakeoverAt monotime.Micros // no orphaned tasks are adopted before
-	nextWorkStealAt             monotime.Micros // tasks don't change their partition before
+	passNeeded           bool            // a pass may find something to do
+	nextPassAt           monotime.Micros // no pass before
+	nextOrphanAdoptionAt monotime.Micros // no orphaned tasks are adopted before
+	nextWorkStealAt      monotime.Micros // tasks don't change their partition before
 
 	serviceCPUsAssigned float64         // CPUs that all services hold, as of the pass under way
-	jobsInPass          map[string]bool // jobs with tasks assigned by that pass
+	jobsAssignedInPass  map[string]bool // jobs with tasks assigned by that pass
 
-	jobStates         map[string]*jobTracking
+	trackingByJob     map[string]*jobTracking
 	estimates         *scheduling.RuntimeEstimates
 	preemptions       map[string]*pendingPreemption // by job
 	acceptedRevisions map[string]uint64             // jobs that this controller accepted, at these revisions
@@ -32,7 +32,7 @@
 	return &Scheduler{
 		deps:              dependencies,
 		config:            config,
-		jobStates:         map[string]*jobTracking{},
+		trackingByJob:     map[string]*jobTracking{},
 		estimates:         scheduling.NewRuntimeEstimates(),
 		preemptions:       map[string]*pendingPreemption{},
 		acceptedRevisions: map[string]uint64{},
--- a/internal/placement/task_exits.go
+++ b/internal/placement/task_exits.go
@@ -38,7 +38,7 @@
 		sc.estimates.Observe(spec, ranSeconds)
 	}
 	machineFailures.RecordCompletion()
-	if tracking := sc.jobStates[job.ID]; tracking != nil {
+	if tracking := sc.trackingByJob[job.ID]; tracking != nil {
 		tracking.failures.RecordCompletion()
 	}
 }
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -63,24 +63,24 @@
 
 // backlogCPUs is the CPUs that each partition's waiting tasks will take.
 func (sc *Scheduler) backlogCPUs() map[string]float64 {
-	out := map[string]float64{}
+	backlog := map[string]float64{}
 	for _, job := range sc.deps.Mirror.Jobs {
 		if !job.IsOpen() || job.UnassignedTasks() == 0 || sc.IsCrashLooping(job) {
 			continue
 		}
 		for _, taskRange := range job.Record.TaskRanges {
 			if len(job.Record.TaskRanges) == 1 {
-				out[taskRange.Partition] += float64(job.UnassignedTasks()) * job.TaskResources.CPUs
+				backlog[taskRange.Partition] += float64(job.UnassignedTasks()) * job.TaskResources.CPUs
 				break
 			}
 			for i := taskRange.First; i < taskRange.End; i++ {
 				if job.TaskStates[i] == 0 {
-					out[taskRange.Partition] += job.TaskResources.CPUs
+					backlog[taskRange.Partition] += job.TaskResources.CPUs
 				}
 			}
 		}
 	}
-	return out
+	return backlog
 }
 
 // ReassignTaskRanges changes which partitions place a job's tasks, and reports whether the write is under
@@ -90,7 +90,7 @@
 	// Both this and an assignment change or compare the job's record: with one of the
 	// same turn on its way, one of the two would fail, and two partitions could go on
 	// handing a job to and fro without ever starting it.
-	if sc.deps.RecordWrites.Contains(job.ID) || sc.jobsInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
+	if sc.deps.RecordWrites.Contains(job.ID) || sc.jobsAssignedInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
 		return false
 	}
 	record := job.Record
@@ -139,22 +139,22 @@
 func (sc *Scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
 	controllers := sc.deps.Reachability.ConnectedControllers()
 	for _, job := range jobs {
-		if now < sc.nextOrphanedTasksTakeoverAt {
+		if now < sc.nextOrphanAdoptionAt {
 			return
 		}
 		if sc.deps.RecordWrites.Contains(job.ID) || sc.deps.Mirror.WatchedRevision < job.Version ||
 			membership.RendezvousOwner(job.ID, controllers) != sc.config.Node {
 			continue
 		}
-		ranges := sc.withoutOrphanedRanges(job.Record.TaskRanges, now)
+		ranges := sc.reassignOrphanedRanges(job.Record.TaskRanges, now)
 		if !slices.Equal(ranges, job.Record.TaskRanges) && sc.ReassignTaskRanges(job, ranges) {
-			sc.nextOrphanedTasksTakeoverAt = sc.deps.Store.NextWriteAllowedAt(orphanedRangeWrites)
+			sc.nextOrphanAdoptionAt = sc.deps.Store.NextWriteAllowedAt(orphanedRangeWrites)
 		}
 	}
 }
 
-// withoutOrphanedRanges assigns the orphaned ones among a job's ranges to this partition.
-func (sc *Scheduler) withoutOrphanedRanges(
+// reassignOrphanedRanges assigns the orphaned ones among a job's ranges to this partition.
+func (sc *Scheduler) reassignOrphanedRanges(
 	ranges []storage.TaskRange,
 	now monotime.Micros,
 ) []storage.TaskRange {
--- a/internal/placement/task_ranges_test.go
+++ b/internal/placement/task_ranges_test.go
@@ -67,28 +67,28 @@
 // TestOrphanedTasksAreAdopted: the ranges of a partition whose controller has gone, or doesn't reach its
 // machines, go to the job's successor; those of others stay.
 func TestOrphanedTasksAreAdopted(t *testing.T) {
-	yes := func(node string) map[string]bool { return map[string]bool{node: true} }
+	nodeSet := func(node string) map[string]bool { return map[string]bool{node: true} }
 	for _, tc := range []struct {
 		name   string
 		change func(*testController)
 		want   []storage.TaskRange // nil: unchanged
 	}{
 		{"all are there", func(*testController) {}, nil},
-		{"one has gone", func(c *testController) { c.absent = yes("n-1") }, []storage.TaskRange{
+		{"one has gone", func(c *testController) { c.absent = nodeSet("n-1") }, []storage.TaskRange{
 			{First: 0, End: 4, Partition: "n-0"}, {First: 4, End: 6, Partition: "n-2"},
 		}},
-		{"one is cut off from its workers", func(c *testController) { c.cutOff = yes("n-2") }, []storage.TaskRange{
+		{"one is cut off from its workers", func(c *testController) { c.cutOff = nodeSet("n-2") }, []storage.TaskRange{
 			{First: 0, End: 2, Partition: "n-0"}, {First: 2, End: 4, Partition: "n-1"},
 			{First: 4, End: 6, Partition: "n-0"},
 		}},
 		{"a write of the record is in flight", func(c *testController) {
-			c.absent = yes("n-1")
+			c.absent = nodeSet("n-1")
 			for id := range c.mirror.Jobs {
 				c.recordWrites.Begin(id)
 			}
 		}, nil},
 		{"the mirror is behind", func(c *testController) {
-			c.absent = yes("n-1")
+			c.absent = nodeSet("n-1")
 			c.mirror.WatchedRevision = 0
 		}, nil},
 	} {
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -34,11 +34,11 @@
 func (sc *Scheduler) stealWork(
 	jobs []*mirror.Job,
 	candidates []*candidateMachine,
-	reserved *drainReservations,
+	reservations *drainReservations,
 	quotaLeftByTeam map[string]resources.Vector,
 	now monotime.Micros,
 ) {
-	freeCPUs := reserved.totalCPUs()
+	freeCPUs := reservations.totalCPUs()
 	for _, candidate := range candidates {
 		if !candidate.HeldBack && candidate.ReservedForJob == "" {
 			freeCPUs += max(0, candidate.Free.CPUs)
@@ -58,9 +58,9 @@
 			return
 		}
 		if job.TaskResources.CPUs <= freeCPUs+resources.Tolerance {
-			reserved.release(job)
+			reservations.release(job)
 			sc.stealTasksOfJob(job, work)
-			reserved.reserveAgain(job)
+			reservations.restore(job)
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	}
 	for k := len(ranges) - 1; k >= 0; k-- {
 		taskRange := ranges[k]
-		if taskRange.Partition == sc.config.Node || sc.ownerHasGracePeriod(job, taskRange.Partition, work) {
+		if taskRange.Partition == sc.config.Node || sc.ownerInGracePeriod(job, taskRange.Partition, work) {
 			continue
 		}
 		tail := scheduling.WaitingTail(taskRange, job.TaskStates, maxTasks)
@@ -151,9 +151,9 @@
 	return tasksInShare
 }
 
-// ownerHasGracePeriod reports whether a live partition that seems to have room for a job's tasks still has
+// ownerInGracePeriod reports whether a live partition that seems to have room for a job's tasks still has
 // time to place them.
-func (sc *Scheduler) ownerHasGracePeriod(job *mirror.Job, partition string, work workStealing) bool {
+func (sc *Scheduler) ownerInGracePeriod(job *mirror.Job, partition string, work workStealing) bool {
 	if !sc.deps.Membership.IsMember(partition) ||
 		work.capacities.tasksFitting(&job.Record.Spec, partition) == 0 {
 		return false
--- a/internal/placement/zone_constraint.go
+++ b/internal/placement/zone_constraint.go
@@ -17,8 +17,8 @@
 		if entry == nil {
 			continue
 		}
-		for _, held := range entry.Attempts {
-			if machine := shard.Record.Machines[held.Machine]; machine != nil {
+		for _, attempt := range entry.Attempts {
+			if machine := shard.Record.Machines[attempt.Machine]; machine != nil {
 				constraint.AddTasks(machine.Zone, 1)
 			}
 		}
