--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -13,30 +13,31 @@
 
 const (
 	wholePercent = 100
-	// bestEffortShardPercent is how much of what a shard may be filled to is for arrays of the lowest
-	// priority.
+	// bestEffortShardPercent is the part of a shard's fill limit that tasks of arrays of the lowest priority
+	// may use.
 	bestEffortShardPercent = 80
-	// heldBackDivisor bounds how many of the candidates are kept for more urgent jobs in a pass: past what
-	// can be done, room that is kept is room wasted.
+	// heldBackDivisor limits the machines that a pass holds back for more urgent jobs to 1/heldBackDivisor of
+	// the candidates. Under overload, holding back more room than that only wastes it.
 	heldBackDivisor = 6
 )
 
-// candidateMachine is a candidate of a placement pass together with what it stands for.
+// candidateMachine is a candidate of a placement pass with its machine and the update of the machine's shard.
 type candidateMachine struct {
 	scheduling.Candidate
 	machine *mirror.Machine
-	update  *shards.Update // the update of its shard, which assigns tasks to it
+	update  *shards.Update // the update of the machine's shard, which assigns tasks to it
 }
 
-// Schedulable reports whether new tasks may go to a machine of this partition: its worker takes tasks, having
-// acknowledged an answer recently, and the machine isn't suspected to be faulty.
+// Schedulable reports whether a machine of this partition may get new tasks. Its worker must accept tasks,
+// which requires that it has recently acknowledged an answer of this controller, and the machine must not be
+// suspected to be faulty.
 func (sc *Scheduler) Schedulable(machine *mirror.Machine, now monotime.Micros) bool {
 	agent := sc.deps.Agents.Of(machine)
 	return agent != nil && agent.AcceptsTasks(now, sc.config.PlacementSilenceLimit) &&
 		!sc.MachineFault(agent).Doubtful
 }
 
-// candidateMachines lists the machines of the updates that may get tasks.
+// candidateMachines returns the machines of the updates that may get tasks.
 func (sc *Scheduler) candidateMachines(updates []*shards.Update, now monotime.Micros) []*candidateMachine {
 	var candidates []*candidateMachine
 	for _, update := range updates {
@@ -61,7 +62,7 @@
 	return candidates
 }
 
-// newCandidateMachine makes a candidate for the tasks that an update assigns.
+// newCandidateMachine creates a candidate to which the given update assigns tasks.
 func newCandidateMachine(
 	machine *mirror.Machine,
 	record *storage.ShardMachine,
@@ -82,8 +83,8 @@
 	}
 }
 
-// reservePreemptedRoom keeps the machines on which tasks are being stopped for a job, as long as
-// it still waits and the room may be about to be there.
+// reservePreemptedRoom reserves each machine on which tasks are being stopped for a job for that job. The
+// reservation lasts while the job has waiting tasks and the preemption has not expired.
 func (sc *Scheduler) reservePreemptedRoom(candidates []*candidateMachine, now monotime.Micros) {
 	jobByMachine := map[string]string{}
 	for id, pending := range sc.preemptions {
@@ -100,14 +101,15 @@
 	}
 }
 
-// AssignmentShardBytes is how large a shard may get by assignments.
+// AssignmentShardBytes returns the size in bytes up to which assignments may fill a shard.
 func (sc *Scheduler) AssignmentShardBytes() int {
 	return shards.FillBytes(sc.config.MaxValueBytes)
 }
 
-// shardBytesFor is how large a shard may get by a job's tasks. A machine takes as many tasks as its shard has
-// bytes for: thousands of tiny ones of the lowest priority must not fill the shards, so that others find no
-// machine though there is room for all of them.
+// shardBytesFor returns the size in bytes up to which a job's tasks may fill a shard. A machine can take new
+// tasks only while its shard has bytes left. Arrays of the lowest priority have a lower limit: otherwise
+// thousands of their tiny tasks could fill the shards, and other jobs would find no machine although the
+// machines have room for all tasks.
 func (sc *Scheduler) shardBytesFor(spec *storage.JobSpec) int {
 	if !spec.Service && spec.Priority == int(protocol.BestEffort) {
 		return sc.AssignmentShardBytes() * bestEffortShardPercent / wholePercent
@@ -115,9 +117,9 @@
 	return sc.AssignmentShardBytes()
 }
 
-// holdMachinesFor keeps up to so many machines that are nearest to having room for a job from what is less
-// urgent in this pass. Else smaller tasks fill every gap as it opens, and a job of larger ones waits for as
-// long as there are any.
+// holdMachinesFor holds back machines for a job from less urgent jobs in this pass: up to the given number of
+// those that are closest to having room for one of its tasks. Without that, smaller tasks fill every gap as
+// it opens, and a job with larger tasks waits as long as there are smaller ones.
 func (sc *Scheduler) holdMachinesFor(
 	job *mirror.Job,
 	candidates []*candidateMachine,
@@ -140,8 +142,9 @@
 	}
 }
 
-// closestToFitting finds the machine with the most CPUs free among those that a task of a job would fit on if
-// they were empty; nil if there is none that isn't kept for others.
+// closestToFitting returns the machine with the most free CPUs among those on which a task of the job would
+// fit if they were empty. Machines that are held back or reserved do not count; it returns nil if no other is
+// left.
 func (sc *Scheduler) closestToFitting(
 	job *mirror.Job,
 	candidates []*candidateMachine,
@@ -163,7 +166,7 @@
 	return best
 }
 
-// serviceCPUs counts the CPUs that services hold of a machine.
+// serviceCPUs returns the CPUs that services hold on a machine.
 func (sc *Scheduler) serviceCPUs(machine *mirror.Machine) float64 {
 	held := 0.0
 	for task := range machine.Attempts {
--- a/internal/placement/dependencies.go
+++ b/internal/placement/dependencies.go
@@ -17,141 +17,145 @@
 	"pipitgap/internal/storage"
 )
 
-// Config is what doesn't change while a scheduler lives.
+// Config holds the settings of a Scheduler, which do not change during its lifetime.
 type Config struct {
-	Node                  string   // this controller, whose partition is scheduled
-	Controllers           []string // all controllers
+	Node                  string   // name of this controller, whose partition the scheduler manages
+	Controllers           []string // names of all controllers
 	Objectives            []config.Objective
-	MaxTxnOps             int // operations of a transaction
-	MaxValueBytes         int // bytes of a stored value
+	MaxTxnOps             int // maximum number of operations in a transaction
+	MaxValueBytes         int // maximum size of a stored value in bytes
 	Backoff               scheduling.Backoff
-	PlacementSilenceLimit monotime.Micros // how long a worker may be silent and still get tasks
+	PlacementSilenceLimit monotime.Micros // a worker that is silent for longer gets no tasks
 }
 
-// Environment is the clocks and the randomness of a scheduler.
+// Environment provides the clocks and the random number generator of a scheduler.
 type Environment interface {
-	Now() monotime.Micros // the steady clock
+	Now() monotime.Micros // monotonic clock
 	WallClock() int64     // time of day, microseconds
-	// Rand is the source of randomness.
+	// Rand returns the random number generator.
 	Rand() *rand.Rand
 }
 
-// Membership tells which controllers are there.
+// Membership reports which controllers are members.
 type Membership interface {
-	// HoldsLease reports whether this controller's own lease can't have expired yet.
+	// HoldsLease reports whether this controller's lease is certain not to have expired yet.
 	HoldsLease(now monotime.Micros) bool
 	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
-	// LiveControllers lists the controllers that are members, in order.
+	// LiveControllers returns the controllers that are members, in the configured order.
 	LiveControllers() []string
-	// AbsentSince is since when a controller that is no member has been missing.
+	// AbsentSince returns since when a controller that is not a member has been absent.
 	AbsentSince(node string, now monotime.Micros) monotime.Micros
 }
 
-// Reachability tells who is in reach.
+// Reachability reports which controllers can reach their workers.
 type Reachability interface {
-	// ConnectedControllers lists the live controllers that aren't known to be cut off from their workers.
+	// ConnectedControllers returns the live controllers that are not known to be cut off from their workers,
+	// or all live controllers if all are cut off.
 	ConnectedControllers() []string
 	// IsCutOffFromWorkers reports whether a controller is known not to reach its workers.
 	IsCutOffFromWorkers(node string, now monotime.Micros) bool
 }
 
-// Catalog has the machine types; nil until they are known.
+// Catalog provides the machine types.
 type Catalog interface {
-	// MachineTypes are the types by name.
+	// MachineTypes returns the machine types by name, or nil if they are not known yet.
 	MachineTypes() map[string]protocol.MachineType
 }
 
-// Quota has the teams' limits and this controller's shares of them.
+// Quota provides the teams' limits and this controller's shares of them.
 type Quota interface {
 	// Limits returns a team's limits; ok is false for a team that isn't configured.
 	Limits(team string) (limits quota.Limits, ok bool)
-	// Left is what this controller may still assign to a team's tasks; infinite without a limit.
+	// Left returns what this controller's share of a team's limit still allows for the team's tasks; infinite
+	// for a resource without a limit.
 	Left(team string) resources.Vector
-	// NoteShortage notes that the share of a team's limit keeps tasks waiting.
+	// NoteShortage records that tasks wait because this controller's share of the team's limit is too small.
 	NoteShortage(team string, unmet quota.UnmetDemand)
-	// WriteInFlight reports whether a commit is in flight that changes this controller's shares.
+	// WriteInFlight reports whether a commit that changes this controller's shares is in flight.
 	WriteInFlight() bool
 }
 
-// Agents are the workers of the machines.
+// Agents provides the agents, which represent the workers of the machines.
 type Agents interface {
-	// Of returns the agent of a machine; nil if the machine isn't this controller's.
+	// Of returns the agent of a machine, or nil if the machine does not belong to this controller.
 	Of(machine *mirror.Machine) *agents.Agent
-	// SyncCommands sends a machine the commands that it lacks.
+	// SyncCommands sends the worker of a machine the commands that it has not received yet.
 	SyncCommands(machine *mirror.Machine)
 }
 
 // Shards prepares and commits the updates of this controller's shards.
 type Shards interface {
-	// AwaitsCommit reports whether a pass should wait for a commit in flight.
+	// AwaitsCommit reports whether the next pass should wait for a commit in flight.
 	AwaitsCommit(now monotime.Micros) bool
-	// PrepareUpdates prepares the next versions of all own shards without a commit in flight.
+	// PrepareUpdates prepares the next versions of this controller's shards that have no commit in flight.
 	PrepareUpdates(now monotime.Micros) []*shards.Update
-	// AdmitClaimRequests puts machines that wait to be claimed into the updates.
+	// AdmitClaimRequests adds machines with pending claims to the updates. It returns the updates, including
+	// those of new shards.
 	AdmitClaimRequests(updates []*shards.Update, now monotime.Micros) []*shards.Update
 	// Commit writes the next version of a shard.
 	Commit(update *shards.Update, now monotime.Micros)
-	// TasksInDoubt lists the tasks that a commit without an outcome may have assigned.
+	// TasksInDoubt returns the tasks that a commit without a known outcome may have assigned.
 	TasksInDoubt() map[mirror.TaskID]bool
 }
 
-// Store tells what the state service takes.
+// Store reports the availability and the write limits of the state service.
 type Store interface {
-	// Unavailable reports whether the state service has lately not answered.
+	// Unavailable reports whether the state service has recently failed to answer.
 	Unavailable() bool
-	// WatchInterval is the shortest interval between two watches.
+	// WatchInterval returns the shortest interval between two watch requests.
 	WatchInterval() monotime.Micros
-	// ShardWritesPerSecond is how many shards a second this controller may write.
+	// ShardWritesPerSecond returns how many shard writes per second this controller may submit.
 	ShardWritesPerSecond() float64
-	// NextWriteAllowedAt is when the next write may be spent if all controllers together may spend a fraction
-	// of the state service's writes on its purpose.
+	// NextWriteAllowedAt returns when this controller may submit the next write for a purpose, if all
+	// controllers together may spend the given fraction of the state service's writes on that purpose.
 	NextWriteAllowedAt(fraction float64) monotime.Micros
 }
 
 // Replica commits transactions and applies them to the mirror.
 type Replica interface {
-	// Commit makes a conditional change; on success it is in the mirror before the callback is called.
+	// Commit submits a conditional transaction. On success, the mirror has the change before the callback is
+	// called.
 	Commit(priority ratelimit.Priority, txn protocol.Transaction, callback func(protocol.StoreResult))
 }
 
-// Drains tells what drains and disruption budgets reserve and protect.
+// Drains reports what drains and disruption budgets reserve and protect.
 type Drains interface {
-	// ReservedByMachine is what is reserved for replicas that are moved.
+	// ReservedByMachine returns, by machine, the resources reserved for replicas that drains move.
 	ReservedByMachine() map[string]resources.Vector
-	// ForEachReservation calls back for every permit whose replica isn't placed anew yet.
+	// ForEachReservation calls callback for every permit whose replica has not been placed again yet.
 	ForEachReservation(callback func(*storage.Permit, *mirror.Job))
-	// ProtectsFromPreemption reports whether a job's tasks aren't stopped to make room for others.
+	// ProtectsFromPreemption reports whether a job's tasks must not be stopped to make room for others.
 	ProtectsFromPreemption(job *mirror.Job) bool
-	// TracksStart reports whether it is recorded of a job's attempts whether they run.
+	// TracksStart reports whether the shards record for a job's attempts that they are still starting.
 	TracksStart(spec *storage.JobSpec) bool
 }
 
-// Peers tells what the other controllers have seen.
+// Peers reports what the other controllers have seen.
 type Peers interface {
-	// FailedMachines counts on how many machines of other controllers a job has failed.
+	// FailedMachines returns on how many machines of other controllers a job has failed.
 	FailedMachines(job string) int
 }
 
-// RecordWrites are the jobs with a change of their record in flight.
+// RecordWrites tracks the jobs whose record this controller is changing.
 type RecordWrites interface {
-	// Contains reports whether a change of a record is in flight.
+	// Contains reports whether a write of a job's record is in flight.
 	Contains(job string) bool
-	// Begin marks a record as being changed.
+	// Begin records that a write of a job's record is in flight.
 	Begin(job string)
-	// End takes the mark off.
+	// End records that the write of a job's record has ended.
 	End(job string)
 }
 
-// ScaleIn knows the empty machines that are closed to tasks because they are about to be removed.
+// ScaleIn tracks the empty machines that are closed to tasks because they are about to be removed.
 type ScaleIn interface {
 	// IsClosed reports whether a machine is closed to tasks that have room elsewhere.
 	IsClosed(machine string) bool
-	// Reopen opens a machine that gets a task.
+	// Reopen reopens a machine because it gets a task.
 	Reopen(machine string)
 }
 
-// Dependencies are the other subjects of a controller that a scheduler needs.
+// Dependencies holds the other components of a controller that a scheduler uses.
 type Dependencies struct {
 	Mirror       *mirror.Mirror
 	Environment  Environment
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,8 +1,9 @@
-// Package placement runs a controller's scheduling passes: it gives the waiting tasks of its partition to
-// machines, preempts others for them, and moves tasks between partitions.
+// Package placement runs a controller's scheduling passes. A pass assigns the waiting tasks of the
+// controller's partition to machines, preempts other tasks to make room for them, and moves tasks between
+// partitions.
 //
-// What is decided on its inputs alone is in internal/scheduling. This package gathers these inputs from the
-// mirror and the other subjects, and carries the decisions out: into the updates of the shards
-// (internal/shards), which commit them, as commands to agents, and as changes of the jobs' records.
-// Everything runs on the controller's goroutine.
+// Decisions that depend only on their inputs are in internal/scheduling. This package collects these inputs
+// from the mirror and from the controller's other components. It applies the decisions as updates of the
+// shards, which internal/shards commits, as commands to agents, and as changes of the job records. Everything
+// runs on the controller's goroutine.
 package placement
--- a/internal/placement/drain_reservations.go
+++ b/internal/placement/drain_reservations.go
@@ -7,21 +7,22 @@
 	"pipitgap/internal/storage"
 )
 
-// drainReservations is what a pass's candidates reserve for replicas that drains move. A job's own
-// reservations are released while its tasks are placed.
+// drainReservations is the room that a pass reserves on its candidates for replicas that drains move. The
+// pass releases a job's own reservations while it places the job's tasks.
 type drainReservations struct {
 	byJob   map[string][]drainReservation // by job id
 	updates []*shards.Update
 }
 
-// drainReservation is what a candidate reserves for one replica.
+// drainReservation is the room that a candidate reserves for one replica.
 type drainReservation struct {
 	candidate *candidateMachine
 	task      mirror.TaskID
 	need      resources.Vector
 }
 
-// reserveOnCandidates takes what permits reserve for replicas off what the candidates have free.
+// reserveOnCandidates subtracts the room that permits reserve for replicas from the free room of the
+// candidates.
 func (sc *Scheduler) reserveOnCandidates(
 	candidates []*candidateMachine,
 	updates []*shards.Update,
@@ -46,12 +47,12 @@
 	return r
 }
 
-// hasReservationFor reports whether anything is reserved for replicas of a job.
+// hasReservationFor reports whether any room is reserved for replicas of a job.
 func (r *drainReservations) hasReservationFor(job *mirror.Job) bool {
 	return r != nil && len(r.byJob[job.ID]) > 0
 }
 
-// totalCPUs is the sum of what is reserved.
+// totalCPUs returns the sum of the reserved CPUs.
 func (r *drainReservations) totalCPUs() float64 {
 	total := 0.0
 	if r != nil {
@@ -64,7 +65,7 @@
 	return total
 }
 
-// release frees what is reserved for a job, so that its tasks can be placed there.
+// release frees the room reserved for a job, so that the job's tasks can be placed there.
 func (r *drainReservations) release(job *mirror.Job) {
 	if r == nil {
 		return
@@ -74,8 +75,8 @@
 	}
 }
 
-// restore reserves again what the job hasn't used. A replica that has been placed, wherever that is,
-// needs no reservation any more.
+// restore reserves the room again that the job has not used. A replica that the pass has placed, on any
+// machine, no longer needs its reservation.
 func (r *drainReservations) restore(job *mirror.Job) {
 	if r == nil {
 		return
--- a/internal/placement/failure_attribution.go
+++ b/internal/placement/failure_attribution.go
@@ -9,11 +9,11 @@
 	"pipitgap/internal/storage"
 )
 
-// maxReportedFailingJobs is how many failing jobs a status to the other controllers names.
+// maxReportedFailingJobs is the maximum number of failing jobs in a status message to the other controllers.
 const maxReportedFailingJobs = 64
 
-// failuresOf is what this controller has seen of a job's failures, nil where it has noted nothing about the
-// job.
+// failuresOf returns the failures of a job that this controller has seen, or nil if it tracks nothing about
+// the job.
 func (sc *Scheduler) failuresOf(id string) *scheduling.JobFailures {
 	if tracking := sc.trackingByJob[id]; tracking != nil {
 		return &tracking.failures
@@ -21,15 +21,16 @@
 	return nil
 }
 
-// AttributeFailures tells whose fault a job's failures are. That some task of it is done stands in the shards
-// for all controllers; on how many machines it has failed the others tell in their statuses.
+// AttributeFailures decides whether a job or the machines are at fault for the job's failures. It considers
+// whether any task of the job has completed, which the shards show to all controllers, and on how many
+// machines the job has failed, which the other controllers report in their statuses.
 func (sc *Scheduler) AttributeFailures(id string) scheduling.Attribution {
 	job := sc.deps.Mirror.Jobs[id]
 	if job == nil {
 		if status, ok := sc.deps.Mirror.Results.Get(id); ok && status == storage.JobDone {
 			return scheduling.MachineAtFault
 		}
-		return scheduling.JobAtFault // cancelled, or forgotten: no evidence
+		return scheduling.JobAtFault // cancelled, or no longer recorded: no evidence against a machine
 	}
 	failures := sc.failuresOf(id)
 	evidence := scheduling.JobEvidence{
@@ -47,12 +48,14 @@
 	return scheduling.AttributeByMachines(failures.FailedMachines() + sc.deps.Peers.FailedMachines(id))
 }
 
-// IsCrashLooping reports whether an open job is placed for an occasional trial only.
+// IsCrashLooping reports whether a job is open and at fault for its failures. Such a job is placed only for
+// an occasional trial.
 func (sc *Scheduler) IsCrashLooping(job *mirror.Job) bool {
 	return sc.AttributeFailures(job.ID) == scheduling.JobAtFault && job.IsOpen()
 }
 
-// MachineFault judges a machine by its failures since something last completed there.
+// MachineFault decides whether a machine is faulty, from its failures since a task last completed there and
+// from its speed.
 func (sc *Scheduler) MachineFault(agent *agents.Agent) scheduling.MachineFault {
 	return scheduling.AttributeToMachine(scheduling.MachineEvidence{
 		FailuresByJob: agent.Failures().ByJob(),
@@ -60,7 +63,8 @@
 	}, sc.AttributeFailures)
 }
 
-// recordFailure learns from a task that failed.
+// recordFailure records a failed task for its machine and its job. If the job is at fault, its next trial is
+// delayed with exponential backoff.
 func (sc *Scheduler) recordFailure(machine *mirror.Machine, job *mirror.Job) {
 	sc.deps.Agents.Of(machine).Failures().RecordFailure(job.ID)
 	failures := &sc.trackingOf(job.ID).failures
@@ -70,7 +74,7 @@
 	}
 }
 
-// ClearFailuresOn takes back what a faulty machine's failures have said of jobs.
+// ClearFailuresOn withdraws the failures on a faulty machine from the failures of the jobs that failed there.
 func (sc *Scheduler) ClearFailuresOn(machine *mirror.Machine) {
 	for id := range sc.deps.Agents.Of(machine).Failures().ByJob() {
 		if tracking := sc.trackingByJob[id]; tracking != nil {
@@ -89,7 +93,8 @@
 	return sc.trackingOf(job.ID).failures.MayScaleOutForTrial(job.AssignedTasks, now, sc.config.Backoff)
 }
 
-// FailingJobs lists the jobs that fail here and on how many machines, for the other controllers.
+// FailingJobs returns the jobs that fail on this controller's machines, with the number of these machines,
+// for the status to the other controllers.
 func (sc *Scheduler) FailingJobs() map[string]int {
 	var failing map[string]int
 	for _, id := range sortedmap.Keys(sc.trackingByJob) {
--- a/internal/placement/failure_attribution_test.go
+++ b/internal/placement/failure_attribution_test.go
@@ -9,12 +9,13 @@
 	"pipitgap/internal/storage/storagetest"
 )
 
-// TestFailureAttributionOfMachines: a machine is faulty when jobs that run elsewhere fail on it, not when
-// jobs fail that fail everywhere; until either is known it gets nothing new.
+// TestFailureAttributionOfMachines guards against blaming a machine for a faulty job, and the reverse. A
+// machine is faulty if healthy jobs, which run elsewhere, fail on it, but not if jobs fail that fail
+// everywhere. While the fault is unknown, the machine is doubtful and gets no new tasks.
 func TestFailureAttributionOfMachines(t *testing.T) {
 	c := newTestController()
 	mr := c.mirror
-	next := mr.WatchedRevision + 1 // the mirror takes nothing older
+	next := mr.WatchedRevision + 1 // the mirror ignores older revisions
 	mr.ApplyPut(storage.OpenJobKey("runs"), storagetest.OpenJob(4), next)
 	mr.ApplyPut(storage.ShardKey("other"), storagetest.Shard("i-9", "runs", 1, 2), next+1)
 	mr.ApplyPut(storage.OpenJobKey("new"), storagetest.OpenJob(4), next)
@@ -32,16 +33,16 @@
 		failures         map[string]int
 		faulty, doubtful bool
 	}{
-		{"nothing", nil, false, false},
-		{"one that runs elsewhere", map[string]int{"runs": 1}, false, false},
-		{"again", map[string]int{"runs": 2}, true, true},
-		{"and one that was done since", map[string]int{"runs": 1, "ended": 1}, true, true},
-		{"of one that nothing is known of", map[string]int{"new": 5}, false, true},
-		{"with one that runs elsewhere", map[string]int{"new": 1, "runs": 1}, false, true},
-		{"of one that fails everywhere", map[string]int{"here": 9}, false, false},
-		{"of one that fails at others too", map[string]int{"others": 9}, false, false},
-		{"of two that fail everywhere", map[string]int{"here": 4, "others": 4, "runs": 1}, false, false},
-		{"of one that was cancelled", map[string]int{"dropped": 4}, false, false},
+		{"no failures", nil, false, false},
+		{"one failure of a healthy job", map[string]int{"runs": 1}, false, false},
+		{"two failures of a healthy job", map[string]int{"runs": 2}, true, true},
+		{"one failure of a healthy job, one of a completed job", map[string]int{"runs": 1, "ended": 1}, true, true},
+		{"failures of a job without evidence", map[string]int{"new": 5}, false, true},
+		{"one failure of a job without evidence, one of a healthy job", map[string]int{"new": 1, "runs": 1}, false, true},
+		{"failures of a job that fails on every machine", map[string]int{"here": 9}, false, false},
+		{"failures of a job that also fails at other controllers", map[string]int{"others": 9}, false, false},
+		{"failures of two faulty jobs, one of a healthy job", map[string]int{"here": 4, "others": 4, "runs": 1}, false, false},
+		{"failures of a cancelled job", map[string]int{"dropped": 4}, false, false},
 	} {
 		agent := agents.New(1, 0)
 		for job, failures := range tc.failures {
@@ -51,7 +52,7 @@
 		}
 		fault := c.scheduler.MachineFault(agent)
 		if want := (scheduling.MachineFault{Faulty: tc.faulty, Doubtful: tc.doubtful}); fault != want {
-			t.Errorf("%s: %+v, want %+v", tc.name, fault, want)
+			t.Errorf("%s: got fault %+v, want %+v", tc.name, fault, want)
 		}
 	}
 }
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -8,39 +8,39 @@
 	"pipitgap/internal/storage"
 )
 
-// jobPlacement is what a placement does for one job.
+// jobPlacement is the placement of one job in a placement pass.
 type jobPlacement struct {
 	*placementPass
 	job      *mirror.Job
 	spec     *storage.JobSpec
 	tracking *jobTracking
 
-	spotOnly          bool // held to spot machines, see Scheduler.IsSpotOnly
-	crashLooping      bool // placed for an occasional trial only
-	oneCommitAtATime  bool // its tasks go out by one commit at a time
-	preemptionPending bool // machines are kept for it
-	hasReservation    bool // room is held for replicas of it that are being moved
+	spotOnly          bool // restricted to spot machines, see Scheduler.IsSpotOnly
+	crashLooping      bool // placed only for an occasional trial
+	oneCommitAtATime  bool // only one commit at a time assigns its tasks
+	preemptionPending bool // a preemption is making room for it
+	hasReservation    bool // room is reserved for replicas that drains move
 
 	limits         quota.Limits
-	remainingQuota resources.Vector // left of this partition's share of its team's limit
+	remainingQuota resources.Vector // rest of this partition's share of its team's limit
 	zoneConstraint *scheduling.ZoneConstraint
 	request        *scheduling.MachineRequest
-	shape          scheduling.TaskShape // what decides where its tasks may run,
-	teamShape      scheduling.TaskShape // and within which team's limit
+	shape          scheduling.TaskShape // determines where its tasks may run
+	teamShape      scheduling.TaskShape // also determines the team's limit that applies
 
-	assignableTasks int  // tasks that it may be given
-	pendingTasks    int  // tasks of this partition's ranges that wait
-	noRoom          bool // no machine has room for a task
-	quotaShort      bool // the share of the team's limit doesn't allow one
-	shardBytesLimit int  // bytes that a shard may come to take
+	assignableTasks int  // number of its tasks that the pass may still assign
+	pendingTasks    int  // waiting tasks in this partition's ranges
+	noRoom          bool // no machine has room for another task
+	quotaShort      bool // the share of the team's limit does not allow another task
+	shardBytesLimit int  // size up to which its tasks may fill a shard
 
-	fittingAtStart []*candidateMachine // those with room for a task when it was first looked for
+	fittingAtStart []*candidateMachine // candidates with room for a task at the first search
 	chosenMachine  *candidateMachine
-	preferred      []*candidateMachine // those of the shard that its last task went to
+	preferred      []*candidateMachine // candidates of the shard that got its last task
 	lastAssigned   storage.Attempt
 }
 
-// beginJob prepares the placement of a job's tasks; nil if they can't be placed in this pass.
+// beginJob prepares the placement of a job's tasks. It returns nil if the pass cannot place them.
 func (p *placementPass) beginJob(job *mirror.Job) *jobPlacement {
 	sc, spec := p.scheduler, &job.Record.Spec
 	jobPlan := &jobPlacement{
@@ -80,7 +80,10 @@
 	return jobPlan
 }
 
-// recordIsUpToDate reports whether the job's record, as the mirror has it, says who places its tasks.
+// recordIsUpToDate reports whether the job record in the mirror is current, so that its task ranges say which
+// partitions place the tasks. The watch must have reached the record's version, unless this controller
+// committed the new job at that version. The record is not current while placement of the job is delayed or a
+// write of the record is in flight.
 func (p *jobPlacement) recordIsUpToDate() bool {
 	sc, job := p.scheduler, p.job
 	if p.now < p.tracking.placeNotBefore || sc.deps.RecordWrites.Contains(job.ID) {
@@ -89,14 +92,14 @@
 	return sc.deps.Mirror.WatchedRevision >= job.Version || sc.acceptedRevisions[job.ID] == job.Version
 }
 
-// reserveRoomForStolenTasks keeps the room of tasks that are being taken over from other partitions.
+// reserveRoomForStolenTasks reserves room for tasks that this partition is taking over from other partitions.
 func (p *jobPlacement) reserveRoomForStolenTasks() {
 	if stolen := &p.tracking.reassignment; p.now < stolen.roomReservedUntil {
 		reserveRoom(p.job.TaskResources, p.spec, p.candidates, stolen.stolenTasks)
 	}
 }
 
-// loadRemainingQuota finds what is left of the partition's share of the team's limit.
+// loadRemainingQuota looks up the limits of the job's team and the rest of this partition's share of them.
 func (p *jobPlacement) loadRemainingQuota() {
 	p.limits, _ = p.scheduler.deps.Quota.Limits(p.spec.Team)
 	left, known := p.quotaLeft[p.spec.Team]
@@ -106,8 +109,9 @@
 	p.remainingQuota = left
 }
 
-// loadKnownShortages recalls what was found in this pass for tasks of the same shape. A job for which room is
-// kept may still find some. Without a share of the team's limit only what a shard gives back counts.
+// loadKnownShortages sets noRoom and quotaShort from what the pass has already found for tasks of the same
+// shape. A job with reserved room is excluded, since it may still find some. If the rest of the team's share
+// does not allow a task, only quota that a shard update frees counts.
 func (p *jobPlacement) loadKnownShortages() {
 	need := mirror.TaskResources(p.spec)
 	p.shape = scheduling.ShapeOf(p.spec, need, "")
@@ -120,7 +124,7 @@
 	p.quotaShort = !withinQuota && p.noRoomFor[p.teamShape]
 }
 
-// searchSpace lists the candidates that a machine for the job's next task is looked for among.
+// searchSpace returns the candidates among which a machine for the job's next task is searched.
 func (p *jobPlacement) searchSpace() []*candidateMachine {
 	if !p.sampling || p.hasReservation {
 		return p.candidates
@@ -131,7 +135,7 @@
 	return p.fittingAtStart
 }
 
-// assignTasks assigns the job's tasks of this partition's ranges to machines, as far as there is room.
+// assignTasks assigns the job's waiting tasks in this partition's ranges to machines while there is room.
 func (p *jobPlacement) assignTasks() {
 	job := p.job
 	for _, taskRange := range job.Record.TaskRanges {
@@ -156,10 +160,10 @@
 	}
 }
 
-// assignTask assigns one task to a machine, or notes why it can't.
+// assignTask assigns one task to a machine, or records why it cannot.
 func (p *jobPlacement) assignTask(task int) {
 	sc, job := p.scheduler, p.job
-	// Quota that a shard's write releases can be used again by the same write.
+	// An update that frees quota can assign the freed quota again in the same write.
 	freedQuotaOnly := !job.TaskResources.FitsIn(p.remainingQuota)
 	if p.needsMachineChoice(task, freedQuotaOnly) {
 		p.request.FreedQuotaOnly = freedQuotaOnly
@@ -176,7 +180,7 @@
 	withImage := p.chosenMachine.machine.CachedImages[p.spec.Image]
 	if p.spec.Service && !withImage && !imageWaitExceeded(job, p.wallNow) &&
 		sc.preemptFor(p.preemptionRequest(1, true)) {
-		// Room is being made on a machine that has the image, which is sooner than a fetch.
+		// The service waits for room on a machine that has the image. That is faster than fetching the image.
 		p.assignableTasks = 0
 		return
 	}
@@ -185,7 +189,8 @@
 	p.assignableTasks--
 }
 
-// needsMachineChoice reports whether a task can't just follow the one before.
+// needsMachineChoice reports whether a new machine must be chosen for a task, because it cannot go to the
+// machine of the previous task.
 func (p *jobPlacement) needsMachineChoice(task int, freedQuotaOnly bool) bool {
 	candidate, taskResources := p.chosenMachine, p.job.TaskResources
 	return candidate == nil ||
@@ -197,7 +202,8 @@
 		candidate.update.MaxBytes()+2*storage.MaxTaskBytes(task) > p.shardBytesLimit
 }
 
-// recordNoMachine notes that no machine takes a task of the job, also for others like it.
+// recordNoMachine records that no machine takes a task of the job. It also records this for other jobs with
+// tasks of the same shape, unless the search depended on conditions of this job.
 func (p *jobPlacement) recordNoMachine(freedQuotaOnly bool) {
 	p.quotaShort, p.noRoom = freedQuotaOnly, !freedQuotaOnly
 	if p.oneCommitAtATime || p.preemptionPending || p.hasReservation || p.spotOnly ||
@@ -208,7 +214,7 @@
 	p.noRoomFor[p.teamShape] = p.noRoomFor[p.teamShape] || p.quotaShort
 }
 
-// assignToChosenMachine writes a task into the update of the chosen machine's shard.
+// assignToChosenMachine adds the assignment of a task to the update of the chosen machine's shard.
 func (p *jobPlacement) assignToChosenMachine(task int) {
 	sc, job, candidate := p.scheduler, p.job, p.chosenMachine
 	update, machine := candidate.update, candidate.MachineID
--- a/internal/placement/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -5,12 +5,12 @@
 	"pipitgap/internal/quota"
 )
 
-// What a placement does for a job whose tasks found no room or no quota.
+// The methods in this file handle a job whose tasks found no room or no quota.
 
-// stolenTasksRoomTimeout is how long room is kept for tasks that are being taken over.
+// stolenTasksRoomTimeout is how long room stays reserved for tasks that are being taken over.
 const stolenTasksRoomTimeout = monotime.Second
 
-// reportQuotaShortage notes that the partition's share of the team's limit keeps the job's tasks waiting.
+// reportQuotaShortage reports that this partition's share of the team's limit keeps the job's tasks waiting.
 func (p *jobPlacement) reportQuotaShortage() {
 	if _, known := p.hasRoomFor[p.shape]; !known {
 		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
@@ -23,9 +23,10 @@
 	})
 }
 
-// urgentInOtherPartition reports whether the job waits at other partitions only and has an objective that it
-// can still meet. It goes before what is less urgent here: otherwise small jobs of large tasks miss their
-// deadlines in a partition without a gap while others give theirs to tasks that have time.
+// urgentInOtherPartition reports whether the job waits only at other partitions and can still meet an
+// objective. Such a job goes before less urgent tasks of this partition. Otherwise jobs with a few large
+// tasks miss their deadlines in a partition without room, while other partitions give their room to tasks
+// that can wait.
 func (p *jobPlacement) urgentInOtherPartition() bool {
 	return p.pendingTasks == 0 && !p.spec.Service && !p.oneCommitAtATime && !p.reassignedThisPass &&
 		!p.noRoomFor[p.shape] &&
@@ -33,8 +34,9 @@
 		p.scheduler.SlackOf(p.job, p.wallNow).CanMeetObjective()
 }
 
-// stealUrgentTasks takes such a job's tasks over, as many as there is room for, and keeps the room for them.
-// One job a pass, because each costs a write.
+// stealUrgentTasks takes over tasks of a job that is urgent in another partition, as many as there is room
+// for, and reserves the room for them. A pass does this for one job only, because each takeover costs a
+// write.
 func (p *jobPlacement) stealUrgentTasks() {
 	sc, job := p.scheduler, p.job
 	if tasksThatFit(job, p.candidates) == 0 {
@@ -43,7 +45,7 @@
 		return
 	}
 	if p.now < sc.nextWorkStealAt {
-		return // until a write is allowed, other tasks use the room
+		return // until the next write is allowed, other tasks may use the room
 	}
 	tasks := sc.stealTasksOfJob(job, workStealing{
 		candidates:      p.candidates,
@@ -57,14 +59,14 @@
 	reserveRoom(job.TaskResources, p.spec, p.candidates, min(tasks, job.UnassignedTasks()))
 }
 
-// holdMachinesFor keeps machines for this partition's fraction of so many waiting tasks of the job.
+// holdMachinesFor holds back machines for this partition's fraction of the given number of the job's tasks.
 func (p *jobPlacement) holdMachinesFor(tasks int) {
 	partitions := len(p.scheduler.config.Controllers)
 	fraction := (tasks + partitions - 1) / partitions
 	p.scheduler.holdMachinesFor(p.job, p.candidates, p.zoneConstraint, fraction)
 }
 
-// preemptionRequest requests room for so many tasks of the job by stopping others.
+// preemptionRequest returns a request to make room for the given number of the job's tasks by preemption.
 func (p *jobPlacement) preemptionRequest(tasks int, cachedImageOnly bool) preemptionRequest {
 	return preemptionRequest{
 		job:             p.job,
@@ -76,8 +78,9 @@
 	}
 }
 
-// makeRoomByPreemption stops others' work for a service, and for a job within its team's guarantee that found
-// no room for a while; where that can't be done here, the job's tasks go to a partition that can.
+// makeRoomByPreemption stops tasks of other jobs to make room for a service, or for an array that has found
+// none. An array first preempts preemptible tasks; after guaranteePreemptionDelay it also reclaims its team's
+// guarantee. If this partition cannot make room, the job's tasks go to a partition that can.
 func (p *jobPlacement) makeRoomByPreemption() {
 	sc, job := p.scheduler, p.job
 	tasks := p.pendingTasks
@@ -88,8 +91,8 @@
 		}
 		tasks = min(p.pendingTasks, guaranteePreemptionBatch)
 	}
-	// A hand-over costs a write, and so does work stealing later in the pass. The time of the last hand-over
-	// is only noted if one was made, so that a service is handed over as soon as a write is allowed.
+	// A handover costs a write, and so does work stealing later in the pass. handedOverAt changes only if a
+	// handover was submitted, so that a service is handed over as soon as a write is allowed.
 	if sc.preemptFor(p.preemptionRequest(tasks, false)) ||
 		p.now-p.tracking.reassignment.handedOverAt <= handOverInterval ||
 		p.now < sc.nextWorkStealAt {
@@ -101,15 +104,15 @@
 	}
 }
 
-// preemptScavengers stops preemptible work for the tasks that the quota allows, and reports whether room is
-// being made.
+// preemptScavengers stops preemptible tasks to make room for the waiting tasks that the quota allows, and
+// reports whether room is being made.
 func (p *jobPlacement) preemptScavengers() bool {
 	tasks := min(p.pendingTasks, p.job.TaskResources.CountIn(p.remainingQuota))
 	return tasks > 0 && p.anyPreemptible() &&
 		p.scheduler.preemptScavengers(p.preemptionRequest(tasks, false))
 }
 
-// mayReclaimGuarantee reports whether an array may stop what other teams run beyond their guarantees.
+// mayReclaimGuarantee reports whether an array may stop tasks that other teams run beyond their guarantees.
 func (p *jobPlacement) mayReclaimGuarantee() bool {
 	return p.wallNow-p.job.Record.AcceptedAt > int64(guaranteePreemptionDelay) &&
 		p.scheduler.entitledToGuarantee(p.job)
--- a/internal/placement/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -6,67 +6,67 @@
 	"pipitgap/internal/scheduling"
 )
 
-// jobTracking is what a controller notes about a job beside the records.
+// jobTracking is the state that a controller keeps about a job in memory, in addition to the stored records.
 type jobTracking struct {
 	failures       scheduling.JobFailures
 	progress       scheduling.StartProgress
 	reassignment   reassignmentTracking
 	placeNotBefore monotime.Micros
-	finalSeenAt    monotime.Micros // when its final result was seen; 0: not seen yet
+	finalSeenAt    monotime.Micros // when this controller first saw its final result; 0: not yet
 }
 
 // reassignmentTracking is when and how a job's tasks last moved between partitions.
 type reassignmentTracking struct {
-	recordChangedAt   monotime.Micros // when the record, which says who places the tasks, last changed
-	handedOverAt      monotime.Micros // when its tasks were last handed to another partition
-	stolenTasks       int             // tasks just taken over from other partitions,
-	roomReservedUntil monotime.Micros // for which room is kept until then
+	recordChangedAt   monotime.Micros // last change of the record, which says which partitions place the tasks
+	handedOverAt      monotime.Micros // last handover of its tasks to another partition
+	stolenTasks       int             // tasks last taken over from other partitions
+	roomReservedUntil monotime.Micros // room is reserved for the stolen tasks until then
 }
 
-// trackingOf returns what is noted about a job, and begins it if there is nothing yet.
+// trackingOf returns the state kept about a job and creates it if there is none.
 func (sc *Scheduler) trackingOf(id string) *jobTracking {
 	return mapentry.GetOrNew(sc.trackingByJob, id)
 }
 
-// ForgetJob drops what is noted about a job without a record.
+// ForgetJob drops the state kept about a job whose record is gone.
 func (sc *Scheduler) ForgetJob(id string) {
 	delete(sc.trackingByJob, id)
 	delete(sc.preemptions, id)
 	delete(sc.acceptedRevisions, id)
 }
 
-// JobAccepted notes that this controller committed a new job at a revision: its tasks can be placed before
-// the watch has come to the record, as no other controller can have placed any.
+// JobAccepted records the revision at which this controller committed a new job. The job's tasks can be
+// placed before the watch reaches that revision, because no other controller can have placed any of them.
 func (sc *Scheduler) JobAccepted(id string, revision uint64) { sc.acceptedRevisions[id] = revision }
 
-// NoteRecordChange notes that a job's record has changed.
+// NoteRecordChange records that a job's record has changed.
 func (sc *Scheduler) NoteRecordChange(id string) {
 	sc.trackingOf(id).reassignment.recordChangedAt = sc.deps.Environment.Now()
 }
 
-// NoteFinalSeen notes that a job's final result is there.
+// NoteFinalSeen records when this controller first sees a job's final result.
 func (sc *Scheduler) NoteFinalSeen(id string) {
 	if tracking := sc.trackingOf(id); tracking.finalSeenAt == 0 {
 		tracking.finalSeenAt = sc.deps.Environment.Now()
 	}
 }
 
-// FinalSeenAt is when a job's final result was first seen; 0: not yet.
+// FinalSeenAt returns when this controller first saw a job's final result, or 0 if it has not.
 func (sc *Scheduler) FinalSeenAt(id string) monotime.Micros { return sc.trackingOf(id).finalSeenAt }
 
-// delayPlacement lets no task of a job be placed before an instant.
+// delayPlacement prevents the placement of a job's tasks before the given time.
 func (sc *Scheduler) delayPlacement(id string, until monotime.Micros) {
 	tracking := sc.trackingOf(id)
 	tracking.placeNotBefore = max(tracking.placeNotBefore, until)
 }
 
-// PlacementDelayed reports whether a job's tasks may not be placed yet.
+// PlacementDelayed reports whether placement of a job's tasks is still delayed.
 func (sc *Scheduler) PlacementDelayed(id string, now monotime.Micros) bool {
 	tracking := sc.trackingByJob[id]
 	return tracking != nil && now < tracking.placeNotBefore
 }
 
-// RecordTrialDemand notes that a machine is wanted for a trial of a job in a crash loop.
+// RecordTrialDemand records that a machine is wanted for a trial of a job in a crash loop.
 func (sc *Scheduler) RecordTrialDemand(id string, now monotime.Micros) {
 	sc.trackingOf(id).failures.RecordTrialDemand(now)
 }
--- a/internal/placement/machine_choice.go
+++ b/internal/placement/machine_choice.go
@@ -8,29 +8,30 @@
 	"pipitgap/internal/scheduling"
 )
 
-// candidateSampleSize is how many candidates a sample looks at.
+// candidateSampleSize is the number of candidates that a search samples.
 const candidateSampleSize = 24
 
-// imageWaitLimit is how long a service waits for a machine that has its image.
+// imageWaitLimit is how long after its acceptance a service waits for a machine that has its image.
 const imageWaitLimit = 2 * monotime.Second
 
 const (
-	// newJobBytes is what a job's first task adds to its shard at most, beside the job's id.
+	// newJobBytes is the maximum size in bytes that a job's first task adds to its shard, without the job's
+	// id.
 	newJobBytes = 32
-	// comparesPerTxnOp and reservedCompares bound how many records a shard's write is conditional on: the
-	// rest is for what the commit itself adds.
+	// The limit on the records that a shard's write compares is comparesPerTxnOp for each operation of a
+	// transaction, minus reservedCompares, which are for the comparisons that the commit itself adds.
 	comparesPerTxnOp = 4
 	reservedCompares = 4
 )
 
-// machineSearch is where a machine for a task is looked for.
+// machineSearch describes where to search for a task's machine.
 type machineSearch struct {
 	candidates []*candidateMachine
-	preferred  []*candidateMachine // those of the shard that the job's last task went to: tried first
-	sampled    bool                // a sample first, and all before there is no room
+	preferred  []*candidateMachine // candidates of the shard that got the job's last task; tried first
+	sampled    bool                // try a sample first, and all candidates if the sample has no room
 }
 
-// machineChoice is the best candidate found so far.
+// machineChoice is the best candidate that a search has found so far.
 type machineChoice struct {
 	request  *scheduling.MachineRequest
 	best     *candidateMachine
@@ -38,7 +39,7 @@
 	examined int
 }
 
-// consider takes a candidate that is better than the best so far.
+// consider makes a candidate the best one if the request accepts it and it has a lower score.
 func (choice *machineChoice) consider(candidate *candidateMachine) {
 	choice.examined++
 	if !choice.request.Accepts(&candidate.Candidate) {
@@ -49,12 +50,12 @@
 	}
 }
 
-// imageWaitExceeded reports whether a job has waited too long to go on looking for a machine with its image.
+// imageWaitExceeded reports whether a job has waited too long to keep waiting for a machine with its image.
 func imageWaitExceeded(job *mirror.Job, wall int64) bool {
 	return wall-job.Record.AcceptedAt > int64(imageWaitLimit)
 }
 
-// machineRequest is what a machine for a task of a job must meet.
+// machineRequest returns the requirements that a machine for a job's task must meet.
 func (sc *Scheduler) machineRequest(
 	job *mirror.Job,
 	zones *scheduling.ZoneConstraint,
@@ -72,8 +73,9 @@
 	}
 }
 
-// chooseMachine picks the machine for a task: spot before ordinary where the job may, one that has the image,
-// the tightest fit. Under overload it looks at a sample, and at all before it says that there is no room.
+// chooseMachine returns the best machine for a task, or nil if no machine has room. It prefers spot machines
+// if the job may use them, machines that have the image, and the tightest fit. Under overload it examines a
+// random sample, and all candidates before it returns nil.
 func (sc *Scheduler) chooseMachine(
 	request *scheduling.MachineRequest,
 	search machineSearch,
@@ -81,8 +83,8 @@
 	choice := machineChoice{request: request, score: math.Inf(1)}
 	defer func() { sc.counters.MachinesExamined += choice.examined }()
 	if !request.Spec.Service {
-		// A job that stands in few shards takes little of each: every shard that names
-		// it spends its id, two conditions, and numbers of tasks that are no ranges.
+		// Keep a job's tasks in few shards. Each shard with tasks of the job stores the job's id, its write
+		// compares two more records, and task numbers that form no ranges take more bytes.
 		for _, candidate := range search.preferred {
 			choice.consider(candidate)
 		}
--- a/internal/placement/machine_choice_test.go
+++ b/internal/placement/machine_choice_test.go
@@ -10,8 +10,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestSampledPlacementFindsOnlyMachineWithRoom: with many machines a sample is looked at, and what only one machine
-// has room for is found all the same.
+// TestSampledPlacementFindsOnlyMachineWithRoom guards against a task that stays waiting because a random
+// sample misses the only machine with room. With many equal machines, a search must still examine only a
+// sample.
 func TestSampledPlacementFindsOnlyMachineWithRoom(t *testing.T) {
 	c := newTestController()
 	job := &mirror.Job{
@@ -37,12 +38,12 @@
 		)
 	}
 	if candidate := choose(); candidate != nil {
-		t.Errorf("%s has no room", candidate.MachineID)
+		t.Errorf("got machine %s, want none: no machine has room for the task", candidate.MachineID)
 	}
 	only := candidates[len(candidates)/3]
 	only.Free = resources.Vector{CPUs: 2}
 	if candidate := choose(); candidate != only {
-		t.Error("the one machine with room was not found")
+		t.Errorf("got candidate %v, want %s, the only machine with room", candidate, only.MachineID)
 	}
 	for _, candidate := range candidates {
 		candidate.Free = resources.Vector{CPUs: 8}
@@ -52,18 +53,19 @@
 		chosen[choose().MachineID] = true
 	}
 	if len(chosen) < 5 {
-		t.Errorf("20 choices among equals fell on %d machines: no sample", len(chosen))
+		t.Errorf("20 searches among equal machines chose %d, want at least 5 different ones", len(chosen))
 	}
 }
 
-// TestShardBytesReservedForHigherPriority: past four fifths of a shard's bytes no more tasks of the lowest
-// priority go to its machines, however much room they have, so that others' find some.
+// TestShardBytesReservedForHigherPriority guards against tiny arrays of the lowest priority that fill the
+// shards, so that other jobs find no machine. Past four fifths of a shard's fill limit, such arrays get no
+// more of its machines, however much room the machines have.
 func TestShardBytesReservedForHigherPriority(t *testing.T) {
 	c := newTestController()
 	for _, tc := range []struct {
-		filled  float64 // of what a shard is filled to
-		lowest  bool
-		service bool
+		filled  float64 // fraction of the fill limit that is used
+		lowest  bool    // whether an array of the lowest priority gets the machine
+		service bool    // whether a service of the lowest priority gets it
 	}{{0.5, true, true}, {0.9, false, true}, {1, false, false}} {
 		update := shards.NewUpdate("n-0.1", nil, &storage.Shard{Jobs: map[string]*storage.ShardJob{}})
 		update.ReserveBytes(int(tc.filled * float64(c.scheduler.AssignmentShardBytes())))
@@ -91,7 +93,8 @@
 			request := c.scheduler.machineRequest(job, ZoneConstraintOf(c.mirror, job))
 			got := c.scheduler.chooseMachine(request, search) != nil
 			if want := map[bool]bool{false: tc.lowest, true: tc.service}[service]; got != want {
-				t.Errorf("shard filled to %v, service %v: %v", tc.filled, service, got)
+				t.Errorf("shard filled to %v of its limit, service %v: got machine %v, want %v",
+					tc.filled, service, got, want)
 			}
 		}
 	}
--- a/internal/placement/partition_capacity.go
+++ b/internal/placement/partition_capacity.go
@@ -7,20 +7,21 @@
 	"pipitgap/internal/storage"
 )
 
-// PartitionCapacity is the free room of every partition, as a pass saw it in the mirror.
+// PartitionCapacity is the free room of every partition, computed from the mirror during a pass.
 type PartitionCapacity struct {
 	*scheduling.PartitionCapacity
-	preemptionTargets map[preemptorClass]string // what bestPreemptionTarget has found
+	preemptionTargets map[preemptorClass]string // results of bestPreemptionTarget
 }
 
-// preemptorClass is what decides whose work may be stopped for a job.
+// preemptorClass holds the properties of a job that determine which tasks may be stopped for it.
 type preemptorClass struct {
 	shape    scheduling.TaskShape
 	service  bool
 	priority int
 }
 
-// CapacityByPartition counts the free room of every partition's open machines.
+// CapacityByPartition computes the free room of every partition's open machines, without the room that drains
+// reserve.
 func (sc *Scheduler) CapacityByPartition() *PartitionCapacity {
 	capacity := &PartitionCapacity{scheduling.NewPartitionCapacity(), map[preemptorClass]string{}}
 	reserved := sc.deps.Drains.ReservedByMachine()
@@ -49,8 +50,10 @@
 	return p.TasksFitting(spec, mirror.TaskResources(spec), partition)
 }
 
-// partitionForNewJob names the partition with most room for a new job; for a service, one that has its image
-// too comes first. If none has room: the one that could make most by preemption for a service, or this one.
+// partitionForNewJob returns the partition with the most room for a new job. A service prefers, in this
+// order: room on machines that have its image, machines with the image where preemption could make room, room
+// on any machine, and any machine where preemption could make room. If no partition qualifies, this one gets
+// the job.
 func (sc *Scheduler) partitionForNewJob(spec *storage.JobSpec) string {
 	capacity, need := sc.CapacityByPartition(), mirror.TaskResources(spec)
 	fit := scheduling.PreemptionFit{Spec: spec, Need: need, Freed: func(machine string) resources.Vector {
@@ -75,7 +78,7 @@
 	)
 }
 
-// resourcesOn is what those tasks on a machine hold whose jobs are counted.
+// resourcesOn returns the resources that tasks on a machine hold, for tasks whose job counts accepts.
 func (sc *Scheduler) resourcesOn(machineID string, counts func(*mirror.Job) bool) resources.Vector {
 	held := resources.Vector{}
 	for task := range sc.deps.Mirror.Machines[machineID].Attempts {
@@ -86,8 +89,8 @@
 	return held
 }
 
-// bestPreemptionTarget names the other partition that could make room for a job on most
-// machines by stopping what may be stopped for it, or "".
+// bestPreemptionTarget returns the other partition that could make room for a job by preemption on the most
+// machines, or "" if none could.
 func (sc *Scheduler) bestPreemptionTarget(capacity *PartitionCapacity, job *mirror.Job) string {
 	spec := &job.Record.Spec
 	preemptor := preemptorClass{
--- a/internal/placement/placement_pass.go
+++ b/internal/placement/placement_pass.go
@@ -8,18 +8,23 @@
 	"pipitgap/internal/shards"
 )
 
-// Bounds of one placement pass.
+// Limits of one placement pass.
 const (
-	sampleAboveMachines    = 48    // with more machines than this, and
-	sampleAboveComparisons = 20000 // more jobs times machines than this, a sample is looked at
-	handOverInterval       = 1 * monotime.Second
-	// guaranteePreemptionDelay is how long a job within a guarantee looks for free room first.
+	// A pass examines a sample of the candidates if there are more than sampleAboveMachines of them, and if
+	// the number of jobs times the number of candidates exceeds sampleAboveComparisons.
+	sampleAboveMachines    = 48
+	sampleAboveComparisons = 20000
+	// handOverInterval is the minimum time between two handovers of a job's tasks to other partitions.
+	handOverInterval = 1 * monotime.Second
+	// guaranteePreemptionDelay is how long after its acceptance an array within its team's guarantee waits
+	// for free room before it preempts tasks that other teams run beyond their guarantees.
 	guaranteePreemptionDelay = 5 * monotime.Second / 2
-	// guaranteePreemptionBatch is how many tasks of a job get room by its team's guarantee at a time.
+	// guaranteePreemptionBatch is the maximum number of an array's tasks for which one preemption reclaims
+	// the guarantee of its team.
 	guaranteePreemptionBatch = 4
 )
 
-// placementPass is the part of a scheduling pass that gives waiting tasks to machines.
+// placementPass is the part of a scheduling pass that assigns waiting tasks to machines.
 type placementPass struct {
 	scheduler *Scheduler
 	now       monotime.Micros
@@ -27,26 +32,29 @@
 
 	candidates         []*candidateMachine
 	candidatesByUpdate map[*shards.Update][]*candidateMachine
-	sampling           bool                        // only a sample of the candidates is looked at
-	tasksInDoubt       map[mirror.TaskID]bool      // tasks that a commit in doubt may have assigned
-	reservations       *drainReservations          // room held for replicas that are being moved
-	quotaLeft          map[string]resources.Vector // by team, of this partition's share of its limit
-	reassignedThisPass bool                        // room is kept for a job whose tasks are being taken over
+	sampling           bool                        // each search examines a sample of the candidates first
+	tasksInDoubt       map[mirror.TaskID]bool      // tasks that an unresolved commit may have assigned
+	reservations       *drainReservations          // room reserved for replicas that drains move
+	quotaLeft          map[string]resources.Vector // by team: rest of this partition's quota share
+	reassignedThisPass bool                        // the pass has stolen tasks of an urgent job
 
-	// What was found for shapes of tasks. Room only shrinks in a pass.
-	noRoomFor  map[scheduling.TaskShape]bool // no machine has room for them
-	hasRoomFor map[scheduling.TaskShape]bool // whether what lacks quota could start here
-	// when sampling: candidates last seen with room
+	// Results of earlier searches of this pass, by task shape. They stay valid because free room only shrinks
+	// during a pass. noRoomFor holds the shapes for which no machine has room. A shape with a team is for
+	// tasks that exceed the rest of the team's quota: no shard update frees enough of that quota for them.
+	noRoomFor  map[scheduling.TaskShape]bool
+	hasRoomFor map[scheduling.TaskShape]bool // whether a machine has room for tasks that wait for quota
+	// when sampling: the candidates that had room for the shape at the last search
 	fittingByShape map[scheduling.TaskShape][]*candidateMachine
 
-	// Made when they are first needed.
+	// Computed on first use.
 	partitionCapacity  *PartitionCapacity
-	preemptibleChecked bool // preemptibleRunning is known:
-	preemptibleRunning bool // whether any running work is preemptible by arrays
+	preemptibleChecked bool // preemptibleRunning has been computed
+	preemptibleRunning bool // arrays of higher priority may preempt some running tasks
 }
 
-// placeTasks assigns the waiting tasks of this partition's ranges to machines of the updates; where nothing
-// has room it makes some, or looks for the partition that could.
+// placeTasks assigns the waiting tasks of this partition's task ranges to machines of the updates. If no
+// machine has room for a task, it makes room by preemption or hands tasks over to a partition that can. It
+// also adopts orphaned tasks and steals waiting tasks of other partitions.
 func (sc *Scheduler) placeTasks(updates []*shards.Update, now monotime.Micros) {
 	if sc.deps.Catalog.MachineTypes() == nil || !sc.deps.Membership.HoldsLease(now) {
 		return
@@ -67,8 +75,8 @@
 	sc.stealWork(jobs, p.candidates, p.reservations, p.quotaLeft, now)
 }
 
-// newPlacementPass takes the machines of the updates as candidates, less the room that is kept on them, for so
-// many jobs.
+// newPlacementPass prepares a pass over the given number of jobs. The machines of the updates become its
+// candidates. Room that preemptions have made and room that drain permits hold is reserved on them.
 func (sc *Scheduler) newPlacementPass(updates []*shards.Update, jobs int, now monotime.Micros) *placementPass {
 	p := &placementPass{
 		scheduler:      sc,
@@ -89,7 +97,7 @@
 	return p
 }
 
-// candidatesByUpdate groups candidates by the update of their shard, in their order.
+// candidatesByUpdate groups candidates by the update of their shard and keeps their order.
 func candidatesByUpdate(candidates []*candidateMachine) map[*shards.Update][]*candidateMachine {
 	grouped := map[*shards.Update][]*candidateMachine{}
 	for _, candidate := range candidates {
@@ -98,7 +106,8 @@
 	return grouped
 }
 
-// placeJob places a job's tasks, and sees to room for those that find none.
+// placeJob assigns a job's tasks to machines. If tasks remain without a machine, it reports a quota shortage,
+// steals the tasks of an urgent job that waits at other partitions, or makes room by preemption.
 func (p *placementPass) placeJob(job *mirror.Job) {
 	jobPlan := p.beginJob(job)
 	if jobPlan == nil {
@@ -107,7 +116,7 @@
 	jobPlan.assignTasks()
 	p.quotaLeft[jobPlan.spec.Team] = jobPlan.remainingQuota
 	if jobPlan.crashLooping {
-		return // no room is kept or made for it, and no tasks are taken over
+		return // no reserved room, preemption or work stealing for a job in a crash loop
 	}
 	if jobPlan.quotaShort {
 		jobPlan.reportQuotaShortage()
@@ -120,7 +129,7 @@
 	}
 }
 
-// totalServiceCPUs is what all services hold.
+// totalServiceCPUs returns the CPUs that the assigned tasks of all open services hold.
 func (sc *Scheduler) totalServiceCPUs() float64 {
 	totalCPUs := 0.0
 	for _, job := range sc.deps.Mirror.Jobs {
@@ -131,8 +140,9 @@
 	return totalCPUs
 }
 
-// fittingCandidates lists the candidates with room for a task of a shape. Where samples are looked at and
-// most machines are full, all of them would be looked at again for each task.
+// fittingCandidates returns the candidates with room for a task of a shape. It keeps the result by shape, and
+// the next search for the shape examines only these candidates. Without that, a sampling pass would examine
+// all candidates again for each task while most machines are full.
 func (p *placementPass) fittingCandidates(
 	shape scheduling.TaskShape,
 	taskResources resources.Vector,
@@ -152,7 +162,7 @@
 	return fitting
 }
 
-// freePartitionCapacity is the free room of all partitions.
+// freePartitionCapacity returns the free capacity of all partitions, computed once per pass.
 func (p *placementPass) freePartitionCapacity() *PartitionCapacity {
 	if p.partitionCapacity == nil {
 		p.partitionCapacity = p.scheduler.CapacityByPartition()
@@ -160,7 +170,8 @@
 	return p.partitionCapacity
 }
 
-// anyPreemptible reports whether any running work is preemptible by arrays.
+// anyPreemptible reports whether arrays of higher priority may preempt any running tasks. It is computed once
+// per pass.
 func (p *placementPass) anyPreemptible() bool {
 	if !p.preemptibleChecked {
 		p.preemptibleChecked = true
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -9,50 +9,53 @@
 )
 
 const (
-	// preemptionTimeout is how long room that was made for a job is waited for before more is made.
+	// preemptionTimeout is how long a job waits for room that a preemption is making before it may preempt
+	// again.
 	preemptionTimeout = 3 * monotime.Second
-	// maxPreemptionsPerPass is for how many tasks of a job a pass makes room at most.
+	// maxPreemptionsPerPass is the maximum number of a job's tasks for which preemptFor makes room in one
+	// pass.
 	maxPreemptionsPerPass = 8
-	// imageFetchLossPerGB is how many CPU seconds of lost work avoiding the fetch of a gigabyte of an image
-	// is worth.
+	// imageFetchLossPerGB is the cost of fetching one gigabyte of an image, expressed as CPU seconds of lost
+	// work.
 	imageFetchLossPerGB = 8
-	// imageFetchLossPerCPU is how many CPU seconds of lost work for each of its CPUs a service
-	// is worth that starts beside its image rather than fetching it.
+	// imageFetchLossPerCPU is the lost work, in CPU seconds per CPU of a service's task, that a preemption
+	// may cause so that the service starts on a machine that has its image instead of fetching the image.
 	imageFetchLossPerCPU = 24
 )
 
-// pendingPreemption is the room being made for a job.
+// pendingPreemption is the room that a preemption is making for a job.
 type pendingPreemption struct {
 	expiresAt monotime.Micros
-	machines  map[string]bool // what is free on them until then is the job's
+	machines  map[string]bool // their free room is reserved for the job until expiresAt
 }
 
-// preemptionRequest requests room for tasks of a job by stopping others.
+// preemptionRequest is a request to make room for tasks of a job by stopping other tasks.
 type preemptionRequest struct {
 	job        *mirror.Job
-	tasks      int // for how many of its tasks
+	tasks      int // number of its tasks that need room
 	zones      *scheduling.ZoneConstraint
 	candidates []*candidateMachine
 	now        monotime.Micros
-	// Only machines that have the job's image, and only for a small loss.
+	// Preempt only on machines that have the job's image, and only if little work is lost.
 	cachedImageOnly bool
 }
 
-// preemptionPlan is what is to be stopped on a machine for one task.
+// preemptionPlan is the set of tasks to stop on a machine to make room for one task.
 type preemptionPlan struct {
 	candidate *candidateMachine
 	scheduling.VictimSelection
 }
 
-// isPreempting reports whether tasks are being stopped for a job.
+// isPreempting reports whether a preemption is still making room for a job.
 func (sc *Scheduler) isPreempting(job string, now monotime.Micros) bool {
 	pending := sc.preemptions[job]
 	return pending != nil && now < pending.expiresAt
 }
 
-// preemptFor stops tasks so that up to as many tasks of a job as requested get room on the partition's
-// machines; the cheapest loss first, see mayPreempt. For its priority only a service preempts: an array gains
-// little by it and the work thrown away is paid for. It reports whether room is being made.
+// preemptFor stops tasks so that up to request.tasks tasks of a job get room on this partition's machines. It
+// starts with the machine where the least work is lost; mayPreempt decides which tasks it may stop. Only
+// services preempt because of their priority: an array gains little by it, and the lost work has been paid
+// for. preemptFor reports whether room is being made.
 func (sc *Scheduler) preemptFor(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
@@ -70,7 +73,8 @@
 	return sc.recordPreemption(job, machines, request.now+preemptionTimeout)
 }
 
-// recordPreemption keeps the machines on which tasks were stopped for a job, and reports whether there are any.
+// recordPreemption records the machines on which tasks were stopped for a job, so that their free room is
+// reserved for it, and reports whether there are any.
 func (sc *Scheduler) recordPreemption(
 	job *mirror.Job,
 	machines map[string]bool,
@@ -84,9 +88,9 @@
 	return true
 }
 
-// cheapestPreemption looks for the machine on which room for one task costs the least work. A sample of
-// machines is enough when there are many: the loss hardly differs, and each look goes over all that runs
-// there.
+// cheapestPreemption finds the machine on which making room for one task loses the least work. If there are
+// many machines, it examines a random sample: the loss hardly differs between machines, and examining a
+// machine iterates over all tasks that run there.
 func (sc *Scheduler) cheapestPreemption(request *preemptionRequest) (best preemptionPlan, ok bool) {
 	candidates := request.candidates
 	for i := range min(len(candidates), sampleAboveMachines) {
@@ -105,7 +109,8 @@
 	return best, ok
 }
 
-// mayPreemptOn reports whether tasks may be stopped on a machine for a job.
+// mayPreemptOn reports whether tasks may be stopped on a machine for a job. The job must be allowed to run
+// there, and the machine must neither be stopping tasks already nor be reserved for another job.
 func (sc *Scheduler) mayPreemptOn(
 	candidate *candidateMachine,
 	job *mirror.Job,
@@ -117,8 +122,8 @@
 		candidate.AvailableTo(job.ID)
 }
 
-// preemptionOn tells what to stop on a machine for one task. An image that would have to be fetched counts as
-// a loss.
+// preemptionOn selects the tasks to stop on a machine to make room for one task; ok is false if that is not
+// possible. If the machine lacks the image, the cost of fetching it counts as lost work.
 func (sc *Scheduler) preemptionOn(
 	candidate *candidateMachine,
 	request *preemptionRequest,
@@ -149,7 +154,8 @@
 	return preemptionPlan{candidate, selection}, true
 }
 
-// victimsOn lists the tasks that run on a machine and may be stopped.
+// victimsOn lists the tasks on a machine that may be stopped: those of jobs that mayStop accepts, without
+// attempts that have already ended.
 func (sc *Scheduler) victimsOn(
 	machine *mirror.Machine,
 	now monotime.Micros,
@@ -184,7 +190,7 @@
 	return victims
 }
 
-// stopVictims has tasks on a machine stopped, and keeps what is free there for a job.
+// stopVictims requests the stop of tasks on a machine and reserves the free room there for a job.
 func (sc *Scheduler) stopVictims(
 	message string,
 	candidate *candidateMachine,
@@ -202,11 +208,11 @@
 	sc.deps.Agents.SyncCommands(candidate.machine)
 }
 
-// mayPreempt reports whether a task of victim may be stopped for job: one of lower priority
-// for a service; one that another team runs beyond its guarantee, so that job's team
-// gets its own. The protocol would let that be of any priority; of a higher one it
-// would be placed again first, and the two would stop each other for ever. Services with a
-// disruption budget aren't stopped for others.
+// mayPreempt reports whether tasks of victim may be stopped for job. A service may preempt jobs of lower
+// priority. A job within its team's guarantee may preempt arrays of another team that exceeds its own
+// guarantee. The protocol allows the second case for any priority of the victim. A victim of higher priority,
+// however, would be placed again first, and the two jobs would stop each other forever, so it is excluded.
+// Services with a disruption budget are never stopped for other jobs.
 func (sc *Scheduler) mayPreempt(job, victim *mirror.Job) bool {
 	if sc.deps.Drains.ProtectsFromPreemption(victim) {
 		return false
@@ -226,8 +232,8 @@
 	return limits.Guaranteed() && sc.withinGuarantee(job)
 }
 
-// exceedsGuarantee reports whether a team uses more than its guarantee, less what is to be
-// stopped of it.
+// exceedsGuarantee reports whether a team uses more than its guarantee even after the resources in stopping,
+// which its tasks are about to release, are subtracted.
 func (sc *Scheduler) exceedsGuarantee(team string, stopping resources.Vector) bool {
 	limits, _ := sc.deps.Quota.Limits(team)
 	use := sc.deps.Mirror.UseByTeam[team].AddScaled(stopping, -1)
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -10,8 +10,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestPreemptedRoomIsReservedForPreemptor: what is free on a machine where tasks are being stopped for a
-// job is that job's until they are gone, and nobody else's.
+// TestPreemptedRoomIsReservedForPreemptor guards against other jobs taking the free room of a machine on
+// which tasks are being stopped for a job: more tasks would then have to be stopped. The reservation ends
+// with the preemption.
 func TestPreemptedRoomIsReservedForPreemptor(t *testing.T) {
 	const second = monotime.Second
 	c := newTestController()
@@ -47,18 +48,21 @@
 	}
 	for i := 0; i < 4; i++ {
 		if candidate := choose(array); candidate != candidates[1] {
-			t.Fatal("an array's task goes where room is being made for a service, or nowhere")
+			t.Fatalf("got candidate %v for an array task, want %s, which is not reserved for the service",
+				candidate, candidates[1].MachineID)
 		}
 	}
 	if n := tasksThatFit(array, candidates); n != 1 {
-		t.Errorf("room for %d tasks of others, want 1", n)
+		t.Errorf("got room for %d tasks of other jobs, want 1", n)
 	}
-	candidates[0].Free = resources.Vector{CPUs: 4} // the stopped ones are gone
+	candidates[0].Free = resources.Vector{CPUs: 4} // the stopped tasks have ended
 	if candidate := choose(service); candidate != candidates[0] {
-		t.Error("the service doesn't get the room that was made for it")
+		t.Errorf("got candidate %v for the service, want %s, where room was made for it",
+			candidate, candidates[0].MachineID)
 	}
 	c.scheduler.reservePreemptedRoom(candidates, now+2*second)
 	if candidates[0].ReservedForJob != "" {
-		t.Error("room is kept for longer than it takes to be made")
+		t.Errorf("got machine %s reserved for %s after the preemption expired, want no reservation",
+			candidates[0].MachineID, candidates[0].ReservedForJob)
 	}
 }
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -9,7 +9,7 @@
 	"pipitgap/internal/storage"
 )
 
-// OrderedQueue lists jobs with unplaced tasks, the most urgent first.
+// OrderedQueue returns the open jobs with unassigned tasks, the most urgent first.
 func (sc *Scheduler) OrderedQueue() []*mirror.Job {
 	var entries []scheduling.QueueEntry
 	wall, now := sc.deps.Environment.WallClock(), sc.deps.Environment.Now()
@@ -29,7 +29,7 @@
 	return queue
 }
 
-// queueEntryOf gathers what decides a job's place in the queue.
+// queueEntryOf collects the values that determine a job's position in the queue.
 func (sc *Scheduler) queueEntryOf(job *mirror.Job, wall int64, now monotime.Micros) scheduling.QueueEntry {
 	spec, waiting := &job.Record.Spec, job.UnassignedTasks()
 	slack := sc.SlackOf(job, wall)
@@ -54,7 +54,8 @@
 	return entry
 }
 
-// lateUsage is what late jobs hold of the machines and of their teams' limits.
+// lateUsage returns the CPUs that each team's late arrays hold, and the fleet's CPUs and team limits that
+// bound them.
 func (sc *Scheduler) lateUsage(wall int64) scheduling.LateUsage {
 	usage := scheduling.LateUsage{
 		CPUsByTeam: map[string]float64{},
@@ -79,7 +80,8 @@
 	return usage
 }
 
-// isStarved reports whether an array has got nothing for a long time, see scheduling.StartProgress.
+// isStarved reports whether an array is starved, that is, no further task of it has started for a long time;
+// see scheduling.StartProgress. Services are never starved.
 func (sc *Scheduler) isStarved(job *mirror.Job, now monotime.Micros) bool {
 	if job.Record.Spec.Service {
 		return false
@@ -103,7 +105,7 @@
 	return limits.GuaranteeCovers(use)
 }
 
-// DescribeWait returns how urgent a job is and what keeps it waiting.
+// DescribeWait returns a log text with a job's urgency and the reasons why it waits.
 func (sc *Scheduler) DescribeWait(job *mirror.Job) string {
 	spec, now, wall := &job.Record.Spec, sc.deps.Environment.Now(), sc.deps.Environment.WallClock()
 	slack := sc.SlackOf(job, wall)
--- a/internal/placement/queue_order_test.go
+++ b/internal/placement/queue_order_test.go
@@ -13,8 +13,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestDeadlineBoostIsLimitedPerTeam: of each team's late jobs those with least work are urgent before their
-// next objective, up to a fraction of what the team can run.
+// TestDeadlineBoostIsLimitedPerTeam guards against late jobs that delay all jobs in time. Of each team's late
+// jobs, only those with the least work go first shortly before their next objective, and only up to a
+// fraction of what the team can run.
 func TestDeadlineBoostIsLimitedPerTeam(t *testing.T) {
 	c := newTestController()
 	c.limits = map[string]quota.Limits{"tight": {MaxCPUs: 12}}
@@ -51,12 +52,12 @@
 		return id
 	}
 	notLate := add("free", 5, 2, 1)
-	smallLate := add("free", 120, 2, 4)        // 8 of the machine's 16 CPUs
-	largeLate := add("free", 120, 2, 40)       // 80
-	limitedTeamLate := add("tight", 130, 2, 8) // another late one of its team holds 8 of 12 CPUs
+	smallLate := add("free", 120, 2, 4)        // needs 8 of the machine's 16 CPUs
+	largeLate := add("free", 120, 2, 40)       // needs 80 CPUs
+	limitedTeamLate := add("tight", 130, 2, 8) // another late job of the team holds 8 of its 12 CPUs
 	c.mirror.Jobs[add("tight", 130, 2, 8)].AssignedTasks = 4
 	allMissed, nextObjectiveFar := add("free", 249, 1, 1), add("free", 80, 1, 1)
-	nearFinish := add("free", 215, 1, 2) // its start is missed, not its end
+	nearFinish := add("free", 215, 1, 2) // missed the wait objective, can still meet the finished objective
 	place := map[string]int{}
 	for i, job := range c.scheduler.OrderedQueue() {
 		place[job.ID] = i
@@ -70,7 +71,8 @@
 		{notLate, nextObjectiveFar},
 	} {
 		if place[tc.first] > place[tc.then] {
-			t.Errorf("%s stands behind %s: %v", tc.first, tc.then, place)
+			t.Errorf("job %s is at position %d, want it before job %s at position %d; positions: %v",
+				tc.first, place[tc.first], tc.then, place[tc.then], place)
 		}
 	}
 }
--- a/internal/placement/scavenger.go
+++ b/internal/placement/scavenger.go
@@ -7,13 +7,13 @@
 	"pipitgap/internal/scheduling"
 )
 
-// The scavenger class is work that has no objective: arrays of the lowest priority that may use spot
-// machines, of a team without a guarantee, with no deadline and no objective of their class. It uses spare
-// room and spot machines that pay, and is preempted at once: otherwise a single long array could hold half of
-// the machines, ordinary ones requested for it, while urgent work waits for gaps.
+// The scavenger class is work without an objective: arrays of the lowest priority that may use spot machines,
+// of a team without a guarantee, with no deadline and no objective for their class. Scavenger jobs use spare
+// room and cost-effective spot machines, and are preempted immediately. Otherwise a single long array could
+// hold half of the machines, including on-demand machines requested for it, while urgent work waits for gaps.
 
-// scavengerStartDelay is how long a scavenger job waits for such room before one ordinary machine
-// may be requested for it: it must begin at some time, wherever nothing else is to be had.
+// scavengerStartDelay is how long a scavenger job waits for such room before one on-demand machine may be
+// requested for it. The job must start eventually, even where no other room becomes available.
 const scavengerStartDelay = monotime.Minute
 
 // IsScavenger reports whether a job is of the scavenger class.
@@ -26,8 +26,9 @@
 	return !limits.Guaranteed() && !sc.hasObjective(spec)
 }
 
-// IsSpotOnly reports whether a job is held to spot machines and to what is there in any case:
-// a scavenger job, once it has begun or as long as it needn't have.
+// IsSpotOnly reports whether a job is restricted to spot machines and to on-demand machines that services
+// keep in any case. A scavenger job is restricted once it has started, and before that until
+// scavengerStartDelay has passed.
 func (sc *Scheduler) IsSpotOnly(job *mirror.Job) bool {
 	if !sc.IsScavenger(job) {
 		return false
@@ -36,23 +37,23 @@
 		monotime.Micros(sc.deps.Environment.WallClock()-job.Record.AcceptedAt) <= scavengerStartDelay
 }
 
-// IsPreemptible reports whether a job's tasks may be stopped for arrays of higher priority: they have no
-// objective, their work can be saved, and their team uses more than its guarantee. Work with an objective
-// would miss it if it were stopped, and begins again only when as much room is free at once.
+// IsPreemptible reports whether a job's tasks may be stopped for arrays of higher priority: the job has no
+// objective, it saves its work, and its team uses more than its guarantee. A stopped job with an objective
+// would miss it, and would restart only when as much room is free at once.
 func (sc *Scheduler) IsPreemptible(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	return scheduling.MayBePreemptible(spec) && job.IsOpen() && !sc.hasObjective(spec) &&
 		sc.exceedsGuarantee(spec.Team, resources.Vector{})
 }
 
-// preemptibleBy reports whether a running task may be stopped for any of higher priority.
+// preemptibleBy reports whether job may stop tasks of victim because of its higher priority.
 func (sc *Scheduler) preemptibleBy(job, victim *mirror.Job) bool {
 	return victim.Record.Spec.Priority < job.Record.Spec.Priority && sc.IsPreemptible(victim)
 }
 
-// preemptScavengers stops preemptible work, so that up to as many tasks of a job as requested get room on the
-// partition's machines: one look at each, as many tasks on each as it can make room for. It tells whether
-// room is being made.
+// preemptScavengers stops preemptible tasks so that up to request.tasks tasks of a job get room on this
+// partition's machines. It examines each machine once and makes room there for as many tasks as possible. It
+// reports whether room is being made.
 func (sc *Scheduler) preemptScavengers(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -7,16 +7,16 @@
 	"pipitgap/internal/storage"
 )
 
-// Delays of the next pass after a commit that failed.
+// Delays of the next pass after a failed commit.
 const (
 	passDelayAfterRejection = monotime.Second
 	passDelayAfterFailure   = 300 * monotime.Millisecond
 )
 
-// RunPass is a round over this controller's shards: what has ended is released, machines come and go, waiting
-// tasks are assigned to what is free, and each shard that has changed is written once. However many tasks
-// start and end, that is what it costs; with more to write than the state service takes, passes come less
-// often and each carries more.
+// RunPass runs one scheduling pass over this controller's shards. It releases tasks that have ended, adds and
+// removes machines, assigns waiting tasks to free room, and writes each changed shard once. The number of
+// writes therefore does not grow with the number of tasks that start and end. If there is more to write than
+// the state service takes, passes run less often and each write carries more changes.
 func (sc *Scheduler) RunPass(now monotime.Micros) {
 	if sc.deps.Store.Unavailable() || !sc.deps.Membership.HoldsLease(now) || sc.deps.Quota.WriteInFlight() {
 		return // assignments depend on the quota shares that are being written
@@ -29,8 +29,9 @@
 	updates = sc.deps.Shards.AdmitClaimRequests(updates, now)
 	sc.placeTasks(updates, now)
 	written := 0
-	// Updates that take machines over change this controller's quota shares, on which the assignments of the
-	// other updates are conditional: they are committed last, or all others would fail.
+	// Updates that take over machines change this controller's quota shares, and the assignments of the other
+	// updates compare the version of these shares. The takeovers are committed last, because otherwise all
+	// other commits would fail.
 	for _, takingOver := range []bool{false, true} {
 		for _, update := range updates {
 			if update.Changed() && update.ChangesOtherRecords() == takingOver {
@@ -45,8 +46,8 @@
 	)
 }
 
-// HandleShardCommitResult requests the next pass once a shard's commit has an outcome, and delays it where it
-// would decide on the same outdated records or fail again.
+// HandleShardCommitResult requests the next pass when the result of a shard's commit is known. It delays that
+// pass if it would decide on the same outdated records or fail again.
 func (sc *Scheduler) HandleShardCommitResult(result protocol.StoreResult) {
 	sc.RequestPass()
 	switch result.Outcome {
--- a/internal/placement/scheduling_pass_test.go
+++ b/internal/placement/scheduling_pass_test.go
@@ -9,14 +9,15 @@
 	"pipitgap/internal/storage"
 )
 
-// TestPassConditions: a pass waits as long as its assignments would depend on what isn't known or held.
+// TestPassConditions guards against passes whose assignments depend on unknown state or on a lost lease. Such
+// a pass does not run and stays due.
 func TestPassConditions(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(*testController)
 		runs   bool
 	}{
-		{"nothing in the way", func(*testController) {}, true},
+		{"no obstacle", func(*testController) {}, true},
 		{"state service unavailable", func(c *testController) { c.storeUnavailable = true }, false},
 		{"lease lost", func(c *testController) { c.leaseLost = true }, false},
 		{"quota shares being written", func(c *testController) { c.quotaWriteInFlight = true }, false},
@@ -28,27 +29,27 @@
 			c.scheduler.RequestPass()
 			c.scheduler.RunPass(c.now)
 			if ran := c.passes > 0; ran != tc.runs {
-				t.Errorf("ran: %v", ran)
+				t.Errorf("pass ran: got %v, want %v", ran, tc.runs)
 			}
 			if due := c.scheduler.PassDue(c.now + monotime.Minute); due == tc.runs {
-				t.Errorf("still due: %v", due)
+				t.Errorf("pass due a minute after RunPass: got %v, want %v", due, !tc.runs)
 			}
 			c.scheduler.RequestPass()
 			if due := c.scheduler.PassDue(c.now + durations.FastTickInterval); due == tc.runs {
-				t.Errorf("due again at the next tick: %v", due)
+				t.Errorf("requested pass due at the next fast tick: got %v, want %v", due, !tc.runs)
 			}
 		})
 	}
 }
 
-// TestPassAfterCommit: each outcome of a shard's commit requests a pass, and failures delay it; a conflict on
-// a job's record delays that job too.
+// TestPassAfterCommit checks that each outcome of a shard's commit requests a pass, and that failures delay
+// it. A conflict on a job's record also delays placement of that job.
 func TestPassAfterCommit(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		result protocol.StoreResult
 		delay  monotime.Micros
-		job    monotime.Micros // delay of the job
+		job    monotime.Micros // delay of the job's placement
 	}{
 		{"committed", protocol.StoreResult{Outcome: protocol.OK}, 0, 0},
 		{"unknown", protocol.StoreResult{Outcome: protocol.Unknown}, 0, 0},
@@ -76,11 +77,13 @@
 			c.scheduler.HandleShardCommitResult(tc.result)
 			early := tc.delay > 0 && c.scheduler.PassDue(c.now+tc.delay-1)
 			if early || !c.scheduler.PassDue(c.now+tc.delay) {
-				t.Errorf("not due after %d us, or before", tc.delay)
+				t.Errorf("pass due 1 us before its delay of %d us: got %v, want false; due after it: got %v, want true",
+					tc.delay, early, c.scheduler.PassDue(c.now+tc.delay))
 			}
 			delayed := c.scheduler.PlacementDelayed("j-1", c.now+tc.job-1)
 			if delayed != (tc.job > 0) || c.scheduler.PlacementDelayed("j-1", c.now+tc.job) {
-				t.Errorf("the job isn't delayed by %d us", tc.job)
+				t.Errorf("placement of j-1 delayed until %d us: got %v, want %v; delayed after that: got %v, want false",
+					tc.job, delayed, tc.job > 0, c.scheduler.PlacementDelayed("j-1", c.now+tc.job))
 			}
 		})
 	}
--- a/internal/placement/stubs_test.go
+++ b/internal/placement/stubs_test.go
@@ -15,8 +15,8 @@
 	"pipitgap/internal/storage"
 )
 
-// testController stands for the other subjects of the controller n-0, one of three that are all connected.
-// Time stands still unless a test moves it, and no commit ever has an outcome.
+// testController stubs the other components of controller n-0, one of three connected controllers. Its time
+// changes only when a test sets it, and its commits never get an outcome.
 type testController struct {
 	scheduler     *Scheduler
 	mirror        *mirror.Mirror
@@ -65,10 +65,10 @@
 	return c
 }
 
-// wallClockOffset is by how much the time of day is ahead of the steady clock.
+// wallClockOffset is how far the time of day is ahead of the monotonic clock.
 const wallClockOffset = 1_000_000 * monotime.Second
 
-// WallClock is the time of day in microseconds.
+// WallClock returns the time of day in microseconds.
 func (c *testController) WallClock() int64 { return int64(c.now + wallClockOffset) }
 
 type testEnvironment struct{ c *testController }
--- a/internal/placement/task_exits.go
+++ b/internal/placement/task_exits.go
@@ -8,10 +8,11 @@
 	"pipitgap/internal/storage"
 )
 
-// refusedStartDelay is how long a job isn't placed after a worker refused to start one of its tasks.
+// refusedStartDelay is how long placement of a job is delayed after a worker refused to start one of its
+// tasks.
 const refusedStartDelay = 500 * monotime.Millisecond
 
-// RecordExit learns from how an attempt ended.
+// RecordExit records how an attempt ended, for later decisions about its job and its machine.
 func (sc *Scheduler) RecordExit(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
 	status := &exit.Status
 	switch status.Cause {
@@ -29,7 +30,8 @@
 	}
 }
 
-// recordCompletion learns from a completed task: its run time, and that neither machine nor job is at fault.
+// recordCompletion records the run time of a completed task, and that neither its machine nor its job is at
+// fault.
 func (sc *Scheduler) recordCompletion(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
 	spec, machineFailures := &job.Record.Spec, sc.deps.Agents.Of(machine).Failures()
 	if exit.Started && !spec.Service {
@@ -43,7 +45,8 @@
 	}
 }
 
-// ExpectedRunSeconds is how long a task of a job is expected to run, see scheduling.RuntimeEstimates.
+// ExpectedRunSeconds returns how many seconds a task of a job is expected to run; see
+// scheduling.RuntimeEstimates.
 func (sc *Scheduler) ExpectedRunSeconds(spec *storage.JobSpec) float64 {
 	return sc.estimates.ExpectedSeconds(spec)
 }
--- a/internal/placement/task_ranges.go
+++ b/internal/placement/task_ranges.go
@@ -15,19 +15,24 @@
 )
 
 const (
-	// maxTaskRangesPerJob is how many ranges of one job a stored record holds.
+	// maxTaskRangesPerJob is the maximum number of task ranges in a job record.
 	maxTaskRangesPerJob = 40
-	// minBacklogCPUs bounds the need of a task by which the backlog is converted into tasks.
+	// minBacklogCPUs is the lower bound on the CPUs per task with which partitionRooms converts a backlog of
+	// CPUs into a number of tasks.
 	minBacklogCPUs = 0.01
-	// orphanedRangeDelay is how long a controller must be gone until others place the tasks of its ranges.
+	// orphanedRangeDelay is how long a controller must be absent before another one adopts its task ranges.
 	orphanedRangeDelay = 1 * monotime.Second
-	// Fractions of the state service's writes that all controllers together may spend on reassignments.
+	// Fractions of the state service's writes that all controllers together may use to reassign task ranges.
+	// orphanedRangeWrites is for adopting orphaned ranges, workStealingWrites for work stealing and
+	// handovers.
 	orphanedRangeWrites = 0.4
 	workStealingWrites  = 0.1
 )
 
-// AssignTaskRanges divides a new job among the partitions: whole to the one with most room, or what each has
-// room for, and the rest evenly. What binds the tasks of a divided job together stands in its own record.
+// AssignTaskRanges divides a new job's tasks among the partitions. A job that fits into the partition with
+// the most room stays whole, and so do single tasks, services and jobs with a zone rule. Otherwise each
+// partition gets as many tasks as it has room for, and the rest is divided evenly. What the parts of a
+// divided job share is in the job's own record.
 func (sc *Scheduler) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
 	controllers := sc.deps.Reachability.ConnectedControllers()
 	if spec.Tasks == 1 || spec.Service || spec.OneZone || spec.Spread || len(controllers) == 0 {
@@ -41,12 +46,13 @@
 	return scheduling.DivideTasks(spec.Tasks, rooms)
 }
 
-// wholeJobRange assigns all tasks of a new job to one partition.
+// wholeJobRange returns a single range that assigns all tasks of a new job to one partition.
 func (sc *Scheduler) wholeJobRange(spec *storage.JobSpec) []storage.TaskRange {
 	return []storage.TaskRange{{First: 0, End: spec.Tasks, Partition: sc.partitionForNewJob(spec)}}
 }
 
-// partitionRooms counts how many of a job's tasks each partition has room for beside what waits there.
+// partitionRooms counts for each partition how many of a job's tasks it has room for in addition to the tasks
+// that already wait there.
 func (sc *Scheduler) partitionRooms(spec *storage.JobSpec, partitions []string) []scheduling.PartitionRoom {
 	capacities := sc.CapacityByPartition()
 	backlog := sc.backlogCPUs()
@@ -61,7 +67,7 @@
 	return rooms
 }
 
-// backlogCPUs is the CPUs that each partition's waiting tasks will take.
+// backlogCPUs returns by partition the CPUs that its waiting tasks need. Jobs in a crash loop do not count.
 func (sc *Scheduler) backlogCPUs() map[string]float64 {
 	backlog := map[string]float64{}
 	for _, job := range sc.deps.Mirror.Jobs {
@@ -83,14 +89,16 @@
 	return backlog
 }
 
-// ReassignTaskRanges changes which partitions place a job's tasks, and reports whether the write is under
-// way. Whatever a range's owner assigned before stands in the shards by then, whatever it would assign after
-// fails on the record's version; so the new owner may begin once its mirror has come that far.
+// ReassignTaskRanges changes which partitions place a job's tasks, and reports whether it submitted the
+// write. The write is a compare-and-swap on the version of the job record. Assignments that the old owner of
+// a range committed earlier are in the shards; later ones fail because they compare the same version. So the
+// new owner may assign tasks as soon as its mirror contains the write.
 func (sc *Scheduler) ReassignTaskRanges(job *mirror.Job, ranges []storage.TaskRange) bool {
-	// Both this and an assignment change or compare the job's record: with one of the
-	// same turn on its way, one of the two would fail, and two partitions could go on
-	// handing a job to and fro without ever starting it.
-	if sc.deps.RecordWrites.Contains(job.ID) || sc.jobsAssignedInPass[job.ID] || len(ranges) > maxTaskRangesPerJob {
+	// A reassignment changes the job's record, and an assignment compares its version. If one pass submitted
+	// both, one of the two would fail, and two partitions could hand a job back and forth without ever
+	// starting it.
+	if sc.deps.RecordWrites.Contains(job.ID) || sc.jobsAssignedInPass[job.ID] ||
+		len(ranges) > maxTaskRangesPerJob {
 		return false
 	}
 	record := job.Record
@@ -114,8 +122,8 @@
 	return true
 }
 
-// handOverTasks transfers the waiting tasks that this partition has of a job to one that can make room, and
-// tells whether the write is under way.
+// handOverTasks hands this partition's waiting tasks of a job over to a partition that can make room, one
+// task range per call. It reports whether it submitted the write.
 func (sc *Scheduler) handOverTasks(job *mirror.Job, to string) bool {
 	for _, taskRange := range job.Record.TaskRanges {
 		if taskRange.Partition != sc.config.Node {
@@ -133,9 +141,10 @@
 	return false
 }
 
-// adoptOrphanedTasks takes over the waiting tasks of partitions whose controller has gone, or doesn't reach
-// its machines. Each job has one successor for that, whether it has room for them or not: only their owner
-// makes room for services by preemption, or requests machines that nobody else would.
+// adoptOrphanedTasks adopts the waiting tasks of partitions whose controller is gone or does not reach its
+// machines. Rendezvous hashing selects one adopting controller for each job, whether or not that controller
+// has room: only the owner of the tasks preempts others for services, and only the owner requests machines
+// that no other controller would request.
 func (sc *Scheduler) adoptOrphanedTasks(jobs []*mirror.Job, now monotime.Micros) {
 	controllers := sc.deps.Reachability.ConnectedControllers()
 	for _, job := range jobs {
@@ -153,7 +162,7 @@
 	}
 }
 
-// reassignOrphanedRanges assigns the orphaned ones among a job's ranges to this partition.
+// reassignOrphanedRanges returns a job's ranges with the orphaned ones assigned to this partition.
 func (sc *Scheduler) reassignOrphanedRanges(
 	ranges []storage.TaskRange,
 	now monotime.Micros,
--- a/internal/placement/task_ranges_test.go
+++ b/internal/placement/task_ranges_test.go
@@ -11,9 +11,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestTaskHandOverIsNotStarvedByStealing: a service that its partition has no room for is handed on as
-// soon as that may be written again, however often the partition takes tasks of others:
-// an attempt in between doesn't cost it its turn.
+// TestTaskHandOverIsNotStarvedByStealing guards against a service that waits in a partition without room
+// because work stealing uses up the writes. The service is handed over as soon as a write is allowed; a
+// refused attempt must not delay the next one.
 func TestTaskHandOverIsNotStarvedByStealing(t *testing.T) {
 	const second = monotime.Second
 	c := newTestController()
@@ -53,19 +53,19 @@
 	c.scheduler.nextWorkStealAt = now + second
 	c.scheduler.placeTasks(nil, now)
 	if c.recordWrites[id] {
-		t.Error("handed on before a change may be spent on it")
+		t.Errorf("job %s: got a handover before a write is allowed, want none", id)
 	}
 	c.scheduler.placeTasks(nil, now+second/2)
 	c.now = now + second
 	c.scheduler.nextWorkStealAt = c.now
 	c.scheduler.placeTasks(nil, c.now)
 	if !c.recordWrites[id] {
-		t.Error("not handed on at the first turn that may")
+		t.Errorf("job %s: got no handover in the first pass in which a write is allowed, want one", id)
 	}
 }
 
-// TestOrphanedTasksAreAdopted: the ranges of a partition whose controller has gone, or doesn't reach its
-// machines, go to the job's successor; those of others stay.
+// TestOrphanedTasksAreAdopted checks that the adopting controller of a job takes over the ranges of a
+// partition whose controller is gone or does not reach its workers. Other ranges stay.
 func TestOrphanedTasksAreAdopted(t *testing.T) {
 	nodeSet := func(node string) map[string]bool { return map[string]bool{node: true} }
 	for _, tc := range []struct {
@@ -73,21 +73,21 @@
 		change func(*testController)
 		want   []storage.TaskRange // nil: unchanged
 	}{
-		{"all are there", func(*testController) {}, nil},
-		{"one has gone", func(c *testController) { c.absent = nodeSet("n-1") }, []storage.TaskRange{
+		{"all controllers are members", func(*testController) {}, nil},
+		{"one controller is gone", func(c *testController) { c.absent = nodeSet("n-1") }, []storage.TaskRange{
 			{First: 0, End: 4, Partition: "n-0"}, {First: 4, End: 6, Partition: "n-2"},
 		}},
-		{"one is cut off from its workers", func(c *testController) { c.cutOff = nodeSet("n-2") }, []storage.TaskRange{
+		{"one controller is cut off from its workers", func(c *testController) { c.cutOff = nodeSet("n-2") }, []storage.TaskRange{
 			{First: 0, End: 2, Partition: "n-0"}, {First: 2, End: 4, Partition: "n-1"},
 			{First: 4, End: 6, Partition: "n-0"},
 		}},
-		{"a write of the record is in flight", func(c *testController) {
+		{"a write of the job record is in flight", func(c *testController) {
 			c.absent = nodeSet("n-1")
 			for id := range c.mirror.Jobs {
 				c.recordWrites.Begin(id)
 			}
 		}, nil},
-		{"the mirror is behind", func(c *testController) {
+		{"the mirror is behind the job record", func(c *testController) {
 			c.absent = nodeSet("n-1")
 			c.mirror.WatchedRevision = 0
 		}, nil},
@@ -115,13 +115,13 @@
 			c.scheduler.adoptOrphanedTasks(jobs, c.now)
 			if tc.want == nil {
 				if len(c.reassigned) > 0 {
-					t.Errorf("reassigned: %v", c.reassigned[0].TaskRanges)
+					t.Errorf("got reassigned ranges %v, want no reassignment", c.reassigned[0].TaskRanges)
 				}
 				return
 			}
-			// One at a time: the next write is allowed later.
+			// Only one job is reassigned: the next write is allowed later.
 			if len(c.reassigned) != 1 || !slices.Equal(c.reassigned[0].TaskRanges, tc.want) {
-				t.Fatalf("reassigned: %+v, want %v once", c.reassigned, tc.want)
+				t.Fatalf("got reassigned records %+v, want one with ranges %v", c.reassigned, tc.want)
 			}
 		})
 	}
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// ownerGracePeriod is how long the owner of a new job's tasks that seems to have room has to use it.
+	// ownerGracePeriod is how long after a job's acceptance other partitions leave its tasks to an owner that
+	// seems to have room for them.
 	ownerGracePeriod = 3 * monotime.Second
-	// reassignmentGracePeriod is the same for an owner that has just taken tasks over: without it tasks could
-	// be stolen in turn by several partitions without ever starting.
+	// reassignmentGracePeriod is the same for an owner that has just taken over tasks. Without it, several
+	// partitions could steal tasks from each other in turn, and the tasks would never start.
 	reassignmentGracePeriod = 1 * monotime.Second
 )
 
-// workStealing is what a partition may take waiting tasks of others for.
+// workStealing holds what this partition has available for waiting tasks of other partitions.
 type workStealing struct {
 	candidates      []*candidateMachine
-	quotaLeftByTeam map[string]resources.Vector // filled as teams are looked at
+	quotaLeftByTeam map[string]resources.Vector // looked up at the first job of a team
 	capacities      *PartitionCapacity
 	wall            int64 // time of day, microseconds
 }
 
-// stealWork looks for waiting tasks of other partitions that this one has room for: of partitions whose
-// controller has gone, that have no room for them, or that haven't used what they seem to have. That hands
-// tasks on in one write, at the time when there is room, and lets each partition's room go to the most urgent
-// tasks of all.
+// stealWork takes over waiting tasks of other partitions for which this partition has room. It steals from
+// partitions whose controller is gone, that have no room for the tasks, or that have not used the room that
+// they seem to have. One write moves the tasks when there is room for them, and the free room of every
+// partition goes to the most urgent tasks of all partitions.
 func (sc *Scheduler) stealWork(
 	jobs []*mirror.Job,
 	candidates []*candidateMachine,
@@ -65,7 +66,8 @@
 	}
 }
 
-// tasksThatFit counts the tasks of a job that the room not kept for others can take.
+// tasksThatFit counts the tasks of a job that fit into free room that is not held back or reserved for
+// others.
 func tasksThatFit(job *mirror.Job, candidates []*candidateMachine) int {
 	room := 0
 	for _, candidate := range candidates {
@@ -77,8 +79,8 @@
 	return room
 }
 
-// stealTasksOfJob takes over as many of a job's tasks that wait at other partitions as there is room
-// for, and tells how many.
+// stealTasksOfJob takes over waiting tasks of a job from one range of another partition, as many as there is
+// room for, and returns their number. The tasks of a job with a zone rule move together.
 func (sc *Scheduler) stealTasksOfJob(job *mirror.Job, work workStealing) int {
 	if !sc.mayStealTasksOf(job) {
 		return 0
@@ -89,7 +91,7 @@
 	}
 	spec, ranges := &job.Record.Spec, job.Record.TaskRanges
 	keepTogether, maxTasks := spec.OneZone || spec.Spread, room
-	if keepTogether { // its tasks stay together
+	if keepTogether { // a job with a zone rule moves a whole range
 		maxTasks = math.MaxInt
 	}
 	for k := len(ranges) - 1; k >= 0; k-- {
@@ -114,7 +116,8 @@
 	return 0
 }
 
-// mayStealTasksOf reports whether a job has tasks at other partitions, and may be reassigned now.
+// mayStealTasksOf reports whether other partitions own task ranges of a job and its tasks may be reassigned
+// now.
 func (sc *Scheduler) mayStealTasksOf(job *mirror.Job) bool {
 	ranges := job.Record.TaskRanges
 	allHere := len(ranges) == 1 && ranges[0].Partition == sc.config.Node
@@ -124,9 +127,10 @@
 		!sc.IsCrashLooping(job)
 }
 
-// roomForStolenTasks counts the tasks of a job that fit here and into what is left of the team's share. A
-// partition with machines but without a share of the team's limit would leave the tasks for ever to one with
-// a share but without machines: it notes the shortage.
+// roomForStolenTasks counts the tasks of a job that fit on this partition's machines and within the rest of
+// its share of the team's limit. If only the share is too small, it reports the shortage: otherwise a
+// partition with machines but without a share would forever leave the tasks to a partition with a share but
+// without machines.
 func (sc *Scheduler) roomForStolenTasks(job *mirror.Job, work workStealing) int {
 	room := tasksThatFit(job, work.candidates)
 	if room == 0 {
@@ -163,7 +167,8 @@
 		sc.deps.Environment.Now()-recordChangedAt < reassignmentGracePeriod
 }
 
-// reserveRoom keeps room for tasks that are about to be placed here from what is less urgent.
+// reserveRoom reserves free room for tasks that this partition is about to place, so that less urgent jobs do
+// not take it.
 func reserveRoom(
 	taskResources resources.Vector,
 	spec *storage.JobSpec,
--- a/internal/placement/zone_constraint.go
+++ b/internal/placement/zone_constraint.go
@@ -5,8 +5,8 @@
 	"pipitgap/internal/scheduling"
 )
 
-// ZoneConstraintOf returns the zone rule of a job, with the tasks that the shards hold counted. A job with
-// such a rule is placed by one partition at a time, which assigns its tasks one commit after the other.
+// ZoneConstraintOf returns the zone rule of a job, with the tasks in the shards already counted. A job with a
+// zone rule is placed by one partition at a time, which assigns its tasks one commit after another.
 func ZoneConstraintOf(records *mirror.Mirror, job *mirror.Job) *scheduling.ZoneConstraint {
 	constraint := scheduling.NewZoneConstraint(&job.Record.Spec)
 	if !constraint.RestrictsZones() {
