--- a/internal/placement/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -51,7 +51,7 @@
 		candidates:      p.candidates,
 		quotaLeftByTeam: p.quotaLeft,
 		capacities:      p.freePartitionCapacity(),
-		wall:            p.wallNow,
+		wallNow:         p.wallNow,
 	})
 	reassignment := &p.tracking.reassignment
 	reassignment.stolenTasks, reassignment.roomReservedUntil = tasks, p.now+stolenTasksRoomTimeout
--- a/internal/placement/machine_choice.go
+++ b/internal/placement/machine_choice.go
@@ -51,8 +51,8 @@
 }
 
 // imageWaitExceeded reports whether a job has waited too long to keep waiting for a machine with its image.
-func imageWaitExceeded(job *mirror.Job, wall int64) bool {
-	return wall-job.Record.AcceptedAt > int64(imageWaitLimit)
+func imageWaitExceeded(job *mirror.Job, wallNow int64) bool {
+	return wallNow-job.Record.AcceptedAt > int64(imageWaitLimit)
 }
 
 // machineRequest returns the requirements that a machine for a job's task must meet.
--- a/internal/placement/objectives.go
+++ b/internal/placement/objectives.go
@@ -23,7 +23,7 @@
 }
 
 // SlackOf returns how long a job's waiting tasks may still wait at a time of day in microseconds.
-func (sc *Scheduler) SlackOf(job *mirror.Job, wall int64) scheduling.Slack {
-	age := monotime.Micros(wall - job.Record.AcceptedAt)
+func (sc *Scheduler) SlackOf(job *mirror.Job, wallNow int64) scheduling.Slack {
+	age := monotime.Micros(wallNow - job.Record.AcceptedAt)
 	return scheduling.SlackOf(sc.latestStarts(&job.Record.Spec), age.Seconds())
 }
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -12,14 +12,14 @@
 // OrderedQueue returns the open jobs with unassigned tasks, the most urgent first.
 func (sc *Scheduler) OrderedQueue() []*mirror.Job {
 	var entries []scheduling.QueueEntry
-	wall, now := sc.deps.Environment.WallClock(), sc.deps.Environment.Now()
+	wallNow, now := sc.deps.Environment.WallClock(), sc.deps.Environment.Now()
 	for _, job := range sc.deps.Mirror.Jobs {
 		if job.IsOpen() && job.UnassignedTasks() > 0 {
-			entries = append(entries, sc.queueEntryOf(job, wall, now))
+			entries = append(entries, sc.queueEntryOf(job, wallNow, now))
 		}
 	}
 	if scheduling.AnyDeadlineBoost(entries) {
-		scheduling.LimitDeadlineBoost(entries, sc.lateUsage(wall))
+		scheduling.LimitDeadlineBoost(entries, sc.lateUsage(wallNow))
 	}
 	scheduling.SortQueue(entries)
 	queue := make([]*mirror.Job, len(entries))
@@ -30,9 +30,9 @@
 }
 
 // queueEntryOf collects the values that determine a job's position in the queue.
-func (sc *Scheduler) queueEntryOf(job *mirror.Job, wall int64, now monotime.Micros) scheduling.QueueEntry {
+func (sc *Scheduler) queueEntryOf(job *mirror.Job, wallNow int64, now monotime.Micros) scheduling.QueueEntry {
 	spec, waiting := &job.Record.Spec, job.UnassignedTasks()
-	slack := sc.SlackOf(job, wall)
+	slack := sc.SlackOf(job, wallNow)
 	entry := scheduling.QueueEntry{
 		Job: scheduling.QueuedJob{
 			ID:              job.ID,
@@ -56,7 +56,7 @@
 
 // lateUsage returns the CPUs that each team's late arrays hold, and the fleet's CPUs and team limits that
 // bound them.
-func (sc *Scheduler) lateUsage(wall int64) scheduling.LateUsage {
+func (sc *Scheduler) lateUsage(wallNow int64) scheduling.LateUsage {
 	usage := scheduling.LateUsage{
 		CPUsByTeam: map[string]float64{},
 		TeamMax: func(name string) float64 {
@@ -73,7 +73,7 @@
 		if job.AssignedTasks <= 0 || job.Record.Spec.Service {
 			continue
 		}
-		if sc.SlackOf(job, wall).IsLate() {
+		if sc.SlackOf(job, wallNow).IsLate() {
 			usage.CPUsByTeam[job.Record.Spec.Team] += float64(job.AssignedTasks) * job.TaskResources.CPUs
 		}
 	}
@@ -107,9 +107,9 @@
 
 // DescribeWait returns a log text with a job's urgency and the reasons why it waits.
 func (sc *Scheduler) DescribeWait(job *mirror.Job) string {
-	spec, now, wall := &job.Record.Spec, sc.deps.Environment.Now(), sc.deps.Environment.WallClock()
-	slack := sc.SlackOf(job, wall)
-	age := monotime.Micros(wall - job.Record.AcceptedAt)
+	spec, now, wallNow := &job.Record.Spec, sc.deps.Environment.Now(), sc.deps.Environment.WallClock()
+	slack := sc.SlackOf(job, wallNow)
+	age := monotime.Micros(wallNow - job.Record.AcceptedAt)
 	backoff := max(0, sc.trackingOf(job.ID).placeNotBefore-now)
 	return fmt.Sprintf(
 		" %s(%s %s age %.0f slack %.0f missed %d"+
--- a/internal/placement/queue_order_test.go
+++ b/internal/placement/queue_order_test.go
@@ -58,9 +58,9 @@
 	c.mirror.Jobs[add("tight", 130, 2, 8)].AssignedTasks = 4
 	allMissed, nextObjectiveFar := add("free", 249, 1, 1), add("free", 80, 1, 1)
 	nearFinish := add("free", 215, 1, 2) // missed the wait objective, can still meet the finished objective
-	place := map[string]int{}
+	position := map[string]int{}
 	for i, job := range c.scheduler.OrderedQueue() {
-		place[job.ID] = i
+		position[job.ID] = i
 	}
 	for _, tc := range []struct{ first, then string }{
 		{smallLate, notLate},
@@ -70,9 +70,9 @@
 		{notLate, allMissed},
 		{notLate, nextObjectiveFar},
 	} {
-		if place[tc.first] > place[tc.then] {
+		if position[tc.first] > position[tc.then] {
 			t.Errorf("job %s is at position %d, want it before job %s at position %d; positions: %v",
-				tc.first, place[tc.first], tc.then, place[tc.then], place)
+				tc.first, position[tc.first], tc.then, position[tc.then], position)
 		}
 	}
 }
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -25,7 +25,7 @@
 	candidates      []*candidateMachine
 	quotaLeftByTeam map[string]resources.Vector // looked up at the first job of a team
 	capacities      *PartitionCapacity
-	wall            int64 // time of day, microseconds
+	wallNow         int64 // time of day, microseconds
 }
 
 // stealWork takes over waiting tasks of other partitions for which this partition has room. It steals from
@@ -52,7 +52,7 @@
 		candidates:      candidates,
 		quotaLeftByTeam: quotaLeftByTeam,
 		capacities:      sc.CapacityByPartition(),
-		wall:            sc.deps.Environment.WallClock(),
+		wallNow:         sc.deps.Environment.WallClock(),
 	}
 	for _, job := range jobs {
 		if now < sc.nextWorkStealAt {
@@ -163,7 +163,7 @@
 		return false
 	}
 	recordChangedAt := sc.trackingOf(job.ID).reassignment.recordChangedAt
-	return work.wall-job.Record.AcceptedAt < int64(ownerGracePeriod) ||
+	return work.wallNow-job.Record.AcceptedAt < int64(ownerGracePeriod) ||
 		sc.deps.Environment.Now()-recordChangedAt < reassignmentGracePeriod
 }
 
