--- a/internal/placement/dependencies.go
+++ b/internal/placement/dependencies.go
@@ -44,7 +44,7 @@
 	IsMember(node string) bool
 	// LiveControllers returns the controllers that are members, in the configured order.
 	LiveControllers() []string
-	// AbsentSince returns since when a controller that is not a member has been absent.
+	// AbsentSince returns the time since which a controller that is not a member has been absent.
 	AbsentSince(node string, now monotime.Micros) monotime.Micros
 }
 
--- a/internal/placement/failure_attribution_test.go
+++ b/internal/placement/failure_attribution_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestFailureAttributionOfMachines guards against blaming a machine for a faulty job, and the reverse. A
-// machine is faulty if healthy jobs, which run elsewhere, fail on it, but not if jobs fail that fail
+// machine is faulty if healthy jobs, which run elsewhere, fail on it, but not if the failing jobs fail
 // everywhere. While the fault is unknown, the machine is doubtful and gets no new tasks.
 func TestFailureAttributionOfMachines(t *testing.T) {
 	c := newTestController()
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -54,8 +54,8 @@
 
 // preemptFor stops tasks so that up to request.tasks tasks of a job get room on this partition's machines. It
 // starts with the machine where the least work is lost; mayPreempt decides which tasks it may stop. Only
-// services preempt because of their priority: an array gains little by it, and the lost work has been paid
-// for. preemptFor reports whether room is being made.
+// services preempt because of their priority: an array gains little by preemption, and the work that it would
+// discard has already been paid for. preemptFor reports whether room is being made.
 func (sc *Scheduler) preemptFor(request preemptionRequest) bool {
 	job := request.job
 	if sc.isPreempting(job.ID, request.now) {
