--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -1,5 +1,5 @@
-// Package durations has the durations that several subjects share: intervals and timeouts of the coordination
-// itself, and what follows from the platform's heartbeat interval, worker lease and cancellation deadline.
+// Package durations defines the durations that several components share: the controllers' own intervals and
+// timeouts, and values derived from the platform's heartbeat interval, worker lease and cancellation deadline.
 package durations
 
 import (
@@ -7,70 +7,77 @@
 	"pipitgap/internal/monotime"
 )
 
-// Intervals and timeouts of the coordination itself; none depends on the platform's durations.
+// Intervals and timeouts of the controllers. None depends on the platform's durations.
 const (
-	// FastTickInterval is the period of lease renewal, of the watch and of scheduling passes.
+	// FastTickInterval is the period at which a controller checks its lease, its watch and whether a
+	// scheduling pass is due.
 	FastTickInterval = 50 * monotime.Millisecond
-	// SlowTickInterval is the period of everything else, such as the status sent to the other controllers.
+	// SlowTickInterval is the period of all other periodic work, such as sending the status to the other
+	// controllers.
 	SlowTickInterval = 500 * monotime.Millisecond
-	// WorkerProbeTimeout bounds a probe of a worker: a command request without commands.
+	// WorkerProbeTimeout is the timeout of a worker probe, which is a command request without commands.
 	WorkerProbeTimeout = 1 * monotime.Second
 )
 
-// Durations that the workers' protocol fixes.
+// Durations that the worker protocol fixes.
 const (
-	// WorkerAnswerTimeout is how long a worker waits for an answer before it turns to the next
-	// controller.
+	// WorkerAnswerTimeout is how long a worker waits for the response to a heartbeat before it gives up on
+	// the controller and selects the next one.
 	WorkerAnswerTimeout = 4 * monotime.Second
-	// WorkerRetryPause is how long after that, or after a redirect, it does so.
+	// WorkerRetryPause is how long a worker waits after that timeout, or after a redirect, before it sends the
+	// heartbeat to the next controller.
 	WorkerRetryPause = monotime.Second
 )
 
-// Bounds of what is derived from the platform's durations.
+// Bounds for the values that Derive computes from the platform's durations.
 const (
-	// A membership ends no sooner than minMembershipTTL: a controller that is only slow
-	// must not lose it. It need not last longer than maxMembershipTTL.
+	// minMembershipTTL and maxMembershipTTL bound MembershipTTL. With a shorter TTL, a controller that is
+	// merely slow would lose its membership. A longer TTL is not needed.
 	minMembershipTTL = 4 * monotime.Second
 	maxMembershipTTL = 8 * monotime.Second
-	// TakeoverDuration is what a successor takes from a membership's end to the first answers
-	// under its own claim.
+	// TakeoverDuration is the time that a successor needs from the end of a controller's membership until it
+	// sends the first heartbeat responses under its own claim.
 	TakeoverDuration = 3 * monotime.Second
-	// leaseExpiryMargin is what remains between the end of a lease and the moment at which a
-	// cancelled task must be gone: the drift of two clocks over a minute, and the
-	// intervals at which a worker looks at its lease.
+	// leaseExpiryMargin is the time reserved between the end of a lease and the deadline for a cancelled
+	// task to be gone. It covers the drift of two clocks over a minute and the intervals at which a worker
+	// checks its lease.
 	leaseExpiryMargin = monotime.Second
-	// minRenewalWindow is for how long leases are renewed on evidence of any age. Without it
-	// a platform whose leases are longer than its cancellations may take would have
-	// every heartbeat refused between two answers of the watch.
+	// minRenewalWindow is the lower bound of RenewalWindow. Without it, on a platform whose leases are longer
+	// than its cancellation deadline, controllers would reject every heartbeat between two watch responses.
 	minRenewalWindow = 3 * monotime.Second
-	// clockDriftDivisor is how much a monotonic clock may run fast or slow: one part in so many.
+	// clockDriftDivisor is the inverse of the maximum drift rate of a monotonic clock: 1 in 500, fast or slow.
 	clockDriftDivisor = 500
 )
 
-// Platform is what follows from the platform's heartbeat interval, worker lease and cancellation deadline.
+// Platform holds the platform's heartbeat interval, worker lease and cancellation deadline, and the durations
+// derived from them.
 type Platform struct {
-	// HeartbeatInterval lies between two heartbeats of a worker.
+	// HeartbeatInterval is the time between two heartbeats of a worker.
 	HeartbeatInterval monotime.Micros
-	// WorkerLease is how long a worker goes on without an answered heartbeat.
+	// WorkerLease is how long a worker keeps its tasks running without a response to a heartbeat.
 	WorkerLease monotime.Micros
-	// CancellationDeadline is when the tasks of a cancelled job must be gone, counted from its cancellation.
+	// CancellationDeadline is the time after a job's cancellation by which its tasks must be gone.
 	CancellationDeadline monotime.Micros
-	// MembershipTTL is how long a controller stays a member without renewing its lease.
+	// MembershipTTL is how long a controller remains a member without renewing its lease.
 	MembershipTTL monotime.Micros
-	// SuspicionTimeout is the silence after which a machine is suspected: three heartbeats.
+	// SuspicionTimeout is the silence after which a machine is suspected to have failed: three heartbeat
+	// intervals plus half a second.
 	SuspicionTimeout monotime.Micros
-	// PlacementSilenceLimit is the silence up to which a machine gets new tasks: two heartbeats.
+	// PlacementSilenceLimit is the longest silence at which a machine is still assigned new tasks: two
+	// heartbeat intervals plus one second.
 	PlacementSilenceLimit monotime.Micros
-	// LeaseExpiryProof is the time without an answer after which a worker's lease has surely expired.
+	// LeaseExpiryProof is the time without a response to a worker's heartbeat after which its lease has
+	// certainly expired, whatever the clock drift.
 	LeaseExpiryProof monotime.Micros
-	// RenewalWindow is the age of the knowledge of cancellations up to which leases are renewed.
+	// RenewalWindow bounds how outdated a controller's knowledge of committed cancellations may be while it
+	// renews worker leases. Once the knowledge is older, the controller rejects heartbeats.
 	RenewalWindow monotime.Micros
-	// AdoptionDelay is how long a worker of another controller must have sent its heartbeats here before it
-	// counts as orphaned.
+	// AdoptionDelay is how long a worker of another controller must have sent its heartbeats to this
+	// controller before this controller treats the worker as orphaned.
 	AdoptionDelay monotime.Micros
 }
 
-// Derive computes what follows from the platform's settings.
+// Derive computes the durations that depend on the platform's settings.
 func Derive(workers config.Workers) Platform {
 	p := Platform{
 		HeartbeatInterval:    monotime.FromSeconds(workers.HeartbeatIntervalS),
@@ -86,13 +93,13 @@
 	return p
 }
 
-// Warning says what a platform's durations lead to that the design doesn't cover.
+// Warning names a platform setting that the design does not support and the consequence.
 type Warning struct {
-	Field       string // name of the platform's setting
+	Field       string // name of the platform setting
 	Consequence string
 }
 
-// Warnings lists what the platform's durations leave uncovered.
+// Warnings returns a warning for each requirement of the design that the platform's durations do not meet.
 func (p Platform) Warnings() []Warning {
 	var out []Warning
 	if p.MembershipTTL+TakeoverDuration > p.WorkerLease {
@@ -112,9 +119,10 @@
 	return out
 }
 
-// NextDue is when work that ran from one time to another is due again: after its interval, or later so that
-// it takes at most a tenth of the time. With thousands of jobs a pass takes milliseconds, and leases and
-// users must keep their part of the processor.
+// NextDue returns when periodic work that ran from startedAt to endedAt is due again. The next run starts one
+// interval after startedAt, or later if the work would otherwise take more than a tenth of the time. With
+// thousands of jobs a pass takes milliseconds, and lease renewal and user requests must get their share of the
+// processor time.
 func NextDue(startedAt, endedAt, interval monotime.Micros) monotime.Micros {
 	return startedAt + max(interval, 10*(endedAt-startedAt))
 }
--- a/internal/durations/durations_test.go
+++ b/internal/durations/durations_test.go
@@ -7,14 +7,14 @@
 	"pipitgap/internal/monotime"
 )
 
-// Settings that warnings name.
+// Settings that the expected warnings name.
 const (
 	leaseSetting  = "facts.workers.lease_s"
 	cancelSetting = "facts.workers.cancel_s"
 )
 
-// TestDurationsFollowPlatform: bounds follow the platform's durations, and a platform whose durations the
-// design doesn't cover is warned of at start, with the consequence.
+// TestDurationsFollowPlatform: Derive computes the durations from the platform's settings, and Warnings reports
+// settings that the design does not support, each with its consequence.
 func TestDurationsFollowPlatform(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -36,11 +36,13 @@
 			8, 24, nil,
 		},
 		{
-			"no time for a successor", config.Workers{HeartbeatIntervalS: 1, LeaseS: 6.5, CancelWithinS: 30},
+			"lease ends before a successor takes over",
+			config.Workers{HeartbeatIntervalS: 1, LeaseS: 6.5, CancelWithinS: 30},
 			4, 22.5, []string{leaseSetting},
 		},
 		{
-			"nor for another controller", config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelWithinS: 30},
+			"lease ends before the worker tries another controller too",
+			config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelWithinS: 30},
 			4, 24, []string{leaseSetting, leaseSetting},
 		},
 		{
@@ -51,27 +53,31 @@
 		derived := Derive(tc.workers)
 		if derived.MembershipTTL.Seconds() != tc.membership || derived.RenewalWindow.Seconds() != tc.renewal {
 			t.Errorf(
-				"%s: membership %v s, renewal %v s",
+				"%s: got membership TTL %v s and renewal window %v s, want %v s and %v s",
 				tc.name,
 				derived.MembershipTTL.Seconds(),
 				derived.RenewalWindow.Seconds(),
+				tc.membership,
+				tc.renewal,
 			)
 		}
 		warned := derived.Warnings()
 		if len(warned) != len(tc.warned) {
-			t.Errorf("%s: warned %v, want of %v", tc.name, warned, tc.warned)
+			t.Errorf("%s: got warnings %v, want warnings for the fields %v", tc.name, warned, tc.warned)
 			continue
 		}
 		for i, warning := range warned {
 			if warning.Field != tc.warned[i] || warning.Consequence == "" {
-				t.Errorf("%s: warned %v, want of %v", tc.name, warning, tc.warned[i])
+				t.Errorf(
+					"%s: warning %d: got %+v, want field %q and a consequence", tc.name, i, warning, tc.warned[i],
+				)
 			}
 		}
 	}
 }
 
-// TestTickWorkTakesAtMostATenthOfTheTime: work is due after its interval, and takes a tenth of the time at
-// most.
+// TestTickWorkTakesAtMostATenthOfTheTime: NextDue returns one interval after the start of the work, or a later
+// time so that the work takes at most a tenth of the time.
 func TestTickWorkTakesAtMostATenthOfTheTime(t *testing.T) {
 	cases := []struct{ begun, ended, interval, want monotime.Micros }{
 		{0, 0, 100, 100},
@@ -81,7 +87,7 @@
 	}
 	for _, tc := range cases {
 		if got := NextDue(tc.begun, tc.ended, tc.interval); got != tc.want {
-			t.Errorf("%+v: due at %d", tc, got)
+			t.Errorf("%+v: got next due at %d, want %d", tc, got, tc.want)
 		}
 	}
 }
--- a/internal/mapentry/mapentry_test.go
+++ b/internal/mapentry/mapentry_test.go
@@ -6,7 +6,7 @@
 	present := 7
 	entries := map[string]*int{"present": &present, "nil": nil}
 	if got := GetOrNew(entries, "present"); got != &present {
-		t.Error("an entry that is present was replaced")
+		t.Errorf("present: got pointer %p, want the existing pointer %p", got, &present)
 	}
 	for _, key := range []string{"missing", "nil"} {
 		added := GetOrNew(entries, key)
@@ -15,10 +15,13 @@
 		}
 		*added = 3
 		if again := GetOrNew(entries, key); again != added || *again != 3 {
-			t.Errorf("%s: the entry added isn't kept", key)
+			t.Errorf(
+				"%s: the second call got %p (value %d), want the added entry %p (value 3)",
+				key, again, *again, added,
+			)
 		}
 	}
 	if len(entries) != 3 {
-		t.Errorf("%d entries, want 3", len(entries))
+		t.Errorf("got %d entries, want 3", len(entries))
 	}
 }
--- a/internal/sortedmap/sortedmap.go
+++ b/internal/sortedmap/sortedmap.go
@@ -1,5 +1,6 @@
-// Package sortedmap walks maps in the order of their keys. Decisions must not depend on the order of a map:
-// the same input has to give the same calls of the state service, the cloud and the workers.
+// Package sortedmap returns the keys of maps in sorted order, for deterministic iteration. Decisions must not
+// depend on Go's random map order: the same input must lead to the same calls to the state service, the cloud
+// and the workers.
 package sortedmap
 
 import (
@@ -7,7 +8,7 @@
 	"slices"
 )
 
-// Keys returns the keys of a map in order.
+// Keys returns the keys of a map in ascending order.
 func Keys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for key := range m {
