--- a/internal/reachability/controllers_test.go
+++ b/internal/reachability/controllers_test.go
@@ -9,9 +9,9 @@
 	"pipitgap/internal/peers"
 )
 
-// storeSilentFor has the state service not have answered for a while.
-func (w *world) storeSilentFor(duration monotime.Micros) {
-	w.unavailable, w.lastSuccessAt = true, w.now-duration
+// silenceStoreFor has the state service not have answered for a while.
+func (h *harness) silenceStoreFor(duration monotime.Micros) {
+	h.unavailable, h.lastSuccessAt = true, h.now-duration
 }
 
 // TestStoreUnreachableOnlyHere: a peer must have reported later than this controller's last answer that it reaches
@@ -19,46 +19,46 @@
 func TestStoreUnreachableOnlyHere(t *testing.T) {
 	cases := []struct {
 		name    string
-		arrange func(w *world)
+		arrange func(h *harness)
 		want    string
 	}{
-		{"available", func(w *world) { w.peerReports("n-0", true, 0) }, ""},
-		{"silent for a moment", func(w *world) {
-			w.storeSilentFor(isolationDelay - 1)
-			w.peerReports("n-0", true, 0)
+		{"available", func(h *harness) { h.receivePeerStatus("n-0", true, 0) }, ""},
+		{"silent for a moment", func(h *harness) {
+			h.silenceStoreFor(isolationDelay - 1)
+			h.receivePeerStatus("n-0", true, 0)
 		}, ""},
-		{"silent and available", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.unavailable = false
-			w.peerReports("n-0", true, 0)
+		{"silent and available", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.unavailable = false
+			h.receivePeerStatus("n-0", true, 0)
 		}, ""},
-		{"a peer reaches it", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.peerReports("n-2", true, 0)
+		{"a peer reaches it", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.receivePeerStatus("n-2", true, 0)
 		}, "n-2"},
-		{"no peer reaches it", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.peerReports("n-2", false, 0)
+		{"no peer reaches it", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.receivePeerStatus("n-2", false, 0)
 		}, ""},
-		{"a report of hardly later than the last answer", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.now = w.lastSuccessAt + peerReportLead
-			w.peerReports("n-2", true, 0)
-			w.now = w.lastSuccessAt + isolationDelay
+		{"a report of hardly later than the last answer", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.now = h.lastSuccessAt + peerReportLead
+			h.receivePeerStatus("n-2", true, 0)
+			h.now = h.lastSuccessAt + isolationDelay
 		}, ""},
-		{"a report of somewhat later", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.now = w.lastSuccessAt + peerReportLead + 1
-			w.peerReports("n-2", true, 0)
-			w.now = w.lastSuccessAt + isolationDelay
+		{"a report of somewhat later", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.now = h.lastSuccessAt + peerReportLead + 1
+			h.receivePeerStatus("n-2", true, 0)
+			h.now = h.lastSuccessAt + isolationDelay
 		}, "n-2"},
 	}
 	for _, tc := range cases {
-		w := newWorld(t, 0)
-		tc.arrange(w)
-		if got, only := w.reachability.StoreUnreachableOnlyHere(w.now); got != tc.want ||
-			only != (tc.want != "") {
-			t.Errorf("%s: %q, %t", tc.name, got, only)
+		h := newHarness(t, 0)
+		tc.arrange(h)
+		if got, onlyHere := h.reachability.StoreUnreachableOnlyHere(h.now); got != tc.want ||
+			onlyHere != (tc.want != "") {
+			t.Errorf("%s: %q, %t", tc.name, got, onlyHere)
 		}
 	}
 }
@@ -68,42 +68,42 @@
 func TestIsolation(t *testing.T) {
 	cases := []struct {
 		name                 string
-		arrange              func(w *world)
+		arrange              func(h *harness)
 		isolated, superseded bool
 	}{
-		{"connected", func(*world) {}, false, false},
+		{"connected", func(*harness) {}, false, false},
 		{
 			"state service silent for a moment",
-			func(w *world) { w.storeSilentFor(isolationDelay - 1) },
+			func(h *harness) { h.silenceStoreFor(isolationDelay - 1) },
 			false,
 			false,
 		},
-		{"state service silent", func(w *world) { w.storeSilentFor(isolationDelay) }, true, false},
-		{"and a peer heard", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.peerReports("n-2", false, 0)
+		{"state service silent", func(h *harness) { h.silenceStoreFor(isolationDelay) }, true, false},
+		{"and a peer heard", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.receivePeerStatus("n-2", false, 0)
 		}, false, false},
-		{"no peers", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.reachability.options.Peers = nil
+		{"no peers", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.reachability.options.Peers = nil
 		}, false, false},
-		{"a successor may still be taking over", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.leaseRenewedAt = w.now - w.durations.MembershipTTL - durations.TakeoverDuration + 1
+		{"a successor may still be taking over", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.leaseRenewedAt = h.now - h.durations.MembershipTTL - durations.TakeoverDuration + 1
 		}, true, false},
-		{"a successor has taken over", func(w *world) {
-			w.storeSilentFor(isolationDelay)
-			w.leaseRenewedAt = w.now - w.durations.MembershipTTL - durations.TakeoverDuration
+		{"a successor has taken over", func(h *harness) {
+			h.silenceStoreFor(isolationDelay)
+			h.leaseRenewedAt = h.now - h.durations.MembershipTTL - durations.TakeoverDuration
 		}, true, true},
-		{"membership ended, but connected", func(w *world) { w.leaseRenewedAt = 0 }, false, false},
+		{"membership ended, but connected", func(h *harness) { h.leaseRenewedAt = 0 }, false, false},
 	}
 	for _, tc := range cases {
-		w := newWorld(t, 0)
-		tc.arrange(w)
-		if got := w.reachability.IsIsolated(w.now); got != tc.isolated {
+		h := newHarness(t, 0)
+		tc.arrange(h)
+		if got := h.reachability.IsIsolated(h.now); got != tc.isolated {
 			t.Errorf("%s: isolated %t", tc.name, got)
 		}
-		if got := w.reachability.IsSuperseded(w.now); got != tc.superseded {
+		if got := h.reachability.IsSuperseded(h.now); got != tc.superseded {
 			t.Errorf("%s: superseded %t", tc.name, got)
 		}
 	}
@@ -115,30 +115,30 @@
 	all := []string{"n-0", testNode, "n-2"}
 	cases := []struct {
 		name    string
-		arrange func(w *world)
+		arrange func(h *harness)
 		want    []string
 	}{
-		{"nobody has said anything", func(*world) {}, all},
-		{"a peer is cut off", func(w *world) { w.peerReports("n-0", true, peers.WorkersUnreachable) },
+		{"nobody has said anything", func(*harness) {}, all},
+		{"a peer is cut off", func(h *harness) { h.receivePeerStatus("n-0", true, peers.WorkersUnreachable) },
 			[]string{testNode, "n-2"}},
-		{"a peer was cut off and is silent", func(w *world) {
-			w.peerReports("n-0", true, peers.WorkersUnreachable)
-			w.now += monotime.Minute
+		{"a peer was cut off and is silent", func(h *harness) {
+			h.receivePeerStatus("n-0", true, peers.WorkersUnreachable)
+			h.now += monotime.Minute
 		}, all},
-		{"a peer doesn't know", func(w *world) { w.peerReports("n-0", true, peers.WorkersUnknown) }, all},
-		{"a peer is gone", func(w *world) { w.live = w.live[:2] }, []string{"n-0", testNode}},
-		{"this one is cut off", func(w *world) { w.reachability.workersUnreachableSince = 1 },
+		{"a peer doesn't know", func(h *harness) { h.receivePeerStatus("n-0", true, peers.WorkersUnknown) }, all},
+		{"a peer is gone", func(h *harness) { h.live = h.live[:2] }, []string{"n-0", testNode}},
+		{"this one is cut off", func(h *harness) { h.reachability.workersUnreachableSince = 1 },
 			[]string{"n-0", "n-2"}},
-		{"all are cut off", func(w *world) {
-			w.reachability.workersUnreachableSince = 1
-			w.peerReports("n-0", true, peers.WorkersUnreachable)
-			w.peerReports("n-2", true, peers.WorkersUnreachable)
+		{"all are cut off", func(h *harness) {
+			h.reachability.workersUnreachableSince = 1
+			h.receivePeerStatus("n-0", true, peers.WorkersUnreachable)
+			h.receivePeerStatus("n-2", true, peers.WorkersUnreachable)
 		}, all},
 	}
 	for _, tc := range cases {
-		w := newWorld(t, 0)
-		tc.arrange(w)
-		if got := w.reachability.ConnectedControllers(); !slices.Equal(got, tc.want) {
+		h := newHarness(t, 0)
+		tc.arrange(h)
+		if got := h.reachability.ConnectedControllers(); !slices.Equal(got, tc.want) {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -82,7 +82,7 @@
 	log          *slog.Logger
 
 	workersUnreachableSince monotime.Micros // 0: they are reached, as far as is known
-	hearsMostWorkers        bool
+	mostWorkersResponsive   bool
 	silenceProbesInFlight   int
 	lastProbeSuccessAt      monotime.Micros // when a silent machine last answered a probe
 	nextProbeAt             monotime.Micros // while the workers are unreachable
--- a/internal/reachability/silence.go
+++ b/internal/reachability/silence.go
@@ -8,8 +8,8 @@
 type SilenceCount struct{ Machines, Silent int }
 
 // Add counts a machine. One that was claimed just now and has had no time to be heard says nothing yet.
-func (s *SilenceCount) Add(silent, neverHeard bool) {
-	if neverHeard && !silent {
+func (s *SilenceCount) Add(silent, neverReported bool) {
+	if neverReported && !silent {
 		return
 	}
 	s.Machines++
@@ -23,5 +23,5 @@
 	return s != nil && s.Silent >= minSilentMachines && 4*s.Silent >= 3*s.Machines
 }
 
-// mostHeard reports whether more than half of the machines are heard.
-func (s *SilenceCount) mostHeard() bool { return s.Machines > 0 && 2*s.Silent < s.Machines }
+// mostResponsive reports whether more than half of the machines are heard.
+func (s *SilenceCount) mostResponsive() bool { return s.Machines > 0 && 2*s.Silent < s.Machines }
--- a/internal/reachability/stubs_test.go
+++ b/internal/reachability/stubs_test.go
@@ -26,8 +26,8 @@
 	callback func(protocol.CommandResult)
 }
 
-// world stands for all that a Reachability depends on. Probes wait until the test answers them.
-type world struct {
+// harness stands for all that a Reachability depends on. Probes wait until the test answers them.
+type harness struct {
 	now            monotime.Micros
 	random         *rand.Rand
 	live           []string
@@ -44,10 +44,10 @@
 	reachability *Reachability
 }
 
-// newWorld has this controller, two peers that have said nothing, and machines of this controller.
-func newWorld(t *testing.T, machines int) *world {
+// newHarness has this controller, two peers that have said nothing, and machines of this controller.
+func newHarness(t *testing.T, machines int) *harness {
 	t.Helper()
-	w := &world{
+	h := &harness{
 		now: testStart, random: rand.New(rand.NewPCG(1, 2)), live: []string{"n-0", testNode, "n-2"},
 		lastSuccessAt: testStart, leaseRenewedAt: testStart,
 		durations: durations.Derive(config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32}),
@@ -55,44 +55,44 @@
 	}
 	for i := range machines {
 		id := fmt.Sprint("i-", i)
-		w.mirror.Machines[id] = &mirror.Machine{
+		h.mirror.Machines[id] = &mirror.Machine{
 			ID: id, Record: &storage.ShardMachine{Endpoint: "to " + id},
 		}
 	}
-	w.reachability = New(Options{
-		Node: testNode, Peers: []string{"n-0", "n-2"}, Durations: w.durations,
-		Mirror: w.mirror, PeerStatuses: w.peerStatuses, Membership: w, Store: w, Environment: w,
+	h.reachability = New(Options{
+		Node: testNode, Peers: []string{"n-0", "n-2"}, Durations: h.durations,
+		Mirror: h.mirror, PeerStatuses: h.peerStatuses, Membership: h, Store: h, Environment: h,
 		Log:           slog.New(slog.DiscardHandler),
 		HasAgent:      func(*mirror.Machine) bool { return true },
-		HandOffShards: func(monotime.Micros) { w.handOffs++ },
-		RequestPass:   func() { w.passes++ },
+		HandOffShards: func(monotime.Micros) { h.handOffs++ },
+		RequestPass:   func() { h.passes++ },
 	})
-	return w
+	return h
 }
 
-func (w *world) LiveControllers() []string       { return w.live }
-func (w *world) LeaseRenewedAt() monotime.Micros { return w.leaseRenewedAt }
-func (w *world) Unavailable() bool               { return w.unavailable }
-func (w *world) LastSuccessAt() monotime.Micros  { return w.lastSuccessAt }
-func (w *world) Now() monotime.Micros            { return w.now }
-func (w *world) Rand() *rand.Rand                { return w.random }
+func (h *harness) LiveControllers() []string       { return h.live }
+func (h *harness) LeaseRenewedAt() monotime.Micros { return h.leaseRenewedAt }
+func (h *harness) Unavailable() bool               { return h.unavailable }
+func (h *harness) LastSuccessAt() monotime.Micros  { return h.lastSuccessAt }
+func (h *harness) Now() monotime.Micros            { return h.now }
+func (h *harness) Rand() *rand.Rand                { return h.random }
 
-func (w *world) SendCommands(
+func (h *harness) SendCommands(
 	endpoint string, _ *protocol.CommandRequest, _ monotime.Micros, callback func(protocol.CommandResult),
 ) {
-	w.probes = append(w.probes, probe{endpoint, callback})
+	h.probes = append(h.probes, probe{endpoint, callback})
 }
 
 // answerProbe answers the oldest probe: as the machine that was asked, as another, or not at all.
-func (w *world) answerProbe(answer probeAnswer) {
-	oldest := w.probes[0]
-	w.probes = w.probes[1:]
+func (h *harness) answerProbe(answer probeAnswer) {
+	oldest := h.probes[0]
+	h.probes = h.probes[1:]
 	result := protocol.CommandResult{}
 	if answer != noAnswer {
 		result.Status = 200
 		result.Heartbeat.Machine = oldest.endpoint[len("to "):]
 	}
-	if answer == anothersAnswer {
+	if answer == otherMachineAnswer {
 		result.Heartbeat.Machine += "0"
 	}
 	oldest.callback(result)
@@ -103,13 +103,13 @@
 
 const (
 	noAnswer probeAnswer = iota
-	ownAnswer
-	anothersAnswer // another machine has the endpoint by now
+	probedMachineAnswer
+	otherMachineAnswer // another machine has the endpoint by now
 )
 
-// peerReports has a status of a peer come in now.
-func (w *world) peerReports(node string, storeReachable bool, reach peers.WorkerReach) {
-	w.peerStatuses.Update(
-		&peers.Status{Node: node, StateServiceReachable: storeReachable, WorkerReach: reach}, w.now,
+// receivePeerStatus has a status of a peer come in now.
+func (h *harness) receivePeerStatus(node string, storeReachable bool, reach peers.WorkerReach) {
+	h.peerStatuses.Update(
+		&peers.Status{Node: node, StateServiceReachable: storeReachable, WorkerReach: reach}, h.now,
 	)
 }
--- a/internal/reachability/workers.go
+++ b/internal/reachability/workers.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// silenceProbes is how many silent machines are probed before this controller takes itself for cut off.
-	silenceProbes = 3
+	// silenceProbeCount is how many silent machines are probed before this controller takes itself for cut off.
+	silenceProbeCount = 3
 	// silenceProbeValidity is how long one answer shows that it isn't.
 	silenceProbeValidity = 3 * monotime.Second
 	// reconnectProbeInterval is the time between probes while the workers are unreachable.
@@ -27,7 +27,7 @@
 	switch {
 	case r.WorkersUnreachable():
 		return peers.WorkersUnreachable
-	case r.hearsMostWorkers:
+	case r.mostWorkersResponsive:
 		return peers.WorkersReachable
 	}
 	return peers.WorkersUnknown
@@ -36,11 +36,11 @@
 // UpdateReachability judges from the silence of this controller's machines whether it is cut off from them.
 // The mirror must be fresh, and no pause of the process have just ended, or silence says nothing.
 func (r *Reachability) UpdateReachability(overall SilenceCount, now monotime.Micros) {
-	r.hearsMostWorkers = overall.mostHeard()
+	r.mostWorkersResponsive = overall.mostResponsive()
 	switch {
 	case overall.IsUnreachable() && !r.WorkersUnreachable():
 		r.probeSilentMachines(now)
-	case r.WorkersUnreachable() && r.hearsMostWorkers:
+	case r.WorkersUnreachable() && r.mostWorkersResponsive:
 		r.markWorkersReachable()
 	}
 	if !r.WorkersUnreachable() {
@@ -59,7 +59,7 @@
 		return
 	}
 	machines := r.ownMachines()
-	probes := min(len(machines), silenceProbes)
+	probes := min(len(machines), silenceProbeCount)
 	r.silenceProbesInFlight = probes
 	reachedAny := false
 	for i := range probes {
--- a/internal/reachability/workers_test.go
+++ b/internal/reachability/workers_test.go
@@ -12,9 +12,9 @@
 // heard counts only once it is silent.
 func TestSilenceCount(t *testing.T) {
 	cases := []struct {
-		name                  string
-		heard, silent, unseen int
-		unreachable, mostly   bool // mostly: most are heard
+		name                        string
+		heard, silent, unseen       int
+		unreachable, mostResponsive bool // mostResponsive: most are heard
 	}{
 		{"none", 0, 0, 0, false, false},
 		{"all heard", 4, 0, 0, false, true},
@@ -41,7 +41,7 @@
 		if got := count.IsUnreachable(); got != tc.unreachable {
 			t.Errorf("%s: unreachable %t", tc.name, got)
 		}
-		if got := count.mostHeard(); got != tc.mostly {
+		if got := count.mostResponsive(); got != tc.mostResponsive {
 			t.Errorf("%s: most heard %t", tc.name, got)
 		}
 	}
@@ -50,158 +50,158 @@
 	}
 }
 
-// TestSilenceIsProbed: workers count as unreachable when none of the probed machines answers for itself.
-func TestSilenceIsProbed(t *testing.T) {
+// TestWorkersUnreachableIfNoProbeSucceeds: workers count as unreachable when none of the probed machines answers for itself.
+func TestWorkersUnreachableIfNoProbeSucceeds(t *testing.T) {
 	cases := []struct {
 		name    string
-		answers [silenceProbes]probeAnswer
+		answers [silenceProbeCount]probeAnswer
 		want    bool
 	}{
-		{"no answer", [silenceProbes]probeAnswer{}, true},
-		{"one answers", [silenceProbes]probeAnswer{noAnswer, ownAnswer, noAnswer}, false},
-		{"the last answers", [silenceProbes]probeAnswer{noAnswer, noAnswer, ownAnswer}, false},
-		{"another machine answers", [silenceProbes]probeAnswer{anothersAnswer}, true},
+		{"no answer", [silenceProbeCount]probeAnswer{}, true},
+		{"one answers", [silenceProbeCount]probeAnswer{noAnswer, probedMachineAnswer, noAnswer}, false},
+		{"the last answers", [silenceProbeCount]probeAnswer{noAnswer, noAnswer, probedMachineAnswer}, false},
+		{"another machine answers", [silenceProbeCount]probeAnswer{otherMachineAnswer}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, 5)
-			w.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, w.now)
-			w.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, w.now)
-			if len(w.probes) != silenceProbes {
-				t.Fatalf("%d probes", len(w.probes))
+			h := newHarness(t, 5)
+			h.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, h.now)
+			h.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, h.now)
+			if len(h.probes) != silenceProbeCount {
+				t.Fatalf("%d probes", len(h.probes))
 			}
-			asked := map[string]bool{}
-			for _, probe := range w.probes {
-				asked[probe.endpoint] = true
+			probedEndpoints := map[string]bool{}
+			for _, probe := range h.probes {
+				probedEndpoints[probe.endpoint] = true
 			}
-			if len(asked) != silenceProbes {
-				t.Errorf("asked %v", asked)
+			if len(probedEndpoints) != silenceProbeCount {
+				t.Errorf("asked %v", probedEndpoints)
 			}
 			for _, answer := range tc.answers {
-				if w.reachability.WorkersUnreachable() {
+				if h.reachability.WorkersUnreachable() {
 					t.Error("unreachable before all probes have ended")
 				}
-				w.answerProbe(answer)
+				h.answerProbe(answer)
 			}
-			if got := w.reachability.WorkersUnreachable(); got != tc.want || (w.handOffs > 0) != tc.want {
-				t.Errorf("unreachable %t, %d hand-offs", got, w.handOffs)
+			if got := h.reachability.WorkersUnreachable(); got != tc.want || (h.handOffs > 0) != tc.want {
+				t.Errorf("unreachable %t, %d hand-offs", got, h.handOffs)
 			}
 			if tc.want {
 				return
 			}
-			w.reachability.UpdateReachability(
+			h.reachability.UpdateReachability(
 				SilenceCount{Machines: 5, Silent: 5},
-				w.now+silenceProbeValidity-1,
+				h.now+silenceProbeValidity-1,
 			)
-			if len(w.probes) > 0 {
+			if len(h.probes) > 0 {
 				t.Error("probed again though one has just answered")
 			}
-			w.reachability.UpdateReachability(
+			h.reachability.UpdateReachability(
 				SilenceCount{Machines: 5, Silent: 5},
-				w.now+silenceProbeValidity,
+				h.now+silenceProbeValidity,
 			)
-			if len(w.probes) != silenceProbes {
-				t.Errorf("%d probes later", len(w.probes))
+			if len(h.probes) != silenceProbeCount {
+				t.Errorf("%d probes later", len(h.probes))
 			}
 		})
 	}
 }
 
-// unreachable has the workers of a world be unreachable, and its hand-offs counted from there.
-func unreachable(t *testing.T, machines int) *world {
+// newUnreachableHarness has the workers of a harness be unreachable, and its hand-offs counted from there.
+func newUnreachableHarness(t *testing.T, machines int) *harness {
 	t.Helper()
-	w := newWorld(t, machines)
-	w.reachability.UpdateReachability(SilenceCount{Machines: machines, Silent: machines}, w.now)
-	for len(w.probes) > 0 {
-		w.answerProbe(noAnswer)
+	h := newHarness(t, machines)
+	h.reachability.UpdateReachability(SilenceCount{Machines: machines, Silent: machines}, h.now)
+	for len(h.probes) > 0 {
+		h.answerProbe(noAnswer)
 	}
-	if !w.reachability.WorkersUnreachable() {
+	if !h.reachability.WorkersUnreachable() {
 		t.Fatal("workers are reached")
 	}
-	w.handOffs = 0
-	return w
+	h.handOffs = 0
+	return h
 }
 
-// TestWorkersReachedAgain: by a probe that is answered, by hearing most machines, or when there are no machines left.
-func TestWorkersReachedAgain(t *testing.T) {
+// TestWorkersBecomeReachable: by a probe that is answered, by hearing most machines, or when there are no machines left.
+func TestWorkersBecomeReachable(t *testing.T) {
 	allSilent := SilenceCount{Machines: 3, Silent: 3}
 	cases := []struct {
-		name   string
-		happen func(w *world)
-		want   bool
+		name string
+		act  func(h *harness)
+		want bool
 	}{
-		{"nothing", func(w *world) { w.reachability.UpdateReachability(allSilent, w.now) }, false},
-		{"a probe fails", func(w *world) {
-			w.reachability.UpdateReachability(allSilent, w.now)
-			w.answerProbe(noAnswer)
+		{"nothing", func(h *harness) { h.reachability.UpdateReachability(allSilent, h.now) }, false},
+		{"a probe fails", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
+			h.answerProbe(noAnswer)
 		}, false},
-		{"a probe is answered by another machine", func(w *world) {
-			w.reachability.UpdateReachability(allSilent, w.now)
-			w.answerProbe(anothersAnswer)
+		{"a probe is answered by another machine", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
+			h.answerProbe(otherMachineAnswer)
 		}, false},
-		{"a probe is answered", func(w *world) {
-			w.reachability.UpdateReachability(allSilent, w.now)
-			w.answerProbe(ownAnswer)
+		{"a probe is answered", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
+			h.answerProbe(probedMachineAnswer)
 		}, true},
-		{"most are heard", func(w *world) {
-			w.reachability.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, w.now)
+		{"most are heard", func(h *harness) {
+			h.reachability.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, h.now)
 		}, true},
-		{"few are heard", func(w *world) {
-			w.reachability.UpdateReachability(SilenceCount{Machines: 4, Silent: 2}, w.now)
+		{"few are heard", func(h *harness) {
+			h.reachability.UpdateReachability(SilenceCount{Machines: 4, Silent: 2}, h.now)
 		}, false},
-		{"no machines are left", func(w *world) {
-			clear(w.mirror.Machines)
-			w.reachability.UpdateReachability(SilenceCount{}, w.now)
+		{"no machines are left", func(h *harness) {
+			clear(h.mirror.Machines)
+			h.reachability.UpdateReachability(SilenceCount{}, h.now)
 		}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := unreachable(t, 3)
-			tc.happen(w)
-			if got := !w.reachability.WorkersUnreachable(); got != tc.want || (w.passes > 0) != tc.want {
-				t.Errorf("reached %t, %d passes", got, w.passes)
+			h := newUnreachableHarness(t, 3)
+			tc.act(h)
+			if got := !h.reachability.WorkersUnreachable(); got != tc.want || (h.passes > 0) != tc.want {
+				t.Errorf("reached %t, %d passes", got, h.passes)
 			}
 		})
 	}
 }
 
-// TestUnreachableWorkersKeepProbing: shards are handed off at every check, probes come at their interval, and the
+// TestUnreachableWorkersAreProbedAtInterval: shards are handed off at every check, probes come at their interval, and the
 // answer to one of an earlier time says nothing of now.
-func TestUnreachableWorkersKeepProbing(t *testing.T) {
-	w := unreachable(t, 3)
+func TestUnreachableWorkersAreProbedAtInterval(t *testing.T) {
+	h := newUnreachableHarness(t, 3)
 	silent := SilenceCount{Machines: 3, Silent: 3}
 	for _, at := range []monotime.Micros{0, 1, reconnectProbeInterval - 1, reconnectProbeInterval} {
-		w.reachability.UpdateReachability(silent, w.now+at)
-	}
-	if w.handOffs != 4 || len(w.probes) != 2 {
-		t.Errorf("%d hand-offs and %d probes", w.handOffs, len(w.probes))
-	}
-	w.now += monotime.Second
-	w.reachability.UpdateReachability(SilenceCount{Machines: 3}, w.now) // reached again
-	early := w.probes[:2]
-	w.probes = nil
-	w.now += silenceProbeValidity
-	w.reachability.UpdateReachability(silent, w.now)
-	for len(w.probes) > 0 {
-		w.answerProbe(noAnswer)
-	}
-	w.probes = early
-	w.answerProbe(ownAnswer)
-	if !w.reachability.WorkersUnreachable() {
+		h.reachability.UpdateReachability(silent, h.now+at)
+	}
+	if h.handOffs != 4 || len(h.probes) != 2 {
+		t.Errorf("%d hand-offs and %d probes", h.handOffs, len(h.probes))
+	}
+	h.now += monotime.Second
+	h.reachability.UpdateReachability(SilenceCount{Machines: 3}, h.now) // reached again
+	earlierProbes := h.probes[:2]
+	h.probes = nil
+	h.now += silenceProbeValidity
+	h.reachability.UpdateReachability(silent, h.now)
+	for len(h.probes) > 0 {
+		h.answerProbe(noAnswer)
+	}
+	h.probes = earlierProbes
+	h.answerProbe(probedMachineAnswer)
+	if !h.reachability.WorkersUnreachable() {
 		t.Error("reached by an answer from before")
 	}
 }
 
 // TestWorkerReach: what a controller tells its peers of its workers.
 func TestWorkerReach(t *testing.T) {
-	cut := unreachable(t, 3).reachability
-	unknown, heard, silent := newWorld(
+	cut := newUnreachableHarness(t, 3).reachability
+	unknown, heard, silent := newHarness(
 		t,
 		3,
-	).reachability, newWorld(
+	).reachability, newHarness(
 		t,
 		3,
-	).reachability, newWorld(
+	).reachability, newHarness(
 		t,
 		3,
 	).reachability
@@ -224,14 +224,14 @@
 	}
 }
 
-// TestProbedMachinesAreDrawn: each machine is probed in some draw, not always the first by name.
-func TestProbedMachinesAreDrawn(t *testing.T) {
+// TestProbedMachinesAreRandom: each machine is probed in some draw, not always the first by name.
+func TestProbedMachinesAreRandom(t *testing.T) {
 	probed := map[string]bool{}
 	for seed := range uint64(40) {
-		w := newWorld(t, 6)
-		w.random = rand.New(rand.NewPCG(seed, 1))
-		w.reachability.UpdateReachability(SilenceCount{Machines: 6, Silent: 6}, w.now)
-		for _, probe := range w.probes {
+		h := newHarness(t, 6)
+		h.random = rand.New(rand.NewPCG(seed, 1))
+		h.reachability.UpdateReachability(SilenceCount{Machines: 6, Silent: 6}, h.now)
+		for _, probe := range h.probes {
 			probed[probe.endpoint] = true
 		}
 	}
