--- a/internal/reachability/controllers.go
+++ b/internal/reachability/controllers.go
@@ -7,17 +7,19 @@
 )
 
 const (
-	// isolationDelay is how long the state service must not have answered before this controller judges
-	// whether others reach it.
+	// isolationDelay is how long the state service must not have responded before this controller checks
+	// whether only this controller cannot reach the service.
 	isolationDelay = 2 * monotime.Second
-	// peerReportLead is how much later than this controller's last answer a peer's report must be: both have
-	// the same answers to wait for.
+	// peerReportLead is how much later than the last response of the state service to this controller a peer
+	// must have reported that it reaches the service. Both controllers wait for the same responses, so a
+	// shorter lead does not show that only this controller is affected.
 	peerReportLead = 1500 * monotime.Millisecond
 )
 
-// StoreUnreachableOnlyHere reports whether this controller can't use the state service while a peer can; it
-// names that peer. Then its users and workers are sent to the others. In an outage that all share it goes on
-// answering workers, or every lease would expire.
+// StoreUnreachableOnlyHere reports whether this controller cannot reach the state service while a peer can,
+// and returns that peer. In that case callers redirect users and workers to other controllers. During an
+// outage that affects all controllers, this controller keeps responding to workers; otherwise every lease
+// would expire.
 func (r *Reachability) StoreUnreachableOnlyHere(now monotime.Micros) (peer string, onlyHere bool) {
 	if !r.storeSilent(now) {
 		return "", false
@@ -25,9 +27,9 @@
 	return r.peerStatuses.FirstReachingStore(r.store.LastSuccessAt()+peerReportLead, now)
 }
 
-// IsIsolated reports whether this controller reaches neither the state service nor any other controller: then
-// it is most likely the one that is cut off, and users are better served elsewhere. A controller without
-// peers is never isolated.
+// IsIsolated reports whether this controller reaches neither the state service nor any other controller. In
+// that case this controller most likely has lost its network connection, and users should use another
+// controller. A controller without peers is never isolated.
 func (r *Reachability) IsIsolated(now monotime.Micros) bool {
 	if !r.storeSilent(now) || len(r.options.Peers) == 0 {
 		return false
@@ -40,19 +42,21 @@
 	return true
 }
 
-// storeSilent reports whether the state service hasn't answered for a while.
+// storeSilent reports whether the state service is unavailable and has not responded for isolationDelay.
 func (r *Reachability) storeSilent(now monotime.Micros) bool {
 	return r.store.Unavailable() && now-r.store.LastSuccessAt() >= isolationDelay
 }
 
-// IsSuperseded reports whether this controller is isolated, and its membership has ended for so long that
-// another, if there is one, has taken its machines over.
+// IsSuperseded reports whether this controller is isolated and renewed its lease so long ago that its
+// membership ended at least TakeoverDuration ago. By then any other live controller has taken over its
+// machines.
 func (r *Reachability) IsSuperseded(now monotime.Micros) bool {
 	return r.IsIsolated(now) &&
 		now-r.membership.LeaseRenewedAt() >= r.options.Durations.MembershipTTL+durations.TakeoverDuration
 }
 
-// IsCutOffFromWorkers reports whether a controller lives, but is known not to reach its workers.
+// IsCutOffFromWorkers reports whether a controller is known not to reach its workers. A peer must have
+// reported so, and its last status must be recent.
 func (r *Reachability) IsCutOffFromWorkers(node string, now monotime.Micros) bool {
 	if node == r.node {
 		return r.WorkersUnreachable()
@@ -61,8 +65,9 @@
 		r.peerStatuses.WorkerReach(node) == peers.WorkersUnreachable
 }
 
-// ConnectedControllers lists the live controllers that are fit for machines and pending tasks, in order:
-// those that aren't known to be cut off from their workers, or all if every one is.
+// ConnectedControllers returns the live controllers that may be assigned machines and pending tasks, in
+// ascending order: those not known to be cut off from their workers, or all live controllers if each of them
+// is cut off.
 func (r *Reachability) ConnectedControllers() []string {
 	live, now := r.membership.LiveControllers(), r.env.Now()
 	var connected []string
--- a/internal/reachability/controllers_test.go
+++ b/internal/reachability/controllers_test.go
@@ -9,44 +9,45 @@
 	"pipitgap/internal/peers"
 )
 
-// silenceStoreFor has the state service not have answered for a while.
+// silenceStoreFor makes the state service unavailable; its last response was the given duration ago.
 func (h *harness) silenceStoreFor(duration monotime.Micros) {
 	h.unavailable, h.lastSuccessAt = true, h.now-duration
 }
 
-// TestStoreUnreachableOnlyHere: a peer must have reported later than this controller's last answer that it reaches
-// the state service.
+// TestStoreUnreachableOnlyHere: the state service is unreachable only here if it has not responded for
+// isolationDelay and a peer reported more than peerReportLead after the last response that it reaches the
+// service.
 func TestStoreUnreachableOnlyHere(t *testing.T) {
 	cases := []struct {
 		name    string
 		arrange func(h *harness)
 		want    string
 	}{
-		{"available", func(h *harness) { h.receivePeerStatus("n-0", true, 0) }, ""},
-		{"silent for a moment", func(h *harness) {
+		{"state service available", func(h *harness) { h.receivePeerStatus("n-0", true, 0) }, ""},
+		{"silent for less than isolationDelay", func(h *harness) {
 			h.silenceStoreFor(isolationDelay - 1)
 			h.receivePeerStatus("n-0", true, 0)
 		}, ""},
-		{"silent and available", func(h *harness) {
+		{"silent but not marked unavailable", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.unavailable = false
 			h.receivePeerStatus("n-0", true, 0)
 		}, ""},
-		{"a peer reaches it", func(h *harness) {
+		{"a peer reaches the state service", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.receivePeerStatus("n-2", true, 0)
 		}, "n-2"},
-		{"no peer reaches it", func(h *harness) {
+		{"no peer reaches the state service", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.receivePeerStatus("n-2", false, 0)
 		}, ""},
-		{"a report of hardly later than the last answer", func(h *harness) {
+		{"peer report exactly peerReportLead after the last response", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.now = h.lastSuccessAt + peerReportLead
 			h.receivePeerStatus("n-2", true, 0)
 			h.now = h.lastSuccessAt + isolationDelay
 		}, ""},
-		{"a report of somewhat later", func(h *harness) {
+		{"peer report more than peerReportLead after the last response", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.now = h.lastSuccessAt + peerReportLead + 1
 			h.receivePeerStatus("n-2", true, 0)
@@ -58,13 +59,16 @@
 		tc.arrange(h)
 		if got, onlyHere := h.reachability.StoreUnreachableOnlyHere(h.now); got != tc.want ||
 			onlyHere != (tc.want != "") {
-			t.Errorf("%s: %q, %t", tc.name, got, onlyHere)
+			t.Errorf(
+				"%s: got peer %q, only here %t, want peer %q, only here %t",
+				tc.name, got, onlyHere, tc.want, tc.want != "",
+			)
 		}
 	}
 }
 
-// TestIsolation: a controller is isolated when neither the state service nor a peer is heard, and superseded when its
-// membership has ended for long besides.
+// TestIsolation: a controller is isolated if it reaches neither the state service nor a peer. It is
+// superseded if, in addition, its membership ended at least TakeoverDuration ago.
 func TestIsolation(t *testing.T) {
 	cases := []struct {
 		name                 string
@@ -73,13 +77,13 @@
 	}{
 		{"connected", func(*harness) {}, false, false},
 		{
-			"state service silent for a moment",
+			"state service silent for less than isolationDelay",
 			func(h *harness) { h.silenceStoreFor(isolationDelay - 1) },
 			false,
 			false,
 		},
 		{"state service silent", func(h *harness) { h.silenceStoreFor(isolationDelay) }, true, false},
-		{"and a peer heard", func(h *harness) {
+		{"state service silent, peer status received", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.receivePeerStatus("n-2", false, 0)
 		}, false, false},
@@ -87,11 +91,11 @@
 			h.silenceStoreFor(isolationDelay)
 			h.reachability.options.Peers = nil
 		}, false, false},
-		{"a successor may still be taking over", func(h *harness) {
+		{"takeover by a successor possibly in progress", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.leaseRenewedAt = h.now - h.durations.MembershipTTL - durations.TakeoverDuration + 1
 		}, true, false},
-		{"a successor has taken over", func(h *harness) {
+		{"takeover by a successor complete", func(h *harness) {
 			h.silenceStoreFor(isolationDelay)
 			h.leaseRenewedAt = h.now - h.durations.MembershipTTL - durations.TakeoverDuration
 		}, true, true},
@@ -101,16 +105,16 @@
 		h := newHarness(t, 0)
 		tc.arrange(h)
 		if got := h.reachability.IsIsolated(h.now); got != tc.isolated {
-			t.Errorf("%s: isolated %t", tc.name, got)
+			t.Errorf("%s: got isolated %t, want %t", tc.name, got, tc.isolated)
 		}
 		if got := h.reachability.IsSuperseded(h.now); got != tc.superseded {
-			t.Errorf("%s: superseded %t", tc.name, got)
+			t.Errorf("%s: got superseded %t, want %t", tc.name, got, tc.superseded)
 		}
 	}
 }
 
-// TestConnectedControllers: live controllers without those that have lately reported that they don't reach
-// their workers, or all if that leaves none.
+// TestConnectedControllers: the live controllers except those that recently reported that they do not reach
+// their workers, or all live controllers if that leaves none.
 func TestConnectedControllers(t *testing.T) {
 	all := []string{"n-0", testNode, "n-2"}
 	cases := []struct {
@@ -118,18 +122,20 @@
 		arrange func(h *harness)
 		want    []string
 	}{
-		{"nobody has said anything", func(*harness) {}, all},
+		{"no status received", func(*harness) {}, all},
 		{"a peer is cut off", func(h *harness) { h.receivePeerStatus("n-0", true, peers.WorkersUnreachable) },
 			[]string{testNode, "n-2"}},
-		{"a peer was cut off and is silent", func(h *harness) {
+		{"report of the cut-off peer has expired", func(h *harness) {
 			h.receivePeerStatus("n-0", true, peers.WorkersUnreachable)
 			h.now += monotime.Minute
 		}, all},
-		{"a peer doesn't know", func(h *harness) { h.receivePeerStatus("n-0", true, peers.WorkersUnknown) }, all},
-		{"a peer is gone", func(h *harness) { h.live = h.live[:2] }, []string{"n-0", testNode}},
-		{"this one is cut off", func(h *harness) { h.reachability.workersUnreachableSince = 1 },
+		{"a peer's worker reach is unknown", func(h *harness) {
+			h.receivePeerStatus("n-0", true, peers.WorkersUnknown)
+		}, all},
+		{"a peer is no longer a member", func(h *harness) { h.live = h.live[:2] }, []string{"n-0", testNode}},
+		{"this controller is cut off", func(h *harness) { h.reachability.workersUnreachableSince = 1 },
 			[]string{"n-0", "n-2"}},
-		{"all are cut off", func(h *harness) {
+		{"all controllers are cut off", func(h *harness) {
 			h.reachability.workersUnreachableSince = 1
 			h.receivePeerStatus("n-0", true, peers.WorkersUnreachable)
 			h.receivePeerStatus("n-2", true, peers.WorkersUnreachable)
@@ -139,7 +145,7 @@
 		h := newHarness(t, 0)
 		tc.arrange(h)
 		if got := h.reachability.ConnectedControllers(); !slices.Equal(got, tc.want) {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: got %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/reachability/pause.go
+++ b/internal/reachability/pause.go
@@ -7,27 +7,28 @@
 )
 
 const (
-	// pauseThreshold is the time without any activity that shows a pause: ticks come every few tens of
+	// pauseThreshold is the longest time without activity that is not a pause. Ticks occur every few tens of
 	// milliseconds.
 	pauseThreshold = 3 * monotime.Second / 2
-	// staleAfterPause bounds how long a mirror from before a pause is distrusted. In an outage of the state
-	// service the wait must be short, or the workers' leases would expire.
+	// staleAfterPause bounds how long after a pause a mirror from before the pause is distrusted. It is short
+	// because during an outage of the state service the mirror is not updated, and the workers' leases would
+	// expire.
 	staleAfterPause = monotime.Second / 2
 )
 
-// PauseDetector tells when the process was paused while its clocks ran: what it holds may have changed since,
-// and what comes in may have waited for as long.
+// PauseDetector detects that the process was paused while the clocks kept running. After a pause, the mirror
+// may be outdated, and incoming messages may have been queued for as long as the pause lasted.
 type PauseDetector struct {
 	log            *slog.Logger
-	lastActivityAt monotime.Micros // when it was last called; 0: never
-	resumedAt      monotime.Micros // when the last pause ended; 0: there was none
+	lastActivityAt monotime.Micros // time of the last DetectPause call; 0: none
+	resumedAt      monotime.Micros // when the last pause ended; 0: no pause
 }
 
-// NewPauseDetector makes a detector that has seen no activity yet.
+// NewPauseDetector creates a detector without recorded activity.
 func NewPauseDetector(log *slog.Logger) *PauseDetector { return &PauseDetector{log: log} }
 
-// DetectPause notes activity, and a pause if there was none for long. It is called before anything that comes
-// in is used, and at every tick.
+// DetectPause records activity at now. It records a pause that ends now if the previous activity was more
+// than pauseThreshold ago. The controller calls it at every tick and before it handles an incoming message.
 func (d *PauseDetector) DetectPause(now monotime.Micros) {
 	if idle := now - d.lastActivityAt; d.lastActivityAt != 0 && idle > pauseThreshold {
 		d.resumedAt = now
@@ -36,11 +37,11 @@
 	d.lastActivityAt = now
 }
 
-// ResumedFromPauseAt returns when the last pause ended; 0 is returned if there was none.
+// ResumedFromPauseAt returns when the last pause ended, or 0 if there was no pause.
 func (d *PauseDetector) ResumedFromPauseAt() monotime.Micros { return d.resumedAt }
 
-// IsStale reports whether what was up to date at an instant must not be trusted, as a pause has ended since
-// then and only a moment ago.
+// IsStale reports whether data that was last known to be current at freshAt must not be trusted: a pause
+// ended after freshAt, and less than staleAfterPause ago.
 func (d *PauseDetector) IsStale(freshAt, now monotime.Micros) bool {
 	return d.resumedAt > freshAt && now-d.resumedAt < staleAfterPause
 }
--- a/internal/reachability/pause_test.go
+++ b/internal/reachability/pause_test.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// TestDetectPause: only a gap longer than the threshold is a pause, and the time before the first activity is none.
+// TestDetectPause: only a gap between two activities that exceeds the threshold is a pause. The time before
+// the first activity is not a pause.
 func TestDetectPause(t *testing.T) {
 	cases := []struct {
 		name       string
@@ -15,13 +16,13 @@
 		want       monotime.Micros
 	}{
 		{"first activity", []monotime.Micros{testStart}, 0},
-		{"at the threshold", []monotime.Micros{testStart, testStart + pauseThreshold}, 0},
+		{"gap equal to the threshold", []monotime.Micros{testStart, testStart + pauseThreshold}, 0},
 		{
-			"beyond",
+			"gap longer than the threshold",
 			[]monotime.Micros{testStart, testStart + pauseThreshold + 1},
 			testStart + pauseThreshold + 1,
 		},
-		{"and activity since", []monotime.Micros{1, testStart, testStart + 1}, testStart},
+		{"activity after the pause", []monotime.Micros{1, testStart, testStart + 1}, testStart},
 	}
 	for _, tc := range cases {
 		detector := NewPauseDetector(slog.New(slog.DiscardHandler))
@@ -34,7 +35,7 @@
 	}
 }
 
-// TestIsStaleAfterPause: what was up to date before a pause isn't trusted for a moment after it.
+// TestIsStaleAfterPause: data that was last current before a pause is stale until staleAfterPause after it.
 func TestIsStaleAfterPause(t *testing.T) {
 	paused := NewPauseDetector(slog.New(slog.DiscardHandler))
 	paused.DetectPause(1)
@@ -46,14 +47,14 @@
 		want         bool
 	}{
 		{"fresh before the pause", paused, testStart - 1, testStart, true},
-		{"until the moment is over", paused, testStart - 1, testStart + staleAfterPause - 1, true},
-		{"afterwards", paused, testStart - 1, testStart + staleAfterPause, false},
-		{"fresh since", paused, testStart, testStart, false},
+		{"just before staleAfterPause has passed", paused, testStart - 1, testStart + staleAfterPause - 1, true},
+		{"after staleAfterPause", paused, testStart - 1, testStart + staleAfterPause, false},
+		{"fresh since the pause", paused, testStart, testStart, false},
 		{"no pause", NewPauseDetector(slog.New(slog.DiscardHandler)), 0, 0, false},
 	}
 	for _, tc := range cases {
 		if got := tc.detector.IsStale(tc.freshAt, tc.now); got != tc.want {
-			t.Errorf("%s: %t", tc.name, got)
+			t.Errorf("%s: got stale %t, want %t", tc.name, got, tc.want)
 		}
 	}
 }
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -1,9 +1,11 @@
-// Package reachability judges whether this controller reaches its workers, the state service and the other
-// controllers, which of those are fit for machines and tasks, and whether its process was paused.
+// Package reachability determines whether this controller reaches its workers, the state service and the
+// other controllers, which controllers may be assigned machines and tasks, and whether the process was
+// paused.
 //
-// What a controller holds counts only while it reaches it. One whose workers have all fallen silent, while
-// others hear theirs, hands its shards over and takes no new machines; one that was paused trusts nothing
-// until it has heard from the state service again.
+// Ownership of a machine is useful only while the owner reaches the machine's worker. A controller whose
+// workers are all silent, while other controllers reach theirs, transfers its shards and claims no new
+// machines. A controller whose process was paused distrusts its mirror for a short time,
+// until the state service has responded again, see PauseDetector.
 package reachability
 
 import (
@@ -17,30 +19,31 @@
 	"pipitgap/internal/protocol"
 )
 
-// Membership tells which controllers are members.
+// Membership provides the live controllers and this controller's lease.
 type Membership interface {
-	// LiveControllers lists the controllers that are members, in order.
+	// LiveControllers returns the names of the controllers that are members, in ascending order.
 	LiveControllers() []string
 	// LeaseRenewedAt returns when this controller's lease was last renewed.
 	LeaseRenewedAt() monotime.Micros
 }
 
-// Store tells of the calls of the state service.
+// Store reports the outcome of recent calls to the state service.
 type Store interface {
-	// Unavailable reports whether the state service has lately not answered.
+	// Unavailable reports whether recent calls to the state service got no response.
 	Unavailable() bool
-	// LastSuccessAt returns when it last answered.
+	// LastSuccessAt returns when the state service last responded.
 	LastSuccessAt() monotime.Micros
 }
 
-// Environment is the clock, randomness and the connection to the workers. Callbacks come on the caller's
+// Environment provides the clock, randomness and the connection to the workers. Callbacks run on the caller's
 // goroutine, never before SendCommands returns.
 type Environment interface {
-	// Now reads the steady clock.
+	// Now reads the monotonic clock.
 	Now() monotime.Micros
-	// Rand is the source of randomness.
+	// Rand returns the random number generator.
 	Rand() *rand.Rand
-	// SendCommands sends a request to the worker at an endpoint; nil only requests its heartbeat.
+	// SendCommands sends a request to the worker at an endpoint. A nil request only polls the worker for its
+	// heartbeat.
 	SendCommands(
 		endpoint string,
 		request *protocol.CommandRequest,
@@ -49,7 +52,7 @@
 	)
 }
 
-// Options is what a Reachability is made of.
+// Options configures a Reachability and provides its dependencies.
 type Options struct {
 	Node      string
 	Peers     []string // names of the other controllers
@@ -62,15 +65,16 @@
 	Environment  Environment
 	Log          *slog.Logger
 
-	// HasAgent reports whether a machine is claimed by this controller.
+	// HasAgent reports whether this controller has claimed a machine.
 	HasAgent func(machine *mirror.Machine) bool
-	// HandOffShards transfers this controller's shards to others.
+	// HandOffShards transfers this controller's shards to other controllers.
 	HandOffShards func(now monotime.Micros)
 	// RequestPass requests a scheduling pass.
 	RequestPass func()
 }
 
-// Reachability judges what this controller reaches. Its methods are called on one goroutine.
+// Reachability determines which workers, peers and services this controller reaches. It is not safe for
+// concurrent use.
 type Reachability struct {
 	options      Options
 	node         string
@@ -81,14 +85,14 @@
 	env          Environment
 	log          *slog.Logger
 
-	workersUnreachableSince monotime.Micros // 0: they are reached, as far as is known
+	workersUnreachableSince monotime.Micros // 0: the workers are not known to be unreachable
 	mostWorkersResponsive   bool
 	silenceProbesInFlight   int
-	lastProbeSuccessAt      monotime.Micros // when a silent machine last answered a probe
-	nextProbeAt             monotime.Micros // while the workers are unreachable
+	lastProbeSuccessAt      monotime.Micros // when a silent machine last responded to a probe
+	nextProbeAt             monotime.Micros // when to send the next probe while the workers are unreachable
 }
 
-// New makes the reachability of a controller that has workers yet to hear.
+// New creates a Reachability. Whether the workers are reachable is unknown at first.
 func New(options Options) *Reachability {
 	return &Reachability{
 		options:      options,
--- a/internal/reachability/silence.go
+++ b/internal/reachability/silence.go
@@ -1,13 +1,14 @@
 package reachability
 
-// minSilentMachines is how many machines must be silent before that says anything of a zone or of this
-// controller: fewer may have failed by themselves.
+// minSilentMachines is the number of silent machines from which a zone, or all workers of this controller,
+// may be judged unreachable. Fewer machines may have failed independently.
 const minSilentMachines = 3
 
-// SilenceCount counts machines, and which of them are silent.
+// SilenceCount counts machines and how many of them are silent.
 type SilenceCount struct{ Machines, Silent int }
 
-// Add counts a machine. One that was claimed just now and has had no time to be heard says nothing yet.
+// Add counts a machine. It skips a machine that has never reported but is not silent yet: it was claimed
+// recently and has not had time to report.
 func (s *SilenceCount) Add(silent, neverReported bool) {
 	if neverReported && !silent {
 		return
@@ -18,10 +19,11 @@
 	}
 }
 
-// IsUnreachable reports whether the machines as a whole are silent: three quarters of them.
+// IsUnreachable reports whether the machines as a group are unreachable: at least three quarters of them, and
+// at least minSilentMachines, are silent. A nil count is not unreachable.
 func (s *SilenceCount) IsUnreachable() bool {
 	return s != nil && s.Silent >= minSilentMachines && 4*s.Silent >= 3*s.Machines
 }
 
-// mostResponsive reports whether more than half of the machines are heard.
+// mostResponsive reports whether more than half of the machines are not silent.
 func (s *SilenceCount) mostResponsive() bool { return s.Machines > 0 && 2*s.Silent < s.Machines }
--- a/internal/reachability/stubs_test.go
+++ b/internal/reachability/stubs_test.go
@@ -20,13 +20,13 @@
 	testStart = 100 * monotime.Second
 )
 
-// probe is a request to a worker that a stub has taken and not answered yet.
+// probe is a pending request to a worker, recorded by harness.SendCommands.
 type probe struct {
 	endpoint string
 	callback func(protocol.CommandResult)
 }
 
-// harness stands for all that a Reachability depends on. Probes wait until the test answers them.
+// harness implements all dependencies of a Reachability. Probes stay pending until the test answers them.
 type harness struct {
 	now            monotime.Micros
 	random         *rand.Rand
@@ -44,7 +44,8 @@
 	reachability *Reachability
 }
 
-// newHarness has this controller, two peers that have said nothing, and machines of this controller.
+// newHarness creates a harness with this controller, two peers that have not sent a status, and the given
+// number of machines, all claimed by this controller.
 func newHarness(t *testing.T, machines int) *harness {
 	t.Helper()
 	h := &harness{
@@ -83,7 +84,8 @@
 	h.probes = append(h.probes, probe{endpoint, callback})
 }
 
-// answerProbe answers the oldest probe: as the machine that was asked, as another, or not at all.
+// answerProbe ends the oldest probe with a response from the probed machine, a response from another machine,
+// or no response.
 func (h *harness) answerProbe(answer probeAnswer) {
 	oldest := h.probes[0]
 	h.probes = h.probes[1:]
@@ -98,16 +100,16 @@
 	oldest.callback(result)
 }
 
-// probeAnswer is how a probe ends.
+// probeAnswer is the outcome of a probe.
 type probeAnswer int
 
 const (
 	noAnswer probeAnswer = iota
 	probedMachineAnswer
-	otherMachineAnswer // another machine has the endpoint by now
+	otherMachineAnswer // another machine now uses the endpoint
 )
 
-// receivePeerStatus has a status of a peer come in now.
+// receivePeerStatus records a status of a peer, received now.
 func (h *harness) receivePeerStatus(node string, storeReachable bool, reach peers.WorkerReach) {
 	h.peerStatuses.Update(
 		&peers.Status{Node: node, StateServiceReachable: storeReachable, WorkerReach: reach}, h.now,
--- a/internal/reachability/workers.go
+++ b/internal/reachability/workers.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// silenceProbeCount is how many silent machines are probed before this controller takes itself for cut off.
+	// silenceProbeCount is the maximum number of machines that this controller probes before it considers
+	// itself cut off from its workers.
 	silenceProbeCount = 3
-	// silenceProbeValidity is how long one answer shows that it isn't.
+	// silenceProbeValidity is how long after a successful probe this controller sends no further probes and
+	// does not consider itself cut off.
 	silenceProbeValidity = 3 * monotime.Second
-	// reconnectProbeInterval is the time between probes while the workers are unreachable.
+	// reconnectProbeInterval is the interval between probes while the workers are unreachable.
 	reconnectProbeInterval = 2 * monotime.Second
 )
 
 // WorkersUnreachable reports whether this controller is known not to reach its workers.
 func (r *Reachability) WorkersUnreachable() bool { return r.workersUnreachableSince != 0 }
 
-// WorkerReach returns whether this controller reaches its workers, as it tells its peers.
+// WorkerReach returns whether this controller reaches its workers, as its status to the peers states it.
 func (r *Reachability) WorkerReach() peers.WorkerReach {
 	switch {
 	case r.WorkersUnreachable():
@@ -33,8 +35,9 @@
 	return peers.WorkersUnknown
 }
 
-// UpdateReachability judges from the silence of this controller's machines whether it is cut off from them.
-// The mirror must be fresh, and no pause of the process have just ended, or silence says nothing.
+// UpdateReachability determines from the silence of this controller's machines whether the controller is cut
+// off from them. Callers must ensure that the mirror is fresh and that no process pause has just ended;
+// otherwise the silence of machines has no significance.
 func (r *Reachability) UpdateReachability(overall SilenceCount, now monotime.Micros) {
 	r.mostWorkersResponsive = overall.mostResponsive()
 	switch {
@@ -50,10 +53,10 @@
 	r.probeForReconnect(now)
 }
 
-// probeSilentMachines probes a few of this controller's machines; if none answers, its workers are
-// unreachable. Machines are silent too while their workers look for a controller after several have crashed,
-// and each waits for seconds at one that hangs: handed over then, those just claimed again would move once
-// more.
+// probeSilentMachines probes up to silenceProbeCount random machines of this controller. If none responds, it
+// marks the workers unreachable. Silence alone is not sufficient: after several controllers have crashed,
+// workers try one controller after another and wait for seconds at each unresponsive one. A handoff at that
+// time would transfer machines again that this controller has just claimed.
 func (r *Reachability) probeSilentMachines(now monotime.Micros) {
 	if r.silenceProbesInFlight > 0 || now-r.lastProbeSuccessAt < silenceProbeValidity {
 		return
@@ -77,7 +80,7 @@
 	}
 }
 
-// ownMachines lists the machines that this controller has claimed, in the order of their names.
+// ownMachines returns the machines that this controller has claimed, sorted by ID.
 func (r *Reachability) ownMachines() []*mirror.Machine {
 	var machines []*mirror.Machine
 	for _, id := range sortedmap.Keys(r.mirror.Machines) {
@@ -88,7 +91,8 @@
 	return machines
 }
 
-// probe requests the heartbeat of a machine and reports whether it has answered.
+// probe requests the heartbeat of a machine and reports whether that machine responded. A response from
+// another machine at the same endpoint counts as a failure.
 func (r *Reachability) probe(machine *mirror.Machine, callback func(reached bool)) {
 	r.env.SendCommands(
 		machine.Record.Endpoint,
@@ -100,8 +104,8 @@
 	)
 }
 
-// probeForReconnect probes some machine, whichever controller has claimed it, to see whether workers are
-// reached again. Heartbeats that come in don't show that: copies of them come late.
+// probeForReconnect probes a random machine of any controller to detect that workers are reachable again.
+// Incoming heartbeats are no evidence of that, because delayed copies of heartbeats may arrive late.
 func (r *Reachability) probeForReconnect(now monotime.Micros) {
 	if now < r.nextProbeAt {
 		return
@@ -113,7 +117,7 @@
 		return
 	}
 	machine := r.mirror.Machines[ids[r.env.Rand().IntN(len(ids))]]
-	if machine.Record == nil { // known from a scale-out request only
+	if machine.Record == nil { // known only from a scale-out request
 		r.nextProbeAt = now
 		return
 	}
@@ -125,7 +129,7 @@
 	})
 }
 
-// markWorkersUnreachable notes that this controller is cut off from its workers, and hands its shards over.
+// markWorkersUnreachable records that this controller is cut off from its workers and hands off its shards.
 func (r *Reachability) markWorkersUnreachable(machines int) {
 	if r.WorkersUnreachable() {
 		return
@@ -135,7 +139,8 @@
 	r.options.HandOffShards(r.env.Now())
 }
 
-// markWorkersReachable notes that workers answer again; a pass may place tasks on them.
+// markWorkersReachable records that workers respond again and requests a scheduling pass, which may place
+// tasks on them.
 func (r *Reachability) markWorkersReachable() {
 	r.workersUnreachableSince = 0
 	r.options.RequestPass()
--- a/internal/reachability/workers_test.go
+++ b/internal/reachability/workers_test.go
@@ -8,24 +8,24 @@
 	"pipitgap/internal/peers"
 )
 
-// TestSilenceCount: three quarters of the machines, and three at least, must be silent; a machine that was never
-// heard counts only once it is silent.
+// TestSilenceCount: a group of machines is unreachable if at least three quarters of them, and at least
+// three, are silent. A machine that has never reported counts only once it is silent.
 func TestSilenceCount(t *testing.T) {
 	cases := []struct {
 		name                        string
 		heard, silent, unseen       int
-		unreachable, mostResponsive bool // mostResponsive: most are heard
+		unreachable, mostResponsive bool // mostResponsive: more than half are not silent
 	}{
-		{"none", 0, 0, 0, false, false},
-		{"all heard", 4, 0, 0, false, true},
+		{"no machines", 0, 0, 0, false, false},
+		{"all responsive", 4, 0, 0, false, true},
 		{"half silent", 3, 3, 0, false, false},
 		{"less than half silent", 4, 3, 0, false, true},
 		{"two of two silent", 0, 2, 0, false, false},
 		{"three of three silent", 0, 3, 0, true, false},
 		{"three of four silent", 1, 3, 0, true, false},
 		{"less than three quarters silent", 2, 5, 0, false, false},
-		{"never heard, not silent yet", 0, 0, 9, false, false},
-		{"silent beside such", 0, 3, 9, true, false},
+		{"never reported, not silent yet", 0, 0, 9, false, false},
+		{"silent machines among machines that have not reported yet", 0, 3, 9, true, false},
 	}
 	for _, tc := range cases {
 		count := &SilenceCount{}
@@ -39,28 +39,30 @@
 			count.Add(false, true)
 		}
 		if got := count.IsUnreachable(); got != tc.unreachable {
-			t.Errorf("%s: unreachable %t", tc.name, got)
+			t.Errorf("%s: got unreachable %t, want %t", tc.name, got, tc.unreachable)
 		}
 		if got := count.mostResponsive(); got != tc.mostResponsive {
-			t.Errorf("%s: most heard %t", tc.name, got)
+			t.Errorf("%s: got most responsive %t, want %t", tc.name, got, tc.mostResponsive)
 		}
 	}
 	if (*SilenceCount)(nil).IsUnreachable() {
-		t.Error("machines that nobody counted are unreachable")
+		t.Error("nil count: got unreachable true, want false")
 	}
 }
 
-// TestWorkersUnreachableIfNoProbeSucceeds: workers count as unreachable when none of the probed machines answers for itself.
+// TestWorkersUnreachableIfNoProbeSucceeds: the controller marks its workers unreachable only after every
+// probe has ended without a response from the probed machine. After a successful probe it sends no probes for
+// silenceProbeValidity.
 func TestWorkersUnreachableIfNoProbeSucceeds(t *testing.T) {
 	cases := []struct {
 		name    string
 		answers [silenceProbeCount]probeAnswer
 		want    bool
 	}{
-		{"no answer", [silenceProbeCount]probeAnswer{}, true},
-		{"one answers", [silenceProbeCount]probeAnswer{noAnswer, probedMachineAnswer, noAnswer}, false},
-		{"the last answers", [silenceProbeCount]probeAnswer{noAnswer, noAnswer, probedMachineAnswer}, false},
-		{"another machine answers", [silenceProbeCount]probeAnswer{otherMachineAnswer}, true},
+		{"no machine responds", [silenceProbeCount]probeAnswer{}, true},
+		{"one machine responds", [silenceProbeCount]probeAnswer{noAnswer, probedMachineAnswer, noAnswer}, false},
+		{"last machine responds", [silenceProbeCount]probeAnswer{noAnswer, noAnswer, probedMachineAnswer}, false},
+		{"another machine responds", [silenceProbeCount]probeAnswer{otherMachineAnswer}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -68,23 +70,23 @@
 			h.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, h.now)
 			h.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, h.now)
 			if len(h.probes) != silenceProbeCount {
-				t.Fatalf("%d probes", len(h.probes))
+				t.Fatalf("got %d probes, want %d", len(h.probes), silenceProbeCount)
 			}
 			probedEndpoints := map[string]bool{}
 			for _, probe := range h.probes {
 				probedEndpoints[probe.endpoint] = true
 			}
 			if len(probedEndpoints) != silenceProbeCount {
-				t.Errorf("asked %v", probedEndpoints)
+				t.Errorf("got probed endpoints %v, want %d distinct ones", probedEndpoints, silenceProbeCount)
 			}
 			for _, answer := range tc.answers {
 				if h.reachability.WorkersUnreachable() {
-					t.Error("unreachable before all probes have ended")
+					t.Error("got workers unreachable before all probes have ended, want reachable")
 				}
 				h.answerProbe(answer)
 			}
 			if got := h.reachability.WorkersUnreachable(); got != tc.want || (h.handOffs > 0) != tc.want {
-				t.Errorf("unreachable %t, %d hand-offs", got, h.handOffs)
+				t.Errorf("got unreachable %t, %d handoffs; want both: %t", got, h.handOffs, tc.want)
 			}
 			if tc.want {
 				return
@@ -94,20 +96,20 @@
 				h.now+silenceProbeValidity-1,
 			)
 			if len(h.probes) > 0 {
-				t.Error("probed again though one has just answered")
+				t.Errorf("got %d probes soon after a successful probe, want 0", len(h.probes))
 			}
 			h.reachability.UpdateReachability(
 				SilenceCount{Machines: 5, Silent: 5},
 				h.now+silenceProbeValidity,
 			)
 			if len(h.probes) != silenceProbeCount {
-				t.Errorf("%d probes later", len(h.probes))
+				t.Errorf("got %d probes after silenceProbeValidity, want %d", len(h.probes), silenceProbeCount)
 			}
 		})
 	}
 }
 
-// newUnreachableHarness has the workers of a harness be unreachable, and its hand-offs counted from there.
+// newUnreachableHarness returns a harness whose workers are marked unreachable, with the handoff count reset.
 func newUnreachableHarness(t *testing.T, machines int) *harness {
 	t.Helper()
 	h := newHarness(t, machines)
@@ -116,13 +118,14 @@
 		h.answerProbe(noAnswer)
 	}
 	if !h.reachability.WorkersUnreachable() {
-		t.Fatal("workers are reached")
+		t.Fatal("got workers reachable after failed probes, want unreachable")
 	}
 	h.handOffs = 0
 	return h
 }
 
-// TestWorkersBecomeReachable: by a probe that is answered, by hearing most machines, or when there are no machines left.
+// TestWorkersBecomeReachable: workers become reachable again after a successful probe, when most machines are
+// responsive, or when no machines are left.
 func TestWorkersBecomeReachable(t *testing.T) {
 	allSilent := SilenceCount{Machines: 3, Silent: 3}
 	cases := []struct {
@@ -130,23 +133,25 @@
 		act  func(h *harness)
 		want bool
 	}{
-		{"nothing", func(h *harness) { h.reachability.UpdateReachability(allSilent, h.now) }, false},
+		{"no response to the probe yet", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
+		}, false},
 		{"a probe fails", func(h *harness) {
 			h.reachability.UpdateReachability(allSilent, h.now)
 			h.answerProbe(noAnswer)
 		}, false},
-		{"a probe is answered by another machine", func(h *harness) {
+		{"another machine responds to a probe", func(h *harness) {
 			h.reachability.UpdateReachability(allSilent, h.now)
 			h.answerProbe(otherMachineAnswer)
 		}, false},
-		{"a probe is answered", func(h *harness) {
+		{"the probed machine responds", func(h *harness) {
 			h.reachability.UpdateReachability(allSilent, h.now)
 			h.answerProbe(probedMachineAnswer)
 		}, true},
-		{"most are heard", func(h *harness) {
+		{"most machines are responsive", func(h *harness) {
 			h.reachability.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, h.now)
 		}, true},
-		{"few are heard", func(h *harness) {
+		{"only half of the machines are responsive", func(h *harness) {
 			h.reachability.UpdateReachability(SilenceCount{Machines: 4, Silent: 2}, h.now)
 		}, false},
 		{"no machines are left", func(h *harness) {
@@ -159,14 +164,15 @@
 			h := newUnreachableHarness(t, 3)
 			tc.act(h)
 			if got := !h.reachability.WorkersUnreachable(); got != tc.want || (h.passes > 0) != tc.want {
-				t.Errorf("reached %t, %d passes", got, h.passes)
+				t.Errorf("got reachable %t, %d passes; want both: %t", got, h.passes, tc.want)
 			}
 		})
 	}
 }
 
-// TestUnreachableWorkersAreProbedAtInterval: shards are handed off at every check, probes come at their interval, and the
-// answer to one of an earlier time says nothing of now.
+// TestUnreachableWorkersAreProbedAtInterval: while workers are unreachable, every check hands off shards, and
+// probes are sent at reconnectProbeInterval. A response to a probe from an earlier unreachable period is
+// ignored.
 func TestUnreachableWorkersAreProbedAtInterval(t *testing.T) {
 	h := newUnreachableHarness(t, 3)
 	silent := SilenceCount{Machines: 3, Silent: 3}
@@ -174,10 +180,10 @@
 		h.reachability.UpdateReachability(silent, h.now+at)
 	}
 	if h.handOffs != 4 || len(h.probes) != 2 {
-		t.Errorf("%d hand-offs and %d probes", h.handOffs, len(h.probes))
+		t.Errorf("got %d handoffs and %d probes, want 4 and 2", h.handOffs, len(h.probes))
 	}
 	h.now += monotime.Second
-	h.reachability.UpdateReachability(SilenceCount{Machines: 3}, h.now) // reached again
+	h.reachability.UpdateReachability(SilenceCount{Machines: 3}, h.now) // reachable again
 	earlierProbes := h.probes[:2]
 	h.probes = nil
 	h.now += silenceProbeValidity
@@ -188,11 +194,11 @@
 	h.probes = earlierProbes
 	h.answerProbe(probedMachineAnswer)
 	if !h.reachability.WorkersUnreachable() {
-		t.Error("reached by an answer from before")
+		t.Error("got workers reachable after a response to an outdated probe, want unreachable")
 	}
 }
 
-// TestWorkerReach: what a controller tells its peers of its workers.
+// TestWorkerReach: the reachability of the workers that a controller reports to its peers.
 func TestWorkerReach(t *testing.T) {
 	cut := newUnreachableHarness(t, 3).reachability
 	unknown, heard, silent := newHarness(
@@ -212,19 +218,20 @@
 		reachability *Reachability
 		want         peers.WorkerReach
 	}{
-		{"at first", unknown, peers.WorkersUnknown},
-		{"most are heard", heard, peers.WorkersReachable},
-		{"most are silent", silent, peers.WorkersUnknown},
+		{"initially", unknown, peers.WorkersUnknown},
+		{"most machines are responsive", heard, peers.WorkersReachable},
+		{"most machines are silent", silent, peers.WorkersUnknown},
 		{"unreachable", cut, peers.WorkersUnreachable},
 	}
 	for _, tc := range cases {
 		if got := tc.reachability.WorkerReach(); got != tc.want {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: got %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestProbedMachinesAreRandom: each machine is probed in some draw, not always the first by name.
+// TestProbedMachinesAreRandom: probed machines are drawn at random. Over 40 seeds every machine is probed,
+// not only the first machines by ID.
 func TestProbedMachinesAreRandom(t *testing.T) {
 	probed := map[string]bool{}
 	for seed := range uint64(40) {
@@ -236,6 +243,6 @@
 		}
 	}
 	if len(probed) != 6 {
-		t.Errorf("probed in any draw: %v", probed)
+		t.Errorf("got probes of %v over all seeds, want all 6 machines", probed)
 	}
 }
