--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -37,10 +37,10 @@
 // them, and the machines that are up or requested.
 func (a *autoscaler) demandAndSupply(
 	snapshot *autoscaling.Snapshot,
-) (waiting []*autoscaling.Demand, supply []*autoscaling.Bin) {
-	waiting = append(
+) (demand []*autoscaling.Demand, supply []*autoscaling.Bin) {
+	demand = append(
 		snapshot.UnplacedDemand(a.c.scheduler.OrderedQueue()),
 		a.c.drains.ReplacementDemands()...,
 	)
-	return waiting, snapshot.Bins()
+	return demand, snapshot.Bins()
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -42,7 +42,7 @@
 	SendCommands(
 		endpoint string,
 		req *protocol.CommandRequest,
-		within monotime.Micros,
+		timeout monotime.Micros,
 		callback func(protocol.CommandResult),
 	)
 	// SendPeerStatus sends a status to another controller; it may be lost.
--- a/internal/coordination/record_writes.go
+++ b/internal/coordination/record_writes.go
@@ -4,10 +4,10 @@
 type recordWrites map[string]bool
 
 // Contains reports that a change is in flight.
-func (w recordWrites) Contains(name string) bool { return w[name] }
+func (w recordWrites) Contains(key string) bool { return w[key] }
 
 // Begin marks a record.
-func (w recordWrites) Begin(name string) { w[name] = true }
+func (w recordWrites) Begin(key string) { w[key] = true }
 
 // End takes the mark off.
-func (w recordWrites) End(name string) { delete(w, name) }
+func (w recordWrites) End(key string) { delete(w, key) }
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -47,7 +47,7 @@
 	SendCommands(
 		endpoint string,
 		request *protocol.CommandRequest,
-		within monotime.Micros,
+		timeout monotime.Micros,
 		callback func(protocol.CommandResult),
 	)
 }
--- a/internal/reachability/workers_test.go
+++ b/internal/reachability/workers_test.go
@@ -12,9 +12,9 @@
 // three, are silent. A machine that has never reported counts only once it is silent.
 func TestSilenceCount(t *testing.T) {
 	cases := []struct {
-		name                        string
-		heard, silent, unseen       int
-		unreachable, mostResponsive bool // mostResponsive: more than half are not silent
+		name                           string
+		responsive, silent, unreported int
+		unreachable, mostResponsive    bool // mostResponsive: more than half are not silent
 	}{
 		{"no machines", 0, 0, 0, false, false},
 		{"all responsive", 4, 0, 0, false, true},
@@ -29,13 +29,13 @@
 	}
 	for _, tc := range cases {
 		count := &SilenceCount{}
-		for range tc.heard {
+		for range tc.responsive {
 			count.Add(false, false)
 		}
 		for i := range tc.silent {
 			count.Add(true, i%2 == 0)
 		}
-		for range tc.unseen {
+		for range tc.unreported {
 			count.Add(false, true)
 		}
 		if got := count.IsUnreachable(); got != tc.unreachable {
@@ -200,8 +200,8 @@
 
 // TestWorkerReach: the reachability of the workers that a controller reports to its peers.
 func TestWorkerReach(t *testing.T) {
-	cut := newUnreachableHarness(t, 3).reachability
-	unknown, heard, silent := newHarness(
+	unreachable := newUnreachableHarness(t, 3).reachability
+	unknown, responsive, silent := newHarness(
 		t,
 		3,
 	).reachability, newHarness(
@@ -211,7 +211,7 @@
 		t,
 		3,
 	).reachability
-	heard.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, testStart)
+	responsive.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, testStart)
 	silent.UpdateReachability(SilenceCount{Machines: 3, Silent: 2}, testStart)
 	cases := []struct {
 		name         string
@@ -219,9 +219,9 @@
 		want         peers.WorkerReach
 	}{
 		{"initially", unknown, peers.WorkersUnknown},
-		{"most machines are responsive", heard, peers.WorkersReachable},
+		{"most machines are responsive", responsive, peers.WorkersReachable},
 		{"most machines are silent", silent, peers.WorkersUnknown},
-		{"unreachable", cut, peers.WorkersUnreachable},
+		{"unreachable", unreachable, peers.WorkersUnreachable},
 	}
 	for _, tc := range cases {
 		if got := tc.reachability.WorkerReach(); got != tc.want {
