--- a/internal/coordination/autoscaler.go
+++ b/internal/coordination/autoscaler.go
@@ -6,21 +6,21 @@
 	"pipitgap/internal/monotime"
 )
 
-// autoscaler provides package autoscaling with its inputs. While this controller is the leader, fleet carries
-// the plans out.
+// autoscaler collects the inputs of package autoscaling. Its fleet reconciler executes the plans while this
+// controller is the leader.
 type autoscaler struct {
 	c     *Controller
 	fleet *fleet.Reconciler
 }
 
-// newAutoscaler makes the inputs of package autoscaling, and what carries its plans out.
+// newAutoscaler creates an autoscaler with its fleet reconciler.
 func newAutoscaler(c *Controller) *autoscaler {
 	a := &autoscaler{c: c}
 	a.fleet = newFleetReconciler(a)
 	return a
 }
 
-// snapshot is what demand and supply are read from.
+// snapshot returns the state from which package autoscaling computes demand and supply.
 func (a *autoscaler) snapshot(now monotime.Micros) *autoscaling.Snapshot {
 	return &autoscaling.Snapshot{
 		Records:           a.c.mirror,
@@ -33,8 +33,9 @@
 	}
 }
 
-// demandAndSupply lists the tasks without room that the quotas let run, those that drains want replaced among
-// them, and the machines that are up or requested.
+// demandAndSupply returns the demand and the supply of an autoscaling pass. The demand is the unplaced tasks
+// that the quotas admit, plus the replacements that drains require. The supply is the machines that are
+// running or requested.
 func (a *autoscaler) demandAndSupply(
 	snapshot *autoscaling.Snapshot,
 ) (demand []*autoscaling.Demand, supply []*autoscaling.Bin) {
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -26,50 +26,52 @@
 	"pipitgap/internal/storeclient"
 )
 
-// Environment is the outside world as the controller sees it. Every callback comes back as a message to the
-// controller's mailbox, never on another goroutine.
+// Environment provides the controller's clocks, randomness and connections to other processes. Every callback
+// runs on the controller's goroutine, as a message from its mailbox or as a timer, never on another
+// goroutine.
 type Environment interface {
-	Now() monotime.Micros // the steady clock
-	WallClock() int64     // time of day, microseconds
-	Rand() *rand.Rand     // injected randomness
-	// After calls back after a delay.
+	Now() monotime.Micros // the monotonic clock
+	WallClock() int64     // time of day in microseconds
+	Rand() *rand.Rand     // injected random number generator
+	// After calls the callback after a delay.
 	After(monotime.Micros, func())
-	// CallStore makes a call of the state service; the callback gets its result once.
+	// CallStore calls the state service. The callback receives the result exactly once.
 	CallStore(*protocol.StoreCall, func(protocol.StoreResult))
-	// CallCloud makes a call of the cloud; the callback gets its result once.
+	// CallCloud calls the cloud. The callback receives the result exactly once.
 	CallCloud(*protocol.CloudCall, func(protocol.CloudResult))
-	// SendCommands sends a request to the worker at an endpoint; nil only requests its report.
+	// SendCommands sends a request to the worker at an endpoint. A nil request only polls the worker for its
+	// heartbeat.
 	SendCommands(
 		endpoint string,
 		req *protocol.CommandRequest,
 		timeout monotime.Micros,
 		callback func(protocol.CommandResult),
 	)
-	// SendPeerStatus sends a status to another controller; it may be lost.
+	// SendPeerStatus sends a status to another controller. Delivery is not guaranteed.
 	SendPeerStatus(node string, status peers.Status)
 }
 
-// Controller is the actor that decides. All of its methods run on its own goroutine
-// (or, in tests, on the test's).
+// Controller is the actor that makes all decisions of one controller process. All of its methods run on a
+// single goroutine: its own or, in tests, that of the test.
 type Controller struct {
 	cfg         *config.Config
 	settings    config.Settings
-	durations   durations.Platform // what follows from the platform's durations
+	durations   durations.Platform // the platform's durations and values derived from them
 	env         Environment
 	log         *slog.Logger
 	node        string
 	incarnation uint64
-	controllers []string // names of all controllers, this one included
+	controllers []string // names of all controllers, including this one
 
 	mirror *mirror.Mirror
 
 	peerStatuses *peers.Table
 
-	recordWritesInFlight recordWrites // jobs with a change of their record in flight
+	recordWritesInFlight recordWrites // records with a write in flight
 
 	nextSlowTickAt monotime.Micros
 
-	drains        *drainer.Drainer // nil: the settings don't turn them on
+	drains        *drainer.Drainer // nil if the settings do not enable drains
 	counters      activityCounters
 	store         *storeclient.Client
 	replica       *mirror.Replica
@@ -88,7 +90,7 @@
 	scaleIn       *scalein.Reconciler
 }
 
-// NewController makes the actor's state.
+// NewController creates a controller and wires its components. Start starts it.
 func NewController(
 	cfg *config.Config,
 	settings config.Settings,
@@ -124,7 +126,8 @@
 	return c
 }
 
-// controllerNames lists every controller of the deployment, this one included, in order.
+// controllerNames returns the names of all controllers of the deployment, including this one, in ascending
+// order.
 func controllerNames(cfg *config.Config) []string {
 	names := []string{cfg.Node}
 	for _, peer := range cfg.Peers {
@@ -134,7 +137,8 @@
 	return names
 }
 
-// Start begins the actor's work.
+// Start logs warnings about unsupported platform durations, requests the membership lease, loads the mirror
+// and the catalog, and starts the periodic ticks.
 func (c *Controller) Start() {
 	c.log.Info("controller starting", "node", c.node, "incarnation", c.incarnation)
 	for _, warning := range c.durations.Warnings() {
@@ -147,21 +151,21 @@
 	c.tick()
 }
 
-// bytesPerKB are the bytes of a kilobyte as the platform counts them.
+// bytesPerKB is the number of bytes in a kilobyte by the platform's definition.
 const bytesPerKB = 1024
 
-// maxValueBytes is how large a value the state service takes.
+// maxValueBytes returns the maximum size of a value in the state service.
 func (c *Controller) maxValueBytes() int { return int(c.cfg.Facts.State.ValueKB * bytesPerKB) }
 
 func (c *Controller) now() monotime.Micros { return c.env.Now() }
 
-// mirrorStale reports whether the process was paused and the mirror hasn't been brought up to date since:
-// what it shows as this controller's may be others' by now.
+// mirrorStale reports whether the process was paused a moment ago and the mirror has not been updated since.
+// Shards that such a mirror shows as owned by this controller may belong to other controllers by now.
 func (c *Controller) mirrorStale(now monotime.Micros) bool {
 	return c.pauses.IsStale(c.replica.FreshAt(), now)
 }
 
-// tick drives everything that is not an answer to a message.
+// tick runs all work that is not a reaction to a message, and schedules the next tick.
 func (c *Controller) tick() {
 	now := c.now()
 	c.pauses.DetectPause(now)
@@ -173,7 +177,8 @@
 	c.env.After(durations.FastTickInterval, c.tick)
 }
 
-// runFastTick does what must not wait: the lease, the watch and a scheduling pass that is due.
+// runFastTick does the work that must not be delayed: it renews the lease, maintains the watch and runs a
+// scheduling pass if one is due.
 func (c *Controller) runFastTick(now monotime.Micros) {
 	c.membership.RenewLease(now)
 	c.replica.MaintainWatch(now)
@@ -186,8 +191,8 @@
 	}
 }
 
-// runSlowTick does everything else that is periodic, in a fixed order: each subject sees what those before it
-// have changed.
+// runSlowTick does all other periodic work. The order is fixed, because each component sees the changes that
+// the components before it have made.
 func (c *Controller) runSlowTick(now monotime.Micros) {
 	c.store.UpdateAvailability(now)
 	c.sendPeerStatus(now)
@@ -209,7 +214,7 @@
 	c.autoscaler.fleet.Reconcile(now)
 }
 
-// onMirrorChange passes a change of the mirror on to the subjects that it concerns.
+// onMirrorChange notifies the components that a change of the mirror affects.
 func (c *Controller) onMirrorChange(kind storage.Kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
@@ -225,7 +230,7 @@
 		c.cancellations.Record(c.mirror.Jobs[name])
 		if job := c.mirror.Jobs[name]; job != nil && job.AssignedTasks > 0 {
 			c.scheduler.NoteFinalSeen(name)
-			c.agents.SyncCommandsOfJob(job) // a cancellation reaches the workers at once
+			c.agents.SyncCommandsOfJob(job) // sends a cancellation to the workers immediately
 		}
 	case storage.KindShard:
 		c.scheduler.RequestPass()
--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -1,4 +1,4 @@
-// Package coordination is the controller: one actor that receives messages of users, workers, the state
-// service, the cloud and the other controllers, and gives each to the subject that owns the state concerned.
-// See Controller.
+// Package coordination implements the controller: a single actor that receives messages from users, workers,
+// the state service, the cloud and the other controllers, and dispatches each to the component that owns the
+// affected state. See Controller.
 package coordination
--- a/internal/coordination/peer_exchange.go
+++ b/internal/coordination/peer_exchange.go
@@ -6,10 +6,12 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// storeAnswerValidity is how long an answer of the state service shows peers that this controller reaches it.
+// storeAnswerValidity is how long after the last response of the state service this controller reports the
+// service to its peers as reachable.
 const storeAnswerValidity = 1500 * monotime.Millisecond
 
-// sendPeerStatus sends this controller's status to its peers, once for each message about cancellations.
+// sendPeerStatus sends this controller's status to each peer. Committed cancellations for a peer may be split
+// into several messages; each message is sent with its own copy of the status.
 func (c *Controller) sendPeerStatus(now monotime.Micros) {
 	status := peers.Status{
 		Node:                  c.node,
@@ -28,7 +30,7 @@
 	}
 }
 
-// OnPeerStatus handles a status that a peer has sent.
+// OnPeerStatus handles a status from a peer.
 func (c *Controller) OnPeerStatus(status peers.Status) {
 	now := c.now()
 	c.pauses.DetectPause(now)
--- a/internal/coordination/record_writes.go
+++ b/internal/coordination/record_writes.go
@@ -1,13 +1,14 @@
 package coordination
 
-// recordWrites are the records that this controller is changing: jobs by their id, others by their key.
+// recordWrites is the set of records with a write by this controller in flight. A key is the ID of a job or
+// the key of another record.
 type recordWrites map[string]bool
 
-// Contains reports that a change is in flight.
+// Contains reports whether a write of a record is in flight.
 func (w recordWrites) Contains(key string) bool { return w[key] }
 
-// Begin marks a record.
+// Begin adds a record when a write of it starts.
 func (w recordWrites) Begin(key string) { w[key] = true }
 
-// End takes the mark off.
+// End removes a record when its write has an outcome.
 func (w recordWrites) End(key string) { delete(w, key) }
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -7,15 +7,15 @@
 	"pipitgap/internal/transport"
 )
 
-// Response is the answer to a user or a worker.
+// Response is the response to a request of a user or a worker.
 type Response = transport.Response
 
-// healthPath is where health checks are answered.
+// healthPath is the path of health checks.
 const healthPath = "/healthz"
 
-// route is where the requests of a path go.
+// route is the method and the handler of a path.
 type route struct {
-	method string // the only one that the path knows
+	method string // the only method that the path accepts
 	handle func(body []byte, respond func(Response))
 }
 
@@ -40,7 +40,7 @@
 	route.handle(body, respond)
 }
 
-// routeOf finds the route of a path; ok is false for a path that isn't served.
+// routeOf returns the route of a path. ok is false for an unknown path.
 func (c *Controller) routeOf(path string) (r route, ok bool) {
 	switch path {
 	case healthPath:
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -6,16 +6,16 @@
 	"log/slog"
 )
 
-// activityCounters counts what the log's summary shows, since the start.
+// activityCounters counts events since the start of the process, for Summary.
 type activityCounters struct {
 	tasksPlaced  int
 	permitWrites int
 }
 
-// queueHeadLength is how many jobs LogQueue shows.
+// queueHeadLength is the maximum number of jobs that LogQueue logs.
 const queueHeadLength = 12
 
-// LogQueue logs at debug which jobs are first in the queue, and why they wait.
+// LogQueue logs the first jobs of the queue and why they wait, at level debug.
 func (c *Controller) LogQueue() {
 	if !c.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -28,7 +28,8 @@
 	c.log.Debug("queue head", "queue", head, "quota_shares", c.describeQuotaShares())
 }
 
-// describeQuotaShares tells what this controller's shares of the teams' limits are and leave.
+// describeQuotaShares returns, in CPUs for each team with a limit, this controller's share of the limit, the
+// unused part of that share, and the part of the limit that is allocated to no controller.
 func (c *Controller) describeQuotaShares() string {
 	shares := ""
 	for i := range c.cfg.Facts.Teams {
@@ -46,13 +47,13 @@
 	return shares
 }
 
-// clusterTotals sums up the cluster as the mirror has it.
+// clusterTotals holds totals over the mirror's records.
 type clusterTotals struct {
 	ownShards, waitingTasks, runningTasks int
 	usedCPUs, allCPUs                     float64
 }
 
-// clusterTotals sums up what the mirror shows now.
+// clusterTotals computes the totals over the current mirror.
 func (c *Controller) clusterTotals() clusterTotals {
 	var totals clusterTotals
 	for _, shard := range c.mirror.Shards {
@@ -75,7 +76,7 @@
 	return totals
 }
 
-// Summary is one line about the controller and the cluster, for the log.
+// Summary returns a one-line summary of the controller and the cluster for the log.
 func (c *Controller) Summary() string {
 	totals := c.clusterTotals()
 	summary := fmt.Sprintf(
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -8,7 +8,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// newAgentManager makes what answers the workers.
+// newAgentManager creates the manager that handles the workers' heartbeats and sends them commands.
 func newAgentManager(c *Controller) *agents.Manager {
 	return agents.NewManager(
 		agents.Config{Node: c.node, Peers: peerNames(c), Durations: c.durations},
@@ -31,13 +31,13 @@
 	)
 }
 
-// newCancellations begins the exchange of committed cancellations with the other controllers.
+// newCancellations creates the component that exchanges committed cancellations with the other controllers.
 func newCancellations(c *Controller) *agents.Cancellations {
 	relay := cancellation.NewRelay(c.incarnation, peerNames(c))
 	return agents.NewCancellations(c.mirror, relay, c.replica.FreshAt, c.durations.RenewalWindow, c.log)
 }
 
-// peerNames lists the other controllers in the order of the settings.
+// peerNames returns the names of the other controllers in the order of the configuration.
 func peerNames(c *Controller) []string {
 	var names []string
 	for _, peer := range c.cfg.Peers {
@@ -46,9 +46,8 @@
 	return names
 }
 
-// agentShards provides package agents with the claims on machines. Their manager is made later than that of
-// the agents, which it needs itself.
-// Its methods are described at agents.Shards.
+// agentShards implements agents.Shards by forwarding to the shard manager. It reads c.shards at each call,
+// because the shard manager depends on the agent manager and is created after it.
 type agentShards struct{ c *Controller }
 
 func (s agentShards) Owns(shard *mirror.Shard) bool { return s.c.shards.Owns(shard) }
@@ -69,8 +68,7 @@
 
 func (s agentShards) ExpireClaimRequests(now monotime.Micros) { s.c.shards.ExpireClaimRequests(now) }
 
-// agentScheduler provides package agents with the placement of tasks.
-// Its methods are described at agents.Scheduler.
+// agentScheduler implements agents.Scheduler by forwarding to the scheduler.
 type agentScheduler struct{ c *Controller }
 
 func (s agentScheduler) RequestPass() { s.c.scheduler.RequestPass() }
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -13,8 +13,7 @@
 	"pipitgap/internal/storage"
 )
 
-// jobPolicy provides package autoscaling with what the scheduler and the quotas say of jobs.
-// Its methods are described at autoscaling.JobPolicy.
+// jobPolicy implements autoscaling.JobPolicy with the data of the scheduler and the quotas.
 type jobPolicy struct{ c *Controller }
 
 func (p jobPolicy) IsDelayed(job *mirror.Job, now monotime.Micros) bool {
@@ -50,7 +49,8 @@
 	return placement.ZoneConstraintOf(p.c.mirror, job)
 }
 
-// newFleetReconciler makes the leader's reconciliation of the cloud's machines.
+// newFleetReconciler creates the reconciler that the leader uses to request machines from the cloud and
+// delete them.
 func newFleetReconciler(a *autoscaler) *fleet.Reconciler {
 	c := a.c
 	return fleet.New(
@@ -73,7 +73,7 @@
 	)
 }
 
-// newScaleIn makes the removal of this controller's empty machines.
+// newScaleIn creates the reconciler that removes this controller's empty machines.
 func newScaleIn(c *Controller) *scalein.Reconciler {
 	return scalein.New(c.settings, scalein.Dependencies{
 		Mirror:   c.mirror,
@@ -84,8 +84,7 @@
 	})
 }
 
-// fleetControllers tells package fleet which controllers can claim machines.
-// Its methods are described at fleet.Controllers.
+// fleetControllers implements fleet.Controllers, which determines the controllers that can claim machines.
 type fleetControllers struct{ c *Controller }
 
 func (f fleetControllers) Connected() []string { return f.c.reachability.ConnectedControllers() }
@@ -94,8 +93,7 @@
 	return f.c.agents.DesignatedController(request, machineID)
 }
 
-// fleetWorkload provides packages fleet and scalein with what a pass plans for.
-// Its methods are described at fleet.Workload.
+// fleetWorkload implements fleet.Workload and scalein.Workload, the input of an autoscaling pass.
 type fleetWorkload struct{ autoscaler *autoscaler }
 
 func (w fleetWorkload) Snapshot(now monotime.Micros) *autoscaling.Snapshot {
@@ -116,7 +114,8 @@
 	return w.autoscaler.c.drains.ClosesOffer(offer)
 }
 
-// ZoneContacts counts the machines of each zone, and those of them that their controllers can't reach.
+// ZoneContacts returns, for each zone, the number of machines and how many of them are unreachable from the
+// controllers that own them. Only machines in the states open and unreachable are counted.
 func (w fleetWorkload) ZoneContacts() map[string]fleet.ZoneContact {
 	counts := map[string]*reachability.SilenceCount{}
 	for _, machine := range w.autoscaler.c.mirror.Machines {
--- a/internal/coordination/wiring_drains.go
+++ b/internal/coordination/wiring_drains.go
@@ -11,11 +11,10 @@
 	"pipitgap/internal/storage"
 )
 
-// drainDependencies provides the drainer with what it needs of the other subjects.
-// Its methods are described at drainer.Jobs and drainer.Machines.
+// drainDependencies implements drainer.Jobs and drainer.Machines.
 type drainDependencies struct{ c *Controller }
 
-// newDrainer makes the drainer; it is nil if the settings don't turn drains on.
+// newDrainer creates the drainer. It returns nil if the settings do not enable drains.
 func newDrainer(c *Controller) *drainer.Drainer {
 	dependencies := drainDependencies{c}
 	return drainer.New(c.node, c.settings.Drains, drainer.Dependencies{
@@ -53,9 +52,9 @@
 	return d.c.scaleIn.Delay(record)
 }
 
-// drainStore is the state service as the drainer sees it. Users' calls that wait at any controller count, and
-// what the leader alone may write is committed by the fleet's reconciliation.
-// Its methods are described at drainer.Store.
+// drainStore implements drainer.Store. UserCallsWaiting also covers user calls that wait at other
+// controllers. CommitAsLeader uses the fleet reconciler, which commits the records that only the leader may
+// write.
 type drainStore struct {
 	stateService
 	c *Controller
--- a/internal/coordination/wiring_membership.go
+++ b/internal/coordination/wiring_membership.go
@@ -7,7 +7,7 @@
 	"pipitgap/internal/reachability"
 )
 
-// newMembership makes this controller's membership, which holds no lease yet.
+// newMembership creates this controller's membership. It holds no lease yet.
 func newMembership(c *Controller) *membership.Membership {
 	return membership.New(membership.Options{
 		Node:        c.node,
@@ -23,7 +23,7 @@
 	})
 }
 
-// newReachability makes what judges this controller's connections.
+// newReachability creates the component that determines which processes this controller reaches.
 func newReachability(c *Controller) *reachability.Reachability {
 	return reachability.New(reachability.Options{
 		Node:          c.node,
--- a/internal/coordination/wiring_placement.go
+++ b/internal/coordination/wiring_placement.go
@@ -5,7 +5,7 @@
 	"pipitgap/internal/scheduling"
 )
 
-// newScheduler makes what places the tasks of this controller's partition.
+// newScheduler creates the scheduler, which places the tasks of this controller's partition.
 func newScheduler(c *Controller) *placement.Scheduler {
 	return placement.New(
 		placement.Config{
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -8,11 +8,11 @@
 	"pipitgap/internal/resources"
 )
 
-// quotaDependencies provides the quota manager with what it needs of shards, peers and reachability.
-// Its methods are described at quotashares.Shards and quotashares.Peers.
+// quotaDependencies implements quotashares.Shards and quotashares.Peers with the data of the shard manager,
+// the peer statuses and the reachability.
 type quotaDependencies struct{ c *Controller }
 
-// newQuotaManager makes what keeps this controller's shares of the teams' limits.
+// newQuotaManager creates the manager of this controller's shares of the teams' limits.
 func newQuotaManager(c *Controller) *quotashares.Manager {
 	dependencies := quotaDependencies{c}
 	return quotashares.New(
--- a/internal/coordination/wiring_requests.go
+++ b/internal/coordination/wiring_requests.go
@@ -6,9 +6,10 @@
 	"pipitgap/internal/storage"
 )
 
-// What requests of users (internal/api) and the end of jobs (internal/jobs) need of the other subjects.
+// This file connects the handler of user requests (package api) and the job finisher (package jobs) to the
+// other components.
 
-// newRequestHandler makes what answers users.
+// newRequestHandler creates the handler of user requests.
 func newRequestHandler(c *Controller) *api.Handler {
 	return api.NewHandler(api.Config{
 		Log:           c.log,
@@ -26,7 +27,7 @@
 	})
 }
 
-// newJobFinisher makes what writes the results of jobs.
+// newJobFinisher creates the finisher, which writes the results of jobs.
 func newJobFinisher(c *Controller) *jobs.Finisher {
 	return jobs.NewFinisher(jobs.Config{
 		Node:            c.node,
@@ -40,16 +41,17 @@
 	})
 }
 
-// userScheduler is the scheduler, which is made after the handler of requests: it needs the shards, and these
-// the end of jobs.
+// userScheduler implements api.Scheduler by forwarding to the scheduler. It reads c.scheduler at each call,
+// because the scheduler is created after the request handler: the scheduler depends on the shard manager, the
+// shard manager on the job finisher, and the job finisher on the request handler.
 type userScheduler struct{ c *Controller }
 
-// AssignTaskRanges divides a new job among the partitions.
+// AssignTaskRanges divides the tasks of a new job among the controllers' partitions.
 func (s userScheduler) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
 	return s.c.scheduler.AssignTaskRanges(spec)
 }
 
-// JobAccepted notes the revision of an accepted job.
+// JobAccepted records the revision at which this controller committed a new job.
 func (s userScheduler) JobAccepted(job string, revision uint64) {
 	s.c.scheduler.JobAccepted(job, revision)
 }
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -9,11 +9,10 @@
 	"pipitgap/internal/storage"
 )
 
-// shardDependencies provides the shard manager with what it needs of the other subjects.
-// Its methods are described at shards.Peers, shards.Drains and shards.Passes.
+// shardDependencies implements shards.Peers, shards.Drains and shards.Passes.
 type shardDependencies struct{ c *Controller }
 
-// newShardManager makes what owns this controller's shards.
+// newShardManager creates the manager of this controller's shards.
 func newShardManager(c *Controller) *shards.Manager {
 	dependencies := shardDependencies{c}
 	return shards.NewManager(
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -8,14 +8,14 @@
 	"pipitgap/internal/storeclient"
 )
 
-// stateService is the state service as most other subjects see it: calls are paced by the client, commits go
-// through the mirror's replica.
+// stateService is the interface to the state service that most other components use. The client limits the
+// rate of calls. Commits go through the replica, which also applies them to the mirror.
 type stateService struct {
 	*storeclient.Client
 	*mirror.Replica
 }
 
-// newStoreClient makes the client of the state service.
+// newStoreClient creates the client of the state service.
 func newStoreClient(c *Controller) *storeclient.Client {
 	limits := c.cfg.Facts.State
 	return storeclient.New(storeclient.Options{
@@ -31,7 +31,7 @@
 	})
 }
 
-// newReplica makes what keeps the mirror up to date.
+// newReplica creates the replica, which keeps the mirror up to date.
 func newReplica(c *Controller) *mirror.Replica {
 	return mirror.NewReplica(mirror.ReplicaOptions{
 		Mirror:          c.mirror,
@@ -47,8 +47,8 @@
 	})
 }
 
-// replicaObserver brings the state of the replica to the other subjects.
-// Its methods are described at mirror.Observer.
+// replicaObserver implements mirror.Observer. It notifies the other components of changes in the replica's
+// state.
 type replicaObserver struct{ c *Controller }
 
 func (o replicaObserver) BeforeReplace(loaded *mirror.Mirror) { o.c.agents.KeepOnly(loaded) }
@@ -68,7 +68,7 @@
 
 func (o replicaObserver) Changed() { o.c.runFastTick(o.c.now()) }
 
-// newCatalog makes the catalog of the machine types that the cloud offers.
+// newCatalog creates the catalog of the machine types that the cloud offers.
 func newCatalog(c *Controller) *catalog.Catalog {
 	return catalog.New(catalog.Options{
 		Environment:       c.env,
