--- a/internal/resources/resources.go
+++ b/internal/resources/resources.go
@@ -11,16 +11,16 @@
 // Vector is an amount of each resource: CPUs, accelerators and gigabytes of memory.
 type Vector struct{ CPUs, GPUs, MemoryGB float64 }
 
-// unit is the granularity of rounded amounts. Sums of multiples of unit are exact in any order of addition, so
-// decisions do not depend on map iteration order.
-const unit = 1.0 / (1 << 30)
+// roundingUnit is the granularity of rounded amounts. Sums of multiples of roundingUnit are exact in any
+// order of addition, so decisions do not depend on map iteration order.
+const roundingUnit = 1.0 / (1 << 30)
 
 // Tolerance is the excess that FitsIn and CountIn allow. Without it, rounding errors of decimal amounts could
 // prevent an exact fit.
 const Tolerance = 1e-6
 
 // Round rounds an amount to the nearest multiple of 2^-30, so that sums of rounded amounts are exact.
-func Round(amount float64) float64 { return math.Round(amount/unit) * unit }
+func Round(amount float64) float64 { return math.Round(amount/roundingUnit) * roundingUnit }
 
 // New returns a vector of the given amounts, each rounded by Round.
 func New(cpus, gpus, memoryGB float64) Vector {
