--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -1,5 +1,6 @@
 // Package durations defines the durations that several components share: the controllers' own intervals and
-// timeouts, and values derived from the platform's heartbeat interval, worker lease and cancellation deadline.
+// timeouts, and values derived from the platform's heartbeat interval, worker lease and cancellation
+// deadline.
 package durations
 
 import (
@@ -24,8 +25,8 @@
 	// WorkerAnswerTimeout is how long a worker waits for the response to a heartbeat before it gives up on
 	// the controller and selects the next one.
 	WorkerAnswerTimeout = 4 * monotime.Second
-	// WorkerRetryPause is how long a worker waits after that timeout, or after a redirect, before it sends the
-	// heartbeat to the next controller.
+	// WorkerRetryPause is how long a worker waits after that timeout, or after a redirect, before it sends
+	// the heartbeat to the next controller.
 	WorkerRetryPause = monotime.Second
 )
 
@@ -45,7 +46,8 @@
 	// minRenewalWindow is the lower bound of RenewalWindow. Without it, on a platform whose leases are longer
 	// than its cancellation deadline, controllers would reject every heartbeat between two watch responses.
 	minRenewalWindow = 3 * monotime.Second
-	// clockDriftDivisor is the inverse of the maximum drift rate of a monotonic clock: 1 in 500, fast or slow.
+	// clockDriftDivisor is the inverse of the maximum drift rate of a monotonic clock: 1 in 500, fast or
+	// slow.
 	clockDriftDivisor = 500
 )
 
@@ -67,7 +69,7 @@
 	// heartbeat intervals plus one second.
 	PlacementSilenceLimit monotime.Micros
 	// LeaseExpiryProof is the time without a response to a worker's heartbeat after which its lease has
-	// certainly expired, whatever the clock drift.
+	// certainly expired, allowing for clock drift.
 	LeaseExpiryProof monotime.Micros
 	// RenewalWindow bounds how outdated a controller's knowledge of committed cancellations may be while it
 	// renews worker leases. Once the knowledge is older, the controller rejects heartbeats.
@@ -121,8 +123,8 @@
 
 // NextDue returns when periodic work that ran from startedAt to endedAt is due again. The next run starts one
 // interval after startedAt, or later if the work would otherwise take more than a tenth of the time. With
-// thousands of jobs a pass takes milliseconds, and lease renewal and user requests must get their share of the
-// processor time.
+// thousands of jobs a pass takes milliseconds, and lease renewal and user requests must get their share of
+// the processor time.
 func NextDue(startedAt, endedAt, interval monotime.Micros) monotime.Micros {
 	return startedAt + max(interval, 10*(endedAt-startedAt))
 }
--- a/internal/reachability/controllers.go
+++ b/internal/reachability/controllers.go
@@ -8,7 +8,7 @@
 
 const (
 	// isolationDelay is how long the state service must not have responded before this controller checks
-	// whether only this controller cannot reach the service.
+	// whether it is isolated, or whether peers still reach the service.
 	isolationDelay = 2 * monotime.Second
 	// peerReportLead is how much later than the last response of the state service to this controller a peer
 	// must have reported that it reaches the service. Both controllers wait for the same responses, so a
@@ -17,7 +17,7 @@
 )
 
 // StoreUnreachableOnlyHere reports whether this controller cannot reach the state service while a peer can,
-// and returns that peer. In that case callers redirect users and workers to other controllers. During an
+// and returns that peer. In that case callers direct users and workers to other controllers. During an
 // outage that affects all controllers, this controller keeps responding to workers; otherwise every lease
 // would expire.
 func (r *Reachability) StoreUnreachableOnlyHere(now monotime.Micros) (peer string, onlyHere bool) {
