--- a/internal/reachability/workers_test.go
+++ b/internal/reachability/workers_test.go
@@ -8,234 +8,241 @@
 	"pipitgap/internal/peers"
 )
 
-// TestSilenceCount: three quarters of the machines, and three at least, must be silent; a machine that was never
-// heard counts only once it is silent.
+// TestSilenceCount: a group of machines is unreachable if at least three quarters of them, and at least
+// three, are silent. A machine that has never reported counts only once it is silent.
 func TestSilenceCount(t *testing.T) {
 	cases := []struct {
-		name                  string
-		heard, silent, unseen int
-		unreachable, mostly   bool // mostly: most are heard
+		name                           string
+		responsive, silent, unreported int
+		unreachable, mostResponsive    bool // mostResponsive: more than half are not silent
 	}{
-		{"none", 0, 0, 0, false, false},
-		{"all heard", 4, 0, 0, false, true},
+		{"no machines", 0, 0, 0, false, false},
+		{"all responsive", 4, 0, 0, false, true},
 		{"half silent", 3, 3, 0, false, false},
 		{"less than half silent", 4, 3, 0, false, true},
 		{"two of two silent", 0, 2, 0, false, false},
 		{"three of three silent", 0, 3, 0, true, false},
 		{"three of four silent", 1, 3, 0, true, false},
 		{"less than three quarters silent", 2, 5, 0, false, false},
-		{"never heard, not silent yet", 0, 0, 9, false, false},
-		{"silent beside such", 0, 3, 9, true, false},
+		{"never reported, not silent yet", 0, 0, 9, false, false},
+		{"silent machines among machines that have not reported yet", 0, 3, 9, true, false},
 	}
 	for _, tc := range cases {
 		count := &SilenceCount{}
-		for range tc.heard {
+		for range tc.responsive {
 			count.Add(false, false)
 		}
 		for i := range tc.silent {
 			count.Add(true, i%2 == 0)
 		}
-		for range tc.unseen {
+		for range tc.unreported {
 			count.Add(false, true)
 		}
 		if got := count.IsUnreachable(); got != tc.unreachable {
-			t.Errorf("%s: unreachable %t", tc.name, got)
+			t.Errorf("%s: got unreachable %t, want %t", tc.name, got, tc.unreachable)
 		}
-		if got := count.mostHeard(); got != tc.mostly {
-			t.Errorf("%s: most heard %t", tc.name, got)
+		if got := count.mostResponsive(); got != tc.mostResponsive {
+			t.Errorf("%s: got most responsive %t, want %t", tc.name, got, tc.mostResponsive)
 		}
 	}
 	if (*SilenceCount)(nil).IsUnreachable() {
-		t.Error("machines that nobody counted are unreachable")
+		t.Error("nil count: got unreachable true, want false")
 	}
 }
 
-// TestSilenceIsProbed: workers count as unreachable when none of the probed machines answers for itself.
-func TestSilenceIsProbed(t *testing.T) {
+// TestWorkersUnreachableIfNoProbeSucceeds: the controller marks its workers unreachable only after every
+// probe has ended without a response from the probed machine. After a successful probe it sends no probes for
+// silenceProbeValidity.
+func TestWorkersUnreachableIfNoProbeSucceeds(t *testing.T) {
 	cases := []struct {
 		name    string
-		answers [silenceProbes]probeAnswer
+		answers [silenceProbeCount]probeAnswer
 		want    bool
 	}{
-		{"no answer", [silenceProbes]probeAnswer{}, true},
-		{"one answers", [silenceProbes]probeAnswer{noAnswer, ownAnswer, noAnswer}, false},
-		{"the last answers", [silenceProbes]probeAnswer{noAnswer, noAnswer, ownAnswer}, false},
-		{"another machine answers", [silenceProbes]probeAnswer{anothersAnswer}, true},
+		{"no machine responds", [silenceProbeCount]probeAnswer{}, true},
+		{"one machine responds", [silenceProbeCount]probeAnswer{noAnswer, probedMachineAnswer, noAnswer}, false},
+		{"last machine responds", [silenceProbeCount]probeAnswer{noAnswer, noAnswer, probedMachineAnswer}, false},
+		{"another machine responds", [silenceProbeCount]probeAnswer{otherMachineAnswer}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newWorld(t, 5)
-			w.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, w.now)
-			w.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, w.now)
-			if len(w.probes) != silenceProbes {
-				t.Fatalf("%d probes", len(w.probes))
+			h := newHarness(t, 5)
+			h.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, h.now)
+			h.reachability.UpdateReachability(SilenceCount{Machines: 5, Silent: 5}, h.now)
+			if len(h.probes) != silenceProbeCount {
+				t.Fatalf("got %d probes, want %d", len(h.probes), silenceProbeCount)
 			}
-			asked := map[string]bool{}
-			for _, probe := range w.probes {
-				asked[probe.endpoint] = true
+			probedEndpoints := map[string]bool{}
+			for _, probe := range h.probes {
+				probedEndpoints[probe.endpoint] = true
 			}
-			if len(asked) != silenceProbes {
-				t.Errorf("asked %v", asked)
+			if len(probedEndpoints) != silenceProbeCount {
+				t.Errorf("got probed endpoints %v, want %d distinct ones", probedEndpoints, silenceProbeCount)
 			}
 			for _, answer := range tc.answers {
-				if w.reachability.WorkersUnreachable() {
-					t.Error("unreachable before all probes have ended")
+				if h.reachability.WorkersUnreachable() {
+					t.Error("got workers unreachable before all probes have ended, want reachable")
 				}
-				w.answerProbe(answer)
+				h.answerProbe(answer)
 			}
-			if got := w.reachability.WorkersUnreachable(); got != tc.want || (w.handOffs > 0) != tc.want {
-				t.Errorf("unreachable %t, %d hand-offs", got, w.handOffs)
+			if got := h.reachability.WorkersUnreachable(); got != tc.want || (h.handOffs > 0) != tc.want {
+				t.Errorf("got unreachable %t, %d handoffs; want both: %t", got, h.handOffs, tc.want)
 			}
 			if tc.want {
 				return
 			}
-			w.reachability.UpdateReachability(
+			h.reachability.UpdateReachability(
 				SilenceCount{Machines: 5, Silent: 5},
-				w.now+silenceProbeValidity-1,
+				h.now+silenceProbeValidity-1,
 			)
-			if len(w.probes) > 0 {
-				t.Error("probed again though one has just answered")
+			if len(h.probes) > 0 {
+				t.Errorf("got %d probes soon after a successful probe, want 0", len(h.probes))
 			}
-			w.reachability.UpdateReachability(
+			h.reachability.UpdateReachability(
 				SilenceCount{Machines: 5, Silent: 5},
-				w.now+silenceProbeValidity,
+				h.now+silenceProbeValidity,
 			)
-			if len(w.probes) != silenceProbes {
-				t.Errorf("%d probes later", len(w.probes))
+			if len(h.probes) != silenceProbeCount {
+				t.Errorf("got %d probes after silenceProbeValidity, want %d", len(h.probes), silenceProbeCount)
 			}
 		})
 	}
 }
 
-// unreachable has the workers of a world be unreachable, and its hand-offs counted from there.
-func unreachable(t *testing.T, machines int) *world {
+// newUnreachableHarness returns a harness whose workers are marked unreachable, with the handoff count reset.
+func newUnreachableHarness(t *testing.T, machines int) *harness {
 	t.Helper()
-	w := newWorld(t, machines)
-	w.reachability.UpdateReachability(SilenceCount{Machines: machines, Silent: machines}, w.now)
-	for len(w.probes) > 0 {
-		w.answerProbe(noAnswer)
+	h := newHarness(t, machines)
+	h.reachability.UpdateReachability(SilenceCount{Machines: machines, Silent: machines}, h.now)
+	for len(h.probes) > 0 {
+		h.answerProbe(noAnswer)
 	}
-	if !w.reachability.WorkersUnreachable() {
-		t.Fatal("workers are reached")
+	if !h.reachability.WorkersUnreachable() {
+		t.Fatal("got workers reachable after failed probes, want unreachable")
 	}
-	w.handOffs = 0
-	return w
+	h.handOffs = 0
+	return h
 }
 
-// TestWorkersReachedAgain: by a probe that is answered, by hearing most machines, or when there are no machines left.
-func TestWorkersReachedAgain(t *testing.T) {
+// TestWorkersBecomeReachable: workers become reachable again after a successful probe, when most machines are
+// responsive, or when no machines are left.
+func TestWorkersBecomeReachable(t *testing.T) {
 	allSilent := SilenceCount{Machines: 3, Silent: 3}
 	cases := []struct {
-		name   string
-		happen func(w *world)
-		want   bool
+		name string
+		act  func(h *harness)
+		want bool
 	}{
-		{"nothing", func(w *world) { w.reachability.UpdateReachability(allSilent, w.now) }, false},
-		{"a probe fails", func(w *world) {
-			w.reachability.UpdateReachability(allSilent, w.now)
-			w.answerProbe(noAnswer)
+		{"no response to the probe yet", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
 		}, false},
-		{"a probe is answered by another machine", func(w *world) {
-			w.reachability.UpdateReachability(allSilent, w.now)
-			w.answerProbe(anothersAnswer)
+		{"a probe fails", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
+			h.answerProbe(noAnswer)
 		}, false},
-		{"a probe is answered", func(w *world) {
-			w.reachability.UpdateReachability(allSilent, w.now)
-			w.answerProbe(ownAnswer)
+		{"another machine responds to a probe", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
+			h.answerProbe(otherMachineAnswer)
+		}, false},
+		{"the probed machine responds", func(h *harness) {
+			h.reachability.UpdateReachability(allSilent, h.now)
+			h.answerProbe(probedMachineAnswer)
 		}, true},
-		{"most are heard", func(w *world) {
-			w.reachability.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, w.now)
+		{"most machines are responsive", func(h *harness) {
+			h.reachability.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, h.now)
 		}, true},
-		{"few are heard", func(w *world) {
-			w.reachability.UpdateReachability(SilenceCount{Machines: 4, Silent: 2}, w.now)
+		{"only half of the machines are responsive", func(h *harness) {
+			h.reachability.UpdateReachability(SilenceCount{Machines: 4, Silent: 2}, h.now)
 		}, false},
-		{"no machines are left", func(w *world) {
-			clear(w.mirror.Machines)
-			w.reachability.UpdateReachability(SilenceCount{}, w.now)
+		{"no machines are left", func(h *harness) {
+			clear(h.mirror.Machines)
+			h.reachability.UpdateReachability(SilenceCount{}, h.now)
 		}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w := unreachable(t, 3)
-			tc.happen(w)
-			if got := !w.reachability.WorkersUnreachable(); got != tc.want || (w.passes > 0) != tc.want {
-				t.Errorf("reached %t, %d passes", got, w.passes)
+			h := newUnreachableHarness(t, 3)
+			tc.act(h)
+			if got := !h.reachability.WorkersUnreachable(); got != tc.want || (h.passes > 0) != tc.want {
+				t.Errorf("got reachable %t, %d passes; want both: %t", got, h.passes, tc.want)
 			}
 		})
 	}
 }
 
-// TestUnreachableWorkersKeepProbing: shards are handed off at every check, probes come at their interval, and the
-// answer to one of an earlier time says nothing of now.
-func TestUnreachableWorkersKeepProbing(t *testing.T) {
-	w := unreachable(t, 3)
+// TestUnreachableWorkersAreProbedAtInterval: while workers are unreachable, every check hands off shards, and
+// probes are sent at reconnectProbeInterval. A response to a probe from an earlier unreachable period is
+// ignored.
+func TestUnreachableWorkersAreProbedAtInterval(t *testing.T) {
+	h := newUnreachableHarness(t, 3)
 	silent := SilenceCount{Machines: 3, Silent: 3}
 	for _, at := range []monotime.Micros{0, 1, reconnectProbeInterval - 1, reconnectProbeInterval} {
-		w.reachability.UpdateReachability(silent, w.now+at)
+		h.reachability.UpdateReachability(silent, h.now+at)
 	}
-	if w.handOffs != 4 || len(w.probes) != 2 {
-		t.Errorf("%d hand-offs and %d probes", w.handOffs, len(w.probes))
+	if h.handOffs != 4 || len(h.probes) != 2 {
+		t.Errorf("got %d handoffs and %d probes, want 4 and 2", h.handOffs, len(h.probes))
 	}
-	w.now += monotime.Second
-	w.reachability.UpdateReachability(SilenceCount{Machines: 3}, w.now) // reached again
-	early := w.probes[:2]
-	w.probes = nil
-	w.now += silenceProbeValidity
-	w.reachability.UpdateReachability(silent, w.now)
-	for len(w.probes) > 0 {
-		w.answerProbe(noAnswer)
+	h.now += monotime.Second
+	h.reachability.UpdateReachability(SilenceCount{Machines: 3}, h.now) // reachable again
+	earlierProbes := h.probes[:2]
+	h.probes = nil
+	h.now += silenceProbeValidity
+	h.reachability.UpdateReachability(silent, h.now)
+	for len(h.probes) > 0 {
+		h.answerProbe(noAnswer)
 	}
-	w.probes = early
-	w.answerProbe(ownAnswer)
-	if !w.reachability.WorkersUnreachable() {
-		t.Error("reached by an answer from before")
+	h.probes = earlierProbes
+	h.answerProbe(probedMachineAnswer)
+	if !h.reachability.WorkersUnreachable() {
+		t.Error("got workers reachable after a response to an outdated probe, want unreachable")
 	}
 }
 
-// TestWorkerReach: what a controller tells its peers of its workers.
+// TestWorkerReach: the reachability of the workers that a controller reports to its peers.
 func TestWorkerReach(t *testing.T) {
-	cut := unreachable(t, 3).reachability
-	unknown, heard, silent := newWorld(
+	unreachable := newUnreachableHarness(t, 3).reachability
+	unknown, responsive, silent := newHarness(
 		t,
 		3,
-	).reachability, newWorld(
+	).reachability, newHarness(
 		t,
 		3,
-	).reachability, newWorld(
+	).reachability, newHarness(
 		t,
 		3,
 	).reachability
-	heard.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, testStart)
+	responsive.UpdateReachability(SilenceCount{Machines: 3, Silent: 1}, testStart)
 	silent.UpdateReachability(SilenceCount{Machines: 3, Silent: 2}, testStart)
 	cases := []struct {
 		name         string
 		reachability *Reachability
 		want         peers.WorkerReach
 	}{
-		{"at first", unknown, peers.WorkersUnknown},
-		{"most are heard", heard, peers.WorkersReachable},
-		{"most are silent", silent, peers.WorkersUnknown},
-		{"unreachable", cut, peers.WorkersUnreachable},
+		{"initially", unknown, peers.WorkersUnknown},
+		{"most machines are responsive", responsive, peers.WorkersReachable},
+		{"most machines are silent", silent, peers.WorkersUnknown},
+		{"unreachable", unreachable, peers.WorkersUnreachable},
 	}
 	for _, tc := range cases {
 		if got := tc.reachability.WorkerReach(); got != tc.want {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: got %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestProbedMachinesAreDrawn: each machine is probed in some draw, not always the first by name.
-func TestProbedMachinesAreDrawn(t *testing.T) {
+// TestProbedMachinesAreRandom: probed machines are drawn at random. Over 40 seeds every machine is probed,
+// not only the first machines by ID.
+func TestProbedMachinesAreRandom(t *testing.T) {
 	probed := map[string]bool{}
 	for seed := range uint64(40) {
-		w := newWorld(t, 6)
-		w.random = rand.New(rand.NewPCG(seed, 1))
-		w.reachability.UpdateReachability(SilenceCount{Machines: 6, Silent: 6}, w.now)
-		for _, probe := range w.probes {
+		h := newHarness(t, 6)
+		h.random = rand.New(rand.NewPCG(seed, 1))
+		h.reachability.UpdateReachability(SilenceCount{Machines: 6, Silent: 6}, h.now)
+		for _, probe := range h.probes {
 			probed[probe.endpoint] = true
 		}
 	}
 	if len(probed) != 6 {
-		t.Errorf("probed in any draw: %v", probed)
+		t.Errorf("got probes of %v over all seeds, want all 6 machines", probed)
 	}
 }
