--- a/internal/autoscaling/backoff.go
+++ b/internal/autoscaling/backoff.go
@@ -53,15 +53,15 @@
 func (b *Backoffs) Eligible(demands []*Demand, now monotime.Micros) []*Demand {
 	var eligible []*Demand
 	for _, demand := range demands {
-		if demand.Tasks > 0 && !b.leavesOut(demand.JobID, now) {
+		if demand.Tasks > 0 && !b.isExcluded(demand.JobID, now) {
 			eligible = append(eligible, demand)
 		}
 	}
 	return eligible
 }
 
-// leavesOut reports whether nothing is requested for a job for now.
-func (b *Backoffs) leavesOut(jobID string, now monotime.Micros) bool {
+// isExcluded reports whether nothing is requested for a job for now.
+func (b *Backoffs) isExcluded(jobID string, now monotime.Micros) bool {
 	state := b.jobs[jobID]
 	if state == nil {
 		return false
--- a/internal/autoscaling/backoff_test.go
+++ b/internal/autoscaling/backoff_test.go
@@ -11,12 +11,12 @@
 func TestBackoffsPauseAndSuspend(t *testing.T) {
 	b := NewBackoffs(BackoffPolicy{Passes: 2, First: 4, Max: 16})
 	demands := []*Demand{{JobID: "j", Tasks: 1}}
-	leftOut := func(now monotime.Micros) bool { return len(b.Eligible(demands, now)) == 0 }
+	isExcluded := func(now monotime.Micros) bool { return len(b.Eligible(demands, now)) == 0 }
 	for _, step := range []struct {
 		name          string
 		now           monotime.Micros
 		wantSuspended bool
-		leftOutUntil  monotime.Micros // 0: it isn't left out
+		excludedUntil monotime.Micros // 0: it isn't left out
 	}{
 		{"first pass", 0, false, 0},
 		{"second pass", 1, false, 5},
@@ -26,21 +26,21 @@
 		if got := b.Update("j", false, step.now); got != step.wantSuspended {
 			t.Errorf("%s: suspended %v", step.name, got)
 		}
-		if until := step.leftOutUntil; until == 0 && leftOut(step.now) {
+		if until := step.excludedUntil; until == 0 && isExcluded(step.now) {
 			t.Errorf("%s: it is left out", step.name)
-		} else if until != 0 && (!leftOut(until-1) || until < 1<<40 && leftOut(until)) {
+		} else if until != 0 && (!isExcluded(until-1) || until < 1<<40 && isExcluded(until)) {
 			t.Errorf("%s: it isn't left out until %d only", step.name, until)
 		}
 	}
 	b.NoteOfferRecovery()
-	if leftOut(14) {
+	if isExcluded(14) {
 		t.Error("an offer has recovered, and the job is left out")
 	}
-	if b.Update("j", false, 14) || !leftOut(15) {
+	if b.Update("j", false, 14) || !isExcluded(15) {
 		t.Error("without success it isn't left out until the next recovery")
 	}
 	b.NoteOfferRecovery()
-	if b.Update("j", true, 16); leftOut(17) || len(b.jobs) != 0 {
+	if b.Update("j", true, 16); isExcluded(17) || len(b.jobs) != 0 {
 		t.Error("success doesn't end the back-off")
 	}
 }
--- a/internal/autoscaling/bin.go
+++ b/internal/autoscaling/bin.go
@@ -9,9 +9,9 @@
 // EstimateMargin stretches expected run times: estimates err, and images must be fetched first.
 const EstimateMargin = 1.2
 
-// minSpotWaitBoots is the part of a boot time that a spot task waits in any case before an on-demand machine
+// minSpotWaitBootTimes is the part of a boot time that a spot task waits in any case before an on-demand machine
 // is requested for it: sooner than that none would be up.
-const minSpotWaitBoots = 0.5
+const minSpotWaitBootTimes = 0.5
 
 // Bin is a machine that tasks can be packed into: one that is up, or a requested one.
 type Bin struct {
@@ -26,7 +26,7 @@
 	ArrayCPUs           float64       // CPUs that services leave to other tasks
 	CommittedCPUSeconds float64       // of these, the CPU seconds that are planned for
 	Running             []RunningTask // what runs there and will end by itself
-	promisedCPUs        float64       // CPUs of Running that are planned for already
+	absorbedCPUs        float64       // CPUs of Running that are planned for already
 
 	// PreemptibleByServices is held by tasks that a service may preempt.
 	PreemptibleByServices resources.Vector
@@ -43,10 +43,10 @@
 // expectedReleases is how many CPUs the running tasks are expected to release within a time in seconds. A
 // task is equally likely to be at any point of its run, which may be longer than estimated. The sum is exact,
 // so that it doesn't depend on the order of the tasks.
-func (b *Bin) expectedReleases(within float64) float64 {
+func (b *Bin) expectedReleases(withinSeconds float64) float64 {
 	cpus := 0.0
 	for _, task := range b.Running {
-		cpus += resources.Round(task.CPUs * min(1, within/max(EstimateMargin*task.ExpectedSeconds, 1)))
+		cpus += resources.Round(task.CPUs * min(1, withinSeconds/max(EstimateMargin*task.ExpectedSeconds, 1)))
 	}
 	return cpus
 }
@@ -55,13 +55,13 @@
 // seconds, and returns how many. Short tasks run there one after the other. Of tasks that run longer than
 // that each machine has room for a part only, but many machines together for some whole ones: without that,
 // machines would be requested for tasks that could have started in time.
-func (b *Bin) absorb(demand *Demand, within, most float64) float64 {
+func (b *Bin) absorb(demand *Demand, withinSeconds, maxTasks float64) float64 {
 	cpuSeconds := demand.Need.CPUs * max(demand.ExpectedSeconds, 1)
-	inTurn := math.Floor(max(0, b.ArrayCPUs*within-b.CommittedCPUSeconds) / cpuSeconds)
-	released := max(0, b.expectedReleases(within)-b.promisedCPUs) / demand.Need.CPUs
-	n := min(most, max(inTurn, released))
+	sequentialTasks := math.Floor(max(0, b.ArrayCPUs*withinSeconds-b.CommittedCPUSeconds) / cpuSeconds)
+	releasedTasks := max(0, b.expectedReleases(withinSeconds)-b.absorbedCPUs) / demand.Need.CPUs
+	n := min(maxTasks, max(sequentialTasks, releasedTasks))
 	b.CommittedCPUSeconds += n * cpuSeconds
-	b.promisedCPUs += n * demand.Need.CPUs
+	b.absorbedCPUs += n * demand.Need.CPUs
 	return n
 }
 
@@ -93,20 +93,21 @@
 // placeByPreemption plans n tasks of a demand: on what is free first, then on what tasks of lower priority
 // hold, the lowest first.
 func (b *Bin) placeByPreemption(demand *Demand, n int) {
-	left := resources.Vector{
+	remaining := resources.Vector{
 		CPUs:     demand.Need.CPUs * float64(n),
 		GPUs:     demand.Need.GPUs * float64(n),
 		MemoryGB: demand.Need.MemoryGB * float64(n),
 	}
-	taken := componentMin(b.Free, left)
-	b.Free, left = b.Free.AddScaled(taken, -1), left.AddScaled(taken, -1)
+	allocated := componentMin(b.Free, remaining)
+	b.Free, remaining = b.Free.AddScaled(allocated, -1), remaining.AddScaled(allocated, -1)
 	for priority := 0; priority < demand.Spec.Priority; priority++ {
 		held := b.PreemptibleByPriority[priority]
-		taken := componentMin(held, left)
-		if taken == (resources.Vector{}) {
+		allocated := componentMin(held, remaining)
+		if allocated == (resources.Vector{}) {
 			continue
 		}
-		b.PreemptibleByPriority[priority], left = held.AddScaled(taken, -1), left.AddScaled(taken, -1)
+		b.PreemptibleByPriority[priority], remaining =
+			held.AddScaled(allocated, -1), remaining.AddScaled(allocated, -1)
 	}
 	b.CommittedCPUSeconds += float64(n) * demand.Need.CPUs * demand.ExpectedSeconds
 	demand.placeTasks(n, b.Zone)
--- a/internal/autoscaling/fleet/catalog.go
+++ b/internal/autoscaling/fleet/catalog.go
@@ -18,9 +18,9 @@
 	machineTypes := r.deps.Catalog.MachineTypes()
 	for _, name := range sortedmap.Keys(machineTypes) {
 		machineType := machineTypes[name]
-		record := recordOf(&machineType)
+		record := machineTypeRecord(&machineType)
 		stored := r.deps.Mirror.MachineTypes[name]
-		if stored.Version != 0 && sameButForPrices(record, stored.Record) || !protocol.ValidKeyPart(name) {
+		if stored.Version != 0 && equalExceptPrices(record, stored.Record) || !protocol.ValidKeyPart(name) {
 			continue
 		}
 		key := storage.MachineTypeKey(name)
@@ -29,8 +29,8 @@
 	}
 }
 
-// recordOf is the record of a machine type.
-func recordOf(machineType *protocol.MachineType) storage.MachineType {
+// machineTypeRecord is the record of a machine type.
+func machineTypeRecord(machineType *protocol.MachineType) storage.MachineType {
 	return storage.MachineType{
 		CPUs:          machineType.CPUs,
 		GPUs:          machineType.GPUs,
@@ -44,8 +44,8 @@
 	}
 }
 
-// sameButForPrices compares two records; prices change all the time and aren't worth a write.
-func sameButForPrices(record, stored storage.MachineType) bool {
+// equalExceptPrices compares two records; prices change all the time and aren't worth a write.
+func equalExceptPrices(record, stored storage.MachineType) bool {
 	record.OnDemandPrice, record.SpotPrice = stored.OnDemandPrice, stored.SpotPrice
 	return reflect.DeepEqual(record, stored)
 }
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -16,8 +16,8 @@
 	unknownMachineMargin = 5 * monotime.Second
 )
 
-// listedFailed is the state of failed machines in the cloud's list.
-const listedFailed = "failed"
+// listedStateFailed is the state of failed machines in the cloud's list.
+const listedStateFailed = "failed"
 
 // startListing reads the cloud's list page by page. It finds failed machines and such as no record knows;
 // that a machine isn't listed proves nothing, as the list lags.
@@ -84,15 +84,15 @@
 	if !protocol.ValidKeyPart(listed.ID) || records.ScaleInOfMachine[listed.ID] != "" {
 		return
 	}
-	if listed.State == listedFailed {
+	if listed.State == listedStateFailed {
 		r.term.failedMachines[listed.ID] = true
 		return
 	}
 	if machine := records.Machines[listed.ID]; machine != nil && machine.Record != nil {
 		return
 	}
-	lag := monotime.FromSeconds(2*r.cfg.ListLagSeconds) + unknownMachineMargin
-	if records.ScaleOutOfMachine[listed.ID] == "" && monotime.FromSeconds(listed.AgeS) > lag {
+	minAge := monotime.FromSeconds(2*r.cfg.ListLagSeconds) + unknownMachineMargin
+	if records.ScaleOutOfMachine[listed.ID] == "" && monotime.FromSeconds(listed.AgeS) > minAge {
 		r.term.unknownMachines[listed.ID] = listed
 	}
 }
--- a/internal/autoscaling/fleet/pass.go
+++ b/internal/autoscaling/fleet/pass.go
@@ -16,13 +16,13 @@
 	plan := r.newPlan(snapshot)
 	unmet := plan.PlaceDemand()
 	r.term.backoffs.ForgetMet(unmet)
-	wanted := r.term.backoffs.Eligible(unmet, now)
+	eligible := r.term.backoffs.Eligible(unmet, now)
 	tasksBefore := map[string]int{}
-	for _, demand := range wanted {
+	for _, demand := range eligible {
 		tasksBefore[demand.JobID] = demand.Tasks
 	}
-	scaleOuts := plan.ScaleOuts(wanted, r.availableOffers(snapshot))
-	for _, demand := range wanted {
+	scaleOuts := plan.ScaleOuts(eligible, r.availableOffers(snapshot))
+	for _, demand := range eligible {
 		met := demand.Tasks < tasksBefore[demand.JobID]
 		if r.term.backoffs.Update(demand.JobID, met, now) {
 			r.deps.Log.Info("job removed from demand, insufficient capacity",
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -140,25 +140,25 @@
 func (r *Reconciler) now() monotime.Micros { return r.deps.Environment.Now() }
 
 // Commit commits a transaction on the condition that this controller is the leader, one at a time for each
-// busyKey: while one is in flight, another is dropped. The callback, which may be nil, is called if the term
+// commitKey: while one is in flight, another is dropped. The callback, which may be nil, is called if the term
 // still lasts.
 func (r *Reconciler) Commit(
 	priority ratelimit.Priority,
-	busyKey string,
+	commitKey string,
 	txn protocol.Transaction,
 	callback func(protocol.StoreResult),
 ) {
-	if r.term.commitInFlight[busyKey] {
+	if r.term.commitInFlight[commitKey] {
 		return
 	}
-	r.term.commitInFlight[busyKey] = true
+	r.term.commitInFlight[commitKey] = true
 	term := r.term.number
 	txn.If = append(txn.If, r.deps.Membership.LeadershipCompare())
 	r.deps.Store.Commit(priority, txn, func(result protocol.StoreResult) {
 		if term != r.term.number {
 			return
 		}
-		delete(r.term.commitInFlight, busyKey)
+		delete(r.term.commitInFlight, commitKey)
 		if callback != nil {
 			callback(result)
 		}
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -113,8 +113,8 @@
 	s.reconciler.Reconcile(s.now)
 }
 
-// next takes the oldest unanswered call, which must be of a kind.
-func (s *controllerStub) next(op protocol.CloudOp) cloudCall {
+// nextCall takes the oldest unanswered call, which must be of a kind.
+func (s *controllerStub) nextCall(op protocol.CloudOp) cloudCall {
 	s.t.Helper()
 	if len(s.calls) == 0 || s.calls[0].Op != op {
 		s.t.Fatalf("calls %+v, want one of kind %v", s.calls, op)
@@ -128,7 +128,7 @@
 func (s *controllerStub) rebuildInventory() {
 	s.t.Helper()
 	s.reconcile(0)
-	s.next(protocol.CloudList).answer(protocol.CloudResult{Outcome: protocol.OK})
+	s.nextCall(protocol.CloudList).answer(protocol.CloudResult{Outcome: protocol.OK})
 }
 
 // scaleOut gives the only scale-out request.
@@ -149,7 +149,7 @@
 	s.records.ApplyPut(storage.ScaleOutKey(name), protocol.MustMarshal(&record), 1)
 }
 
-func tasksOf(cpus float64, tasks int) func() []*autoscaling.Demand {
+func serviceDemand(cpus float64, tasks int) func() []*autoscaling.Demand {
 	return func() []*autoscaling.Demand {
 		spec := &storage.JobSpec{CPUs: cpus, Service: true}
 		need := mirror.MachineCapacity(&protocol.MachineType{CPUs: cpus})
@@ -157,12 +157,12 @@
 	}
 }
 
-// TestNothingIsRequestedBeforeTheInventoryIsRebuilt: a new leader reads the cloud's list to its end first.
-func TestNothingIsRequestedBeforeTheInventoryIsRebuilt(t *testing.T) {
+// TestNoScaleOutBeforeInventoryIsRebuilt: a new leader reads the cloud's list to its end first.
+func TestNoScaleOutBeforeInventoryIsRebuilt(t *testing.T) {
 	s := newControllerStub(t)
-	s.demand = tasksOf(8, 1)
+	s.demand = serviceDemand(8, 1)
 	s.reconcile(0)
-	page := s.next(protocol.CloudList)
+	page := s.nextCall(protocol.CloudList)
 	page.answer(protocol.CloudResult{
 		Outcome: protocol.OK, More: true, Listed: []protocol.ListedMachine{{ID: "i-1", State: "booting"}},
 	})
@@ -170,7 +170,7 @@
 	if len(s.records.ScaleOuts) != 0 {
 		t.Fatal("a request before the end of the list")
 	}
-	last := s.next(protocol.CloudList)
+	last := s.nextCall(protocol.CloudList)
 	if last.After != "i-1" {
 		t.Errorf("the next page begins after %q", last.After)
 	}
@@ -186,14 +186,14 @@
 	}
 }
 
-// TestAnswersOfAnEarlierTermAreDropped: what a call or a commit of another term brings isn't acted on.
-func TestAnswersOfAnEarlierTermAreDropped(t *testing.T) {
+// TestResultsOfEarlierTermAreIgnored: what a call or a commit of another term brings isn't acted on.
+func TestResultsOfEarlierTermAreIgnored(t *testing.T) {
 	s := newControllerStub(t)
 	s.reconcile(0)
-	late := s.next(protocol.CloudList)
+	staleCall := s.nextCall(protocol.CloudList)
 	s.records.LeaderVersion++
 	s.reconcile(monotime.Second)
-	late.answer(protocol.CloudResult{Outcome: protocol.OK})
+	staleCall.answer(protocol.CloudResult{Outcome: protocol.OK})
 	if s.reconciler.term.inventoryRebuilt {
 		t.Error("the list of an earlier term counts")
 	}
@@ -211,7 +211,7 @@
 	s.leader = true
 	s.rebuildInventory()
 	s.leader = false
-	s.demand = tasksOf(8, 1)
+	s.demand = serviceDemand(8, 1)
 	s.reconcile(monotime.Minute)
 	if len(s.calls) != 0 || len(s.records.ScaleOuts) != 0 {
 		t.Errorf("calls: %+v, scale-out requests: %+v", s.calls, s.records.ScaleOuts)
@@ -241,7 +241,7 @@
 			s.rebuildInventory()
 			s.addScaleOut("r-7-9", storage.ScaleOutRequest{Phase: storage.ScaleOutPending, Count: 2})
 			s.reconcile(0)
-			call := s.next(protocol.CloudCreateMachines)
+			call := s.nextCall(protocol.CloudCreateMachines)
 			if call.Create.Name != "r-7-9" || call.Create.Count != 2 {
 				t.Errorf("%+v", call.Create)
 			}
@@ -253,8 +253,8 @@
 				t.Errorf("quarantined: %v", got)
 			}
 			s.reconcile(cloudRetryDelay)
-			if again := len(s.calls) > 0; again != (tc.want == storage.ScaleOutPending) {
-				t.Errorf("called again: %v", again)
+			if repeated := len(s.calls) > 0; repeated != (tc.want == storage.ScaleOutPending) {
+				t.Errorf("called again: %v", repeated)
 			}
 		})
 	}
@@ -327,7 +327,7 @@
 		{protocol.Rejected, 1, false},
 		{protocol.Unknown, 2, true},
 	} {
-		call := s.next(protocol.CloudDelete)
+		call := s.nextCall(protocol.CloudDelete)
 		if !slices.Equal(call.Delete, []string{"i-1"}) {
 			t.Fatalf("%+v", call.Delete)
 		}
@@ -341,17 +341,17 @@
 		t.Fatal("a flagged request is repeated at once")
 	}
 	s.reconcile(monotime.Minute)
-	s.next(protocol.CloudDelete).answer(protocol.CloudResult{Outcome: protocol.OK})
+	s.nextCall(protocol.CloudDelete).answer(protocol.CloudResult{Outcome: protocol.OK})
 	if !record().Deleted {
 		t.Error("success isn't recorded")
 	}
 }
 
-// TestListedMachinesThatNoRecordKnows: one that is old enough is adopted, one that failed is terminated.
-func TestListedMachinesThatNoRecordKnows(t *testing.T) {
+// TestListedMachinesWithoutRecord: one that is old enough is adopted, one that failed is terminated.
+func TestListedMachinesWithoutRecord(t *testing.T) {
 	s := newControllerStub(t)
 	s.reconcile(0)
-	s.next(protocol.CloudList).
+	s.nextCall(protocol.CloudList).
 		answer(protocol.CloudResult{Outcome: protocol.OK, Listed: []protocol.ListedMachine{
 			{ID: "i-new", Type: "m8", Zone: "a", AgeS: 7},
 			{ID: "i-old", Type: "m8", Zone: "a", AgeS: 7.1},
@@ -362,15 +362,15 @@
 		t.Errorf("%+v", got)
 	}
 	s.reconcile(scaleInInterval)
-	if got := s.next(protocol.CloudDelete).Delete; !slices.Equal(got, []string{"i-failed"}) {
+	if got := s.nextCall(protocol.CloudDelete).Delete; !slices.Equal(got, []string{"i-failed"}) {
 		t.Errorf("terminated: %v", got)
 	}
 }
 
-// TestUnreachableZonesGetNoMachines: machines are requested in other zones.
-func TestUnreachableZonesGetNoMachines(t *testing.T) {
+// TestNoScaleOutInUnreachableZones: machines are requested in other zones.
+func TestNoScaleOutInUnreachableZones(t *testing.T) {
 	s := newControllerStub(t)
-	s.demand = tasksOf(8, 1)
+	s.demand = serviceDemand(8, 1)
 	s.zones = map[string]ZoneContact{"a": {Machines: 3, UnreachableMachines: 3, Unreachable: true}}
 	s.rebuildInventory()
 	s.reconcile(monotime.Second)
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -23,8 +23,8 @@
 	scaleInMachineBytes = 3  // of each machine beside its id
 )
 
-// scaleInBusyKey lets one scale-in request be written at a time.
-const scaleInBusyKey = "removals"
+// scaleInCommitKey lets one scale-in request be written at a time.
+const scaleInCommitKey = "removals"
 
 // reconcileScaleIns has machines terminated: those that their controllers want removed, and those that
 // failed. One record and one call are for many machines. The record is written before the call, and says
@@ -40,7 +40,7 @@
 		request := r.deps.Mirror.ScaleIns[name]
 		switch {
 		case request.Record.Deleted:
-			r.forgetScaleIn(name, request)
+			r.deleteExpiredScaleIn(name, request)
 		case !r.term.scaleInInFlight[name] && now >= r.term.scaleInRetryAt[name] && r.mayCallCloud(now):
 			r.deleteMachines(name, request)
 		}
@@ -79,7 +79,7 @@
 	key := storage.ScaleInKey(r.nextRequestName())
 	record := storage.ScaleInRequest{Machines: machines[:n], StateSince: r.deps.Environment.WallClock()}
 	txn := protocol.PutIfUnchanged(key, 0, &record)
-	r.Commit(ratelimit.PriorityBackground, scaleInBusyKey, txn, func(result protocol.StoreResult) {
+	r.Commit(ratelimit.PriorityBackground, scaleInCommitKey, txn, func(result protocol.StoreResult) {
 		if result.Outcome == protocol.OK {
 			r.reconcileScaleIns(r.now())
 		}
@@ -136,9 +136,9 @@
 		"tries", record.Attempts, "outcome", outcome.String())
 }
 
-// forgetScaleIn deletes the record of terminated machines once no shard has them and none of their late
+// deleteExpiredScaleIn deletes the record of terminated machines once no shard has them and none of their late
 // heartbeats is to be expected.
-func (r *Reconciler) forgetScaleIn(name string, request *mirror.ScaleInEntry) {
+func (r *Reconciler) deleteExpiredScaleIn(name string, request *mirror.ScaleInEntry) {
 	age := monotime.Micros(r.deps.Environment.WallClock() - request.Record.StateSince)
 	if age < deletedMachineRetention {
 		return
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -29,10 +29,10 @@
 
 // reconcileScaleOuts takes the next step of every scale-out request.
 func (r *Reconciler) reconcileScaleOuts(now monotime.Micros) {
-	wall := r.deps.Environment.WallClock()
+	wallClock := r.deps.Environment.WallClock()
 	for _, name := range sortedmap.Keys(r.deps.Mirror.ScaleOuts) {
 		request := r.deps.Mirror.ScaleOuts[name]
-		age := monotime.Micros(wall - request.Record.PhaseSince)
+		age := monotime.Micros(wallClock - request.Record.PhaseSince)
 		switch request.Record.Phase {
 		case storage.ScaleOutPending:
 			if !r.term.scaleOutInFlight[name] && now >= r.term.scaleOutRetryAt[name] && r.mayCallCloud(now) {
@@ -151,14 +151,14 @@
 // requestScaleOut writes requests for machines of an offer; the cloud call of each follows once it is
 // written.
 func (r *Reconciler) requestScaleOut(scaleOut autoscaling.ScaleOut) {
-	for left := scaleOut.Machines; left > 0; left -= maxMachinesPerScaleOut {
+	for remaining := scaleOut.Machines; remaining > 0; remaining -= maxMachinesPerScaleOut {
 		key := r.newScaleOutKey()
 		record := storage.ScaleOutRequest{
 			Phase:       storage.ScaleOutPending,
 			MachineType: scaleOut.MachineType,
 			Zone:        scaleOut.Zone,
 			Spot:        scaleOut.Spot,
-			Count:       min(left, maxMachinesPerScaleOut),
+			Count:       min(remaining, maxMachinesPerScaleOut),
 			PhaseSince:  r.deps.Environment.WallClock(),
 		}
 		txn := protocol.PutIfUnchanged(key, 0, &record)
--- a/internal/autoscaling/offer.go
+++ b/internal/autoscaling/offer.go
@@ -100,11 +100,11 @@
 func chooseOffers(
 	demands []*Demand,
 	offers []*PricedOffer,
-	most int,
+	maxMachines int,
 	mayUse func(*Demand, *PricedOffer) bool,
 	chosen map[Offer]int,
 ) {
-	for range most {
+	for range maxMachines {
 		best, packed := cheapestOffer(demands, offers, mayUse)
 		if best == nil {
 			return
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// absorption says what of the running machines' future capacity counts as supply.
-type absorption struct {
-	boots float64 // how far ahead is looked, in boot times of the machine's type
+// absorptionPolicy says what of the running machines' future capacity counts as supply.
+type absorptionPolicy struct {
+	bootTimes float64 // how far ahead is looked, in boot times of the machine's type
 	// Only tasks that may use spot machines are taken, and only by as long as their own objective lets them
 	// wait: an on-demand machine is dear for them.
 	spotTasksOnly bool
@@ -89,9 +89,9 @@
 // absorbDemand takes from the demands, the most urgent first, what running machines will have free in time:
 // machines requested for those tasks would find nothing to do. Services never end, so none of their tasks is
 // taken.
-func absorbDemand(demands []*Demand, bins []*Bin, rule absorption) {
+func absorbDemand(demands []*Demand, bins []*Bin, policy absorptionPolicy) {
 	for _, demand := range sortedByUrgency(demands) {
-		if rule.spotTasksOnly && !demand.Spec.Spot || demand.Spec.Service || demand.Need.CPUs <= 0 ||
+		if policy.spotTasksOnly && !demand.Spec.Spot || demand.Spec.Service || demand.Need.CPUs <= 0 ||
 			demand.restrictsZones() {
 			continue
 		}
@@ -101,8 +101,8 @@
 				break
 			}
 			if demand.allowsMachine(bin.Offer) && demand.Need.FitsIn(bin.Capacity) {
-				within := rule.horizonSeconds(demand, bin)
-				expected += bin.absorb(demand, within, float64(demand.Tasks)-expected)
+				withinSeconds := policy.horizonSeconds(demand, bin)
+				expected += bin.absorb(demand, withinSeconds, float64(demand.Tasks)-expected)
 			}
 		}
 		demand.Tasks -= min(demand.Tasks, int(expected))
@@ -110,10 +110,10 @@
 }
 
 // horizonSeconds is how long a demand's tasks are let wait for a bin's capacity.
-func (r absorption) horizonSeconds(demand *Demand, bin *Bin) float64 {
-	horizon := r.boots * bin.BootSeconds
+func (r absorptionPolicy) horizonSeconds(demand *Demand, bin *Bin) float64 {
+	horizon := r.bootTimes * bin.BootSeconds
 	if r.spotTasksOnly {
-		horizon = min(horizon, max(demand.SlackSeconds, minSpotWaitBoots*bin.BootSeconds))
+		horizon = min(horizon, max(demand.SlackSeconds, minSpotWaitBootTimes*bin.BootSeconds))
 	}
 	return horizon
 }
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -35,7 +35,7 @@
 	fillBins(p.Waiting, p.Bins)
 	absorbByPreemption(p.Waiting, p.Bins)
 	reserveHeadroom(p.Headroom, p.Bins)
-	absorbDemand(p.Waiting, p.Bins, absorption{boots: p.ExpectedCapacity})
+	absorbDemand(p.Waiting, p.Bins, absorptionPolicy{bootTimes: p.ExpectedCapacity})
 	return append(p.Waiting, p.Headroom...)
 }
 
@@ -44,13 +44,13 @@
 // long. It takes from the demands what the machines carry.
 func (p *Plan) ScaleOuts(unmet []*Demand, offers []*PricedOffer) []ScaleOut {
 	chosen := map[Offer]int{}
-	chooseOffers(unmet, offers, maxMachinesPerPass, inOwnMarket, chosen)
+	chooseOffers(unmet, offers, maxMachinesPerPass, matchesMarket, chosen)
 	for _, offer := range sortedOffers(chosen) {
 		for range chosen[offer] {
 			p.Bins = append(p.Bins, p.filledBin(offer))
 		}
 	}
-	absorbDemand(unmet, p.Bins, absorption{boots: p.ExpectedOnDemandCapacity, spotTasksOnly: true})
+	absorbDemand(unmet, p.Bins, absorptionPolicy{bootTimes: p.ExpectedOnDemandCapacity, spotTasksOnly: true})
 	chooseOffers(unmet, offers, maxMachinesPerPass, inAnyMarket, chosen)
 
 	var out []ScaleOut
@@ -60,8 +60,8 @@
 	return out
 }
 
-// inOwnMarket lets tasks that may use spot machines use these only.
-func inOwnMarket(demand *Demand, offer *PricedOffer) bool { return offer.Spot == demand.Spec.Spot }
+// matchesMarket lets tasks that may use spot machines use these only.
+func matchesMarket(demand *Demand, offer *PricedOffer) bool { return offer.Spot == demand.Spec.Spot }
 
 // inAnyMarket lets tasks use on-demand machines too, unless they are for spot machines only.
 func inAnyMarket(demand *Demand, offer *PricedOffer) bool { return offer.Spot || !demand.SpotOnly }
--- a/internal/autoscaling/plan_test.go
+++ b/internal/autoscaling/plan_test.go
@@ -32,12 +32,12 @@
 }
 
 // newFullBins are machines that a task fills, each at an unknown point of its run.
-func newFullBins(n int, lasts float64) []*Bin {
+func newFullBins(n int, runSeconds float64) []*Bin {
 	var bins []*Bin
 	for range n {
 		bin := newBin("a", true, 0)
-		bin.CommittedCPUSeconds = 8 * lasts / 2
-		bin.Running = []RunningTask{{8, lasts}}
+		bin.CommittedCPUSeconds = 8 * runSeconds / 2
+		bin.Running = []RunningTask{{8, runSeconds}}
 		bins = append(bins, bin)
 	}
 	return bins
@@ -53,37 +53,37 @@
 func TestChooseOffers(t *testing.T) {
 	offers := func() []*PricedOffer {
 		var out []*PricedOffer
-		for _, z := range []string{"a", "b"} {
+		for _, zone := range []string{"a", "b"} {
 			out = append(
 				out,
 				&PricedOffer{
-					Offer:        Offer{"m8", z, false},
+					Offer:        Offer{"m8", zone, false},
 					Capacity:     resources.Vector{CPUs: 8, MemoryGB: 64},
 					Price:        1,
-					ZoneMachines: map[string]int{"a": 1}[z],
+					ZoneMachines: map[string]int{"a": 1}[zone],
 				},
 				&PricedOffer{
-					Offer:        Offer{"m8", z, true},
+					Offer:        Offer{"m8", zone, true},
 					Capacity:     resources.Vector{CPUs: 8, MemoryGB: 64},
 					Price:        0.4,
-					ZoneMachines: map[string]int{"a": 1}[z],
+					ZoneMachines: map[string]int{"a": 1}[zone],
 				},
 				&PricedOffer{
-					Offer:        Offer{"m16", z, false},
+					Offer:        Offer{"m16", zone, false},
 					Capacity:     resources.Vector{CPUs: 16, MemoryGB: 128},
 					Price:        1.9,
-					ZoneMachines: map[string]int{"a": 1}[z],
+					ZoneMachines: map[string]int{"a": 1}[zone],
 				},
 			)
 		}
 		return out
 	}
 	cases := []struct {
-		name    string
-		demands []*Demand
-		bins    []*Bin
-		boots   float64 // how far ahead running machines' capacity counts
-		want    map[Offer]int
+		name      string
+		demands   []*Demand
+		bins      []*Bin
+		bootTimes float64 // how far ahead running machines' capacity counts
+		want      map[Offer]int
 	}{
 		{"no demand", nil, nil, 0, map[Offer]int{}},
 		{
@@ -182,18 +182,18 @@
 	for _, tc := range cases {
 		sortLargestFirst(tc.demands)
 		fillBins(tc.demands, tc.bins)
-		absorbDemand(tc.demands, tc.bins, absorption{boots: tc.boots})
+		absorbDemand(tc.demands, tc.bins, absorptionPolicy{bootTimes: tc.bootTimes})
 		got := map[Offer]int{}
-		chooseOffers(tc.demands, offers(), 10, anyDemand, got)
+		chooseOffers(tc.demands, offers(), 10, allowAll, got)
 		if !reflect.DeepEqual(got, tc.want) {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestHeadroomUsesPreemptibleRoom: it is met by free room, by what services may preempt, and by what
+// TestHeadroomUsesPreemptibleCapacity: it is met by free room, by what services may preempt, and by what
 // is only meant to run on requested machines. Otherwise each pass would request machines once more.
-func TestHeadroomUsesPreemptibleRoom(t *testing.T) {
+func TestHeadroomUsesPreemptibleCapacity(t *testing.T) {
 	cases := []struct {
 		name    string
 		demands []*Demand
@@ -217,54 +217,58 @@
 	}
 	for _, tc := range cases {
 		fillBins(tc.demands, tc.bins)
-		reserve := []*Demand{newDemand(2, 2, false, true)}
-		reserveHeadroom(reserve, tc.bins)
-		if reserve[0].Tasks != tc.want {
-			t.Errorf("%s: %d left, want %d", tc.name, reserve[0].Tasks, tc.want)
+		headroom := []*Demand{newDemand(2, 2, false, true)}
+		reserveHeadroom(headroom, tc.bins)
+		if headroom[0].Tasks != tc.want {
+			t.Errorf("%s: %d left, want %d", tc.name, headroom[0].Tasks, tc.want)
 		}
 	}
 }
 
-// TestPreemptibleWorkCountsAsRoom: room that lower work gives way to is room, for higher work alone,
+// TestPreemptibleCapacityIsSupply: room that lower work gives way to is room, for higher work alone,
 // and each bit of it once.
-func TestPreemptibleWorkCountsAsRoom(t *testing.T) {
-	at := func(demand *Demand, priority int) *Demand { demand.Spec.Priority = priority; return demand }
-	yielding := func(freeCPUs, idle float64) *Bin {
+func TestPreemptibleCapacityIsSupply(t *testing.T) {
+	withPriority := func(demand *Demand, priority int) *Demand { demand.Spec.Priority = priority; return demand }
+	busyBin := func(freeCPUs, heldCPUs float64) *Bin {
 		bin := newBin("a", true, freeCPUs)
-		bin.PreemptibleByPriority = map[int]resources.Vector{0: {CPUs: idle, MemoryGB: 2 * idle}}
+		bin.PreemptibleByPriority = map[int]resources.Vector{0: {CPUs: heldCPUs, MemoryGB: 2 * heldCPUs}}
 		return bin
 	}
 	for _, tc := range []struct {
-		name    string
-		demands []*Demand
-		bins    []*Bin
-		left    []int
+		name          string
+		demands       []*Demand
+		bins          []*Bin
+		wantRemaining []int
 	}{
-		{"a task for a task", []*Demand{at(newDemand(4, 3, true, false), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
-		{"with what is free", []*Demand{at(newDemand(4, 3, true, false), 1)}, []*Bin{yielding(4, 8)}, []int{0}},
+		{"a task for a task", []*Demand{withPriority(newDemand(4, 3, true, false), 1)},
+			[]*Bin{busyBin(0, 8)}, []int{1}},
+		{"with what is free", []*Demand{withPriority(newDemand(4, 3, true, false), 1)},
+			[]*Bin{busyBin(4, 8)}, []int{0}},
 		{
 			"each once",
-			[]*Demand{at(newDemand(4, 1, true, false), 1), at(newDemand(4, 2, true, false), 2)},
-			[]*Bin{yielding(0, 8)},
+			[]*Demand{withPriority(newDemand(4, 1, true, false), 1), withPriority(newDemand(4, 2, true, false), 2)},
+			[]*Bin{busyBin(0, 8)},
 			[]int{0, 1},
 		},
-		{"not its like", []*Demand{at(newDemand(4, 1, true, false), 0)}, []*Bin{yielding(0, 8)}, []int{1}},
-		{"not where it may not run", []*Demand{at(newDemand(4, 1, false, false), 1)}, []*Bin{yielding(0, 8)}, []int{1}},
+		{"not its like", []*Demand{withPriority(newDemand(4, 1, true, false), 0)},
+			[]*Bin{busyBin(0, 8)}, []int{1}},
+		{"not where it may not run", []*Demand{withPriority(newDemand(4, 1, false, false), 1)},
+			[]*Bin{busyBin(0, 8)}, []int{1}},
 		{
 			"not services, which have their own way",
-			[]*Demand{at(newDemand(4, 1, true, true), 1)},
-			[]*Bin{yielding(0, 8)},
+			[]*Demand{withPriority(newDemand(4, 1, true, true), 1)},
+			[]*Bin{busyBin(0, 8)},
 			[]int{1},
 		},
 	} {
 		absorbByPreemption(tc.demands, tc.bins)
 		for i, demand := range tc.demands {
-			if demand.Tasks != tc.left[i] {
-				t.Errorf("%s: %d of demand %d left, want %d", tc.name, demand.Tasks, i, tc.left[i])
+			if demand.Tasks != tc.wantRemaining[i] {
+				t.Errorf("%s: %d of demand %d left, want %d", tc.name, demand.Tasks, i, tc.wantRemaining[i])
 			}
 		}
 	}
 }
 
-// anyDemand lets every demand use every offer.
-func anyDemand(*Demand, *PricedOffer) bool { return true }
+// allowAll lets every demand use every offer.
+func allowAll(*Demand, *PricedOffer) bool { return true }
--- a/internal/autoscaling/scalein/reconciler_test.go
+++ b/internal/autoscaling/scalein/reconciler_test.go
@@ -80,15 +80,15 @@
 		"no gain": {Name: "no gain", CPUs: 8, OnDemandPrice: 1, SpotPrice: 1.5},
 	}
 	for _, tc := range []struct {
-		typ  string
-		spot bool
-		want monotime.Micros
+		machineType string
+		spot        bool
+		want        monotime.Micros
 	}{
 		{"both", true, 20 * second}, {"both", false, 5 * second}, {"no spot", false, 20 * second},
 		{"no gain", false, 20 * second}, {"no gain", true, 20 * second}, {"unknown", false, 20 * second},
 	} {
-		if got := s.reconciler.Delay(&storage.ShardMachine{Type: tc.typ, Spot: tc.spot}); got != tc.want {
-			t.Errorf("%s, spot %v: %v s", tc.typ, tc.spot, got.Seconds())
+		if got := s.reconciler.Delay(&storage.ShardMachine{Type: tc.machineType, Spot: tc.spot}); got != tc.want {
+			t.Errorf("%s, spot %v: %v s", tc.machineType, tc.spot, got.Seconds())
 		}
 	}
 }
@@ -125,9 +125,9 @@
 func TestWhichMachinesAreRemoved(t *testing.T) {
 	afterInterval := func(empty monotime.Micros) bool { return empty >= interval }
 	for _, tc := range []struct {
-		name string
-		do   func(*controllerStub)
-		want agents.RemovalReason // the reason; "": it stays
+		name  string
+		setup func(*controllerStub)
+		want  agents.RemovalReason // the reason; "": it stays
 	}{
 		{"idle", func(*controllerStub) {}, agents.RemovalIdle},
 		{"reserved", func(s *controllerStub) { s.reserved = map[string]resources.Vector{machine: {}} }, ""},
@@ -148,7 +148,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newControllerStub()
-			tc.do(s)
+			tc.setup(s)
 			for now := monotime.Micros(0); now <= 2*delay && len(s.removals) == 0; now += interval {
 				s.reconciler.Reconcile(now)
 			}
@@ -164,8 +164,9 @@
 	s.records.Machines[machine].Record.State = state
 }
 
-// TestReopenedMachineIsClosedAnew: a machine that got a task isn't removed by how long it was closed before.
-func TestReopenedMachineIsClosedAnew(t *testing.T) {
+// TestReopenedMachineRestartsScaleInDelay: a machine that got a task isn't removed by how long it was closed
+// before.
+func TestReopenedMachineRestartsScaleInDelay(t *testing.T) {
 	s := newControllerStub()
 	for now := monotime.Micros(0); now < delay; now += interval {
 		s.reconciler.Reconcile(now)
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -107,7 +107,7 @@
 		return nil
 	}
 	tasks := map[string]int{}
-	latest := map[string]*mirror.Job{} // of each class, as the example of its size
+	latestByClass := map[string]*mirror.Job{} // of each class, as the example of its size
 	for _, id := range sortedmap.Keys(s.Records.Jobs) {
 		job := s.Records.Jobs[id]
 		if !job.IsOpen() || !job.Record.Spec.Service || s.Jobs.IsCrashLooping(job) {
@@ -115,15 +115,15 @@
 		}
 		class := job.Record.Spec.Class
 		tasks[class] += job.Record.Spec.Tasks
-		latest[class] = job
+		latestByClass[class] = job
 	}
 	var out []*Demand
-	for _, class := range sortedmap.Keys(latest) {
-		spec := latest[class].Record.Spec
+	for _, class := range sortedmap.Keys(latestByClass) {
+		spec := latestByClass[class].Record.Spec
 		spec.OneZone, spec.Spread, spec.Zone, spec.MachineTypes = false, false, "", nil
 		out = append(out, &Demand{
 			Spec:       &spec,
-			Need:       latest[class].TaskResources,
+			Need:       latestByClass[class].TaskResources,
 			Tasks:      int(math.Ceil(float64(tasks[class]) * s.ServiceHeadroom)),
 			JobID:      "headroom " + class,
 			QueueIndex: math.MaxInt32,
@@ -229,11 +229,11 @@
 	}
 	overdue := false
 	if s.OverdueBootFactor > 0 {
-		boots := monotime.Micros(s.WallClock-request.Record.PhaseSince).Seconds() / max(bootSeconds, 1)
-		if boots > overdueLimitFactor*s.OverdueBootFactor {
+		bootTimes := monotime.Micros(s.WallClock-request.Record.PhaseSince).Seconds() / max(bootSeconds, 1)
+		if bootTimes > overdueLimitFactor*s.OverdueBootFactor {
 			return expectedMachines{}
 		}
-		overdue = boots > s.OverdueBootFactor
+		overdue = bootTimes > s.OverdueBootFactor
 	}
 	return expectedMachines{count: len(MissingMachines(s.Records, request)), overdue: overdue}
 }
