--- a/internal/autoscaling/backoff.go
+++ b/internal/autoscaling/backoff.go
@@ -5,38 +5,41 @@
 	"pipitgap/internal/monotime"
 )
 
-// Backoffs follows the jobs whose demand no offer can meet. After several passes such a job is left out for a
-// pause, longer each time; at the ceiling it is left out until an offer that was unavailable recovers.
+// Backoffs applies exponential backoff to jobs whose demand no offer can meet. After several unsuccessful
+// passes it excludes such a job from scale-out for a delay that doubles with each further unsuccessful pass.
+// Once the delay reaches the maximum, the job is suspended: it stays excluded until an unavailable offer
+// recovers.
 type Backoffs struct {
 	policy          BackoffPolicy
-	jobs            map[string]*backoff
-	offerRecoveries int // grows whenever an offer recovers
+	jobs            map[string]*backoff // by job ID
+	offerRecoveries int                 // number of offer recoveries so far
 }
 
-// BackoffPolicy sets the pauses.
+// BackoffPolicy sets when backoff begins and how long its delays are.
 type BackoffPolicy struct {
-	Passes     int // passes without success before the first pause
-	First, Max monotime.Micros
+	Passes     int             // consecutive unsuccessful passes until the first delay
+	First, Max monotime.Micros // first delay, and the delay at which a job is suspended
 }
 
 // backoff is the state of one job.
 type backoff struct {
-	unmetPasses     int
+	unmetPasses     int // consecutive unsuccessful passes so far
 	retryAt         monotime.Micros
 	delay           monotime.Micros
-	suspended       bool // left out until an offer recovers
-	offerRecoveries int  // as counted when it was last tried
+	suspended       bool // excluded until an offer recovers
+	offerRecoveries int  // value of Backoffs.offerRecoveries at the last pass that tried the suspended job
 }
 
-// NewBackoffs makes a Backoffs without any job.
+// NewBackoffs returns a Backoffs in which no job backs off.
 func NewBackoffs(policy BackoffPolicy) *Backoffs {
 	return &Backoffs{policy: policy, jobs: map[string]*backoff{}}
 }
 
-// NoteOfferRecovery lets jobs that are left out try once more.
+// NoteOfferRecovery records that an unavailable offer recovered. Each suspended job becomes eligible for one
+// more pass.
 func (b *Backoffs) NoteOfferRecovery() { b.offerRecoveries++ }
 
-// ForgetMet drops the state of jobs that have no unmet demand.
+// ForgetMet deletes the backoff state of jobs that have no unmet demand.
 func (b *Backoffs) ForgetMet(demands []*Demand) {
 	unmet := map[string]bool{}
 	for _, demand := range demands {
@@ -49,7 +52,7 @@
 	}
 }
 
-// Eligible lists the demands with tasks left whose jobs aren't left out.
+// Eligible lists the demands that have unplaced tasks and whose jobs aren't excluded.
 func (b *Backoffs) Eligible(demands []*Demand, now monotime.Micros) []*Demand {
 	var eligible []*Demand
 	for _, demand := range demands {
@@ -60,7 +63,8 @@
 	return eligible
 }
 
-// isExcluded reports whether nothing is requested for a job for now.
+// isExcluded reports whether no machine may be requested for a job now: its delay hasn't passed, or it is
+// suspended and no offer has recovered since its last pass.
 func (b *Backoffs) isExcluded(jobID string, now monotime.Micros) bool {
 	state := b.jobs[jobID]
 	if state == nil {
@@ -72,8 +76,7 @@
 	return now < state.retryAt
 }
 
-// Update follows a job after a pass that met some of its demand, or none. It reports whether the job has just
-// come to the ceiling.
+// Update records whether a pass met any of a job's demand. It returns true if this pass suspended the job.
 func (b *Backoffs) Update(jobID string, met bool, now monotime.Micros) (suspended bool) {
 	if met {
 		delete(b.jobs, jobID)
--- a/internal/autoscaling/backoff_test.go
+++ b/internal/autoscaling/backoff_test.go
@@ -6,8 +6,9 @@
 	"pipitgap/internal/monotime"
 )
 
-// TestBackoffsPauseAndSuspend: a job is left out after several passes without success, for twice as long each
-// time, and at the ceiling until an offer recovers.
+// TestBackoffsPauseAndSuspend checks that a job is excluded after several unsuccessful passes, that the delay
+// doubles with each further one, and that a job whose delay reaches the maximum is excluded until an offer
+// recovers.
 func TestBackoffsPauseAndSuspend(t *testing.T) {
 	b := NewBackoffs(BackoffPolicy{Passes: 2, First: 4, Max: 16})
 	demands := []*Demand{{JobID: "j", Tasks: 1}}
@@ -16,37 +17,37 @@
 		name          string
 		now           monotime.Micros
 		wantSuspended bool
-		excludedUntil monotime.Micros // 0: it isn't left out
+		excludedUntil monotime.Micros // 0: the job isn't excluded; 1 << 40: until an offer recovers
 	}{
 		{"first pass", 0, false, 0},
 		{"second pass", 1, false, 5},
 		{"third pass", 5, false, 13},
-		{"at the ceiling", 13, true, 1 << 40},
+		{"at the maximum delay", 13, true, 1 << 40},
 	} {
 		if got := b.Update("j", false, step.now); got != step.wantSuspended {
-			t.Errorf("%s: suspended %v", step.name, got)
+			t.Errorf("%s: got suspended %v, want %v", step.name, got, step.wantSuspended)
 		}
 		if until := step.excludedUntil; until == 0 && isExcluded(step.now) {
-			t.Errorf("%s: it is left out", step.name)
+			t.Errorf("%s: job is excluded at %d, want eligible", step.name, step.now)
 		} else if until != 0 && (!isExcluded(until-1) || until < 1<<40 && isExcluded(until)) {
-			t.Errorf("%s: it isn't left out until %d only", step.name, until)
+			t.Errorf("%s: job isn't excluded until exactly %d", step.name, until)
 		}
 	}
 	b.NoteOfferRecovery()
 	if isExcluded(14) {
-		t.Error("an offer has recovered, and the job is left out")
+		t.Error("job is excluded after an offer recovered, want eligible")
 	}
 	if b.Update("j", false, 14) || !isExcluded(15) {
-		t.Error("without success it isn't left out until the next recovery")
+		t.Error("unsuccessful pass after a recovery: job was suspended anew or is eligible, want excluded")
 	}
 	b.NoteOfferRecovery()
 	if b.Update("j", true, 16); isExcluded(17) || len(b.jobs) != 0 {
-		t.Error("success doesn't end the back-off")
+		t.Errorf("successful pass: got state %v, excluded %v, want neither", b.jobs, isExcluded(17))
 	}
 }
 
-// TestBackoffsForgetMet: the state of a job without unmet demand is dropped, that of one whose demand is met
-// in part only stays.
+// TestBackoffsForgetMet checks that ForgetMet deletes the state of jobs without unmet demand, and keeps the
+// state of jobs whose demand is met only in part.
 func TestBackoffsForgetMet(t *testing.T) {
 	b := NewBackoffs(BackoffPolicy{Passes: 1, First: 10, Max: 100})
 	for _, id := range []string{"met", "unmet", "in part", "ended"} {
@@ -56,6 +57,6 @@
 		{JobID: "met"}, {JobID: "unmet", Tasks: 1}, {JobID: "in part", Tasks: 1}, {JobID: "in part"},
 	})
 	if len(b.jobs) != 2 || b.jobs["unmet"] == nil || b.jobs["in part"] == nil {
-		t.Errorf("kept: %v", b.jobs)
+		t.Errorf("got backoff state for %v, want it for \"unmet\" and \"in part\" only", b.jobs)
 	}
 }
--- a/internal/autoscaling/bin.go
+++ b/internal/autoscaling/bin.go
@@ -6,43 +6,46 @@
 	"pipitgap/internal/resources"
 )
 
-// EstimateMargin stretches expected run times: estimates err, and images must be fetched first.
+// EstimateMargin is the factor by which expected run times are multiplied: estimates may be too short, and
+// the image must be fetched before a task runs.
 const EstimateMargin = 1.2
 
-// minSpotWaitBootTimes is the part of a boot time that a spot task waits in any case before an on-demand machine
-// is requested for it: sooner than that none would be up.
+// minSpotWaitBootTimes is how long, in boot times, a spot task waits for expected capacity even without
+// slack. An on-demand machine requested instead would not be up sooner.
 const minSpotWaitBootTimes = 0.5
 
-// Bin is a machine that tasks can be packed into: one that is up, or a requested one.
+// Bin is a machine, up or requested, onto which tasks can be packed.
 type Bin struct {
-	Offer            // its kind
-	MachineID string // "" for a requested one
+	Offer            // the machine's type, zone and market
+	MachineID string // empty for a requested machine
 
 	Capacity    resources.Vector
 	Free        resources.Vector
-	BootSeconds float64 // boot time of its type
-	Overdue     bool    // requested, and not up when it should have been
+	BootSeconds float64 // boot time of the machine type
+	Overdue     bool    // requested, and not up after Snapshot.OverdueBootFactor boot times
 
-	ArrayCPUs           float64       // CPUs that services leave to other tasks
-	CommittedCPUSeconds float64       // of these, the CPU seconds that are planned for
-	Running             []RunningTask // what runs there and will end by itself
-	absorbedCPUs        float64       // CPUs of Running that are planned for already
+	ArrayCPUs           float64       // CPUs not used by services
+	CommittedCPUSeconds float64       // CPU seconds of ArrayCPUs that running and planned tasks will use
+	Running             []RunningTask // running tasks that will end by themselves
+	absorbedCPUs        float64       // CPUs that absorb has already planned demand on
 
-	// PreemptibleByServices is held by tasks that a service may preempt.
+	// PreemptibleByServices are the resources held by tasks that a service may preempt.
 	PreemptibleByServices resources.Vector
-	// PreemptibleByPriority is held by tasks that higher priorities may preempt, by their own priority.
+	// PreemptibleByPriority are the resources held by tasks that tasks of a higher priority may preempt, by
+	// the priority of the holder.
 	PreemptibleByPriority map[int]resources.Vector
 }
 
-// RunningTask is a task that will end by itself, or several like it.
+// RunningTask is a running task that will end by itself, or several such tasks.
 type RunningTask struct {
-	CPUs            float64 // of the task
-	ExpectedSeconds float64 // its run in all; how far it has come isn't known
+	CPUs            float64
+	ExpectedSeconds float64 // total expected run time; how long it has run already is unknown
 }
 
-// expectedReleases is how many CPUs the running tasks are expected to release within a time in seconds. A
-// task is equally likely to be at any point of its run, which may be longer than estimated. The sum is exact,
-// so that it doesn't depend on the order of the tasks.
+// expectedReleases returns how many CPUs the running tasks are expected to release within a time in seconds.
+// It assumes that a task is equally likely to be at any point of its run, and that the run may last
+// EstimateMargin times as long as estimated. Each summand is rounded, so that the sum is exact and doesn't
+// depend on the order of the tasks.
 func (b *Bin) expectedReleases(withinSeconds float64) float64 {
 	cpus := 0.0
 	for _, task := range b.Running {
@@ -51,10 +54,11 @@
 	return cpus
 }
 
-// absorb plans tasks of a demand, at most so many, on what the machine will have free within a time in
-// seconds, and returns how many. Short tasks run there one after the other. Of tasks that run longer than
-// that each machine has room for a part only, but many machines together for some whole ones: without that,
-// machines would be requested for tasks that could have started in time.
+// absorb plans up to maxTasks tasks of a demand on the capacity that the machine will have free within a time
+// in seconds, and returns their number, which may be a fraction. Short tasks run there one after another. If
+// tasks run longer than that time, one machine is expected to free only a fraction of a task's CPUs, but the
+// fractions of many machines add up to whole tasks. Without these, machines would be requested for tasks that
+// could have started in time.
 func (b *Bin) absorb(demand *Demand, withinSeconds, maxTasks float64) float64 {
 	cpuSeconds := demand.Need.CPUs * max(demand.ExpectedSeconds, 1)
 	sequentialTasks := math.Floor(max(0, b.ArrayCPUs*withinSeconds-b.CommittedCPUSeconds) / cpuSeconds)
@@ -74,12 +78,12 @@
 		return
 	}
 	b.CommittedCPUSeconds += float64(n) * demand.Need.CPUs * demand.ExpectedSeconds
-	// A task that is only planned there can be preempted like one that runs: otherwise every pass
+	// A task that is only planned here counts as preemptible like a running task. Otherwise every pass
 	// would request machines for headroom.
 	b.PreemptibleByServices = b.PreemptibleByServices.AddScaled(demand.Need, float64(n))
 }
 
-// availableTo is what is free or held by tasks of a lower priority.
+// availableTo returns the resources that are free or held by preemptible tasks of a lower priority.
 func (b *Bin) availableTo(priority int) resources.Vector {
 	available := b.Free
 	for lower, held := range b.PreemptibleByPriority {
@@ -90,8 +94,8 @@
 	return available
 }
 
-// placeByPreemption plans n tasks of a demand: on what is free first, then on what tasks of lower priority
-// hold, the lowest first.
+// placeByPreemption plans n tasks of a demand on the free resources first, then on the resources held by
+// preemptible tasks of lower priority, the lowest priority first.
 func (b *Bin) placeByPreemption(demand *Demand, n int) {
 	remaining := resources.Vector{
 		CPUs:     demand.Need.CPUs * float64(n),
@@ -113,7 +117,7 @@
 	demand.placeTasks(n, b.Zone)
 }
 
-// componentMin takes the lesser amount of each resource.
+// componentMin returns the smaller amount of each resource.
 func componentMin(a, b resources.Vector) resources.Vector {
 	return resources.Vector{
 		CPUs:     min(a.CPUs, b.CPUs),
--- a/internal/autoscaling/demand.go
+++ b/internal/autoscaling/demand.go
@@ -7,41 +7,42 @@
 	"pipitgap/internal/storage"
 )
 
-// Demand is a number of like tasks of one job that found no room. The planner takes from Tasks what it has
-// placed.
+// Demand describes the unplaced tasks of one job, which all have the same resource needs. The planner
+// subtracts the tasks that it places from Tasks.
 type Demand struct {
 	Spec  *storage.JobSpec
 	Need  resources.Vector // of one task
-	Tasks int              // without room
+	Tasks int              // number of unplaced tasks
 	JobID string
 
-	QueueIndex      int            // place in the queue, the most urgent first
-	Zones           ZoneConstraint // nil: none
-	ExpectedSeconds float64        // expected run of a task
+	QueueIndex      int            // position in the queue, the most urgent job first
+	Zones           ZoneConstraint // nil: unconstrained
+	ExpectedSeconds float64        // expected run time of a task
 	SlackSeconds    float64        // how long a task may wait and still meet its objective
-	SpotOnly        bool           // scavenger work: no on-demand machine is requested for it
-	CrashLoopTrial  bool           // a trial of a job that fails wherever it runs
+	SpotOnly        bool           // a scavenger job: no on-demand machine is requested for it
+	CrashLoopTrial  bool           // one trial task of a job that fails on every machine
 }
 
-// ZoneConstraint is a job's rule on the zones of its tasks: all in one zone, or spread over zones.
+// ZoneConstraint is a job's constraint on the zones of its tasks: all in one zone, or spread over zones.
 type ZoneConstraint interface {
-	// RestrictsZones reports whether the job has such a rule.
+	// RestrictsZones reports whether the job has such a constraint.
 	RestrictsZones() bool
-	// RemainingIn counts the tasks that a zone may still take.
+	// RemainingIn returns how many more tasks of the job may run in a zone.
 	RemainingIn(zone string) int
 	// AddTasks counts tasks as placed in a zone.
 	AddTasks(zone string, tasks int)
 }
 
-// allowsMachine reports whether the tasks may run on a machine of this kind, whatever its size.
+// allowsMachine reports whether the tasks may run on a machine of this type, zone and market. It doesn't
+// check whether they fit.
 func (d *Demand) allowsMachine(offer Offer) bool {
 	return d.Spec.AllowsMachine(offer.MachineType, offer.Zone) && (d.Spec.Spot || !offer.Spot)
 }
 
-// restrictsZones reports whether a rule on zones binds the tasks.
+// restrictsZones reports whether the job constrains the zones of its tasks.
 func (d *Demand) restrictsZones() bool { return d.Zones != nil && d.Zones.RestrictsZones() }
 
-// tasksFitting counts the tasks that free resources in a zone can take.
+// tasksFitting returns how many tasks of the demand fit into free resources in a zone.
 func (d *Demand) tasksFitting(free resources.Vector, zone string) int {
 	n := min(d.Tasks, d.Need.CountIn(free))
 	if d.Zones != nil {
@@ -50,7 +51,7 @@
 	return n
 }
 
-// placeTasks counts n tasks as placed in a zone, which binds the others of a one-zone job.
+// placeTasks counts n tasks as placed in a zone. The other tasks of a one-zone job must then use this zone.
 func (d *Demand) placeTasks(n int, zone string) {
 	d.Tasks -= n
 	if d.Zones != nil {
@@ -58,9 +59,9 @@
 	}
 }
 
-// sortLargestFirst sorts demands for first-fit decreasing: by GPUs, CPUs, memory, then urgency. But those
-// that may not use spot machines come first: the others would fill the on-demand machines that were requested
-// for them, and each pass would request more.
+// sortLargestFirst sorts demands for first-fit decreasing: by GPUs, CPUs, memory, then urgency. Demands that
+// may not use spot machines precede all others. Otherwise tasks that may use spot machines would fill the
+// on-demand machines requested for tasks that may not, and each pass would request more on-demand machines.
 func sortLargestFirst(demands []*Demand) {
 	sort.SliceStable(demands, func(a, b int) bool {
 		left, right := demands[a], demands[b]
@@ -80,7 +81,7 @@
 	})
 }
 
-// sortedByUrgency lists demands in the order of the queue, and leaves the argument as it is.
+// sortedByUrgency returns a copy of the demands in queue order.
 func sortedByUrgency(demands []*Demand) []*Demand {
 	sorted := append([]*Demand(nil), demands...)
 	sort.SliceStable(sorted, func(a, b int) bool { return sorted[a].QueueIndex < sorted[b].QueueIndex })
--- a/internal/autoscaling/demand_test.go
+++ b/internal/autoscaling/demand_test.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/storage"
 )
 
-// jobPolicyStub says of every job the same.
+// jobPolicyStub is a JobPolicy that returns the same decisions for every job.
 type jobPolicyStub struct {
 	delayed, crashLooping, mayTrial, scavenger, spotOnly, preemptible bool
 	quota                                                             resources.Vector
@@ -27,7 +27,7 @@
 func (p jobPolicyStub) RemainingQuota(string) resources.Vector                { return p.quota }
 func (p jobPolicyStub) Zones(*mirror.Job) ZoneConstraint                      { return nil }
 
-// newJob makes an open job of team t whose tasks need 2 CPUs each.
+// newJob returns an open job of team t whose tasks need 2 CPUs each.
 func newJob(id, class string, tasks int, service bool) *mirror.Job {
 	return &mirror.Job{
 		ID:            id,
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestUnplacedDemand: which tasks of two jobs of one team, 3 and 4 in number, count as demand.
+// TestUnplacedDemand checks how many tasks of two jobs of one team, with 3 and 4 tasks, count as demand under
+// each policy.
 func TestUnplacedDemand(t *testing.T) {
 	unlimited := resources.Vector{CPUs: 100, GPUs: 100, MemoryGB: 100}
 	limited := unlimited
@@ -49,13 +50,13 @@
 		want   []int
 		trial  bool
 	}{
-		{"all", jobPolicyStub{quota: unlimited}, []int{3, 4}, false},
-		{"within the team's quota, the first job first", jobPolicyStub{quota: limited}, []int{3, 1}, false},
+		{"no restriction", jobPolicyStub{quota: unlimited}, []int{3, 4}, false},
+		{"quota limits the second job", jobPolicyStub{quota: limited}, []int{3, 1}, false},
 		{"no quota left", jobPolicyStub{}, nil, false},
 		{"delayed", jobPolicyStub{quota: unlimited, delayed: true}, nil, false},
 		{"crash-looping", jobPolicyStub{quota: unlimited, crashLooping: true}, nil, false},
-		{"a trial", jobPolicyStub{quota: unlimited, crashLooping: true, mayTrial: true}, []int{1, 1}, true},
-		{"scavengers, one task a pass", jobPolicyStub{quota: unlimited, scavenger: true}, []int{1, 1}, false},
+		{"crash-loop trial", jobPolicyStub{quota: unlimited, crashLooping: true, mayTrial: true}, []int{1, 1}, true},
+		{"scavengers, one task per pass", jobPolicyStub{quota: unlimited, scavenger: true}, []int{1, 1}, false},
 		{"scavengers on spot machines", jobPolicyStub{quota: unlimited, scavenger: true, spotOnly: true},
 			[]int{3, 4}, false},
 	} {
@@ -64,20 +65,22 @@
 			queue := []*mirror.Job{newJob("j-1", "x", 3, false), newJob("j-2", "x", 4, false)}
 			demands := snapshot.UnplacedDemand(queue)
 			if len(demands) != len(tc.want) {
-				t.Fatalf("%d demands, want %v", len(demands), tc.want)
+				t.Fatalf("got %d demands, want tasks %v", len(demands), tc.want)
 			}
 			for i, demand := range demands {
 				if demand.Tasks != tc.want[i] || demand.CrashLoopTrial != tc.trial || demand.QueueIndex != i ||
 					demand.JobID != queue[i].ID || demand.ExpectedSeconds != 30 ||
 					demand.SlackSeconds != 7 {
-					t.Errorf("%+v", demand)
+					t.Errorf("demand %d: got %+v, want %d tasks of %s, trial %v, expected run 30 s, slack 7 s",
+						i, demand, tc.want[i], queue[i].ID, tc.trial)
 				}
 			}
 		})
 	}
 }
 
-// TestHeadroomDemand: a part of what each class of services uses, rounded up, wherever it may run.
+// TestHeadroomDemand checks that headroom is a fraction of the open tasks of each service class, rounded up,
+// and that it isn't bound to the zones of the jobs.
 func TestHeadroomDemand(t *testing.T) {
 	records := mirror.New()
 	for _, job := range []*mirror.Job{
@@ -92,23 +95,24 @@
 	demands := snapshot.HeadroomDemand()
 	if len(demands) != 2 || demands[0].JobID != "headroom db" || demands[0].Tasks != 1 ||
 		demands[1].JobID != "headroom web" || demands[1].Tasks != 3 {
-		t.Fatalf("%+v", demands)
+		t.Fatalf("got %+v, want 1 task of \"headroom db\" and 3 of \"headroom web\"", demands)
 	}
 	for _, demand := range demands {
 		if demand.Spec.Zone != "" || demand.Spec.OneZone || demand.QueueIndex != math.MaxInt32 {
-			t.Errorf("%+v", demand)
+			t.Errorf("got %+v, want a demand without zone constraints, last in the queue", demand)
 		}
 	}
 	snapshot.Jobs = jobPolicyStub{crashLooping: true}
 	if demands := snapshot.HeadroomDemand(); len(demands) != 0 {
-		t.Errorf("for services that fail everywhere: %+v", demands)
+		t.Errorf("crash-looping services: got headroom %+v, want none", demands)
 	}
 	if snapshot.ServiceHeadroom = 0; len(snapshot.HeadroomDemand()) != 0 {
-		t.Error("turned off, and there is headroom")
+		t.Error("ServiceHeadroom is 0: got headroom, want none")
 	}
 }
 
-// TestMachineBins: what tasks that run on a machine leave to others, by their kind.
+// TestMachineBins checks which capacity of a machine each kind of running task leaves to other tasks, and
+// that machines that aren't open or are of an unknown type get no bin.
 func TestMachineBins(t *testing.T) {
 	held := resources.Vector{CPUs: 2}
 	for _, tc := range []struct {
@@ -118,9 +122,9 @@
 		want    Bin
 	}{
 		{"a service never ends", jobPolicyStub{}, true, Bin{ArrayCPUs: 6}},
-		{"an array task is half through", jobPolicyStub{}, false,
+		{"an array task is halfway through its run", jobPolicyStub{}, false,
 			Bin{ArrayCPUs: 8, PreemptibleByServices: held, CommittedCPUSeconds: 30, Running: []RunningTask{{2, 30}}}},
-		{"a preemptible one isn't waited for", jobPolicyStub{preemptible: true}, false,
+		{"the plan doesn't wait for a preemptible task to end", jobPolicyStub{preemptible: true}, false,
 			Bin{ArrayCPUs: 8, PreemptibleByServices: held,
 				PreemptibleByPriority: map[int]resources.Vector{1: held}}},
 	} {
@@ -139,14 +143,14 @@
 			}
 			bins := (&Snapshot{Records: records, MachineTypes: testTypes(), Jobs: tc.policy}).Bins()
 			if len(bins) != 1 || bins[0].MachineID != "i-1" {
-				t.Fatalf("%+v", bins)
+				t.Fatalf("got bins %+v, want one for machine i-1", bins)
 			}
 			got := bins[0]
 			if got.Free.CPUs != 6 || got.ArrayCPUs != tc.want.ArrayCPUs || got.BootSeconds != 10 ||
 				got.CommittedCPUSeconds != tc.want.CommittedCPUSeconds || len(got.Running) != len(tc.want.Running) ||
 				got.PreemptibleByServices != tc.want.PreemptibleByServices ||
 				got.PreemptibleByPriority[1] != tc.want.PreemptibleByPriority[1] {
-				t.Errorf("%+v", got)
+				t.Errorf("got %+v, want 6 free CPUs, 10 s of boot time and otherwise as in %+v", got, tc.want)
 			}
 		})
 	}
--- a/internal/autoscaling/offer.go
+++ b/internal/autoscaling/offer.go
@@ -9,28 +9,28 @@
 	"pipitgap/internal/resources"
 )
 
-// bootPenaltySeconds is the boot time that makes an offer count as twice as dear.
+// bootPenaltySeconds is the boot time at which effectivePrice doubles an offer's price.
 const bootPenaltySeconds = 60
 
-// costTolerance is the difference up to which two costs count as equal.
+// costTolerance is the difference below which two costs count as equal.
 const costTolerance = 1e-9
 
-// Offer is a kind of machine that can be requested.
+// Offer is a kind of machine to request: a machine type in a zone, on the spot or on-demand market.
 type Offer struct {
 	MachineType, Zone string
 	Spot              bool
 }
 
-// PricedOffer is what the planner knows of an offer.
+// PricedOffer is an offer with the attributes by which the planner compares it to others.
 type PricedOffer struct {
 	Offer
 	Capacity     resources.Vector
-	Price        float64 // with the boot time's penalty, see effectivePrice
-	ZoneMachines int     // machines in its zone, there or requested: fewest wins a tie
+	Price        float64 // includes the boot-time penalty, see effectivePrice
+	ZoneMachines int     // machines up or requested in its zone; the offer with the fewest wins a tie
 }
 
-// effectivePrice is an offer's price with a penalty for the boot time: that is paid for too, and keeps tasks
-// waiting.
+// effectivePrice returns an offer's price with a penalty for the boot time: the boot is paid for too, and
+// tasks wait for it.
 func effectivePrice(machineType *protocol.MachineType, spot bool) float64 {
 	price := machineType.OnDemandPrice
 	if spot {
@@ -39,9 +39,10 @@
 	return price * (1 + machineType.BootS/bootPenaltySeconds)
 }
 
-// ScaleInDelay is how long an empty machine is kept: the whole delay if it is of its type's cheapest kind,
-// less for a dearer one in proportion to the price. Capacity kept for the next burst should cost as little as
-// possible.
+// ScaleInDelay returns how long an empty machine is kept. Spot machines, and on-demand machines whose type
+// has no cheaper spot price, are kept for the whole delay. For other on-demand machines the delay is
+// multiplied by the ratio of the spot price to the on-demand price, because capacity kept for the next burst
+// should cost as little as possible.
 func ScaleInDelay(machineType protocol.MachineType, spot bool, delay monotime.Micros) monotime.Micros {
 	if spot || machineType.SpotPrice <= 0 || machineType.SpotPrice >= machineType.OnDemandPrice {
 		return delay
@@ -49,13 +50,13 @@
 	return monotime.Micros(float64(delay) * machineType.SpotPrice / machineType.OnDemandPrice)
 }
 
-// packing is what one machine of an offer would carry.
+// packing is the set of tasks that one machine of an offer would run.
 type packing struct {
-	tasks []int // of each demand
-	cpus  float64
+	tasks []int   // number of tasks of each demand, in the order of the demands
+	cpus  float64 // CPUs that these tasks use
 }
 
-// packMachine packs one machine of an offer with the demands that may use it, first fit.
+// packMachine packs the demands that may use an offer onto one of its machines, first fit.
 func packMachine(offer *PricedOffer, demands []*Demand, mayUse func(*Demand, *PricedOffer) bool) packing {
 	free := offer.Capacity
 	packed := packing{tasks: make([]int, len(demands))}
@@ -71,8 +72,8 @@
 	return packed
 }
 
-// cheapestOffer finds the offer with the lowest price for the CPUs that would be used, ties to the zone with
-// fewest machines; it is nil if none can take a task.
+// cheapestOffer returns the offer whose machine has the lowest price per CPU in use, and the packing of that
+// machine. A tie goes to the zone with the fewest machines. The offer is nil if no offer can run a task.
 func cheapestOffer(
 	demands []*Demand,
 	offers []*PricedOffer,
@@ -95,8 +96,9 @@
 	return best, bestPacking
 }
 
-// chooseOffers adds to chosen, machine by machine and at most so many, the cheapest offers for demands that
-// fit nowhere, and takes from the demands what they carry. What remains of the demands can't be met now.
+// chooseOffers adds machines of the cheapest offers to chosen, one at a time and at most maxMachines, and
+// subtracts the tasks that they can run from the demands. If it stops before maxMachines, no offer can run
+// the tasks that remain.
 func chooseOffers(
 	demands []*Demand,
 	offers []*PricedOffer,
@@ -121,7 +123,7 @@
 	}
 }
 
-// sortedOffers lists what was chosen, always in the same order.
+// sortedOffers lists the chosen offers in a deterministic order.
 func sortedOffers(chosen map[Offer]int) []Offer {
 	var out []Offer
 	for offer := range chosen {
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -1,9 +1,10 @@
 package autoscaling
 
-// fillBins places what it can of the demands on the bins' free resources, first fit.
+// fillBins places as many tasks of the demands as fit on the bins' free resources, first fit.
 func fillBins(demands []*Demand, bins []*Bin) {
 	for _, demand := range demands {
-		// A task that may use spot machines leaves the others to those that may not.
+		// Tasks that may use spot machines fill these first, which leaves on-demand machines to tasks that
+		// may not use spot machines.
 		if demand.Spec.Spot {
 			fillBinsOfMarket(demand, bins, true)
 		}
@@ -11,7 +12,7 @@
 	}
 }
 
-// fillBinsOfMarket places what it can of a demand on the spot bins, or on the on-demand ones.
+// fillBinsOfMarket places as many tasks of a demand as fit on the spot bins, or on the on-demand bins.
 func fillBinsOfMarket(demand *Demand, bins []*Bin, spot bool) {
 	for _, bin := range bins {
 		if demand.Tasks == 0 {
@@ -24,8 +25,8 @@
 	}
 }
 
-// absorbByPreemption takes from the demands of arrays what they get by preempting work of lower priority: no
-// machine is requested for that.
+// absorbByPreemption subtracts from the demands of array jobs the tasks that can run by preempting tasks of
+// lower priority. No machine is requested for these.
 func absorbByPreemption(demands []*Demand, bins []*Bin) {
 	for _, demand := range demands {
 		if demand.Spec.Service {
@@ -45,8 +46,8 @@
 	}
 }
 
-// reserveHeadroom takes headroom from the bins, also from what services may preempt there, and returns the
-// machines that it takes it from.
+// reserveHeadroom reserves the headroom demands on the bins, including capacity that services may gain there
+// by preemption, and returns the IDs of the machines on which it reserves any.
 func reserveHeadroom(demands []*Demand, bins []*Bin) map[string]bool {
 	needed := map[string]bool{}
 	for _, demand := range demands {
@@ -57,8 +58,8 @@
 	return needed
 }
 
-// reserveOnBins takes one demand's headroom from the empty bins, or from those in use, and adds them to
-// needed.
+// reserveOnBins reserves one headroom demand on the empty bins, or on those in use, and adds the machines on
+// which it reserves any to needed.
 func reserveOnBins(demand *Demand, bins []*Bin, empty bool, needed map[string]bool) {
 	for _, bin := range bins {
 		if demand.Tasks == 0 {
@@ -78,17 +79,17 @@
 	}
 }
 
-// absorptionPolicy says what of the running machines' future capacity counts as supply.
+// absorptionPolicy selects which future capacity of running machines counts as supply.
 type absorptionPolicy struct {
-	bootTimes float64 // how far ahead is looked, in boot times of the machine's type
-	// Only tasks that may use spot machines are taken, and only by as long as their own objective lets them
-	// wait: an on-demand machine is dear for them.
+	bootTimes float64 // planning horizon, in boot times of the machine's type
+	// spotTasksOnly restricts absorption to tasks that may use spot machines, and the horizon to the time
+	// that their objective lets them wait: an on-demand machine is expensive for them.
 	spotTasksOnly bool
 }
 
-// absorbDemand takes from the demands, the most urgent first, what running machines will have free in time:
-// machines requested for those tasks would find nothing to do. Services never end, so none of their tasks is
-// taken.
+// absorbDemand subtracts from the demands, the most urgent first, the tasks that running machines are
+// expected to have free capacity for within the horizon: a machine requested for these tasks would have
+// nothing to run. It skips service demands, because services never end.
 func absorbDemand(demands []*Demand, bins []*Bin, policy absorptionPolicy) {
 	for _, demand := range sortedByUrgency(demands) {
 		if policy.spotTasksOnly && !demand.Spec.Spot || demand.Spec.Service || demand.Need.CPUs <= 0 ||
@@ -109,7 +110,7 @@
 	}
 }
 
-// horizonSeconds is how long a demand's tasks are let wait for a bin's capacity.
+// horizonSeconds returns how long a demand's tasks may wait for a bin's capacity.
 func (r absorptionPolicy) horizonSeconds(demand *Demand, bin *Bin) float64 {
 	horizon := r.bootTimes * bin.BootSeconds
 	if r.spotTasksOnly {
--- a/internal/autoscaling/plan.go
+++ b/internal/autoscaling/plan.go
@@ -5,31 +5,31 @@
 	"pipitgap/internal/protocol"
 )
 
-// maxMachinesPerPass bounds the machines that each step of a pass chooses.
+// maxMachinesPerPass bounds the number of machines that each step of a pass requests.
 const maxMachinesPerPass = 600
 
-// Plan is one pass of the autoscaler. It uses up its inputs: PlaceDemand, then ScaleOuts, are each called
-// once.
+// Plan is one pass of the autoscaler. The caller calls PlaceDemand and then ScaleOuts, each only once,
+// because both modify the demands and the bins.
 type Plan struct {
-	Waiting  []*Demand // tasks without room that the quotas let run
-	Headroom []*Demand // room to be kept for services yet to come
+	Waiting  []*Demand // unplaced tasks within their teams' quotas
+	Headroom []*Demand // capacity to keep available for future services
 	Bins     []*Bin    // machines that are up or requested
 
 	MachineTypes map[string]protocol.MachineType
-	// ExpectedCapacity and ExpectedOnDemandCapacity are the parts of a type's boot time within which what
-	// running machines will have free counts as supply; the latter before on-demand machines are requested
-	// for spot tasks.
+	// ExpectedCapacity and ExpectedOnDemandCapacity are planning horizons in boot times of a machine type.
+	// Capacity that running machines are expected to free within the horizon counts as supply.
+	// ExpectedOnDemandCapacity applies before on-demand machines are requested for spot tasks.
 	ExpectedCapacity, ExpectedOnDemandCapacity float64
 }
 
-// ScaleOut is a number of machines of one offer to be requested.
+// ScaleOut is an offer and the number of its machines to request.
 type ScaleOut struct {
 	Offer
-	Machines int // to be requested
+	Machines int // number of machines to request
 }
 
-// PlaceDemand places the demand on the machines that are up or requested, and returns all demands, headroom
-// included, with the tasks that found no room.
+// PlaceDemand places the demand on the machines that are up or requested. It returns all demands, including
+// headroom, each with the tasks that remain unplaced.
 func (p *Plan) PlaceDemand() []*Demand {
 	sortLargestFirst(p.Waiting)
 	fillBins(p.Waiting, p.Bins)
@@ -39,9 +39,10 @@
 	return append(p.Waiting, p.Headroom...)
 }
 
-// ScaleOuts chooses offers for demands that are unmet, in two steps: first spot machines for the tasks that
-// may use them, and on-demand ones for the others; then any machine for spot tasks that would wait for too
-// long. It takes from the demands what the machines carry.
+// ScaleOuts chooses offers for unmet demands in two steps. The first step chooses spot machines for tasks
+// that may use them and on-demand machines for all others. The second step chooses machines of either market
+// for spot tasks that would wait too long. Both steps subtract the tasks that the chosen machines can run
+// from the demands.
 func (p *Plan) ScaleOuts(unmet []*Demand, offers []*PricedOffer) []ScaleOut {
 	chosen := map[Offer]int{}
 	chooseOffers(unmet, offers, maxMachinesPerPass, matchesMarket, chosen)
@@ -60,13 +61,15 @@
 	return out
 }
 
-// matchesMarket lets tasks that may use spot machines use these only.
+// matchesMarket allows spot offers only for tasks that may use spot machines, and on-demand offers only for
+// all other tasks.
 func matchesMarket(demand *Demand, offer *PricedOffer) bool { return offer.Spot == demand.Spec.Spot }
 
-// inAnyMarket lets tasks use on-demand machines too, unless they are for spot machines only.
+// inAnyMarket allows every offer, except on-demand offers for spot-only tasks.
 func inAnyMarket(demand *Demand, offer *PricedOffer) bool { return offer.Spot || !demand.SpotOnly }
 
-// filledBin is a machine of an offer that has just been chosen, with nothing free: what ends there is supply.
+// filledBin returns a bin for a machine of an offer that this pass chose. Nothing on it is free, but capacity
+// that its tasks release counts as supply.
 func (p *Plan) filledBin(offer Offer) *Bin {
 	machineType := p.MachineTypes[offer.MachineType]
 	return &Bin{
@@ -77,8 +80,8 @@
 	}
 }
 
-// MachinesNeeded finds the machines that headroom and replacements of drained replicas are to be kept on:
-// those aren't removed when they are empty.
+// MachinesNeeded returns the IDs of the machines that headroom and replacements for drained replicas need.
+// These machines aren't removed while they are empty.
 func MachinesNeeded(demands []*Demand, bins []*Bin) map[string]bool {
 	return reserveHeadroom(demands, bins)
 }
--- a/internal/autoscaling/plan_test.go
+++ b/internal/autoscaling/plan_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// newFullBins are machines that a task fills, each at an unknown point of its run.
+// newFullBins returns machines that are each filled by one task at an unknown point of its run.
 func newFullBins(n int, runSeconds float64) []*Bin {
 	var bins []*Bin
 	for range n {
@@ -43,13 +43,14 @@
 	return bins
 }
 
-// withRunTime sets how long a demand's tasks run.
+// withRunTime sets the expected run time of a demand's tasks.
 func withRunTime(demand *Demand, seconds float64) *Demand {
 	demand.ExpectedSeconds = seconds
 	return demand
 }
 
-// TestChooseOffers: what is requested for which demands, given free resources, open requests and offers.
+// TestChooseOffers checks which machines are requested for demands, given free resources, expected releases,
+// open requests and offers.
 func TestChooseOffers(t *testing.T) {
 	offers := func() []*PricedOffer {
 		var out []*PricedOffer
@@ -82,87 +83,88 @@
 		name      string
 		demands   []*Demand
 		bins      []*Bin
-		bootTimes float64 // how far ahead running machines' capacity counts
+		bootTimes float64 // planning horizon for the capacity of running machines
 		want      map[Offer]int
 	}{
 		{"no demand", nil, nil, 0, map[Offer]int{}},
 		{
-			"room is there",
+			"free capacity",
 			[]*Demand{newDemand(2, 4, false, false)},
 			[]*Bin{newBin("a", false, 8)},
 			0,
 			map[Offer]int{},
 		},
 		{
-			"an open request is supply",
+			"open request counts as supply",
 			[]*Demand{newDemand(8, 1, false, true)},
 			[]*Bin{newBin("a", false, 8)},
 			0,
 			map[Offer]int{},
 		},
 		{
-			"cheapest for what is used, fewest in the zone",
+			"lowest price per used CPU, then zone with fewest machines",
 			[]*Demand{newDemand(4, 2, false, true)},
 			nil,
 			0,
 			map[Offer]int{{"m8", "b", false}: 1},
 		},
 		{
-			"larger when filled",
+			"larger machine when filled",
 			[]*Demand{newDemand(16, 1, false, true)},
 			nil,
 			0,
 			map[Offer]int{{"m16", "b", false}: 1},
 		},
 		{
-			"spot where allowed",
+			"spot machines for spot tasks",
 			[]*Demand{newDemand(8, 2, true, false)},
 			nil,
 			0,
 			map[Offer]int{{"m8", "b", true}: 1, {"m8", "a", true}: 1},
 		},
 		{
-			"what fits nothing gets no machine",
+			"no machine for a task that fits no offer",
 			[]*Demand{newDemand(64, 1, false, true)},
 			nil,
 			0,
 			map[Offer]int{},
 		},
-		// Arrays that may use spot must not fill the ordinary room of services.
-		{"strict demands first", []*Demand{newDemand(4, 2, true, false), newDemand(1, 8, false, true)},
+		// Array tasks that may use spot machines must not fill the on-demand capacity that services need.
+		{"on-demand-only demands first", []*Demand{newDemand(4, 2, true, false), newDemand(1, 8, false, true)},
 			[]*Bin{newBin("a", false, 8), newBin("a", true, 8)}, 0, map[Offer]int{}},
 		{
-			"room freed in time is supply",
+			"capacity released within the horizon counts as supply",
 			[]*Demand{newDemand(8, 1, true, false)},
 			[]*Bin{newBin("a", true, 0)},
 			2,
 			map[Offer]int{},
 		},
 		{
-			"not for services",
+			"released capacity is no supply for services",
 			[]*Demand{newDemand(8, 1, false, true)},
 			[]*Bin{newBin("a", false, 0)},
 			2,
 			map[Offer]int{{"m8", "b", false}: 1},
 		},
-		// Where tasks fill their machines and run for longer than a boot, none of them is over
-		// for sure when a machine would be up, but some of them are: machines were requested.
+		// Each machine runs one task that fills it and outlasts a boot. No single task is certain to end
+		// before a new machine would be up, but some of them will. A planner that ignores expected releases
+		// requests unneeded machines here.
 		{
-			"long tasks release room on some of many machines",
+			"expected releases of many machines add up",
 			[]*Demand{withRunTime(newDemand(8, 2, true, false), 100)},
 			newFullBins(13, 100),
 			2,
 			map[Offer]int{},
 		},
 		{
-			"and on no more than those",
+			"demand above the expected releases gets a machine",
 			[]*Demand{withRunTime(newDemand(8, 3, true, false), 100)},
 			newFullBins(13, 100),
 			2,
 			map[Offer]int{{"m8", "b", true}: 1},
 		},
 		{
-			"and for one demand only",
+			"each expected release counts for one demand only",
 			[]*Demand{
 				withRunTime(newDemand(8, 2, true, false), 100),
 				withRunTime(newDemand(8, 1, true, false), 100),
@@ -172,7 +174,7 @@
 			map[Offer]int{{"m8", "b", true}: 1},
 		},
 		{
-			"not beyond the horizon",
+			"capacity released after the horizon is no supply",
 			[]*Demand{newDemand(8, 1, true, false)},
 			[]*Bin{newBin("a", true, 0)},
 			0.5,
@@ -186,30 +188,31 @@
 		got := map[Offer]int{}
 		chooseOffers(tc.demands, offers(), 10, allowAll, got)
 		if !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: got machines %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestHeadroomUsesPreemptibleCapacity: it is met by free room, by what services may preempt, and by what
-// is only meant to run on requested machines. Otherwise each pass would request machines once more.
+// TestHeadroomUsesPreemptibleCapacity checks that headroom is met by free on-demand capacity and by capacity
+// that services may preempt, including array tasks that are only planned on requested machines. Otherwise
+// each pass would request machines again.
 func TestHeadroomUsesPreemptibleCapacity(t *testing.T) {
 	cases := []struct {
 		name    string
 		demands []*Demand
 		bins    []*Bin
-		want    int // tasks left
+		want    int // unplaced headroom tasks
 	}{
-		{"free room", nil, []*Bin{newBin("a", false, 8)}, 0},
-		{"only spot room", nil, []*Bin{newBin("a", true, 8)}, 2},
+		{"free capacity", nil, []*Bin{newBin("a", false, 8)}, 0},
+		{"only spot capacity", nil, []*Bin{newBin("a", true, 8)}, 2},
 		{
-			"arrays meant for a requested machine",
+			"array tasks planned on a requested machine",
 			[]*Demand{newDemand(2, 4, true, false)},
 			[]*Bin{newBin("a", false, 8)},
 			0,
 		},
 		{
-			"services hold it",
+			"capacity held by services",
 			[]*Demand{newDemand(8, 1, false, true)},
 			[]*Bin{newBin("a", false, 8)},
 			2,
@@ -220,13 +223,13 @@
 		headroom := []*Demand{newDemand(2, 2, false, true)}
 		reserveHeadroom(headroom, tc.bins)
 		if headroom[0].Tasks != tc.want {
-			t.Errorf("%s: %d left, want %d", tc.name, headroom[0].Tasks, tc.want)
+			t.Errorf("%s: got %d unplaced headroom tasks, want %d", tc.name, headroom[0].Tasks, tc.want)
 		}
 	}
 }
 
-// TestPreemptibleCapacityIsSupply: room that lower work gives way to is room, for higher work alone,
-// and each bit of it once.
+// TestPreemptibleCapacityIsSupply checks that capacity held by preemptible tasks of lower priority counts as
+// supply, only for array demands of a higher priority, and each part of it only once.
 func TestPreemptibleCapacityIsSupply(t *testing.T) {
 	withPriority := func(demand *Demand, priority int) *Demand { demand.Spec.Priority = priority; return demand }
 	busyBin := func(freeCPUs, heldCPUs float64) *Bin {
@@ -240,22 +243,22 @@
 		bins          []*Bin
 		wantRemaining []int
 	}{
-		{"a task for a task", []*Demand{withPriority(newDemand(4, 3, true, false), 1)},
+		{"two tasks preempt, one is unplaced", []*Demand{withPriority(newDemand(4, 3, true, false), 1)},
 			[]*Bin{busyBin(0, 8)}, []int{1}},
-		{"with what is free", []*Demand{withPriority(newDemand(4, 3, true, false), 1)},
+		{"free and preemptible capacity", []*Demand{withPriority(newDemand(4, 3, true, false), 1)},
 			[]*Bin{busyBin(4, 8)}, []int{0}},
 		{
-			"each once",
+			"capacity counts only once",
 			[]*Demand{withPriority(newDemand(4, 1, true, false), 1), withPriority(newDemand(4, 2, true, false), 2)},
 			[]*Bin{busyBin(0, 8)},
 			[]int{0, 1},
 		},
-		{"not its like", []*Demand{withPriority(newDemand(4, 1, true, false), 0)},
+		{"same priority", []*Demand{withPriority(newDemand(4, 1, true, false), 0)},
 			[]*Bin{busyBin(0, 8)}, []int{1}},
-		{"not where it may not run", []*Demand{withPriority(newDemand(4, 1, false, false), 1)},
+		{"demand may not use spot machines", []*Demand{withPriority(newDemand(4, 1, false, false), 1)},
 			[]*Bin{busyBin(0, 8)}, []int{1}},
 		{
-			"not services, which have their own way",
+			"services, which preempt by another rule",
 			[]*Demand{withPriority(newDemand(4, 1, true, true), 1)},
 			[]*Bin{busyBin(0, 8)},
 			[]int{1},
@@ -264,11 +267,11 @@
 		absorbByPreemption(tc.demands, tc.bins)
 		for i, demand := range tc.demands {
 			if demand.Tasks != tc.wantRemaining[i] {
-				t.Errorf("%s: %d of demand %d left, want %d", tc.name, demand.Tasks, i, tc.wantRemaining[i])
+				t.Errorf("%s: demand %d: got %d unplaced tasks, want %d", tc.name, i, demand.Tasks, tc.wantRemaining[i])
 			}
 		}
 	}
 }
 
-// allowAll lets every demand use every offer.
+// allowAll allows every offer for every demand.
 func allowAll(*Demand, *PricedOffer) bool { return true }
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -11,49 +11,50 @@
 	"pipitgap/internal/storage"
 )
 
-// overdueLimitFactor times the settings' factor is after how many boot times a requested machine that isn't
-// up is no longer relied on at all.
+// overdueLimitFactor times Snapshot.OverdueBootFactor is the number of boot times after which a requested
+// machine that isn't up no longer counts as supply for any task.
 const overdueLimitFactor = 1.5
 
-// Snapshot is what demand and supply are read from. It is read only.
+// Snapshot is the state from which demand and supply are computed. It is read-only.
 type Snapshot struct {
 	Records      *mirror.Mirror
 	MachineTypes map[string]protocol.MachineType
 	Jobs         JobPolicy
 	Now          monotime.Micros
-	WallClock    int64 // microseconds, as in the records
+	WallClock    int64 // time of day in microseconds, as in the records
 
-	ServiceHeadroom   float64 // part of what each class of services uses that is kept free; 0: none
-	OverdueBootFactor float64 // after how many boot times a requested machine is overdue; 0: never
+	ServiceHeadroom   float64 // fraction of the tasks of each service class that is kept as headroom; 0: none
+	OverdueBootFactor float64 // boot times after which a requested machine is overdue; 0: never
 }
 
-// JobPolicy answers what the scheduler and the quotas say of jobs.
+// JobPolicy provides the decisions of the scheduler and of the quotas about jobs.
 type JobPolicy interface {
-	// IsDelayed reports whether a job's tasks aren't to be placed yet.
+	// IsDelayed reports whether a job's tasks may not be placed yet.
 	IsDelayed(job *mirror.Job, now monotime.Micros) bool
-	// IsCrashLooping reports whether a job fails wherever it runs, and is held to an occasional trial.
+	// IsCrashLooping reports whether a job fails on every machine and may run only an occasional trial task.
 	IsCrashLooping(job *mirror.Job) bool
-	// MayScaleOutForTrial reports whether a machine may be requested for the trial of such a job.
+	// MayScaleOutForTrial reports whether a machine may be requested for the trial task of a crash-looping
+	// job.
 	MayScaleOutForTrial(job *mirror.Job, now monotime.Micros) bool
 	// IsScavenger reports whether a job runs in its team's idle time only.
 	IsScavenger(job *mirror.Job) bool
-	// IsSpotOnly reports whether no on-demand machine is to be requested for a job.
+	// IsSpotOnly reports whether no on-demand machine may be requested for a job.
 	IsSpotOnly(job *mirror.Job) bool
-	// IsPreemptible reports whether tasks of arrays with a higher priority may preempt a job's.
+	// IsPreemptible reports whether tasks of array jobs with a higher priority may preempt a job's tasks.
 	IsPreemptible(job *mirror.Job) bool
-	// ExpectedRunSeconds is the expected run of a task.
+	// ExpectedRunSeconds returns the expected run time of a task.
 	ExpectedRunSeconds(spec *storage.JobSpec) float64
-	// SlackSeconds is how long a job's tasks may wait and still meet the next objective; infinite without
-	// one.
+	// SlackSeconds returns how long a job's tasks may wait and still meet the next objective. It is infinite
+	// for a job without an objective.
 	SlackSeconds(job *mirror.Job, wallClock int64) float64
-	// RemainingQuota is what a team may use beyond what it uses now.
+	// RemainingQuota returns the resources that a team may use in addition to its current use.
 	RemainingQuota(team string) resources.Vector
-	// Zones is a job's rule on zones as its tasks stand now; each call gives one of its own.
+	// Zones returns a job's zone constraint, which counts the tasks placed so far. Each call returns a new
+	// value.
 	Zones(job *mirror.Job) ZoneConstraint
 }
 
-// UnplacedDemand lists the tasks without room that the quotas let run, given the open jobs in the queue's
-// order.
+// UnplacedDemand lists the unplaced tasks within their teams' quotas, given the open jobs in queue order.
 func (s *Snapshot) UnplacedDemand(queue []*mirror.Job) []*Demand {
 	var out []*Demand
 	quotas := map[string]resources.Vector{}
@@ -63,7 +64,7 @@
 		}
 		crashLooping := s.Jobs.IsCrashLooping(job)
 		if crashLooping && !s.Jobs.MayScaleOutForTrial(job, s.Now) {
-			continue // its trials run on machines that are up
+			continue // the job's trial tasks run only on machines that are up already
 		}
 		team := job.Record.Spec.Team
 		quota, ok := quotas[team]
@@ -84,7 +85,7 @@
 	return out
 }
 
-// demandOf is the demand of a job's tasks.
+// demandOf returns the demand for a number of a job's tasks.
 func (s *Snapshot) demandOf(job *mirror.Job, tasks, queueIndex int) *Demand {
 	spec := &job.Record.Spec
 	return &Demand{
@@ -100,14 +101,15 @@
 	}
 }
 
-// HeadroomDemand is room that is kept for services yet to come: a part of what each class of services uses
-// now. A service that finds room starts within its image fetch; one that doesn't waits for a boot.
+// HeadroomDemand returns the capacity to keep available for future services: a fraction of the tasks of each
+// service class. A new service that finds capacity starts as soon as its image is fetched. Without capacity
+// it waits for a machine to boot.
 func (s *Snapshot) HeadroomDemand() []*Demand {
 	if s.ServiceHeadroom == 0 {
 		return nil
 	}
 	tasks := map[string]int{}
-	latestByClass := map[string]*mirror.Job{} // of each class, as the example of its size
+	latestByClass := map[string]*mirror.Job{} // by class: the job whose task size represents the class
 	for _, id := range sortedmap.Keys(s.Records.Jobs) {
 		job := s.Records.Jobs[id]
 		if !job.IsOpen() || !job.Record.Spec.Service || s.Jobs.IsCrashLooping(job) {
@@ -132,7 +134,8 @@
 	return out
 }
 
-// Bins lists the supply: first the machines that may get tasks, then those that open requests will bring.
+// Bins lists the supply: first the machines that may get tasks, then the machines expected from open
+// scale-out requests.
 func (s *Snapshot) Bins() []*Bin { return append(s.machineBins(), s.requestedBins()...) }
 
 // machineBins lists the machines that may get tasks.
@@ -166,8 +169,8 @@
 	return out
 }
 
-// addRunningTask adds to a bin what a task that runs there holds, and what is expected of it: a service never
-// ends, an array's task is taken to be half through.
+// addRunningTask accounts for a running task in a bin: the resources it holds and its expected remaining run.
+// A service never ends. A task of an array job is assumed to be halfway through its run.
 func (s *Snapshot) addRunningTask(bin *Bin, job *mirror.Job) {
 	spec := &job.Record.Spec
 	if spec.Service {
@@ -175,7 +178,7 @@
 		return
 	}
 	bin.PreemptibleByServices = bin.PreemptibleByServices.AddScaled(job.TaskResources, 1)
-	if s.Jobs.IsPreemptible(job) { // its end isn't waited for
+	if s.Jobs.IsPreemptible(job) { // the task can be preempted, so the plan doesn't wait for its end
 		if bin.PreemptibleByPriority == nil {
 			bin.PreemptibleByPriority = map[int]resources.Vector{}
 		}
@@ -191,7 +194,7 @@
 	})
 }
 
-// requestedBins lists the machines that open requests are expected to bring.
+// requestedBins lists the machines expected from open scale-out requests.
 func (s *Snapshot) requestedBins() []*Bin {
 	var out []*Bin
 	for _, name := range sortedmap.Keys(s.Records.ScaleOuts) {
@@ -215,14 +218,14 @@
 	return out
 }
 
-// expectedMachines is how many machines a request can be relied on to bring.
+// expectedMachines is the number of machines still expected from a scale-out request.
 type expectedMachines struct {
 	count   int
-	overdue bool // they should have been up by now
+	overdue bool // the machines are still not up after OverdueBootFactor boot times
 }
 
-// expectedMachines counts the machines that a request can be relied on to bring, given the type's boot time
-// in seconds.
+// expectedMachines returns the machines still expected from a scale-out request, given the boot time of their
+// type in seconds.
 func (s *Snapshot) expectedMachines(request *mirror.ScaleOutEntry, bootSeconds float64) expectedMachines {
 	if request.Record.Phase != storage.ScaleOutProvisioning {
 		return expectedMachines{count: request.Record.Count}
@@ -238,7 +241,7 @@
 	return expectedMachines{count: len(MissingMachines(s.Records, request)), overdue: overdue}
 }
 
-// MissingMachines lists the machines of a request that haven't come up and aren't being removed.
+// MissingMachines lists the machines of a scale-out request that aren't up yet and aren't being removed.
 func MissingMachines(records *mirror.Mirror, request *mirror.ScaleOutEntry) []string {
 	var out []string
 	for _, id := range request.Record.Machines {
@@ -250,8 +253,8 @@
 	return out
 }
 
-// Offers lists what may be requested now: whatever the cloud has at a price, but for offers that are
-// quarantined or excluded by the caller.
+// Offers lists the offers that may be requested now: those with a price, except offers that are quarantined
+// or that the caller excludes.
 func (s *Snapshot) Offers(isExcluded func(Offer) bool) []*PricedOffer {
 	quarantined, zoneMachines := QuarantinedOffers(s.Records), s.machinesByZone()
 	var out []*PricedOffer
@@ -276,7 +279,8 @@
 	return out
 }
 
-// QuarantinedOffers lists the offers that are left out because of insufficient capacity.
+// QuarantinedOffers returns the offers that may not be requested now, because the cloud had insufficient
+// capacity or rejected a request for them.
 func QuarantinedOffers(records *mirror.Mirror) map[Offer]bool {
 	out := map[Offer]bool{}
 	for _, request := range records.ScaleOuts {
@@ -287,12 +291,12 @@
 	return out
 }
 
-// requestedOffer is the offer that a request is for.
+// requestedOffer returns the offer that a request asks for.
 func requestedOffer(request *storage.ScaleOutRequest) Offer {
 	return Offer{request.MachineType, request.Zone, request.Spot}
 }
 
-// machinesByZone counts the machines that are up or requested.
+// machinesByZone counts the machines in each zone that are up or requested.
 func (s *Snapshot) machinesByZone() map[string]int {
 	count := map[string]int{}
 	for _, machine := range s.Records.Machines {
--- a/internal/autoscaling/snapshot_test.go
+++ b/internal/autoscaling/snapshot_test.go
@@ -10,24 +10,25 @@
 	"pipitgap/internal/storage"
 )
 
-// second in the records' microseconds.
+// second is one second in microseconds, the time unit of the records.
 const second = int64(1e6)
 
-// testTypes is a catalog with one type that boots in 10 s.
+// testTypes returns a catalog with one machine type, which boots in 10 s.
 func testTypes() map[string]protocol.MachineType {
 	return map[string]protocol.MachineType{"m8": {
 		Name: "m8", CPUs: 8, MemoryGB: 64, OnDemandPrice: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a", "b"},
 	}}
 }
 
-// addRequest puts a scale-out request for m8 in zone a into the records.
+// addRequest adds a scale-out request for m8 in zone a to the records.
 func addRequest(records *mirror.Mirror, name string, record storage.ScaleOutRequest) {
 	record.MachineType, record.Zone = "m8", "a"
 	records.ScaleOuts[name] = &mirror.ScaleOutEntry{Record: record, Version: 1}
 }
 
-// TestRequestedBins: what an open request counts for as supply: all of it until the cloud has answered, then
-// the machines that are missing, until they are long overdue.
+// TestRequestedBins checks how many machines of an open request count as supply: all of them until the cloud
+// answers, then those that aren't up yet, and none after 1.5 times the overdue time. A factor of 0 means that
+// machines never become overdue.
 func TestRequestedBins(t *testing.T) {
 	provisioning := storage.ScaleOutRequest{
 		Phase: storage.ScaleOutProvisioning, Count: 3, Machines: []string{"i-up", "i-removed", "i-missing"},
@@ -45,7 +46,7 @@
 		{"booting", provisioning, 10 * second, 1, 1, false},
 		{"overdue", provisioning, 11 * second, 1, 1, true},
 		{"long overdue", provisioning, 16 * second, 1, 0, false},
-		{"overdue machines count", provisioning, 99 * second, 0, 1, false},
+		{"never overdue", provisioning, 99 * second, 0, 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			records := mirror.New()
@@ -57,18 +58,19 @@
 			}
 			bins := snapshot.Bins()
 			if len(bins) != tc.want {
-				t.Fatalf("%d bins, want %d", len(bins), tc.want)
+				t.Fatalf("got %d bins, want %d", len(bins), tc.want)
 			}
 			for _, bin := range bins {
 				if bin.Overdue != tc.wantOverdue || bin.Free != bin.Capacity || bin.MachineID != "" {
-					t.Errorf("%+v", bin)
+					t.Errorf("got bin %+v, want overdue %v, all capacity free, no machine ID", bin, tc.wantOverdue)
 				}
 			}
 		})
 	}
 }
 
-// TestOffers: what the cloud has at a price, but for quarantined offers and those that the caller excludes.
+// TestOffers checks that every offer with a price is listed, except offers that are quarantined or that the
+// caller excludes, and that each states the number of machines in its zone.
 func TestOffers(t *testing.T) {
 	records := mirror.New()
 	addRequest(records, "quarantined", storage.ScaleOutRequest{Phase: storage.ScaleOutNoCapacity, Count: 5})
@@ -82,12 +84,12 @@
 	}
 	want := map[Offer]int{{"m8", "a", true}: 2, {"m8", "b", false}: 0, {"no spot", "b", false}: 0}
 	if !maps.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("got machines by zone of offers %v, want %v", got, want)
 	}
 }
 
-// TestScaleOutsInTwoSteps: spot tasks get spot machines first; on-demand machines follow only where spot ones
-// can't be had, unless the job is for spot machines only.
+// TestScaleOutsInTwoSteps checks that spot tasks get on-demand machines only if no spot machine is offered,
+// and that spot-only tasks never do.
 func TestScaleOutsInTwoSteps(t *testing.T) {
 	offers := func(spot ...bool) (out []*PricedOffer) {
 		for _, s := range spot {
@@ -118,7 +120,7 @@
 	} {
 		plan := &Plan{Waiting: []*Demand{tc.demand}, MachineTypes: testTypes()}
 		if got := plan.ScaleOuts(plan.PlaceDemand(), tc.offers); !slices.Equal(got, tc.want) {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: got scale-outs %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
