--- a/internal/autoscaling/fleet/catalog.go
+++ b/internal/autoscaling/fleet/catalog.go
@@ -9,7 +9,7 @@
 	"pipitgap/internal/storage"
 )
 
-// persistCatalog keeps the machine types in the state service, so that a controller that starts during an
+// persistCatalog writes the machine types to the state service, so that a controller that starts during an
 // outage of the cloud can accept and place jobs.
 func (r *Reconciler) persistCatalog() {
 	if !r.deps.Catalog.IsFetched() {
@@ -29,7 +29,7 @@
 	}
 }
 
-// machineTypeRecord is the record of a machine type.
+// machineTypeRecord returns the record of a machine type.
 func machineTypeRecord(machineType *protocol.MachineType) storage.MachineType {
 	return storage.MachineType{
 		CPUs:          machineType.CPUs,
@@ -44,7 +44,8 @@
 	}
 }
 
-// equalExceptPrices compares two records; prices change all the time and aren't worth a write.
+// equalExceptPrices reports whether two records are equal apart from their prices, which change too often to
+// justify a write.
 func equalExceptPrices(record, stored storage.MachineType) bool {
 	record.OnDemandPrice, record.SpotPrice = stored.OnDemandPrice, stored.SpotPrice
 	return reflect.DeepEqual(record, stored)
--- a/internal/autoscaling/fleet/doc.go
+++ b/internal/autoscaling/fleet/doc.go
@@ -1,9 +1,11 @@
-// Package fleet is the leader's reconciliation of the cloud's machines with the records: it requests the
-// machines that package autoscaling plans, adopts machines that no record knows, and has machines terminated.
+// Package fleet reconciles the cloud's machines with the records in the state service while its controller is
+// the leader. It requests the machines that package autoscaling plans, adopts machines that no record names,
+// and terminates machines.
 //
-// Every request to the cloud is a record first. Its name holds the leader's term and a sequence number, and
-// the cloud answers a repeated request of one name in the same way, so a new leader repeats the calls whose
-// outcome it doesn't know. All commits are conditional on the leadership. What a leader knows beside the
-// records (its termState) is dropped with its term: a new leader requests nothing before it has read the
-// cloud's list to its end.
+// The leader writes every request to the cloud as a record before it makes the call. The record's name
+// contains the leader's term and a sequence number and serves as an idempotency key: the cloud answers a
+// repeated request of the same name in the same way. A new leader therefore repeats the calls whose outcome
+// it doesn't know. All commits are conditional on the leadership. A leader's state outside the records
+// (termState) is discarded when its term ends. A new leader requests no machines before it has read the
+// cloud's machine list to its end.
 package fleet
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -8,32 +8,32 @@
 	"pipitgap/internal/storage"
 )
 
-// Reading the cloud's list.
+// Intervals of reading the cloud's machine list.
 const (
 	listInterval = 10 * monotime.Second
-	// unknownMachineMargin is how much older than twice the list's lag an unknown machine is before it is
-	// adopted.
+	// unknownMachineMargin plus twice the list's lag is the age above which the leader adopts an unknown
+	// machine.
 	unknownMachineMargin = 5 * monotime.Second
 )
 
 // listedStateFailed is the state of failed machines in the cloud's list.
 const listedStateFailed = "failed"
 
-// startListing reads the cloud's list page by page. It finds failed machines and such as no record knows;
-// that a machine isn't listed proves nothing, as the list lags.
+// startListing starts to read the cloud's machine list page by page, to find failed machines and machines
+// that no record names. A machine that isn't listed may still exist, because the list lags.
 func (r *Reconciler) startListing() {
 	r.term.listInFlight = true
 	r.listPage(r.term.number, "")
 }
 
-// listPage reads the page after a machine, as soon as the rate limit lets it, if the term that began the
-// listing still lasts.
+// listPage reads the page that begins after a machine ID as soon as the rate limit allows it. It does nothing
+// if the term that started the listing has ended.
 func (r *Reconciler) listPage(term uint64, after string) {
 	if term != r.term.number {
 		return
 	}
 	now := r.now()
-	if !r.deps.Membership.IsLeader(now) { // another leader may have requested machines since
+	if !r.deps.Membership.IsLeader(now) { // another leader may have requested machines meanwhile
 		r.term.listInFlight = false
 		return
 	}
@@ -44,7 +44,7 @@
 	r.callCloud(protocol.CloudCall{Op: protocol.CloudList, After: after}, r.handleListPage)
 }
 
-// handleListPage takes one page of the list and reads the next, if there is one.
+// handleListPage inspects the machines of one list page and reads the next page, if there is one.
 func (r *Reconciler) handleListPage(result protocol.CloudResult) {
 	r.noteCloudOutcome(result.Outcome)
 	if result.Outcome != protocol.OK {
@@ -66,7 +66,8 @@
 	r.finishListing()
 }
 
-// finishListing acts on a list that has been read to its end.
+// finishListing adopts unknown machines once the list has been read to its end. The first complete list of a
+// term enables scale-out.
 func (r *Reconciler) finishListing() {
 	r.term.listInFlight = false
 	r.term.nextListAt = r.now() + listInterval
@@ -78,7 +79,8 @@
 	}
 }
 
-// inspectListed notes a machine that failed, and one that no record knows although it is old enough for one.
+// inspectListed records a listed machine as failed, or as unknown if no record names it although the machine
+// is old enough to have a record.
 func (r *Reconciler) inspectListed(listed *protocol.ListedMachine) {
 	records := r.deps.Mirror
 	if !protocol.ValidKeyPart(listed.ID) || records.ScaleInOfMachine[listed.ID] != "" {
@@ -97,8 +99,9 @@
 	}
 }
 
-// adoptUnknownMachines writes requests for machines that no record knows. They are then claimed like any
-// other when they come up, and terminated if they don't.
+// adoptUnknownMachines writes scale-out requests for machines that no record names. Such machines are then
+// handled like requested machines: a controller claims them when they are up, and the leader terminates them
+// if they don't come up in time.
 func (r *Reconciler) adoptUnknownMachines() {
 	records := r.deps.Mirror
 	for _, id := range sortedmap.Keys(r.term.unknownMachines) {
--- a/internal/autoscaling/fleet/pass.go
+++ b/internal/autoscaling/fleet/pass.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// runPass requests machines for the demand that neither the machines nor the open requests can take.
+// runPass requests machines for the demand that fits neither on the machines that are up nor on those already
+// requested.
 func (r *Reconciler) runPass(now monotime.Micros) {
 	if r.deps.Catalog.MachineTypes() == nil {
 		return
@@ -34,7 +35,7 @@
 	}
 }
 
-// newPlan reads the inputs of a pass, and notes the jobs for which a trial is planned.
+// newPlan collects the inputs of a pass, and records the jobs for which a crash-loop trial is planned.
 func (r *Reconciler) newPlan(snapshot *autoscaling.Snapshot) *autoscaling.Plan {
 	demands, bins := r.deps.Workload.DemandAndSupply(snapshot)
 	for _, demand := range demands {
@@ -52,8 +53,8 @@
 	}
 }
 
-// availableOffers lists what may be requested now. What is requested in a zone that is unreachable as a whole
-// would wait, at a cost, until the zone is back.
+// availableOffers lists the offers that may be requested now. It excludes zones that are unreachable as a
+// whole: a machine requested there would wait, at a cost, until the zone is reachable again.
 func (r *Reconciler) availableOffers(snapshot *autoscaling.Snapshot) []*autoscaling.PricedOffer {
 	r.updateUnreachableZones(r.deps.Workload.ZoneContacts())
 	return snapshot.Offers(func(offer autoscaling.Offer) bool {
@@ -61,7 +62,7 @@
 	})
 }
 
-// updateUnreachableZones follows which zones are unreachable as a whole.
+// updateUnreachableZones tracks and logs which zones are unreachable as a whole.
 func (r *Reconciler) updateUnreachableZones(zones map[string]ZoneContact) {
 	for zone := range r.term.unreachableZones {
 		if !zones[zone].Unreachable {
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -13,75 +13,77 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// Calls to the cloud.
+// Timeout and retry delay of calls to the cloud.
 const (
 	cloudTimeout    = 4 * monotime.Second
 	cloudRetryDelay = 1 * monotime.Second
 )
 
-// Environment has the clocks, and the calls that leave the process.
+// Environment provides the clocks and the calls that leave the process.
 type Environment interface {
-	Now() monotime.Micros // the steady clock
-	WallClock() int64     // microseconds, as in the records
-	// After calls back after a delay.
+	Now() monotime.Micros // monotonic clock
+	WallClock() int64     // time of day in microseconds, as in the records
+	// After calls the function once after the delay.
 	After(monotime.Micros, func())
-	// CallCloud makes a call of the cloud; the callback gets its result once.
+	// CallCloud makes a call to the cloud, and calls the callback once with the result.
 	CallCloud(*protocol.CloudCall, func(protocol.CloudResult))
 }
 
-// Membership tells whether this controller is the leader.
+// Membership provides the leadership state of this controller.
 type Membership interface {
-	// IsLeader reports whether this controller leads.
+	// IsLeader reports whether this controller is the leader.
 	IsLeader(now monotime.Micros) bool
-	// LeadershipCompare is the condition that holds only while this controller's term lasts.
+	// LeadershipCompare returns the compare condition of a transaction that holds only during this
+	// controller's term.
 	LeadershipCompare() protocol.Compare
 }
 
 // Store commits transactions to the state service.
 type Store interface {
-	// Unavailable reports whether the state service has lately not answered.
+	// Unavailable reports whether the state service has recently failed to answer.
 	Unavailable() bool
-	// Commit applies a successful transaction to the mirror before it calls back.
+	// Commit applies a successful transaction to the mirror before it calls the callback.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
 }
 
-// Catalog has the machine types that the cloud offers.
+// Catalog provides the machine types that the cloud offers.
 type Catalog interface {
-	// MachineTypes is nil until the types are known.
+	// MachineTypes returns the machine types by name, or nil until they are known.
 	MachineTypes() map[string]protocol.MachineType
-	// IsFetched reports whether they are from the cloud itself, not from the records.
+	// IsFetched reports whether the machine types come from the cloud itself, not from the records.
 	IsFetched() bool
 }
 
-// Controllers tells which controllers can claim machines.
+// Controllers provides the controllers that can claim machines.
 type Controllers interface {
 	// Connected lists the live controllers that aren't known to be cut off from their workers.
 	Connected() []string
-	// Designated is the controller that is to claim a machine of a request.
+	// Designated returns the controller that may claim a machine of a scale-out request.
 	Designated(request *mirror.ScaleOutEntry, machineID string) string
 }
 
-// Workload provides what a pass plans for.
+// Workload provides the demand and supply of an autoscaler pass.
 type Workload interface {
-	// Snapshot is what demand and supply are read from.
+	// Snapshot returns the state from which demand and supply are computed.
 	Snapshot(now monotime.Micros) *autoscaling.Snapshot
-	// DemandAndSupply lists the tasks without room that the quotas let run, and the machines up or requested.
+	// DemandAndSupply lists the unplaced tasks within their teams' quotas, and the machines up or requested.
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
-	// NoteTrialDemand is called for jobs whose demand of the pass is a trial, see autoscaling.Demand.
+	// NoteTrialDemand records that a pass plans for a trial task of a crash-looping job, see
+	// autoscaling.Demand.CrashLoopTrial.
 	NoteTrialDemand(jobID string, now monotime.Micros)
-	// IsClosedByDrain reports whether a drain keeps an offer from being requested.
+	// IsClosedByDrain reports whether a drain forbids requesting an offer.
 	IsClosedByDrain(autoscaling.Offer) bool
-	// ZoneContacts has every zone with machines.
+	// ZoneContacts returns the reachability of every zone that has machines, by zone.
 	ZoneContacts() map[string]ZoneContact
 }
 
-// ZoneContact is what is known of the contact with a zone's machines.
+// ZoneContact is the reachability of a zone's machines.
 type ZoneContact struct {
 	Machines, UnreachableMachines int
-	Unreachable                   bool // the zone as a whole
+	Unreachable                   bool // the zone counts as unreachable as a whole
 }
 
-// Dependencies are what a Reconciler needs of the controller it belongs to.
+// Dependencies are the parts of a controller that its Reconciler uses.
 type Dependencies struct {
 	Mirror      *mirror.Mirror
 	Environment Environment
@@ -90,31 +92,32 @@
 	Catalog     Catalog
 	Controllers Controllers
 	Workload    Workload
-	CloudCalls  *ratelimit.TokenBucket // shared with the calls that fetch the catalog
+	CloudCalls  *ratelimit.TokenBucket // rate limit, shared with the calls that fetch the catalog
 	Log         *slog.Logger
 }
 
-// Config has the values that a Reconciler is made with.
+// Config is the configuration of a Reconciler.
 type Config struct {
 	Settings       config.Settings
-	MaxValueBytes  int     // of a record
-	ListLagSeconds float64 // how far the cloud's list may lag behind
+	MaxValueBytes  int     // size limit of a record
+	ListLagSeconds float64 // maximum lag of the cloud's machine list
 }
 
-// Reconciler reconciles the cloud's machines with the records while its controller is the leader. It is used
-// by one goroutine.
+// Reconciler reconciles the cloud's machines with the records while its controller is the leader. It must be
+// used by one goroutine only.
 type Reconciler struct {
 	cfg  Config
 	deps Dependencies
 	term termState
 }
 
-// New makes a controller's reconciler.
+// New returns a controller's reconciler.
 func New(cfg Config, deps Dependencies) *Reconciler {
 	return &Reconciler{cfg: cfg, deps: deps, term: newTermState(0, &cfg.Settings)}
 }
 
-// Reconcile takes the next steps, if this controller is the leader.
+// Reconcile runs the reconciliation steps that are due, if this controller is the leader and the state
+// service answers.
 func (r *Reconciler) Reconcile(now monotime.Micros) {
 	if !r.deps.Membership.IsLeader(now) || r.deps.Store.Unavailable() {
 		return
@@ -139,9 +142,9 @@
 
 func (r *Reconciler) now() monotime.Micros { return r.deps.Environment.Now() }
 
-// Commit commits a transaction on the condition that this controller is the leader, one at a time for each
-// commitKey: while one is in flight, another is dropped. The callback, which may be nil, is called if the term
-// still lasts.
+// Commit commits a transaction on the condition that this controller is still the leader. Only one commit per
+// commitKey is in flight at a time: Commit drops a transaction whose commitKey is in use. It calls the
+// callback, which may be nil, unless the term has ended before the result arrives.
 func (r *Reconciler) Commit(
 	priority ratelimit.Priority,
 	commitKey string,
@@ -165,7 +168,8 @@
 	})
 }
 
-// callCloud takes a token and makes a call. The callback is called if the term still lasts.
+// callCloud takes a token from the rate limit and makes a call. It calls the callback unless the term has
+// ended before the result arrives.
 func (r *Reconciler) callCloud(call protocol.CloudCall, callback func(protocol.CloudResult)) {
 	r.deps.CloudCalls.Take(1)
 	call.Timeout = cloudTimeout
@@ -177,12 +181,12 @@
 	})
 }
 
-// mayCallCloud reports whether the rate limit leaves a call.
+// mayCallCloud reports whether the rate limit allows a call now.
 func (r *Reconciler) mayCallCloud(now monotime.Micros) bool {
 	return r.deps.CloudCalls.WaitTime(now, 1) == 0
 }
 
-// nextRequestName is a name that no other request has, of this term or of another.
+// nextRequestName returns a request name that is unique across all terms.
 func (r *Reconciler) nextRequestName() string {
 	r.term.requestSequence++
 	return fmt.Sprintf("%d-%d", r.term.number, r.term.requestSequence)
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -16,17 +16,17 @@
 	"pipitgap/internal/storage"
 )
 
-// testTerm is the leadership's version in these tests.
+// testTerm is the version of the leader record, which numbers the term.
 const testTerm = 7
 
-// cloudCall is a call to the cloud that a test answers.
+// cloudCall is a call to the cloud that waits for a test to answer it.
 type cloudCall struct {
 	protocol.CloudCall
 	answer func(protocol.CloudResult)
 }
 
-// controllerStub is the rest of a controller: commits succeed at once and change the mirror, calls to the
-// cloud wait for the test's answer.
+// controllerStub stands in for the other parts of a controller. Commits succeed at once and change the
+// mirror. Calls to the cloud wait for the test to answer them.
 type controllerStub struct {
 	stubs.AppliedCommits
 	t          *testing.T
@@ -102,40 +102,41 @@
 ) {
 	s.t.Helper()
 	if !slices.ContainsFunc(txn.If, func(c protocol.Compare) bool { return c.Key == "leader" }) {
-		s.t.Error("a commit isn't conditional on the leadership")
+		s.t.Errorf("got a commit with conditions %+v, want one on the leadership", txn.If)
 	}
 	s.AppliedCommits.Commit(priority, txn, callback)
 }
 
-// reconcile lets time pass and runs the reconciliation.
+// reconcile advances the clock and runs the reconciliation.
 func (s *controllerStub) reconcile(after monotime.Micros) {
 	s.now += after
 	s.reconciler.Reconcile(s.now)
 }
 
-// nextCall takes the oldest unanswered call, which must be of a kind.
+// nextCall removes and returns the oldest unanswered call. The test fails unless the call has the given
+// operation.
 func (s *controllerStub) nextCall(op protocol.CloudOp) cloudCall {
 	s.t.Helper()
 	if len(s.calls) == 0 || s.calls[0].Op != op {
-		s.t.Fatalf("calls %+v, want one of kind %v", s.calls, op)
+		s.t.Fatalf("got calls %+v, want first one with operation %v", s.calls, op)
 	}
 	call := s.calls[0]
 	s.calls = s.calls[1:]
 	return call
 }
 
-// rebuildInventory answers the listing of a new term with an empty list.
+// rebuildInventory answers the machine list request of a new term with an empty list.
 func (s *controllerStub) rebuildInventory() {
 	s.t.Helper()
 	s.reconcile(0)
 	s.nextCall(protocol.CloudList).answer(protocol.CloudResult{Outcome: protocol.OK})
 }
 
-// scaleOut gives the only scale-out request.
+// scaleOut returns the only scale-out request. The test fails if there are more or none.
 func (s *controllerStub) scaleOut() storage.ScaleOutRequest {
 	s.t.Helper()
 	if len(s.records.ScaleOuts) != 1 {
-		s.t.Fatalf("%d scale-out requests, want one", len(s.records.ScaleOuts))
+		s.t.Fatalf("got %d scale-out requests, want 1", len(s.records.ScaleOuts))
 	}
 	for _, request := range s.records.ScaleOuts {
 		return request.Record
@@ -143,7 +144,7 @@
 	panic("unreachable")
 }
 
-// addScaleOut puts a request into the records.
+// addScaleOut adds a scale-out request to the records.
 func (s *controllerStub) addScaleOut(name string, record storage.ScaleOutRequest) {
 	record.MachineType, record.Zone = "m8", "a"
 	s.records.ApplyPut(storage.ScaleOutKey(name), protocol.MustMarshal(&record), 1)
@@ -157,7 +158,8 @@
 	}
 }
 
-// TestNoScaleOutBeforeInventoryIsRebuilt: a new leader reads the cloud's list to its end first.
+// TestNoScaleOutBeforeInventoryIsRebuilt checks that a new leader requests no machines before it has read the
+// cloud's machine list to its end, and that each term reads the list again.
 func TestNoScaleOutBeforeInventoryIsRebuilt(t *testing.T) {
 	s := newControllerStub(t)
 	s.demand = serviceDemand(8, 1)
@@ -168,25 +170,26 @@
 	})
 	s.reconcile(monotime.Second)
 	if len(s.records.ScaleOuts) != 0 {
-		t.Fatal("a request before the end of the list")
+		t.Fatalf("got scale-out requests %+v before the end of the list, want none", s.records.ScaleOuts)
 	}
 	last := s.nextCall(protocol.CloudList)
 	if last.After != "i-1" {
-		t.Errorf("the next page begins after %q", last.After)
+		t.Errorf("got next page after %q, want after %q", last.After, "i-1")
 	}
 	last.answer(protocol.CloudResult{Outcome: protocol.OK})
 	s.reconcile(monotime.Second)
 	if got := s.scaleOut(); got.Phase != storage.ScaleOutPending || got.Count != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("got request %+v, want a pending one for 1 machine", got)
 	}
-	s.records.LeaderVersion++ // another term: it begins anew
+	s.records.LeaderVersion++ // a new term begins
 	s.reconcile(monotime.Second)
 	if s.reconciler.term.inventoryRebuilt {
-		t.Error("a new term goes by the inventory of the one before")
+		t.Error("a new term uses the inventory of the previous term")
 	}
 }
 
-// TestResultsOfEarlierTermAreIgnored: what a call or a commit of another term brings isn't acted on.
+// TestResultsOfEarlierTermAreIgnored checks that the result of a cloud call from an earlier term has no
+// effect.
 func TestResultsOfEarlierTermAreIgnored(t *testing.T) {
 	s := newControllerStub(t)
 	s.reconcile(0)
@@ -195,18 +198,18 @@
 	s.reconcile(monotime.Second)
 	staleCall.answer(protocol.CloudResult{Outcome: protocol.OK})
 	if s.reconciler.term.inventoryRebuilt {
-		t.Error("the list of an earlier term counts")
+		t.Error("the machine list of an earlier term rebuilt the inventory")
 	}
 }
 
-// TestOnlyTheLeaderReconciles: a controller that isn't the leader, or no longer is, makes no call and no
-// request.
+// TestOnlyTheLeaderReconciles checks that a controller that isn't the leader, or no longer is, makes no cloud
+// calls and writes no requests.
 func TestOnlyTheLeaderReconciles(t *testing.T) {
 	s := newControllerStub(t)
 	s.leader = false
 	s.reconcile(0)
 	if len(s.calls) != 0 {
-		t.Errorf("calls: %+v", s.calls)
+		t.Errorf("not yet leader: got calls %+v, want none", s.calls)
 	}
 	s.leader = true
 	s.rebuildInventory()
@@ -214,11 +217,13 @@
 	s.demand = serviceDemand(8, 1)
 	s.reconcile(monotime.Minute)
 	if len(s.calls) != 0 || len(s.records.ScaleOuts) != 0 {
-		t.Errorf("calls: %+v, scale-out requests: %+v", s.calls, s.records.ScaleOuts)
+		t.Errorf("no longer leader: got calls %+v and scale-out requests %+v, want none",
+			s.calls, s.records.ScaleOuts)
 	}
 }
 
-// TestScaleOutOutcomes: what a request becomes by the outcome of its call.
+// TestScaleOutOutcomes checks the phase of a scale-out request, the quarantine of its offer and the retry of
+// its call after each outcome of the call.
 func TestScaleOutOutcomes(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -228,9 +233,9 @@
 	}{
 		{"filled", protocol.CloudResult{Outcome: protocol.OK, Created: []string{"i-1", "i-2"}},
 			storage.ScaleOutProvisioning, false},
-		{"filled in part", protocol.CloudResult{Outcome: protocol.OK, Created: []string{"i-1"}},
+		{"partly filled", protocol.CloudResult{Outcome: protocol.OK, Created: []string{"i-1"}},
 			storage.ScaleOutProvisioning, true},
-		{"empty", protocol.CloudResult{Outcome: protocol.OK}, storage.ScaleOutNoCapacity, true},
+		{"no machines created", protocol.CloudResult{Outcome: protocol.OK}, storage.ScaleOutNoCapacity, true},
 		{"no capacity", protocol.CloudResult{Outcome: protocol.NoCapacity}, storage.ScaleOutNoCapacity, true},
 		{"rejected", protocol.CloudResult{Outcome: protocol.Rejected}, storage.ScaleOutNoCapacity, true},
 		{"throttled", protocol.CloudResult{Outcome: protocol.Throttled}, storage.ScaleOutPending, false},
@@ -243,38 +248,39 @@
 			s.reconcile(0)
 			call := s.nextCall(protocol.CloudCreateMachines)
 			if call.Create.Name != "r-7-9" || call.Create.Count != 2 {
-				t.Errorf("%+v", call.Create)
+				t.Errorf("got call %+v, want name r-7-9 and count 2", call.Create)
 			}
 			call.answer(tc.result)
 			if got := s.records.ScaleOuts["r-7-9"].Record.Phase; got != tc.want {
-				t.Errorf("phase %s, want %s", got, tc.want)
+				t.Errorf("got phase %s, want %s", got, tc.want)
 			}
 			if got := len(autoscaling.QuarantinedOffers(s.records)) > 0; got != tc.quarantined {
-				t.Errorf("quarantined: %v", got)
+				t.Errorf("got quarantined %v, want %v", got, tc.quarantined)
 			}
 			s.reconcile(cloudRetryDelay)
 			if repeated := len(s.calls) > 0; repeated != (tc.want == storage.ScaleOutPending) {
-				t.Errorf("called again: %v", repeated)
+				t.Errorf("got call repeated %v, want %v", repeated, tc.want == storage.ScaleOutPending)
 			}
 		})
 	}
 }
 
-// TestProvisioning: a request ends when its machines are up, is replaced by a scale-in when they aren't in
-// time, and gets other controllers when those that were to claim them can't.
+// TestProvisioning checks that a scale-out request is deleted when all its machines are up, is replaced with
+// a scale-in request for machines that aren't up in time, and designates connected controllers if a
+// designated one isn't connected.
 func TestProvisioning(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		up       []string
 		age      monotime.Micros
 		live     string
-		wantLive []string // nil: the request ends
+		wantLive []string // nil: the request is deleted
 		removed  []string
 	}{
 		{"all up", []string{"i-1", "i-2"}, 0, "n-0", nil, nil},
 		{"one is missing", []string{"i-1"}, 0, "n-0", []string{"n-0"}, nil},
 		{"one is late", []string{"i-1"}, 91 * monotime.Second, "n-0", nil, []string{"i-2"}},
-		{"its controller isn't connected", []string{"i-1"}, 0, "n-1", []string{"n-0"}, nil},
+		{"designated controller isn't connected", []string{"i-1"}, 0, "n-1", []string{"n-0"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newControllerStub(t)
@@ -290,25 +296,26 @@
 			s.reconcile(tc.age)
 			request := s.records.ScaleOuts["r"]
 			if (request != nil) != (tc.wantLive != nil) {
-				t.Fatalf("request: %+v", request)
+				t.Fatalf("got request %+v, want kept %v", request, tc.wantLive != nil)
 			}
 			if request != nil && !slices.Equal(request.Record.Live, tc.wantLive) {
-				t.Errorf("to be claimed by %v, want %v", request.Record.Live, tc.wantLive)
+				t.Errorf("got controllers %v, want %v", request.Record.Live, tc.wantLive)
 			}
 			for _, id := range tc.removed {
 				if s.records.ScaleInOfMachine[id] == "" {
-					t.Errorf("%s isn't removed", id)
+					t.Errorf("got no scale-in request for %s, want one", id)
 				}
 			}
 			if len(s.records.ScaleInOfMachine) != len(tc.removed) {
-				t.Errorf("removed: %v", s.records.ScaleInOfMachine)
+				t.Errorf("got scale-in requests by machine %v, want machines %v",
+					s.records.ScaleInOfMachine, tc.removed)
 			}
 		})
 	}
 }
 
-// TestFailedDeletionsAreFlagged: the cloud's own trouble doesn't count as a try; after the last quick one the
-// request is flagged and repeated at long intervals.
+// TestFailedDeletionsAreFlagged checks that the outcomes Throttled and Unavailable don't count as failed
+// attempts. After the last quick attempt the request is flagged as failed and retried at long intervals.
 func TestFailedDeletionsAreFlagged(t *testing.T) {
 	s := newControllerStub(t)
 	s.rebuildInventory()
@@ -329,25 +336,27 @@
 	} {
 		call := s.nextCall(protocol.CloudDelete)
 		if !slices.Equal(call.Delete, []string{"i-1"}) {
-			t.Fatalf("%+v", call.Delete)
+			t.Fatalf("got deletion of %v, want i-1", call.Delete)
 		}
 		call.answer(protocol.CloudResult{Outcome: step.outcome})
 		if got := record(); got.Attempts != step.attempts || got.Failed != step.failed || got.Deleted {
-			t.Errorf("after %s: %+v", step.outcome, got)
+			t.Errorf("after %s: got %+v, want %d attempts, failed %v, not deleted",
+				step.outcome, got, step.attempts, step.failed)
 		}
 		s.reconcile(cloudRetryDelay)
 	}
 	if len(s.calls) != 0 {
-		t.Fatal("a flagged request is repeated at once")
+		t.Fatalf("got calls %+v right after the request was flagged, want none", s.calls)
 	}
 	s.reconcile(monotime.Minute)
 	s.nextCall(protocol.CloudDelete).answer(protocol.CloudResult{Outcome: protocol.OK})
 	if !record().Deleted {
-		t.Error("success isn't recorded")
+		t.Errorf("after a successful deletion: got record %+v, want it marked deleted", record())
 	}
 }
 
-// TestListedMachinesWithoutRecord: one that is old enough is adopted, one that failed is terminated.
+// TestListedMachinesWithoutRecord checks that a listed machine without a record is adopted if it is old
+// enough, and terminated if it failed.
 func TestListedMachinesWithoutRecord(t *testing.T) {
 	s := newControllerStub(t)
 	s.reconcile(0)
@@ -359,15 +368,15 @@
 		}})
 	if got := s.scaleOut(); got.Phase != storage.ScaleOutProvisioning ||
 		!slices.Equal(got.Machines, []string{"i-old"}) || !slices.Equal(got.Live, []string{"n-0"}) {
-		t.Errorf("%+v", got)
+		t.Errorf("got request %+v, want a provisioning one for i-old, to be claimed by n-0", got)
 	}
 	s.reconcile(scaleInInterval)
 	if got := s.nextCall(protocol.CloudDelete).Delete; !slices.Equal(got, []string{"i-failed"}) {
-		t.Errorf("terminated: %v", got)
+		t.Errorf("got deletion of %v, want i-failed", got)
 	}
 }
 
-// TestNoScaleOutInUnreachableZones: machines are requested in other zones.
+// TestNoScaleOutInUnreachableZones checks that machines are requested only in reachable zones.
 func TestNoScaleOutInUnreachableZones(t *testing.T) {
 	s := newControllerStub(t)
 	s.demand = serviceDemand(8, 1)
@@ -375,6 +384,6 @@
 	s.rebuildInventory()
 	s.reconcile(monotime.Second)
 	if got := s.scaleOut(); got.Zone != "b" {
-		t.Errorf("requested in zone %s", got.Zone)
+		t.Errorf("got request in zone %s, want b", got.Zone)
 	}
 }
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -9,26 +9,27 @@
 	"pipitgap/internal/storage"
 )
 
-// Bounds of scale-in.
+// Limits of scale-in.
 const (
-	maxMachinesPerScaleIn = 100 // machines of one request
+	maxMachinesPerScaleIn = 100 // maximum number of machines in one request
 	scaleInInterval       = 1 * monotime.Second
-	// deletedMachineRetention is how long late heartbeats of terminated machines are expected.
+	// deletedMachineRetention is how long late heartbeats of terminated machines may still arrive. The record
+	// of their scale-in is kept for this long.
 	deletedMachineRetention = 10 * monotime.Minute
 )
 
-// Size of a scale-in request's encoding, at most.
+// Upper bounds of the encoded size of a scale-in request.
 const (
-	scaleInRecordBytes  = 64 // without its machines
-	scaleInMachineBytes = 3  // of each machine beside its id
+	scaleInRecordBytes  = 64 // the record without machines
+	scaleInMachineBytes = 3  // each machine, in addition to its ID
 )
 
-// scaleInCommitKey lets one scale-in request be written at a time.
+// scaleInCommitKey is the commit key of all new scale-in requests, so that only one is written at a time.
 const scaleInCommitKey = "removals"
 
-// reconcileScaleIns has machines terminated: those that their controllers want removed, and those that
-// failed. One record and one call are for many machines. The record is written before the call, and says
-// afterwards that the machines are terminated.
+// reconcileScaleIns terminates the machines that their controllers marked for removal, and the machines that
+// failed. One record and one cloud call cover many machines. The record is written before the call, and is
+// updated to state that the machines are terminated after the call has succeeded.
 func (r *Reconciler) reconcileScaleIns(now monotime.Micros) {
 	if now >= r.term.nextScaleInAt {
 		if machines := r.removableMachines(); len(machines) > 0 {
@@ -47,7 +48,7 @@
 	}
 }
 
-// removableMachines lists the machines that are to be terminated and that no request is for yet.
+// removableMachines lists the machines to terminate that no scale-in request names yet.
 func (r *Reconciler) removableMachines() []string {
 	records := r.deps.Mirror
 	var machines []string
@@ -68,7 +69,8 @@
 	return machines
 }
 
-// requestScaleIn writes a request for as many of the machines as its record can hold.
+// requestScaleIn writes a scale-in request for as many of the machines as one record can hold, at most
+// maxMachinesPerScaleIn.
 func (r *Reconciler) requestScaleIn(machines []string) {
 	size, n := scaleInRecordBytes, 0
 	for n < len(machines) && n < maxMachinesPerScaleIn &&
@@ -86,7 +88,7 @@
 	})
 }
 
-// deleteMachines makes the cloud call of a request.
+// deleteMachines makes the cloud call of a scale-in request.
 func (r *Reconciler) deleteMachines(name string, request *mirror.ScaleInEntry) {
 	r.term.scaleInInFlight[name] = true
 	call := protocol.CloudCall{Op: protocol.CloudDelete, Delete: request.Record.Machines}
@@ -98,15 +100,15 @@
 	})
 }
 
-// recordDeletion writes what came of a request's call.
+// recordDeletion writes the outcome of a scale-in request's cloud call to its record.
 func (r *Reconciler) recordDeletion(name string, request *mirror.ScaleInEntry, outcome protocol.Outcome) {
 	record := request.Record
 	switch outcome {
 	case protocol.OK:
-		// This is the proof that the machines, and everything on them, are terminated.
+		// This outcome proves that the machines and everything on them are terminated.
 		record.Deleted, record.StateSince = true, r.deps.Environment.WallClock()
 	case protocol.Throttled, protocol.Unavailable:
-		return // says nothing about the machines
+		return // the call wasn't executed, so the outcome says nothing about the machines
 	default:
 		r.countFailedDeletion(name, &record, outcome)
 	}
@@ -119,8 +121,8 @@
 	})
 }
 
-// countFailedDeletion counts a failed call. After several of them the request is flagged as failed and tried
-// at long intervals.
+// countFailedDeletion counts a failed cloud call. After Settings.ScaleInAttempts failures it flags the
+// request as failed, and later calls are made at the long ScaleInRetryInterval.
 func (r *Reconciler) countFailedDeletion(
 	name string,
 	record *storage.ScaleInRequest,
@@ -136,8 +138,8 @@
 		"tries", record.Attempts, "outcome", outcome.String())
 }
 
-// deleteExpiredScaleIn deletes the record of terminated machines once no shard has them and none of their late
-// heartbeats is to be expected.
+// deleteExpiredScaleIn deletes the record of terminated machines once no shard holds them and their late
+// heartbeats can no longer arrive.
 func (r *Reconciler) deleteExpiredScaleIn(name string, request *mirror.ScaleInEntry) {
 	age := monotime.Micros(r.deps.Environment.WallClock() - request.Record.StateSince)
 	if age < deletedMachineRetention {
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -12,22 +12,23 @@
 	"pipitgap/internal/storage"
 )
 
-// maxMachinesPerScaleOut bounds the machines of one request.
+// maxMachinesPerScaleOut bounds the number of machines of one request.
 const maxMachinesPerScaleOut = 50
 
-// scaleOutNamePrefix begins the names of scale-out requests.
+// scaleOutNamePrefix is the prefix of the names of scale-out requests.
 const scaleOutNamePrefix = "r-"
 
-// newScaleOutKey returns the key of a new scale-out request.
+// newScaleOutKey returns a unique key for a new scale-out request.
 func (r *Reconciler) newScaleOutKey() string {
 	return storage.ScaleOutKey(scaleOutNamePrefix + r.nextRequestName())
 }
 
-// unfilledKeySuffix marks the record that quarantines an offer of which a request got fewer machines than it
-// wanted: the request's key with this suffix.
+// unfilledKeySuffix, appended to a request's key, is the key of the record that quarantines the request's
+// offer after the cloud provided fewer machines than requested.
 const unfilledKeySuffix = "-rest"
 
-// reconcileScaleOuts takes the next step of every scale-out request.
+// reconcileScaleOuts runs the next step of every scale-out request: the cloud call, the end of the offer's
+// quarantine, or the supervision of booting machines.
 func (r *Reconciler) reconcileScaleOuts(now monotime.Micros) {
 	wallClock := r.deps.Environment.WallClock()
 	for _, name := range sortedmap.Keys(r.deps.Mirror.ScaleOuts) {
@@ -51,8 +52,9 @@
 	}
 }
 
-// reconcileProvisioning drops a request whose machines are all up, has machines terminated that don't come up
-// in time, and names other controllers to claim machines when those that were to claim them can't.
+// reconcileProvisioning deletes a request whose machines are all up. It requests the scale-in of machines
+// that aren't up within the readiness timeout. If the designated controller of a missing machine isn't
+// connected, it replaces the controllers that may claim the machines with the connected ones.
 func (r *Reconciler) reconcileProvisioning(name string, request *mirror.ScaleOutEntry, age monotime.Micros) {
 	key := storage.ScaleOutKey(name)
 	missing := autoscaling.MissingMachines(r.deps.Mirror, request)
@@ -73,8 +75,8 @@
 	}
 }
 
-// removeMissing replaces a request by a scale-in request for its machines that didn't come up: without the
-// former nobody may claim them any more.
+// removeMissing replaces a scale-out request with a scale-in request for its machines that aren't up. Once
+// the scale-out request is deleted, no controller may claim these machines.
 func (r *Reconciler) removeMissing(name string, request *mirror.ScaleOutEntry, missing []string) {
 	key := storage.ScaleOutKey(name)
 	scaleInKey := storage.ScaleInKey(r.nextRequestName())
@@ -91,8 +93,8 @@
 	})
 }
 
-// callScaleOut makes the cloud call of a request. A new leader repeats the very same call, by the name in the
-// record, and the cloud gives the same answer.
+// callScaleOut makes the cloud call of a scale-out request. A new leader repeats the same call under the same
+// name, and the cloud gives the same answer.
 func (r *Reconciler) callScaleOut(name string, request *mirror.ScaleOutEntry) {
 	r.term.scaleOutInFlight[name] = true
 	call := protocol.CloudCall{Op: protocol.CloudCreateMachines, Create: protocol.CreateMachinesRequest{
@@ -110,8 +112,9 @@
 	})
 }
 
-// recordScaleOut writes what came of a request's call. Throttled, unavailable or unknown says nothing about
-// the offer: the request stays as it is and is repeated.
+// recordScaleOut writes the outcome of a scale-out request's cloud call to its record. The outcomes
+// Throttled, Unavailable and Unknown give no information about the offer, so the record stays unchanged and
+// the call is repeated.
 func (r *Reconciler) recordScaleOut(name string, request *mirror.ScaleOutEntry, result protocol.CloudResult) {
 	record := request.Record
 	switch {
@@ -148,8 +151,8 @@
 	r.Commit(ratelimit.PriorityShardUpdate, key, txn, nil)
 }
 
-// requestScaleOut writes requests for machines of an offer; the cloud call of each follows once it is
-// written.
+// requestScaleOut writes scale-out requests for the machines of an offer. The cloud call of each request
+// follows after its record is written.
 func (r *Reconciler) requestScaleOut(scaleOut autoscaling.ScaleOut) {
 	for remaining := scaleOut.Machines; remaining > 0; remaining -= maxMachinesPerScaleOut {
 		key := r.newScaleOutKey()
--- a/internal/autoscaling/fleet/term.go
+++ b/internal/autoscaling/fleet/term.go
@@ -8,32 +8,33 @@
 	"pipitgap/internal/protocol"
 )
 
-// termState is what a leader knows beside the records. Every term begins with an empty one.
+// termState is a leader's state outside the records. Every term begins with an empty state.
 type termState struct {
-	number         uint64          // the version of the leadership's record
-	commitInFlight map[string]bool // by busy key
+	number         uint64          // version of the leader record
+	commitInFlight map[string]bool // by commit key
 
 	nextPassAt       monotime.Micros
-	backoffs         *autoscaling.Backoffs // jobs that no offer can take
+	backoffs         *autoscaling.Backoffs // of jobs that no offer can run
 	unreachableZones map[string]bool
 
 	requestSequence  int
-	scaleOutInFlight map[string]bool // requests whose call is in flight
+	scaleOutInFlight map[string]bool // by request name: its cloud call is in flight
 	scaleOutRetryAt  map[string]monotime.Micros
-	scaleInInFlight  map[string]bool // requests whose call is in flight
+	scaleInInFlight  map[string]bool // by request name: its cloud call is in flight
 	scaleInRetryAt   map[string]monotime.Micros
 	nextScaleInAt    monotime.Micros
 
-	inventoryRebuilt bool // the cloud's list has been read to its end
+	inventoryRebuilt bool // the cloud's machine list has been read to its end in this term
 	nextListAt       monotime.Micros
 	listInFlight     bool
-	failedMachines   map[string]bool // as the cloud's list has it; to be terminated
+	failedMachines   map[string]bool // listed as failed by the cloud; to be terminated
 	unknownMachines  map[string]*protocol.ListedMachine
 
 	cloudUnavailable bool
 }
 
-// newTermState begins a term: nothing is in flight, and the cloud's list hasn't been read.
+// newTermState returns the state at the start of a term: nothing is in flight, and the cloud's machine list
+// hasn't been read.
 func newTermState(number uint64, settings *config.Settings) termState {
 	return termState{
 		number:         number,
@@ -53,7 +54,7 @@
 	}
 }
 
-// noteCloudOutcome logs when the cloud becomes unavailable, and when it no longer is.
+// noteCloudOutcome logs when the cloud becomes unavailable and when it becomes available again.
 func (r *Reconciler) noteCloudOutcome(outcome protocol.Outcome) {
 	unavailable := outcome == protocol.Unavailable || outcome == protocol.Unknown
 	if unavailable == r.term.cloudUnavailable || outcome == protocol.Throttled {
--- a/internal/autoscaling/plan_test.go
+++ b/internal/autoscaling/plan_test.go
@@ -267,7 +267,8 @@
 		absorbByPreemption(tc.demands, tc.bins)
 		for i, demand := range tc.demands {
 			if demand.Tasks != tc.wantRemaining[i] {
-				t.Errorf("%s: demand %d: got %d unplaced tasks, want %d", tc.name, i, demand.Tasks, tc.wantRemaining[i])
+				t.Errorf("%s: demand %d: got %d unplaced tasks, want %d",
+					tc.name, i, demand.Tasks, tc.wantRemaining[i])
 			}
 		}
 	}
--- a/internal/autoscaling/scalein/doc.go
+++ b/internal/autoscaling/scalein/doc.go
@@ -1,3 +1,4 @@
-// Package scalein has a controller's own empty machines removed. Every controller does so for its own
-// machines, since it alone writes their shards; the leader then has them terminated, see package fleet.
+// Package scalein marks a controller's own empty machines for removal. Every controller does so for its own
+// machines, because only the owner writes their shards. The leader then terminates the machines, see package
+// fleet.
 package scalein
--- a/internal/autoscaling/scalein/reconciler.go
+++ b/internal/autoscaling/scalein/reconciler.go
@@ -12,43 +12,43 @@
 	"pipitgap/internal/storage"
 )
 
-// closeAfterIntervals is for how many autoscaling intervals an own machine is empty before it is closed to
-// tasks.
+// closeAfterIntervals is the number of autoscaling intervals for which an own machine must be empty before it
+// is closed to tasks.
 const closeAfterIntervals = 2
 
-// Agents has the agents of own machines.
+// Agents provides the agents of this controller's own machines.
 type Agents interface {
-	// Of is nil for a machine that isn't this controller's.
+	// Of returns the agent of a machine, or nil if this controller doesn't own the machine.
 	Of(*mirror.Machine) *agents.Agent
-	// RequestRemoval has the leader terminate a machine.
+	// RequestRemoval marks a machine for removal. The leader then terminates it.
 	RequestRemoval(machine *mirror.Machine, reason agents.RemovalReason)
 }
 
-// Drains tells what drains need of empty machines.
+// Drains provides the decisions of drains about empty machines.
 type Drains interface {
-	// MayScaleIn reports whether a drained machine that has been empty for so long is to be removed.
+	// MayScaleIn reports whether a drained machine may be removed after it has been empty for the given time.
 	MayScaleIn(machine *mirror.Machine, empty monotime.Micros) bool
-	// ReservedByMachine is what is reserved for replicas that are moved.
+	// ReservedByMachine returns the resources reserved for replicas that are being moved, by machine ID.
 	ReservedByMachine() map[string]resources.Vector
-	// ReplacementDemands is the demand of replicas that are to be moved; the caller may change it.
+	// ReplacementDemands returns the demand of replicas that drains will move. The caller may modify it.
 	ReplacementDemands() []*autoscaling.Demand
 }
 
-// Workload provides demand and supply, as for the autoscaler's passes.
+// Workload provides the same demand and supply as for the autoscaler's passes.
 type Workload interface {
-	// Snapshot is what demand and supply are read from.
+	// Snapshot returns the state from which demand and supply are computed.
 	Snapshot(now monotime.Micros) *autoscaling.Snapshot
-	// DemandAndSupply lists the tasks without room that the quotas let run, and the machines up or requested.
+	// DemandAndSupply lists the unplaced tasks within their teams' quotas, and the machines up or requested.
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
 }
 
-// Catalog has the machine types that the cloud offers.
+// Catalog provides the machine types that the cloud offers.
 type Catalog interface {
-	// MachineTypes is nil until the types are known.
+	// MachineTypes returns the machine types by name, or nil until they are known.
 	MachineTypes() map[string]protocol.MachineType
 }
 
-// Dependencies are what a Reconciler needs of the controller it belongs to.
+// Dependencies are the parts of a controller that its Reconciler uses.
 type Dependencies struct {
 	Mirror   *mirror.Mirror
 	Agents   Agents
@@ -57,17 +57,18 @@
 	Catalog  Catalog
 }
 
-// Reconciler has one controller's empty machines removed. It is used by one goroutine.
+// Reconciler closes one controller's empty machines to tasks and requests their removal. It must be used by
+// one goroutine only.
 type Reconciler struct {
 	settings config.Settings
 	deps     Dependencies
 
-	emptySince  map[string]monotime.Micros // since when a machine is empty
-	closedAt    map[string]monotime.Micros // when a machine was closed to tasks
+	emptySince  map[string]monotime.Micros // by machine ID: when this reconciler first saw it empty
+	closedAt    map[string]monotime.Micros // by machine ID: when it was closed to tasks
 	nextCheckAt monotime.Micros
 }
 
-// New makes a controller's reconciler.
+// New returns a controller's reconciler.
 func New(settings config.Settings, deps Dependencies) *Reconciler {
 	return &Reconciler{
 		settings:   settings,
@@ -77,18 +78,18 @@
 	}
 }
 
-// IsClosed reports whether a machine is closed to tasks that have room elsewhere.
+// IsClosed reports whether a machine is closed to tasks that fit on another machine.
 func (r *Reconciler) IsClosed(machine string) bool {
 	_, closed := r.closedAt[machine]
 	return closed
 }
 
-// Reopen opens a machine that gets a task.
+// Reopen reopens a machine to tasks, because a task is assigned to it.
 func (r *Reconciler) Reopen(machine string) { delete(r.closedAt, machine) }
 
-// Reconcile closes own machines that are empty, and has them removed after the delay if they still are.
-// Machines that headroom or drains need are kept. Closing writes nothing: a task that needs the machine opens
-// it again.
+// Reconcile closes own machines that are empty, and requests their removal if they are still empty after the
+// delay. It keeps machines that headroom or drains need. Closing a machine writes no record, because a task
+// that needs the machine reopens it.
 func (r *Reconciler) Reconcile(now monotime.Micros) {
 	if now < r.nextCheckAt {
 		return
@@ -128,15 +129,15 @@
 	}
 }
 
-// neededMachines lists the machines that are kept although they are empty: for headroom, for replacements of
-// drained replicas, and for replicas that permits move there.
+// neededMachines returns the IDs of the machines that are kept even if they are empty: for headroom, for
+// replacements of drained replicas, and for replicas that eviction permits move there.
 func (r *Reconciler) neededMachines(now monotime.Micros) map[string]bool {
 	needed := map[string]bool{}
 	replacements := r.deps.Drains.ReplacementDemands()
 	if r.settings.ServiceHeadroom > 0 || len(replacements) > 0 {
 		snapshot := r.deps.Workload.Snapshot(now)
-		// The demand is computed too, though it isn't used: ordering the queue follows which jobs are
-		// starved.
+		// This also computes the demand, which isn't used here, because ordering the queue also tracks which
+		// jobs are starved.
 		_, bins := r.deps.Workload.DemandAndSupply(snapshot)
 		needed = autoscaling.MachinesNeeded(append(snapshot.HeadroomDemand(), replacements...), bins)
 	}
@@ -146,8 +147,8 @@
 	return needed
 }
 
-// isRemovable reports whether an own machine is empty and neither needed nor on its way out. One that is
-// prone to failures isn't kept for what needs it.
+// isRemovable reports whether an own machine is empty, isn't needed and isn't being removed already. A
+// failure-prone machine is removable even if it is needed.
 func (r *Reconciler) isRemovable(machine *mirror.Machine, needed bool) bool {
 	agent := r.deps.Agents.Of(machine)
 	if agent == nil || machine.Record == nil || len(machine.Attempts) > 0 {
@@ -159,7 +160,8 @@
 	return agent.RemovalReason() == ""
 }
 
-// closeOrRemove closes an open machine that has been empty for a while, and removes it after the delay.
+// closeOrRemove closes an open machine that has been empty for closeAfterIntervals autoscaling intervals, and
+// requests the removal of a machine that has been closed for the delay.
 func (r *Reconciler) closeOrRemove(machine *mirror.Machine, now monotime.Micros) {
 	since, ok := r.emptySince[machine.ID]
 	if !ok {
@@ -175,7 +177,7 @@
 	}
 }
 
-// Delay is how long an empty machine stays closed before it is removed.
+// Delay returns how long an empty machine stays closed before its removal is requested.
 func (r *Reconciler) Delay(record *storage.ShardMachine) monotime.Micros {
 	machineType := r.deps.Catalog.MachineTypes()[record.Type]
 	return autoscaling.ScaleInDelay(machineType, record.Spot, r.settings.ScaleDownDelay.Micros())
--- a/internal/autoscaling/scalein/reconciler_test.go
+++ b/internal/autoscaling/scalein/reconciler_test.go
@@ -15,17 +15,17 @@
 
 const (
 	second   = monotime.Second
-	interval = 2 * second // of the autoscaler
-	delay    = 20 * second
+	interval = 2 * second  // AutoscalingInterval
+	delay    = 20 * second // ScaleDownDelay
 	machine  = "i-1"
 )
 
-// controllerStub is the rest of a controller with one own machine.
+// controllerStub stands in for the other parts of a controller that owns one machine.
 type controllerStub struct {
 	records    *mirror.Mirror
 	reconciler *Reconciler
 	agent      *agents.Agent
-	removals   []agents.RemovalReason // reasons of removals
+	removals   []agents.RemovalReason // reasons of the requested removals
 	reserved   map[string]resources.Vector
 	mayScaleIn func(empty monotime.Micros) bool
 	types      map[string]protocol.MachineType
@@ -54,7 +54,7 @@
 func (s *controllerStub) ReservedByMachine() map[string]resources.Vector { return s.reserved }
 func (s *controllerStub) ReplacementDemands() []*autoscaling.Demand      { return nil }
 func (s *controllerStub) Snapshot(monotime.Micros) *autoscaling.Snapshot {
-	panic("no headroom is kept")
+	panic("Snapshot called without headroom or replacement demand")
 }
 func (s *controllerStub) MachineTypes() map[string]protocol.MachineType { return s.types }
 
@@ -67,11 +67,11 @@
 }
 
 func (s *controllerStub) DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin) {
-	panic("no headroom is kept")
+	panic("DemandAndSupply called without headroom or replacement demand")
 }
 
-// TestDelayByPrice: how long an empty machine is kept for the next burst: a dear one less long than a cheap
-// one of the same type.
+// TestDelayByPrice checks how long an empty machine is kept for the next burst: an expensive machine for a
+// shorter time than a cheap machine of the same type.
 func TestDelayByPrice(t *testing.T) {
 	s := newControllerStub()
 	s.types = map[string]protocol.MachineType{
@@ -88,13 +88,14 @@
 		{"no gain", false, 20 * second}, {"no gain", true, 20 * second}, {"unknown", false, 20 * second},
 	} {
 		if got := s.reconciler.Delay(&storage.ShardMachine{Type: tc.machineType, Spot: tc.spot}); got != tc.want {
-			t.Errorf("%s, spot %v: %v s", tc.machineType, tc.spot, got.Seconds())
+			t.Errorf("%s, spot %v: got delay %v s, want %v s",
+				tc.machineType, tc.spot, got.Seconds(), tc.want.Seconds())
 		}
 	}
 }
 
-// TestEmptyMachineIsClosedThenRemoved: an empty machine is closed after two intervals and removed after the
-// delay; a task in between begins that anew.
+// TestEmptyMachineIsClosedThenRemoved checks that an empty machine is closed after two intervals and removed
+// after the delay, and that running a task restarts both.
 func TestEmptyMachineIsClosedThenRemoved(t *testing.T) {
 	s := newControllerStub()
 	s.reconciler.Reconcile(0)
@@ -108,7 +109,8 @@
 	} {
 		s.reconciler.Reconcile(step.at)
 		if got := s.reconciler.IsClosed(machine); got != step.closed || len(s.removals) != step.removed {
-			t.Errorf("at %v s: closed %v, removals %v", step.at.Seconds(), got, s.removals)
+			t.Errorf("at %v s: got closed %v, removals %v, want closed %v, %d removals",
+				step.at.Seconds(), got, s.removals, step.closed, step.removed)
 		}
 	}
 	task := mirror.TaskID{Job: "j"}
@@ -117,22 +119,23 @@
 	delete(s.records.Machines[machine].Attempts, task)
 	s.reconciler.Reconcile(3 * delay)
 	if s.reconciler.IsClosed(machine) || len(s.removals) != 1 {
-		t.Errorf("empty again: closed %v, removals %v", s.reconciler.IsClosed(machine), s.removals)
+		t.Errorf("empty again: got closed %v, removals %v, want open, 1 removal",
+			s.reconciler.IsClosed(machine), s.removals)
 	}
 }
 
-// TestWhichMachinesAreRemoved: by state and by what needs them.
+// TestWhichMachinesAreRemoved checks which empty machines are removed, by their state and by what needs them.
 func TestWhichMachinesAreRemoved(t *testing.T) {
 	afterInterval := func(empty monotime.Micros) bool { return empty >= interval }
 	for _, tc := range []struct {
 		name  string
 		setup func(*controllerStub)
-		want  agents.RemovalReason // the reason; "": it stays
+		want  agents.RemovalReason // removal reason; empty: the machine is kept
 	}{
 		{"idle", func(*controllerStub) {}, agents.RemovalIdle},
 		{"reserved", func(s *controllerStub) { s.reserved = map[string]resources.Vector{machine: {}} }, ""},
-		{"not this controller's", func(s *controllerStub) { s.agent = nil }, ""},
-		{"removed already", func(s *controllerStub) { s.agent.SetRemovalReason("x") }, ""},
+		{"not owned by this controller", func(s *controllerStub) { s.agent = nil }, ""},
+		{"being removed already", func(s *controllerStub) { s.agent.SetRemovalReason("x") }, ""},
 		{"unreachable", func(s *controllerStub) { s.setState(storage.MachineUnreachable) }, ""},
 		{"draining", func(s *controllerStub) { s.setState(storage.MachineDraining) }, agents.RemovalDrained},
 		{"draining, reserved", func(s *controllerStub) {
@@ -144,7 +147,7 @@
 			s.setState(storage.MachineCordoned)
 			s.mayScaleIn = afterInterval
 		}, agents.RemovalDrained},
-		{"types unknown", func(s *controllerStub) { s.types = nil }, ""},
+		{"machine types unknown", func(s *controllerStub) { s.types = nil }, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newControllerStub()
@@ -153,30 +156,31 @@
 				s.reconciler.Reconcile(now)
 			}
 			if len(s.removals) == 0 && tc.want != "" || len(s.removals) > 0 && s.removals[0] != tc.want {
-				t.Errorf("removals %v, want %q", s.removals, tc.want)
+				t.Errorf("got removals %v, want reason %q", s.removals, tc.want)
 			}
 		})
 	}
 }
 
-// setState sets the machine's state.
+// setState sets the state in the machine's record.
 func (s *controllerStub) setState(state storage.MachineState) {
 	s.records.Machines[machine].Record.State = state
 }
 
-// TestReopenedMachineRestartsScaleInDelay: a machine that got a task isn't removed by how long it was closed
-// before.
+// TestReopenedMachineRestartsScaleInDelay checks that the time for which a machine was closed before it was
+// reopened doesn't count towards its removal.
 func TestReopenedMachineRestartsScaleInDelay(t *testing.T) {
 	s := newControllerStub()
 	for now := monotime.Micros(0); now < delay; now += interval {
 		s.reconciler.Reconcile(now)
 	}
 	if !s.reconciler.IsClosed(machine) {
-		t.Fatal("it isn't closed")
+		t.Fatal("before Reopen: got closed false, want true")
 	}
 	s.reconciler.Reopen(machine)
 	s.reconciler.Reconcile(2 * delay)
 	if len(s.removals) != 0 || !s.reconciler.IsClosed(machine) {
-		t.Errorf("removals %v", s.removals)
+		t.Errorf("after Reopen: got closed %v, removals %v, want closed, no removals",
+			s.reconciler.IsClosed(machine), s.removals)
 	}
 }
