--- a/internal/autoscaling/demand_test.go
+++ b/internal/autoscaling/demand_test.go
@@ -45,10 +45,10 @@
 	limited := unlimited
 	limited.CPUs = 9
 	for _, tc := range []struct {
-		name   string
-		policy jobPolicyStub
-		want   []int
-		trial  bool
+		name      string
+		policy    jobPolicyStub
+		want      []int
+		wantTrial bool
 	}{
 		{"no restriction", jobPolicyStub{quota: unlimited}, []int{3, 4}, false},
 		{"quota limits the second job", jobPolicyStub{quota: limited}, []int{3, 1}, false},
@@ -68,11 +68,11 @@
 				t.Fatalf("got %d demands, want tasks %v", len(demands), tc.want)
 			}
 			for i, demand := range demands {
-				if demand.Tasks != tc.want[i] || demand.CrashLoopTrial != tc.trial || demand.QueueIndex != i ||
+				if demand.Tasks != tc.want[i] || demand.CrashLoopTrial != tc.wantTrial || demand.QueueIndex != i ||
 					demand.JobID != queue[i].ID || demand.ExpectedSeconds != 30 ||
 					demand.SlackSeconds != 7 {
 					t.Errorf("demand %d: got %+v, want %d tasks of %s, trial %v, expected run 30 s, slack 7 s",
-						i, demand, tc.want[i], queue[i].ID, tc.trial)
+						i, demand, tc.want[i], queue[i].ID, tc.wantTrial)
 				}
 			}
 		})
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -226,10 +226,10 @@
 // its call after each outcome of the call.
 func TestScaleOutOutcomes(t *testing.T) {
 	for _, tc := range []struct {
-		name        string
-		result      protocol.CloudResult
-		want        storage.ScaleOutPhase
-		quarantined bool
+		name            string
+		result          protocol.CloudResult
+		want            storage.ScaleOutPhase
+		wantQuarantined bool
 	}{
 		{"filled", protocol.CloudResult{Outcome: protocol.OK, Created: []string{"i-1", "i-2"}},
 			storage.ScaleOutProvisioning, false},
@@ -254,8 +254,8 @@
 			if got := s.records.ScaleOuts["r-7-9"].Record.Phase; got != tc.want {
 				t.Errorf("got phase %s, want %s", got, tc.want)
 			}
-			if got := len(autoscaling.QuarantinedOffers(s.records)) > 0; got != tc.quarantined {
-				t.Errorf("got quarantined %v, want %v", got, tc.quarantined)
+			if got := len(autoscaling.QuarantinedOffers(s.records)) > 0; got != tc.wantQuarantined {
+				t.Errorf("got quarantined %v, want %v", got, tc.wantQuarantined)
 			}
 			s.reconcile(cloudRetryDelay)
 			if repeated := len(s.calls) > 0; repeated != (tc.want == storage.ScaleOutPending) {
@@ -270,12 +270,12 @@
 // designated one isn't connected.
 func TestProvisioning(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		up       []string
-		age      monotime.Micros
-		live     string
-		wantLive []string // nil: the request is deleted
-		removed  []string
+		name        string
+		upMachines  []string
+		age         monotime.Micros
+		designated  string
+		wantLive    []string // nil: the request is deleted
+		wantRemoved []string
 	}{
 		{"all up", []string{"i-1", "i-2"}, 0, "n-0", nil, nil},
 		{"one is missing", []string{"i-1"}, 0, "n-0", []string{"n-0"}, nil},
@@ -287,10 +287,10 @@
 			s.rebuildInventory()
 			s.addScaleOut("r", storage.ScaleOutRequest{
 				Phase: storage.ScaleOutProvisioning, Count: 2, Machines: []string{"i-1", "i-2"},
-				Live: []string{tc.live}, PhaseSince: int64(s.now),
+				Live: []string{tc.designated}, PhaseSince: int64(s.now),
 			})
 			s.records.WatchedRevision = 1
-			for _, id := range tc.up {
+			for _, id := range tc.upMachines {
 				s.records.Machines[id] = &mirror.Machine{ID: id, Record: &storage.ShardMachine{}}
 			}
 			s.reconcile(tc.age)
@@ -301,14 +301,14 @@
 			if request != nil && !slices.Equal(request.Record.Live, tc.wantLive) {
 				t.Errorf("got controllers %v, want %v", request.Record.Live, tc.wantLive)
 			}
-			for _, id := range tc.removed {
+			for _, id := range tc.wantRemoved {
 				if s.records.ScaleInOfMachine[id] == "" {
 					t.Errorf("got no scale-in request for %s, want one", id)
 				}
 			}
-			if len(s.records.ScaleInOfMachine) != len(tc.removed) {
+			if len(s.records.ScaleInOfMachine) != len(tc.wantRemoved) {
 				t.Errorf("got scale-in requests by machine %v, want machines %v",
-					s.records.ScaleInOfMachine, tc.removed)
+					s.records.ScaleInOfMachine, tc.wantRemoved)
 			}
 		})
 	}
@@ -325,9 +325,9 @@
 	s.reconcile(0)
 	record := func() storage.ScaleInRequest { return s.records.ScaleIns[s.records.ScaleInOfMachine["i-1"]].Record }
 	for _, step := range []struct {
-		outcome  protocol.Outcome
-		attempts int
-		failed   bool
+		outcome      protocol.Outcome
+		wantAttempts int
+		wantFailed   bool
 	}{
 		{protocol.Throttled, 0, false},
 		{protocol.Unavailable, 0, false},
@@ -339,9 +339,9 @@
 			t.Fatalf("got deletion of %v, want i-1", call.Delete)
 		}
 		call.answer(protocol.CloudResult{Outcome: step.outcome})
-		if got := record(); got.Attempts != step.attempts || got.Failed != step.failed || got.Deleted {
+		if got := record(); got.Attempts != step.wantAttempts || got.Failed != step.wantFailed || got.Deleted {
 			t.Errorf("after %s: got %+v, want %d attempts, failed %v, not deleted",
-				step.outcome, got, step.attempts, step.failed)
+				step.outcome, got, step.wantAttempts, step.wantFailed)
 		}
 		s.reconcile(cloudRetryDelay)
 	}
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -111,9 +111,9 @@
 }
 
 // horizonSeconds returns how long a demand's tasks may wait for a bin's capacity.
-func (r absorptionPolicy) horizonSeconds(demand *Demand, bin *Bin) float64 {
-	horizon := r.bootTimes * bin.BootSeconds
-	if r.spotTasksOnly {
+func (p absorptionPolicy) horizonSeconds(demand *Demand, bin *Bin) float64 {
+	horizon := p.bootTimes * bin.BootSeconds
+	if p.spotTasksOnly {
 		horizon = min(horizon, max(demand.SlackSeconds, minSpotWaitBootTimes*bin.BootSeconds))
 	}
 	return horizon
--- a/internal/autoscaling/scalein/reconciler_test.go
+++ b/internal/autoscaling/scalein/reconciler_test.go
@@ -100,17 +100,17 @@
 	s := newControllerStub()
 	s.reconciler.Reconcile(0)
 	for _, step := range []struct {
-		at      monotime.Micros
-		closed  bool
-		removed int
+		at           monotime.Micros
+		wantClosed   bool
+		wantRemovals int
 	}{
 		{interval, false, 0}, {2*interval - 1, false, 0}, {2 * interval, true, 0},
 		{2*interval + delay - interval, true, 0}, {2*interval + delay, true, 1},
 	} {
 		s.reconciler.Reconcile(step.at)
-		if got := s.reconciler.IsClosed(machine); got != step.closed || len(s.removals) != step.removed {
+		if got := s.reconciler.IsClosed(machine); got != step.wantClosed || len(s.removals) != step.wantRemovals {
 			t.Errorf("at %v s: got closed %v, removals %v, want closed %v, %d removals",
-				step.at.Seconds(), got, s.removals, step.closed, step.removed)
+				step.at.Seconds(), got, s.removals, step.wantClosed, step.wantRemovals)
 		}
 	}
 	task := mirror.TaskID{Job: "j"}
