--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -266,8 +266,8 @@
 }
 
 // TestProvisioning checks that a scale-out request is deleted when all its machines are up, is replaced with
-// a scale-in request for machines that aren't up in time, and designates connected controllers if a
-// designated one isn't connected.
+// a scale-in request for machines that aren't up in time, and names the connected controllers if the
+// designated controller isn't connected.
 func TestProvisioning(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -278,8 +278,8 @@
 		wantRemoved []string
 	}{
 		{"all up", []string{"i-1", "i-2"}, 0, "n-0", nil, nil},
-		{"one is missing", []string{"i-1"}, 0, "n-0", []string{"n-0"}, nil},
-		{"one is late", []string{"i-1"}, 91 * monotime.Second, "n-0", nil, []string{"i-2"}},
+		{"one machine isn't up yet", []string{"i-1"}, 0, "n-0", []string{"n-0"}, nil},
+		{"one machine isn't up in time", []string{"i-1"}, 91 * monotime.Second, "n-0", nil, []string{"i-2"}},
 		{"designated controller isn't connected", []string{"i-1"}, 0, "n-1", []string{"n-0"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -83,7 +83,8 @@
 type absorptionPolicy struct {
 	bootTimes float64 // planning horizon, in boot times of the machine's type
 	// spotTasksOnly restricts absorption to tasks that may use spot machines, and the horizon to the time
-	// that their objective lets them wait: an on-demand machine is expensive for them.
+	// that their objective lets them wait. It applies before on-demand machines, which are expensive for
+	// these tasks, are requested.
 	spotTasksOnly bool
 }
 
