--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -33,25 +33,25 @@
 
 // peerState is what is known of another controller.
 type peerState struct {
-	incarnation    uint64
-	clock          monotime.Micros // the latest clock reading of that incarnation
-	mirrorRevision uint64
-	round          uint64
-	received       int             // messages of that round
-	knownUntil     monotime.Micros // by this controller's clock
+	incarnation     uint64
+	clock           monotime.Micros // the latest clock reading of that incarnation
+	mirrorRevision  uint64
+	round           uint64
+	receivedInRound int             // messages of that round
+	knownUntil      monotime.Micros // by this controller's clock
 }
 
 // Relay is one controller's side of the exchange.
 type Relay struct {
-	incarnation uint64
-	round       uint64
-	committed   map[string]uint64
-	peers       map[string]*peerState
+	incarnation     uint64
+	round           uint64
+	commitRevisions map[string]uint64
+	peers           map[string]*peerState
 }
 
 // NewRelay begins the exchange of a controller's present incarnation with the named peers.
 func NewRelay(incarnation uint64, peers []string) *Relay {
-	r := &Relay{incarnation: incarnation, committed: map[string]uint64{}, peers: map[string]*peerState{}}
+	r := &Relay{incarnation: incarnation, commitRevisions: map[string]uint64{}, peers: map[string]*peerState{}}
 	for _, name := range peers {
 		r.peers[name] = &peerState{}
 	}
@@ -59,32 +59,32 @@
 }
 
 // Add adds a committed cancellation. It must be called before any user gets an answer that confirms it.
-func (r *Relay) Add(c Committed) { r.committed[c.Job] = c.Revision }
+func (r *Relay) Add(c Committed) { r.commitRevisions[c.Job] = c.Revision }
 
 // Forget drops the cancellation of a job of which nothing is left on any machine.
-func (r *Relay) Forget(job string) { delete(r.committed, job) }
+func (r *Relay) Forget(job string) { delete(r.commitRevisions, job) }
 
 // Since lists the known cancellations above a revision, in the order of their commits.
 func (r *Relay) Since(revision uint64) []Committed {
-	var out []Committed
-	for job, at := range r.committed {
-		if at > revision {
-			out = append(out, Committed{job, at})
+	var cancellations []Committed
+	for job, commitRevision := range r.commitRevisions {
+		if commitRevision > revision {
+			cancellations = append(cancellations, Committed{job, commitRevision})
 		}
 	}
-	slices.SortFunc(out, func(a, b Committed) int {
+	slices.SortFunc(cancellations, func(a, b Committed) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.Job, b.Job))
 	})
-	return out
+	return cancellations
 }
 
 // Prune drops every cancellation up to a revision except those of the given jobs.
 // It is called when all records have been read anew: a job that is over and has left the
 // records has nothing left on any machine.
 func (r *Relay) Prune(revision uint64, keep func(job string) bool) {
-	for job, at := range r.committed {
-		if at <= revision && !keep(job) {
-			delete(r.committed, job)
+	for job, commitRevision := range r.commitRevisions {
+		if commitRevision <= revision && !keep(job) {
+			delete(r.commitRevisions, job)
 		}
 	}
 }
@@ -92,52 +92,52 @@
 // MessagesFor makes a round for a peer. mirrorRevision is the revision that the own mirror has
 // reached; recordsLoaded says whether all records have been read by this incarnation.
 func (r *Relay) MessagesFor(
-	name string, now monotime.Micros, mirrorRevision uint64, recordsLoaded bool,
+	peerName string, now monotime.Micros, mirrorRevision uint64, recordsLoaded bool,
 ) []RoundMessage {
-	peer := r.peers[name]
+	peer := r.peers[peerName]
 	if peer == nil {
 		return nil
 	}
 	r.round++
-	list := r.Since(peer.mirrorRevision)
-	parts := max(1, (len(list)+maxCommittedPerMessage-1)/maxCommittedPerMessage)
-	out := make([]RoundMessage, 0, parts)
-	for i := range parts {
-		begin, end := i*maxCommittedPerMessage, min(len(list), (i+1)*maxCommittedPerMessage)
-		out = append(out, RoundMessage{
+	cancellations := r.Since(peer.mirrorRevision)
+	messageCount := max(1, (len(cancellations)+maxCommittedPerMessage-1)/maxCommittedPerMessage)
+	messages := make([]RoundMessage, 0, messageCount)
+	for i := range messageCount {
+		begin, end := i*maxCommittedPerMessage, min(len(cancellations), (i+1)*maxCommittedPerMessage)
+		messages = append(messages, RoundMessage{
 			Incarnation: r.incarnation, Clock: now,
 			EchoedIncarnation: peer.incarnation, EchoedClock: peer.clock,
 			MirrorRevision: mirrorRevision, RecordsLoaded: recordsLoaded,
-			Round: r.round, MessagesInRound: parts, Committed: list[begin:end],
+			Round: r.round, MessagesInRound: messageCount, Committed: cancellations[begin:end],
 		})
 	}
-	return out
+	return messages
 }
 
 // Receive takes a peer's message and returns the cancellations in it that were not
 // known yet. The caller must act on them before it calls ConfirmedUntil again.
-func (r *Relay) Receive(name string, m RoundMessage) []Committed {
-	peer := r.peers[name]
+func (r *Relay) Receive(peerName string, m RoundMessage) []Committed {
+	peer := r.peers[peerName]
 	if peer == nil {
 		return nil
 	}
-	peer.noteSender(m)
-	var fresh []Committed
+	peer.updateSenderState(m)
+	var newlyKnown []Committed
 	for _, c := range m.Committed {
-		if _, known := r.committed[c.Job]; !known {
+		if _, known := r.commitRevisions[c.Job]; !known {
 			r.Add(c)
-			fresh = append(fresh, c)
+			newlyKnown = append(newlyKnown, c)
 		}
 	}
-	if peer.roundComplete(m) && m.RecordsLoaded && m.EchoedIncarnation == r.incarnation {
+	if peer.completesRound(m) && m.RecordsLoaded && m.EchoedIncarnation == r.incarnation {
 		peer.knownUntil = max(peer.knownUntil, m.EchoedClock)
 	}
-	return fresh
+	return newlyKnown
 }
 
-// noteSender keeps the newest of what a peer says of itself. A message of an earlier
+// updateSenderState keeps the newest of what a peer says of itself. A message of an earlier
 // incarnation may come late; what is echoed of it moves nothing in the present one.
-func (p *peerState) noteSender(m RoundMessage) {
+func (p *peerState) updateSenderState(m RoundMessage) {
 	if m.Incarnation != p.incarnation {
 		p.incarnation, p.clock, p.mirrorRevision = m.Incarnation, m.Clock, m.MirrorRevision
 		return
@@ -146,25 +146,25 @@
 	p.mirrorRevision = max(p.mirrorRevision, m.MirrorRevision)
 }
 
-// roundComplete counts a round's messages and reports whether all have come. Messages on
+// completesRound counts a round's messages and reports whether all have come. Messages on
 // one connection keep their order; a lost one leaves its round incomplete.
-func (p *peerState) roundComplete(m RoundMessage) bool {
+func (p *peerState) completesRound(m RoundMessage) bool {
 	if m.Round != p.round {
-		p.round, p.received = m.Round, 0
+		p.round, p.receivedInRound = m.Round, 0
 	}
-	p.received++
-	return p.received == m.MessagesInRound
+	p.receivedInRound++
+	return p.receivedInRound == m.MessagesInRound
 }
 
 // ConfirmedUntil returns the moment, by this controller's clock, up to which every cancellation that any
-// controller has confirmed to a user is known here. mirrored is when the request was
+// controller has confirmed to a user is known here. mirrorFreshAt is when the request was
 // sent that last brought the mirror up to date: it holds all that was committed before.
 // A peer's complete round holds all that it had confirmed when it made the round, which
 // was after it had received the clock reading that it echoes.
-func (r *Relay) ConfirmedUntil(mirrored, now monotime.Micros) monotime.Micros {
-	heard := now
+func (r *Relay) ConfirmedUntil(mirrorFreshAt, now monotime.Micros) monotime.Micros {
+	knownFromPeers := now
 	for _, peer := range r.peers {
-		heard = min(heard, peer.knownUntil)
+		knownFromPeers = min(knownFromPeers, peer.knownUntil)
 	}
-	return max(mirrored, heard)
+	return max(mirrorFreshAt, knownFromPeers)
 }
--- a/internal/cancellation/relay_test.go
+++ b/internal/cancellation/relay_test.go
@@ -9,111 +9,111 @@
 )
 
 // relayPair is two controllers' relays, and the messages of a round that are delivered.
-type relayPair struct{ holder, confirmer *Relay }
+type relayPair struct{ renewer, confirmer *Relay }
 
 func newPair() *relayPair {
-	return &relayPair{NewRelay(11, []string{"confirmer"}), NewRelay(22, []string{"holder"})}
+	return &relayPair{NewRelay(11, []string{"confirmer"}), NewRelay(22, []string{"renewer"})}
 }
 
-// deliverToConfirmer delivers the holder's round to the confirmer.
-func (p *relayPair) deliverToConfirmer(now monotime.Micros, watched uint64) {
-	for _, m := range p.holder.MessagesFor("confirmer", now, watched, true) {
-		p.confirmer.Receive("holder", m)
+// deliverToConfirmer delivers the renewer's round to the confirmer.
+func (p *relayPair) deliverToConfirmer(now monotime.Micros, mirrorRevision uint64) {
+	for _, m := range p.renewer.MessagesFor("confirmer", now, mirrorRevision, true) {
+		p.confirmer.Receive("renewer", m)
 	}
 }
 
-// deliverToHolder delivers the confirmer's round to the holder, without the messages in lost.
-func (p *relayPair) deliverToHolder(complete bool, lost ...int) []Committed {
-	var fresh []Committed
-	for i, m := range p.confirmer.MessagesFor("holder", 1_000_000, 0, complete) {
-		if !slices.Contains(lost, i) {
-			fresh = append(fresh, p.holder.Receive("confirmer", m)...)
+// deliverToRenewer delivers the confirmer's round to the renewer, without the messages in lostMessages.
+func (p *relayPair) deliverToRenewer(recordsLoaded bool, lostMessages ...int) []Committed {
+	var newlyKnown []Committed
+	for i, m := range p.confirmer.MessagesFor("renewer", 1_000_000, 0, recordsLoaded) {
+		if !slices.Contains(lostMessages, i) {
+			newlyKnown = append(newlyKnown, p.renewer.Receive("confirmer", m)...)
 		}
 	}
-	return fresh
+	return newlyKnown
 }
 
 func TestConfirmedOnlyAfterRoundTrip(t *testing.T) {
-	const told, now = monotime.Micros(500), monotime.Micros(900)
-	many := func(r *Relay) {
+	const roundSentAt, now = monotime.Micros(500), monotime.Micros(900)
+	addCancellations := func(r *Relay) {
 		for i := range 2*maxCommittedPerMessage + 1 {
 			r.Add(Committed{fmt.Sprintf("j-%d", i), uint64(100 + i)})
 		}
 	}
 	cases := []struct {
-		name     string
-		do       func(p *relayPair) int // returns the cancellations that reached the holder
-		until    monotime.Micros
-		received int
+		name         string
+		exchange     func(p *relayPair) int // returns the cancellations that reached the renewer
+		wantUntil    monotime.Micros
+		wantReceived int
 	}{
 		{"nothing heard", func(*relayPair) int { return 0 }, 0, 0},
 		{
 			"one round trip",
-			func(p *relayPair) int { p.deliverToConfirmer(told, 50); return len(p.deliverToHolder(true)) },
-			told,
+			func(p *relayPair) int { p.deliverToConfirmer(roundSentAt, 50); return len(p.deliverToRenewer(true)) },
+			roundSentAt,
 			0,
 		},
-		{"a word that echoes nothing", func(p *relayPair) int { return len(p.deliverToHolder(true)) }, 0, 0},
+		{"a word that echoes nothing", func(p *relayPair) int { return len(p.deliverToRenewer(true)) }, 0, 0},
 		{
 			"a peer that hasn't read its records",
-			func(p *relayPair) int { p.deliverToConfirmer(told, 50); return len(p.deliverToHolder(false)) },
+			func(p *relayPair) int { p.deliverToConfirmer(roundSentAt, 50); return len(p.deliverToRenewer(false)) },
 			0,
 			0,
 		},
 		{"a cancellation goes along", func(p *relayPair) int {
-			p.deliverToConfirmer(told, 50)
+			p.deliverToConfirmer(roundSentAt, 50)
 			p.confirmer.Add(Committed{"j-1", 60})
-			return len(p.deliverToHolder(true))
-		}, told, 1},
+			return len(p.deliverToRenewer(true))
+		}, roundSentAt, 1},
 		{"what the mirror has is left out", func(p *relayPair) int {
-			p.deliverToConfirmer(told, 60)
+			p.deliverToConfirmer(roundSentAt, 60)
 			p.confirmer.Add(Committed{"j-1", 60})
-			return len(p.deliverToHolder(true))
-		}, told, 0},
+			return len(p.deliverToRenewer(true))
+		}, roundSentAt, 0},
 		{"many cancellations", func(p *relayPair) int {
-			p.deliverToConfirmer(told, 50)
-			many(p.confirmer)
-			return len(p.deliverToHolder(true))
-		}, told, 2*maxCommittedPerMessage + 1},
+			p.deliverToConfirmer(roundSentAt, 50)
+			addCancellations(p.confirmer)
+			return len(p.deliverToRenewer(true))
+		}, roundSentAt, 2*maxCommittedPerMessage + 1},
 		{"many, the first message lost", func(p *relayPair) int {
-			p.deliverToConfirmer(told, 50)
-			many(p.confirmer)
-			return len(p.deliverToHolder(true, 0))
+			p.deliverToConfirmer(roundSentAt, 50)
+			addCancellations(p.confirmer)
+			return len(p.deliverToRenewer(true, 0))
 		}, 0, maxCommittedPerMessage + 1},
 		{"many, the last message lost", func(p *relayPair) int {
-			p.deliverToConfirmer(told, 50)
-			many(p.confirmer)
-			return len(p.deliverToHolder(true, 2))
+			p.deliverToConfirmer(roundSentAt, 50)
+			addCancellations(p.confirmer)
+			return len(p.deliverToRenewer(true, 2))
 		}, 0, 2 * maxCommittedPerMessage},
 		{"many, the next round whole", func(p *relayPair) int {
-			p.deliverToConfirmer(told, 50)
-			many(p.confirmer)
-			n := len(p.deliverToHolder(true, 1))
-			return n + len(p.deliverToHolder(true))
-		}, told, 2*maxCommittedPerMessage + 1},
-		{"an echo of an earlier life of the holder", func(p *relayPair) int {
-			p.deliverToConfirmer(told, 50)
-			p.holder = NewRelay(12, []string{"confirmer"})
-			return len(p.deliverToHolder(true))
+			p.deliverToConfirmer(roundSentAt, 50)
+			addCancellations(p.confirmer)
+			n := len(p.deliverToRenewer(true, 1))
+			return n + len(p.deliverToRenewer(true))
+		}, roundSentAt, 2*maxCommittedPerMessage + 1},
+		{"an echo of an earlier life of the renewer", func(p *relayPair) int {
+			p.deliverToConfirmer(roundSentAt, 50)
+			p.renewer = NewRelay(12, []string{"confirmer"})
+			return len(p.deliverToRenewer(true))
 		}, 0, 0},
-		{"a late round of an earlier life of the holder", func(p *relayPair) int {
-			late := p.holder.MessagesFor("confirmer", told, 50, true)
-			p.holder = NewRelay(12, []string{"confirmer"})
+		{"a late round of an earlier life of the renewer", func(p *relayPair) int {
+			lateRound := p.renewer.MessagesFor("confirmer", roundSentAt, 50, true)
+			p.renewer = NewRelay(12, []string{"confirmer"})
 			p.deliverToConfirmer(100, 0)
-			p.confirmer.Receive("holder", late[0])
-			return len(p.deliverToHolder(true))
+			p.confirmer.Receive("renewer", lateRound[0])
+			return len(p.deliverToRenewer(true))
 		}, 0, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPair()
-			if n := tc.do(p); n != tc.received {
-				t.Errorf("%d cancellations reach the holder, not %d", n, tc.received)
+			if n := tc.exchange(p); n != tc.wantReceived {
+				t.Errorf("%d cancellations reach the renewer, not %d", n, tc.wantReceived)
 			}
-			if got := p.holder.ConfirmedUntil(0, now); got != tc.until {
-				t.Errorf("known until %d, not %d", got, tc.until)
+			if got := p.renewer.ConfirmedUntil(0, now); got != tc.wantUntil {
+				t.Errorf("known until %d, not %d", got, tc.wantUntil)
 			}
-			if got := p.holder.ConfirmedUntil(700, now); got != 700 {
+			if got := p.renewer.ConfirmedUntil(700, now); got != 700 {
 				t.Errorf("a newer mirror doesn't count: %d", got)
 			}
 		})
@@ -125,19 +125,19 @@
 
 // TestConfirmedUntilIsMinimumOverPeers: one peer that isn't heard leaves all in doubt.
 func TestConfirmedUntilIsMinimumOverPeers(t *testing.T) {
-	holder := NewRelay(1, []string{"a", "b"})
+	renewer := NewRelay(1, []string{"a", "b"})
 	for _, name := range []string{"a", "b"} {
-		if got := holder.ConfirmedUntil(0, 900); got != 0 {
+		if got := renewer.ConfirmedUntil(0, 900); got != 0 {
 			t.Errorf("before %s is heard: known until %d", name, got)
 		}
-		other := NewRelay(2, []string{"holder"})
-		other.Receive("holder", holder.MessagesFor(name, 500, 0, true)[0])
-		holder.Receive(name, other.MessagesFor("holder", 7, 0, true)[0])
+		peer := NewRelay(2, []string{"renewer"})
+		peer.Receive("renewer", renewer.MessagesFor(name, 500, 0, true)[0])
+		renewer.Receive(name, peer.MessagesFor("renewer", 7, 0, true)[0])
 	}
-	if got := holder.ConfirmedUntil(0, 900); got != 500 {
+	if got := renewer.ConfirmedUntil(0, 900); got != 500 {
 		t.Errorf("known until %d", got)
 	}
-	if holder.Receive(
+	if renewer.Receive(
 		"stranger",
 		RoundMessage{RecordsLoaded: true, MessagesInRound: 1, EchoedIncarnation: 1, EchoedClock: 800},
 	) != nil {
@@ -148,15 +148,15 @@
 // TestReceivedCancellationsAreRelayed: a third controller passes on what the confirmer told it, also when the
 // confirmer is gone; what is over everywhere is forgotten.
 func TestReceivedCancellationsAreRelayed(t *testing.T) {
-	third := NewRelay(3, []string{"confirmer", "holder"})
+	third := NewRelay(3, []string{"confirmer", "renewer"})
 	third.Receive(
 		"confirmer",
 		RoundMessage{MessagesInRound: 1, Committed: []Committed{{"j-1", 60}, {"j-2", 61}}},
 	)
 	third.Forget("j-2")
-	ms := third.MessagesFor("holder", 5, 0, true)
-	if len(ms) != 1 || !slices.Equal(ms[0].Committed, []Committed{{"j-1", 60}}) {
-		t.Errorf("passed on: %+v", ms)
+	messages := third.MessagesFor("renewer", 5, 0, true)
+	if len(messages) != 1 || !slices.Equal(messages[0].Committed, []Committed{{"j-1", 60}}) {
+		t.Errorf("passed on: %+v", messages)
 	}
 	third.Prune(59, func(string) bool { return false })
 	if len(third.Since(0)) != 1 {
