--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -81,31 +81,31 @@
 
 // availabilityByScope counts the replicas of all scopes of a snapshot.
 func (p *Policy) availabilityByScope(s *Snapshot) map[Scope]*Availability {
-	counted := map[Scope]*Availability{}
+	byScope := map[Scope]*Availability{}
 	for _, id := range sortedmap.Keys(s.jobs) {
 		job := s.jobs[id]
 		if job.Failing {
 			continue
 		}
 		for _, scope := range p.scopesOf(job) {
-			if counted[scope] == nil {
-				counted[scope] = &Availability{Scope: scope, onMachine: map[string]int{}}
+			if byScope[scope] == nil {
+				byScope[scope] = &Availability{Scope: scope, onMachine: map[string]int{}}
 			}
-			counted[scope].Desired += job.Replicas
+			byScope[scope].Desired += job.Replicas
 		}
 	}
 	s.ForEachMachine(func(machine *Machine) bool {
-		p.countMachine(s, machine, counted)
+		p.countMachine(s, machine, byScope)
 		return true
 	})
-	for _, availability := range counted {
+	for _, availability := range byScope {
 		p.setBounds(availability)
 	}
-	return counted
+	return byScope
 }
 
 // countMachine counts a machine's available replicas.
-func (p *Policy) countMachine(s *Snapshot, machine *Machine, counted map[Scope]*Availability) {
+func (p *Policy) countMachine(s *Snapshot, machine *Machine, byScope map[Scope]*Availability) {
 	if !machine.reachable() {
 		return
 	}
@@ -115,17 +115,17 @@
 			continue
 		}
 		for _, scope := range p.scopesOf(job) {
-			counted[scope].Available++
-			counted[scope].onMachine[machine.ID]++
+			byScope[scope].Available++
+			byScope[scope].onMachine[machine.ID]++
 		}
 	}
 }
 
 // setBounds works out what a scope's budget requires.
 func (p *Policy) setBounds(availability *Availability) {
-	budget, ok := p.budgetFor(availability.Scope)
-	availability.Budgeted = ok
-	if !ok {
+	budget, budgeted := p.budgetFor(availability.Scope)
+	availability.Budgeted = budgeted
+	if !budgeted {
 		budget = p.defaultBudget()
 	}
 	availability.MinAvailable = max(0, budget.MinAvailableOf(availability.Desired))
@@ -133,7 +133,7 @@
 	if budget.ReserveMachines != nil {
 		availability.ReserveMachines = *budget.ReserveMachines
 	}
-	if !ok {
+	if !budgeted {
 		availability.ReserveMachines = 0
 	}
 }
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -99,7 +99,7 @@
 		}
 	}
 	for i := range s.drains {
-		d.advance(&s.drains[i])
+		d.decideDrain(&s.drains[i])
 	}
 	return d.decision
 }
@@ -107,7 +107,7 @@
 // reviewPermit decides what becomes of a permit.
 func (d *decider) reviewPermit(team string, permit *storage.Permit) {
 	d.recordBytes[team] += permitBytes(permit)
-	if d.completed(permit) {
+	if d.isCompleted(permit) {
 		if d.controller.Responsible(team) {
 			d.decision.Completed[team] = append(d.decision.Completed[team], *permit)
 		}
@@ -124,14 +124,14 @@
 	}
 }
 
-// completed reports whether a permit has served its purpose: the service has ended, or another attempt of the
+// isCompleted reports whether a permit has served its purpose: the service has ended, or another attempt of the
 // replica runs.
-func (d *decider) completed(permit *storage.Permit) bool {
+func (d *decider) isCompleted(permit *storage.Permit) bool {
 	if _, known := d.snapshot.jobs[permit.Job]; !known {
 		return true
 	}
-	machine, replica, held := d.snapshot.replicaOf(permit.Job, permit.Task)
-	return held && replica.Attempt != permit.Attempt && !replica.Starting && machine.reachable()
+	machine, replica, found := d.snapshot.replicaOf(permit.Job, permit.Task)
+	return found && replica.Attempt != permit.Attempt && !replica.Starting && machine.reachable()
 }
 
 // holdsAttempt reports whether the attempt that a permit is for is still on a machine.
@@ -148,7 +148,7 @@
 // may have been lost since the permit was granted, or its commit was applied late.
 func (d *decider) stillAllowed(permit *storage.Permit, from *Machine) bool {
 	record, ok := d.snapshot.drainCovering(from)
-	if !ok || record.Name != permit.Drain || !d.stepsAllowed(record) {
+	if !ok || record.Name != permit.Drain || !d.mayStopReplicas(record) {
 		return false
 	}
 	job := d.snapshot.jobs[permit.Job]
@@ -160,8 +160,8 @@
 	return true
 }
 
-// stepsAllowed reports whether a drain may stop anything now.
-func (d *decider) stepsAllowed(record *DrainRecord) bool {
+// mayStopReplicas reports whether a drain may stop anything now.
+func (d *decider) mayStopReplicas(record *DrainRecord) bool {
 	return record.State == storage.DrainActive && !d.snapshot.deadlinePassed(record)
 }
 
@@ -172,52 +172,52 @@
 
 // NextState is the next state of a drain without an operator's command: it ends when none of its machines is
 // left, and is paused at its deadline. With next nil and changed true its record is to be deleted, as it
-// ended longer ago than kept, in microseconds. While machines that it covers may still come up (expecting),
+// ended longer ago than retention, in microseconds. While machines that it covers may still come up (expectsMachines),
 // it doesn't end.
 func (s *Snapshot) NextState(
 	record *DrainRecord,
-	expecting bool,
-	kept int64,
+	expectsMachines bool,
+	retention int64,
 ) (next *storage.Drain, changed bool) {
-	rec := record.Drain
-	switch rec.State {
+	updated := record.Drain
+	switch updated.State {
 	case storage.DrainDone, storage.DrainAborted:
-		return nil, s.Wall-rec.EndedAt > kept
+		return nil, s.Wall-updated.EndedAt > retention
 	case storage.DrainActive:
 	default:
 		return nil, false
 	}
 	switch {
-	case !expecting && len(s.Selected(&rec)) == 0:
-		rec.State, rec.Reason, rec.EndedAt = storage.DrainDone, "", s.Wall
-		if rec.ClosesOffers() {
-			rec.State = storage.DrainDrained
-			rec.Reason = "nothing is left; nothing is rented there until the drain is aborted"
+	case !expectsMachines && len(s.Selected(&updated)) == 0:
+		updated.State, updated.Reason, updated.EndedAt = storage.DrainDone, "", s.Wall
+		if updated.ClosesOffers() {
+			updated.State = storage.DrainDrained
+			updated.Reason = "nothing is left; nothing is rented there until the drain is aborted"
 		}
 	case s.deadlinePassed(record):
-		rec.State, rec.Reason = storage.DrainPaused, "the deadline has passed"
+		updated.State, updated.Reason = storage.DrainPaused, "the deadline has passed"
 	default:
 		return nil, false
 	}
-	return &rec, true
+	return &updated, true
 }
 
-// MachinesInStep lists the machines of a drain that are being emptied, at most MaxParallel of them: first
+// MachinesBeingEmptied lists the machines of a drain that are being emptied, at most MaxParallel of them: first
 // those with replicas under permits, then others, each in the order of their ids.
-func (s *Snapshot) MachinesInStep(record *DrainRecord) []string {
-	var begun, others []string
+func (s *Snapshot) MachinesBeingEmptied(record *DrainRecord) []string {
+	var withPermits, withoutPermits []string
 	for _, id := range s.Selected(&record.Drain) {
 		machine, _ := s.Machine(id)
 		switch {
 		case machine.State == storage.MachineRemoving || machine.isEmpty():
 		case machine.hasPermits():
-			begun = append(begun, id)
+			withPermits = append(withPermits, id)
 		default:
-			others = append(others, id)
+			withoutPermits = append(withoutPermits, id)
 		}
 	}
-	step := append(begun, others...)
-	return step[:min(len(step), record.MaxParallel)]
+	ordered := append(withPermits, withoutPermits...)
+	return ordered[:min(len(ordered), record.MaxParallel)]
 }
 
 // isEmpty reports whether no task holds anything on a machine.
@@ -233,30 +233,30 @@
 	return false
 }
 
-// advance decides on the next permits of an active drain.
-func (d *decider) advance(record *DrainRecord) {
+// decideDrain decides on the next permits of an active drain.
+func (d *decider) decideDrain(record *DrainRecord) {
 	if record.State != storage.DrainActive {
 		return
 	}
-	for _, id := range d.snapshot.MachinesInStep(record) {
+	for _, id := range d.snapshot.MachinesBeingEmptied(record) {
 		machine, _ := d.snapshot.Machine(id)
 		if d.snapshot.deadlinePassed(record) {
 			d.block(record, machine, nil, BlockedByDeadline, "the deadline has passed")
 			continue
 		}
-		d.emptyMachine(record, machine)
+		d.decideMachine(record, machine)
 	}
 }
 
-// emptyMachine decides on the replicas of a machine of the current step, and on its array tasks once no
+// decideMachine decides on the replicas of a machine of the current step, and on its array tasks once no
 // replica has to stay.
-func (d *decider) emptyMachine(record *DrainRecord, machine *Machine) {
+func (d *decider) decideMachine(record *DrainRecord, machine *Machine) {
 	if machine.State != storage.MachineCordoned {
-		d.blockMachine(record, machine)
+		d.blockUncordonedMachine(record, machine)
 		return
 	}
-	own := machine.Owner == d.controller.Node
-	if !own && !d.controller.Live(machine.Owner) {
+	owned := machine.Owner == d.controller.Node
+	if !owned && !d.controller.Live(machine.Owner) {
 		d.block(record, machine, nil, BlockedByController,
 			fmt.Sprintf("controller %s is gone, its successor isn't there yet", machine.Owner))
 	}
@@ -273,17 +273,17 @@
 			d.block(record, machine, &replica, move.blockedBy, move.reason)
 			continue
 		}
-		if own {
+		if owned {
 			d.grant(job, move.permit)
 		}
 	}
-	if own && staying == 0 {
+	if owned && staying == 0 {
 		d.decision.StopArrays = append(d.decision.StopArrays, machine.ID)
 	}
 }
 
-// blockMachine says why nothing can be moved off a machine that isn't cordoned.
-func (d *decider) blockMachine(record *DrainRecord, machine *Machine) {
+// blockUncordonedMachine says why nothing can be moved off a machine that isn't cordoned.
+func (d *decider) blockUncordonedMachine(record *DrainRecord, machine *Machine) {
 	switch machine.State {
 	case storage.MachineUnreachable:
 		d.block(record, machine, nil, BlockedByCordon, "the machine is out of reach")
@@ -335,12 +335,12 @@
 // destinationFor finds a machine for a replica. It remembers what none can take: many replicas are alike.
 func (d *decider) destinationFor(job *Job, from *Machine) (*Machine, bool) {
 	key := placementKey{job.PerTask, fmt.Sprint(job.Types), job.Zone, job.Spot, from.ID}
-	zoneless := !job.OneZone && !job.Spread
-	if zoneless && d.unplaceable[key] {
+	withoutZoneRules := !job.OneZone && !job.Spread
+	if withoutZoneRules && d.unplaceable[key] {
 		return nil, false
 	}
 	to, ok := d.snapshot.destination(job, from, d.controller.Live)
-	if zoneless && !ok {
+	if withoutZoneRules && !ok {
 		d.unplaceable[key] = true
 	}
 	return to, ok
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -76,7 +76,7 @@
 	return b.Build()
 }
 
-func job(team string) Job {
+func webJob(team string) Job {
 	return Job{Team: team, Class: "web", PerTask: resources.Vector{CPUs: 2, MemoryGB: 4}, Priority: 3}
 }
 
@@ -84,7 +84,7 @@
 	return storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: zone}, MaxParallel: 5}
 }
 
-func policyOf(reserve int, budgets ...config.DisruptionBudget) *Policy {
+func policyWithReserve(reserve int, budgets ...config.DisruptionBudget) *Policy {
 	return NewPolicy(
 		&config.DrainSettings{
 			DefaultMaxUnavailable:  1,
@@ -105,31 +105,31 @@
 	return budget
 }
 
-func nodeZero() *Controller {
-	yes := func(string) bool { return true }
-	return &Controller{Node: "n-0", Live: yes, Responsible: yes, RecordBytes: 4000}
+func controllerN0() *Controller {
+	always := func(string) bool { return true }
+	return &Controller{Node: "n-0", Live: always, Responsible: always, RecordBytes: 4000}
 }
 
-// cordonedZone is machines of zone a that are cordoned, and two with room in zone b.
-func cordonedZone(replicas ...string) *fleetSpec {
+// fleetWithCordonedZone is machines of zone a that are cordoned, and two with room in zone b.
+func fleetWithCordonedZone(replicas ...string) *fleetSpec {
 	f := &fleetSpec{
 		machines: map[string][]string{"i-8": nil, "i-9": nil},
 		zones:    map[string]string{"i-8": "b", "i-9": "b"},
-		jobs:     map[string]Job{"j-1": job("t")},
+		jobs:     map[string]Job{"j-1": webJob("t")},
 		drains:   map[string]storage.Drain{"rack": zoneDrain("a")},
 		state:    map[string]storage.MachineState{},
 		permits:  map[string][]storage.Permit{},
 		starting: map[string]bool{},
 	}
-	for i, on := range replicas {
+	for i, jobs := range replicas {
 		id := fmt.Sprintf("i-%d", i+1)
-		f.machines[id] = strings.Fields(on)
+		f.machines[id] = strings.Fields(jobs)
 		f.state[id] = storage.MachineCordoned
 	}
 	return f
 }
 
-func granted(d *Decision) int {
+func countGranted(d *Decision) int {
 	n := 0
 	for _, permits := range d.Granted {
 		n += len(permits)
@@ -139,117 +139,129 @@
 
 // TestGrantsWithinBudgetAndReserve: as many permits as the budget leaves, reserve included.
 func TestGrantsWithinBudgetAndReserve(t *testing.T) {
-	four := []string{"j-1 j-1", "j-1", "j-1"}
+	fourReplicas := []string{"j-1 j-1", "j-1", "j-1"}
 	cases := []struct {
-		name    string
-		policy  *Policy
-		fleet   *fleetSpec
-		grants  int
-		blocked BlockKind
+		name        string
+		policy      *Policy
+		fleet       *fleetSpec
+		wantGrants  int
+		wantBlocked BlockKind
 	}{
-		{"two may be missing", policyOf(0, minAvailable("t", 2)), cordonedZone(four...), 2, BlockedByBudget},
+		{
+			"two may be missing",
+			policyWithReserve(0, minAvailable("t", 2)),
+			fleetWithCordonedZone(fourReplicas...),
+			2,
+			BlockedByBudget,
+		},
 		{
 			"the reserve counts the fullest machine that is left",
-			policyOf(1, minAvailable("t", 2)),
-			cordonedZone(four...),
+			policyWithReserve(1, minAvailable("t", 2)),
+			fleetWithCordonedZone(fourReplicas...),
 			1,
 			BlockedByBudget,
 		},
 		{
 			"the reserve takes all",
-			policyOf(2, minAvailable("t", 2)),
-			cordonedZone(four...),
+			policyWithReserve(2, minAvailable("t", 2)),
+			fleetWithCordonedZone(fourReplicas...),
 			0,
 			BlockedByBudget,
 		},
-		{"the default pace", policyOf(1), cordonedZone(four...), 1, BlockedByBudget},
+		{"the default pace", policyWithReserve(1), fleetWithCordonedZone(fourReplicas...), 1, BlockedByBudget},
 		{
 			"a budget of the class",
-			policyOf(0, minAvailableOfClass("t", "web", 3)),
-			cordonedZone(four...),
+			policyWithReserve(0, minAvailableOfClass("t", "web", 3)),
+			fleetWithCordonedZone(fourReplicas...),
 			1,
 			BlockedByBudget,
 		},
 		{
 			"the tighter of two budgets",
-			policyOf(0, minAvailable("t", 1), minAvailableOfClass("t", "web", 3)),
-			cordonedZone(four...),
+			policyWithReserve(0, minAvailable("t", 1), minAvailableOfClass("t", "web", 3)),
+			fleetWithCordonedZone(fourReplicas...),
 			1,
 			BlockedByBudget,
 		},
-		{"unreachable", policyOf(0, minAvailable("t", 4)), cordonedZone(four...), 0, BlockedByBudget},
-		{"starting replicas count as missing", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{
+			"unreachable",
+			policyWithReserve(0, minAvailable("t", 4)),
+			fleetWithCordonedZone(fourReplicas...),
+			0,
+			BlockedByBudget,
+		},
+		{"starting replicas count as missing", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			f.starting["i-3"] = true
 			return f
 		}(), 0, BlockedByBudget},
-		{"permits count as missing", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"permits count as missing", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			f.permits["t"] = []storage.Permit{
 				{Drain: "rack", Job: "j-1", Task: 3, Attempt: 7, From: "i-3", To: "i-8"},
 			}
 			return f
 		}(), 0, BlockedByBudget},
-		{"a machine out of reach counts as lost", policyOf(0, minAvailable("t", 3)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"a machine out of reach counts as lost", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			f.state["i-3"] = storage.MachineUnreachable
 			return f
 		}(), 0, BlockedByBudget},
-		{"no room", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"no room", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			delete(f.machines, "i-8")
 			delete(f.machines, "i-9")
 			return f
 		}(), 0, BlockedByCapacity},
 		{
 			"what the drain covers is no place, cordoned or not",
-			policyOf(0, minAvailable("t", 0)),
+			policyWithReserve(0, minAvailable("t", 0)),
 			func() *fleetSpec {
-				f := cordonedZone(four...)
+				f := fleetWithCordonedZone(fourReplicas...)
 				f.zones["i-8"], f.zones["i-9"] = "a", "a"
 				return f
 			}(),
 			0,
 			BlockedByCapacity,
 		},
-		{"the job must stay in one zone", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"the job must stay in one zone", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			j := f.jobs["j-1"]
 			j.OneZone = true
 			f.jobs["j-1"] = j
 			return f
 		}(), 0, BlockedByCapacity},
-		{"half of the job may be in the other zone", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"half of the job may be in the other zone", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			j := f.jobs["j-1"]
 			j.Spread = true
 			f.jobs["j-1"] = j
 			f.machines["i-8"] = []string{"j-1"}
 			return f
 		}(), 4, ""},
-		{"paused", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"paused", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			record := zoneDrain("a")
 			record.State = storage.DrainPaused
 			f.drains["rack"] = record
 			return f
 		}(), 0, ""},
-		{"past the deadline", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"past the deadline", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			record := zoneDrain("a")
 			record.DeadlineAt = 900
 			f.drains["rack"] = record
 			return f
 		}(), 0, BlockedByDeadline},
-		{"not cordoned yet", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"not cordoned yet", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			for id := range f.state {
 				f.state[id] = storage.MachineOpen
 			}
 			return f
 		}(), 0, BlockedByCordon},
-		{"two machines at a time", policyOf(0, minAvailable("t", 0)), func() *fleetSpec {
-			f := cordonedZone(four...)
+		{"two machines at a time", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+			f := fleetWithCordonedZone(fourReplicas...)
 			record := zoneDrain("a")
 			record.MaxParallel = 2
 			f.drains["rack"] = record
@@ -257,24 +269,26 @@
 		}(), 3, ""},
 	}
 	for _, tc := range cases {
-		d := tc.policy.Decide(tc.fleet.build(), nodeZero())
-		if got := granted(d); got != tc.grants {
-			t.Errorf("%s: %d permits, want %d; blocked %+v", tc.name, got, tc.grants, d.Blocked)
+		d := tc.policy.Decide(tc.fleet.build(), controllerN0())
+		if got := countGranted(d); got != tc.wantGrants {
+			t.Errorf("%s: %d permits, want %d; blocked %+v", tc.name, got, tc.wantGrants, d.Blocked)
 		}
-		ofKind := slices.ContainsFunc(d.Blocked, func(blockage Blockage) bool { return blockage.Kind == tc.blocked })
-		if tc.blocked == "" && len(d.Blocked) > 0 || tc.blocked != "" && !ofKind {
-			t.Errorf("%s: blocked %+v, want %q", tc.name, d.Blocked, tc.blocked)
+		blockedAsWanted := slices.ContainsFunc(d.Blocked, func(blockage Blockage) bool {
+			return blockage.Kind == tc.wantBlocked
+		})
+		if tc.wantBlocked == "" && len(d.Blocked) > 0 || tc.wantBlocked != "" && !blockedAsWanted {
+			t.Errorf("%s: blocked %+v, want %q", tc.name, d.Blocked, tc.wantBlocked)
 		}
 	}
 }
 
 // TestPermitRecordBounded: a team's record takes no more permits than it can hold.
 func TestPermitRecordBounded(t *testing.T) {
-	controller := nodeZero()
+	controller := controllerN0()
 	controller.RecordBytes = 170 // two permits
-	d := policyOf(0, minAvailable("t", 0)).Decide(cordonedZone("j-1 j-1 j-1").build(), controller)
-	if granted(d) != 2 || d.Blocked[0].Kind != BlockedByPermits {
-		t.Errorf("%d permits, blocked %+v", granted(d), d.Blocked)
+	d := policyWithReserve(0, minAvailable("t", 0)).Decide(fleetWithCordonedZone("j-1 j-1 j-1").build(), controller)
+	if countGranted(d) != 2 || d.Blocked[0].Kind != BlockedByPermits {
+		t.Errorf("%d permits, blocked %+v", countGranted(d), d.Blocked)
 	}
 }
 
@@ -282,10 +296,10 @@
 func TestGrantedPermitsAreStoppedRevokedOrCompleted(t *testing.T) {
 	permit := storage.Permit{Drain: "rack", Job: "j-1", Task: 0, Attempt: 7, From: "i-1", To: "i-8"}
 	cases := []struct {
-		name             string
-		change           func(*fleetSpec)
-		stop, back, over int
-		minimum          int
+		name                                 string
+		change                               func(*fleetSpec)
+		wantStop, wantRevoked, wantCompleted int
+		minimum                              int
 	}{
 		{"usable", func(*fleetSpec) {}, 1, 0, 0, 2},
 		{
@@ -316,14 +330,14 @@
 		},
 	}
 	for _, tc := range cases {
-		f := cordonedZone("j-1", "j-1", "j-1")
+		f := fleetWithCordonedZone("j-1", "j-1", "j-1")
 		f.permits["t"] = []storage.Permit{permit}
 		tc.change(f)
 		if tc.name == "starting at its new place" {
 			f.permits["t"][0].Attempt = 6
 		}
-		d := policyOf(0, minAvailable("t", tc.minimum)).Decide(f.build(), nodeZero())
-		if len(d.Stop) != tc.stop || len(d.Revoked) != tc.back || len(d.Completed["t"]) != tc.over {
+		d := policyWithReserve(0, minAvailable("t", tc.minimum)).Decide(f.build(), controllerN0())
+		if len(d.Stop) != tc.wantStop || len(d.Revoked) != tc.wantRevoked || len(d.Completed["t"]) != tc.wantCompleted {
 			t.Errorf(
 				"%s: stop %d, return %d, over %d",
 				tc.name,
@@ -333,22 +347,22 @@
 			)
 		}
 	}
-	f := cordonedZone("j-1", "j-1", "j-1")
+	f := fleetWithCordonedZone("j-1", "j-1", "j-1")
 	moved := permit
 	moved.Attempt = 6 // task 0 runs by attempt 7 now
 	f.permits["t"] = []storage.Permit{moved}
-	if d := policyOf(0, minAvailable("t", 2)).Decide(f.build(), nodeZero()); len(d.Completed["t"]) != 1 {
+	if d := policyWithReserve(0, minAvailable("t", 2)).Decide(f.build(), controllerN0()); len(d.Completed["t"]) != 1 {
 		t.Errorf("replaced: %+v", d)
 	}
 }
 
 // TestDecideLeavesSnapshotUnchanged: what a plan tries leaves the snapshot as it was.
 func TestDecideLeavesSnapshotUnchanged(t *testing.T) {
-	s := cordonedZone("j-1 j-1", "j-1").build()
-	policy := policyOf(0, minAvailable("t", 0))
+	s := fleetWithCordonedZone("j-1 j-1", "j-1").build()
+	policy := policyWithReserve(0, minAvailable("t", 0))
 	policy.Plan(s, "rack", zoneDrain("a"))
-	if d := policy.Decide(s, nodeZero()); granted(d) != 3 {
-		t.Errorf("after a plan: %d permits", granted(d))
+	if d := policy.Decide(s, controllerN0()); countGranted(d) != 3 {
+		t.Errorf("after a plan: %d permits", countGranted(d))
 	}
 	machine, _ := s.Machine("i-8")
 	if machine.Free.CPUs != machineCPUs {
@@ -358,8 +372,8 @@
 
 // TestPlanEmptiesMachinesInSteps: the steps of a drain, each within the budget.
 func TestPlanEmptiesMachinesInSteps(t *testing.T) {
-	f := cordonedZone("j-1 j-1", "j-1", "j-1")
-	plan := policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a"))
+	f := fleetWithCordonedZone("j-1 j-1", "j-1", "j-1")
+	plan := policyWithReserve(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a"))
 	moves := 0
 	for _, step := range plan.Steps {
 		if len(step.Moves) > 2 {
@@ -372,7 +386,7 @@
 	}
 	delete(f.machines, "i-8")
 	delete(f.machines, "i-9")
-	if plan := policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a")); len(
+	if plan := policyWithReserve(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a")); len(
 		plan.Blocked,
 	) == 0 ||
 		len(plan.Steps) > 0 {
@@ -380,7 +394,7 @@
 	}
 	record := zoneDrain("a")
 	record.Replace = true
-	plan = policyOf(0, minAvailable("t", 2)).Plan(f.build(), "rack", record)
+	plan = policyWithReserve(0, minAvailable("t", 2)).Plan(f.build(), "rack", record)
 	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].ScaleOut) == 0 ||
 		!strings.Contains(plan.Steps[0].ScaleOut[0], "zone b") {
 		t.Errorf("with replacement: %+v", plan)
@@ -391,34 +405,34 @@
 // the other keep every budget, also with the loss of any machine.
 func TestRandomGrantsKeepFloors(t *testing.T) {
 	for seed := range uint64(300) {
-		rnd := rand.New(rand.NewPCG(seed, 3))
-		f := cordonedZone()
-		f.jobs["j-2"] = job("t")
-		var on []string
-		for range 2 + rnd.IntN(5) {
+		random := rand.New(rand.NewPCG(seed, 3))
+		f := fleetWithCordonedZone()
+		f.jobs["j-2"] = webJob("t")
+		var replicasByMachine []string
+		for range 2 + random.IntN(5) {
 			var replicas []string
-			for range rnd.IntN(4) {
-				replicas = append(replicas, fmt.Sprintf("j-%d", 1+rnd.IntN(2)))
+			for range random.IntN(4) {
+				replicas = append(replicas, fmt.Sprintf("j-%d", 1+random.IntN(2)))
 			}
-			on = append(on, strings.Join(replicas, " "))
+			replicasByMachine = append(replicasByMachine, strings.Join(replicas, " "))
 		}
-		more := cordonedZone(on...)
-		more.jobs = f.jobs
-		minimum := rnd.IntN(6)
-		s := more.build()
-		d := policyOf(1, minAvailable("t", minimum)).Decide(s, nodeZero())
-		left := map[string]int{}
+		fleet := fleetWithCordonedZone(replicasByMachine...)
+		fleet.jobs = f.jobs
+		minimum := random.IntN(6)
+		s := fleet.build()
+		d := policyWithReserve(1, minAvailable("t", minimum)).Decide(s, controllerN0())
+		remaining := map[string]int{}
 		total := 0
 		s.ForEachMachine(func(machine *Machine) bool {
-			left[machine.ID] = len(machine.Replicas)
+			remaining[machine.ID] = len(machine.Replicas)
 			total += len(machine.Replicas)
 			return true
 		})
 		for _, permit := range d.Granted["t"] {
-			left[permit.From]--
+			remaining[permit.From]--
 			total--
 		}
-		for id, n := range left {
+		for id, n := range remaining {
 			if len(d.Granted["t"]) > 0 && total-n < minimum {
 				t.Errorf(
 					"seed %d: %d permits leave %d, and %d without %s; %d must stay",
@@ -436,14 +450,14 @@
 
 // TestOverlappingSelectors: drains of the same machines, there or to come.
 func TestOverlappingSelectors(t *testing.T) {
-	f := cordonedZone("j-1", "j-1")
+	f := fleetWithCordonedZone("j-1", "j-1")
 	f.zones["i-2"] = "b"
 	s := f.build()
 	byName := func(ids ...string) storage.Drain {
 		return storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Machines: ids}}
 	}
-	of := func(sel storage.Selector, through string) storage.Drain {
-		return storage.Drain{State: storage.DrainActive, Selector: sel, LastMachine: through}
+	bySelector := func(selector storage.Selector, lastMachine string) storage.Drain {
+		return storage.Drain{State: storage.DrainActive, Selector: selector, LastMachine: lastMachine}
 	}
 	cases := []struct {
 		name string
@@ -453,14 +467,14 @@
 		{"other zones", zoneDrain("a"), zoneDrain("b"), false},
 		{"a machine of the zone", zoneDrain("a"), byName("i-1"), true},
 		{"a machine of the other zone", zoneDrain("a"), byName("i-2"), false},
-		{"a type that may come up in the zone", zoneDrain("c"), of(storage.Selector{Type: "m16"}, ""), true},
+		{"a type that may come up in the zone", zoneDrain("c"), bySelector(storage.Selector{Type: "m16"}, ""), true},
 		{
 			"other kinds",
-			of(storage.Selector{CapacityType: storage.SpotCapacity}, ""),
-			of(storage.Selector{CapacityType: storage.OnDemandCapacity}, ""),
+			bySelector(storage.Selector{CapacityType: storage.SpotCapacity}, ""),
+			bySelector(storage.Selector{CapacityType: storage.OnDemandCapacity}, ""),
 			false,
 		},
-		{"only older machines", of(storage.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
+		{"only older machines", bySelector(storage.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
 	}
 	for _, tc := range cases {
 		if got := s.Overlaps(&tc.a, &tc.b); got != tc.want {
@@ -470,12 +484,12 @@
 			t.Errorf("%s, the other way round: %v", tc.name, got)
 		}
 	}
-	closing := zoneDrain("a")
-	if !ClosesOffer(&closing, "m8", "a", true) || ClosesOffer(&closing, "m8", "b", true) {
+	zoneA := zoneDrain("a")
+	if !ClosesOffer(&zoneA, "m8", "a", true) || ClosesOffer(&zoneA, "m8", "b", true) {
 		t.Error("a drain of a zone closes that zone alone")
 	}
-	replacing := of(storage.Selector{Zone: "a"}, "i-5")
-	if ClosesOffer(&replacing, "m8", "a", true) {
+	withLastMachine := bySelector(storage.Selector{Zone: "a"}, "i-5")
+	if ClosesOffer(&withLastMachine, "m8", "a", true) {
 		t.Error("a drain that lets the same be rented closes nothing")
 	}
 }
--- a/internal/drain/drainer/coverage.go
+++ b/internal/drain/drainer/coverage.go
@@ -44,12 +44,12 @@
 }
 
 // MayScaleIn reports whether a drained machine that has been empty for so long is to be removed.
-func (d *Drainer) MayScaleIn(machine *mirror.Machine, empty monotime.Micros) bool {
+func (d *Drainer) MayScaleIn(machine *mirror.Machine, emptyFor monotime.Micros) bool {
 	record, covered := d.drainCovering(machine)
 	if !covered || record.State == storage.DrainPaused {
 		return false
 	}
-	return record.RemoveAtOnce || empty >= d.deps.Machines.ScaleInDelay(machine.Record)
+	return record.RemoveAtOnce || emptyFor >= d.deps.Machines.ScaleInDelay(machine.Record)
 }
 
 // ProtectsFromPreemption reports whether a job's tasks aren't stopped to make room for others.
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -156,11 +156,11 @@
 		clear(decision.Granted)
 		decision.StopArrays = nil
 	}
-	d.evictUnpermitted(decision.StopArrays, now)
+	d.evictWithoutPermits(decision.StopArrays, now)
 	d.writePermits(decision, now)
 	d.replacementDemand = d.computeReplacementDemand(snapshot)
 	if d.deps.Membership.IsLeader(now) {
-		d.settleDrains(snapshot)
+		d.updateDrainStates(snapshot)
 	}
 	d.nextRunAt = durations.NextDue(now, d.deps.Clock.Now(), durations.SlowTickInterval)
 }
--- a/internal/drain/drainer/drainer_test.go
+++ b/internal/drain/drainer/drainer_test.go
@@ -22,13 +22,13 @@
 
 // The fleet of these tests: an own machine with a replica and an array task, and an empty one.
 const (
-	ownNode     = "n-0"
-	fullMachine = "i-1"
-	nextMachine = "i-2"
-	service     = "j-service"
-	array       = "j-array"
-	team        = "web"
-	attemptOne  = 7
+	ownNode      = "n-0"
+	fullMachine  = "i-1"
+	emptyMachine = "i-2"
+	serviceJob   = "j-service"
+	arrayJob     = "j-array"
+	team         = "web"
+	heldAttempt  = 7
 
 	workerLease = 30 * monotime.Second
 	testNow     = 100 * monotime.Second
@@ -37,14 +37,14 @@
 // controllerStub is the rest of a controller: commits succeed at once and change the mirror.
 type controllerStub struct {
 	stubs.AppliedCommits
-	records     *mirror.Mirror
-	drainer     *Drainer
-	agents      map[string]*agents.Agent
-	now         monotime.Micros
-	nextWriteAt monotime.Micros
-	synced      []string // machines whose commands were brought up to date
-	failing     bool     // the service fails wherever it runs
-	runSeconds  float64  // expected run of a task
+	records      *mirror.Mirror
+	drainer      *Drainer
+	agents       map[string]*agents.Agent
+	now          monotime.Micros
+	nextWriteAt  monotime.Micros
+	synced       []string // machines whose commands were brought up to date
+	crashLooping bool     // the service fails wherever it runs
+	runSeconds   float64  // expected run of a task
 }
 
 func newControllerStub() *controllerStub {
@@ -62,15 +62,15 @@
 		Mirror: s.records, Clock: s, Membership: s, Store: s, Agents: s, Jobs: s, Machines: s,
 		NotePermitWrite: func() {}, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 	})
-	for _, id := range []string{fullMachine, nextMachine} {
+	for _, id := range []string{fullMachine, emptyMachine} {
 		s.records.Machines[id] = &mirror.Machine{
 			ID: id, Attempts: map[mirror.TaskID]uint64{},
 			Record: &storage.ShardMachine{Type: "m8", Zone: "a", State: storage.MachineOpen},
 		}
 		s.agents[id] = agents.New(1, 0)
 	}
-	s.addJob(service, true)
-	s.addJob(array, false)
+	s.addJob(serviceJob, true)
+	s.addJob(arrayJob, false)
 	return s
 }
 
@@ -80,7 +80,7 @@
 		ID: id, TaskStates: []uint8{1}, TaskResources: resources.Vector{CPUs: 2}, AssignedTasks: 1,
 		Record: storage.OpenJob{Spec: storage.JobSpec{Team: team, Tasks: 1, CPUs: 2, Service: isService}},
 	}
-	s.records.Machines[fullMachine].Attempts[mirror.TaskID{Job: id}] = attemptOne
+	s.records.Machines[fullMachine].Attempts[mirror.TaskID{Job: id}] = heldAttempt
 }
 
 // report has the full machine's agent report both attempts as running, with a fencing token.
@@ -114,7 +114,7 @@
 func (s *controllerStub) IsCrashLooping(
 	job *mirror.Job,
 ) bool {
-	return s.failing && job.ID == service
+	return s.crashLooping && job.ID == serviceJob
 }
 func (s *controllerStub) ExpectedRunSeconds(*storage.JobSpec) float64           { return s.runSeconds }
 func (s *controllerStub) ZoneConstraint(*mirror.Job) autoscaling.ZoneConstraint { return nil }
@@ -137,7 +137,7 @@
 
 // servicePermit is a permit for the service's replica.
 func servicePermit() storage.Permit {
-	return storage.Permit{Drain: "d", Job: service, Attempt: attemptOne, From: fullMachine, To: nextMachine}
+	return storage.Permit{Drain: "d", Job: serviceJob, Attempt: heldAttempt, From: fullMachine, To: emptyMachine}
 }
 
 // putPermits has permits of the team stand in the records.
@@ -156,9 +156,9 @@
 // it.
 func TestRevokedPermitsAreRemovedOnlyUnused(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		do   func(*controllerStub)
-		kept bool
+		name     string
+		setup    func(*controllerStub)
+		wantKept bool
 	}{
 		{"unused", func(s *controllerStub) { s.report(s.agents[fullMachine].BaseToken()) }, false},
 		{"no report yet", func(*controllerStub) {}, true},
@@ -181,9 +181,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			s := newControllerStub()
 			s.putPermits(servicePermit())
-			tc.do(s)
+			tc.setup(s)
 			s.drainer.writePermits(&drain.Decision{Revoked: []storage.Permit{servicePermit()}}, s.now)
-			if kept := len(s.permits()) == 1; kept != tc.kept {
+			if kept := len(s.permits()) == 1; kept != tc.wantKept {
 				t.Errorf("permits: %+v", s.permits())
 			}
 		})
@@ -197,11 +197,11 @@
 	s.putPermits(servicePermit())
 	granted := storage.Permit{
 		Drain:   "d",
-		Job:     service,
+		Job:     serviceJob,
 		Task:    1,
-		Attempt: attemptOne,
+		Attempt: heldAttempt,
 		From:    fullMachine,
-		To:      nextMachine,
+		To:      emptyMachine,
 	}
 	decision := &drain.Decision{
 		Completed: map[string][]storage.Permit{team: {servicePermit()}},
@@ -225,29 +225,29 @@
 // TestEvictions: what is stopped without a permit on a machine whose replicas have been moved.
 func TestEvictions(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		runSeconds float64
-		failing    bool
-		repeat     monotime.Micros // how long after the first time it is tried again
-		want       []string
+		name         string
+		runSeconds   float64
+		crashLooping bool
+		retryAfter   monotime.Micros // how long after the first time it is tried again
+		want         []string
 	}{
-		{"an array task", 1000, false, 0, []string{array}},
-		{"services that fail everywhere", 1000, true, 0, []string{array, service}},
+		{"an array task", 1000, false, 0, []string{arrayJob}},
+		{"services that fail everywhere", 1000, true, 0, []string{arrayJob, serviceJob}},
 		{"an array task that is about to end", 35, false, 0, nil},
-		{"one that ends later", 36, false, 0, []string{array}},
+		{"one that ends later", 36, false, 0, []string{arrayJob}},
 		{"one that was to end long ago", 35, false, 60 * monotime.Second, nil},
-		{"one that was to end too long ago", 35, false, 61 * monotime.Second, []string{array}},
+		{"one that was to end too long ago", 35, false, 61 * monotime.Second, []string{arrayJob}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newControllerStub()
-			s.runSeconds, s.failing = tc.runSeconds, tc.failing
+			s.runSeconds, s.crashLooping = tc.runSeconds, tc.crashLooping
 			s.report(s.agents[fullMachine].BaseToken())
 			s.now += 5 * monotime.Second // the tasks run for so long
-			s.drainer.evictUnpermitted([]string{fullMachine}, s.now)
-			s.drainer.evictUnpermitted([]string{fullMachine}, s.now+tc.repeat)
+			s.drainer.evictWithoutPermits([]string{fullMachine}, s.now)
+			s.drainer.evictWithoutPermits([]string{fullMachine}, s.now+tc.retryAfter)
 			var stopped []string
-			for _, id := range []string{array, service} {
-				attempt := agents.AttemptID{Task: mirror.TaskID{Job: id}, Attempt: attemptOne}
+			for _, id := range []string{arrayJob, serviceJob} {
+				attempt := agents.AttemptID{Task: mirror.TaskID{Job: id}, Attempt: heldAttempt}
 				if s.agents[fullMachine].IsStopping(attempt) {
 					stopped = append(stopped, id)
 				}
@@ -263,22 +263,22 @@
 func TestLosses(t *testing.T) {
 	notice := 10.0
 	for _, tc := range []struct {
-		name string
-		job  string
-		do   func(*controllerStub)
-		want map[LossCause]int
+		name  string
+		job   string
+		setup func(*controllerStub)
+		want  map[LossCause]int
 	}{
-		{"task exit", service, func(*controllerStub) {}, map[LossCause]int{LossByTaskExit: 1}},
-		{"array task", array, func(*controllerStub) {}, nil},
-		{"under a permit", service, func(s *controllerStub) { s.putPermits(servicePermit()) }, nil},
-		{"cancelled", service, func(s *controllerStub) {
-			s.records.Jobs[service].FinalState = storage.JobCancelled
+		{"task exit", serviceJob, func(*controllerStub) {}, map[LossCause]int{LossByTaskExit: 1}},
+		{"array task", arrayJob, func(*controllerStub) {}, nil},
+		{"under a permit", serviceJob, func(s *controllerStub) { s.putPermits(servicePermit()) }, nil},
+		{"cancelled", serviceJob, func(s *controllerStub) {
+			s.records.Jobs[serviceJob].FinalState = storage.JobCancelled
 		}, nil},
-		{"no agent", service, func(s *controllerStub) { delete(s.agents, fullMachine) },
+		{"no agent", serviceJob, func(s *controllerStub) { delete(s.agents, fullMachine) },
 			map[LossCause]int{LossByMachine: 1}},
-		{"scale-in", service, func(s *controllerStub) { s.records.ScaleInOfMachine[fullMachine] = "x" },
+		{"scale-in", serviceJob, func(s *controllerStub) { s.records.ScaleInOfMachine[fullMachine] = "x" },
 			map[LossCause]int{LossByMachine: 1}},
-		{"spot interruption", service, func(s *controllerStub) {
+		{"spot interruption", serviceJob, func(s *controllerStub) {
 			s.records.ScaleInOfMachine[fullMachine] = "x"
 			s.agents[fullMachine].ApplyReport(s.records.Machines[fullMachine], s.records.Jobs,
 				&protocol.Heartbeat{Incarnation: 1, InterruptionNoticeS: &notice}, s.now, workerLease)
@@ -286,7 +286,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newControllerStub()
-			tc.do(s)
+			tc.setup(s)
 			losses := s.drainer.NewLosses()
 			losses.Record(s.records.Machines[fullMachine], mirror.TaskID{Job: tc.job})
 			if len(s.drainer.lossCounts) != 0 {
@@ -304,11 +304,11 @@
 // run for the time after which it counts as available.
 func TestStartingMarks(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		running bool
-		before  bool
-		since   monotime.Micros
-		want    bool
+		name        string
+		running     bool
+		wasStarting bool
+		runningFor  monotime.Micros
+		want        bool
 	}{
 		{"not reported as running", false, false, 0, true},
 		{"just running", true, true, 9 * monotime.Second, true},
@@ -320,7 +320,7 @@
 			s.report(s.agents[fullMachine].BaseToken())
 		}
 		attempt := attemptOf(servicePermit())
-		got := s.drainer.countsAsStarting(s.agents[fullMachine], attempt, tc.before, s.now+tc.since)
+		got := s.drainer.countsAsStarting(s.agents[fullMachine], attempt, tc.wasStarting, s.now+tc.runningFor)
 		if got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
@@ -329,30 +329,30 @@
 
 // TestReservations: a permit reserves the resources of its replica until the next attempt is placed.
 func TestReservations(t *testing.T) {
-	next := mirror.TaskID{Job: service}
+	task := mirror.TaskID{Job: serviceJob}
 	for _, tc := range []struct {
-		name string
-		do   func(*controllerStub)
-		want bool
+		name  string
+		setup func(*controllerStub)
+		want  bool
 	}{
 		{"still running", func(*controllerStub) {}, true},
 		{"stopped", func(s *controllerStub) {
-			delete(s.records.Machines[fullMachine].Attempts, next)
-			s.records.Jobs[service].TaskStates[0] = 0
+			delete(s.records.Machines[fullMachine].Attempts, task)
+			s.records.Jobs[serviceJob].TaskStates[0] = 0
 		}, true},
 		{"placed anew", func(s *controllerStub) {
-			s.records.Machines[fullMachine].Attempts[next] = attemptOne + 1
+			s.records.Machines[fullMachine].Attempts[task] = heldAttempt + 1
 		}, false},
 		{"its job has ended", func(s *controllerStub) {
-			s.records.Jobs[service].FinalState = storage.JobDone
+			s.records.Jobs[serviceJob].FinalState = storage.JobDone
 		}, false},
-		{"its job is unknown", func(s *controllerStub) { delete(s.records.Jobs, service) }, false},
+		{"its job is unknown", func(s *controllerStub) { delete(s.records.Jobs, serviceJob) }, false},
 	} {
 		s := newControllerStub()
 		s.putPermits(servicePermit())
-		tc.do(s)
+		tc.setup(s)
 		got := s.drainer.ReservedByMachine()
-		if reserved := got[nextMachine].CPUs == 2; reserved != tc.want || !tc.want && len(got) != 0 {
+		if reserved := got[emptyMachine].CPUs == 2; reserved != tc.want || !tc.want && len(got) != 0 {
 			t.Errorf("%s: %v", tc.name, got)
 		}
 	}
@@ -362,10 +362,10 @@
 // not while the drain is paused.
 func TestMayScaleIn(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		drain storage.Drain
-		empty monotime.Micros
-		want  bool
+		name     string
+		drain    storage.Drain
+		emptyFor monotime.Micros
+		want     bool
 	}{
 		{"before the delay", storage.Drain{State: storage.DrainActive}, 19 * monotime.Second, false},
 		{"after the delay", storage.Drain{State: storage.DrainActive}, 20 * monotime.Second, true},
@@ -377,7 +377,7 @@
 		record := tc.drain
 		record.Selector.Zone = "a"
 		s.records.ApplyPut(storage.DrainKey("d"), protocol.MustMarshal(&record), 1)
-		if got := s.drainer.MayScaleIn(s.records.Machines[nextMachine], tc.empty); got != tc.want {
+		if got := s.drainer.MayScaleIn(s.records.Machines[emptyMachine], tc.emptyFor); got != tc.want {
 			t.Errorf("%s: %v", tc.name, got)
 		}
 	}
@@ -386,17 +386,18 @@
 // TestDrainsTurnedOff: without settings there is no drainer, and its methods do nothing.
 func TestDrainsTurnedOff(t *testing.T) {
 	s := newControllerStub()
-	off := New(ownNode, nil, Dependencies{})
-	machine, job := s.records.Machines[fullMachine], s.records.Jobs[service]
-	off.Reconcile(testNow)
-	off.ForEachReservation(func(*storage.Permit, *mirror.Job) { t.Error("a reservation") })
-	losses := off.NewLosses()
-	losses.Record(machine, mirror.TaskID{Job: service})
+	disabled := New(ownNode, nil, Dependencies{})
+	machine, job := s.records.Machines[fullMachine], s.records.Jobs[serviceJob]
+	disabled.Reconcile(testNow)
+	disabled.ForEachReservation(func(*storage.Permit, *mirror.Job) { t.Error("a reservation") })
+	losses := disabled.NewLosses()
+	losses.Record(machine, mirror.TaskID{Job: serviceJob})
 	losses.Count()
-	if off != nil || off.HasWork() || off.IsCordoned(machine) || off.MayScaleIn(machine, monotime.Minute) ||
-		off.ClosesOffer(autoscaling.Offer{}) || off.TracksStart(&job.Record.Spec) ||
-		off.ProtectsFromPreemption(job) || off.UpdateStartingMarks(&storage.Shard{}, machine, testNow) ||
-		len(off.ReservedByMachine()) != 0 || len(off.ReplacementDemands()) != 0 {
+	if disabled != nil || disabled.HasWork() || disabled.IsCordoned(machine) ||
+		disabled.MayScaleIn(machine, monotime.Minute) ||
+		disabled.ClosesOffer(autoscaling.Offer{}) || disabled.TracksStart(&job.Record.Spec) ||
+		disabled.ProtectsFromPreemption(job) || disabled.UpdateStartingMarks(&storage.Shard{}, machine, testNow) ||
+		len(disabled.ReservedByMachine()) != 0 || len(disabled.ReplacementDemands()) != 0 {
 		t.Error("drains are turned off, and something is done for them")
 	}
 }
--- a/internal/drain/drainer/evictions.go
+++ b/internal/drain/drainer/evictions.go
@@ -6,27 +6,27 @@
 	"pipitgap/internal/monotime"
 )
 
-// evictUnpermitted stops the tasks that need no permit on machines whose replicas have all been moved: those
+// evictWithoutPermits stops the tasks that need no permit on machines whose replicas have all been moved: those
 // of arrays, and of services that fail wherever they run. An array task that is about to end is waited for.
-func (d *Drainer) evictUnpermitted(machines []string, now monotime.Micros) {
-	since := map[string]monotime.Micros{}
+func (d *Drainer) evictWithoutPermits(machines []string, now monotime.Micros) {
+	startedByMachine := map[string]monotime.Micros{}
 	for _, id := range machines {
 		startedAt, ok := d.evictingSince[id]
 		if !ok {
 			startedAt = now
 		}
-		since[id] = startedAt
+		startedByMachine[id] = startedAt
 		if machine, own := d.ownMachine(id); own {
-			d.evictUnpermittedOn(machine, startedAt, now)
+			d.evictWithoutPermitsOn(machine, startedAt, now)
 		}
 	}
 	if len(machines) > 0 {
-		d.evictingSince = since
+		d.evictingSince = startedByMachine
 	}
 }
 
-// evictUnpermittedOn stops what needs no permit on a machine, where that began at startedAt.
-func (d *Drainer) evictUnpermittedOn(machine ownMachine, startedAt, now monotime.Micros) {
+// evictWithoutPermitsOn stops what needs no permit on a machine, where that began at startedAt.
+func (d *Drainer) evictWithoutPermitsOn(machine ownMachine, startedAt, now monotime.Micros) {
 	stopped := 0
 	for task, number := range machine.Attempts {
 		attempt := agents.AttemptID{Task: task, Attempt: number}
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -115,16 +115,16 @@
 // is written after its drain has ended does no harm: whether it may be used is decided anew. The record is
 // never deleted, since its version must not come back.
 func (d *Drainer) writeTeamPermits(team string, ended, granted []storage.Permit) {
-	have := d.deps.Mirror.PermitsByTeam[team]
+	current := d.deps.Mirror.PermitsByTeam[team]
 	next := storage.Permits{Permits: []storage.Permit{}}
-	for _, permit := range have.Record.Permits {
+	for _, permit := range current.Record.Permits {
 		if !slices.Contains(ended, permit) {
 			next.Permits = append(next.Permits, permit)
 		}
 	}
 	next.Permits = append(next.Permits, granted...)
 	key := storage.PermitsKey(team)
-	txn := protocol.PutIfUnchanged(key, have.Version, &next)
+	txn := protocol.PutIfUnchanged(key, current.Version, &next)
 	d.permitCommitInFlight[team] = true
 	d.deps.Store.Commit(ratelimit.PriorityBackground, txn, func(result protocol.StoreResult) {
 		delete(d.permitCommitInFlight, team)
--- a/internal/drain/drainer/replacements.go
+++ b/internal/drain/drainer/replacements.go
@@ -13,13 +13,13 @@
 	if d == nil {
 		return nil
 	}
-	out := make([]*autoscaling.Demand, 0, len(d.replacementDemand))
+	demands := make([]*autoscaling.Demand, 0, len(d.replacementDemand))
 	for _, demand := range d.replacementDemand {
-		next := *demand
-		next.Zones = d.deps.Jobs.ZoneConstraint(d.deps.Mirror.Jobs[demand.JobID])
-		out = append(out, &next)
+		copied := *demand
+		copied.Zones = d.deps.Jobs.ZoneConstraint(d.deps.Mirror.Jobs[demand.JobID])
+		demands = append(demands, &copied)
 	}
-	return out
+	return demands
 }
 
 // computeReplacementDemand lists the replicas, by job, that drains with replacement are to move next.
@@ -29,17 +29,17 @@
 		if record.State != storage.DrainActive || !record.Replace {
 			continue
 		}
-		for _, id := range snapshot.MachinesInStep(&record) {
+		for _, id := range snapshot.MachinesBeingEmptied(&record) {
 			machine, _ := snapshot.Machine(id)
 			for _, replica := range machine.Replicas {
 				replicas[replica.Job]++
 			}
 		}
 	}
-	var out []*autoscaling.Demand
+	var demands []*autoscaling.Demand
 	for _, id := range sortedmap.Keys(replicas) {
 		if job := d.deps.Mirror.Jobs[id]; job != nil && job.IsOpen() {
-			out = append(out, &autoscaling.Demand{
+			demands = append(demands, &autoscaling.Demand{
 				Spec:  &job.Record.Spec,
 				Need:  job.TaskResources,
 				Tasks: replicas[id],
@@ -47,5 +47,5 @@
 			})
 		}
 	}
-	return out
+	return demands
 }
--- a/internal/drain/drainer/starting.go
+++ b/internal/drain/drainer/starting.go
@@ -31,17 +31,17 @@
 		if job == nil || !d.TracksStart(&job.Record.Spec) {
 			continue
 		}
-		held, ok := next.FindAttempt(task.Job, task.Index)
-		if !ok || held.Number != number || held.Machine != machine.ID {
+		recorded, ok := next.FindAttempt(task.Job, task.Index)
+		if !ok || recorded.Number != number || recorded.Machine != machine.ID {
 			continue
 		}
 		starting := d.countsAsStarting(
 			agent,
 			agents.AttemptID{Task: task, Attempt: number},
-			held.Starting,
+			recorded.Starting,
 			now,
 		)
-		if starting != held.Starting && d.markFits(next, starting) {
+		if starting != recorded.Starting && d.markFits(next, starting) {
 			next.MarkStarting(task.Job, task.Index, starting)
 			changed = true
 		}
@@ -58,12 +58,12 @@
 func (d *Drainer) countsAsStarting(
 	agent *agents.Agent,
 	attempt agents.AttemptID,
-	before bool,
+	wasStarting bool,
 	now monotime.Micros,
 ) bool {
 	if !agent.IsRunning(attempt) {
 		return true
 	}
-	since, ok := agent.RunningSince(attempt)
-	return before && (!ok || now-since < d.settings.MinReady.Micros())
+	runningSince, running := agent.RunningSince(attempt)
+	return wasStarting && (!running || now-runningSince < d.settings.MinReady.Micros())
 }
--- a/internal/drain/drainer/states.go
+++ b/internal/drain/drainer/states.go
@@ -8,9 +8,9 @@
 	"pipitgap/internal/storage"
 )
 
-// settleDrains is the leader's part: it ends drains of which nothing is left, pauses those whose deadline has
+// updateDrainStates is the leader's part: it ends drains of which nothing is left, pauses those whose deadline has
 // passed, and deletes the records of those that ended long ago.
-func (d *Drainer) settleDrains(snapshot *drain.Snapshot) {
+func (d *Drainer) updateDrainStates(snapshot *drain.Snapshot) {
 	for _, record := range snapshot.Drains() {
 		next, changed := snapshot.NextState(&record, d.expectsMachines(&record.Drain), int64(drainRetention))
 		if changed {
@@ -41,8 +41,8 @@
 			continue
 		}
 		for _, id := range autoscaling.MissingMachines(d.deps.Mirror, request) {
-			wanted := &request.Record
-			if drain.Covers(record, id, wanted.MachineType, wanted.Zone, wanted.Spot) {
+			scaleOut := &request.Record
+			if drain.Covers(record, id, scaleOut.MachineType, scaleOut.Zone, scaleOut.Spot) {
 				return true
 			}
 		}
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -42,23 +42,23 @@
 // planner simulates a drain on snapshots: each step is the decision that all controllers together would take,
 // carried out at once.
 type planner struct {
-	policy   *Policy
-	snapshot *Snapshot
-	record   DrainRecord
-	added    int // simulated machines
+	policy        *Policy
+	snapshot      *Snapshot
+	record        DrainRecord
+	addedMachines int // simulated machines
 }
 
 // Plan works out the steps of a drain, changing nothing.
 func (p *Policy) Plan(s *Snapshot, name string, record storage.Drain) *Plan {
-	planner := &planner{
+	simulation := &planner{
 		policy:   p,
 		snapshot: s.withDrain(name, record),
 		record:   DrainRecord{Drain: record, Name: name},
 	}
 	plan := &Plan{Machines: s.Selected(&record)}
-	planner.cordon(plan.Machines)
+	simulation.cordon(plan.Machines)
 	for len(plan.Steps) < maxPlanSteps {
-		step, blocked := planner.nextStep()
+		step, blocked := simulation.nextStep()
 		if len(step.Moves) == 0 && len(step.Emptied) == 0 && len(step.ScaleOut) == 0 {
 			plan.Blocked = blocked
 			break
@@ -94,12 +94,12 @@
 // nextStep takes one step, and returns what still waits and for what.
 func (p *planner) nextStep() (step Step, blocked []Blockage) {
 	decision := p.decide()
-	if p.record.Replace && p.scaleOutFor(decision.Blocked, &step) {
+	if p.record.Replace && p.scaleOutForBlocked(decision.Blocked, &step) {
 		decision = p.decide()
 	}
 	for _, team := range sortedmap.Keys(decision.Granted) {
 		for _, permit := range decision.Granted[team] {
-			step.Moves = append(step.Moves, p.move(team, permit))
+			step.Moves = append(step.Moves, p.applyPermit(team, permit))
 		}
 	}
 	for _, id := range p.snapshot.Selected(&p.record.Drain) {
@@ -115,26 +115,26 @@
 
 // decide joins the decisions of all controllers, each of which counts with the permits of those before it.
 func (p *planner) decide() *Decision {
-	all := &Decision{Granted: map[string][]storage.Permit{}}
-	everybody := func(string) bool { return true }
-	tried := p.snapshot
+	combined := &Decision{Granted: map[string][]storage.Permit{}}
+	always := func(string) bool { return true }
+	simulated := p.snapshot
 	for _, node := range p.owners() {
 		controller := &Controller{
 			Node:        node,
-			Live:        everybody,
-			Responsible: everybody,
+			Live:        always,
+			Responsible: always,
 			RecordBytes: planRecordBytes,
 		}
-		decision := p.policy.Decide(tried, controller)
+		decision := p.policy.Decide(simulated, controller)
 		for team, permits := range decision.Granted {
-			all.Granted[team] = append(all.Granted[team], permits...)
+			combined.Granted[team] = append(combined.Granted[team], permits...)
 			for _, permit := range permits {
-				tried = tried.withPermit(permit)
+				simulated = simulated.withPermit(permit)
 			}
 		}
-		all.Blocked = decision.Blocked
+		combined.Blocked = decision.Blocked
 	}
-	return all
+	return combined
 }
 
 // owners lists the controllers that have machines.
@@ -147,37 +147,37 @@
 	return sortedmap.Keys(owners)
 }
 
-// move carries a permit out: the replica is stopped, and its next attempt runs on the destination.
-func (p *planner) move(team string, permit storage.Permit) Move {
+// applyPermit carries a permit out: the replica is stopped, and its next attempt runs on the destination.
+func (p *planner) applyPermit(team string, permit storage.Permit) Move {
 	job := p.snapshot.jobs[permit.Job]
 	from, _ := p.snapshot.Machine(permit.From)
-	emptier := *from
-	emptier.Replicas = slices.DeleteFunc(slices.Clone(from.Replicas), func(replica Replica) bool {
+	source := *from
+	source.Replicas = slices.DeleteFunc(slices.Clone(from.Replicas), func(replica Replica) bool {
 		return replica.Job == permit.Job && replica.Task == permit.Task
 	})
-	emptier.Free = from.Free.Plus(job.PerTask)
-	p.snapshot = p.snapshot.withMachine(&emptier)
+	source.Free = from.Free.Plus(job.PerTask)
+	p.snapshot = p.snapshot.withMachine(&source)
 	to, _ := p.snapshot.Machine(permit.To)
-	fuller := *to
-	fuller.Replicas = append(slices.Clone(to.Replicas),
+	destination := *to
+	destination.Replicas = append(slices.Clone(to.Replicas),
 		Replica{Job: permit.Job, Task: permit.Task, Attempt: permit.Attempt + 1})
-	fuller.Free = to.Free.Minus(job.PerTask)
-	p.snapshot = p.snapshot.withMachine(&fuller)
+	destination.Free = to.Free.Minus(job.PerTask)
+	p.snapshot = p.snapshot.withMachine(&destination)
 	return Move{
 		Task: fmt.Sprintf("%s/%d", permit.Job, permit.Task),
 		Team: team, From: permit.From, To: permit.To,
 	}
 }
 
-// scaleOutFor adds a machine like the one that is drained for the first replica that no machine can take. It
+// scaleOutForBlocked adds a machine like the one that is drained for the first replica that no machine can take. It
 // tells whether it did.
-func (p *planner) scaleOutFor(blocked []Blockage, step *Step) bool {
+func (p *planner) scaleOutForBlocked(blocked []Blockage, step *Step) bool {
 	for _, blockage := range blocked {
 		if blockage.Kind != BlockedByCapacity {
 			continue
 		}
-		like, _ := p.snapshot.Machine(blockage.Machine)
-		if machine, ok := p.simulateScaleOut(like); ok {
+		template, _ := p.snapshot.Machine(blockage.Machine)
+		if machine, ok := p.simulateScaleOut(template); ok {
 			step.ScaleOut = append(step.ScaleOut, fmt.Sprintf("%s in zone %s", machine.Type, machine.Zone))
 			p.snapshot = p.snapshot.withMachine(machine)
 			return true
@@ -187,17 +187,18 @@
 }
 
 // simulateScaleOut makes a new machine like another, in a zone where the drain doesn't close the offer.
-func (p *planner) simulateScaleOut(like *Machine) (*Machine, bool) {
-	t, known := p.snapshot.types[like.Type]
+func (p *planner) simulateScaleOut(template *Machine) (*Machine, bool) {
+	machineType, known := p.snapshot.types[template.Type]
 	if !known {
 		return nil, false
 	}
-	zones := append([]string{like.Zone}, t.Zones...)
+	zones := append([]string{template.Zone}, machineType.Zones...)
 	for _, zone := range zones {
-		if !ClosesOffer(&p.record.Drain, like.Type, zone, like.Spot) {
-			p.added++
-			return &Machine{ID: fmt.Sprintf("new-%d", p.added), Type: like.Type, Zone: zone, Spot: like.Spot,
-				State: storage.MachineOpen, Owner: like.Owner, Free: t.Capacity}, true
+		if !ClosesOffer(&p.record.Drain, template.Type, zone, template.Spot) {
+			p.addedMachines++
+			return &Machine{ID: fmt.Sprintf("new-%d", p.addedMachines), Type: template.Type, Zone: zone,
+				Spot: template.Spot, State: storage.MachineOpen, Owner: template.Owner,
+				Free: machineType.Capacity}, true
 		}
 	}
 	return nil, false
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -46,9 +46,9 @@
 // drainCovering returns the unfinished drain that a machine belongs to. Drains don't overlap.
 func (s *Snapshot) drainCovering(machine *Machine) (*DrainRecord, bool) {
 	for i := range s.drains {
-		d := &s.drains[i]
-		if d.State.Unfinished() && Covers(&d.Drain, machine.ID, machine.Type, machine.Zone, machine.Spot) {
-			return d, true
+		record := &s.drains[i]
+		if record.State.Unfinished() && Covers(&record.Drain, machine.ID, machine.Type, machine.Zone, machine.Spot) {
+			return record, true
 		}
 	}
 	return nil, false
@@ -74,11 +74,11 @@
 			return true
 		}
 	}
-	return a.ClosesOffers() && b.ClosesOffers() && compatible(&a.Selector, &b.Selector)
+	return a.ClosesOffers() && b.ClosesOffers() && mayMatchSameMachine(&a.Selector, &b.Selector)
 }
 
-// compatible reports whether two selectors by zone, type and capacity type can match the same machine.
-func compatible(a, b *storage.Selector) bool {
+// mayMatchSameMachine reports whether two selectors by zone, type and capacity type can match the same machine.
+func mayMatchSameMachine(a, b *storage.Selector) bool {
 	agree := func(x, y string) bool { return x == "" || y == "" || x == y }
 	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) &&
 		agree(string(a.CapacityType), string(b.CapacityType))
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -71,8 +71,8 @@
 
 // allows reports whether a job's replicas may run on a machine, but for its zone rules.
 func (j *Job) allows(machine *Machine) bool {
-	typed := j.Types == nil || slices.Contains(j.Types, machine.Type)
-	return typed && (j.Zone == "" || j.Zone == machine.Zone) && (j.Spot || !machine.Spot)
+	typeAllowed := j.Types == nil || slices.Contains(j.Types, machine.Type)
+	return typeAllowed && (j.Zone == "" || j.Zone == machine.Zone) && (j.Spot || !machine.Spot)
 }
 
 // TypeCapacity is a machine type of the cloud's catalog.
@@ -147,10 +147,10 @@
 	return nil, Replica{}, false
 }
 
-// ForEachMachine calls f for all machines in the order of their ids until it returns false.
-func (s *Snapshot) ForEachMachine(f func(*Machine) bool) {
+// ForEachMachine calls visit for all machines in the order of their ids until it returns false.
+func (s *Snapshot) ForEachMachine(visit func(*Machine) bool) {
 	for it := s.machines.Iterator(); !it.Done(); {
-		if _, machine, ok := it.Next(); ok && !f(machine) {
+		if _, machine, ok := it.Next(); ok && !visit(machine) {
 			return
 		}
 	}
@@ -187,9 +187,9 @@
 	}
 	job, known := s.jobs[permit.Job]
 	if to, ok := next.Machine(permit.To); ok && known {
-		holding := *to
-		holding.Free = to.Free.Minus(job.PerTask)
-		next = next.withMachine(&holding)
+		reserved := *to
+		reserved.Free = to.Free.Minus(job.PerTask)
+		next = next.withMachine(&reserved)
 	}
 	return next
 }
@@ -229,7 +229,7 @@
 func (b *Builder) AddJob(job *Job) { b.snapshot.jobs[job.ID] = job }
 
 // AddType adds a machine type.
-func (b *Builder) AddType(t TypeCapacity) { b.snapshot.types[t.Name] = t }
+func (b *Builder) AddType(machineType TypeCapacity) { b.snapshot.types[machineType.Name] = machineType }
 
 // AddDrain adds a drain.
 func (b *Builder) AddDrain(name string, version uint64, record storage.Drain) {
@@ -237,8 +237,8 @@
 }
 
 // AddPermits adds a team's permits.
-func (b *Builder) AddPermits(team string, version uint64, p storage.Permits) {
-	b.snapshot.permits[team] = TeamPermits{Permits: p.Permits, Version: version}
+func (b *Builder) AddPermits(team string, version uint64, record storage.Permits) {
+	b.snapshot.permits[team] = TeamPermits{Permits: record.Permits, Version: version}
 }
 
 // Build makes the snapshot. The builder must not be used afterwards.
@@ -249,8 +249,8 @@
 	next := &s
 	for _, team := range sortedmap.Keys(s.permits) {
 		for _, permit := range s.permits[team].Permits {
-			_, replica, held := next.replicaOf(permit.Job, permit.Task)
-			if !held || replica.Attempt == permit.Attempt {
+			_, replica, found := next.replicaOf(permit.Job, permit.Task)
+			if !found || replica.Attempt == permit.Attempt {
 				next = next.withPermit(permit)
 			}
 		}
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -62,10 +62,10 @@
 
 // machineProgress lists the machines of a drain that aren't terminated yet.
 func (s *Snapshot) machineProgress(record *DrainRecord) []MachineProgress {
-	inStep := map[string]bool{}
+	beingEmptied := map[string]bool{}
 	if record.State == storage.DrainActive {
-		for _, id := range s.MachinesInStep(record) {
-			inStep[id] = true
+		for _, id := range s.MachinesBeingEmptied(record) {
+			beingEmptied[id] = true
 		}
 	}
 	machines := []MachineProgress{}
@@ -76,7 +76,7 @@
 			State:        stateNames[machine.State],
 			Replicas:     len(machine.Replicas),
 			ArrayTasks:   machine.arrayTasks(),
-			BeingEmptied: inStep[id],
+			BeingEmptied: beingEmptied[id],
 		})
 	}
 	return machines
@@ -97,11 +97,11 @@
 
 // arrayTasks counts the array tasks on a machine.
 func (m *Machine) arrayTasks() int {
-	n := 0
+	count := 0
 	for _, usage := range m.ArrayUsage {
-		n += usage.Tasks
+		count += usage.Tasks
 	}
-	return n
+	return count
 }
 
 // TeamStatus is a scope's availability against its budget.
@@ -118,15 +118,15 @@
 
 // Teams lists the availability of all scopes with services, by their names.
 func (p *Policy) Teams(s *Snapshot) []TeamStatus {
-	counted := p.availabilityByScope(s)
+	byScope := p.availabilityByScope(s)
 	byName := map[string]*Availability{}
-	for scope, availability := range counted {
+	for scope, availability := range byScope {
 		byName[scope.String()] = availability
 	}
-	var out []TeamStatus
+	var statuses []TeamStatus
 	for _, name := range sortedmap.Keys(byName) {
 		availability := byName[name]
-		out = append(out, TeamStatus{
+		statuses = append(statuses, TeamStatus{
 			Team:            availability.Scope.Team,
 			Class:           availability.Scope.Class,
 			Budgeted:        availability.Budgeted,
@@ -137,5 +137,5 @@
 			WorstLoss:       availability.worstLoss(),
 		})
 	}
-	return out
+	return statuses
 }
