--- a/internal/cancellation/doc.go
+++ b/internal/cancellation/doc.go
@@ -1,8 +1,8 @@
-// Package cancellation lets controllers tell each other which cancellations have been
-// committed, and tells up to which moment a controller knows of all of them.
+// Package cancellation exchanges committed cancellations between controllers, and computes up to which time
+// a controller knows every cancellation that any controller has confirmed to a user.
 //
-// A controller that loses the state service keeps the leases of its workers alive. It
-// must not do so for a task that was cancelled elsewhere longer ago than the tasks of a
-// cancelled job may stay. The package holds the evidence for that decision; it performs
-// no input or output and is driven by the coordination actor.
+// A controller that loses the state service continues to renew the leases of its workers. It must not renew
+// them for a task that was cancelled through another controller longer ago than the tasks of a cancelled job
+// may keep running. The package provides the evidence for that decision. It performs no input or output; the
+// actor in package coordination calls it.
 package cancellation
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -7,49 +7,49 @@
 	"pipitgap/internal/monotime"
 )
 
-// maxCommittedPerMessage bounds a message to well under the size of a peer frame: a job's name
-// has at most a hundred bytes.
+// maxCommittedPerMessage keeps a message well below the size limit of a peer frame: a job's name has at most
+// 100 bytes.
 const maxCommittedPerMessage = 1000
 
-// Committed is a cancellation that the state service holds. It is final.
+// Committed is a cancellation that is committed in the state service. It is final.
 type Committed struct {
 	Job      string // id
 	Revision uint64 // of the commit
 }
 
-// RoundMessage is one of the messages of a round: together they carry every committed
-// cancellation that the sender knows and the receiver's mirror had not reached.
+// RoundMessage is one message of a round. The messages of a round together contain every committed
+// cancellation that the sender knows, above the mirror revision that the receiver last reported.
 type RoundMessage struct {
 	Incarnation       uint64          // of the sender
-	Clock             monotime.Micros // the sender's clock when the round was made
-	EchoedIncarnation uint64          // the latest incarnation and clock that the sender has
-	EchoedClock       monotime.Micros // received from the receiver
+	Clock             monotime.Micros // the sender's clock when it created the round
+	EchoedIncarnation uint64          // the receiver's incarnation, as last received by the sender
+	EchoedClock       monotime.Micros // the latest clock reading received from that incarnation
 	MirrorRevision    uint64          // the revision that the sender's mirror has reached
-	RecordsLoaded     bool            // the sender knows what its earlier incarnations had committed
-	Round             uint64          // counts the rounds of the sender
-	MessagesInRound   int             // the round is complete with so many
+	RecordsLoaded     bool            // the sender knows what its earlier incarnations committed
+	Round             uint64          // increases with every round of the sender
+	MessagesInRound   int             // number of messages of the complete round
 	Committed         []Committed
 }
 
-// peerState is what is known of another controller.
+// peerState is what this controller knows about a peer.
 type peerState struct {
 	incarnation     uint64
-	clock           monotime.Micros // the latest clock reading of that incarnation
+	clock           monotime.Micros // latest clock reading of that incarnation
 	mirrorRevision  uint64
 	round           uint64
-	receivedInRound int             // messages of that round
-	knownUntil      monotime.Micros // by this controller's clock
+	receivedInRound int             // messages received of that round
+	knownUntil      monotime.Micros // what the peer confirmed up to here is known; by this controller's clock
 }
 
-// Relay is one controller's side of the exchange.
+// Relay is one controller's side of the exchange of committed cancellations.
 type Relay struct {
 	incarnation     uint64
 	round           uint64
-	commitRevisions map[string]uint64
+	commitRevisions map[string]uint64 // of the known cancellations, by job id
 	peers           map[string]*peerState
 }
 
-// NewRelay begins the exchange of a controller's present incarnation with the named peers.
+// NewRelay starts the exchange between a controller's current incarnation and the named peers.
 func NewRelay(incarnation uint64, peers []string) *Relay {
 	r := &Relay{incarnation: incarnation, commitRevisions: map[string]uint64{}, peers: map[string]*peerState{}}
 	for _, name := range peers {
@@ -58,13 +58,13 @@
 	return r
 }
 
-// Add adds a committed cancellation. It must be called before any user gets an answer that confirms it.
+// Add adds a committed cancellation. The caller must add it before any user gets an answer that confirms it.
 func (r *Relay) Add(c Committed) { r.commitRevisions[c.Job] = c.Revision }
 
-// Forget drops the cancellation of a job of which nothing is left on any machine.
+// Forget removes the cancellation of a job that has no tasks left on any machine.
 func (r *Relay) Forget(job string) { delete(r.commitRevisions, job) }
 
-// Since lists the known cancellations above a revision, in the order of their commits.
+// Since lists the known cancellations with a commit revision above the given one, in commit order.
 func (r *Relay) Since(revision uint64) []Committed {
 	var cancellations []Committed
 	for job, commitRevision := range r.commitRevisions {
@@ -78,9 +78,9 @@
 	return cancellations
 }
 
-// Prune drops every cancellation up to a revision except those of the given jobs.
-// It is called when all records have been read anew: a job that is over and has left the
-// records has nothing left on any machine.
+// Prune removes the cancellations with a commit revision up to the given one, except those of jobs for which
+// keep returns true. It is called after all records have been read again: a job that is over and no longer in
+// the records has no tasks left on any machine.
 func (r *Relay) Prune(revision uint64, keep func(job string) bool) {
 	for job, commitRevision := range r.commitRevisions {
 		if commitRevision <= revision && !keep(job) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// MessagesFor makes a round for a peer. mirrorRevision is the revision that the own mirror has
-// reached; recordsLoaded says whether all records have been read by this incarnation.
+// MessagesFor creates a round of messages for a peer. mirrorRevision is the revision that this controller's
+// mirror has reached. recordsLoaded says whether this incarnation has read all records.
 func (r *Relay) MessagesFor(
 	peerName string, now monotime.Micros, mirrorRevision uint64, recordsLoaded bool,
 ) []RoundMessage {
@@ -114,8 +114,8 @@
 	return messages
 }
 
-// Receive takes a peer's message and returns the cancellations in it that were not
-// known yet. The caller must act on them before it calls ConfirmedUntil again.
+// Receive processes a peer's message and returns the cancellations in it that were unknown before. The caller
+// must act on them before it calls ConfirmedUntil again.
 func (r *Relay) Receive(peerName string, m RoundMessage) []Committed {
 	peer := r.peers[peerName]
 	if peer == nil {
@@ -135,8 +135,9 @@
 	return newlyKnown
 }
 
-// updateSenderState keeps the newest of what a peer says of itself. A message of an earlier
-// incarnation may come late; what is echoed of it moves nothing in the present one.
+// updateSenderState stores the newest values that a peer reports about itself. A message from an earlier
+// incarnation of the peer may arrive late and replace them. The peer's current incarnation then ignores the
+// echoes of that message, because they name the earlier incarnation.
 func (p *peerState) updateSenderState(m RoundMessage) {
 	if m.Incarnation != p.incarnation {
 		p.incarnation, p.clock, p.mirrorRevision = m.Incarnation, m.Clock, m.MirrorRevision
@@ -146,8 +147,8 @@
 	p.mirrorRevision = max(p.mirrorRevision, m.MirrorRevision)
 }
 
-// completesRound counts a round's messages and reports whether all have come. Messages on
-// one connection keep their order; a lost one leaves its round incomplete.
+// completesRound counts a message and reports whether all messages of its round have now arrived. Messages on
+// one connection keep their order; a lost message leaves its round incomplete.
 func (p *peerState) completesRound(m RoundMessage) bool {
 	if m.Round != p.round {
 		p.round, p.receivedInRound = m.Round, 0
@@ -156,11 +157,13 @@
 	return p.receivedInRound == m.MessagesInRound
 }
 
-// ConfirmedUntil returns the moment, by this controller's clock, up to which every cancellation that any
-// controller has confirmed to a user is known here. mirrorFreshAt is when the request was
-// sent that last brought the mirror up to date: it holds all that was committed before.
-// A peer's complete round holds all that it had confirmed when it made the round, which
-// was after it had received the clock reading that it echoes.
+// ConfirmedUntil returns the time, by this controller's clock, up to which this controller knows every
+// cancellation that any controller has confirmed to a user.
+//
+// mirrorFreshAt is when this controller sent the request that last brought its mirror up to date: the mirror
+// contains everything that was committed before. A peer's complete round contains everything that the peer had
+// confirmed when it created the round. The peer created the round after it received the clock reading that the
+// round echoes.
 func (r *Relay) ConfirmedUntil(mirrorFreshAt, now monotime.Micros) monotime.Micros {
 	knownFromPeers := now
 	for _, peer := range r.peers {
--- a/internal/cancellation/relay_test.go
+++ b/internal/cancellation/relay_test.go
@@ -8,21 +8,23 @@
 	"pipitgap/internal/monotime"
 )
 
-// relayPair is two controllers' relays, and the messages of a round that are delivered.
+// relayPair is the relays of two controllers: renewer renews worker leases, confirmer confirms cancellations to
+// users.
 type relayPair struct{ renewer, confirmer *Relay }
 
 func newPair() *relayPair {
 	return &relayPair{NewRelay(11, []string{"confirmer"}), NewRelay(22, []string{"renewer"})}
 }
 
-// deliverToConfirmer delivers the renewer's round to the confirmer.
+// deliverToConfirmer delivers a round of the renewer to the confirmer.
 func (p *relayPair) deliverToConfirmer(now monotime.Micros, mirrorRevision uint64) {
 	for _, m := range p.renewer.MessagesFor("confirmer", now, mirrorRevision, true) {
 		p.confirmer.Receive("renewer", m)
 	}
 }
 
-// deliverToRenewer delivers the confirmer's round to the renewer, without the messages in lostMessages.
+// deliverToRenewer delivers a round of the confirmer to the renewer, except for the messages with the indexes
+// lostMessages. It returns the cancellations that the renewer didn't know.
 func (p *relayPair) deliverToRenewer(recordsLoaded bool, lostMessages ...int) []Committed {
 	var newlyKnown []Committed
 	for i, m := range p.confirmer.MessagesFor("renewer", 1_000_000, 0, recordsLoaded) {
@@ -33,6 +35,8 @@
 	return newlyKnown
 }
 
+// TestConfirmedOnlyAfterRoundTrip guards against a confirmed time that is too late: a peer's round counts only
+// if it is complete, the peer has read its records and the round echoes the receiver's current incarnation.
 func TestConfirmedOnlyAfterRoundTrip(t *testing.T) {
 	const roundSentAt, now = monotime.Micros(500), monotime.Micros(900)
 	addCancellations := func(r *Relay) {
@@ -46,57 +50,57 @@
 		wantUntil    monotime.Micros
 		wantReceived int
 	}{
-		{"nothing heard", func(*relayPair) int { return 0 }, 0, 0},
+		{"no message received", func(*relayPair) int { return 0 }, 0, 0},
 		{
 			"one round trip",
 			func(p *relayPair) int { p.deliverToConfirmer(roundSentAt, 50); return len(p.deliverToRenewer(true)) },
 			roundSentAt,
 			0,
 		},
-		{"a word that echoes nothing", func(p *relayPair) int { return len(p.deliverToRenewer(true)) }, 0, 0},
+		{"round without an echo", func(p *relayPair) int { return len(p.deliverToRenewer(true)) }, 0, 0},
 		{
-			"a peer that hasn't read its records",
+			"peer has not read its records",
 			func(p *relayPair) int { p.deliverToConfirmer(roundSentAt, 50); return len(p.deliverToRenewer(false)) },
 			0,
 			0,
 		},
-		{"a cancellation goes along", func(p *relayPair) int {
+		{"round with one cancellation", func(p *relayPair) int {
 			p.deliverToConfirmer(roundSentAt, 50)
 			p.confirmer.Add(Committed{"j-1", 60})
 			return len(p.deliverToRenewer(true))
 		}, roundSentAt, 1},
-		{"what the mirror has is left out", func(p *relayPair) int {
+		{"cancellation in the receiver's mirror is left out", func(p *relayPair) int {
 			p.deliverToConfirmer(roundSentAt, 60)
 			p.confirmer.Add(Committed{"j-1", 60})
 			return len(p.deliverToRenewer(true))
 		}, roundSentAt, 0},
-		{"many cancellations", func(p *relayPair) int {
+		{"round of three messages", func(p *relayPair) int {
 			p.deliverToConfirmer(roundSentAt, 50)
 			addCancellations(p.confirmer)
 			return len(p.deliverToRenewer(true))
 		}, roundSentAt, 2*maxCommittedPerMessage + 1},
-		{"many, the first message lost", func(p *relayPair) int {
+		{"first of three messages lost", func(p *relayPair) int {
 			p.deliverToConfirmer(roundSentAt, 50)
 			addCancellations(p.confirmer)
 			return len(p.deliverToRenewer(true, 0))
 		}, 0, maxCommittedPerMessage + 1},
-		{"many, the last message lost", func(p *relayPair) int {
+		{"last of three messages lost", func(p *relayPair) int {
 			p.deliverToConfirmer(roundSentAt, 50)
 			addCancellations(p.confirmer)
 			return len(p.deliverToRenewer(true, 2))
 		}, 0, 2 * maxCommittedPerMessage},
-		{"many, the next round whole", func(p *relayPair) int {
+		{"complete round after an incomplete one", func(p *relayPair) int {
 			p.deliverToConfirmer(roundSentAt, 50)
 			addCancellations(p.confirmer)
 			n := len(p.deliverToRenewer(true, 1))
 			return n + len(p.deliverToRenewer(true))
 		}, roundSentAt, 2*maxCommittedPerMessage + 1},
-		{"an echo of an earlier life of the renewer", func(p *relayPair) int {
+		{"echo of an earlier incarnation of the renewer", func(p *relayPair) int {
 			p.deliverToConfirmer(roundSentAt, 50)
 			p.renewer = NewRelay(12, []string{"confirmer"})
 			return len(p.deliverToRenewer(true))
 		}, 0, 0},
-		{"a late round of an earlier life of the renewer", func(p *relayPair) int {
+		{"late round of an earlier incarnation of the renewer", func(p *relayPair) int {
 			lateRound := p.renewer.MessagesFor("confirmer", roundSentAt, 50, true)
 			p.renewer = NewRelay(12, []string{"confirmer"})
 			p.deliverToConfirmer(100, 0)
@@ -108,45 +112,47 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPair()
 			if n := tc.exchange(p); n != tc.wantReceived {
-				t.Errorf("%d cancellations reach the renewer, not %d", n, tc.wantReceived)
+				t.Errorf("the renewer got %d cancellations, want %d", n, tc.wantReceived)
 			}
 			if got := p.renewer.ConfirmedUntil(0, now); got != tc.wantUntil {
-				t.Errorf("known until %d, not %d", got, tc.wantUntil)
+				t.Errorf("ConfirmedUntil without a mirror = %d, want %d", got, tc.wantUntil)
 			}
 			if got := p.renewer.ConfirmedUntil(700, now); got != 700 {
-				t.Errorf("a newer mirror doesn't count: %d", got)
+				t.Errorf("ConfirmedUntil with a mirror fresh at 700 = %d, want 700", got)
 			}
 		})
 	}
 	if got := NewRelay(1, nil).ConfirmedUntil(0, now); got != now {
-		t.Errorf("alone everything is known, not until %d", got)
+		t.Errorf("ConfirmedUntil without peers = %d, want %d", got, now)
 	}
 }
 
-// TestConfirmedUntilIsMinimumOverPeers: one peer that isn't heard leaves all in doubt.
+// TestConfirmedUntilIsMinimumOverPeers: the peer with the oldest confirmed time decides. A peer that has sent no
+// round keeps the result at zero.
 func TestConfirmedUntilIsMinimumOverPeers(t *testing.T) {
 	renewer := NewRelay(1, []string{"a", "b"})
 	for _, name := range []string{"a", "b"} {
 		if got := renewer.ConfirmedUntil(0, 900); got != 0 {
-			t.Errorf("before %s is heard: known until %d", name, got)
+			t.Errorf("before a round from %s: ConfirmedUntil = %d, want 0", name, got)
 		}
 		peer := NewRelay(2, []string{"renewer"})
 		peer.Receive("renewer", renewer.MessagesFor(name, 500, 0, true)[0])
 		renewer.Receive(name, peer.MessagesFor("renewer", 7, 0, true)[0])
 	}
 	if got := renewer.ConfirmedUntil(0, 900); got != 500 {
-		t.Errorf("known until %d", got)
+		t.Errorf("after rounds from all peers: ConfirmedUntil = %d, want 500", got)
 	}
 	if renewer.Receive(
-		"stranger",
+		"unknown",
 		RoundMessage{RecordsLoaded: true, MessagesInRound: 1, EchoedIncarnation: 1, EchoedClock: 800},
 	) != nil {
-		t.Error("a stranger is listened to")
+		t.Error("a message of an unknown controller returned cancellations, want nil")
 	}
 }
 
-// TestReceivedCancellationsAreRelayed: a third controller passes on what the confirmer told it, also when the
-// confirmer is gone; what is over everywhere is forgotten.
+// TestReceivedCancellationsAreRelayed: a third controller relays the cancellations that it received from the
+// confirmer, so they reach the renewer even if the confirmer is gone. Forget and Prune remove cancellations of
+// jobs that have no tasks left.
 func TestReceivedCancellationsAreRelayed(t *testing.T) {
 	third := NewRelay(3, []string{"confirmer", "renewer"})
 	third.Receive(
@@ -156,14 +162,14 @@
 	third.Forget("j-2")
 	messages := third.MessagesFor("renewer", 5, 0, true)
 	if len(messages) != 1 || !slices.Equal(messages[0].Committed, []Committed{{"j-1", 60}}) {
-		t.Errorf("passed on: %+v", messages)
+		t.Errorf("relayed %+v, want one message with the cancellation of j-1", messages)
 	}
 	third.Prune(59, func(string) bool { return false })
 	if len(third.Since(0)) != 1 {
-		t.Error("what the records haven't reached is dropped")
+		t.Errorf("after Prune up to revision 59: cancellations %+v, want the one of revision 60", third.Since(0))
 	}
 	third.Prune(60, func(string) bool { return false })
 	if len(third.Since(0)) != 0 {
-		t.Error("what has left the records is kept")
+		t.Errorf("after Prune up to revision 60: cancellations %+v, want none", third.Since(0))
 	}
 }
