--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -8,19 +8,19 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// Policy has the operators' settings for drains.
+// Policy decides on drains according to the operators' settings.
 type Policy struct{ settings *config.DrainSettings }
 
-// NewPolicy takes the settings, whose defaults are filled in.
+// NewPolicy returns the policy for settings whose defaults are already filled in.
 func NewPolicy(settings *config.DrainSettings) *Policy { return &Policy{settings} }
 
-// Scope is what a budget counts: a team's services, or those of one class.
+// Scope is the set of services that a budget counts: all services of a team, or those of one class.
 type Scope struct {
 	Team  string
 	Class string // "": all classes
 }
 
-// String names the team, and the class if the scope is of one, as refusals and the drain commands show it.
+// String returns the team, and the class if the scope has one, as it appears in reasons of blockages.
 func (s Scope) String() string {
 	if s.Class == "" {
 		return "team " + s.Team
@@ -28,7 +28,7 @@
 	return "team " + s.Team + ", class " + s.Class
 }
 
-// budgetFor returns the budget of a scope that has one.
+// budgetFor returns the budget of a scope, or false if the settings have none.
 func (p *Policy) budgetFor(scope Scope) (*config.DisruptionBudget, bool) {
 	for i := range p.settings.Budgets {
 		budget := &p.settings.Budgets[i]
@@ -39,22 +39,23 @@
 	return nil, false
 }
 
-// Budgeted reports whether a team's services of a class have a budget of their own or of their team.
+// Budgeted reports whether a team's services of a class have a budget: that of the class or that of the team.
 func (p *Policy) Budgeted(team, class string) bool {
 	_, teamBudgeted := p.budgetFor(Scope{Team: team})
 	_, classBudgeted := p.budgetFor(Scope{Team: team, Class: class})
 	return teamBudgeted || classBudgeted
 }
 
-// defaultBudget is the pace at which services without a budget are moved.
+// defaultBudget returns the budget of services without one in the settings: how many replicas may be
+// unavailable at a time.
 func (p *Policy) defaultBudget() *config.DisruptionBudget {
 	return &config.DisruptionBudget{
 		MaxUnavailable: &config.CountOrPercent{Value: p.settings.DefaultMaxUnavailable},
 	}
 }
 
-// scopesOf lists the scopes that a job's replicas count in: its team's and its class's, as far as they have a
-// budget; its class's, with the default budget, if neither has one.
+// scopesOf lists the scopes that a job's replicas count in. These are the scopes of its team and of its class
+// that have a budget. If neither has one, it is the scope of the class, with the default budget.
 func (p *Policy) scopesOf(job *Job) []Scope {
 	var scopes []Scope
 	for _, scope := range []Scope{{Team: job.Team}, {Team: job.Team, Class: job.Class}} {
@@ -68,18 +69,18 @@
 	return scopes
 }
 
-// Availability is a scope's replicas against its budget.
+// Availability compares the available replicas of a scope with its budget.
 type Availability struct {
 	Scope           Scope
-	Budgeted        bool // false: the default pace
-	Desired         int  // replicas that its jobs should have
-	Available       int  // replicas that run, are reachable, and are under no permit
-	MinAvailable    int  // replicas that must stay available
-	ReserveMachines int  // machines whose sudden loss must leave the floor intact
-	onMachine       map[string]int
+	Budgeted        bool           // false: the default budget applies
+	Desired         int            // replicas that the scope's jobs should have
+	Available       int            // replicas that are running, reachable and not under a permit
+	MinAvailable    int            // replicas that must stay available
+	ReserveMachines int            // sudden loss of that many machines must leave MinAvailable replicas
+	onMachine       map[string]int // available replicas by machine
 }
 
-// availabilityByScope counts the replicas of all scopes of a snapshot.
+// availabilityByScope counts the replicas of all scopes in a snapshot.
 func (p *Policy) availabilityByScope(s *Snapshot) map[Scope]*Availability {
 	byScope := map[Scope]*Availability{}
 	for _, id := range sortedmap.Keys(s.jobs) {
@@ -104,7 +105,7 @@
 	return byScope
 }
 
-// countMachine counts a machine's available replicas.
+// countMachine adds the available replicas of a machine to their scopes.
 func (p *Policy) countMachine(s *Snapshot, machine *Machine, byScope map[Scope]*Availability) {
 	if !machine.reachable() {
 		return
@@ -121,7 +122,8 @@
 	}
 }
 
-// setBounds works out what a scope's budget requires.
+// setBounds sets the minimum and the reserve that a scope's budget requires. The default budget has no
+// reserve.
 func (p *Policy) setBounds(availability *Availability) {
 	budget, budgeted := p.budgetFor(availability.Scope)
 	availability.Budgeted = budgeted
@@ -138,7 +140,8 @@
 	}
 }
 
-// worstLoss is how many replicas are lost at most if as many machines are lost as the reserve covers.
+// worstLoss returns the largest number of replicas that the loss of ReserveMachines machines can take: the
+// replicas on the machines that hold most of them.
 func (a *Availability) worstLoss() int {
 	if a.ReserveMachines == 0 {
 		return 0
@@ -155,22 +158,22 @@
 	return lost
 }
 
-// floorKept reports whether the budget is kept even if the reserve's machines are lost.
+// floorKept reports whether MinAvailable replicas remain even if ReserveMachines machines are lost.
 func (a *Availability) floorKept() bool { return a.Available-a.worstLoss() >= a.MinAvailable }
 
-// stop counts a replica on a machine as stopped.
+// stop counts one available replica on a machine as stopped.
 func (a *Availability) stop(machine string) {
 	a.Available--
 	a.onMachine[machine]--
 }
 
-// restore counts it as available again.
+// restore reverts stop.
 func (a *Availability) restore(machine string) {
 	a.Available++
 	a.onMachine[machine]++
 }
 
-// allowsStop reports whether a further replica on a machine may be stopped, and if not, why.
+// allowsStop reports whether the budget allows stopping one more replica on a machine. If not, reason says why.
 func (a *Availability) allowsStop(machine string) (reason string, ok bool) {
 	if a.Available <= a.MinAvailable {
 		return fmt.Sprintf("%s: %d of %d replicas are available, %d must stay",
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -8,39 +8,40 @@
 	"pipitgap/internal/storage"
 )
 
-// Controller is the controller that decides, and what it knows of the others.
+// Controller is the controller that decides, and what it knows about the other controllers.
 type Controller struct {
 	Node string
-	// Live reports whether a controller is a member.
+	// Live reports whether a controller is a member of the cluster.
 	Live func(node string) bool
-	// Responsible reports whether this controller is the one to remove a team's completed permits.
+	// Responsible reports whether it is this controller that removes a team's completed permits.
 	Responsible func(team string) bool
-	// RecordBytes is how large a record of permits may get.
+	// RecordBytes is the maximum size of a record of permits.
 	RecordBytes int
 }
 
-// Decision is what a controller is to do now. Nothing of it has been done.
+// Decision is what a controller should do now. It has not been carried out yet.
 type Decision struct {
-	// Granted are permits to add, by team.
+	// Granted are the permits to add, by team.
 	Granted map[string][]storage.Permit
-	// Stop are permits that stand and may be used now: their replicas are on own machines.
+	// Stop are committed permits that may be used now. Their replicas are on machines of this controller.
 	Stop []storage.Permit
-	// Revoked are permits of own machines that must not be used. One whose replica is already being stopped
-	// stays until it is completed.
+	// Revoked are committed permits for replicas on machines of this controller that must not be used any more.
+	// A revoked permit whose replica is already being stopped stays in its record until it is completed.
 	Revoked []storage.Permit
-	// Completed are permits that have served their purpose or have none any more, by team.
+	// Completed are the permits that are no longer needed, by team, see isCompleted.
 	Completed map[string][]storage.Permit
-	// StopArrays are own machines whose other tasks may be stopped now.
+	// StopArrays are the machines of this controller on which the tasks that need no permit may be stopped now.
 	StopArrays []string
-	// Blocked is what the drains wait for.
+	// Blocked lists what the drains wait for.
 	Blocked []Blockage
 }
 
-// BlockKind is what a replica's move waits for.
+// BlockKind is the kind of condition that the move of a replica waits for.
 type BlockKind string
 
-// What a move can wait for. docs/operators/drains.md says what helps. Progress, which the operators' command
-// shows, never has BlockedByPermits, and BlockedByDeadline only until the leader has paused the drain.
+// Kinds of conditions that block moves. docs/operators/drains.md says how to resolve each. Progress, which the
+// operators' command shows, never contains BlockedByPermits. It contains BlockedByDeadline only until the leader
+// has paused the drain.
 const (
 	BlockedByBudget     BlockKind = "budget"
 	BlockedByCapacity   BlockKind = "room"
@@ -51,29 +52,29 @@
 	BlockedByDeadline   BlockKind = "deadline"
 )
 
-// Blockage is a replica that can't be moved yet, and why.
+// Blockage is a machine or replica that waits for a condition, and the reason.
 type Blockage struct {
 	Drain   string    `json:"drain"`
 	Machine string    `json:"machine"`
-	Task    string    `json:"task,omitempty"` // "": the machine as a whole waits
+	Task    string    `json:"task,omitempty"` // "": the machine as a whole is blocked
 	Kind    BlockKind `json:"kind"`
 	Reason  string    `json:"reason"` // for operators
 }
 
-// permitBytes is the size of a permit in its record, at most.
+// permitBytes returns the maximum size of a permit in its record.
 func permitBytes(permit *storage.Permit) int {
 	return storage.PermitBytes + len(permit.Drain) + len(permit.Job) + len(permit.From) + len(permit.To)
 }
 
-// decider works out one decision. With every permit that it grants its snapshot is replaced by one with the
-// permit.
+// decider computes one decision. It applies each permit that it grants to its snapshot, so that the following
+// grants take that permit into account.
 type decider struct {
 	policy       *Policy
 	snapshot     *Snapshot
 	controller   *Controller
 	availability map[Scope]*Availability
-	unplaceable  map[placementKey]bool // what no machine can take
-	recordBytes  map[string]int        // by team: the size of its permits
+	unplaceable  map[placementKey]bool // replicas that fit on no machine
+	recordBytes  map[string]int        // size of a team's permits, by team
 	decision     *Decision
 }
 
@@ -83,10 +84,10 @@
 	types string
 	zone  string
 	spot  bool
-	from  string // the machine that it leaves, which isn't a destination
+	from  string // the machine that the replica leaves; it can't be the destination
 }
 
-// Decide works out what a controller is to do for all drains.
+// Decide computes what a controller should do now for all drains.
 func (p *Policy) Decide(s *Snapshot, controller *Controller) *Decision {
 	d := &decider{
 		policy: p, snapshot: s, controller: controller, availability: p.availabilityByScope(s),
@@ -104,7 +105,7 @@
 	return d.decision
 }
 
-// reviewPermit decides what becomes of a permit.
+// reviewPermit decides whether a committed permit is completed, used or revoked.
 func (d *decider) reviewPermit(team string, permit *storage.Permit) {
 	d.recordBytes[team] += permitBytes(permit)
 	if d.isCompleted(permit) {
@@ -115,7 +116,7 @@
 	}
 	from, ok := d.snapshot.Machine(permit.From)
 	if !ok || from.Owner != d.controller.Node || !holdsAttempt(from, permit) {
-		return // the attempt has ended, or is on another controller's machine
+		return // the attempt has ended, or it is on a machine of another controller
 	}
 	if d.stillAllowed(permit, from) {
 		d.decision.Stop = append(d.decision.Stop, *permit)
@@ -124,8 +125,8 @@
 	}
 }
 
-// isCompleted reports whether a permit has served its purpose: the service has ended, or another attempt of the
-// replica runs.
+// isCompleted reports whether a permit is no longer needed: the service has ended, or another attempt of the
+// replica is running on a reachable machine.
 func (d *decider) isCompleted(permit *storage.Permit) bool {
 	if _, known := d.snapshot.jobs[permit.Job]; !known {
 		return true
@@ -134,7 +135,7 @@
 	return found && replica.Attempt != permit.Attempt && !replica.Starting && machine.reachable()
 }
 
-// holdsAttempt reports whether the attempt that a permit is for is still on a machine.
+// holdsAttempt reports whether the attempt that a permit names is still on a machine.
 func holdsAttempt(machine *Machine, permit *storage.Permit) bool {
 	for _, replica := range machine.Replicas {
 		if replica.Job == permit.Job && replica.Task == permit.Task && replica.Attempt == permit.Attempt {
@@ -144,8 +145,8 @@
 	return false
 }
 
-// stillAllowed reports whether a granted permit may be used now. The budget is checked once more: machines
-// may have been lost since the permit was granted, or its commit was applied late.
+// stillAllowed reports whether a committed permit may be used now. It checks the budget again, because machines
+// may have been lost since the permit was granted, or because the commit may have been applied late.
 func (d *decider) stillAllowed(permit *storage.Permit, from *Machine) bool {
 	record, ok := d.snapshot.drainCovering(from)
 	if !ok || record.Name != permit.Drain || !d.mayStopReplicas(record) {
@@ -160,20 +161,20 @@
 	return true
 }
 
-// mayStopReplicas reports whether a drain may stop anything now.
+// mayStopReplicas reports whether a drain may stop replicas now: it is active and its deadline hasn't passed.
 func (d *decider) mayStopReplicas(record *DrainRecord) bool {
 	return record.State == storage.DrainActive && !d.snapshot.deadlinePassed(record)
 }
 
-// deadlinePassed reports whether a drain has a deadline and it has passed.
+// deadlinePassed reports whether a drain has a deadline that has passed.
 func (s *Snapshot) deadlinePassed(record *DrainRecord) bool {
 	return record.DeadlineAt != 0 && s.Wall >= record.DeadlineAt
 }
 
-// NextState is the next state of a drain without an operator's command: it ends when none of its machines is
-// left, and is paused at its deadline. With next nil and changed true its record is to be deleted, as it
-// ended longer ago than retention, in microseconds. While machines that it covers may still come up (expectsMachines),
-// it doesn't end.
+// NextState returns the next state that a drain takes without an operator's command. An active drain ends when
+// it has no machines left, and it is paused at its deadline. It doesn't end while machines that it covers may
+// still come up (expectsMachines). If next is nil and changed is true, its record must be deleted, because it
+// ended more than retention microseconds ago.
 func (s *Snapshot) NextState(
 	record *DrainRecord,
 	expectsMachines bool,
@@ -202,8 +203,9 @@
 	return &updated, true
 }
 
-// MachinesBeingEmptied lists the machines of a drain that are being emptied, at most MaxParallel of them: first
-// those with replicas under permits, then others, each in the order of their ids.
+// MachinesBeingEmptied lists the machines that a drain empties now, at most MaxParallel: first those with
+// replicas under permits, then others, each group in ascending order of ids. Machines that are empty or being
+// removed don't count.
 func (s *Snapshot) MachinesBeingEmptied(record *DrainRecord) []string {
 	var withPermits, withoutPermits []string
 	for _, id := range s.Selected(&record.Drain) {
@@ -220,10 +222,10 @@
 	return ordered[:min(len(ordered), record.MaxParallel)]
 }
 
-// isEmpty reports whether no task holds anything on a machine.
+// isEmpty reports whether a machine has no tasks.
 func (m *Machine) isEmpty() bool { return len(m.Replicas) == 0 && len(m.ArrayUsage) == 0 }
 
-// hasPermits reports whether a replica on a machine is under a permit.
+// hasPermits reports whether any replica on a machine is under a permit.
 func (m *Machine) hasPermits() bool {
 	for _, replica := range m.Replicas {
 		if replica.UnderPermit {
@@ -248,8 +250,8 @@
 	}
 }
 
-// decideMachine decides on the replicas of a machine of the current step, and on its array tasks once no
-// replica has to stay.
+// decideMachine decides which replicas of a machine may be stopped. If none of its replicas is blocked, the
+// tasks that need no permit may be stopped as well.
 func (d *decider) decideMachine(record *DrainRecord, machine *Machine) {
 	if machine.State != storage.MachineCordoned {
 		d.blockUncordonedMachine(record, machine)
@@ -282,7 +284,7 @@
 	}
 }
 
-// blockUncordonedMachine says why nothing can be moved off a machine that isn't cordoned.
+// blockUncordonedMachine adds the reason why no replica can be moved off a machine that isn't cordoned.
 func (d *decider) blockUncordonedMachine(record *DrainRecord, machine *Machine) {
 	switch machine.State {
 	case storage.MachineUnreachable:
@@ -292,14 +294,14 @@
 	}
 }
 
-// possibleMove is the permit that would let a replica be stopped now, or what its move waits for.
+// possibleMove is the permit for stopping a replica now, or the reason why it can't be granted.
 type possibleMove struct {
 	permit    storage.Permit
-	blockedBy BlockKind // "": nothing, the permit may be granted
+	blockedBy BlockKind // "": the permit may be granted
 	reason    string
 }
 
-// evaluateReplica reports whether a replica may be stopped now.
+// evaluateReplica returns the permit for stopping a replica now, or what blocks it.
 func (d *decider) evaluateReplica(
 	record *DrainRecord, machine *Machine, replica *Replica, job *Job,
 ) possibleMove {
@@ -332,7 +334,8 @@
 	return possibleMove{permit: permit}
 }
 
-// destinationFor finds a machine for a replica. It remembers what none can take: many replicas are alike.
+// destinationFor chooses a machine for a replica. It caches which replicas fit on no machine, because many
+// replicas have the same needs.
 func (d *decider) destinationFor(job *Job, from *Machine) (*Machine, bool) {
 	key := placementKey{job.PerTask, fmt.Sprint(job.Types), job.Zone, job.Spot, from.ID}
 	withoutZoneRules := !job.OneZone && !job.Spread
@@ -346,7 +349,7 @@
 	return to, ok
 }
 
-// grant adds a permit to the decision, and counts its replica as stopped for the next ones.
+// grant adds a permit to the decision and counts its replica as stopped in the rest of the decision.
 func (d *decider) grant(job *Job, permit storage.Permit) {
 	d.decision.Granted[job.Team] = append(d.decision.Granted[job.Team], permit)
 	d.recordBytes[job.Team] += permitBytes(&permit)
@@ -356,7 +359,7 @@
 	d.snapshot = d.snapshot.withPermit(permit)
 }
 
-// block adds to the decision what a machine waits for, or one of its replicas.
+// block adds to the decision what a machine waits for, or what one of its replicas waits for if replica is set.
 func (d *decider) block(
 	record *DrainRecord,
 	machine *Machine,
--- a/internal/drain/destination.go
+++ b/internal/drain/destination.go
@@ -2,8 +2,9 @@
 
 import "pipitgap/internal/storage"
 
-// destination finds a machine for a replica that is to be moved: the tightest fit among those with enough
-// bestFit, else the first one where it fits by preempting array tasks of lower priority.
+// destination chooses a machine for a replica that is to be moved. It uses best fit: of the machines with
+// enough free resources, the one with the fewest free CPUs. If there is none, it uses first fit with
+// preemption: the first machine where the replica fits once array tasks of lower priority are preempted.
 func (s *Snapshot) destination(job *Job, from *Machine, live func(node string) bool) (*Machine, bool) {
 	zones := s.zonesFor(job, from)
 	var bestFit, preemptionFit *Machine
@@ -28,7 +29,8 @@
 	return preemptionFit, preemptionFit != nil
 }
 
-// takesReplicas reports whether new tasks may go to a machine.
+// takesReplicas reports whether new replicas may be placed on a machine: it is open, its controller is live and
+// no unfinished drain covers it.
 func (s *Snapshot) takesReplicas(machine *Machine, live func(node string) bool) bool {
 	if machine.State != storage.MachineOpen || !live(machine.Owner) {
 		return false
@@ -37,13 +39,14 @@
 	return !covered
 }
 
-// zoneCounts counts a job's other replicas by zone.
+// zoneCounts has the number of a job's other replicas in each zone.
 type zoneCounts struct {
 	job      *Job
 	replicas map[string]int
 }
 
-// zonesFor counts a job's replicas by zone, without the one that leaves a machine.
+// zonesFor counts a job's replicas by zone, without the replica that leaves the machine from. For a job without
+// zone rules it counts none.
 func (s *Snapshot) zonesFor(job *Job, from *Machine) *zoneCounts {
 	zones := &zoneCounts{job: job, replicas: map[string]int{}}
 	if !job.OneZone && !job.Spread {
@@ -61,7 +64,7 @@
 	return zones
 }
 
-// allow reports whether a zone may take one more replica.
+// allow reports whether the job's zone rules allow one more replica in a zone.
 func (z *zoneCounts) allow(zone string) bool {
 	if z.job.Spread && z.replicas[zone]+1 > (z.job.Replicas+1)/2 {
 		return false
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -13,10 +13,10 @@
 	"pipitgap/internal/storage"
 )
 
-// fleetSpec describes a small fleet: replicas by machine, as job names.
+// fleetSpec describes a small fleet from which build makes a snapshot.
 type fleetSpec struct {
-	machines map[string][]string // machine: the jobs of its replicas
-	zones    map[string]string   // machine: its zone; "a" unless given
+	machines map[string][]string // machine id: the jobs of its replicas
+	zones    map[string]string   // machine id: its zone; default "a"
 	jobs     map[string]Job
 	drains   map[string]storage.Drain
 	permits  map[string][]storage.Permit
@@ -26,7 +26,7 @@
 
 const machineCPUs = 8
 
-// build gives the snapshot; the nth replica of a job in the order of machines is its task n.
+// build returns the snapshot. The replicas of a job are its tasks 0, 1, ... in the order of the machine ids.
 func (f *fleetSpec) build() *Snapshot {
 	b := NewBuilder(100, 1000)
 	next := map[string]int{}
@@ -110,7 +110,8 @@
 	return &Controller{Node: "n-0", Live: always, Responsible: always, RecordBytes: 4000}
 }
 
-// fleetWithCordonedZone is machines of zone a that are cordoned, and two with room in zone b.
+// fleetWithCordonedZone returns a fleet with one cordoned machine in zone a for each string, which lists the jobs
+// of the machine's replicas, and with two empty machines in zone b. The drain "rack" covers zone a.
 func fleetWithCordonedZone(replicas ...string) *fleetSpec {
 	f := &fleetSpec{
 		machines: map[string][]string{"i-8": nil, "i-9": nil},
@@ -137,7 +138,8 @@
 	return n
 }
 
-// TestGrantsWithinBudgetAndReserve: as many permits as the budget leaves, reserve included.
+// TestGrantsWithinBudgetAndReserve: a decision grants as many permits as the budget and its reserve allow, and
+// names what blocks the other replicas.
 func TestGrantsWithinBudgetAndReserve(t *testing.T) {
 	fourReplicas := []string{"j-1 j-1", "j-1", "j-1"}
 	cases := []struct {
@@ -148,73 +150,73 @@
 		wantBlocked BlockKind
 	}{
 		{
-			"two may be missing",
+			"two replicas may be unavailable",
 			policyWithReserve(0, minAvailable("t", 2)),
 			fleetWithCordonedZone(fourReplicas...),
 			2,
 			BlockedByBudget,
 		},
 		{
-			"the reserve counts the fullest machine that is left",
+			"reserve of one machine",
 			policyWithReserve(1, minAvailable("t", 2)),
 			fleetWithCordonedZone(fourReplicas...),
 			1,
 			BlockedByBudget,
 		},
 		{
-			"the reserve takes all",
+			"reserve of two machines leaves no grant",
 			policyWithReserve(2, minAvailable("t", 2)),
 			fleetWithCordonedZone(fourReplicas...),
 			0,
 			BlockedByBudget,
 		},
-		{"the default pace", policyWithReserve(1), fleetWithCordonedZone(fourReplicas...), 1, BlockedByBudget},
+		{"default budget", policyWithReserve(1), fleetWithCordonedZone(fourReplicas...), 1, BlockedByBudget},
 		{
-			"a budget of the class",
+			"class budget",
 			policyWithReserve(0, minAvailableOfClass("t", "web", 3)),
 			fleetWithCordonedZone(fourReplicas...),
 			1,
 			BlockedByBudget,
 		},
 		{
-			"the tighter of two budgets",
+			"class budget stricter than team budget",
 			policyWithReserve(0, minAvailable("t", 1), minAvailableOfClass("t", "web", 3)),
 			fleetWithCordonedZone(fourReplicas...),
 			1,
 			BlockedByBudget,
 		},
 		{
-			"unreachable",
+			"minimum equal to the number of replicas",
 			policyWithReserve(0, minAvailable("t", 4)),
 			fleetWithCordonedZone(fourReplicas...),
 			0,
 			BlockedByBudget,
 		},
-		{"starting replicas count as missing", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
+		{"starting replicas are unavailable", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			f.starting["i-3"] = true
 			return f
 		}(), 0, BlockedByBudget},
-		{"permits count as missing", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
+		{"replicas under permits are unavailable", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			f.permits["t"] = []storage.Permit{
 				{Drain: "rack", Job: "j-1", Task: 3, Attempt: 7, From: "i-3", To: "i-8"},
 			}
 			return f
 		}(), 0, BlockedByBudget},
-		{"a machine out of reach counts as lost", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
+		{"replicas on an unreachable machine are unavailable", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			f.state["i-3"] = storage.MachineUnreachable
 			return f
 		}(), 0, BlockedByBudget},
-		{"no room", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+		{"no other machine", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			delete(f.machines, "i-8")
 			delete(f.machines, "i-9")
 			return f
 		}(), 0, BlockedByCapacity},
 		{
-			"what the drain covers is no place, cordoned or not",
+			"open machines that the drain covers are no destinations",
 			policyWithReserve(0, minAvailable("t", 0)),
 			func() *fleetSpec {
 				f := fleetWithCordonedZone(fourReplicas...)
@@ -224,14 +226,14 @@
 			0,
 			BlockedByCapacity,
 		},
-		{"the job must stay in one zone", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+		{"job with one-zone rule", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			j := f.jobs["j-1"]
 			j.OneZone = true
 			f.jobs["j-1"] = j
 			return f
 		}(), 0, BlockedByCapacity},
-		{"half of the job may be in the other zone", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+		{"job with spread rule", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			j := f.jobs["j-1"]
 			j.Spread = true
@@ -239,28 +241,28 @@
 			f.machines["i-8"] = []string{"j-1"}
 			return f
 		}(), 4, ""},
-		{"paused", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+		{"paused drain", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			record := zoneDrain("a")
 			record.State = storage.DrainPaused
 			f.drains["rack"] = record
 			return f
 		}(), 0, ""},
-		{"past the deadline", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+		{"deadline passed", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			record := zoneDrain("a")
 			record.DeadlineAt = 900
 			f.drains["rack"] = record
 			return f
 		}(), 0, BlockedByDeadline},
-		{"not cordoned yet", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+		{"machines not cordoned yet", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			for id := range f.state {
 				f.state[id] = storage.MachineOpen
 			}
 			return f
 		}(), 0, BlockedByCordon},
-		{"two machines at a time", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
+		{"two machines in parallel", policyWithReserve(0, minAvailable("t", 0)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			record := zoneDrain("a")
 			record.MaxParallel = 2
@@ -271,28 +273,30 @@
 	for _, tc := range cases {
 		d := tc.policy.Decide(tc.fleet.build(), controllerN0())
 		if got := countGranted(d); got != tc.wantGrants {
-			t.Errorf("%s: %d permits, want %d; blocked %+v", tc.name, got, tc.wantGrants, d.Blocked)
+			t.Errorf("%s: got %d permits, want %d; blocked by %+v", tc.name, got, tc.wantGrants, d.Blocked)
 		}
-		blockedAsWanted := slices.ContainsFunc(d.Blocked, func(blockage Blockage) bool {
-			return blockage.Kind == tc.wantBlocked
-		})
+		blockedAsWanted := slices.ContainsFunc(
+			d.Blocked,
+			func(blockage Blockage) bool { return blockage.Kind == tc.wantBlocked },
+		)
 		if tc.wantBlocked == "" && len(d.Blocked) > 0 || tc.wantBlocked != "" && !blockedAsWanted {
-			t.Errorf("%s: blocked %+v, want %q", tc.name, d.Blocked, tc.wantBlocked)
+			t.Errorf("%s: got blockages %+v, want one of kind %q (empty: none)", tc.name, d.Blocked, tc.wantBlocked)
 		}
 	}
 }
 
-// TestPermitRecordBounded: a team's record takes no more permits than it can hold.
+// TestPermitRecordBounded guards against a permit record that grows beyond its maximum size.
 func TestPermitRecordBounded(t *testing.T) {
 	controller := controllerN0()
 	controller.RecordBytes = 170 // two permits
 	d := policyWithReserve(0, minAvailable("t", 0)).Decide(fleetWithCordonedZone("j-1 j-1 j-1").build(), controller)
 	if countGranted(d) != 2 || d.Blocked[0].Kind != BlockedByPermits {
-		t.Errorf("%d permits, blocked %+v", countGranted(d), d.Blocked)
+		t.Errorf("got %d permits and blockages %+v, want 2 permits and a blockage of kind permits first", countGranted(d), d.Blocked)
 	}
 }
 
-// TestGrantedPermitsAreStoppedRevokedOrCompleted: what becomes of a permit, by what the records show.
+// TestGrantedPermitsAreStoppedRevokedOrCompleted: a committed permit is used, revoked, completed or left alone,
+// depending on the records.
 func TestGrantedPermitsAreStoppedRevokedOrCompleted(t *testing.T) {
 	permit := storage.Permit{Drain: "rack", Job: "j-1", Task: 0, Attempt: 7, From: "i-1", To: "i-8"}
 	cases := []struct {
@@ -301,27 +305,27 @@
 		wantStop, wantRevoked, wantCompleted int
 		minimum                              int
 	}{
-		{"usable", func(*fleetSpec) {}, 1, 0, 0, 2},
+		{"budget allows the stop", func(*fleetSpec) {}, 1, 0, 0, 2},
 		{
-			"the budget doesn't hold any more",
+			"budget no longer allows the stop",
 			func(f *fleetSpec) { f.state["i-3"] = storage.MachineUnreachable },
 			0,
 			1,
 			0,
 			2,
 		},
-		{"the drain was aborted", func(f *fleetSpec) {
+		{"drain aborted", func(f *fleetSpec) {
 			record := zoneDrain("a")
 			record.State = storage.DrainAborted
 			f.drains["rack"] = record
 		}, 0, 1, 0, 2},
-		{"stopped, not started again", func(f *fleetSpec) { f.machines["i-1"] = nil }, 0, 0, 0, 0},
-		{"starting at its new place", func(f *fleetSpec) {
+		{"replica stopped, no new attempt", func(f *fleetSpec) { f.machines["i-1"] = nil }, 0, 0, 0, 0},
+		{"new attempt starting at the destination", func(f *fleetSpec) {
 			f.machines["i-1"], f.machines["i-0"], f.zones["i-0"] = nil, []string{"j-1"}, "b"
 			f.starting["i-0"] = true
 		}, 0, 0, 0, 0},
 		{
-			"the service has ended",
+			"service ended",
 			func(f *fleetSpec) { delete(f.jobs, "j-1"); f.machines["i-1"] = nil },
 			0,
 			0,
@@ -333,56 +337,60 @@
 		f := fleetWithCordonedZone("j-1", "j-1", "j-1")
 		f.permits["t"] = []storage.Permit{permit}
 		tc.change(f)
-		if tc.name == "starting at its new place" {
+		if tc.name == "new attempt starting at the destination" {
 			f.permits["t"][0].Attempt = 6
 		}
 		d := policyWithReserve(0, minAvailable("t", tc.minimum)).Decide(f.build(), controllerN0())
 		if len(d.Stop) != tc.wantStop || len(d.Revoked) != tc.wantRevoked || len(d.Completed["t"]) != tc.wantCompleted {
 			t.Errorf(
-				"%s: stop %d, return %d, over %d",
+				"%s: got %d permits to use, %d revoked, %d completed, want %d, %d, %d",
 				tc.name,
 				len(d.Stop),
 				len(d.Revoked),
 				len(d.Completed["t"]),
+				tc.wantStop,
+				tc.wantRevoked,
+				tc.wantCompleted,
 			)
 		}
 	}
 	f := fleetWithCordonedZone("j-1", "j-1", "j-1")
 	moved := permit
-	moved.Attempt = 6 // task 0 runs by attempt 7 now
+	moved.Attempt = 6 // task 0 now runs as attempt 7
 	f.permits["t"] = []storage.Permit{moved}
 	if d := policyWithReserve(0, minAvailable("t", 2)).Decide(f.build(), controllerN0()); len(d.Completed["t"]) != 1 {
-		t.Errorf("replaced: %+v", d)
+		t.Errorf("replica runs as a new attempt: got decision %+v, want one completed permit", d)
 	}
 }
 
-// TestDecideLeavesSnapshotUnchanged: what a plan tries leaves the snapshot as it was.
+// TestDecideLeavesSnapshotUnchanged guards against a plan that changes the snapshot on which it simulates steps.
 func TestDecideLeavesSnapshotUnchanged(t *testing.T) {
 	s := fleetWithCordonedZone("j-1 j-1", "j-1").build()
 	policy := policyWithReserve(0, minAvailable("t", 0))
 	policy.Plan(s, "rack", zoneDrain("a"))
 	if d := policy.Decide(s, controllerN0()); countGranted(d) != 3 {
-		t.Errorf("after a plan: %d permits", countGranted(d))
+		t.Errorf("after a plan: got %d permits, want 3", countGranted(d))
 	}
 	machine, _ := s.Machine("i-8")
 	if machine.Free.CPUs != machineCPUs {
-		t.Errorf("after a plan: %v", machine.Free)
+		t.Errorf("after a plan: free resources of i-8 are %v, want %d CPUs", machine.Free, machineCPUs)
 	}
 }
 
-// TestPlanEmptiesMachinesInSteps: the steps of a drain, each within the budget.
+// TestPlanEmptiesMachinesInSteps: a plan moves all replicas in steps that each keep the budget. Without a
+// destination it is blocked, and with replacement it requests machines in another zone.
 func TestPlanEmptiesMachinesInSteps(t *testing.T) {
 	f := fleetWithCordonedZone("j-1 j-1", "j-1", "j-1")
 	plan := policyWithReserve(0, minAvailable("t", 2)).Plan(f.build(), "rack", zoneDrain("a"))
 	moves := 0
 	for _, step := range plan.Steps {
 		if len(step.Moves) > 2 {
-			t.Errorf("a step of %d moves", len(step.Moves))
+			t.Errorf("got a step of %d moves, want at most 2", len(step.Moves))
 		}
 		moves += len(step.Moves)
 	}
 	if moves != 4 || len(plan.Machines) != 3 || len(plan.Blocked) > 0 {
-		t.Errorf("plan %+v", plan)
+		t.Errorf("got plan %+v, want 4 moves off 3 machines and no blockages", plan)
 	}
 	delete(f.machines, "i-8")
 	delete(f.machines, "i-9")
@@ -390,14 +398,14 @@
 		plan.Blocked,
 	) == 0 ||
 		len(plan.Steps) > 0 {
-		t.Errorf("without room: %+v", plan)
+		t.Errorf("without destinations: got plan %+v, want blockages and no steps", plan)
 	}
 	record := zoneDrain("a")
 	record.Replace = true
 	plan = policyWithReserve(0, minAvailable("t", 2)).Plan(f.build(), "rack", record)
 	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].ScaleOut) == 0 ||
 		!strings.Contains(plan.Steps[0].ScaleOut[0], "zone b") {
-		t.Errorf("with replacement: %+v", plan)
+		t.Errorf("with replacement: got plan %+v, want a first step that requests a machine in zone b, no blockages", plan)
 	}
 }
 
@@ -435,7 +443,7 @@
 		for id, n := range remaining {
 			if len(d.Granted["t"]) > 0 && total-n < minimum {
 				t.Errorf(
-					"seed %d: %d permits leave %d, and %d without %s; %d must stay",
+					"seed %d: %d permits leave %d replicas, and %d after the loss of %s; want at least %d",
 					seed,
 					len(d.Granted["t"]),
 					total,
@@ -448,7 +456,8 @@
 	}
 }
 
-// TestOverlappingSelectors: drains of the same machines, there or to come.
+// TestOverlappingSelectors: two drains overlap if they share an existing machine or a machine that may be created
+// later. A drain closes exactly the offers of such later machines.
 func TestOverlappingSelectors(t *testing.T) {
 	f := fleetWithCordonedZone("j-1", "j-1")
 	f.zones["i-2"] = "b"
@@ -464,32 +473,32 @@
 		a, b storage.Drain
 		want bool
 	}{
-		{"other zones", zoneDrain("a"), zoneDrain("b"), false},
-		{"a machine of the zone", zoneDrain("a"), byName("i-1"), true},
-		{"a machine of the other zone", zoneDrain("a"), byName("i-2"), false},
-		{"a type that may come up in the zone", zoneDrain("c"), bySelector(storage.Selector{Type: "m16"}, ""), true},
+		{"different zones", zoneDrain("a"), zoneDrain("b"), false},
+		{"machine in the zone", zoneDrain("a"), byName("i-1"), true},
+		{"machine in another zone", zoneDrain("a"), byName("i-2"), false},
+		{"machine type that may be created in the zone", zoneDrain("c"), bySelector(storage.Selector{Type: "m16"}, ""), true},
 		{
-			"other kinds",
+			"different capacity types",
 			bySelector(storage.Selector{CapacityType: storage.SpotCapacity}, ""),
 			bySelector(storage.Selector{CapacityType: storage.OnDemandCapacity}, ""),
 			false,
 		},
-		{"only older machines", bySelector(storage.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
+		{"machine newer than LastMachine", bySelector(storage.Selector{Zone: "a"}, "i-0"), byName("i-1"), false},
 	}
 	for _, tc := range cases {
 		if got := s.Overlaps(&tc.a, &tc.b); got != tc.want {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: a overlaps b: got %v, want %v", tc.name, got, tc.want)
 		}
 		if got := s.Overlaps(&tc.b, &tc.a); got != tc.want {
-			t.Errorf("%s, the other way round: %v", tc.name, got)
+			t.Errorf("%s: b overlaps a: got %v, want %v", tc.name, got, tc.want)
 		}
 	}
 	zoneA := zoneDrain("a")
 	if !ClosesOffer(&zoneA, "m8", "a", true) || ClosesOffer(&zoneA, "m8", "b", true) {
-		t.Error("a drain of a zone closes that zone alone")
+		t.Error("a drain of zone a must close the offers in zone a and none in zone b")
 	}
 	withLastMachine := bySelector(storage.Selector{Zone: "a"}, "i-5")
 	if ClosesOffer(&withLastMachine, "m8", "a", true) {
-		t.Error("a drain that lets the same be rented closes nothing")
+		t.Error("a drain with LastMachine closes an offer, want none closed")
 	}
 }
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -8,23 +8,23 @@
 	"pipitgap/internal/storage"
 )
 
-// Move is the move of a replica from one machine to another.
+// Move is the planned move of a replica from one machine to another.
 type Move struct {
-	Task string `json:"task"` // the job, a slash and the index
+	Task string `json:"task"` // job id, slash, task index
 	Team string `json:"team"`
 	From string `json:"from"` // machine
 	To   string `json:"to"`   // machine
 }
 
-// Step is what a plan does at once.
+// Step is a set of changes that a plan makes at the same time.
 type Step struct {
-	ScaleOut []string `json:"rent,omitempty"` // machines that would be requested before
+	ScaleOut []string `json:"rent,omitempty"` // machines that would be requested before the moves
 	Moves    []Move   `json:"moves"`
-	Stopped  int      `json:"array_tasks_stopped"` // array tasks that would be stopped
-	Emptied  []string `json:"emptied"`             // machines that are empty then
+	Stopped  int      `json:"array_tasks_stopped"` // number of array tasks that would be stopped
+	Emptied  []string `json:"emptied"`             // machines that are empty after the step
 }
 
-// Plan is the course of a drain if nothing else happens, and what it would still wait for at its end.
+// Plan is the simulated course of a drain if nothing else happens, and what blocks the drain at its end.
 type Plan struct {
 	Machines []string   `json:"machines"`
 	Steps    []Step     `json:"steps"`
@@ -32,23 +32,24 @@
 }
 
 const (
-	// maxPlanSteps bounds a plan.
+	// maxPlanSteps is the maximum number of steps of a plan.
 	maxPlanSteps = 10000
 
-	// planRecordBytes is how large records of permits may get in a plan: no permit waits for that.
+	// planRecordBytes is the maximum size of a record of permits in a plan. It is so large that no permit in a
+	// plan waits for space in a record.
 	planRecordBytes = 1 << 20
 )
 
-// planner simulates a drain on snapshots: each step is the decision that all controllers together would take,
-// carried out at once.
+// planner simulates a drain on snapshots. Each step takes the decisions of all controllers and carries them out
+// at once.
 type planner struct {
 	policy        *Policy
 	snapshot      *Snapshot
 	record        DrainRecord
-	addedMachines int // simulated machines
+	addedMachines int // number of simulated machines
 }
 
-// Plan works out the steps of a drain, changing nothing.
+// Plan computes the steps of a drain. It changes nothing.
 func (p *Policy) Plan(s *Snapshot, name string, record storage.Drain) *Plan {
 	simulation := &planner{
 		policy:   p,
@@ -68,7 +69,7 @@
 	return plan
 }
 
-// withDrain returns a snapshot in which a drain stands.
+// withDrain returns a snapshot with one drain added or replaced. The receiver stays unchanged.
 func (s *Snapshot) withDrain(name string, record storage.Drain) *Snapshot {
 	next := *s
 	next.drains = slices.DeleteFunc(
@@ -79,7 +80,7 @@
 	return &next
 }
 
-// cordon cordons machines that are open.
+// cordon cordons the listed machines that are open.
 func (p *planner) cordon(machines []string) {
 	for _, id := range machines {
 		machine, _ := p.snapshot.Machine(id)
@@ -91,7 +92,7 @@
 	}
 }
 
-// nextStep takes one step, and returns what still waits and for what.
+// nextStep simulates one step. It also returns what was still blocked in that step.
 func (p *planner) nextStep() (step Step, blocked []Blockage) {
 	decision := p.decide()
 	if p.record.Replace && p.scaleOutForBlocked(decision.Blocked, &step) {
@@ -113,7 +114,8 @@
 	return step, decision.Blocked
 }
 
-// decide joins the decisions of all controllers, each of which counts with the permits of those before it.
+// decide combines the decisions of all controllers. Each controller takes into account the permits that the
+// controllers before it granted.
 func (p *planner) decide() *Decision {
 	combined := &Decision{Granted: map[string][]storage.Permit{}}
 	always := func(string) bool { return true }
@@ -137,7 +139,7 @@
 	return combined
 }
 
-// owners lists the controllers that have machines.
+// owners lists the controllers that own machines.
 func (p *planner) owners() []string {
 	owners := map[string]bool{}
 	p.snapshot.ForEachMachine(func(machine *Machine) bool {
@@ -147,7 +149,8 @@
 	return sortedmap.Keys(owners)
 }
 
-// applyPermit carries a permit out: the replica is stopped, and its next attempt runs on the destination.
+// applyPermit simulates the use of a permit: the replica is stopped, and its next attempt runs on the
+// destination.
 func (p *planner) applyPermit(team string, permit storage.Permit) Move {
 	job := p.snapshot.jobs[permit.Job]
 	from, _ := p.snapshot.Machine(permit.From)
@@ -169,8 +172,8 @@
 	}
 }
 
-// scaleOutForBlocked adds a machine like the one that is drained for the first replica that no machine can take. It
-// tells whether it did.
+// scaleOutForBlocked adds a machine for the first replica that fits on no machine, like the machine that the
+// replica leaves. It reports whether it added one.
 func (p *planner) scaleOutForBlocked(blocked []Blockage, step *Step) bool {
 	for _, blockage := range blocked {
 		if blockage.Kind != BlockedByCapacity {
@@ -186,7 +189,8 @@
 	return false
 }
 
-// simulateScaleOut makes a new machine like another, in a zone where the drain doesn't close the offer.
+// simulateScaleOut returns a new machine of the same type as template, in the first zone where the drain doesn't
+// close the offer.
 func (p *planner) simulateScaleOut(template *Machine) (*Machine, bool) {
 	machineType, known := p.snapshot.types[template.Type]
 	if !known {
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -6,7 +6,8 @@
 	"pipitgap/internal/storage"
 )
 
-// Covers reports whether a machine belongs to a drain.
+// Covers reports whether a machine belongs to a drain. Machines with ids above LastMachine were created later
+// and don't belong to it.
 func Covers(record *storage.Drain, id, machineType, zone string, spot bool) bool {
 	if record.LastMachine != "" && id > record.LastMachine {
 		return false
@@ -14,7 +15,8 @@
 	return matches(&record.Selector, id, machineType, zone, spot)
 }
 
-// matches reports whether a selector names a machine, or its zone, type and capacity type.
+// matches reports whether a selector matches a machine: by its id if the selector lists machines, otherwise by
+// its zone, type and capacity type.
 func matches(selector *storage.Selector, id, machineType, zone string, spot bool) bool {
 	if len(selector.Machines) > 0 {
 		return slices.Contains(selector.Machines, id)
@@ -22,7 +24,8 @@
 	return matchesOffer(selector, machineType, zone, spot)
 }
 
-// matchesOffer reports whether a selector by zone, type and capacity type matches an offer.
+// matchesOffer reports whether a selector by zone, type and capacity type matches an offer. An empty field of
+// the selector matches every offer.
 func matchesOffer(selector *storage.Selector, machineType, zone string, spot bool) bool {
 	return (selector.Zone == "" || selector.Zone == zone) &&
 		(selector.Type == "" || selector.Type == machineType) &&
@@ -30,20 +33,21 @@
 			selector.CapacityType == storage.CapacityTypeOf(spot))
 }
 
-// ClosesOffer reports whether a drain keeps an offer (type, zone, spot or on demand) from being requested:
-// such machines would have to be drained as well.
+// ClosesOffer reports whether a drain excludes an offer (machine type, zone, spot or on demand) from scale-out,
+// because the new machines would have to be drained as well.
 func ClosesOffer(record *storage.Drain, machineType, zone string, spot bool) bool {
 	return record.State.Unfinished() && record.ClosesOffers() &&
 		matchesOffer(&record.Selector, machineType, zone, spot)
 }
 
-// SelectorEmpty reports whether a selector names nothing.
+// SelectorEmpty reports whether a selector has no criteria.
 func SelectorEmpty(selector *storage.Selector) bool {
 	return len(selector.Machines) == 0 && selector.Zone == "" && selector.Type == "" &&
 		selector.CapacityType == storage.AnyCapacity
 }
 
-// drainCovering returns the unfinished drain that a machine belongs to. Drains don't overlap.
+// drainCovering returns the unfinished drain that a machine belongs to. There is at most one, because
+// unfinished drains don't overlap.
 func (s *Snapshot) drainCovering(machine *Machine) (*DrainRecord, bool) {
 	for i := range s.drains {
 		record := &s.drains[i]
@@ -54,7 +58,7 @@
 	return nil, false
 }
 
-// Selected lists the ids of the machines that belong to a drain, in order.
+// Selected lists the ids of the machines that belong to a drain, in ascending order.
 func (s *Snapshot) Selected(record *storage.Drain) []string {
 	var selected []string
 	s.ForEachMachine(func(machine *Machine) bool {
@@ -66,7 +70,8 @@
 	return selected
 }
 
-// Overlaps reports whether a machine can belong to both of two drains: one that is up, or a future one.
+// Overlaps reports whether a machine can belong to both drains: either an existing machine, or one that is
+// created later.
 func (s *Snapshot) Overlaps(a, b *storage.Drain) bool {
 	for _, id := range s.Selected(a) {
 		machine, _ := s.Machine(id)
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -18,33 +18,34 @@
 	Task        int    // index
 	Attempt     uint64 // number
 	Starting    bool   // not known to be running yet
-	UnderPermit bool   // to be stopped under a permit
+	UnderPermit bool   // a permit allows a drain to stop it
 }
 
-// Machine is a machine with the replicas on it.
+// Machine is a machine with the tasks on it.
 type Machine struct {
 	ID, Type, Zone string
 	Spot           bool // spot instance
 	State          storage.MachineState
-	Owner          string           // the controller that holds its shard
-	Free           resources.Vector // used by no task, and reserved by no permit
+	Owner          string           // the controller that owns its shard
+	Free           resources.Vector // neither used by a task nor reserved by a permit
 	Replicas       []Replica
-	ArrayUsage     []ArrayUsage // what array tasks use, by priority
+	ArrayUsage     []ArrayUsage // resources of array tasks, by priority
 }
 
-// ArrayUsage is what the array tasks of one priority use on a machine.
+// ArrayUsage is the resource usage of the array tasks of one priority on a machine.
 type ArrayUsage struct {
 	Priority  int
 	Tasks     int // number of tasks
 	Resources resources.Vector
 }
 
-// reachable reports whether what runs on a machine counts as available.
+// reachable reports whether running replicas on a machine count as available.
 func (m *Machine) reachable() bool {
 	return m.State == storage.MachineOpen || m.State == storage.MachineCordoned
 }
 
-// freeWithPreemption is what is free on a machine once array tasks of lower priority are preempted.
+// freeWithPreemption returns the resources that are free on a machine once array tasks of lower priority are
+// preempted.
 func (m *Machine) freeWithPreemption(priority int) resources.Vector {
 	free := m.Free
 	for _, usage := range m.ArrayUsage {
@@ -63,47 +64,47 @@
 	Priority        int
 	Types           []string // allowed machine types; nil: any
 	Zone            string   // the only allowed zone; "": any
-	OneZone, Spread bool     // all replicas in one zone; or at most half of them in a zone
+	OneZone, Spread bool     // all replicas in one zone; at most half of them (rounded up) in each zone
 	Spot            bool     // may run on spot machines
-	// Failing says that the job fails wherever it runs: it has no availability to protect.
+	// Failing says that the job fails wherever it runs, so it has no availability that a budget could protect.
 	Failing bool
 }
 
-// allows reports whether a job's replicas may run on a machine, but for its zone rules.
+// allows reports whether a job's replicas may run on a machine. It doesn't check OneZone and Spread.
 func (j *Job) allows(machine *Machine) bool {
 	typeAllowed := j.Types == nil || slices.Contains(j.Types, machine.Type)
 	return typeAllowed && (j.Zone == "" || j.Zone == machine.Zone) && (j.Spot || !machine.Spot)
 }
 
-// TypeCapacity is a machine type of the cloud's catalog.
+// TypeCapacity is a machine type of the cloud's catalog, with the resources of one machine.
 type TypeCapacity struct {
 	Name     string
 	Capacity resources.Vector
 	Zones    []string
 }
 
-// DrainRecord is a drain with the version of its record.
+// DrainRecord is a drain and the version of its record.
 type DrainRecord struct {
 	storage.Drain
 	Name    string
 	Version uint64
 }
 
-// TeamPermits are a team's permits with the version of their record, 0 if there is none yet.
+// TeamPermits are a team's permits and the version of their record. Version is 0 if there is no record yet.
 type TeamPermits struct {
 	Permits []storage.Permit
 	Version uint64
 }
 
-// Snapshot is the fleet at one revision of the state service. It never changes: trying a step gives another
-// snapshot, which shares nearly everything with it.
+// Snapshot is the state of the fleet at one revision of the state service. It is immutable: simulating a change
+// returns a new snapshot, which shares nearly all data with the old one.
 type Snapshot struct {
 	Revision  uint64 // of the state service
 	Wall      int64  // wall clock, microseconds
 	machines  *immutable.SortedMap[string, *Machine]
 	jobs      map[string]*Job
 	types     map[string]TypeCapacity
-	drains    []DrainRecord // by name
+	drains    []DrainRecord // sorted by name
 	permits   map[string]TeamPermits
 	machineOf map[replicaKey]string // the machine that each replica is on
 }
@@ -117,7 +118,7 @@
 	return job, ok
 }
 
-// Drains lists all drains by name.
+// Drains lists all drains, sorted by name.
 func (s *Snapshot) Drains() []DrainRecord { return s.drains }
 
 // Drain returns a drain by its name.
@@ -133,7 +134,7 @@
 // Permits returns a team's permits.
 func (s *Snapshot) Permits(team string) TeamPermits { return s.permits[team] }
 
-// replicaOf finds the current attempt of a replica, and its machine.
+// replicaOf returns the current attempt of a replica and the machine that it is on.
 func (s *Snapshot) replicaOf(job string, task int) (machine *Machine, replica Replica, found bool) {
 	machine, ok := s.Machine(s.machineOf[replicaKey{job, task}])
 	if !ok {
@@ -147,7 +148,7 @@
 	return nil, Replica{}, false
 }
 
-// ForEachMachine calls visit for all machines in the order of their ids until it returns false.
+// ForEachMachine calls visit for each machine, in ascending order of ids, until visit returns false.
 func (s *Snapshot) ForEachMachine(visit func(*Machine) bool) {
 	for it := s.machines.Iterator(); !it.Done(); {
 		if _, machine, ok := it.Next(); ok && !visit(machine) {
@@ -156,22 +157,22 @@
 	}
 }
 
-// withMachine returns a snapshot in which one machine is another; this one stays as it is.
+// withMachine returns a snapshot with one machine added or replaced. The receiver stays unchanged.
 func (s *Snapshot) withMachine(machine *Machine) *Snapshot {
 	next := *s
 	next.machines = s.machines.Set(machine.ID, machine)
 	return &next
 }
 
-// withoutMachine returns a snapshot that lacks a machine.
+// withoutMachine returns a snapshot without the machine. The receiver stays unchanged.
 func (s *Snapshot) withoutMachine(id string) *Snapshot {
 	next := *s
 	next.machines = s.machines.Delete(id)
 	return &next
 }
 
-// withPermit returns a snapshot with a further permit: its replica is to be stopped, and capacity is reserved
-// for the next attempt.
+// withPermit returns a snapshot with one more permit applied: its replica is marked as under a permit, and
+// resources for the next attempt are reserved on the destination.
 func (s *Snapshot) withPermit(permit storage.Permit) *Snapshot {
 	next := s
 	if from, ok := s.Machine(permit.From); ok {
@@ -194,19 +195,19 @@
 	return next
 }
 
-// Builder collects what makes a snapshot.
+// Builder collects the contents of a snapshot.
 type Builder struct {
 	snapshot Snapshot
 	machines *immutable.SortedMapBuilder[string, *Machine]
 }
 
-// replicaKey names a replica of a service.
+// replicaKey identifies a replica of a service.
 type replicaKey struct {
 	job  string
 	task int
 }
 
-// NewBuilder begins a snapshot of a revision.
+// NewBuilder starts a snapshot of a revision. wall is the wall clock in microseconds.
 func NewBuilder(revision uint64, wall int64) *Builder {
 	return &Builder{
 		snapshot: Snapshot{
@@ -217,7 +218,7 @@
 	}
 }
 
-// AddMachine adds a machine, which must not be changed afterwards.
+// AddMachine adds a machine. The caller must not change the machine afterwards.
 func (b *Builder) AddMachine(machine *Machine) {
 	b.machines.Set(machine.ID, machine)
 	for _, replica := range machine.Replicas {
@@ -241,7 +242,8 @@
 	b.snapshot.permits[team] = TeamPermits{Permits: record.Permits, Version: version}
 }
 
-// Build makes the snapshot. The builder must not be used afterwards.
+// Build returns the snapshot. It applies each permit whose replica has no other attempt on a machine yet. The
+// builder must not be used afterwards.
 func (b *Builder) Build() *Snapshot {
 	s := b.snapshot
 	s.machines = b.machines.Map()
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -7,20 +7,20 @@
 	"pipitgap/internal/storage"
 )
 
-// Progress is how far a drain has come.
+// Progress is the state of a drain, with the machines that it still has to empty and what blocks it.
 type Progress struct {
 	Name      string             `json:"name"`
 	State     storage.DrainState `json:"state"`
 	Reason    string             `json:"reason,omitempty"`
 	Revision  uint64             `json:"revision"` // of the state service
 	Machines  []MachineProgress  `json:"machines"`
-	Permits   int                `json:"permits"` // moves in progress
+	Permits   int                `json:"permits"` // replicas that are being moved
 	Blocked   []Blockage         `json:"blocked,omitempty"`
-	StartedAt int64              `json:"started_at_us"`         // time of day
-	EndedAt   int64              `json:"ended_at_us,omitempty"` // time of day; 0: not yet
+	StartedAt int64              `json:"started_at_us"`         // wall clock
+	EndedAt   int64              `json:"ended_at_us,omitempty"` // wall clock; 0: not ended
 }
 
-// MachineProgress is a machine of a drain that isn't terminated yet.
+// MachineProgress is a machine of a drain that hasn't been deleted yet.
 type MachineProgress struct {
 	ID           string `json:"id"`
 	State        string `json:"state"`
@@ -29,7 +29,7 @@
 	BeingEmptied bool   `json:"being_emptied"`
 }
 
-// stateNames are the states of a machine as operators read them.
+// stateNames maps each machine state to the name that operators see.
 var stateNames = map[storage.MachineState]string{
 	storage.MachineOpen:        "open",
 	storage.MachineUnreachable: "out of reach",
@@ -38,7 +38,7 @@
 	storage.MachineRemoving:    "being given back",
 }
 
-// Progress returns how far a drain has come, and what it waits for.
+// Progress returns the progress of a drain. live reports whether a controller is a member of the cluster.
 func (p *Policy) Progress(s *Snapshot, record *DrainRecord, live func(string) bool) *Progress {
 	progress := &Progress{Name: record.Name, State: record.State, Reason: record.Reason, Revision: s.Revision,
 		Machines: []MachineProgress{}, StartedAt: record.StartedAt, EndedAt: record.EndedAt}
@@ -60,7 +60,7 @@
 	return progress
 }
 
-// machineProgress lists the machines of a drain that aren't terminated yet.
+// machineProgress lists the machines of a drain that haven't been deleted yet.
 func (s *Snapshot) machineProgress(record *DrainRecord) []MachineProgress {
 	beingEmptied := map[string]bool{}
 	if record.State == storage.DrainActive {
@@ -82,7 +82,7 @@
 	return machines
 }
 
-// countPermits counts the permits of a drain.
+// countPermits returns the number of permits of a drain, over all teams.
 func (s *Snapshot) countPermits(drain string) int {
 	count := 0
 	for _, team := range s.permits {
@@ -95,7 +95,7 @@
 	return count
 }
 
-// arrayTasks counts the array tasks on a machine.
+// arrayTasks returns the number of array tasks on a machine.
 func (m *Machine) arrayTasks() int {
 	count := 0
 	for _, usage := range m.ArrayUsage {
@@ -104,19 +104,19 @@
 	return count
 }
 
-// TeamStatus is a scope's availability against its budget.
+// TeamStatus compares the available replicas of a scope with its budget, for operators.
 type TeamStatus struct {
 	Team            string `json:"team"`
 	Class           string `json:"class,omitempty"`
-	Budgeted        bool   `json:"budgeted"`  // false: the default pace
-	Desired         int    `json:"desired"`   // replicas that its jobs should have
-	Available       int    `json:"available"` // replicas
-	MinAvailable    int    `json:"must_stay"` // replicas
-	ReserveMachines int    `json:"reserve_machines"`
-	WorstLoss       int    `json:"lost_with_reserve"` // replicas on as many of its fullest machines
+	Budgeted        bool   `json:"budgeted"`          // false: the default budget applies
+	Desired         int    `json:"desired"`           // replicas that the scope's jobs should have
+	Available       int    `json:"available"`         // replicas
+	MinAvailable    int    `json:"must_stay"`         // replicas that must stay available
+	ReserveMachines int    `json:"reserve_machines"`  // machines whose sudden loss the budget must survive
+	WorstLoss       int    `json:"lost_with_reserve"` // replicas on the ReserveMachines machines that hold most
 }
 
-// Teams lists the availability of all scopes with services, by their names.
+// Teams returns the status of every scope that has services, sorted by the scope's name.
 func (p *Policy) Teams(s *Snapshot) []TeamStatus {
 	byScope := p.availabilityByScope(s)
 	byName := map[string]*Availability{}
