--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -161,9 +161,9 @@
 // cancellation that any controller has confirmed to a user.
 //
 // mirrorFreshAt is when this controller sent the request that last brought its mirror up to date: the mirror
-// contains everything that was committed before. A peer's complete round contains everything that the peer had
-// confirmed when it created the round. The peer created the round after it received the clock reading that the
-// round echoes.
+// contains everything that was committed before. A peer's complete round contains everything that the peer
+// had confirmed when it created the round. The peer created the round after it received the clock reading
+// that the round echoes.
 func (r *Relay) ConfirmedUntil(mirrorFreshAt, now monotime.Micros) monotime.Micros {
 	knownFromPeers := now
 	for _, peer := range r.peers {
--- a/internal/cancellation/relay_test.go
+++ b/internal/cancellation/relay_test.go
@@ -8,8 +8,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// relayPair is the relays of two controllers: renewer renews worker leases, confirmer confirms cancellations to
-// users.
+// relayPair is the relays of two controllers: renewer renews worker leases, confirmer confirms cancellations
+// to users.
 type relayPair struct{ renewer, confirmer *Relay }
 
 func newPair() *relayPair {
@@ -35,8 +35,9 @@
 	return newlyKnown
 }
 
-// TestConfirmedOnlyAfterRoundTrip guards against a confirmed time that is too late: a peer's round counts only
-// if it is complete, the peer has read its records and the round echoes the receiver's current incarnation.
+// TestConfirmedOnlyAfterRoundTrip guards against a confirmed time that is too late: a peer's round counts
+// only if it is complete, the peer has read its records and the round echoes the receiver's current
+// incarnation.
 func TestConfirmedOnlyAfterRoundTrip(t *testing.T) {
 	const roundSentAt, now = monotime.Micros(500), monotime.Micros(900)
 	addCancellations := func(r *Relay) {
@@ -127,8 +128,8 @@
 	}
 }
 
-// TestConfirmedUntilIsMinimumOverPeers: the peer with the oldest confirmed time decides. A peer that has sent no
-// round keeps the result at zero.
+// TestConfirmedUntilIsMinimumOverPeers: the peer with the oldest confirmed time decides. A peer that has sent
+// no round keeps the result at zero.
 func TestConfirmedUntilIsMinimumOverPeers(t *testing.T) {
 	renewer := NewRelay(1, []string{"a", "b"})
 	for _, name := range []string{"a", "b"} {
@@ -151,8 +152,8 @@
 }
 
 // TestReceivedCancellationsAreRelayed: a third controller relays the cancellations that it received from the
-// confirmer, so they reach the renewer even if the confirmer is gone. Forget and Prune remove cancellations of
-// jobs that have no tasks left.
+// confirmer, so they reach the renewer even if the confirmer is gone. Forget and Prune remove cancellations
+// of jobs that have no tasks left.
 func TestReceivedCancellationsAreRelayed(t *testing.T) {
 	third := NewRelay(3, []string{"confirmer", "renewer"})
 	third.Receive(
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -173,7 +173,8 @@
 	a.onMachine[machine]++
 }
 
-// allowsStop reports whether the budget allows stopping one more replica on a machine. If not, reason says why.
+// allowsStop reports whether the budget allows stopping one more replica on a machine. If not, reason says
+// why.
 func (a *Availability) allowsStop(machine string) (reason string, ok bool) {
 	if a.Available <= a.MinAvailable {
 		return fmt.Sprintf("%s: %d of %d replicas are available, %d must stay",
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -25,12 +25,14 @@
 	Granted map[string][]storage.Permit
 	// Stop are committed permits that may be used now. Their replicas are on machines of this controller.
 	Stop []storage.Permit
-	// Revoked are committed permits for replicas on machines of this controller that must not be used any more.
-	// A revoked permit whose replica is already being stopped stays in its record until it is completed.
+	// Revoked are committed permits for replicas on machines of this controller that must not be used any
+	// more. A revoked permit whose replica is already being stopped stays in its record until it is
+	// completed.
 	Revoked []storage.Permit
-	// Completed are the permits that are no longer needed, by team, see isCompleted.
+	// Completed are the permits to remove because they are no longer needed, by team, see isCompleted.
 	Completed map[string][]storage.Permit
-	// StopArrays are the machines of this controller on which the tasks that need no permit may be stopped now.
+	// StopArrays are the machines of this controller on which the tasks that need no permit may be stopped
+	// now.
 	StopArrays []string
 	// Blocked lists what the drains wait for.
 	Blocked []Blockage
@@ -39,9 +41,9 @@
 // BlockKind is the kind of condition that the move of a replica waits for.
 type BlockKind string
 
-// Kinds of conditions that block moves. docs/operators/drains.md says how to resolve each. Progress, which the
-// operators' command shows, never contains BlockedByPermits. It contains BlockedByDeadline only until the leader
-// has paused the drain.
+// Kinds of conditions that block moves. docs/operators/drains.md says how to resolve each. Progress, which
+// the operators' command shows, never contains BlockedByPermits. It contains BlockedByDeadline only until the
+// leader has paused the drain.
 const (
 	BlockedByBudget     BlockKind = "budget"
 	BlockedByCapacity   BlockKind = "room"
@@ -105,7 +107,7 @@
 	return d.decision
 }
 
-// reviewPermit decides whether a committed permit is completed, used or revoked.
+// reviewPermit decides whether a committed permit is completed, may be used, is revoked, or is left alone.
 func (d *decider) reviewPermit(team string, permit *storage.Permit) {
 	d.recordBytes[team] += permitBytes(permit)
 	if d.isCompleted(permit) {
@@ -145,8 +147,8 @@
 	return false
 }
 
-// stillAllowed reports whether a committed permit may be used now. It checks the budget again, because machines
-// may have been lost since the permit was granted, or because the commit may have been applied late.
+// stillAllowed reports whether a committed permit may be used now. It checks the budget again, because
+// machines may have been lost since the permit was granted, or because the commit may have been applied late.
 func (d *decider) stillAllowed(permit *storage.Permit, from *Machine) bool {
 	record, ok := d.snapshot.drainCovering(from)
 	if !ok || record.Name != permit.Drain || !d.mayStopReplicas(record) {
@@ -171,10 +173,10 @@
 	return record.DeadlineAt != 0 && s.Wall >= record.DeadlineAt
 }
 
-// NextState returns the next state that a drain takes without an operator's command. An active drain ends when
-// it has no machines left, and it is paused at its deadline. It doesn't end while machines that it covers may
-// still come up (expectsMachines). If next is nil and changed is true, its record must be deleted, because it
-// ended more than retention microseconds ago.
+// NextState returns the next state that a drain takes without an operator's command. An active drain ends
+// when it has no machines left, and it is paused at its deadline. It doesn't end while machines that it
+// covers may still come up (expectsMachines). If next is nil and changed is true, its record must be deleted,
+// because it ended more than retention microseconds ago.
 func (s *Snapshot) NextState(
 	record *DrainRecord,
 	expectsMachines bool,
@@ -359,7 +361,8 @@
 	d.snapshot = d.snapshot.withPermit(permit)
 }
 
-// block adds to the decision what a machine waits for, or what one of its replicas waits for if replica is set.
+// block adds to the decision what a machine waits for, or what one of its replicas waits for if replica is
+// set.
 func (d *decider) block(
 	record *DrainRecord,
 	machine *Machine,
--- a/internal/drain/destination.go
+++ b/internal/drain/destination.go
@@ -29,8 +29,8 @@
 	return preemptionFit, preemptionFit != nil
 }
 
-// takesReplicas reports whether new replicas may be placed on a machine: it is open, its controller is live and
-// no unfinished drain covers it.
+// takesReplicas reports whether new replicas may be placed on a machine: it is open, its controller is live
+// and no unfinished drain covers it.
 func (s *Snapshot) takesReplicas(machine *Machine, live func(node string) bool) bool {
 	if machine.State != storage.MachineOpen || !live(machine.Owner) {
 		return false
@@ -45,8 +45,8 @@
 	replicas map[string]int
 }
 
-// zonesFor counts a job's replicas by zone, without the replica that leaves the machine from. For a job without
-// zone rules it counts none.
+// zonesFor counts a job's replicas by zone, without the replica that leaves the machine from. For a job
+// without zone rules it counts none.
 func (s *Snapshot) zonesFor(job *Job, from *Machine) *zoneCounts {
 	zones := &zoneCounts{job: job, replicas: map[string]int{}}
 	if !job.OneZone && !job.Spread {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -110,8 +110,8 @@
 	return &Controller{Node: "n-0", Live: always, Responsible: always, RecordBytes: 4000}
 }
 
-// fleetWithCordonedZone returns a fleet with one cordoned machine in zone a for each string, which lists the jobs
-// of the machine's replicas, and with two empty machines in zone b. The drain "rack" covers zone a.
+// fleetWithCordonedZone returns a fleet with one cordoned machine in zone a for each string, which lists the
+// jobs of the machine's replicas, and with two empty machines in zone b. The drain "rack" covers zone a.
 func fleetWithCordonedZone(replicas ...string) *fleetSpec {
 	f := &fleetSpec{
 		machines: map[string][]string{"i-8": nil, "i-9": nil},
@@ -138,8 +138,8 @@
 	return n
 }
 
-// TestGrantsWithinBudgetAndReserve: a decision grants as many permits as the budget and its reserve allow, and
-// names what blocks the other replicas.
+// TestGrantsWithinBudgetAndReserve: a decision grants as many permits as the budget and its reserve allow,
+// and names what blocks the other replicas.
 func TestGrantsWithinBudgetAndReserve(t *testing.T) {
 	fourReplicas := []string{"j-1 j-1", "j-1", "j-1"}
 	cases := []struct {
@@ -204,7 +204,7 @@
 			}
 			return f
 		}(), 0, BlockedByBudget},
-		{"replicas on an unreachable machine are unavailable", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
+		{"replicas on unreachable machines are unavailable", policyWithReserve(0, minAvailable("t", 3)), func() *fleetSpec {
 			f := fleetWithCordonedZone(fourReplicas...)
 			f.state["i-3"] = storage.MachineUnreachable
 			return f
@@ -291,12 +291,13 @@
 	controller.RecordBytes = 170 // two permits
 	d := policyWithReserve(0, minAvailable("t", 0)).Decide(fleetWithCordonedZone("j-1 j-1 j-1").build(), controller)
 	if countGranted(d) != 2 || d.Blocked[0].Kind != BlockedByPermits {
-		t.Errorf("got %d permits and blockages %+v, want 2 permits and a blockage of kind permits first", countGranted(d), d.Blocked)
+		t.Errorf("got %d permits and blockages %+v, want 2 permits and a blockage of kind permits first",
+			countGranted(d), d.Blocked)
 	}
 }
 
-// TestGrantedPermitsAreStoppedRevokedOrCompleted: a committed permit is used, revoked, completed or left alone,
-// depending on the records.
+// TestGrantedPermitsAreStoppedRevokedOrCompleted: a committed permit is used, revoked, completed or left
+// alone, depending on the records.
 func TestGrantedPermitsAreStoppedRevokedOrCompleted(t *testing.T) {
 	permit := storage.Permit{Drain: "rack", Job: "j-1", Task: 0, Attempt: 7, From: "i-1", To: "i-8"}
 	cases := []struct {
@@ -320,7 +321,7 @@
 			f.drains["rack"] = record
 		}, 0, 1, 0, 2},
 		{"replica stopped, no new attempt", func(f *fleetSpec) { f.machines["i-1"] = nil }, 0, 0, 0, 0},
-		{"new attempt starting at the destination", func(f *fleetSpec) {
+		{"new attempt starting on another machine", func(f *fleetSpec) {
 			f.machines["i-1"], f.machines["i-0"], f.zones["i-0"] = nil, []string{"j-1"}, "b"
 			f.starting["i-0"] = true
 		}, 0, 0, 0, 0},
@@ -337,7 +338,7 @@
 		f := fleetWithCordonedZone("j-1", "j-1", "j-1")
 		f.permits["t"] = []storage.Permit{permit}
 		tc.change(f)
-		if tc.name == "new attempt starting at the destination" {
+		if tc.name == "new attempt starting on another machine" {
 			f.permits["t"][0].Attempt = 6
 		}
 		d := policyWithReserve(0, minAvailable("t", tc.minimum)).Decide(f.build(), controllerN0())
@@ -363,7 +364,8 @@
 	}
 }
 
-// TestDecideLeavesSnapshotUnchanged guards against a plan that changes the snapshot on which it simulates steps.
+// TestDecideLeavesSnapshotUnchanged guards against a plan that changes the snapshot on which it simulates
+// steps.
 func TestDecideLeavesSnapshotUnchanged(t *testing.T) {
 	s := fleetWithCordonedZone("j-1 j-1", "j-1").build()
 	policy := policyWithReserve(0, minAvailable("t", 0))
@@ -405,7 +407,8 @@
 	plan = policyWithReserve(0, minAvailable("t", 2)).Plan(f.build(), "rack", record)
 	if len(plan.Blocked) > 0 || len(plan.Steps) == 0 || len(plan.Steps[0].ScaleOut) == 0 ||
 		!strings.Contains(plan.Steps[0].ScaleOut[0], "zone b") {
-		t.Errorf("with replacement: got plan %+v, want a first step that requests a machine in zone b, no blockages", plan)
+		t.Errorf("with replacement: got plan %+v, want a first step that requests a machine in zone b, no blockages",
+			plan)
 	}
 }
 
@@ -456,8 +459,8 @@
 	}
 }
 
-// TestOverlappingSelectors: two drains overlap if they share an existing machine or a machine that may be created
-// later. A drain closes exactly the offers of such later machines.
+// TestOverlappingSelectors: two drains overlap if they share an existing machine or a machine that may be
+// created later. A drain closes exactly the offers of such later machines.
 func TestOverlappingSelectors(t *testing.T) {
 	f := fleetWithCordonedZone("j-1", "j-1")
 	f.zones["i-2"] = "b"
--- a/internal/drain/drainer/coverage.go
+++ b/internal/drain/drainer/coverage.go
@@ -24,13 +24,13 @@
 	return nil, false
 }
 
-// IsCordoned reports whether a machine gets no new tasks because of a drain.
+// IsCordoned reports whether a drain keeps new tasks off a machine.
 func (d *Drainer) IsCordoned(machine *mirror.Machine) bool {
 	_, covered := d.drainCovering(machine)
 	return covered
 }
 
-// ClosesOffer reports whether a drain keeps an offer from being requested.
+// ClosesOffer reports whether a drain excludes an offer from scale-out.
 func (d *Drainer) ClosesOffer(offer autoscaling.Offer) bool {
 	if d == nil {
 		return false
@@ -43,7 +43,7 @@
 	return false
 }
 
-// MayScaleIn reports whether a drained machine that has been empty for so long is to be removed.
+// MayScaleIn reports whether a drained machine that has been empty for emptyFor should be removed.
 func (d *Drainer) MayScaleIn(machine *mirror.Machine, emptyFor monotime.Micros) bool {
 	record, covered := d.drainCovering(machine)
 	if !covered || record.State == storage.DrainPaused {
@@ -52,7 +52,8 @@
 	return record.RemoveAtOnce || emptyFor >= d.deps.Machines.ScaleInDelay(machine.Record)
 }
 
-// ProtectsFromPreemption reports whether a job's tasks aren't stopped to make room for others.
+// ProtectsFromPreemption reports whether a job's tasks must not be preempted, because it is a service with a
+// disruption budget.
 func (d *Drainer) ProtectsFromPreemption(job *mirror.Job) bool {
 	spec := &job.Record.Spec
 	return d != nil && spec.Service && d.policy.Budgeted(spec.Team, spec.Class)
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -16,86 +16,89 @@
 	"pipitgap/internal/storage"
 )
 
-// Bounds of what drains cost.
+// Limits on the writes and records of drains.
 const (
-	// PermitWriteFraction is the part of the state service's changes that all controllers together
-	// spend on permits.
+	// PermitWriteFraction is the fraction of the state service's write rate limit that all controllers
+	// together may use for permits.
 	PermitWriteFraction = 0.1
-	// spareWriteFraction is the part of a controller's burst of changes that must be unused for it to
-	// begin moves.
+	// spareWriteFraction is the fraction of a controller's write burst that must be unused before it begins
+	// moves.
 	spareWriteFraction = 0.7
-	// drainRetention is how long the record of a drain that has ended is kept.
+	// drainRetention is how long the record of a drain is kept after the drain has ended.
 	drainRetention = 24 * 60 * monotime.Minute
 )
 
-// Clock has the time.
+// Clock provides the time.
 type Clock interface {
-	Now() monotime.Micros // the steady clock
-	WallClock() int64     // microseconds, as in the records
+	Now() monotime.Micros // monotonic clock
+	WallClock() int64     // wall clock in microseconds, as in the records
 }
 
-// Membership tells which controllers are members of the cluster, and which is the leader.
+// Membership reports which controllers are members of the cluster, and which one is the leader.
 type Membership interface {
-	// HoldsLease reports whether this controller's own lease can't have expired yet.
+	// HoldsLease reports whether it is certain that this controller's lease hasn't expired.
 	HoldsLease(now monotime.Micros) bool
-	// IsLeader reports whether this controller leads.
+	// IsLeader reports whether this controller is the leader.
 	IsLeader(now monotime.Micros) bool
 	// IsMember reports whether a controller is a member.
 	IsMember(node string) bool
-	// LiveControllers lists the controllers that are members, in order.
+	// LiveControllers lists the controllers that are members, in the order of the deployment.
 	LiveControllers() []string
 }
 
-// Store commits transactions to the state service, and tells what its rate limits leave.
+// Store commits transactions to the state service, and reports how much of its rate limits is unused.
 type Store interface {
-	// Unavailable reports whether the state service has lately not answered.
+	// Unavailable reports whether the state service hasn't answered recently.
 	Unavailable() bool
-	// IsMirrorStale reports whether the mirror lacks changes that are too old for decisions on drains.
+	// IsMirrorStale reports whether the mirror may be too old for decisions on drains.
 	IsMirrorStale(now monotime.Micros) bool
-	// UserCallsWaiting reports whether calls of users wait, here or at another controller.
+	// UserCallsWaiting reports whether so many calls of users wait, at this controller or at another, that
+	// other work must yield to them.
 	UserCallsWaiting(now monotime.Micros) bool
-	// HasSpareWrites reports whether a part of this controller's burst of changes is unused.
+	// HasSpareWrites reports whether at least a fraction of this controller's write burst is unused.
 	HasSpareWrites(now monotime.Micros, fraction float64) bool
-	// NextWriteAllowedAt is when the next change may be made by what takes a part of all changes.
+	// NextWriteAllowedAt returns when the next write for some work is allowed, if all controllers together
+	// may spend a fraction of the state service's writes on that work.
 	NextWriteAllowedAt(fraction float64) monotime.Micros
-	// Commit applies a successful transaction to the mirror before it calls back.
+	// Commit commits a transaction. It applies a successful one to the mirror before it calls the callback.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
-	// CommitAsLeader commits while this controller is the leader, one transaction at a time for a key.
+	// CommitAsLeader commits a transaction only while this controller is the leader, and only one at a time
+	// for each key.
 	CommitAsLeader(ratelimit.Priority, string, protocol.Transaction, func(protocol.StoreResult))
-	// MaxValueBytes bounds the size of a record.
+	// MaxValueBytes returns the maximum size of a record.
 	MaxValueBytes() int
 }
 
-// Agents has the agents of own machines.
+// Agents provides the agents of this controller's machines.
 type Agents interface {
-	// Of is nil for a machine that isn't this controller's.
+	// Of returns the agent of a machine, nil if the machine isn't this controller's.
 	Of(*mirror.Machine) *agents.Agent
 	// SyncCommands sends an agent the commands that its state requires.
 	SyncCommands(*mirror.Machine)
 }
 
-// Jobs answers what the scheduler knows of jobs.
+// Jobs provides what the scheduler knows about jobs.
 type Jobs interface {
 	// IsCrashLooping reports whether a job fails wherever it runs.
 	IsCrashLooping(*mirror.Job) bool
-	// ExpectedRunSeconds is the expected run of a task.
+	// ExpectedRunSeconds returns the expected run time of a task.
 	ExpectedRunSeconds(*storage.JobSpec) float64
-	// ZoneConstraint is a job's rule on zones as its tasks stand now; each call gives one of its own.
+	// ZoneConstraint returns a job's zone rule, given where its tasks are now. Each call returns a new value.
 	ZoneConstraint(*mirror.Job) autoscaling.ZoneConstraint
-	// AssignmentShardBytes is the size up to which a shard takes assignments, which bounds a record of
-	// permits too.
+	// AssignmentShardBytes returns the size up to which assignments may fill a shard. It is also the maximum
+	// size of a record of permits.
 	AssignmentShardBytes() int
 }
 
-// Machines answers what the cloud's machine types and the settings say of machines.
+// Machines provides the cloud's machine types and the settings of machines.
 type Machines interface {
-	// MachineTypes is nil until the types are known.
+	// MachineTypes returns nil until the types are known.
 	MachineTypes() map[string]protocol.MachineType
-	// ScaleInDelay is how long an empty machine is kept.
+	// ScaleInDelay returns how long an empty machine is kept.
 	ScaleInDelay(*storage.ShardMachine) monotime.Micros
 }
 
-// Dependencies are what a Drainer needs of the controller it belongs to.
+// Dependencies are what a Drainer needs from its controller.
 type Dependencies struct {
 	Mirror     *mirror.Mirror
 	Clock      Clock
@@ -104,12 +107,12 @@
 	Agents     Agents
 	Jobs       Jobs
 	Machines   Machines
-	// NotePermitWrite is called for every commit of permits.
+	// NotePermitWrite is called after every successful commit of permits.
 	NotePermitWrite func()
 	Log             *slog.Logger
 }
 
-// Drainer carries out on one controller what package drain decides. It is used by one goroutine.
+// Drainer carries out the decisions of package drain on one controller. Only one goroutine may use it.
 type Drainer struct {
 	node     string
 	settings *config.DrainSettings
@@ -117,15 +120,15 @@
 	deps     Dependencies
 
 	nextRunAt            monotime.Micros
-	nextPermitWriteAt    monotime.Micros            // when a change may be spent on permits again
-	permitCommitInFlight map[string]bool            // teams whose permits have a commit in flight
-	evictingSince        map[string]monotime.Micros // own machines whose array tasks are being stopped
-	replacementDemand    []*autoscaling.Demand      // what the leader requests machines for
-	lossCounts           map[LossCause]int          // replicas lost outside of permits
+	nextPermitWriteAt    monotime.Micros            // when the next commit of permits is allowed
+	permitCommitInFlight map[string]bool            // teams with a commit of permits in flight
+	evictingSince        map[string]monotime.Micros // machines of this controller whose array tasks are being stopped
+	replacementDemand    []*autoscaling.Demand      // replicas for which the leader requests machines
+	lossCounts           map[LossCause]int          // replicas lost without a permit, by cause
 	lossesLoggedAt       monotime.Micros
 }
 
-// New makes the drainer of a controller; it is nil without settings.
+// New returns the drainer of a controller, nil without settings.
 func New(node string, settings *config.DrainSettings, deps Dependencies) *Drainer {
 	if settings == nil {
 		return nil
@@ -141,8 +144,8 @@
 	}
 }
 
-// Reconcile takes the next steps of all drains. It decides on a fresh mirror only: what has been lost since
-// an old one was read would not be counted.
+// Reconcile takes the next steps of all drains. It decides only on a fresh mirror, because a stale mirror
+// doesn't show the replicas that were lost since it was read.
 func (d *Drainer) Reconcile(now monotime.Micros) {
 	if d == nil || now < d.nextRunAt || !d.HasWork() || !d.canDecide(now) {
 		return
@@ -165,13 +168,14 @@
 	d.nextRunAt = durations.NextDue(now, d.deps.Clock.Now(), durations.SlowTickInterval)
 }
 
-// canDecide reports whether the records are complete and fresh, and the changes could be committed.
+// canDecide reports whether the records are complete and fresh, and the resulting writes could be committed.
 func (d *Drainer) canDecide(now monotime.Micros) bool {
 	return !d.deps.Store.Unavailable() && d.deps.Machines.MachineTypes() != nil &&
 		d.deps.Membership.HoldsLease(now) && !d.deps.Store.IsMirrorStale(now)
 }
 
-// HasWork reports whether there is anything to do for drains. If not, it drops what was known for them.
+// HasWork reports whether any drain or permit needs work. If not, it clears the
+// replacement demand and the eviction times.
 func (d *Drainer) HasWork() bool {
 	if d == nil {
 		return false
@@ -192,10 +196,10 @@
 	return false
 }
 
-// Decide is the decision on drains as the records stand now. Nothing of it is carried out.
+// Decide returns the decision on all drains for the current records. It doesn't carry the decision out.
 func (d *Drainer) Decide() *drain.Decision { return d.policy.Decide(d.Snapshot(), d.controller()) }
 
-// controller is what a decision must know of this controller.
+// controller returns the description of this controller that package drain needs for a decision.
 func (d *Drainer) controller() *drain.Controller {
 	controllers := d.deps.Membership.LiveControllers()
 	return &drain.Controller{
--- a/internal/drain/drainer/drainer_test.go
+++ b/internal/drain/drainer/drainer_test.go
@@ -20,7 +20,7 @@
 	"pipitgap/internal/storage"
 )
 
-// The fleet of these tests: an own machine with a replica and an array task, and an empty one.
+// The fleet of these tests: two machines of the controller, one with a replica and an array task, one empty.
 const (
 	ownNode      = "n-0"
 	fullMachine  = "i-1"
@@ -34,7 +34,7 @@
 	testNow     = 100 * monotime.Second
 )
 
-// controllerStub is the rest of a controller: commits succeed at once and change the mirror.
+// controllerStub implements the drainer's dependencies. Commits succeed at once and change the mirror.
 type controllerStub struct {
 	stubs.AppliedCommits
 	records      *mirror.Mirror
@@ -42,9 +42,9 @@
 	agents       map[string]*agents.Agent
 	now          monotime.Micros
 	nextWriteAt  monotime.Micros
-	synced       []string // machines whose commands were brought up to date
+	synced       []string // machines whose agents were sent commands
 	crashLooping bool     // the service fails wherever it runs
-	runSeconds   float64  // expected run of a task
+	runSeconds   float64  // expected run time of a task
 }
 
 func newControllerStub() *controllerStub {
@@ -74,7 +74,7 @@
 	return s
 }
 
-// addJob adds a job with one task, whose attempt is on the full machine.
+// addJob adds a job with one task, whose attempt is on fullMachine.
 func (s *controllerStub) addJob(id string, isService bool) {
 	s.records.Jobs[id] = &mirror.Job{
 		ID: id, TaskStates: []uint8{1}, TaskResources: resources.Vector{CPUs: 2}, AssignedTasks: 1,
@@ -83,7 +83,8 @@
 	s.records.Machines[fullMachine].Attempts[mirror.TaskID{Job: id}] = heldAttempt
 }
 
-// report has the full machine's agent report both attempts as running, with a fencing token.
+// report applies a heartbeat with the fencing token, in which the agent of fullMachine reports all its
+// attempts as running.
 func (s *controllerStub) report(token uint64) {
 	machine, agent := s.records.Machines[fullMachine], s.agents[fullMachine]
 	heartbeat := &protocol.Heartbeat{Incarnation: 1, Sequence: uint64(s.now), FencingToken: token}
@@ -135,25 +136,25 @@
 	s.Commit(priority, txn, callback)
 }
 
-// servicePermit is a permit for the service's replica.
+// servicePermit returns a permit for the service's replica.
 func servicePermit() storage.Permit {
 	return storage.Permit{Drain: "d", Job: serviceJob, Attempt: heldAttempt, From: fullMachine, To: emptyMachine}
 }
 
-// putPermits has permits of the team stand in the records.
+// putPermits writes the permits of the team to the records.
 func (s *controllerStub) putPermits(permits ...storage.Permit) {
 	record := storage.Permits{Permits: permits}
 	s.Revision++
 	s.records.ApplyPut(storage.PermitsKey(team), protocol.MustMarshal(&record), s.Revision)
 }
 
-// permits gives the team's permits.
+// permits returns the team's permits.
 func (s *controllerStub) permits() []storage.Permit {
 	return s.records.PermitsByTeam[team].Record.Permits
 }
 
-// TestRevokedPermitsAreRemovedOnlyUnused: a revoked permit stays as long as its replica may be stopped under
-// it.
+// TestRevokedPermitsAreRemovedOnlyUnused guards against removing a revoked permit while its replica may still
+// be stopped under it.
 func TestRevokedPermitsAreRemovedOnlyUnused(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -162,9 +163,9 @@
 	}{
 		{"unused", func(s *controllerStub) { s.report(s.agents[fullMachine].BaseToken()) }, false},
 		{"no report yet", func(*controllerStub) {}, true},
-		{"a report from before the claim", func(s *controllerStub) { s.report(s.agents[fullMachine].BaseToken() - 1) },
+		{"report from before the claim", func(s *controllerStub) { s.report(s.agents[fullMachine].BaseToken() - 1) },
 			true},
-		{"not running any more", func(s *controllerStub) {
+		{"no longer running", func(s *controllerStub) {
 			delete(s.records.Machines[fullMachine].Attempts, attemptOf(servicePermit()).Task)
 			s.report(s.agents[fullMachine].BaseToken())
 		}, true},
@@ -184,14 +185,14 @@
 			tc.setup(s)
 			s.drainer.writePermits(&drain.Decision{Revoked: []storage.Permit{servicePermit()}}, s.now)
 			if kept := len(s.permits()) == 1; kept != tc.wantKept {
-				t.Errorf("permits: %+v", s.permits())
+				t.Errorf("got permits %+v, want the permit kept: %v", s.permits(), tc.wantKept)
 			}
 		})
 	}
 }
 
-// TestPermitsAreWrittenWithinTheirRate: a team's changes are one commit, and the next one waits until it is
-// allowed.
+// TestPermitsAreWrittenWithinTheirRate guards against permit writes above their rate limit: the changes of a
+// team are one commit, and the next commit waits until the limit allows it.
 func TestPermitsAreWrittenWithinTheirRate(t *testing.T) {
 	s := newControllerStub()
 	s.putPermits(servicePermit())
@@ -210,39 +211,41 @@
 	s.nextWriteAt = s.now + 1
 	s.drainer.writePermits(decision, s.now)
 	if got := s.permits(); s.Made != 1 || !slices.Equal(got, []storage.Permit{granted}) {
-		t.Errorf("%d commits, permits %+v", s.Made, got)
+		t.Errorf("got %d commits and permits %+v, want 1 commit and the granted permit only", s.Made, got)
 	}
 	s.drainer.writePermits(&drain.Decision{Granted: map[string][]storage.Permit{"zebra": {granted}}}, s.now)
 	if s.Made != 1 {
-		t.Error("a commit before it is allowed")
+		t.Errorf("before the next write is allowed: got %d commits, want 1", s.Made)
 	}
 	s.drainer.writePermits(&drain.Decision{Completed: map[string][]storage.Permit{team: {granted}}}, s.now+1)
 	if entry, ok := s.records.PermitsByTeam[team]; !ok || len(entry.Record.Permits) != 0 || s.Made != 2 {
-		t.Errorf("the record of a team without permits: %+v, %v", entry, ok)
+		t.Errorf("after the last permit ended: got record %+v (exists: %v), %d commits; want an empty one, 2 commits",
+			entry, ok, s.Made)
 	}
 }
 
-// TestEvictions: what is stopped without a permit on a machine whose replicas have been moved.
+// TestEvictions: tasks that need no permit are stopped, except array tasks that are expected to end soon. A
+// wrong estimate must not delay the eviction forever.
 func TestEvictions(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		runSeconds   float64
 		crashLooping bool
-		retryAfter   monotime.Micros // how long after the first time it is tried again
+		retryAfter   monotime.Micros // time from the first eviction to the second
 		want         []string
 	}{
-		{"an array task", 1000, false, 0, []string{arrayJob}},
-		{"services that fail everywhere", 1000, true, 0, []string{arrayJob, serviceJob}},
-		{"an array task that is about to end", 35, false, 0, nil},
-		{"one that ends later", 36, false, 0, []string{arrayJob}},
-		{"one that was to end long ago", 35, false, 60 * monotime.Second, nil},
-		{"one that was to end too long ago", 35, false, 61 * monotime.Second, []string{arrayJob}},
+		{"array task", 1000, false, 0, []string{arrayJob}},
+		{"service that fails everywhere", 1000, true, 0, []string{arrayJob, serviceJob}},
+		{"array task that ends within the wait", 35, false, 0, nil},
+		{"array task that ends after the wait", 36, false, 0, []string{arrayJob}},
+		{"overdue array task, twice the wait not exceeded", 35, false, 60 * monotime.Second, nil},
+		{"overdue array task, twice the wait exceeded", 35, false, 61 * monotime.Second, []string{arrayJob}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newControllerStub()
 			s.runSeconds, s.crashLooping = tc.runSeconds, tc.crashLooping
 			s.report(s.agents[fullMachine].BaseToken())
-			s.now += 5 * monotime.Second // the tasks run for so long
+			s.now += 5 * monotime.Second // the run time of the tasks so far
 			s.drainer.evictWithoutPermits([]string{fullMachine}, s.now)
 			s.drainer.evictWithoutPermits([]string{fullMachine}, s.now+tc.retryAfter)
 			var stopped []string
@@ -253,13 +256,14 @@
 				}
 			}
 			if !slices.Equal(stopped, tc.want) || (len(s.synced) > 0) != (len(tc.want) > 0) {
-				t.Errorf("stopped %v, commands to %v, want %v", stopped, s.synced, tc.want)
+				t.Errorf("stopped tasks of %v, want %v; commands were sent to %v", stopped, tc.want, s.synced)
 			}
 		})
 	}
 }
 
-// TestLosses: which releases count as losses, and of which cause.
+// TestLosses: a released replica counts as a loss with its cause, unless it was under a permit or its job has
+// ended. Losses count only once their update is committed.
 func TestLosses(t *testing.T) {
 	notice := 10.0
 	for _, tc := range []struct {
@@ -270,8 +274,8 @@
 	}{
 		{"task exit", serviceJob, func(*controllerStub) {}, map[LossCause]int{LossByTaskExit: 1}},
 		{"array task", arrayJob, func(*controllerStub) {}, nil},
-		{"under a permit", serviceJob, func(s *controllerStub) { s.putPermits(servicePermit()) }, nil},
-		{"cancelled", serviceJob, func(s *controllerStub) {
+		{"replica under a permit", serviceJob, func(s *controllerStub) { s.putPermits(servicePermit()) }, nil},
+		{"job cancelled", serviceJob, func(s *controllerStub) {
 			s.records.Jobs[serviceJob].FinalState = storage.JobCancelled
 		}, nil},
 		{"no agent", serviceJob, func(s *controllerStub) { delete(s.agents, fullMachine) },
@@ -290,18 +294,18 @@
 			losses := s.drainer.NewLosses()
 			losses.Record(s.records.Machines[fullMachine], mirror.TaskID{Job: tc.job})
 			if len(s.drainer.lossCounts) != 0 {
-				t.Error("a loss counts before its update is in the store")
+				t.Errorf("before Count: got losses %v, want none", s.drainer.lossCounts)
 			}
 			losses.Count()
 			if !maps.Equal(s.drainer.lossCounts, tc.want) {
-				t.Errorf("%v, want %v", s.drainer.lossCounts, tc.want)
+				t.Errorf("got losses %v, want %v", s.drainer.lossCounts, tc.want)
 			}
 		})
 	}
 }
 
-// TestStartingMarks: a replica counts as starting until it is reported as running, and as long as it hasn't
-// run for the time after which it counts as available.
+// TestStartingMarks: a replica counts as starting until it has been running for MinReady. A replica that once
+// counted as available doesn't become starting again while it runs.
 func TestStartingMarks(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -311,9 +315,9 @@
 		want        bool
 	}{
 		{"not reported as running", false, false, 0, true},
-		{"just running", true, true, 9 * monotime.Second, true},
-		{"running for long enough", true, true, 10 * monotime.Second, false},
-		{"counted as available before", true, false, 0, false},
+		{"running for less than MinReady", true, true, 9 * monotime.Second, true},
+		{"running for MinReady", true, true, 10 * monotime.Second, false},
+		{"running and already available", true, false, 0, false},
 	} {
 		s := newControllerStub()
 		if tc.running {
@@ -322,12 +326,13 @@
 		attempt := attemptOf(servicePermit())
 		got := s.drainer.countsAsStarting(s.agents[fullMachine], attempt, tc.wasStarting, s.now+tc.runningFor)
 		if got != tc.want {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: starting is %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestReservations: a permit reserves the resources of its replica until the next attempt is placed.
+// TestReservations: a permit reserves the resources of its replica on the destination until the replica has a
+// new attempt.
 func TestReservations(t *testing.T) {
 	task := mirror.TaskID{Job: serviceJob}
 	for _, tc := range []struct {
@@ -335,31 +340,31 @@
 		setup func(*controllerStub)
 		want  bool
 	}{
-		{"still running", func(*controllerStub) {}, true},
-		{"stopped", func(s *controllerStub) {
+		{"replica still running", func(*controllerStub) {}, true},
+		{"replica stopped", func(s *controllerStub) {
 			delete(s.records.Machines[fullMachine].Attempts, task)
 			s.records.Jobs[serviceJob].TaskStates[0] = 0
 		}, true},
-		{"placed anew", func(s *controllerStub) {
+		{"new attempt assigned", func(s *controllerStub) {
 			s.records.Machines[fullMachine].Attempts[task] = heldAttempt + 1
 		}, false},
-		{"its job has ended", func(s *controllerStub) {
+		{"job ended", func(s *controllerStub) {
 			s.records.Jobs[serviceJob].FinalState = storage.JobDone
 		}, false},
-		{"its job is unknown", func(s *controllerStub) { delete(s.records.Jobs, serviceJob) }, false},
+		{"job unknown", func(s *controllerStub) { delete(s.records.Jobs, serviceJob) }, false},
 	} {
 		s := newControllerStub()
 		s.putPermits(servicePermit())
 		tc.setup(s)
 		got := s.drainer.ReservedByMachine()
 		if reserved := got[emptyMachine].CPUs == 2; reserved != tc.want || !tc.want && len(got) != 0 {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: got reservations %v, want one on %s: %v", tc.name, got, emptyMachine, tc.want)
 		}
 	}
 }
 
-// TestMayScaleIn: an empty machine of a drain is removed after the delay, or at once if the drain says so;
-// not while the drain is paused.
+// TestMayScaleIn: an empty machine of a drain may be removed after the scale-in delay, or at once with
+// RemoveAtOnce, but not while the drain is paused or after it was aborted.
 func TestMayScaleIn(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -370,26 +375,27 @@
 		{"before the delay", storage.Drain{State: storage.DrainActive}, 19 * monotime.Second, false},
 		{"after the delay", storage.Drain{State: storage.DrainActive}, 20 * monotime.Second, true},
 		{"at once", storage.Drain{State: storage.DrainActive, RemoveAtOnce: true}, 0, true},
-		{"paused", storage.Drain{State: storage.DrainPaused, RemoveAtOnce: true}, monotime.Minute, false},
-		{"aborted", storage.Drain{State: storage.DrainAborted, RemoveAtOnce: true}, monotime.Minute, false},
+		{"paused drain", storage.Drain{State: storage.DrainPaused, RemoveAtOnce: true}, monotime.Minute, false},
+		{"aborted drain", storage.Drain{State: storage.DrainAborted, RemoveAtOnce: true}, monotime.Minute, false},
 	} {
 		s := newControllerStub()
 		record := tc.drain
 		record.Selector.Zone = "a"
 		s.records.ApplyPut(storage.DrainKey("d"), protocol.MustMarshal(&record), 1)
 		if got := s.drainer.MayScaleIn(s.records.Machines[emptyMachine], tc.emptyFor); got != tc.want {
-			t.Errorf("%s: %v", tc.name, got)
+			t.Errorf("%s: MayScaleIn = %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestDrainsTurnedOff: without settings there is no drainer, and its methods do nothing.
+// TestDrainsTurnedOff guards against work for drains without settings: New returns nil, and the methods of a
+// nil drainer do nothing.
 func TestDrainsTurnedOff(t *testing.T) {
 	s := newControllerStub()
 	disabled := New(ownNode, nil, Dependencies{})
 	machine, job := s.records.Machines[fullMachine], s.records.Jobs[serviceJob]
 	disabled.Reconcile(testNow)
-	disabled.ForEachReservation(func(*storage.Permit, *mirror.Job) { t.Error("a reservation") })
+	disabled.ForEachReservation(func(*storage.Permit, *mirror.Job) { t.Error("got a reservation, want none") })
 	losses := disabled.NewLosses()
 	losses.Record(machine, mirror.TaskID{Job: serviceJob})
 	losses.Count()
@@ -398,6 +404,6 @@
 		disabled.ClosesOffer(autoscaling.Offer{}) || disabled.TracksStart(&job.Record.Spec) ||
 		disabled.ProtectsFromPreemption(job) || disabled.UpdateStartingMarks(&storage.Shard{}, machine, testNow) ||
 		len(disabled.ReservedByMachine()) != 0 || len(disabled.ReplacementDemands()) != 0 {
-		t.Error("drains are turned off, and something is done for them")
+		t.Errorf("got drainer %v or work for drains, want a nil drainer that does nothing", disabled)
 	}
 }
--- a/internal/drain/drainer/evictions.go
+++ b/internal/drain/drainer/evictions.go
@@ -6,8 +6,9 @@
 	"pipitgap/internal/monotime"
 )
 
-// evictWithoutPermits stops the tasks that need no permit on machines whose replicas have all been moved: those
-// of arrays, and of services that fail wherever they run. An array task that is about to end is waited for.
+// evictWithoutPermits stops the tasks that need no permit on machines whose replicas have all been moved:
+// those of arrays, and of services that fail wherever they run. An array task that is expected to end soon is
+// not stopped.
 func (d *Drainer) evictWithoutPermits(machines []string, now monotime.Micros) {
 	startedByMachine := map[string]monotime.Micros{}
 	for _, id := range machines {
@@ -25,7 +26,7 @@
 	}
 }
 
-// evictWithoutPermitsOn stops what needs no permit on a machine, where that began at startedAt.
+// evictWithoutPermitsOn stops the tasks that need no permit on a machine. startedAt is when this began there.
 func (d *Drainer) evictWithoutPermitsOn(machine ownMachine, startedAt, now monotime.Micros) {
 	stopped := 0
 	for task, number := range machine.Attempts {
@@ -45,13 +46,14 @@
 	}
 }
 
-// needsPermit reports whether a job's tasks are stopped under permits only.
+// needsPermit reports whether a job's tasks may be stopped only under permits.
 func (d *Drainer) needsPermit(job *mirror.Job) bool {
 	return job.Record.Spec.Service && !d.deps.Jobs.IsCrashLooping(job)
 }
 
-// endsSoon reports whether an array task is expected to end soon. An estimate that was wrong is believed for
-// twice the time that array tasks are waited for.
+// endsSoon reports whether an array task is expected to end within ArrayWait. The estimate may be wrong, so
+// it is ignored when more than twice ArrayWait has passed since startedAt, when the evictions on the machine
+// began.
 func (d *Drainer) endsSoon(
 	agent *agents.Agent,
 	attempt agents.AttemptID,
--- a/internal/drain/drainer/permits.go
+++ b/internal/drain/drainer/permits.go
@@ -13,7 +13,7 @@
 	"pipitgap/internal/storage"
 )
 
-// attemptOf is the attempt that a permit lets be stopped.
+// attemptOf returns the attempt that may be stopped under a permit.
 func attemptOf(permit storage.Permit) agents.AttemptID {
 	return agents.AttemptID{
 		Task:    mirror.TaskID{Job: permit.Job, Index: permit.Task},
@@ -21,13 +21,13 @@
 	}
 }
 
-// ownMachine is a machine of this controller with its agent.
+// ownMachine is a machine of this controller and its agent.
 type ownMachine struct {
 	*mirror.Machine
 	agent *agents.Agent
 }
 
-// ownMachine returns one of this controller's machines; own is false for any other.
+// ownMachine returns a machine of this controller and its agent. own is false for any other machine.
 func (d *Drainer) ownMachine(id string) (machine ownMachine, own bool) {
 	mirrored := d.deps.Mirror.Machines[id]
 	if mirrored == nil {
@@ -37,7 +37,7 @@
 	return ownMachine{mirrored, agent}, agent != nil
 }
 
-// stopReplica uses a permit that stands.
+// stopReplica uses a committed permit: it sends the agent the command to stop the replica.
 func (d *Drainer) stopReplica(permit storage.Permit) {
 	attempt := attemptOf(permit)
 	machine, own := d.ownMachine(permit.From)
@@ -50,9 +50,10 @@
 	d.deps.Agents.SyncCommands(machine.Machine)
 }
 
-// isUnused reports whether a permit surely hasn't been used and can't be by any command that is still on its
-// way: this controller hasn't had the replica stopped, and its agent, which still runs it, has seen this
-// controller's claim, which outranks every command of earlier owners.
+// isUnused reports whether it is certain that a permit hasn't been used and that no command in flight can use
+// it. The conditions are that this controller has requested no stop or kill and knows no outcome of the
+// attempt, that the agent still runs the replica, and that the agent has seen the fencing token of this
+// controller's claim, which is higher than those of all commands of earlier owners.
 func (d *Drainer) isUnused(permit storage.Permit) bool {
 	attempt := attemptOf(permit)
 	machine, own := d.ownMachine(permit.From)
@@ -66,8 +67,8 @@
 	return agent.ReportsUnderClaim() && agent.IsRunning(attempt)
 }
 
-// endedPermits lists by team the permits that are to be removed: those that are completed, and revoked ones
-// that haven't been used.
+// endedPermits lists the permits to remove, by team: completed permits, and revoked permits that are certain
+// to be unused.
 func (d *Drainer) endedPermits(decision *drain.Decision) map[string][]storage.Permit {
 	ended := map[string][]storage.Permit{}
 	for team, completed := range decision.Completed {
@@ -82,8 +83,8 @@
 	return ended
 }
 
-// writePermits commits what changes of the teams' permits: one commit a team, as far as the rate for permits
-// lets it.
+// writePermits commits the changes to the teams' permits, with one commit per team. It stops when the rate
+// limit for permits (PermitWriteFraction) is used up.
 func (d *Drainer) writePermits(decision *drain.Decision, now monotime.Micros) {
 	ended := d.endedPermits(decision)
 	changed := map[string]bool{}
@@ -104,16 +105,16 @@
 	}
 }
 
-// hasSpareWrites reports whether the state service has changes to spare. Each move costs several, of the
-// shards too, and users and running tasks need the same ones: near the state service's limit, moves would
-// keep submissions waiting.
+// hasSpareWrites reports whether enough writes to the state service are unused to begin moves. Each move
+// costs several writes, also to shards. Users and running tasks need writes under the same limit, so near
+// that limit moves would delay submissions.
 func (d *Drainer) hasSpareWrites(now monotime.Micros) bool {
 	return !d.deps.Store.UserCallsWaiting(now) && d.deps.Store.HasSpareWrites(now, spareWriteFraction)
 }
 
-// writeTeamPermits changes a team's permits on the condition that they are as they were read. A permit that
-// is written after its drain has ended does no harm: whether it may be used is decided anew. The record is
-// never deleted, since its version must not come back.
+// writeTeamPermits changes a team's permits with a compare-and-swap on the version of their record. A permit
+// that is committed after its drain has ended does no harm, because each use of a permit is decided again.
+// The record is never deleted, so that none of its versions can occur a second time.
 func (d *Drainer) writeTeamPermits(team string, ended, granted []storage.Permit) {
 	current := d.deps.Mirror.PermitsByTeam[team]
 	next := storage.Permits{Permits: []storage.Permit{}}
--- a/internal/drain/drainer/replacements.go
+++ b/internal/drain/drainer/replacements.go
@@ -7,8 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// ReplacementDemands is the demand of drains with replacement: what the machines that are being emptied hold
-// of services. The caller may change it.
+// ReplacementDemands returns the demand of drains with replacement: the replicas on machines that are being
+// emptied. The caller may change the result.
 func (d *Drainer) ReplacementDemands() []*autoscaling.Demand {
 	if d == nil {
 		return nil
@@ -22,7 +22,7 @@
 	return demands
 }
 
-// computeReplacementDemand lists the replicas, by job, that drains with replacement are to move next.
+// computeReplacementDemand counts, by job, the replicas that drains with replacement will move next.
 func (d *Drainer) computeReplacementDemand(snapshot *drain.Snapshot) []*autoscaling.Demand {
 	replicas := map[string]int{}
 	for _, record := range snapshot.Drains() {
--- a/internal/drain/drainer/reservations.go
+++ b/internal/drain/drainer/reservations.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// ReservedByMachine is what permits reserve for the next attempts of their replicas, by machine.
+// ReservedByMachine returns the resources that permits reserve for the next attempts of their replicas, by
+// machine.
 func (d *Drainer) ReservedByMachine() map[string]resources.Vector {
 	if d == nil {
 		return nil
@@ -19,7 +20,8 @@
 	return reserved
 }
 
-// ForEachReservation calls callback for every permit whose replica isn't placed anew yet, by team.
+// ForEachReservation calls callback for every permit whose replica has no new attempt yet, in the order of
+// teams.
 func (d *Drainer) ForEachReservation(callback func(*storage.Permit, *mirror.Job)) {
 	if d == nil {
 		return
@@ -36,7 +38,7 @@
 	}
 }
 
-// isUnplaced reports whether a permit's replica still runs by the attempt that is to be stopped, or by none.
+// isUnplaced reports whether a permit's replica still has the attempt that the permit names, or no attempt.
 func isUnplaced(records *mirror.Mirror, permit *storage.Permit, job *mirror.Job) bool {
 	if permit.Task >= len(job.TaskStates) {
 		return false
--- a/internal/drain/drainer/snapshot.go
+++ b/internal/drain/drainer/snapshot.go
@@ -7,8 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// Snapshot returns the mirror in the form in which drains are decided, with what is known of own machines
-// beyond the records.
+// Snapshot returns the mirror as a snapshot for package drain. For this controller's machines it also
+// includes what their agents have reported and the records don't contain yet.
 func (d *Drainer) Snapshot() *drain.Snapshot {
 	records, machineTypes := d.deps.Mirror, d.deps.Machines.MachineTypes()
 	wall := d.deps.Clock.WallClock()
@@ -25,12 +25,13 @@
 	return builder.Build()
 }
 
-// applyAgentState corrects a snapshot's machine by what its agent has shown and the records don't have yet.
+// applyAgentState corrects a machine of the snapshot by what its agent has shown and the records don't
+// contain yet.
 func (d *Drainer) applyAgentState(entry *drain.Machine, machine *mirror.Machine) {
 	agent := d.deps.Agents.Of(machine)
 	switch {
 	case agent == nil && machine.Owner() == d.node:
-		entry.Owner = "" // of an earlier incarnation of this controller: its shard isn't claimed again yet
+		entry.Owner = "" // an earlier incarnation of this controller owned it; its shard isn't claimed again yet
 	case agent == nil:
 	case agent.RemovalReason() != "":
 		entry.State = storage.MachineRemoving
--- a/internal/drain/drainer/starting.go
+++ b/internal/drain/drainer/starting.go
@@ -7,12 +7,13 @@
 	"pipitgap/internal/storage"
 )
 
-// TracksStart reports whether it is recorded of a job's attempts whether they run.
+// TracksStart reports whether the records mark which attempts of a job are still starting: those of services,
+// while drains are enabled.
 func (d *Drainer) TracksStart(spec *storage.JobSpec) bool { return d != nil && spec.Service }
 
-// UpdateStartingMarks corrects, in the next version of a shard, the marks of a machine's replicas: one that
-// the agent doesn't report as running is starting, one that has run for long enough isn't. It tells whether
-// anything has changed.
+// UpdateStartingMarks corrects the starting marks of a machine's replicas in the next version of a shard, and
+// reports whether any mark changed. A replica that the agent doesn't report as running is starting. A replica
+// that has run for at least MinReady is not.
 func (d *Drainer) UpdateStartingMarks(
 	next *storage.Shard,
 	machine *mirror.Machine,
@@ -49,12 +50,14 @@
 	return changed
 }
 
-// markFits reports whether a mark may change: one more must fit into the record.
+// markFits reports whether a mark may be set to starting: an additional mark must fit into the record.
+// Removing a mark always fits.
 func (d *Drainer) markFits(next *storage.Shard, starting bool) bool {
 	return !starting || next.MaxEncodedSize()+storage.MaxStartingBytes <= d.deps.Store.MaxValueBytes()
 }
 
-// countsAsStarting reports whether a replica counts as starting, given whether it did before.
+// countsAsStarting reports whether a replica counts as starting. wasStarting is its current mark in the
+// records.
 func (d *Drainer) countsAsStarting(
 	agent *agents.Agent,
 	attempt agents.AttemptID,
--- a/internal/drain/drainer/states.go
+++ b/internal/drain/drainer/states.go
@@ -8,8 +8,8 @@
 	"pipitgap/internal/storage"
 )
 
-// updateDrainStates is the leader's part: it ends drains of which nothing is left, pauses those whose deadline has
-// passed, and deletes the records of those that ended long ago.
+// updateDrainStates runs on the leader. It ends drains that have no machines left, pauses drains whose
+// deadline has passed, and deletes the records of drains that ended more than drainRetention ago.
 func (d *Drainer) updateDrainStates(snapshot *drain.Snapshot) {
 	for _, record := range snapshot.Drains() {
 		next, changed := snapshot.NextState(&record, d.expectsMachines(&record.Drain), int64(drainRetention))
@@ -19,7 +19,7 @@
 	}
 }
 
-// writeState writes the next state of a drain, or deletes its record if that is nil.
+// writeState commits the next state of a drain, or deletes its record if next is nil.
 func (d *Drainer) writeState(record *drain.DrainRecord, next *storage.Drain) {
 	key, name := storage.DrainKey(record.Name), record.Name
 	txn := protocol.DeleteIfUnchanged(key, record.Version)
@@ -34,7 +34,7 @@
 	})
 }
 
-// expectsMachines reports whether machines that a drain covers may still come up.
+// expectsMachines reports whether requested machines that a drain covers may still come up.
 func (d *Drainer) expectsMachines(record *storage.Drain) bool {
 	for _, request := range d.deps.Mirror.ScaleOuts {
 		if request.Record.Phase == storage.ScaleOutNoCapacity {
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -35,13 +35,13 @@
 	// maxPlanSteps is the maximum number of steps of a plan.
 	maxPlanSteps = 10000
 
-	// planRecordBytes is the maximum size of a record of permits in a plan. It is so large that no permit in a
-	// plan waits for space in a record.
+	// planRecordBytes is the maximum size of a record of permits in a plan. It is so large that no permit in
+	// a plan waits for space in a record.
 	planRecordBytes = 1 << 20
 )
 
-// planner simulates a drain on snapshots. Each step takes the decisions of all controllers and carries them out
-// at once.
+// planner simulates a drain on snapshots. Each step takes the decisions of all controllers and carries them
+// out at once.
 type planner struct {
 	policy        *Policy
 	snapshot      *Snapshot
@@ -189,8 +189,8 @@
 	return false
 }
 
-// simulateScaleOut returns a new machine of the same type as template, in the first zone where the drain doesn't
-// close the offer.
+// simulateScaleOut returns a new machine of the same type as template, in the first zone where the drain
+// doesn't close the offer.
 func (p *planner) simulateScaleOut(template *Machine) (*Machine, bool) {
 	machineType, known := p.snapshot.types[template.Type]
 	if !known {
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -15,8 +15,8 @@
 	return matches(&record.Selector, id, machineType, zone, spot)
 }
 
-// matches reports whether a selector matches a machine: by its id if the selector lists machines, otherwise by
-// its zone, type and capacity type.
+// matches reports whether a selector matches a machine: by its id if the selector lists machines, otherwise
+// by its zone, type and capacity type.
 func matches(selector *storage.Selector, id, machineType, zone string, spot bool) bool {
 	if len(selector.Machines) > 0 {
 		return slices.Contains(selector.Machines, id)
@@ -33,8 +33,8 @@
 			selector.CapacityType == storage.CapacityTypeOf(spot))
 }
 
-// ClosesOffer reports whether a drain excludes an offer (machine type, zone, spot or on demand) from scale-out,
-// because the new machines would have to be drained as well.
+// ClosesOffer reports whether a drain excludes an offer (machine type, zone, spot or on demand) from
+// scale-out, because the new machines would have to be drained as well.
 func ClosesOffer(record *storage.Drain, machineType, zone string, spot bool) bool {
 	return record.State.Unfinished() && record.ClosesOffers() &&
 		matchesOffer(&record.Selector, machineType, zone, spot)
@@ -82,7 +82,8 @@
 	return a.ClosesOffers() && b.ClosesOffers() && mayMatchSameMachine(&a.Selector, &b.Selector)
 }
 
-// mayMatchSameMachine reports whether two selectors by zone, type and capacity type can match the same machine.
+// mayMatchSameMachine reports whether two selectors by zone, type and capacity type can match the same
+// machine.
 func mayMatchSameMachine(a, b *storage.Selector) bool {
 	agree := func(x, y string) bool { return x == "" || y == "" || x == y }
 	return agree(a.Zone, b.Zone) && agree(a.Type, b.Type) &&
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -66,7 +66,8 @@
 	Zone            string   // the only allowed zone; "": any
 	OneZone, Spread bool     // all replicas in one zone; at most half of them (rounded up) in each zone
 	Spot            bool     // may run on spot machines
-	// Failing says that the job fails wherever it runs, so it has no availability that a budget could protect.
+	// Failing says that the job fails wherever it runs, so it has no availability that a budget could
+	// protect.
 	Failing bool
 }
 
@@ -96,8 +97,8 @@
 	Version uint64
 }
 
-// Snapshot is the state of the fleet at one revision of the state service. It is immutable: simulating a change
-// returns a new snapshot, which shares nearly all data with the old one.
+// Snapshot is the state of the fleet at one revision of the state service. It is immutable: simulating a
+// change returns a new snapshot, which shares nearly all data with the old one.
 type Snapshot struct {
 	Revision  uint64 // of the state service
 	Wall      int64  // wall clock, microseconds
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -14,7 +14,7 @@
 	Reason    string             `json:"reason,omitempty"`
 	Revision  uint64             `json:"revision"` // of the state service
 	Machines  []MachineProgress  `json:"machines"`
-	Permits   int                `json:"permits"` // replicas that are being moved
+	Permits   int                `json:"permits"` // moves in progress
 	Blocked   []Blockage         `json:"blocked,omitempty"`
 	StartedAt int64              `json:"started_at_us"`         // wall clock
 	EndedAt   int64              `json:"ended_at_us,omitempty"` // wall clock; 0: not ended
