--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -264,7 +264,7 @@
 		d.block(record, machine, nil, BlockedByController,
 			fmt.Sprintf("controller %s is gone, its successor isn't there yet", machine.Owner))
 	}
-	staying := 0
+	blockedReplicas := 0
 	for i := range machine.Replicas {
 		replica := machine.Replicas[i]
 		job, known := d.snapshot.jobs[replica.Job]
@@ -273,7 +273,7 @@
 		}
 		move := d.evaluateReplica(record, machine, &replica, job)
 		if move.blockedBy != "" {
-			staying++
+			blockedReplicas++
 			d.block(record, machine, &replica, move.blockedBy, move.reason)
 			continue
 		}
@@ -281,7 +281,7 @@
 			d.grant(job, move.permit)
 		}
 	}
-	if owned && staying == 0 {
+	if owned && blockedReplicas == 0 {
 		d.decision.StopArrays = append(d.decision.StopArrays, machine.ID)
 	}
 }
