--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -15,8 +15,8 @@
 	Live func(node string) bool
 	// Responsible reports whether it is this controller that removes a team's completed permits.
 	Responsible func(team string) bool
-	// RecordBytes is the maximum size of a record of permits.
-	RecordBytes int
+	// MaxRecordBytes is the maximum size of a record of permits.
+	MaxRecordBytes int
 }
 
 // Decision is what a controller should do now. It has not been carried out yet.
@@ -31,9 +31,9 @@
 	Revoked []storage.Permit
 	// Completed are the permits to remove because they are no longer needed, by team, see isCompleted.
 	Completed map[string][]storage.Permit
-	// StopArrays are the machines of this controller on which the tasks that need no permit may be stopped
-	// now.
-	StopArrays []string
+	// EvictWithoutPermits are the machines of this controller on which the tasks that need no permit may be
+	// stopped now.
+	EvictWithoutPermits []string
 	// Blocked lists what the drains wait for.
 	Blocked []Blockage
 }
@@ -282,7 +282,7 @@
 		}
 	}
 	if owned && blockedReplicas == 0 {
-		d.decision.StopArrays = append(d.decision.StopArrays, machine.ID)
+		d.decision.EvictWithoutPermits = append(d.decision.EvictWithoutPermits, machine.ID)
 	}
 }
 
@@ -327,7 +327,7 @@
 		Drain: record.Name, Job: replica.Job, Task: replica.Task, Attempt: replica.Attempt,
 		From: machine.ID, To: to.ID, GrantedAt: d.snapshot.Wall,
 	}
-	if d.recordBytes[job.Team]+permitBytes(&permit) > d.controller.RecordBytes {
+	if d.recordBytes[job.Team]+permitBytes(&permit) > d.controller.MaxRecordBytes {
 		return possibleMove{
 			blockedBy: BlockedByPermits,
 			reason:    fmt.Sprintf("team %s has as many permits as its record holds", job.Team),
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -107,7 +107,7 @@
 
 func controllerN0() *Controller {
 	always := func(string) bool { return true }
-	return &Controller{Node: "n-0", Live: always, Responsible: always, RecordBytes: 4000}
+	return &Controller{Node: "n-0", Live: always, Responsible: always, MaxRecordBytes: 4000}
 }
 
 // fleetWithCordonedZone returns a fleet with one cordoned machine in zone a for each string, which lists the
@@ -288,7 +288,7 @@
 // TestPermitRecordBounded guards against a permit record that grows beyond its maximum size.
 func TestPermitRecordBounded(t *testing.T) {
 	controller := controllerN0()
-	controller.RecordBytes = 170 // two permits
+	controller.MaxRecordBytes = 170 // two permits
 	d := policyWithReserve(0, minAvailable("t", 0)).Decide(fleetWithCordonedZone("j-1 j-1 j-1").build(), controller)
 	if countGranted(d) != 2 || d.Blocked[0].Kind != BlockedByPermits {
 		t.Errorf("got %d permits and blockages %+v, want 2 permits and a blockage of kind permits first",
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -157,9 +157,9 @@
 	}
 	if !d.hasSpareWrites(now) {
 		clear(decision.Granted)
-		decision.StopArrays = nil
+		decision.EvictWithoutPermits = nil
 	}
-	d.evictWithoutPermits(decision.StopArrays, now)
+	d.evictWithoutPermits(decision.EvictWithoutPermits, now)
 	d.writePermits(decision, now)
 	d.replacementDemand = d.computeReplacementDemand(snapshot)
 	if d.deps.Membership.IsLeader(now) {
@@ -208,6 +208,6 @@
 		Responsible: func(team string) bool {
 			return membership.RendezvousOwner(string(storage.KindPermits)+"/"+team, controllers) == d.node
 		},
-		RecordBytes: d.deps.Jobs.AssignmentShardBytes(),
+		MaxRecordBytes: d.deps.Jobs.AssignmentShardBytes(),
 	}
 }
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -122,10 +122,10 @@
 	simulated := p.snapshot
 	for _, node := range p.owners() {
 		controller := &Controller{
-			Node:        node,
-			Live:        always,
-			Responsible: always,
-			RecordBytes: planRecordBytes,
+			Node:           node,
+			Live:           always,
+			Responsible:    always,
+			MaxRecordBytes: planRecordBytes,
 		}
 		decision := p.policy.Decide(simulated, controller)
 		for team, permits := range decision.Granted {
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -48,9 +48,9 @@
 	progress.Machines = s.machineProgress(record)
 	progress.Permits = s.countPermits(record.Name)
 	observer := &Controller{
-		Live:        live,
-		Responsible: func(string) bool { return false },
-		RecordBytes: math.MaxInt,
+		Live:           live,
+		Responsible:    func(string) bool { return false },
+		MaxRecordBytes: math.MaxInt,
 	}
 	for _, blockage := range p.Decide(s, observer).Blocked {
 		if blockage.Drain == record.Name {
