--- a/internal/drain/drainer/replacements.go
+++ b/internal/drain/drainer/replacements.go
@@ -7,39 +7,39 @@
 	"pipitgap/internal/storage"
 )
 
-// ReplacementDemands is the demand of drains with replacement: what the machines that are being emptied hold
-// of services. The caller may change it.
+// ReplacementDemands returns the demand of drains with replacement: the replicas on machines that are being
+// emptied. The caller may change the result.
 func (d *Drainer) ReplacementDemands() []*autoscaling.Demand {
 	if d == nil {
 		return nil
 	}
-	out := make([]*autoscaling.Demand, 0, len(d.replacementDemand))
+	demands := make([]*autoscaling.Demand, 0, len(d.replacementDemand))
 	for _, demand := range d.replacementDemand {
-		next := *demand
-		next.Zones = d.deps.Jobs.ZoneConstraint(d.deps.Mirror.Jobs[demand.JobID])
-		out = append(out, &next)
+		copied := *demand
+		copied.Zones = d.deps.Jobs.ZoneConstraint(d.deps.Mirror.Jobs[demand.JobID])
+		demands = append(demands, &copied)
 	}
-	return out
+	return demands
 }
 
-// computeReplacementDemand lists the replicas, by job, that drains with replacement are to move next.
+// computeReplacementDemand counts, by job, the replicas that drains with replacement will move next.
 func (d *Drainer) computeReplacementDemand(snapshot *drain.Snapshot) []*autoscaling.Demand {
 	replicas := map[string]int{}
 	for _, record := range snapshot.Drains() {
 		if record.State != storage.DrainActive || !record.Replace {
 			continue
 		}
-		for _, id := range snapshot.MachinesInStep(&record) {
+		for _, id := range snapshot.MachinesBeingEmptied(&record) {
 			machine, _ := snapshot.Machine(id)
 			for _, replica := range machine.Replicas {
 				replicas[replica.Job]++
 			}
 		}
 	}
-	var out []*autoscaling.Demand
+	var demands []*autoscaling.Demand
 	for _, id := range sortedmap.Keys(replicas) {
 		if job := d.deps.Mirror.Jobs[id]; job != nil && job.IsOpen() {
-			out = append(out, &autoscaling.Demand{
+			demands = append(demands, &autoscaling.Demand{
 				Spec:  &job.Record.Spec,
 				Need:  job.TaskResources,
 				Tasks: replicas[id],
@@ -47,5 +47,5 @@
 			})
 		}
 	}
-	return out
+	return demands
 }
--- a/internal/drain/drainer/states.go
+++ b/internal/drain/drainer/states.go
@@ -8,9 +8,9 @@
 	"pipitgap/internal/storage"
 )
 
-// settleDrains is the leader's part: it ends drains of which nothing is left, pauses those whose deadline has
-// passed, and deletes the records of those that ended long ago.
-func (d *Drainer) settleDrains(snapshot *drain.Snapshot) {
+// updateDrainStates runs on the leader. It ends drains that have no machines left, pauses drains whose
+// deadline has passed, and deletes the records of drains that ended more than drainRetention ago.
+func (d *Drainer) updateDrainStates(snapshot *drain.Snapshot) {
 	for _, record := range snapshot.Drains() {
 		next, changed := snapshot.NextState(&record, d.expectsMachines(&record.Drain), int64(drainRetention))
 		if changed {
@@ -19,7 +19,7 @@
 	}
 }
 
-// writeState writes the next state of a drain, or deletes its record if that is nil.
+// writeState commits the next state of a drain, or deletes its record if next is nil.
 func (d *Drainer) writeState(record *drain.DrainRecord, next *storage.Drain) {
 	key, name := storage.DrainKey(record.Name), record.Name
 	txn := protocol.DeleteIfUnchanged(key, record.Version)
@@ -34,15 +34,15 @@
 	})
 }
 
-// expectsMachines reports whether machines that a drain covers may still come up.
+// expectsMachines reports whether requested machines that a drain covers may still come up.
 func (d *Drainer) expectsMachines(record *storage.Drain) bool {
 	for _, request := range d.deps.Mirror.ScaleOuts {
 		if request.Record.Phase == storage.ScaleOutNoCapacity {
 			continue
 		}
 		for _, id := range autoscaling.MissingMachines(d.deps.Mirror, request) {
-			wanted := &request.Record
-			if drain.Covers(record, id, wanted.MachineType, wanted.Zone, wanted.Spot) {
+			scaleOut := &request.Record
+			if drain.Covers(record, id, scaleOut.MachineType, scaleOut.Zone, scaleOut.Spot) {
 				return true
 			}
 		}
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -8,23 +8,23 @@
 	"pipitgap/internal/storage"
 )
 
-// Move is the move of a replica from one machine to another.
+// Move is the planned move of a replica from one machine to another.
 type Move struct {
-	Task string `json:"task"` // the job, a slash and the index
+	Task string `json:"task"` // job id, slash, task index
 	Team string `json:"team"`
 	From string `json:"from"` // machine
 	To   string `json:"to"`   // machine
 }
 
-// Step is what a plan does at once.
+// Step is a set of changes that a plan makes at the same time.
 type Step struct {
-	ScaleOut []string `json:"rent,omitempty"` // machines that would be requested before
+	ScaleOut []string `json:"rent,omitempty"` // machines that would be requested before the moves
 	Moves    []Move   `json:"moves"`
-	Stopped  int      `json:"array_tasks_stopped"` // array tasks that would be stopped
-	Emptied  []string `json:"emptied"`             // machines that are empty then
+	Stopped  int      `json:"array_tasks_stopped"` // number of array tasks that would be stopped
+	Emptied  []string `json:"emptied"`             // machines that are empty after the step
 }
 
-// Plan is the course of a drain if nothing else happens, and what it would still wait for at its end.
+// Plan is the simulated course of a drain if nothing else happens, and what blocks the drain at its end.
 type Plan struct {
 	Machines []string   `json:"machines"`
 	Steps    []Step     `json:"steps"`
@@ -32,33 +32,34 @@
 }
 
 const (
-	// maxPlanSteps bounds a plan.
+	// maxPlanSteps is the maximum number of steps of a plan.
 	maxPlanSteps = 10000
 
-	// planRecordBytes is how large records of permits may get in a plan: no permit waits for that.
+	// planRecordBytes is the maximum size of a record of permits in a plan. It is so large that no permit in
+	// a plan waits for space in a record.
 	planRecordBytes = 1 << 20
 )
 
-// planner simulates a drain on snapshots: each step is the decision that all controllers together would take,
-// carried out at once.
+// planner simulates a drain on snapshots. Each step takes the decisions of all controllers and carries them
+// out at once.
 type planner struct {
-	policy   *Policy
-	snapshot *Snapshot
-	record   DrainRecord
-	added    int // simulated machines
+	policy        *Policy
+	snapshot      *Snapshot
+	record        DrainRecord
+	addedMachines int // number of simulated machines
 }
 
-// Plan works out the steps of a drain, changing nothing.
+// Plan computes the steps of a drain. It changes nothing.
 func (p *Policy) Plan(s *Snapshot, name string, record storage.Drain) *Plan {
-	planner := &planner{
+	simulation := &planner{
 		policy:   p,
 		snapshot: s.withDrain(name, record),
 		record:   DrainRecord{Drain: record, Name: name},
 	}
 	plan := &Plan{Machines: s.Selected(&record)}
-	planner.cordon(plan.Machines)
+	simulation.cordon(plan.Machines)
 	for len(plan.Steps) < maxPlanSteps {
-		step, blocked := planner.nextStep()
+		step, blocked := simulation.nextStep()
 		if len(step.Moves) == 0 && len(step.Emptied) == 0 && len(step.ScaleOut) == 0 {
 			plan.Blocked = blocked
 			break
@@ -68,7 +69,7 @@
 	return plan
 }
 
-// withDrain returns a snapshot in which a drain stands.
+// withDrain returns a snapshot with one drain added or replaced. The receiver stays unchanged.
 func (s *Snapshot) withDrain(name string, record storage.Drain) *Snapshot {
 	next := *s
 	next.drains = slices.DeleteFunc(
@@ -79,7 +80,7 @@
 	return &next
 }
 
-// cordon cordons machines that are open.
+// cordon cordons the listed machines that are open.
 func (p *planner) cordon(machines []string) {
 	for _, id := range machines {
 		machine, _ := p.snapshot.Machine(id)
@@ -91,15 +92,15 @@
 	}
 }
 
-// nextStep takes one step, and returns what still waits and for what.
+// nextStep simulates one step. It also returns what was still blocked in that step.
 func (p *planner) nextStep() (step Step, blocked []Blockage) {
 	decision := p.decide()
-	if p.record.Replace && p.scaleOutFor(decision.Blocked, &step) {
+	if p.record.Replace && p.scaleOutForBlocked(decision.Blocked, &step) {
 		decision = p.decide()
 	}
 	for _, team := range sortedmap.Keys(decision.Granted) {
 		for _, permit := range decision.Granted[team] {
-			step.Moves = append(step.Moves, p.move(team, permit))
+			step.Moves = append(step.Moves, p.applyPermit(team, permit))
 		}
 	}
 	for _, id := range p.snapshot.Selected(&p.record.Drain) {
@@ -113,31 +114,32 @@
 	return step, decision.Blocked
 }
 
-// decide joins the decisions of all controllers, each of which counts with the permits of those before it.
+// decide combines the decisions of all controllers. Each controller takes into account the permits that the
+// controllers before it granted.
 func (p *planner) decide() *Decision {
-	all := &Decision{Granted: map[string][]storage.Permit{}}
-	everybody := func(string) bool { return true }
-	tried := p.snapshot
+	combined := &Decision{Granted: map[string][]storage.Permit{}}
+	always := func(string) bool { return true }
+	simulated := p.snapshot
 	for _, node := range p.owners() {
 		controller := &Controller{
-			Node:        node,
-			Live:        everybody,
-			Responsible: everybody,
-			RecordBytes: planRecordBytes,
+			Node:           node,
+			Live:           always,
+			Responsible:    always,
+			MaxRecordBytes: planRecordBytes,
 		}
-		decision := p.policy.Decide(tried, controller)
+		decision := p.policy.Decide(simulated, controller)
 		for team, permits := range decision.Granted {
-			all.Granted[team] = append(all.Granted[team], permits...)
+			combined.Granted[team] = append(combined.Granted[team], permits...)
 			for _, permit := range permits {
-				tried = tried.withPermit(permit)
+				simulated = simulated.withPermit(permit)
 			}
 		}
-		all.Blocked = decision.Blocked
+		combined.Blocked = decision.Blocked
 	}
-	return all
+	return combined
 }
 
-// owners lists the controllers that have machines.
+// owners lists the controllers that own machines.
 func (p *planner) owners() []string {
 	owners := map[string]bool{}
 	p.snapshot.ForEachMachine(func(machine *Machine) bool {
@@ -147,37 +149,38 @@
 	return sortedmap.Keys(owners)
 }
 
-// move carries a permit out: the replica is stopped, and its next attempt runs on the destination.
-func (p *planner) move(team string, permit storage.Permit) Move {
+// applyPermit simulates the use of a permit: the replica is stopped, and its next attempt runs on the
+// destination.
+func (p *planner) applyPermit(team string, permit storage.Permit) Move {
 	job := p.snapshot.jobs[permit.Job]
 	from, _ := p.snapshot.Machine(permit.From)
-	emptier := *from
-	emptier.Replicas = slices.DeleteFunc(slices.Clone(from.Replicas), func(replica Replica) bool {
+	source := *from
+	source.Replicas = slices.DeleteFunc(slices.Clone(from.Replicas), func(replica Replica) bool {
 		return replica.Job == permit.Job && replica.Task == permit.Task
 	})
-	emptier.Free = from.Free.Plus(job.PerTask)
-	p.snapshot = p.snapshot.withMachine(&emptier)
+	source.Free = from.Free.Plus(job.PerTask)
+	p.snapshot = p.snapshot.withMachine(&source)
 	to, _ := p.snapshot.Machine(permit.To)
-	fuller := *to
-	fuller.Replicas = append(slices.Clone(to.Replicas),
+	destination := *to
+	destination.Replicas = append(slices.Clone(to.Replicas),
 		Replica{Job: permit.Job, Task: permit.Task, Attempt: permit.Attempt + 1})
-	fuller.Free = to.Free.Minus(job.PerTask)
-	p.snapshot = p.snapshot.withMachine(&fuller)
+	destination.Free = to.Free.Minus(job.PerTask)
+	p.snapshot = p.snapshot.withMachine(&destination)
 	return Move{
 		Task: fmt.Sprintf("%s/%d", permit.Job, permit.Task),
 		Team: team, From: permit.From, To: permit.To,
 	}
 }
 
-// scaleOutFor adds a machine like the one that is drained for the first replica that no machine can take. It
-// tells whether it did.
-func (p *planner) scaleOutFor(blocked []Blockage, step *Step) bool {
+// scaleOutForBlocked adds a machine for the first replica that fits on no machine, like the machine that the
+// replica leaves. It reports whether it added one.
+func (p *planner) scaleOutForBlocked(blocked []Blockage, step *Step) bool {
 	for _, blockage := range blocked {
 		if blockage.Kind != BlockedByCapacity {
 			continue
 		}
-		like, _ := p.snapshot.Machine(blockage.Machine)
-		if machine, ok := p.simulateScaleOut(like); ok {
+		template, _ := p.snapshot.Machine(blockage.Machine)
+		if machine, ok := p.simulateScaleOut(template); ok {
 			step.ScaleOut = append(step.ScaleOut, fmt.Sprintf("%s in zone %s", machine.Type, machine.Zone))
 			p.snapshot = p.snapshot.withMachine(machine)
 			return true
@@ -186,18 +189,20 @@
 	return false
 }
 
-// simulateScaleOut makes a new machine like another, in a zone where the drain doesn't close the offer.
-func (p *planner) simulateScaleOut(like *Machine) (*Machine, bool) {
-	t, known := p.snapshot.types[like.Type]
+// simulateScaleOut returns a new machine of the same type as template, in the first zone where the drain
+// doesn't close the offer.
+func (p *planner) simulateScaleOut(template *Machine) (*Machine, bool) {
+	machineType, known := p.snapshot.types[template.Type]
 	if !known {
 		return nil, false
 	}
-	zones := append([]string{like.Zone}, t.Zones...)
+	zones := append([]string{template.Zone}, machineType.Zones...)
 	for _, zone := range zones {
-		if !ClosesOffer(&p.record.Drain, like.Type, zone, like.Spot) {
-			p.added++
-			return &Machine{ID: fmt.Sprintf("new-%d", p.added), Type: like.Type, Zone: zone, Spot: like.Spot,
-				State: storage.MachineOpen, Owner: like.Owner, Free: t.Capacity}, true
+		if !ClosesOffer(&p.record.Drain, template.Type, zone, template.Spot) {
+			p.addedMachines++
+			return &Machine{ID: fmt.Sprintf("new-%d", p.addedMachines), Type: template.Type, Zone: zone,
+				Spot: template.Spot, State: storage.MachineOpen, Owner: template.Owner,
+				Free: machineType.Capacity}, true
 		}
 	}
 	return nil, false
