--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -104,7 +104,7 @@
 		at     monotime.Micros
 		want   monotime.Micros
 	}{
-		{"first call", false, 10, 10},
+		{"first query", false, 10, 10},
 		{"still absent", false, 20, 10},
 		{"absent again after a membership", true, 30, 30},
 		{"still absent after that membership", false, 40, 30},
