--- a/internal/agents/commands_test.go
+++ b/internal/agents/commands_test.go
@@ -44,7 +44,7 @@
 			commands: kill + " j-1/0 2 grace 0, " + run + " j-1/0 1",
 		},
 		{
-			name: "unexpected attempts are sorted, and reaped if exited",
+			name: "unexpected attempts are sorted, and reaped when exited",
 			tasks: []protocol.TaskStatus{
 				status("j-9/0", 1, protocol.StateRunning),
 				status("j-2/1", 1, protocol.StateExited),
--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -133,7 +133,7 @@
 		)
 		f.workerRequests[0].callback(tc.probeResult)
 		if claimed := len(f.claimRequests) == 1; claimed != tc.claimed || claimed && answered != 0 {
-			t.Errorf("%s: got claim requested %v and status %d, want %v and status 0 if requested",
+			t.Errorf("%s: got claim requested %v and status %d, want %v and status 0 when requested",
 				tc.name, claimed, answered, tc.claimed)
 		}
 		if !tc.claimed && answered != 421 {
