--- a/internal/scheduling/queue_order_test.go
+++ b/internal/scheduling/queue_order_test.go
@@ -66,7 +66,7 @@
 			QueueEntry{Job: makeJob("b", 2, 9)},
 			QueueEntry{Job: makeJob("a", 1, 1), DeadlineBoost: true, MissedObjectives: 2},
 		},
-		{"smaller ID if all else is equal",
+		{"smaller ID when all else is equal",
 			QueueEntry{Job: makeJob("a", 1, 1)}, QueueEntry{Job: makeJob("b", 1, 1)}},
 	}
 	for _, tc := range cases {
