--- a/internal/mapentry/mapentry_test.go
+++ b/internal/mapentry/mapentry_test.go
@@ -16,7 +16,7 @@
 		*added = 3
 		if again := GetOrNew(entries, key); again != added || *again != 3 {
 			t.Errorf(
-				"%s: the second call got %p (value %d), want the added entry %p (value 3)",
+				"%s: the second invocation got %p (value %d), want the added entry %p (value 3)",
 				key, again, *again, added,
 			)
 		}
