--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -248,7 +248,7 @@
 			s.reconcile(0)
 			call := s.nextCall(protocol.CloudCreateMachines)
 			if call.Create.Name != "r-7-9" || call.Create.Count != 2 {
-				t.Errorf("got call %+v, want name r-7-9 and count 2", call.Create)
+				t.Errorf("got cloud request %+v, want name r-7-9 and count 2", call.Create)
 			}
 			call.answer(tc.result)
 			if got := s.records.ScaleOuts["r-7-9"].Record.Phase; got != tc.want {
@@ -259,7 +259,7 @@
 			}
 			s.reconcile(cloudRetryDelay)
 			if repeated := len(s.calls) > 0; repeated != (tc.want == storage.ScaleOutPending) {
-				t.Errorf("got call repeated %v, want %v", repeated, tc.want == storage.ScaleOutPending)
+				t.Errorf("got cloud request repeated %v, want %v", repeated, tc.want == storage.ScaleOutPending)
 			}
 		})
 	}
