--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -94,7 +94,7 @@
 func TestRefresh(t *testing.T) {
 	env := &testEnvironment{now: monotime.Second}
 	c := New(Options{Environment: env, RequestsPerSecond: 1, Changed: func() {}})
-	calls := func(want int) {
+	requireFetchesInFlight := func(want int) {
 		t.Helper()
 		c.Refresh(env.now)
 		if len(env.calls) != want {
@@ -102,18 +102,18 @@
 		}
 	}
 	types := []protocol.MachineType{{Name: "m8", CPUs: 8, OnDemandPrice: 1}}
-	calls(1)
+	requireFetchesInFlight(1)
 	env.now += 10 * monotime.Second
-	calls(1)
+	requireFetchesInFlight(1)
 	env.answer(protocol.CloudResult{Outcome: protocol.Unavailable})
-	calls(1)
+	requireFetchesInFlight(1)
 	env.answer(protocol.CloudResult{Outcome: protocol.Unavailable})
-	calls(0) // the budget is used up
+	requireFetchesInFlight(0) // the budget is used up
 	env.now += 2 * monotime.Second
-	calls(1)
+	requireFetchesInFlight(1)
 	env.answer(protocol.CloudResult{Outcome: protocol.OK, Types: types})
 	env.now += refreshInterval
-	calls(0)
+	requireFetchesInFlight(0)
 	env.now++
-	calls(1)
+	requireFetchesInFlight(1)
 }
--- a/internal/mirror/drain_snapshot.go
+++ b/internal/mirror/drain_snapshot.go
@@ -53,7 +53,7 @@
 	machine *Machine,
 	types map[string]protocol.MachineType,
 ) *drain.Machine {
-	out := &drain.Machine{
+	snapshotMachine := &drain.Machine{
 		ID:    machine.ID,
 		Type:  machine.Record.Type,
 		Zone:  machine.Record.Zone,
@@ -62,31 +62,31 @@
 		Owner: machine.Owner(),
 	}
 	if m.ScaleInOfMachine[machine.ID] != "" {
-		out.State = storage.MachineRemoving
+		snapshotMachine.State = storage.MachineRemoving
 	}
 	if machineType, ok := types[machine.Record.Type]; ok {
-		out.Free = MachineCapacity(&machineType).AddScaled(machine.Used, -1)
+		snapshotMachine.Free = MachineCapacity(&machineType).AddScaled(machine.Used, -1)
 	}
 	for _, task := range SortedTaskIDs(machine.Attempts) {
 		job := m.Jobs[task.Job]
 		switch {
 		case job == nil || !job.IsOpen():
 		case job.Record.Spec.Service:
-			held, _ := machine.Shard.Record.FindAttempt(task.Job, task.Index)
-			out.Replicas = append(
-				out.Replicas,
+			attempt, _ := machine.Shard.Record.FindAttempt(task.Job, task.Index)
+			snapshotMachine.Replicas = append(
+				snapshotMachine.Replicas,
 				drain.Replica{
 					Job:      task.Job,
 					Task:     task.Index,
 					Attempt:  machine.Attempts[task],
-					Starting: held.Starting,
+					Starting: attempt.Starting,
 				},
 			)
 		default:
-			addArrayTask(out, job)
+			addArrayTask(snapshotMachine, job)
 		}
 	}
-	return out
+	return snapshotMachine
 }
 
 // addArrayTask adds an array task to what a machine holds.
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -94,7 +94,7 @@
 
 // getResults reads some results by their keys, and then reports whether all were read.
 func (l *load) getResults(keys []string, done func(ok bool)) {
-	missing, allRead := len(keys), true
+	remaining, allRead := len(keys), true
 	for _, key := range keys {
 		call := &protocol.StoreCall{Op: protocol.StoreGet, Key: key}
 		l.replica.store.Call(ratelimit.PriorityClaim, call, func(result protocol.StoreResult) {
@@ -103,7 +103,7 @@
 			} else {
 				allRead = false
 			}
-			if missing--; missing == 0 {
+			if remaining--; remaining == 0 {
 				done(allRead)
 			}
 		})
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -42,9 +42,9 @@
 // MaxOpenJobs is how many unfinished jobs a mirror is to hold; submissions beyond are rejected.
 const MaxOpenJobs = 5000
 
-// rememberedResults is how many results of ended jobs a mirror keeps; older ones are read from the state
+// resultCacheCapacity is how many results of ended jobs a mirror keeps; older ones are read from the state
 // service.
-const rememberedResults = 20000
+const resultCacheCapacity = 20000
 
 // New makes an empty mirror.
 func New() *Mirror {
@@ -63,7 +63,7 @@
 		Drains:            map[string]DrainEntry{},
 		PermitsByTeam:     map[string]PermitsEntry{},
 		ownDeletions:      map[string]uint64{},
-		Results:           NewResultCache(rememberedResults),
+		Results:           NewResultCache(resultCacheCapacity),
 		onChange:          func(storage.Kind, string) {},
 		onMachineReleased: func(string) {},
 	}
@@ -147,8 +147,8 @@
 func (m *Mirror) ApplyRevision(events []protocol.Event, ownCommit bool) {
 	var changes []change
 	for _, event := range events {
-		if next, ok := m.beginChange(event, ownCommit); ok {
-			changes = append(changes, next)
+		if prepared, ok := m.prepareChange(event, ownCommit); ok {
+			changes = append(changes, prepared)
 		}
 	}
 	for i := range changes {
@@ -157,31 +157,31 @@
 	}
 }
 
-// beginChange reports whether an event is to be applied. If it is of a shard, the sums lose what it changes.
-func (m *Mirror) beginChange(event protocol.Event, ownCommit bool) (next change, ok bool) {
+// prepareChange reports whether an event is to be applied. If it is of a shard, the sums lose what it changes.
+func (m *Mirror) prepareChange(event protocol.Event, ownCommit bool) (prepared change, ok bool) {
 	m.NewestRevision = max(m.NewestRevision, event.Version)
 	key := event.Put + event.Delete
 	kind, name, ok := storage.SplitKey(key)
-	if !ok || !m.isNews(key, event, ownCommit) {
+	if !ok || !m.isNewer(key, event, ownCommit) {
 		return change{}, false
 	}
-	next = change{kind: kind, name: name, event: event}
+	prepared = change{kind: kind, name: name, event: event}
 	if kind != storage.KindShard {
-		return next, true
+		return prepared, true
 	}
 	previous := m.Shards[name]
 	if event.Put != "" {
-		if next.nextShard = decodeShard(name, event, previous); next.nextShard == nil {
+		if prepared.nextShard = decodeShard(name, event, previous); prepared.nextShard == nil {
 			return change{}, false
 		}
 	}
-	m.removeShard(previous, next.nextShard)
-	return next, true
+	m.removeShard(previous, prepared.nextShard)
+	return prepared, true
 }
 
-// isNews reports whether an event is newer than the mirror, and notes own deletions that are ahead of the
+// isNewer reports whether an event is newer than the mirror, and notes own deletions that are ahead of the
 // watch.
-func (m *Mirror) isNews(key string, event protocol.Event, ownCommit bool) bool {
+func (m *Mirror) isNewer(key string, event protocol.Event, ownCommit bool) bool {
 	if event.Version <= m.WatchedRevision {
 		// The event is from an answer that comes after a newer one: the watch has passed this change, and the
 		// record may have been deleted since.
@@ -203,11 +203,11 @@
 
 // decodeShard reads a shard that was put; nil if it is malformed.
 func decodeShard(name string, event protocol.Event, previous *Shard) *Shard {
-	var before *storage.Shard
+	var previousRecord *storage.Shard
 	if previous != nil {
-		before = previous.Record
+		previousRecord = previous.Record
 	}
-	record, err := storage.DecodeShard(event.Value, before)
+	record, err := storage.DecodeShard(event.Value, previousRecord)
 	if err != nil {
 		return nil
 	}
@@ -215,15 +215,15 @@
 }
 
 // applyChange puts a change into the mirror.
-func (m *Mirror) applyChange(next *change) {
+func (m *Mirror) applyChange(prepared *change) {
 	switch {
-	case next.nextShard != nil:
-		m.addShard(m.Shards[next.name], next.nextShard)
-	case next.kind == storage.KindShard:
-		delete(m.Shards, next.name)
-	case next.event.Put != "":
-		m.applyRecordPut(next.kind, next.name, next.event)
+	case prepared.nextShard != nil:
+		m.addShard(m.Shards[prepared.name], prepared.nextShard)
+	case prepared.kind == storage.KindShard:
+		delete(m.Shards, prepared.name)
+	case prepared.event.Put != "":
+		m.applyRecordPut(prepared.kind, prepared.name, prepared.event)
 	default:
-		m.applyRecordDelete(next.kind, next.name)
+		m.applyRecordDelete(prepared.kind, prepared.name)
 	}
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -13,25 +13,25 @@
 // TestMirrorIsIndependentOfEventOrder: changes in any order, own commits ahead of the watch, shards before
 // their jobs, machines that move: the sums end up the same, and nothing goes back.
 func TestMirrorIsIndependentOfEventOrder(t *testing.T) {
-	open := storage.OpenJobKey("j-1")
-	p, q := storage.ShardKey("p"), storage.ShardKey("q")
-	bare := storagetest.Shard("i-9", "j-9", 0, 0)
+	jobKey := storage.OpenJobKey("j-1")
+	shardKeyP, shardKeyQ := storage.ShardKey("p"), storage.ShardKey("q")
+	shardWithoutMachine := storagetest.Shard("i-9", "j-9", 0, 0)
 	steps := map[string]func(mr *Mirror){
 		"job":      func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
-		"page":     func(mr *Mirror) { mr.ApplyPut(p, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
-		"old page": func(mr *Mirror) { mr.ApplyPut(p, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
-		"drops":    func(mr *Mirror) { mr.ApplyDelete(p, 9, true); mr.ApplyDelete(open, 9, true) },
+		"page":     func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
+		"old page": func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
+		"drops":    func(mr *Mirror) { mr.ApplyDelete(shardKeyP, 9, true); mr.ApplyDelete(jobKey, 9, true) },
 		"late": func(mr *Mirror) {
 			mr.ApplyEvents(
-				[]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
+				[]protocol.Event{{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
 				8,
 			)
 		},
 		"move": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
-					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
-					{Put: p, Value: bare, Version: 8},
+					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: shardKeyP, Value: shardWithoutMachine, Version: 8},
 				},
 				8,
 			)
@@ -39,8 +39,8 @@
 		"move, the other order": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
-					{Put: p, Value: bare, Version: 8},
-					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: shardKeyP, Value: shardWithoutMachine, Version: 8},
+					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
 				},
 				8,
 			)
@@ -48,36 +48,36 @@
 		"own move": func(mr *Mirror) {
 			mr.ApplyRevision(
 				[]protocol.Event{
-					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
-					{Put: p, Value: bare, Version: 8},
+					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: shardKeyP, Value: shardWithoutMachine, Version: 8},
 				},
 				true,
 			)
 		},
 		"drops, by the watch": func(mr *Mirror) {
-			mr.ApplyEvents([]protocol.Event{{Delete: p, Version: 9}, {Delete: open, Version: 9}}, 9)
+			mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}, {Delete: jobKey, Version: 9}}, 9)
 		},
-		"page drops, by the watch": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: p, Version: 9}}, 9) },
+		"page drops, by the watch": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9) },
 		"an older answer of the watch": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
-					{Put: open, Value: storagetest.OpenJob(6), Version: 5},
-					{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6},
+					{Put: jobKey, Value: storagetest.OpenJob(6), Version: 5},
+					{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6},
 				},
 				6,
 			)
 		},
 		"a late answer to an own commit": func(mr *Mirror) {
 			mr.ApplyRevision(
-				[]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
+				[]protocol.Event{{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
 				true,
 			)
 		},
 	}
 	cases := []struct {
-		order   []string
-		held    int
-		jobLeft bool // though nothing of it is held
+		order      []string
+		assigned   int
+		jobRemains bool // though nothing of it is held
 	}{
 		{[]string{"job", "page"}, 4, false},
 		{[]string{"page", "job"}, 4, false},
@@ -97,27 +97,27 @@
 		for _, s := range tc.order {
 			steps[s](mr)
 		}
-		machine, held, done := 0.0, 0, 0
+		machineCPUs, assigned, done := 0.0, 0, 0
 		if m := mr.Machines["i-1"]; m != nil {
-			machine = m.Used.CPUs
+			machineCPUs = m.Used.CPUs
 		}
 		if job := mr.Jobs["j-1"]; job != nil {
-			held, done = job.AssignedTasks, job.DoneTasks
+			assigned, done = job.AssignedTasks, job.DoneTasks
 		}
-		if cpus := float64(2 * tc.held); mr.UseByTeam["t"].CPUs != cpus || machine != cpus ||
-			held != tc.held ||
-			held > 0 && done != 2 ||
+		if cpus := float64(2 * tc.assigned); mr.UseByTeam["t"].CPUs != cpus || machineCPUs != cpus ||
+			assigned != tc.assigned ||
+			assigned > 0 && done != 2 ||
 			mr.Machines["i-2"] != nil {
 			t.Errorf(
 				"%v: team %v, machine %v, held %d, done %d",
 				tc.order,
 				mr.UseByTeam["t"],
-				machine,
-				held,
+				machineCPUs,
+				assigned,
 				done,
 			)
 		}
-		if tc.held == 0 && (mr.Shards["p"] != nil || (len(mr.Jobs) > 0) != tc.jobLeft) {
+		if tc.assigned == 0 && (mr.Shards["p"] != nil || (len(mr.Jobs) > 0) != tc.jobRemains) {
 			t.Errorf("%v: a dropped job or page is back", tc.order)
 		}
 	}
@@ -149,7 +149,7 @@
 	if used := measure() - before; used > 64<<20 {
 		t.Errorf("%d MB", used>>20)
 	}
-	if n := len(mr.Results.statuses); n > mr.Results.capacity*9/8 || len(mr.Results.insertionOrder) != n {
+	if n := len(mr.Results.finalStates); n > mr.Results.capacity*9/8 || len(mr.Results.insertionOrder) != n {
 		t.Errorf("%d answers remembered", n)
 	}
 	runtime.KeepAlive(mr)
--- a/internal/mirror/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -47,8 +47,8 @@
 	return snapshot, snapshot.catchUp(call, firstRevision)
 }
 
-// callWithin makes a call with the timeout of a reading.
-func (caller StoreCaller) callWithin(call *protocol.StoreCall) protocol.StoreResult {
+// callWithTimeout makes a call with the timeout of a reading.
+func (caller StoreCaller) callWithTimeout(call *protocol.StoreCall) protocol.StoreResult {
 	call.Timeout = snapshotCallTimeout
 	return caller(call)
 }
@@ -63,7 +63,7 @@
 	firstRevision, started := uint64(0), false
 	for _, kind := range listedKinds(true) {
 		for after, more := "", true; more; {
-			page := call.callWithin(listCall(kind, after))
+			page := call.callWithTimeout(listCall(kind, after))
 			if page.Outcome != protocol.OK {
 				return 0, storeError(page.Outcome)
 			}
@@ -80,12 +80,12 @@
 // readResults reads the results of the listed jobs that are over, comparing so many at a time.
 func (r *RecordSnapshot) readResults(call StoreCaller, maxCompares int) error {
 	for ids := range slices.Chunk(sortedmap.Keys(r.mirror.Jobs), maxCompares) {
-		compared := call.callWithin(compareResults(ids))
+		compared := call.callWithTimeout(compareResults(ids))
 		if compared.Outcome != protocol.OK && compared.Outcome != protocol.Conflict {
 			return storeError(compared.Outcome)
 		}
 		for _, key := range compared.Failed {
-			result := call.callWithin(&protocol.StoreCall{Op: protocol.StoreGet, Key: key})
+			result := call.callWithTimeout(&protocol.StoreCall{Op: protocol.StoreGet, Key: key})
 			if result.Outcome != protocol.OK {
 				return storeError(result.Outcome)
 			}
@@ -97,7 +97,7 @@
 
 // readDrainRegistry reads the version of the registry of drains.
 func (r *RecordSnapshot) readDrainRegistry(call StoreCaller) error {
-	registry := call.callWithin(&protocol.StoreCall{Op: protocol.StoreGet, Key: storage.DrainRegistryKey})
+	registry := call.callWithTimeout(&protocol.StoreCall{Op: protocol.StoreGet, Key: storage.DrainRegistryKey})
 	switch registry.Outcome {
 	case protocol.OK:
 		r.DrainRegistryVersion = registry.Item.Version
@@ -111,7 +111,7 @@
 // catchUp applies all changes since a revision.
 func (r *RecordSnapshot) catchUp(call StoreCaller, sinceRevision uint64) error {
 	r.mirror.WatchedRevision = sinceRevision
-	watch := call.callWithin(&protocol.StoreCall{
+	watch := call.callWithTimeout(&protocol.StoreCall{
 		Op:           protocol.StoreWatch,
 		Key:          storage.KeyPrefix,
 		FromRevision: sinceRevision,
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -202,7 +202,7 @@
 // deleteScaleOut removes a scale-out request, and the references of its machines to it.
 func (m *Mirror) deleteScaleOut(name string) {
 	if request := m.ScaleOuts[name]; request != nil {
-		deleteMachinesOf(m.ScaleOutOfMachine, name, request.Record.Machines)
+		deleteRequestReferences(m.ScaleOutOfMachine, name, request.Record.Machines)
 	}
 	delete(m.ScaleOuts, name)
 }
@@ -210,13 +210,13 @@
 // deleteScaleIn removes a scale-in request, and the references of its machines to it.
 func (m *Mirror) deleteScaleIn(name string) {
 	if request := m.ScaleIns[name]; request != nil {
-		deleteMachinesOf(m.ScaleInOfMachine, name, request.Record.Machines)
+		deleteRequestReferences(m.ScaleInOfMachine, name, request.Record.Machines)
 	}
 	delete(m.ScaleIns, name)
 }
 
-// deleteMachinesOf deletes the machines of a request, but for those that a later one names.
-func deleteMachinesOf(requestOfMachine map[string]string, requestName string, machines []string) {
+// deleteRequestReferences deletes the machines of a request, but for those that a later one names.
+func deleteRequestReferences(requestOfMachine map[string]string, requestName string, machines []string) {
 	for _, id := range machines {
 		if requestOfMachine[id] == requestName {
 			delete(requestOfMachine, id)
--- a/internal/mirror/replica.go
+++ b/internal/mirror/replica.go
@@ -141,7 +141,7 @@
 			r.mirror.ApplyCommit(&txn, result.Revision)
 		case protocol.Conflict:
 			r.commitConflicts++
-			r.hastenWatch()
+			r.expediteWatch()
 		}
 		callback(result)
 	})
--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -16,8 +16,8 @@
 
 const testWatchInterval = 100 * monotime.Millisecond
 
-// madeCall is a call that has no answer yet.
-type madeCall struct {
+// pendingCall is a call that has no answer yet.
+type pendingCall struct {
 	call     *protocol.StoreCall
 	callback func(protocol.StoreResult)
 	atOnce   bool
@@ -27,12 +27,12 @@
 // environment, observer and pause detector.
 type replicaTest struct {
 	*Replica
-	t        *testing.T
-	clock    *fake.SimClock
-	calls    []madeCall
-	recorded []protocol.Outcome // outcomes recorded
-	events   []string           // calls of the observer
-	resumed  monotime.Micros    // end of the last pause
+	t                *testing.T
+	clock            *fake.SimClock
+	calls            []pendingCall
+	recordedOutcomes []protocol.Outcome // outcomes recorded
+	events           []string           // calls of the observer
+	resumedAt        monotime.Micros    // end of the last pause
 }
 
 func newReplicaTest(t *testing.T) *replicaTest {
@@ -51,20 +51,20 @@
 func (rt *replicaTest) After(delay monotime.Micros, f func()) { rt.clock.After(delay, f) }
 func (rt *replicaTest) Rand() *rand.Rand                      { return rt.clock.Rand }
 func (rt *replicaTest) RecordOutcome(outcome protocol.Outcome) {
-	rt.recorded = append(rt.recorded, outcome)
+	rt.recordedOutcomes = append(rt.recordedOutcomes, outcome)
 }
 func (rt *replicaTest) WatchInterval() monotime.Micros      { return testWatchInterval }
 func (rt *replicaTest) BeforeReplace(*Mirror)               { rt.events = append(rt.events, "before") }
 func (rt *replicaTest) Replaced()                           { rt.events = append(rt.events, "replaced") }
 func (rt *replicaTest) Changed()                            { rt.events = append(rt.events, "changed") }
 func (rt *replicaTest) DetectPause(monotime.Micros)         {}
-func (rt *replicaTest) ResumedFromPauseAt() monotime.Micros { return rt.resumed }
+func (rt *replicaTest) ResumedFromPauseAt() monotime.Micros { return rt.resumedAt }
 func (rt *replicaTest) CallAtOnce(call *protocol.StoreCall, f func(protocol.StoreResult)) {
-	rt.calls = append(rt.calls, madeCall{call, f, true})
+	rt.calls = append(rt.calls, pendingCall{call, f, true})
 }
 
 func (rt *replicaTest) Call(_ ratelimit.Priority, call *protocol.StoreCall, f func(protocol.StoreResult)) {
-	rt.calls = append(rt.calls, madeCall{call, f, false})
+	rt.calls = append(rt.calls, pendingCall{call, f, false})
 }
 
 // readyObserver keeps the observer's method Ready apart from the replica's.
@@ -72,18 +72,18 @@
 
 func (o readyObserver) Ready() { o.events = append(o.events, "ready") }
 
-// next takes the first call that has no answer and checks its kind.
-func (rt *replicaTest) next(op protocol.StoreOp) madeCall {
+// nextCall takes the first call that has no answer and checks its kind.
+func (rt *replicaTest) nextCall(op protocol.StoreOp) pendingCall {
 	rt.t.Helper()
 	if len(rt.calls) == 0 {
 		rt.t.Fatalf("nothing sent, want %v", op)
 	}
-	made := rt.calls[0]
+	pending := rt.calls[0]
 	rt.calls = rt.calls[1:]
-	if made.call.Op != op {
-		rt.t.Fatalf("sent %v, want %v", made.call.Op, op)
+	if pending.call.Op != op {
+		rt.t.Fatalf("sent %v, want %v", pending.call.Op, op)
 	}
-	return made
+	return pending
 }
 
 func (rt *replicaTest) requireNoCall() {
@@ -98,9 +98,9 @@
 func (rt *replicaTest) answerLists(first, others uint64, jobs ...protocol.KeyValue) {
 	rt.t.Helper()
 	for i, kind := range listedKinds(false) {
-		made := rt.next(protocol.StoreList)
-		if want := storage.Key(kind, ""); made.call.Key != want {
-			rt.t.Fatalf("list %d is of %s, want %s", i, made.call.Key, want)
+		pending := rt.nextCall(protocol.StoreList)
+		if want := storage.Key(kind, ""); pending.call.Key != want {
+			rt.t.Fatalf("list %d is of %s, want %s", i, pending.call.Key, want)
 		}
 		page := protocol.StoreResult{Outcome: protocol.OK, Revision: others}
 		if i == 0 {
@@ -109,12 +109,12 @@
 		if kind == storage.KindOpenJob {
 			page.Items = jobs
 		}
-		made.callback(page)
+		pending.callback(page)
 	}
 }
 
-// loadEmpty loads an empty store at a revision; the mirror is ready then.
-func (rt *replicaTest) loadEmpty(revision uint64) {
+// loadEmptyStore loads an empty store at a revision; the mirror is ready then.
+func (rt *replicaTest) loadEmptyStore(revision uint64) {
 	rt.t.Helper()
 	rt.Load()
 	rt.answerLists(revision, revision)
--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -32,11 +32,11 @@
 			rt.answerLists(5, tc.last)
 			if tc.watched > 0 {
 				rt.MaintainWatch(rt.Now())
-				made := rt.next(protocol.StoreWatch)
-				if made.call.FromRevision != 5 {
-					t.Errorf("the watch continues from %d, want 5", made.call.FromRevision)
+				watch := rt.nextCall(protocol.StoreWatch)
+				if watch.call.FromRevision != 5 {
+					t.Errorf("the watch continues from %d, want 5", watch.call.FromRevision)
 				}
-				made.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: tc.watched})
+				watch.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: tc.watched})
 			}
 			want := []string{"before", "replaced"}
 			if tc.want {
@@ -58,26 +58,26 @@
 func TestLoadPages(t *testing.T) {
 	rt := newReplicaTest(t)
 	rt.Load()
-	first := rt.next(protocol.StoreList)
-	item := protocol.KeyValue{Key: first.call.Key + "a", Version: 1}
-	first.callback(protocol.StoreResult{
+	firstPage := rt.nextCall(protocol.StoreList)
+	item := protocol.KeyValue{Key: firstPage.call.Key + "a", Version: 1}
+	firstPage.callback(protocol.StoreResult{
 		Outcome: protocol.OK, Revision: 5, Items: []protocol.KeyValue{item}, More: true,
 	})
-	second := rt.next(protocol.StoreList)
-	if second.call.Key != first.call.Key || second.call.After != item.Key {
-		t.Errorf("%s continues after %q", second.call.Key, second.call.After)
+	secondPage := rt.nextCall(protocol.StoreList)
+	if secondPage.call.Key != firstPage.call.Key || secondPage.call.After != item.Key {
+		t.Errorf("%s continues after %q", secondPage.call.Key, secondPage.call.After)
 	}
-	second.callback(protocol.StoreResult{Outcome: protocol.Unavailable})
+	secondPage.callback(protocol.StoreResult{Outcome: protocol.Unavailable})
 	rt.clock.Run(loadRetryDelay - 1)
 	rt.requireNoCall()
 	rt.clock.Run(loadRetrySpread)
-	again := rt.next(protocol.StoreList)
-	if again.call.Key != first.call.Key || again.call.After != item.Key {
-		t.Errorf("%s is read again after %q", again.call.Key, again.call.After)
+	retriedPage := rt.nextCall(protocol.StoreList)
+	if retriedPage.call.Key != firstPage.call.Key || retriedPage.call.After != item.Key {
+		t.Errorf("%s is read again after %q", retriedPage.call.Key, retriedPage.call.After)
 	}
-	again.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 6})
-	if made := rt.next(protocol.StoreList); made.call.Key == first.call.Key || made.call.After != "" {
-		t.Errorf("the next list is %s after %q", made.call.Key, made.call.After)
+	retriedPage.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 6})
+	if nextList := rt.nextCall(protocol.StoreList); nextList.call.Key == firstPage.call.Key || nextList.call.After != "" {
+		t.Errorf("the next list is %s after %q", nextList.call.Key, nextList.call.After)
 	}
 }
 
@@ -93,16 +93,16 @@
 	rt.answerLists(5, 5, jobs...)
 	key := storage.JobResultKey("b")
 	for _, outcome := range []protocol.Outcome{protocol.Unavailable, protocol.OK} {
-		compared := rt.next(protocol.StoreCommit)
-		if n := len(compared.call.Transaction.If); n != comparesPerOp*2 {
+		compareCall := rt.nextCall(protocol.StoreCommit)
+		if n := len(compareCall.call.Transaction.If); n != comparesPerOp*2 {
 			t.Fatalf("%d compared at a time, want %d", n, comparesPerOp*2)
 		}
-		compared.callback(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{key}})
+		compareCall.callback(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{key}})
 		value, err := protocol.Marshal(&storage.JobResult{State: storage.JobCancelled})
 		if err != nil {
 			t.Fatal(err)
 		}
-		rt.next(protocol.StoreGet).callback(protocol.StoreResult{
+		rt.nextCall(protocol.StoreGet).callback(protocol.StoreResult{
 			Outcome: outcome, Item: protocol.KeyValue{Key: key, Value: value, Version: 4},
 		})
 		if rt.Loaded() {
@@ -110,11 +110,11 @@
 		}
 		rt.clock.Run(loadRetryDelay + loadRetrySpread)
 	}
-	rest := rt.next(protocol.StoreCommit)
-	if n := len(rest.call.Transaction.If); n != 1 {
+	lastCompare := rt.nextCall(protocol.StoreCommit)
+	if n := len(lastCompare.call.Transaction.If); n != 1 {
 		t.Errorf("%d compared at last, want 1", n)
 	}
-	rest.callback(protocol.StoreResult{Outcome: protocol.OK})
+	lastCompare.callback(protocol.StoreResult{Outcome: protocol.OK})
 	if !rt.Ready() {
 		t.Error("not ready")
 	}
@@ -146,7 +146,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			rt := newReplicaTest(t)
-			rt.loadEmpty(5)
+			rt.loadEmptyStore(5)
 			reader := waiting
 			rt.WhenCurrent(func(ok bool) {
 				reader = failed
@@ -155,20 +155,20 @@
 				}
 			})
 			rt.MaintainWatch(rt.Now())
-			made := rt.next(protocol.StoreWatch)
-			if made.call.MaxBlock != 0 || !made.atOnce {
-				t.Errorf("a watch for a reader waits for %d, at once: %v", made.call.MaxBlock, made.atOnce)
+			watch := rt.nextCall(protocol.StoreWatch)
+			if watch.call.MaxBlock != 0 || !watch.atOnce {
+				t.Errorf("a watch for a reader waits for %d, at once: %v", watch.call.MaxBlock, watch.atOnce)
 			}
 			rt.clock.Run(testWatchInterval)
-			made.callback(protocol.StoreResult{Outcome: tc.outcome, Revision: 5})
+			watch.callback(protocol.StoreResult{Outcome: tc.outcome, Revision: 5})
 			if reader != tc.reader {
 				t.Errorf("reader %s, want %s", reader, tc.reader)
 			}
-			if got := len(rt.recorded) > 0; got != tc.recorded {
+			if got := len(rt.recordedOutcomes) > 0; got != tc.recorded {
 				t.Errorf("outcome recorded: %v, want %v", got, tc.recorded)
 			}
 			if tc.reload {
-				rt.next(protocol.StoreList)
+				rt.nextCall(protocol.StoreList)
 				if rt.Ready() {
 					t.Error("ready while it loads")
 				}
@@ -185,11 +185,11 @@
 // before is joined by a watch that doesn't wait.
 func TestWhenCurrent(t *testing.T) {
 	rt := newReplicaTest(t)
-	rt.loadEmpty(5)
+	rt.loadEmptyStore(5)
 	rt.MaintainWatch(rt.Now())
-	waiting := rt.next(protocol.StoreWatch)
-	if waiting.call.MaxBlock != watchLongPoll {
-		t.Errorf("the watch waits for %d, want %d", waiting.call.MaxBlock, watchLongPoll)
+	longPoll := rt.nextCall(protocol.StoreWatch)
+	if longPoll.call.MaxBlock != watchLongPoll {
+		t.Errorf("the watch waits for %d, want %d", longPoll.call.MaxBlock, watchLongPoll)
 	}
 	rt.clock.Run(monotime.Millisecond)
 	served := 0
@@ -200,12 +200,12 @@
 			}
 		})
 	}
-	catchUp := rt.next(protocol.StoreWatch)
+	catchUp := rt.nextCall(protocol.StoreWatch)
 	if catchUp.call.MaxBlock != 0 {
 		t.Errorf("the watch for readers waits for %d", catchUp.call.MaxBlock)
 	}
 	rt.requireNoCall()
-	waiting.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5})
+	longPoll.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5})
 	if served != 0 || rt.PendingReads() != 2 {
 		t.Errorf("%d served by a watch that was sent before", served)
 	}
@@ -221,19 +221,19 @@
 // TestCatchUpInterval: watches for readers keep their interval.
 func TestCatchUpInterval(t *testing.T) {
 	rt := newReplicaTest(t)
-	rt.loadEmpty(5)
+	rt.loadEmptyStore(5)
 	rt.MaintainWatch(rt.Now())
-	rt.next(protocol.StoreWatch)
+	rt.nextCall(protocol.StoreWatch)
 	rt.clock.Run(monotime.Millisecond)
 	rt.WhenCurrent(func(bool) {})
-	rt.next(protocol.StoreWatch).callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5})
+	rt.nextCall(protocol.StoreWatch).callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5})
 	rt.clock.Run(monotime.Millisecond)
 	rt.WhenCurrent(func(bool) {})
 	rt.MaintainWatch(rt.Now())
 	rt.requireNoCall()
 	rt.clock.Run(testWatchInterval)
 	rt.MaintainWatch(rt.Now())
-	rt.next(protocol.StoreWatch)
+	rt.nextCall(protocol.StoreWatch)
 }
 
 // TestBacklog: after a long time without an answer the newest revision is read before a watch is sent, and
@@ -251,30 +251,30 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			rt := newReplicaTest(t)
-			rt.loadEmpty(5)
+			rt.loadEmptyStore(5)
 			rt.clock.Run(2*watchLongPoll + 1)
 			rt.MaintainWatch(rt.Now())
-			measured := rt.next(protocol.StoreList)
-			if measured.call.Key != storage.LeaderKey {
-				t.Errorf("the backlog is measured by %s", measured.call.Key)
+			backlogCall := rt.nextCall(protocol.StoreList)
+			if backlogCall.call.Key != storage.LeaderKey {
+				t.Errorf("the backlog is measured by %s", backlogCall.call.Key)
 			}
-			measured.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5 + tc.behind})
-			if made := rt.next(tc.want); made.call.Key != tc.key {
-				t.Errorf("then %s is read, want %s", made.call.Key, tc.key)
+			backlogCall.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5 + tc.behind})
+			if followUp := rt.nextCall(tc.want); followUp.call.Key != tc.key {
+				t.Errorf("then %s is read, want %s", followUp.call.Key, tc.key)
 			}
 		})
 	}
 }
 
-// TestAnswerOfAnEarlierMirror: the answer of a watch that was sent before a load isn't applied after it.
-func TestAnswerOfAnEarlierMirror(t *testing.T) {
+// TestStaleWatchResultIsDropped: the answer of a watch that was sent before a load isn't applied after it.
+func TestStaleWatchResultIsDropped(t *testing.T) {
 	rt := newReplicaTest(t)
-	rt.loadEmpty(5)
+	rt.loadEmptyStore(5)
 	rt.MaintainWatch(rt.Now())
-	late := rt.next(protocol.StoreWatch)
+	staleWatch := rt.nextCall(protocol.StoreWatch)
 	rt.Load()
 	rt.answerLists(9, 9)
-	late.callback(protocol.StoreResult{
+	staleWatch.callback(protocol.StoreResult{
 		Outcome: protocol.OK, Revision: 10, Events: []protocol.Event{putEvent(openJob("a", 10))},
 	})
 	if rt.mirror.WatchedRevision != 9 || len(rt.mirror.Jobs) != 0 {
@@ -287,18 +287,18 @@
 func TestWatchOverdue(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		rt := newReplicaTest(t)
-		rt.loadEmpty(5)
+		rt.loadEmptyStore(5)
 		rt.MaintainWatch(rt.Now())
-		made := rt.next(protocol.StoreWatch)
+		watch := rt.nextCall(protocol.StoreWatch)
 		rt.clock.Run(watchLongPoll + watchOverdueMargin)
 		if rt.WatchOverdue(rt.Now()) || !rt.WatchOverdue(rt.Now()+1) {
 			t.Error("overdue at another time than the long poll and its margin")
 		}
 		rt.clock.Run(1)
 		if paused {
-			rt.resumed = rt.Now()
+			rt.resumedAt = rt.Now()
 		}
-		made.callback(protocol.StoreResult{
+		watch.callback(protocol.StoreResult{
 			Outcome: protocol.OK, Revision: 6, Events: []protocol.Event{putEvent(openJob("a", 6))},
 		})
 		if got := rt.WatchOverdue(rt.Now()); got != paused {
@@ -326,23 +326,23 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			rt := newReplicaTest(t)
-			rt.loadEmpty(5)
+			rt.loadEmptyStore(5)
 			rt.MaintainWatch(rt.Now())
-			rt.next(protocol.StoreWatch).callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5})
+			rt.nextCall(protocol.StoreWatch).callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5})
 			job := openJob("a", 0)
 			txn := protocol.Transaction{Then: []protocol.Op{{Put: job.Key, Value: job.Value}}}
 			jobs := -1
 			rt.Commit(ratelimit.PriorityUserRequest, txn, func(protocol.StoreResult) {
 				jobs = len(rt.mirror.Jobs)
 			})
-			rt.next(protocol.StoreCommit).callback(protocol.StoreResult{Outcome: tc.outcome, Revision: 6})
+			rt.nextCall(protocol.StoreCommit).callback(protocol.StoreResult{Outcome: tc.outcome, Revision: 6})
 			if jobs != tc.jobs {
 				t.Errorf("%d jobs at the callback, want %d", jobs, tc.jobs)
 			}
 			if rt.CommitConflicts() != tc.conflicts {
 				t.Errorf("%d conflicts, want %d", rt.CommitConflicts(), tc.conflicts)
 			}
-			if got := rt.watch.nextAt-rt.Now() == hastenedWatchDelay; got != tc.hastened {
+			if got := rt.watch.nextAt-rt.Now() == conflictWatchInterval; got != tc.hastened {
 				t.Errorf("next watch in %d", rt.watch.nextAt-rt.Now())
 			}
 		})
--- a/internal/mirror/result_cache.go
+++ b/internal/mirror/result_cache.go
@@ -9,25 +9,25 @@
 // the state service again.
 type ResultCache struct {
 	capacity       int
-	statuses       map[string]storage.JobState
+	finalStates    map[string]storage.JobState
 	insertionOrder []string
 }
 
 // NewResultCache makes a cache of at least so many results.
 func NewResultCache(capacity int) *ResultCache {
-	return &ResultCache{capacity: capacity, statuses: map[string]storage.JobState{}}
+	return &ResultCache{capacity: capacity, finalStates: map[string]storage.JobState{}}
 }
 
 // Add remembers the final state of a job; the first one stays.
 func (c *ResultCache) Add(id string, state storage.JobState) {
-	if _, ok := c.statuses[id]; ok {
+	if _, ok := c.finalStates[id]; ok {
 		return
 	}
-	c.statuses[id] = state
+	c.finalStates[id] = state
 	c.insertionOrder = append(c.insertionOrder, id)
 	if batch := c.capacity/evictionDivisor + 1; len(c.insertionOrder) >= c.capacity+batch {
 		for _, old := range c.insertionOrder[:batch] {
-			delete(c.statuses, old)
+			delete(c.finalStates, old)
 		}
 		c.insertionOrder = append([]string(nil), c.insertionOrder[batch:]...)
 	}
@@ -35,6 +35,6 @@
 
 // Get returns the final state of a job, if it is remembered.
 func (c *ResultCache) Get(id string) (storage.JobState, bool) {
-	state, ok := c.statuses[id]
+	state, ok := c.finalStates[id]
 	return state, ok
 }
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -23,8 +23,8 @@
 	watchRetrySpread = 300 * monotime.Millisecond
 	// throttledWatchDelay is how long after a 429 the next watch is sent.
 	throttledWatchDelay = 100 * monotime.Millisecond
-	// hastenedWatchDelay is how long after the last watch was sent the next may be, after a conflict.
-	hastenedWatchDelay = 50 * monotime.Millisecond
+	// conflictWatchInterval is how long after the last watch was sent the next may be, after a conflict.
+	conflictWatchInterval = 50 * monotime.Millisecond
 )
 
 // watchState is where the watch of a Replica stands.
@@ -160,7 +160,7 @@
 	}
 }
 
-// hastenWatch has the next watch sent soon, for the changes that a commit has conflicted with.
-func (r *Replica) hastenWatch() {
-	r.watch.nextAt = min(r.watch.nextAt, max(r.env.Now(), r.watch.sentAt+hastenedWatchDelay))
+// expediteWatch has the next watch sent soon, for the changes that a commit has conflicted with.
+func (r *Replica) expediteWatch() {
+	r.watch.nextAt = min(r.watch.nextAt, max(r.env.Now(), r.watch.sentAt+conflictWatchInterval))
 }
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -47,9 +47,9 @@
 	pausedUntil   monotime.Micros
 	waiting       [numPriorities][]Call
 
-	userWentLast             bool // of users' calls and shard work, a user's call went last
-	shardUpdateWentLast      bool // of shard updates and job results, a shard update went last
-	shardWorkSinceBurstCalls int  // calls of shard work since the last burst call
+	userCallServedLast       bool // of users' calls and shard work, a user's call went last
+	shardUpdateServedLast    bool // of shard updates and job results, a shard update went last
+	shardCallsSinceBurstCall int  // calls of shard work since the last burst call
 }
 
 // NewQueue makes a queue without budget, of which so many calls may be in flight at a time. Leases aren't
@@ -84,8 +84,8 @@
 	q.pausedUntil = now + throttledPause
 }
 
-// Answered notes that a call of Next is in flight no longer.
-func (q *Queue) Answered() { q.inFlight-- }
+// CallDone notes that a call of Next is in flight no longer.
+func (q *Queue) CallDone() { q.inFlight-- }
 
 // Len counts the waiting calls of a priority.
 func (q *Queue) Len(priority Priority) int { return len(q.waiting[priority]) }
@@ -103,7 +103,7 @@
 // lease to its own load.
 func (q *Queue) Next(now monotime.Micros) (call Call, ok bool, wait monotime.Micros) {
 	for p := range q.waiting {
-		priority := q.inTurn(Priority(p), now)
+		priority := q.priorityAt(Priority(p), now)
 		if len(q.waiting[priority]) == 0 {
 			continue
 		}
@@ -120,33 +120,33 @@
 	return Call{}, false, 0
 }
 
-// inTurn returns the priority whose calls go at the place of the one given.
-func (q *Queue) inTurn(priority Priority, now monotime.Micros) Priority {
-	if priority == PriorityUserRequest && q.shardWorkBeforeUsers(now) {
-		priority = q.nextShardWork()
+// priorityAt returns the priority whose calls go at the place of the one given.
+func (q *Queue) priorityAt(priority Priority, now monotime.Micros) Priority {
+	if priority == PriorityUserRequest && q.shardWorkPrecedesUserCalls(now) {
+		priority = q.nextShardPriority()
 	}
 	if priority != PriorityShardUpdate {
 		return priority
 	}
-	if q.shardWorkSinceBurstCalls >= shardTurnsPerBurstCall && len(q.waiting[PriorityBurst]) > 0 {
+	if q.shardCallsSinceBurstCall >= shardTurnsPerBurstCall && len(q.waiting[PriorityBurst]) > 0 {
 		return PriorityBurst
 	}
-	return q.nextShardWork()
+	return q.nextShardPriority()
 }
 
-// shardWorkBeforeUsers reports whether shard work has waited so long that it goes before users' calls this
+// shardWorkPrecedesUserCalls reports whether shard work has waited so long that it goes before users' calls this
 // time.
-func (q *Queue) shardWorkBeforeUsers(now monotime.Micros) bool {
-	return q.OldestWait(q.nextShardWork(), now) > shardMaxWait &&
-		(q.userWentLast || len(q.waiting[PriorityUserRequest]) == 0)
+func (q *Queue) shardWorkPrecedesUserCalls(now monotime.Micros) bool {
+	return q.OldestWait(q.nextShardPriority(), now) > shardMaxWait &&
+		(q.userCallServedLast || len(q.waiting[PriorityUserRequest]) == 0)
 }
 
-// nextShardWork reports whether a shard update goes next or a job result: they take turns. A shard of small
+// nextShardPriority reports whether a shard update goes next or a job result: they take turns. A shard of small
 // jobs has as many results as jobs; if these went first, the next updates, with all tasks that start and
 // machines that have joined, would wait behind them.
-func (q *Queue) nextShardWork() Priority {
+func (q *Queue) nextShardPriority() Priority {
 	if len(q.waiting[PriorityJobResult]) > 0 &&
-		(q.shardUpdateWentLast || len(q.waiting[PriorityShardUpdate]) == 0) {
+		(q.shardUpdateServedLast || len(q.waiting[PriorityShardUpdate]) == 0) {
 		return PriorityJobResult
 	}
 	return PriorityShardUpdate
@@ -168,12 +168,12 @@
 	q.inFlight++
 	switch priority {
 	case PriorityUserRequest:
-		q.userWentLast = true
+		q.userCallServedLast = true
 	case PriorityShardUpdate, PriorityJobResult:
-		q.userWentLast, q.shardUpdateWentLast = false, priority == PriorityShardUpdate
-		q.shardWorkSinceBurstCalls++
+		q.userCallServedLast, q.shardUpdateServedLast = false, priority == PriorityShardUpdate
+		q.shardCallsSinceBurstCall++
 	case PriorityBurst:
-		q.shardWorkSinceBurstCalls = 0
+		q.shardCallsSinceBurstCall = 0
 	}
 	return call
 }
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -22,16 +22,16 @@
 }
 
 // add queues calls of some priorities, each of so many writes, since a time.
-func (q testQueue) add(since monotime.Micros, writes int, priorities ...Priority) {
+func (q testQueue) add(queuedAt monotime.Micros, writes int, priorities ...Priority) {
 	for _, priority := range priorities {
 		call := &protocol.StoreCall{}
 		call.Transaction.Then = make([]protocol.Op, writes)
-		q.Add(Call{StoreCall: call, Priority: priority, QueuedAt: since})
+		q.Add(Call{StoreCall: call, Priority: priority, QueuedAt: queuedAt})
 	}
 }
 
-// require takes all calls that may be made now, checks their priorities, and gives how long the next waits.
-func (q testQueue) require(now monotime.Micros, want ...Priority) (wait monotime.Micros) {
+// requireCalls takes all calls that may be made now, checks their priorities, and gives how long the next waits.
+func (q testQueue) requireCalls(now monotime.Micros, want ...Priority) (wait monotime.Micros) {
 	q.t.Helper()
 	var got []Priority
 	for {
@@ -49,18 +49,18 @@
 // repeat repeats priorities n times.
 func repeat(n int, priorities ...Priority) []Priority { return slices.Repeat(priorities, n) }
 
-// TestQueueGoesByPriority: the most urgent call goes first, whenever it came. A lease goes into debt, so that
+// TestQueueOrdersByPriority: the most urgent call goes first, whenever it came. A lease goes into debt, so that
 // other writes wait for it.
-func TestQueueGoesByPriority(t *testing.T) {
+func TestQueueOrdersByPriority(t *testing.T) {
 	q := newTestQueue(t)
 	q.add(0, 0, PriorityBackground)
 	q.add(0, 2, PriorityUserRequest, PriorityCancellation)
 	q.add(0, 1, PriorityLease)
-	if wait := q.require(0, PriorityLease); wait <= 0 {
+	if wait := q.requireCalls(0, PriorityLease); wait <= 0 {
 		t.Fatalf("wait %d after a lease in debt", wait)
 	}
-	q.require(500*monotime.Millisecond, PriorityCancellation)
-	q.require(1600*monotime.Millisecond, PriorityUserRequest, PriorityBackground)
+	q.requireCalls(500*monotime.Millisecond, PriorityCancellation)
+	q.requireCalls(1600*monotime.Millisecond, PriorityUserRequest, PriorityBackground)
 }
 
 // TestUsersTakeTurnsWithShardWork: users' calls go before shard updates, until these have waited too long;
@@ -69,12 +69,12 @@
 	const now = 3 * monotime.Second
 	q := newTestQueue(t)
 	q.add(now, 0, PriorityUserRequest)
-	q.require(now, PriorityUserRequest)
+	q.requireCalls(now, PriorityUserRequest)
 	q.add(now-shardMaxWait, 1, PriorityShardUpdate, PriorityUserRequest)
-	q.require(now, PriorityUserRequest, PriorityShardUpdate)
+	q.requireCalls(now, PriorityUserRequest, PriorityShardUpdate)
 
 	q.add(now-shardMaxWait-2, 0, repeat(2, PriorityShardUpdate, PriorityUserRequest)...)
-	q.require(now+monotime.Second, repeat(2, PriorityUserRequest, PriorityShardUpdate)...)
+	q.requireCalls(now+monotime.Second, repeat(2, PriorityUserRequest, PriorityShardUpdate)...)
 }
 
 // TestBurstCallsTakeTurns: burst calls wait for all others, but among shard updates they have their turns.
@@ -83,13 +83,13 @@
 	q := newTestQueue(t)
 	// Two shard updates have gone already, so that it is the burst's turn.
 	q.add(now, 0, repeat(2, PriorityShardUpdate)...)
-	q.require(now, repeat(2, PriorityShardUpdate)...)
+	q.requireCalls(now, repeat(2, PriorityShardUpdate)...)
 
 	q.add(now, 0, repeat(6, PriorityBurst, PriorityShardUpdate)...)
 	q.add(now, 0, PriorityUserRequest)
-	q.require(now+monotime.Second,
+	q.requireCalls(now+monotime.Second,
 		PriorityUserRequest, PriorityBurst, PriorityShardUpdate, PriorityShardUpdate)
-	q.require(now+2*monotime.Second,
+	q.requireCalls(now+2*monotime.Second,
 		PriorityBurst, PriorityShardUpdate, PriorityShardUpdate, PriorityBurst)
 }
 
@@ -98,13 +98,13 @@
 	const now = 60 * monotime.Second
 	q := newTestQueue(t)
 	q.add(now, 0, PriorityShardUpdate)
-	q.require(now, PriorityShardUpdate)
+	q.requireCalls(now, PriorityShardUpdate)
 
 	q.add(now, 0, repeat(4, PriorityJobResult)...)
 	q.add(now, 0, PriorityShardUpdate, PriorityShardUpdate, PriorityUserRequest)
-	q.require(now+monotime.Second,
+	q.requireCalls(now+monotime.Second,
 		PriorityUserRequest, PriorityJobResult, PriorityShardUpdate, PriorityJobResult)
-	q.require(now+2*monotime.Second, PriorityShardUpdate, PriorityJobResult, PriorityJobResult)
+	q.requireCalls(now+2*monotime.Second, PriorityShardUpdate, PriorityJobResult, PriorityJobResult)
 }
 
 // TestRequeuedCall: a throttled call goes again before the others of its priority, after a pause.
@@ -118,8 +118,8 @@
 	if _, ok, wait := q.Next(now); ok || wait <= 0 {
 		t.Errorf("a request goes at once after a throttled one: %v, wait %d", ok, wait)
 	}
-	again, ok, _ := q.Next(now + monotime.Second)
-	if !ok || again.StoreCall != throttled.StoreCall {
+	retried, ok, _ := q.Next(now + monotime.Second)
+	if !ok || retried.StoreCall != throttled.StoreCall {
 		t.Error("the throttled request isn't the first")
 	}
 }
--- a/internal/ratelimit/token_bucket_test.go
+++ b/internal/ratelimit/token_bucket_test.go
@@ -74,11 +74,11 @@
 	if call, ok, _ := queue.Next(0); !ok || call.Priority != PriorityLease {
 		t.Error("a lease waits for a request in flight")
 	}
-	queue.Answered()
+	queue.CallDone()
 	if _, ok, _ := queue.Next(0); ok {
 		t.Error("a lease in flight doesn't count")
 	}
-	queue.Answered()
+	queue.CallDone()
 	if _, ok, _ := queue.Next(0); !ok {
 		t.Error("nothing is handed out after all are answered")
 	}
--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -45,11 +45,11 @@
 
 // budget is this controller's part of the limits.
 type budget struct {
-	limits        Limits
-	controllers   int
-	sharers       int     // live controllers that share the limits
-	multiplier    float64 // how much more than its even part this one uses
-	throttledSeen int     // throttled calls at the last step
+	limits              Limits
+	controllers         int
+	sharers             int     // live controllers that share the limits
+	multiplier          float64 // how much more than its even part this one uses
+	throttledAtLastStep int     // throttled calls at the last step
 }
 
 // newBudget makes the budget of one even part of the limits for each controller.
@@ -64,7 +64,7 @@
 	b := &c.budget
 	live = max(1, min(live, b.controllers))
 	multiplier := c.nextMultiplier(live)
-	b.throttledSeen = c.throttledCalls
+	b.throttledAtLastStep = c.throttledCalls
 	if live == b.sharers && multiplier == b.multiplier {
 		return
 	}
@@ -82,9 +82,9 @@
 func (c *Client) nextMultiplier(live int) float64 {
 	multiplier := c.budget.multiplier
 	switch {
-	case c.throttledCalls > c.budget.throttledSeen:
+	case c.throttledCalls > c.budget.throttledAtLastStep:
 		multiplier = max(1, multiplier*throttledFactor)
-	case c.waitingForGrowth() > waitingCallsForGrowth:
+	case c.callsCountedForGrowth() > waitingCallsForGrowth:
 		multiplier *= growthFactor
 	default:
 		multiplier = max(1, multiplier*decayFactor)
@@ -92,8 +92,8 @@
 	return min(multiplier, max(1, float64(live)/oversubscription))
 }
 
-// waitingForGrowth counts the waiting calls that a larger budget is for.
-func (c *Client) waitingForGrowth() int {
+// callsCountedForGrowth counts the waiting calls that a larger budget is for.
+func (c *Client) callsCountedForGrowth() int {
 	return c.queue.Len(ratelimit.PriorityUserRequest) + c.queue.Len(ratelimit.PriorityShardUpdate) +
 		c.queue.Len(ratelimit.PriorityJobResult)
 }
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -109,15 +109,15 @@
 	for {
 		queued, ok, delay := c.queue.Next(c.env.Now())
 		if !ok {
-			c.continueAfter(delay)
+			c.armDispatchTimer(delay)
 			return
 		}
 		c.env.CallStore(queued.StoreCall, func(result protocol.StoreResult) { c.complete(queued, result) })
 	}
 }
 
-// continueAfter arms the timer that continues the queue; a delay of 0 means that an answer will do so.
-func (c *Client) continueAfter(delay monotime.Micros) {
+// armDispatchTimer arms the timer that continues the queue; a delay of 0 means that an answer will do so.
+func (c *Client) armDispatchTimer(delay monotime.Micros) {
 	if delay <= 0 || c.timerArmed {
 		return
 	}
@@ -130,7 +130,7 @@
 
 // complete handles the result of a queued call. A throttled call is queued again while it is young.
 func (c *Client) complete(queued ratelimit.Call, result protocol.StoreResult) {
-	c.queue.Answered()
+	c.queue.CallDone()
 	if result.Outcome == protocol.Throttled {
 		now := c.env.Now()
 		c.throttledCalls++
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -15,10 +15,10 @@
 type testEnvironment struct {
 	now    monotime.Micros
 	timers []monotime.Micros
-	calls  []madeCall
+	calls  []pendingCall
 }
 
-type madeCall struct {
+type pendingCall struct {
 	call     *protocol.StoreCall
 	callback func(protocol.StoreResult)
 }
@@ -28,14 +28,14 @@
 func (e *testEnvironment) After(delay monotime.Micros, _ func()) { e.timers = append(e.timers, delay) }
 
 func (e *testEnvironment) CallStore(call *protocol.StoreCall, callback func(protocol.StoreResult)) {
-	e.calls = append(e.calls, madeCall{call, callback})
+	e.calls = append(e.calls, pendingCall{call, callback})
 }
 
-// answer answers the first call that has none yet.
-func (e *testEnvironment) answer(outcome protocol.Outcome) {
-	made := e.calls[0]
+// answerFirst answers the first call that has none yet.
+func (e *testEnvironment) answerFirst(outcome protocol.Outcome) {
+	pending := e.calls[0]
 	e.calls = e.calls[1:]
-	made.callback(protocol.StoreResult{Outcome: outcome})
+	pending.callback(protocol.StoreResult{Outcome: outcome})
 }
 
 type fixture struct {
@@ -57,8 +57,8 @@
 	return f
 }
 
-// read queues a call without writes and gives where its result will stand.
-func (f *fixture) read(priority ratelimit.Priority) *protocol.StoreResult {
+// queueRead queues a call without writes and gives where its result will stand.
+func (f *fixture) queueRead(priority ratelimit.Priority) *protocol.StoreResult {
 	result := &protocol.StoreResult{Outcome: protocol.Unknown}
 	f.Call(priority, &protocol.StoreCall{Op: protocol.StoreGet},
 		func(r protocol.StoreResult) { *result = r })
@@ -68,11 +68,11 @@
 // queue has so many calls of a priority wait.
 func (f *fixture) queueCalls(priority ratelimit.Priority, calls int) {
 	for f.QueuedCalls(priority) < calls {
-		f.read(priority)
+		f.queueRead(priority)
 	}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 // TestThrottledCall: a young call that is throttled is tried again after a pause; an old one is answered as
 // unavailable.
@@ -89,9 +89,9 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture()
-			result := f.read(ratelimit.PriorityUserRequest)
+			result := f.queueRead(ratelimit.PriorityUserRequest)
 			f.env.now += tc.age
-			f.env.answer(protocol.Throttled)
+			f.env.answerFirst(protocol.Throttled)
 			if got := f.QueuedCalls(ratelimit.PriorityUserRequest); got != tc.queued {
 				t.Errorf("%d calls wait, want %d", got, tc.queued)
 			}
@@ -115,13 +115,13 @@
 	if got := len(f.env.calls); got != maxCallsInFlight {
 		t.Fatalf("%d calls in flight, want %d", got, maxCallsInFlight)
 	}
-	f.read(ratelimit.PriorityLease)
+	f.queueRead(ratelimit.PriorityLease)
 	f.CallAtOnce(&protocol.StoreCall{}, func(protocol.StoreResult) {})
 	if got := len(f.env.calls); got != maxCallsInFlight+2 {
 		t.Errorf("%d calls in flight, want %d", got, maxCallsInFlight+2)
 	}
-	f.env.answer(protocol.OK)
-	f.env.answer(protocol.OK)
+	f.env.answerFirst(protocol.OK)
+	f.env.answerFirst(protocol.OK)
 	if got := f.QueuedCalls(ratelimit.PriorityUserRequest); got != 1 {
 		t.Errorf("%d calls wait after two answers, one of which the lease has used, want 1", got)
 	}
@@ -130,7 +130,7 @@
 // TestCallTimeout: a call that sets no timeout gets the usual one.
 func TestCallTimeout(t *testing.T) {
 	f := newFixture()
-	f.read(ratelimit.PriorityClaim)
+	f.queueRead(ratelimit.PriorityClaim)
 	f.Call(
 		ratelimit.PriorityClaim,
 		&protocol.StoreCall{Timeout: monotime.Second},
@@ -186,11 +186,11 @@
 // and shrinks when calls are throttled.
 func TestUpdateBudget(t *testing.T) {
 	f := newFixture()
-	if got := f.WritesPerSecond(); !near(got, 40) {
+	if got := f.WritesPerSecond(); !almostEqual(got, 40) {
 		t.Errorf("%v writes a second of three controllers, want 40", got)
 	}
 	f.UpdateBudget(1)
-	if got := f.WritesPerSecond(); !near(got, 100) {
+	if got := f.WritesPerSecond(); !almostEqual(got, 100) {
 		t.Errorf("%v writes a second alone, want 100", got)
 	}
 	f.UpdateBudget(9)
@@ -199,23 +199,23 @@
 	}
 	f.queueCalls(ratelimit.PriorityUserRequest, waitingCallsForGrowth)
 	f.UpdateBudget(3)
-	if got := f.WritesPerSecond(); !near(got, 40) {
+	if got := f.WritesPerSecond(); !almostEqual(got, 40) {
 		t.Errorf("%v writes a second while few calls wait, want 40", got)
 	}
 	f.queueCalls(ratelimit.PriorityUserRequest, waitingCallsForGrowth+1)
 	f.UpdateBudget(3)
-	if got := f.WritesPerSecond(); !near(got, 52) {
+	if got := f.WritesPerSecond(); !almostEqual(got, 52) {
 		t.Errorf("%v writes a second while calls wait, want 52", got)
 	}
 	for range 20 {
 		f.UpdateBudget(3)
 	}
-	if got := f.WritesPerSecond(); !near(got, 100) {
+	if got := f.WritesPerSecond(); !almostEqual(got, 100) {
 		t.Errorf("%v writes a second at most, want 100", got)
 	}
-	f.env.answer(protocol.Throttled)
+	f.env.answerFirst(protocol.Throttled)
 	f.UpdateBudget(3)
-	if got := f.WritesPerSecond(); !near(got, 60) {
+	if got := f.WritesPerSecond(); !almostEqual(got, 60) {
 		t.Errorf("%v writes a second after a throttled request, want 60", got)
 	}
 }
@@ -239,7 +239,7 @@
 			f := newFixture()
 			f.queueCalls(ratelimit.PriorityUserRequest, tc.here)
 			f.usersWaitAtPeers = tc.atPeers
-			if got, want := f.ShardWritesPerSecond(), tc.want*100/3; !near(got, want) {
+			if got, want := f.ShardWritesPerSecond(), tc.want*100/3; !almostEqual(got, want) {
 				t.Errorf("%v, want %v", got, want)
 			}
 		})
