--- a/internal/mirror/current_reads.go
+++ b/internal/mirror/current_reads.go
@@ -2,15 +2,16 @@
 
 import "pipitgap/internal/monotime"
 
-// pendingRead waits for the mirror to be as new as its request.
+// pendingRead is a read that waits until the mirror is at least as current as the read's request time.
 type pendingRead struct {
 	requestedAt monotime.Micros
 	callback    func(ok bool)
 }
 
-// WhenCurrent calls back once the mirror holds all that the state service held at this moment, or with false
-// if the service doesn't answer. One answer of a watch serves all readers that wait: users with a
-// thousand jobs read hundreds of times a second, and a request for each would use up the budget.
+// WhenCurrent calls callback with true once the mirror holds everything that the state service held at the
+// time of this call. It calls callback with false if that fails: the service doesn't answer, or the mirror is
+// being reloaded. One watch response serves all pending reads. Users with a thousand jobs read hundreds of
+// times a second; a separate request for each read would use up the rate budget.
 func (r *Replica) WhenCurrent(callback func(ok bool)) {
 	now := r.env.Now()
 	r.pendingReads = append(r.pendingReads, pendingRead{now, callback})
@@ -19,7 +20,8 @@
 	}
 }
 
-// completePendingReads serves the readers whose requests came before a watch was sent that has answered.
+// completePendingReads calls back the reads that were requested no later than sentAt, the time at which the
+// finished watch was sent.
 func (r *Replica) completePendingReads(sentAt monotime.Micros, ok bool) {
 	n := 0
 	for n < len(r.pendingReads) && r.pendingReads[n].requestedAt <= sentAt {
@@ -32,19 +34,22 @@
 	}
 }
 
-// catchUpForReaders catches up if the watch in flight was sent before the first reader's request.
+// catchUpForReaders sends a catch-up watch if the watch in flight was sent before the oldest pending read was
+// requested: its response may lack changes that this read must see.
 func (r *Replica) catchUpForReaders(now monotime.Micros) {
 	if len(r.pendingReads) > 0 && r.watch.sentAt < r.pendingReads[0].requestedAt && r.mayCatchUp(now) {
 		r.catchUp(now)
 	}
 }
 
-// mayCatchUp reports whether the changes so far may be requested now, beside the watch.
+// mayCatchUp reports whether a catch-up watch may be sent now: none is in flight and the minimum interval has
+// passed.
 func (r *Replica) mayCatchUp(now monotime.Micros) bool {
 	return now >= r.nextCatchUpAt && !r.catchUpInFlight
 }
 
-// catchUp requests the changes so far, beside the watch that waits for the next.
+// catchUp sends a watch that returns the existing changes without blocking. It runs concurrently with the
+// long-polling watch. It sends nothing while the size of the backlog is unknown.
 func (r *Replica) catchUp(now monotime.Micros) {
 	if r.backlogUnknown(now) {
 		return
--- a/internal/mirror/drain_snapshot.go
+++ b/internal/mirror/drain_snapshot.go
@@ -7,7 +7,9 @@
 	"pipitgap/internal/storage"
 )
 
-// DrainSnapshotBuilder begins a snapshot with all but the machines.
+// DrainSnapshotBuilder returns a builder for a drain snapshot that holds everything except the machines; the
+// caller adds those. wall is the wall clock time in microseconds; failing reports whether a job fails wherever
+// it runs.
 func (m *Mirror) DrainSnapshotBuilder(
 	wall int64,
 	types map[string]protocol.MachineType,
@@ -48,7 +50,8 @@
 	return builder
 }
 
-// DrainSnapshotMachine returns a machine as the records have it.
+// DrainSnapshotMachine converts a machine, its service replicas and its array tasks to the form of a drain
+// snapshot. A machine that a scale-in request names is in state removing.
 func (m *Mirror) DrainSnapshotMachine(
 	machine *Machine,
 	types map[string]protocol.MachineType,
@@ -89,7 +92,7 @@
 	return snapshotMachine
 }
 
-// addArrayTask adds an array task to what a machine holds.
+// addArrayTask adds one array task of a job to the machine's usage at the job's priority.
 func addArrayTask(m *drain.Machine, job *Job) {
 	priority := job.Record.Spec.Priority
 	for i := range m.ArrayUsage {
@@ -105,7 +108,7 @@
 	)
 }
 
-// MachineCapacity is what a machine of a type has.
+// MachineCapacity returns the total resources of a machine of a type.
 func MachineCapacity(machineType *protocol.MachineType) resources.Vector {
 	return resources.New(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
--- a/internal/mirror/job.go
+++ b/internal/mirror/job.go
@@ -5,27 +5,29 @@
 	"pipitgap/internal/storage"
 )
 
-// Job is an unfinished job in the mirror.
+// Job is a job in the mirror that has an open record. It may have a result already, see IsOpen.
 type Job struct {
 	ID            string
 	Record        storage.OpenJob
 	Version       uint64 // of the open record
 	TaskResources resources.Vector
-	FinalState    storage.JobState // from its result, if it has one
-	FinalRevision uint64           // version of the result
-	TaskStates    []uint8          // of each task, 0: pending; see assignedUnit
-	DoneTasks     int              // tasks that are completed
-	AssignedTasks int              // tasks with an attempt on some machine
+	FinalState    storage.JobState // from the job's result; "" without one
+	FinalRevision uint64           // version of the result record; 0: not known
+	TaskStates    []uint8          // by task index; 0: pending; see assignedUnit and doneUnit
+	DoneTasks     int              // number of completed tasks
+	AssignedTasks int              // number of tasks with an attempt on some machine
 }
 
-// A task's state counts the shards that hold an attempt of it, and those in which it is done. While a machine
-// moves between shards both may hold it; the task must not become pending when one of them is removed.
+// A task's state is a pair of counters: the number of shards that hold an attempt of the task, in units of
+// assignedUnit, and the number of shards in which the task is done, in units of doneUnit. While a machine moves
+// between shards, both shards may hold it. The counters keep the task from becoming pending when the machine
+// is removed from one of them.
 const (
 	assignedUnit = 1
 	doneUnit     = 16
 )
 
-// countAttempt counts a shard's attempt of a task in (1) or out (-1).
+// countAttempt adds (sign 1) or subtracts (sign -1) one shard's attempt of a task.
 func (j *Job) countAttempt(task, sign int) {
 	wasAssigned := j.isAssigned(task)
 	if sign > 0 {
@@ -38,7 +40,7 @@
 	}
 }
 
-// countDone counts a shard in which a task is done in (1) or out (-1).
+// countDone adds (sign 1) or subtracts (sign -1) one shard in which a task is done.
 func (j *Job) countDone(task, sign int) {
 	wasDone := j.TaskStates[task] >= doneUnit
 	if sign > 0 {
@@ -51,19 +53,19 @@
 	}
 }
 
-// isAssigned reports whether some shard holds an attempt of a task.
+// isAssigned reports whether at least one shard holds an attempt of the task.
 func (j *Job) isAssigned(task int) bool { return j.TaskStates[task]%doneUnit != 0 }
 
 // IsOpen reports whether the job has no result yet.
 func (j *Job) IsOpen() bool { return j.FinalState == "" }
 
-// UnassignedTasks counts the tasks without an attempt.
+// UnassignedTasks returns the number of tasks that are not done and have no attempt.
 func (j *Job) UnassignedTasks() int { return j.Record.Spec.Tasks - j.DoneTasks - j.AssignedTasks }
 
 // IsComplete reports whether every task is done.
 func (j *Job) IsComplete() bool { return j.DoneTasks == j.Record.Spec.Tasks }
 
-// PendingInPartition counts the pending tasks that a partition is to place.
+// PendingInPartition returns the number of pending tasks in the task ranges that a partition must place.
 func (j *Job) PendingInPartition(partition string) int {
 	n := 0
 	for _, taskRange := range j.Record.TaskRanges {
@@ -79,7 +81,7 @@
 	return n
 }
 
-// TaskResources are the resources of each task of a job.
+// TaskResources returns the resources that each task of a job requires.
 func TaskResources(spec *storage.JobSpec) resources.Vector {
 	return resources.New(spec.CPUs, spec.GPUs, spec.MemoryGB)
 }
--- a/internal/mirror/lists.go
+++ b/internal/mirror/lists.go
@@ -7,27 +7,28 @@
 	"pipitgap/internal/storage"
 )
 
-// What every load of all records reads, whether it waits for its calls (see ReadRecords) or not (see
-// Replica): the lists of the kinds, one after the other and page by page, then the results of the jobs
-// listed.
+// This file holds the calls that the two kinds of full load share: the blocking ReadRecords and the
+// asynchronous Replica.Load. Each lists the record kinds one after the other, page by page, and then reads the
+// results of the listed jobs.
 
-// listPageSize is how many records a page of a list holds at most.
+// listPageSize is the maximum number of records in a page of a list.
 const listPageSize = 500
 
-// comparesPerOp is how many conditions a transaction may have for each of its operations.
+// comparesPerOp is the ratio between the state service's limits on the conditions and on the operations of a
+// transaction.
 const comparesPerOp = 4
 
-// recordKinds are the kinds that every mirror holds. The results of jobs aren't among them: they are kept for
-// ever and can't be listed.
+// recordKinds lists the kinds that every mirror holds. Job results are not among them: they are kept forever
+// and can't be listed.
 var recordKinds = []storage.Kind{
 	storage.KindScaleOut, storage.KindLeader, storage.KindMember, storage.KindOpenJob,
 	storage.KindShard, storage.KindPartition, storage.KindScaleIn, storage.KindMachineType,
 }
 
-// drainKinds are those that a mirror holds as well where drains are turned on.
+// drainKinds lists the additional kinds that a mirror holds if drains are enabled.
 var drainKinds = []storage.Kind{storage.KindDrain, storage.KindPermits}
 
-// listedKinds are the kinds that a load lists, in order.
+// listedKinds returns the kinds that a load lists, in order.
 func listedKinds(drains bool) []storage.Kind {
 	if !drains {
 		return recordKinds
@@ -35,7 +36,8 @@
 	return slices.Concat(recordKinds, drainKinds)
 }
 
-// listCall reads the page of a kind's records that follows a key, or the first page.
+// listCall returns the call that lists the next page of a kind's records after a key; "" requests the first
+// page.
 func listCall(kind storage.Kind, after string) *protocol.StoreCall {
 	return &protocol.StoreCall{
 		Op:    protocol.StoreList,
@@ -45,7 +47,7 @@
 	}
 }
 
-// nextPage returns the key after which the list continues; ok is false for the last page.
+// nextPage returns the key after which the next page starts; ok is false if this page is the last.
 func nextPage(page protocol.StoreResult) (after string, ok bool) {
 	if !page.More || len(page.Items) == 0 {
 		return "", false
@@ -53,15 +55,16 @@
 	return page.Items[len(page.Items)-1].Key, true
 }
 
-// applyPage puts the records of a page into a mirror.
+// applyPage applies the records of a page to a mirror.
 func applyPage(loaded *Mirror, page protocol.StoreResult) {
 	for _, item := range page.Items {
 		loaded.ApplyPut(item.Key, item.Value, item.Version)
 	}
 }
 
-// compareResults finds which of the jobs have a result already: the call changes nothing and fails on the
-// keys of those that have. Comparing is much cheaper than a get for each job.
+// compareResults returns a call that finds out which jobs already have a result. Its transaction requires that
+// no result key exists and contains no operations, so it changes nothing. It fails with a conflict that lists
+// the keys of the existing results. Such a call is much cheaper than one get for each job.
 func compareResults(ids []string) *protocol.StoreCall {
 	txn := protocol.Transaction{}
 	for _, id := range ids {
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -8,26 +8,26 @@
 	"pipitgap/internal/storage"
 )
 
-// Failed calls of a load are made again after a delay from this range.
+// A failed call of a load is retried after loadRetryDelay plus a random part of loadRetrySpread.
 const (
 	loadRetryDelay  = 200 * monotime.Millisecond
 	loadRetrySpread = 400 * monotime.Millisecond
 )
 
-// load is the reading of all records into a new mirror.
+// load is the state of one asynchronous load of all records into a new mirror.
 type load struct {
 	replica       *Replica
 	mirror        *Mirror
-	kinds         []storage.Kind // the lists that are still to be read
-	started       bool           // the first page is read; the revision of an empty store is 0
-	firstRevision uint64         // of the first page: the watch continues from here
-	lastRevision  uint64         // the newest of all pages
-	sentAt        monotime.Micros
+	kinds         []storage.Kind  // kinds whose lists are not fully read yet
+	started       bool            // the first page is read; firstRevision may be 0 even then (empty store)
+	firstRevision uint64          // revision of the first page; the watch continues from here
+	lastRevision  uint64          // newest revision of all pages
+	sentAt        monotime.Micros // when the request for the first page was sent
 }
 
-// Load reads every record but the results of ended jobs, unless a load is under way. The mirror isn't ready
-// until it is done. The watch then continues from before the first list, so no change between two
-// lists is missed.
+// Load starts to read all records except the results of ended jobs. It does nothing if a load is already in
+// progress. The mirror isn't ready during the load. Afterwards the watch continues from the revision of the
+// first list page, so no change between two lists is missed.
 func (r *Replica) Load() {
 	if r.loading {
 		return
@@ -38,7 +38,7 @@
 	l.readLists("")
 }
 
-// readLists reads the remaining lists, the first of them after a key, and then the results.
+// readLists reads the remaining lists, the first one from the key after, and then the job results.
 func (l *load) readLists(after string) {
 	if len(l.kinds) == 0 {
 		l.readResults(sortedmap.Keys(l.mirror.Jobs))
@@ -65,8 +65,8 @@
 	})
 }
 
-// readResults finds which of the listed jobs have a result already: cancelled ones whose attempts aren't all
-// released.
+// readResults reads the results of those listed jobs that already have one: cancelled jobs whose attempts are
+// not all released yet.
 func (l *load) readResults(ids []string) {
 	if len(ids) == 0 {
 		l.install()
@@ -92,7 +92,7 @@
 	})
 }
 
-// getResults reads some results by their keys, and then reports whether all were read.
+// getResults reads the results with the given keys concurrently, then calls done; ok is false if a call failed.
 func (l *load) getResults(keys []string, done func(ok bool)) {
 	remaining, allRead := len(keys), true
 	for _, key := range keys {
@@ -110,12 +110,13 @@
 	}
 }
 
-// retry makes a failed call again later.
+// retry repeats a failed call after a random delay.
 func (l *load) retry(call func()) {
 	l.replica.env.After(l.replica.jittered(loadRetryDelay, loadRetrySpread), call)
 }
 
-// install puts the loaded records into the replica's mirror.
+// install replaces the records of the replica's mirror by the loaded ones. The mirror is ready at once if no
+// list is newer than the first page; otherwise the watch must first reach the newest revision.
 func (l *load) install() {
 	r := l.replica
 	jobs, machineCount, shards := len(l.mirror.Jobs), len(l.mirror.Machines), len(l.mirror.Shards)
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,7 +1,7 @@
-// Package mirror holds a local replica of the records in the state service, with the sums that decisions
-// need: which tasks are assigned and done, what each machine and team uses. A Mirror is written by one
-// goroutine, which applies the changes of a watch in order and its own commits ahead of the watch; versions
-// keep each record from going back.
+// Package mirror holds a local replica of the records in the state service, with the aggregates that decisions
+// need: which tasks are assigned and done, and which resources each machine and team uses. Only one goroutine
+// writes a Mirror. It applies the changes of a watch in order, and the controller's own commits possibly before
+// the watch delivers them. Record versions keep an older change from overwriting a newer one.
 package mirror
 
 import (
@@ -10,43 +10,43 @@
 	"pipitgap/internal/storage"
 )
 
-// Mirror is the replica of the records, with the sums that decisions need. Changes reach it by the watch, in
-// order, and by this controller's own commits, which may be ahead of the watch; versions keep each record
-// from going back. Other packages read its fields and write none.
+// Mirror is the replica of the records, with the aggregates that decisions need. See the package comment for
+// the order of changes. Other packages only read its fields.
 type Mirror struct {
-	WatchedRevision   uint64                      // the watch is complete up to here
-	NewestRevision    uint64                      // the newest revision seen in any answer
-	Jobs              map[string]*Job             // unfinished ones, by id
+	WatchedRevision   uint64                      // all changes up to this revision are applied
+	NewestRevision    uint64                      // the newest revision seen in a load, watch or own commit
+	Jobs              map[string]*Job             // jobs with an open record, by id
 	Shards            map[string]*Shard           // by name
 	Machines          map[string]*Machine         // by id
-	UseByTeam         map[string]resources.Vector // resources of all attempts
+	UseByTeam         map[string]resources.Vector // resources of all attempts, by team
 	Partitions        map[string]*PartitionEntry  // by controller
 	ScaleOuts         map[string]*ScaleOutEntry   // by name
-	ScaleOutOfMachine map[string]string           // machine: the request that it came with
+	ScaleOutOfMachine map[string]string           // by machine: the scale-out request that names it
 	ScaleIns          map[string]*ScaleInEntry    // by name
-	ScaleInOfMachine  map[string]string           // machine: the scale-in request that names it
+	ScaleInOfMachine  map[string]string           // by machine: the scale-in request that names it
 	MachineTypes      map[string]MachineTypeEntry // by name
 	Members           map[string]MemberEntry      // by controller
 	Leader            storage.Leader
 	LeaderVersion     uint64                  // 0: there is no leader record
 	Drains            map[string]DrainEntry   // by name
 	PermitsByTeam     map[string]PermitsEntry // by team
-	ownDeletions      map[string]uint64       // own deletions ahead of the watch
+	ownDeletions      map[string]uint64       // by key: revision of an own deletion ahead of the watch
 	Results           *ResultCache
 
 	onChange          func(kind storage.Kind, name string)
 	onMachineReleased func(id string)
-	generation        int // how often it was replaced
+	generation        int // number of calls of Replace
 }
 
-// MaxOpenJobs is how many unfinished jobs a mirror is to hold; submissions beyond are rejected.
+// MaxOpenJobs is the maximum number of unfinished jobs. Submissions are rejected while the mirror holds this
+// many.
 const MaxOpenJobs = 5000
 
-// resultCacheCapacity is how many results of ended jobs a mirror keeps; older ones are read from the state
-// service.
+// resultCacheCapacity is the number of results of ended jobs that a mirror keeps. Older results must be read
+// from the state service.
 const resultCacheCapacity = 20000
 
-// New makes an empty mirror.
+// New returns an empty mirror.
 func New() *Mirror {
 	return &Mirror{
 		Jobs:              map[string]*Job{},
@@ -69,19 +69,19 @@
 	}
 }
 
-// Observe sets what is called after each change of a record, and when a machine is in no shard any longer.
-// They stay when the mirror is replaced.
+// Observe sets two callbacks: onChange is called after each change of a record, onMachineReleased when the
+// shard that held a machine no longer does. Replace keeps both callbacks.
 func (m *Mirror) Observe(onChange func(kind storage.Kind, name string), onMachineReleased func(id string)) {
 	m.onChange, m.onMachineReleased = onChange, onMachineReleased
 }
 
-// Generation changes when the mirror is replaced: what was requested of the state service for an earlier
-// generation must not be applied to a later one.
+// Generation returns a number that changes with each Replace. A response to a request that was sent in an
+// earlier generation must not be applied to the mirror.
 func (m *Mirror) Generation() int { return m.generation }
 
-// Replace takes over all records of a mirror that was loaded anew, complete up to the revision watched;
-// newest is the newest revision seen. The callbacks stay, and aren't called. The loaded mirror must not be
-// used afterwards.
+// Replace replaces all records by those of loaded, a mirror that is complete up to the revision watched.
+// newest is the newest revision seen. Replace keeps the callbacks and doesn't call them. The caller must not
+// use loaded afterwards.
 func (m *Mirror) Replace(loaded *Mirror, watched, newest uint64) {
 	onChange, onMachineReleased, generation := m.onChange, m.onMachineReleased, m.generation
 	*m = *loaded
@@ -89,17 +89,18 @@
 	m.WatchedRevision, m.NewestRevision = watched, newest
 }
 
-// ApplyPut applies one record that was put, unless the mirror is newer.
+// ApplyPut applies the put of one record unless the mirror is newer.
 func (m *Mirror) ApplyPut(key string, value protocol.Raw, version uint64) {
 	m.ApplyRevision([]protocol.Event{{Put: key, Value: value, Version: version}}, false)
 }
 
-// ApplyDelete applies a deletion, unless the mirror is newer.
+// ApplyDelete applies the deletion of one record unless the mirror is newer. ownCommit reports whether this
+// controller committed the deletion.
 func (m *Mirror) ApplyDelete(key string, version uint64, ownCommit bool) {
 	m.ApplyRevision([]protocol.Event{{Delete: key, Version: version}}, ownCommit)
 }
 
-// ApplyCommit brings a commit of this controller that succeeded into the mirror.
+// ApplyCommit applies a successful commit of this controller.
 func (m *Mirror) ApplyCommit(txn *protocol.Transaction, revision uint64) {
 	events := make([]protocol.Event, 0, len(txn.Then))
 	for _, operation := range txn.Then {
@@ -113,7 +114,8 @@
 	m.ApplyRevision(events, true)
 }
 
-// ApplyEvents brings the result of a watch into the mirror.
+// ApplyEvents applies the response of a watch: events in the order of their revisions, complete up to the
+// given revision.
 func (m *Mirror) ApplyEvents(events []protocol.Event, revision uint64) {
 	for len(events) > 0 {
 		n := 1
@@ -132,18 +134,18 @@
 	}
 }
 
-// change is an event that is newer than the mirror.
+// change is an event to apply because it is newer than the mirror.
 type change struct {
 	kind      storage.Kind
 	name      string
 	event     protocol.Event
-	nextShard *Shard // the shard that was put; nil for other kinds and for deletions
+	nextShard *Shard // the decoded shard of a put; nil for other kinds and for deletions
 }
 
-// ApplyRevision brings the changes of one revision into the mirror, each unless the mirror is newer already.
-// All shards are removed from the sums before any is added: a machine that moves from one to another must
-// not be added before it is removed. ownCommit says that the changes are a commit of this controller, which
-// may be ahead of the watch.
+// ApplyRevision applies the changes of one revision, except those that are older than the mirror's record. It
+// subtracts all changed shards from the aggregates before it adds any: a machine that moves between shards must
+// not be added to the new shard before it is removed from the old one. ownCommit reports whether the changes
+// are a commit of this controller, which may be ahead of the watch.
 func (m *Mirror) ApplyRevision(events []protocol.Event, ownCommit bool) {
 	var changes []change
 	for _, event := range events {
@@ -157,7 +159,8 @@
 	}
 }
 
-// prepareChange reports whether an event is to be applied. If it is of a shard, the sums lose what it changes.
+// prepareChange returns the change that an event makes; ok is false if the event must be ignored. For a shard
+// it also subtracts the replaced contents from the aggregates.
 func (m *Mirror) prepareChange(event protocol.Event, ownCommit bool) (prepared change, ok bool) {
 	m.NewestRevision = max(m.NewestRevision, event.Version)
 	key := event.Put + event.Delete
@@ -179,12 +182,12 @@
 	return prepared, true
 }
 
-// isNewer reports whether an event is newer than the mirror, and notes own deletions that are ahead of the
-// watch.
+// isNewer reports whether an event is newer than the mirror's version of the key. It also records own
+// deletions that are ahead of the watch, so that a late event with an older put can't restore the record.
 func (m *Mirror) isNewer(key string, event protocol.Event, ownCommit bool) bool {
 	if event.Version <= m.WatchedRevision {
-		// The event is from an answer that comes after a newer one: the watch has passed this change, and the
-		// record may have been deleted since.
+		// The event's response arrived after a newer response. The watch has already passed this change, and
+		// the record may have been deleted since.
 		return false
 	}
 	version := m.VersionOf(key)
@@ -201,7 +204,7 @@
 	return true
 }
 
-// decodeShard reads a shard that was put; nil if it is malformed.
+// decodeShard decodes the shard of a put; it returns nil if the value is malformed.
 func decodeShard(name string, event protocol.Event, previous *Shard) *Shard {
 	var previousRecord *storage.Shard
 	if previous != nil {
@@ -214,7 +217,7 @@
 	return &Shard{Name: name, Record: record, Version: event.Version}
 }
 
-// applyChange puts a change into the mirror.
+// applyChange applies a prepared change to the records and the aggregates.
 func (m *Mirror) applyChange(prepared *change) {
 	switch {
 	case prepared.nextShard != nil:
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -10,24 +10,25 @@
 	"pipitgap/internal/storage/storagetest"
 )
 
-// TestMirrorIsIndependentOfEventOrder: changes in any order, own commits ahead of the watch, shards before
-// their jobs, machines that move: the sums end up the same, and nothing goes back.
+// TestMirrorIsIndependentOfEventOrder checks that the aggregates don't depend on the order of changes and that
+// late changes don't overwrite newer ones. Own commits can be ahead of the watch, shards can arrive before their
+// jobs, and machines can move between shards.
 func TestMirrorIsIndependentOfEventOrder(t *testing.T) {
 	jobKey := storage.OpenJobKey("j-1")
 	shardKeyP, shardKeyQ := storage.ShardKey("p"), storage.ShardKey("q")
 	shardWithoutMachine := storagetest.Shard("i-9", "j-9", 0, 0)
 	steps := map[string]func(mr *Mirror){
-		"job":      func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
-		"page":     func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
-		"old page": func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
-		"drops":    func(mr *Mirror) { mr.ApplyDelete(shardKeyP, 9, true); mr.ApplyDelete(jobKey, 9, true) },
-		"late": func(mr *Mirror) {
+		"put job":                          func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
+		"put shard":                        func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
+		"put older shard":                  func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
+		"own commit deletes shard and job": func(mr *Mirror) { mr.ApplyDelete(shardKeyP, 9, true); mr.ApplyDelete(jobKey, 9, true) },
+		"late watch puts shard": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
 				8,
 			)
 		},
-		"move": func(mr *Mirror) {
+		"watch moves machine, new shard first": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
 					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
@@ -36,7 +37,7 @@
 				8,
 			)
 		},
-		"move, the other order": func(mr *Mirror) {
+		"watch moves machine, old shard first": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
 					{Put: shardKeyP, Value: shardWithoutMachine, Version: 8},
@@ -45,7 +46,7 @@
 				8,
 			)
 		},
-		"own move": func(mr *Mirror) {
+		"own commit moves machine": func(mr *Mirror) {
 			mr.ApplyRevision(
 				[]protocol.Event{
 					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
@@ -54,11 +55,11 @@
 				true,
 			)
 		},
-		"drops, by the watch": func(mr *Mirror) {
+		"watch deletes shard and job": func(mr *Mirror) {
 			mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}, {Delete: jobKey, Version: 9}}, 9)
 		},
-		"page drops, by the watch": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9) },
-		"an older answer of the watch": func(mr *Mirror) {
+		"watch deletes shard": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9) },
+		"older watch puts job and shard": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
 					{Put: jobKey, Value: storagetest.OpenJob(6), Version: 5},
@@ -67,7 +68,7 @@
 				6,
 			)
 		},
-		"a late answer to an own commit": func(mr *Mirror) {
+		"late own commit puts shard": func(mr *Mirror) {
 			mr.ApplyRevision(
 				[]protocol.Event{{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
 				true,
@@ -77,20 +78,29 @@
 	cases := []struct {
 		order      []string
 		assigned   int
-		jobRemains bool // though nothing of it is held
+		jobRemains bool // the job's record remains although no task is assigned
 	}{
-		{[]string{"job", "page"}, 4, false},
-		{[]string{"page", "job"}, 4, false},
-		{[]string{"page", "job", "old page"}, 4, false},
-		{[]string{"page", "old page", "job"}, 4, false},
-		{[]string{"job", "page", "page", "job"}, 4, false},
-		{[]string{"job", "page", "move"}, 4, false},
-		{[]string{"job", "page", "move, the other order"}, 4, false},
-		{[]string{"page", "own move", "job"}, 4, false},
-		{[]string{"job", "page", "drops"}, 0, false},
-		{[]string{"job", "page", "drops", "late"}, 0, false},
-		{[]string{"job", "page", "drops, by the watch", "an older answer of the watch"}, 0, false},
-		{[]string{"job", "page", "page drops, by the watch", "a late answer to an own commit"}, 0, true},
+		{[]string{"put job", "put shard"}, 4, false},
+		{[]string{"put shard", "put job"}, 4, false},
+		{[]string{"put shard", "put job", "put older shard"}, 4, false},
+		{[]string{"put shard", "put older shard", "put job"}, 4, false},
+		{[]string{"put job", "put shard", "put shard", "put job"}, 4, false},
+		{[]string{"put job", "put shard", "watch moves machine, new shard first"}, 4, false},
+		{[]string{"put job", "put shard", "watch moves machine, old shard first"}, 4, false},
+		{[]string{"put shard", "own commit moves machine", "put job"}, 4, false},
+		{[]string{"put job", "put shard", "own commit deletes shard and job"}, 0, false},
+		{
+			[]string{"put job", "put shard", "own commit deletes shard and job", "late watch puts shard"},
+			0, false,
+		},
+		{
+			[]string{"put job", "put shard", "watch deletes shard and job", "older watch puts job and shard"},
+			0, false,
+		},
+		{
+			[]string{"put job", "put shard", "watch deletes shard", "late own commit puts shard"},
+			0, true,
+		},
 	}
 	for _, tc := range cases {
 		mr := New()
@@ -109,22 +119,29 @@
 			assigned > 0 && done != 2 ||
 			mr.Machines["i-2"] != nil {
 			t.Errorf(
-				"%v: team %v, machine %v, held %d, done %d",
+				"%q: got team usage %v, want %v CPUs; got %v CPUs on machine i-1, want %v; "+
+					"got %d assigned tasks, want %d; got %d done tasks, want 2 with assigned ones; "+
+					"got machine i-2 present %v, want false",
 				tc.order,
 				mr.UseByTeam["t"],
+				cpus,
 				machineCPUs,
+				cpus,
 				assigned,
+				tc.assigned,
 				done,
+				mr.Machines["i-2"] != nil,
 			)
 		}
 		if tc.assigned == 0 && (mr.Shards["p"] != nil || (len(mr.Jobs) > 0) != tc.jobRemains) {
-			t.Errorf("%v: a dropped job or page is back", tc.order)
+			t.Errorf("%q: got shard p present %v, want absent; got %d jobs, want jobs to remain %v",
+				tc.order, mr.Shards["p"] != nil, len(mr.Jobs), tc.jobRemains)
 		}
 	}
 }
 
-// TestMirrorMemoryStaysBounded: the most jobs that are taken at once, with their rows, and the
-// answers remembered, stay well within the smaller deployment's 98 MB.
+// TestMirrorMemoryStaysBounded checks the heap use of a mirror with the maximum number of open jobs, a shard for
+// each and a full result cache. It must stay well within the 98 MB of the smaller deployment.
 func TestMirrorMemoryStaysBounded(t *testing.T) {
 	measure := func() uint64 {
 		runtime.GC()
@@ -147,10 +164,11 @@
 		mr.Results.Add(fmt.Sprintf("j-%09d", i), storage.JobDone)
 	}
 	if used := measure() - before; used > 64<<20 {
-		t.Errorf("%d MB", used>>20)
+		t.Errorf("mirror with %d open jobs: got %d MB of heap, want at most 64", MaxOpenJobs, used>>20)
 	}
 	if n := len(mr.Results.finalStates); n > mr.Results.capacity*9/8 || len(mr.Results.insertionOrder) != n {
-		t.Errorf("%d answers remembered", n)
+		t.Errorf("result cache: got %d states and %d insertion entries, want equal numbers, at most %d",
+			n, len(mr.Results.insertionOrder), mr.Results.capacity*9/8)
 	}
 	runtime.KeepAlive(mr)
 }
--- a/internal/mirror/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -12,26 +12,26 @@
 	"pipitgap/internal/storage"
 )
 
-// StoreCaller makes a call of the state service and waits for its answer.
+// StoreCaller makes a call to the state service and waits for its result.
 type StoreCaller func(*protocol.StoreCall) protocol.StoreResult
 
-// RecordSnapshot is all records as they stood at one revision.
+// RecordSnapshot holds all records at one revision.
 type RecordSnapshot struct {
 	mirror       *Mirror
 	machineTypes map[string]protocol.MachineType
-	// DrainRegistryVersion is the version of the registry of drains, 0 if there is none yet.
+	// DrainRegistryVersion is the version of the drain registry's record; 0 if the record doesn't exist yet.
 	DrainRegistryVersion uint64
 }
 
-// ErrStoreUnavailable says that the state service couldn't be read.
+// ErrStoreUnavailable is returned if a call to the state service fails.
 var ErrStoreUnavailable = errors.New("the state service doesn't answer")
 
 // snapshotCallTimeout is the timeout of each call of ReadRecords.
 const snapshotCallTimeout = 5 * monotime.Second
 
-// ReadRecords reads all records and brings them to one revision: the lists are read one after the
-// other, then all changes since the first are applied. txnOps is how many operations the state service takes
-// in a transaction. Errors wrap ErrStoreUnavailable.
+// ReadRecords returns all records at one revision. It reads the lists one after the other and then applies all
+// changes since the first list page. txnOps is the maximum number of operations in a transaction of the state
+// service. Errors wrap ErrStoreUnavailable.
 func ReadRecords(call StoreCaller, txnOps int) (*RecordSnapshot, error) {
 	snapshot := &RecordSnapshot{mirror: New(), machineTypes: map[string]protocol.MachineType{}}
 	firstRevision, err := snapshot.readLists(call)
@@ -47,18 +47,18 @@
 	return snapshot, snapshot.catchUp(call, firstRevision)
 }
 
-// callWithTimeout makes a call with the timeout of a reading.
+// callWithTimeout makes a call with a timeout of snapshotCallTimeout.
 func (caller StoreCaller) callWithTimeout(call *protocol.StoreCall) protocol.StoreResult {
 	call.Timeout = snapshotCallTimeout
 	return caller(call)
 }
 
-// storeError is the error of a call with an unexpected outcome.
+// storeError returns the error for a call with an unexpected outcome.
 func storeError(outcome protocol.Outcome) error {
 	return fmt.Errorf("%w: %v", ErrStoreUnavailable, outcome)
 }
 
-// readLists reads all lists and gives the revision of the first page.
+// readLists reads all lists and returns the revision of the first page.
 func (r *RecordSnapshot) readLists(call StoreCaller) (uint64, error) {
 	firstRevision, started := uint64(0), false
 	for _, kind := range listedKinds(true) {
@@ -77,7 +77,8 @@
 	return firstRevision, nil
 }
 
-// readResults reads the results of the listed jobs that are over, comparing so many at a time.
+// readResults reads the results of those listed jobs that already have one. Each comparison covers up to
+// maxCompares jobs.
 func (r *RecordSnapshot) readResults(call StoreCaller, maxCompares int) error {
 	for ids := range slices.Chunk(sortedmap.Keys(r.mirror.Jobs), maxCompares) {
 		compared := call.callWithTimeout(compareResults(ids))
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// readDrainRegistry reads the version of the registry of drains.
+// readDrainRegistry reads the version of the drain registry's record.
 func (r *RecordSnapshot) readDrainRegistry(call StoreCaller) error {
 	registry := call.callWithTimeout(&protocol.StoreCall{Op: protocol.StoreGet, Key: storage.DrainRegistryKey})
 	switch registry.Outcome {
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// catchUp applies all changes since a revision.
+// catchUp applies all changes since a revision. It gets them from one watch that doesn't block.
 func (r *RecordSnapshot) catchUp(call StoreCaller, sinceRevision uint64) error {
 	r.mirror.WatchedRevision = sinceRevision
 	watch := call.callWithTimeout(&protocol.StoreCall{
@@ -129,7 +130,8 @@
 	return nil
 }
 
-// DrainSnapshot returns the reading in the form in which drains are decided.
+// DrainSnapshot converts the records to the form that drain decisions use. wall is the wall clock time in
+// microseconds. No job counts as failing: the records don't contain failures.
 func (r *RecordSnapshot) DrainSnapshot(wall int64) *drain.Snapshot {
 	builder := r.mirror.DrainSnapshotBuilder(wall, r.machineTypes, func(*Job) bool { return false })
 	for _, id := range sortedmap.Keys(r.mirror.Machines) {
@@ -140,19 +142,20 @@
 	return builder.Build()
 }
 
-// IsMember reports whether a controller is a member.
+// IsMember reports whether a controller has a member record.
 func (r *RecordSnapshot) IsMember(node string) bool {
 	_, member := r.mirror.Members[node]
 	return member
 }
 
-// HasMachineType reports whether the cloud has a machine type.
+// HasMachineType reports whether the records contain a machine type of the cloud.
 func (r *RecordSnapshot) HasMachineType(name string) bool {
 	_, ok := r.machineTypes[name]
 	return ok
 }
 
-// NewestMachine is the machine that was created last, as far as is known; "" if there is none.
+// NewestMachine returns the id of the most recently created machine that the records contain: the greatest id;
+// "" if there is none.
 func (r *RecordSnapshot) NewestMachine() string {
 	newest := ""
 	for id := range r.mirror.Machines {
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -5,9 +5,9 @@
 	"pipitgap/internal/storage"
 )
 
-// The mirror's records but for the shards.
+// This file holds the mirror's records except the shards, see shard_sums.go.
 
-// PartitionEntry is a partition's record and its version.
+// PartitionEntry is the record of a partition and its version.
 type PartitionEntry struct {
 	Record  storage.Partition
 	Version uint64
@@ -31,7 +31,7 @@
 	Version uint64
 }
 
-// MemberEntry is a controller's member record and its version.
+// MemberEntry is the member record of a controller and its version.
 type MemberEntry struct {
 	Record  storage.Member
 	Version uint64
@@ -49,7 +49,7 @@
 	Version uint64
 }
 
-// VersionOf returns the version of a key in the mirror, 0 if it has none.
+// VersionOf returns the version of a key's record in the mirror; 0 if the mirror doesn't hold the key.
 func (m *Mirror) VersionOf(key string) uint64 {
 	kind, name, ok := storage.SplitKey(key)
 	if !ok {
@@ -90,13 +90,13 @@
 	return 0
 }
 
-// decode reads the value of a record; ok is false if it is malformed.
+// decode decodes the value of a record; ok is false if the value is malformed.
 func decode[Record any](value protocol.Raw) (record Record, ok bool) {
 	err := protocol.Unmarshal(value, &record)
 	return record, err == nil
 }
 
-// applyRecordPut applies a put of any record but a shard. A malformed one changes nothing.
+// applyRecordPut applies the put of a record of any kind except shards. A malformed record changes nothing.
 func (m *Mirror) applyRecordPut(kind storage.Kind, name string, event protocol.Event) {
 	switch kind {
 	case storage.KindJobResult:
@@ -134,7 +134,7 @@
 	}
 }
 
-// putJobResult applies the final result of a job. It is remembered also if the job has no open record.
+// putJobResult applies the final result of a job. The result cache keeps it even if the job has no open record.
 func (m *Mirror) putJobResult(id string, event protocol.Event) {
 	result, ok := decode[storage.JobResult](event.Value)
 	if !ok {
@@ -146,7 +146,8 @@
 	}
 }
 
-// putOpenJob applies the record of an unfinished job. Its number of tasks never changes.
+// putOpenJob applies the open record of a job. A job's number of tasks never changes: a record with a
+// different number is ignored.
 func (m *Mirror) putOpenJob(id string, event protocol.Event) {
 	record, ok := decode[storage.OpenJob](event.Value)
 	tasks := record.Spec.Tasks
@@ -168,12 +169,12 @@
 	}
 	job.FinalState, _ = m.Results.Get(id)
 	m.Jobs[id] = job
-	for _, shard := range m.Shards { // shards that hold the job may have been seen before it
+	for _, shard := range m.Shards { // shards with tasks of the job may have been applied before this record
 		m.countJobOfShard(shard, id, 1)
 	}
 }
 
-// putScaleOut applies the record of a scale-out request, and has its machines refer to it.
+// putScaleOut applies the record of a scale-out request and indexes the request by its machines.
 func (m *Mirror) putScaleOut(name string, event protocol.Event) {
 	record, ok := decode[storage.ScaleOutRequest](event.Value)
 	if !ok {
@@ -186,7 +187,7 @@
 	}
 }
 
-// putScaleIn applies the record of a scale-in request, and has its machines refer to it.
+// putScaleIn applies the record of a scale-in request and indexes the request by its machines.
 func (m *Mirror) putScaleIn(name string, event protocol.Event) {
 	record, ok := decode[storage.ScaleInRequest](event.Value)
 	if !ok {
@@ -199,7 +200,7 @@
 	}
 }
 
-// deleteScaleOut removes a scale-out request, and the references of its machines to it.
+// deleteScaleOut removes a scale-out request and its entries in the index by machine.
 func (m *Mirror) deleteScaleOut(name string) {
 	if request := m.ScaleOuts[name]; request != nil {
 		deleteRequestReferences(m.ScaleOutOfMachine, name, request.Record.Machines)
@@ -207,7 +208,7 @@
 	delete(m.ScaleOuts, name)
 }
 
-// deleteScaleIn removes a scale-in request, and the references of its machines to it.
+// deleteScaleIn removes a scale-in request and its entries in the index by machine.
 func (m *Mirror) deleteScaleIn(name string) {
 	if request := m.ScaleIns[name]; request != nil {
 		deleteRequestReferences(m.ScaleInOfMachine, name, request.Record.Machines)
@@ -215,7 +216,8 @@
 	delete(m.ScaleIns, name)
 }
 
-// deleteRequestReferences deletes the machines of a request, but for those that a later one names.
+// deleteRequestReferences removes the machines of a request from the index, except those whose entry refers to
+// another, later request.
 func deleteRequestReferences(requestOfMachine map[string]string, requestName string, machines []string) {
 	for _, id := range machines {
 		if requestOfMachine[id] == requestName {
@@ -224,7 +226,7 @@
 	}
 }
 
-// applyRecordDelete applies a deletion of any record but a shard.
+// applyRecordDelete applies the deletion of a record of any kind except shards.
 func (m *Mirror) applyRecordDelete(kind storage.Kind, name string) {
 	switch kind {
 	case storage.KindOpenJob:
@@ -251,7 +253,7 @@
 	}
 }
 
-// Catalog returns the machine types as the records have them.
+// Catalog converts the machine type records to the cloud's form, by name.
 func (m *Mirror) Catalog() map[string]protocol.MachineType {
 	types := map[string]protocol.MachineType{}
 	for name, entry := range m.MachineTypes {
--- a/internal/mirror/records_test.go
+++ b/internal/mirror/records_test.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestMalformedRecords: a record that can't be read changes nothing, and the one before stays.
+// TestMalformedRecords checks that a put with a malformed value changes nothing: the mirror keeps the record's
+// previous version.
 func TestMalformedRecords(t *testing.T) {
 	records := []struct {
 		kind  storage.Kind
@@ -31,7 +32,7 @@
 			key := storage.Key(record.kind, "a")
 			m.ApplyPut(key, malformed, 3)
 			if got := m.VersionOf(key); got != 0 {
-				t.Errorf("a malformed record has version %d", got)
+				t.Errorf("%s: got version %d for a malformed record, want 0", record.kind, got)
 			}
 			value := protocol.MustMarshal(record.value)
 			if record.kind == storage.KindShard {
@@ -40,26 +41,26 @@
 			m.ApplyPut(key, value, 4)
 			m.ApplyPut(key, malformed, 5)
 			if got := m.VersionOf(key); got != 4 {
-				t.Errorf("version %d after a malformed record, want 4", got)
+				t.Errorf("%s: got version %d after a malformed record, want 4", record.kind, got)
 			}
 		})
 	}
 }
 
-// TestOpenJobRecords: records of jobs with a number of tasks out of bounds, or another than before, change
-// nothing.
+// TestOpenJobRecords checks that the mirror ignores a job record whose number of tasks is out of range or
+// differs from the previous record's.
 func TestOpenJobRecords(t *testing.T) {
 	cases := []struct {
 		name  string
 		tasks []int
-		want  uint64 // version in the mirror; the records have versions from 1
+		want  uint64 // version in the mirror, 0: none; the records have versions 1, 2, ...
 	}{
 		{"no tasks", []int{0}, 0},
-		{"negative", []int{-1}, 0},
-		{"as many as may be", []int{protocol.MaxTasks}, 1},
-		{"too many", []int{protocol.MaxTasks + 1}, 0},
-		{"changed", []int{3, 3}, 2},
-		{"changed with another number", []int{3, 4}, 1},
+		{"negative number of tasks", []int{-1}, 0},
+		{"maximum number of tasks", []int{protocol.MaxTasks}, 1},
+		{"too many tasks", []int{protocol.MaxTasks + 1}, 0},
+		{"update with the same number of tasks", []int{3, 3}, 2},
+		{"update with a different number of tasks", []int{3, 4}, 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -70,14 +71,14 @@
 				m.ApplyPut(key, protocol.MustMarshal(&record), uint64(i+1))
 			}
 			if got := m.VersionOf(key); got != tc.want {
-				t.Errorf("version %d, want %d", got, tc.want)
+				t.Errorf("records with %v tasks: got version %d, want %d", tc.tasks, got, tc.want)
 			}
 		})
 	}
 }
 
-// TestMachinesOfRequests: a machine belongs to the request that named it last, also after an earlier one is
-// deleted.
+// TestMachinesOfRequests checks the indexes from machine to scale-out and scale-in request. A machine refers to
+// the request that named it last, even after an earlier request that named it is deleted.
 func TestMachinesOfRequests(t *testing.T) {
 	kinds := []struct {
 		kind   storage.Kind
@@ -104,29 +105,30 @@
 			m.ApplyPut(first, protocol.MustMarshal(tc.record("i-3")), 3)
 			index := tc.index(m)
 			if index["i-1"] != "" || index["i-2"] != "second" || index["i-3"] != "first" {
-				t.Errorf("machines belong to %v", index)
+				t.Errorf("%s: got requests by machine %v, want i-2: second, i-3: first", tc.kind, index)
 			}
 			m.ApplyDelete(first, 4, false)
 			if len(index) != 1 || index["i-2"] != "second" {
-				t.Errorf("machines belong to %v after a deletion", index)
+				t.Errorf("%s: got requests by machine %v after the first request's deletion, want i-2: second",
+					tc.kind, index)
 			}
 		})
 	}
 }
 
-// TestDeletions: a deletion removes a record unless the mirror has a newer version of it, and reports no
-// change of a record that isn't there.
+// TestDeletions checks that a deletion removes a record unless the mirror has a newer version of it or the watch
+// has passed the deletion's revision. The mirror reports no change if there is no such record.
 func TestDeletions(t *testing.T) {
 	cases := []struct {
 		name    string
-		version uint64 // of the deletion; the record has 7, the watch has passed 5
+		version uint64 // of the deletion; the record has version 7, the watched revision is 5
 		known   bool
 		changes int
 	}{
-		{"before the record", 6, true, 0},
-		{"after the record", 8, true, 1},
+		{"older than the record", 6, true, 0},
+		{"newer than the record", 8, true, 1},
 		{"unknown record", 8, false, 0},
-		{"passed by the watch", 5, true, 0},
+		{"at the watched revision", 5, true, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -140,17 +142,17 @@
 			m.Observe(func(storage.Kind, string) { changes++ }, func(string) {})
 			m.ApplyDelete(key, tc.version, false)
 			if changes != tc.changes {
-				t.Errorf("%d changes, want %d", changes, tc.changes)
+				t.Errorf("deletion at version %d: got %d changes, want %d", tc.version, changes, tc.changes)
 			}
 			if got, want := m.VersionOf(key) != 0, tc.known && tc.changes == 0; got != want {
-				t.Errorf("the record is there: %v, want %v", got, want)
+				t.Errorf("deletion at version %d: got record present %v, want %v", tc.version, got, want)
 			}
 		})
 	}
 }
 
-// TestTaskInTwoShards: while two shards have a task, as when its machine moves, it counts once; it counts no
-// longer when both are gone.
+// TestTaskInTwoShards checks that a task counts once while two shards hold it, as they may while its machine
+// moves between them. It must not count after both shards are deleted.
 func TestTaskInTwoShards(t *testing.T) {
 	cases := []struct {
 		name string
@@ -192,7 +194,7 @@
 			for i, step := range steps {
 				step.apply()
 				if got := tc.want(m.Jobs["a"]); got != step.want {
-					t.Errorf("%d tasks after step %d, want %d", got, i+1, step.want)
+					t.Errorf("after step %d: got %d %s tasks, want %d", i+1, got, tc.name, step.want)
 				}
 			}
 		})
--- a/internal/mirror/replica.go
+++ b/internal/mirror/replica.go
@@ -9,49 +9,50 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// Store makes the calls of the state service, see package storeclient.
+// Store makes the calls to the state service, see package storeclient.
 type Store interface {
-	// Call queues a call under its priority; the callback gets its result once.
+	// Call queues a call at a priority. It calls callback once, with the result.
 	Call(priority ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult))
-	// CallAtOnce makes a call beside the queue and records nothing about its outcome.
+	// CallAtOnce bypasses the queue. It doesn't record the outcome, see RecordOutcome.
 	CallAtOnce(call *protocol.StoreCall, callback func(protocol.StoreResult))
-	// RecordOutcome takes the outcome of a call at once as a sign whether the service answers.
+	// RecordOutcome uses the outcome of a CallAtOnce to judge whether the service is available.
 	RecordOutcome(outcome protocol.Outcome)
-	// WatchInterval is the shortest interval between two watches.
+	// WatchInterval returns the minimum interval between two watches.
 	WatchInterval() monotime.Micros
 }
 
-// Environment measures the time and draws random numbers.
+// Environment provides the clock, timers and random numbers.
 type Environment interface {
-	// Now reads the steady clock.
+	// Now reads the monotonic clock.
 	Now() monotime.Micros
-	// After calls back after a delay.
+	// After calls callback after a delay.
 	After(delay monotime.Micros, callback func())
-	// Rand is the source of the jitter of repeated calls.
+	// Rand returns the random number generator for the jitter of retries.
 	Rand() *rand.Rand
 }
 
-// Observer is called by a Replica at the changes of its state, on the same goroutine.
+// Observer receives the state changes of a Replica, on the Replica's goroutine.
 type Observer interface {
-	// BeforeReplace is called with a mirror loaded anew before its records replace those of the mirror.
+	// BeforeReplace is called after a load, before the loaded records replace those of the mirror.
 	BeforeReplace(loaded *Mirror)
-	// Replaced is called once they have. The mirror may not be complete yet.
+	// Replaced is called after the loaded records have replaced those of the mirror. The mirror may not be
+	// complete yet.
 	Replaced()
-	// Ready is called when the mirror is complete, after each load.
+	// Ready is called after each load, when the mirror is complete.
 	Ready()
-	// Changed is called when a watch has brought changes to a complete mirror.
+	// Changed is called after a watch has changed a complete mirror.
 	Changed()
 }
 
-// PauseDetector tells when the process was paused while its clocks ran.
+// PauseDetector detects pauses of the process during which its clocks continue.
 type PauseDetector interface {
-	// DetectPause is called before the answer of a watch is used.
+	// DetectPause records activity at time now. A Replica calls it before it uses the response of a watch.
 	DetectPause(now monotime.Micros)
-	// ResumedFromPauseAt is when the last pause ended, 0 if there was none.
+	// ResumedFromPauseAt returns when the last pause ended; 0 if there was none.
 	ResumedFromPauseAt() monotime.Micros
 }
 
-// ReplicaOptions are what a Replica is made of.
+// ReplicaOptions configures a Replica.
 type ReplicaOptions struct {
 	Mirror      *Mirror
 	Store       Store
@@ -60,15 +61,15 @@
 	Pauses      PauseDetector
 	Log         *slog.Logger
 
-	Drains          bool    // drains are turned on: their records are loaded as well
-	WritesPerSecond float64 // of the state service, for all its users together
-	MaxValueBytes   int     // the largest value that the state service takes
-	TransactionOps  int     // operations of a transaction
+	Drains          bool    // drains are enabled: their records are loaded as well
+	WritesPerSecond float64 // write limit of the state service, for all its clients together
+	MaxValueBytes   int     // maximum size of a value in the state service
+	TransactionOps  int     // maximum number of operations in a transaction of the state service
 }
 
-// Replica keeps a Mirror up to date. It loads all records, follows the changes by a watch, and
-// tells readers when the mirror holds all that the state service held at their request. All methods and
-// callbacks run on one goroutine.
+// Replica keeps a Mirror up to date. It loads all records, applies later changes through a watch, and notifies
+// readers when the mirror holds everything that the state service held at the time of their request. All
+// methods and callbacks run on one goroutine.
 type Replica struct {
 	options  ReplicaOptions
 	mirror   *Mirror
@@ -79,20 +80,20 @@
 	log      *slog.Logger
 
 	loading        bool
-	loaded         bool   // a first load is done, the watch may continue from it
-	loadedRevision uint64 // the watch must reach this before the mirror is complete
+	loaded         bool   // a load has succeeded; the watch may continue from it
+	loadedRevision uint64 // the mirror is complete once the watch reaches this revision
 	ready          bool   // the mirror is complete
 
 	watch watchState
 
 	pendingReads    []pendingRead
-	catchUpInFlight bool // a watch that doesn't wait for changes is in flight for the pending reads
+	catchUpInFlight bool // a non-blocking watch for the pending reads is in flight
 	nextCatchUpAt   monotime.Micros
 
 	commitConflicts int
 }
 
-// NewReplica makes a replica; nothing is loaded before Load.
+// NewReplica returns a replica that sends no requests until Load is called.
 func NewReplica(options ReplicaOptions) *Replica {
 	return &Replica{
 		options:  options,
@@ -105,30 +106,31 @@
 	}
 }
 
-// Ready reports whether the mirror is complete: it may be behind the state service, but held all of its
-// records at one revision.
+// Ready reports whether the mirror is complete: it has held all records of one revision of the state service,
+// but may be behind the current revision.
 func (r *Replica) Ready() bool { return r.ready }
 
-// Loaded reports whether the records have been read once; the mirror may be incomplete.
+// Loaded reports whether a load has succeeded; the mirror may be incomplete.
 func (r *Replica) Loaded() bool { return r.loaded }
 
-// FreshAt is a time at which the state service held no change that the mirror lacks: when the last watch or
-// load that was answered was sent.
+// FreshAt returns the time up to which the mirror is known to hold all changes of the state service: the send
+// time of the latest watch or load that succeeded.
 func (r *Replica) FreshAt() monotime.Micros { return r.watch.freshAt }
 
-// WatchOverdue reports whether the watch has had no answer for longer than an undisturbed one takes.
+// WatchOverdue reports whether no watch has succeeded for longer than the long poll and its margin.
 func (r *Replica) WatchOverdue(now monotime.Micros) bool {
 	return now-r.watch.lastSuccessAt > watchLongPoll+watchOverdueMargin
 }
 
-// PendingReads counts the readers that wait for a current mirror.
+// PendingReads returns the number of reads that wait for a current mirror.
 func (r *Replica) PendingReads() int { return len(r.pendingReads) }
 
-// CommitConflicts counts the commits that failed on their conditions so far.
+// CommitConflicts returns the number of commits so far that failed because a condition was not met.
 func (r *Replica) CommitConflicts() int { return r.commitConflicts }
 
-// Commit makes a conditional change. On success it is in the mirror before the callback is called; after a
-// conflict the watch is hastened, so that the mirror soon holds what the commit conflicted with.
+// Commit requests a conditional transaction. After a success it applies the change to the mirror before it
+// calls callback. After a conflict it expedites the next watch, so that the mirror soon holds the conflicting
+// changes.
 func (r *Replica) Commit(
 	priority ratelimit.Priority,
 	txn protocol.Transaction,
@@ -147,7 +149,7 @@
 	})
 }
 
-// markReady notes that the mirror is complete.
+// markReady marks the mirror as complete and notifies the observer.
 func (r *Replica) markReady() {
 	r.watch.lastSuccessAt = r.env.Now()
 	r.ready = true
@@ -155,7 +157,7 @@
 	r.observer.Ready()
 }
 
-// jittered draws a delay between base and base plus spread.
+// jittered returns a random delay of at least base and less than base plus spread.
 func (r *Replica) jittered(base, spread monotime.Micros) monotime.Micros {
 	return base + monotime.RandomBelow(r.env.Rand(), spread)
 }
--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -16,23 +16,23 @@
 
 const testWatchInterval = 100 * monotime.Millisecond
 
-// pendingCall is a call that has no answer yet.
+// pendingCall is a call to the state service that the test hasn't answered yet.
 type pendingCall struct {
 	call     *protocol.StoreCall
 	callback func(protocol.StoreResult)
 	atOnce   bool
 }
 
-// replicaTest is a replica whose calls are answered by the test. It serves as the replica's store,
-// environment, observer and pause detector.
+// replicaTest is a replica whose calls the test answers. It implements the replica's store, environment,
+// observer (through readyObserver) and pause detector.
 type replicaTest struct {
 	*Replica
 	t                *testing.T
 	clock            *fake.SimClock
 	calls            []pendingCall
-	recordedOutcomes []protocol.Outcome // outcomes recorded
-	events           []string           // calls of the observer
-	resumedAt        monotime.Micros    // end of the last pause
+	recordedOutcomes []protocol.Outcome // arguments of RecordOutcome
+	events           []string           // observer callbacks, in the order of the calls
+	resumedAt        monotime.Micros    // when the last pause ended
 }
 
 func newReplicaTest(t *testing.T) *replicaTest {
@@ -67,21 +67,22 @@
 	rt.calls = append(rt.calls, pendingCall{call, f, false})
 }
 
-// readyObserver keeps the observer's method Ready apart from the replica's.
+// readyObserver implements Observer. It exists because replicaTest can't: Ready of the embedded Replica has
+// another signature.
 type readyObserver struct{ *replicaTest }
 
 func (o readyObserver) Ready() { o.events = append(o.events, "ready") }
 
-// nextCall takes the first call that has no answer and checks its kind.
+// nextCall removes and returns the first pending call and requires that it is of the given operation.
 func (rt *replicaTest) nextCall(op protocol.StoreOp) pendingCall {
 	rt.t.Helper()
 	if len(rt.calls) == 0 {
-		rt.t.Fatalf("nothing sent, want %v", op)
+		rt.t.Fatalf("got no pending call, want operation %v", op)
 	}
 	pending := rt.calls[0]
 	rt.calls = rt.calls[1:]
 	if pending.call.Op != op {
-		rt.t.Fatalf("sent %v, want %v", pending.call.Op, op)
+		rt.t.Fatalf("got call of operation %v, want %v", pending.call.Op, op)
 	}
 	return pending
 }
@@ -89,18 +90,18 @@
 func (rt *replicaTest) requireNoCall() {
 	rt.t.Helper()
 	if len(rt.calls) > 0 {
-		rt.t.Fatalf("sent %+v, want nothing", rt.calls[0].call)
+		rt.t.Fatalf("got %d pending calls, the first %+v, want none", len(rt.calls), rt.calls[0].call)
 	}
 }
 
-// answerLists answers the lists of a load with one page each, at the revisions given for the first and for
-// all the others; items belong to the list of open jobs.
+// answerLists answers each list call of a load with one page. The first page has revision first, the others
+// have revision others. jobs are the items of the list of open jobs.
 func (rt *replicaTest) answerLists(first, others uint64, jobs ...protocol.KeyValue) {
 	rt.t.Helper()
 	for i, kind := range listedKinds(false) {
 		pending := rt.nextCall(protocol.StoreList)
 		if want := storage.Key(kind, ""); pending.call.Key != want {
-			rt.t.Fatalf("list %d is of %s, want %s", i, pending.call.Key, want)
+			rt.t.Fatalf("list %d: got key %s, want %s", i, pending.call.Key, want)
 		}
 		page := protocol.StoreResult{Outcome: protocol.OK, Revision: others}
 		if i == 0 {
@@ -113,25 +114,25 @@
 	}
 }
 
-// loadEmptyStore loads an empty store at a revision; the mirror is ready then.
+// loadEmptyStore loads an empty store at a revision and requires that the mirror is then ready.
 func (rt *replicaTest) loadEmptyStore(revision uint64) {
 	rt.t.Helper()
 	rt.Load()
 	rt.answerLists(revision, revision)
 	if !rt.Ready() {
-		rt.t.Fatal("not ready after a load")
+		rt.t.Fatalf("load at revision %d: got not ready, want ready", revision)
 	}
 	rt.events = nil
 }
 
-// openJob is the record of a job in a list.
+// openJob returns the record of an open job as a list item.
 func openJob(id string, version uint64) protocol.KeyValue {
 	return protocol.KeyValue{
 		Key: storage.OpenJobKey(id), Value: storagetest.OpenJob(2), Version: version,
 	}
 }
 
-// putEvent is the change that wrote a record.
+// putEvent returns the watch event for the put of a record.
 func putEvent(item protocol.KeyValue) protocol.Event {
 	return protocol.Event{Put: item.Key, Value: item.Value, Version: item.Version}
 }
--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -10,8 +10,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestLoadIsReadyAtItsNewestRevision: a load whose lists are of several revisions is complete once the watch
-// has passed the newest.
+// TestLoadIsReadyAtItsNewestRevision checks when a loaded mirror becomes ready. If records change during the
+// load, its lists have different revisions; the mirror is then complete only once the watch has reached the
+// newest of them.
 func TestLoadIsReadyAtItsNewestRevision(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -19,7 +20,7 @@
 		watched uint64 // 0: no watch
 		want    bool
 	}{
-		{"one revision", 5, 0, true},
+		{"all lists of one revision", 5, 0, true},
 		{"changes between the lists", 8, 0, false},
 		{"watch behind the newest list", 8, 7, false},
 		{"watch at the newest list", 8, 8, true},
@@ -28,13 +29,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			rt := newReplicaTest(t)
 			rt.Load()
-			rt.Load() // one load at a time
+			rt.Load() // no effect while a load is in progress
 			rt.answerLists(5, tc.last)
 			if tc.watched > 0 {
 				rt.MaintainWatch(rt.Now())
 				watch := rt.nextCall(protocol.StoreWatch)
 				if watch.call.FromRevision != 5 {
-					t.Errorf("the watch continues from %d, want 5", watch.call.FromRevision)
+					t.Errorf("got watch from revision %d, want 5", watch.call.FromRevision)
 				}
 				watch.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: tc.watched})
 			}
@@ -43,18 +44,18 @@
 				want = append(want, "ready")
 			}
 			if !slices.Equal(rt.events, want) {
-				t.Errorf("observed %v, want %v", rt.events, want)
+				t.Errorf("got observer calls %v, want %v", rt.events, want)
 			}
 			if rt.Ready() != tc.want || !rt.Loaded() {
-				t.Errorf("ready %v, want %v; loaded %v", rt.Ready(), tc.want, rt.Loaded())
+				t.Errorf("got ready %v, want %v; got loaded %v, want true", rt.Ready(), tc.want, rt.Loaded())
 			}
 			rt.requireNoCall()
 		})
 	}
 }
 
-// TestLoadPages: a list continues after the last key of a page, and a failed page is read again after a
-// delay.
+// TestLoadPages checks that a load reads the next page of a list after the last key of the previous page, and
+// that it retries a failed page after a delay.
 func TestLoadPages(t *testing.T) {
 	rt := newReplicaTest(t)
 	rt.Load()
@@ -65,7 +66,8 @@
 	})
 	secondPage := rt.nextCall(protocol.StoreList)
 	if secondPage.call.Key != firstPage.call.Key || secondPage.call.After != item.Key {
-		t.Errorf("%s continues after %q", secondPage.call.Key, secondPage.call.After)
+		t.Errorf("second page: got list %s after %q, want %s after %q",
+			secondPage.call.Key, secondPage.call.After, firstPage.call.Key, item.Key)
 	}
 	secondPage.callback(protocol.StoreResult{Outcome: protocol.Unavailable})
 	rt.clock.Run(loadRetryDelay - 1)
@@ -73,16 +75,19 @@
 	rt.clock.Run(loadRetrySpread)
 	retriedPage := rt.nextCall(protocol.StoreList)
 	if retriedPage.call.Key != firstPage.call.Key || retriedPage.call.After != item.Key {
-		t.Errorf("%s is read again after %q", retriedPage.call.Key, retriedPage.call.After)
+		t.Errorf("retry of the second page: got list %s after %q, want %s after %q",
+			retriedPage.call.Key, retriedPage.call.After, firstPage.call.Key, item.Key)
 	}
 	retriedPage.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 6})
 	if nextList := rt.nextCall(protocol.StoreList); nextList.call.Key == firstPage.call.Key || nextList.call.After != "" {
-		t.Errorf("the next list is %s after %q", nextList.call.Key, nextList.call.After)
+		t.Errorf("next list: got %s after %q, want a list other than %s after \"\"",
+			nextList.call.Key, nextList.call.After, firstPage.call.Key)
 	}
 }
 
-// TestLoadResults: the results of listed jobs are compared so many at a time, and those that exist are
-// read; where that fails the same are compared again.
+// TestLoadResults checks how a load reads the results of the listed jobs. It compares the result keys in batches
+// of comparesPerOp times TransactionOps and reads the results that exist. If a read fails, it compares the same
+// batch again.
 func TestLoadResults(t *testing.T) {
 	rt := newReplicaTest(t)
 	var jobs []protocol.KeyValue
@@ -95,7 +100,7 @@
 	for _, outcome := range []protocol.Outcome{protocol.Unavailable, protocol.OK} {
 		compareCall := rt.nextCall(protocol.StoreCommit)
 		if n := len(compareCall.call.Transaction.If); n != comparesPerOp*2 {
-			t.Fatalf("%d compared at a time, want %d", n, comparesPerOp*2)
+			t.Fatalf("get outcome %v: got %d keys in the first batch, want %d", outcome, n, comparesPerOp*2)
 		}
 		compareCall.callback(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{key}})
 		value, err := protocol.Marshal(&storage.JobResult{State: storage.JobCancelled})
@@ -106,27 +111,27 @@
 			Outcome: outcome, Item: protocol.KeyValue{Key: key, Value: value, Version: 4},
 		})
 		if rt.Loaded() {
-			t.Fatal("loaded before all results are compared")
+			t.Fatalf("get outcome %v: got loaded before the last batch, want not loaded", outcome)
 		}
 		rt.clock.Run(loadRetryDelay + loadRetrySpread)
 	}
 	lastCompare := rt.nextCall(protocol.StoreCommit)
 	if n := len(lastCompare.call.Transaction.If); n != 1 {
-		t.Errorf("%d compared at last, want 1", n)
+		t.Errorf("got %d keys in the last batch, want 1", n)
 	}
 	lastCompare.callback(protocol.StoreResult{Outcome: protocol.OK})
 	if !rt.Ready() {
-		t.Error("not ready")
+		t.Error("got not ready after the last batch, want ready")
 	}
 	for _, id := range []string{"a", "b"} {
 		if got, want := rt.mirror.Jobs[id].IsOpen(), id == "a"; got != want {
-			t.Errorf("%s is open: %v, want %v", id, got, want)
+			t.Errorf("job %s: got open %v, want %v", id, got, want)
 		}
 	}
 }
 
-// TestWatchOutcomes: what each outcome of a watch does to the reader that waits, to the next watch and to the
-// mirror.
+// TestWatchOutcomes checks the effect of each outcome of a watch: whether the pending read completes, when the
+// next watch is sent, whether the mirror is reloaded and whether the outcome is recorded.
 func TestWatchOutcomes(t *testing.T) {
 	const waiting, failed, served = "waiting", "failed", "served"
 	cases := []struct {
@@ -135,13 +140,13 @@
 		reader   string
 		reload   bool
 		recorded bool
-		earliest monotime.Micros // of the next watch, after the answer
+		earliest monotime.Micros // minimum delay from the response to the next watch
 	}{
-		{"answer", protocol.OK, served, false, true, 0},
+		{"ok", protocol.OK, served, false, true, 0},
 		{"compacted", protocol.Compacted, failed, true, false, 0},
 		{"throttled", protocol.Throttled, waiting, false, false, throttledWatchDelay},
 		{"unavailable", protocol.Unavailable, failed, false, true, watchRetryDelay},
-		{"no answer", protocol.Unknown, failed, false, true, watchRetryDelay},
+		{"no response", protocol.Unknown, failed, false, true, watchRetryDelay},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -157,39 +162,41 @@
 			rt.MaintainWatch(rt.Now())
 			watch := rt.nextCall(protocol.StoreWatch)
 			if watch.call.MaxBlock != 0 || !watch.atOnce {
-				t.Errorf("a watch for a reader waits for %d, at once: %v", watch.call.MaxBlock, watch.atOnce)
+				t.Errorf("watch for a pending read: got long poll of %d us, want 0; got sent at once %v, want true",
+					watch.call.MaxBlock, watch.atOnce)
 			}
 			rt.clock.Run(testWatchInterval)
 			watch.callback(protocol.StoreResult{Outcome: tc.outcome, Revision: 5})
 			if reader != tc.reader {
-				t.Errorf("reader %s, want %s", reader, tc.reader)
+				t.Errorf("outcome %v: got reader %s, want %s", tc.outcome, reader, tc.reader)
 			}
 			if got := len(rt.recordedOutcomes) > 0; got != tc.recorded {
-				t.Errorf("outcome recorded: %v, want %v", got, tc.recorded)
+				t.Errorf("outcome %v: got outcome recorded %v, want %v", tc.outcome, got, tc.recorded)
 			}
 			if tc.reload {
 				rt.nextCall(protocol.StoreList)
 				if rt.Ready() {
-					t.Error("ready while it loads")
+					t.Errorf("outcome %v: got ready during the reload, want not ready", tc.outcome)
 				}
 				return
 			}
 			if got := rt.watch.nextAt - rt.Now(); got < tc.earliest || got > tc.earliest+watchRetrySpread {
-				t.Errorf("next watch in %d, want %d at least", got, tc.earliest)
+				t.Errorf("outcome %v: got next watch after %d us, want %d to %d us",
+					tc.outcome, got, tc.earliest, tc.earliest+watchRetrySpread)
 			}
 		})
 	}
 }
 
-// TestWhenCurrent: a reader is served by a watch that was sent at its request or later; one that was sent
-// before is joined by a watch that doesn't wait.
+// TestWhenCurrent checks that a read completes only with a watch that was sent at or after the read's request
+// time. If the watch in flight was sent earlier, the replica sends one more watch, which doesn't block.
 func TestWhenCurrent(t *testing.T) {
 	rt := newReplicaTest(t)
 	rt.loadEmptyStore(5)
 	rt.MaintainWatch(rt.Now())
 	longPoll := rt.nextCall(protocol.StoreWatch)
 	if longPoll.call.MaxBlock != watchLongPoll {
-		t.Errorf("the watch waits for %d, want %d", longPoll.call.MaxBlock, watchLongPoll)
+		t.Errorf("got long poll of %d us, want %d us", longPoll.call.MaxBlock, watchLongPoll)
 	}
 	rt.clock.Run(monotime.Millisecond)
 	served := 0
@@ -202,23 +209,25 @@
 	}
 	catchUp := rt.nextCall(protocol.StoreWatch)
 	if catchUp.call.MaxBlock != 0 {
-		t.Errorf("the watch for readers waits for %d", catchUp.call.MaxBlock)
+		t.Errorf("catch-up watch: got long poll of %d us, want 0", catchUp.call.MaxBlock)
 	}
 	rt.requireNoCall()
 	longPoll.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5})
 	if served != 0 || rt.PendingReads() != 2 {
-		t.Errorf("%d served by a watch that was sent before", served)
+		t.Errorf("after a watch sent before the reads: got %d served and %d pending, want 0 and 2",
+			served, rt.PendingReads())
 	}
 	catchUp.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 6})
 	if served != 2 || rt.PendingReads() != 0 {
-		t.Errorf("%d served, want 2", served)
+		t.Errorf("after the catch-up watch: got %d served and %d pending, want 2 and 0",
+			served, rt.PendingReads())
 	}
 	if want := rt.Now(); rt.FreshAt() != want {
-		t.Errorf("fresh at %d, want %d", rt.FreshAt(), want)
+		t.Errorf("got fresh at %d us, want %d us", rt.FreshAt(), want)
 	}
 }
 
-// TestCatchUpInterval: watches for readers keep their interval.
+// TestCatchUpInterval checks that two catch-up watches for pending reads are at least WatchInterval apart.
 func TestCatchUpInterval(t *testing.T) {
 	rt := newReplicaTest(t)
 	rt.loadEmptyStore(5)
@@ -236,8 +245,9 @@
 	rt.nextCall(protocol.StoreWatch)
 }
 
-// TestBacklog: after a long time without an answer the newest revision is read before a watch is sent, and
-// all records are read anew if the watch could bring too much.
+// TestBacklog checks that the replica measures the backlog before it sends a watch if the last response is too
+// old. It must reload all records if the watch could return more than MaxWatchChanges: the response might be too
+// large to read.
 func TestBacklog(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -256,17 +266,18 @@
 			rt.MaintainWatch(rt.Now())
 			backlogCall := rt.nextCall(protocol.StoreList)
 			if backlogCall.call.Key != storage.LeaderKey {
-				t.Errorf("the backlog is measured by %s", backlogCall.call.Key)
+				t.Errorf("backlog measurement: got list of %s, want %s", backlogCall.call.Key, storage.LeaderKey)
 			}
 			backlogCall.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5 + tc.behind})
 			if followUp := rt.nextCall(tc.want); followUp.call.Key != tc.key {
-				t.Errorf("then %s is read, want %s", followUp.call.Key, tc.key)
+				t.Errorf("%d revisions behind: got call for %s, want %s", tc.behind, followUp.call.Key, tc.key)
 			}
 		})
 	}
 }
 
-// TestStaleWatchResultIsDropped: the answer of a watch that was sent before a load isn't applied after it.
+// TestStaleWatchResultIsDropped checks that the replica ignores the response of a watch that was sent before a
+// load and arrives after it: the response belongs to an earlier generation of the mirror.
 func TestStaleWatchResultIsDropped(t *testing.T) {
 	rt := newReplicaTest(t)
 	rt.loadEmptyStore(5)
@@ -278,12 +289,13 @@
 		Outcome: protocol.OK, Revision: 10, Events: []protocol.Event{putEvent(openJob("a", 10))},
 	})
 	if rt.mirror.WatchedRevision != 9 || len(rt.mirror.Jobs) != 0 {
-		t.Errorf("watched %d with %d jobs, want 9 without", rt.mirror.WatchedRevision, len(rt.mirror.Jobs))
+		t.Errorf("got watched revision %d with %d jobs, want revision 9 with 0 jobs",
+			rt.mirror.WatchedRevision, len(rt.mirror.Jobs))
 	}
 }
 
-// TestWatchOverdue: a watch is overdue some time after its last answer; one that was answered while the
-// process was paused counts from when it was sent.
+// TestWatchOverdue checks that the watch is overdue if none has succeeded for longer than the long poll and its
+// margin. A response that may have waited during a process pause counts from the time its watch was sent.
 func TestWatchOverdue(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		rt := newReplicaTest(t)
@@ -292,7 +304,8 @@
 		watch := rt.nextCall(protocol.StoreWatch)
 		rt.clock.Run(watchLongPoll + watchOverdueMargin)
 		if rt.WatchOverdue(rt.Now()) || !rt.WatchOverdue(rt.Now()+1) {
-			t.Error("overdue at another time than the long poll and its margin")
+			t.Errorf("paused %v: got overdue %v after the long poll and its margin, %v 1 us later, want false and true",
+				paused, rt.WatchOverdue(rt.Now()), rt.WatchOverdue(rt.Now()+1))
 		}
 		rt.clock.Run(1)
 		if paused {
@@ -302,26 +315,27 @@
 			Outcome: protocol.OK, Revision: 6, Events: []protocol.Event{putEvent(openJob("a", 6))},
 		})
 		if got := rt.WatchOverdue(rt.Now()); got != paused {
-			t.Errorf("overdue after an answer: %v, paused: %v", got, paused)
+			t.Errorf("paused %v: got overdue %v after a response, want %v", paused, got, paused)
 		}
 		if want := []string{"changed"}; !slices.Equal(rt.events, want) {
-			t.Errorf("observed %v, want %v", rt.events, want)
+			t.Errorf("paused %v: got observer calls %v, want %v", paused, rt.events, want)
 		}
 	}
 }
 
-// TestCommit: a commit is in the mirror before its callback; a conflict is counted, and hastens the watch.
+// TestCommit checks that a successful commit is in the mirror before its callback runs, and that a conflict is
+// counted and expedites the next watch.
 func TestCommit(t *testing.T) {
 	cases := []struct {
 		name      string
 		outcome   protocol.Outcome
-		jobs      int
+		jobs      int // jobs in the mirror when the callback runs
 		conflicts int
 		hastened  bool
 	}{
 		{"success", protocol.OK, 1, 0, false},
 		{"conflict", protocol.Conflict, 0, 1, true},
-		{"no answer", protocol.Unknown, 0, 0, false},
+		{"no response", protocol.Unknown, 0, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -337,13 +351,14 @@
 			})
 			rt.nextCall(protocol.StoreCommit).callback(protocol.StoreResult{Outcome: tc.outcome, Revision: 6})
 			if jobs != tc.jobs {
-				t.Errorf("%d jobs at the callback, want %d", jobs, tc.jobs)
+				t.Errorf("outcome %v: got %d jobs when the callback ran, want %d", tc.outcome, jobs, tc.jobs)
 			}
 			if rt.CommitConflicts() != tc.conflicts {
-				t.Errorf("%d conflicts, want %d", rt.CommitConflicts(), tc.conflicts)
+				t.Errorf("outcome %v: got %d conflicts, want %d", tc.outcome, rt.CommitConflicts(), tc.conflicts)
 			}
 			if got := rt.watch.nextAt-rt.Now() == conflictWatchInterval; got != tc.hastened {
-				t.Errorf("next watch in %d", rt.watch.nextAt-rt.Now())
+				t.Errorf("outcome %v: got next watch after %d us; got expedited %v, want %v",
+					tc.outcome, rt.watch.nextAt-rt.Now(), got, tc.hastened)
 			}
 		})
 	}
--- a/internal/mirror/result_cache.go
+++ b/internal/mirror/result_cache.go
@@ -2,23 +2,23 @@
 
 import "pipitgap/internal/storage"
 
-// evictionDivisor is which part of its capacity a full cache forgets at a time.
+// evictionDivisor sets the eviction batch of a full cache: about 1/evictionDivisor of its capacity.
 const evictionDivisor = 16
 
-// ResultCache remembers the final states of jobs and forgets the oldest first; what is forgotten is read from
-// the state service again.
+// ResultCache caches the final states of jobs and evicts the oldest entries first. Evicted states must be read
+// from the state service.
 type ResultCache struct {
 	capacity       int
 	finalStates    map[string]storage.JobState
 	insertionOrder []string
 }
 
-// NewResultCache makes a cache of at least so many results.
+// NewResultCache returns an empty cache. Once full, it always keeps at least capacity results.
 func NewResultCache(capacity int) *ResultCache {
 	return &ResultCache{capacity: capacity, finalStates: map[string]storage.JobState{}}
 }
 
-// Add remembers the final state of a job; the first one stays.
+// Add caches the final state of a job. It doesn't replace a state that is already cached.
 func (c *ResultCache) Add(id string, state storage.JobState) {
 	if _, ok := c.finalStates[id]; ok {
 		return
@@ -33,7 +33,7 @@
 	}
 }
 
-// Get returns the final state of a job, if it is remembered.
+// Get returns the final state of a job; ok is false if it is not cached.
 func (c *ResultCache) Get(id string) (storage.JobState, bool) {
 	state, ok := c.finalStates[id]
 	return state, ok
--- a/internal/mirror/shard_sums.go
+++ b/internal/mirror/shard_sums.go
@@ -12,26 +12,27 @@
 	Name      string
 	Record    *storage.Shard
 	Version   uint64                      // of the record
-	UseByTeam map[string]resources.Vector // by team, the resources of its attempts
+	UseByTeam map[string]resources.Vector // resources of the shard's attempts, by team
 }
 
-// Machine is a claimed machine in the mirror, with what its tasks take.
+// Machine is a machine in the mirror that a shard or an attempt names, with the resources that its tasks use.
 type Machine struct {
 	ID           string
-	Shard        *Shard
-	Record       *storage.ShardMachine // nil: in no shard, only attempts on it are known
-	Used         resources.Vector
-	Attempts     map[TaskID]uint64 // numbers of the attempts that the records have on it
-	CachedImages map[string]bool   // images of the tasks that it has had since it was first seen
+	Shard        *Shard                // nil if Record is nil
+	Record       *storage.ShardMachine // nil: no shard holds the machine; only attempts on it are known
+	Used         resources.Vector      // resources of the attempts
+	Attempts     map[TaskID]uint64     // by task: number of its recorded attempt on the machine
+	CachedImages map[string]bool       // images of all tasks assigned to the machine since the mirror added it
 }
 
-// Owner is the controller that holds the machine's shard.
+// Owner returns the controller that owns the machine's shard.
 func (m *Machine) Owner() string { return m.Shard.Record.Owner }
 
-// Claim is the number under which the machine is claimed; fencing tokens begin with it.
+// Claim returns the number of the claim that holds the machine; it is the high part of fencing tokens.
 func (m *Machine) Claim() uint64 { return m.Shard.Record.ClaimOf(m.Record) }
 
-// removeShard removes from the sums what a shard has and its next version, nil if it is deleted, hasn't.
+// removeShard subtracts from the aggregates what previous, the current version of a shard, holds and next
+// doesn't. previous is nil if the shard is new, next is nil if it is deleted.
 func (m *Mirror) removeShard(previous, next *Shard) {
 	if previous == nil {
 		return
@@ -51,7 +52,8 @@
 	}
 }
 
-// addShard adds to the sums what a shard has and its previous version, which may be nil, hasn't.
+// addShard adds to the aggregates what next, the new version of a shard, holds and previous doesn't. previous
+// is nil if the shard is new.
 func (m *Mirror) addShard(previous, next *Shard) {
 	if previous != nil {
 		next.UseByTeam = previous.UseByTeam
@@ -70,7 +72,7 @@
 	}
 }
 
-// countJobOfShard counts what a shard holds of a job in (sign 1) or out (-1).
+// countJobOfShard adds (sign 1) or subtracts (sign -1) a shard's attempts and completed tasks of a job.
 func (m *Mirror) countJobOfShard(shard *Shard, id string, sign int) {
 	entry, job := shard.Record.Jobs[id], m.Jobs[id]
 	if entry == nil || job == nil {
@@ -88,7 +90,8 @@
 	})
 }
 
-// countAttempt counts an attempt in or out of the sums of its job, machine, shard and team.
+// countAttempt adds (sign 1) or subtracts (sign -1) an attempt in the aggregates of its job, machine, shard and
+// team.
 func (m *Mirror) countAttempt(shard *Shard, job *Job, attempt storage.Attempt, sign int) {
 	task := TaskID{job.ID, attempt.Task}
 	machine := m.ensureMachine(attempt.Machine)
@@ -101,15 +104,15 @@
 	}
 	machine.Used = machine.Used.AddScaled(job.TaskResources, float64(sign))
 	if len(machine.Attempts) == 0 {
-		machine.Used = resources.Vector{} // without rounding errors
+		machine.Used = resources.Vector{} // discards accumulated rounding errors
 	}
 	AddUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
 	AddUse(m.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
 	m.removeMachineIfUnused(machine)
 }
 
-// heldByOtherShard reports whether another shard too holds an attempt on the same machine: lists that are
-// read while the machine moves have it in both.
+// heldByOtherShard reports whether a shard other than except holds the same attempt on the same machine. Lists
+// that are read while the machine moves between shards contain the attempt in both.
 func (m *Mirror) heldByOtherShard(except *Shard, job string, attempt storage.Attempt) bool {
 	for _, shard := range m.Shards {
 		entry := shard.Record.Jobs[job]
@@ -120,8 +123,8 @@
 	return false
 }
 
-// AddUse adds the resources of a task to a team's use, or subtracts them where sign is -1; a team without use
-// is removed.
+// AddUse adds (sign 1) or subtracts (sign -1) the resources of a task in a team's total. It removes a team
+// whose total is zero within resources.Tolerance.
 func AddUse(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
 	total := useByTeam[team].AddScaled(taskResources, float64(sign))
 	if total.CPUs < resources.Tolerance && total.GPUs < resources.Tolerance &&
@@ -132,14 +135,14 @@
 	}
 }
 
-// removeMachineIfUnused removes a machine that is in no shard and has no attempts.
+// removeMachineIfUnused removes the machine if no shard holds it and it has no attempts.
 func (m *Mirror) removeMachineIfUnused(machine *Machine) {
 	if machine.Record == nil && len(machine.Attempts) == 0 {
 		delete(m.Machines, machine.ID)
 	}
 }
 
-// ensureMachine returns a machine, which is added without a shard if it isn't known.
+// ensureMachine returns the machine with an id and adds it, without a shard, if the mirror doesn't hold it.
 func (m *Mirror) ensureMachine(id string) *Machine {
 	machine := m.Machines[id]
 	if machine == nil {
--- a/internal/mirror/task_id.go
+++ b/internal/mirror/task_id.go
@@ -8,16 +8,16 @@
 	"strings"
 )
 
-// TaskID names a task.
+// TaskID identifies a task.
 type TaskID struct {
-	Job   string // id
-	Index int    // from 0
+	Job   string // job id
+	Index int    // task index, from 0
 }
 
-// String returns the form in which messages to workers name a task: the job, a slash and the index.
+// String returns the form that messages to workers use: the job id, a slash and the task index.
 func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads the form that String gives; ok is false for anything else.
+// ParseTaskID parses the form that String returns; ok is false for any other text.
 func ParseTaskID(s string) (TaskID, bool) {
 	job, index, ok := strings.Cut(s, "/")
 	if !ok {
@@ -30,12 +30,13 @@
 	return TaskID{job, i}, true
 }
 
-// SortedTaskIDs returns the tasks of a machine in order.
+// SortedTaskIDs returns the tasks of a machine's attempts in the order of Compare.
 func SortedTaskIDs(attempts map[TaskID]uint64) []TaskID {
 	return slices.SortedFunc(maps.Keys(attempts), TaskID.Compare)
 }
 
-// Compare orders tasks by job, then by index: negative if t comes before other, 0 if they are the same.
+// Compare orders tasks by job id, then by index. The result is negative if t sorts before other, 0 if they are
+// equal and positive otherwise.
 func (t TaskID) Compare(other TaskID) int {
 	return cmp.Or(cmp.Compare(t.Job, other.Job), cmp.Compare(t.Index, other.Index))
 }
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -8,38 +8,40 @@
 )
 
 const (
-	// watchLongPoll is how long the state service waits for the next change before it answers a watch.
+	// watchLongPoll is the time for which the state service holds a watch request open if there is no change.
 	watchLongPoll = 2 * monotime.Second
-	// watchTimeoutMargin is how much longer the answer of a watch may take.
+	// watchTimeoutMargin is the time that the timeout of a watch allows in addition to the long poll.
 	watchTimeoutMargin = 2 * monotime.Second
-	// watchOverdueMargin is how much longer than the long poll no answer came when the watch is overdue.
+	// watchOverdueMargin is the time in addition to the long poll after which a watch without a response is
+	// overdue.
 	watchOverdueMargin = monotime.Second
-	// maxWatchBytes is about how large an answer of the watch may get.
+	// maxWatchBytes is the approximate maximum size of a watch response.
 	maxWatchBytes = 4 << 20
-	// minWatchChanges is how many changes a watch may bring, however large a value may be.
+	// minWatchChanges is the lower bound of MaxWatchChanges, even if values may be so large that this many of
+	// them exceed maxWatchBytes.
 	minWatchChanges = 16
-	// A failed watch is sent again after a delay from this range.
+	// A failed watch is retried after watchRetryDelay plus a random part of watchRetrySpread.
 	watchRetryDelay  = 300 * monotime.Millisecond
 	watchRetrySpread = 300 * monotime.Millisecond
-	// throttledWatchDelay is how long after a 429 the next watch is sent.
+	// throttledWatchDelay is the minimum delay from a watch's 429 response to the next watch.
 	throttledWatchDelay = 100 * monotime.Millisecond
-	// conflictWatchInterval is how long after the last watch was sent the next may be, after a conflict.
+	// conflictWatchInterval is the minimum interval between two watches if a commit conflicted after the first.
 	conflictWatchInterval = 50 * monotime.Millisecond
 )
 
-// watchState is where the watch of a Replica stands.
+// watchState is the state of a Replica's watch.
 type watchState struct {
-	// a watch that waits for changes, or a measurement of the backlog, is in flight
+	// a long-polling watch or a measurement of the backlog is in flight
 	inFlight          bool
-	sentAt            monotime.Micros // when that watch was sent
-	nextAt            monotime.Micros // no watch is sent before
-	lastSuccessAt     monotime.Micros // last answer
-	freshAt           monotime.Micros // when the watch was sent that last answered
-	backlogMeasuredAt monotime.Micros // when the changes not seen yet were last found to be few
+	sentAt            monotime.Micros // when the last long-polling watch was sent
+	nextAt            monotime.Micros // earliest time of the next long-polling watch
+	lastSuccessAt     monotime.Micros // when a watch last succeeded or the mirror became complete
+	freshAt           monotime.Micros // send time of the latest watch or load that succeeded
+	backlogMeasuredAt monotime.Micros // when the backlog of unseen changes was last found small enough
 }
 
-// MaintainWatch sends the next watch when it is due, or one that doesn't wait for changes if readers wait
-// for a newer answer than the watch in flight gives. It is called at every tick.
+// MaintainWatch sends the next watch when it is due. If a watch is in flight but was sent too early for a
+// pending read, it sends a non-blocking watch. The caller calls it at every tick.
 func (r *Replica) MaintainWatch(now monotime.Micros) {
 	switch {
 	case r.loading || !r.loaded:
@@ -53,7 +55,7 @@
 	}
 }
 
-// sendLongPoll sends a watch that waits for the next change; it doesn't wait if readers do.
+// sendLongPoll sends a watch that blocks until the next change. If reads are pending it doesn't block.
 func (r *Replica) sendLongPoll(now monotime.Micros) {
 	longPoll := watchLongPoll
 	if len(r.pendingReads) > 0 {
@@ -63,21 +65,22 @@
 	r.sendWatch(now, longPoll, func() { r.watch.inFlight = false })
 }
 
-// backlogUnknown reports whether a watch could bring more changes than it may: the last answer is too old.
-// The answer of a watch has no size limit of its own. One that is too large to be read would be requested
-// again and again, until the state service had compacted the revision it starts from.
+// backlogUnknown reports whether the last response or measurement is so old that a watch could return more than
+// MaxWatchChanges. The protocol doesn't limit the size of a watch response. A response that is too large to be
+// read would be requested again and again, until the state service has compacted the start revision.
 func (r *Replica) backlogUnknown(now monotime.Micros) bool {
 	gap := monotime.FromSeconds(float64(r.MaxWatchChanges()) / r.options.WritesPerSecond)
 	return now-max(r.watch.lastSuccessAt, r.watch.backlogMeasuredAt) > max(2*watchLongPoll, gap)
 }
 
-// MaxWatchChanges is how many changes a watch may bring, each as large as a value may be.
+// MaxWatchChanges returns the number of changes that a watch response may contain, if each has the maximum
+// value size.
 func (r *Replica) MaxWatchChanges() int {
 	return max(minWatchChanges, maxWatchBytes/r.options.MaxValueBytes)
 }
 
-// measureBacklog reads the newest revision of the state service. When the watch is too far behind, all
-// records are read anew, in answers of bounded size.
+// measureBacklog reads the newest revision of the state service. If the watch is too far behind, it starts a
+// load, whose list pages have a bounded size.
 func (r *Replica) measureBacklog(now monotime.Micros) {
 	r.watch.inFlight = true
 	generation := r.mirror.Generation()
@@ -101,7 +104,8 @@
 	})
 }
 
-// sendWatch sends a watch that waits for changes for so long; ended is called before its answer is used.
+// sendWatch sends a watch that blocks for up to longPoll until there is a change. It calls ended when the watch
+// is finished, before it uses the result.
 func (r *Replica) sendWatch(now, longPoll monotime.Micros, ended func()) {
 	r.watch.nextAt = now + r.store.WatchInterval()
 	generation := r.mirror.Generation()
@@ -123,7 +127,7 @@
 	})
 }
 
-// handleWatchResult handles the result of a watch on the present mirror.
+// handleWatchResult handles the result of a watch that was sent in the mirror's current generation.
 func (r *Replica) handleWatchResult(sentAt monotime.Micros, result protocol.StoreResult) {
 	switch result.Outcome {
 	case protocol.OK:
@@ -144,11 +148,11 @@
 	}
 }
 
-// applyWatch brings the changes of a watch into the mirror and serves the readers that waited for them.
+// applyWatch applies the changes of a successful watch to the mirror and completes the reads that it serves.
 func (r *Replica) applyWatch(sentAt monotime.Micros, result protocol.StoreResult) {
 	r.watch.freshAt, r.watch.lastSuccessAt = max(r.watch.freshAt, sentAt), r.env.Now()
 	if sentAt < r.pauses.ResumedFromPauseAt() {
-		r.watch.lastSuccessAt = sentAt // the answer may have waited here while the process was paused
+		r.watch.lastSuccessAt = sentAt // the response may have arrived long ago, while the process was paused
 	}
 	r.mirror.ApplyEvents(result.Events, result.Revision)
 	if !r.ready && r.mirror.WatchedRevision >= r.loadedRevision {
@@ -160,7 +164,7 @@
 	}
 }
 
-// expediteWatch has the next watch sent soon, for the changes that a commit has conflicted with.
+// expediteWatch moves the next watch forward to fetch the changes that a commit conflicted with.
 func (r *Replica) expediteWatch() {
 	r.watch.nextAt = min(r.watch.nextAt, max(r.env.Now(), r.watch.sentAt+conflictWatchInterval))
 }
