--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -331,7 +331,7 @@
 		outcome   protocol.Outcome
 		jobs      int // jobs in the mirror when the callback runs
 		conflicts int
-		hastened  bool
+		expedited bool
 	}{
 		{"success", protocol.OK, 1, 0, false},
 		{"conflict", protocol.Conflict, 0, 1, true},
@@ -356,9 +356,9 @@
 			if rt.CommitConflicts() != tc.conflicts {
 				t.Errorf("outcome %v: got %d conflicts, want %d", tc.outcome, rt.CommitConflicts(), tc.conflicts)
 			}
-			if got := rt.watch.nextAt-rt.Now() == conflictWatchInterval; got != tc.hastened {
+			if got := rt.watch.nextAt-rt.Now() == conflictWatchInterval; got != tc.expedited {
 				t.Errorf("outcome %v: got next watch after %d us; got expedited %v, want %v",
-					tc.outcome, rt.watch.nextAt-rt.Now(), got, tc.hastened)
+					tc.outcome, rt.watch.nextAt-rt.Now(), got, tc.expedited)
 			}
 		})
 	}
