--- a/internal/mirror/drain_snapshot.go
+++ b/internal/mirror/drain_snapshot.go
@@ -8,8 +8,8 @@
 )
 
 // DrainSnapshotBuilder returns a builder for a drain snapshot that holds everything except the machines; the
-// caller adds those. wall is the wall clock time in microseconds; failing reports whether a job fails wherever
-// it runs.
+// caller adds those. wall is the wall clock time in microseconds; failing reports whether a job fails
+// wherever it runs.
 func (m *Mirror) DrainSnapshotBuilder(
 	wall int64,
 	types map[string]protocol.MachineType,
--- a/internal/mirror/job.go
+++ b/internal/mirror/job.go
@@ -19,9 +19,9 @@
 }
 
 // A task's state is a pair of counters: the number of shards that hold an attempt of the task, in units of
-// assignedUnit, and the number of shards in which the task is done, in units of doneUnit. While a machine moves
-// between shards, both shards may hold it. The counters keep the task from becoming pending when the machine
-// is removed from one of them.
+// assignedUnit, and the number of shards in which the task is done, in units of doneUnit. While a machine
+// moves between shards, both shards may hold it. The counters keep the task from becoming pending when the
+// machine is removed from one of them.
 const (
 	assignedUnit = 1
 	doneUnit     = 16
--- a/internal/mirror/lists.go
+++ b/internal/mirror/lists.go
@@ -8,8 +8,8 @@
 )
 
 // This file holds the calls that the two kinds of full load share: the blocking ReadRecords and the
-// asynchronous Replica.Load. Each lists the record kinds one after the other, page by page, and then reads the
-// results of the listed jobs.
+// asynchronous Replica.Load. Each lists the record kinds one after the other, page by page, and then reads
+// the results of the listed jobs.
 
 // listPageSize is the maximum number of records in a page of a list.
 const listPageSize = 500
@@ -62,9 +62,9 @@
 	}
 }
 
-// compareResults returns a call that finds out which jobs already have a result. Its transaction requires that
-// no result key exists and contains no operations, so it changes nothing. It fails with a conflict that lists
-// the keys of the existing results. Such a call is much cheaper than one get for each job.
+// compareResults returns a call that finds out which jobs already have a result. Its transaction requires
+// that no result key exists and contains no operations, so it changes nothing. It fails with a conflict that
+// lists the keys of the existing results. Such a call is much cheaper than one get for each job.
 func compareResults(ids []string) *protocol.StoreCall {
 	txn := protocol.Transaction{}
 	for _, id := range ids {
--- a/internal/mirror/load.go
+++ b/internal/mirror/load.go
@@ -92,7 +92,8 @@
 	})
 }
 
-// getResults reads the results with the given keys concurrently, then calls done; ok is false if a call failed.
+// getResults reads the results with the given keys concurrently, then calls done; ok is false if a call
+// failed.
 func (l *load) getResults(keys []string, done func(ok bool)) {
 	remaining, allRead := len(keys), true
 	for _, key := range keys {
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -1,7 +1,7 @@
-// Package mirror holds a local replica of the records in the state service, with the aggregates that decisions
-// need: which tasks are assigned and done, and which resources each machine and team uses. Only one goroutine
-// writes a Mirror. It applies the changes of a watch in order, and the controller's own commits possibly before
-// the watch delivers them. Record versions keep an older change from overwriting a newer one.
+// Package mirror holds a local replica of the records in the state service, with the aggregates that
+// decisions need: which tasks are assigned and done, and which resources each machine and team uses. Only one
+// goroutine writes a Mirror. It applies the changes of a watch in order, and the controller's own commits
+// possibly before the watch delivers them. Record versions keep an older change from overwriting a newer one.
 package mirror
 
 import (
@@ -143,9 +143,9 @@
 }
 
 // ApplyRevision applies the changes of one revision, except those that are older than the mirror's record. It
-// subtracts all changed shards from the aggregates before it adds any: a machine that moves between shards must
-// not be added to the new shard before it is removed from the old one. ownCommit reports whether the changes
-// are a commit of this controller, which may be ahead of the watch.
+// subtracts all changed shards from the aggregates before it adds any: a machine that moves between shards
+// must not be added to the new shard before it is removed from the old one. ownCommit reports whether the
+// changes are a commit of this controller, which may be ahead of the watch.
 func (m *Mirror) ApplyRevision(events []protocol.Event, ownCommit bool) {
 	var changes []change
 	for _, event := range events {
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -10,17 +10,21 @@
 	"pipitgap/internal/storage/storagetest"
 )
 
-// TestMirrorIsIndependentOfEventOrder checks that the aggregates don't depend on the order of changes and that
-// late changes don't overwrite newer ones. Own commits can be ahead of the watch, shards can arrive before their
-// jobs, and machines can move between shards.
+// TestMirrorIsIndependentOfEventOrder checks that the aggregates don't depend on the order of changes and
+// that late changes don't overwrite newer ones. Own commits can be ahead of the watch, shards can arrive
+// before their jobs, and machines can move between shards.
 func TestMirrorIsIndependentOfEventOrder(t *testing.T) {
 	jobKey := storage.OpenJobKey("j-1")
 	shardKeyP, shardKeyQ := storage.ShardKey("p"), storage.ShardKey("q")
 	shardWithoutMachine := storagetest.Shard("i-9", "j-9", 0, 0)
 	steps := map[string]func(mr *Mirror){
-		"put job":                          func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
-		"put shard":                        func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
-		"put older shard":                  func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
+		"put job": func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
+		"put shard": func(mr *Mirror) {
+			mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6)
+		},
+		"put older shard": func(mr *Mirror) {
+			mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4)
+		},
 		"own commit deletes shard and job": func(mr *Mirror) { mr.ApplyDelete(shardKeyP, 9, true); mr.ApplyDelete(jobKey, 9, true) },
 		"late watch puts shard": func(mr *Mirror) {
 			mr.ApplyEvents(
@@ -58,7 +62,9 @@
 		"watch deletes shard and job": func(mr *Mirror) {
 			mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}, {Delete: jobKey, Version: 9}}, 9)
 		},
-		"watch deletes shard": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9) },
+		"watch deletes shard": func(mr *Mirror) {
+			mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9)
+		},
 		"older watch puts job and shard": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
@@ -140,8 +146,8 @@
 	}
 }
 
-// TestMirrorMemoryStaysBounded checks the heap use of a mirror with the maximum number of open jobs, a shard for
-// each and a full result cache. It must stay well within the 98 MB of the smaller deployment.
+// TestMirrorMemoryStaysBounded checks the heap use of a mirror with the maximum number of open jobs, a shard
+// for each and a full result cache. It must stay well within the 98 MB of the smaller deployment.
 func TestMirrorMemoryStaysBounded(t *testing.T) {
 	measure := func() uint64 {
 		runtime.GC()
--- a/internal/mirror/record_snapshot.go
+++ b/internal/mirror/record_snapshot.go
@@ -29,9 +29,9 @@
 // snapshotCallTimeout is the timeout of each call of ReadRecords.
 const snapshotCallTimeout = 5 * monotime.Second
 
-// ReadRecords returns all records at one revision. It reads the lists one after the other and then applies all
-// changes since the first list page. txnOps is the maximum number of operations in a transaction of the state
-// service. Errors wrap ErrStoreUnavailable.
+// ReadRecords returns all records at one revision. It reads the lists one after the other and then applies
+// all changes since the first list page. txnOps is the maximum number of operations in a transaction of the
+// state service. Errors wrap ErrStoreUnavailable.
 func ReadRecords(call StoreCaller, txnOps int) (*RecordSnapshot, error) {
 	snapshot := &RecordSnapshot{mirror: New(), machineTypes: map[string]protocol.MachineType{}}
 	firstRevision, err := snapshot.readLists(call)
@@ -154,8 +154,8 @@
 	return ok
 }
 
-// NewestMachine returns the id of the most recently created machine that the records contain: the greatest id;
-// "" if there is none.
+// NewestMachine returns the id of the most recently created machine that the records contain: the greatest
+// id; "" if there is none.
 func (r *RecordSnapshot) NewestMachine() string {
 	newest := ""
 	for id := range r.mirror.Machines {
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -134,7 +134,8 @@
 	}
 }
 
-// putJobResult applies the final result of a job. The result cache keeps it even if the job has no open record.
+// putJobResult applies the final result of a job. The result cache keeps it even if the job has no open
+// record.
 func (m *Mirror) putJobResult(id string, event protocol.Event) {
 	result, ok := decode[storage.JobResult](event.Value)
 	if !ok {
@@ -216,8 +217,8 @@
 	delete(m.ScaleIns, name)
 }
 
-// deleteRequestReferences removes the machines of a request from the index, except those whose entry refers to
-// another, later request.
+// deleteRequestReferences removes the machines of a request from the index, except those whose entry refers
+// to another, later request.
 func deleteRequestReferences(requestOfMachine map[string]string, requestName string, machines []string) {
 	for _, id := range machines {
 		if requestOfMachine[id] == requestName {
--- a/internal/mirror/records_test.go
+++ b/internal/mirror/records_test.go
@@ -7,8 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestMalformedRecords checks that a put with a malformed value changes nothing: the mirror keeps the record's
-// previous version.
+// TestMalformedRecords checks that a put with a malformed value changes nothing: the mirror keeps the
+// record's previous version.
 func TestMalformedRecords(t *testing.T) {
 	records := []struct {
 		kind  storage.Kind
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestMachinesOfRequests checks the indexes from machine to scale-out and scale-in request. A machine refers to
-// the request that named it last, even after an earlier request that named it is deleted.
+// TestMachinesOfRequests checks the indexes from machine to scale-out and scale-in request. A machine refers
+// to the request that named it last, even after an earlier request that named it is deleted.
 func TestMachinesOfRequests(t *testing.T) {
 	kinds := []struct {
 		kind   storage.Kind
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestDeletions checks that a deletion removes a record unless the mirror has a newer version of it or the watch
-// has passed the deletion's revision. The mirror reports no change if there is no such record.
+// TestDeletions checks that a deletion removes a record unless the mirror has a newer version of it or the
+// watch has passed the deletion's revision. The mirror reports no change if there is no such record.
 func TestDeletions(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/mirror/replica.go
+++ b/internal/mirror/replica.go
@@ -67,9 +67,9 @@
 	TransactionOps  int     // maximum number of operations in a transaction of the state service
 }
 
-// Replica keeps a Mirror up to date. It loads all records, applies later changes through a watch, and notifies
-// readers when the mirror holds everything that the state service held at the time of their request. All
-// methods and callbacks run on one goroutine.
+// Replica keeps a Mirror up to date. It loads all records, applies later changes through a watch, and
+// notifies readers when the mirror holds everything that the state service held at the time of their request.
+// All methods and callbacks run on one goroutine.
 type Replica struct {
 	options  ReplicaOptions
 	mirror   *Mirror
--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -79,15 +79,16 @@
 			retriedPage.call.Key, retriedPage.call.After, firstPage.call.Key, item.Key)
 	}
 	retriedPage.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 6})
-	if nextList := rt.nextCall(protocol.StoreList); nextList.call.Key == firstPage.call.Key || nextList.call.After != "" {
+	if nextList := rt.nextCall(protocol.StoreList); nextList.call.Key == firstPage.call.Key ||
+		nextList.call.After != "" {
 		t.Errorf("next list: got %s after %q, want a list other than %s after \"\"",
 			nextList.call.Key, nextList.call.After, firstPage.call.Key)
 	}
 }
 
-// TestLoadResults checks how a load reads the results of the listed jobs. It compares the result keys in batches
-// of comparesPerOp times TransactionOps and reads the results that exist. If a read fails, it compares the same
-// batch again.
+// TestLoadResults checks how a load reads the results of the listed jobs. It compares the result keys in
+// batches of comparesPerOp times TransactionOps and reads the results that exist. If a read fails, it
+// compares the same batch again.
 func TestLoadResults(t *testing.T) {
 	rt := newReplicaTest(t)
 	var jobs []protocol.KeyValue
@@ -130,8 +131,8 @@
 	}
 }
 
-// TestWatchOutcomes checks the effect of each outcome of a watch: whether the pending read completes, when the
-// next watch is sent, whether the mirror is reloaded and whether the outcome is recorded.
+// TestWatchOutcomes checks the effect of each outcome of a watch: whether the pending read completes, when
+// the next watch is sent, whether the mirror is reloaded and whether the outcome is recorded.
 func TestWatchOutcomes(t *testing.T) {
 	const waiting, failed, served = "waiting", "failed", "served"
 	cases := []struct {
@@ -162,7 +163,7 @@
 			rt.MaintainWatch(rt.Now())
 			watch := rt.nextCall(protocol.StoreWatch)
 			if watch.call.MaxBlock != 0 || !watch.atOnce {
-				t.Errorf("watch for a pending read: got long poll of %d us, want 0; got sent at once %v, want true",
+				t.Errorf("watch for a pending read: got long poll of %d us and at once %v, want 0 and true",
 					watch.call.MaxBlock, watch.atOnce)
 			}
 			rt.clock.Run(testWatchInterval)
@@ -245,9 +246,9 @@
 	rt.nextCall(protocol.StoreWatch)
 }
 
-// TestBacklog checks that the replica measures the backlog before it sends a watch if the last response is too
-// old. It must reload all records if the watch could return more than MaxWatchChanges: the response might be too
-// large to read.
+// TestBacklog checks that the replica measures the backlog before it sends a watch if the last response is
+// too old. It must reload all records if the watch could return more than MaxWatchChanges: the response might
+// be too large to read.
 func TestBacklog(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -276,8 +277,8 @@
 	}
 }
 
-// TestStaleWatchResultIsDropped checks that the replica ignores the response of a watch that was sent before a
-// load and arrives after it: the response belongs to an earlier generation of the mirror.
+// TestStaleWatchResultIsDropped checks that the replica ignores the response of a watch that was sent before
+// a load and arrives after it: the response belongs to an earlier generation of the mirror.
 func TestStaleWatchResultIsDropped(t *testing.T) {
 	rt := newReplicaTest(t)
 	rt.loadEmptyStore(5)
@@ -294,8 +295,8 @@
 	}
 }
 
-// TestWatchOverdue checks that the watch is overdue if none has succeeded for longer than the long poll and its
-// margin. A response that may have waited during a process pause counts from the time its watch was sent.
+// TestWatchOverdue checks that the watch is overdue if none has succeeded for longer than the long poll and
+// its margin. A response that may have waited during a process pause counts from the time its watch was sent.
 func TestWatchOverdue(t *testing.T) {
 	for _, paused := range []bool{false, true} {
 		rt := newReplicaTest(t)
@@ -304,7 +305,7 @@
 		watch := rt.nextCall(protocol.StoreWatch)
 		rt.clock.Run(watchLongPoll + watchOverdueMargin)
 		if rt.WatchOverdue(rt.Now()) || !rt.WatchOverdue(rt.Now()+1) {
-			t.Errorf("paused %v: got overdue %v after the long poll and its margin, %v 1 us later, want false and true",
+			t.Errorf("paused %v: got overdue %v at the end of the margin and %v 1 us later, want false and true",
 				paused, rt.WatchOverdue(rt.Now()), rt.WatchOverdue(rt.Now()+1))
 		}
 		rt.clock.Run(1)
@@ -323,8 +324,8 @@
 	}
 }
 
-// TestCommit checks that a successful commit is in the mirror before its callback runs, and that a conflict is
-// counted and expedites the next watch.
+// TestCommit checks that a successful commit is in the mirror before its callback runs, and that a conflict
+// is counted and expedites the next watch.
 func TestCommit(t *testing.T) {
 	cases := []struct {
 		name      string
--- a/internal/mirror/result_cache.go
+++ b/internal/mirror/result_cache.go
@@ -5,8 +5,8 @@
 // evictionDivisor sets the eviction batch of a full cache: about 1/evictionDivisor of its capacity.
 const evictionDivisor = 16
 
-// ResultCache caches the final states of jobs and evicts the oldest entries first. Evicted states must be read
-// from the state service.
+// ResultCache caches the final states of jobs and evicts the oldest entries first. Evicted states must be
+// read from the state service.
 type ResultCache struct {
 	capacity       int
 	finalStates    map[string]storage.JobState
--- a/internal/mirror/shard_sums.go
+++ b/internal/mirror/shard_sums.go
@@ -90,8 +90,8 @@
 	})
 }
 
-// countAttempt adds (sign 1) or subtracts (sign -1) an attempt in the aggregates of its job, machine, shard and
-// team.
+// countAttempt adds (sign 1) or subtracts (sign -1) an attempt in the aggregates of its job, machine, shard
+// and team.
 func (m *Mirror) countAttempt(shard *Shard, job *Job, attempt storage.Attempt, sign int) {
 	task := TaskID{job.ID, attempt.Task}
 	machine := m.ensureMachine(attempt.Machine)
@@ -111,8 +111,8 @@
 	m.removeMachineIfUnused(machine)
 }
 
-// heldByOtherShard reports whether a shard other than except holds the same attempt on the same machine. Lists
-// that are read while the machine moves between shards contain the attempt in both.
+// heldByOtherShard reports whether a shard other than except holds the same attempt on the same machine.
+// Lists that are read while the machine moves between shards contain the attempt in both.
 func (m *Mirror) heldByOtherShard(except *Shard, job string, attempt storage.Attempt) bool {
 	for _, shard := range m.Shards {
 		entry := shard.Record.Jobs[job]
--- a/internal/mirror/task_id.go
+++ b/internal/mirror/task_id.go
@@ -35,8 +35,8 @@
 	return slices.SortedFunc(maps.Keys(attempts), TaskID.Compare)
 }
 
-// Compare orders tasks by job id, then by index. The result is negative if t sorts before other, 0 if they are
-// equal and positive otherwise.
+// Compare orders tasks by job id, then by index. The result is negative if t sorts before other, 0 if they
+// are equal and positive otherwise.
 func (t TaskID) Compare(other TaskID) int {
 	return cmp.Or(cmp.Compare(t.Job, other.Job), cmp.Compare(t.Index, other.Index))
 }
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -25,7 +25,8 @@
 	watchRetrySpread = 300 * monotime.Millisecond
 	// throttledWatchDelay is the minimum delay from a watch's 429 response to the next watch.
 	throttledWatchDelay = 100 * monotime.Millisecond
-	// conflictWatchInterval is the minimum interval between two watches if a commit conflicted after the first.
+	// conflictWatchInterval is the minimum interval between two watches if a commit conflicted after the
+	// first.
 	conflictWatchInterval = 50 * monotime.Millisecond
 )
 
@@ -65,9 +66,9 @@
 	r.sendWatch(now, longPoll, func() { r.watch.inFlight = false })
 }
 
-// backlogUnknown reports whether the last response or measurement is so old that a watch could return more than
-// MaxWatchChanges. The protocol doesn't limit the size of a watch response. A response that is too large to be
-// read would be requested again and again, until the state service has compacted the start revision.
+// backlogUnknown reports whether the last response or measurement is so old that a watch could return more
+// than MaxWatchChanges. The protocol doesn't limit the size of a watch response. A response that is too large
+// to be read would be requested again and again, until the state service has compacted the start revision.
 func (r *Replica) backlogUnknown(now monotime.Micros) bool {
 	gap := monotime.FromSeconds(float64(r.MaxWatchChanges()) / r.options.WritesPerSecond)
 	return now-max(r.watch.lastSuccessAt, r.watch.backlogMeasuredAt) > max(2*watchLongPoll, gap)
@@ -104,8 +105,8 @@
 	})
 }
 
-// sendWatch sends a watch that blocks for up to longPoll until there is a change. It calls ended when the watch
-// is finished, before it uses the result.
+// sendWatch sends a watch that blocks for up to longPoll until there is a change. It calls ended when the
+// watch is finished, before it uses the result.
 func (r *Replica) sendWatch(now, longPoll monotime.Micros, ended func()) {
 	r.watch.nextAt = now + r.store.WatchInterval()
 	generation := r.mirror.Generation()
