--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -6,60 +6,63 @@
 )
 
 const (
-	// oversubscription is how much of the even part of the limits each controller may use: load is uneven,
-	// and a 429 costs only a pause.
+	// oversubscription is the factor by which a controller's budget may exceed its equal share of the limits.
+	// It is above 1 because load is uneven between controllers and a 429 costs only a pause.
 	oversubscription = 1.2
-	// The multiplier of the even part changes by these factors, in steps of an UpdateBudget.
-	throttledFactor = 0.6 // calls were throttled since the last step
+	// Each UpdateBudget multiplies the multiplier of the equal share by one of these factors.
+	throttledFactor = 0.6 // calls were throttled since the last UpdateBudget
 	growthFactor    = 1.3 // calls wait and none was throttled
-	decayFactor     = 0.9 // neither
-	// waitingCallsForGrowth is how many calls may wait without the multiplier growing.
+	decayFactor     = 0.9 // no calls wait and none was throttled
+	// waitingCallsForGrowth is the maximum number of waiting calls at which the multiplier doesn't grow.
 	waitingCallsForGrowth = 1
-	// Bursts are half of a second's budget, but at least minReadBurst.
+	// The burst is half of a second's budget. The minimum is minReadBurst reads, and for writes one
+	// transaction of the maximum size.
 	burstDivisor = 2
 	minReadBurst = 2
-	// watchFraction is the part of the service's requests that all controllers' watches use at most.
+	// watchFraction is the maximum fraction of the service's request limit that the watches of all
+	// controllers use together.
 	watchFraction = 0.25
-	// minWatchInterval is the shortest interval between two watches of a controller.
+	// minWatchInterval is the minimum interval between two watches of a controller.
 	minWatchInterval = 50 * monotime.Millisecond
 )
 
-// WaitingUserCallsThreshold is how many calls of users may wait before shards make room for them.
+// WaitingUserCallsThreshold is the number of waiting user calls above which shard updates get a smaller
+// fraction of the writes.
 const WaitingUserCallsThreshold = 2
 
-// Parts of this controller's writes that shards may use. Users and the leader need the rest; more of it while
-// users wait for theirs, here or at another controller: after a crash of all the others every user turns to
-// the one that stayed.
+// Fractions of this controller's writes that shard updates may use. User calls and the leader need the
+// remaining writes. They need more while user calls wait, here or at another controller: if all controllers
+// but one crash, all users connect to the remaining one.
 const (
 	shardWriteFraction                = 0.55
 	shardWriteFractionUsersWaitAtPeer = 0.25
 	shardWriteFractionUsersWaitHere   = 0.1
 )
 
-// Limits are the state service's, for all its users together.
+// Limits are the limits of the state service for all its clients together.
 type Limits struct {
 	RequestsPerSecond float64
 	WritesPerSecond   float64
-	TransactionOps    int // operations of a transaction
+	TransactionOps    int // maximum number of operations in a transaction
 }
 
-// budget is this controller's part of the limits.
+// budget is this controller's share of the limits.
 type budget struct {
 	limits              Limits
-	controllers         int
+	controllers         int     // controllers of the deployment
 	sharers             int     // live controllers that share the limits
-	multiplier          float64 // how much more than its even part this one uses
-	throttledAtLastStep int     // throttled calls at the last step
+	multiplier          float64 // factor applied to this controller's equal share
+	throttledAtLastStep int     // value of Client.throttledCalls at the last UpdateBudget
 }
 
-// newBudget makes the budget of one even part of the limits for each controller.
+// newBudget returns a budget that starts with a multiplier of 1: an equal share for each controller.
 func newBudget(limits Limits, controllers int) budget {
 	return budget{limits: limits, controllers: controllers, multiplier: 1}
 }
 
-// UpdateBudget sets this controller's part of the service's limits, with so many live controllers. While
-// calls wait and none is throttled the part grows: others that have crashed, or have little to do, leave
-// theirs, and their memberships end only seconds later.
+// UpdateBudget recomputes this controller's share of the service's limits for the given number of live
+// controllers. The share grows while calls wait and none is throttled: controllers that have crashed or are
+// idle don't use their shares, and the membership of a crashed controller ends only seconds later.
 func (c *Client) UpdateBudget(live int) {
 	b := &c.budget
 	live = max(1, min(live, b.controllers))
@@ -77,7 +80,7 @@
 	)
 }
 
-// nextMultiplier returns the multiplier of the next step, at most so large that the budget is the whole
+// nextMultiplier returns the multiplier for the next step. It is capped where the budget reaches the whole
 // limit.
 func (c *Client) nextMultiplier(live int) float64 {
 	multiplier := c.budget.multiplier
@@ -92,31 +95,33 @@
 	return min(multiplier, max(1, float64(live)/oversubscription))
 }
 
-// callsCountedForGrowth counts the waiting calls that a larger budget is for.
+// callsCountedForGrowth returns the number of waiting calls that count for the growth of the budget: user
+// requests, shard updates and job results.
 func (c *Client) callsCountedForGrowth() int {
 	return c.queue.Len(ratelimit.PriorityUserRequest) + c.queue.Len(ratelimit.PriorityShardUpdate) +
 		c.queue.Len(ratelimit.PriorityJobResult)
 }
 
-// BudgetSharers counts the live controllers that share the service's limits, at the last UpdateBudget.
+// BudgetSharers returns the number of live controllers that shared the service's limits at the last
+// UpdateBudget.
 func (c *Client) BudgetSharers() int { return c.budget.sharers }
 
-// WritesPerSecond is this controller's budget of writes.
+// WritesPerSecond returns this controller's write budget.
 func (c *Client) WritesPerSecond() float64 { return c.queue.WritesPerSecond() }
 
-// HasSpareWrites reports whether a fraction of the burst of writes is left.
+// HasSpareWrites reports whether at least the given fraction of the write burst is available.
 func (c *Client) HasSpareWrites(now monotime.Micros, fraction float64) bool {
 	return c.queue.HasSpareWrites(now, fraction)
 }
 
-// WatchInterval is the shortest interval between two watches of this controller, so that those of all
-// controllers together use at most a quarter of the service's requests.
+// WatchInterval returns the minimum interval between two watches of this controller. It limits the watches of
+// all controllers together to watchFraction of the service's request limit.
 func (c *Client) WatchInterval() monotime.Micros {
 	perSecond := c.budget.limits.RequestsPerSecond * watchFraction
 	return max(minWatchInterval, monotime.FromSeconds(float64(c.budget.sharers)/perSecond))
 }
 
-// ShardWritesPerSecond is how many shards a second this controller may write.
+// ShardWritesPerSecond returns the number of shard updates that this controller may write per second.
 func (c *Client) ShardWritesPerSecond() float64 {
 	fraction := shardWriteFraction
 	if c.UserCallsWaiting() {
@@ -127,13 +132,15 @@
 	return fraction * c.budget.multiplier * c.budget.limits.WritesPerSecond / float64(c.budget.sharers)
 }
 
-// UserCallsWaiting reports whether so many calls of users wait here that other work makes room for them.
+// UserCallsWaiting reports whether more than WaitingUserCallsThreshold user calls wait at this controller, so
+// that other work must leave writes to them.
 func (c *Client) UserCallsWaiting() bool {
 	return c.queue.Len(ratelimit.PriorityUserRequest) > WaitingUserCallsThreshold
 }
 
-// NextWriteAllowedAt returns when work that costs a write may be done again, if all live controllers together
-// are to use that fraction of the service's writes for it.
+// NextWriteAllowedAt returns the earliest time at which this controller may repeat a kind of work that costs
+// one write, if all live controllers together may use the given fraction of the service's write limit for
+// that work.
 func (c *Client) NextWriteAllowedAt(fraction float64) monotime.Micros {
 	perSecond := fraction * c.budget.limits.WritesPerSecond
 	return c.env.Now() + monotime.FromSeconds(float64(c.budget.sharers)/perSecond)
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -1,6 +1,6 @@
-// Package storeclient makes one controller's calls of the state service: it paces them by priority within the
-// controller's part of the service's rate limits, and observes whether the service answers. All methods
-// of a Client, and the callbacks of its environment, run on one goroutine.
+// Package storeclient makes one controller's calls to the state service. It queues calls by priority, limits
+// their rate to the controller's share of the service's limits, and tracks whether the service is available.
+// All methods of a Client, and the callbacks of its environment, run on one goroutine.
 package storeclient
 
 import (
@@ -13,59 +13,60 @@
 )
 
 const (
-	// callTimeout is the timeout of a call that sets none.
+	// callTimeout is the default timeout of a queued call.
 	callTimeout = 2 * monotime.Second
-	// maxCallsInFlight bounds how many queued calls wait for an answer at a time.
+	// maxCallsInFlight is the maximum number of queued calls in flight at a time.
 	maxCallsInFlight = 8
-	// maxThrottledAge is how long after it was queued a throttled call is tried again; later its caller gets
-	// the outcome Unavailable.
+	// maxThrottledAge is the age since queuing up to which a throttled call is retried. The caller of an
+	// older call gets the outcome Unavailable.
 	maxThrottledAge = 3 * monotime.Second
-	// minDispatchDelay is the shortest delay of the timer that continues a queue without budget.
+	// minDispatchDelay is the minimum delay of the timer that dispatches calls once there is budget again.
 	minDispatchDelay = monotime.Millisecond
-	// outageDelay is how long the service must not have answered to be logged and treated as unavailable.
+	// outageDelay is the time without an answer after which the service counts as unavailable and the outage
+	// is logged.
 	outageDelay = monotime.Second
 )
 
-// Environment makes the calls and measures the time.
+// Environment makes the calls and provides the clock and timers.
 type Environment interface {
-	// Now reads the steady clock.
+	// Now reads the monotonic clock.
 	Now() monotime.Micros
-	// After calls back after a delay.
+	// After calls callback after a delay.
 	After(delay monotime.Micros, callback func())
-	// CallStore makes a call of the state service; the callback gets its result once.
+	// CallStore makes a call to the state service. It calls callback once, with the result.
 	CallStore(call *protocol.StoreCall, callback func(protocol.StoreResult))
 }
 
-// Options are what a Client is made of.
+// Options configures a Client.
 type Options struct {
 	Limits      Limits
-	Controllers int // controllers of the deployment, this one included
+	Controllers int // controllers of the deployment, including this one
 	Environment Environment
 	Log         *slog.Logger
-	// UserCallsWaitAtPeers reports whether another controller has reported lately that calls of its users
+	// UserCallsWaitAtPeers reports whether another controller has recently reported that calls of its users
 	// wait.
 	UserCallsWaitAtPeers func(now monotime.Micros) bool
 }
 
-// Client makes the calls of one controller.
+// Client makes the calls of one controller to the state service.
 type Client struct {
 	env   Environment
 	log   *slog.Logger
 	queue *ratelimit.Queue
 
-	timerArmed bool // a timer will continue the queue
+	timerArmed bool // a timer that calls dispatch is pending
 
 	budget               budget
 	userCallsWaitAtPeers func(now monotime.Micros) bool
 	throttledCalls       int
 	lastThrottledAt      monotime.Micros
 
-	lastSuccessAt monotime.Micros // last answer but for those that say that the service is unavailable
-	lastFailureAt monotime.Micros // last call without an answer, or with such a one
+	lastSuccessAt monotime.Micros // last outcome other than Unavailable and Unknown
+	lastFailureAt monotime.Micros // last outcome Unavailable or Unknown (no response)
 	unavailable   bool
 }
 
-// New makes a client whose budget is one even part of the limits for each controller of the deployment.
+// New returns a client with the budget for the case that all controllers of the deployment are live.
 func New(options Options) *Client {
 	c := &Client{
 		env:                  options.Environment,
@@ -78,8 +79,8 @@
 	return c
 }
 
-// Call queues a call under its priority and makes it once the budget allows. A call without a timeout gets
-// one of two seconds. The callback gets the result once.
+// Call queues a call at a priority and makes it once the budget allows. A call without a timeout gets the
+// default of 2 seconds. Call calls callback once, with the result.
 func (c *Client) Call(
 	priority ratelimit.Priority,
 	call *protocol.StoreCall,
@@ -97,14 +98,15 @@
 	c.dispatch()
 }
 
-// CallAtOnce makes a call beside the queue; its cost is taken from the budget of reads, which may go into
-// debt. The caller decides what the result says about the service, see RecordOutcome.
+// CallAtOnce makes a call immediately and bypasses the queue. The call takes one token from the read budget,
+// which may go negative. The caller decides whether the outcome counts for the availability of the service,
+// see RecordOutcome.
 func (c *Client) CallAtOnce(call *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	c.queue.TakeRead()
 	c.env.CallStore(call, callback)
 }
 
-// dispatch makes the calls that the budget allows now.
+// dispatch makes queued calls until the budget or the limit on calls in flight is exhausted.
 func (c *Client) dispatch() {
 	for {
 		queued, ok, delay := c.queue.Next(c.env.Now())
@@ -116,7 +118,8 @@
 	}
 }
 
-// armDispatchTimer arms the timer that continues the queue; a delay of 0 means that an answer will do so.
+// armDispatchTimer schedules the next dispatch after a delay. A delay of 0 needs no timer: the queue is empty
+// or the response of a call in flight triggers the next dispatch.
 func (c *Client) armDispatchTimer(delay monotime.Micros) {
 	if delay <= 0 || c.timerArmed {
 		return
@@ -128,7 +131,8 @@
 	})
 }
 
-// complete handles the result of a queued call. A throttled call is queued again while it is young.
+// complete handles the result of a queued call. It requeues a throttled call that is younger than
+// maxThrottledAge.
 func (c *Client) complete(queued ratelimit.Call, result protocol.StoreResult) {
 	c.queue.CallDone()
 	if result.Outcome == protocol.Throttled {
@@ -147,25 +151,26 @@
 	c.dispatch()
 }
 
-// QueuedCalls counts the calls of a priority that wait for budget.
+// QueuedCalls returns the number of waiting calls of a priority.
 func (c *Client) QueuedCalls(priority ratelimit.Priority) int { return c.queue.Len(priority) }
 
-// OldestWait returns how long the first waiting call of a priority has waited, 0 if none waits.
+// OldestWait returns how long the first waiting call of a priority has waited; 0 if none waits.
 func (c *Client) OldestWait(priority ratelimit.Priority, now monotime.Micros) monotime.Micros {
 	return c.queue.OldestWait(priority, now)
 }
 
-// ThrottledCalls counts the queued calls that the service has answered with 429 so far.
+// ThrottledCalls returns the number of queued calls so far that the service answered with 429.
 func (c *Client) ThrottledCalls() int { return c.throttledCalls }
 
-// ThrottledWithin reports whether a queued call was throttled in the last part of the time given; the start
-// of the clock counts as one.
+// ThrottledWithin reports whether a queued call was throttled within the given duration before now. The start
+// of the clock counts as a throttled call, so the result is also true during the first such duration of the
+// process.
 func (c *Client) ThrottledWithin(duration monotime.Micros) bool {
 	return c.env.Now()-c.lastThrottledAt < duration
 }
 
-// RecordOutcome takes the outcome of a call as a sign whether the service answers. Queued calls are recorded
-// without it.
+// RecordOutcome uses the outcome of a call to judge whether the service is available. The client records the
+// outcomes of queued calls itself.
 func (c *Client) RecordOutcome(outcome protocol.Outcome) {
 	now := c.env.Now()
 	switch outcome {
@@ -176,8 +181,8 @@
 	}
 }
 
-// UpdateAvailability decides anew whether the service is unavailable, as this controller observes it, and
-// logs the beginning and the end of that condition.
+// UpdateAvailability updates whether the service is unavailable, as observed by this controller. It logs the
+// beginning and the end of an outage.
 func (c *Client) UpdateAvailability(now monotime.Micros) {
 	unavailable := c.lastFailureAt > c.lastSuccessAt && now-c.lastSuccessAt > outageDelay
 	if unavailable == c.unavailable {
@@ -195,5 +200,5 @@
 // Unavailable reports whether the service was unavailable at the last UpdateAvailability.
 func (c *Client) Unavailable() bool { return c.unavailable }
 
-// LastSuccessAt is when the service last answered; the start of the clock if it never has.
+// LastSuccessAt returns when the service last answered; 0, the start of the clock, if it never has.
 func (c *Client) LastSuccessAt() monotime.Micros { return c.lastSuccessAt }
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -11,7 +11,8 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// testEnvironment keeps the calls that were made until a test answers them.
+// testEnvironment keeps pending calls until a test answers them. It records the delays of timers and never
+// fires them.
 type testEnvironment struct {
 	now    monotime.Micros
 	timers []monotime.Micros
@@ -31,7 +32,7 @@
 	e.calls = append(e.calls, pendingCall{call, callback})
 }
 
-// answerFirst answers the first call that has none yet.
+// answerFirst answers the oldest pending call.
 func (e *testEnvironment) answerFirst(outcome protocol.Outcome) {
 	pending := e.calls[0]
 	e.calls = e.calls[1:]
@@ -44,7 +45,8 @@
 	usersWaitAtPeers bool
 }
 
-// newFixture is a client of a deployment of three controllers, on a service of 400 requests and 100 writes.
+// newFixture returns a client in a deployment of three controllers. The service allows 400 requests and 100
+// writes per second.
 func newFixture() *fixture {
 	f := &fixture{env: &testEnvironment{now: 10 * monotime.Second}}
 	f.Client = New(Options{
@@ -57,7 +59,8 @@
 	return f
 }
 
-// queueRead queues a call without writes and gives where its result will stand.
+// queueRead queues a call without writes. It returns a pointer to the result, which is set when the call
+// completes.
 func (f *fixture) queueRead(priority ratelimit.Priority) *protocol.StoreResult {
 	result := &protocol.StoreResult{Outcome: protocol.Unknown}
 	f.Call(priority, &protocol.StoreCall{Op: protocol.StoreGet},
@@ -65,7 +68,7 @@
 	return result
 }
 
-// queue has so many calls of a priority wait.
+// queueCalls queues calls of a priority until the given number of them wait.
 func (f *fixture) queueCalls(priority ratelimit.Priority, calls int) {
 	for f.QueuedCalls(priority) < calls {
 		f.queueRead(priority)
@@ -74,8 +77,8 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
-// TestThrottledCall: a young call that is throttled is tried again after a pause; an old one is answered as
-// unavailable.
+// TestThrottledCall checks that the client retries a throttled call after a pause if the call is younger than
+// maxThrottledAge. An older call must complete with the outcome Unavailable.
 func TestThrottledCall(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -83,8 +86,8 @@
 		queued  int
 		outcome protocol.Outcome
 	}{
-		{"young", maxThrottledAge - 1, 1, protocol.Unknown},
-		{"old", maxThrottledAge, 0, protocol.Unavailable},
+		{"younger than the maximum age", maxThrottledAge - 1, 1, protocol.Unknown},
+		{"at the maximum age", maxThrottledAge, 0, protocol.Unavailable},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -93,41 +96,45 @@
 			f.env.now += tc.age
 			f.env.answerFirst(protocol.Throttled)
 			if got := f.QueuedCalls(ratelimit.PriorityUserRequest); got != tc.queued {
-				t.Errorf("%d calls wait, want %d", got, tc.queued)
+				t.Errorf("age %d us: got %d waiting calls, want %d", tc.age, got, tc.queued)
 			}
 			if result.Outcome != tc.outcome {
-				t.Errorf("outcome %v, want %v", result.Outcome, tc.outcome)
+				t.Errorf("age %d us: got outcome %v, want %v", tc.age, result.Outcome, tc.outcome)
 			}
 			if f.ThrottledCalls() != 1 || !f.ThrottledWithin(monotime.Second) {
-				t.Error("not counted as throttled")
+				t.Errorf("age %d us: got %d throttled calls, throttled within 1 s %v, want 1 and true",
+					tc.age, f.ThrottledCalls(), f.ThrottledWithin(monotime.Second))
 			}
 			if len(f.env.timers) != tc.queued {
-				t.Errorf("%d timers, want %d", len(f.env.timers), tc.queued)
+				t.Errorf("age %d us: got %d timers, want %d", tc.age, len(f.env.timers), tc.queued)
 			}
 		})
 	}
 }
 
-// TestCallsInFlight: so many queued calls wait for an answer at a time; leases and calls at once go beside.
+// TestCallsInFlight checks that at most maxCallsInFlight queued calls are in flight at a time. Lease calls
+// and CallAtOnce ignore this limit, but a lease call in flight counts against it.
 func TestCallsInFlight(t *testing.T) {
 	f := newFixture()
 	f.queueCalls(ratelimit.PriorityUserRequest, 2)
 	if got := len(f.env.calls); got != maxCallsInFlight {
-		t.Fatalf("%d calls in flight, want %d", got, maxCallsInFlight)
+		t.Fatalf("user calls: got %d calls in flight, want %d", got, maxCallsInFlight)
 	}
 	f.queueRead(ratelimit.PriorityLease)
 	f.CallAtOnce(&protocol.StoreCall{}, func(protocol.StoreResult) {})
 	if got := len(f.env.calls); got != maxCallsInFlight+2 {
-		t.Errorf("%d calls in flight, want %d", got, maxCallsInFlight+2)
+		t.Errorf("with a lease call and a call at once: got %d calls in flight, want %d",
+			got, maxCallsInFlight+2)
 	}
 	f.env.answerFirst(protocol.OK)
 	f.env.answerFirst(protocol.OK)
 	if got := f.QueuedCalls(ratelimit.PriorityUserRequest); got != 1 {
-		t.Errorf("%d calls wait after two answers, one of which the lease has used, want 1", got)
+		t.Errorf("after two responses, one of which frees the lease call's slot: got %d waiting calls, want 1",
+			got)
 	}
 }
 
-// TestCallTimeout: a call that sets no timeout gets the usual one.
+// TestCallTimeout checks that a call without a timeout gets the default one.
 func TestCallTimeout(t *testing.T) {
 	f := newFixture()
 	f.queueRead(ratelimit.PriorityClaim)
@@ -138,30 +145,31 @@
 	)
 	for i, want := range []monotime.Micros{callTimeout, monotime.Second} {
 		if got := f.env.calls[i].call.Timeout; got != want {
-			t.Errorf("request %d has timeout %d, want %d", i, got, want)
+			t.Errorf("call %d: got timeout %d us, want %d us", i, got, want)
 		}
 	}
 }
 
-// TestAvailability: the service is unavailable once it has failed and hasn't answered for a second.
+// TestAvailability checks that the service counts as unavailable only if its last call failed and it hasn't
+// answered for more than outageDelay.
 func TestAvailability(t *testing.T) {
 	cases := []struct {
 		name     string
-		outcomes []protocol.Outcome // a millisecond apart
-		silence  monotime.Micros
+		outcomes []protocol.Outcome // 1 ms apart
+		silence  monotime.Micros    // time without a call after the last outcome
 		want     bool
 	}{
-		{"answers", []protocol.Outcome{protocol.OK}, 5 * monotime.Second, false},
+		{"no failure", []protocol.Outcome{protocol.OK}, 5 * monotime.Second, false},
 		{
-			"a conflict is an answer",
+			"conflict counts as a response",
 			[]protocol.Outcome{protocol.Unavailable, protocol.Conflict},
 			5 * monotime.Second,
 			false,
 		},
 		{"failure", []protocol.Outcome{protocol.OK, protocol.Unavailable}, outageDelay, true},
-		{"no answer", []protocol.Outcome{protocol.OK, protocol.Unknown}, outageDelay, true},
+		{"no response", []protocol.Outcome{protocol.OK, protocol.Unknown}, outageDelay, true},
 		{
-			"failure for a short time",
+			"failure shorter than the outage delay",
 			[]protocol.Outcome{protocol.OK, protocol.Unavailable},
 			outageDelay / 2,
 			false,
@@ -176,63 +184,65 @@
 			}
 			f.UpdateAvailability(f.env.now + tc.silence)
 			if got := f.Unavailable(); got != tc.want {
-				t.Errorf("unavailable: %v, want %v", got, tc.want)
+				t.Errorf("outcomes %v, then silence for %d us: got unavailable %v, want %v",
+					tc.outcomes, tc.silence, got, tc.want)
 			}
 		})
 	}
 }
 
-// TestUpdateBudget: the budget is the oversubscribed even part, grows while calls wait up to the whole limit,
-// and shrinks when calls are throttled.
+// TestUpdateBudget checks the write budget. It starts as the oversubscribed equal share, grows up to the
+// whole limit while calls wait, and shrinks when calls are throttled.
 func TestUpdateBudget(t *testing.T) {
 	f := newFixture()
 	if got := f.WritesPerSecond(); !almostEqual(got, 40) {
-		t.Errorf("%v writes a second of three controllers, want 40", got)
+		t.Errorf("three live controllers: got %v writes/s, want 40", got)
 	}
 	f.UpdateBudget(1)
 	if got := f.WritesPerSecond(); !almostEqual(got, 100) {
-		t.Errorf("%v writes a second alone, want 100", got)
+		t.Errorf("one live controller: got %v writes/s, want 100", got)
 	}
 	f.UpdateBudget(9)
 	if got := f.BudgetSharers(); got != 3 {
-		t.Errorf("%d sharers of three controllers", got)
+		t.Errorf("nine live controllers in a deployment of three: got %d sharers, want 3", got)
 	}
 	f.queueCalls(ratelimit.PriorityUserRequest, waitingCallsForGrowth)
 	f.UpdateBudget(3)
 	if got := f.WritesPerSecond(); !almostEqual(got, 40) {
-		t.Errorf("%v writes a second while few calls wait, want 40", got)
+		t.Errorf("%d waiting calls: got %v writes/s, want 40", waitingCallsForGrowth, got)
 	}
 	f.queueCalls(ratelimit.PriorityUserRequest, waitingCallsForGrowth+1)
 	f.UpdateBudget(3)
 	if got := f.WritesPerSecond(); !almostEqual(got, 52) {
-		t.Errorf("%v writes a second while calls wait, want 52", got)
+		t.Errorf("%d waiting calls: got %v writes/s, want 52", waitingCallsForGrowth+1, got)
 	}
 	for range 20 {
 		f.UpdateBudget(3)
 	}
 	if got := f.WritesPerSecond(); !almostEqual(got, 100) {
-		t.Errorf("%v writes a second at most, want 100", got)
+		t.Errorf("calls wait during 20 more updates: got %v writes/s, want 100", got)
 	}
 	f.env.answerFirst(protocol.Throttled)
 	f.UpdateBudget(3)
 	if got := f.WritesPerSecond(); !almostEqual(got, 60) {
-		t.Errorf("%v writes a second after a throttled request, want 60", got)
+		t.Errorf("after a throttled call: got %v writes/s, want 60", got)
 	}
 }
 
-// TestShardWritesPerSecond: shards make room for users, here more than for those of other controllers.
+// TestShardWritesPerSecond checks that shard updates get a smaller fraction of the writes while user calls
+// wait. The fraction is smallest if the user calls wait at this controller.
 func TestShardWritesPerSecond(t *testing.T) {
 	cases := []struct {
 		name    string
-		here    int
-		atPeers bool
+		here    int  // user calls that wait at this controller
+		atPeers bool // user calls wait at another controller
 		want    float64
 	}{
-		{"no users wait", 0, false, shardWriteFraction},
-		{"a few wait here", WaitingUserCallsThreshold, false, shardWriteFraction},
-		{"users wait at a peer", 0, true, shardWriteFractionUsersWaitAtPeer},
-		{"users wait here", WaitingUserCallsThreshold + 1, false, shardWriteFractionUsersWaitHere},
-		{"users wait everywhere", WaitingUserCallsThreshold + 1, true, shardWriteFractionUsersWaitHere},
+		{"no user calls wait", 0, false, shardWriteFraction},
+		{"as many wait here as the threshold", WaitingUserCallsThreshold, false, shardWriteFraction},
+		{"user calls wait at a peer", 0, true, shardWriteFractionUsersWaitAtPeer},
+		{"user calls wait here", WaitingUserCallsThreshold + 1, false, shardWriteFractionUsersWaitHere},
+		{"user calls wait here and at a peer", WaitingUserCallsThreshold + 1, true, shardWriteFractionUsersWaitHere},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -240,28 +250,29 @@
 			f.queueCalls(ratelimit.PriorityUserRequest, tc.here)
 			f.usersWaitAtPeers = tc.atPeers
 			if got, want := f.ShardWritesPerSecond(), tc.want*100/3; !almostEqual(got, want) {
-				t.Errorf("%v, want %v", got, want)
+				t.Errorf("%d calls wait here, calls wait at peers %v: got %v shard writes/s, want %v",
+					tc.here, tc.atPeers, got, want)
 			}
 		})
 	}
 }
 
-// TestIntervals: writes that all controllers make for one purpose, and their watches, stay in their part of
-// the limits.
+// TestIntervals checks that the intervals between a controller's watches, and between its writes for one kind
+// of work, keep all controllers together within their fractions of the limits.
 func TestIntervals(t *testing.T) {
 	f := newFixture()
 	if got := f.NextWriteAllowedAt(0.1) - f.env.now; got != 300*monotime.Millisecond {
-		t.Errorf("a tenth of the writes: again after %d, want 300 ms", got)
+		t.Errorf("a tenth of the writes: got next write after %d us, want 300 ms", got)
 	}
 	if got := f.WatchInterval(); got != minWatchInterval {
-		t.Errorf("watch interval %d, want %d", got, minWatchInterval)
+		t.Errorf("400 requests/s: got watch interval %d us, want %d us", got, minWatchInterval)
 	}
 	f.budget.limits.RequestsPerSecond = 60
 	if got := f.WatchInterval(); got != 200*monotime.Millisecond {
-		t.Errorf("watch interval %d, want 200 ms", got)
+		t.Errorf("60 requests/s: got watch interval %d us, want 200 ms", got)
 	}
 	if !f.HasSpareWrites(f.env.now, 1) {
-		t.Error("no spare writes before the first request")
+		t.Error("before the first call: got no spare writes, want the whole burst")
 	}
 	f.Call(
 		ratelimit.PriorityClaim,
@@ -269,6 +280,6 @@
 		func(protocol.StoreResult) {},
 	)
 	if f.HasSpareWrites(f.env.now, 0.5) {
-		t.Error("half of the burst is spare after 15 of 20 writes")
+		t.Error("after 15 writes of a burst of 20: got half of the burst spare, want less")
 	}
 }
