--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -18,14 +18,10 @@
 	shardKeyP, shardKeyQ := storage.ShardKey("p"), storage.ShardKey("q")
 	shardWithoutMachine := storagetest.Shard("i-9", "j-9", 0, 0)
 	steps := map[string]func(mr *Mirror){
-		"put job": func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
-		"put shard": func(mr *Mirror) {
-			mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6)
-		},
-		"put older shard": func(mr *Mirror) {
-			mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4)
-		},
-		"own commit deletes shard and job": func(mr *Mirror) { mr.ApplyDelete(shardKeyP, 9, true); mr.ApplyDelete(jobKey, 9, true) },
+		"put job":         func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
+		"put shard":       func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
+		"put older shard": func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
+		"own deletions":   func(mr *Mirror) { mr.ApplyDelete(shardKeyP, 9, true); mr.ApplyDelete(jobKey, 9, true) },
 		"late watch puts shard": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
@@ -62,9 +58,7 @@
 		"watch deletes shard and job": func(mr *Mirror) {
 			mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}, {Delete: jobKey, Version: 9}}, 9)
 		},
-		"watch deletes shard": func(mr *Mirror) {
-			mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9)
-		},
+		"watch deletes shard": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9) },
 		"older watch puts job and shard": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
@@ -94,11 +88,8 @@
 		{[]string{"put job", "put shard", "watch moves machine, new shard first"}, 4, false},
 		{[]string{"put job", "put shard", "watch moves machine, old shard first"}, 4, false},
 		{[]string{"put shard", "own commit moves machine", "put job"}, 4, false},
-		{[]string{"put job", "put shard", "own commit deletes shard and job"}, 0, false},
-		{
-			[]string{"put job", "put shard", "own commit deletes shard and job", "late watch puts shard"},
-			0, false,
-		},
+		{[]string{"put job", "put shard", "own deletions"}, 0, false},
+		{[]string{"put job", "put shard", "own deletions", "late watch puts shard"}, 0, false},
 		{
 			[]string{"put job", "put shard", "watch deletes shard and job", "older watch puts job and shard"},
 			0, false,
