--- a/internal/ratelimit/priority.go
+++ b/internal/ratelimit/priority.go
@@ -1,17 +1,17 @@
 package ratelimit
 
-// Priority is the class of a call: which goes first when calls wait.
+// Priority is the priority of a queued call.
 type Priority int
 
-// Priorities, the most urgent first. See Queue for the turns that some of them take.
+// Priorities, the highest first. See Queue for the exceptions to their order.
 const (
-	PriorityLease        Priority = iota // own leases, never delayed
-	PriorityClaim                        // claims of shards, and what a replica of the records needs
-	PriorityCancellation                 // of jobs
-	PriorityUserRequest
-	PriorityShardUpdate
-	PriorityJobResult // results of jobs that are done
-	PriorityBackground
-	PriorityBurst // a burst of small jobs of one team, which would otherwise crowd out the rest
+	PriorityLease        Priority = iota // the controller's lease, membership and leadership; never delayed
+	PriorityClaim                        // claims of shards, and calls that load the mirror of the records
+	PriorityCancellation                 // cancellations of jobs
+	PriorityUserRequest                  // other requests of users
+	PriorityShardUpdate                  // updates of the controller's shards
+	PriorityJobResult                    // results of jobs that are done
+	PriorityBackground                   // other writes
+	PriorityBurst                        // a burst of one team's small jobs; it would starve other teams' calls
 	numPriorities
 )
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -8,7 +8,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// testQueue is a queue of 10 reads and 2 writes a second whose calls are made by their priorities.
+// testQueue is a queue with budgets of 10 reads and 2 writes per second.
 type testQueue struct {
 	*Queue
 	t *testing.T
@@ -21,7 +21,7 @@
 	return testQueue{queue, t}
 }
 
-// add queues calls of some priorities, each of so many writes, since a time.
+// add queues one call for each of the priorities, each with the given queuing time and number of writes.
 func (q testQueue) add(queuedAt monotime.Micros, writes int, priorities ...Priority) {
 	for _, priority := range priorities {
 		call := &protocol.StoreCall{}
@@ -30,7 +30,8 @@
 	}
 }
 
-// requireCalls takes all calls that may be made now, checks their priorities, and gives how long the next waits.
+// requireCalls takes all calls that may be made now and requires their priorities. It returns how long the
+// next call must wait.
 func (q testQueue) requireCalls(now monotime.Micros, want ...Priority) (wait monotime.Micros) {
 	q.t.Helper()
 	var got []Priority
@@ -38,7 +39,7 @@
 		call, ok, wait := q.Next(now)
 		if !ok {
 			if !slices.Equal(got, want) {
-				q.t.Fatalf("at %d: %v, want %v", now, got, want)
+				q.t.Fatalf("at %d us: got calls of priorities %v, want %v", now, got, want)
 			}
 			return wait
 		}
@@ -49,22 +50,22 @@
 // repeat repeats priorities n times.
 func repeat(n int, priorities ...Priority) []Priority { return slices.Repeat(priorities, n) }
 
-// TestQueueOrdersByPriority: the most urgent call goes first, whenever it came. A lease goes into debt, so that
-// other writes wait for it.
+// TestQueueOrdersByPriority checks that the call with the highest priority goes first, whatever the order of
+// queuing. A lease goes into debt, so that other writes wait for it.
 func TestQueueOrdersByPriority(t *testing.T) {
 	q := newTestQueue(t)
 	q.add(0, 0, PriorityBackground)
 	q.add(0, 2, PriorityUserRequest, PriorityCancellation)
 	q.add(0, 1, PriorityLease)
 	if wait := q.requireCalls(0, PriorityLease); wait <= 0 {
-		t.Fatalf("wait %d after a lease in debt", wait)
+		t.Fatalf("after a lease call: got wait of %d us for the next call, want more than 0", wait)
 	}
 	q.requireCalls(500*monotime.Millisecond, PriorityCancellation)
 	q.requireCalls(1600*monotime.Millisecond, PriorityUserRequest, PriorityBackground)
 }
 
-// TestUsersTakeTurnsWithShardWork: users' calls go before shard updates, until these have waited too long;
-// then they take turns, and neither keeps the other waiting, however many come.
+// TestUsersTakeTurnsWithShardWork checks that user calls go before shard updates until these have waited
+// longer than shardMaxWait. From then on both alternate, so that neither can starve the other.
 func TestUsersTakeTurnsWithShardWork(t *testing.T) {
 	const now = 3 * monotime.Second
 	q := newTestQueue(t)
@@ -77,11 +78,12 @@
 	q.requireCalls(now+monotime.Second, repeat(2, PriorityUserRequest, PriorityShardUpdate)...)
 }
 
-// TestBurstCallsTakeTurns: burst calls wait for all others, but among shard updates they have their turns.
+// TestBurstCallsTakeTurns checks that burst calls have the lowest priority but get one turn after every two
+// shard updates, so that they don't starve.
 func TestBurstCallsTakeTurns(t *testing.T) {
 	const now = 60 * monotime.Second
 	q := newTestQueue(t)
-	// Two shard updates have gone already, so that it is the burst's turn.
+	// After these two shard updates the next turn belongs to a burst call.
 	q.add(now, 0, repeat(2, PriorityShardUpdate)...)
 	q.requireCalls(now, repeat(2, PriorityShardUpdate)...)
 
@@ -93,7 +95,8 @@
 		PriorityBurst, PriorityShardUpdate, PriorityShardUpdate, PriorityBurst)
 }
 
-// TestJobResultsTakeTurns: job results take turns with shard updates, however many there are.
+// TestJobResultsTakeTurns checks that job results alternate with shard updates, so that many results don't
+// delay the updates.
 func TestJobResultsTakeTurns(t *testing.T) {
 	const now = 60 * monotime.Second
 	q := newTestQueue(t)
@@ -107,7 +110,7 @@
 	q.requireCalls(now+2*monotime.Second, PriorityShardUpdate, PriorityJobResult, PriorityJobResult)
 }
 
-// TestRequeuedCall: a throttled call goes again before the others of its priority, after a pause.
+// TestRequeuedCall checks that a throttled call goes before the other calls of its priority, after a pause.
 func TestRequeuedCall(t *testing.T) {
 	const now = 70 * monotime.Second
 	q := newTestQueue(t)
@@ -116,24 +119,27 @@
 	q.add(now, 2, PriorityUserRequest)
 	q.Requeue(throttled, now)
 	if _, ok, wait := q.Next(now); ok || wait <= 0 {
-		t.Errorf("a request goes at once after a throttled one: %v, wait %d", ok, wait)
+		t.Errorf("immediately after a throttled call: got ok %v, wait of %d us, want false and more than 0",
+			ok, wait)
 	}
 	retried, ok, _ := q.Next(now + monotime.Second)
 	if !ok || retried.StoreCall != throttled.StoreCall {
-		t.Error("the throttled request isn't the first")
+		t.Errorf("1 s after a throttled call: got ok %v, the throttled call first %v, want true and true",
+			ok, retried.StoreCall == throttled.StoreCall)
 	}
 }
 
-// TestPauseAfterThrottledCall: after a throttled call the queue pauses, and its budget begins at nothing.
+// TestPauseAfterThrottledCall checks that the queue pauses after a throttled call and that its budgets start
+// again from 0 tokens.
 func TestPauseAfterThrottledCall(t *testing.T) {
 	cases := []struct {
 		name          string
-		reads, writes float64 // a second
+		reads, writes float64 // per second
 		want          monotime.Micros
 	}{
-		{"large budget", 1000, 1000, throttledPause},
-		{"small budget of reads", 2, 1000, monotime.Second/2 + 1},
-		{"small budget of writes", 1000, 2, monotime.Second/2 + 1},
+		{"large budgets", 1000, 1000, throttledPause},
+		{"small read budget", 2, 1000, monotime.Second/2 + 1},
+		{"small write budget", 1000, 2, monotime.Second/2 + 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -144,7 +150,8 @@
 			throttled, _, _ := q.Next(now)
 			q.Requeue(throttled, now)
 			if _, ok, wait := q.Next(now); ok || wait != tc.want {
-				t.Errorf("wait %d, want %d", wait, tc.want)
+				t.Errorf("%v reads/s and %v writes/s: got ok %v, wait of %d us, want false and %d us",
+					tc.reads, tc.writes, ok, wait, tc.want)
 			}
 		})
 	}
--- a/internal/ratelimit/token_bucket.go
+++ b/internal/ratelimit/token_bucket.go
@@ -2,18 +2,18 @@
 
 import "pipitgap/internal/monotime"
 
-// TokenBucket is a token bucket. It begins full at its first use.
+// TokenBucket is a token bucket for rate limiting. It is full at its first use.
 type TokenBucket struct {
-	Rate  float64 // tokens a second
-	Burst float64 // tokens at most
+	Rate  float64 // tokens added per second
+	Burst float64 // maximum number of tokens
 
 	tokens     float64
 	refilledAt monotime.Micros
 	started    bool
 }
 
-// WaitTime returns how long to wait until n tokens are there, 0 if they are. More tokens than the burst are
-// there when the bucket is full.
+// WaitTime returns how long to wait until n tokens are available; 0 if they are available now. If n exceeds
+// the burst, a full bucket suffices.
 func (b *TokenBucket) WaitTime(now monotime.Micros, n float64) monotime.Micros {
 	if !b.started {
 		b.start()
@@ -30,7 +30,7 @@
 	return monotime.FromSeconds((n-b.tokens)/b.Rate) + 1
 }
 
-// Take uses n tokens; the bucket may go into debt.
+// Take removes n tokens; the number of tokens may become negative.
 func (b *TokenBucket) Take(n float64) {
 	if !b.started {
 		b.start()
@@ -38,7 +38,8 @@
 	b.tokens -= n
 }
 
-// Empty empties the bucket, after the other side has refused a call as one too many.
+// Empty removes all tokens after the service has throttled a call. It doesn't change a negative number of
+// tokens.
 func (b *TokenBucket) Empty() { b.tokens = min(b.tokens, 0) }
 
 func (b *TokenBucket) start() { b.started, b.tokens = true, b.Burst }
--- a/internal/ratelimit/token_bucket_test.go
+++ b/internal/ratelimit/token_bucket_test.go
@@ -7,25 +7,26 @@
 	"pipitgap/internal/protocol"
 )
 
-// TestTokenBucket: a bucket begins full, refills at its rate up to its burst, and goes into debt.
+// TestTokenBucket checks that a bucket starts full, refills at its rate up to its burst and may have a
+// negative number of tokens.
 func TestTokenBucket(t *testing.T) {
 	const begin = 10 * monotime.Second
 	cases := []struct {
 		name  string
-		idle  monotime.Micros // before tokens are taken
+		idle  monotime.Micros // time before tokens are taken
 		taken float64
-		after monotime.Micros
-		n     float64
-		want  monotime.Micros // a microsecond more than the exact time, so that the tokens are there
+		after monotime.Micros // time after tokens are taken
+		n     float64         // tokens to wait for
+		want  monotime.Micros // 1 us more than the exact time, so that the tokens are available afterwards
 	}{
-		{"full at first", 0, 0, 0, 4, 0},
+		{"full at first use", 0, 0, 0, 4, 0},
 		{"empty", 0, 4, 0, 1, 100*monotime.Millisecond + 1},
 		{"refilled", 0, 4, 100 * monotime.Millisecond, 1, 0},
-		{"refilled in part", 0, 4, 50 * monotime.Millisecond, 1, 50*monotime.Millisecond + 1},
-		{"no fuller than the burst", monotime.Minute, 4, 0, 1, 100*monotime.Millisecond + 1},
-		{"more than the burst of a full bucket", 0, 0, monotime.Minute, 5, 0},
-		{"in debt", 0, 7, 0, 1, 400*monotime.Millisecond + 1},
-		{"more than the burst", 0, 1, 0, 100, 100*monotime.Millisecond + 1},
+		{"partially refilled", 0, 4, 50 * monotime.Millisecond, 1, 50*monotime.Millisecond + 1},
+		{"refilled only up to the burst", monotime.Minute, 4, 0, 1, 100*monotime.Millisecond + 1},
+		{"more than the burst from a full bucket", 0, 0, monotime.Minute, 5, 0},
+		{"negative", 0, 7, 0, 1, 400*monotime.Millisecond + 1},
+		{"more than the burst from a partly used bucket", 0, 1, 0, 100, 100*monotime.Millisecond + 1},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -34,13 +35,15 @@
 			bucket.WaitTime(begin+tc.idle, 0)
 			bucket.Take(tc.taken)
 			if got := bucket.WaitTime(begin+tc.idle+tc.after, tc.n); got != tc.want {
-				t.Errorf("wait %d, want %d", got, tc.want)
+				t.Errorf("%v tokens after %v were taken: got wait of %d us, want %d us",
+					tc.n, tc.taken, got, tc.want)
 			}
 		})
 	}
 }
 
-// TestEmptiedBucket: a bucket that is emptied keeps its debt.
+// TestEmptiedBucket checks that Empty removes the remaining tokens but doesn't change a negative number of
+// tokens.
 func TestEmptiedBucket(t *testing.T) {
 	for _, tc := range []struct {
 		taken float64
@@ -51,13 +54,13 @@
 		bucket.Take(tc.taken)
 		bucket.Empty()
 		if got := bucket.WaitTime(0, 1); got != tc.want {
-			t.Errorf("%v taken: wait %d, want %d", tc.taken, got, tc.want)
+			t.Errorf("Empty after %v tokens were taken: got wait of %d us, want %d us", tc.taken, got, tc.want)
 		}
 	}
 }
 
-// TestQueueBoundsCallsInFlight: no more calls than the bound are handed out before one is answered, but
-// leases.
+// TestQueueBoundsCallsInFlight checks that the queue hands out no more than maxInFlight calls until CallDone.
+// Lease calls may exceed the limit but count against it.
 func TestQueueBoundsCallsInFlight(t *testing.T) {
 	queue := NewQueue(1)
 	queue.SetRates(Rates{PerSecond: 100, Burst: 100}, Rates{PerSecond: 100, Burst: 100})
@@ -65,21 +68,22 @@
 	add(PriorityUserRequest)
 	add(PriorityUserRequest)
 	if _, ok, _ := queue.Next(0); !ok {
-		t.Fatal("the first request isn't handed out")
+		t.Fatal("first user call: got none from Next, want the call")
 	}
 	if _, ok, wait := queue.Next(0); ok || wait != 0 {
-		t.Errorf("with a request in flight another is handed out: %v, wait %d", ok, wait)
+		t.Errorf("second user call with one in flight: got ok %v, wait of %d us, want false and 0", ok, wait)
 	}
 	add(PriorityLease)
 	if call, ok, _ := queue.Next(0); !ok || call.Priority != PriorityLease {
-		t.Error("a lease waits for a request in flight")
+		t.Errorf("lease call with a user call in flight: got ok %v, priority %v, want true and %v",
+			ok, call.Priority, PriorityLease)
 	}
 	queue.CallDone()
 	if _, ok, _ := queue.Next(0); ok {
-		t.Error("a lease in flight doesn't count")
+		t.Errorf("user call with a lease call still in flight: got ok %v, want false", ok)
 	}
 	queue.CallDone()
 	if _, ok, _ := queue.Next(0); !ok {
-		t.Error("nothing is handed out after all are answered")
+		t.Errorf("user call with no call in flight: got ok %v, want true", ok)
 	}
 }
