--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the machine types that the cloud offers, and fetches them from time to time within
-// the rate limit of the cloud's API.
+// Package catalog holds the machine types that the cloud offers and refreshes them periodically within the
+// rate limit of the cloud's API.
 package catalog
 
 import (
@@ -9,28 +9,28 @@
 )
 
 const (
-	// refreshInterval is the age at which the machine types are fetched again.
+	// refreshInterval is the age above which the machine types are fetched again.
 	refreshInterval = 60 * monotime.Second
-	// fetchTimeout is the timeout of a fetch.
+	// fetchTimeout is the timeout of a call that fetches the machine types.
 	fetchTimeout = 3 * monotime.Second
-	// rateFraction is the part of the cloud's rate limit that a controller uses. Only the leader makes calls
-	// other than those of the catalog.
+	// rateFraction is the fraction of the cloud's rate limit that a controller uses. Controllers other than
+	// the leader only fetch the catalog.
 	rateFraction = 0.8
 )
 
-// Environment makes the calls and measures the time.
+// Environment makes the calls and provides the clock.
 type Environment interface {
-	// Now reads the steady clock.
+	// Now reads the monotonic clock.
 	Now() monotime.Micros
-	// CallCloud makes a call of the cloud's API; the callback gets its result once.
+	// CallCloud makes a call to the cloud's API. It calls callback once, with the result.
 	CallCloud(call *protocol.CloudCall, callback func(protocol.CloudResult))
 }
 
-// Options are what a Catalog is made of.
+// Options configures a Catalog.
 type Options struct {
 	Environment       Environment
 	RequestsPerSecond float64 // the rate limit of the cloud's API
-	Changed           func()  // called when machine types were fetched
+	Changed           func()  // called after usable machine types have been fetched
 }
 
 // Catalog holds the machine types. All methods and callbacks run on one goroutine.
@@ -39,12 +39,12 @@
 	changed func()
 
 	machineTypes  map[string]protocol.MachineType // by name; nil until known
-	fetchedAt     monotime.Micros                 // last fetch, 0 before the first
+	fetchedAt     monotime.Micros                 // when a fetch last returned machine types, 0 if none has
 	fetchInFlight bool
 	cloudCalls    ratelimit.TokenBucket
 }
 
-// New makes a catalog that knows no machine types.
+// New returns a catalog without machine types.
 func New(options Options) *Catalog {
 	rps := options.RequestsPerSecond
 	return &Catalog{
@@ -54,31 +54,33 @@
 	}
 }
 
-// MachineTypes are the types by name; nil until they are known. The map isn't changed later.
+// MachineTypes returns the machine types by name; nil until they are known. The catalog never modifies the
+// returned map.
 func (c *Catalog) MachineTypes() map[string]protocol.MachineType { return c.machineTypes }
 
 // IsFetched reports whether the types are from the cloud itself, not from the records.
 func (c *Catalog) IsFetched() bool { return c.fetchedAt != 0 }
 
-// CloudCalls is the budget of all calls of the cloud's API.
+// CloudCalls returns the token bucket that all of this controller's calls to the cloud's API share.
 func (c *Catalog) CloudCalls() *ratelimit.TokenBucket { return &c.cloudCalls }
 
-// UseStored takes over machine types from the records if none are known: what they say still holds while the
-// cloud is unavailable.
+// UseStored sets the machine types from the records if the catalog has none. Stored types remain valid while
+// the cloud is unavailable.
 func (c *Catalog) UseStored(machineTypes map[string]protocol.MachineType) {
 	if c.machineTypes == nil && len(machineTypes) > 0 {
 		c.machineTypes = machineTypes
 	}
 }
 
-// Refresh fetches the machine types if they are too old.
+// Refresh fetches the machine types if no fetch has returned any yet or the last one is older than
+// refreshInterval.
 func (c *Catalog) Refresh(now monotime.Micros) {
 	if !c.IsFetched() || now-c.fetchedAt > refreshInterval {
 		c.Fetch()
 	}
 }
 
-// Fetch fetches the machine types, unless a fetch is in flight or the budget is used up.
+// Fetch starts to fetch the machine types unless a fetch is in flight or the rate budget is exhausted.
 func (c *Catalog) Fetch() {
 	if c.fetchInFlight || c.cloudCalls.WaitTime(c.env.Now(), 1) > 0 {
 		return
@@ -89,7 +91,8 @@
 	c.env.CallCloud(call, c.handleResult)
 }
 
-// handleResult takes over the machine types that were fetched. Without a usable one the earlier stay.
+// handleResult replaces the machine types by the usable ones of a fetch. If there are none, it keeps the
+// previous types.
 func (c *Catalog) handleResult(result protocol.CloudResult) {
 	c.fetchInFlight = false
 	if result.Outcome != protocol.OK || len(result.Types) == 0 {
@@ -108,7 +111,7 @@
 	}
 }
 
-// isUsable reports whether a machine type has what decisions need.
+// isUsable reports whether a machine type has the values that decisions need: a name, CPUs and a price.
 func isUsable(machineType *protocol.MachineType) bool {
 	return machineType.Name != "" && machineType.CPUs > 0 && machineType.OnDemandPrice > 0
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -7,7 +7,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// testEnvironment keeps the calls that have no answer yet.
+// testEnvironment keeps the callbacks of pending calls until a test answers them.
 type testEnvironment struct {
 	now   monotime.Micros
 	calls []func(protocol.CloudResult)
@@ -19,14 +19,15 @@
 	e.calls = append(e.calls, callback)
 }
 
-// answer answers the call in flight.
+// answer answers the oldest pending call.
 func (e *testEnvironment) answer(result protocol.CloudResult) {
 	callback := e.calls[0]
 	e.calls = e.calls[1:]
 	callback(result)
 }
 
-// TestFetchResult: what a result of each kind makes of a catalog that has machine types from the records.
+// TestFetchResult checks the effect of each kind of fetch result on a catalog that has machine types from the
+// records. A failed fetch or one without usable types must not replace them.
 func TestFetchResult(t *testing.T) {
 	usable := protocol.MachineType{Name: "m8", CPUs: 8, OnDemandPrice: 1}
 	unnamed, noCPUs, noPrice := usable, usable, usable
@@ -38,7 +39,7 @@
 		changed bool
 	}{
 		{
-			"types",
+			"usable and unusable types",
 			protocol.CloudResult{Outcome: protocol.OK, Types: []protocol.MachineType{noPrice, usable}},
 			true,
 			true,
@@ -50,7 +51,7 @@
 			false,
 			false,
 		},
-		{"no usable type", protocol.CloudResult{
+		{"only unusable types", protocol.CloudResult{
 			Outcome: protocol.OK, Types: []protocol.MachineType{unnamed, noCPUs, noPrice},
 		}, true, false},
 	}
@@ -67,30 +68,33 @@
 				want = "m8"
 			}
 			if _, ok := c.MachineTypes()[want]; !ok || len(c.MachineTypes()) != 1 {
-				t.Errorf("types %v, want %s alone", c.MachineTypes(), want)
+				t.Errorf("got types %v, want only %s", c.MachineTypes(), want)
 			}
 			if c.IsFetched() != tc.fetched || (changes > 0) != tc.changed {
-				t.Errorf("fetched %v, %d changes", c.IsFetched(), changes)
+				t.Errorf("got fetched %v, want %v; got Changed called %v, want %v",
+					c.IsFetched(), tc.fetched, changes > 0, tc.changed)
 			}
 		})
 	}
 }
 
-// TestUseStored: machine types from the records serve only until any are known.
+// TestUseStored checks that machine types from the records are used only if the catalog has none, and that an
+// empty set of records doesn't count as known types.
 func TestUseStored(t *testing.T) {
 	c := New(Options{Environment: &testEnvironment{}, RequestsPerSecond: 5, Changed: func() {}})
 	c.UseStored(map[string]protocol.MachineType{})
 	if c.MachineTypes() != nil {
-		t.Error("no stored types count as known")
+		t.Errorf("after UseStored without types: got types %v, want nil", c.MachineTypes())
 	}
 	c.UseStored(map[string]protocol.MachineType{"a": {}})
 	c.UseStored(map[string]protocol.MachineType{"b": {}})
 	if _, ok := c.MachineTypes()["a"]; !ok {
-		t.Errorf("types %v, want those stored first", c.MachineTypes())
+		t.Errorf("after UseStored with a, then b: got types %v, want a", c.MachineTypes())
 	}
 }
 
-// TestRefresh: types are fetched again after a minute, one fetch at a time and within the budget.
+// TestRefresh checks that Refresh fetches the types again after refreshInterval, with at most one fetch in
+// flight and within the rate budget.
 func TestRefresh(t *testing.T) {
 	env := &testEnvironment{now: monotime.Second}
 	c := New(Options{Environment: env, RequestsPerSecond: 1, Changed: func() {}})
@@ -98,7 +102,7 @@
 		t.Helper()
 		c.Refresh(env.now)
 		if len(env.calls) != want {
-			t.Fatalf("%d fetches in flight, want %d", len(env.calls), want)
+			t.Fatalf("at %d us: got %d fetches in flight, want %d", env.now, len(env.calls), want)
 		}
 	}
 	types := []protocol.MachineType{{Name: "m8", CPUs: 8, OnDemandPrice: 1}}
@@ -108,7 +112,7 @@
 	env.answer(protocol.CloudResult{Outcome: protocol.Unavailable})
 	requireFetchesInFlight(1)
 	env.answer(protocol.CloudResult{Outcome: protocol.Unavailable})
-	requireFetchesInFlight(0) // the budget is used up
+	requireFetchesInFlight(0) // the rate budget is exhausted
 	env.now += 2 * monotime.Second
 	requireFetchesInFlight(1)
 	env.answer(protocol.CloudResult{Outcome: protocol.OK, Types: types})
