--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// oversubscription is the factor by which a controller's budget may exceed its equal share of the limits.
-	// It is above 1 because load is uneven between controllers and a 429 costs only a pause.
+	// oversubscription is the ratio of a controller's budget, at a multiplier of 1, to its equal share of the
+	// limits. It is above 1 because load is uneven between controllers and a 429 costs only a pause.
 	oversubscription = 1.2
 	// Each UpdateBudget multiplies the multiplier of the equal share by one of these factors.
 	throttledFactor = 0.6 // calls were throttled since the last UpdateBudget
-	growthFactor    = 1.3 // calls wait and none was throttled
-	decayFactor     = 0.9 // no calls wait and none was throttled
+	growthFactor    = 1.3 // more than waitingCallsForGrowth calls wait and none was throttled
+	decayFactor     = 0.9 // at most waitingCallsForGrowth calls wait and none was throttled
 	// waitingCallsForGrowth is the maximum number of waiting calls at which the multiplier doesn't grow.
 	waitingCallsForGrowth = 1
 	// The burst is half of a second's budget. The minimum is minReadBurst reads, and for writes one
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -17,8 +17,8 @@
 	callTimeout = 2 * monotime.Second
 	// maxCallsInFlight is the maximum number of queued calls in flight at a time.
 	maxCallsInFlight = 8
-	// maxThrottledAge is the age since queuing up to which a throttled call is retried. The caller of an
-	// older call gets the outcome Unavailable.
+	// maxThrottledAge is the age, counted from queuing, at which a throttled call is no longer retried. Its
+	// caller then gets the outcome Unavailable.
 	maxThrottledAge = 3 * monotime.Second
 	// minDispatchDelay is the minimum delay of the timer that dispatches calls once there is budget again.
 	minDispatchDelay = monotime.Millisecond
@@ -62,7 +62,7 @@
 	lastThrottledAt      monotime.Micros
 
 	lastSuccessAt monotime.Micros // last outcome other than Unavailable and Unknown
-	lastFailureAt monotime.Micros // last outcome Unavailable or Unknown (no response)
+	lastFailureAt monotime.Micros // last outcome Unavailable or Unknown (no usable response)
 	unavailable   bool
 }
 
@@ -106,7 +106,7 @@
 	c.env.CallStore(call, callback)
 }
 
-// dispatch makes queued calls until the budget or the limit on calls in flight is exhausted.
+// dispatch makes the queued calls that the budgets and the limit on calls in flight allow now.
 func (c *Client) dispatch() {
 	for {
 		queued, ok, delay := c.queue.Next(c.env.Now())
