--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// repeat repeats priorities n times.
+// repeat returns the sequence of priorities, repeated n times.
 func repeat(n int, priorities ...Priority) []Priority { return slices.Repeat(priorities, n) }
 
 // TestQueueOrdersByPriority checks that the call with the highest priority goes first, whatever the order of
--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -30,9 +30,9 @@
 // fraction of the writes.
 const WaitingUserCallsThreshold = 2
 
-// Fractions of this controller's writes that shard updates may use. User calls and the leader need the
-// remaining writes. They need more while user calls wait, here or at another controller: if all controllers
-// but one crash, all users connect to the remaining one.
+// Fractions of this controller's writes, counted without oversubscription, that shard updates may use. User
+// calls and the leader need the remaining writes. They need more while user calls wait, here or at another
+// controller: if all controllers but one crash, all users connect to the remaining one.
 const (
 	shardWriteFraction                = 0.55
 	shardWriteFractionUsersWaitAtPeer = 0.25
