--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -77,12 +77,12 @@
 func (rt *replicaTest) nextCall(op protocol.StoreOp) pendingCall {
 	rt.t.Helper()
 	if len(rt.calls) == 0 {
-		rt.t.Fatalf("got no pending call, want operation %v", op)
+		rt.t.Fatalf("got no pending request, want operation %v", op)
 	}
 	pending := rt.calls[0]
 	rt.calls = rt.calls[1:]
 	if pending.call.Op != op {
-		rt.t.Fatalf("got call of operation %v, want %v", pending.call.Op, op)
+		rt.t.Fatalf("got request of operation %v, want %v", pending.call.Op, op)
 	}
 	return pending
 }
--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -271,7 +271,7 @@
 			}
 			backlogCall.callback(protocol.StoreResult{Outcome: protocol.OK, Revision: 5 + tc.behind})
 			if followUp := rt.nextCall(tc.want); followUp.call.Key != tc.key {
-				t.Errorf("%d revisions behind: got call for %s, want %s", tc.behind, followUp.call.Key, tc.key)
+				t.Errorf("%d revisions behind: got request for %s, want %s", tc.behind, followUp.call.Key, tc.key)
 			}
 		})
 	}
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -58,7 +58,7 @@
 	q.add(0, 2, PriorityUserRequest, PriorityCancellation)
 	q.add(0, 1, PriorityLease)
 	if wait := q.requireCalls(0, PriorityLease); wait <= 0 {
-		t.Fatalf("after a lease call: got wait of %d us for the next call, want more than 0", wait)
+		t.Fatalf("after a lease request: got wait of %d us for the next one, want more than 0", wait)
 	}
 	q.requireCalls(500*monotime.Millisecond, PriorityCancellation)
 	q.requireCalls(1600*monotime.Millisecond, PriorityUserRequest, PriorityBackground)
@@ -119,12 +119,12 @@
 	q.add(now, 2, PriorityUserRequest)
 	q.Requeue(throttled, now)
 	if _, ok, wait := q.Next(now); ok || wait <= 0 {
-		t.Errorf("immediately after a throttled call: got ok %v, wait of %d us, want false and more than 0",
+		t.Errorf("immediately after a throttled request: got ok %v, wait of %d us, want false and more than 0",
 			ok, wait)
 	}
 	retried, ok, _ := q.Next(now + monotime.Second)
 	if !ok || retried.StoreCall != throttled.StoreCall {
-		t.Errorf("1 s after a throttled call: got ok %v, the throttled call first %v, want true and true",
+		t.Errorf("1 s after a throttled request: got ok %v, the same request first %v, want true and true",
 			ok, retried.StoreCall == throttled.StoreCall)
 	}
 }
--- a/internal/ratelimit/token_bucket_test.go
+++ b/internal/ratelimit/token_bucket_test.go
@@ -68,22 +68,22 @@
 	add(PriorityUserRequest)
 	add(PriorityUserRequest)
 	if _, ok, _ := queue.Next(0); !ok {
-		t.Fatal("first user call: got none from Next, want the call")
+		t.Fatal("first user request: got none from Next, want the request")
 	}
 	if _, ok, wait := queue.Next(0); ok || wait != 0 {
-		t.Errorf("second user call with one in flight: got ok %v, wait of %d us, want false and 0", ok, wait)
+		t.Errorf("second user request with one in flight: got ok %v, wait of %d us, want false and 0", ok, wait)
 	}
 	add(PriorityLease)
 	if call, ok, _ := queue.Next(0); !ok || call.Priority != PriorityLease {
-		t.Errorf("lease call with a user call in flight: got ok %v, priority %v, want true and %v",
+		t.Errorf("lease request with a user request in flight: got ok %v, priority %v, want true and %v",
 			ok, call.Priority, PriorityLease)
 	}
 	queue.CallDone()
 	if _, ok, _ := queue.Next(0); ok {
-		t.Errorf("user call with a lease call still in flight: got ok %v, want false", ok)
+		t.Errorf("user request with a lease request still in flight: got ok %v, want false", ok)
 	}
 	queue.CallDone()
 	if _, ok, _ := queue.Next(0); !ok {
-		t.Errorf("user call with no call in flight: got ok %v, want true", ok)
+		t.Errorf("user request with none in flight: got ok %v, want true", ok)
 	}
 }
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -123,13 +123,13 @@
 	f.queueRead(ratelimit.PriorityLease)
 	f.CallAtOnce(&protocol.StoreCall{}, func(protocol.StoreResult) {})
 	if got := len(f.env.calls); got != maxCallsInFlight+2 {
-		t.Errorf("with a lease call and a call at once: got %d calls in flight, want %d",
+		t.Errorf("with a lease request and one made at once: got %d calls in flight, want %d",
 			got, maxCallsInFlight+2)
 	}
 	f.env.answerFirst(protocol.OK)
 	f.env.answerFirst(protocol.OK)
 	if got := f.QueuedCalls(ratelimit.PriorityUserRequest); got != 1 {
-		t.Errorf("after two responses, one of which frees the lease call's slot: got %d waiting calls, want 1",
+		t.Errorf("after two responses, one of which frees the lease request's slot: got %d waiting calls, want 1",
 			got)
 	}
 }
@@ -145,7 +145,7 @@
 	)
 	for i, want := range []monotime.Micros{callTimeout, monotime.Second} {
 		if got := f.env.calls[i].call.Timeout; got != want {
-			t.Errorf("call %d: got timeout %d us, want %d us", i, got, want)
+			t.Errorf("request %d: got timeout %d us, want %d us", i, got, want)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	f.env.answerFirst(protocol.Throttled)
 	f.UpdateBudget(3)
 	if got := f.WritesPerSecond(); !almostEqual(got, 60) {
-		t.Errorf("after a throttled call: got %v writes/s, want 60", got)
+		t.Errorf("after a throttled request: got %v writes/s, want 60", got)
 	}
 }
 
@@ -272,7 +272,7 @@
 		t.Errorf("60 requests/s: got watch interval %d us, want 200 ms", got)
 	}
 	if !f.HasSpareWrites(f.env.now, 1) {
-		t.Error("before the first call: got no spare writes, want the whole burst")
+		t.Error("before the first request: got no spare writes, want the whole burst")
 	}
 	f.Call(
 		ratelimit.PriorityClaim,
