--- a/internal/mirror/drain_snapshot.go
+++ b/internal/mirror/drain_snapshot.go
@@ -7,7 +7,9 @@
 	"pipitgap/internal/storage"
 )
 
-// DrainSnapshotBuilder begins a snapshot with all but the machines.
+// DrainSnapshotBuilder returns a builder for a drain snapshot that holds everything except the machines; the
+// caller adds those. wall is the wall clock time in microseconds; failing reports whether a job fails
+// wherever it runs.
 func (m *Mirror) DrainSnapshotBuilder(
 	wall int64,
 	types map[string]protocol.MachineType,
@@ -48,12 +50,13 @@
 	return builder
 }
 
-// DrainSnapshotMachine returns a machine as the records have it.
+// DrainSnapshotMachine converts a machine, its service replicas and its array tasks to the form of a drain
+// snapshot. A machine that a scale-in request names is in state removing.
 func (m *Mirror) DrainSnapshotMachine(
 	machine *Machine,
 	types map[string]protocol.MachineType,
 ) *drain.Machine {
-	out := &drain.Machine{
+	snapshotMachine := &drain.Machine{
 		ID:    machine.ID,
 		Type:  machine.Record.Type,
 		Zone:  machine.Record.Zone,
@@ -62,34 +65,34 @@
 		Owner: machine.Owner(),
 	}
 	if m.ScaleInOfMachine[machine.ID] != "" {
-		out.State = storage.MachineRemoving
+		snapshotMachine.State = storage.MachineRemoving
 	}
 	if machineType, ok := types[machine.Record.Type]; ok {
-		out.Free = MachineCapacity(&machineType).AddScaled(machine.Used, -1)
+		snapshotMachine.Free = MachineCapacity(&machineType).AddScaled(machine.Used, -1)
 	}
 	for _, task := range SortedTaskIDs(machine.Attempts) {
 		job := m.Jobs[task.Job]
 		switch {
 		case job == nil || !job.IsOpen():
 		case job.Record.Spec.Service:
-			held, _ := machine.Shard.Record.FindAttempt(task.Job, task.Index)
-			out.Replicas = append(
-				out.Replicas,
+			attempt, _ := machine.Shard.Record.FindAttempt(task.Job, task.Index)
+			snapshotMachine.Replicas = append(
+				snapshotMachine.Replicas,
 				drain.Replica{
 					Job:      task.Job,
 					Task:     task.Index,
 					Attempt:  machine.Attempts[task],
-					Starting: held.Starting,
+					Starting: attempt.Starting,
 				},
 			)
 		default:
-			addArrayTask(out, job)
+			addArrayTask(snapshotMachine, job)
 		}
 	}
-	return out
+	return snapshotMachine
 }
 
-// addArrayTask adds an array task to what a machine holds.
+// addArrayTask adds one array task of a job to the machine's usage at the job's priority.
 func addArrayTask(m *drain.Machine, job *Job) {
 	priority := job.Record.Spec.Priority
 	for i := range m.ArrayUsage {
@@ -105,7 +108,7 @@
 	)
 }
 
-// MachineCapacity is what a machine of a type has.
+// MachineCapacity returns the total resources of a machine of a type.
 func MachineCapacity(machineType *protocol.MachineType) resources.Vector {
 	return resources.New(machineType.CPUs, machineType.GPUs, machineType.MemoryGB)
 }
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -10,121 +10,135 @@
 	"pipitgap/internal/storage/storagetest"
 )
 
-// TestMirrorIsIndependentOfEventOrder: changes in any order, own commits ahead of the watch, shards before
-// their jobs, machines that move: the sums end up the same, and nothing goes back.
+// TestMirrorIsIndependentOfEventOrder checks that the aggregates don't depend on the order of changes and
+// that late changes don't overwrite newer ones. Own commits can be ahead of the watch, shards can arrive
+// before their jobs, and machines can move between shards.
 func TestMirrorIsIndependentOfEventOrder(t *testing.T) {
-	open := storage.OpenJobKey("j-1")
-	p, q := storage.ShardKey("p"), storage.ShardKey("q")
-	bare := storagetest.Shard("i-9", "j-9", 0, 0)
+	jobKey := storage.OpenJobKey("j-1")
+	shardKeyP, shardKeyQ := storage.ShardKey("p"), storage.ShardKey("q")
+	shardWithoutMachine := storagetest.Shard("i-9", "j-9", 0, 0)
 	steps := map[string]func(mr *Mirror){
-		"job":      func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
-		"page":     func(mr *Mirror) { mr.ApplyPut(p, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
-		"old page": func(mr *Mirror) { mr.ApplyPut(p, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
-		"drops":    func(mr *Mirror) { mr.ApplyDelete(p, 9, true); mr.ApplyDelete(open, 9, true) },
-		"late": func(mr *Mirror) {
+		"put job":         func(mr *Mirror) { putJob(mr, "j-1", 6, 5) },
+		"put shard":       func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-1", "j-1", 4, 2), 6) },
+		"put older shard": func(mr *Mirror) { mr.ApplyPut(shardKeyP, storagetest.Shard("i-2", "j-1", 4, 0), 4) },
+		"own deletions":   func(mr *Mirror) { mr.ApplyDelete(shardKeyP, 9, true); mr.ApplyDelete(jobKey, 9, true) },
+		"late watch puts shard": func(mr *Mirror) {
 			mr.ApplyEvents(
-				[]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
+				[]protocol.Event{{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
 				8,
 			)
 		},
-		"move": func(mr *Mirror) {
+		"watch moves machine, new shard first": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
-					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
-					{Put: p, Value: bare, Version: 8},
+					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: shardKeyP, Value: shardWithoutMachine, Version: 8},
 				},
 				8,
 			)
 		},
-		"move, the other order": func(mr *Mirror) {
+		"watch moves machine, old shard first": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
-					{Put: p, Value: bare, Version: 8},
-					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: shardKeyP, Value: shardWithoutMachine, Version: 8},
+					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
 				},
 				8,
 			)
 		},
-		"own move": func(mr *Mirror) {
+		"own commit moves machine": func(mr *Mirror) {
 			mr.ApplyRevision(
 				[]protocol.Event{
-					{Put: q, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
-					{Put: p, Value: bare, Version: 8},
+					{Put: shardKeyQ, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 8},
+					{Put: shardKeyP, Value: shardWithoutMachine, Version: 8},
 				},
 				true,
 			)
 		},
-		"drops, by the watch": func(mr *Mirror) {
-			mr.ApplyEvents([]protocol.Event{{Delete: p, Version: 9}, {Delete: open, Version: 9}}, 9)
+		"watch deletes shard and job": func(mr *Mirror) {
+			mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}, {Delete: jobKey, Version: 9}}, 9)
 		},
-		"page drops, by the watch": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: p, Version: 9}}, 9) },
-		"an older answer of the watch": func(mr *Mirror) {
+		"watch deletes shard": func(mr *Mirror) { mr.ApplyEvents([]protocol.Event{{Delete: shardKeyP, Version: 9}}, 9) },
+		"older watch puts job and shard": func(mr *Mirror) {
 			mr.ApplyEvents(
 				[]protocol.Event{
-					{Put: open, Value: storagetest.OpenJob(6), Version: 5},
-					{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6},
+					{Put: jobKey, Value: storagetest.OpenJob(6), Version: 5},
+					{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6},
 				},
 				6,
 			)
 		},
-		"a late answer to an own commit": func(mr *Mirror) {
+		"late own commit puts shard": func(mr *Mirror) {
 			mr.ApplyRevision(
-				[]protocol.Event{{Put: p, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
+				[]protocol.Event{{Put: shardKeyP, Value: storagetest.Shard("i-1", "j-1", 4, 2), Version: 6}},
 				true,
 			)
 		},
 	}
 	cases := []struct {
-		order   []string
-		held    int
-		jobLeft bool // though nothing of it is held
+		order      []string
+		assigned   int
+		jobRemains bool // the job's record remains although no task is assigned
 	}{
-		{[]string{"job", "page"}, 4, false},
-		{[]string{"page", "job"}, 4, false},
-		{[]string{"page", "job", "old page"}, 4, false},
-		{[]string{"page", "old page", "job"}, 4, false},
-		{[]string{"job", "page", "page", "job"}, 4, false},
-		{[]string{"job", "page", "move"}, 4, false},
-		{[]string{"job", "page", "move, the other order"}, 4, false},
-		{[]string{"page", "own move", "job"}, 4, false},
-		{[]string{"job", "page", "drops"}, 0, false},
-		{[]string{"job", "page", "drops", "late"}, 0, false},
-		{[]string{"job", "page", "drops, by the watch", "an older answer of the watch"}, 0, false},
-		{[]string{"job", "page", "page drops, by the watch", "a late answer to an own commit"}, 0, true},
+		{[]string{"put job", "put shard"}, 4, false},
+		{[]string{"put shard", "put job"}, 4, false},
+		{[]string{"put shard", "put job", "put older shard"}, 4, false},
+		{[]string{"put shard", "put older shard", "put job"}, 4, false},
+		{[]string{"put job", "put shard", "put shard", "put job"}, 4, false},
+		{[]string{"put job", "put shard", "watch moves machine, new shard first"}, 4, false},
+		{[]string{"put job", "put shard", "watch moves machine, old shard first"}, 4, false},
+		{[]string{"put shard", "own commit moves machine", "put job"}, 4, false},
+		{[]string{"put job", "put shard", "own deletions"}, 0, false},
+		{[]string{"put job", "put shard", "own deletions", "late watch puts shard"}, 0, false},
+		{
+			[]string{"put job", "put shard", "watch deletes shard and job", "older watch puts job and shard"},
+			0, false,
+		},
+		{
+			[]string{"put job", "put shard", "watch deletes shard", "late own commit puts shard"},
+			0, true,
+		},
 	}
 	for _, tc := range cases {
 		mr := New()
 		for _, s := range tc.order {
 			steps[s](mr)
 		}
-		machine, held, done := 0.0, 0, 0
+		machineCPUs, assigned, done := 0.0, 0, 0
 		if m := mr.Machines["i-1"]; m != nil {
-			machine = m.Used.CPUs
+			machineCPUs = m.Used.CPUs
 		}
 		if job := mr.Jobs["j-1"]; job != nil {
-			held, done = job.AssignedTasks, job.DoneTasks
+			assigned, done = job.AssignedTasks, job.DoneTasks
 		}
-		if cpus := float64(2 * tc.held); mr.UseByTeam["t"].CPUs != cpus || machine != cpus ||
-			held != tc.held ||
-			held > 0 && done != 2 ||
+		if cpus := float64(2 * tc.assigned); mr.UseByTeam["t"].CPUs != cpus || machineCPUs != cpus ||
+			assigned != tc.assigned ||
+			assigned > 0 && done != 2 ||
 			mr.Machines["i-2"] != nil {
 			t.Errorf(
-				"%v: team %v, machine %v, held %d, done %d",
+				"%q: got team usage %v, want %v CPUs; got %v CPUs on machine i-1, want %v; "+
+					"got %d assigned tasks, want %d; got %d done tasks, want 2 with assigned ones; "+
+					"got machine i-2 present %v, want false",
 				tc.order,
 				mr.UseByTeam["t"],
-				machine,
-				held,
+				cpus,
+				machineCPUs,
+				cpus,
+				assigned,
+				tc.assigned,
 				done,
+				mr.Machines["i-2"] != nil,
 			)
 		}
-		if tc.held == 0 && (mr.Shards["p"] != nil || (len(mr.Jobs) > 0) != tc.jobLeft) {
-			t.Errorf("%v: a dropped job or page is back", tc.order)
+		if tc.assigned == 0 && (mr.Shards["p"] != nil || (len(mr.Jobs) > 0) != tc.jobRemains) {
+			t.Errorf("%q: got shard p present %v, want absent; got %d jobs, want jobs to remain %v",
+				tc.order, mr.Shards["p"] != nil, len(mr.Jobs), tc.jobRemains)
 		}
 	}
 }
 
-// TestMirrorMemoryStaysBounded: the most jobs that are taken at once, with their rows, and the
-// answers remembered, stay well within the smaller deployment's 98 MB.
+// TestMirrorMemoryStaysBounded checks the heap use of a mirror with the maximum number of open jobs, a shard
+// for each and a full result cache. It must stay well within the 98 MB of the smaller deployment.
 func TestMirrorMemoryStaysBounded(t *testing.T) {
 	measure := func() uint64 {
 		runtime.GC()
@@ -147,10 +161,11 @@
 		mr.Results.Add(fmt.Sprintf("j-%09d", i), storage.JobDone)
 	}
 	if used := measure() - before; used > 64<<20 {
-		t.Errorf("%d MB", used>>20)
+		t.Errorf("mirror with %d open jobs: got %d MB of heap, want at most 64", MaxOpenJobs, used>>20)
 	}
-	if n := len(mr.Results.statuses); n > mr.Results.capacity*9/8 || len(mr.Results.insertionOrder) != n {
-		t.Errorf("%d answers remembered", n)
+	if n := len(mr.Results.finalStates); n > mr.Results.capacity*9/8 || len(mr.Results.insertionOrder) != n {
+		t.Errorf("result cache: got %d states and %d insertion entries, want equal numbers, at most %d",
+			n, len(mr.Results.insertionOrder), mr.Results.capacity*9/8)
 	}
 	runtime.KeepAlive(mr)
 }
--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -16,23 +16,23 @@
 
 const testWatchInterval = 100 * monotime.Millisecond
 
-// madeCall is a call that has no answer yet.
-type madeCall struct {
+// pendingCall is a call to the state service that the test hasn't answered yet.
+type pendingCall struct {
 	call     *protocol.StoreCall
 	callback func(protocol.StoreResult)
 	atOnce   bool
 }
 
-// replicaTest is a replica whose calls are answered by the test. It serves as the replica's store,
-// environment, observer and pause detector.
+// replicaTest is a replica whose calls the test answers. It implements the replica's store, environment,
+// observer (through readyObserver) and pause detector.
 type replicaTest struct {
 	*Replica
-	t        *testing.T
-	clock    *fake.SimClock
-	calls    []madeCall
-	recorded []protocol.Outcome // outcomes recorded
-	events   []string           // calls of the observer
-	resumed  monotime.Micros    // end of the last pause
+	t                *testing.T
+	clock            *fake.SimClock
+	calls            []pendingCall
+	recordedOutcomes []protocol.Outcome // arguments of RecordOutcome
+	events           []string           // observer callbacks, in the order of the calls
+	resumedAt        monotime.Micros    // when the last pause ended
 }
 
 func newReplicaTest(t *testing.T) *replicaTest {
@@ -51,56 +51,57 @@
 func (rt *replicaTest) After(delay monotime.Micros, f func()) { rt.clock.After(delay, f) }
 func (rt *replicaTest) Rand() *rand.Rand                      { return rt.clock.Rand }
 func (rt *replicaTest) RecordOutcome(outcome protocol.Outcome) {
-	rt.recorded = append(rt.recorded, outcome)
+	rt.recordedOutcomes = append(rt.recordedOutcomes, outcome)
 }
 func (rt *replicaTest) WatchInterval() monotime.Micros      { return testWatchInterval }
 func (rt *replicaTest) BeforeReplace(*Mirror)               { rt.events = append(rt.events, "before") }
 func (rt *replicaTest) Replaced()                           { rt.events = append(rt.events, "replaced") }
 func (rt *replicaTest) Changed()                            { rt.events = append(rt.events, "changed") }
 func (rt *replicaTest) DetectPause(monotime.Micros)         {}
-func (rt *replicaTest) ResumedFromPauseAt() monotime.Micros { return rt.resumed }
+func (rt *replicaTest) ResumedFromPauseAt() monotime.Micros { return rt.resumedAt }
 func (rt *replicaTest) CallAtOnce(call *protocol.StoreCall, f func(protocol.StoreResult)) {
-	rt.calls = append(rt.calls, madeCall{call, f, true})
+	rt.calls = append(rt.calls, pendingCall{call, f, true})
 }
 
 func (rt *replicaTest) Call(_ ratelimit.Priority, call *protocol.StoreCall, f func(protocol.StoreResult)) {
-	rt.calls = append(rt.calls, madeCall{call, f, false})
+	rt.calls = append(rt.calls, pendingCall{call, f, false})
 }
 
-// readyObserver keeps the observer's method Ready apart from the replica's.
+// readyObserver implements Observer. It exists because replicaTest can't: Ready of the embedded Replica has
+// another signature.
 type readyObserver struct{ *replicaTest }
 
 func (o readyObserver) Ready() { o.events = append(o.events, "ready") }
 
-// next takes the first call that has no answer and checks its kind.
-func (rt *replicaTest) next(op protocol.StoreOp) madeCall {
+// nextCall removes and returns the first pending call and requires that it is of the given operation.
+func (rt *replicaTest) nextCall(op protocol.StoreOp) pendingCall {
 	rt.t.Helper()
 	if len(rt.calls) == 0 {
-		rt.t.Fatalf("nothing sent, want %v", op)
+		rt.t.Fatalf("got no pending request, want operation %v", op)
 	}
-	made := rt.calls[0]
+	pending := rt.calls[0]
 	rt.calls = rt.calls[1:]
-	if made.call.Op != op {
-		rt.t.Fatalf("sent %v, want %v", made.call.Op, op)
+	if pending.call.Op != op {
+		rt.t.Fatalf("got request of operation %v, want %v", pending.call.Op, op)
 	}
-	return made
+	return pending
 }
 
 func (rt *replicaTest) requireNoCall() {
 	rt.t.Helper()
 	if len(rt.calls) > 0 {
-		rt.t.Fatalf("sent %+v, want nothing", rt.calls[0].call)
+		rt.t.Fatalf("got %d pending calls, the first %+v, want none", len(rt.calls), rt.calls[0].call)
 	}
 }
 
-// answerLists answers the lists of a load with one page each, at the revisions given for the first and for
-// all the others; items belong to the list of open jobs.
+// answerLists answers each list call of a load with one page. The first page has revision first, the others
+// have revision others. jobs are the items of the list of open jobs.
 func (rt *replicaTest) answerLists(first, others uint64, jobs ...protocol.KeyValue) {
 	rt.t.Helper()
 	for i, kind := range listedKinds(false) {
-		made := rt.next(protocol.StoreList)
-		if want := storage.Key(kind, ""); made.call.Key != want {
-			rt.t.Fatalf("list %d is of %s, want %s", i, made.call.Key, want)
+		pending := rt.nextCall(protocol.StoreList)
+		if want := storage.Key(kind, ""); pending.call.Key != want {
+			rt.t.Fatalf("list %d: got key %s, want %s", i, pending.call.Key, want)
 		}
 		page := protocol.StoreResult{Outcome: protocol.OK, Revision: others}
 		if i == 0 {
@@ -109,29 +110,29 @@
 		if kind == storage.KindOpenJob {
 			page.Items = jobs
 		}
-		made.callback(page)
+		pending.callback(page)
 	}
 }
 
-// loadEmpty loads an empty store at a revision; the mirror is ready then.
-func (rt *replicaTest) loadEmpty(revision uint64) {
+// loadEmptyStore loads an empty store at a revision and requires that the mirror is then ready.
+func (rt *replicaTest) loadEmptyStore(revision uint64) {
 	rt.t.Helper()
 	rt.Load()
 	rt.answerLists(revision, revision)
 	if !rt.Ready() {
-		rt.t.Fatal("not ready after a load")
+		rt.t.Fatalf("load at revision %d: got not ready, want ready", revision)
 	}
 	rt.events = nil
 }
 
-// openJob is the record of a job in a list.
+// openJob returns the record of an open job as a list item.
 func openJob(id string, version uint64) protocol.KeyValue {
 	return protocol.KeyValue{
 		Key: storage.OpenJobKey(id), Value: storagetest.OpenJob(2), Version: version,
 	}
 }
 
-// putEvent is the change that wrote a record.
+// putEvent returns the watch event for the put of a record.
 func putEvent(item protocol.KeyValue) protocol.Event {
 	return protocol.Event{Put: item.Key, Value: item.Value, Version: item.Version}
 }
