--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -67,10 +67,10 @@
 
 // SplitKey returns the kind and the name of a key; ok is false for keys that aren't the service's.
 func SplitKey(key string) (kind Kind, name string, ok bool) {
-	rest, ok := strings.CutPrefix(key, KeyPrefix)
+	suffix, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
 		return "", "", false
 	}
-	kindText, name, ok := strings.Cut(rest, "/")
+	kindText, name, ok := strings.Cut(suffix, "/")
 	return Kind(kindText), name, ok
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -8,12 +8,12 @@
 	"pipitgap/internal/protocol"
 )
 
-// storedSizeFactor is about how much larger a value is in JSON than in its packed form.
-const storedSizeFactor = 2
+// jsonSizeFactor is about how much larger a value is in JSON than in its packed form.
+const jsonSizeFactor = 2
 
 // StoredSize estimates the bytes of an encoded record as the state service counts them against the limit of
 // a value, which is in JSON.
-func StoredSize(encoded []byte) int { return storedSizeFactor * len(encoded) }
+func StoredSize(encoded []byte) int { return jsonSizeFactor * len(encoded) }
 
 // JobState is the state of a job.
 type JobState string
--- a/internal/storage/shard_decode.go
+++ b/internal/storage/shard_decode.go
@@ -65,7 +65,7 @@
 		}
 		lastID, lastEndpoint = id, endpoint
 		d.machineByNumber[machine.Number] = id
-		d.shard.Machines[id] = d.sharedMachine(id, machine)
+		d.shard.Machines[id] = d.reuseMachine(id, machine)
 	}
 	return nil
 }
@@ -98,24 +98,24 @@
 	}, true
 }
 
-// sharedMachine returns the entry of the previous shard if it is the same.
-func (d *shardDecoder) sharedMachine(id string, machine *ShardMachine) *ShardMachine {
+// reuseMachine returns the entry of the previous shard if it is the same.
+func (d *shardDecoder) reuseMachine(id string, machine *ShardMachine) *ShardMachine {
 	if d.previous != nil {
-		if before := d.previous.Machines[id]; before != nil && *before == *machine {
-			return before
+		if previousMachine := d.previous.Machines[id]; previousMachine != nil && *previousMachine == *machine {
+			return previousMachine
 		}
 	}
 	return machine
 }
 
-// numbersUnchanged reports whether no number names another machine than in the previous shard: only then does
+// machineNumbersUnchanged reports whether no number names another machine than in the previous shard: only then does
 // the same text of a job mean the same attempts.
-func (d *shardDecoder) numbersUnchanged() bool {
+func (d *shardDecoder) machineNumbersUnchanged() bool {
 	if d.previous == nil {
 		return false
 	}
-	for id, before := range d.previous.Machines {
-		if current, ok := d.machineByNumber[before.Number]; ok && current != id {
+	for id, previousMachine := range d.previous.Machines {
+		if current, ok := d.machineByNumber[previousMachine.Number]; ok && current != id {
 			return false
 		}
 	}
@@ -124,19 +124,19 @@
 
 // decodeJobs reads the entries of the jobs; the machines have been read.
 func (d *shardDecoder) decodeJobs(entries string) error {
-	mayShare := d.numbersUnchanged()
+	mayShare := d.machineNumbersUnchanged()
 	lastID := ""
 	for _, entry := range splitEntries(entries) {
-		head, _, _ := strings.Cut(entry, columnSeparator)
-		id, ok := expandPrefix(lastID, head)
+		idText, _, _ := strings.Cut(entry, columnSeparator)
+		id, ok := expandPrefix(lastID, idText)
 		if !ok || id == "" || d.shard.Jobs[id] != nil {
 			return malformedEntry(entry)
 		}
 		lastID = id
-		encoded := entry[len(head):]
+		encoded := entry[len(idText):]
 		if mayShare {
-			if before := d.previous.Jobs[id]; before != nil && before.encoded == encoded {
-				d.shard.Jobs[id] = before
+			if previousJob := d.previous.Jobs[id]; previousJob != nil && previousJob.encoded == encoded {
+				d.shard.Jobs[id] = previousJob
 				continue
 			}
 		}
@@ -154,7 +154,7 @@
 	job := &ShardJob{encoded: encoded}
 	for _, field := range strings.Fields(encoded) {
 		completed, ok := strings.CutPrefix(field, completedPrefix)
-		if ok && !strings.ContainsAny(field, runningSeparator+startSeparator) {
+		if ok && !strings.ContainsAny(field, runningSeparator+startingSeparator) {
 			tasks, err := parseTaskSet(completed, protocol.MaxTasks)
 			if err != nil {
 				return nil, err
@@ -172,13 +172,13 @@
 
 // decodeAttempts reads a group of attempts that were assigned together, and adds them to a job.
 func (d *shardDecoder) decodeAttempts(job *ShardJob, field string) error {
-	head, listed, ok := strings.Cut(field, tasksSeparator)
+	group, tasksText, ok := strings.Cut(field, tasksSeparator)
 	if !ok {
-		listed = onlyFirstTask
+		tasksText = defaultTaskSet
 	}
-	numberText, attemptText, running := strings.Cut(head, runningSeparator)
+	numberText, attemptText, running := strings.Cut(group, runningSeparator)
 	if !running {
-		if numberText, attemptText, ok = strings.Cut(head, startSeparator); !ok {
+		if numberText, attemptText, ok = strings.Cut(group, startingSeparator); !ok {
 			return fmt.Errorf("attempts %q without a separator", field)
 		}
 	}
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	tasks, err := parseTaskSet(listed, protocol.MaxTasks)
+	tasks, err := parseTaskSet(tasksText, protocol.MaxTasks)
 	if err != nil {
 		return err
 	}
@@ -205,15 +205,15 @@
 }
 
 // expandPrefix reads what appendPrefixCompressed has written after last; ok is false for anything else.
-func expandPrefix(last, text string) (s string, ok bool) {
+func expandPrefix(previous, text string) (s string, ok bool) {
 	if text == "" {
 		return "", false
 	}
 	n, err := strconv.ParseInt(text[:1], numberBase, 32)
-	if err != nil || int(n) > len(last) {
+	if err != nil || int(n) > len(previous) {
 		return "", false
 	}
-	return last[:n] + text[1:], true
+	return previous[:n] + text[1:], true
 }
 
 // splitEntries takes a list of entries apart; an empty text has none.
--- a/internal/storage/shard_encode.go
+++ b/internal/storage/shard_encode.go
@@ -114,7 +114,7 @@
 func (g attemptGroup) appendText(text []byte, tasks TaskSet) []byte {
 	separator := runningSeparator
 	if g.starting {
-		separator = startSeparator
+		separator = startingSeparator
 	}
 	text = strconv.AppendInt(text, int64(g.machineNumber), numberBase)
 	text = strconv.AppendUint(append(text, separator...), g.attempt, numberBase)
@@ -125,21 +125,21 @@
 }
 
 // appendPrefixCompressed appends s as the number of characters that it shares with last, and the rest.
-func appendPrefixCompressed(text []byte, last, s string) []byte {
-	n := 0
-	for n < maxSharedPrefix && n < len(last) && n < len(s) && last[n] == s[n] {
-		n++
+func appendPrefixCompressed(text []byte, previous, s string) []byte {
+	shared := 0
+	for shared < maxSharedPrefix && shared < len(previous) && shared < len(s) && previous[shared] == s[shared] {
+		shared++
 	}
-	return append(strconv.AppendInt(text, int64(n), numberBase), s[n:]...)
+	return append(strconv.AppendInt(text, int64(shared), numberBase), s[shared:]...)
 }
 
 // MaxStartingBytes is what an attempt takes at most, in bytes, by being a group of its own: attempts that
 // are starting stand apart from running ones that were assigned with them.
 const MaxStartingBytes = 14
 
-// assignedJobBytes is what a job with attempts takes at most once some of its tasks are completed, beside
+// completedFieldBytes is what a job with attempts takes at most once some of its tasks are completed, beside
 // their numbers.
-const assignedJobBytes = 2
+const completedFieldBytes = 2
 
 // MaxEncodedSize returns how large the shard can get without another assignment, in bytes: as its attempts
 // end in any order, ranges of them fall apart. What is assigned must always find room in the record.
@@ -147,7 +147,7 @@
 	_, size := s.Encode()
 	for _, entry := range s.Jobs {
 		if len(entry.Attempts) > 0 {
-			size += assignedJobBytes
+			size += completedFieldBytes
 		}
 		for _, attempt := range entry.Attempts {
 			size += MaxTaskBytes(attempt.Task)
--- a/internal/storage/shard_record.go
+++ b/internal/storage/shard_record.go
@@ -21,14 +21,14 @@
 	// maxSharedPrefix is the largest prefix that one digit of numberBase can name.
 	maxSharedPrefix = numberBase - 1
 
-	entrySeparator   = ";"
-	columnSeparator  = " "
-	completedPrefix  = "d"
-	tasksSeparator   = ":"
-	runningSeparator = "@"
-	startSeparator   = "!"
-	// onlyFirstTask are the tasks of a group that names none.
-	onlyFirstTask = "0"
+	entrySeparator    = ";"
+	columnSeparator   = " "
+	completedPrefix   = "d"
+	tasksSeparator    = ":"
+	runningSeparator  = "@"
+	startingSeparator = "!"
+	// defaultTaskSet are the tasks of a group that names none.
+	defaultTaskSet = "0"
 )
 
 // Columns of a machine's entry. The claim is left out where it isn't above the shard's.
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -64,8 +64,8 @@
 	return rt
 }
 
-// flipStarting has some attempt be seen to run, or to start again.
-func (rt *roundTripShard) flipStarting(shard *Shard) {
+// toggleStarting has some attempt be seen to run, or to start again.
+func (rt *roundTripShard) toggleStarting(shard *Shard) {
 	rt.t.Helper()
 	for task := range rt.assigned {
 		before, ok := shard.FindAttempt(task.job, task.task)
@@ -103,8 +103,8 @@
 		rt.t.Fatal(err)
 	}
 	fresh, err := DecodeShard(raw, nil)
-	if err != nil || !reflect.DeepEqual(withoutCaches(got), withoutCaches(fresh)) ||
-		!reflect.DeepEqual(withoutCaches(fresh), withoutCaches(written)) {
+	if err != nil || !reflect.DeepEqual(comparableForm(got), comparableForm(fresh)) ||
+		!reflect.DeepEqual(comparableForm(fresh), comparableForm(written)) {
 		rt.t.Fatalf("%v: read %+v, written %+v", err, fresh, written)
 	}
 	return got
@@ -130,7 +130,7 @@
 	})
 	raw, _ := changed.Encode()
 	again, err := DecodeShard(raw, rt.shard)
-	if err != nil || !reflect.DeepEqual(withoutCaches(again), withoutCaches(changed)) {
+	if err != nil || !reflect.DeepEqual(comparableForm(again), comparableForm(changed)) {
 		rt.t.Fatalf("%v: a number that was given again is misread", err)
 	}
 }
@@ -145,7 +145,7 @@
 		for task := range rt.assigned {
 			changed := rt.shard.Clone()
 			changed.Release(task.job, task.task, random.IntN(4) > 0)
-			rt.flipStarting(changed)
+			rt.toggleStarting(changed)
 			raw, size := changed.Encode()
 			rt.requireSizeInBound(raw, size)
 			got := rt.requireDecodes(raw, changed)
@@ -162,8 +162,8 @@
 	}
 }
 
-// TestMalformedJobs: jobs that no machine or bound allows are no shard.
-func TestMalformedJobs(t *testing.T) {
+// TestDecodeMalformedJobs: jobs that no machine or bound allows are no shard.
+func TestDecodeMalformedJobs(t *testing.T) {
 	for _, text := range []string{
 		"0j-1 d5-2", "0j-1 0@1:0", "0j-1 d0;3 d1", "0j-1 d999999999", "0j-1 d1,0", " d1", "4j-1 d1", "0 d1",
 	} {
@@ -174,8 +174,8 @@
 	}
 }
 
-// withoutCaches leaves what counts of a shard.
-func withoutCaches(s *Shard) map[string]any {
+// comparableForm leaves what counts of a shard.
+func comparableForm(s *Shard) map[string]any {
 	out := map[string]any{"machines": s.Machines, "head": []any{s.Owner, s.Incarnation, s.Claim}}
 	for id, m := range s.Machines {
 		if m.Claim <= s.Claim {
@@ -185,20 +185,20 @@
 		}
 	}
 	for id, e := range s.Jobs {
-		var done TaskSet
-		done = append(done, e.Completed...)
-		held := append([]Attempt{}, e.Attempts...)
-		out[id] = []any{done, held}
+		var completed TaskSet
+		completed = append(completed, e.Completed...)
+		attempts := append([]Attempt{}, e.Attempts...)
+		out[id] = []any{completed, attempts}
 	}
 	return out
 }
 
 // TestAssignRange: ranges change hands whole, in part and across several.
 func TestAssignRange(t *testing.T) {
-	all := []TaskRange{{First: 0, End: 10, Partition: "a"}, {First: 10, End: 20, Partition: "b"}}
+	ranges := []TaskRange{{First: 0, End: 10, Partition: "a"}, {First: 10, End: 20, Partition: "b"}}
 	cases := []struct {
 		first, end int
-		part       string
+		partition  string
 		want       []TaskRange
 	}{
 		{0, 10, "b", []TaskRange{{First: 0, End: 20, Partition: "b"}}},
@@ -236,8 +236,8 @@
 		{0, 20, "c", []TaskRange{{First: 0, End: 20, Partition: "c"}}},
 	}
 	for _, tc := range cases {
-		if got := AssignRange(all, tc.first, tc.end, tc.part); !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%d to %d for %s: %v", tc.first, tc.end, tc.part, got)
+		if got := AssignRange(ranges, tc.first, tc.end, tc.partition); !reflect.DeepEqual(got, tc.want) {
+			t.Errorf("%d to %d for %s: %v", tc.first, tc.end, tc.partition, got)
 		}
 	}
 }
--- a/internal/storage/storagetest/records.go
+++ b/internal/storage/storagetest/records.go
@@ -21,7 +21,7 @@
 }
 
 // Shard holds tasks of a job on one machine, some of them done.
-func Shard(machine, job string, held, done int) protocol.Raw {
+func Shard(machine, job string, running, completed int) protocol.Raw {
 	shardRecord := &storage.Shard{
 		Owner:    "n-0",
 		Claim:    1,
@@ -32,11 +32,11 @@
 		machine,
 		storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1", State: storage.MachineOpen},
 	)
-	for i := 0; i < held+done; i++ {
+	for i := 0; i < running+completed; i++ {
 		shardRecord.Assign(job, storage.Attempt{Task: i, Machine: machine, Number: 1})
 	}
-	for i := 0; i < done; i++ {
-		shardRecord.Release(job, held+i, true)
+	for i := 0; i < completed; i++ {
+		shardRecord.Release(job, running+i, true)
 	}
 	encoded, _ := shardRecord.Encode()
 	return encoded
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -19,25 +19,25 @@
 // storedRecords has one record of each kind with every field set, and those with optional fields
 // without them too. Maps have one entry at most: their order isn't fixed.
 func storedRecords() []storedRecord {
-	spec := JobSpec{
+	fullSpec := JobSpec{
 		Class: "batch", Team: "wren", Service: true, Priority: 7, Tasks: 40, CPUs: 1.5, GPUs: 2,
 		MemoryGB: 6.25, Image: "wren/sort:3", ImageGB: 0.75, MachineTypes: []string{"m8", "g2"},
 		Zone: "rack-a", OneZone: true, Spread: true, Spot: true,
 		EstimateS: 90.5, CheckpointS: 30, SaveS: 2.5, DeadlineS: 900,
 	}
-	least := JobSpec{Class: "batch", Team: "wren", Priority: 7, Tasks: 1, CPUs: 1, MemoryGB: 2,
+	minimalSpec := JobSpec{Class: "batch", Team: "wren", Priority: 7, Tasks: 1, CPUs: 1, MemoryGB: 2,
 		Image: "wren/sort:3", ImageGB: 0.5, EstimateS: 60}
-	const at = 1_764_687_600_123_456
+	const timestamp = 1_764_687_600_123_456
 	return []storedRecord{
 		{file: "job-done", key: Key(KindJobResult, "j-000017"), value: &JobResult{State: JobDone}},
 		{file: "job-cancelled", key: Key(KindJobResult, "j-000018"), value: &JobResult{State: JobCancelled}},
-		{file: "open", key: Key(KindOpenJob, "j-000017"), value: &OpenJob{Spec: spec, AcceptedAt: at,
+		{file: "open", key: Key(KindOpenJob, "j-000017"), value: &OpenJob{Spec: fullSpec, AcceptedAt: timestamp,
 			TaskRanges: []TaskRange{
 				{First: 0, End: 16, Partition: "n-0"},
 				{First: 16, End: 40, Partition: "n-1"},
 			}}},
 		{file: "open-sparse", key: Key(KindOpenJob, "j-000018"), sparse: true,
-			value: &OpenJob{Spec: least, AcceptedAt: at}},
+			value: &OpenJob{Spec: minimalSpec, AcceptedAt: timestamp}},
 		{file: "partition", key: Key(KindPartition, "n-0"),
 			value: &Partition{QuotaShares: map[string]QuotaShare{"wren": {CPUs: 12.5, GPUs: 3}}}},
 		{
@@ -51,7 +51,7 @@
 			key:  Key(KindScaleOut, "a-1-4"),
 			value: &ScaleOutRequest{Phase: ScaleOutProvisioning, MachineType: "m8",
 				Zone: "rack-a", Spot: true, Count: 2, Machines: []string{"i-000231", "i-000232"},
-				Live: []string{"n-0", "n-1"}, Own: map[string]string{"i-000231": "n-1"}, PhaseSince: at},
+				Live: []string{"n-0", "n-1"}, Own: map[string]string{"i-000231": "n-1"}, PhaseSince: timestamp},
 		},
 		{file: "rental-pending", key: Key(KindScaleOut, "a-1-5"), sparse: true,
 			value: &ScaleOutRequest{
@@ -59,7 +59,7 @@
 				MachineType: "m8",
 				Zone:        "rack-a",
 				Count:       2,
-				PhaseSince:  at,
+				PhaseSince:  timestamp,
 			}},
 		{file: "rental-unmet", key: Key(KindScaleOut, "a-1-6"), sparse: true,
 			value: &ScaleOutRequest{
@@ -67,16 +67,16 @@
 				MachineType: "m8",
 				Zone:        "rack-b",
 				Count:       1,
-				PhaseSince:  at,
+				PhaseSince:  timestamp,
 			}},
 		{
 			file: "removal",
 			key:  Key(KindScaleIn, "d-1-2"),
 			value: &ScaleInRequest{Machines: []string{"i-000231"},
-				StateSince: at, Attempts: 3, Failed: true, Deleted: true},
+				StateSince: timestamp, Attempts: 3, Failed: true, Deleted: true},
 		},
 		{file: "removal-sparse", key: Key(KindScaleIn, "d-1-3"), sparse: true,
-			value: &ScaleInRequest{Machines: []string{"i-000232"}, StateSince: at}},
+			value: &ScaleInRequest{Machines: []string{"i-000232"}, StateSince: timestamp}},
 		{file: "member", key: Key(KindMember, "n-0"), value: &Member{Incarnation: 1 << 47, Zone: "rack-a"}},
 		{file: "lead", key: LeaderKey, value: &Leader{Node: "n-0", Incarnation: 1 << 47}},
 		{file: "drain", key: Key(KindDrain, "rack-a-out"), value: &Drain{State: DrainPaused,
@@ -87,27 +87,27 @@
 				Type:         "m8",
 				CapacityType: SpotCapacity,
 			},
-			LastMachine: "i-000300", Replace: true, RemoveAtOnce: true, MaxParallel: 3, StartedAt: at,
-			DeadlineAt: at + 60, EndedAt: at + 120}},
+			LastMachine: "i-000300", Replace: true, RemoveAtOnce: true, MaxParallel: 3, StartedAt: timestamp,
+			DeadlineAt: timestamp + 60, EndedAt: timestamp + 120}},
 		{file: "drain-active", key: Key(KindDrain, "d-1"), sparse: true,
 			value: &Drain{
 				State:       DrainActive,
 				Selector:    Selector{CapacityType: OnDemandCapacity},
 				MaxParallel: 1,
-				StartedAt:   at,
+				StartedAt:   timestamp,
 			}},
 		{file: "drain-drained", key: Key(KindDrain, "d-2"), sparse: true,
 			value: &Drain{State: DrainDrained, Selector: Selector{Zone: "rack-b"}, MaxParallel: 1,
-				StartedAt: at}},
+				StartedAt: timestamp}},
 		{file: "drain-done", key: Key(KindDrain, "d-3"), sparse: true,
-			value: &Drain{State: DrainDone, Selector: Selector{Type: "m8"}, MaxParallel: 1, StartedAt: at,
-				EndedAt: at + 1}},
+			value: &Drain{State: DrainDone, Selector: Selector{Type: "m8"}, MaxParallel: 1, StartedAt: timestamp,
+				EndedAt: timestamp + 1}},
 		{file: "drain-aborted", key: Key(KindDrain, "d-4"), sparse: true,
 			value: &Drain{State: DrainAborted, Selector: Selector{Machines: []string{"i-1"}}, MaxParallel: 1,
-				StartedAt: at, EndedAt: at + 1}},
+				StartedAt: timestamp, EndedAt: timestamp + 1}},
 		{file: "permits", key: Key(KindPermits, "wren"), value: &Permits{Permits: []Permit{
 			{Drain: "rack-a-out", Job: "j-000017", Task: 5, Attempt: 50012, From: "i-000231", To: "i-000240",
-				GrantedAt: at}}}},
+				GrantedAt: timestamp}}}},
 		{file: "registry", key: DrainRegistryKey, value: ptr("rack-a-out")}, // the name of the newest drain
 	}
 }
@@ -208,7 +208,7 @@
 		"j-000019": {Attempts: []Attempt{{Task: 0, Machine: "i-000232", Number: 79}}},
 		"zebra":    {Completed: TaskSet{{3, 4}}},
 	}}
-	none := &Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*ShardMachine{},
+	empty := &Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*ShardMachine{},
 		Jobs: map[string]*ShardJob{}}
 	completed := &Shard{Owner: "n-1", Incarnation: 2, Claim: 9, Machines: map[string]*ShardMachine{},
 		Jobs: map[string]*ShardJob{"j-000001": {Completed: TaskSet{{0, 64}}}}}
@@ -221,7 +221,7 @@
 		{Task: 1, Machine: "i-000002", Number: 8},
 		{Task: 2, Machine: "i-000001", Number: 8},
 		{Task: 3, Machine: "i-000003", Number: 9, Starting: true}}}}}
-	return map[string]*Shard{"shard": full, "shard-empty": none, "shard-completed": completed,
+	return map[string]*Shard{"shard": full, "shard-empty": empty, "shard-completed": completed,
 		"shard-drained": drained}
 }
 
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -72,7 +72,7 @@
 // that they exhaust the memory.
 func parseTaskSet(text string, limit int) (TaskSet, error) {
 	var out TaskSet
-	last := -1
+	previousLast := -1
 	for len(text) > 0 {
 		var interval string
 		interval, text, _ = strings.Cut(text, ",")
@@ -82,10 +82,10 @@
 		if err == nil && isRange {
 			end, err = strconv.Atoi(lastText)
 		}
-		if err != nil || first <= last || end < first || end >= limit {
+		if err != nil || first <= previousLast || end < first || end >= limit {
 			return nil, fmt.Errorf("tasks %q out of order or bounds", interval)
 		}
-		last = end
+		previousLast = end
 		out = append(out, Interval{first, end + 1})
 	}
 	return out, nil
