--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -9,14 +9,14 @@
 // immediate rejection. A request must not wait for longer than its user does.
 const (
 	minQueuedUserCalls  = 4
-	queuedUserCallsTime = 0.75 // seconds that this controller's writes take for them
+	maxUserQueueSeconds = 0.75 // seconds that this controller's writes take for them
 	minQueuedBurstCalls = 2
 	burstQueueDivisor   = 4 // calls of bursts have one part in so many of the users'
 )
 
 // MaxQueuedUserCalls bounds the calls that wait on behalf of users.
 func (h *Handler) MaxQueuedUserCalls() int {
-	return max(minQueuedUserCalls, int(h.store.WritesPerSecond()*queuedUserCallsTime))
+	return max(minQueuedUserCalls, int(h.store.WritesPerSecond()*maxUserQueueSeconds))
 }
 
 // maxQueuedBurstCalls bounds the calls of bursts that wait.
--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -6,10 +6,10 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// TestRetryAfterIsSpreadInOutage: one second, or one to three while the state service is unavailable.
-func TestRetryAfterIsSpreadInOutage(t *testing.T) {
-	world := newFakeWorld()
-	handler := world.handler()
+// TestRetryAfterJitterDuringOutage: one second, or one to three while the state service is unavailable.
+func TestRetryAfterJitterDuringOutage(t *testing.T) {
+	deps := newFakeDependencies()
+	handler := deps.handler()
 	seen := map[int]bool{}
 	for range 100 {
 		seen[handler.deferRequest(429, "").RetryAfter] = true
@@ -17,7 +17,7 @@
 	if len(seen) != 1 || !seen[1] {
 		t.Errorf("without an outage: %v", seen)
 	}
-	world.unavailable = true
+	deps.unavailable = true
 	for range 100 {
 		seen[handler.deferRequest(503, "").RetryAfter] = true
 	}
@@ -35,9 +35,9 @@
 		rate        float64
 		user, burst int
 	}{{0, 4, 2}, {5, 4, 2}, {20, 15, 3}, {100, 75, 18}} {
-		world := newFakeWorld()
-		world.queue.SetRates(ratelimit.Rates{}, ratelimit.Rates{PerSecond: tc.rate})
-		handler := world.handler()
+		deps := newFakeDependencies()
+		deps.queue.SetRates(ratelimit.Rates{}, ratelimit.Rates{PerSecond: tc.rate})
+		handler := deps.handler()
 		if user, burst := handler.MaxQueuedUserCalls(), handler.maxQueuedBurstCalls(); user != tc.user ||
 			burst != tc.burst {
 			t.Errorf("%v writes a second: %d and %d, want %d and %d", tc.rate, user, burst, tc.user, tc.burst)
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -158,8 +158,8 @@
 
 // PriorityClass is the class in which changes of a job's records are queued: otherwise, or the last one for
 // jobs of a burst.
-func (h *Handler) PriorityClass(spec *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority {
-	return h.bursts.priorityClass(spec, otherwise)
+func (h *Handler) PriorityClass(spec *storage.JobSpec, defaultClass ratelimit.Priority) ratelimit.Priority {
+	return h.bursts.priorityClass(spec, defaultClass)
 }
 
 // Respond sends the answer of a request. It is called once.
--- a/internal/api/burst_limit.go
+++ b/internal/api/burst_limit.go
@@ -66,19 +66,19 @@
 		return false
 	}
 	now := b.environment.Now()
-	own, all := 0.0, 0.0
+	teamCount, totalCount := 0.0, 0.0
 	for _, team := range sortedmap.Keys(b.rates) {
 		count := b.rates[team].decayedCount(now)
-		all += count
+		totalCount += count
 		if team == spec.Team {
-			own = count
+			teamCount = count
 		}
 	}
-	if own < minBurstSubmissions {
+	if teamCount < minBurstSubmissions {
 		return false
 	}
-	othersSubmit := own < all-1
-	return spec.Priority == int(protocol.BestEffort) || othersSubmit && own > burstFraction*all
+	othersSubmit := teamCount < totalCount-1
+	return spec.Priority == int(protocol.BestEffort) || othersSubmit && teamCount > burstFraction*totalCount
 }
 
 // writesContended reports that writes are short: users' calls wait, or those of shards and of results have
@@ -94,10 +94,10 @@
 // priorityClass is the class for changes of a job's records.
 func (b *burstLimiter) priorityClass(
 	spec *storage.JobSpec,
-	otherwise ratelimit.Priority,
+	defaultClass ratelimit.Priority,
 ) ratelimit.Priority {
 	if b.isLimited(spec) {
 		return ratelimit.PriorityBurst
 	}
-	return otherwise
+	return defaultClass
 }
--- a/internal/api/burst_limit_test.go
+++ b/internal/api/burst_limit_test.go
@@ -9,8 +9,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestRateLimitedTeams: whose submissions go after the others'.
-func TestRateLimitedTeams(t *testing.T) {
+// TestBurstsAreLimited: whose submissions go after the others'.
+func TestBurstsAreLimited(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		sent      map[string]int
@@ -27,15 +27,15 @@
 		{"services that come in a burst", map[string]int{"guest": 50, "home": 10}, protocol.High, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newFakeWorld()
-			handler := world.handler()
+			deps := newFakeDependencies()
+			handler := deps.handler()
 			for team, n := range tc.sent {
 				for range n {
 					handler.bursts.countSubmission(&storage.JobSpec{Team: team})
 				}
 			}
 			if tc.contended {
-				world.fillQueue(ratelimit.PriorityShardUpdate, 1, world.now-2*monotime.Second)
+				deps.fillQueue(ratelimit.PriorityShardUpdate, 1, deps.now-2*monotime.Second)
 			}
 			spec := &storage.JobSpec{Team: "guest", Priority: int(tc.priority)}
 			if got := handler.bursts.isLimited(spec); got != tc.want {
@@ -72,9 +72,9 @@
 		{"a burst", ratelimit.PriorityBurst, 1, 0, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newFakeWorld()
-			world.fillQueue(tc.class, tc.calls, world.now-tc.age)
-			handler := world.handler()
+			deps := newFakeDependencies()
+			deps.fillQueue(tc.class, tc.calls, deps.now-tc.age)
+			handler := deps.handler()
 			if got := handler.bursts.writesContended(); got != tc.want {
 				t.Errorf("contended: %v, want %v", got, tc.want)
 			}
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -33,7 +33,7 @@
 			return
 		}
 		switch {
-		case !l.known():
+		case !l.accepted():
 			respond(l.response())
 		case h.mirror.Jobs[id] != nil:
 			h.CommitCancellation(id, respond)
@@ -69,7 +69,7 @@
 			respond(endedResponse(id, state))
 			return
 		}
-		if l.known() {
+		if l.accepted() {
 			respond(h.deferRequest(transport.StatusUnavailable, reasonJobChanging).response())
 			return
 		}
--- a/internal/api/cancellation_test.go
+++ b/internal/api/cancellation_test.go
@@ -13,7 +13,7 @@
 	for _, tc := range []struct {
 		name    string
 		id      string
-		world   func(*fakeWorld)
+		setup   func(*fakeDependencies)
 		want    answer
 		commits int
 	}{
@@ -21,65 +21,65 @@
 		{name: "unknown", want: answer{404, false, "no such job"}},
 		{
 			name:  "done",
-			world: func(w *fakeWorld) { w.cacheResult(newJobID, storage.JobDone) },
+			setup: func(d *fakeDependencies) { d.cacheResult(newJobID, storage.JobDone) },
 			want:  answer{200, false, protocol.JobDone},
 		},
 		{
 			name: "done, known to the state service only",
-			world: func(w *fakeWorld) {
-				w.putRecord(storage.KindJobResult, newJobID, &storage.JobResult{State: storage.JobDone})
+			setup: func(d *fakeDependencies) {
+				d.putRecord(storage.KindJobResult, newJobID, &storage.JobResult{State: storage.JobDone})
 			},
 			want: answer{200, false, protocol.JobDone},
 		},
 		{
 			name:  "outage",
-			world: func(w *fakeWorld) { w.mirrorJob(newJobID, nil); w.unavailable = true },
+			setup: func(d *fakeDependencies) { d.mirrorJob(newJobID, nil); d.unavailable = true },
 			want:  answer{503, true, unreachable},
 		},
 		{
 			name:    "open",
-			world:   func(w *fakeWorld) { w.mirrorJob(newJobID, nil) },
+			setup:   func(d *fakeDependencies) { d.mirrorJob(newJobID, nil) },
 			want:    answer{200, false, protocol.JobCancelled},
 			commits: 1,
 		},
 		{
 			name:  "a record that the mirror doesn't hold",
-			world: func(w *fakeWorld) { w.putRecord(storage.KindOpenJob, newJobID, 1) },
+			setup: func(d *fakeDependencies) { d.putRecord(storage.KindOpenJob, newJobID, 1) },
 			want:  answer{503, true, "changing just now"},
 		},
 		{
 			name:    "conflict, result not seen yet",
-			world:   func(w *fakeWorld) { w.mirrorJob(newJobID, nil); w.commitOutcome = protocol.Conflict },
+			setup:   func(d *fakeDependencies) { d.mirrorJob(newJobID, nil); d.commitOutcome = protocol.Conflict },
 			want:    answer{503, true, "changing just now"},
 			commits: 1,
 		},
 		{
 			name: "conflict with its completion",
-			world: func(w *fakeWorld) {
-				w.mirrorJob(newJobID, nil)
-				w.commitOutcome = protocol.Conflict
-				w.cacheResultOnCommit(newJobID, storage.JobDone)
+			setup: func(d *fakeDependencies) {
+				d.mirrorJob(newJobID, nil)
+				d.commitOutcome = protocol.Conflict
+				d.cacheResultOnCommit(newJobID, storage.JobDone)
 			},
 			want:    answer{200, false, protocol.JobDone},
 			commits: 1,
 		},
 		{
 			name:    "commit without an answer",
-			world:   func(w *fakeWorld) { w.mirrorJob(newJobID, nil); w.commitOutcome = protocol.Unknown },
+			setup:   func(d *fakeDependencies) { d.mirrorJob(newJobID, nil); d.commitOutcome = protocol.Unknown },
 			want:    answer{503, true, unreachable},
 			commits: 1,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newChangedWorld(tc.world)
-			world.expectAnswer(t, tc.want, func(h *Handler, respond Respond) {
+			deps := newModifiedDependencies(tc.setup)
+			deps.expectAnswer(t, tc.want, func(h *Handler, respond Respond) {
 				h.Cancel(cmp.Or(tc.id, newJobID), respond)
 			})
-			if len(world.commits) != tc.commits {
-				t.Errorf("%d commits, want %d", len(world.commits), tc.commits)
+			if len(deps.commits) != tc.commits {
+				t.Errorf("%d commits, want %d", len(deps.commits), tc.commits)
 			}
-			if committed := tc.want.text == protocol.JobCancelled; committed != (len(world.cancelled) == 1) {
-				t.Errorf("passed on to the other controllers: %v", world.cancelled)
+			if committed := tc.want.text == protocol.JobCancelled; committed != (len(deps.cancelled) == 1) {
+				t.Errorf("passed on to the other controllers: %v", deps.cancelled)
 			}
 		})
 	}
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -21,8 +21,8 @@
 	newJobID    = "j-1"
 )
 
-// fakeWorld is all that a handler depends on. Calls of the state service are answered at once from records.
-type fakeWorld struct {
+// fakeDependencies is all that a handler depends on. Calls of the state service are answered at once from records.
+type fakeDependencies struct {
 	now    monotime.Micros
 	random *rand.Rand
 	queue  *ratelimit.Queue
@@ -45,8 +45,8 @@
 	placed    int
 }
 
-func newFakeWorld() *fakeWorld {
-	w := &fakeWorld{
+func newFakeDependencies() *fakeDependencies {
+	d := &fakeDependencies{
 		now:           100 * monotime.Second,
 		random:        rand.New(rand.NewPCG(1, 2)),
 		queue:         ratelimit.NewQueue(0),
@@ -59,63 +59,63 @@
 			"m8": {Name: "m8", CPUs: 8, MemoryGB: 32, OnDemandPrice: 1, Zones: []string{"a", "b"}},
 		},
 	}
-	w.queue.SetRates(ratelimit.Rates{}, ratelimit.Rates{PerSecond: 20})
-	return w
+	d.queue.SetRates(ratelimit.Rates{}, ratelimit.Rates{PerSecond: 20})
+	return d
 }
 
-// newChangedWorld is a world with what a test changes about it, if it does.
-func newChangedWorld(change func(*fakeWorld)) *fakeWorld {
-	w := newFakeWorld()
+// newModifiedDependencies is a deps with what a test changes about it, if it does.
+func newModifiedDependencies(change func(*fakeDependencies)) *fakeDependencies {
+	d := newFakeDependencies()
 	if change != nil {
-		change(w)
+		change(d)
 	}
-	return w
+	return d
 }
 
 // expectAnswer makes a request of a new handler and checks its one answer.
-func (w *fakeWorld) expectAnswer(t *testing.T, want answer, request func(*Handler, Respond)) {
+func (d *fakeDependencies) expectAnswer(t *testing.T, want answer, request func(*Handler, Respond)) {
 	t.Helper()
-	respond, got := once(t)
-	request(w.handler(), respond)
+	respond, got := recordResponse(t)
+	request(d.handler(), respond)
 	if got() != want {
 		t.Errorf("got %+v, want %+v", got(), want)
 	}
 }
 
-func (w *fakeWorld) handler() *Handler {
+func (d *fakeDependencies) handler() *Handler {
 	return NewHandler(Config{
 		Log:           slog.New(slog.DiscardHandler),
-		Environment:   w,
-		Mirror:        w.mirror,
-		StateService:  w,
-		Replica:       w,
-		Reachability:  w,
-		Catalog:       w,
-		Quota:         w,
-		Scheduler:     w,
-		Cancellations: w,
-		PlaceNow:      w.PlaceNow,
+		Environment:   d,
+		Mirror:        d.mirror,
+		StateService:  d,
+		Replica:       d,
+		Reachability:  d,
+		Catalog:       d,
+		Quota:         d,
+		Scheduler:     d,
+		Cancellations: d,
+		PlaceNow:      d.PlaceNow,
 		MaxValueBytes: 4096,
 	})
 }
 
-func (w *fakeWorld) Now() monotime.Micros { return w.now }
-func (w *fakeWorld) WallClock() int64     { return int64(w.now) }
-func (w *fakeWorld) Rand() *rand.Rand     { return w.random }
+func (d *fakeDependencies) Now() monotime.Micros { return d.now }
+func (d *fakeDependencies) WallClock() int64     { return int64(d.now) }
+func (d *fakeDependencies) Rand() *rand.Rand     { return d.random }
 
-func (w *fakeWorld) Call(
+func (d *fakeDependencies) Call(
 	_ ratelimit.Priority,
 	call *protocol.StoreCall,
 	callback func(protocol.StoreResult),
 ) {
-	w.reads = append(w.reads, call.Key)
-	if w.onRead != nil {
-		w.onRead(call.Key)
+	d.reads = append(d.reads, call.Key)
+	if d.onRead != nil {
+		d.onRead(call.Key)
 	}
-	value, ok := w.records[call.Key]
+	value, ok := d.records[call.Key]
 	switch {
-	case w.callOutcome != protocol.OK:
-		callback(protocol.StoreResult{Outcome: w.callOutcome})
+	case d.callOutcome != protocol.OK:
+		callback(protocol.StoreResult{Outcome: d.callOutcome})
 	case ok:
 		callback(protocol.StoreResult{Outcome: protocol.OK, Item: protocol.KeyValue{Value: value}})
 	default:
@@ -123,40 +123,42 @@
 	}
 }
 
-func (w *fakeWorld) Unavailable() bool                           { return w.unavailable }
-func (w *fakeWorld) QueuedCalls(priority ratelimit.Priority) int { return w.queue.Len(priority) }
-func (w *fakeWorld) WritesPerSecond() float64                    { return w.queue.WritesPerSecond() }
+func (d *fakeDependencies) Unavailable() bool                           { return d.unavailable }
+func (d *fakeDependencies) QueuedCalls(priority ratelimit.Priority) int { return d.queue.Len(priority) }
+func (d *fakeDependencies) WritesPerSecond() float64                    { return d.queue.WritesPerSecond() }
 
-func (w *fakeWorld) UserCallsWaiting() bool          { return w.queue.Len(ratelimit.PriorityUserRequest) > 2 }
-func (w *fakeWorld) Ready() bool                     { return !w.notReady }
-func (w *fakeWorld) PendingReads() int               { return w.waitingReaders }
-func (w *fakeWorld) WhenCurrent(callback func(bool)) { callback(!w.stale) }
+func (d *fakeDependencies) UserCallsWaiting() bool {
+	return d.queue.Len(ratelimit.PriorityUserRequest) > 2
+}
+func (d *fakeDependencies) Ready() bool                     { return !d.notReady }
+func (d *fakeDependencies) PendingReads() int               { return d.waitingReaders }
+func (d *fakeDependencies) WhenCurrent(callback func(bool)) { callback(!d.stale) }
 
-func (w *fakeWorld) IsIsolated(monotime.Micros) bool { return w.isolated }
+func (d *fakeDependencies) IsIsolated(monotime.Micros) bool { return d.isolated }
 
-func (w *fakeWorld) StoreUnreachableOnlyHere(monotime.Micros) (peer string, onlyHere bool) {
-	return "n-1", w.unreachableOnlyHere
+func (d *fakeDependencies) StoreUnreachableOnlyHere(monotime.Micros) (peer string, onlyHere bool) {
+	return "n-1", d.unreachableOnlyHere
 }
 
-func (w *fakeWorld) OldestWait(priority ratelimit.Priority, now monotime.Micros) monotime.Micros {
-	return w.queue.OldestWait(priority, now)
+func (d *fakeDependencies) OldestWait(priority ratelimit.Priority, now monotime.Micros) monotime.Micros {
+	return d.queue.OldestWait(priority, now)
 }
 
-func (w *fakeWorld) Commit(
+func (d *fakeDependencies) Commit(
 	class ratelimit.Priority,
 	transaction protocol.Transaction,
 	callback func(protocol.StoreResult),
 ) {
-	if w.onCommit != nil {
-		w.onCommit()
+	if d.onCommit != nil {
+		d.onCommit()
 	}
-	w.commits, w.classes = append(w.commits, transaction), append(w.classes, class)
-	callback(protocol.StoreResult{Outcome: w.commitOutcome, Revision: 7})
+	d.commits, d.classes = append(d.commits, transaction), append(d.classes, class)
+	callback(protocol.StoreResult{Outcome: d.commitOutcome, Revision: 7})
 }
 
-func (w *fakeWorld) MachineTypes() map[string]protocol.MachineType { return w.types }
+func (d *fakeDependencies) MachineTypes() map[string]protocol.MachineType { return d.types }
 
-func (w *fakeWorld) Limits(team string) (quota.Limits, bool) {
+func (d *fakeDependencies) Limits(team string) (quota.Limits, bool) {
 	switch team {
 	case knownTeam:
 		return quota.Limits{}, true
@@ -166,27 +168,29 @@
 	return quota.Limits{}, false
 }
 
-func (w *fakeWorld) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
+func (d *fakeDependencies) AssignTaskRanges(spec *storage.JobSpec) []storage.TaskRange {
 	return []storage.TaskRange{{End: spec.Tasks, Partition: "n-0"}}
 }
 
-func (w *fakeWorld) JobAccepted(job string, revision uint64) { w.accepted[job] = revision }
-func (w *fakeWorld) PlaceNow()                               { w.placed++ }
-func (w *fakeWorld) Add(cancelled cancellation.Committed) {
-	w.cancelled = append(w.cancelled, cancelled)
+func (d *fakeDependencies) JobAccepted(job string, revision uint64) { d.accepted[job] = revision }
+func (d *fakeDependencies) PlaceNow()                               { d.placed++ }
+func (d *fakeDependencies) Add(cancelled cancellation.Committed) {
+	d.cancelled = append(d.cancelled, cancelled)
+}
+func (d *fakeDependencies) putRecord(kind storage.Kind, id string, value any) {
+	d.records[storage.Key(kind, id)] = protocol.MustMarshal(value)
 }
-func (w *fakeWorld) putRecord(kind storage.Kind, id string, value any) {
-	w.records[storage.Key(kind, id)] = protocol.MustMarshal(value)
+func (d *fakeDependencies) cacheResult(id string, state storage.JobState) {
+	d.mirror.Results.Add(id, state)
 }
-func (w *fakeWorld) cacheResult(id string, state storage.JobState) { w.mirror.Results.Add(id, state) }
 
 // cacheResultOnCommit has a job end while a commit is under way.
-func (w *fakeWorld) cacheResultOnCommit(id string, state storage.JobState) {
-	w.onCommit = func() { w.cacheResult(id, state) }
+func (d *fakeDependencies) cacheResultOnCommit(id string, state storage.JobState) {
+	d.onCommit = func() { d.cacheResult(id, state) }
 }
 
 // mirrorJob puts a job into the mirror.
-func (w *fakeWorld) mirrorJob(id string, change func(*mirror.Job)) {
+func (d *fakeDependencies) mirrorJob(id string, change func(*mirror.Job)) {
 	job := &mirror.Job{
 		ID:         id,
 		Version:    3,
@@ -196,13 +200,13 @@
 	if change != nil {
 		change(job)
 	}
-	w.mirror.Jobs[id] = job
+	d.mirror.Jobs[id] = job
 }
 
 // fillQueue has so many calls of a class wait since a moment.
-func (w *fakeWorld) fillQueue(class ratelimit.Priority, calls int, since monotime.Micros) {
+func (d *fakeDependencies) fillQueue(class ratelimit.Priority, calls int, since monotime.Micros) {
 	for range calls {
-		w.queue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: class, QueuedAt: since})
+		d.queue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: class, QueuedAt: since})
 	}
 }
 
@@ -240,8 +244,8 @@
 	return answer{response.Status, response.RetryAfter > 0, body.Status + body.Error}
 }
 
-// once gives a Respond, and a function that returns the answer; none or a second answer is a fault.
-func once(t *testing.T) (Respond, func() answer) {
+// recordResponse gives a Respond, and a function that returns the answer; none or a second answer is a fault.
+func recordResponse(t *testing.T) (Respond, func() answer) {
 	t.Helper()
 	var responses []transport.Response
 	respond := func(response transport.Response) { responses = append(responses, response) }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -11,39 +11,39 @@
 // MaxWaitingReaders bounds the requests that wait for the mirror to catch up.
 const MaxWaitingReaders = 2048
 
-// finding is where a job was found.
-type finding int
+// lookupOutcome is where a job was found.
+type lookupOutcome int
 
 const (
-	foundNowhere  finding = iota // the job was never accepted
-	foundInMirror                // lookup.job
-	foundResult                  // lookup.result
-	foundRecord                  // an open record that the mirror doesn't hold
-	lookupFailed                 // lookup.rejection
+	jobNotFound     lookupOutcome = iota // the job was never accepted
+	foundInMirror                        // lookup.job
+	foundResult                          // lookup.result
+	foundOpenRecord                      // an open record that the mirror doesn't hold
+	lookupFailed                         // lookup.rejection
 )
 
 // lookup is what is known of a job.
 type lookup struct {
 	id        string
-	found     finding
+	outcome   lookupOutcome
 	job       *mirror.Job
 	state     storage.JobState
 	rejection *Rejection
 }
 
-// known reports that the job has been accepted.
-func (l lookup) known() bool {
-	return l.found == foundInMirror || l.found == foundResult || l.found == foundRecord
+// accepted reports that the job has been accepted.
+func (l lookup) accepted() bool {
+	return l.outcome == foundInMirror || l.outcome == foundResult || l.outcome == foundOpenRecord
 }
 
 // response is the answer to a status request.
 func (l lookup) response() transport.Response {
-	switch l.found {
+	switch l.outcome {
 	case foundInMirror:
 		return statusResponse(mirroredStatus(l.job))
 	case foundResult:
 		return statusResponse(protocol.JobStatusReply{ID: l.id, Status: wireStatus(l.state)})
-	case foundRecord:
+	case foundOpenRecord:
 		return statusResponse(protocol.JobStatusReply{ID: l.id, Status: protocol.JobPending})
 	case lookupFailed:
 		return l.rejection.response()
@@ -85,11 +85,11 @@
 			return
 		}
 		if job := h.mirror.Jobs[id]; job != nil {
-			callback(lookup{id: id, found: foundInMirror, job: job})
+			callback(lookup{id: id, outcome: foundInMirror, job: job})
 			return
 		}
 		if state, ok := h.cachedResult(id); ok {
-			callback(lookup{id: id, found: foundResult, state: state})
+			callback(lookup{id: id, outcome: foundResult, state: state})
 			return
 		}
 		if h.userQueueFull() {
@@ -105,7 +105,7 @@
 func (h *Handler) readJob(id string, callback func(lookup)) {
 	h.readResult(id, callback, func() {
 		h.readOpenRecord(id, callback, func() {
-			h.readResult(id, callback, func() { callback(lookup{id: id, found: foundNowhere}) })
+			h.readResult(id, callback, func() { callback(lookup{id: id, outcome: jobNotFound}) })
 		})
 	})
 }
@@ -120,14 +120,14 @@
 			return
 		}
 		h.mirror.Results.Add(id, result.State)
-		callback(lookup{id: id, found: foundResult, state: result.State})
+		callback(lookup{id: id, outcome: foundResult, state: result.State})
 	})
 }
 
 // readOpenRecord reads a job's open record, or goes on with missing if the state service has none.
 func (h *Handler) readOpenRecord(id string, callback func(lookup), missing func()) {
 	h.readRecord(storage.KindOpenJob, id, callback, missing, func(protocol.Raw) {
-		callback(lookup{id: id, found: foundRecord})
+		callback(lookup{id: id, outcome: foundOpenRecord})
 	})
 }
 
@@ -155,5 +155,5 @@
 
 // failedLookup is a lookup that gave no answer about the job.
 func failedLookup(id string, rejection *Rejection) lookup {
-	return lookup{id: id, found: lookupFailed, rejection: rejection}
+	return lookup{id: id, outcome: lookupFailed, rejection: rejection}
 }
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -22,9 +22,9 @@
 // Seconds after which a user is to retry.
 const (
 	minRetryAfter = 1
-	// retrySpread spreads the retries: users who all come back at once would overload whatever has just
+	// retryJitter spreads the retries: users who all come back at once would overload whatever has just
 	// recovered.
-	retrySpread = 3
+	retryJitter = 3
 )
 
 // Rejection is the reason why a request isn't carried out.
@@ -58,7 +58,7 @@
 	}
 	rejection := &Rejection{Status: status, RetryAfter: minRetryAfter, Reason: reason}
 	if h.store.Unavailable() {
-		rejection.RetryAfter += h.randomSeconds()
+		rejection.RetryAfter += h.jitterSeconds()
 	}
 	return rejection
 }
@@ -68,8 +68,8 @@
 	return h.deferRequest(transport.StatusUnavailable, reasonStoreUnreachable)
 }
 
-// randomSeconds is a part of retrySpread.
-func (h *Handler) randomSeconds() int { return int(h.environment.Rand().Int64N(retrySpread)) }
+// jitterSeconds is a part of retrySpread.
+func (h *Handler) jitterSeconds() int { return int(h.environment.Rand().Int64N(retryJitter)) }
 
 // acceptedResponse confirms a submission.
 func acceptedResponse(id string) transport.Response {
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -12,11 +12,11 @@
 		return
 	}
 	if state, ok := h.cachedResult(id); ok {
-		respond(lookup{id: id, found: foundResult, state: state}.response())
+		respond(lookup{id: id, outcome: foundResult, state: state}.response())
 		return
 	}
 	if job := h.mirror.Jobs[id]; job != nil && !job.IsOpen() {
-		respond(lookup{id: id, found: foundInMirror, job: job}.response())
+		respond(lookup{id: id, outcome: foundInMirror, job: job}.response())
 		return
 	}
 	if rejection := h.rejectIfUnavailable(); rejection != nil {
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -22,7 +22,7 @@
 	}
 	id := submission.ID
 	if state, ok := h.cachedResult(id); ok {
-		respond(lookup{id: id, found: foundResult, state: state}.response())
+		respond(lookup{id: id, outcome: foundResult, state: state}.response())
 		return
 	}
 	if malformed != nil {
@@ -43,7 +43,7 @@
 	}
 	spec := storage.JobSpecOf(submission)
 	if rejection := h.validate(&spec); rejection != nil {
-		h.statusOr(id, rejection.response(), respond)
+		h.statusOrFallback(id, rejection.response(), respond)
 		return
 	}
 	if rejection := h.admit(&spec); rejection != nil {
@@ -58,7 +58,7 @@
 func (h *Handler) answerMalformed(id string, malformed error, respond Respond) {
 	invalid := protocol.ErrorResponse(transport.StatusBadRequest, malformed.Error())
 	if h.rejectIfOverloaded() == nil {
-		h.statusOr(id, invalid, respond)
+		h.statusOrFallback(id, invalid, respond)
 		return
 	}
 	if !h.replica.Ready() || h.mirror.Jobs[id] != nil {
@@ -68,11 +68,11 @@
 	respond(invalid)
 }
 
-// statusOr answers with the job's status if it is known, else with other.
-func (h *Handler) statusOr(id string, other transport.Response, respond Respond) {
+// statusOrFallback answers with the job's status if it is known, else with other.
+func (h *Handler) statusOrFallback(id string, fallback transport.Response, respond Respond) {
 	h.lookUp(id, func(l lookup) {
-		if l.found == foundNowhere {
-			respond(other)
+		if l.outcome == jobNotFound {
+			respond(fallback)
 			return
 		}
 		respond(l.response())
@@ -88,7 +88,7 @@
 	if !ok {
 		return unsatisfiable("unknown team")
 	}
-	if !permits(limits, spec) {
+	if !withinLimits(limits, spec) {
 		return unsatisfiable("needs more than the team's limit")
 	}
 	if !fitsSomeMachineType(spec, h.catalog.MachineTypes()) {
@@ -97,14 +97,14 @@
 	return nil
 }
 
-// permits reports that what a job needs at the same time is within its team's limits: all replicas of a
+// withinLimits reports that what a job needs at the same time is within its team's limits: all replicas of a
 // service, one task of an array.
-func permits(limits quota.Limits, spec *storage.JobSpec) bool {
-	together := 1.0
+func withinLimits(limits quota.Limits, spec *storage.JobSpec) bool {
+	concurrentTasks := 1.0
 	if spec.Service {
-		together = float64(spec.Tasks)
+		concurrentTasks = float64(spec.Tasks)
 	}
-	return limits.Permits(spec.CPUs*together, spec.GPUs*together)
+	return limits.Permits(spec.CPUs*concurrentTasks, spec.GPUs*concurrentTasks)
 }
 
 // fitsSomeMachineType reports that a task has room on an empty machine of a type and zone that its job
@@ -135,7 +135,7 @@
 	if h.bursts.isLimited(spec) &&
 		h.store.QueuedCalls(ratelimit.PriorityBurst) >= h.maxQueuedBurstCalls() {
 		rejection := h.deferRequest(transport.StatusThrottled, "too many jobs of this team")
-		rejection.RetryAfter += minRetryAfter + h.randomSeconds()
+		rejection.RetryAfter += minRetryAfter + h.jitterSeconds()
 		return rejection
 	}
 	return nil
@@ -151,7 +151,7 @@
 	value := protocol.MustMarshal(&record)
 	if storage.StoredSize(value) > h.maxValueBytes {
 		tooLarge := protocol.ErrorResponse(transport.StatusBadRequest, "names too long to be kept")
-		h.statusOr(id, tooLarge, respond)
+		h.statusOrFallback(id, tooLarge, respond)
 		return
 	}
 	key := storage.OpenJobKey(id)
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -19,7 +19,7 @@
 	unknownTeam := func(s *protocol.Submission) { s.Team = "nobody" }
 	for _, tc := range []struct {
 		name    string
-		world   func(*fakeWorld)
+		setup   func(*fakeDependencies)
 		change  func(*protocol.Submission)
 		body    []byte
 		want    answer
@@ -34,64 +34,64 @@
 		},
 		{
 			name:   "malformed, and the state service can't be asked",
-			world:  func(w *fakeWorld) { w.unavailable = true },
+			setup:  func(d *fakeDependencies) { d.unavailable = true },
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{400, false, protocol.FieldTasks + ": must lie between 1 and 100000"},
 		},
 		{
 			name:   "malformed before the records are loaded",
-			world:  func(w *fakeWorld) { w.notReady = true },
+			setup:  func(d *fakeDependencies) { d.notReady = true },
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{503, true, unreachable},
 		},
 		{
 			name:   "malformed, known, in an outage",
-			world:  func(w *fakeWorld) { w.unavailable = true; w.mirrorJob(newJobID, nil) },
+			setup:  func(d *fakeDependencies) { d.unavailable = true; d.mirrorJob(newJobID, nil) },
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{503, true, unreachable},
 		},
 		{
 			name:   "malformed and known",
-			world:  func(w *fakeWorld) { w.mirrorJob(newJobID, nil) },
+			setup:  func(d *fakeDependencies) { d.mirrorJob(newJobID, nil) },
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{200, false, protocol.JobPending},
 		},
 		{
 			name:  "over, in an outage",
-			world: func(w *fakeWorld) { w.cacheResult(newJobID, storage.JobDone); w.unavailable = true },
+			setup: func(d *fakeDependencies) { d.cacheResult(newJobID, storage.JobDone); d.unavailable = true },
 			want:  answer{200, false, protocol.JobDone},
 		},
 		{
 			name:  "repeated",
-			world: func(w *fakeWorld) { w.mirrorJob(newJobID, nil) },
+			setup: func(d *fakeDependencies) { d.mirrorJob(newJobID, nil) },
 			want:  answer{200, false, protocol.JobPending},
 		},
 		{
 			name:  "records not loaded",
-			world: func(w *fakeWorld) { w.notReady = true },
+			setup: func(d *fakeDependencies) { d.notReady = true },
 			want:  answer{503, true, "records not read yet"},
 		},
-		{name: "outage", world: func(w *fakeWorld) { w.unavailable = true }, want: answer{503, true, unreachable}},
+		{name: "outage", setup: func(d *fakeDependencies) { d.unavailable = true }, want: answer{503, true, unreachable}},
 		{
 			name:  "queue of users full",
-			world: func(w *fakeWorld) { w.fillQueue(ratelimit.PriorityUserRequest, 15, w.now) },
+			setup: func(d *fakeDependencies) { d.fillQueue(ratelimit.PriorityUserRequest, 15, d.now) },
 			want:  answer{429, true, "too many requests"},
 		},
 		{
 			name:    "queue of users one below",
-			world:   func(w *fakeWorld) { w.fillQueue(ratelimit.PriorityUserRequest, 14, w.now) },
+			setup:   func(d *fakeDependencies) { d.fillQueue(ratelimit.PriorityUserRequest, 14, d.now) },
 			want:    answer{201, false, protocol.JobPending},
 			commits: 1,
 		},
 		{
 			name:  "machine types unknown",
-			world: func(w *fakeWorld) { w.types = nil },
+			setup: func(d *fakeDependencies) { d.types = nil },
 			want:  answer{503, true, "machine types not known yet"},
 		},
 		{name: "unknown team", change: unknownTeam, want: answer{422, false, "unknown team"}},
 		{
 			name:   "unknown team, but the job is known",
-			world:  func(w *fakeWorld) { w.putRecord(storage.KindOpenJob, newJobID, 1) },
+			setup:  func(d *fakeDependencies) { d.putRecord(storage.KindOpenJob, newJobID, 1) },
 			change: unknownTeam,
 			want:   answer{200, false, protocol.JobPending},
 		},
@@ -123,9 +123,9 @@
 		},
 		{
 			name: "too many open jobs",
-			world: func(w *fakeWorld) {
+			setup: func(d *fakeDependencies) {
 				for i := range mirror.MaxOpenJobs {
-					w.mirrorJob(fmt.Sprintf("j-open-%d", i), nil)
+					d.mirrorJob(fmt.Sprintf("j-open-%d", i), nil)
 				}
 			},
 			want: answer{429, true, "too many unfinished jobs"},
@@ -137,49 +137,49 @@
 		},
 		{
 			name: "another controller was first",
-			world: func(w *fakeWorld) {
-				w.commitOutcome = protocol.Conflict
-				w.putRecord(storage.KindOpenJob, newJobID, 1)
+			setup: func(d *fakeDependencies) {
+				d.commitOutcome = protocol.Conflict
+				d.putRecord(storage.KindOpenJob, newJobID, 1)
 			},
 			want:    answer{200, false, protocol.JobPending},
 			commits: 1,
 		},
 		{
 			name:    "commit rejected",
-			world:   func(w *fakeWorld) { w.commitOutcome = protocol.Rejected },
+			setup:   func(d *fakeDependencies) { d.commitOutcome = protocol.Rejected },
 			want:    answer{503, true, "not kept"},
 			commits: 1,
 		},
 		{
 			name:    "commit without an answer",
-			world:   func(w *fakeWorld) { w.commitOutcome = protocol.Unknown },
+			setup:   func(d *fakeDependencies) { d.commitOutcome = protocol.Unknown },
 			want:    answer{503, true, unreachable},
 			commits: 1,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newChangedWorld(tc.world)
+			deps := newModifiedDependencies(tc.setup)
 			body := tc.body
 			if body == nil {
 				body = newSubmission(tc.change)
 			}
-			world.expectAnswer(t, tc.want, func(h *Handler, respond Respond) { h.Submit(body, respond) })
-			if len(world.commits) != tc.commits {
-				t.Errorf("%d commits, want %d", len(world.commits), tc.commits)
+			deps.expectAnswer(t, tc.want, func(h *Handler, respond Respond) { h.Submit(body, respond) })
+			if len(deps.commits) != tc.commits {
+				t.Errorf("%d commits, want %d", len(deps.commits), tc.commits)
 			}
-			if accepted := tc.want.status == 201; accepted != (world.accepted[newJobID] == 7) ||
-				accepted != (world.placed == 1) {
-				t.Errorf("accepted %v, placed %d times", world.accepted, world.placed)
+			if accepted := tc.want.status == 201; accepted != (deps.accepted[newJobID] == 7) ||
+				accepted != (deps.placed == 1) {
+				t.Errorf("accepted %v, placed %d times", deps.accepted, deps.placed)
 			}
 		})
 	}
 }
 
-// TestBurstIsRejectedLater: the rejection of a burst comes with a longer time to wait than others.
-func TestBurstIsRejectedLater(t *testing.T) {
-	world := newFakeWorld()
-	world.fillQueue(ratelimit.PriorityBurst, 3, world.now) // a quarter of 15 calls, rounded down
-	handler := world.handler()
+// TestBurstRejectionRetryAfter: the rejection of a burst comes with a longer time to wait than others.
+func TestBurstRejectionRetryAfter(t *testing.T) {
+	deps := newFakeDependencies()
+	deps.fillQueue(ratelimit.PriorityBurst, 3, deps.now) // a quarter of 15 calls, rounded down
+	handler := deps.handler()
 	body := newSubmission(func(s *protocol.Submission) { s.Priority = protocol.BestEffort })
 	for i := range minBurstSubmissions {
 		var status, retryAfter int
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -30,7 +30,7 @@
 // PriorityClasses tells the class in which changes of a job's records are queued.
 type PriorityClasses interface {
 	// PriorityClass is the class for a job: otherwise, or that of bursts.
-	PriorityClass(spec *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority
+	PriorityClass(spec *storage.JobSpec, defaultClass ratelimit.Priority) ratelimit.Priority
 }
 
 // WritesInFlight marks the jobs whose record is being changed by this controller.
@@ -109,7 +109,7 @@
 		return
 	}
 	controllers := f.members.LiveControllers()
-	for _, id := range f.unfinishedJobs() {
+	for _, id := range f.jobsToFinish() {
 		job := f.mirror.Jobs[id]
 		if job == nil || f.writes.Contains(id) || f.mirror.WatchedRevision < job.Version {
 			continue
@@ -126,11 +126,11 @@
 	}
 }
 
-// unfinishedJobs lists the jobs that are to be ended, in the order of their names.
-func (f *Finisher) unfinishedJobs() []string {
+// jobsToFinish lists the jobs that are to be ended, in the order of their names.
+func (f *Finisher) jobsToFinish() []string {
 	var ids []string
 	for id, job := range f.mirror.Jobs {
-		if needsCompletion(job) || hasEnded(job) {
+		if needsCompletion(job) || endedWithoutAttempts(job) {
 			ids = append(ids, id)
 		}
 	}
@@ -141,13 +141,13 @@
 // needsCompletion reports that every task is done and the job has no result.
 func needsCompletion(job *mirror.Job) bool { return job.IsOpen() && job.IsComplete() }
 
-// hasEnded reports that the job has a result and no attempts.
-func hasEnded(job *mirror.Job) bool { return !job.IsOpen() && job.AssignedTasks == 0 }
+// endedWithoutAttempts reports that the job has a result and no attempts.
+func endedWithoutAttempts(job *mirror.Job) bool { return !job.IsOpen() && job.AssignedTasks == 0 }
 
 // needsPurge reports that a job has ended in a mirror that has all that came before its result. A result that
 // was learned from another controller, ahead of the record, has no revision until the mirror has it.
 func (f *Finisher) needsPurge(job *mirror.Job) bool {
-	return hasEnded(job) && job.FinalRevision != 0 && f.mirror.WatchedRevision >= job.FinalRevision
+	return endedWithoutAttempts(job) && job.FinalRevision != 0 && f.mirror.WatchedRevision >= job.FinalRevision
 }
 
 // complete commits the result of a job whose tasks are all done, unless it has a result already. The result
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -17,8 +17,8 @@
 	jobID    = "j-1"
 )
 
-// fakeWorld is all that a finisher depends on. Commits are kept until the test answers them.
-type fakeWorld struct {
+// fakeDependencies is all that a finisher depends on. Commits are kept until the test answers them.
+type fakeDependencies struct {
 	stubs.HeldCommits
 	mirror      *mirror.Mirror
 	unavailable bool
@@ -26,53 +26,53 @@
 	writes      map[string]bool
 }
 
-func newFakeWorld() *fakeWorld {
-	return &fakeWorld{mirror: mirror.New(), writes: map[string]bool{}}
+func newFakeDependencies() *fakeDependencies {
+	return &fakeDependencies{mirror: mirror.New(), writes: map[string]bool{}}
 }
 
-func (w *fakeWorld) finisher() *Finisher {
+func (d *fakeDependencies) finisher() *Finisher {
 	return NewFinisher(Config{
-		Log: slog.New(slog.DiscardHandler), Mirror: w.mirror, StateService: w, Committer: w,
-		PriorityClasses: w, WritesInFlight: w, Membership: w, Node: thisNode,
+		Log: slog.New(slog.DiscardHandler), Mirror: d.mirror, StateService: d, Committer: d,
+		PriorityClasses: d, WritesInFlight: d, Membership: d, Node: thisNode,
 	})
 }
 
-func (w *fakeWorld) Unavailable() bool        { return w.unavailable }
-func (w *fakeWorld) Contains(job string) bool { return w.writes[job] }
-func (w *fakeWorld) Begin(job string)         { w.writes[job] = true }
-func (w *fakeWorld) End(job string)           { delete(w.writes, job) }
+func (d *fakeDependencies) Unavailable() bool        { return d.unavailable }
+func (d *fakeDependencies) Contains(job string) bool { return d.writes[job] }
+func (d *fakeDependencies) Begin(job string)         { d.writes[job] = true }
+func (d *fakeDependencies) End(job string)           { delete(d.writes, job) }
 
 // LiveControllers has one other controller where this one isn't to own any job.
-func (w *fakeWorld) LiveControllers() []string {
-	if w.notOwned {
+func (d *fakeDependencies) LiveControllers() []string {
+	if d.notOwned {
 		return []string{"n-1"}
 	}
 	return []string{thisNode}
 }
 
-func (w *fakeWorld) PriorityClass(_ *storage.JobSpec, otherwise ratelimit.Priority) ratelimit.Priority {
-	return otherwise
+func (d *fakeDependencies) PriorityClass(_ *storage.JobSpec, defaultClass ratelimit.Priority) ratelimit.Priority {
+	return defaultClass
 }
 
 // addJob puts a job of two tasks into a mirror that has come to revision 10.
-func (w *fakeWorld) addJob(id string, change func(*mirror.Job)) {
+func (d *fakeDependencies) addJob(id string, change func(*mirror.Job)) {
 	job := &mirror.Job{ID: id, Version: 5, Record: storage.OpenJob{Spec: storage.JobSpec{Tasks: 2}}}
 	if change != nil {
 		change(job)
 	}
-	w.mirror.Jobs[id] = job
-	w.mirror.WatchedRevision = 10
+	d.mirror.Jobs[id] = job
+	d.mirror.WatchedRevision = 10
 }
 
-func allDone(job *mirror.Job) { job.DoneTasks = 2 }
+func completeAllTasks(job *mirror.Job) { job.DoneTasks = 2 }
 
-func cancelled(job *mirror.Job) { job.FinalState, job.FinalRevision = storage.JobCancelled, 9 }
+func cancelJob(job *mirror.Job) { job.FinalState, job.FinalRevision = storage.JobCancelled, 9 }
 
 // What a finisher does with a job.
 const (
-	nothing  = ""
-	complete = "complete"
-	purge    = "purge"
+	noAction       = ""
+	completeAction = "complete"
+	purgeAction    = "purge"
 )
 
 // actionOf says what a commit does.
@@ -86,16 +86,16 @@
 			c.Priority != ratelimit.PriorityJobResult {
 			t.Errorf("completed on the condition %+v in class %v", compares, c.Priority)
 		}
-		return complete
+		return completeAction
 	case len(operations) == 1 && operations[0].Delete == openKey:
 		if !slices.Equal(compares, []protocol.Compare{{Key: openKey, Version: 5}}) ||
 			c.Priority != ratelimit.PriorityBackground {
 			t.Errorf("purged on the condition %+v in class %v", compares, c.Priority)
 		}
-		return purge
+		return purgeAction
 	}
 	t.Fatalf("unexpected commit %+v", c.Transaction)
-	return nothing
+	return noAction
 }
 
 // TestReconcile: which jobs are ended, and how.
@@ -103,84 +103,84 @@
 	for _, tc := range []struct {
 		name  string
 		job   func(*mirror.Job)
-		world func(*fakeWorld)
+		setup func(*fakeDependencies)
 		want  string
 	}{
 		{name: "running", job: func(job *mirror.Job) { job.DoneTasks = 1 }},
-		{name: "all tasks done", job: allDone, want: complete},
-		{name: "done, of another controller", job: allDone, world: func(w *fakeWorld) { w.notOwned = true }},
-		{name: "done, its record is being changed", job: allDone, world: func(w *fakeWorld) { w.writes[jobID] = true }},
-		{name: "done, in an outage", job: allDone, world: func(w *fakeWorld) { w.unavailable = true }},
+		{name: "all tasks done", job: completeAllTasks, want: completeAction},
+		{name: "done, of another controller", job: completeAllTasks, setup: func(d *fakeDependencies) { d.notOwned = true }},
+		{name: "done, its record is being changed", job: completeAllTasks, setup: func(d *fakeDependencies) { d.writes[jobID] = true }},
+		{name: "done, in an outage", job: completeAllTasks, setup: func(d *fakeDependencies) { d.unavailable = true }},
 		{
-			name: "done, its record is newer than the watch", job: allDone,
-			world: func(w *fakeWorld) { w.mirror.WatchedRevision = 4 },
+			name: "done, its record is newer than the watch", job: completeAllTasks,
+			setup: func(d *fakeDependencies) { d.mirror.WatchedRevision = 4 },
 		},
-		{name: "cancelled, nothing left", job: cancelled, want: purge},
+		{name: "cancelled, nothing left", job: cancelJob, want: purgeAction},
 		{
 			name: "cancelled with all tasks done",
-			job:  func(job *mirror.Job) { allDone(job); cancelled(job) },
-			want: purge,
+			job:  func(job *mirror.Job) { completeAllTasks(job); cancelJob(job) },
+			want: purgeAction,
 		},
-		{name: "cancelled, an attempt left", job: func(job *mirror.Job) { cancelled(job); job.AssignedTasks = 1 }},
-		{name: "cancelled, of another controller", job: cancelled, world: func(w *fakeWorld) { w.notOwned = true }},
+		{name: "cancelled, an attempt left", job: func(job *mirror.Job) { cancelJob(job); job.AssignedTasks = 1 }},
+		{name: "cancelled, of another controller", job: cancelJob, setup: func(d *fakeDependencies) { d.notOwned = true }},
 		{
 			name: "cancelled, learned from another controller",
-			job:  func(job *mirror.Job) { cancelled(job); job.FinalRevision = 0 },
+			job:  func(job *mirror.Job) { cancelJob(job); job.FinalRevision = 0 },
 		},
 		{
 			name: "cancelled, the watch is just behind the result",
-			job:  func(job *mirror.Job) { cancelled(job); job.FinalRevision = 11 },
+			job:  func(job *mirror.Job) { cancelJob(job); job.FinalRevision = 11 },
 		},
 		{
 			name: "cancelled, the watch has just come to the result",
-			job:  func(job *mirror.Job) { cancelled(job); job.FinalRevision = 10 },
-			want: purge,
+			job:  func(job *mirror.Job) { cancelJob(job); job.FinalRevision = 10 },
+			want: purgeAction,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			world := newFakeWorld()
-			world.addJob(jobID, tc.job)
-			if tc.world != nil {
-				tc.world(world)
+			deps := newFakeDependencies()
+			deps.addJob(jobID, tc.job)
+			if tc.setup != nil {
+				tc.setup(deps)
 			}
-			finisher := world.finisher()
+			finisher := deps.finisher()
 			finisher.Reconcile()
-			got := nothing
-			if len(world.Commits) > 0 {
-				got = actionOf(t, world.Commits[0])
+			got := noAction
+			if len(deps.Commits) > 0 {
+				got = actionOf(t, deps.Commits[0])
 			}
-			if got != tc.want || len(world.Commits) > 1 {
-				t.Fatalf("%d commits, the first to %q, want %q", len(world.Commits), got, tc.want)
+			if got != tc.want || len(deps.Commits) > 1 {
+				t.Fatalf("%d commits, the first to %q, want %q", len(deps.Commits), got, tc.want)
 			}
-			if tc.want == nothing {
+			if tc.want == noAction {
 				return
 			}
 			finisher.Reconcile()
-			if len(world.Commits) != 1 {
+			if len(deps.Commits) != 1 {
 				t.Error("a second commit while the first is in flight")
 			}
-			world.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.OK})
-			if world.writes[jobID] {
+			deps.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.OK})
+			if deps.writes[jobID] {
 				t.Error("still marked as in flight")
 			}
-			if (finisher.Completed() == 1) != (tc.want == complete) {
+			if (finisher.Completed() == 1) != (tc.want == completeAction) {
 				t.Errorf("%d completed", finisher.Completed())
 			}
 		})
 	}
 }
 
-// TestReconcileGoesInOrder: jobs are ended in the order of their names.
-func TestReconcileGoesInOrder(t *testing.T) {
-	world := newFakeWorld()
+// TestReconcileOrdersJobsByName: jobs are ended in the order of their names.
+func TestReconcileOrdersJobsByName(t *testing.T) {
+	deps := newFakeDependencies()
 	var want []string
 	for _, id := range []string{"j-a", "j-b", "j-c", "j-d", "j-e"} {
-		world.addJob(id, allDone)
+		deps.addJob(id, completeAllTasks)
 		want = append(want, storage.JobResultKey(id))
 	}
-	world.finisher().Reconcile()
+	deps.finisher().Reconcile()
 	var got []string
-	for _, c := range world.Commits {
+	for _, c := range deps.Commits {
 		got = append(got, c.Transaction.Then[0].Put)
 	}
 	if !slices.Equal(got, want) {
@@ -191,28 +191,28 @@
 // TestCompleteIfDone: a job is completed once, whichever controller owns it; a commit that fails counts
 // nothing.
 func TestCompleteIfDone(t *testing.T) {
-	world := newFakeWorld()
-	world.notOwned = true
-	finisher := world.finisher()
+	deps := newFakeDependencies()
+	deps.notOwned = true
+	finisher := deps.finisher()
 	finisher.CompleteIfDone("j-unknown")
-	world.addJob(jobID, func(job *mirror.Job) { job.DoneTasks = 1 })
+	deps.addJob(jobID, func(job *mirror.Job) { job.DoneTasks = 1 })
 	finisher.CompleteIfDone(jobID)
-	if len(world.Commits) != 0 {
-		t.Fatalf("%d commits for an unknown and an unfinished job", len(world.Commits))
+	if len(deps.Commits) != 0 {
+		t.Fatalf("%d commits for an unknown and an unfinished job", len(deps.Commits))
 	}
-	allDone(world.mirror.Jobs[jobID])
+	completeAllTasks(deps.mirror.Jobs[jobID])
 	finisher.CompleteIfDone(jobID)
 	finisher.CompleteIfDone(jobID)
-	if len(world.Commits) != 1 || actionOf(t, world.Commits[0]) != complete {
-		t.Fatalf("%d commits for a job that is done", len(world.Commits))
+	if len(deps.Commits) != 1 || actionOf(t, deps.Commits[0]) != completeAction {
+		t.Fatalf("%d commits for a job that is done", len(deps.Commits))
 	}
-	world.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.Conflict})
-	if finisher.Completed() != 0 || world.writes[jobID] {
-		t.Errorf("after a conflict: %d completed, in flight %v", finisher.Completed(), world.writes[jobID])
+	deps.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.Conflict})
+	if finisher.Completed() != 0 || deps.writes[jobID] {
+		t.Errorf("after a conflict: %d completed, in flight %v", finisher.Completed(), deps.writes[jobID])
 	}
-	cancelled(world.mirror.Jobs[jobID])
+	cancelJob(deps.mirror.Jobs[jobID])
 	finisher.CompleteIfDone(jobID)
-	if len(world.Commits) != 1 {
+	if len(deps.Commits) != 1 {
 		t.Error("a cancelled job is completed")
 	}
 }
