--- a/internal/storage/storagetest/records.go
+++ b/internal/storage/storagetest/records.go
@@ -22,22 +22,22 @@
 
 // Shard holds tasks of a job on one machine, some of them done.
 func Shard(machine, job string, running, completed int) protocol.Raw {
-	shardRecord := &storage.Shard{
+	shard := &storage.Shard{
 		Owner:    "n-0",
 		Claim:    1,
 		Machines: map[string]*storage.ShardMachine{},
 		Jobs:     map[string]*storage.ShardJob{},
 	}
-	shardRecord.AddMachine(
+	shard.AddMachine(
 		machine,
 		storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1", State: storage.MachineOpen},
 	)
 	for i := 0; i < running+completed; i++ {
-		shardRecord.Assign(job, storage.Attempt{Task: i, Machine: machine, Number: 1})
+		shard.Assign(job, storage.Attempt{Task: i, Machine: machine, Number: 1})
 	}
 	for i := 0; i < completed; i++ {
-		shardRecord.Release(job, running+i, true)
+		shard.Release(job, running+i, true)
 	}
-	encoded, _ := shardRecord.Encode()
+	encoded, _ := shard.Encode()
 	return encoded
 }
