--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -2,27 +2,27 @@
 
 import "strings"
 
-// KeyPrefix is the prefix of every key of the service. Its number grows when the layout of records changes,
-// so that no version misreads the records of another.
+// KeyPrefix is the prefix of every key that the scheduler stores. Its number increases when the layout of the
+// records changes, so that no version misreads the records of another version.
 const KeyPrefix = "gap2/"
 
-// Kind is a kind of records, as it stands in the keys.
+// Kind is the kind of a record. It is part of the record's key.
 type Kind string
 
 // Kinds of records.
 const (
-	KindJobResult     Kind = "job"     // the final result of a job, kept for ever
+	KindJobResult     Kind = "job"     // the final result of a job; never deleted
 	KindOpenJob       Kind = "open"    // an unfinished job: its specification and task ranges
-	KindShard         Kind = "page"    // some machines of a partition with the attempts on them
-	KindPartition     Kind = "part"    // a partition's quota shares of the teams' limits
-	KindMachineType   Kind = "type"    // a machine type, for restarts during the cloud's outages
+	KindShard         Kind = "page"    // some of a partition's machines, with the attempts on them
+	KindPartition     Kind = "part"    // a partition's shares of the teams' limits
+	KindMachineType   Kind = "type"    // a machine type, for controllers that start during an outage of the cloud
 	KindScaleOut      Kind = "ask"     // a scale-out request
-	KindScaleIn       Kind = "removal" // a scale-in request: machines being deleted, or proven gone
+	KindScaleIn       Kind = "removal" // a scale-in request: machines being deleted, or confirmed as deleted
 	KindMember        Kind = "member"  // a live controller
 	KindLeader        Kind = "lead"    // the leader
-	KindDrain         Kind = "drain"   // machines to be taken out of service
-	KindPermits       Kind = "permit"  // a team's planned evictions
-	KindDrainRegistry Kind = "drains"  // changes with every new drain
+	KindDrain         Kind = "drain"   // machines that operators take out of service
+	KindPermits       Kind = "permit"  // a team's permits for planned evictions
+	KindDrainRegistry Kind = "drains"  // the name of the newest drain; written with every new drain
 )
 
 // Key returns the key of a record.
@@ -55,17 +55,19 @@
 // DrainKey returns the key of a drain.
 func DrainKey(name string) string { return Key(KindDrain, name) }
 
-// PermitsKey returns the key of a team's planned evictions.
+// PermitsKey returns the key of a team's permits for planned evictions.
 func PermitsKey(team string) string { return Key(KindPermits, team) }
 
-// LeaderKey is the one key of its kind.
+// LeaderKey is the only key of KindLeader.
 const LeaderKey = KeyPrefix + string(KindLeader) + "/er"
 
-// DrainRegistryKey is the one key of its kind. Whoever starts a drain writes it by compare-and-swap, so that
-// of two drains started at the same time the second is decided with knowledge of the first.
+// DrainRegistryKey is the only key of KindDrainRegistry. Starting a drain writes this key by
+// compare-and-swap. When two drains start at the same time, only one of the writes succeeds. The other
+// request must read the records again, which then include the first drain.
 const DrainRegistryKey = KeyPrefix + string(KindDrainRegistry) + "/all"
 
-// SplitKey returns the kind and the name of a key; ok is false for keys that aren't the service's.
+// SplitKey returns the kind and the name of a key; ok is false for a key without KeyPrefix or without a "/"
+// after the kind.
 func SplitKey(key string) (kind Kind, name string, ok bool) {
 	suffix, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
--- a/internal/storage/keys_test.go
+++ b/internal/storage/keys_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// TestRecordKeys checks the keys of records with names, and that SplitKey returns their kind and name.
 func TestRecordKeys(t *testing.T) {
 	for _, test := range []struct {
 		key, want string
@@ -20,14 +21,14 @@
 		{key: PermitsKey("web"), want: "gap2/permit/web", kind: KindPermits, name: "web"},
 	} {
 		if test.key != test.want {
-			t.Errorf("key is %q, want %q", test.key, test.want)
+			t.Errorf("got key %q, want %q", test.key, test.want)
 		}
 		if kind, name, ok := SplitKey(test.key); !ok || kind != test.kind || name != test.name {
-			t.Errorf("%q splits into %q and %q (%v), want %q and %q",
+			t.Errorf("SplitKey(%q): got kind %q, name %q, ok %v; want kind %q, name %q, ok true",
 				test.key, kind, name, ok, test.kind, test.name)
 		}
 	}
 	if kind, name, ok := SplitKey("gap1/job/j-1"); ok {
-		t.Errorf("a key with another prefix splits into %q and %q", kind, name)
+		t.Errorf("SplitKey of a key with another prefix: got kind %q, name %q, ok true; want ok false", kind, name)
 	}
 }
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -1,5 +1,5 @@
-// Package storage defines the records that the controllers keep in the state service: their keys, their
-// fields and their encodings. It is the only package that knows the stored names.
+// Package storage defines the records that the controllers keep in the state service: their keys, fields and
+// encodings. No other package knows the stored names of keys and fields.
 package storage
 
 import (
@@ -8,11 +8,11 @@
 	"pipitgap/internal/protocol"
 )
 
-// jsonSizeFactor is about how much larger a value is in JSON than in its packed form.
+// jsonSizeFactor is the approximate ratio of a value's size in JSON to its size in MessagePack.
 const jsonSizeFactor = 2
 
-// StoredSize estimates the bytes of an encoded record as the state service counts them against the limit of
-// a value, which is in JSON.
+// StoredSize estimates the size in bytes that the state service counts for an encoded record. The service
+// measures a value in JSON and compares that size with its limit on values.
 func StoredSize(encoded []byte) int { return jsonSizeFactor * len(encoded) }
 
 // JobState is the state of a job.
@@ -25,22 +25,23 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// JobResult is the record of KindJobResult. It is written, once, when the job is over.
+// JobResult is the record of KindJobResult. A controller writes it exactly once, when the job is completed or
+// cancelled.
 type JobResult struct {
 	State JobState `msgpack:"s"`
 }
 
-// OpenJob is the record of KindOpenJob. The shards hold which of the job's tasks have attempts or are
-// completed; a task that no shard names is pending. A cancelled job has a JobResult and keeps this
-// record until all of its attempts are gone.
+// OpenJob is the record of KindOpenJob. The shards record which of the job's tasks have attempts or are
+// completed; a task that is in no shard is pending. A cancelled job has a JobResult, and its OpenJob record
+// remains until the job has no attempts left.
 type OpenJob struct {
 	Spec       JobSpec     `msgpack:"j"`
-	AcceptedAt int64       `msgpack:"t"` // time of day of the acceptance, microseconds
+	AcceptedAt int64       `msgpack:"t"` // time of acceptance: time of day, microseconds
 	TaskRanges []TaskRange `msgpack:"p"`
 }
 
-// TaskRange says which partition places the pending tasks of a range on its machines.
-// Every assignment is conditional on the version of the record that says so.
+// TaskRange names the partition that may place the pending tasks of a range on its machines.
+// Every assignment of a task is conditional on the version of the OpenJob record that contains the range.
 type TaskRange struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
 	_msgpack   struct{} `msgpack:",as_array"`
@@ -48,11 +49,11 @@
 	Partition  string
 }
 
-// TaskRangeBytes is what one range takes in a record at most, in bytes, beside the partition's name.
+// TaskRangeBytes is the maximum encoded size of one range in bytes, without the partition's name.
 const TaskRangeBytes = 20
 
-// AssignRange assigns the tasks from first up to but not including end to a partition, and joins adjacent
-// ranges of one partition. The ranges given aren't changed.
+// AssignRange returns ranges in which the tasks in [first, end) belong to the given partition. It merges
+// adjacent ranges of the same partition and does not modify its input.
 func AssignRange(ranges []TaskRange, first, end int, partition string) []TaskRange {
 	var out []TaskRange
 	add := func(next TaskRange) {
@@ -77,11 +78,11 @@
 	return out
 }
 
-// JobSpec is what is stored of a submission.
+// JobSpec is the part of a submission that is stored.
 type JobSpec struct {
 	Class        string   `msgpack:"l"` // job class
 	Team         string   `msgpack:"t"`
-	Service      bool     `msgpack:"s,omitempty"` // a service; otherwise an array
+	Service      bool     `msgpack:"s,omitempty"` // whether the job is a service; if not, it is an array
 	Priority     int      `msgpack:"r"`
 	Tasks        int      `msgpack:"n"`           // tasks of an array, replicas of a service
 	CPUs         float64  `msgpack:"c"`           // of each task
@@ -89,19 +90,19 @@
 	MemoryGB     float64  `msgpack:"m"`           // of each task
 	Image        string   `msgpack:"i"`
 	ImageGB      float64  `msgpack:"ig"`           // size of the image
-	MachineTypes []string `msgpack:"y,omitempty"`  // allowed; nil: any
-	Zone         string   `msgpack:"z,omitempty"`  // the only allowed one; "": any
-	OneZone      bool     `msgpack:"oz,omitempty"` // all tasks in one zone
-	Spread       bool     `msgpack:"sp,omitempty"` // at most half of the tasks in a zone
+	MachineTypes []string `msgpack:"y,omitempty"`  // allowed machine types; nil: any
+	Zone         string   `msgpack:"z,omitempty"`  // the only allowed zone; "": any
+	OneZone      bool     `msgpack:"oz,omitempty"` // place all tasks in the same zone
+	Spread       bool     `msgpack:"sp,omitempty"` // place at most half of the tasks, rounded up, in any one zone
 	Spot         bool     `msgpack:"b,omitempty"`  // may run on spot machines
-	EstimateS    float64  `msgpack:"e"`            // expected run of a task, in seconds
-	CheckpointS  float64  `msgpack:"k,omitempty"`  // seconds between two saves of the progress; 0: none
-	SaveS        float64  `msgpack:"v,omitempty"`  // seconds that a save takes
-	DeadlineS    float64  `msgpack:"d,omitempty"`  // seconds from the acceptance; 0: none
+	EstimateS    float64  `msgpack:"e"`            // expected run time of a task, in seconds
+	CheckpointS  float64  `msgpack:"k,omitempty"`  // seconds between two checkpoints; 0: no checkpoints
+	SaveS        float64  `msgpack:"v,omitempty"`  // seconds that a checkpoint takes
+	DeadlineS    float64  `msgpack:"d,omitempty"`  // deadline in seconds after acceptance; 0: none
 }
 
-// AllowsMachine reports whether the job's tasks may run on a machine type in a zone; a zone of "" stands for
-// any.
+// AllowsMachine reports whether the job's tasks may run on a machine type in a zone. The zone "" matches any
+// zone.
 func (s *JobSpec) AllowsMachine(machineType, zone string) bool {
 	if s.MachineTypes != nil && !slices.Contains(s.MachineTypes, machineType) {
 		return false
@@ -109,7 +110,7 @@
 	return s.Zone == "" || zone == "" || s.Zone == zone
 }
 
-// JobSpecOf returns what is stored of a submission.
+// JobSpecOf returns the JobSpec to store for a submission.
 func JobSpecOf(s *protocol.Submission) JobSpec {
 	return JobSpec{
 		Class: s.Class, Team: s.Team, Service: s.Service, Priority: int(s.Priority), Tasks: s.Tasks,
@@ -119,9 +120,10 @@
 	}
 }
 
-// Partition is the record of KindPartition. Of each limited team, what the attempts in a partition's shards
-// take is at most its quota share, and all partitions' shares together are at most the team's limit. A share
-// is raised on the condition that no partition's record has changed, so assignments need no common record.
+// Partition is the record of KindPartition. For each team with a limit, the attempts in a partition's shards
+// use at most the partition's quota share, and the shares of all partitions add up to at most the team's
+// limit. A commit that raises a share is conditional on every partition's record being unchanged. Assignments
+// therefore do not need to compare a record that all partitions share.
 type Partition struct {
 	QuotaShares map[string]QuotaShare `msgpack:"s"` // by team
 }
@@ -143,46 +145,48 @@
 	ScaleOutNoCapacity   ScaleOutPhase = "unmet"
 )
 
-// ScaleOutRequest is the record of KindScaleOut. While its machines start it says which controller may claim
-// each: its rendezvous-hash owner among those in Live, the controllers at the time of writing, or the one
-// named in Own. A claim is conditional on the record's version.
+// ScaleOutRequest is the record of KindScaleOut. While the machines start, it determines which controller may
+// claim each machine: the controller named in Own, or else the machine's rendezvous-hash owner among the
+// controllers in Live. A claim is conditional on the record's version.
 type ScaleOutRequest struct {
 	Phase       ScaleOutPhase     `msgpack:"p"`
 	MachineType string            `msgpack:"y"`
 	Zone        string            `msgpack:"z"`
 	Spot        bool              `msgpack:"b,omitempty"` // spot instances
 	Count       int               `msgpack:"n"`           // machines requested
-	Machines    []string          `msgpack:"m,omitempty"` // provided by the cloud
-	Live        []string          `msgpack:"l,omitempty"` // controllers when the record was written
+	Machines    []string          `msgpack:"m,omitempty"` // ids of the machines that the cloud created
+	Live        []string          `msgpack:"l,omitempty"` // controllers at the time when the record was written
 	Own         map[string]string `msgpack:"w,omitempty"` // by machine: the controller that may claim it
-	PhaseSince  int64             `msgpack:"t"`           // time of day, microseconds
+	PhaseSince  int64             `msgpack:"t"`           // start of the phase: time of day, microseconds
 }
 
-// ScaleInRequest is the record of KindScaleIn: machines that are deleted together. It is written before the
-// call of the cloud. Once the cloud has answered, Deleted says that they and all attempts on them are gone;
-// the record is kept for a while, so that late heartbeats from these machines are rejected.
+// ScaleInRequest is the record of KindScaleIn: machines that one cloud call deletes together. The leader
+// writes it before that call. After the cloud confirms the deletion, Deleted is set: the machines and all
+// attempts on them no longer exist. The record then stays for a while, so that controllers reject late
+// heartbeats from these machines.
 type ScaleInRequest struct {
 	Machines   []string `msgpack:"m"`
-	StateSince int64    `msgpack:"t"`           // time of day, microseconds
-	Attempts   int      `msgpack:"n,omitempty"` // failed calls
-	Failed     bool     `msgpack:"f,omitempty"` // flagged, and tried at long intervals
+	StateSince int64    `msgpack:"t"`           // creation, or confirmed deletion: time of day, microseconds
+	Attempts   int      `msgpack:"n,omitempty"` // number of failed cloud calls
+	Failed     bool     `msgpack:"f,omitempty"` // several calls failed; the call is retried at long intervals
 	Deleted    bool     `msgpack:"g,omitempty"` // the cloud has confirmed the deletion
 }
 
-// MachineType is the record of KindMachineType: a machine type as the cloud's catalog has it.
+// MachineType is the record of KindMachineType: a machine type as listed in the cloud's catalog.
 type MachineType struct {
 	CPUs          float64  `msgpack:"c"`
 	GPUs          float64  `msgpack:"g"`
 	MemoryGB      float64  `msgpack:"m"`
-	CacheGB       float64  `msgpack:"k"` // local storage
-	FetchGBPerS   float64  `msgpack:"f"` // rate at which images are fetched
+	CacheGB       float64  `msgpack:"k"` // local storage for images
+	FetchGBPerS   float64  `msgpack:"f"` // download rate of images
 	OnDemandPrice float64  `msgpack:"p"`
 	SpotPrice     float64  `msgpack:"s"`
-	BootS         float64  `msgpack:"b"` // seconds from the request until a machine is up
+	BootS         float64  `msgpack:"b"` // seconds from the creation request until a machine is up
 	Zones         []string `msgpack:"z"`
 }
 
-// Member is the record of KindMember: a live controller. It is deleted with the controller's lease.
+// Member is the record of KindMember: a live controller. The record is attached to the controller's lease:
+// the state service deletes it when the lease ends.
 type Member struct {
 	Incarnation uint64 `msgpack:"i"` // of the controller
 	Zone        string `msgpack:"z"`
@@ -190,6 +194,6 @@
 
 // Leader is the record of KindLeader.
 type Leader struct {
-	Node        string `msgpack:"o"` // the controller that leads
+	Node        string `msgpack:"o"` // the controller that is the leader
 	Incarnation uint64 `msgpack:"i"` // of that controller
 }
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -6,72 +6,75 @@
 	"sort"
 )
 
-// MachineState is the state of a machine as stored.
+// MachineState is the state of a machine as stored in a shard.
 type MachineState string
 
 // States of a machine. That a machine is about to be drained is known to its shard's owner only and not
 // stored.
 const (
 	MachineOpen        MachineState = "o"
-	MachineUnreachable MachineState = "q" // unreachable now: takes no tasks, is no capacity
-	MachineCordoned    MachineState = "c" // selected by a drain: no new tasks as long as the drain lasts
-	MachineDraining    MachineState = "d" // no new tasks ever again
-	MachineRemoving    MachineState = "r" // for the leader to delete
+	MachineUnreachable MachineState = "q" // unreachable at present: receives no tasks and does not count as capacity
+	MachineCordoned    MachineState = "c" // selected by a drain: receives no new tasks while the drain is unfinished
+	MachineDraining    MachineState = "d" // permanently receives no new tasks
+	MachineRemoving    MachineState = "r" // to be deleted by the leader
 )
 
-// TokenCounterBits is how many bits of a fencing token count the batches of commands under one claim; the
-// claim's number stands above them. A token of a later claim is thus above all tokens of earlier ones.
+// TokenCounterBits is the number of low-order bits of a fencing token that count the batches of commands
+// under one claim. The high-order bits are the claim's number. Every token of a later claim is therefore
+// greater than all tokens of earlier claims.
 const TokenCounterBits = 32
 
-// Shard is the record of KindShard: some of a partition's machines, the attempts on them, and which tasks
-// were completed there. A shard has one owner, who alone writes it; a takeover changes its version, so that
-// no late write of an earlier owner can succeed. Decoded entries are never changed in place.
+// Shard is the record of KindShard: some of a partition's machines, the attempts on them, and the tasks that
+// were completed on them. Only the shard's owner writes it. A takeover changes the record's version, so a
+// late conditional write by a previous owner fails. Decoded entries are immutable: a change replaces the
+// entry.
 type Shard struct {
-	Owner       string                   // the controller that writes it
+	Owner       string                   // the controller that writes the shard
 	Incarnation uint64                   // of the owner
-	Claim       uint64                   // number of the claim; fencing tokens begin with it
+	Claim       uint64                   // number of the claim: the high-order bits of fencing tokens
 	Machines    map[string]*ShardMachine // by id
 	Jobs        map[string]*ShardJob     // by id
 }
 
 // ShardMachine is a machine in a shard.
 type ShardMachine struct {
-	Number   int // its short name within the shard
+	Number   int // short name of the machine within the shard
 	Type     string
 	Zone     string
 	Spot     bool   // spot instance
 	Endpoint string // address and port of the machine's worker
 	State    MachineState
-	Claim    uint64 // when above the shard's: the machine came from another partition's shard
+	Claim    uint64 // if greater than the shard's: the machine came from another partition's shard; see ClaimOf
 }
 
-// ShardJob is what a shard holds of a job.
+// ShardJob is a job's entry in a shard: the tasks that were completed in the shard and the current attempts.
 type ShardJob struct {
 	Completed TaskSet
 	Attempts  []Attempt // ordered by task
-	encoded   string    // its stored form without the id; decoding shares entries whose form is unchanged
+	encoded   string    // stored form without the job id; decoding reuses a previous entry with the same form
 }
 
-// Attempt is an attempt on a machine.
+// Attempt is an attempt to run a task on a machine.
 type Attempt struct {
-	Task    int // index
+	Task    int // index of the task in its job
 	Machine string
-	Number  uint64 // of the attempt among those at its task
-	// Starting says that the attempt isn't known to be running yet. It is stored only for replicas whose
-	// availability is guarded, see package drain.
+	Number  uint64 // number of the attempt among the attempts of the task
+	// Starting means that the attempt isn't known to be running yet. It is stored only for replicas whose
+	// availability package drain protects.
 	Starting bool
 }
 
-// SameAs reports whether two entries are of one attempt on one machine.
+// SameAs reports whether two entries describe the same attempt on the same machine. It ignores Starting.
 func (a Attempt) SameAs(other Attempt) bool {
 	return a.Task == other.Task && a.Machine == other.Machine && a.Number == other.Number
 }
 
-// ClaimOf returns the claim number under which a machine of the shard is held.
+// ClaimOf returns the claim number that applies to a machine of the shard: the greater of the shard's and the
+// machine's.
 func (s *Shard) ClaimOf(machine *ShardMachine) uint64 { return max(s.Claim, machine.Claim) }
 
-// Clone copies a shard so that a change can be prepared; the entries are shared
-// and must be replaced rather than changed.
+// Clone returns a copy of the shard on which a change can be prepared. The copy shares its entries with the
+// original, so a change must replace an entry instead of modifying it.
 func (s *Shard) Clone() *Shard {
 	clone := *s
 	clone.Machines = make(map[string]*ShardMachine, len(s.Machines)+1)
@@ -81,7 +84,7 @@
 	return &clone
 }
 
-// AddMachine puts a machine into the shard under the lowest free number.
+// AddMachine adds a machine to the shard and gives it the lowest free number.
 func (s *Shard) AddMachine(id string, machine ShardMachine) {
 	used := make(map[int]bool, len(s.Machines))
 	for _, other := range s.Machines {
@@ -94,14 +97,14 @@
 	s.Machines[id] = &machine
 }
 
-// SetMachineState replaces a machine's state.
+// SetMachineState replaces a machine's entry by one with the given state.
 func (s *Shard) SetMachineState(id string, state MachineState) {
 	machine := *s.Machines[id]
 	machine.State = state
 	s.Machines[id] = &machine
 }
 
-// Assign adds an attempt of a job that the shard doesn't hold yet.
+// Assign adds an attempt to a job's entry. The shard must not hold an attempt of that task yet.
 func (s *Shard) Assign(job string, attempt Attempt) {
 	old := s.Jobs[job]
 	if old == nil {
@@ -115,12 +118,12 @@
 	s.Jobs[job] = &ShardJob{Completed: old.Completed, Attempts: attempts}
 }
 
-// searchAttempt returns the index of a task's attempt, or where it would be inserted.
+// searchAttempt returns the index of a task's attempt, or the index at which to insert one.
 func (j *ShardJob) searchAttempt(task int) int {
 	return sort.Search(len(j.Attempts), func(i int) bool { return j.Attempts[i].Task >= task })
 }
 
-// Release removes a task's attempt; done says that the task is completed.
+// Release removes a task's attempt. If done is true, the task is also added to the completed tasks.
 func (s *Shard) Release(job string, task int, done bool) {
 	old := s.Jobs[job]
 	if old == nil {
@@ -155,7 +158,7 @@
 	return entry.Attempts[k], true
 }
 
-// MarkStarting sets whether a held attempt is known to be running.
+// MarkStarting sets whether a task's attempt is starting, that is, not known to be running yet.
 func (s *Shard) MarkStarting(job string, task int, starting bool) {
 	old := s.Jobs[job]
 	if old == nil {
--- a/internal/storage/shard_decode.go
+++ b/internal/storage/shard_decode.go
@@ -9,16 +9,16 @@
 	"pipitgap/internal/protocol"
 )
 
-// shardDecoder reads the stored form of a shard.
+// shardDecoder decodes the stored form of a shard.
 type shardDecoder struct {
 	kinds           []machineKind
-	previous        *Shard // may be nil
+	previous        *Shard // an earlier version of the shard whose entries may be reused; may be nil
 	shard           *Shard
-	machineByNumber map[int]string
+	machineByNumber map[int]string // machine ids
 }
 
-// DecodeShard reads a stored shard; entries that stand unchanged in a previous one, which may be nil, are
-// shared with it. Errors wrap ErrMalformedShard.
+// DecodeShard decodes a stored shard. It reuses the unchanged entries of previous, an earlier version of the
+// shard, which may be nil. Errors wrap ErrMalformedShard.
 func DecodeShard(raw protocol.Raw, previous *Shard) (*Shard, error) {
 	var record shardRecord
 	if err := protocol.Unmarshal(raw, &record); err != nil {
@@ -45,10 +45,10 @@
 	return d.shard, nil
 }
 
-// malformedEntry is the error of an entry that can't be read.
+// malformedEntry returns the error for an entry that can't be decoded.
 func malformedEntry(entry string) error { return fmt.Errorf("%w: entry %q", ErrMalformedShard, entry) }
 
-// decodeMachines reads the entries of the machines.
+// decodeMachines decodes the entries of the machines.
 func (d *shardDecoder) decodeMachines(entries string) error {
 	lastID, lastEndpoint := "", ""
 	for _, entry := range splitEntries(entries) {
@@ -70,7 +70,8 @@
 	return nil
 }
 
-// decodeMachine reads a machine from the columns of its entry, which are all there but for the claim.
+// decodeMachine decodes a machine from the columns of its entry. All columns except the claim must be
+// present.
 func (d *shardDecoder) decodeMachine(columns []string, endpoint string) (machine *ShardMachine, ok bool) {
 	number, err := strconv.ParseInt(columns[numberColumn], numberBase, 32)
 	if err != nil {
@@ -98,7 +99,8 @@
 	}, true
 }
 
-// reuseMachine returns the entry of the previous shard if it is the same.
+// reuseMachine returns the previous shard's entry for a machine if it equals the decoded one, and otherwise
+// the decoded one.
 func (d *shardDecoder) reuseMachine(id string, machine *ShardMachine) *ShardMachine {
 	if d.previous != nil {
 		if previousMachine := d.previous.Machines[id]; previousMachine != nil && *previousMachine == *machine {
@@ -108,8 +110,8 @@
 	return machine
 }
 
-// machineNumbersUnchanged reports whether no number names another machine than in the previous shard: only then does
-// the same text of a job mean the same attempts.
+// machineNumbersUnchanged reports whether no number identifies a different machine than in the previous
+// shard. Only then does the same text of a job's entry describe the same attempts.
 func (d *shardDecoder) machineNumbersUnchanged() bool {
 	if d.previous == nil {
 		return false
@@ -122,7 +124,7 @@
 	return true
 }
 
-// decodeJobs reads the entries of the jobs; the machines have been read.
+// decodeJobs decodes the entries of the jobs. The machines must be decoded first.
 func (d *shardDecoder) decodeJobs(entries string) error {
 	mayShare := d.machineNumbersUnchanged()
 	lastID := ""
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// decodeJob reads a job's entry without the id.
+// decodeJob decodes a job's entry without the job id.
 func (d *shardDecoder) decodeJob(encoded string) (*ShardJob, error) {
 	job := &ShardJob{encoded: encoded}
 	for _, field := range strings.Fields(encoded) {
@@ -170,7 +172,7 @@
 	return job, nil
 }
 
-// decodeAttempts reads a group of attempts that were assigned together, and adds them to a job.
+// decodeAttempts decodes one group of attempts, which were assigned together, and adds them to a job.
 func (d *shardDecoder) decodeAttempts(job *ShardJob, field string) error {
 	group, tasksText, ok := strings.Cut(field, tasksSeparator)
 	if !ok {
@@ -204,7 +206,8 @@
 	return nil
 }
 
-// expandPrefix reads what appendPrefixCompressed has written after last; ok is false for anything else.
+// expandPrefix decodes a string that appendPrefixCompressed encoded relative to previous; ok is false if
+// text is malformed.
 func expandPrefix(previous, text string) (s string, ok bool) {
 	if text == "" {
 		return "", false
@@ -216,7 +219,7 @@
 	return previous[:n] + text[1:], true
 }
 
-// splitEntries takes a list of entries apart; an empty text has none.
+// splitEntries splits a list of entries at the separators. It returns nil for an empty text.
 func splitEntries(text string) []string {
 	if text == "" {
 		return nil
--- a/internal/storage/shard_encode.go
+++ b/internal/storage/shard_encode.go
@@ -7,13 +7,14 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// Bounds of the JSON form of a shard's record, beside the texts that it holds.
+// Upper bounds for the JSON form of a shard's record, without the strings that it contains, in bytes.
 const (
-	shardRecordBytes = 120
-	machineKindBytes = 14
+	shardRecordBytes = 120 // the record without its machine kinds
+	machineKindBytes = 14  // one machine kind
 )
 
-// Encode returns the stored form and an upper bound of its size as the state service counts it, in bytes.
+// Encode returns the stored form of the shard and an upper bound, in bytes, on the size that the state
+// service counts for it.
 func (s *Shard) Encode() (raw protocol.Raw, size int) {
 	machines, kinds := s.encodeMachines()
 	record := shardRecord{
@@ -31,8 +32,8 @@
 	return protocol.MustMarshal(&record), size
 }
 
-// encodeMachines returns the entries of the machines, in the order of their ids, and the kinds that they
-// name.
+// encodeMachines returns the machines' entries, ordered by id, and the machine kinds to which they refer by
+// index.
 func (s *Shard) encodeMachines() (entries string, kinds []machineKind) {
 	kindIndex := map[machineKind]int{}
 	var text []byte
@@ -80,21 +81,22 @@
 	return string(text)
 }
 
-// attemptGroup is what the attempts of a job that were assigned together have in common.
+// attemptGroup holds the properties shared by attempts of a job that were assigned together. They are
+// encoded as one group.
 type attemptGroup struct {
 	machineNumber int
 	attempt       uint64
 	starting      bool
 }
 
-// encode returns a job's entry without the id.
+// encode returns the text form of a job's entry without the job id.
 func (j *ShardJob) encode(machines map[string]*ShardMachine) string {
 	text := make([]byte, 0, 64)
 	if len(j.Completed) > 0 {
 		text = append(append(text, columnSeparator...), completedPrefix...)
 		text = j.Completed.appendText(text)
 	}
-	var groups []attemptGroup // in the order of their first tasks
+	var groups []attemptGroup // ordered by first task
 	tasks := map[attemptGroup]TaskSet{}
 	for _, attempt := range j.Attempts {
 		group := attemptGroup{machines[attempt.Machine].Number, attempt.Number, attempt.Starting}
@@ -110,7 +112,7 @@
 	return string(text)
 }
 
-// appendText appends the attempts of a group.
+// appendText appends the text form of a group with its tasks.
 func (g attemptGroup) appendText(text []byte, tasks TaskSet) []byte {
 	separator := runningSeparator
 	if g.starting {
@@ -124,7 +126,8 @@
 	return tasks.appendText(append(text, tasksSeparator...))
 }
 
-// appendPrefixCompressed appends s as the number of characters that it shares with last, and the rest.
+// appendPrefixCompressed appends s in prefix-compressed form: the number of leading characters that it shares
+// with previous, then the remaining characters.
 func appendPrefixCompressed(text []byte, previous, s string) []byte {
 	shared := 0
 	for shared < maxSharedPrefix && shared < len(previous) && shared < len(s) && previous[shared] == s[shared] {
@@ -133,16 +136,17 @@
 	return append(strconv.AppendInt(text, int64(shared), numberBase), s[shared:]...)
 }
 
-// MaxStartingBytes is what an attempt takes at most, in bytes, by being a group of its own: attempts that
-// are starting stand apart from running ones that were assigned with them.
+// MaxStartingBytes is the maximum size in bytes that one starting attempt adds to the encoded shard. A
+// starting attempt is encoded in a separate group from running attempts that were assigned with it.
 const MaxStartingBytes = 14
 
-// completedFieldBytes is what a job with attempts takes at most once some of its tasks are completed, beside
-// their numbers.
+// completedFieldBytes is the maximum size in bytes that completed tasks add to the entry of a job with
+// attempts, without the task numbers.
 const completedFieldBytes = 2
 
-// MaxEncodedSize returns how large the shard can get without another assignment, in bytes: as its attempts
-// end in any order, ranges of them fall apart. What is assigned must always find room in the record.
+// MaxEncodedSize returns an upper bound in bytes on the encoded size of the shard as long as nothing more is
+// assigned. The encoding can grow when attempts end in arbitrary order, because one range of tasks splits
+// into many. Whatever has been assigned must always fit into the record.
 func (s *Shard) MaxEncodedSize() int {
 	_, size := s.Encode()
 	for _, entry := range s.Jobs {
@@ -159,7 +163,7 @@
 	return size
 }
 
-// MaxTaskBytes is what one task's number and a separator take at most, in bytes.
+// MaxTaskBytes returns the maximum size in bytes of a task's number with a separator.
 func MaxTaskBytes(task int) int {
 	n := 2
 	for ; task >= 10; task /= 10 {
--- a/internal/storage/shard_record.go
+++ b/internal/storage/shard_record.go
@@ -2,23 +2,24 @@
 
 import "errors"
 
-// The stored form of a shard. The state service counts a value by its JSON form, and every change of
-// a task is a change of a shard: so machines and jobs are packed as text.
+// This file defines the stored form of a shard. The state service measures a value in its JSON form, and
+// every change of a task rewrites a shard. To keep the record small, machines and jobs are encoded as
+// compact text.
 //
 //	machines: "number id endpoint kind state [claim]" joined by ";"
-//	jobs: "id dCOMPLETED number@attempt:TASKS ..." joined by ";", where ":0" is left out, and "!" in
-//	place of "@" says that the attempts are starting
+//	jobs: "id dCOMPLETED number@attempt:TASKS ..." joined by ";", where ":0" is omitted, and "!" instead of
+//	"@" means that the attempts are starting
 //
-// Numbers are written in base 36; a machine's number is its name within the shard. Ids and endpoints are
-// prefix-compressed: the number of leading characters shared with the entry before, in one digit, and the
-// rest.
+// Machine, kind, attempt and claim numbers are written in base 36, task numbers in base 10. A machine's
+// number identifies it within the shard. Ids and endpoints are prefix-compressed: one digit gives the number
+// of leading characters shared with the previous entry, and the remaining characters follow.
 
-// ErrMalformedShard is wrapped by the errors of DecodeShard.
+// ErrMalformedShard is the error that all errors of DecodeShard wrap.
 var ErrMalformedShard = errors.New("malformed shard")
 
 const (
 	numberBase = 36
-	// maxSharedPrefix is the largest prefix that one digit of numberBase can name.
+	// maxSharedPrefix is the largest prefix length that one digit in base numberBase can express.
 	maxSharedPrefix = numberBase - 1
 
 	entrySeparator    = ";"
@@ -27,11 +28,11 @@
 	tasksSeparator    = ":"
 	runningSeparator  = "@"
 	startingSeparator = "!"
-	// defaultTaskSet are the tasks of a group that names none.
+	// defaultTaskSet is the task set of a group that lists no tasks: only task 0.
 	defaultTaskSet = "0"
 )
 
-// Columns of a machine's entry. The claim is left out where it isn't above the shard's.
+// Columns of a machine's entry. The claim is omitted unless it is greater than the shard's claim.
 const (
 	numberColumn = iota
 	idColumn
@@ -41,7 +42,7 @@
 	claimColumn
 )
 
-// shardRecord is a shard as stored.
+// shardRecord is the stored form of a Shard.
 type shardRecord struct {
 	Owner        string        `msgpack:"o"`
 	Incarnation  uint64        `msgpack:"i"`
@@ -51,7 +52,8 @@
 	Jobs         string        `msgpack:"j"`
 }
 
-// machineKind is what many machines of a shard have in common; their entries name it by its index.
+// machineKind holds properties that many machines of a shard share. A machine's entry refers to its kind by
+// index.
 type machineKind struct {
 	//lint:ignore U1000 the msgpack library reads it through reflection
 	_msgpack struct{} `msgpack:",as_array"`
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -10,22 +10,23 @@
 	"pipitgap/internal/protocol"
 )
 
-// roundTripShard is a shard on whose tasks a test decides at random.
+// roundTripShard is a shard that a test changes at random.
 type roundTripShard struct {
 	t        *testing.T
 	random   *rand.Rand
 	shard    *Shard
 	machines []string
 	assigned map[assignedTask]bool
-	bound    int // size that the shard must never exceed, in bytes
+	bound    int // maximum allowed size of the encoded shard, in bytes
 }
 
+// assignedTask identifies a task that has an attempt in the shard.
 type assignedTask struct {
 	job  string
 	task int
 }
 
-// newRoundTripShard is a shard of 12 machines with up to 90 attempts.
+// newRoundTripShard returns a shard of 12 machines with up to 90 attempts.
 func newRoundTripShard(t *testing.T, random *rand.Rand) *roundTripShard {
 	t.Helper()
 	rt := &roundTripShard{t: t, random: random, assigned: map[assignedTask]bool{}, shard: &Shard{
@@ -64,7 +65,7 @@
 	return rt
 }
 
-// toggleStarting has some attempt be seen to run, or to start again.
+// toggleStarting changes one arbitrary attempt from starting to running or back.
 func (rt *roundTripShard) toggleStarting(shard *Shard) {
 	rt.t.Helper()
 	for task := range rt.assigned {
@@ -75,14 +76,15 @@
 		shard.MarkStarting(task.job, task.task, !before.Starting)
 		if after, still := shard.FindAttempt(task.job, task.task); ok &&
 			(!still || !after.SameAs(before) || after.Starting == before.Starting) {
-			rt.t.Fatalf("%+v is marked as %+v", before, after)
+			rt.t.Fatalf("MarkStarting(%v) of %+v: got %+v, found %v; want the same attempt with Starting toggled",
+				!before.Starting, before, after, still)
 		}
 		return
 	}
 }
 
-// requireSizeInBound checks the encoded size against the JSON form, in which the state service counts it,
-// and against the bound.
+// requireSizeInBound checks that the reported size is at least the size of the JSON form, which the state
+// service counts, and at most the bound.
 func (rt *roundTripShard) requireSizeInBound(raw protocol.Raw, size int) {
 	rt.t.Helper()
 	var v any
@@ -91,11 +93,13 @@
 	}
 	text, err := json.Marshal(v)
 	if err != nil || len(text) > size || size > rt.bound {
-		rt.t.Fatalf("%d bytes as JSON, %d counted, %d bounded, %v", len(text), size, rt.bound, err)
+		rt.t.Fatalf("got %d bytes as JSON, a reported size of %d, error %v; want JSON <= reported size <= %d",
+			len(text), size, err, rt.bound)
 	}
 }
 
-// requireDecodes checks that a stored shard reads as it was written, with and without a previous one.
+// requireDecodes checks that an encoded shard decodes to the written shard, with and without a previous
+// shard.
 func (rt *roundTripShard) requireDecodes(raw protocol.Raw, written *Shard) *Shard {
 	rt.t.Helper()
 	got, err := DecodeShard(raw, rt.shard)
@@ -105,12 +109,13 @@
 	fresh, err := DecodeShard(raw, nil)
 	if err != nil || !reflect.DeepEqual(comparableForm(got), comparableForm(fresh)) ||
 		!reflect.DeepEqual(comparableForm(fresh), comparableForm(written)) {
-		rt.t.Fatalf("%v: read %+v, written %+v", err, fresh, written)
+		rt.t.Fatalf("decoded %+v with a previous shard, %+v without, error %v; want %+v", got, fresh, err, written)
 	}
 	return got
 }
 
-// requireReusedNumber has a machine go with all on it, and another take its number.
+// requireReusedNumber replaces a machine and its attempts by a new machine, which gets the free number, and
+// checks that the shard still decodes correctly.
 func (rt *roundTripShard) requireReusedNumber(shard *Shard) {
 	rt.t.Helper()
 	changed := shard.Clone()
@@ -131,12 +136,12 @@
 	raw, _ := changed.Encode()
 	again, err := DecodeShard(raw, rt.shard)
 	if err != nil || !reflect.DeepEqual(comparableForm(again), comparableForm(changed)) {
-		rt.t.Fatalf("%v: a number that was given again is misread", err)
+		rt.t.Fatalf("shard with a reused machine number: decoded %+v, error %v; want %+v", again, err, changed)
 	}
 }
 
-// TestShardRoundTripAndSizeBound: what is written reads the same, whatever is done to a shard in
-// between; its size is never above what was bounded when its tasks were assigned.
+// TestShardRoundTripAndSizeBound checks that an encoded shard decodes to the same shard after any sequence of
+// changes, and that its size never exceeds the bound computed when its tasks were assigned.
 func TestShardRoundTripAndSizeBound(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	reused := 0
@@ -158,23 +163,25 @@
 		}
 	}
 	if reused == 0 {
-		t.Error("no round reused a number")
+		t.Error("got 0 rounds that reused a machine number, want at least 1")
 	}
 }
 
-// TestDecodeMalformedJobs: jobs that no machine or bound allows are no shard.
+// TestDecodeMalformedJobs checks that DecodeShard rejects job entries with an unknown machine, task numbers
+// out of order or bounds, or an invalid id.
 func TestDecodeMalformedJobs(t *testing.T) {
 	for _, text := range []string{
 		"0j-1 d5-2", "0j-1 0@1:0", "0j-1 d0;3 d1", "0j-1 d999999999", "0j-1 d1,0", " d1", "4j-1 d1", "0 d1",
 	} {
 		raw := protocol.MustMarshal(&shardRecord{Jobs: text})
 		if _, err := DecodeShard(raw, nil); err == nil {
-			t.Errorf("a shard with %q is read", text)
+			t.Errorf("DecodeShard of jobs %q: got no error, want one", text)
 		}
 	}
 }
 
-// comparableForm leaves what counts of a shard.
+// comparableForm returns the content of a shard for comparison, without cached encodings. It clears machine
+// claims that aren't greater than the shard's claim, because they are not stored.
 func comparableForm(s *Shard) map[string]any {
 	out := map[string]any{"machines": s.Machines, "head": []any{s.Owner, s.Incarnation, s.Claim}}
 	for id, m := range s.Machines {
@@ -193,7 +200,7 @@
 	return out
 }
 
-// TestAssignRange: ranges change hands whole, in part and across several.
+// TestAssignRange checks the reassignment of a whole range, of a part of a range, and across several ranges.
 func TestAssignRange(t *testing.T) {
 	ranges := []TaskRange{{First: 0, End: 10, Partition: "a"}, {First: 10, End: 20, Partition: "b"}}
 	cases := []struct {
@@ -237,23 +244,23 @@
 	}
 	for _, tc := range cases {
 		if got := AssignRange(ranges, tc.first, tc.end, tc.partition); !reflect.DeepEqual(got, tc.want) {
-			t.Errorf("%d to %d for %s: %v", tc.first, tc.end, tc.partition, got)
+			t.Errorf("AssignRange(%d, %d, %s): got %v, want %v", tc.first, tc.end, tc.partition, got, tc.want)
 		}
 	}
 }
 
-// TestMaxEncodedSizeOfFragments: the bound of a shard holds as the tasks of one long range end or start apart
-// from each other.
+// TestMaxEncodedSizeOfFragments checks that a shard stays within MaxEncodedSize when every second task of
+// one long range ends or starts running, which splits the range into many short ones.
 func TestMaxEncodedSizeOfFragments(t *testing.T) {
 	const tasks = 400
 	cases := []struct {
 		name     string
-		starting bool // at first
+		starting bool // initial state of all attempts
 		change   func(shard *Shard, task int)
 	}{
 		{"released", false, func(shard *Shard, task int) { shard.Release("j-1", task, false) }},
 		{"completed", false, func(shard *Shard, task int) { shard.Release("j-1", task, true) }},
-		{"seen to run", true, func(shard *Shard, task int) { shard.MarkStarting("j-1", task, false) }},
+		{"marked running", true, func(shard *Shard, task int) { shard.MarkStarting("j-1", task, false) }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -266,7 +273,7 @@
 			for task := 1; task < tasks; task += 2 {
 				tc.change(shard, task)
 				if _, size := shard.Encode(); size > bound {
-					t.Fatalf("%d bytes after task %d, bounded by %d", size, task, bound)
+					t.Fatalf("after task %d: got %d bytes, want at most %d", task, size, bound)
 				}
 			}
 		})
@@ -279,6 +286,6 @@
 	bound := starting.MaxEncodedSize() + MaxStartingBytes
 	starting.MarkStarting("j-1", 1, true)
 	if _, size := starting.Encode(); size > bound {
-		t.Errorf("%d bytes with one attempt that is starting, bounded by %d", size, bound)
+		t.Errorf("shard with one starting attempt: got %d bytes, want at most %d", size, bound)
 	}
 }
--- a/internal/storage/storagetest/records.go
+++ b/internal/storage/storagetest/records.go
@@ -1,4 +1,4 @@
-// Package storagetest makes stored records for tests.
+// Package storagetest builds stored records for tests.
 package storagetest
 
 import (
@@ -6,7 +6,7 @@
 	"pipitgap/internal/storage"
 )
 
-// OpenJob is the stored form of a job of some tasks.
+// OpenJob returns the stored form of an open job with the given number of tasks.
 func OpenJob(tasks int) protocol.Raw {
 	return protocol.MustMarshal(&storage.OpenJob{
 		Spec: storage.JobSpec{
@@ -20,7 +20,8 @@
 		TaskRanges: []storage.TaskRange{{First: 0, End: tasks, Partition: "n-0"}}})
 }
 
-// Shard holds tasks of a job on one machine, some of them done.
+// Shard returns the stored form of a shard with one machine that has running attempts of a job, and with
+// completed tasks of that job.
 func Shard(machine, job string, running, completed int) protocol.Raw {
 	shard := &storage.Shard{
 		Owner:    "n-0",
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -8,16 +8,17 @@
 	"pipitgap/internal/protocol"
 )
 
-// storedRecord is a record as it stands in the state service.
+// storedRecord is a test case: a record, its key, and the file with its stored form.
 type storedRecord struct {
-	file   string // under testdata/stored; its name doesn't follow renames in the code
+	file   string // file under testdata/stored; its name stays when names in the code change
 	key    string
 	value  any  // a pointer to the record
-	sparse bool // fields that are left out when zero are zero here
+	sparse bool // the optional fields are zero and therefore omitted
 }
 
-// storedRecords has one record of each kind with every field set, and those with optional fields
-// without them too. Maps have one entry at most: their order isn't fixed.
+// storedRecords returns one record of each kind except shards with every field set. Kinds with optional
+// fields have a second record without them. Maps have at most one entry, because their encoding order isn't
+// fixed.
 func storedRecords() []storedRecord {
 	fullSpec := JobSpec{
 		Class: "batch", Team: "wren", Service: true, Priority: 7, Tasks: 40, CPUs: 1.5, GPUs: 2,
@@ -112,10 +113,11 @@
 	}
 }
 
+// ptr returns a pointer to a copy of value.
 func ptr[T any](value T) *T { return &value }
 
-// TestStoredRecords: records that an earlier version has stored read as the same values, and are
-// stored as the same bytes under the same keys.
+// TestStoredRecords checks that records stored by an earlier version decode to the same values and encode to
+// the same bytes. TestStoredKeys checks their keys.
 func TestStoredRecords(t *testing.T) {
 	for _, record := range storedRecords() {
 		t.Run(record.file, func(t *testing.T) {
@@ -129,7 +131,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded, record.value) {
-				t.Errorf("reads as %+v, want %+v", decoded, record.value)
+				t.Errorf("%s: decoded %+v, want %+v", record.file, decoded, record.value)
 			}
 			if !record.sparse {
 				fixtures.AllSet(t, record.file, decoded)
@@ -143,7 +145,8 @@
 	}
 }
 
-// TestStoredKeys: the keys of all kinds are as they were, and are taken apart to what they were made of.
+// TestStoredKeys checks that the keys of all kinds are the same as in earlier versions, and that SplitKey
+// returns the kind and the name from which a key was built.
 func TestStoredKeys(t *testing.T) {
 	kinds := []Kind{
 		KindJobResult,
@@ -164,7 +167,8 @@
 		key := Key(kind, "a/name")
 		text += key + "\n"
 		if gotKind, name, ok := SplitKey(key); !ok || gotKind != kind || name != "a/name" {
-			t.Errorf("%s is taken apart to %q, %q, %v", key, gotKind, name, ok)
+			t.Errorf("SplitKey(%q): got kind %q, name %q, ok %v; want kind %q, name %q, ok true",
+				key, gotKind, name, ok, kind, "a/name")
 		}
 	}
 	text += LeaderKey + "\n" + DrainRegistryKey + "\n"
@@ -174,8 +178,9 @@
 	fixtures.Equal(t, "keys", []byte(fixtures.Text(t, "stored/keys.txt", text)), []byte(text))
 }
 
-// storedShards are shards that use all of the text form: every state, claims above the shard's,
-// kinds, endpoints with and without a common beginning, completed tasks, and attempts that are starting.
+// storedShards returns shards that use every feature of the text form: every machine state, machine claims
+// greater than the shard's, several machine kinds, endpoints with and without a common prefix, completed
+// tasks, and starting attempts.
 func storedShards() map[string]*Shard {
 	full := &Shard{Owner: "n-2", Incarnation: 1 << 47, Claim: 3, Machines: map[string]*ShardMachine{
 		"i-000231": {Number: 0, Type: "m16", Zone: "rack-a", Endpoint: "10.1.0.232:9000", State: MachineOpen},
@@ -225,8 +230,8 @@
 		"shard-drained": drained}
 }
 
-// TestStoredShards: shards that an earlier version has stored read as the same values, and are
-// stored as the same bytes.
+// TestStoredShards checks that shards stored by an earlier version decode to the same values and encode to
+// the same bytes.
 func TestStoredShards(t *testing.T) {
 	for file, shard := range storedShards() {
 		t.Run(file, func(t *testing.T) {
@@ -237,13 +242,13 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded, shard) {
-				t.Errorf("reads as %+v, want %+v", decoded, shard)
+				t.Errorf("%s: decoded %+v, want %+v", file, decoded, shard)
 			}
 			if file == "shard" {
 				fixtures.AllSet(t, file, decoded)
 			}
 			for _, job := range decoded.Jobs {
-				job.encoded = "" // what was read isn't to be copied
+				job.encoded = "" // forces Encode to encode the job again instead of copying the text it decoded
 			}
 			again, _ := decoded.Encode()
 			fixtures.Equal(t, file, stored, again)
--- a/internal/storage/task_set.go
+++ b/internal/storage/task_set.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Interval is a run of task numbers, from First up to but not including End.
+// Interval is the range of task numbers [First, End).
 type Interval struct{ First, End int }
 
-// TaskSet is a set of task numbers: intervals in order that don't touch.
+// TaskSet is a set of task numbers, represented as ordered intervals that neither overlap nor adjoin.
 type TaskSet []Interval
 
-// Count returns how many tasks the set holds.
+// Count returns the number of tasks in the set.
 func (t TaskSet) Count() int {
 	n := 0
 	for _, interval := range t {
@@ -21,7 +21,7 @@
 	return n
 }
 
-// Each calls f for every task in order.
+// Each calls f for every task in ascending order.
 func (t TaskSet) Each(f func(int)) {
 	for _, interval := range t {
 		for i := interval.First; i < interval.End; i++ {
@@ -30,7 +30,7 @@
 	}
 }
 
-// With returns the set with one task more; t itself is not changed.
+// With returns a set that also contains the given task. It does not modify t.
 func (t TaskSet) With(task int) TaskSet {
 	k := 0
 	for k < len(t) && t[k].End < task {
@@ -53,7 +53,7 @@
 	return append(append(out, joined), t[k:]...)
 }
 
-// appendText appends the set's text, such as "0-31,40".
+// appendText appends the set's text form to text, for example "0-31,40".
 func (t TaskSet) appendText(text []byte) []byte {
 	for i, interval := range t {
 		if i > 0 {
@@ -68,8 +68,8 @@
 	return text
 }
 
-// parseTaskSet reads a set's text. Tasks are below the limit, so that a malformed record can't name so many
-// that they exhaust the memory.
+// parseTaskSet parses the text form of a set. It rejects task numbers of limit or more, because the tasks of
+// a malformed record could otherwise exhaust the memory.
 func parseTaskSet(text string, limit int) (TaskSet, error) {
 	var out TaskSet
 	previousLast := -1
