--- a/internal/storage/drains.go
+++ b/internal/storage/drains.go
@@ -85,7 +85,7 @@
 	Job       string
 	Task      int
 	Attempt   uint64
-	From      string // the machine on which the attempt runs
+	From      string // the machine on which the attempt is stopped
 	To        string // the machine on which resources are reserved for the next attempt
 	GrantedAt int64  // time of day, microseconds
 }
