--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -5,31 +5,32 @@
 	"pipitgap/internal/transport"
 )
 
-// Bounds of the calls that wait for the state service on behalf of users; past them the answer is an
-// immediate rejection. A request must not wait for longer than its user does.
+// Bounds on the number of user calls that wait for the state service. Above these bounds the handler rejects
+// requests immediately, because a request must not wait longer than its user waits for the response.
 const (
 	minQueuedUserCalls  = 4
-	maxUserQueueSeconds = 0.75 // seconds that this controller's writes take for them
+	maxUserQueueSeconds = 0.75 // time in which this controller's write rate must be able to empty the queue
 	minQueuedBurstCalls = 2
-	burstQueueDivisor   = 4 // calls of bursts have one part in so many of the users'
+	burstQueueDivisor   = 4 // the bound on burst calls is the bound on user calls divided by this
 )
 
-// MaxQueuedUserCalls bounds the calls that wait on behalf of users.
+// MaxQueuedUserCalls returns the maximum number of queued user calls.
 func (h *Handler) MaxQueuedUserCalls() int {
 	return max(minQueuedUserCalls, int(h.store.WritesPerSecond()*maxUserQueueSeconds))
 }
 
-// maxQueuedBurstCalls bounds the calls of bursts that wait.
+// maxQueuedBurstCalls returns the maximum number of queued burst calls.
 func (h *Handler) maxQueuedBurstCalls() int {
 	return max(minQueuedBurstCalls, h.MaxQueuedUserCalls()/burstQueueDivisor)
 }
 
-// userQueueFull reports that no more calls may wait on behalf of users.
+// userQueueFull reports whether the queue of user calls has reached its bound.
 func (h *Handler) userQueueFull() bool {
 	return h.store.QueuedCalls(ratelimit.PriorityUserRequest) >= h.MaxQueuedUserCalls()
 }
 
-// rejectIfUnavailable rejects what needs the state service while that can't be used at all.
+// rejectIfUnavailable returns a rejection for requests that need the state service if the mirror isn't ready
+// or the state service is unavailable, and nil otherwise.
 func (h *Handler) rejectIfUnavailable() *Rejection {
 	if !h.replica.Ready() {
 		return h.deferRequest(transport.StatusUnavailable, reasonNotReady)
@@ -40,8 +41,8 @@
 	return nil
 }
 
-// rejectIfOverloaded rejects what needs the state service while that can't be used, or takes no more for
-// users.
+// rejectIfOverloaded is like rejectIfUnavailable, but also returns a rejection if the queue of user calls is
+// full.
 func (h *Handler) rejectIfOverloaded() *Rejection {
 	if rejection := h.rejectIfUnavailable(); rejection != nil {
 		return rejection
--- a/internal/api/admission_test.go
+++ b/internal/api/admission_test.go
@@ -6,7 +6,8 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// TestRetryAfterJitterDuringOutage: one second, or one to three while the state service is unavailable.
+// TestRetryAfterJitterDuringOutage checks the retry delay: one second normally, and one to three seconds
+// while the state service is unavailable.
 func TestRetryAfterJitterDuringOutage(t *testing.T) {
 	deps := newFakeDependencies()
 	handler := deps.handler()
@@ -15,21 +16,21 @@
 		seen[handler.deferRequest(429, "").RetryAfter] = true
 	}
 	if len(seen) != 1 || !seen[1] {
-		t.Errorf("without an outage: %v", seen)
+		t.Errorf("without an outage: got delays %v, want only 1", seen)
 	}
 	deps.unavailable = true
 	for range 100 {
 		seen[handler.deferRequest(503, "").RetryAfter] = true
 	}
 	if len(seen) != 3 || !seen[1] || !seen[2] || !seen[3] {
-		t.Errorf("in an outage: %v", seen)
+		t.Errorf("during an outage: got delays %v, want 1, 2 and 3", seen)
 	}
 	if got := handler.Counters().RequestsDeferred; got != 200 {
-		t.Errorf("%d requests counted", got)
+		t.Errorf("got %d deferred requests, want 200", got)
 	}
 }
 
-// TestMaxQueuedUserCalls: the bounds follow the rate of writes.
+// TestMaxQueuedUserCalls checks that the bounds on queued user and burst calls depend on the write rate.
 func TestMaxQueuedUserCalls(t *testing.T) {
 	for _, tc := range []struct {
 		rate        float64
@@ -40,7 +41,8 @@
 		handler := deps.handler()
 		if user, burst := handler.MaxQueuedUserCalls(), handler.maxQueuedBurstCalls(); user != tc.user ||
 			burst != tc.burst {
-			t.Errorf("%v writes a second: %d and %d, want %d and %d", tc.rate, user, burst, tc.user, tc.burst)
+			t.Errorf("%v writes/s: got bounds of %d user calls and %d burst calls, want %d and %d",
+				tc.rate, user, burst, tc.user, tc.burst)
 		}
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,10 +1,12 @@
-// Package api answers users: it admits submissions, reports the status of jobs and cancels them. A submission
-// is decoded, validated, admitted, committed and answered (submission.go); a status request reads the mirror,
-// the result cache and then the state service (status.go, lookup.go); a cancellation commits the result
-// "cancelled" (cancellation.go). Every request is answered at once or as soon as the state service has
-// answered; what can't be taken now is rejected with the time after which to retry.
+// Package api handles the requests of users: it accepts job submissions, reports the status of jobs and
+// cancels jobs. Submit decodes, validates, admits and commits a submission, and then responds
+// (submission.go). Status reads the mirror, the result cache and then the state service (status.go,
+// lookup.go). Cancel commits the result "cancelled" (cancellation.go). Each request gets its response
+// immediately or as soon as the state service has answered. A request that can't be handled at present is
+// rejected with a delay after which to retry.
 //
-// A Handler is used by one goroutine. It owns the rates of submissions and its counters, nothing else.
+// A Handler is not safe for concurrent use: one goroutine uses it. It owns the submission rates and its
+// counters. All other state belongs to its dependencies.
 package api
 
 import (
@@ -21,77 +23,80 @@
 	"pipitgap/internal/transport"
 )
 
-// Environment is the clocks and the randomness.
+// Environment provides the clocks and a source of randomness.
 type Environment interface {
-	Now() monotime.Micros // the steady clock
+	Now() monotime.Micros // monotonic clock
 	WallClock() int64     // time of day, microseconds
-	// Rand is the source of randomness.
+	// Rand returns the source of random numbers.
 	Rand() *rand.Rand
 }
 
-// StateService is the queue of calls to the state service.
+// StateService is this controller's queue of calls to the state service.
 type StateService interface {
-	// Call queues a call under its priority; the callback gets its result once.
+	// Call queues a call with a priority and passes its result to the callback exactly once.
 	Call(ratelimit.Priority, *protocol.StoreCall, func(protocol.StoreResult))
-	// Unavailable reports an outage, as this controller sees it.
+	// Unavailable reports whether the state service is unavailable from this controller's point of view.
 	Unavailable() bool
-	// QueuedCalls counts the calls of a priority class that wait to be sent.
+	// QueuedCalls returns the number of calls of a priority class that wait to be sent.
 	QueuedCalls(ratelimit.Priority) int
-	// OldestWait is how long the first of them has waited.
+	// OldestWait returns how long the first queued call of a priority class has waited.
 	OldestWait(ratelimit.Priority, monotime.Micros) monotime.Micros
-	// WritesPerSecond is this controller's part of the writes.
+	// WritesPerSecond returns this controller's share of the state service's write rate.
 	WritesPerSecond() float64
-	// UserCallsWaiting reports that more calls of users wait than a moment's.
+	// UserCallsWaiting reports whether more user calls are queued than momentary load explains.
 	UserCallsWaiting() bool
 }
 
 // Replica keeps the mirror up to date.
 type Replica interface {
-	// Ready reports that the mirror is complete.
+	// Ready reports whether the mirror has loaded all records.
 	Ready() bool
-	// PendingReads counts the callbacks that wait for WhenCurrent.
+	// PendingReads returns the number of WhenCurrent callbacks that are still pending.
 	PendingReads() int
-	// WhenCurrent calls back once the mirror is as new as the call; ok is false if that can't be had.
+	// WhenCurrent calls the callback when the mirror holds everything that the state service held at the
+	// time of the call; ok is false if the state service doesn't answer.
 	WhenCurrent(callback func(ok bool))
-	// Commit makes a conditional change; one that succeeds is in the mirror before the callback.
+	// Commit executes a conditional transaction. If it succeeds, it applies the change to the mirror before
+	// it calls the callback.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
 }
 
-// Reachability knows which parts of the deployment this controller reaches.
+// Reachability reports which parts of the deployment this controller can reach.
 type Reachability interface {
-	// StoreUnreachableOnlyHere reports that another controller uses the state service and this one can't.
+	// StoreUnreachableOnlyHere reports whether a peer can use the state service while this controller can't.
 	StoreUnreachableOnlyHere(monotime.Micros) (peer string, onlyHere bool)
-	// IsIsolated reports that neither the state service nor another controller is reached.
+	// IsIsolated reports whether this controller reaches neither the state service nor any other controller.
 	IsIsolated(monotime.Micros) bool
 }
 
-// Catalog has the machine types that the cloud offers.
+// Catalog provides the machine types that the cloud offers.
 type Catalog interface {
-	// MachineTypes is nil as long as the types aren't known.
+	// MachineTypes returns the machine types by name, or nil until they are known.
 	MachineTypes() map[string]protocol.MachineType
 }
 
-// Quota has the teams' limits.
+// Quota provides the teams' resource limits.
 type Quota interface {
-	// Limits returns false for a team that isn't configured.
+	// Limits returns a team's limits; the second result is false if the team isn't configured.
 	Limits(team string) (quota.Limits, bool)
 }
 
 // Scheduler places the tasks of accepted jobs.
 type Scheduler interface {
-	// AssignTaskRanges divides a new job among the partitions.
+	// AssignTaskRanges divides the tasks of a new job among the partitions.
 	AssignTaskRanges(*storage.JobSpec) []storage.TaskRange
-	// JobAccepted reports the revision at which this controller committed a new job.
+	// JobAccepted tells the scheduler at which revision this controller committed a new job.
 	JobAccepted(job string, revision uint64)
 }
 
-// Cancellations passes committed cancellations on to the other controllers.
+// Cancellations forwards committed cancellations to the other controllers.
 type Cancellations interface {
-	// Add keeps a cancellation for the other controllers. It is called before any user gets the answer.
+	// Add records a cancellation for the other controllers. The handler calls it before it responds to any
+	// user.
 	Add(cancellation.Committed)
 }
 
-// Config has what a Handler needs.
+// Config holds the dependencies and settings of a Handler.
 type Config struct {
 	Log           *slog.Logger
 	Environment   Environment
@@ -103,19 +108,19 @@
 	Quota         Quota
 	Scheduler     Scheduler
 	Cancellations Cancellations
-	// PlaceNow is called after the answer to an accepted submission, so that its tasks don't wait for the
-	// next tick.
+	// PlaceNow places pending tasks. The handler calls it after the response to an accepted submission, so
+	// that the job's tasks don't wait for the next tick.
 	PlaceNow      func()
-	MaxValueBytes int // bytes of a stored value, as the state service counts them
+	MaxValueBytes int // limit on the size of a stored value in bytes, as the state service counts it
 }
 
-// Counters counts since the start.
+// Counters holds event counts since the start of the controller.
 type Counters struct {
-	JobsAccepted     int // submissions committed
-	RequestsDeferred int // rejected for now, to be retried
+	JobsAccepted     int // committed submissions
+	RequestsDeferred int // requests rejected with a delay after which to retry
 }
 
-// Handler answers the requests of users.
+// Handler handles the requests of users.
 type Handler struct {
 	log           *slog.Logger
 	environment   Environment
@@ -134,7 +139,7 @@
 	counters Counters
 }
 
-// NewHandler makes a handler without any submission counted.
+// NewHandler returns a handler that has not counted any submissions yet.
 func NewHandler(config Config) *Handler {
 	return &Handler{
 		log:           config.Log,
@@ -153,14 +158,14 @@
 	}
 }
 
-// Counters returns the present counts.
+// Counters returns the current counts.
 func (h *Handler) Counters() Counters { return h.counters }
 
-// PriorityClass is the class in which changes of a job's records are queued: otherwise, or the last one for
-// jobs of a burst.
+// PriorityClass returns the priority class for calls that change a job's records: PriorityBurst if the job is
+// limited as part of a burst, and defaultClass otherwise.
 func (h *Handler) PriorityClass(spec *storage.JobSpec, defaultClass ratelimit.Priority) ratelimit.Priority {
 	return h.bursts.priorityClass(spec, defaultClass)
 }
 
-// Respond sends the answer of a request. It is called once.
+// Respond sends the response to a request. The handler calls it exactly once per request.
 type Respond func(transport.Response)
--- a/internal/api/burst_limit.go
+++ b/internal/api/burst_limit.go
@@ -11,27 +11,30 @@
 	"pipitgap/internal/storage"
 )
 
-// Each small job costs as many writes as a large one. A team that submits them as fast as it can would take
-// most of the writes, and the other teams' jobs would be neither accepted nor placed. So the calls of such a
-// burst are queued last, in a class of their own, and it is the burst that is rejected under overload.
+// A small job costs as many writes as a large one. A team that submits small jobs as fast as it can would
+// use most of the writes, and the jobs of other teams would be neither accepted nor placed. Therefore the
+// calls of such a burst are queued last, in the separate class PriorityBurst, and under overload the burst is
+// rejected.
 const (
-	// submissionRateWindow is the time in which a counted submission decays to about a third.
+	// submissionRateWindow is the time constant of the exponential decay of submission counts: within this
+	// time a count decays to 1/e, about a third.
 	submissionRateWindow = 10 * monotime.Second
-	// minBurstSubmissions is the count from which a team's submissions may be a burst.
+	// minBurstSubmissions is the minimum decayed count at which a team's submissions can be a burst.
 	minBurstSubmissions = 8
-	// burstFraction is the part of all teams' submissions above which they are one.
+	// burstFraction is the fraction of all teams' submissions above which a team's submissions are a burst.
 	burstFraction = 0.6
-	// contendedQueueAge is how long writes wait when there are too few for all.
+	// contendedQueueAge is the waiting time above which a queued write indicates that the write rate is too
+	// low for all pending writes.
 	contendedQueueAge = 1200 * monotime.Millisecond
 )
 
-// submissionRate counts a team's submissions, older ones less.
+// submissionRate is an exponentially decaying count of a team's submissions.
 type submissionRate struct {
 	decayingCount float64
 	updatedAt     monotime.Micros
 }
 
-// decayedCount returns the count of this moment.
+// decayedCount updates the count to the given time and returns it.
 func (r *submissionRate) decayedCount(now monotime.Micros) float64 {
 	if now > r.updatedAt {
 		r.decayingCount *= math.Exp(-(now - r.updatedAt).Seconds() / submissionRateWindow.Seconds())
@@ -40,27 +43,29 @@
 	return r.decayingCount
 }
 
-// burstLimiter finds the submissions that must not crowd out those of other teams.
+// burstLimiter identifies jobs of a burst, so that they don't crowd out the jobs of other teams.
 type burstLimiter struct {
 	environment Environment
 	service     StateService
 	rates       map[string]*submissionRate // by team
 }
 
-// newBurstLimiter makes a limiter without any submission counted.
+// newBurstLimiter returns a limiter that has not counted any submissions yet.
 func newBurstLimiter(environment Environment, service StateService) burstLimiter {
 	return burstLimiter{environment: environment, service: service, rates: map[string]*submissionRate{}}
 }
 
-// countSubmission counts a submission for its team.
+// countSubmission adds a submission to its team's count.
 func (b *burstLimiter) countSubmission(spec *storage.JobSpec) {
 	rate := mapentry.GetOrNew(b.rates, spec.Team)
 	rate.decayedCount(b.environment.Now())
 	rate.decayingCount++
 }
 
-// isLimited reports that a job goes after the others while writes are short: one of many that its team
-// submitted lately, and either of the lowest priority or while other teams submit too.
+// isLimited reports whether a job's calls are queued as burst calls. That is the case while writes are
+// contended, if the job's priority is at most Standard and its team has recently submitted at least
+// minBurstSubmissions jobs, and if either the job has the lowest priority, or other teams submit jobs too and
+// the team's fraction of all submissions exceeds burstFraction.
 func (b *burstLimiter) isLimited(spec *storage.JobSpec) bool {
 	if spec.Priority > int(protocol.Standard) || !b.writesContended() {
 		return false
@@ -81,8 +86,8 @@
 	return spec.Priority == int(protocol.BestEffort) || othersSubmit && teamCount > burstFraction*totalCount
 }
 
-// writesContended reports that writes are short: users' calls wait, or those of shards and of results have
-// waited for longer than a moment's load explains.
+// writesContended reports whether the write rate is too low for all pending writes: user calls or burst
+// calls are waiting, or shard updates or job results have waited longer than momentary load explains.
 func (b *burstLimiter) writesContended() bool {
 	now := b.environment.Now()
 	return b.service.UserCallsWaiting() ||
@@ -91,7 +96,7 @@
 		b.service.QueuedCalls(ratelimit.PriorityBurst) > 0
 }
 
-// priorityClass is the class for changes of a job's records.
+// priorityClass returns the priority class for calls that change a job's records.
 func (b *burstLimiter) priorityClass(
 	spec *storage.JobSpec,
 	defaultClass ratelimit.Priority,
--- a/internal/api/cancellation.go
+++ b/internal/api/cancellation.go
@@ -8,7 +8,8 @@
 	"pipitgap/internal/transport"
 )
 
-// Cancel answers a request to cancel a job. A job that is over keeps its result, and the answer names it.
+// Cancel handles a request to cancel a job. A job that already has a result keeps it, and the response
+// contains that result.
 func (h *Handler) Cancel(id string, respond Respond) {
 	if !protocol.ValidJobID(id) {
 		respond(errNoSuchJob.response())
@@ -26,7 +27,7 @@
 		h.CommitCancellation(id, respond)
 		return
 	}
-	// The mirror doesn't hold the job: it has ended, was never accepted, or is new.
+	// The mirror doesn't contain the job: the job has ended, was never accepted, or is newer than the mirror.
 	h.lookUp(id, func(l lookup) {
 		if state, ok := h.cachedResult(id); ok {
 			respond(endedResponse(id, state))
@@ -43,8 +44,9 @@
 	})
 }
 
-// CommitCancellation commits the result "cancelled" for an accepted job, unless it has a result: done and
-// cancelled exclude each other by that, and every assignment of a task depends on there being none.
+// CommitCancellation commits the result "cancelled" for an accepted job, on the condition that the job has no
+// result. This condition makes "done" and "cancelled" mutually exclusive. Every assignment of a task is also
+// conditional on the job having no result.
 func (h *Handler) CommitCancellation(id string, respond Respond) {
 	key := storage.JobResultKey(id)
 	transaction := protocol.PutIfUnchanged(key, 0, &storage.JobResult{State: storage.JobCancelled})
@@ -62,7 +64,7 @@
 	})
 }
 
-// answerEndedJob answers the cancellation of a job that got a result before.
+// answerEndedJob responds to a cancellation that conflicted with an earlier result of the job.
 func (h *Handler) answerEndedJob(id string, respond Respond) {
 	h.lookUp(id, func(l lookup) {
 		if state, ok := h.cachedResult(id); ok {
--- a/internal/api/cancellation_test.go
+++ b/internal/api/cancellation_test.go
@@ -8,7 +8,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestCancel: what a cancellation answers, and whether it commits.
+// TestCancel checks the response to a cancellation, the number of commits, and that only a committed
+// cancellation is forwarded to the other controllers.
 func TestCancel(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -17,22 +18,22 @@
 		want    answer
 		commits int
 	}{
-		{name: "no id of a job", id: "x", want: answer{404, false, "no such job"}},
-		{name: "unknown", want: answer{404, false, "no such job"}},
+		{name: "invalid job id", id: "x", want: answer{404, false, "no such job"}},
+		{name: "unknown job", want: answer{404, false, "no such job"}},
 		{
 			name:  "done",
 			setup: func(d *fakeDependencies) { d.cacheResult(newJobID, storage.JobDone) },
 			want:  answer{200, false, protocol.JobDone},
 		},
 		{
-			name: "done, known to the state service only",
+			name: "done, result only in the state service",
 			setup: func(d *fakeDependencies) {
 				d.putRecord(storage.KindJobResult, newJobID, &storage.JobResult{State: storage.JobDone})
 			},
 			want: answer{200, false, protocol.JobDone},
 		},
 		{
-			name:  "outage",
+			name:  "open, state service unavailable",
 			setup: func(d *fakeDependencies) { d.mirrorJob(newJobID, nil); d.unavailable = true },
 			want:  answer{503, true, unreachable},
 		},
@@ -43,18 +44,18 @@
 			commits: 1,
 		},
 		{
-			name:  "a record that the mirror doesn't hold",
+			name:  "open record not in the mirror",
 			setup: func(d *fakeDependencies) { d.putRecord(storage.KindOpenJob, newJobID, 1) },
 			want:  answer{503, true, "changing just now"},
 		},
 		{
-			name:    "conflict, result not seen yet",
+			name:    "conflict, result not yet visible",
 			setup:   func(d *fakeDependencies) { d.mirrorJob(newJobID, nil); d.commitOutcome = protocol.Conflict },
 			want:    answer{503, true, "changing just now"},
 			commits: 1,
 		},
 		{
-			name: "conflict with its completion",
+			name: "conflict with the job's completion",
 			setup: func(d *fakeDependencies) {
 				d.mirrorJob(newJobID, nil)
 				d.commitOutcome = protocol.Conflict
@@ -64,7 +65,7 @@
 			commits: 1,
 		},
 		{
-			name:    "commit without an answer",
+			name:    "commit with unknown outcome",
 			setup:   func(d *fakeDependencies) { d.mirrorJob(newJobID, nil); d.commitOutcome = protocol.Unknown },
 			want:    answer{503, true, unreachable},
 			commits: 1,
@@ -76,10 +77,11 @@
 				h.Cancel(cmp.Or(tc.id, newJobID), respond)
 			})
 			if len(deps.commits) != tc.commits {
-				t.Errorf("%d commits, want %d", len(deps.commits), tc.commits)
+				t.Errorf("%s: got %d commits, want %d", tc.name, len(deps.commits), tc.commits)
 			}
 			if committed := tc.want.text == protocol.JobCancelled; committed != (len(deps.cancelled) == 1) {
-				t.Errorf("passed on to the other controllers: %v", deps.cancelled)
+				t.Errorf("%s: got %v forwarded to the other controllers, want one cancellation: %v",
+					tc.name, deps.cancelled, committed)
 			}
 		})
 	}
--- a/internal/api/fakes_test.go
+++ b/internal/api/fakes_test.go
@@ -17,11 +17,12 @@
 
 const (
 	knownTeam   = "home"
-	limitedTeam = "tight"
+	limitedTeam = "tight" // its limit is 12 CPUs
 	newJobID    = "j-1"
 )
 
-// fakeDependencies is all that a handler depends on. Calls of the state service are answered at once from records.
+// fakeDependencies implements all dependencies of a handler. It answers calls to the state service
+// immediately from records.
 type fakeDependencies struct {
 	now    monotime.Micros
 	random *rand.Rand
@@ -32,7 +33,7 @@
 	waitingReaders                                              int
 	types                                                       map[string]protocol.MachineType
 	commitOutcome                                               protocol.Outcome
-	callOutcome                                                 protocol.Outcome // of a read, unless it is OK
+	callOutcome                                                 protocol.Outcome // of all reads; if OK, records decide
 	records                                                     map[string]protocol.Raw
 	onRead                                                      func(key string)
 	onCommit                                                    func()
@@ -63,7 +64,7 @@
 	return d
 }
 
-// newModifiedDependencies is a deps with what a test changes about it, if it does.
+// newModifiedDependencies returns new dependencies with a change applied; change may be nil.
 func newModifiedDependencies(change func(*fakeDependencies)) *fakeDependencies {
 	d := newFakeDependencies()
 	if change != nil {
@@ -72,13 +73,14 @@
 	return d
 }
 
-// expectAnswer makes a request of a new handler and checks its one answer.
+// expectAnswer sends a request to a new handler and checks that it responds exactly once, with the wanted
+// answer.
 func (d *fakeDependencies) expectAnswer(t *testing.T, want answer, request func(*Handler, Respond)) {
 	t.Helper()
 	respond, got := recordResponse(t)
 	request(d.handler(), respond)
 	if got() != want {
-		t.Errorf("got %+v, want %+v", got(), want)
+		t.Errorf("got answer %+v, want %+v", got(), want)
 	}
 }
 
@@ -184,12 +186,12 @@
 	d.mirror.Results.Add(id, state)
 }
 
-// cacheResultOnCommit has a job end while a commit is under way.
+// cacheResultOnCommit adds a job's result to the cache during a commit, as if the job ended at that time.
 func (d *fakeDependencies) cacheResultOnCommit(id string, state storage.JobState) {
 	d.onCommit = func() { d.cacheResult(id, state) }
 }
 
-// mirrorJob puts a job into the mirror.
+// mirrorJob adds a job of four tasks to the mirror, with a change applied; change may be nil.
 func (d *fakeDependencies) mirrorJob(id string, change func(*mirror.Job)) {
 	job := &mirror.Job{
 		ID:         id,
@@ -203,14 +205,14 @@
 	d.mirror.Jobs[id] = job
 }
 
-// fillQueue has so many calls of a class wait since a moment.
+// fillQueue adds a number of calls of a priority class to the queue, with the given queuing time.
 func (d *fakeDependencies) fillQueue(class ratelimit.Priority, calls int, since monotime.Micros) {
 	for range calls {
 		d.queue.Add(ratelimit.Call{StoreCall: &protocol.StoreCall{}, Priority: class, QueuedAt: since})
 	}
 }
 
-// newSubmission is a submission that is accepted, with changes.
+// newSubmission returns an encoded, acceptable submission with a change applied; change may be nil.
 func newSubmission(change func(*protocol.Submission)) []byte {
 	submission := &protocol.Submission{
 		ID: newJobID, Class: "batch", Team: knownTeam, Priority: protocol.Standard, Tasks: 4,
@@ -222,11 +224,11 @@
 	return protocol.MustMarshal(submission)
 }
 
-// answer is what a user learns.
+// answer is the content of a response to a user.
 type answer struct {
-	status     int
-	retryAfter bool
-	text       string // the job's status, or the reason of a rejection
+	status     int    // HTTP status code
+	retryAfter bool   // whether the response has a retry delay
+	text       string // the job's status, or the reason for a rejection
 }
 
 // answerOf decodes a response.
@@ -244,7 +246,8 @@
 	return answer{response.Status, response.RetryAfter > 0, body.Status + body.Error}
 }
 
-// recordResponse gives a Respond, and a function that returns the answer; none or a second answer is a fault.
+// recordResponse returns a Respond function and a function that returns the recorded answer. The latter
+// fails the test unless Respond was called exactly once.
 func recordResponse(t *testing.T) (Respond, func() answer) {
 	t.Helper()
 	var responses []transport.Response
@@ -252,7 +255,7 @@
 	return respond, func() answer {
 		t.Helper()
 		if len(responses) != 1 {
-			t.Fatalf("%d answers", len(responses))
+			t.Fatalf("got %d responses, want 1", len(responses))
 		}
 		return answerOf(t, responses[0])
 	}
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -8,21 +8,21 @@
 	"pipitgap/internal/transport"
 )
 
-// MaxWaitingReaders bounds the requests that wait for the mirror to catch up.
+// MaxWaitingReaders is the maximum number of requests that wait for the mirror to catch up.
 const MaxWaitingReaders = 2048
 
-// lookupOutcome is where a job was found.
+// lookupOutcome tells where a lookup found a job, or why it did not find one.
 type lookupOutcome int
 
 const (
-	jobNotFound     lookupOutcome = iota // the job was never accepted
-	foundInMirror                        // lookup.job
-	foundResult                          // lookup.result
-	foundOpenRecord                      // an open record that the mirror doesn't hold
-	lookupFailed                         // lookup.rejection
+	jobNotFound     lookupOutcome = iota // no such job was ever accepted
+	foundInMirror                        // found in the mirror; lookup.job is set
+	foundResult                          // found its result; lookup.state is set
+	foundOpenRecord                      // found an open record that isn't in the mirror
+	lookupFailed                         // the lookup could not be completed; lookup.rejection is set
 )
 
-// lookup is what is known of a job.
+// lookup is the result of looking up a job.
 type lookup struct {
 	id        string
 	outcome   lookupOutcome
@@ -31,12 +31,12 @@
 	rejection *Rejection
 }
 
-// accepted reports that the job has been accepted.
+// accepted reports whether the lookup found that the job was accepted.
 func (l lookup) accepted() bool {
 	return l.outcome == foundInMirror || l.outcome == foundResult || l.outcome == foundOpenRecord
 }
 
-// response is the answer to a status request.
+// response returns the response to a status request.
 func (l lookup) response() transport.Response {
 	switch l.outcome {
 	case foundInMirror:
@@ -52,7 +52,7 @@
 	}
 }
 
-// mirroredStatus is the status of a job that the mirror holds.
+// mirroredStatus returns the status of a job from its entry in the mirror.
 func mirroredStatus(job *mirror.Job) protocol.JobStatusReply {
 	if !job.IsOpen() {
 		return protocol.JobStatusReply{ID: job.ID, Status: wireStatus(job.FinalState)}
@@ -69,11 +69,11 @@
 	return reply
 }
 
-// cachedResult is the result of a job that this controller remembers.
+// cachedResult returns a job's result from the result cache.
 func (h *Handler) cachedResult(id string) (storage.JobState, bool) { return h.mirror.Results.Get(id) }
 
-// lookUp finds a job in a mirror as new as the request. A job that the mirror doesn't hold is over, or was
-// never accepted: then the state service is read.
+// lookUp waits until the mirror is as new as the request, and then looks up the job there and in the result
+// cache. A job that is in neither has ended or was never accepted; lookUp then reads the state service.
 func (h *Handler) lookUp(id string, callback func(lookup)) {
 	if h.replica.PendingReads() >= MaxWaitingReaders {
 		callback(failedLookup(id, h.deferRequest(transport.StatusThrottled, reasonTooManyRequests)))
@@ -100,8 +100,9 @@
 	})
 }
 
-// readJob reads a job's result from the state service, then its open record, so that a record which this
-// mirror can't read is still known, and then the result again: the job may have ended between the two.
+// readJob reads a job's result from the state service and then its open record. Reading the open record also
+// finds a job whose record this mirror can't decode. Last, it reads the result again, because the job may
+// have ended between the first two reads.
 func (h *Handler) readJob(id string, callback func(lookup)) {
 	h.readResult(id, callback, func() {
 		h.readOpenRecord(id, callback, func() {
@@ -110,7 +111,7 @@
 	})
 }
 
-// readResult reads a job's result, or goes on with missing if the state service has none.
+// readResult reads a job's result from the state service, or calls missing if there is none.
 func (h *Handler) readResult(id string, callback func(lookup), missing func()) {
 	h.readRecord(storage.KindJobResult, id, callback, missing, func(value protocol.Raw) {
 		var result storage.JobResult
@@ -124,15 +125,15 @@
 	})
 }
 
-// readOpenRecord reads a job's open record, or goes on with missing if the state service has none.
+// readOpenRecord reads a job's open record from the state service, or calls missing if there is none.
 func (h *Handler) readOpenRecord(id string, callback func(lookup), missing func()) {
 	h.readRecord(storage.KindOpenJob, id, callback, missing, func(protocol.Raw) {
 		callback(lookup{id: id, outcome: foundOpenRecord})
 	})
 }
 
-// readRecord reads a job's record of a kind and goes on with found or missing; if the state service gives no
-// answer the lookup has failed.
+// readRecord reads a job's record of a kind from the state service and calls found or missing. If the state
+// service doesn't answer, it calls callback with a failed lookup.
 func (h *Handler) readRecord(
 	kind storage.Kind,
 	id string,
@@ -153,7 +154,7 @@
 	})
 }
 
-// failedLookup is a lookup that gave no answer about the job.
+// failedLookup returns a lookup that could not determine whether the job exists.
 func failedLookup(id string, rejection *Rejection) lookup {
 	return lookup{id: id, outcome: lookupFailed, rejection: rejection}
 }
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/transport"
 )
 
-// Texts of rejections that several requests share.
+// Reasons of rejections that several kinds of requests use.
 const (
 	reasonNotReady         = "records not read yet"
 	reasonStoreUnreachable = "state service out of reach"
@@ -19,35 +19,36 @@
 	reasonJobChanging      = "changing just now"
 )
 
-// Seconds after which a user is to retry.
+// Retry delays in seconds.
 const (
 	minRetryAfter = 1
-	// retryJitter spreads the retries: users who all come back at once would overload whatever has just
-	// recovered.
+	// retryJitter is the exclusive upper bound of the random jitter that is added to a delay. Without
+	// jitter, all users would retry at the same time and overload a service that has just recovered.
 	retryJitter = 3
 )
 
-// Rejection is the reason why a request isn't carried out.
+// Rejection describes why the handler rejects a request.
 type Rejection struct {
-	Status     int    // of the HTTP response
-	RetryAfter int    // seconds; 0: retrying doesn't help
-	Reason     string // for the user
+	Status     int    // HTTP status code
+	RetryAfter int    // delay in seconds after which to retry; 0: a retry doesn't help
+	Reason     string // text shown to the user
 }
 
-// Error returns the reason.
+// Error implements error; it returns the reason.
 func (r *Rejection) Error() string { return r.Reason }
 
-// response is the answer that tells the user.
+// response returns the response with which the request is rejected.
 func (r *Rejection) response() transport.Response {
 	response := protocol.ErrorResponse(r.Status, r.Reason)
 	response.RetryAfter = r.RetryAfter
 	return response
 }
 
-// errNoSuchJob rejects a request about a job that was never accepted.
+// errNoSuchJob is the rejection of a request for a job that was never accepted.
 var errNoSuchJob = &Rejection{Status: transport.StatusNotFound, Reason: reasonNoSuchJob}
 
-// deferRequest makes the rejection of a request that can't be taken now.
+// deferRequest returns the rejection of a request that the user must retry later. While the state service is
+// unavailable, the retry delay includes jitter.
 func (h *Handler) deferRequest(status int, reason string) *Rejection {
 	h.counters.RequestsDeferred++
 	if h.log.Enabled(context.Background(), slog.LevelDebug) {
@@ -68,10 +69,10 @@
 	return h.deferRequest(transport.StatusUnavailable, reasonStoreUnreachable)
 }
 
-// jitterSeconds is a part of retrySpread.
+// jitterSeconds returns a random number of seconds from 0 to retryJitter-1.
 func (h *Handler) jitterSeconds() int { return int(h.environment.Rand().Int64N(retryJitter)) }
 
-// acceptedResponse confirms a submission.
+// acceptedResponse returns the response to an accepted submission.
 func acceptedResponse(id string) transport.Response {
 	return transport.Response{
 		Status: transport.StatusCreated,
@@ -79,7 +80,7 @@
 	}
 }
 
-// endedResponse answers a cancellation of a job that has a result.
+// endedResponse returns the response to a cancellation of a job that has a result.
 func endedResponse(id string, state storage.JobState) transport.Response {
 	return transport.Response{
 		Status: transport.StatusOK,
@@ -87,12 +88,12 @@
 	}
 }
 
-// statusResponse answers with the status of a job.
+// statusResponse returns the response with a job's status.
 func statusResponse(reply protocol.JobStatusReply) transport.Response {
 	return transport.Response{Status: transport.StatusOK, Body: protocol.MustMarshal(&reply)}
 }
 
-// wireStatus is a result as users see it.
+// wireStatus returns the status in responses that corresponds to a stored result.
 func wireStatus(state storage.JobState) string {
 	if state == storage.JobCancelled {
 		return protocol.JobCancelled
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -5,7 +5,7 @@
 	"pipitgap/internal/transport"
 )
 
-// Status answers a request for the status of a job.
+// Status handles a request for the status of a job.
 func (h *Handler) Status(id string, respond Respond) {
 	if !protocol.ValidJobID(id) {
 		respond(errNoSuchJob.response())
@@ -26,9 +26,10 @@
 	h.lookUp(id, func(l lookup) { respond(l.response()) })
 }
 
-// Health answers a health check. A controller that can't take requests while others can is unhealthy. In an
-// outage of the state service for all it stays healthy: declared unhealthy it would get its requests back
-// only some time after the outage.
+// Health handles a health check. A controller is unhealthy if it can't handle requests while other
+// controllers can, or if its mirror isn't ready. During an outage of the state service that affects all
+// controllers it stays healthy. Otherwise it would receive requests again only some time after the end of
+// the outage.
 func (h *Handler) Health() transport.Response {
 	if !h.replica.Ready() {
 		return h.deferRequest(transport.StatusUnavailable, reasonNotReady).response()
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -11,7 +11,7 @@
 	"pipitgap/internal/storage"
 )
 
-// TestStatus: where a job's status is read, and what is answered.
+// TestStatus checks the response to a status request and which records are read from the state service.
 func TestStatus(t *testing.T) {
 	resultKey, openKey := storage.JobResultKey(newJobID), storage.OpenJobKey(newJobID)
 	done := storage.JobResult{State: storage.JobDone}
@@ -22,14 +22,14 @@
 		want  answer
 		reads []string
 	}{
-		{name: "no id of a job", id: "x", want: answer{404, false, "no such job"}},
+		{name: "invalid job id", id: "x", want: answer{404, false, "no such job"}},
 		{
-			name:  "remembered, in an outage",
+			name:  "cached result, state service unavailable",
 			setup: func(d *fakeDependencies) { d.cacheResult(newJobID, storage.JobCancelled); d.unavailable = true },
 			want:  answer{200, false, protocol.JobCancelled},
 		},
 		{
-			name: "ended in the mirror, in an outage",
+			name: "result in the mirror, state service unavailable",
 			setup: func(d *fakeDependencies) {
 				d.mirrorJob(newJobID, func(job *mirror.Job) { job.FinalState = storage.JobCancelled })
 				d.unavailable = true
@@ -42,12 +42,12 @@
 			want:  answer{200, false, protocol.JobRunning},
 		},
 		{
-			name:  "open, in an outage",
+			name:  "open, state service unavailable",
 			setup: func(d *fakeDependencies) { d.mirrorJob(newJobID, nil); d.unavailable = true },
 			want:  answer{503, true, unreachable},
 		},
 		{
-			name:  "too many wait",
+			name:  "too many waiting readers",
 			setup: func(d *fakeDependencies) { d.waitingReaders = MaxWaitingReaders },
 			want:  answer{429, true, "too many requests"},
 		},
@@ -57,7 +57,7 @@
 			want:  answer{503, true, unreachable},
 		},
 		{
-			name:  "queue of users full",
+			name:  "queue of user calls full",
 			setup: func(d *fakeDependencies) { d.fillQueue(ratelimit.PriorityUserRequest, 15, d.now) },
 			want:  answer{429, true, "too many requests"},
 		},
@@ -68,7 +68,7 @@
 			reads: []string{resultKey},
 		},
 		{
-			name:  "result that can't be read",
+			name:  "result that can't be decoded",
 			setup: func(d *fakeDependencies) { d.putRecord(storage.KindJobResult, newJobID, 1) },
 			want:  answer{503, true, "final state can't be read"},
 			reads: []string{resultKey},
@@ -80,7 +80,7 @@
 			reads: []string{resultKey, openKey},
 		},
 		{
-			name: "ends between two reads",
+			name: "job ends between two reads",
 			setup: func(d *fakeDependencies) {
 				d.onRead = func(key string) {
 					if key == openKey {
@@ -91,9 +91,9 @@
 			want:  answer{200, false, protocol.JobDone},
 			reads: []string{resultKey, openKey, resultKey},
 		},
-		{name: "unknown", want: answer{404, false, "no such job"}, reads: []string{resultKey, openKey, resultKey}},
+		{name: "unknown job", want: answer{404, false, "no such job"}, reads: []string{resultKey, openKey, resultKey}},
 		{
-			name:  "read without an answer",
+			name:  "read with unknown outcome",
 			setup: func(d *fakeDependencies) { d.callOutcome = protocol.Unknown },
 			want:  answer{503, true, unreachable},
 			reads: []string{resultKey},
@@ -105,13 +105,14 @@
 				h.Status(cmp.Or(tc.id, newJobID), respond)
 			})
 			if !slices.Equal(deps.reads, tc.reads) {
-				t.Errorf("read %v, want %v", deps.reads, tc.reads)
+				t.Errorf("%s: got reads of %v, want %v", tc.name, deps.reads, tc.reads)
 			}
 		})
 	}
 }
 
-// TestHealth: unhealthy only where others can take the requests, or before the records are loaded.
+// TestHealth checks that a controller is unhealthy only if other controllers can handle the requests, or if
+// its records aren't loaded yet.
 func TestHealth(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -119,16 +120,16 @@
 		want  answer
 	}{
 		{"healthy", func(*fakeDependencies) {}, answer{200, false, ""}},
-		{"outage for all", func(d *fakeDependencies) { d.unavailable = true }, answer{200, false, ""}},
+		{"state service unavailable to all", func(d *fakeDependencies) { d.unavailable = true }, answer{200, false, ""}},
 		{"records not loaded", func(d *fakeDependencies) { d.notReady = true }, answer{503, true, "records not read yet"}},
-		{"cut off alone", func(d *fakeDependencies) { d.unreachableOnlyHere = true }, answer{503, true, unreachable}},
+		{"state service unreachable only here", func(d *fakeDependencies) { d.unreachableOnlyHere = true }, answer{503, true, unreachable}},
 		{"isolated", func(d *fakeDependencies) { d.isolated = true }, answer{503, true, unreachable}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			deps := newFakeDependencies()
 			tc.setup(deps)
 			if got := answerOf(t, deps.handler().Health()); got != tc.want {
-				t.Errorf("got %+v, want %+v", got, tc.want)
+				t.Errorf("%s: got %+v, want %+v", tc.name, got, tc.want)
 			}
 		})
 	}
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -12,8 +12,9 @@
 	"pipitgap/internal/transport"
 )
 
-// Submit answers a submission: decode, validate, admit, commit, answer. A job that is known is answered with
-// its status, whatever its repeated submission looks like.
+// Submit handles a job submission: it decodes, validates, admits and commits the submission, and then
+// responds. If the job is already known, the response is the job's status, regardless of the content of the
+// repeated submission.
 func (h *Handler) Submit(body []byte, respond Respond) {
 	submission, malformed := protocol.ParseSubmission(body)
 	if submission.ID == "" {
@@ -53,8 +54,9 @@
 	h.commit(id, spec, respond)
 }
 
-// answerMalformed answers a submission with a fault in its text. Only a controller that can't look the job up
-// judges by the text alone.
+// answerMalformed responds to a malformed submission. If the job can be looked up and is known, the response
+// is the job's status. A controller that can't look up the job rejects the submission as malformed, unless
+// its mirror isn't ready or contains the job; in these cases the user must retry later.
 func (h *Handler) answerMalformed(id string, malformed error, respond Respond) {
 	invalid := protocol.ErrorResponse(transport.StatusBadRequest, malformed.Error())
 	if h.rejectIfOverloaded() == nil {
@@ -68,7 +70,7 @@
 	respond(invalid)
 }
 
-// statusOrFallback answers with the job's status if it is known, else with other.
+// statusOrFallback responds with the job's status if the job is known, and with fallback otherwise.
 func (h *Handler) statusOrFallback(id string, fallback transport.Response, respond Respond) {
 	h.lookUp(id, func(l lookup) {
 		if l.outcome == jobNotFound {
@@ -79,7 +81,7 @@
 	})
 }
 
-// validate rejects a job that can never run.
+// validate returns a rejection if the job can never run.
 func (h *Handler) validate(spec *storage.JobSpec) *Rejection {
 	unsatisfiable := func(reason string) *Rejection {
 		return &Rejection{Status: transport.StatusUnsatisfiable, Reason: reason}
@@ -97,8 +99,8 @@
 	return nil
 }
 
-// withinLimits reports that what a job needs at the same time is within its team's limits: all replicas of a
-// service, one task of an array.
+// withinLimits reports whether the resources that a job needs at the same time are within its team's limits:
+// those of all replicas of a service, or those of one task of an array.
 func withinLimits(limits quota.Limits, spec *storage.JobSpec) bool {
 	concurrentTasks := 1.0
 	if spec.Service {
@@ -107,8 +109,7 @@
 	return limits.Permits(spec.CPUs*concurrentTasks, spec.GPUs*concurrentTasks)
 }
 
-// fitsSomeMachineType reports that a task has room on an empty machine of a type and zone that its job
-// allows.
+// fitsSomeMachineType reports whether a task fits on an empty machine of a type and zone that the job allows.
 func fitsSomeMachineType(spec *storage.JobSpec, types map[string]protocol.MachineType) bool {
 	taskResources := mirror.TaskResources(spec)
 	for _, name := range sortedmap.Keys(types) {
@@ -126,7 +127,8 @@
 	return false
 }
 
-// admit rejects a job for which there is no room now; one that passes counts as submitted.
+// admit returns a rejection if there are too many open jobs or if the job belongs to a burst and too many
+// burst calls wait. Unless there are too many open jobs, it counts the submission for the burst limit.
 func (h *Handler) admit(spec *storage.JobSpec) *Rejection {
 	if len(h.mirror.Jobs) >= mirror.MaxOpenJobs {
 		return h.deferRequest(transport.StatusThrottled, "too many unfinished jobs")
@@ -141,7 +143,8 @@
 	return nil
 }
 
-// commit writes the job's record, on the condition that it has neither one nor a result, and answers.
+// commit writes the job's open record, on the condition that the job has neither an open record nor a
+// result, and responds.
 func (h *Handler) commit(id string, spec storage.JobSpec, respond Respond) {
 	record := storage.OpenJob{
 		Spec:       spec,
@@ -168,7 +171,7 @@
 	})
 }
 
-// answerCommit answers a submission by what became of its commit.
+// answerCommit responds to a submission according to the result of its commit.
 func (h *Handler) answerCommit(
 	id string,
 	record *storage.OpenJob,
@@ -189,7 +192,8 @@
 		h.log.Error("job acceptance rejected by state service", "job", id)
 		respond(h.deferRequest(transport.StatusUnavailable, "not kept").response())
 	default:
-		// Unknown: perhaps accepted, perhaps not. The user retries, and a repeated submission is one job.
+		// The outcome is unknown: the job may or may not have been accepted. The user retries, and a repeated
+		// submission doesn't create a second job.
 		respond(h.deferUnreachable().response())
 	}
 }
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -14,7 +14,8 @@
 
 const unreachable = "state service out of reach"
 
-// TestSubmit: the answer of each step of a submission, and whether it commits.
+// TestSubmit checks the response that each step of a submission can produce, the number of commits, and that
+// only an accepted job is reported to the scheduler and placed.
 func TestSubmit(t *testing.T) {
 	unknownTeam := func(s *protocol.Submission) { s.Team = "nobody" }
 	for _, tc := range []struct {
@@ -26,14 +27,14 @@
 		commits int
 	}{
 		{name: "accepted", want: answer{201, false, protocol.JobPending}, commits: 1},
-		{name: "no map", body: []byte{0xc1}, want: answer{400, false, "not a MessagePack message"}},
+		{name: "not a map", body: []byte{0xc1}, want: answer{400, false, "not a MessagePack message"}},
 		{
 			name:   "malformed",
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{400, false, protocol.FieldTasks + ": must lie between 1 and 100000"},
 		},
 		{
-			name:   "malformed, and the state service can't be asked",
+			name:   "malformed, state service unavailable",
 			setup:  func(d *fakeDependencies) { d.unavailable = true },
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{400, false, protocol.FieldTasks + ": must lie between 1 and 100000"},
@@ -45,24 +46,24 @@
 			want:   answer{503, true, unreachable},
 		},
 		{
-			name:   "malformed, known, in an outage",
+			name:   "malformed, known job, state service unavailable",
 			setup:  func(d *fakeDependencies) { d.unavailable = true; d.mirrorJob(newJobID, nil) },
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{503, true, unreachable},
 		},
 		{
-			name:   "malformed and known",
+			name:   "malformed, known job",
 			setup:  func(d *fakeDependencies) { d.mirrorJob(newJobID, nil) },
 			change: func(s *protocol.Submission) { s.Tasks = 0 },
 			want:   answer{200, false, protocol.JobPending},
 		},
 		{
-			name:  "over, in an outage",
+			name:  "ended job, state service unavailable",
 			setup: func(d *fakeDependencies) { d.cacheResult(newJobID, storage.JobDone); d.unavailable = true },
 			want:  answer{200, false, protocol.JobDone},
 		},
 		{
-			name:  "repeated",
+			name:  "repeated submission",
 			setup: func(d *fakeDependencies) { d.mirrorJob(newJobID, nil) },
 			want:  answer{200, false, protocol.JobPending},
 		},
@@ -71,14 +72,14 @@
 			setup: func(d *fakeDependencies) { d.notReady = true },
 			want:  answer{503, true, "records not read yet"},
 		},
-		{name: "outage", setup: func(d *fakeDependencies) { d.unavailable = true }, want: answer{503, true, unreachable}},
+		{name: "state service unavailable", setup: func(d *fakeDependencies) { d.unavailable = true }, want: answer{503, true, unreachable}},
 		{
-			name:  "queue of users full",
+			name:  "queue of user calls full",
 			setup: func(d *fakeDependencies) { d.fillQueue(ratelimit.PriorityUserRequest, 15, d.now) },
 			want:  answer{429, true, "too many requests"},
 		},
 		{
-			name:    "queue of users one below",
+			name:    "queue of user calls one below the bound",
 			setup:   func(d *fakeDependencies) { d.fillQueue(ratelimit.PriorityUserRequest, 14, d.now) },
 			want:    answer{201, false, protocol.JobPending},
 			commits: 1,
@@ -90,7 +91,7 @@
 		},
 		{name: "unknown team", change: unknownTeam, want: answer{422, false, "unknown team"}},
 		{
-			name:   "unknown team, but the job is known",
+			name:   "unknown team, known job",
 			setup:  func(d *fakeDependencies) { d.putRecord(storage.KindOpenJob, newJobID, 1) },
 			change: unknownTeam,
 			want:   answer{200, false, protocol.JobPending},
@@ -107,12 +108,12 @@
 			commits: 1,
 		},
 		{
-			name:   "fits no type",
+			name:   "fits no machine type",
 			change: func(s *protocol.Submission) { s.CPUs = 9 },
 			want:   answer{422, false, "a task fits no allowed machine type"},
 		},
 		{
-			name:   "unknown type",
+			name:   "unknown machine type",
 			change: func(s *protocol.Submission) { s.Types = []string{"m99"} },
 			want:   answer{422, false, "a task fits no allowed machine type"},
 		},
@@ -136,7 +137,7 @@
 			want:   answer{400, false, "names too long to be kept"},
 		},
 		{
-			name: "another controller was first",
+			name: "another controller committed the job first",
 			setup: func(d *fakeDependencies) {
 				d.commitOutcome = protocol.Conflict
 				d.putRecord(storage.KindOpenJob, newJobID, 1)
@@ -151,7 +152,7 @@
 			commits: 1,
 		},
 		{
-			name:    "commit without an answer",
+			name:    "commit with unknown outcome",
 			setup:   func(d *fakeDependencies) { d.commitOutcome = protocol.Unknown },
 			want:    answer{503, true, unreachable},
 			commits: 1,
@@ -165,17 +166,19 @@
 			}
 			deps.expectAnswer(t, tc.want, func(h *Handler, respond Respond) { h.Submit(body, respond) })
 			if len(deps.commits) != tc.commits {
-				t.Errorf("%d commits, want %d", len(deps.commits), tc.commits)
+				t.Errorf("%s: got %d commits, want %d", tc.name, len(deps.commits), tc.commits)
 			}
 			if accepted := tc.want.status == 201; accepted != (deps.accepted[newJobID] == 7) ||
 				accepted != (deps.placed == 1) {
-				t.Errorf("accepted %v, placed %d times", deps.accepted, deps.placed)
+				t.Errorf("%s: got accepted jobs %v and %d calls of PlaceNow, want the job at revision 7 and 1 call: %v",
+					tc.name, deps.accepted, deps.placed, accepted)
 			}
 		})
 	}
 }
 
-// TestBurstRejectionRetryAfter: the rejection of a burst comes with a longer time to wait than others.
+// TestBurstRejectionRetryAfter checks that a rejected burst submission gets a longer retry delay than other
+// rejections.
 func TestBurstRejectionRetryAfter(t *testing.T) {
 	deps := newFakeDependencies()
 	deps.fillQueue(ratelimit.PriorityBurst, 3, deps.now) // a quarter of 15 calls, rounded down
@@ -188,9 +191,9 @@
 			func(response transport.Response) { status, retryAfter = response.Status, response.RetryAfter },
 		)
 		if last := i == minBurstSubmissions-1; last != (status == 429) {
-			t.Errorf("submission %d: %d", i, status)
+			t.Errorf("submission %d: got status %d, want 429 only for submission %d", i, status, minBurstSubmissions-1)
 		} else if last && (retryAfter < 2 || retryAfter > 4) {
-			t.Errorf("to be retried after %d s", retryAfter)
+			t.Errorf("rejected submission: got a retry delay of %d s, want 2 to 4", retryAfter)
 		}
 	}
 }
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -1,6 +1,6 @@
-// Package jobs ends jobs: it commits the result of those whose tasks are all done, and deletes the records of
-// cancelled ones once nothing is left of them. Each job is ended by one controller; where two try, the
-// conditions of the commits let one of them through.
+// Package jobs finishes jobs: it commits the result of jobs whose tasks are all done, and deletes the open
+// records of cancelled jobs that have no attempts left. One controller finishes each job. If two controllers
+// try, the conditions of their commits let only one of them succeed.
 package jobs
 
 import (
@@ -14,42 +14,42 @@
 	"pipitgap/internal/storage"
 )
 
-// Committer makes conditional changes of the state service; one that succeeds is in the mirror before the
-// callback.
+// Committer commits conditional transactions to the state service.
 type Committer interface {
-	// Commit makes a conditional change; on success it is in the mirror before the callback is called.
+	// Commit executes a conditional transaction. If it succeeds, it applies the change to the mirror before
+	// it calls the callback.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
 }
 
-// StateService tells whether commits can succeed at all.
+// StateService reports whether commits can succeed at all.
 type StateService interface {
-	// Unavailable reports an outage, as this controller sees it.
+	// Unavailable reports whether the state service is unavailable from this controller's point of view.
 	Unavailable() bool
 }
 
-// PriorityClasses tells the class in which changes of a job's records are queued.
+// PriorityClasses determines the priority class of calls that change a job's records.
 type PriorityClasses interface {
-	// PriorityClass is the class for a job: otherwise, or that of bursts.
+	// PriorityClass returns PriorityBurst for a job of a burst, and defaultClass otherwise.
 	PriorityClass(spec *storage.JobSpec, defaultClass ratelimit.Priority) ratelimit.Priority
 }
 
-// WritesInFlight marks the jobs whose record is being changed by this controller.
+// WritesInFlight is the set of jobs with a write by this controller in flight.
 type WritesInFlight interface {
-	// Contains reports whether a change of a record is in flight.
+	// Contains reports whether a write of the job's record is in flight.
 	Contains(job string) bool
-	// Begin marks a record as being changed.
+	// Begin adds the job to the set.
 	Begin(job string)
-	// End takes the mark off.
+	// End removes the job from the set.
 	End(job string)
 }
 
-// Membership knows the controllers that the jobs are divided among.
+// Membership lists the controllers that share the work of finishing jobs.
 type Membership interface {
-	// LiveControllers lists the controllers that are members, in order.
+	// LiveControllers returns the names of the live controllers in sorted order.
 	LiveControllers() []string
 }
 
-// Config has what a Finisher needs.
+// Config holds the dependencies and settings of a Finisher.
 type Config struct {
 	Node            string // this controller's name
 	Log             *slog.Logger
@@ -61,7 +61,8 @@
 	Membership      Membership
 }
 
-// Finisher ends jobs. It is used by one goroutine.
+// Finisher commits the results of completed jobs and deletes the records of cancelled ones. It is not safe
+// for concurrent use: one goroutine uses it.
 type Finisher struct {
 	node      string
 	log       *slog.Logger
@@ -72,10 +73,10 @@
 	writes    WritesInFlight
 	members   Membership
 
-	completed int
+	completed int // jobs completed since the start
 }
 
-// NewFinisher makes a finisher.
+// NewFinisher returns a finisher that has not completed any jobs yet.
 func NewFinisher(config Config) *Finisher {
 	return &Finisher{
 		node:      config.Node,
@@ -89,10 +90,10 @@
 	}
 }
 
-// Completed counts the jobs completed since the start.
+// Completed returns the number of jobs that this finisher has completed since the start.
 func (f *Finisher) Completed() int { return f.completed }
 
-// CompleteIfDone completes a job once the shards show every task of it done.
+// CompleteIfDone completes a job if the shards record all of its tasks as done.
 func (f *Finisher) CompleteIfDone(id string) {
 	job := f.mirror.Jobs[id]
 	if job == nil || !needsCompletion(job) || f.writes.Contains(id) {
@@ -101,9 +102,10 @@
 	f.complete(job)
 }
 
-// Reconcile ends the jobs of this controller that nothing else ends: those whose last tasks ended in several
-// shards at once, when each commit saw another's tasks unfinished, and cancelled ones whose every attempt is
-// proven gone.
+// Reconcile finishes the jobs for which this controller is the rendezvous-hash owner and which
+// CompleteIfDone does not finish. These are jobs whose last tasks ended in several shards at the same time,
+// so that each shard's commit still saw unfinished tasks in another shard, and cancelled jobs whose attempts
+// are all proven to have ended.
 func (f *Finisher) Reconcile() {
 	if f.store.Unavailable() {
 		return
@@ -126,7 +128,7 @@
 	}
 }
 
-// jobsToFinish lists the jobs that are to be ended, in the order of their names.
+// jobsToFinish lists the jobs that may have to be completed or purged, ordered by name.
 func (f *Finisher) jobsToFinish() []string {
 	var ids []string
 	for id, job := range f.mirror.Jobs {
@@ -138,21 +140,22 @@
 	return ids
 }
 
-// needsCompletion reports that every task is done and the job has no result.
+// needsCompletion reports whether every task of the job is done and the job has no result yet.
 func needsCompletion(job *mirror.Job) bool { return job.IsOpen() && job.IsComplete() }
 
-// endedWithoutAttempts reports that the job has a result and no attempts.
+// endedWithoutAttempts reports whether the job has a result and no attempts left.
 func endedWithoutAttempts(job *mirror.Job) bool { return !job.IsOpen() && job.AssignedTasks == 0 }
 
-// needsPurge reports that a job has ended in a mirror that has all that came before its result. A result that
-// was learned from another controller, ahead of the record, has no revision until the mirror has it.
+// needsPurge reports whether a job has a result and no attempts, in a mirror that includes all changes up to
+// the revision of the result. A result that this controller learned from another one before it read the
+// record has no revision until the mirror contains the record.
 func (f *Finisher) needsPurge(job *mirror.Job) bool {
 	return endedWithoutAttempts(job) && job.FinalRevision != 0 && f.mirror.WatchedRevision >= job.FinalRevision
 }
 
-// complete commits the result of a job whose tasks are all done, unless it has a result already. The result
-// is kept for ever, the open record is deleted; the shards drop what they hold of the job with their next
-// changes.
+// complete commits the result of a job whose tasks are all done, on the condition that the job has no result
+// yet. The same commit deletes the open record; the result is never deleted. The shards drop their entries
+// of the job with their next changes.
 func (f *Finisher) complete(job *mirror.Job) {
 	id := job.ID
 	f.writes.Begin(id)
@@ -175,8 +178,8 @@
 	})
 }
 
-// purge deletes the open record of a cancelled job. No attempt can follow: each assignment depends on the job
-// having no result.
+// purge deletes the open record of a cancelled job. No new attempt can follow, because every assignment is
+// conditional on the job having no result.
 func (f *Finisher) purge(job *mirror.Job) {
 	id := job.ID
 	f.writes.Begin(id)
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -17,7 +17,8 @@
 	jobID    = "j-1"
 )
 
-// fakeDependencies is all that a finisher depends on. Commits are kept until the test answers them.
+// fakeDependencies implements all dependencies of a finisher. It holds commits until the test calls their
+// callbacks.
 type fakeDependencies struct {
 	stubs.HeldCommits
 	mirror      *mirror.Mirror
@@ -42,7 +43,7 @@
 func (d *fakeDependencies) Begin(job string)         { d.writes[job] = true }
 func (d *fakeDependencies) End(job string)           { delete(d.writes, job) }
 
-// LiveControllers has one other controller where this one isn't to own any job.
+// LiveControllers returns only another controller if this one must not own any job.
 func (d *fakeDependencies) LiveControllers() []string {
 	if d.notOwned {
 		return []string{"n-1"}
@@ -54,7 +55,7 @@
 	return defaultClass
 }
 
-// addJob puts a job of two tasks into a mirror that has come to revision 10.
+// addJob adds a job of two tasks to the mirror, and sets the mirror's revision to 10; change may be nil.
 func (d *fakeDependencies) addJob(id string, change func(*mirror.Job)) {
 	job := &mirror.Job{ID: id, Version: 5, Record: storage.OpenJob{Spec: storage.JobSpec{Tasks: 2}}}
 	if change != nil {
@@ -68,14 +69,14 @@
 
 func cancelJob(job *mirror.Job) { job.FinalState, job.FinalRevision = storage.JobCancelled, 9 }
 
-// What a finisher does with a job.
+// Actions of a finisher on a job.
 const (
 	noAction       = ""
 	completeAction = "complete"
 	purgeAction    = "purge"
 )
 
-// actionOf says what a commit does.
+// actionOf returns the action that a commit performs, and checks the commit's conditions and priority class.
 func actionOf(t *testing.T, c stubs.Commit) string {
 	t.Helper()
 	resultKey, openKey := storage.JobResultKey(jobID), storage.OpenJobKey(jobID)
@@ -84,21 +85,24 @@
 	case len(operations) == 2 && operations[0].Put == resultKey && operations[1].Delete == openKey:
 		if !slices.Equal(compares, []protocol.Compare{{Key: resultKey}}) ||
 			c.Priority != ratelimit.PriorityJobResult {
-			t.Errorf("completed on the condition %+v in class %v", compares, c.Priority)
+			t.Errorf("completion: got conditions %+v and class %v, want %q at version 0 and class %v",
+				compares, c.Priority, resultKey, ratelimit.PriorityJobResult)
 		}
 		return completeAction
 	case len(operations) == 1 && operations[0].Delete == openKey:
 		if !slices.Equal(compares, []protocol.Compare{{Key: openKey, Version: 5}}) ||
 			c.Priority != ratelimit.PriorityBackground {
-			t.Errorf("purged on the condition %+v in class %v", compares, c.Priority)
+			t.Errorf("purge: got conditions %+v and class %v, want %q at version 5 and class %v",
+				compares, c.Priority, openKey, ratelimit.PriorityBackground)
 		}
 		return purgeAction
 	}
-	t.Fatalf("unexpected commit %+v", c.Transaction)
+	t.Fatalf("got commit %+v, want a completion or a purge", c.Transaction)
 	return noAction
 }
 
-// TestReconcile: which jobs are ended, and how.
+// TestReconcile checks which jobs are completed or purged, and that each job has at most one commit in
+// flight.
 func TestReconcile(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -106,33 +110,33 @@
 		setup func(*fakeDependencies)
 		want  string
 	}{
-		{name: "running", job: func(job *mirror.Job) { job.DoneTasks = 1 }},
+		{name: "one of two tasks done", job: func(job *mirror.Job) { job.DoneTasks = 1 }},
 		{name: "all tasks done", job: completeAllTasks, want: completeAction},
-		{name: "done, of another controller", job: completeAllTasks, setup: func(d *fakeDependencies) { d.notOwned = true }},
-		{name: "done, its record is being changed", job: completeAllTasks, setup: func(d *fakeDependencies) { d.writes[jobID] = true }},
-		{name: "done, in an outage", job: completeAllTasks, setup: func(d *fakeDependencies) { d.unavailable = true }},
+		{name: "done, owned by another controller", job: completeAllTasks, setup: func(d *fakeDependencies) { d.notOwned = true }},
+		{name: "done, write in flight", job: completeAllTasks, setup: func(d *fakeDependencies) { d.writes[jobID] = true }},
+		{name: "done, state service unavailable", job: completeAllTasks, setup: func(d *fakeDependencies) { d.unavailable = true }},
 		{
-			name: "done, its record is newer than the watch", job: completeAllTasks,
+			name: "done, record newer than the watch", job: completeAllTasks,
 			setup: func(d *fakeDependencies) { d.mirror.WatchedRevision = 4 },
 		},
-		{name: "cancelled, nothing left", job: cancelJob, want: purgeAction},
+		{name: "cancelled, no attempts left", job: cancelJob, want: purgeAction},
 		{
 			name: "cancelled with all tasks done",
 			job:  func(job *mirror.Job) { completeAllTasks(job); cancelJob(job) },
 			want: purgeAction,
 		},
-		{name: "cancelled, an attempt left", job: func(job *mirror.Job) { cancelJob(job); job.AssignedTasks = 1 }},
-		{name: "cancelled, of another controller", job: cancelJob, setup: func(d *fakeDependencies) { d.notOwned = true }},
+		{name: "cancelled, one attempt left", job: func(job *mirror.Job) { cancelJob(job); job.AssignedTasks = 1 }},
+		{name: "cancelled, owned by another controller", job: cancelJob, setup: func(d *fakeDependencies) { d.notOwned = true }},
 		{
-			name: "cancelled, learned from another controller",
+			name: "cancelled, result known only from another controller",
 			job:  func(job *mirror.Job) { cancelJob(job); job.FinalRevision = 0 },
 		},
 		{
-			name: "cancelled, the watch is just behind the result",
+			name: "cancelled, watch one revision behind the result",
 			job:  func(job *mirror.Job) { cancelJob(job); job.FinalRevision = 11 },
 		},
 		{
-			name: "cancelled, the watch has just come to the result",
+			name: "cancelled, watch at the result's revision",
 			job:  func(job *mirror.Job) { cancelJob(job); job.FinalRevision = 10 },
 			want: purgeAction,
 		},
@@ -150,27 +154,29 @@
 				got = actionOf(t, deps.Commits[0])
 			}
 			if got != tc.want || len(deps.Commits) > 1 {
-				t.Fatalf("%d commits, the first to %q, want %q", len(deps.Commits), got, tc.want)
+				t.Fatalf("%s: got %d commits, the first with action %q; want at most 1, with action %q",
+					tc.name, len(deps.Commits), got, tc.want)
 			}
 			if tc.want == noAction {
 				return
 			}
 			finisher.Reconcile()
 			if len(deps.Commits) != 1 {
-				t.Error("a second commit while the first is in flight")
+				t.Errorf("%s: got %d commits while the first is in flight, want 1", tc.name, len(deps.Commits))
 			}
 			deps.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.OK})
 			if deps.writes[jobID] {
-				t.Error("still marked as in flight")
+				t.Errorf("%s: got a write in flight after the commit, want none", tc.name)
 			}
 			if (finisher.Completed() == 1) != (tc.want == completeAction) {
-				t.Errorf("%d completed", finisher.Completed())
+				t.Errorf("%s: got %d completed jobs, want 1 only for action %q, not %q",
+					tc.name, finisher.Completed(), completeAction, tc.want)
 			}
 		})
 	}
 }
 
-// TestReconcileOrdersJobsByName: jobs are ended in the order of their names.
+// TestReconcileOrdersJobsByName checks that Reconcile finishes jobs in the order of their names.
 func TestReconcileOrdersJobsByName(t *testing.T) {
 	deps := newFakeDependencies()
 	var want []string
@@ -184,12 +190,12 @@
 		got = append(got, c.Transaction.Then[0].Put)
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("got commits of %v, want %v", got, want)
 	}
 }
 
-// TestCompleteIfDone: a job is completed once, whichever controller owns it; a commit that fails counts
-// nothing.
+// TestCompleteIfDone checks that CompleteIfDone completes a job only once, also if another controller owns
+// it, and that a failed commit isn't counted.
 func TestCompleteIfDone(t *testing.T) {
 	deps := newFakeDependencies()
 	deps.notOwned = true
@@ -198,21 +204,22 @@
 	deps.addJob(jobID, func(job *mirror.Job) { job.DoneTasks = 1 })
 	finisher.CompleteIfDone(jobID)
 	if len(deps.Commits) != 0 {
-		t.Fatalf("%d commits for an unknown and an unfinished job", len(deps.Commits))
+		t.Fatalf("unknown and unfinished jobs: got %d commits, want 0", len(deps.Commits))
 	}
 	completeAllTasks(deps.mirror.Jobs[jobID])
 	finisher.CompleteIfDone(jobID)
 	finisher.CompleteIfDone(jobID)
 	if len(deps.Commits) != 1 || actionOf(t, deps.Commits[0]) != completeAction {
-		t.Fatalf("%d commits for a job that is done", len(deps.Commits))
+		t.Fatalf("job with all tasks done: got %d commits, want 1 completion", len(deps.Commits))
 	}
 	deps.Commits[0].Callback(protocol.StoreResult{Outcome: protocol.Conflict})
 	if finisher.Completed() != 0 || deps.writes[jobID] {
-		t.Errorf("after a conflict: %d completed, in flight %v", finisher.Completed(), deps.writes[jobID])
+		t.Errorf("after a conflict: got %d completed jobs and write in flight %v, want 0 and false",
+			finisher.Completed(), deps.writes[jobID])
 	}
 	cancelJob(deps.mirror.Jobs[jobID])
 	finisher.CompleteIfDone(jobID)
 	if len(deps.Commits) != 1 {
-		t.Error("a cancelled job is completed")
+		t.Errorf("cancelled job: got %d commits in total, want 1", len(deps.Commits))
 	}
 }
