--- a/internal/api/burst_limit.go
+++ b/internal/api/burst_limit.go
@@ -63,9 +63,9 @@
 }
 
 // isLimited reports whether a job's calls are queued as burst calls. That is the case while writes are
-// contended, if the job's priority is at most Standard and its team has recently submitted at least
-// minBurstSubmissions jobs, and if either the job has the lowest priority, or other teams submit jobs too and
-// the team's fraction of all submissions exceeds burstFraction.
+// contended, if the job's priority is at most Standard and the decayed count of its team's submissions is at
+// least minBurstSubmissions. In addition, either the job has the lowest priority, or other teams submit jobs
+// too and the team's fraction of all submissions exceeds burstFraction.
 func (b *burstLimiter) isLimited(spec *storage.JobSpec) bool {
 	if spec.Priority > int(protocol.Standard) || !b.writesContended() {
 		return false
--- a/internal/api/responses.go
+++ b/internal/api/responses.go
@@ -64,7 +64,7 @@
 	return rejection
 }
 
-// deferUnreachable is the rejection of a request for which the state service can't be reached.
+// deferUnreachable returns the rejection of a request that needs the state service while it is unreachable.
 func (h *Handler) deferUnreachable() *Rejection {
 	return h.deferRequest(transport.StatusUnavailable, reasonStoreUnreachable)
 }
