--- a/internal/storage/drains.go
+++ b/internal/storage/drains.go
@@ -30,7 +30,7 @@
 	Selector Selector   `msgpack:"w"`
 	// LastMachine, if set, is the id of the newest machine that belongs to the drain. Machines that are
 	// created later do not belong to it, even if the selector matches them. Without LastMachine, the offers
-	// that the selector matches are not used to scale out.
+	// that a selector without listed machines matches are not used to scale out.
 	LastMachine  string `msgpack:"t,omitempty"`
 	Replace      bool   `msgpack:"p,omitempty"` // add replacement capacity before emptying machines
 	RemoveAtOnce bool   `msgpack:"o,omitempty"` // delete empty machines without the scale-in delay
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -65,7 +65,8 @@
 	return rt
 }
 
-// toggleStarting changes one arbitrary attempt from starting to running or back.
+// toggleStarting changes one arbitrary attempt from starting to running or back. A running attempt that starts
+// again raises the bound by MaxStartingBytes.
 func (rt *roundTripShard) toggleStarting(shard *Shard) {
 	rt.t.Helper()
 	for task := range rt.assigned {
