--- a/internal/api/burst_limit_test.go
+++ b/internal/api/burst_limit_test.go
@@ -70,7 +70,7 @@
 		{"shard update above the age limit", ratelimit.PriorityShardUpdate, 1, contendedQueueAge + 1, true},
 		{"job result above the age limit", ratelimit.PriorityJobResult, 1, contendedQueueAge + 1, true},
 		{"background calls", ratelimit.PriorityBackground, 9, old, false},
-		{"burst call", ratelimit.PriorityBurst, 1, 0, true},
+		{"burst request", ratelimit.PriorityBurst, 1, 0, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			deps := newFakeDependencies()
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -170,7 +170,7 @@
 			}
 			if accepted := tc.want.status == 201; accepted != (deps.accepted[newJobID] == 7) ||
 				accepted != (deps.placed == 1) {
-				t.Errorf("%s: got accepted jobs %v and %d calls of PlaceNow, want the job at revision 7 and 1 call: %v",
+				t.Errorf("%s: got accepted jobs %v and %d calls of PlaceNow, want the job at revision 7 and exactly one: %v",
 					tc.name, deps.accepted, deps.placed, accepted)
 			}
 		})
--- a/internal/storage/shard_decode_test.go
+++ b/internal/storage/shard_decode_test.go
@@ -28,7 +28,7 @@
 		{"machine with a negative kind", "0 0i-1 010.1.0.1:9000 -1 o", "", true},
 		{"machine with a bad claim", machines + " -1", "", true},
 		{"prefix longer than the previous id", machines + ";1 4x 00 0 o", "", true},
-		{"prefix longer than the previous endpoint", "0 0i-1 1 0 o", "", true},
+		{"prefix longer than the previous address", "0 0i-1 1 0 o", "", true},
 		{"two machines with the same number", machines + ";0 32 00 0 o", "", true},
 		{"two machines with the same id", machines + ";1 3 00 0 o", "", true},
 		{"attempts", machines, "0j-1 0@1:0-3,7 0!2:5", false},
