--- a/internal/storage/shard_decode.go
+++ b/internal/storage/shard_decode.go
@@ -9,16 +9,16 @@
 	"pipitgap/internal/protocol"
 )
 
-// shardDecoder reads the stored form of a shard.
+// shardDecoder decodes the stored form of a shard.
 type shardDecoder struct {
 	kinds           []machineKind
-	previous        *Shard // may be nil
+	previous        *Shard // an earlier version of the shard whose entries may be reused; may be nil
 	shard           *Shard
-	machineByNumber map[int]string
+	machineByNumber map[int]string // machine ids
 }
 
-// DecodeShard reads a stored shard; entries that stand unchanged in a previous one, which may be nil, are
-// shared with it. Errors wrap ErrMalformedShard.
+// DecodeShard decodes a stored shard. It reuses the unchanged entries of previous, an earlier version of the
+// shard, which may be nil. Errors wrap ErrMalformedShard.
 func DecodeShard(raw protocol.Raw, previous *Shard) (*Shard, error) {
 	var record shardRecord
 	if err := protocol.Unmarshal(raw, &record); err != nil {
@@ -45,10 +45,10 @@
 	return d.shard, nil
 }
 
-// malformedEntry is the error of an entry that can't be read.
+// malformedEntry returns the error for an entry that can't be decoded.
 func malformedEntry(entry string) error { return fmt.Errorf("%w: entry %q", ErrMalformedShard, entry) }
 
-// decodeMachines reads the entries of the machines.
+// decodeMachines decodes the entries of the machines.
 func (d *shardDecoder) decodeMachines(entries string) error {
 	lastID, lastEndpoint := "", ""
 	for _, entry := range splitEntries(entries) {
@@ -65,12 +65,13 @@
 		}
 		lastID, lastEndpoint = id, endpoint
 		d.machineByNumber[machine.Number] = id
-		d.shard.Machines[id] = d.sharedMachine(id, machine)
+		d.shard.Machines[id] = d.reuseMachine(id, machine)
 	}
 	return nil
 }
 
-// decodeMachine reads a machine from the columns of its entry, which are all there but for the claim.
+// decodeMachine decodes a machine from the columns of its entry. All columns except the claim must be
+// present.
 func (d *shardDecoder) decodeMachine(columns []string, endpoint string) (machine *ShardMachine, ok bool) {
 	number, err := strconv.ParseInt(columns[numberColumn], numberBase, 32)
 	if err != nil {
@@ -98,45 +99,46 @@
 	}, true
 }
 
-// sharedMachine returns the entry of the previous shard if it is the same.
-func (d *shardDecoder) sharedMachine(id string, machine *ShardMachine) *ShardMachine {
+// reuseMachine returns the previous shard's entry for a machine if it equals the decoded one, and otherwise
+// the decoded one.
+func (d *shardDecoder) reuseMachine(id string, machine *ShardMachine) *ShardMachine {
 	if d.previous != nil {
-		if before := d.previous.Machines[id]; before != nil && *before == *machine {
-			return before
+		if previousMachine := d.previous.Machines[id]; previousMachine != nil && *previousMachine == *machine {
+			return previousMachine
 		}
 	}
 	return machine
 }
 
-// numbersUnchanged reports whether no number names another machine than in the previous shard: only then does
-// the same text of a job mean the same attempts.
-func (d *shardDecoder) numbersUnchanged() bool {
+// machineNumbersUnchanged reports whether no number identifies a different machine than in the previous
+// shard. Only then does the same text of a job's entry describe the same attempts.
+func (d *shardDecoder) machineNumbersUnchanged() bool {
 	if d.previous == nil {
 		return false
 	}
-	for id, before := range d.previous.Machines {
-		if current, ok := d.machineByNumber[before.Number]; ok && current != id {
+	for id, previousMachine := range d.previous.Machines {
+		if current, ok := d.machineByNumber[previousMachine.Number]; ok && current != id {
 			return false
 		}
 	}
 	return true
 }
 
-// decodeJobs reads the entries of the jobs; the machines have been read.
+// decodeJobs decodes the entries of the jobs. The machines must be decoded first.
 func (d *shardDecoder) decodeJobs(entries string) error {
-	mayShare := d.numbersUnchanged()
+	mayShare := d.machineNumbersUnchanged()
 	lastID := ""
 	for _, entry := range splitEntries(entries) {
-		head, _, _ := strings.Cut(entry, columnSeparator)
-		id, ok := expandPrefix(lastID, head)
+		idText, _, _ := strings.Cut(entry, columnSeparator)
+		id, ok := expandPrefix(lastID, idText)
 		if !ok || id == "" || d.shard.Jobs[id] != nil {
 			return malformedEntry(entry)
 		}
 		lastID = id
-		encoded := entry[len(head):]
+		encoded := entry[len(idText):]
 		if mayShare {
-			if before := d.previous.Jobs[id]; before != nil && before.encoded == encoded {
-				d.shard.Jobs[id] = before
+			if previousJob := d.previous.Jobs[id]; previousJob != nil && previousJob.encoded == encoded {
+				d.shard.Jobs[id] = previousJob
 				continue
 			}
 		}
@@ -149,12 +151,12 @@
 	return nil
 }
 
-// decodeJob reads a job's entry without the id.
+// decodeJob decodes a job's entry without the job id.
 func (d *shardDecoder) decodeJob(encoded string) (*ShardJob, error) {
 	job := &ShardJob{encoded: encoded}
 	for _, field := range strings.Fields(encoded) {
 		completed, ok := strings.CutPrefix(field, completedPrefix)
-		if ok && !strings.ContainsAny(field, runningSeparator+startSeparator) {
+		if ok && !strings.ContainsAny(field, runningSeparator+startingSeparator) {
 			tasks, err := parseTaskSet(completed, protocol.MaxTasks)
 			if err != nil {
 				return nil, err
@@ -170,15 +172,15 @@
 	return job, nil
 }
 
-// decodeAttempts reads a group of attempts that were assigned together, and adds them to a job.
+// decodeAttempts decodes one group of attempts, which were assigned together, and adds them to a job.
 func (d *shardDecoder) decodeAttempts(job *ShardJob, field string) error {
-	head, listed, ok := strings.Cut(field, tasksSeparator)
+	group, tasksText, ok := strings.Cut(field, tasksSeparator)
 	if !ok {
-		listed = onlyFirstTask
+		tasksText = defaultTaskSet
 	}
-	numberText, attemptText, running := strings.Cut(head, runningSeparator)
+	numberText, attemptText, running := strings.Cut(group, runningSeparator)
 	if !running {
-		if numberText, attemptText, ok = strings.Cut(head, startSeparator); !ok {
+		if numberText, attemptText, ok = strings.Cut(group, startingSeparator); !ok {
 			return fmt.Errorf("attempts %q without a separator", field)
 		}
 	}
@@ -194,7 +196,7 @@
 	if err != nil {
 		return err
 	}
-	tasks, err := parseTaskSet(listed, protocol.MaxTasks)
+	tasks, err := parseTaskSet(tasksText, protocol.MaxTasks)
 	if err != nil {
 		return err
 	}
@@ -204,19 +206,20 @@
 	return nil
 }
 
-// expandPrefix reads what appendPrefixCompressed has written after last; ok is false for anything else.
-func expandPrefix(last, text string) (s string, ok bool) {
+// expandPrefix decodes a string that appendPrefixCompressed encoded relative to previous; ok is false if
+// text is malformed.
+func expandPrefix(previous, text string) (s string, ok bool) {
 	if text == "" {
 		return "", false
 	}
 	n, err := strconv.ParseInt(text[:1], numberBase, 32)
-	if err != nil || int(n) > len(last) {
+	if err != nil || int(n) > len(previous) {
 		return "", false
 	}
-	return last[:n] + text[1:], true
+	return previous[:n] + text[1:], true
 }
 
-// splitEntries takes a list of entries apart; an empty text has none.
+// splitEntries splits a list of entries at the separators. It returns nil for an empty text.
 func splitEntries(text string) []string {
 	if text == "" {
 		return nil
--- a/internal/storage/storagetest/records.go
+++ b/internal/storage/storagetest/records.go
@@ -1,4 +1,4 @@
-// Package storagetest makes stored records for tests.
+// Package storagetest builds stored records for tests.
 package storagetest
 
 import (
@@ -6,7 +6,7 @@
 	"pipitgap/internal/storage"
 )
 
-// OpenJob is the stored form of a job of some tasks.
+// OpenJob returns the stored form of an open job with the given number of tasks.
 func OpenJob(tasks int) protocol.Raw {
 	return protocol.MustMarshal(&storage.OpenJob{
 		Spec: storage.JobSpec{
@@ -20,24 +20,25 @@
 		TaskRanges: []storage.TaskRange{{First: 0, End: tasks, Partition: "n-0"}}})
 }
 
-// Shard holds tasks of a job on one machine, some of them done.
-func Shard(machine, job string, held, done int) protocol.Raw {
-	shardRecord := &storage.Shard{
+// Shard returns the stored form of a shard with one machine that has running attempts of a job, and with
+// completed tasks of that job.
+func Shard(machine, job string, running, completed int) protocol.Raw {
+	shard := &storage.Shard{
 		Owner:    "n-0",
 		Claim:    1,
 		Machines: map[string]*storage.ShardMachine{},
 		Jobs:     map[string]*storage.ShardJob{},
 	}
-	shardRecord.AddMachine(
+	shard.AddMachine(
 		machine,
 		storage.ShardMachine{Type: "m8", Zone: "a", Endpoint: "10.0.0.1:1", State: storage.MachineOpen},
 	)
-	for i := 0; i < held+done; i++ {
-		shardRecord.Assign(job, storage.Attempt{Task: i, Machine: machine, Number: 1})
+	for i := 0; i < running+completed; i++ {
+		shard.Assign(job, storage.Attempt{Task: i, Machine: machine, Number: 1})
 	}
-	for i := 0; i < done; i++ {
-		shardRecord.Release(job, held+i, true)
+	for i := 0; i < completed; i++ {
+		shard.Release(job, running+i, true)
 	}
-	encoded, _ := shardRecord.Encode()
+	encoded, _ := shard.Encode()
 	return encoded
 }
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -8,36 +8,37 @@
 	"pipitgap/internal/protocol"
 )
 
-// storedRecord is a record as it stands in the state service.
+// storedRecord is a test case: a record, its key, and the file with its stored form.
 type storedRecord struct {
-	file   string // under testdata/stored; its name doesn't follow renames in the code
+	file   string // file under testdata/stored; its name stays when names in the code change
 	key    string
 	value  any  // a pointer to the record
-	sparse bool // fields that are left out when zero are zero here
+	sparse bool // the optional fields are zero and therefore omitted
 }
 
-// storedRecords has one record of each kind with every field set, and those with optional fields
-// without them too. Maps have one entry at most: their order isn't fixed.
+// storedRecords returns one record of each kind except shards with every field set. Kinds with optional
+// fields have a second record without them. Maps have at most one entry, because their encoding order isn't
+// fixed.
 func storedRecords() []storedRecord {
-	spec := JobSpec{
+	fullSpec := JobSpec{
 		Class: "batch", Team: "wren", Service: true, Priority: 7, Tasks: 40, CPUs: 1.5, GPUs: 2,
 		MemoryGB: 6.25, Image: "wren/sort:3", ImageGB: 0.75, MachineTypes: []string{"m8", "g2"},
 		Zone: "rack-a", OneZone: true, Spread: true, Spot: true,
 		EstimateS: 90.5, CheckpointS: 30, SaveS: 2.5, DeadlineS: 900,
 	}
-	least := JobSpec{Class: "batch", Team: "wren", Priority: 7, Tasks: 1, CPUs: 1, MemoryGB: 2,
+	minimalSpec := JobSpec{Class: "batch", Team: "wren", Priority: 7, Tasks: 1, CPUs: 1, MemoryGB: 2,
 		Image: "wren/sort:3", ImageGB: 0.5, EstimateS: 60}
-	const at = 1_764_687_600_123_456
+	const timestamp = 1_764_687_600_123_456
 	return []storedRecord{
 		{file: "job-done", key: Key(KindJobResult, "j-000017"), value: &JobResult{State: JobDone}},
 		{file: "job-cancelled", key: Key(KindJobResult, "j-000018"), value: &JobResult{State: JobCancelled}},
-		{file: "open", key: Key(KindOpenJob, "j-000017"), value: &OpenJob{Spec: spec, AcceptedAt: at,
+		{file: "open", key: Key(KindOpenJob, "j-000017"), value: &OpenJob{Spec: fullSpec, AcceptedAt: timestamp,
 			TaskRanges: []TaskRange{
 				{First: 0, End: 16, Partition: "n-0"},
 				{First: 16, End: 40, Partition: "n-1"},
 			}}},
 		{file: "open-sparse", key: Key(KindOpenJob, "j-000018"), sparse: true,
-			value: &OpenJob{Spec: least, AcceptedAt: at}},
+			value: &OpenJob{Spec: minimalSpec, AcceptedAt: timestamp}},
 		{file: "partition", key: Key(KindPartition, "n-0"),
 			value: &Partition{QuotaShares: map[string]QuotaShare{"wren": {CPUs: 12.5, GPUs: 3}}}},
 		{
@@ -51,7 +52,7 @@
 			key:  Key(KindScaleOut, "a-1-4"),
 			value: &ScaleOutRequest{Phase: ScaleOutProvisioning, MachineType: "m8",
 				Zone: "rack-a", Spot: true, Count: 2, Machines: []string{"i-000231", "i-000232"},
-				Live: []string{"n-0", "n-1"}, Own: map[string]string{"i-000231": "n-1"}, PhaseSince: at},
+				Live: []string{"n-0", "n-1"}, Own: map[string]string{"i-000231": "n-1"}, PhaseSince: timestamp},
 		},
 		{file: "rental-pending", key: Key(KindScaleOut, "a-1-5"), sparse: true,
 			value: &ScaleOutRequest{
@@ -59,7 +60,7 @@
 				MachineType: "m8",
 				Zone:        "rack-a",
 				Count:       2,
-				PhaseSince:  at,
+				PhaseSince:  timestamp,
 			}},
 		{file: "rental-unmet", key: Key(KindScaleOut, "a-1-6"), sparse: true,
 			value: &ScaleOutRequest{
@@ -67,16 +68,16 @@
 				MachineType: "m8",
 				Zone:        "rack-b",
 				Count:       1,
-				PhaseSince:  at,
+				PhaseSince:  timestamp,
 			}},
 		{
 			file: "removal",
 			key:  Key(KindScaleIn, "d-1-2"),
 			value: &ScaleInRequest{Machines: []string{"i-000231"},
-				StateSince: at, Attempts: 3, Failed: true, Deleted: true},
+				StateSince: timestamp, Attempts: 3, Failed: true, Deleted: true},
 		},
 		{file: "removal-sparse", key: Key(KindScaleIn, "d-1-3"), sparse: true,
-			value: &ScaleInRequest{Machines: []string{"i-000232"}, StateSince: at}},
+			value: &ScaleInRequest{Machines: []string{"i-000232"}, StateSince: timestamp}},
 		{file: "member", key: Key(KindMember, "n-0"), value: &Member{Incarnation: 1 << 47, Zone: "rack-a"}},
 		{file: "lead", key: LeaderKey, value: &Leader{Node: "n-0", Incarnation: 1 << 47}},
 		{file: "drain", key: Key(KindDrain, "rack-a-out"), value: &Drain{State: DrainPaused,
@@ -87,35 +88,36 @@
 				Type:         "m8",
 				CapacityType: SpotCapacity,
 			},
-			LastMachine: "i-000300", Replace: true, RemoveAtOnce: true, MaxParallel: 3, StartedAt: at,
-			DeadlineAt: at + 60, EndedAt: at + 120}},
+			LastMachine: "i-000300", Replace: true, RemoveAtOnce: true, MaxParallel: 3, StartedAt: timestamp,
+			DeadlineAt: timestamp + 60, EndedAt: timestamp + 120}},
 		{file: "drain-active", key: Key(KindDrain, "d-1"), sparse: true,
 			value: &Drain{
 				State:       DrainActive,
 				Selector:    Selector{CapacityType: OnDemandCapacity},
 				MaxParallel: 1,
-				StartedAt:   at,
+				StartedAt:   timestamp,
 			}},
 		{file: "drain-drained", key: Key(KindDrain, "d-2"), sparse: true,
 			value: &Drain{State: DrainDrained, Selector: Selector{Zone: "rack-b"}, MaxParallel: 1,
-				StartedAt: at}},
+				StartedAt: timestamp}},
 		{file: "drain-done", key: Key(KindDrain, "d-3"), sparse: true,
-			value: &Drain{State: DrainDone, Selector: Selector{Type: "m8"}, MaxParallel: 1, StartedAt: at,
-				EndedAt: at + 1}},
+			value: &Drain{State: DrainDone, Selector: Selector{Type: "m8"}, MaxParallel: 1, StartedAt: timestamp,
+				EndedAt: timestamp + 1}},
 		{file: "drain-aborted", key: Key(KindDrain, "d-4"), sparse: true,
 			value: &Drain{State: DrainAborted, Selector: Selector{Machines: []string{"i-1"}}, MaxParallel: 1,
-				StartedAt: at, EndedAt: at + 1}},
+				StartedAt: timestamp, EndedAt: timestamp + 1}},
 		{file: "permits", key: Key(KindPermits, "wren"), value: &Permits{Permits: []Permit{
 			{Drain: "rack-a-out", Job: "j-000017", Task: 5, Attempt: 50012, From: "i-000231", To: "i-000240",
-				GrantedAt: at}}}},
+				GrantedAt: timestamp}}}},
 		{file: "registry", key: DrainRegistryKey, value: ptr("rack-a-out")}, // the name of the newest drain
 	}
 }
 
+// ptr returns a pointer to a copy of value.
 func ptr[T any](value T) *T { return &value }
 
-// TestStoredRecords: records that an earlier version has stored read as the same values, and are
-// stored as the same bytes under the same keys.
+// TestStoredRecords checks that records stored by an earlier version decode to the same values and encode to
+// the same bytes. TestStoredKeys checks their keys.
 func TestStoredRecords(t *testing.T) {
 	for _, record := range storedRecords() {
 		t.Run(record.file, func(t *testing.T) {
@@ -129,7 +131,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded, record.value) {
-				t.Errorf("reads as %+v, want %+v", decoded, record.value)
+				t.Errorf("%s: decoded %+v, want %+v", record.file, decoded, record.value)
 			}
 			if !record.sparse {
 				fixtures.AllSet(t, record.file, decoded)
@@ -143,7 +145,8 @@
 	}
 }
 
-// TestStoredKeys: the keys of all kinds are as they were, and are taken apart to what they were made of.
+// TestStoredKeys checks that the keys of all kinds are the same as in earlier versions, and that SplitKey
+// returns the kind and the name from which a key was built.
 func TestStoredKeys(t *testing.T) {
 	kinds := []Kind{
 		KindJobResult,
@@ -164,7 +167,8 @@
 		key := Key(kind, "a/name")
 		text += key + "\n"
 		if gotKind, name, ok := SplitKey(key); !ok || gotKind != kind || name != "a/name" {
-			t.Errorf("%s is taken apart to %q, %q, %v", key, gotKind, name, ok)
+			t.Errorf("SplitKey(%q): got kind %q, name %q, ok %v; want kind %q, name %q, ok true",
+				key, gotKind, name, ok, kind, "a/name")
 		}
 	}
 	text += LeaderKey + "\n" + DrainRegistryKey + "\n"
@@ -174,8 +178,9 @@
 	fixtures.Equal(t, "keys", []byte(fixtures.Text(t, "stored/keys.txt", text)), []byte(text))
 }
 
-// storedShards are shards that use all of the text form: every state, claims above the shard's,
-// kinds, endpoints with and without a common beginning, completed tasks, and attempts that are starting.
+// storedShards returns shards that use every feature of the text form: every machine state, machine claims
+// greater than the shard's, several machine kinds, endpoints with and without a common prefix, completed
+// tasks, and starting attempts.
 func storedShards() map[string]*Shard {
 	full := &Shard{Owner: "n-2", Incarnation: 1 << 47, Claim: 3, Machines: map[string]*ShardMachine{
 		"i-000231": {Number: 0, Type: "m16", Zone: "rack-a", Endpoint: "10.1.0.232:9000", State: MachineOpen},
@@ -208,7 +213,7 @@
 		"j-000019": {Attempts: []Attempt{{Task: 0, Machine: "i-000232", Number: 79}}},
 		"zebra":    {Completed: TaskSet{{3, 4}}},
 	}}
-	none := &Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*ShardMachine{},
+	empty := &Shard{Owner: "n-0", Incarnation: 1, Claim: 1, Machines: map[string]*ShardMachine{},
 		Jobs: map[string]*ShardJob{}}
 	completed := &Shard{Owner: "n-1", Incarnation: 2, Claim: 9, Machines: map[string]*ShardMachine{},
 		Jobs: map[string]*ShardJob{"j-000001": {Completed: TaskSet{{0, 64}}}}}
@@ -221,12 +226,12 @@
 		{Task: 1, Machine: "i-000002", Number: 8},
 		{Task: 2, Machine: "i-000001", Number: 8},
 		{Task: 3, Machine: "i-000003", Number: 9, Starting: true}}}}}
-	return map[string]*Shard{"shard": full, "shard-empty": none, "shard-completed": completed,
+	return map[string]*Shard{"shard": full, "shard-empty": empty, "shard-completed": completed,
 		"shard-drained": drained}
 }
 
-// TestStoredShards: shards that an earlier version has stored read as the same values, and are
-// stored as the same bytes.
+// TestStoredShards checks that shards stored by an earlier version decode to the same values and encode to
+// the same bytes.
 func TestStoredShards(t *testing.T) {
 	for file, shard := range storedShards() {
 		t.Run(file, func(t *testing.T) {
@@ -237,13 +242,13 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded, shard) {
-				t.Errorf("reads as %+v, want %+v", decoded, shard)
+				t.Errorf("%s: decoded %+v, want %+v", file, decoded, shard)
 			}
 			if file == "shard" {
 				fixtures.AllSet(t, file, decoded)
 			}
 			for _, job := range decoded.Jobs {
-				job.encoded = "" // what was read isn't to be copied
+				job.encoded = "" // forces Encode to encode the job again instead of copying the text it decoded
 			}
 			again, _ := decoded.Encode()
 			fixtures.Equal(t, file, stored, again)
