--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -71,35 +71,35 @@
 const actorPath = "internal/coordination"
 
 // What a decision package doesn't import from the standard library; packages below these neither.
-var outsideDecisions = []string{
+var forbiddenInDecisionPackages = []string{
 	"bufio", "context", "database", "io", "log", "math/rand", "net", "os", "runtime", "sync", "syscall", "time",
 }
 
-// place is a row together with the number of its layer.
-type place struct {
+// indexedRow is a row together with the number of its layer.
+type indexedRow struct {
 	row
 	layer int
 }
 
-// placesByPath indexes a table; a path that stands in it twice is an error.
-func placesByPath(table [][]row) (map[string]place, error) {
-	places := map[string]place{}
+// indexRows indexes a table; a path that stands in it twice is an error.
+func indexRows(table [][]row) (map[string]indexedRow, error) {
+	rowsByPath := map[string]indexedRow{}
 	for layer, rows := range table {
 		for _, r := range rows {
-			if _, ok := places[r.path]; ok {
+			if _, ok := rowsByPath[r.path]; ok {
 				return nil, fmt.Errorf("%s has two rows", r.path)
 			}
-			places[r.path] = place{r, layer}
+			rowsByPath[r.path] = indexedRow{r, layer}
 		}
 	}
-	return places, nil
+	return rowsByPath, nil
 }
 
-// source is what the check reads of a Go file.
-type source struct {
+// sourceFile is what the check reads of a Go file.
+type sourceFile struct {
 	pkg     string // the package's path below the module's root
 	file    string
-	test    bool
+	isTest  bool
 	imports []string
 }
 
@@ -143,17 +143,17 @@
 }
 
 // readSource parses the imports of a Go file.
-func readSource(t *testing.T, path string) source {
+func readSource(t *testing.T, path string) sourceFile {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := belowRoot(t, path)
-	s := source{
-		pkg:  filepath.ToSlash(filepath.Dir(file)),
-		file: file,
-		test: strings.HasSuffix(file, "_test.go"),
+	s := sourceFile{
+		pkg:    filepath.ToSlash(filepath.Dir(file)),
+		file:   file,
+		isTest: strings.HasSuffix(file, "_test.go"),
 	}
 	for _, spec := range parsed.Imports {
 		imported, err := strconv.Unquote(spec.Path.Value)
@@ -166,8 +166,8 @@
 }
 
 // violations lists what a file imports against the table.
-func violations(places map[string]place, s source) []string {
-	from, ok := places[s.pkg]
+func violations(rowsByPath map[string]indexedRow, s sourceFile) []string {
+	from, ok := rowsByPath[s.pkg]
 	if !ok {
 		return []string{
 			s.file + ": " + s.pkg + " has no row in layers: add it to the lowest layer above all it imports",
@@ -175,7 +175,7 @@
 	}
 	var found []string
 	for _, imported := range s.imports {
-		if fault := violation(places, from, s.test, imported); fault != "" {
+		if fault := violation(rowsByPath, from, s.isTest, imported); fault != "" {
 			found = append(found, s.file+": "+fault)
 		}
 	}
@@ -183,25 +183,25 @@
 }
 
 // violation says what is wrong with one import, and is empty where nothing is.
-func violation(places map[string]place, from place, test bool, imported string) string {
-	path, own := strings.CutPrefix(imported, modulePath+"/")
-	if !own {
-		if from.kind == decision && !test && outOfBounds(imported) {
+func violation(rowsByPath map[string]indexedRow, from indexedRow, isTest bool, imported string) string {
+	path, inModule := strings.CutPrefix(imported, modulePath+"/")
+	if !inModule {
+		if from.kind == decision && !isTest && isForbiddenInDecisionPackages(imported) {
 			return fmt.Sprintf("%s decides, and must not import %s", from.path, imported)
 		}
 		return ""
 	}
-	to, ok := places[path]
+	to, ok := rowsByPath[path]
 	switch {
-	case path == from.path && test: // a test of the exported surface
+	case path == from.path && isTest: // a test of the exported surface
 		return ""
 	case !ok:
 		return fmt.Sprintf("%s is imported and has no row in layers", path)
 	case from.kind == decision && path == actorPath:
 		return fmt.Sprintf("%s decides, and must not import the actor", from.path)
-	case to.kind == fake && !test && from.kind != fake:
+	case to.kind == fake && !isTest && from.kind != fake:
 		return fmt.Sprintf("%s is for tests, and %s is not", path, from.path)
-	case to.kind == fake && test:
+	case to.kind == fake && isTest:
 		return ""
 	case to.layer >= from.layer:
 		return fmt.Sprintf("%s is not in a layer below %s", path, from.path)
@@ -209,27 +209,27 @@
 	return ""
 }
 
-func outOfBounds(imported string) bool {
-	return slices.ContainsFunc(outsideDecisions, func(bound string) bool {
-		return imported == bound || strings.HasPrefix(imported, bound+"/")
+func isForbiddenInDecisionPackages(imported string) bool {
+	return slices.ContainsFunc(forbiddenInDecisionPackages, func(forbidden string) bool {
+		return imported == forbidden || strings.HasPrefix(imported, forbidden+"/")
 	})
 }
 
 // Every import of the tree, tests included, goes down the table of layers.
 func TestImportsGoDownTheLayers(t *testing.T) {
-	places, err := placesByPath(layers)
+	rowsByPath, err := indexRows(layers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range goFiles(t) {
-		for _, fault := range violations(places, readSource(t, file)) {
+		for _, fault := range violations(rowsByPath, readSource(t, file)) {
 			t.Error(fault)
 		}
 	}
 }
 
 // The table has no row of a package that is gone, and no planned one that has come.
-func TestRowsMatchTheTree(t *testing.T) {
+func TestLayersMatchPackages(t *testing.T) {
 	for _, rows := range layers {
 		for _, r := range rows {
 			files, err := filepath.Glob(filepath.Join(moduleRoot, r.path, "*.go"))
@@ -260,7 +260,7 @@
 
 // The check itself, on a table of its own: what it lets pass and what it reports.
 func TestViolations(t *testing.T) {
-	places, err := placesByPath([][]row{
+	rowsByPath, err := indexRows([][]row{
 		{{path: "internal/low"}},
 		{
 			{path: "internal/one", kind: decision},
@@ -276,7 +276,7 @@
 	cases := []struct {
 		name     string
 		pkg      string
-		test     bool
+		isTest   bool
 		imported string
 		want     string // part of the report; empty where the import is allowed
 	}{
@@ -321,8 +321,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			found := violations(
-				places,
-				source{pkg: c.pkg, file: "f.go", test: c.test, imports: []string{c.imported}},
+				rowsByPath,
+				sourceFile{pkg: c.pkg, file: "f.go", isTest: c.isTest, imports: []string{c.imported}},
 			)
 			switch {
 			case c.want == "" && len(found) > 0:
@@ -332,7 +332,7 @@
 			}
 		})
 	}
-	if _, err := placesByPath([][]row{{{path: "internal/low"}}, {{path: "internal/low"}}}); err == nil {
+	if _, err := indexRows([][]row{{{path: "internal/low"}}, {{path: "internal/low"}}}); err == nil {
 		t.Error("a package with two rows is no error")
 	}
 }
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -20,7 +20,7 @@
 	// A Go identifier with its package, and with its type if it is a method or field.
 	qualifiedName = regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Za-z_][A-Za-z0-9_]*){1,2}$`)
 	testName      = regexp.MustCompile(`\b(Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9_]*\b`)
-	quoted        = regexp.MustCompile("`([^`\n]+)`")
+	backquoted    = regexp.MustCompile("`([^`\n]+)`")
 	sourcePath    = regexp.MustCompile(`^(cmd|internal|deploy|docs)/[A-Za-z0-9_./-]*$`)
 	link          = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 )
@@ -38,7 +38,7 @@
 // unknownMessages lists what a page quotes as log messages and no source has as a string.
 func unknownMessages(literals map[string]bool, page string) []string {
 	var unknown []string
-	for _, match := range quoted.FindAllStringSubmatch(page, -1) {
+	for _, match := range backquoted.FindAllStringSubmatch(page, -1) {
 		message := match[1]
 		if logMessage.MatchString(message) && !strings.HasPrefix(message, "pipitgap ") && !literals[message] {
 			unknown = append(unknown, message)
@@ -52,8 +52,8 @@
 	t.Helper()
 	literals := map[string]bool{}
 	for _, path := range goFiles(t) {
-		own := filepath.Dir(belowRoot(t, path)) == "internal/architecture"
-		if own || strings.HasSuffix(path, "_test.go") != tests {
+		inThisPackage := filepath.Dir(belowRoot(t, path)) == "internal/architecture"
+		if inThisPackage || strings.HasSuffix(path, "_test.go") != tests {
 			continue
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -100,16 +100,16 @@
 // The page that names rows of tests' tables, in quotation marks; dots at the end stand for the rest of a name.
 const scenariosPage = "docs/failure-scenarios.md"
 
-var quotedRow = regexp.MustCompile(`"([^"\n]+)"`)
+var quotedRowName = regexp.MustCompile(`"([^"\n]+)"`)
 
 // unknownRows lists the rows that a page names and that no test has.
 func unknownRows(literals map[string]bool, page string) []string {
 	var unknown []string
-	for _, match := range quotedRow.FindAllStringSubmatch(page, -1) {
-		beginning, cut := strings.CutSuffix(match[1], " ...")
-		known := literals[beginning]
+	for _, match := range quotedRowName.FindAllStringSubmatch(page, -1) {
+		prefix, truncated := strings.CutSuffix(match[1], " ...")
+		known := literals[prefix]
 		for literal := range literals {
-			known = known || cut && strings.HasPrefix(literal, beginning)
+			known = known || truncated && strings.HasPrefix(literal, prefix)
 		}
 		if !known {
 			unknown = append(unknown, match[1])
@@ -224,7 +224,7 @@
 // and tests wherever they are named.
 func unknownNames(declared declarations, page string) []string {
 	var unknown []string
-	for _, match := range quoted.FindAllStringSubmatch(page, -1) {
+	for _, match := range backquoted.FindAllStringSubmatch(page, -1) {
 		name := strings.TrimSuffix(match[1], "()")
 		if qualifiedName.MatchString(name) && !hasSuffix(name, fileSuffixes) && !declared[name] {
 			unknown = append(unknown, name)
@@ -247,14 +247,14 @@
 	return false
 }
 
-// paths lists the files and folders that a page names: links, relative to the page's folder, and paths in
+// namedPaths lists the files and folders that a page names: links, relative to the page's folder, and paths in
 // backquotes, relative to the module's root. Both are given as seen from the module's root.
-func paths(page, folder string) []string {
+func namedPaths(page, folder string) []string {
 	var named []string
 	for _, match := range link.FindAllStringSubmatch(page, -1) {
 		named = append(named, filepath.Join(folder, match[1]))
 	}
-	for _, match := range quoted.FindAllStringSubmatch(page, -1) {
+	for _, match := range backquoted.FindAllStringSubmatch(page, -1) {
 		if sourcePath.MatchString(match[1]) {
 			named = append(named, match[1])
 		}
@@ -291,7 +291,7 @@
 		for _, unknown := range unknownNames(declared, string(text)) {
 			t.Errorf("%s names %s, which no source declares", name, unknown)
 		}
-		for _, named := range paths(string(text), filepath.Dir(name)) {
+		for _, named := range namedPaths(string(text), filepath.Dir(name)) {
 			if _, err := os.Stat(filepath.Join(moduleRoot, named)); err != nil {
 				t.Errorf("%s names %s, which doesn't exist", name, named)
 			}
@@ -364,7 +364,7 @@
 		{"`go test ./internal/quota`", ".", ""},
 	}
 	for _, c := range cases {
-		if got := strings.Join(paths(c.page, c.folder), " "); got != c.want {
+		if got := strings.Join(namedPaths(c.page, c.folder), " "); got != c.want {
 			t.Errorf("%s: got %q, want %q", c.page, got, c.want)
 		}
 	}
--- a/internal/architecture/style_test.go
+++ b/internal/architecture/style_test.go
@@ -12,22 +12,22 @@
 	"unicode/utf8"
 )
 
-// Lines are to wrap at about 110 columns; a tab counts as tabColumns. What is wider than widestLine is a
+// Lines are to wrap at about 110 columns; a tab counts as tabColumns. What is wider than maxColumns is a
 // fault.
 const (
-	widestLine = 120
+	maxColumns = 120
 	tabColumns = 4
 )
 
-// notWrapped has the packages whose code still has wider lines. A row is taken out once its package has none.
-var notWrapped = map[string]bool{}
+// packagesWithWideLines has the packages whose code still has wider lines. A row is taken out once its package has none.
+var packagesWithWideLines = map[string]bool{}
 
 // wideLines gives the numbers of the lines that are too wide. Struct tags are left out: they can't be broken.
 func wideLines(text string) []int {
 	var wide []int
 	for i, line := range strings.Split(text, "\n") {
 		columns := utf8.RuneCountInString(line) + (tabColumns-1)*strings.Count(line, "\t")
-		if columns > widestLine && !strings.HasSuffix(line, "\"`") {
+		if columns > maxColumns && !strings.HasSuffix(line, "\"`") {
 			wide = append(wide, i+1)
 		}
 	}
@@ -48,20 +48,20 @@
 		name := belowRoot(t, file)
 		for _, line := range wideLines(string(text)) {
 			found[path.Dir(name)]++
-			if !notWrapped[path.Dir(name)] {
-				t.Errorf("%s:%d is wider than %d columns", name, line, widestLine)
+			if !packagesWithWideLines[path.Dir(name)] {
+				t.Errorf("%s:%d is wider than %d columns", name, line, maxColumns)
 			}
 		}
 	}
-	for pkg := range notWrapped {
+	for pkg := range packagesWithWideLines {
 		if found[pkg] == 0 {
-			t.Errorf("%s has no line wider than %d columns: take it out of notWrapped", pkg, widestLine)
+			t.Errorf("%s has no line wider than %d columns: take it out of packagesWithWideLines", pkg, maxColumns)
 		}
 	}
 }
 
 func TestWideLines(t *testing.T) {
-	atBound := strings.Repeat("x", widestLine)
+	atBound := strings.Repeat("x", maxColumns)
 	cases := []struct {
 		name string
 		text string
@@ -69,9 +69,9 @@
 	}{
 		{"at the bound", atBound, "[]"},
 		{"over the bound", "\n" + atBound + "x\n", "[2]"},
-		{"characters, not bytes", strings.Repeat("ü", widestLine), "[]"},
-		{"a tab is four columns", "\t" + strings.Repeat("x", widestLine-tabColumns+1), "[1]"},
-		{"a tab within the bound", "\t" + strings.Repeat("x", widestLine-tabColumns), "[]"},
+		{"characters, not bytes", strings.Repeat("ü", maxColumns), "[]"},
+		{"a tab is four columns", "\t" + strings.Repeat("x", maxColumns-tabColumns+1), "[1]"},
+		{"a tab within the bound", "\t" + strings.Repeat("x", maxColumns-tabColumns), "[]"},
 		{"a struct tag", atBound + " `help:\"\"`", "[]"},
 	}
 	for _, c := range cases {
@@ -106,8 +106,8 @@
 	var found []string
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
-		served := s.Doc != nil || s.Comment != nil || group.Doc != nil && len(group.Specs) == 1
-		if !served && s.Name.IsExported() {
+		documented := s.Doc != nil || s.Comment != nil || group.Doc != nil && len(group.Specs) == 1
+		if !documented && s.Name.IsExported() {
 			found = append(found, s.Name.Name)
 		}
 	case *ast.ValueSpec:
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -13,16 +13,16 @@
 
 // The invariants. The first six have the protocol's names.
 const (
-	RanTwice           Invariant = "ran_twice"     // two live attempts of a task
-	QuotaExceeded      Invariant = "quota"         // a team uses more than its limit
-	WrongPlace         Invariant = "wrong_place"   // a start where the job doesn't allow it
-	RanCancelled       Invariant = "ran_cancelled" // a task of a cancelled job after its time
-	StaleAnswer        Invariant = "went_back"     // an answer older than one that was given before
-	DoneTooEarly       Invariant = "not_done"      // done before all tasks were
-	JobLost            Invariant = "forgotten"     // an accepted job that isn't known
-	UnknownJobReported Invariant = "invented"      // a job that nobody submitted is known
-	InvalidAccepted    Invariant = "unfit"         // malformed, or can never run, and accepted
-	TaskStarved        Invariant = "left_waiting"  // a task waits while there is room that it may use
+	RanTwice                    Invariant = "ran_twice"     // two live attempts of a task
+	QuotaExceeded               Invariant = "quota"         // a team uses more than its limit
+	PlacementConstraintViolated Invariant = "wrong_place"   // a start where the job doesn't allow it
+	RanCancelled                Invariant = "ran_cancelled" // a task of a cancelled job after its time
+	StaleAnswer                 Invariant = "went_back"     // an answer older than one that was given before
+	DoneTooEarly                Invariant = "not_done"      // done before all tasks were
+	JobLost                     Invariant = "forgotten"     // an accepted job that isn't known
+	UnknownJobReported          Invariant = "invented"      // a job that nobody submitted is known
+	InvalidAccepted             Invariant = "unfit"         // malformed, or can never run, and accepted
+	TaskStarved                 Invariant = "left_waiting"  // a task waits while there is room that it may use
 )
 
 // Violation is an invariant that was broken.
@@ -40,9 +40,9 @@
 const (
 	// MaxUnanswered is how long requests about an accepted job may go unanswered once all faults are over.
 	MaxUnanswered = 75 * monotime.Second
-	// MaxWaitBesideRoom is how long a task may wait while a machine has room that it may use.
-	MaxWaitBesideRoom = 90 * monotime.Second
-	waitCheckInterval = 5 * monotime.Second
+	// MaxTaskStarvation is how long a task may wait while a machine has room that it may use.
+	MaxTaskStarvation       = 90 * monotime.Second
+	starvationCheckInterval = 5 * monotime.Second
 	// roundingTolerance is how far sums of CPUs or memory may be off by rounding.
 	roundingTolerance = 1e-6
 )
@@ -78,14 +78,14 @@
 	finalAt      monotime.Micros // when a user first got its final state
 	finalState   string
 	cancelledAt  monotime.Micros
-	waitingSince map[int]monotime.Micros // tasks that wait beside room, and since when
+	starvedSince map[int]monotime.Micros // tasks that wait beside room, and since when
 }
 
-// NewChecker makes a checker by which tasks of a cancelled job must be gone within cancelIn.
-func NewChecker(sim *SimClock, cancelIn monotime.Micros) *Checker {
+// NewChecker makes a checker by which tasks of a cancelled job must be gone within cancelWithin.
+func NewChecker(sim *SimClock, cancelWithin monotime.Micros) *Checker {
 	return &Checker{
 		Clock:          sim,
-		CancelWithin:   cancelIn,
+		CancelWithin:   cancelWithin,
 		Limits:         map[string]float64{},
 		jobs:           map[string]*observedJob{},
 		liveAttempts:   map[string]map[string]*Machine{},
@@ -103,7 +103,7 @@
 func (k *Checker) job(id string) *observedJob {
 	job := k.jobs[id]
 	if job == nil {
-		job = &observedJob{id: id, waitingSince: map[int]monotime.Micros{}}
+		job = &observedJob{id: id, starvedSince: map[int]monotime.Micros{}}
 		k.jobs[id] = job
 	}
 	return job
--- a/internal/fake/checker_answers.go
+++ b/internal/fake/checker_answers.go
@@ -27,7 +27,7 @@
 	}
 	request.job = id
 	if method == "POST" && target == protocol.JobsPath {
-		request.job = k.noteSubmission(body)
+		request.job = k.recordSubmission(body)
 	}
 	if cancels {
 		k.job(request.job).cancelSent = true // it may arrive before the submission does
@@ -35,8 +35,8 @@
 	return request
 }
 
-func (k *Checker) noteSubmission(body []byte) string {
-	spec, bad := protocol.ParseSubmission(body)
+func (k *Checker) recordSubmission(body []byte) string {
+	spec, err := protocol.ParseSubmission(body)
 	if spec.ID == "" {
 		return ""
 	}
@@ -44,7 +44,7 @@
 	if !job.submitted {
 		job.submitted, job.spec = true, *spec
 	}
-	job.wellFormed = job.wellFormed || bad == nil
+	job.wellFormed = job.wellFormed || err == nil
 	return job.id
 }
 
--- a/internal/fake/checker_starvation.go
+++ b/internal/fake/checker_starvation.go
@@ -17,26 +17,26 @@
 func (k *Checker) WatchWaiting(freeMachines func() []FreeMachine) {
 	free := freeMachines()
 	for _, id := range k.Accepted() {
-		k.checkWaiting(k.jobs[id], free)
+		k.checkStarvation(k.jobs[id], free)
 	}
-	k.Clock.After(waitCheckInterval, func() { k.WatchWaiting(freeMachines) })
+	k.Clock.After(starvationCheckInterval, func() { k.WatchWaiting(freeMachines) })
 }
 
-func (k *Checker) checkWaiting(job *observedJob, free []FreeMachine) {
+func (k *Checker) checkStarvation(job *observedJob, free []FreeMachine) {
 	now := k.Clock.Now()
 	for i := range job.spec.Tasks {
 		task := taskID(job.id, i)
 		if k.liveAttempts[job.id][task] != nil || k.completedTasks[task] || job.cancelSent ||
 			!k.hasCapacity(job, free) {
-			delete(job.waitingSince, i)
+			delete(job.starvedSince, i)
 			continue
 		}
-		since, waits := job.waitingSince[i]
-		if !waits {
-			job.waitingSince[i] = now
-		} else if now-since >= MaxWaitBesideRoom {
+		since, starved := job.starvedSince[i]
+		if !starved {
+			job.starvedSince[i] = now
+		} else if now-since >= MaxTaskStarvation {
 			k.violate(TaskStarved, "%s", task)
-			job.waitingSince[i] = now
+			job.starvedSince[i] = now
 		}
 	}
 }
--- a/internal/fake/checker_tasks.go
+++ b/internal/fake/checker_tasks.go
@@ -24,7 +24,7 @@
 		k.violate(QuotaExceeded, "team %s uses %v", team, k.usedCPUs[team])
 	}
 	job := k.job(id)
-	k.checkPlace(job, task, machine)
+	k.checkPlacement(job, task, machine)
 	switch {
 	case job.cancelledAt == 0:
 	case k.Clock.Now() > job.cancelledAt+k.CancelWithin:
@@ -68,11 +68,11 @@
 
 // MaxCompletions is the largest number of completions among the tasks of a job.
 func (k *Checker) MaxCompletions(job string) int {
-	most := 0
+	largest := 0
 	for i := range k.job(job).spec.Tasks {
-		most = max(most, k.completions[taskID(job, i)])
+		largest = max(largest, k.completions[taskID(job, i)])
 	}
-	return most
+	return largest
 }
 
 // IsTaskCompleted tells whether a task has completed.
@@ -90,15 +90,15 @@
 	return out
 }
 
-// checkPlace checks where a task starts: against what its job allows, and against where the job's other
+// checkPlacement checks where a task starts: against what its job allows, and against where the job's other
 // tasks are.
-func (k *Checker) checkPlace(job *observedJob, task string, machine *Machine) {
+func (k *Checker) checkPlacement(job *observedJob, task string, machine *Machine) {
 	spec := &job.spec
 	if !job.submitted {
 		return
 	}
 	if !offerAllowed(spec, machine) {
-		k.violate(WrongPlace, "%s starts on %s in %s, spot %v",
+		k.violate(PlacementConstraintViolated, "%s starts on %s in %s, spot %v",
 			task, machine.Type, machine.Zone, machine.Spot)
 	}
 	sameZone, otherZones := 0, 0
@@ -112,10 +112,11 @@
 		}
 	}
 	if spec.OneZone && otherZones > 0 {
-		k.violate(WrongPlace, "%s starts in zone %s beside tasks in another", task, machine.Zone)
+		k.violate(PlacementConstraintViolated, "%s starts in zone %s beside tasks in another", task, machine.Zone)
 	}
 	if spec.Spread && sameZone+1 > maxTasksPerZone(spec) {
-		k.violate(WrongPlace, "%s is the %dth of %d in zone %s", task, sameZone+1, spec.Tasks, machine.Zone)
+		k.violate(PlacementConstraintViolated, "%s is the %dth of %d in zone %s",
+			task, sameZone+1, spec.Tasks, machine.Zone)
 	}
 }
 
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -16,12 +16,12 @@
 	machine, otherMachine *Machine
 }
 
-// submission is a job of two tasks; more, if any, changes it.
-func submission(id string, more func(*protocol.Submission)) []byte {
+// submission is a job of two tasks; modify, if any, changes it.
+func submission(id string, modify func(*protocol.Submission)) []byte {
 	spec := &protocol.Submission{ID: id, Class: "batch", Team: "tight", Priority: protocol.Standard, Tasks: 2,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 0.5, EstimateS: 5}
-	if more != nil {
-		more(spec)
+	if modify != nil {
+		modify(spec)
 	}
 	return protocol.MustMarshal(spec)
 }
@@ -32,7 +32,7 @@
 
 func withoutTasks(spec *protocol.Submission) { spec.Tasks = 0 }
 
-func newCheckerScenario(more func(*protocol.Submission)) *checkerScenario {
+func newCheckerScenario(modify func(*protocol.Submission)) *checkerScenario {
 	sim := NewSimClock(1)
 	s := &checkerScenario{Checker: NewChecker(sim, 30*second), sim: sim,
 		machine: &Machine{
@@ -42,15 +42,15 @@
 		}, otherMachine: &Machine{ID: "i-2", Type: "m8", Zone: "b"}}
 	s.Limits["tight"] = 8
 	sim.Run(second)
-	s.request("POST", protocol.JobsPath, submission("j-1", more), 201, protocol.JobPending)
+	s.request("POST", protocol.JobsPath, submission("j-1", modify), 201, protocol.JobPending)
 	return s
 }
 
 // request has a user ask and be answered a moment later.
 func (d *checkerScenario) request(method, target string, body []byte, status int, state string) {
-	q := d.UserRequest(method, target, body)
+	pending := d.UserRequest(method, target, body)
 	d.sim.Run(second / 10)
-	q.Answered(status, protocol.MustMarshal(&protocol.JobStatusReply{Status: state}))
+	pending.Answered(status, protocol.MustMarshal(&protocol.JobStatusReply{Status: state}))
 	d.sim.Run(second / 10)
 }
 
@@ -58,7 +58,7 @@
 	d.request("GET", protocol.JobPath("j-1"), nil, 200, state)
 }
 
-func (d *checkerScenario) begin(task string, machine *Machine) {
+func (d *checkerScenario) startTask(task string, machine *Machine) {
 	d.TaskStarted(task, machine, "tight", 4)
 }
 
@@ -70,14 +70,14 @@
 // for one.
 func TestCheckerReportsExactlyTheViolations(t *testing.T) {
 	cases := []struct {
-		name string
-		more func(*protocol.Submission)
-		do   func(s *checkerScenario)
-		want Invariant // "": none
+		name   string
+		modify func(*protocol.Submission)
+		do     func(s *checkerScenario)
+		want   Invariant // "": none
 	}{
 		{"a job from start to end", nil, func(s *checkerScenario) {
-			s.begin("j-1/0", s.machine)
-			s.begin("j-1/1", s.otherMachine)
+			s.startTask("j-1/0", s.machine)
+			s.startTask("j-1/1", s.otherMachine)
 			s.poll(protocol.JobRunning)
 			for _, task := range []string{"j-1/0", "j-1/1"} {
 				s.TaskCompleted(task)
@@ -87,50 +87,50 @@
 			s.poll(protocol.JobDone)
 		}, ""},
 		{"moved after its end", nil, func(s *checkerScenario) {
-			s.begin("j-1/0", s.machine)
+			s.startTask("j-1/0", s.machine)
 			s.TaskEnded("j-1/0", s.machine, "tight", 4)
-			s.begin("j-1/0", s.otherMachine)
+			s.startTask("j-1/0", s.otherMachine)
 		}, ""},
 		{
 			"two attempts",
 			nil,
-			func(s *checkerScenario) { s.begin("j-1/0", s.machine); s.begin("j-1/0", s.otherMachine) },
+			func(s *checkerScenario) { s.startTask("j-1/0", s.machine); s.startTask("j-1/0", s.otherMachine) },
 			RanTwice,
 		},
 		{"over the limit", nil, func(s *checkerScenario) {
-			s.begin("j-1/0", s.machine)
-			s.begin("j-1/1", s.machine)
-			s.begin("j-2/0", s.machine)
+			s.startTask("j-1/0", s.machine)
+			s.startTask("j-1/1", s.machine)
+			s.startTask("j-2/0", s.machine)
 		}, QuotaExceeded},
-		{"another zone", inZoneB, func(s *checkerScenario) { s.begin("j-1/0", s.machine) }, WrongPlace},
-		{"another type", onlyM16, func(s *checkerScenario) { s.begin("j-1/0", s.machine) }, WrongPlace},
+		{"another zone", inZoneB, func(s *checkerScenario) { s.startTask("j-1/0", s.machine) }, PlacementConstraintViolated},
+		{"another type", onlyM16, func(s *checkerScenario) { s.startTask("j-1/0", s.machine) }, PlacementConstraintViolated},
 		{
 			"a spot machine",
 			nil,
-			func(s *checkerScenario) { s.machine.Spot = true; s.begin("j-1/0", s.machine) },
-			WrongPlace,
+			func(s *checkerScenario) { s.machine.Spot = true; s.startTask("j-1/0", s.machine) },
+			PlacementConstraintViolated,
 		},
 		{"two zones", func(spec *protocol.Submission) { spec.OneZone = true }, func(s *checkerScenario) {
-			s.begin("j-1/0", s.machine)
-			s.begin("j-1/1", s.otherMachine)
-		}, WrongPlace},
+			s.startTask("j-1/0", s.machine)
+			s.startTask("j-1/1", s.otherMachine)
+		}, PlacementConstraintViolated},
 		{"not apart", func(spec *protocol.Submission) { spec.Spread = true }, func(s *checkerScenario) {
-			s.begin("j-1/0", s.machine)
-			s.begin("j-1/1", s.machine)
-		}, WrongPlace},
+			s.startTask("j-1/0", s.machine)
+			s.startTask("j-1/1", s.machine)
+		}, PlacementConstraintViolated},
 		{"a start in time after a cancellation", nil, func(s *checkerScenario) {
 			s.cancel()
-			s.begin("j-1/0", s.machine)
+			s.startTask("j-1/0", s.machine)
 			s.TaskEnded("j-1/0", s.machine, "tight", 4)
 			s.sim.Run(40 * second)
 		}, ""},
 		{"a start too late after a cancellation", nil, func(s *checkerScenario) {
 			s.cancel()
 			s.sim.Run(31 * second)
-			s.begin("j-1/0", s.machine)
+			s.startTask("j-1/0", s.machine)
 		}, RanCancelled},
 		{"a task stays after a cancellation", nil, func(s *checkerScenario) {
-			s.begin("j-1/0", s.machine)
+			s.startTask("j-1/0", s.machine)
 			s.cancel()
 			s.sim.Run(31 * second)
 		}, RanCancelled},
@@ -141,9 +141,9 @@
 			StaleAnswer,
 		},
 		{"an answer that was on its way", nil, func(s *checkerScenario) {
-			q := s.UserRequest("GET", protocol.JobPath("j-1"), nil)
+			pending := s.UserRequest("GET", protocol.JobPath("j-1"), nil)
 			s.cancel()
-			q.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobRunning}))
+			pending.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobRunning}))
 		}, ""},
 		{
 			"done after cancelled",
@@ -153,9 +153,9 @@
 		},
 		{"cancelled by nobody", nil, func(s *checkerScenario) { s.poll(protocol.JobCancelled) }, StaleAnswer},
 		{"cancelled on the way", nil, func(s *checkerScenario) {
-			q := s.UserRequest("POST", protocol.CancelPath("j-2"), nil)
+			pending := s.UserRequest("POST", protocol.CancelPath("j-2"), nil)
 			s.request("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
-			q.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobCancelled}))
+			pending.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobCancelled}))
 		}, ""},
 		{
 			"done too early",
@@ -189,20 +189,20 @@
 		{
 			"left beside room",
 			nil,
-			func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 64}) },
+			func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 64}) },
 			TaskStarved,
 		},
-		{"no room", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 3, 64}) }, ""},
-		{"no memory", nil, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 7}) }, ""},
-		{"room elsewhere", inZoneB, func(s *checkerScenario) { s.wait(FreeMachine{s.machine, 8, 64}) }, ""},
+		{"no room", nil, func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 3, 64}) }, ""},
+		{"no memory", nil, func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 7}) }, ""},
+		{"room elsewhere", inZoneB, func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 64}) }, ""},
 		{"room, the team at its limit", nil, func(s *checkerScenario) {
 			s.TaskStarted("j-3/0", s.otherMachine, "tight", 8)
-			s.wait(FreeMachine{s.machine, 8, 64})
+			s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 64})
 		}, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			s := newCheckerScenario(tc.more)
+			s := newCheckerScenario(tc.modify)
 			tc.do(s)
 			if tc.want == "" && len(s.Violations) > 0 ||
 				tc.want != "" && (len(s.Violations) == 0 || s.Violations[0].Invariant != tc.want) {
@@ -212,8 +212,8 @@
 	}
 }
 
-// wait lets both tasks wait for two minutes beside a room.
-func (d *checkerScenario) wait(r FreeMachine) {
-	d.WatchWaiting(func() []FreeMachine { return []FreeMachine{r} })
+// waitBesideFreeMachine lets both tasks wait for two minutes beside a room.
+func (d *checkerScenario) waitBesideFreeMachine(free FreeMachine) {
+	d.WatchWaiting(func() []FreeMachine { return []FreeMachine{free} })
 	d.sim.Run(120 * second)
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -72,15 +72,15 @@
 // OfferKey names what capacity is counted by.
 func OfferKey(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
 
-// Call performs a call. back is called once, with a zero result at the call's timeout if the answer is lost.
-func (c *Cloud) Call(call *protocol.CloudCall, back func(protocol.CloudResult)) {
+// Call performs a call. callback is called once, with a zero result at the call's timeout if the answer is lost.
+func (c *Cloud) Call(call *protocol.CloudCall, callback func(protocol.CloudResult)) {
 	c.Clock.After(cloudLatency, func() {
 		result, lost := c.handle(call)
 		if lost {
-			c.Clock.After(call.Timeout, func() { back(protocol.CloudResult{}) })
+			c.Clock.After(call.Timeout, func() { callback(protocol.CloudResult{}) })
 			return
 		}
-		c.Clock.After(cloudLatency, func() { back(result) })
+		c.Clock.After(cloudLatency, func() { callback(result) })
 	})
 }
 
@@ -96,7 +96,7 @@
 	case protocol.CloudCatalog:
 		return protocol.CloudResult{Outcome: protocol.OK, Types: c.Types}, false
 	case protocol.CloudCreateMachines:
-		return c.rent(&call.Create)
+		return c.createMachines(&call.Create)
 	case protocol.CloudDelete:
 		for _, id := range call.Delete {
 			c.RemoveMachine(id)
@@ -108,8 +108,8 @@
 	return protocol.CloudResult{}, false
 }
 
-// rent adds as many machines as there is capacity for; a repeated request gets the machines of the first.
-func (c *Cloud) rent(request *protocol.CreateMachinesRequest) (result protocol.CloudResult, lost bool) {
+// createMachines adds as many machines as there is capacity for; a repeated request gets the machines of the first.
+func (c *Cloud) createMachines(request *protocol.CreateMachinesRequest) (result protocol.CloudResult, lost bool) {
 	if ids, ok := c.RentedByName[request.Name]; ok {
 		c.RepeatedRents++
 		return protocol.CloudResult{Outcome: protocol.OK, Created: ids}, false
--- a/internal/fake/loopback/cloud.go
+++ b/internal/fake/loopback/cloud.go
@@ -14,20 +14,20 @@
 }
 
 func (h *cloudHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call, ok := cloudCall(r)
+	call, ok := parseCloudCall(r)
 	if !ok {
 		writeMessage(w, http.StatusBadRequest, &protocol.ErrorBody{Error: "malformed"})
 		return
 	}
-	answerCall(h.clock, w, r, func(back func(protocol.CloudResult)) { h.cloud.Call(call, back) },
-		func(result *protocol.CloudResult) (int, any) { return cloudAnswer(call, result) })
+	answerCall(h.clock, w, r, func(callback func(protocol.CloudResult)) { h.cloud.Call(call, callback) },
+		func(result *protocol.CloudResult) (int, any) { return cloudResponse(call, result) })
 }
 
 // methodAndPath identifies the operation of a request.
 type methodAndPath struct{ method, path string }
 
-// cloudCall decodes a request into a call.
-func cloudCall(r *http.Request) (*protocol.CloudCall, bool) {
+// parseCloudCall decodes a request into a call.
+func parseCloudCall(r *http.Request) (*protocol.CloudCall, bool) {
 	call := &protocol.CloudCall{Timeout: noTimeout}
 	switch (methodAndPath{r.Method, r.URL.Path}) {
 	case methodAndPath{"GET", protocol.CatalogPath}:
@@ -49,8 +49,8 @@
 	return nil, false
 }
 
-// cloudAnswer is the response for a call's result.
-func cloudAnswer(call *protocol.CloudCall, result *protocol.CloudResult) (status int, body any) {
+// cloudResponse is the response for a call's result.
+func cloudResponse(call *protocol.CloudCall, result *protocol.CloudResult) (status int, body any) {
 	switch result.Outcome {
 	case protocol.NoCapacity:
 		return http.StatusServiceUnavailable, &protocol.ErrorBody{Error: protocol.NoCapacityReason}
--- a/internal/fake/loopback/conformance_test.go
+++ b/internal/fake/loopback/conformance_test.go
@@ -119,19 +119,19 @@
 
 // callStep is a call with the answer that the protocol asks for.
 type callStep struct {
-	what        string
+	name        string
 	call        *protocol.StoreCall
 	wantSummary string
 	advanceBy   monotime.Micros // time to pass before
 	down        int             // 1: an outage begins before, 2: it ends
 }
 
-// conformance is the protocol of the state service, call by call.
-var conformance = []callStep{
-	{what: "a key that isn't there", call: get("a/1"), wantSummary: "not found revision 0"},
-	{what: "a list of nothing", call: list("a/", "", 10), wantSummary: "ok revision 0"},
+// conformanceSteps is the protocol of the state service, call by call.
+var conformanceSteps = []callStep{
+	{name: "a key that isn't there", call: get("a/1"), wantSummary: "not found revision 0"},
+	{name: "a list of nothing", call: list("a/", "", 10), wantSummary: "ok revision 0"},
 	{
-		what: "creating two keys",
+		name: "creating two keys",
 		call: commit(
 			protocol.Transaction{
 				If:   []protocol.Compare{{Key: "a/1"}},
@@ -141,7 +141,7 @@
 		wantSummary: "ok revision 1 failed [] more false",
 	},
 	{
-		what: "creating one that is there",
+		name: "creating one that is there",
 		call: commit(
 			protocol.Transaction{
 				If:   []protocol.Compare{{Key: "a/1"}, {Key: "a/3"}},
@@ -151,12 +151,12 @@
 		wantSummary: "conflict revision 1 failed [a/1] more false",
 	},
 	{
-		what:        "reading",
+		name:        "reading",
 		call:        get("a/1"),
 		wantSummary: "ok revision 0 failed [] more false item a/1@1 lease 0 a178",
 	},
 	{
-		what: "a condition on the version",
+		name: "a condition on the version",
 		call: commit(
 			protocol.Transaction{
 				If:   []protocol.Compare{{Key: "a/1", Version: 1}},
@@ -166,42 +166,42 @@
 		wantSummary: "ok revision 2 failed [] more false",
 	},
 	{
-		what:        "comparing alone",
+		name:        "comparing alone",
 		call:        commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1", Version: 2}}}),
 		wantSummary: "ok revision 2 failed [] more false",
 	},
 	{
-		what:        "the first part of a list",
+		name:        "the first part of a list",
 		call:        list("a/", "", 1),
 		wantSummary: "ok revision 2 failed [] more true a/1@2",
 	},
 	{
-		what:        "the next part of a list",
+		name:        "the next part of a list",
 		call:        list("a/", "a/1", 1),
 		wantSummary: "ok revision 2 failed [] more false a/2@1",
 	},
 	{
-		what:        "changes since a revision",
+		name:        "changes since a revision",
 		call:        watch("a/", 1, 0),
 		wantSummary: "ok revision 2 failed [] more false +a/1-@2",
 	},
 	{
-		what:        "no changes in time",
+		name:        "no changes in time",
 		call:        watch("a/", 2, 100*monotime.Millisecond),
 		wantSummary: "ok revision 2 failed [] more false",
 	},
 	{
-		what:        "a deletion",
+		name:        "a deletion",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{{Delete: "a/2"}}}),
 		wantSummary: "ok revision 3 failed [] more false",
 	},
 	{
-		what:        "the deletion is seen",
+		name:        "the deletion is seen",
 		call:        watch("a/", 2, 0),
 		wantSummary: "ok revision 3 failed [] more false +-a/2@3",
 	},
 	{
-		what: "too many changes",
+		name: "too many changes",
 		call: commit(
 			protocol.Transaction{
 				Then: []protocol.Op{
@@ -216,19 +216,19 @@
 		wantSummary: "rejected",
 	},
 	{
-		what: "a large value",
+		name: "a large value",
 		call: commit(
 			protocol.Transaction{Then: []protocol.Op{put("b/1", strings.Repeat("x", 9000), 0)}},
 		),
 		wantSummary: "ok revision 4 failed [] more false",
 	},
 	{
-		what:        "a large answer",
+		name:        "a large answer",
 		call:        list("b/", "", 10),
 		wantSummary: "ok revision 4 failed [] more false b/1@4",
 	},
 	{
-		what: "a lease",
+		name: "a lease",
 		call: &protocol.StoreCall{
 			Op:      protocol.StoreGrantLease,
 			TTL:     5 * monotime.Second,
@@ -237,57 +237,57 @@
 		wantSummary: "ok revision 0 failed [] more false lease 1",
 	},
 	{
-		what:        "a key with a lease",
+		name:        "a key with a lease",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{put("l/1", "x", 1)}}),
 		wantSummary: "ok revision 5 failed [] more false",
 	},
 	{
-		what:        "a lease that there isn't",
+		name:        "a lease that there isn't",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{put("l/2", "x", 9)}}),
 		wantSummary: "rejected",
 	},
 	{
-		what:        "a renewal",
+		name:        "a renewal",
 		call:        &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second},
 		advanceBy:   3 * monotime.Second,
 		wantSummary: "ok",
 	},
 	{
-		what:        "the key stays",
+		name:        "the key stays",
 		call:        get("l/1"),
 		advanceBy:   3 * monotime.Second,
 		wantSummary: "ok revision 0 failed [] more false item l/1@5 lease 1 a178",
 	},
 	{
-		what:        "the key goes with its lease",
+		name:        "the key goes with its lease",
 		call:        get("l/1"),
 		advanceBy:   4 * monotime.Second,
 		wantSummary: "not found",
 	},
 	{
-		what:        "its end is a change",
+		name:        "its end is a change",
 		call:        watch("l/", 5, 0),
 		wantSummary: "ok revision 6 failed [] more false +-l/1@6",
 	},
 	{
-		what:        "a lease that has ended",
+		name:        "a lease that has ended",
 		call:        &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second},
 		wantSummary: "not found",
 	},
-	{what: "an outage", call: get("a/1"), down: 1, wantSummary: "unavailable"},
+	{name: "an outage", call: get("a/1"), down: 1, wantSummary: "unavailable"},
 	{
-		what:        "a commit in an outage",
+		name:        "a commit in an outage",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{put("a/9", "x", 0)}}),
 		wantSummary: "unavailable",
 	},
-	{what: "after the outage", call: get("a/9"), down: 2, wantSummary: "not found"},
+	{name: "after the outage", call: get("a/9"), down: 2, wantSummary: "not found"},
 }
 
 // TestStateServicesConformToProtocol: the simulated state service and the one on loopback answer alike, and
 // as the protocol says.
 func TestStateServicesConformToProtocol(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
-		for _, s := range conformance {
+		for _, s := range conformanceSteps {
 			if s.advanceBy > 0 {
 				service.advance(s.advanceBy)
 			}
@@ -296,7 +296,7 @@
 			}
 			got := resultSummary(service.call(s.call))
 			if len(got) < len(s.wantSummary) || got[:len(s.wantSummary)] != s.wantSummary {
-				t.Errorf("%s, %s:\n got  %s\n want %s", service.name, s.what, got, s.wantSummary)
+				t.Errorf("%s, %s:\n got  %s\n want %s", service.name, s.name, got, s.wantSummary)
 			}
 		}
 	}
--- a/internal/fake/loopback/deployment.go
+++ b/internal/fake/loopback/deployment.go
@@ -175,7 +175,7 @@
 		d.t.Fatal(err)
 	}
 	defer log.Close()
-	if err := d.processes[node].start(log, d.options.Binary, d.arguments(node)...); err != nil {
+	if err := d.processes[node].start(log, d.options.Binary, d.configFlags(node)...); err != nil {
 		d.t.Fatal(err)
 	}
 }
--- a/internal/fake/loopback/deployment_config.go
+++ b/internal/fake/loopback/deployment_config.go
@@ -23,8 +23,8 @@
 // operatorCaller is the caller that operators' commands are to the state service.
 const operatorCaller = "operator"
 
-// arguments are the flags that name a caller's settings files.
-func (d *Deployment) arguments(caller string) []string {
+// configFlags are the flags that name a caller's settings files.
+func (d *Deployment) configFlags(caller string) []string {
 	args := []string{"--config", d.writeConfig(caller)}
 	for _, path := range d.options.Settings {
 		args = append(args, "--settings", path)
--- a/internal/fake/loopback/deployment_requests.go
+++ b/internal/fake/loopback/deployment_requests.go
@@ -13,7 +13,7 @@
 // RunCommand runs an operator's command and returns what it printed and its exit status.
 func (d *Deployment) RunCommand(args ...string) (output string, status int) {
 	d.t.Helper()
-	cmd := exec.Command(d.options.Binary, append(args, d.arguments(operatorCaller)...)...)
+	cmd := exec.Command(d.options.Binary, append(args, d.configFlags(operatorCaller)...)...)
 	var out, errs bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &errs
 	err := cmd.Run()
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -21,7 +21,7 @@
 )
 
 var (
-	longForm = flag.Bool(
+	longTest = flag.Bool(
 		"long",
 		false,
 		"play the long form: more workers, several drains, random faults",
@@ -39,7 +39,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if os.Getenv(abruptEnv) != "" {
+	if os.Getenv(killedChildEnv) != "" {
 		os.Exit(m.Run())
 	}
 	folder, err := os.MkdirTemp("", "pipitgap")
@@ -79,7 +79,7 @@
     - {team: intake, min_available: 50%}
     - {team: payout, max_unavailable: 12}
 `
-	atOnce = `
+	unlimitedBudgets = `
 scale_down_delay: 4s
 drains:
   max_parallel: 1000
@@ -133,8 +133,8 @@
 	return &drainScenario{Services: NewServices(t, 1, options, teams), t: t}
 }
 
-// checkFloors checks every sample, and the invariants.
-func (d *drainScenario) checkFloors() {
+// checkMinAvailable checks every sample, and the invariants.
+func (d *drainScenario) checkMinAvailable() {
 	d.t.Helper()
 	for _, team := range d.Teams {
 		samples := d.Samples(team.Team)
@@ -142,22 +142,22 @@
 			d.t.Errorf("%s: only %d samples", team.Team, len(samples))
 			continue
 		}
-		low := slices.Min(samples)
+		lowest := slices.Min(samples)
 		d.t.Logf(
 			"%s: %d samples, lowest %d of %d, floor %d",
 			team.Team,
 			len(samples),
-			low,
+			lowest,
 			team.Services*team.Replicas,
 			team.MinAvailable,
 		)
-		if low < team.MinAvailable {
-			d.t.Errorf("%s ran %d, its floor is %d: %v", team.Team, low, team.MinAvailable, samples)
+		if lowest < team.MinAvailable {
+			d.t.Errorf("%s ran %d, its floor is %d: %v", team.Team, lowest, team.MinAvailable, samples)
 		}
 	}
 	d.Clock.Do(func() {
-		for _, broken := range d.Checker.Violations {
-			d.t.Error(broken)
+		for _, violation := range d.Checker.Violations {
+			d.t.Error(violation)
 		}
 	})
 }
@@ -210,8 +210,8 @@
 		60*time.Second,
 		func() bool { return s.Cloud.MachineCount() > 0 && s.MachinesGoneInZone("a") >= machines/3 },
 	)
-	second := s.MachinesRunning("payout", "b", 4)
-	s.mustRun(0, append([]string{"start", "payout-machines", "--replace", "--at-once"}, byName(second)...)...)
+	payoutMachines := s.MachinesRunning("payout", "b", 4)
+	s.mustRun(0, append([]string{"start", "payout-machines", "--replace", "--at-once"}, machineFlags(payoutMachines)...)...)
 	if dying := s.MachinesRunning("intake", "b", 1); len(dying) == 1 {
 		s.Clock.Do(func() { s.Cloud.RemoveMachine(dying[0]) })
 	}
@@ -228,12 +228,12 @@
 	if got := s.progress("rack").State; got != storage.DrainDrained {
 		t.Errorf("rack is %s", got)
 	}
-	moved, most := s.Restarts()
-	t.Logf("%d machines of the zone; %d restarts, at most %d of a replica", machines, moved, most)
-	s.checkFloors()
+	restarts, maxPerReplica := s.Restarts()
+	t.Logf("%d machines of the zone; %d restarts, at most %d of a replica", machines, restarts, maxPerReplica)
+	s.checkMinAvailable()
 }
 
-func byName(machines []string) []string {
+func machineFlags(machines []string) []string {
 	var args []string
 	for _, id := range machines {
 		args = append(args, "--machine", id)
@@ -241,11 +241,11 @@
 	return args
 }
 
-// TestDrainCommandsReportStatesAndMistakes: what operators see of a drain, also of mistaken and repeated
+// TestDrainCommandsReportStatesAndErrors: what operators see of a drain, also of mistaken and repeated
 // commands.
-func TestDrainCommandsReportStatesAndMistakes(t *testing.T) {
+func TestDrainCommandsReportStatesAndErrors(t *testing.T) {
 	s := newDrainScenario(t, looseBudgets, []TeamServices{{"intake", 2, 8, 8}, {"payout", 2, 8, 4}})
-	zone := len(s.MachinesInZone("a"))
+	machines := len(s.MachinesInZone("a"))
 
 	// The records say a few seconds later that the replicas run.
 	ready := func() bool { return s.availability("intake") == 16 && s.availability("payout") == 16 }
@@ -255,7 +255,7 @@
 	var started operator.StartResult
 	out := s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--dry-run", "--json")
 	err := json.Unmarshal([]byte(out), &started)
-	if err != nil || started.Plan == nil || len(started.Plan.Machines) != zone ||
+	if err != nil || started.Plan == nil || len(started.Plan.Machines) != machines ||
 		len(started.Plan.Steps) == 0 ||
 		len(started.Plan.Blocked) > 0 {
 		t.Errorf("dry run: %v %s", err, out)
@@ -277,7 +277,7 @@
 	s.mustRun(4, "start", "other", "--type", "m8")
 	s.mustRun(0, "pause", "rack")
 	s.mustRun(0, "pause", "rack")
-	if p := s.progress("rack"); p.State != storage.DrainPaused || len(p.Machines) != zone {
+	if p := s.progress("rack"); p.State != storage.DrainPaused || len(p.Machines) != machines {
 		t.Errorf("paused: %+v", p)
 	}
 	s.mustRun(0, "resume", "rack")
@@ -302,7 +302,7 @@
 	s.Clock.Do(func() { s.Store.Down = true })
 	s.mustRun(5, "list")
 	s.Clock.Do(func() { s.Store.Down = false })
-	s.checkFloors()
+	s.checkMinAvailable()
 }
 
 // availability asks how many replicas of a team count as available.
@@ -325,36 +325,36 @@
 
 // TestRepeatedDrainsKeepBudgets is the long form: rounds of drains, each with faults at random.
 func TestRepeatedDrainsKeepBudgets(t *testing.T) {
-	if !*longForm {
+	if !*longTest {
 		t.Skip("only with -long")
 	}
 	settings := budgets
 	if *withoutBudgets {
-		settings = atOnce
+		settings = unlimitedBudgets
 	}
 	s := newDrainScenario(t, settings, longTeams)
-	rnd := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
+	rng := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
 	for round := range *longRounds {
 		zone := []string{"a", "b"}[round%2]
 		name := fmt.Sprintf("round-%d", round)
-		machines, changes, begun := len(s.MachinesInZone(zone)), s.StoreChanges(), time.Now()
-		movedBefore, _ := s.Restarts()
+		machines, changes, startedAt := len(s.MachinesInZone(zone)), s.StoreChanges(), time.Now()
+		restartsBefore, _ := s.Restarts()
 		s.mustRun(0, "start", name, "--zone", zone, "--replace")
 		if !*withoutBudgets {
-			s.randomFault(rnd)
+			s.randomFault(rng)
 		}
 		s.waitFor(name, 400*time.Second)
 		s.mustRun(0, "abort", name)
 		if !s.Eventually(60*time.Second, s.AllRunning) {
 			t.Errorf("running %v", s.Running())
 		}
-		moved, _ := s.Restarts()
+		restarts, _ := s.Restarts()
 		t.Logf(
 			"%s: %d machines, %d restarts, %.0f s, %d changes of the state service",
 			name,
 			machines,
-			moved-movedBefore,
-			time.Since(begun).Seconds(),
+			restarts-restartsBefore,
+			time.Since(startedAt).Seconds(),
 			s.StoreChanges()-changes,
 		)
 		time.Sleep(5 * time.Second)
@@ -364,14 +364,14 @@
 			s.Teams[i].MinAvailable = 0
 		}
 	}
-	s.checkFloors()
+	s.checkMinAvailable()
 }
 
 // randomFault has something happen at a random moment of a drain.
-func (d *drainScenario) randomFault(rnd *rand.Rand) {
-	time.Sleep(time.Duration(rnd.Int64N(int64(10 * time.Second))))
-	node := d.Controllers[rnd.IntN(len(d.Controllers))]
-	switch rnd.IntN(5) {
+func (d *drainScenario) randomFault(rng *rand.Rand) {
+	time.Sleep(time.Duration(rng.Int64N(int64(10 * time.Second))))
+	node := d.Controllers[rng.IntN(len(d.Controllers))]
+	switch rng.IntN(5) {
 	case 0:
 		d.t.Logf("%s is killed", node)
 		d.Process(node).Kill()
--- a/internal/fake/loopback/process_cleanup_test.go
+++ b/internal/fake/loopback/process_cleanup_test.go
@@ -15,15 +15,15 @@
 	"pipitgap/internal/protocol"
 )
 
-// abruptEnv names the program that the abrupt child is to start controllers of.
-const abruptEnv = "PIPITGAP_TEST_ABRUPT"
+// killedChildEnv names the program that the abrupt child is to start controllers of.
+const killedChildEnv = "PIPITGAP_TEST_ABRUPT"
 
 // pidPrefix stands before a controller's process id in the child's output.
 const pidPrefix = "controller "
 
 // TestAbruptlyKilledChildProcess is run as a process of its own: it starts controllers and is killed.
 func TestAbruptlyKilledChildProcess(t *testing.T) {
-	program := os.Getenv(abruptEnv)
+	program := os.Getenv(killedChildEnv)
 	if program == "" {
 		t.Skip("only as a child of TestControllersEndWithTestProcess")
 	}
@@ -58,7 +58,7 @@
 // TestControllersEndWithTestProcess: controllers end with the test's process, even if that is killed.
 func TestControllersEndWithTestProcess(t *testing.T) {
 	child := exec.Command(os.Args[0], "-test.run", "^TestAbruptlyKilledChildProcess$")
-	child.Env = append(os.Environ(), abruptEnv+"="+binary)
+	child.Env = append(os.Environ(), killedChildEnv+"="+binary)
 	out, err := child.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fake/loopback/server.go
+++ b/internal/fake/loopback/server.go
@@ -124,18 +124,18 @@
 }
 
 // asyncCall is a call of a fake that answers by calling back on the simulation.
-type asyncCall[Result any] func(back func(Result))
+type asyncCall[Result any] func(callback func(Result))
 
 // answerCall makes a call on the simulation and writes its answer, unless the client has gone.
 func answerCall[Result any](
 	clock *RealTimeClock, w http.ResponseWriter, r *http.Request,
-	begin asyncCall[Result], answer func(*Result) (status int, body any),
+	start asyncCall[Result], toResponse func(*Result) (status int, body any),
 ) {
-	answered := newAnswer[Result]()
-	clock.Do(func() { begin(answered.put) })
+	answered := newPendingAnswer[Result]()
+	clock.Do(func() { start(answered.put) })
 	select {
 	case result := <-answered:
-		status, body := answer(&result)
+		status, body := toResponse(&result)
 		writeMessage(w, status, body)
 	case <-r.Context().Done():
 	}
@@ -144,6 +144,6 @@
 // pendingAnswer holds the answer of a call until it is written.
 type pendingAnswer[Result any] chan Result
 
-func newAnswer[Result any]() pendingAnswer[Result] { return make(pendingAnswer[Result], 1) }
+func newPendingAnswer[Result any]() pendingAnswer[Result] { return make(pendingAnswer[Result], 1) }
 
 func (a pendingAnswer[Result]) put(r Result) { a <- r }
--- a/internal/fake/loopback/services_state.go
+++ b/internal/fake/loopback/services_state.go
@@ -57,15 +57,15 @@
 }
 
 // MachinesRunning lists machines of a zone that run replicas of a team, at most so many.
-func (s *Services) MachinesRunning(team, zone string, most int) []string {
+func (s *Services) MachinesRunning(team, zone string, limit int) []string {
 	var out []string
 	s.Clock.Do(func() {
 		for id, w := range s.Fleet.Workers {
 			if w.Machine.Gone || w.Machine.Zone != zone {
 				continue
 			}
-			for task, held := range w.Attempts {
-				if s.Fleet.Jobs[task[:len("j-000000")]].Team == team && held.State == protocol.StateRunning {
+			for task, attempt := range w.Attempts {
+				if s.Fleet.Jobs[task[:len("j-000000")]].Team == team && attempt.State == protocol.StateRunning {
 					out = append(out, id)
 					break
 				}
@@ -73,20 +73,20 @@
 		}
 	})
 	slices.Sort(out)
-	return out[:min(most, len(out))]
+	return out[:min(limit, len(out))]
 }
 
 // Leader is the leader by the record in the state service.
 func (s *Services) Leader() string {
-	var lead storage.Leader
-	s.Clock.Do(func() { s.Store.Read(storage.LeaderKey, &lead) })
-	return lead.Node
+	var leader storage.Leader
+	s.Clock.Do(func() { s.Store.Read(storage.LeaderKey, &leader) })
+	return leader.Node
 }
 
 // Restarts counts the starts of replicas beyond each one's first: of all, and the most of one.
-func (s *Services) Restarts() (all, most int) {
-	s.Clock.Do(func() { all, most = s.Fleet.Restarts(s.replicas) })
-	return all, most
+func (s *Services) Restarts() (total, maxPerReplica int) {
+	s.Clock.Do(func() { total, maxPerReplica = s.Fleet.Restarts(s.replicas) })
+	return total, maxPerReplica
 }
 
 // StoreChanges counts the changes of the state service so far.
--- a/internal/fake/loopback/state_service.go
+++ b/internal/fake/loopback/state_service.go
@@ -35,17 +35,17 @@
 const noTimeout = 10 * monotime.Minute
 
 func (h *stateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call, ok := stateCall(r)
+	call, ok := parseStateCall(r)
 	if !ok {
 		writeMessage(w, http.StatusBadRequest, &protocol.ErrorBody{Error: "malformed"})
 		return
 	}
-	answerCall(h.clock, w, r, func(back func(protocol.StoreResult)) { h.store.Call(h.caller, call, back) },
-		func(result *protocol.StoreResult) (int, any) { return stateAnswer(call, result) })
+	answerCall(h.clock, w, r, func(callback func(protocol.StoreResult)) { h.store.Call(h.caller, call, callback) },
+		func(result *protocol.StoreResult) (int, any) { return stateResponse(call, result) })
 }
 
-// stateCall decodes a request into a call.
-func stateCall(r *http.Request) (*protocol.StoreCall, bool) {
+// parseStateCall decodes a request into a call.
+func parseStateCall(r *http.Request) (*protocol.StoreCall, bool) {
 	call := &protocol.StoreCall{Timeout: noTimeout}
 	query := r.URL.Query()
 	path := r.URL.Path
@@ -94,8 +94,8 @@
 	protocol.Unavailable: http.StatusServiceUnavailable,
 }
 
-// stateAnswer is the response for a call's result.
-func stateAnswer(call *protocol.StoreCall, result *protocol.StoreResult) (status int, body any) {
+// stateResponse is the response for a call's result.
+func stateResponse(call *protocol.StoreCall, result *protocol.StoreResult) (status int, body any) {
 	status = httpStatus[result.Outcome]
 	if result.Outcome != protocol.OK && result.Outcome != protocol.Conflict {
 		return status, &protocol.ErrorBody{Error: result.Outcome.String()}
--- a/internal/fake/loopback/workers.go
+++ b/internal/fake/loopback/workers.go
@@ -88,17 +88,17 @@
 	_ *fake.Worker,
 	node string,
 	body []byte,
-	back func(status int, reply []byte),
+	callback func(status int, reply []byte),
 ) {
 	client := s.client(node)
 	go func() {
 		message, err := client.Do("POST", protocol.HeartbeatPath, body, heartbeatTimeout)
 		s.clock.Do(func() {
 			if err != nil {
-				back(0, nil)
+				callback(0, nil)
 				return
 			}
-			back(message.Status, message.Body)
+			callback(message.Status, message.Body)
 		})
 	}()
 }
--- a/internal/fake/state_store.go
+++ b/internal/fake/state_store.go
@@ -23,7 +23,7 @@
 	leases            map[uint64]*lease
 	lastLeaseID       uint64
 	watches           []*watch
-	readTokens        float64
+	callTokens        float64
 	writeTokens       float64
 	refilledAt        monotime.Micros
 }
@@ -72,7 +72,7 @@
 		},
 		keyValues:   map[string]protocol.KeyValue{},
 		leases:      map[uint64]*lease{},
-		readTokens:  rps,
+		callTokens:  rps,
 		writeTokens: writeRPS,
 	}
 	s.expireLeases()
@@ -94,26 +94,26 @@
 	now := s.Clock.Now()
 	elapsed := (now - s.refilledAt).Seconds()
 	s.refilledAt = now
-	s.readTokens = min(s.RPS, s.readTokens+elapsed*s.RPS)
+	s.callTokens = min(s.RPS, s.callTokens+elapsed*s.RPS)
 	s.writeTokens = min(s.WriteRPS, s.writeTokens+elapsed*s.WriteRPS)
-	if s.readTokens < 1 || writes > 0 && s.writeTokens < float64(writes) {
+	if s.callTokens < 1 || writes > 0 && s.writeTokens < float64(writes) {
 		s.Throttled++
 		return false
 	}
-	s.readTokens--
+	s.callTokens--
 	s.writeTokens -= float64(writes)
 	return true
 }
 
-// Call performs a call for a caller. back is called once, with a zero result if no answer comes within the
+// Call performs a call for a caller. callback is called once, with a zero result if no answer comes within the
 // call's timeout.
-func (s *StateStore) Call(caller string, c *protocol.StoreCall, back func(protocol.StoreResult)) {
+func (s *StateStore) Call(caller string, c *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	call := *c
 	answered := false
 	answer := func(result protocol.StoreResult) {
 		if !answered {
 			answered = true
-			s.Clock.After(serviceLatency, func() { back(result) })
+			s.Clock.After(serviceLatency, func() { callback(result) })
 		}
 	}
 	s.Clock.After(call.Timeout, func() { answer(protocol.StoreResult{}) })
--- a/internal/fake/state_store_commits.go
+++ b/internal/fake/state_store_commits.go
@@ -20,15 +20,15 @@
 
 // commit applies a transaction if all of its comparisons hold.
 func (s *StateStore) commit(txn *protocol.Transaction) protocol.StoreResult {
-	if !s.acceptable(txn) {
+	if !s.isValid(txn) {
 		return protocol.StoreResult{Outcome: protocol.Rejected}
 	}
-	if failed := s.failedComparisons(txn); len(failed) > 0 {
+	if failedKeys := s.failedComparisons(txn); len(failedKeys) > 0 {
 		s.Conflicts++
-		for _, key := range failed {
+		for _, key := range failedKeys {
 			s.ChangesByKind["!"+recordKind(key)]++
 		}
-		return protocol.StoreResult{Outcome: protocol.Conflict, Revision: s.Revision, Failed: failed}
+		return protocol.StoreResult{Outcome: protocol.Conflict, Revision: s.Revision, Failed: failedKeys}
 	}
 	if len(txn.Then) > 0 {
 		s.Revision++
@@ -42,8 +42,8 @@
 	return protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
 }
 
-// acceptable tells whether a transaction is within the limits and names only leases that exist.
-func (s *StateStore) acceptable(txn *protocol.Transaction) bool {
+// isValid tells whether a transaction is within the limits and names only leases that exist.
+func (s *StateStore) isValid(txn *protocol.Transaction) bool {
 	if len(txn.Then) > s.MaxTransactionOps || len(txn.If) > 4*s.MaxTransactionOps {
 		return false
 	}
@@ -56,13 +56,13 @@
 }
 
 func (s *StateStore) failedComparisons(txn *protocol.Transaction) []string {
-	var failed []string
+	var failedKeys []string
 	for _, compare := range txn.If {
 		if s.keyValues[compare.Key].Version != compare.Version {
-			failed = append(failed, compare.Key)
+			failedKeys = append(failedKeys, compare.Key)
 		}
 	}
-	return failed
+	return failedKeys
 }
 
 // apply performs an operation at the present revision.
--- a/internal/fake/state_store_leases.go
+++ b/internal/fake/state_store_leases.go
@@ -7,8 +7,8 @@
 	"pipitgap/internal/protocol"
 )
 
-// leaseCheckInterval is how often the store looks for leases that have expired.
-const leaseCheckInterval = 50 * monotime.Millisecond
+// storeLeaseCheckInterval is how often the store looks for leases that have expired.
+const storeLeaseCheckInterval = 50 * monotime.Millisecond
 
 type lease struct {
 	ttl       monotime.Micros
@@ -46,7 +46,7 @@
 			}
 		}
 	}
-	s.Clock.After(leaseCheckInterval, s.expireLeases)
+	s.Clock.After(storeLeaseCheckInterval, s.expireLeases)
 }
 
 func (s *StateStore) dropLease(id uint64) {
--- a/internal/fake/state_store_watches.go
+++ b/internal/fake/state_store_watches.go
@@ -73,13 +73,13 @@
 	if s.Down {
 		return
 	}
-	var left []*watch
+	var unanswered []*watch
 	for _, waiting := range s.watches {
 		if !s.answerWatch(waiting, false) {
-			left = append(left, waiting)
+			unanswered = append(unanswered, waiting)
 		}
 	}
-	s.watches = left
+	s.watches = unanswered
 }
 
 // compact drops the oldest changes beyond the history that is kept.
--- a/internal/fake/stubs/commits.go
+++ b/internal/fake/stubs/commits.go
@@ -42,12 +42,12 @@
 }
 
 // Only returns the one commit that a test wants to be held, or none; the test fails if more or fewer are.
-func (h *HeldCommits) Only(t testing.TB, wanted bool) (commit Commit, ok bool) {
+func (h *HeldCommits) Only(t testing.TB, wantCommit bool) (commit Commit, ok bool) {
 	t.Helper()
-	if held := len(h.Commits); held > 1 || (held == 1) != wanted {
-		t.Fatalf("%d commits, want one: %t; they are %+v", held, wanted, h.Commits)
+	if held := len(h.Commits); held > 1 || (held == 1) != wantCommit {
+		t.Fatalf("%d commits, want one: %t; they are %+v", held, wantCommit, h.Commits)
 	}
-	if !wanted {
+	if !wantCommit {
 		return Commit{}, false
 	}
 	return h.Commits[0], true
--- a/internal/fake/stubs/commits_test.go
+++ b/internal/fake/stubs/commits_test.go
@@ -9,7 +9,7 @@
 	"pipitgap/internal/storage"
 )
 
-func TestHeldCommitsComeOldestFirst(t *testing.T) {
+func TestHeldCommitsReturnOldestFirst(t *testing.T) {
 	var held HeldCommits
 	var answered []uint64
 	answer := func(result protocol.StoreResult) { answered = append(answered, result.Revision) }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -2,8 +2,8 @@
 
 import "pipitgap/internal/monotime"
 
-// leaseCheckPeriod is how often a worker looks whether its lease has expired.
-const leaseCheckPeriod = 100 * monotime.Millisecond
+// workerLeaseCheckInterval is how often a worker looks whether its lease has expired.
+const workerLeaseCheckInterval = 100 * monotime.Millisecond
 
 // Worker is the worker of one machine.
 type Worker struct {
@@ -42,7 +42,7 @@
 		w.Sequence = 0
 		w.leaseRenewedAt = w.fleet.Clock.Now()
 	}
-	w.fleet.Clock.After(leaseCheckPeriod, w.watchLease)
+	w.fleet.Clock.After(workerLeaseCheckInterval, w.watchLease)
 }
 
 // Pause suspends a machine for a while: it neither reports nor executes, and its lease runs on. Commands that
--- a/internal/fake/worker_attempts.go
+++ b/internal/fake/worker_attempts.go
@@ -34,7 +34,7 @@
 	if request.FencingToken < w.FencingToken || request.Incarnation != w.Incarnation {
 		return protocol.CommandResult{Status: http.StatusConflict, Heartbeat: *w.Heartbeat()}
 	}
-	w.noteToken(request.FencingToken)
+	w.adoptToken(request.FencingToken)
 	w.execute(request.Commands)
 	return protocol.CommandResult{Status: http.StatusOK, Heartbeat: *w.Heartbeat()}
 }
@@ -42,7 +42,7 @@
 func (w *Worker) execute(commands []protocol.Command) {
 	for _, command := range commands {
 		attempt := w.Attempts[command.Task]
-		named := attempt != nil && attempt.Number == command.Attempt
+		attemptMatches := attempt != nil && attempt.Number == command.Attempt
 		switch command.Op {
 		case protocol.CmdRun:
 			// The protocol keeps an attempt and a later one that was rejected; one is enough here.
@@ -50,11 +50,11 @@
 				w.run(command)
 			}
 		case protocol.CmdKill:
-			if named {
+			if attemptMatches {
 				w.stop(command.Task, attempt, w.fleet.Jobs[jobOf(command.Task)])
 			}
 		case protocol.CmdReap:
-			if named && attempt.State == protocol.StateExited {
+			if attemptMatches && attempt.State == protocol.StateExited {
 				delete(w.Attempts, command.Task)
 				w.heartbeatSoon()
 			}
@@ -103,8 +103,8 @@
 	attempt.State = protocol.StateRunning
 	w.taskStarted(task)
 	runTime := job.RunTime
-	if own, set := f.TaskRunTime[task]; set {
-		runTime = own
+	if override, ok := f.TaskRunTime[task]; ok {
+		runTime = override
 	}
 	if w.FailsTasks || job.Fails {
 		runTime = failureTime
--- a/internal/fake/worker_fleet.go
+++ b/internal/fake/worker_fleet.go
@@ -31,8 +31,8 @@
 	Jobs              map[string]JobBehavior
 	TaskRunTime       map[string]monotime.Micros // tasks that run for another time than their job's others
 
-	// SendHeartbeat carries a heartbeat to a controller; back gets status 0 for no response.
-	SendHeartbeat func(w *Worker, node string, body []byte, back func(status int, reply []byte))
+	// SendHeartbeat carries a heartbeat to a controller; callback gets status 0 for no response.
+	SendHeartbeat func(w *Worker, node string, body []byte, callback func(status int, reply []byte))
 	// OnStop, if set, is called for every running task that is stopped by a command, just after.
 	OnStop func(task string, w *Worker)
 
@@ -106,15 +106,15 @@
 
 // Restarts counts the starts of tasks beyond each one's first: of all tasks, and the most of one task. tasks
 // has the number of tasks by job.
-func (f *WorkerFleet) Restarts(tasks map[string]int) (all, most int) {
+func (f *WorkerFleet) Restarts(tasks map[string]int) (total, maxPerTask int) {
 	for job, count := range tasks {
 		for i := range count {
 			restarts := f.Starts[taskID(job, i)] - 1
-			all += restarts
-			most = max(most, restarts)
+			total += restarts
+			maxPerTask = max(maxPerTask, restarts)
 		}
 	}
-	return all, most
+	return total, maxPerTask
 }
 
 // Running counts the tasks of a job that are on machines now.
--- a/internal/fake/worker_heartbeats.go
+++ b/internal/fake/worker_heartbeats.go
@@ -113,7 +113,7 @@
 		return
 	}
 	w.leaseRenewedAt = sentAt
-	w.noteToken(message.FencingToken)
+	w.adoptToken(message.FencingToken)
 	w.execute(message.Commands)
 }
 
@@ -130,8 +130,8 @@
 	return true
 }
 
-// noteToken takes a newer fencing token and acknowledges it by a heartbeat.
-func (w *Worker) noteToken(token uint64) {
+// adoptToken takes a newer fencing token and acknowledges it by a heartbeat.
+func (w *Worker) adoptToken(token uint64) {
 	if token > w.FencingToken {
 		w.FencingToken = token
 		w.heartbeatSoon()
