--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -17,7 +17,7 @@
 	QuotaExceeded               Invariant = "quota"         // a team uses more than its limit
 	PlacementConstraintViolated Invariant = "wrong_place"   // a start where the job doesn't allow it
 	RanCancelled                Invariant = "ran_cancelled" // a task of a cancelled job after its time
-	StaleAnswer                 Invariant = "went_back"     // an answer older than one that was given before
+	InconsistentAnswer          Invariant = "went_back"     // an answer older than one that was given before
 	DoneTooEarly                Invariant = "not_done"      // done before all tasks were
 	JobLost                     Invariant = "forgotten"     // an accepted job that isn't known
 	UnknownJobReported          Invariant = "invented"      // a job that nobody submitted is known
--- a/internal/fake/checker_answers.go
+++ b/internal/fake/checker_answers.go
@@ -64,7 +64,7 @@
 	case 200, 201:
 		var reply protocol.JobStatusReply
 		if err := protocol.Unmarshal(body, &reply); err != nil {
-			k.violate(StaleAnswer, "%s: no status: %v", job.id, err)
+			k.violate(InconsistentAnswer, "%s: no status: %v", job.id, err)
 			return
 		}
 		q.checkState(job, reply.Status)
@@ -85,9 +85,9 @@
 	switch {
 	case !final && job.finalState != "" && job.finalAt <= q.sentAt,
 		final && job.finalState != "" && job.finalState != state:
-		k.violate(StaleAnswer, "%s was %s, is called %s", job.id, job.finalState, state)
+		k.violate(InconsistentAnswer, "%s was %s, is called %s", job.id, job.finalState, state)
 	case state == protocol.JobCancelled && !job.cancelSent:
-		k.violate(StaleAnswer, "%s is called cancelled, nobody cancelled it", job.id)
+		k.violate(InconsistentAnswer, "%s is called cancelled, nobody cancelled it", job.id)
 	case state == protocol.JobDone:
 		k.checkDone(job)
 	}
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -138,7 +138,7 @@
 			"running after cancelled",
 			nil,
 			func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobRunning) },
-			StaleAnswer,
+			InconsistentAnswer,
 		},
 		{"an answer that was on its way", nil, func(s *checkerScenario) {
 			pending := s.UserRequest("GET", protocol.JobPath("j-1"), nil)
@@ -149,9 +149,9 @@
 			"done after cancelled",
 			nil,
 			func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobDone) },
-			StaleAnswer,
+			InconsistentAnswer,
 		},
-		{"cancelled by nobody", nil, func(s *checkerScenario) { s.poll(protocol.JobCancelled) }, StaleAnswer},
+		{"cancelled by nobody", nil, func(s *checkerScenario) { s.poll(protocol.JobCancelled) }, InconsistentAnswer},
 		{"cancelled on the way", nil, func(s *checkerScenario) {
 			pending := s.UserRequest("POST", protocol.CancelPath("j-2"), nil)
 			s.request("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -44,7 +44,7 @@
 type Machine struct {
 	ID, Endpoint, Type, Zone string
 	Spot                     bool
-	RentedAt                 monotime.Micros
+	CreatedAt                monotime.Micros
 	Up, Gone                 bool
 	GoneAt                   monotime.Micros
 }
@@ -134,7 +134,7 @@
 	var listed []protocol.ListedMachine
 	for _, id := range sortedmap.Keys(c.Machines) {
 		machine := c.Machines[id]
-		if machine.RentedAt > asOf || machine.Gone && machine.GoneAt <= asOf {
+		if machine.CreatedAt > asOf || machine.Gone && machine.GoneAt <= asOf {
 			continue
 		}
 		state := "starting"
@@ -148,7 +148,7 @@
 			Zone:     machine.Zone,
 			Spot:     machine.Spot,
 			State:    state,
-			AgeS:     (asOf - machine.RentedAt).Seconds(),
+			AgeS:     (asOf - machine.CreatedAt).Seconds(),
 		})
 	}
 	return listed
@@ -158,11 +158,11 @@
 func (c *Cloud) AddMachine(typ, zone string, spot bool) *Machine {
 	number := len(c.Machines) + 1
 	machine := &Machine{
-		ID:       fmt.Sprintf("i-%06d", number),
-		Type:     typ,
-		Zone:     zone,
-		Spot:     spot,
-		RentedAt: c.Clock.Now(),
+		ID:        fmt.Sprintf("i-%06d", number),
+		Type:      typ,
+		Zone:      zone,
+		Spot:      spot,
+		CreatedAt: c.Clock.Now(),
 	}
 	machine.Endpoint = fmt.Sprintf("10.1.%d.%d:9000", number/256, number%256)
 	if c.NextEndpoint != nil {
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -208,11 +208,11 @@
 	s.mustRun(0, "start", "rack", "--zone", "a", "--replace")
 	s.Eventually(
 		60*time.Second,
-		func() bool { return s.Cloud.MachineCount() > 0 && s.MachinesGoneInZone("a") >= machines/3 },
+		func() bool { return s.Cloud.MachineCount() > 0 && s.DeletedMachinesInZone("a") >= machines/3 },
 	)
-	payoutMachines := s.MachinesRunning("payout", "b", 4)
+	payoutMachines := s.MachinesRunningTeam("payout", "b", 4)
 	s.mustRun(0, append([]string{"start", "payout-machines", "--replace", "--at-once"}, machineFlags(payoutMachines)...)...)
-	if dying := s.MachinesRunning("intake", "b", 1); len(dying) == 1 {
+	if dying := s.MachinesRunningTeam("intake", "b", 1); len(dying) == 1 {
 		s.Clock.Do(func() { s.Cloud.RemoveMachine(dying[0]) })
 	}
 	leader := s.Leader()
@@ -384,7 +384,7 @@
 		d.Process(node).Resume()
 	case 2:
 		d.t.Log("a machine dies")
-		if dying := d.MachinesRunning("intake", "b", 1); len(dying) == 1 {
+		if dying := d.MachinesRunningTeam("intake", "b", 1); len(dying) == 1 {
 			d.Clock.Do(func() { d.Cloud.RemoveMachine(dying[0]) })
 		}
 	case 3:
--- a/internal/fake/loopback/services_state.go
+++ b/internal/fake/loopback/services_state.go
@@ -45,8 +45,8 @@
 	return out
 }
 
-// MachinesGoneInZone counts the machines of a zone that have gone. It is called on the clock.
-func (s *Services) MachinesGoneInZone(zone string) int {
+// DeletedMachinesInZone counts the machines of a zone that have gone. It is called on the clock.
+func (s *Services) DeletedMachinesInZone(zone string) int {
 	n := 0
 	for _, m := range s.Cloud.Machines {
 		if m.Gone && m.Zone == zone {
@@ -56,8 +56,8 @@
 	return n
 }
 
-// MachinesRunning lists machines of a zone that run replicas of a team, at most so many.
-func (s *Services) MachinesRunning(team, zone string, limit int) []string {
+// MachinesRunningTeam lists machines of a zone that run replicas of a team, at most so many.
+func (s *Services) MachinesRunningTeam(team, zone string, limit int) []string {
 	var out []string
 	s.Clock.Do(func() {
 		for id, w := range s.Fleet.Workers {
