--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -8,80 +8,80 @@
 	"pipitgap/internal/protocol"
 )
 
-// Invariant names an invariant that the checker watches.
+// Invariant identifies an invariant that the checker verifies.
 type Invariant string
 
-// The invariants. The first six have the protocol's names.
+// The invariants, each named after its violation. The first six values are the names that the protocol uses.
 const (
-	RanTwice                    Invariant = "ran_twice"     // two live attempts of a task
+	RanTwice                    Invariant = "ran_twice"     // two attempts of a task are live at once
 	QuotaExceeded               Invariant = "quota"         // a team uses more than its limit
-	PlacementConstraintViolated Invariant = "wrong_place"   // a start where the job doesn't allow it
-	RanCancelled                Invariant = "ran_cancelled" // a task of a cancelled job after its time
-	InconsistentAnswer          Invariant = "went_back"     // an answer older than one that was given before
-	DoneTooEarly                Invariant = "not_done"      // done before all tasks were
-	JobLost                     Invariant = "forgotten"     // an accepted job that isn't known
-	UnknownJobReported          Invariant = "invented"      // a job that nobody submitted is known
-	InvalidAccepted             Invariant = "unfit"         // malformed, or can never run, and accepted
-	TaskStarved                 Invariant = "left_waiting"  // a task waits while there is room that it may use
+	PlacementConstraintViolated Invariant = "wrong_place"   // a task starts where its job doesn't allow it
+	RanCancelled                Invariant = "ran_cancelled" // a task runs or starts too late after a cancellation
+	InconsistentAnswer          Invariant = "went_back"     // an answer is older than or contradicts another
+	DoneTooEarly                Invariant = "not_done"      // a job is reported done before its last task completes
+	JobLost                     Invariant = "forgotten"     // an accepted job is unknown, refused or unanswered
+	UnknownJobReported          Invariant = "invented"      // a request about an unsubmitted job succeeds
+	InvalidAccepted             Invariant = "unfit"         // a malformed or unrunnable job is accepted
+	TaskStarved                 Invariant = "left_waiting"  // a task waits too long despite free capacity
 )
 
-// Violation is an invariant that was broken.
+// Violation is one observed violation of an invariant.
 type Violation struct {
 	At        monotime.Micros
 	Invariant Invariant
 	Detail    string
 }
 
-// String gives the time in seconds, the invariant and what broke it.
+// String returns the time in seconds, the invariant and the details.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3f: %s: %s", v.At.Seconds(), v.Invariant, v.Detail)
 }
 
 const (
-	// MaxUnanswered is how long requests about an accepted job may go unanswered once all faults are over.
+	// MaxUnanswered is how long requests about an accepted job may go unanswered after all faults have ended.
 	MaxUnanswered = 75 * monotime.Second
-	// MaxTaskStarvation is how long a task may wait while a machine has room that it may use.
+	// MaxTaskStarvation is how long a task may wait while a machine has capacity for it.
 	MaxTaskStarvation       = 90 * monotime.Second
 	starvationCheckInterval = 5 * monotime.Second
-	// roundingTolerance is how far sums of CPUs or memory may be off by rounding.
+	// roundingTolerance is the rounding error allowed in sums of CPUs or memory.
 	roundingTolerance = 1e-6
 )
 
-// Checker watches a simulated deployment from outside: what machines run, and what users are answered. It
-// never reads a controller's state.
+// Checker verifies the invariants of a simulated deployment by its external behavior: which tasks the
+// machines run, and which answers users get. It never reads a controller's state.
 type Checker struct {
 	Clock        *SimClock
-	CancelWithin monotime.Micros    // tasks of a cancelled job must be gone within this time
-	Limits       map[string]float64 // CPUs a team may use; none: no limit
+	CancelWithin monotime.Micros    // deadline for ending the tasks of a cancelled job
+	Limits       map[string]float64 // CPUs that a team may use; no entry: no limit
 	Violations   []Violation
-	// LateStarts counts starts after a confirmed cancellation, within the time allowed.
+	// LateStarts counts the task starts after the confirmed cancellation of their job, but within CancelWithin.
 	LateStarts int
 
 	jobs           map[string]*observedJob
-	liveAttempts   map[string]map[string]*Machine // by job and task: where each live attempt is
-	usedCPUs       map[string]float64             // CPUs by team
-	completedTasks map[string]bool                // completed tasks
+	liveAttempts   map[string]map[string]*Machine // by job and task: the machine of the live attempt
+	usedCPUs       map[string]float64             // by team
+	completedTasks map[string]bool                // by task
 
-	completions    map[string]int             // by task: how often
-	lastCompletion map[string]monotime.Micros // by job: when a task of it last did
+	completions    map[string]int             // by task: how often the task completed
+	lastCompletion map[string]monotime.Micros // by job: when a task of the job last completed
 }
 
-// observedJob is a job as its users know it from requests and answers.
+// observedJob is what users know about a job from their requests and the answers.
 type observedJob struct {
 	id           string
 	spec         protocol.Submission
 	submitted    bool
-	wellFormed   bool // at least once
-	unrunnable   bool // it fits no machine, or not into its team's limit
+	wellFormed   bool // at least one submission was well-formed
+	unrunnable   bool // the job fits no machine or exceeds its team's limit
 	cancelSent   bool
-	acceptedAt   monotime.Micros // when a user first got an answer that says so; 0: not yet
-	finalAt      monotime.Micros // when a user first got its final state
+	acceptedAt   monotime.Micros // when a user first got a successful answer; 0: not yet
+	finalAt      monotime.Micros // when a user first got the final state
 	finalState   string
 	cancelledAt  monotime.Micros
-	starvedSince map[int]monotime.Micros // tasks that wait beside room, and since when
+	starvedSince map[int]monotime.Micros // by task index: when a machine first had capacity
 }
 
-// NewChecker makes a checker by which tasks of a cancelled job must be gone within cancelWithin.
+// NewChecker returns a checker that requires the tasks of a cancelled job to end within cancelWithin.
 func NewChecker(sim *SimClock, cancelWithin monotime.Micros) *Checker {
 	return &Checker{
 		Clock:          sim,
@@ -109,10 +109,10 @@
 	return job
 }
 
-// MarkUnrunnable notes that a job can never run, so that it must not be accepted.
+// MarkUnrunnable declares that a job can never run, so a controller must not accept it.
 func (k *Checker) MarkUnrunnable(job string) { k.job(job).unrunnable = true }
 
-// Accepted lists the jobs that users know to be accepted and not finished.
+// Accepted lists the jobs whose users have been told that they are accepted, but not that they are finished.
 func (k *Checker) Accepted() []string {
 	var out []string
 	for id, job := range k.jobs {
@@ -124,7 +124,8 @@
 	return out
 }
 
-// ReportUnanswered notes that no request about an accepted job was answered for too long.
+// ReportUnanswered records the violation that requests about an accepted job got no answer within
+// MaxUnanswered.
 func (k *Checker) ReportUnanswered(job string) {
-	k.violate(JobLost, "%s: no request is answered", job)
+	k.violate(JobLost, "%s: no request was answered within the time allowed", job)
 }
--- a/internal/fake/checker_starvation.go
+++ b/internal/fake/checker_starvation.go
@@ -6,14 +6,14 @@
 	"pipitgap/internal/protocol"
 )
 
-// FreeMachine is a machine with what is free on it.
+// FreeMachine is a machine with its free resources.
 type FreeMachine struct {
 	Machine        *Machine
 	CPUs, MemoryGB float64
 }
 
-// WatchWaiting looks for tasks that wait beside room that they may use, now and from now on. It is meant for
-// times without faults.
+// WatchWaiting starts to check periodically for starved tasks: those that wait for longer than
+// MaxTaskStarvation although a machine has capacity for them. Call it only when no faults are active.
 func (k *Checker) WatchWaiting(freeMachines func() []FreeMachine) {
 	free := freeMachines()
 	for _, id := range k.Accepted() {
@@ -22,6 +22,8 @@
 	k.Clock.After(starvationCheckInterval, func() { k.WatchWaiting(freeMachines) })
 }
 
+// checkStarvation tracks since when the tasks of a job have been starved, and records a violation for each
+// one that has been starved too long.
 func (k *Checker) checkStarvation(job *observedJob, free []FreeMachine) {
 	now := k.Clock.Now()
 	for i := range job.spec.Tasks {
@@ -35,13 +37,14 @@
 		if !starved {
 			job.starvedSince[i] = now
 		} else if now-since >= MaxTaskStarvation {
-			k.violate(TaskStarved, "%s", task)
+			k.violate(TaskStarved, "%s waits too long although a machine has capacity for it", task)
 			job.starvedSince[i] = now
 		}
 	}
 }
 
-// hasCapacity tells whether a task of a job could start on one of the machines.
+// hasCapacity reports whether another task of a job can start on one of the machines within its team's limit
+// and its placement constraints.
 func (k *Checker) hasCapacity(job *observedJob, free []FreeMachine) bool {
 	spec := &job.spec
 	limit := k.Limits[spec.Team]
@@ -58,12 +61,13 @@
 	})
 }
 
-// fits tells whether a task of a job fits into what is free on a machine.
+// fits reports whether a task of a job fits into the free resources of a machine.
 func (f FreeMachine) fits(spec *protocol.Submission) bool {
 	return f.CPUs+roundingTolerance >= spec.CPUs && f.MemoryGB+roundingTolerance >= spec.MemoryGB
 }
 
-// zoneAllowed tells whether a job may have one more task in a zone beside the tasks that it has.
+// zoneAllowed reports whether the zone constraints of a job allow another task in a zone, given its live
+// tasks by zone.
 func zoneAllowed(spec *protocol.Submission, zone string, tasksByZone map[string]int) bool {
 	if spec.OneZone && len(tasksByZone) > 0 && tasksByZone[zone] == 0 {
 		return false
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -9,14 +9,14 @@
 
 const second = monotime.Second
 
-// checkerScenario is a checker with one accepted job of two tasks and a few machines.
+// checkerScenario is a checker with one accepted job of two tasks, j-1, and two machines.
 type checkerScenario struct {
 	*Checker
 	sim                   *SimClock
 	machine, otherMachine *Machine
 }
 
-// submission is a job of two tasks; modify, if any, changes it.
+// submission returns the encoded submission of a job with two tasks. modify, if set, changes it first.
 func submission(id string, modify func(*protocol.Submission)) []byte {
 	spec := &protocol.Submission{ID: id, Class: "batch", Team: "tight", Priority: protocol.Standard, Tasks: 2,
 		CPUs: 4, MemoryGB: 8, Image: "img", ImageGB: 0.5, EstimateS: 5}
@@ -46,7 +46,7 @@
 	return s
 }
 
-// request has a user ask and be answered a moment later.
+// request sends a request of a user, which gets the given answer 100 ms later.
 func (d *checkerScenario) request(method, target string, body []byte, status int, state string) {
 	pending := d.UserRequest(method, target, body)
 	d.sim.Run(second / 10)
@@ -66,16 +66,16 @@
 	d.request("POST", protocol.CancelPath("j-1"), nil, 200, protocol.JobCancelled)
 }
 
-// TestCheckerReportsExactlyTheViolations: each kind of violation is caught, and what is allowed isn't taken
-// for one.
+// TestCheckerReportsExactlyTheViolations guards against a checker that misses a kind of violation or reports
+// permitted behavior as one.
 func TestCheckerReportsExactlyTheViolations(t *testing.T) {
 	cases := []struct {
 		name   string
 		modify func(*protocol.Submission)
 		do     func(s *checkerScenario)
-		want   Invariant // "": none
+		want   Invariant // "": no violation
 	}{
-		{"a job from start to end", nil, func(s *checkerScenario) {
+		{"job runs from start to completion", nil, func(s *checkerScenario) {
 			s.startTask("j-1/0", s.machine)
 			s.startTask("j-1/1", s.otherMachine)
 			s.poll(protocol.JobRunning)
@@ -86,116 +86,128 @@
 			s.TaskEnded("j-1/1", s.otherMachine, "tight", 4)
 			s.poll(protocol.JobDone)
 		}, ""},
-		{"moved after its end", nil, func(s *checkerScenario) {
+		{"task restarts on another machine after its attempt ended", nil, func(s *checkerScenario) {
 			s.startTask("j-1/0", s.machine)
 			s.TaskEnded("j-1/0", s.machine, "tight", 4)
 			s.startTask("j-1/0", s.otherMachine)
 		}, ""},
 		{
-			"two attempts",
+			"two live attempts of a task",
 			nil,
 			func(s *checkerScenario) { s.startTask("j-1/0", s.machine); s.startTask("j-1/0", s.otherMachine) },
 			RanTwice,
 		},
-		{"over the limit", nil, func(s *checkerScenario) {
+		{"team exceeds its limit", nil, func(s *checkerScenario) {
 			s.startTask("j-1/0", s.machine)
 			s.startTask("j-1/1", s.machine)
 			s.startTask("j-2/0", s.machine)
 		}, QuotaExceeded},
-		{"another zone", inZoneB, func(s *checkerScenario) { s.startTask("j-1/0", s.machine) }, PlacementConstraintViolated},
-		{"another type", onlyM16, func(s *checkerScenario) { s.startTask("j-1/0", s.machine) }, PlacementConstraintViolated},
+		{"start in a zone that the job does not allow", inZoneB, func(s *checkerScenario) {
+			s.startTask("j-1/0", s.machine)
+		}, PlacementConstraintViolated},
+		{"start on a machine type that the job does not allow", onlyM16, func(s *checkerScenario) {
+			s.startTask("j-1/0", s.machine)
+		}, PlacementConstraintViolated},
 		{
-			"a spot machine",
+			"start on spot without the job's permission",
 			nil,
 			func(s *checkerScenario) { s.machine.Spot = true; s.startTask("j-1/0", s.machine) },
 			PlacementConstraintViolated,
 		},
-		{"two zones", func(spec *protocol.Submission) { spec.OneZone = true }, func(s *checkerScenario) {
+		{"one-zone job in two zones", func(spec *protocol.Submission) { spec.OneZone = true }, func(s *checkerScenario) {
 			s.startTask("j-1/0", s.machine)
 			s.startTask("j-1/1", s.otherMachine)
 		}, PlacementConstraintViolated},
-		{"not apart", func(spec *protocol.Submission) { spec.Spread = true }, func(s *checkerScenario) {
+		{"spread job in one zone", func(spec *protocol.Submission) { spec.Spread = true }, func(s *checkerScenario) {
 			s.startTask("j-1/0", s.machine)
 			s.startTask("j-1/1", s.machine)
 		}, PlacementConstraintViolated},
-		{"a start in time after a cancellation", nil, func(s *checkerScenario) {
+		{"start after a cancellation within the allowed time", nil, func(s *checkerScenario) {
 			s.cancel()
 			s.startTask("j-1/0", s.machine)
 			s.TaskEnded("j-1/0", s.machine, "tight", 4)
 			s.sim.Run(40 * second)
 		}, ""},
-		{"a start too late after a cancellation", nil, func(s *checkerScenario) {
+		{"start after a cancellation beyond the allowed time", nil, func(s *checkerScenario) {
 			s.cancel()
 			s.sim.Run(31 * second)
 			s.startTask("j-1/0", s.machine)
 		}, RanCancelled},
-		{"a task stays after a cancellation", nil, func(s *checkerScenario) {
+		{"task still live beyond the allowed time after a cancellation", nil, func(s *checkerScenario) {
 			s.startTask("j-1/0", s.machine)
 			s.cancel()
 			s.sim.Run(31 * second)
 		}, RanCancelled},
 		{
-			"running after cancelled",
+			"state running after state cancelled",
 			nil,
 			func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobRunning) },
 			InconsistentAnswer,
 		},
-		{"an answer that was on its way", nil, func(s *checkerScenario) {
+		{"older answer to a request sent before the cancellation", nil, func(s *checkerScenario) {
 			pending := s.UserRequest("GET", protocol.JobPath("j-1"), nil)
 			s.cancel()
 			pending.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobRunning}))
 		}, ""},
 		{
-			"done after cancelled",
+			"state done after state cancelled",
 			nil,
 			func(s *checkerScenario) { s.cancel(); s.poll(protocol.JobDone) },
 			InconsistentAnswer,
 		},
-		{"cancelled by nobody", nil, func(s *checkerScenario) { s.poll(protocol.JobCancelled) }, InconsistentAnswer},
-		{"cancelled on the way", nil, func(s *checkerScenario) {
+		{"state cancelled without a cancel request", nil, func(s *checkerScenario) {
+			s.poll(protocol.JobCancelled)
+		}, InconsistentAnswer},
+		{"cancel request sent before the submission", nil, func(s *checkerScenario) {
 			pending := s.UserRequest("POST", protocol.CancelPath("j-2"), nil)
 			s.request("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
 			pending.Answered(200, protocol.MustMarshal(&protocol.JobStatusReply{Status: protocol.JobCancelled}))
 		}, ""},
 		{
-			"done too early",
+			"state done before all tasks completed",
 			nil,
 			func(s *checkerScenario) { s.TaskCompleted("j-1/0"); s.poll(protocol.JobDone) },
 			DoneTooEarly,
 		},
-		{"unknown after accepted", nil, func(s *checkerScenario) {
+		{"404 after the job was accepted", nil, func(s *checkerScenario) {
 			s.request("GET", protocol.JobPath("j-1"), nil, 404, "")
 		}, JobLost},
-		{"refused after accepted", nil, func(s *checkerScenario) {
+		{"422 after the job was accepted", nil, func(s *checkerScenario) {
 			s.request("POST", protocol.JobsPath, submission("j-1", nil), 422, "")
 		}, JobLost},
-		{"asked to come back", nil, func(s *checkerScenario) {
+		{"503 after the job was accepted", nil, func(s *checkerScenario) {
 			s.request("GET", protocol.JobPath("j-1"), nil, 503, "")
 		}, ""},
-		{"never answered", nil, func(s *checkerScenario) { s.ReportUnanswered("j-1") }, JobLost},
-		{"known by nobody", nil, func(s *checkerScenario) {
+		{"no answer about an accepted job", nil, func(s *checkerScenario) { s.ReportUnanswered("j-1") }, JobLost},
+		{"answer about a job that nobody submitted", nil, func(s *checkerScenario) {
 			s.request("GET", protocol.JobPath("j-9"), nil, 200, protocol.JobPending)
 		}, UnknownJobReported},
-		{"malformed", nil, func(s *checkerScenario) {
+		{"malformed submission accepted", nil, func(s *checkerScenario) {
 			s.request("POST", protocol.JobsPath, submission("j-2", withoutTasks), 201, protocol.JobPending)
 		}, InvalidAccepted},
-		{"can never run", nil, func(s *checkerScenario) {
+		{"unrunnable job accepted", nil, func(s *checkerScenario) {
 			s.MarkUnrunnable("j-2")
 			s.request("POST", protocol.JobsPath, submission("j-2", nil), 201, protocol.JobPending)
 		}, InvalidAccepted},
-		{"malformed, once it is known", nil, func(s *checkerScenario) {
+		{"malformed submission of an accepted job", nil, func(s *checkerScenario) {
 			s.request("POST", protocol.JobsPath, submission("j-1", withoutTasks), 200, protocol.JobPending)
 		}, ""},
 		{
-			"left beside room",
+			"task waits although a machine has capacity",
 			nil,
 			func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 64}) },
 			TaskStarved,
 		},
-		{"no room", nil, func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 3, 64}) }, ""},
-		{"no memory", nil, func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 7}) }, ""},
-		{"room elsewhere", inZoneB, func(s *checkerScenario) { s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 64}) }, ""},
-		{"room, the team at its limit", nil, func(s *checkerScenario) {
+		{"task waits without enough free CPUs", nil, func(s *checkerScenario) {
+			s.waitBesideFreeMachine(FreeMachine{s.machine, 3, 64})
+		}, ""},
+		{"task waits without enough free memory", nil, func(s *checkerScenario) {
+			s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 7})
+		}, ""},
+		{"task waits with capacity only in another zone", inZoneB, func(s *checkerScenario) {
+			s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 64})
+		}, ""},
+		{"task waits with capacity but its team at the limit", nil, func(s *checkerScenario) {
 			s.TaskStarted("j-3/0", s.otherMachine, "tight", 8)
 			s.waitBesideFreeMachine(FreeMachine{s.machine, 8, 64})
 		}, ""},
@@ -206,13 +218,13 @@
 			tc.do(s)
 			if tc.want == "" && len(s.Violations) > 0 ||
 				tc.want != "" && (len(s.Violations) == 0 || s.Violations[0].Invariant != tc.want) {
-				t.Errorf("broken: %v, want %q", s.Violations, tc.want)
+				t.Errorf("got violations %v, want the first to be %q (empty: want none)", s.Violations, tc.want)
 			}
 		})
 	}
 }
 
-// waitBesideFreeMachine lets both tasks wait for two minutes beside a room.
+// waitBesideFreeMachine keeps both tasks waiting for two minutes while a machine has free resources.
 func (d *checkerScenario) waitBesideFreeMachine(free FreeMachine) {
 	d.WatchWaiting(func() []FreeMachine { return []FreeMachine{free} })
 	d.sim.Run(120 * second)
--- a/internal/fake/clock.go
+++ b/internal/fake/clock.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// SimClock is a simulated clock that runs scheduled events in order of their time, then of their scheduling.
+// SimClock is a simulated clock. It runs scheduled events in order of their time; events of the same time run
+// in the order in which they were scheduled.
 type SimClock struct {
 	now   monotime.Micros
 	seq   uint64
@@ -40,22 +41,24 @@
 	return x
 }
 
-// conditionPollInterval is how often RunUntil and AfterCondition evaluate their condition.
+// conditionPollInterval is the simulated time between two evaluations of a condition by RunUntil and
+// AfterCondition.
 const conditionPollInterval = 50 * monotime.Millisecond
 
-// NewSimClock starts a clock at zero with a seeded random source.
+// NewSimClock returns a clock at time zero whose random source uses the given seed.
 func NewSimClock(seed uint64) *SimClock { return &SimClock{Rand: rand.New(rand.NewPCG(seed, 7))} }
 
-// Now is the simulated time.
+// Now returns the simulated time.
 func (s *SimClock) Now() monotime.Micros { return s.now }
 
-// After schedules f to be called d later.
+// After schedules a call of f after d. A negative d counts as 0.
 func (s *SimClock) After(d monotime.Micros, f func()) {
 	s.seq++
 	heap.Push(&s.queue, event{s.now + max(d, 0), s.seq, f})
 }
 
-// Run runs the events of the next d.
+// Run advances the clock by d and runs the events that are due on the way, including those that they
+// schedule.
 func (s *SimClock) Run(d monotime.Micros) {
 	end := s.now + d
 	for len(s.queue) > 0 && s.queue[0].at <= end {
@@ -66,8 +69,8 @@
 	s.now = end
 }
 
-// RunUntil runs events until ok holds, or until d has passed, and tells whether ok holds. It looks every
-// conditionPollInterval.
+// RunUntil runs events until ok returns true or d has passed, and returns the last result of ok. It evaluates
+// ok every conditionPollInterval.
 func (s *SimClock) RunUntil(d monotime.Micros, ok func() bool) bool {
 	for end := s.now + d; s.now < end; s.Run(conditionPollInterval) {
 		if ok() {
@@ -77,8 +80,8 @@
 	return ok()
 }
 
-// AfterCondition schedules f to be called as soon as ok holds, or not at all if that takes longer than d.
-// Unlike RunUntil it may be called from an event.
+// AfterCondition calls f once ok returns true. It evaluates ok now and then every conditionPollInterval, and
+// gives up without calling f after d. Unlike RunUntil it may be called from an event.
 func (s *SimClock) AfterCondition(ok func() bool, d monotime.Micros, f func()) {
 	if ok() {
 		f()
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -8,18 +8,19 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// Cloud is a fake of the cloud. Its capacity is per machine type, zone and kind (spot or on demand).
+// Cloud is a fake of the cloud provider. It has a separate capacity for each offer: a machine type in a zone,
+// as spot or on demand.
 type Cloud struct {
 	Clock    *SimClock
 	Types    []protocol.MachineType
-	Capacity map[string]int  // by OfferKey
-	ListLag  monotime.Micros // how old the answers of lists are
+	Capacity map[string]int  // machines that can still be created, by OfferKey
+	ListLag  monotime.Micros // how far a list lags behind the creation and deletion of machines
 	BootTime monotime.Micros
-	Machines map[string]*Machine // all that there have been, by ID
+	Machines map[string]*Machine // all machines ever created, by ID
 	CloudFaults
 	CloudCounters
 
-	// NextEndpoint, if set, gives the address of the next machine's worker.
+	// NextEndpoint, if set, returns the address of the worker of the next machine.
 	NextEndpoint  func() string
 	OnMachineUp   func(*Machine)
 	OnMachineGone func(*Machine)
@@ -27,17 +28,17 @@
 
 // CloudFaults are the faults that a test injects into a Cloud.
 type CloudFaults struct {
-	Unavailable   bool            // all calls are answered 503
-	Throttling    bool            // all calls are answered 429
-	LoseRentReply bool            // rentals are carried out and their answers lost
-	NeverBoots    map[string]bool // machines that never come up
+	Unavailable   bool            // the cloud answers all calls with 503
+	Throttling    bool            // the cloud answers all calls with 429
+	LoseRentReply bool            // the cloud creates the requested machines, but the response is lost
+	NeverBoots    map[string]bool // machines that never boot, by ID
 }
 
-// CloudCounters record what a Cloud has been asked for.
+// CloudCounters record the calls that a Cloud has received.
 type CloudCounters struct {
 	Calls         map[protocol.CloudOp]int
-	RentedByName  map[string][]string // machines by the name of the rental
-	RepeatedRents int                 // rentals under a name that had been answered
+	RentedByName  map[string][]string // IDs of the machines created, by the name of the request
+	RepeatedRents int                 // requests with the name of an earlier request that created machines
 }
 
 // Machine is a machine of the fake cloud.
@@ -49,10 +50,10 @@
 	GoneAt                   monotime.Micros
 }
 
-// cloudLatency is how long a call takes to the cloud, and its answer back.
+// cloudLatency is the simulated one-way latency of a call to the cloud and of its response.
 const cloudLatency = 50 * monotime.Millisecond
 
-// NewCloud makes a cloud without machines and without capacity.
+// NewCloud returns a cloud without machines and without capacity.
 func NewCloud(sim *SimClock, types []protocol.MachineType) *Cloud {
 	return &Cloud{
 		Clock:       sim,
@@ -69,10 +70,11 @@
 	}
 }
 
-// OfferKey names what capacity is counted by.
+// OfferKey returns the key of an offer in Cloud.Capacity: the machine type, the zone and whether it is spot.
 func OfferKey(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
 
-// Call performs a call. callback is called once, with a zero result at the call's timeout if the answer is lost.
+// Call executes a call. It invokes callback exactly once. If the response is lost, callback gets a zero
+// result after the call's timeout.
 func (c *Cloud) Call(call *protocol.CloudCall, callback func(protocol.CloudResult)) {
 	c.Clock.After(cloudLatency, func() {
 		result, lost := c.handle(call)
@@ -108,7 +110,8 @@
 	return protocol.CloudResult{}, false
 }
 
-// createMachines adds as many machines as there is capacity for; a repeated request gets the machines of the first.
+// createMachines creates the requested machines, limited by the capacity of the offer. It is idempotent: a
+// request with the name of an earlier one returns the machines of the earlier one.
 func (c *Cloud) createMachines(request *protocol.CreateMachinesRequest) (result protocol.CloudResult, lost bool) {
 	if ids, ok := c.RentedByName[request.Name]; ok {
 		c.RepeatedRents++
@@ -128,7 +131,8 @@
 	return result, c.LoseRentReply
 }
 
-// list gives the machines as they were ListLag ago, by ID.
+// list returns the machines that existed ListLag ago, in order of their IDs. Their states are the current
+// ones.
 func (c *Cloud) list() []protocol.ListedMachine {
 	asOf := c.Clock.Now() - c.ListLag
 	var listed []protocol.ListedMachine
@@ -154,7 +158,8 @@
 	return listed
 }
 
-// AddMachine adds a machine, rented or not, which boots.
+// AddMachine creates a machine, requested or not. The machine boots after BootTime unless NeverBoots contains
+// it. AddMachine leaves Capacity unchanged.
 func (c *Cloud) AddMachine(typ, zone string, spot bool) *Machine {
 	number := len(c.Machines) + 1
 	machine := &Machine{
@@ -180,7 +185,7 @@
 	return machine
 }
 
-// RemoveMachine ends a machine with all that is on it and returns its capacity.
+// RemoveMachine deletes a machine with all tasks on it and adds it back to the capacity of its offer.
 func (c *Cloud) RemoveMachine(id string) {
 	if machine := c.Machines[id]; machine != nil && !machine.Gone {
 		machine.Gone, machine.GoneAt = true, c.Clock.Now()
@@ -189,7 +194,7 @@
 	}
 }
 
-// MachineCount counts the machines that have not gone.
+// MachineCount returns the number of machines that have not been deleted.
 func (c *Cloud) MachineCount() int {
 	n := 0
 	for _, machine := range c.Machines {
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,4 +1,4 @@
-// Package fake holds fakes of the state service, the cloud and the workers, written from the protocol, under
-// a simulated clock, and a checker of the invariants that a scheduler must keep. Tests drive the
-// controllers with them; nothing here is part of the service.
+// Package fake implements fakes of the state service, the cloud and the workers, and a checker of the
+// invariants that a scheduler must keep. The fakes follow the protocol and run on a simulated clock. Only
+// tests use this package: they run the controllers against the fakes.
 package fake
--- a/internal/fake/loopback/clock.go
+++ b/internal/fake/loopback/clock.go
@@ -8,7 +8,8 @@
 	"pipitgap/internal/monotime"
 )
 
-// RealTimeClock runs a simulation in step with the wall clock. All access to the simulation goes through Do.
+// RealTimeClock runs a simulation in step with the wall clock. Its mutex serializes access to the simulation,
+// so all access must go through Do.
 type RealTimeClock struct {
 	mu        sync.Mutex
 	simulated *fake.SimClock
@@ -17,10 +18,10 @@
 	done      sync.WaitGroup
 }
 
-// tickInterval is how finely the simulation follows the wall clock.
+// tickInterval is the interval at which the simulation catches up with the wall clock.
 const tickInterval = 2 * time.Millisecond
 
-// NewRealTimeClock starts the clock; Stop ends it.
+// NewRealTimeClock starts a clock that runs until Stop is called.
 func NewRealTimeClock(sim *fake.SimClock) *RealTimeClock {
 	c := &RealTimeClock{simulated: sim, startedAt: time.Now(), stop: make(chan struct{})}
 	c.done.Add(1)
@@ -42,7 +43,8 @@
 	}
 }
 
-// Do runs the simulation up to the present and then calls f, with no event running at the same time.
+// Do runs the simulation up to the current wall-clock time and then calls f. No simulated event runs
+// concurrently with f.
 func (c *RealTimeClock) Do(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +54,7 @@
 	f()
 }
 
-// Advance lets simulated time pass at once.
+// Advance moves the simulation forward by d immediately, without waiting.
 func (c *RealTimeClock) Advance(d monotime.Micros) {
 	c.mu.Lock()
 	c.startedAt = c.startedAt.Add(-d.Duration())
@@ -60,7 +62,7 @@
 	c.Do(func() {})
 }
 
-// Stop ends the clock and waits until it has ended.
+// Stop ends the clock and waits for its goroutine to exit.
 func (c *RealTimeClock) Stop() {
 	close(c.stop)
 	c.done.Wait()
--- a/internal/fake/loopback/cloud.go
+++ b/internal/fake/loopback/cloud.go
@@ -7,7 +7,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// cloudHandler serves a fake cloud over HTTP.
+// cloudHandler serves the API of a fake cloud over HTTP.
 type cloudHandler struct {
 	clock *RealTimeClock
 	cloud *fake.Cloud
@@ -26,7 +26,7 @@
 // methodAndPath identifies the operation of a request.
 type methodAndPath struct{ method, path string }
 
-// parseCloudCall decodes a request into a call.
+// parseCloudCall decodes a request into a call. It returns false if the request is malformed.
 func parseCloudCall(r *http.Request) (*protocol.CloudCall, bool) {
 	call := &protocol.CloudCall{Timeout: noTimeout}
 	switch (methodAndPath{r.Method, r.URL.Path}) {
@@ -49,7 +49,7 @@
 	return nil, false
 }
 
-// cloudResponse is the response for a call's result.
+// cloudResponse returns the HTTP status and body that encode the result of a call.
 func cloudResponse(call *protocol.CloudCall, result *protocol.CloudResult) (status int, body any) {
 	switch result.Outcome {
 	case protocol.NoCapacity:
--- a/internal/fake/loopback/conformance_test.go
+++ b/internal/fake/loopback/conformance_test.go
@@ -11,19 +11,19 @@
 	"pipitgap/internal/transport"
 )
 
-// stateService is a state service under test, simulated or on loopback.
+// stateService is a state service under test: the simulated one or the one on loopback.
 type stateService struct {
 	name string
 	call func(*protocol.StoreCall) protocol.StoreResult
-	// advance has time pass.
+	// advance lets simulated time pass.
 	advance func(monotime.Micros)
-	// setOutage begins or ends an outage.
+	// setOutage starts (true) or ends (false) an outage.
 	setOutage func(bool)
-	// setHistory sets how many changes are kept.
+	// setHistory sets how many changes the service keeps for watches.
 	setHistory func(int)
 }
 
-// simulatedState is the fake as the simulated tests use it.
+// simulatedState returns the fake state service as the simulated tests call it.
 func simulatedState() *stateService {
 	sim := fake.NewSimClock(1)
 	store := fake.NewStateStore(sim, 1000, 1000, 4)
@@ -41,7 +41,7 @@
 	}
 }
 
-// loopbackState is the same over HTTP, as controllers on loopback reach it.
+// loopbackState returns the fake state service behind HTTP, as controller processes on loopback call it.
 func loopbackState(t *testing.T) *stateService {
 	sim := fake.NewSimClock(1)
 	store := fake.NewStateStore(sim, 1000, 1000, 4)
@@ -93,7 +93,7 @@
 	return protocol.Op{Put: key, Value: protocol.MustMarshal(value), Lease: lease}
 }
 
-// resultSummary says what is to be compared of an answer.
+// resultSummary formats the parts of a result that the test compares.
 func resultSummary(r protocol.StoreResult) string {
 	s := fmt.Sprintf("%v revision %d failed %v more %v", r.Outcome, r.Revision, r.Failed, r.More)
 	if r.Item.Key != "" {
@@ -117,21 +117,21 @@
 	return s
 }
 
-// callStep is a call with the answer that the protocol asks for.
+// callStep is a call and the summary prefix of the result that the protocol requires.
 type callStep struct {
 	name        string
 	call        *protocol.StoreCall
 	wantSummary string
-	advanceBy   monotime.Micros // time to pass before
-	down        int             // 1: an outage begins before, 2: it ends
+	advanceBy   monotime.Micros // time that passes before the call
+	down        int             // before the call, 1: an outage starts, 2: the outage ends
 }
 
-// conformanceSteps is the protocol of the state service, call by call.
+// conformanceSteps exercises the protocol of the state service. Each step depends on the earlier ones.
 var conformanceSteps = []callStep{
-	{name: "a key that isn't there", call: get("a/1"), wantSummary: "not found revision 0"},
-	{name: "a list of nothing", call: list("a/", "", 10), wantSummary: "ok revision 0"},
+	{name: "get of an absent key", call: get("a/1"), wantSummary: "not found revision 0"},
+	{name: "list of an empty prefix", call: list("a/", "", 10), wantSummary: "ok revision 0"},
 	{
-		name: "creating two keys",
+		name: "commit that creates two keys",
 		call: commit(
 			protocol.Transaction{
 				If:   []protocol.Compare{{Key: "a/1"}},
@@ -141,7 +141,7 @@
 		wantSummary: "ok revision 1 failed [] more false",
 	},
 	{
-		name: "creating one that is there",
+		name: "commit that creates an existing key",
 		call: commit(
 			protocol.Transaction{
 				If:   []protocol.Compare{{Key: "a/1"}, {Key: "a/3"}},
@@ -151,12 +151,12 @@
 		wantSummary: "conflict revision 1 failed [a/1] more false",
 	},
 	{
-		name:        "reading",
+		name:        "get of an existing key",
 		call:        get("a/1"),
 		wantSummary: "ok revision 0 failed [] more false item a/1@1 lease 0 a178",
 	},
 	{
-		name: "a condition on the version",
+		name: "commit with a comparison of the version",
 		call: commit(
 			protocol.Transaction{
 				If:   []protocol.Compare{{Key: "a/1", Version: 1}},
@@ -166,42 +166,42 @@
 		wantSummary: "ok revision 2 failed [] more false",
 	},
 	{
-		name:        "comparing alone",
+		name:        "commit with a comparison and no operation",
 		call:        commit(protocol.Transaction{If: []protocol.Compare{{Key: "a/1", Version: 2}}}),
 		wantSummary: "ok revision 2 failed [] more false",
 	},
 	{
-		name:        "the first part of a list",
+		name:        "first page of a list",
 		call:        list("a/", "", 1),
 		wantSummary: "ok revision 2 failed [] more true a/1@2",
 	},
 	{
-		name:        "the next part of a list",
+		name:        "second page of a list",
 		call:        list("a/", "a/1", 1),
 		wantSummary: "ok revision 2 failed [] more false a/2@1",
 	},
 	{
-		name:        "changes since a revision",
+		name:        "watch with a change since its revision",
 		call:        watch("a/", 1, 0),
 		wantSummary: "ok revision 2 failed [] more false +a/1-@2",
 	},
 	{
-		name:        "no changes in time",
+		name:        "watch without a change within its block time",
 		call:        watch("a/", 2, 100*monotime.Millisecond),
 		wantSummary: "ok revision 2 failed [] more false",
 	},
 	{
-		name:        "a deletion",
+		name:        "commit that deletes a key",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{{Delete: "a/2"}}}),
 		wantSummary: "ok revision 3 failed [] more false",
 	},
 	{
-		name:        "the deletion is seen",
+		name:        "watch of the deletion",
 		call:        watch("a/", 2, 0),
 		wantSummary: "ok revision 3 failed [] more false +-a/2@3",
 	},
 	{
-		name: "too many changes",
+		name: "commit with more operations than the limit",
 		call: commit(
 			protocol.Transaction{
 				Then: []protocol.Op{
@@ -216,19 +216,19 @@
 		wantSummary: "rejected",
 	},
 	{
-		name: "a large value",
+		name: "commit with a large value",
 		call: commit(
 			protocol.Transaction{Then: []protocol.Op{put("b/1", strings.Repeat("x", 9000), 0)}},
 		),
 		wantSummary: "ok revision 4 failed [] more false",
 	},
 	{
-		name:        "a large answer",
+		name:        "list with a large response",
 		call:        list("b/", "", 10),
 		wantSummary: "ok revision 4 failed [] more false b/1@4",
 	},
 	{
-		name: "a lease",
+		name: "grant of a lease",
 		call: &protocol.StoreCall{
 			Op:      protocol.StoreGrantLease,
 			TTL:     5 * monotime.Second,
@@ -237,54 +237,60 @@
 		wantSummary: "ok revision 0 failed [] more false lease 1",
 	},
 	{
-		name:        "a key with a lease",
+		name:        "commit of a key with a lease",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{put("l/1", "x", 1)}}),
 		wantSummary: "ok revision 5 failed [] more false",
 	},
 	{
-		name:        "a lease that there isn't",
+		name:        "commit of a key with a lease that does not exist",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{put("l/2", "x", 9)}}),
 		wantSummary: "rejected",
 	},
 	{
-		name:        "a renewal",
+		name:        "keep-alive of the lease",
 		call:        &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second},
 		advanceBy:   3 * monotime.Second,
 		wantSummary: "ok",
 	},
 	{
-		name:        "the key stays",
+		name:        "get of the key after the original TTL of the renewed lease",
 		call:        get("l/1"),
 		advanceBy:   3 * monotime.Second,
 		wantSummary: "ok revision 0 failed [] more false item l/1@5 lease 1 a178",
 	},
 	{
-		name:        "the key goes with its lease",
+		name:        "get of the key after the expiry of its lease",
 		call:        get("l/1"),
 		advanceBy:   4 * monotime.Second,
 		wantSummary: "not found",
 	},
 	{
-		name:        "its end is a change",
+		name:        "watch of the deletion by lease expiry",
 		call:        watch("l/", 5, 0),
 		wantSummary: "ok revision 6 failed [] more false +-l/1@6",
 	},
 	{
-		name:        "a lease that has ended",
+		name:        "keep-alive of an expired lease",
 		call:        &protocol.StoreCall{Op: protocol.StoreKeepAlive, Lease: 1, Timeout: monotime.Second},
 		wantSummary: "not found",
 	},
-	{name: "an outage", call: get("a/1"), down: 1, wantSummary: "unavailable"},
+	{name: "get during an outage", call: get("a/1"), down: 1, wantSummary: "unavailable"},
 	{
-		name:        "a commit in an outage",
+		name:        "commit during an outage",
 		call:        commit(protocol.Transaction{Then: []protocol.Op{put("a/9", "x", 0)}}),
 		wantSummary: "unavailable",
 	},
-	{name: "after the outage", call: get("a/9"), down: 2, wantSummary: "not found"},
+	{
+		name:        "get after the outage of the key whose commit failed",
+		call:        get("a/9"),
+		down:        2,
+		wantSummary: "not found",
+	},
 }
 
-// TestStateServicesConformToProtocol: the simulated state service and the one on loopback answer alike, and
-// as the protocol says.
+// TestStateServicesConformToProtocol guards against fakes that deviate from the protocol or from each other:
+// it makes the same calls to the simulated state service and to the one on loopback, and expects the same
+// answers.
 func TestStateServicesConformToProtocol(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
 		for _, s := range conformanceSteps {
@@ -302,18 +308,19 @@
 	}
 }
 
-// TestCompactedWatchIsReported: a watch that begins before the history that is kept is answered so.
+// TestCompactedWatchIsReported guards against silently skipped changes: a watch from a revision older than
+// the history must fail with the outcome Compacted.
 func TestCompactedWatchIsReported(t *testing.T) {
 	for _, service := range []*stateService{simulatedState(), loopbackState(t)} {
 		service.setHistory(5)
 		for i := range 10 {
 			txn := protocol.Transaction{Then: []protocol.Op{put("a/1", fmt.Sprint(i), 0)}}
 			if result := service.call(commit(txn)); result.Outcome != protocol.OK {
-				t.Fatalf("%s: %v", service.name, result.Outcome)
+				t.Fatalf("%s: commit %d: got outcome %v, want ok", service.name, i, result.Outcome)
 			}
 		}
 		if r := service.call(watch("a/", 2, 0)); r.Outcome != protocol.Compacted {
-			t.Errorf("%s: %v", service.name, r.Outcome)
+			t.Errorf("%s: got outcome %v, want %v", service.name, r.Outcome, protocol.Compacted)
 		}
 	}
 }
--- a/internal/fake/loopback/deployment.go
+++ b/internal/fake/loopback/deployment.go
@@ -17,13 +17,13 @@
 
 // Options describes a deployment.
 type Options struct {
-	Binary            string   // path of the program
-	Controllers       int      // how many
-	Settings          []string // settings files, by path
+	Binary            string   // path of the controller program
+	Controllers       int      // number of controllers
+	Settings          []string // paths of settings files
 	Zones             []string
 	Types             []protocol.MachineType
 	Teams             []config.Team
-	BootTime          monotime.Micros // of a machine
+	BootTime          monotime.Micros // time from creating a machine to its worker's start
 	HeartbeatInterval monotime.Micros
 	LeaseTime         monotime.Micros
 	CancelWithin      monotime.Micros
@@ -31,7 +31,7 @@
 	StateWriteRPS     float64
 }
 
-// Deployment is controllers as processes, with fakes of all services that they call.
+// Deployment runs controllers as processes, and fakes of all services that they call.
 type Deployment struct {
 	Clock       *RealTimeClock
 	SimClock    *fake.SimClock
@@ -53,7 +53,7 @@
 	workerServers []*Server
 }
 
-// NewDeployment makes a deployment and starts its controllers. Everything is stopped when the test ends.
+// NewDeployment creates a deployment and starts its controllers. It stops everything when the test ends.
 func NewDeployment(t testing.TB, seed uint64, options Options) *Deployment {
 	t.Helper()
 	sim := fake.NewSimClock(seed)
@@ -90,7 +90,7 @@
 	return d
 }
 
-// close ends all processes and servers.
+// close kills all controller processes and closes all servers. It resumes suspended processes first.
 func (d *Deployment) close() {
 	for _, p := range d.processes {
 		p.Resume()
@@ -108,8 +108,8 @@
 	}
 }
 
-// serveFakes has the state service and the cloud listen: the former on a port for each caller, so that it
-// can tell them apart.
+// serveFakes starts the servers of the state service and the cloud. The state service listens on a separate
+// port for each caller, so that it can distinguish the callers.
 func (d *Deployment) serveFakes() {
 	for _, caller := range append([]string{operatorCaller}, d.Controllers...) {
 		d.stateServers[caller] = d.serve(caller, &stateHandler{d.Clock, d.Store, caller})
@@ -117,8 +117,8 @@
 	d.cloudServer = d.serve("cloud", &cloudHandler{d.Clock, d.Cloud})
 }
 
-// connectWorkers gives every machine a listener for commands, and its heartbeats connections to the
-// controllers.
+// connectWorkers connects workers and controllers: it starts a server for commands for every new machine, and
+// sends the workers' heartbeats to the controllers over HTTP.
 func (d *Deployment) connectWorkers() {
 	d.Cloud.NextEndpoint = func() string {
 		handler := &workerHandler{clock: d.Clock, fleet: d.Fleet}
@@ -151,7 +151,7 @@
 	return server
 }
 
-// freeAddr finds an address of 127.0.0.1 whose port is free now.
+// freeAddr returns an address on 127.0.0.1 whose port is currently free.
 func (d *Deployment) freeAddr() string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -161,13 +161,14 @@
 	return listener.Addr().String()
 }
 
-// SetFaults injects faults into calls of the state service, the cloud and the workers; nil ends them.
+// SetFaults injects faults into all later calls to the state service, the cloud and the workers. nil removes
+// them.
 func (d *Deployment) SetFaults(decide FaultFunc) { d.injector.set(decide) }
 
-// Process gives a controller's process.
+// Process returns the process of a controller.
 func (d *Deployment) Process(node string) *Process { return d.processes[node] }
 
-// StartController starts a controller that isn't running.
+// StartController starts a controller. To start it again, call Kill on its process first.
 func (d *Deployment) StartController(node string) {
 	d.t.Helper()
 	log, err := os.OpenFile(d.logPath(node), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -182,7 +183,7 @@
 
 func (d *Deployment) logPath(node string) string { return filepath.Join(d.directory, node+".log") }
 
-// ControllerLog gives a controller's log so far.
+// ControllerLog returns the log that a controller has written so far.
 func (d *Deployment) ControllerLog(node string) string {
 	text, _ := os.ReadFile(d.logPath(node))
 	return string(text)
--- a/internal/fake/loopback/deployment_config.go
+++ b/internal/fake/loopback/deployment_config.go
@@ -10,7 +10,7 @@
 	"pipitgap/internal/config"
 )
 
-// Limits of the state service that the options don't set.
+// Platform limits that Options does not set.
 const (
 	maxTransactionOps = 32
 	maxValueKB        = 16
@@ -20,10 +20,10 @@
 	maxConnections    = 1000
 )
 
-// operatorCaller is the caller that operators' commands are to the state service.
+// operatorCaller identifies operators' commands as a caller of the state service.
 const operatorCaller = "operator"
 
-// configFlags are the flags that name a caller's settings files.
+// configFlags returns the flags that pass a caller its configuration and settings files.
 func (d *Deployment) configFlags(caller string) []string {
 	args := []string{"--config", d.writeConfig(caller)}
 	for _, path := range d.options.Settings {
@@ -32,7 +32,7 @@
 	return args
 }
 
-// writeConfig writes the platform's settings as a caller sees them, and returns the file's path.
+// writeConfig writes the platform configuration of a caller and returns the path of the file.
 func (d *Deployment) writeConfig(caller string) string {
 	cfg := config.Config{
 		Node:       caller,
@@ -40,7 +40,7 @@
 		PublicAddr: d.publicAddrs[caller],
 		PeerBind:   d.peerAddrs[caller],
 	}
-	if caller == operatorCaller { // a command listens nowhere, but its settings must be whole
+	if caller == operatorCaller { // a command does not listen, but its configuration must be complete
 		cfg.PublicAddr, cfg.PeerBind = d.publicAddrs[d.Controllers[0]], d.peerAddrs[d.Controllers[0]]
 	}
 	for i, node := range d.Controllers {
--- a/internal/fake/loopback/deployment_requests.go
+++ b/internal/fake/loopback/deployment_requests.go
@@ -10,7 +10,8 @@
 	"pipitgap/internal/transport"
 )
 
-// RunCommand runs an operator's command and returns what it printed and its exit status.
+// RunCommand runs an operator's command and returns its standard output, followed by its standard error, and
+// its exit status.
 func (d *Deployment) RunCommand(args ...string) (output string, status int) {
 	d.t.Helper()
 	cmd := exec.Command(d.options.Binary, append(args, d.configFlags(operatorCaller)...)...)
@@ -23,13 +24,14 @@
 	return out.String() + errs.String(), cmd.ProcessState.ExitCode()
 }
 
-// Bounds of users' requests.
+// Limits of users' requests.
 const (
 	userTimeout  = 5 * monotime.Second
 	maxUserReply = 64 << 10 // bytes
 )
 
-// UserRequest sends a user's request to a controller. The status is 0 if there was no answer.
+// UserRequest sends a user's request to a controller and reports it to the checker. The status is 0 if there
+// is no answer.
 func (d *Deployment) UserRequest(node, method, target string, body []byte) (status int, reply []byte) {
 	var pending *fake.PendingRequest
 	d.Clock.Do(func() { pending = d.Checker.UserRequest(method, target, body) })
@@ -45,11 +47,11 @@
 	return message.Status, message.Body
 }
 
-// pollInterval is how often a condition is evaluated.
+// pollInterval is the time between two evaluations of a condition.
 const pollInterval = 20 * time.Millisecond
 
-// Eventually waits until a condition on the fakes holds, and tells whether it did in time. The condition is
-// evaluated on the clock.
+// Eventually waits until a condition on the fakes holds, and reports whether it did in time. It evaluates the
+// condition inside Clock.Do.
 func (d *Deployment) Eventually(within time.Duration, ok func() bool) bool {
 	for deadline := time.Now().Add(within); ; time.Sleep(pollInterval) {
 		held := false
--- a/internal/fake/loopback/doc.go
+++ b/internal/fake/loopback/doc.go
@@ -1,5 +1,5 @@
-// Package loopback runs real controller processes on 127.0.0.1 against the fakes of package fake: the state
-// service, the cloud and the workers answer over HTTP as the protocol says, on the simulation's own logic
-// driven by the wall clock. Processes can be killed, stopped and continued; calls can be delayed, held or
-// reset. Everything ends with the test, also when it fails.
+// Package loopback runs real controller processes on 127.0.0.1 against the fakes of package fake. The fakes
+// of the state service, the cloud and the workers serve the protocol over HTTP; their simulation follows the
+// wall clock. A test can kill, suspend and resume processes; calls can be delayed, held or reset. Everything
+// stops when the test ends, even if it fails.
 package loopback
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -24,17 +24,17 @@
 	longTest = flag.Bool(
 		"long",
 		false,
-		"play the long form: more workers, several drains, random faults",
+		"run the long test: more workers, several drains, random faults",
 	)
-	longRounds     = flag.Int("rounds", 4, "rounds of the long form")
+	longRounds     = flag.Int("rounds", 4, "number of drains in the long test")
 	withoutBudgets = flag.Bool(
 		"at-once",
 		false,
-		"measure drains without budgets instead: everything may be moved at once",
+		"run the long test without budgets and without faults: all replicas may move at once",
 	)
 )
 
-// binary is the program under test, built once.
+// binary is the path of the program under test. TestMain builds it once.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -89,9 +89,10 @@
 `
 )
 
+// shortTeams are the teams of TestDrainKeepsBudgetsThroughFailures.
 var shortTeams = []TeamServices{{"intake", 3, 20, 48}, {"payout", 3, 20, 48}, {"tally", 2, 24, 0}}
 
-// drainScenario is a deployment with services on which drains are tried.
+// drainScenario is a deployment with services whose machines the test drains.
 type drainScenario struct {
 	*Services
 	t *testing.T
@@ -105,7 +106,7 @@
 	return path
 }
 
-// newDrainScenario starts controllers and services and waits until all replicas run.
+// newDrainScenario starts a deployment with services and waits until all replicas run.
 func newDrainScenario(t *testing.T, settings string, teams []TeamServices) *drainScenario {
 	options := Options{
 		Binary:      binary,
@@ -133,18 +134,19 @@
 	return &drainScenario{Services: NewServices(t, 1, options, teams), t: t}
 }
 
-// checkMinAvailable checks every sample, and the invariants.
+// checkMinAvailable checks that no sample of running replicas is below the team's MinAvailable, and that the
+// checker has seen no violation.
 func (d *drainScenario) checkMinAvailable() {
 	d.t.Helper()
 	for _, team := range d.Teams {
 		samples := d.Samples(team.Team)
 		if len(samples) < 5 {
-			d.t.Errorf("%s: only %d samples", team.Team, len(samples))
+			d.t.Errorf("%s: got %d samples, want at least 5", team.Team, len(samples))
 			continue
 		}
 		lowest := slices.Min(samples)
 		d.t.Logf(
-			"%s: %d samples, lowest %d of %d, floor %d",
+			"%s: %d samples, at least %d of %d replicas running, want at least %d",
 			team.Team,
 			len(samples),
 			lowest,
@@ -152,7 +154,8 @@
 			team.MinAvailable,
 		)
 		if lowest < team.MinAvailable {
-			d.t.Errorf("%s ran %d, its floor is %d: %v", team.Team, lowest, team.MinAvailable, samples)
+			d.t.Errorf("%s: got a minimum of %d running replicas, want at least %d; samples: %v",
+				team.Team, lowest, team.MinAvailable, samples)
 		}
 	}
 	d.Clock.Do(func() {
@@ -162,17 +165,17 @@
 	})
 }
 
-// mustRun runs a command and checks its exit status.
+// mustRun runs a drain command, checks its exit status and returns its output.
 func (d *drainScenario) mustRun(status int, args ...string) string {
 	d.t.Helper()
 	out, got := d.RunCommand(append([]string{"drain"}, args...)...)
 	if got != status {
-		d.t.Errorf("drain %v: status %d, want %d: %s", args, got, status, out)
+		d.t.Errorf("drain %v: got exit status %d, want %d; output: %s", args, got, status, out)
 	}
 	return out
 }
 
-// progress asks for a drain's status.
+// progress returns the progress of a drain as the status command reports it.
 func (d *drainScenario) progress(name string) *drain.Progress {
 	d.t.Helper()
 	var answer struct {
@@ -180,12 +183,12 @@
 	}
 	out, status := d.RunCommand("drain", "status", name, "--json")
 	if status != 0 || json.Unmarshal([]byte(out), &answer) != nil {
-		d.t.Fatalf("status of %s: %d %s", name, status, out)
+		d.t.Fatalf("drain status %s: got exit status %d, want 0 with JSON output; output: %s", name, status, out)
 	}
 	return answer.Drain
 }
 
-// pollFor waits for a drain to end.
+// waitFor waits until a drain is no longer active. It fails the test if that takes too long.
 func (d *drainScenario) waitFor(name string, within time.Duration) {
 	d.t.Helper()
 	var p *drain.Progress
@@ -194,16 +197,18 @@
 			return
 		}
 	}
-	d.t.Errorf("drain %s is %s with %d machines left: %+v", name, p.State, len(p.Machines), p.Blocked)
+	d.t.Errorf("drain %s: got state %s with %d machines left after %s, want it finished; blocked by: %+v",
+		name, p.State, len(p.Machines), within, p.Blocked)
 }
 
-// TestDrainKeepsBudgetsThroughFailures: a zone is drained; half way a second team's replacement starts, a
-// machine dies and the leader is killed. No sample of any team is below its budget.
+// TestDrainKeepsBudgetsThroughFailures guards against drains that violate disruption budgets when failures
+// coincide. It drains a zone; after a third of the zone's machines, a second drain of machines of another
+// team starts, a machine dies and the leader is killed. No sample of any team may be below its budget.
 func TestDrainKeepsBudgetsThroughFailures(t *testing.T) {
 	s := newDrainScenario(t, budgets, shortTeams)
 	machines := len(s.MachinesInZone("a"))
 	if all := machines + len(s.MachinesInZone("b")); all < 40 {
-		t.Errorf("only %d workers", all)
+		t.Errorf("got %d workers, want at least 40", all)
 	}
 	s.mustRun(0, "start", "rack", "--zone", "a", "--replace")
 	s.Eventually(
@@ -220,16 +225,16 @@
 	s.waitFor("rack", 150*time.Second)
 	s.waitFor("payout-machines", 60*time.Second)
 	if !s.Eventually(30*time.Second, s.AllRunning) {
-		t.Errorf("running %v", s.Running())
+		t.Errorf("got running replicas by team %v, want all replicas running", s.Running())
 	}
 	if left := s.MachinesInZone("a"); len(left) > 0 {
-		t.Errorf("left in zone a: %v", left)
+		t.Errorf("zone a: got machines %v, want none", left)
 	}
 	if got := s.progress("rack").State; got != storage.DrainDrained {
-		t.Errorf("rack is %s", got)
+		t.Errorf("drain rack: got state %s, want %s", got, storage.DrainDrained)
 	}
 	restarts, maxPerReplica := s.Restarts()
-	t.Logf("%d machines of the zone; %d restarts, at most %d of a replica", machines, restarts, maxPerReplica)
+	t.Logf("%d machines in the zone; %d restarts, at most %d of a single replica", machines, restarts, maxPerReplica)
 	s.checkMinAvailable()
 }
 
@@ -241,13 +246,13 @@
 	return args
 }
 
-// TestDrainCommandsReportStatesAndErrors: what operators see of a drain, also of mistaken and repeated
-// commands.
+// TestDrainCommandsReportStatesAndErrors checks the exit statuses and outputs of the drain commands for
+// operators, including invalid and repeated commands. cmd/pipitgap defines the exit statuses.
 func TestDrainCommandsReportStatesAndErrors(t *testing.T) {
 	s := newDrainScenario(t, looseBudgets, []TeamServices{{"intake", 2, 8, 8}, {"payout", 2, 8, 4}})
 	machines := len(s.MachinesInZone("a"))
 
-	// The records say a few seconds later that the replicas run.
+	// The records in the state service show the running replicas with a delay of a few seconds.
 	ready := func() bool { return s.availability("intake") == 16 && s.availability("payout") == 16 }
 	deadline := time.Now().Add(30 * time.Second)
 	for ; !ready() && time.Now().Before(deadline); time.Sleep(time.Second) {
@@ -258,7 +263,8 @@
 	if err != nil || started.Plan == nil || len(started.Plan.Machines) != machines ||
 		len(started.Plan.Steps) == 0 ||
 		len(started.Plan.Blocked) > 0 {
-		t.Errorf("dry run: %v %s", err, out)
+		t.Errorf("dry run: got error %v, output %s, want a plan for %d machines with steps and no blockages",
+			err, out, machines)
 	}
 	s.mustRun(3, "status", "rack")
 	s.mustRun(3, "start", "rack", "--zone", "c")
@@ -278,26 +284,26 @@
 	s.mustRun(0, "pause", "rack")
 	s.mustRun(0, "pause", "rack")
 	if p := s.progress("rack"); p.State != storage.DrainPaused || len(p.Machines) != machines {
-		t.Errorf("paused: %+v", p)
+		t.Errorf("after pause: got %+v, want state %s and %d machines", p, storage.DrainPaused, machines)
 	}
 	s.mustRun(0, "resume", "rack")
 	s.mustRun(0, "abort", "rack")
 	s.mustRun(0, "abort", "rack")
 	s.mustRun(4, "resume", "rack")
 	if p := s.progress("rack"); p.State != storage.DrainAborted {
-		t.Errorf("aborted: %+v", p)
+		t.Errorf("after abort: got %+v, want state %s", p, storage.DrainAborted)
 	}
 	var list []operator.DrainSummary
 	if err := json.Unmarshal([]byte(s.mustRun(0, "list", "--json")), &list); err != nil || len(list) != 1 ||
 		list[0].State != storage.DrainAborted {
-		t.Errorf("list: %v %+v", err, list)
+		t.Errorf("list: got error %v, drains %+v, want one drain in state %s", err, list, storage.DrainAborted)
 	}
 	s.mustRun(0, "start", "rack", "--zone", "a", "--replace", "--at-once")
 	s.waitFor("rack", 90*time.Second)
 	if p := s.progress("rack"); p.State != storage.DrainDrained || len(s.MachinesInZone("a")) > 0 {
-		t.Errorf("drained: %+v", p)
+		t.Errorf("after the drain: got %+v, want state %s and no machine in zone a", p, storage.DrainDrained)
 	}
-	s.mustRun(0, "abort", "rack") // the zone may be used again
+	s.mustRun(0, "abort", "rack") // allows the zone to be used again
 	s.mustRun(4, "abort", "rack")
 	s.Clock.Do(func() { s.Store.Down = true })
 	s.mustRun(5, "list")
@@ -305,7 +311,7 @@
 	s.checkMinAvailable()
 }
 
-// availability asks how many replicas of a team count as available.
+// availability returns the number of available replicas of a team as the budgets command reports it.
 func (d *drainScenario) availability(team string) int {
 	d.t.Helper()
 	var teams []drain.TeamStatus
@@ -320,13 +326,15 @@
 	return 0
 }
 
-// longTeams are those of the long form.
+// longTeams are the teams of the long test.
 var longTeams = []TeamServices{{"intake", 6, 30, 144}, {"payout", 6, 30, 168}, {"tally", 4, 24, 0}}
 
-// TestRepeatedDrainsKeepBudgets is the long form: rounds of drains, each with faults at random.
+// TestRepeatedDrainsKeepBudgets is the long test. It guards against drains that violate disruption budgets
+// under random faults: it runs several drains in a row, each with one fault. With -at-once it measures drains
+// without budgets and without faults.
 func TestRepeatedDrainsKeepBudgets(t *testing.T) {
 	if !*longTest {
-		t.Skip("only with -long")
+		t.Skip("runs only with -long")
 	}
 	settings := budgets
 	if *withoutBudgets {
@@ -346,11 +354,11 @@
 		s.waitFor(name, 400*time.Second)
 		s.mustRun(0, "abort", name)
 		if !s.Eventually(60*time.Second, s.AllRunning) {
-			t.Errorf("running %v", s.Running())
+			t.Errorf("%s: got running replicas by team %v, want all replicas running", name, s.Running())
 		}
 		restarts, _ := s.Restarts()
 		t.Logf(
-			"%s: %d machines, %d restarts, %.0f s, %d changes of the state service",
+			"%s: %d machines, %d restarts, %.0f s, %d writes to the state service",
 			name,
 			machines,
 			restarts-restartsBefore,
@@ -367,33 +375,33 @@
 	s.checkMinAvailable()
 }
 
-// randomFault has something happen at a random moment of a drain.
+// randomFault injects a random fault after a random delay of up to 10 s.
 func (d *drainScenario) randomFault(rng *rand.Rand) {
 	time.Sleep(time.Duration(rng.Int64N(int64(10 * time.Second))))
 	node := d.Controllers[rng.IntN(len(d.Controllers))]
 	switch rng.IntN(5) {
 	case 0:
-		d.t.Logf("%s is killed", node)
+		d.t.Logf("fault: %s is killed and restarted after 3 s", node)
 		d.Process(node).Kill()
 		time.Sleep(3 * time.Second)
 		d.StartController(node)
 	case 1:
-		d.t.Logf("%s is stopped for 6 s", node)
+		d.t.Logf("fault: %s is suspended for 6 s", node)
 		d.Process(node).Suspend()
 		time.Sleep(6 * time.Second)
 		d.Process(node).Resume()
 	case 2:
-		d.t.Log("a machine dies")
+		d.t.Log("fault: a machine dies")
 		if dying := d.MachinesRunningTeam("intake", "b", 1); len(dying) == 1 {
 			d.Clock.Do(func() { d.Cloud.RemoveMachine(dying[0]) })
 		}
 	case 3:
-		d.t.Logf("calls of %s are reset for 5 s", node)
+		d.t.Logf("fault: calls from %s are reset for 5 s", node)
 		d.SetFaults(func(caller string, _ *http.Request) Fault { return Fault{Reset: caller == node} })
 		time.Sleep(5 * time.Second)
 		d.SetFaults(nil)
 	case 4:
-		d.t.Log("commits take a second for 8 s")
+		d.t.Log("fault: commits are delayed by 1 s for 8 s")
 		d.SetFaults(func(_ string, r *http.Request) Fault {
 			if r.URL.Path == protocol.CommitPath {
 				return Fault{Delay: time.Second}
--- a/internal/fake/loopback/process.go
+++ b/internal/fake/loopback/process.go
@@ -8,18 +8,18 @@
 	"syscall"
 )
 
-// Process is a controller that runs as a process of its own. It ends with the test's process at
-// the latest.
+// Process runs a controller in a separate operating system process. The kernel kills the controller when the
+// test process dies.
 type Process struct {
 	mu     sync.Mutex
 	cmd    *exec.Cmd
 	exited chan struct{}
 }
 
-// errAlreadyRunning says that a process was started twice.
-var errAlreadyRunning = errors.New("the process runs already")
+// errAlreadyRunning is returned by Process.start if Kill has not ended the previous run.
+var errAlreadyRunning = errors.New("the process is already running")
 
-// start runs a program with its log in a file.
+// start starts a program and redirects its output to a log file.
 func (p *Process) start(log *os.File, program string, args ...string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process with SIGKILL and waits until it has exited.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,13 +53,13 @@
 	p.cmd = nil
 }
 
-// Suspend freezes the process; its connections stay open.
+// Suspend stops the process with SIGSTOP. Its connections stay open.
 func (p *Process) Suspend() { p.signal(syscall.SIGSTOP) }
 
-// Resume has a frozen process go on.
+// Resume continues a suspended process with SIGCONT.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Running tells whether the process has been started and hasn't ended.
+// Running reports whether the process has been started and has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// pid is the process's id while it runs.
+// pid returns the process ID. The process must be running.
 func (p *Process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fake/loopback/process_cleanup_test.go
+++ b/internal/fake/loopback/process_cleanup_test.go
@@ -15,17 +15,19 @@
 	"pipitgap/internal/protocol"
 )
 
-// killedChildEnv names the program that the abrupt child is to start controllers of.
+// killedChildEnv is the environment variable that holds the path of the controller program for the child
+// process. If it is set, this test binary runs as that child.
 const killedChildEnv = "PIPITGAP_TEST_ABRUPT"
 
-// pidPrefix stands before a controller's process id in the child's output.
+// pidPrefix marks the lines of the child's output that contain the process ID of a controller.
 const pidPrefix = "controller "
 
-// TestAbruptlyKilledChildProcess is run as a process of its own: it starts controllers and is killed.
+// TestAbruptlyKilledChildProcess runs only as a child process of TestControllersEndWithTestProcess. It starts
+// controllers, prints their process IDs and kills itself with SIGKILL, so that no cleanup runs.
 func TestAbruptlyKilledChildProcess(t *testing.T) {
 	program := os.Getenv(killedChildEnv)
 	if program == "" {
-		t.Skip("only as a child of TestControllersEndWithTestProcess")
+		t.Skip("runs only as a child process of TestControllersEndWithTestProcess")
 	}
 	d := NewDeployment(t, 1, Options{
 		Binary:      program,
@@ -55,7 +57,8 @@
 	_ = syscall.Kill(os.Getpid(), syscall.SIGKILL)
 }
 
-// TestControllersEndWithTestProcess: controllers end with the test's process, even if that is killed.
+// TestControllersEndWithTestProcess guards against controllers that outlive a killed test process: its cleanup
+// functions do not run, so the kernel must kill the controllers.
 func TestControllersEndWithTestProcess(t *testing.T) {
 	child := exec.Command(os.Args[0], "-test.run", "^TestAbruptlyKilledChildProcess$")
 	child.Env = append(os.Environ(), killedChildEnv+"="+binary)
@@ -75,7 +78,7 @@
 	}
 	_ = child.Wait()
 	if len(pids) != 2 {
-		t.Fatalf("controllers %v", pids)
+		t.Fatalf("got process IDs %v from the child, want 2", pids)
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(pollInterval) {
 		left := 0
@@ -88,12 +91,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d controllers are left", left)
+			t.Fatalf("got %d of %d controllers alive 5 s after the test process was killed, want 0", left, len(pids))
 		}
 	}
 }
 
-// processAlive tells whether a process is there and no zombie.
+// processAlive reports whether a process exists and is not a zombie.
 func processAlive(pid int) bool {
 	status, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/stat")
 	return err == nil && !strings.Contains(string(status), ") Z ")
--- a/internal/fake/loopback/server.go
+++ b/internal/fake/loopback/server.go
@@ -13,24 +13,24 @@
 	"pipitgap/internal/protocol"
 )
 
-// Fault is what happens to a call on its way to a fake.
+// Fault is a network fault that affects a call to a fake.
 type Fault struct {
-	Delay time.Duration // it arrives so much later
-	Reset bool          // its connection is reset instead
+	Delay time.Duration // delay before the fake receives the call
+	Reset bool          // the connection is reset and the fake never receives the call
 }
 
-// FaultFunc decides on the fault of a caller's call; the zero Fault is none.
+// FaultFunc returns the fault for a call; the zero Fault means none.
 type FaultFunc func(caller string, r *http.Request) Fault
 
 // Server is an HTTP server on a free port of 127.0.0.1.
 type Server struct {
 	Addr     string
-	caller   string // whose calls it serves
+	caller   string // the caller whose calls this server receives
 	server   *http.Server
 	injector *faultInjector
 }
 
-// faultInjector holds the present fault function of all servers of a deployment.
+// faultInjector holds the current FaultFunc, which all servers of a deployment share.
 type faultInjector struct {
 	mu     sync.Mutex
 	decide FaultFunc
@@ -52,7 +52,7 @@
 	return decide(caller, r)
 }
 
-// newServer serves on a free port.
+// newServer starts a server on a free port.
 func newServer(caller string, handler http.Handler, f *faultInjector) (*Server, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -64,10 +64,10 @@
 	return s, nil
 }
 
-// Close ends the server and its connections.
+// Close stops the server and closes its connections.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// withFaults applies the injected fault to a call before it is handled.
+// withFaults wraps a handler so that injected faults apply before the handler runs.
 func (s *Server) withFaults(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fault := s.injector.faultFor(s.caller, r)
@@ -76,7 +76,8 @@
 			return
 		}
 		if fault.Delay > 0 {
-			// The message is on its way: it arrives even if its sender gives up waiting.
+			// A delayed message is still in transit: the handler receives it even if the sender stops
+			// waiting.
 			body, _ := io.ReadAll(io.LimitReader(r.Body, maxBody))
 			time.Sleep(fault.Delay)
 			r = r.Clone(context.WithoutCancel(r.Context()))
@@ -86,10 +87,10 @@
 	})
 }
 
-// maxBody bounds what is read of a request.
+// maxBody is the maximum number of bytes read from the body of a request.
 const maxBody = 1 << 20
 
-// resetConnection closes a connection so that its peer sees a reset.
+// resetConnection closes a connection with a TCP reset instead of a normal close.
 func resetConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
@@ -105,28 +106,28 @@
 	_ = conn.Close()
 }
 
-// readMessage decodes a request's body.
+// readMessage decodes the body of a request into v and reports whether that succeeds.
 func readMessage(r *http.Request, v any) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	return err == nil && protocol.Unmarshal(body, v) == nil
 }
 
-// writeMessage answers with a status and a message; nil: without a body.
+// writeMessage writes a response with a status and an encoded message. If v is nil, the body is empty.
 func writeMessage(w http.ResponseWriter, status int, v any) {
 	var body []byte
 	if v != nil {
 		body = protocol.MustMarshal(v)
 	}
 	w.Header().Set("Content-Type", "application/msgpack")
-	w.Header().Set("Content-Length", strconv.Itoa(len(body))) // the protocol has no chunks
+	w.Header().Set("Content-Length", strconv.Itoa(len(body))) // the protocol does not allow chunked encoding
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-// asyncCall is a call of a fake that answers by calling back on the simulation.
+// asyncCall starts a call to a fake, which invokes the callback from the simulation.
 type asyncCall[Result any] func(callback func(Result))
 
-// answerCall makes a call on the simulation and writes its answer, unless the client has gone.
+// answerCall executes a call on the simulation and writes the response, unless the client disconnects first.
 func answerCall[Result any](
 	clock *RealTimeClock, w http.ResponseWriter, r *http.Request,
 	start asyncCall[Result], toResponse func(*Result) (status int, body any),
@@ -141,7 +142,8 @@
 	}
 }
 
-// pendingAnswer holds the answer of a call until it is written.
+// pendingAnswer passes the result of a call from the simulation to the HTTP handler. Its buffer of one keeps
+// the simulation from blocking.
 type pendingAnswer[Result any] chan Result
 
 func newPendingAnswer[Result any]() pendingAnswer[Result] { return make(pendingAnswer[Result], 1) }
--- a/internal/fake/loopback/services.go
+++ b/internal/fake/loopback/services.go
@@ -14,27 +14,27 @@
 	"pipitgap/internal/protocol"
 )
 
-// TeamServices is a team's services, with so many replicas of two CPUs each.
+// TeamServices describes the services of a team. Each service has Replicas replicas of two CPUs each.
 type TeamServices struct {
 	Team               string
 	Services, Replicas int
-	MinAvailable       int // replicas by its disruption budget; 0: it has none
+	MinAvailable       int // running replicas that the team's disruption budget requires; 0: no budget
 }
 
-// Services is a deployment that runs services. Every second the running replicas of each team are counted
-// from what the workers run.
+// Services is a deployment that runs services. Every second it samples the number of running replicas of each
+// team from the workers.
 type Services struct {
 	*Deployment
 	Teams    []TeamServices
 	t        testing.TB
-	replicas map[string]int // replicas by job
+	replicas map[string]int // by job
 	mu       sync.Mutex
-	samples  map[string][]int // running replicas by team, one a second
+	samples  map[string][]int // by team: running replicas, one sample per second
 	stop     chan struct{}
 	sampler  sync.WaitGroup
 }
 
-// Bounds of the start of a deployment.
+// Limits and intervals of a deployment with services.
 const (
 	zoneCapacity      = 500 // machines of each type in a zone
 	startTimeout      = 60 * time.Second
@@ -43,7 +43,7 @@
 )
 
 // NewServices starts a deployment with services and waits until all replicas run. It fails the test if they
-// don't in time.
+// do not run within startTimeout.
 func NewServices(t testing.TB, seed uint64, options Options, teams []TeamServices) *Services {
 	t.Helper()
 	for _, team := range teams {
@@ -66,8 +66,8 @@
 	})
 	s.submitAll()
 	if !s.Eventually(startTimeout, s.AllRunning) {
-		s.Clock.Do(func() { t.Logf("running %v, machines %d", s.Running(), s.Cloud.MachineCount()) })
-		t.Fatalf("not all services run: %s", s.ControllerLog(s.Controllers[0]))
+		s.Clock.Do(func() { t.Logf("running replicas by team: %v, machines: %d", s.Running(), s.Cloud.MachineCount()) })
+		t.Fatalf("not all replicas run after the start timeout; controller log: %s", s.ControllerLog(s.Controllers[0]))
 	}
 	s.sampler.Add(1)
 	go s.sampleAvailability()
@@ -75,7 +75,7 @@
 	return s
 }
 
-// submitAll submits all services and waits until each is accepted.
+// submitAll submits all services, each after the previous one has been accepted.
 func (s *Services) submitAll() {
 	next := 0
 	for _, team := range s.Teams {
@@ -110,7 +110,7 @@
 	}
 }
 
-// submit repeats a submission until it is accepted, as users do.
+// submit retries a submission on alternating controllers until one accepts it, as users do.
 func (s *Services) submit(id string, body []byte) {
 	s.t.Helper()
 	accepted := false
@@ -122,11 +122,11 @@
 		}
 	}
 	if !accepted {
-		s.t.Fatalf("%s isn't accepted: %s", id, s.ControllerLog("n-0"))
+		s.t.Fatalf("submission of %s was not accepted; controller log: %s", id, s.ControllerLog("n-0"))
 	}
 }
 
-// sampleAvailability counts the running replicas every second until the test ends.
+// sampleAvailability samples the running replicas of every team once per second until the test ends.
 func (s *Services) sampleAvailability() {
 	defer s.sampler.Done()
 	ticker := time.NewTicker(sampleInterval)
@@ -147,7 +147,7 @@
 	}
 }
 
-// Samples gives the running replicas of a team, one count a second so far.
+// Samples returns the numbers of running replicas of a team that have been sampled so far, one per second.
 func (s *Services) Samples(team string) []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/loopback/services_state.go
+++ b/internal/fake/loopback/services_state.go
@@ -7,7 +7,8 @@
 	"pipitgap/internal/storage"
 )
 
-// AllRunning tells whether all replicas run, by the workers and by the checker. It is called on the clock.
+// AllRunning reports whether all replicas run according to both the workers and the checker. Call it inside
+// Clock.Do.
 func (s *Services) AllRunning() bool {
 	for id, n := range s.replicas {
 		if s.Fleet.Running(id) != n {
@@ -22,7 +23,7 @@
 	return true
 }
 
-// Running counts each team's running replicas. It is called on the clock.
+// Running returns the number of running replicas of each team. Call it inside Clock.Do.
 func (s *Services) Running() map[string]int {
 	out := map[string]int{}
 	for _, team := range s.Teams {
@@ -31,7 +32,7 @@
 	return out
 }
 
-// MachinesInZone lists the machines of a zone that have not gone.
+// MachinesInZone lists the machines of a zone that have not been deleted.
 func (s *Services) MachinesInZone(zone string) []string {
 	var out []string
 	s.Clock.Do(func() {
@@ -45,7 +46,7 @@
 	return out
 }
 
-// DeletedMachinesInZone counts the machines of a zone that have gone. It is called on the clock.
+// DeletedMachinesInZone counts the deleted machines of a zone. Call it inside Clock.Do.
 func (s *Services) DeletedMachinesInZone(zone string) int {
 	n := 0
 	for _, m := range s.Cloud.Machines {
@@ -56,7 +57,7 @@
 	return n
 }
 
-// MachinesRunningTeam lists machines of a zone that run replicas of a team, at most so many.
+// MachinesRunningTeam lists the machines of a zone that run replicas of a team, up to a limit.
 func (s *Services) MachinesRunningTeam(team, zone string, limit int) []string {
 	var out []string
 	s.Clock.Do(func() {
@@ -76,20 +77,22 @@
 	return out[:min(limit, len(out))]
 }
 
-// Leader is the leader by the record in the state service.
+// Leader returns the node that is the leader according to the record in the state service.
 func (s *Services) Leader() string {
 	var leader storage.Leader
 	s.Clock.Do(func() { s.Store.Read(storage.LeaderKey, &leader) })
 	return leader.Node
 }
 
-// Restarts counts the starts of replicas beyond each one's first: of all, and the most of one.
+// Restarts counts the starts of replicas beyond the first start of each: the total over all replicas and the
+// maximum of a single replica.
 func (s *Services) Restarts() (total, maxPerReplica int) {
 	s.Clock.Do(func() { total, maxPerReplica = s.Fleet.Restarts(s.replicas) })
 	return total, maxPerReplica
 }
 
-// StoreChanges counts the changes of the state service so far.
+// StoreChanges returns the number of puts and deletes that the state service has counted in
+// StoreCounters.Changes.
 func (s *Services) StoreChanges() int {
 	n := 0
 	s.Clock.Do(func() { n = s.Store.Changes })
--- a/internal/fake/loopback/state_service.go
+++ b/internal/fake/loopback/state_service.go
@@ -10,14 +10,14 @@
 	"pipitgap/internal/protocol"
 )
 
-// stateHandler serves a fake state service over HTTP to one caller.
+// stateHandler serves the API of a fake state service over HTTP to one caller.
 type stateHandler struct {
 	clock  *RealTimeClock
 	store  *fake.StateStore
 	caller string
 }
 
-// ServeState serves a store on loopback until the test ends, and returns its address.
+// ServeState serves a fake state service on loopback until the test ends, and returns its address.
 func ServeState(t testing.TB, sim *fake.SimClock, store *fake.StateStore) string {
 	t.Helper()
 	const caller = "operator"
@@ -31,7 +31,7 @@
 	return server.Addr
 }
 
-// noTimeout is longer than any caller waits: the deadline is the caller's own.
+// noTimeout exceeds every timeout of the callers, so that the callers' own deadlines take effect.
 const noTimeout = 10 * monotime.Minute
 
 func (h *stateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -44,7 +44,7 @@
 		func(result *protocol.StoreResult) (int, any) { return stateResponse(call, result) })
 }
 
-// parseStateCall decodes a request into a call.
+// parseStateCall decodes a request into a call. It returns false if the request is malformed.
 func parseStateCall(r *http.Request) (*protocol.StoreCall, bool) {
 	call := &protocol.StoreCall{Timeout: noTimeout}
 	query := r.URL.Query()
@@ -83,7 +83,7 @@
 	return nil, false
 }
 
-// httpStatus maps the outcomes of calls to the statuses that the services answer with.
+// httpStatus maps the outcomes of calls to the HTTP statuses of the responses.
 var httpStatus = map[protocol.Outcome]int{
 	protocol.OK:          http.StatusOK,
 	protocol.Conflict:    http.StatusConflict,
@@ -94,7 +94,7 @@
 	protocol.Unavailable: http.StatusServiceUnavailable,
 }
 
-// stateResponse is the response for a call's result.
+// stateResponse returns the HTTP status and body that encode the result of a call.
 func stateResponse(call *protocol.StoreCall, result *protocol.StoreResult) (status int, body any) {
 	status = httpStatus[result.Outcome]
 	if result.Outcome != protocol.OK && result.Outcome != protocol.Conflict {
--- a/internal/fake/loopback/workers.go
+++ b/internal/fake/loopback/workers.go
@@ -10,7 +10,8 @@
 	"pipitgap/internal/transport"
 )
 
-// workerHandler serves a fake worker over HTTP: it executes direct commands and answers probes.
+// workerHandler serves a fake worker over HTTP. It executes batches of direct commands, and answers any other
+// request (a probe) with the worker's heartbeat.
 type workerHandler struct {
 	clock    *RealTimeClock
 	fleet    *fake.WorkerFleet
@@ -51,7 +52,8 @@
 	}
 }
 
-// executeRequest executes a batch of commands, or without one (a probe) gives the worker's heartbeat.
+// executeRequest executes a batch of direct commands. For a probe, request is nil and the result is the
+// worker's heartbeat.
 func executeRequest(worker *fake.Worker, request *protocol.CommandRequest) protocol.CommandResult {
 	if request == nil {
 		return protocol.CommandResult{Status: http.StatusOK, Heartbeat: *worker.Heartbeat()}
@@ -59,7 +61,7 @@
 	return worker.Execute(request)
 }
 
-// heartbeatSender sends workers' heartbeats to the controllers.
+// heartbeatSender sends the heartbeats of workers to controllers over HTTP.
 type heartbeatSender struct {
 	clock   *RealTimeClock
 	mu      sync.Mutex
@@ -67,7 +69,7 @@
 	addr    func(node string) string
 }
 
-// Bounds of the workers' connections.
+// Limits of the workers' connections to each controller.
 const (
 	heartbeatConnections = 32
 	maxHeartbeatReply    = 64 << 10
@@ -83,7 +85,8 @@
 	return s.clients[node]
 }
 
-// send sends one heartbeat and calls back on the simulation; it is called on the simulation.
+// send sends a heartbeat without blocking and passes the response to callback, with status 0 if there is
+// none. Both send and callback run inside clock.Do.
 func (s *heartbeatSender) send(
 	_ *fake.Worker,
 	node string,
--- a/internal/fake/state_store.go
+++ b/internal/fake/state_store.go
@@ -5,12 +5,12 @@
 	"pipitgap/internal/protocol"
 )
 
-// StateStore is a fake of the state service: versioned keys, transactions, leases and watches.
+// StateStore is a fake of the state service. It implements versioned keys, transactions, leases and watches.
 type StateStore struct {
 	Clock             *SimClock
-	RPS, WriteRPS     float64 // calls and changes a second
+	RPS, WriteRPS     float64 // rate limits: calls and writes per second
 	MaxTransactionOps int
-	// WatchHistory is how many changes are kept for watches.
+	// WatchHistory is the number of changes that the store keeps for watches; it compacts older ones.
 	WatchHistory int
 	Revision     uint64
 	StoreFaults
@@ -18,7 +18,7 @@
 
 	keyValues map[string]protocol.KeyValue
 	history   []historyEntry
-	// compactedRevision is the newest revision whose changes aren't kept any more.
+	// compactedRevision is the newest revision whose changes have been dropped from history.
 	compactedRevision uint64
 	leases            map[uint64]*lease
 	lastLeaseID       uint64
@@ -30,34 +30,35 @@
 
 // StoreFaults are the faults that a test injects into a StateStore.
 type StoreFaults struct {
-	Down           bool            // all calls are answered 503
-	RefusedCallers map[string]bool // the calls of these callers are answered 503
-	// LoseResponse, if set, tells whether a commit that was applied gets no answer.
+	Down           bool            // the store answers all calls with 503
+	RefusedCallers map[string]bool // the store answers calls of these callers with 503
+	// LoseResponse, if set, reports whether the store drops the response to a commit that it has applied.
 	LoseResponse func(*protocol.Transaction) bool
-	// DelayCommit, if set, has a commit applied that much later, with no answer.
+	// DelayCommit, if set, returns a delay. If it is above 0, the store applies the commit after the delay
+	// and never answers it.
 	DelayCommit func(*protocol.Transaction) monotime.Micros
-	// DelayResponse, if set, has answers come that much later.
+	// DelayResponse, if set, returns a delay that the store adds to the response of a call.
 	DelayResponse func() monotime.Micros
 }
 
-// StoreCounters count what a StateStore has done.
+// StoreCounters count the calls that a StateStore has handled and their effects.
 type StoreCounters struct {
-	Throttled         int                      // calls that were answered 429
-	Calls             map[protocol.StoreOp]int // calls that were let through
-	Changes           int                      // puts and deletes of the commits that were let through
-	Conflicts         int                      // commits that changed nothing
-	ChangesByKind     map[string]int           // what was changed ("+kind") and what failed ("!kind")
-	LargestWatchReply int                      // the most changes in one answer of a watch
+	Throttled         int                      // calls answered with 429
+	Calls             map[protocol.StoreOp]int // calls within the rate limits
+	Changes           int                      // puts and deletes in commits within the rate limits, applied or not
+	Conflicts         int                      // commits that changed nothing because a comparison failed
+	ChangesByKind     map[string]int           // writes ("+kind") and failed comparisons ("!kind")
+	LargestWatchReply int                      // the largest number of changes in one watch response
 }
 
-// defaultWatchHistory is how many changes are kept for watches, unless a test says otherwise.
+// defaultWatchHistory is the initial WatchHistory of a store; tests may change it.
 const defaultWatchHistory = 10000
 
-// serviceLatency is how long a call takes to a service, and its answer back.
+// serviceLatency is the simulated one-way latency of a call to the state service and of its response.
 const serviceLatency = 2 * monotime.Millisecond
 
-// NewStateStore starts an empty store with the given limits: calls and writes a second, and operations of a
-// transaction.
+// NewStateStore starts an empty store with the given limits: calls per second, writes per second, and
+// operations per transaction.
 func NewStateStore(sim *SimClock, rps, writeRPS float64, transactionOps int) *StateStore {
 	s := &StateStore{
 		Clock:             sim,
@@ -79,7 +80,8 @@
 	return s
 }
 
-// Outage has the store reject all calls for a while; afterwards every lease has its full time again.
+// Outage makes the store answer all calls with 503 for a duration. When the outage ends, the store extends
+// every lease by its full TTL and answers the watches that have changes to report.
 func (s *StateStore) Outage(duration monotime.Micros) {
 	s.Down = true
 	s.Clock.After(duration, func() {
@@ -89,7 +91,9 @@
 	})
 }
 
-// takeTokens refills the token buckets and takes a call and its writes out of them, if they hold enough.
+// takeTokens enforces the rate limits with two token buckets, each with a burst of one second. It takes one
+// token for the call and one for each write, or returns false and counts the call as throttled if a bucket
+// holds too few.
 func (s *StateStore) takeTokens(writes int) bool {
 	now := s.Clock.Now()
 	elapsed := (now - s.refilledAt).Seconds()
@@ -105,8 +109,8 @@
 	return true
 }
 
-// Call performs a call for a caller. callback is called once, with a zero result if no answer comes within the
-// call's timeout.
+// Call executes a call on behalf of a caller. It invokes callback exactly once, with a zero result if the
+// store does not answer within the call's timeout.
 func (s *StateStore) Call(caller string, c *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	call := *c
 	answered := false
--- a/internal/fake/state_store_commits.go
+++ b/internal/fake/state_store_commits.go
@@ -2,8 +2,8 @@
 
 import "pipitgap/internal/protocol"
 
-// handleCommit applies a transaction now, or later if a test delays it, and answers unless the response is
-// lost.
+// handleCommit applies a transaction and answers it. A fault can change that: DelayCommit postpones the
+// transaction and suppresses the answer; LoseResponse suppresses the answer of a transaction that succeeded.
 func (s *StateStore) handleCommit(call *protocol.StoreCall, answer func(protocol.StoreResult)) {
 	if s.DelayCommit != nil {
 		if delay := s.DelayCommit(&call.Transaction); delay > 0 {
@@ -18,7 +18,7 @@
 	answer(result)
 }
 
-// commit applies a transaction if all of its comparisons hold.
+// commit applies a transaction atomically if it is valid and all of its comparisons hold.
 func (s *StateStore) commit(txn *protocol.Transaction) protocol.StoreResult {
 	if !s.isValid(txn) {
 		return protocol.StoreResult{Outcome: protocol.Rejected}
@@ -42,7 +42,8 @@
 	return protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
 }
 
-// isValid tells whether a transaction is within the limits and names only leases that exist.
+// isValid reports whether a transaction is within the limits on operations and comparisons and its puts refer
+// only to existing leases.
 func (s *StateStore) isValid(txn *protocol.Transaction) bool {
 	if len(txn.Then) > s.MaxTransactionOps || len(txn.If) > 4*s.MaxTransactionOps {
 		return false
@@ -65,7 +66,7 @@
 	return failedKeys
 }
 
-// apply performs an operation at the present revision.
+// apply executes a put or delete at the current revision. Deleting an absent key changes nothing.
 func (s *StateStore) apply(op protocol.Op) {
 	s.ChangesByKind["+"+recordKind(op.Put+op.Delete)]++
 	if op.Put != "" {
@@ -90,7 +91,7 @@
 	s.record(protocol.Event{Delete: key, Version: s.Revision})
 }
 
-// record keeps an event of the present revision for watches.
+// record appends an event of the current revision to the history that watches read.
 func (s *StateStore) record(event protocol.Event) {
 	s.history = append(s.history, historyEntry{s.Revision, event})
 }
--- a/internal/fake/state_store_leases.go
+++ b/internal/fake/state_store_leases.go
@@ -7,7 +7,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// storeLeaseCheckInterval is how often the store looks for leases that have expired.
+// storeLeaseCheckInterval is how often the store checks for expired leases.
 const storeLeaseCheckInterval = 50 * monotime.Millisecond
 
 type lease struct {
@@ -36,8 +36,8 @@
 	}
 }
 
-// expireLeases drops the leases that have ended, in the order in which they were granted, with their keys. It
-// schedules itself again; during an outage no lease ends.
+// expireLeases deletes the expired leases and their keys, in the order in which the store granted the leases.
+// It reschedules itself. During an outage no lease expires.
 func (s *StateStore) expireLeases() {
 	if !s.Down {
 		for id := uint64(1); id <= s.lastLeaseID; id++ {
--- a/internal/fake/state_store_watches.go
+++ b/internal/fake/state_store_watches.go
@@ -7,21 +7,22 @@
 	"pipitgap/internal/protocol"
 )
 
-// historyEntry is a change that is kept for watches.
+// historyEntry is a change that the store keeps for watches.
 type historyEntry struct {
 	revision uint64
 	event    protocol.Event
 }
 
-// watch is a watch that waits for a change.
+// watch is a blocked watch call: it has no answer until a key below its prefix changes or MaxBlock passes.
 type watch struct {
 	call     *protocol.StoreCall
 	callback func(protocol.StoreResult)
 	answered bool
 }
 
-// handleWatch answers a watch at once if there are changes, otherwise with the first one, and without any
-// when the time that it may block is over.
+// handleWatch answers a watch immediately if there are changes since its revision. Otherwise the watch blocks
+// until the next change, or for MaxBlock at most; then its answer contains no changes. During an outage it
+// gets no answer.
 func (s *StateStore) handleWatch(call *protocol.StoreCall, answer func(protocol.StoreResult)) {
 	waiting := &watch{call: call, callback: answer}
 	if s.answerWatch(waiting, false) {
@@ -35,8 +36,8 @@
 	})
 }
 
-// answerWatch answers a watch if there are changes for it, or in any case with force. It tells whether the
-// watch has been answered, now or before.
+// answerWatch answers a watch if its revision has been compacted or there are changes for it; with force it
+// answers even without changes. It reports whether the watch has an answer, from this call or an earlier one.
 func (s *StateStore) answerWatch(waiting *watch, force bool) bool {
 	if waiting.answered {
 		return true
@@ -56,7 +57,7 @@
 	return true
 }
 
-// eventsAfter lists the changes of keys with a prefix after a revision.
+// eventsAfter lists the changes after a revision to keys with a prefix.
 func (s *StateStore) eventsAfter(revision uint64, prefix string) []protocol.Event {
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > revision })
 	var events []protocol.Event
@@ -68,6 +69,7 @@
 	return events
 }
 
+// answerWatches answers the blocked watches that have changes to report. During an outage it answers none.
 func (s *StateStore) answerWatches() {
 	s.compact()
 	if s.Down {
@@ -82,7 +84,7 @@
 	s.watches = unanswered
 }
 
-// compact drops the oldest changes beyond the history that is kept.
+// compact drops the oldest changes if there are more than WatchHistory.
 func (s *StateStore) compact() {
 	if len(s.history) <= s.WatchHistory {
 		return
--- a/internal/fake/stubs/commits.go
+++ b/internal/fake/stubs/commits.go
@@ -1,4 +1,5 @@
-// Package stubs has parts of the stubs with which tests of a package stand in for the rest of a controller.
+// Package stubs provides building blocks for test stubs of the parts of a controller that the package under
+// test calls.
 package stubs
 
 import (
@@ -9,19 +10,19 @@
 	"pipitgap/internal/ratelimit"
 )
 
-// Commit is a commit whose result a test decides.
+// Commit is a commit that waits for the test to pass a result to Callback.
 type Commit struct {
 	Priority    ratelimit.Priority
 	Transaction protocol.Transaction
 	Callback    func(protocol.StoreResult)
 }
 
-// HeldCommits keeps commits until a test answers them. The zero value holds none.
+// HeldCommits queues commits until a test answers them. The zero value is an empty queue.
 type HeldCommits struct {
 	Commits []Commit // oldest first
 }
 
-// Commit keeps a commit.
+// Commit appends a commit to the queue.
 func (h *HeldCommits) Commit(
 	priority ratelimit.Priority,
 	transaction protocol.Transaction,
@@ -30,22 +31,23 @@
 	h.Commits = append(h.Commits, Commit{priority, transaction, callback})
 }
 
-// TakeOldest removes the oldest commit and returns it; the test fails if there is none.
+// TakeOldest removes and returns the oldest commit. It fails the test if there is none.
 func (h *HeldCommits) TakeOldest(t testing.TB) Commit {
 	t.Helper()
 	if len(h.Commits) == 0 {
-		t.Fatal("no commit was made")
+		t.Fatal("got no commit, want at least 1")
 	}
 	oldest := h.Commits[0]
 	h.Commits = h.Commits[1:]
 	return oldest
 }
 
-// Only returns the one commit that a test wants to be held, or none; the test fails if more or fewer are.
+// Only returns the single commit in the queue if wantCommit is set, and otherwise no commit. It fails the
+// test if the queue does not hold exactly one commit or none, respectively.
 func (h *HeldCommits) Only(t testing.TB, wantCommit bool) (commit Commit, ok bool) {
 	t.Helper()
 	if held := len(h.Commits); held > 1 || (held == 1) != wantCommit {
-		t.Fatalf("%d commits, want one: %t; they are %+v", held, wantCommit, h.Commits)
+		t.Fatalf("got %d commits, want exactly one: %t; commits: %+v", held, wantCommit, h.Commits)
 	}
 	if !wantCommit {
 		return Commit{}, false
@@ -53,14 +55,14 @@
 	return h.Commits[0], true
 }
 
-// AppliedCommits has every commit succeed at once and change the mirror.
+// AppliedCommits applies every commit to the mirror and answers it with success immediately.
 type AppliedCommits struct {
 	Mirror   *mirror.Mirror
-	Revision uint64 // of the last change
-	Made     int    // commits so far
+	Revision uint64 // of the last commit
+	Made     int    // number of commits so far
 }
 
-// Commit applies a transaction, whatever its conditions are.
+// Commit applies a transaction without checking its comparisons.
 func (a *AppliedCommits) Commit(
 	_ ratelimit.Priority,
 	transaction protocol.Transaction,
--- a/internal/fake/stubs/commits_test.go
+++ b/internal/fake/stubs/commits_test.go
@@ -14,23 +14,23 @@
 	var answered []uint64
 	answer := func(result protocol.StoreResult) { answered = append(answered, result.Revision) }
 	if _, ok := held.Only(t, false); ok {
-		t.Error("a commit where none was made")
+		t.Error("empty queue: got a commit, want none")
 	}
 	for _, priority := range []ratelimit.Priority{ratelimit.PriorityLease, ratelimit.PriorityBackground} {
 		held.Commit(priority, protocol.Transaction{}, answer)
 	}
 	oldest := held.TakeOldest(t)
 	if oldest.Priority != ratelimit.PriorityLease {
-		t.Errorf("taken %+v, want the earlier commit", oldest)
+		t.Errorf("TakeOldest: got %+v, want the earlier commit", oldest)
 	}
 	oldest.Callback(protocol.StoreResult{Revision: 1})
 	last, ok := held.Only(t, true)
 	if !ok || last.Priority != ratelimit.PriorityBackground {
-		t.Errorf("left is %+v, want the later commit", last)
+		t.Errorf("Only: got %+v, ok %t, want the later commit", last, ok)
 	}
 	last.Callback(protocol.StoreResult{Revision: 2})
 	if len(answered) != 2 || answered[0] != 1 || answered[1] != 2 {
-		t.Errorf("answered %v", answered)
+		t.Errorf("got answers with revisions %v, want [1 2]", answered)
 	}
 }
 
@@ -47,13 +47,14 @@
 	key := storage.DrainKey("d")
 	commit(protocol.PutIfUnchanged(key, 0, &storage.Drain{State: storage.DrainActive}))
 	if version := applied.Mirror.VersionOf(key); version != 8 {
-		t.Errorf("put with version %d, want 8", version)
+		t.Errorf("after the put: got version %d, want 8", version)
 	}
 	commit(protocol.DeleteIfUnchanged(key, 8))
 	if version := applied.Mirror.VersionOf(key); version != 0 {
-		t.Errorf("still there with version %d", version)
+		t.Errorf("after the delete: got version %d, want 0 (absent)", version)
 	}
 	if outcomes != 2 || applied.Made != 2 || applied.Revision != 9 {
-		t.Errorf("%d outcomes, %d commits, revision %d", outcomes, applied.Made, applied.Revision)
+		t.Errorf("got %d successful outcomes, %d commits, revision %d, want 2, 2, 9",
+			outcomes, applied.Made, applied.Revision)
 	}
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -2,36 +2,37 @@
 
 import "pipitgap/internal/monotime"
 
-// workerLeaseCheckInterval is how often a worker looks whether its lease has expired.
+// workerLeaseCheckInterval is how often a worker checks whether its lease has expired.
 const workerLeaseCheckInterval = 100 * monotime.Millisecond
 
-// Worker is the worker of one machine.
+// Worker simulates the worker process of one machine.
 type Worker struct {
 	Machine      *Machine
 	CPUs         float64
 	Incarnation  uint64
-	Sequence     uint64 // of its last heartbeat
-	FencingToken uint64 // the highest that it has seen
+	Sequence     uint64 // of the last heartbeat
+	FencingToken uint64 // the highest that the worker has received
 	Attempts     map[string]*Attempt
 	WorkerFaults
 
 	fleet           *WorkerFleet
-	controller      int // index of the controller that it reports to
+	controller      int // index in the fleet of the controller that receives the next heartbeat
 	leaseRenewedAt  monotime.Micros
-	deferred        []func() // direct commands that came while it was paused
+	deferred        []func() // direct commands received during a pause
 	gone            bool
-	inFlight        bool // a heartbeat waits for its answer
+	inFlight        bool // a heartbeat has neither an answer nor timed out
 	heartbeatQueued bool
 }
 
 // WorkerFaults are the faults that a test injects into a worker.
 type WorkerFaults struct {
 	FailsTasks  bool // every task fails
-	Partitioned bool // cut off from all controllers; its tasks run on
+	Partitioned bool // disconnected from all controllers; tasks keep running
 	Paused      bool
 }
 
-// watchLease ends the incarnation, and all attempts with it, when the lease has expired.
+// watchLease checks the lease periodically. When it has expired, the worker drops all attempts and starts a
+// new incarnation with a fresh lease.
 func (w *Worker) watchLease() {
 	if w.gone {
 		return
@@ -45,8 +46,8 @@
 	w.fleet.Clock.After(workerLeaseCheckInterval, w.watchLease)
 }
 
-// Pause suspends a machine for a while: it neither reports nor executes, and its lease runs on. Commands that
-// come meanwhile are executed when it resumes.
+// Pause suspends a machine for a duration. The worker sends no heartbeats and executes no commands, but its
+// lease keeps running and can expire. On resuming it executes the commands received during the pause.
 func (w *Worker) Pause(duration monotime.Micros) {
 	w.Paused = true
 	w.fleet.Clock.After(duration, func() {
@@ -61,5 +62,5 @@
 	})
 }
 
-// Defer keeps a command until a paused machine resumes.
+// Defer queues a command to be executed when the paused machine resumes.
 func (w *Worker) Defer(execute func()) { w.deferred = append(w.deferred, execute) }
--- a/internal/fake/worker_attempts.go
+++ b/internal/fake/worker_attempts.go
@@ -8,28 +8,29 @@
 	"pipitgap/internal/protocol"
 )
 
-// failureTime is how long a task runs that fails.
+// failureTime is how long a failing task runs before it exits.
 const failureTime = 500 * monotime.Millisecond
 
-// Attempt is an attempt of a task on a worker.
+// Attempt is one execution of a task on a worker.
 type Attempt struct {
 	Number uint64
 	State  protocol.TaskState
 	Cause  protocol.ExitCause
-	// generation changes when scheduled events of the attempt are void.
+	// generation invalidates scheduled events: an event takes effect only if the generation is still the one
+	// at which it was scheduled.
 	generation int
 }
 
-// isOnMachine tells whether the attempt's process runs or saves its state.
+// isOnMachine reports whether the attempt's process exists on the machine: it runs or saves its state.
 func (a *Attempt) isOnMachine() bool {
 	return a.State == protocol.StateRunning || a.State == protocol.StateFlushing
 }
 
-// exit ends the attempt for a cause.
+// exit marks the attempt as exited with a cause.
 func (a *Attempt) exit(cause protocol.ExitCause) { a.State, a.Cause = protocol.StateExited, cause }
 
-// Execute executes a direct command batch and answers with a heartbeat: 409 for a batch with an older fencing
-// token or for another incarnation.
+// Execute executes a batch of direct commands and answers with a heartbeat. It rejects a batch with status
+// 409 if its fencing token is older than the worker's or its incarnation is not the worker's.
 func (w *Worker) Execute(request *protocol.CommandRequest) protocol.CommandResult {
 	if request.FencingToken < w.FencingToken || request.Incarnation != w.Incarnation {
 		return protocol.CommandResult{Status: http.StatusConflict, Heartbeat: *w.Heartbeat()}
@@ -45,7 +46,8 @@
 		attemptMatches := attempt != nil && attempt.Number == command.Attempt
 		switch command.Op {
 		case protocol.CmdRun:
-			// The protocol keeps an attempt and a later one that was rejected; one is enough here.
+			// The protocol keeps both an attempt and a later one that was rejected. The fake keeps only the
+			// existing attempt.
 			if attempt == nil {
 				w.run(command)
 			}
@@ -62,8 +64,8 @@
 	}
 }
 
-// run begins a new attempt: it fetches the image and starts the task, or exits at once if the job isn't known
-// or doesn't fit.
+// run creates a new attempt, pulls the image and then starts the task. The attempt exits immediately if the
+// worker doesn't know the job or has too few free CPUs.
 func (w *Worker) run(command protocol.Command) {
 	task := command.Task
 	job, known := w.fleet.Jobs[jobOf(task)]
@@ -92,12 +94,12 @@
 	})
 }
 
-// isCurrent tells whether an attempt is still the task's, in the same generation.
+// isCurrent reports whether an attempt is still the task's attempt on this worker and in the same generation.
 func (w *Worker) isCurrent(task string, attempt *Attempt, generation int) bool {
 	return !w.gone && attempt.generation == generation && w.Attempts[task] == attempt
 }
 
-// start has a task run whose image is there.
+// start runs a task whose image has been pulled, and schedules the task's exit unless it runs until stopped.
 func (w *Worker) start(task string, attempt *Attempt, job JobBehavior) {
 	f := w.fleet
 	attempt.State = protocol.StateRunning
@@ -120,7 +122,7 @@
 	})
 }
 
-// complete ends a task that has run to its end.
+// complete ends a task that exits without being stopped: it has succeeded or failed.
 func (w *Worker) complete(task string, attempt *Attempt, failed bool) {
 	if failed {
 		attempt.exit(protocol.CauseError)
@@ -133,7 +135,8 @@
 	w.heartbeatSoon()
 }
 
-// stop ends a task by a command, once it has saved its state.
+// stop ends a task on command. A running task first saves its state; an attempt that still pulls its image
+// exits at once.
 func (w *Worker) stop(task string, attempt *Attempt, job JobBehavior) {
 	switch attempt.State {
 	case protocol.StatePulling:
@@ -179,7 +182,7 @@
 	w.fleet.Checker.TaskEnded(task, w.Machine, job.Team, job.CPUs)
 }
 
-// dropAttempts ends all attempts at once and forgets them.
+// dropAttempts ends all attempts immediately, without saving state, and removes their records.
 func (w *Worker) dropAttempts() {
 	for _, task := range w.taskNames() {
 		attempt := w.Attempts[task]
@@ -191,7 +194,7 @@
 	w.Attempts = map[string]*Attempt{}
 }
 
-// taskNames lists the tasks that the worker has attempts of, in order.
+// taskNames lists the tasks that have attempts on the worker, in ascending order.
 func (w *Worker) taskNames() []string {
 	var names []string
 	for task := range w.Attempts {
@@ -201,7 +204,7 @@
 	return names
 }
 
-// usedCPUs is the CPUs of all attempts that have not exited.
+// usedCPUs returns the total CPUs of all attempts that have not exited.
 func (w *Worker) usedCPUs() float64 {
 	used := 0.0
 	for task, attempt := range w.Attempts {
--- a/internal/fake/worker_fleet.go
+++ b/internal/fake/worker_fleet.go
@@ -7,19 +7,20 @@
 	"pipitgap/internal/protocol"
 )
 
-// JobBehavior is what a worker fetches about a job on its own, and how the job's tasks run.
+// JobBehavior describes how the tasks of a job run, and the properties of the job that workers look up
+// without asking a controller.
 type JobBehavior struct {
 	Team           string
 	CPUs           float64
 	MemoryGB       float64
-	RunTime        monotime.Micros // 0: runs until it is stopped
+	RunTime        monotime.Micros // 0: a task runs until it is stopped
 	Fails          bool
 	Service        bool
-	PullTime       monotime.Micros // how long a machine fetches its image before a task runs
-	CheckpointTime monotime.Micros // how long a task saves when it is stopped
+	PullTime       monotime.Micros // how long a machine pulls the image before a task runs
+	CheckpointTime monotime.Micros // how long a stopped task takes to save its state
 }
 
-// WorkerFleet is the workers of all machines; what they run is reported to the checker.
+// WorkerFleet holds the workers of all machines. They report the starts and ends of tasks to the checker.
 type WorkerFleet struct {
 	Clock             *SimClock
 	HeartbeatInterval monotime.Micros
@@ -29,18 +30,19 @@
 	Workers           map[string]*Worker // by machine
 	ByEndpoint        map[string]*Worker
 	Jobs              map[string]JobBehavior
-	TaskRunTime       map[string]monotime.Micros // tasks that run for another time than their job's others
+	TaskRunTime       map[string]monotime.Micros // by task: overrides RunTime of the job
 
-	// SendHeartbeat carries a heartbeat to a controller; callback gets status 0 for no response.
+	// SendHeartbeat sends a heartbeat to a controller. It passes status 0 to callback if there is no
+	// response.
 	SendHeartbeat func(w *Worker, node string, body []byte, callback func(status int, reply []byte))
-	// OnStop, if set, is called for every running task that is stopped by a command, just after.
+	// OnStop, if set, is called when a command stops a running task, before the task exits.
 	OnStop func(task string, w *Worker)
 
 	Starts   map[string]int  // by task
 	Finished map[string]bool // tasks that have completed
 }
 
-// NewWorkerFleet makes a fleet without workers.
+// NewWorkerFleet returns a fleet without workers.
 func NewWorkerFleet(
 	sim *SimClock,
 	heartbeatInterval, leaseTime monotime.Micros,
@@ -62,7 +64,7 @@
 	}
 }
 
-// MachineUp starts a machine's worker. It reports to a random controller first.
+// MachineUp starts the worker of a machine. The worker sends its first heartbeat to a random controller.
 func (f *WorkerFleet) MachineUp(machine *Machine, cpus float64) *Worker {
 	w := &Worker{
 		Machine:        machine,
@@ -79,7 +81,7 @@
 	return w
 }
 
-// MachineDown ends a machine with all that is on it.
+// MachineDown ends the worker of a machine and all attempts on it.
 func (f *WorkerFleet) MachineDown(machine *Machine) {
 	if w := f.Workers[machine.ID]; w != nil {
 		w.gone = true
@@ -87,7 +89,7 @@
 	}
 }
 
-// RunningReplicas counts a team's service replicas that run on machines that are up.
+// RunningReplicas counts a team's running service replicas on machines that still exist.
 func (f *WorkerFleet) RunningReplicas(team string) int {
 	count := 0
 	for _, w := range f.Workers {
@@ -104,8 +106,8 @@
 	return count
 }
 
-// Restarts counts the starts of tasks beyond each one's first: of all tasks, and the most of one task. tasks
-// has the number of tasks by job.
+// Restarts counts the starts of tasks beyond the first start of each task: the total over all tasks and the
+// maximum of a single task. tasks is the number of tasks by job.
 func (f *WorkerFleet) Restarts(tasks map[string]int) (total, maxPerTask int) {
 	for job, count := range tasks {
 		for i := range count {
@@ -117,11 +119,11 @@
 	return total, maxPerTask
 }
 
-// Running counts the tasks of a job that are on machines now.
+// Running counts the tasks of a job that are on machines: they run or save their state.
 func (f *WorkerFleet) Running(job string) int { return f.Checker.LiveAttempts(job) }
 
-// FreeMachines lists the machines that are up and reachable with what is free on them. memory gives a
-// machine type's memory in GB.
+// FreeMachines lists the machines that exist and are neither partitioned nor paused, with their free
+// resources. memory returns the memory of a machine type in GB.
 func (f *WorkerFleet) FreeMachines(memory func(machineType string) float64) []FreeMachine {
 	var out []FreeMachine
 	for _, w := range f.Workers {
@@ -139,7 +141,7 @@
 	return out
 }
 
-// jobOf is the job of a task's name.
+// jobOf returns the job ID in a task ID.
 func jobOf(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
--- a/internal/fake/worker_heartbeats.go
+++ b/internal/fake/worker_heartbeats.go
@@ -8,15 +8,15 @@
 	"pipitgap/internal/protocol"
 )
 
-// Timing of heartbeats, by the protocol.
+// Heartbeat timing as the protocol defines it.
 const (
 	heartbeatTimeout  = 4 * monotime.Second
-	redirectDelay     = 200 * monotime.Millisecond // before the controller that a redirect names is tried
-	nextAttemptDelay  = monotime.Second            // before the next controller is tried
-	changeReportDelay = 500 * monotime.Millisecond // from a change on the machine to an extra heartbeat
+	redirectDelay     = 200 * monotime.Millisecond // before the worker contacts the controller named by a redirect
+	nextAttemptDelay  = monotime.Second            // before the worker contacts the next controller after a failure
+	changeReportDelay = 500 * monotime.Millisecond // between a change on the machine and an extra heartbeat
 )
 
-// Heartbeat is the worker's heartbeat now; each has the next sequence number.
+// Heartbeat returns a heartbeat with the worker's current state and the next sequence number.
 func (w *Worker) Heartbeat() *protocol.Heartbeat {
 	w.Sequence++
 	heartbeat := &protocol.Heartbeat{
@@ -41,7 +41,8 @@
 	return heartbeat
 }
 
-// heartbeatLoop sends a heartbeat and schedules the next, a quarter of the interval earlier or later at most.
+// heartbeatLoop sends a heartbeat and schedules the next one with a jitter of at most a quarter of the
+// interval.
 func (w *Worker) heartbeatLoop() {
 	if w.gone {
 		return
@@ -52,7 +53,7 @@
 	w.fleet.Clock.After(next, w.heartbeatLoop)
 }
 
-// heartbeatSoon schedules an extra heartbeat, unless one is scheduled.
+// heartbeatSoon schedules an extra heartbeat unless one is already scheduled.
 func (w *Worker) heartbeatSoon() {
 	if w.heartbeatQueued {
 		return
@@ -64,7 +65,7 @@
 	})
 }
 
-// sendIfIdle sends a heartbeat unless one is in flight, or the machine is paused or gone.
+// sendIfIdle sends a heartbeat unless one is in flight or the machine is paused or gone.
 func (w *Worker) sendIfIdle() {
 	if !w.gone && !w.inFlight && !w.Paused {
 		w.sendHeartbeat()
@@ -92,7 +93,8 @@
 	f.SendHeartbeat(w, f.Controllers[w.controller], body, finish)
 }
 
-// handleReply handles the answer to a heartbeat, or that there was none (status 0).
+// handleReply processes the response to a heartbeat; status 0 means that there is none. Without a usable
+// response the worker switches to the next controller.
 func (w *Worker) handleReply(sentAt monotime.Micros, incarnation uint64, status int, reply []byte) {
 	switch {
 	case status == http.StatusOK:
@@ -104,8 +106,8 @@
 	}
 }
 
-// acceptReply renews the lease from the time of the heartbeat and executes the commands, unless the reply
-// has an older fencing token or is for an earlier incarnation.
+// acceptReply renews the lease as of the time when the heartbeat was sent, and executes the commands. It
+// ignores a reply with an older fencing token than the worker's or for an earlier incarnation.
 func (w *Worker) acceptReply(sentAt monotime.Micros, incarnation uint64, reply []byte) {
 	var message protocol.HeartbeatReply
 	if protocol.Unmarshal(reply, &message) != nil || message.FencingToken < w.FencingToken ||
@@ -117,7 +119,8 @@
 	w.execute(message.Commands)
 }
 
-// followRedirect turns to the controller that a redirect names; it tells whether that is another one.
+// followRedirect switches to the controller named by a redirect. It returns false if the worker does not know
+// that controller or already uses it.
 func (w *Worker) followRedirect(reply []byte) bool {
 	var redirect protocol.Redirect
 	_ = protocol.Unmarshal(reply, &redirect)
@@ -130,7 +133,7 @@
 	return true
 }
 
-// adoptToken takes a newer fencing token and acknowledges it by a heartbeat.
+// adoptToken stores a newer fencing token and acknowledges it with an extra heartbeat.
 func (w *Worker) adoptToken(token uint64) {
 	if token > w.FencingToken {
 		w.FencingToken = token
