--- a/internal/architecture/doc.go
+++ b/internal/architecture/doc.go
@@ -1,3 +1,3 @@
-// Package architecture has no code of its own: its tests check how the tree is built, first of all which
-// package may import which.
+// Package architecture contains only tests. They check the structure of the source tree: which packages may
+// import which others, the style of the sources, and the names that the documentation pages mention.
 package architecture
--- a/internal/architecture/layers_test.go
+++ b/internal/architecture/layers_test.go
@@ -13,33 +13,36 @@
 	"testing"
 )
 
-// The module's path as go.mod has it, and its root seen from this package.
+// The module path as in go.mod, and the path of the module root relative to this package.
 const (
 	modulePath = "pipitgap"
 	moduleRoot = "../.."
 )
 
-// kind tells what a package is for, beyond its layer; the zero kind has no further bound.
+// kind restricts the imports of or into a package beyond the rule on layers. The zero kind has no additional
+// restriction.
 type kind int
 
 const (
-	// Decisions on a snapshot or on state of their own: no input or output, no goroutines' tools, no logger.
+	// decision packages compute decisions from a snapshot or from their own state. They must not use I/O,
+	// concurrency primitives or a logger; see forbiddenInDecisionPackages.
 	decision kind = iota + 1
-	// Fakes, fixtures and harnesses: any test may import them, and no code outside of fakes and tests.
+	// fake packages are fakes, fixtures and test harnesses. Any test may import them; other code may not,
+	// except fake packages themselves.
 	fake
 )
 
-// row is one package of the tree.
+// row describes one package in the table of layers.
 type row struct {
-	path string // below the module's root
+	path string // relative to the module root
 	kind kind
-	// A planned package needn't exist yet; the mark is taken off once it does.
+	// planned marks a package that does not exist yet. Remove the mark when the package exists.
 	planned bool
 }
 
-// layers has every package of the tree, the lowest layer first. A package imports packages of lower layers
-// only: neither of its own layer nor of a higher one. A new package is a new row, in the lowest layer above
-// all it imports.
+// layers lists every package of the module, lowest layer first. A package may import only packages of lower
+// layers, not of its own layer or of a higher one. Add a new package to the lowest layer above all packages
+// that it imports.
 var layers = [][]row{
 	{{path: "internal/monotime"}, {path: "internal/mapentry"}, {path: "internal/logging"},
 		{path: "internal/architecture"}, {path: "internal/fixtures", kind: fake},
@@ -67,27 +70,28 @@
 	{{path: "cmd/pipitgap"}},
 }
 
-// The actor, which decisions must never import, in tests neither.
+// actorPath is the package of the actor. Decision packages must not import it, not even in tests.
 const actorPath = "internal/coordination"
 
-// What a decision package doesn't import from the standard library; packages below these neither.
+// forbiddenInDecisionPackages lists the standard library packages that a decision package must not import,
+// except in its tests. The rule includes their subpackages.
 var forbiddenInDecisionPackages = []string{
 	"bufio", "context", "database", "io", "log", "math/rand", "net", "os", "runtime", "sync", "syscall", "time",
 }
 
-// indexedRow is a row together with the number of its layer.
+// indexedRow is a row with the index of its layer.
 type indexedRow struct {
 	row
 	layer int
 }
 
-// indexRows indexes a table; a path that stands in it twice is an error.
+// indexRows indexes a table by package path. It returns an error if a path occurs twice.
 func indexRows(table [][]row) (map[string]indexedRow, error) {
 	rowsByPath := map[string]indexedRow{}
 	for layer, rows := range table {
 		for _, r := range rows {
 			if _, ok := rowsByPath[r.path]; ok {
-				return nil, fmt.Errorf("%s has two rows", r.path)
+				return nil, fmt.Errorf("%s has two rows in the table of layers", r.path)
 			}
 			rowsByPath[r.path] = indexedRow{r, layer}
 		}
@@ -95,15 +99,15 @@
 	return rowsByPath, nil
 }
 
-// sourceFile is what the check reads of a Go file.
+// sourceFile holds the properties of a Go file that the import check uses.
 type sourceFile struct {
-	pkg     string // the package's path below the module's root
+	pkg     string // the package path relative to the module root
 	file    string
 	isTest  bool
 	imports []string
 }
 
-// goFiles lists every Go file below cmd and internal, whatever its build tags.
+// goFiles lists all Go files below cmd and internal, regardless of build tags. It skips testdata folders.
 func goFiles(t *testing.T) []string {
 	t.Helper()
 	var files []string
@@ -127,12 +131,12 @@
 		}
 	}
 	if len(files) == 0 {
-		t.Fatal("no sources found")
+		t.Fatal("got no Go file below cmd and internal, want at least 1")
 	}
 	return files
 }
 
-// belowRoot gives a file's path below the module's root.
+// belowRoot returns the path of a file relative to the module root.
 func belowRoot(t *testing.T, path string) string {
 	t.Helper()
 	relative, err := filepath.Rel(moduleRoot, path)
@@ -142,7 +146,7 @@
 	return filepath.ToSlash(relative)
 }
 
-// readSource parses the imports of a Go file.
+// readSource parses a Go file as far as its imports.
 func readSource(t *testing.T, path string) sourceFile {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
@@ -165,7 +169,7 @@
 	return s
 }
 
-// violations lists what a file imports against the table.
+// violations lists the imports of a file that violate the rules of the table.
 func violations(rowsByPath map[string]indexedRow, s sourceFile) []string {
 	from, ok := rowsByPath[s.pkg]
 	if !ok {
@@ -182,40 +186,43 @@
 	return found
 }
 
-// violation says what is wrong with one import, and is empty where nothing is.
+// violation describes how one import violates the rules. It returns an empty string if the import is allowed.
 func violation(rowsByPath map[string]indexedRow, from indexedRow, isTest bool, imported string) string {
 	path, inModule := strings.CutPrefix(imported, modulePath+"/")
 	if !inModule {
 		if from.kind == decision && !isTest && isForbiddenInDecisionPackages(imported) {
-			return fmt.Sprintf("%s decides, and must not import %s", from.path, imported)
+			return fmt.Sprintf("%s is a decision package and must not import %s", from.path, imported)
 		}
 		return ""
 	}
 	to, ok := rowsByPath[path]
 	switch {
-	case path == from.path && isTest: // a test of the exported surface
+	case path == from.path && isTest: // an external test package imports the package that it tests
 		return ""
 	case !ok:
-		return fmt.Sprintf("%s is imported and has no row in layers", path)
+		return fmt.Sprintf("imported package %s has no row in layers", path)
 	case from.kind == decision && path == actorPath:
-		return fmt.Sprintf("%s decides, and must not import the actor", from.path)
+		return fmt.Sprintf("%s is a decision package and must not import the actor", from.path)
 	case to.kind == fake && !isTest && from.kind != fake:
-		return fmt.Sprintf("%s is for tests, and %s is not", path, from.path)
+		return fmt.Sprintf("%s is for tests only, but %s imports it outside of tests", path, from.path)
 	case to.kind == fake && isTest:
 		return ""
 	case to.layer >= from.layer:
-		return fmt.Sprintf("%s is not in a layer below %s", path, from.path)
+		return fmt.Sprintf("imported package %s is not in a layer below %s", path, from.path)
 	}
 	return ""
 }
 
+// isForbiddenInDecisionPackages reports whether an import is in forbiddenInDecisionPackages or is a
+// subpackage of an entry.
 func isForbiddenInDecisionPackages(imported string) bool {
 	return slices.ContainsFunc(forbiddenInDecisionPackages, func(forbidden string) bool {
 		return imported == forbidden || strings.HasPrefix(imported, forbidden+"/")
 	})
 }
 
-// Every import of the tree, tests included, goes down the table of layers.
+// TestImportsGoDownTheLayers guards against dependencies between packages that the layers forbid. It checks
+// every import in the module, including those of tests.
 func TestImportsGoDownTheLayers(t *testing.T) {
 	rowsByPath, err := indexRows(layers)
 	if err != nil {
@@ -228,7 +235,8 @@
 	}
 }
 
-// The table has no row of a package that is gone, and no planned one that has come.
+// TestLayersMatchPackages guards against an outdated table: rows of packages that no longer exist, and
+// planned packages that exist by now.
 func TestLayersMatchPackages(t *testing.T) {
 	for _, rows := range layers {
 		for _, r := range rows {
@@ -239,26 +247,28 @@
 			exists := len(files) > 0
 			switch {
 			case !exists && !r.planned:
-				t.Errorf("%s has a row in layers and no Go file: take the row out", r.path)
+				t.Errorf("%s has a row in layers but no Go file: remove the row", r.path)
 			case exists && r.planned:
-				t.Errorf("%s exists: take the mark planned off its row in layers", r.path)
+				t.Errorf("%s exists: remove the mark planned from its row in layers", r.path)
 			}
 		}
 	}
 }
 
-// The module's name is the one that the check looks for.
+// TestModulePath guards against an import check that matches no import because go.mod names another module
+// path.
 func TestModulePath(t *testing.T) {
 	mod, err := os.ReadFile(filepath.Join(moduleRoot, "go.mod"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if first, _, _ := strings.Cut(string(mod), "\n"); first != "module "+modulePath {
-		t.Errorf("go.mod begins with %q, modulePath is %q", first, modulePath)
+		t.Errorf("first line of go.mod: got %q, want %q", first, "module "+modulePath)
 	}
 }
 
-// The check itself, on a table of its own: what it lets pass and what it reports.
+// TestViolations guards against an import check that reports allowed imports or misses forbidden ones. It
+// uses a small table of its own.
 func TestViolations(t *testing.T) {
 	rowsByPath, err := indexRows([][]row{
 		{{path: "internal/low"}},
@@ -278,34 +288,34 @@
 		pkg      string
 		isTest   bool
 		imported string
-		want     string // part of the report; empty where the import is allowed
+		want     string // substring of the only violation; empty: the import is allowed
 	}{
-		{"down", "internal/one", false, "pipitgap/internal/low", ""},
-		{"down over a layer", actorPath, false, "pipitgap/internal/low", ""},
-		{"up", "internal/low", false, "pipitgap/internal/two", "not in a layer below"},
-		{"sideways", "internal/two", false, "pipitgap/internal/one", "not in a layer below"},
-		{"up in a test", "internal/low", true, "pipitgap/internal/two", "not in a layer below"},
-		{"own package in a test", "internal/low", true, "pipitgap/internal/low", ""},
+		{"import from a lower layer", "internal/one", false, "pipitgap/internal/low", ""},
+		{"import from a layer two levels down", actorPath, false, "pipitgap/internal/low", ""},
+		{"import from a higher layer", "internal/low", false, "pipitgap/internal/two", "not in a layer below"},
+		{"import from the same layer", "internal/two", false, "pipitgap/internal/one", "not in a layer below"},
+		{"test imports from a higher layer", "internal/low", true, "pipitgap/internal/two", "not in a layer below"},
+		{"test imports its own package", "internal/low", true, "pipitgap/internal/low", ""},
 		{
-			"decision imports the actor",
+			"decision package imports the actor",
 			"internal/one",
 			false,
 			"pipitgap/" + actorPath,
 			"must not import the actor",
 		},
 		{
-			"decision's test imports the actor",
+			"test of a decision package imports the actor",
 			"internal/one",
 			true,
 			"pipitgap/" + actorPath,
 			"must not import the actor",
 		},
-		{"decision imports the network", "internal/one", false, "net/http", "must not import net/http"},
-		{"decision imports the clock", "internal/one", false, "time", "must not import time"},
-		{"decision imports a package of like name", "internal/one", false, "iter", ""},
-		{"decision's test imports files", "internal/one", true, "os", ""},
-		{"others import the network", "internal/two", false, "net/http", ""},
-		{"code imports a fake", actorPath, false, "pipitgap/internal/stubs", "is for tests"},
+		{"decision package imports the network", "internal/one", false, "net/http", "must not import net/http"},
+		{"decision package imports the clock", "internal/one", false, "time", "must not import time"},
+		{"decision package imports an allowed package with a similar name", "internal/one", false, "iter", ""},
+		{"test of a decision package imports file access", "internal/one", true, "os", ""},
+		{"other package imports the network", "internal/two", false, "net/http", ""},
+		{"production code imports a fake", actorPath, false, "pipitgap/internal/stubs", "is for tests"},
 		{"test imports a fake", "internal/low", true, "pipitgap/internal/harness", ""},
 		{"fake imports a lower fake", "internal/harness", false, "pipitgap/internal/stubs", ""},
 		{
@@ -315,8 +325,8 @@
 			"pipitgap/internal/harness",
 			"not in a layer below",
 		},
-		{"unknown package is imported", actorPath, false, "pipitgap/internal/new", "has no row in layers"},
-		{"unknown package imports", "internal/new", false, "fmt", "add it to the lowest layer"},
+		{"import of a package without a row", actorPath, false, "pipitgap/internal/new", "has no row in layers"},
+		{"import by a package without a row", "internal/new", false, "fmt", "add it to the lowest layer"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -326,13 +336,13 @@
 			)
 			switch {
 			case c.want == "" && len(found) > 0:
-				t.Errorf("reported: %v", found)
+				t.Errorf("got violations %v, want none", found)
 			case c.want != "" && (len(found) != 1 || !strings.Contains(found[0], c.want)):
-				t.Errorf("got %v, want one report with %q", found, c.want)
+				t.Errorf("got violations %v, want one that contains %q", found, c.want)
 			}
 		})
 	}
 	if _, err := indexRows([][]row{{{path: "internal/low"}}, {{path: "internal/low"}}}); err == nil {
-		t.Error("a package with two rows is no error")
+		t.Error("package with two rows: got no error, want one")
 	}
 }
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-// pagePatterns name the pages that are checked, seen from the module's root. The pages on incidents are left
-// out: they quote the logs and names of their time.
+// pagePatterns match the documentation pages that the tests check, relative to the module root. They leave
+// out the pages on incidents, because those quote the log messages and names of their time.
 var pagePatterns = []string{"README.md", "docs/*.md", "docs/operators/*.md"}
 
 var (
-	// A Go identifier with its package, and with its type if it is a method or field.
+	// qualifiedName matches an identifier with its package, and with its type if it is a method or field.
 	qualifiedName = regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Za-z_][A-Za-z0-9_]*){1,2}$`)
 	testName      = regexp.MustCompile(`\b(Test|Benchmark|Fuzz)[A-Z][A-Za-z0-9_]*\b`)
 	backquoted    = regexp.MustCompile("`([^`\n]+)`")
@@ -25,17 +25,19 @@
 	link          = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 )
 
-// What ends a name in backquotes that is a file and no identifier.
+// fileSuffixes are the suffixes by which a name in backquotes is a file and not an identifier.
 var fileSuffixes = []string{".go", ".json", ".md", ".mod", ".toml", ".txt", ".yaml"}
 
-// onCallPage is the page that has every package, and whose log messages are checked too. Other pages may quote
-// messages of earlier versions.
+// onCallPage is the page for on-call engineers. It must name every package, and the log messages that it
+// quotes must exist. Other pages may quote messages of earlier versions.
 const onCallPage = "docs/architecture.md"
 
-// logMessage is several words in lower case; commands are told apart by the program's name.
+// logMessage matches several words in lower case. Commands also match; they begin with the name of the
+// program.
 var logMessage = regexp.MustCompile(`^[a-z][a-z-]*(,? [a-z-]+)+$`)
 
-// unknownMessages lists what a page quotes as log messages and no source has as a string.
+// unknownMessages lists the log messages that a page quotes but that are not among the string literals of the
+// sources.
 func unknownMessages(literals map[string]bool, page string) []string {
 	var unknown []string
 	for _, match := range backquoted.FindAllStringSubmatch(page, -1) {
@@ -47,7 +49,8 @@
 	return unknown
 }
 
-// readLiterals gathers the string literals of the tests, or of the other sources; these tests' own don't count.
+// readLiterals collects the string literals of all test files, or of all other files. It skips the files of
+// this package.
 func readLiterals(t *testing.T, tests bool) map[string]bool {
 	t.Helper()
 	literals := map[string]bool{}
@@ -72,14 +75,15 @@
 	return literals
 }
 
-// Every log message that the page for on-call engineers tells to look for is in the sources.
+// TestOnCallPageQuotesLogMessages guards against on-call instructions that refer to a log message that no
+// longer exists.
 func TestOnCallPageQuotesLogMessages(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(moduleRoot, onCallPage))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, message := range unknownMessages(readLiterals(t, false), string(page)) {
-		t.Errorf("%s quotes %q, which no source has", onCallPage, message)
+		t.Errorf("%s quotes the log message %q, want a message that occurs in the sources", onCallPage, message)
 	}
 }
 
@@ -92,17 +96,19 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(unknownMessages(literals, c.page), "; "); got != c.want {
-			t.Errorf("%s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
 		}
 	}
 }
 
-// The page that names rows of tests' tables, in quotation marks; dots at the end stand for the rest of a name.
+// scenariosPage is the page on failure scenarios. It names rows of tables in tests, in quotation marks. A name
+// may be shortened: it then ends in " ..." after its first words.
 const scenariosPage = "docs/failure-scenarios.md"
 
 var quotedRowName = regexp.MustCompile(`"([^"\n]+)"`)
 
-// unknownRows lists the rows that a page names and that no test has.
+// unknownRows lists the row names that a page mentions but that are not among the string literals of the
+// tests.
 func unknownRows(literals map[string]bool, page string) []string {
 	var unknown []string
 	for _, match := range quotedRowName.FindAllStringSubmatch(page, -1) {
@@ -118,14 +124,15 @@
 	return unknown
 }
 
-// Every row of a test that the page on failures names is in some test.
+// TestScenariosPageNamesRows guards against a page on failure scenarios that refers to a row that no longer
+// exists.
 func TestScenariosPageNamesRows(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(moduleRoot, scenariosPage))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, row := range unknownRows(readLiterals(t, true), string(page)) {
-		t.Errorf("%s names the row %q, which no test has", scenariosPage, row)
+		t.Errorf("%s names the row %q, want a row that occurs in a test", scenariosPage, row)
 	}
 }
 
@@ -138,16 +145,16 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(unknownRows(literals, c.page), "; "); got != c.want {
-			t.Errorf("%s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
 		}
 	}
 }
 
-// declarations is every name that the module's sources declare: "package.Name", "package.Type.Member", and the
-// names of tests alone.
+// declarations is the set of names that the sources of the module declare: "package.Name",
+// "package.Type.Member", and the names of tests without their package.
 type declarations map[string]bool
 
-// addFile adds what a file declares.
+// addFile adds the declarations of a file.
 func (d declarations) addFile(file *ast.File) {
 	pkg := strings.TrimSuffix(file.Name.Name, "_test")
 	for _, declaration := range file.Decls {
@@ -206,7 +213,7 @@
 	}
 }
 
-// readDeclarations parses all sources, tests included.
+// readDeclarations collects the declarations of all sources, including tests.
 func readDeclarations(t *testing.T) declarations {
 	t.Helper()
 	declared := declarations{}
@@ -220,8 +227,8 @@
 	return declared
 }
 
-// unknownNames lists the names of a page that no source declares: identifiers with their package in backquotes,
-// and tests wherever they are named.
+// unknownNames lists the names on a page that no source declares. It checks qualified identifiers in
+// backquotes, and names of tests anywhere.
 func unknownNames(declared declarations, page string) []string {
 	var unknown []string
 	for _, match := range backquoted.FindAllStringSubmatch(page, -1) {
@@ -247,8 +254,9 @@
 	return false
 }
 
-// namedPaths lists the files and folders that a page names: links, relative to the page's folder, and paths in
-// backquotes, relative to the module's root. Both are given as seen from the module's root.
+// namedPaths lists the files and folders that a page names: the targets of links, which are relative to the
+// folder of the page, and paths in backquotes, which are relative to the module root. It returns all paths
+// relative to the module root.
 func namedPaths(page, folder string) []string {
 	var named []string
 	for _, match := range link.FindAllStringSubmatch(page, -1) {
@@ -262,7 +270,7 @@
 	return named
 }
 
-// pages lists the pages to be checked by their paths from this package.
+// pages lists the pages that the tests check, by their paths relative to this package.
 func pages(t *testing.T) []string {
 	t.Helper()
 	var found []string
@@ -272,14 +280,15 @@
 			t.Fatal(err)
 		}
 		if len(matches) == 0 {
-			t.Fatalf("no page matches %s", pattern)
+			t.Fatalf("pattern %s: got no matching page, want at least 1", pattern)
 		}
 		found = append(found, matches...)
 	}
 	return found
 }
 
-// Every function, type, test, file and folder that a page names exists, so that the pages follow the code.
+// TestPagesNameWhatExists guards against pages that fall behind the code: every function, type, test, file
+// and folder that a page names must exist.
 func TestPagesNameWhatExists(t *testing.T) {
 	declared := readDeclarations(t)
 	for _, path := range pages(t) {
@@ -289,17 +298,17 @@
 		}
 		name := belowRoot(t, path)
 		for _, unknown := range unknownNames(declared, string(text)) {
-			t.Errorf("%s names %s, which no source declares", name, unknown)
+			t.Errorf("%s names %s, want a name that the sources declare", name, unknown)
 		}
 		for _, named := range namedPaths(string(text), filepath.Dir(name)) {
 			if _, err := os.Stat(filepath.Join(moduleRoot, named)); err != nil {
-				t.Errorf("%s names %s, which doesn't exist", name, named)
+				t.Errorf("%s names the path %s, want an existing file or folder", name, named)
 			}
 		}
 	}
 }
 
-// The page on the architecture has every package of the table of layers.
+// TestArchitecturePageHasEveryPackage guards against a package that the architecture page does not mention.
 func TestArchitecturePageHasEveryPackage(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(moduleRoot, onCallPage))
 	if err != nil {
@@ -308,7 +317,7 @@
 	for _, rows := range layers {
 		for _, r := range rows {
 			if !r.planned && !strings.Contains(string(page), "`"+r.path+"`") {
-				t.Errorf("%s doesn't name %s", onCallPage, r.path)
+				t.Errorf("%s does not name %s, want every package of layers", onCallPage, r.path)
 			}
 		}
 	}
@@ -337,7 +346,7 @@
 	declared.addFile(file)
 	cases := []struct {
 		page string
-		want string // empty where nothing is reported
+		want string // empty: all names are declared
 	}{
 		{"`shop.Open`, `shop.Open()`, `shop.Limit`, `shop.Counter`", ""},
 		{"`shop.Counter.Add`, `shop.Counter.total`, `shop.Seller.Sell`", ""},
@@ -350,7 +359,7 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(unknownNames(declared, c.page), " "); got != c.want {
-			t.Errorf("%s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
 		}
 	}
 }
@@ -365,7 +374,7 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(namedPaths(c.page, c.folder), " "); got != c.want {
-			t.Errorf("%s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
 		}
 	}
 }
--- a/internal/architecture/style_test.go
+++ b/internal/architecture/style_test.go
@@ -12,17 +12,19 @@
 	"unicode/utf8"
 )
 
-// Lines are to wrap at about 110 columns; a tab counts as tabColumns. What is wider than maxColumns is a
-// fault.
+// Lines should wrap at about 110 columns. A line of more than maxColumns columns is an error; a tab counts as
+// tabColumns.
 const (
 	maxColumns = 120
 	tabColumns = 4
 )
 
-// packagesWithWideLines has the packages whose code still has wider lines. A row is taken out once its package has none.
+// packagesWithWideLines lists the packages that may still have wider lines. Remove a package when it has none
+// left.
 var packagesWithWideLines = map[string]bool{}
 
-// wideLines gives the numbers of the lines that are too wide. Struct tags are left out: they can't be broken.
+// wideLines returns the numbers of the lines that are too wide. It ignores lines that end in a struct tag,
+// because Go cannot break a struct tag.
 func wideLines(text string) []int {
 	var wide []int
 	for i, line := range strings.Split(text, "\n") {
@@ -34,7 +36,8 @@
 	return wide
 }
 
-// Code outside of tests has no line wider than the bound, but for the packages listed, which have some.
+// TestLineLength guards against lines wider than maxColumns outside of tests, and against outdated
+// exceptions.
 func TestLineLength(t *testing.T) {
 	found := map[string]int{}
 	for _, file := range goFiles(t) {
@@ -49,13 +52,13 @@
 		for _, line := range wideLines(string(text)) {
 			found[path.Dir(name)]++
 			if !packagesWithWideLines[path.Dir(name)] {
-				t.Errorf("%s:%d is wider than %d columns", name, line, maxColumns)
+				t.Errorf("%s:%d: line is wider than the maximum of %d columns", name, line, maxColumns)
 			}
 		}
 	}
 	for pkg := range packagesWithWideLines {
 		if found[pkg] == 0 {
-			t.Errorf("%s has no line wider than %d columns: take it out of packagesWithWideLines", pkg, maxColumns)
+			t.Errorf("%s has no line wider than %d columns: remove it from packagesWithWideLines", pkg, maxColumns)
 		}
 	}
 }
@@ -67,12 +70,12 @@
 		text string
 		want string
 	}{
-		{"at the bound", atBound, "[]"},
-		{"over the bound", "\n" + atBound + "x\n", "[2]"},
-		{"characters, not bytes", strings.Repeat("ü", maxColumns), "[]"},
-		{"a tab is four columns", "\t" + strings.Repeat("x", maxColumns-tabColumns+1), "[1]"},
-		{"a tab within the bound", "\t" + strings.Repeat("x", maxColumns-tabColumns), "[]"},
-		{"a struct tag", atBound + " `help:\"\"`", "[]"},
+		{"exactly the maximum", atBound, "[]"},
+		{"one column over the maximum", "\n" + atBound + "x\n", "[2]"},
+		{"counts characters, not bytes", strings.Repeat("ü", maxColumns), "[]"},
+		{"tab counts as four columns", "\t" + strings.Repeat("x", maxColumns-tabColumns+1), "[1]"},
+		{"tab within the maximum", "\t" + strings.Repeat("x", maxColumns-tabColumns), "[]"},
+		{"line that ends in a struct tag", atBound + " `help:\"\"`", "[]"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -83,8 +86,8 @@
 	}
 }
 
-// undocumented lists the exported items of a file without a doc comment; the form of those that are there is
-// staticcheck's to check. The comment of a group or of its line serves for constants and variables.
+// undocumented lists the exported items of a file that have no doc comment; staticcheck verifies the form of
+// existing comments. For constants and variables, a comment on the group or at the end of the line is enough.
 func undocumented(file *ast.File) []string {
 	var found []string
 	for _, declaration := range file.Decls {
@@ -120,7 +123,7 @@
 	return found
 }
 
-// exportedReceiver tells whether a function has no receiver or one of an exported type.
+// exportedReceiver reports whether a function has no receiver or a receiver of an exported type.
 func exportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
@@ -134,7 +137,7 @@
 	return exported
 }
 
-// Every exported item outside of tests has a doc comment.
+// TestExportedItemsHaveDocComments guards against exported items without a doc comment outside of tests.
 func TestExportedItemsHaveDocComments(t *testing.T) {
 	for _, name := range goFiles(t) {
 		if strings.HasSuffix(name, "_test.go") {
@@ -145,7 +148,7 @@
 			t.Fatal(err)
 		}
 		for _, item := range undocumented(file) {
-			t.Errorf("%s: %s has no doc comment", belowRoot(t, name), item)
+			t.Errorf("%s: exported item %s has no doc comment", belowRoot(t, name), item)
 		}
 	}
 }
@@ -156,18 +159,18 @@
 		code string
 		want string
 	}{
-		{"function", "func F() {}", "[F]"},
-		{"function with a comment", "// F does.\nfunc F() {}", "[]"},
-		{"own function", "func f() {}", "[]"},
-		{"method", "func (*T) M() {}", "[M]"},
+		{"exported function", "func F() {}", "[F]"},
+		{"exported function with a comment", "// F does.\nfunc F() {}", "[]"},
+		{"unexported function", "func f() {}", "[]"},
+		{"exported method", "func (*T) M() {}", "[M]"},
 		{"method of a generic type", "func (*T[k]) M() {}", "[M]"},
-		{"method of an own type", "func (t) M() {}", "[]"},
-		{"type", "type T int", "[T]"},
-		{"type with a comment", "// T is.\ntype T int", "[]"},
-		{"types of a group", "// Types.\ntype (\n\tT int\n\t// U is.\n\tU int\n)", "[T]"},
-		{"constants", "const (\n\tA = 1\n\tb = 2\n)", "[A]"},
-		{"constants of a group with a comment", "// Numbers.\nconst (\n\tA = 1\n\tB = 2\n)", "[]"},
-		{"variable with a comment behind it", "var V int // is", "[]"},
+		{"method of an unexported type", "func (t) M() {}", "[]"},
+		{"exported type", "type T int", "[T]"},
+		{"exported type with a comment", "// T is.\ntype T int", "[]"},
+		{"types in a group with a comment", "// Types.\ntype (\n\tT int\n\t// U is.\n\tU int\n)", "[T]"},
+		{"constants in a group without a comment", "const (\n\tA = 1\n\tb = 2\n)", "[A]"},
+		{"constants in a group with a comment", "// Numbers.\nconst (\n\tA = 1\n\tB = 2\n)", "[]"},
+		{"variable with a comment at the end of the line", "var V int // is", "[]"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
