--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -8,18 +8,19 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// Cloud is a fake of the cloud. Its capacity is per machine type, zone and kind (spot or on demand).
+// Cloud is a fake of the cloud provider. It has a separate capacity for each offer: a machine type in a zone,
+// as spot or on demand.
 type Cloud struct {
 	Clock    *SimClock
 	Types    []protocol.MachineType
-	Capacity map[string]int  // by OfferKey
-	ListLag  monotime.Micros // how old the answers of lists are
+	Capacity map[string]int  // machines that can still be created, by OfferKey
+	ListLag  monotime.Micros // how far a list lags behind the creation and deletion of machines
 	BootTime monotime.Micros
-	Machines map[string]*Machine // all that there have been, by ID
+	Machines map[string]*Machine // all machines ever created, by ID
 	CloudFaults
 	CloudCounters
 
-	// NextEndpoint, if set, gives the address of the next machine's worker.
+	// NextEndpoint, if set, returns the address of the worker of the next machine.
 	NextEndpoint  func() string
 	OnMachineUp   func(*Machine)
 	OnMachineGone func(*Machine)
@@ -27,32 +28,32 @@
 
 // CloudFaults are the faults that a test injects into a Cloud.
 type CloudFaults struct {
-	Unavailable   bool            // all calls are answered 503
-	Throttling    bool            // all calls are answered 429
-	LoseRentReply bool            // rentals are carried out and their answers lost
-	NeverBoots    map[string]bool // machines that never come up
+	Unavailable   bool            // the cloud answers all calls with 503
+	Throttling    bool            // the cloud answers all calls with 429
+	LoseRentReply bool            // the cloud creates the requested machines, but the response is lost
+	NeverBoots    map[string]bool // machines that never boot, by ID
 }
 
-// CloudCounters record what a Cloud has been asked for.
+// CloudCounters record the calls that a Cloud has received.
 type CloudCounters struct {
 	Calls         map[protocol.CloudOp]int
-	RentedByName  map[string][]string // machines by the name of the rental
-	RepeatedRents int                 // rentals under a name that had been answered
+	RentedByName  map[string][]string // IDs of the machines created, by the name of the request
+	RepeatedRents int                 // requests with the name of an earlier request that created machines
 }
 
 // Machine is a machine of the fake cloud.
 type Machine struct {
 	ID, Endpoint, Type, Zone string
 	Spot                     bool
-	RentedAt                 monotime.Micros
+	CreatedAt                monotime.Micros
 	Up, Gone                 bool
 	GoneAt                   monotime.Micros
 }
 
-// cloudLatency is how long a call takes to the cloud, and its answer back.
+// cloudLatency is the simulated one-way latency of a call to the cloud and of its response.
 const cloudLatency = 50 * monotime.Millisecond
 
-// NewCloud makes a cloud without machines and without capacity.
+// NewCloud returns a cloud without machines and without capacity.
 func NewCloud(sim *SimClock, types []protocol.MachineType) *Cloud {
 	return &Cloud{
 		Clock:       sim,
@@ -69,18 +70,19 @@
 	}
 }
 
-// OfferKey names what capacity is counted by.
+// OfferKey returns the key of an offer in Cloud.Capacity: the machine type, the zone and whether it is spot.
 func OfferKey(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
 
-// Call performs a call. back is called once, with a zero result at the call's timeout if the answer is lost.
-func (c *Cloud) Call(call *protocol.CloudCall, back func(protocol.CloudResult)) {
+// Call executes a call. It invokes callback exactly once. If the response is lost, callback gets a zero
+// result after the call's timeout.
+func (c *Cloud) Call(call *protocol.CloudCall, callback func(protocol.CloudResult)) {
 	c.Clock.After(cloudLatency, func() {
 		result, lost := c.handle(call)
 		if lost {
-			c.Clock.After(call.Timeout, func() { back(protocol.CloudResult{}) })
+			c.Clock.After(call.Timeout, func() { callback(protocol.CloudResult{}) })
 			return
 		}
-		c.Clock.After(cloudLatency, func() { back(result) })
+		c.Clock.After(cloudLatency, func() { callback(result) })
 	})
 }
 
@@ -96,7 +98,7 @@
 	case protocol.CloudCatalog:
 		return protocol.CloudResult{Outcome: protocol.OK, Types: c.Types}, false
 	case protocol.CloudCreateMachines:
-		return c.rent(&call.Create)
+		return c.createMachines(&call.Create)
 	case protocol.CloudDelete:
 		for _, id := range call.Delete {
 			c.RemoveMachine(id)
@@ -108,8 +110,9 @@
 	return protocol.CloudResult{}, false
 }
 
-// rent adds as many machines as there is capacity for; a repeated request gets the machines of the first.
-func (c *Cloud) rent(request *protocol.CreateMachinesRequest) (result protocol.CloudResult, lost bool) {
+// createMachines creates the requested machines, limited by the capacity of the offer. It is idempotent: a
+// request with the name of an earlier one returns the machines of the earlier one.
+func (c *Cloud) createMachines(request *protocol.CreateMachinesRequest) (result protocol.CloudResult, lost bool) {
 	if ids, ok := c.RentedByName[request.Name]; ok {
 		c.RepeatedRents++
 		return protocol.CloudResult{Outcome: protocol.OK, Created: ids}, false
@@ -128,13 +131,14 @@
 	return result, c.LoseRentReply
 }
 
-// list gives the machines as they were ListLag ago, by ID.
+// list returns the machines that existed ListLag ago, in order of their IDs. Their states are the current
+// ones.
 func (c *Cloud) list() []protocol.ListedMachine {
 	asOf := c.Clock.Now() - c.ListLag
 	var listed []protocol.ListedMachine
 	for _, id := range sortedmap.Keys(c.Machines) {
 		machine := c.Machines[id]
-		if machine.RentedAt > asOf || machine.Gone && machine.GoneAt <= asOf {
+		if machine.CreatedAt > asOf || machine.Gone && machine.GoneAt <= asOf {
 			continue
 		}
 		state := "starting"
@@ -148,21 +152,22 @@
 			Zone:     machine.Zone,
 			Spot:     machine.Spot,
 			State:    state,
-			AgeS:     (asOf - machine.RentedAt).Seconds(),
+			AgeS:     (asOf - machine.CreatedAt).Seconds(),
 		})
 	}
 	return listed
 }
 
-// AddMachine adds a machine, rented or not, which boots.
+// AddMachine creates a machine, requested or not. The machine boots after BootTime unless NeverBoots contains
+// it. AddMachine leaves Capacity unchanged.
 func (c *Cloud) AddMachine(typ, zone string, spot bool) *Machine {
 	number := len(c.Machines) + 1
 	machine := &Machine{
-		ID:       fmt.Sprintf("i-%06d", number),
-		Type:     typ,
-		Zone:     zone,
-		Spot:     spot,
-		RentedAt: c.Clock.Now(),
+		ID:        fmt.Sprintf("i-%06d", number),
+		Type:      typ,
+		Zone:      zone,
+		Spot:      spot,
+		CreatedAt: c.Clock.Now(),
 	}
 	machine.Endpoint = fmt.Sprintf("10.1.%d.%d:9000", number/256, number%256)
 	if c.NextEndpoint != nil {
@@ -180,7 +185,7 @@
 	return machine
 }
 
-// RemoveMachine ends a machine with all that is on it and returns its capacity.
+// RemoveMachine deletes a machine with all tasks on it and adds it back to the capacity of its offer.
 func (c *Cloud) RemoveMachine(id string) {
 	if machine := c.Machines[id]; machine != nil && !machine.Gone {
 		machine.Gone, machine.GoneAt = true, c.Clock.Now()
@@ -189,7 +194,7 @@
 	}
 }
 
-// MachineCount counts the machines that have not gone.
+// MachineCount returns the number of machines that have not been deleted.
 func (c *Cloud) MachineCount() int {
 	n := 0
 	for _, machine := range c.Machines {
--- a/internal/fake/loopback/state_service.go
+++ b/internal/fake/loopback/state_service.go
@@ -10,14 +10,14 @@
 	"pipitgap/internal/protocol"
 )
 
-// stateHandler serves a fake state service over HTTP to one caller.
+// stateHandler serves the API of a fake state service over HTTP to one caller.
 type stateHandler struct {
 	clock  *RealTimeClock
 	store  *fake.StateStore
 	caller string
 }
 
-// ServeState serves a store on loopback until the test ends, and returns its address.
+// ServeState serves a fake state service on loopback until the test ends, and returns its address.
 func ServeState(t testing.TB, sim *fake.SimClock, store *fake.StateStore) string {
 	t.Helper()
 	const caller = "operator"
@@ -31,21 +31,21 @@
 	return server.Addr
 }
 
-// noTimeout is longer than any caller waits: the deadline is the caller's own.
+// noTimeout exceeds every timeout of the callers, so that the callers' own deadlines take effect.
 const noTimeout = 10 * monotime.Minute
 
 func (h *stateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	call, ok := stateCall(r)
+	call, ok := parseStateCall(r)
 	if !ok {
 		writeMessage(w, http.StatusBadRequest, &protocol.ErrorBody{Error: "malformed"})
 		return
 	}
-	answerCall(h.clock, w, r, func(back func(protocol.StoreResult)) { h.store.Call(h.caller, call, back) },
-		func(result *protocol.StoreResult) (int, any) { return stateAnswer(call, result) })
+	answerCall(h.clock, w, r, func(callback func(protocol.StoreResult)) { h.store.Call(h.caller, call, callback) },
+		func(result *protocol.StoreResult) (int, any) { return stateResponse(call, result) })
 }
 
-// stateCall decodes a request into a call.
-func stateCall(r *http.Request) (*protocol.StoreCall, bool) {
+// parseStateCall decodes a request into a call. It returns false if the request is malformed.
+func parseStateCall(r *http.Request) (*protocol.StoreCall, bool) {
 	call := &protocol.StoreCall{Timeout: noTimeout}
 	query := r.URL.Query()
 	path := r.URL.Path
@@ -83,7 +83,7 @@
 	return nil, false
 }
 
-// httpStatus maps the outcomes of calls to the statuses that the services answer with.
+// httpStatus maps the outcomes of calls to the HTTP statuses of the responses.
 var httpStatus = map[protocol.Outcome]int{
 	protocol.OK:          http.StatusOK,
 	protocol.Conflict:    http.StatusConflict,
@@ -94,8 +94,8 @@
 	protocol.Unavailable: http.StatusServiceUnavailable,
 }
 
-// stateAnswer is the response for a call's result.
-func stateAnswer(call *protocol.StoreCall, result *protocol.StoreResult) (status int, body any) {
+// stateResponse returns the HTTP status and body that encode the result of a call.
+func stateResponse(call *protocol.StoreCall, result *protocol.StoreResult) (status int, body any) {
 	status = httpStatus[result.Outcome]
 	if result.Outcome != protocol.OK && result.Outcome != protocol.Conflict {
 		return status, &protocol.ErrorBody{Error: result.Outcome.String()}
--- a/internal/fake/state_store_commits.go
+++ b/internal/fake/state_store_commits.go
@@ -2,8 +2,8 @@
 
 import "pipitgap/internal/protocol"
 
-// handleCommit applies a transaction now, or later if a test delays it, and answers unless the response is
-// lost.
+// handleCommit applies a transaction and answers it. A fault can change that: DelayCommit postpones the
+// transaction and suppresses the answer; LoseResponse suppresses the answer of a transaction that succeeded.
 func (s *StateStore) handleCommit(call *protocol.StoreCall, answer func(protocol.StoreResult)) {
 	if s.DelayCommit != nil {
 		if delay := s.DelayCommit(&call.Transaction); delay > 0 {
@@ -18,17 +18,17 @@
 	answer(result)
 }
 
-// commit applies a transaction if all of its comparisons hold.
+// commit applies a transaction atomically if it is valid and all of its comparisons hold.
 func (s *StateStore) commit(txn *protocol.Transaction) protocol.StoreResult {
-	if !s.acceptable(txn) {
+	if !s.isValid(txn) {
 		return protocol.StoreResult{Outcome: protocol.Rejected}
 	}
-	if failed := s.failedComparisons(txn); len(failed) > 0 {
+	if failedKeys := s.failedComparisons(txn); len(failedKeys) > 0 {
 		s.Conflicts++
-		for _, key := range failed {
+		for _, key := range failedKeys {
 			s.ChangesByKind["!"+recordKind(key)]++
 		}
-		return protocol.StoreResult{Outcome: protocol.Conflict, Revision: s.Revision, Failed: failed}
+		return protocol.StoreResult{Outcome: protocol.Conflict, Revision: s.Revision, Failed: failedKeys}
 	}
 	if len(txn.Then) > 0 {
 		s.Revision++
@@ -42,8 +42,9 @@
 	return protocol.StoreResult{Outcome: protocol.OK, Revision: s.Revision}
 }
 
-// acceptable tells whether a transaction is within the limits and names only leases that exist.
-func (s *StateStore) acceptable(txn *protocol.Transaction) bool {
+// isValid reports whether a transaction is within the limits on operations and comparisons and its puts refer
+// only to existing leases.
+func (s *StateStore) isValid(txn *protocol.Transaction) bool {
 	if len(txn.Then) > s.MaxTransactionOps || len(txn.If) > 4*s.MaxTransactionOps {
 		return false
 	}
@@ -56,16 +57,16 @@
 }
 
 func (s *StateStore) failedComparisons(txn *protocol.Transaction) []string {
-	var failed []string
+	var failedKeys []string
 	for _, compare := range txn.If {
 		if s.keyValues[compare.Key].Version != compare.Version {
-			failed = append(failed, compare.Key)
+			failedKeys = append(failedKeys, compare.Key)
 		}
 	}
-	return failed
+	return failedKeys
 }
 
-// apply performs an operation at the present revision.
+// apply executes a put or delete at the current revision. Deleting an absent key changes nothing.
 func (s *StateStore) apply(op protocol.Op) {
 	s.ChangesByKind["+"+recordKind(op.Put+op.Delete)]++
 	if op.Put != "" {
@@ -90,7 +91,7 @@
 	s.record(protocol.Event{Delete: key, Version: s.Revision})
 }
 
-// record keeps an event of the present revision for watches.
+// record appends an event of the current revision to the history that watches read.
 func (s *StateStore) record(event protocol.Event) {
 	s.history = append(s.history, historyEntry{s.Revision, event})
 }
