--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestLateRunAfterReapStartsNothing: a direct batch that is held back and delivered after its
-// task was completed and reaped must not start the task again.
+// TestLateRunAfterReapStartsNothing guards against a late duplicate of a direct command batch that starts its
+// task again after the task has completed and been reaped.
 func TestLateRunAfterReapStartsNothing(t *testing.T) {
 	c := newCluster(t, 7).startWithLeader()
 	var late []func()
@@ -28,7 +28,7 @@
 	c.requireFinished(id, 60*second)
 	c.sim.Run(5 * second)
 	if len(late) == 0 {
-		t.Fatal("no direct command was sent")
+		t.Fatal("got no direct command, want at least 1")
 	}
 	for _, f := range late {
 		f()
@@ -36,18 +36,19 @@
 	c.sim.Run(second)
 	for task, n := range c.fleet.Starts {
 		if n != 1 {
-			t.Errorf("%s started %d times", task, n)
+			t.Errorf("task %s: got %d starts, want 1", task, n)
 		}
 	}
 	c.requireNoViolations()
 }
 
-// TestOlderReportProvesNothing: a report older than one already applied proves nothing.
+// TestOlderReportProvesNothing checks that controllers ignore a heartbeat with a lower sequence number than
+// one that they have applied. The heartbeat reports a running task as exited, which must not start it again.
 func TestOlderReportProvesNothing(t *testing.T) {
 	c := newCluster(t, 10).startWithLeader()
 	id := c.submit(0, withService(true))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 1 }) {
-		t.Fatal("not started")
+		t.Fatalf("service: got %d running tasks after 60 s, want 1", c.fleet.Running(id))
 	}
 	c.sim.Run(5 * second)
 	for _, wid := range sortedmap.Keys(c.fleet.Workers) {
@@ -74,22 +75,23 @@
 	}
 	c.sim.Run(10 * second)
 	if n := c.fleet.Starts[id+"/0"]; n != 1 || c.fleet.Running(id) != 1 {
-		t.Errorf("started %d times, %d run", n, c.fleet.Running(id))
+		t.Errorf("got %d starts and %d running tasks, want 1 and 1", n, c.fleet.Running(id))
 	}
 	c.requireNoViolations()
 }
 
-// TestControllerCutOffWithWorkersStopsCancelledTasks: a controller cut off with all workers, from the store
-// and from the others, must not keep tasks alive that a user has cancelled meanwhile; in an outage that all
-// share it must keep them.
+// TestControllerCutOffWithWorkersStopsCancelledTasks guards against tasks that outlive their cancellation. A
+// controller and all workers are cut off from the state service and the other controllers, where a user
+// cancels a job. The controller must not keep the job's tasks alive. In an outage of the state service that
+// affects all controllers, it must keep them.
 func TestControllerCutOffWithWorkersStopsCancelledTasks(t *testing.T) {
 	for _, cloudToo := range []bool{false, true} {
 		c := newCluster(t, 20).startWithLeader()
 		id := c.submit(0, withService(true), withTasks(4))
 		if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 4 }) {
-			t.Fatal("not started")
+			t.Fatalf("service: got %d running tasks after 60 s, want 4", c.fleet.Running(id))
 		}
-		// All workers go to n-0 first, then n-0 and they are cut off.
+		// First, all workers move to n-0. Then n-0 is cut off together with them.
 		for _, w := range sortedmap.Keys(c.fleet.Workers) {
 			c.disconnectedPairs[w+"-n-1"], c.disconnectedPairs[w+"-n-2"] = true, true
 		}
@@ -99,19 +101,19 @@
 		c.cloud.Unavailable = cloudToo
 		c.sim.Run(second)
 		if response := c.requestAndWait("n-1", "POST", protocol.CancelPath(id), nil); response.Status != 200 {
-			t.Fatalf("abort: %d", response.Status)
+			t.Fatalf("cancellation of %s: got status %d, want 200", id, response.Status)
 		}
 		c.checker.CancellationConfirmed(id)
 		c.sim.Run(33 * second)
 		if n := c.fleet.Running(id); n > 0 {
-			t.Errorf("cloud unavailable %v: %d tasks are still there", cloudToo, n)
+			t.Errorf("cloud unavailable %v: got %d running tasks, want 0", cloudToo, n)
 		}
 		c.requireNoViolations()
 	}
 	c := newCluster(t, 21).startWithLeader()
 	id := c.submit(0, withService(true), withTasks(4))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 4 }) {
-		t.Fatal("not started")
+		t.Fatalf("service: got %d running tasks after 60 s, want 4", c.fleet.Running(id))
 	}
 	c.sim.Run(5 * second)
 	starts := len(c.fleet.Starts)
@@ -122,13 +124,14 @@
 		total += n
 	}
 	if c.fleet.Running(id) != 4 || total != starts {
-		t.Errorf("after an outage %d run, %d starts", c.fleet.Running(id), total)
+		t.Errorf("after an outage: got %d running tasks and %d starts, want 4 and %d",
+			c.fleet.Running(id), total, starts)
 	}
 }
 
-// TestDuplicateReportsHaveNoEffect: a copy of a report never makes a machine look alive, causes a
-// claim or a commit, or brings a deleted machine back, whenever and wherever it
-// comes.
+// TestDuplicateReportsHaveNoEffect checks that a duplicate of a heartbeat never makes a machine look alive,
+// never causes a claim or a commit, and never brings back a deleted machine, whenever it arrives and at
+// whichever controller.
 func TestDuplicateReportsHaveNoEffect(t *testing.T) {
 	type copied struct {
 		node string
@@ -136,11 +139,11 @@
 	}
 	cases := []struct {
 		name string
-		do   func(c *cluster, id string, worker *fake.Worker) // between the report and its copy
+		do   func(c *cluster, id string, worker *fake.Worker) // runs between the heartbeat and its duplicate
 	}{
-		{"within a session", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(6 * second) }},
-		{"well over a lease later", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(40 * second) }},
-		{"across sessions", func(c *cluster, _ string, worker *fake.Worker) {
+		{"within the same incarnation", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(6 * second) }},
+		{"more than three leases later", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(40 * second) }},
+		{"in the next incarnation", func(c *cluster, _ string, worker *fake.Worker) {
 			worker.Partitioned = true
 			c.sim.Run(13 * second)
 			worker.Partitioned = false
@@ -149,7 +152,7 @@
 		{"after the owner restarted", func(c *cluster, _ string, worker *fake.Worker) {
 			c.kill(c.nodeNames...)
 			c.start(c.nodeNames...)
-			worker.Partitioned = true // the copy is the first that the owner hears of it
+			worker.Partitioned = true // the duplicate is the first heartbeat that the owner receives
 			c.sim.Run(3 * second)
 		}},
 		{"after another controller claimed the machine", func(c *cluster, id string, worker *fake.Worker) {
@@ -182,7 +185,7 @@
 			}
 			id := c.submit(run, withService(run == 0))
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 1 }) {
-				t.Fatal("not started")
+				t.Fatalf("got %d running tasks after 60 s, want 1", c.fleet.Running(id))
 			}
 			c.sim.Run(2 * second)
 			machine := ""
@@ -199,10 +202,10 @@
 				for _, node := range c.nodeNames {
 					core := c.nodes[node].controller
 					if m := core.mirror.Machines[machine]; m == nil {
-						s += node + " unknown; "
+						s += node + " does not know the machine; "
 					} else if core.agents.Of(m) != nil {
 						s += fmt.Sprintf(
-							"%s has it under %d, alive %d, answered %d, usable %v; ",
+							"%s owns it, claim %d, last reached at %d, last answered at %d, schedulable %v; ",
 							node,
 							m.Claim(),
 							core.agents.Of(m).LastReachedAt(),
@@ -230,13 +233,13 @@
 					}
 				})
 			}
-			// After a restart the first that the owner hears is answered: it can't
-			// tell, but it believes nothing of it.
+			// A restarted owner answers the first heartbeat that it receives, because it cannot recognize a
+			// duplicate. The heartbeat must not prove anything to it.
 			if answered > 0 && tc.name != "after the owner restarted" {
-				t.Errorf("%d copies are answered", answered)
+				t.Errorf("got %d answered duplicates, want 0", answered)
 			}
 			if after := state(); after != before && tc.name != "after the owner restarted" {
-				t.Errorf("before: %s\nafter: %s", before, after)
+				t.Errorf("controllers' state after the duplicates:\nwant: %s\ngot:  %s", before, after)
 			}
 			if tc.name == "after the owner restarted" {
 				for _, node := range c.nodeNames {
@@ -246,14 +249,14 @@
 						continue
 					}
 					if core.agents.Of(m).ClaimAcknowledged() || core.scheduler.Schedulable(m, c.sim.Now()) {
-						t.Errorf("%s takes it for alive", node)
+						t.Errorf("%s: got machine %s acknowledged or schedulable, want neither", node, machine)
 					}
 				}
 			}
 			if tc.name == "after the machine was deleted" {
 				c.sim.Run(3 * second)
 				if n := countChanges(); n != changes {
-					t.Errorf("%d changes follow", n-changes)
+					t.Errorf("got %d changes of shards and scale-outs after the duplicates, want 0", n-changes)
 				}
 			}
 			c.requireNoViolations()
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -11,14 +11,15 @@
 	"pipitgap/internal/storage"
 )
 
-// newBurstCluster is a cluster whose machines are up, with a team that has a guarantee ("home") and one that
-// has none ("guest").
+// newBurstCluster starts a cluster whose machines are up. The team "home" has a guarantee, the team "guest"
+// has none. If facts is not nil, it changes the platform's facts.
 func newBurstCluster(t *testing.T, seed uint64, facts func(*config.Config)) (c *cluster) {
 	c = newCluster(t, seed)
 	c.adjustFacts = facts
 	return c.startBurst()
 }
 
+// startBurst starts the controllers of a cluster for newBurstCluster, and a service that keeps machines up.
 func (c *cluster) startBurst() *cluster {
 	c.t.Helper()
 	c.teams = []config.Team{{Name: "home", CPUs: 100, CPUsMax: 400}, {Name: "guest"}}
@@ -31,16 +32,17 @@
 	keep := c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(60),
 		withCPUs(3))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(keep) == 60 }) {
-		c.t.Fatal("the service isn't up")
+		c.t.Fatalf("service: got %d running replicas after 60 s, want 60", c.fleet.Running(keep))
 	}
 	return c
 }
 
-// TestBurstLeavesOthersUnharmed: one team sends tiny jobs several times as fast as the store takes them. No
-// submission of the others waits for long, their services start once a machine is up, and what is rejected
-// of the burst is rejected at once, with a time to retry; more than a hundred of its jobs are accepted all
-// the same. Without a priority class of their own the tiny jobs took most of all changes, and machines that
-// were up were not claimed for seconds.
+// TestBurstLeavesOthersUnharmed guards against a burst of tiny jobs that delays other teams. One team submits
+// tiny jobs several times as fast as the state service can store them. Submissions of the other team must
+// not wait long, and its services must start once a machine is up. Submissions of the burst that are rejected
+// must be rejected at once, with a time to retry, and at least a hundred of its jobs must be accepted. Before
+// the calls for such a burst had their own priority class, the tiny jobs took most of the changes, and
+// machines that were up stayed unclaimed for seconds.
 func TestBurstLeavesOthersUnharmed(t *testing.T) {
 	for seed := uint64(2000); seed < 2004; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runBurst(t, seed) })
@@ -55,7 +57,8 @@
 	sentAt := map[string]monotime.Micros{}
 	var smallJobs, services []string
 	rejected, lateOrNoRetry, started := 0, 0, 0
-	unclaimed, longest := map[string]monotime.Micros{}, monotime.Micros(0) // machines that are up
+	// By machine: how long it has been up. The longest time that any machine has been up without a claim.
+	unclaimed, longest := map[string]monotime.Micros{}, monotime.Micros(0)
 	var look func()
 	look = func() {
 		for id, worker := range c.fleet.Workers {
@@ -121,8 +124,8 @@
 		}
 	}
 	t.Logf(
-		"of %d services %d accepted late, %d run; of %d small jobs %d accepted; %d rejected; %d changes; "+
-			"a machine waited %v s for its claim",
+		"%d services: %d accepted late, %d running; %d small jobs: %d accepted; %d submissions rejected; "+
+			"%d changes; longest wait of a machine for its claim %v s",
 		len(services),
 		late,
 		started,
@@ -133,26 +136,28 @@
 		longest.Seconds(),
 	)
 	if longest > 5*second {
-		t.Errorf("a machine that was up waited %v s for its claim", longest.Seconds())
+		t.Errorf("longest wait of a machine for its claim: got %v s, want at most 5 s", longest.Seconds())
 	}
 	if late > len(services)/10 || started < len(services)*9/10 {
-		t.Errorf("of %d services %d were accepted late, %d run", len(services), late, started)
+		t.Errorf("%d services: got %d accepted late and %d running, want at most %d and at least %d",
+			len(services), late, started, len(services)/10, len(services)*9/10)
 	}
 	if served < 100 {
-		t.Errorf("%d small jobs accepted", served)
+		t.Errorf("got %d small jobs accepted, want at least 100", served)
 	}
 	if rejected == 0 || lateOrNoRetry > 0 {
-		t.Errorf("%d rejected, %d of them late or without a time to retry", rejected, lateOrNoRetry)
+		t.Errorf("got %d submissions rejected, %d late or without a time to retry, want at least 1 and 0",
+			rejected, lateOrNoRetry)
 	}
 	if n := c.store.Changes - changes; n > (seconds+int(c.cloud.BootTime/second)+9)*50 {
-		t.Errorf("%d changes", n)
+		t.Errorf("got %d changes, want at most 50 a second", n)
 	}
 	c.requireNoViolations()
 }
 
-// TestHugeArrayLeavesServicesUnharmed: 25,000 tasks of a quarter of a CPU for a few seconds beside another
-// team's services, which start as if it weren't there; counted are the changes that a
-// task costs, and the largest value, report and answer.
+// TestHugeArrayLeavesServicesUnharmed checks that an array of 25,000 tasks, which each use a quarter of a CPU
+// for 4 s, does not delay another team's services. It also bounds the changes per task and the size of the
+// largest value, heartbeat and response.
 func TestHugeArrayLeavesServicesUnharmed(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -160,7 +165,7 @@
 		done, waits int
 	}{
 		{"4 KiB a value", 4, 8000, 4},
-		{"1 KiB a value: the shards' bytes are short", 1, 4000, 4},
+		{"1 KiB a value: shards are short of bytes", 1, 4000, 4},
 	} {
 		t.Run(tc.name, func(t *testing.T) { runHugeArray(t, tc.kb, tc.done, tc.waits) })
 	}
@@ -208,7 +213,8 @@
 	}
 	changes = c.store.Changes - changes
 	t.Logf(
-		"%d tasks done, %d changes, %d requests; largest value %d, report %d, answer %d; %d services waited",
+		"%d tasks done, %d changes, %d requests; largest value %d bytes, heartbeat %d bytes, "+
+			"response %d bytes; %d services not running after 4 s",
 		done,
 		changes,
 		requests,
@@ -218,38 +224,39 @@
 		waits,
 	)
 	got := map[string]int{
-		"tasks done":                            done,
-		"changes":                               changes,
-		"requests":                              requests,
-		"largest value":                         value,
-		"largest report":                        largest,
-		"largest answer":                        c.largestResponse,
-		"services that waited for four seconds": waits,
+		"tasks done":                     done,
+		"changes":                        changes,
+		"requests":                       requests,
+		"bytes of largest value":         value,
+		"bytes of largest heartbeat":     largest,
+		"bytes of largest response":      c.largestResponse,
+		"services not running after 4 s": waits,
 	}
 	requireWithinBounds(t, got, []bound{
 		{"tasks done", least, 25000},
 		{"changes", 1, done / 2},
 		{"requests", 1, 100 * 150},
-		{"largest value", 1, int(kb * 1024)},
-		{"largest report", 1, 64 << 10},
-		{"largest answer", 1, 64 << 10},
-		{"services that waited for four seconds", 0, most},
+		{"bytes of largest value", 1, int(kb * 1024)},
+		{"bytes of largest heartbeat", 1, 64 << 10},
+		{"bytes of largest response", 1, 64 << 10},
+		{"services not running after 4 s", 0, most},
 	})
 	response := c.requestAndWait("n-0", "POST", protocol.CancelPath(sweep), nil)
 	if response.Status != 200 {
-		t.Errorf("cancelling it: %d", response.Status)
+		t.Errorf("cancellation of the array: got status %d, want 200", response.Status)
 	}
 	c.checker.CancellationConfirmed(sweep)
 	c.sim.Run(35 * second)
 	if n := c.fleet.Running(sweep); n > 0 {
-		t.Errorf("%d of its tasks still run", n)
+		t.Errorf("array: got %d running tasks 35 s after its cancellation, want 0", n)
 	}
 	c.requireNoViolations()
 }
 
-// TestPollStormIsBounded: users poll a few hundred times a second while one controller is down: every request
-// is answered at once or rejected with a time to retry, finished jobs cost the store nothing, the others a
-// few watches; submissions and leases are served all the same.
+// TestPollStormIsBounded checks that 800 polls a second, while one controller is down, overload nothing. Each
+// poll must be answered within a second or rejected with a time to retry. Polls of finished jobs cost the
+// state service nothing, polls of other jobs cost it a few watches. Submissions must still be accepted, and
+// leases must still be renewed.
 func TestPollStormIsBounded(t *testing.T) {
 	c := newBurstCluster(t, 2200, nil)
 	var open, over []string
@@ -287,7 +294,8 @@
 								late++
 							}
 						default:
-							t.Errorf("answered %d", response.Status)
+							t.Errorf("poll: got status %d, retry after %d s, want 200, or 429 with a retry time",
+								response.Status, response.RetryAfter)
 						}
 					},
 				)
@@ -311,7 +319,7 @@
 	startedAt := c.sim.Now()
 	requests, answered, late := storm(open)
 	t.Logf(
-		"%d polls, %d answered, %d late; %d requests, %d for finished jobs",
+		"%d polls: %d answered, %d late, %d requests to the store; %d requests for polls of finished jobs",
 		8000,
 		answered,
 		late,
@@ -319,17 +327,20 @@
 		calm,
 	)
 	if answered < 8000 || late > 0 {
-		t.Errorf("%d answered, %d late", answered, late)
+		t.Errorf("got %d polls answered, %d of them late, want 8000 and 0", answered, late)
 	}
 	if requests > calm+11*60 {
-		t.Errorf("%d requests of the store, %d without", requests, calm)
+		t.Errorf("got %d requests to the store, want at most %d: %d for polls of finished jobs, and 660",
+			requests, calm+11*60, calm)
 	}
 	if taken == 0 || taken-startedAt > 3*second {
-		t.Errorf("a submission was accepted after %v s", (taken - startedAt).Seconds())
+		t.Errorf("submission: got it accepted after %v s (negative: not accepted), want at most 3 s",
+			(taken - startedAt).Seconds())
 	}
 	for id, worker := range c.fleet.Workers {
 		if !worker.Machine.Gone && worker.Incarnation != sessions[id] {
-			t.Errorf("%s lost its lease", id)
+			t.Errorf("%s: got incarnation %d, want %d: its lease has expired",
+				id, worker.Incarnation, sessions[id])
 		}
 	}
 	c.requireNoViolations()
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -9,14 +9,15 @@
 	"pipitgap/internal/storage"
 )
 
-// TestNewLeaderRepeatsScaleOutIdempotently: a leader that crashes after the cloud has rented is followed
-// by one that repeats the request by its name; nothing is rented twice.
+// TestNewLeaderRepeatsScaleOutIdempotently guards against machines that are rented twice. A leader crashes
+// after the cloud has rented machines for a scale-out request but before the leader gets the answer. The next
+// leader must repeat the request under the same name, so that the cloud rents nothing more.
 func TestNewLeaderRepeatsScaleOutIdempotently(t *testing.T) {
 	c := newCluster(t, 8).startWithLeader()
 	c.cloud.LoseRentReply = true
 	c.submit(0, withService(true), withTasks(4), withCPUs(8))
 	if !c.sim.RunUntil(10*second, func() bool { return len(c.cloud.RentedByName) > 0 }) {
-		t.Fatal("nothing was rented")
+		t.Fatal("got no rented machine after 10 s, want at least 1")
 	}
 	rented := c.cloud.MachineCount()
 	leader := c.leaderNode()
@@ -24,15 +25,15 @@
 	c.cloud.LoseRentReply = false
 	c.sim.Run(30 * second)
 	if c.leaderNode() == nil || c.leaderNode() == leader {
-		t.Fatal("no new leader")
+		t.Fatal("got no new leader 30 s after the crash, want one")
 	}
 	if n := c.cloud.MachineCount(); n != rented {
-		t.Errorf("%d machines rented by the old leader, %d after the new one", rented, n)
+		t.Errorf("%d machines under the old leader; under the new leader: got %d, want as many", rented, n)
 	}
 }
 
-// TestThrottledCloudQuarantinesNoOffer: the known weakness of the source. Only "no
-// capacity" marks an offer unmet.
+// TestThrottledCloudQuarantinesNoOffer checks that only the outcome "no capacity" quarantines an offer, not
+// throttling or an outage: the known weakness of the source.
 func TestThrottledCloudQuarantinesNoOffer(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -50,20 +51,21 @@
 			c.sim.Run(10 * second)
 			core := c.leaderNode().controller
 			if got := len(autoscaling.QuarantinedOffers(core.mirror)) > 0; got != tc.want {
-				t.Errorf("sidelined: %v, want %v", autoscaling.QuarantinedOffers(core.mirror), tc.want)
+				t.Errorf("quarantined offers: got %v, want any: %v",
+					autoscaling.QuarantinedOffers(core.mirror), tc.want)
 			}
 		})
 	}
 }
 
-// TestScaleOutNamesAreUniquePerTerm: a new leader's requests have names of their own; the cloud
-// would answer a used one with the old machines.
+// TestScaleOutNamesAreUniquePerTerm guards against a new leader that reuses a scale-out request name of an
+// earlier leader: the cloud answers a repeated name with the machines of the first request.
 func TestScaleOutNamesAreUniquePerTerm(t *testing.T) {
 	c := newCluster(t, 16).startWithLeader()
 	for i := 0; i < 3; i++ {
 		id := c.submit(0, withService(true), withCPUs(16))
 		if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 1 }) {
-			t.Fatalf("after %d changes of leader a service finds no machine", i)
+			t.Fatalf("service after %d leader changes: got %d running replicas, want 1", i, c.fleet.Running(id))
 		}
 		old := c.leaderNode().name
 		c.kill(old)
@@ -72,13 +74,13 @@
 		c.sim.Run(3 * second)
 	}
 	if c.cloud.RepeatedRents > 0 {
-		t.Errorf("%d requests under a name that had been answered", c.cloud.RepeatedRents)
+		t.Errorf("got %d requests under a name that was answered before, want 0", c.cloud.RepeatedRents)
 	}
 	c.requireNoViolations()
 }
 
-// TestLateReportDoesNotReviveDeletedMachine: a report of a machine that was deleted, held back on its way,
-// must not revive the machine.
+// TestLateReportDoesNotReviveDeletedMachine guards against a delayed heartbeat of a deleted machine that
+// makes a controller claim the machine again.
 func TestLateReportDoesNotReviveDeletedMachine(t *testing.T) {
 	c := newCluster(t, 19)
 	c.settings.ScaleDownDelay = 0
@@ -89,26 +91,26 @@
 	worker := c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[0]]
 	late := protocol.MustMarshal(worker.Heartbeat())
 	if !c.sim.RunUntil(60*second, func() bool { return c.cloud.MachineCount() == 0 }) {
-		t.Fatal("the machine was not given back")
+		t.Fatalf("got %d machines after 60 s, want 0", c.cloud.MachineCount())
 	}
 	c.sim.Run(5 * second)
 	for _, node := range c.nodeNames {
 		if response := c.requestAndWait(node, "POST", protocol.HeartbeatPath, late); response.Status == 200 {
-			t.Errorf("%s answers %d", node, response.Status)
+			t.Errorf("%s: got status %d for the delayed heartbeat, want a rejection", node, response.Status)
 		}
 	}
 	if keys := c.store.Keys(storage.Key(storage.KindShard, "")); len(keys) > 0 {
-		t.Errorf("claimed: %v", keys)
+		t.Errorf("got shards %v, want none: a controller has claimed the deleted machine", keys)
 	}
 }
 
-// TestControllersStartDuringCloudOutage: controllers that start while the cloud is out know the
-// machine types from the store; they accept, and place on what is there.
+// TestControllersStartDuringCloudOutage checks that controllers that start during an outage of the cloud read
+// the machine types from the state service. They must accept jobs and place them on the existing machines.
 func TestControllersStartDuringCloudOutage(t *testing.T) {
 	c := newCluster(t, 11).startWithLeader()
 	first := c.submit(0, withService(true))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(first) == 1 }) {
-		t.Fatal("no machine is up")
+		t.Fatalf("service: got %d running replicas after 60 s, want 1", c.fleet.Running(first))
 	}
 	c.cloud.Unavailable = true
 	c.kill(c.nodeNames...)
@@ -120,8 +122,8 @@
 	c.requireNoViolations()
 }
 
-// TestFinalResultSurvivesRestarts: an old job's answer stays right after restarts, when nothing in
-// memory knows it any more.
+// TestFinalResultSurvivesRestarts checks that requests about an old job still get its final state after all
+// controllers have restarted and no longer have the job in memory.
 func TestFinalResultSurvivesRestarts(t *testing.T) {
 	c := newCluster(t, 12).startWithLeader()
 	done := c.submit(second)
@@ -137,17 +139,20 @@
 		for _, node := range c.nodeNames {
 			if code, jobStatus := c.jobStatus(node, done); code != 200 ||
 				jobStatus.Status != protocol.JobDone {
-				t.Errorf("done job: %d %+v", code, jobStatus)
+				t.Errorf("%s: completed job: got status %d and %+v, want 200 and %s",
+					node, code, jobStatus, protocol.JobDone)
 			}
 			if code, jobStatus := c.jobStatus(node, gone); code != 200 ||
 				jobStatus.Status != protocol.JobCancelled {
-				t.Errorf("cancelled job: %d %+v", code, jobStatus)
+				t.Errorf("%s: cancelled job: got status %d and %+v, want 200 and %s",
+					node, code, jobStatus, protocol.JobCancelled)
 			}
 			response := c.requestAndWait(node, "POST", protocol.CancelPath(done), nil)
 			var a protocol.AcceptedReply
 			_ = protocol.Unmarshal(response.Body, &a)
 			if response.Status != 200 || a.Status != protocol.JobDone {
-				t.Errorf("abort of a done job: %d %+v", response.Status, a)
+				t.Errorf("%s: cancellation of a completed job: got status %d and %+v, want 200 and %s",
+					node, response.Status, a, protocol.JobDone)
 			}
 		}
 	}
--- a/internal/coordination/combined_failures_test.go
+++ b/internal/coordination/combined_failures_test.go
@@ -9,11 +9,12 @@
 // combinedFailure is a scenario of two or more faults.
 type combinedFailure struct {
 	name         string
-	eagerQueries bool
-	prepare      func(s *scenario)
+	eagerQueries bool              // see simUser
+	prepare      func(s *scenario) // if set, runs before the controllers start
 	faults       []fault
 }
 
+// submitSingleTask submits a job of one short task. One user in four cancels the job within 8 s.
 func submitSingleTask(s *scenario) {
 	u := s.addUser(3*second+s.randomDuration(6*second), withCPUs(1), withSpot(true), withEstimateS(4))
 	if s.sim.Rand.IntN(4) == 0 {
@@ -21,14 +22,15 @@
 	}
 }
 
-// fillTeamLimits fills every team up to its limit.
+// fillTeamLimits submits more work of "tight", the only team with a limit, than the limit allows to run.
 func fillTeamLimits(s *scenario) {
 	for range 10 {
 		s.addUser(150*second, withTasks(4), withCPUs(1), withTeam("tight"))
 	}
 }
 
-// TestCombinedFailuresKeepInvariants: combinations of faults in which schedulers have broken invariants.
+// TestCombinedFailuresKeepInvariants checks the invariants under combinations of faults that have made
+// schedulers violate them.
 func TestCombinedFailuresKeepInvariants(t *testing.T) {
 	fastBoot := func(s *scenario) { s.cloud.BootTime = second }
 	cases := []combinedFailure{
@@ -75,7 +77,7 @@
 			},
 		},
 		{
-			name:    "full teams, cancellations, hanging machines, a new leader",
+			name:    "team at its limit, cancellations, hanging machines, a new leader",
 			prepare: fillTeamLimits,
 			faults: []fault{
 				cancelTeamJobs(60*second, "tight", 2, 10*second),
@@ -87,7 +89,7 @@
 			},
 		},
 		{
-			name:    "full teams, cancellations, machines cut off, a new leader",
+			name:    "team at its limit, cancellations, machines cut off, a new leader",
 			prepare: fillTeamLimits,
 			faults: []fault{
 				machinesPartitioned(60*second, 10, 25*second),
@@ -99,7 +101,7 @@
 			},
 		},
 		{
-			name:    "full teams, cancellations, lost answers, new leaders",
+			name:    "team at its limit, cancellations, lost commit answers, new leaders",
 			prepare: fillTeamLimits,
 			faults: []fault{
 				lostCommitAnswers(55*second, 0.4, 60*second),
@@ -113,7 +115,7 @@
 			},
 		},
 		{
-			name:    "full teams, their quota shares are written late",
+			name:    "team at its limit, delayed quota share writes",
 			prepare: fillTeamLimits,
 			faults: []fault{
 				delayedQuotaWrites(45*second, 100*second),
@@ -131,7 +133,7 @@
 			},
 		},
 		{
-			name: "cancellations while work changes hands",
+			name: "cancellations while other controllers take over a crashed one's work",
 			faults: []fault{
 				crashController(60*second, followerController(1), 20*second),
 				cancelRunningJobs(66*second, 3, 0),
@@ -141,7 +143,7 @@
 			},
 		},
 		{
-			name: "cancellations while a cut-off controller's work changes hands",
+			name: "cancellations while other controllers take over a cut-off one's work",
 			faults: []fault{
 				storeAndPeerPartition(60*second, followerController(1), 30*second),
 				cancelRunningJobs(66*second, 3, 0),
@@ -150,7 +152,7 @@
 			},
 		},
 		{
-			name:    "machines up at once, late writes, the leader ends",
+			name:    "machines boot in 1 s, delayed commits, the leader crashes",
 			prepare: fastBoot,
 			faults: []fault{
 				delayedCommits(45*second, 0.2, 60*second),
@@ -160,7 +162,7 @@
 			},
 		},
 		{
-			name:    "machines up at once, lost answers, the leader ends",
+			name:    "machines boot in 1 s, lost commit answers, the leader crashes",
 			prepare: fastBoot,
 			faults: []fault{
 				lostCommitAnswers(45*second, 0.3, 60*second),
@@ -170,7 +172,7 @@
 			},
 		},
 		{
-			name: "old reports reach the next leader",
+			name: "old heartbeats reach the next leader",
 			faults: []fault{
 				duplicateReportsToNextLeader(45*second, 0.5, 40*second),
 				crashController(62*second, leaderController, 10*second),
@@ -180,7 +182,7 @@
 			},
 		},
 		{
-			name: "late reports from earlier sessions",
+			name: "late heartbeats of earlier incarnations",
 			faults: []fault{
 				duplicateReports(45*second, 0.3, 60*second),
 				machinesPartitioned(55*second, 5, 15*second),
@@ -196,7 +198,7 @@
 			},
 		},
 		{
-			name: "four one-task jobs a second, the leader ends",
+			name: "four one-task jobs a second, the leader crashes",
 			faults: []fault{
 				submitAtRate(45*second, second/4, 100*second, submitSingleTask),
 				crashController(70*second, leaderController, 3*second),
@@ -237,7 +239,7 @@
 			},
 		},
 		{
-			name: "a late command of a deposed leader",
+			name: "delayed commands of a deposed leader",
 			faults: []fault{
 				delayedCommands(50*second, 0.5, 60*second),
 				storeAndPeerPartition(60*second, leaderController, 20*second),
@@ -263,7 +265,7 @@
 			},
 		},
 		{
-			name:         "cancelled at the end of the last task",
+			name:         "jobs cancelled as their last task ends",
 			eagerQueries: true,
 			faults: []fault{
 				submitAtRate(50*second, second/2, 40*second, func(s *scenario) {
@@ -277,7 +279,7 @@
 			},
 		},
 		{
-			name: "small jobs end far apart across a change of leader",
+			name: "tasks of a job end far apart across a leader change",
 			prepare: func(s *scenario) {
 				for i := range 4 {
 					u := s.addUser(25*second, withTasks(2+i%2), withCPUs(1))
@@ -315,7 +317,7 @@
 			},
 		},
 		{
-			name: "zones cut, then no store for anybody",
+			name: "zones partitioned, then a store outage",
 			faults: []fault{
 				zonePartition(60*second, 60*second),
 				cancelRunningJobs(60*second, 4, 0),
@@ -324,7 +326,7 @@
 			},
 		},
 		{
-			name: "more work than room, answers are slow",
+			name: "more work than capacity, slow store replies",
 			prepare: func(s *scenario) {
 				for i := range 8 {
 					priorities := []protocol.Priority{
@@ -349,7 +351,7 @@
 			},
 		},
 		{
-			name:         "the store is slow to answer and refuses the leader",
+			name:         "delayed commits, the store rejects the leader, then an outage",
 			eagerQueries: true,
 			faults: []fault{
 				delayedCommits(60*second, 0.1, 20*second),
@@ -370,7 +372,8 @@
 				}
 				s.runFaults(tc.faults, 160*second)
 				if t.Failed() {
-					t.Fatalf("seed %d: %s", seed, describeFaults(tc.faults))
+					t.Fatalf("seed %d: got a failure, want none; faults: %s",
+						3100+seed, describeFaults(tc.faults))
 				}
 			}
 		})
--- a/internal/coordination/controller_restart_test.go
+++ b/internal/coordination/controller_restart_test.go
@@ -11,8 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestControllerRestartsLoseNoJobs: controllers are killed at any moment and started again with nothing but
-// the store; no job is lost and nothing runs twice.
+// TestControllerRestartsLoseNoJobs guards against lost jobs and against tasks that run twice when controllers
+// crash at random times and restart with only the records in the state service.
 func TestControllerRestartsLoseNoJobs(t *testing.T) {
 	for seed := uint64(0); seed < 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -36,14 +36,14 @@
 	}
 }
 
-// TestSingleFaultsKeepInvariants: each fault by itself, beside running work, breaks no invariant.
+// TestSingleFaultsKeepInvariants checks that each fault alone, while jobs run, violates no invariant.
 func TestSingleFaultsKeepInvariants(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(c *cluster)
 	}{
 		{"store outage", func(c *cluster) { c.store.Outage(20 * second); c.sim.Run(20 * second) }},
-		{"store outage and all controllers restart in it", func(c *cluster) {
+		{"store outage during which all controllers restart", func(c *cluster) {
 			c.store.Outage(15 * second)
 			c.sim.Run(5 * second)
 			c.kill(c.nodeNames...)
@@ -51,18 +51,18 @@
 			c.start(c.nodeNames...)
 			c.sim.Run(8 * second)
 		}},
-		{"one controller refused by the store alone", func(c *cluster) {
+		{"the store rejects one controller only", func(c *cluster) {
 			c.store.RefusedCallers["n-0"] = true
 			c.sim.Run(40 * second)
 			delete(c.store.RefusedCallers, "n-0")
 		}},
-		{"answers of commits lost", func(c *cluster) {
+		{"lost commit answers", func(c *cluster) {
 			n := 0
 			c.store.LoseResponse = func(*protocol.Transaction) bool { n++; return n%4 == 0 }
 			c.sim.Run(20 * second)
 			c.store.LoseResponse = nil
 		}},
-		{"commits applied late", func(c *cluster) {
+		{"delayed commits", func(c *cluster) {
 			n := 0
 			c.store.DelayCommit = func(*protocol.Transaction) monotime.Micros {
 				if n++; n%5 == 0 {
@@ -73,7 +73,7 @@
 			c.sim.Run(20 * second)
 			c.store.DelayCommit = nil
 		}},
-		{"direct commands late", func(c *cluster) {
+		{"delayed direct commands", func(c *cluster) {
 			n := 0
 			c.commandDelay = func(*fake.Worker, *protocol.CommandRequest) monotime.Micros {
 				if n++; n%2 == 0 {
@@ -84,7 +84,7 @@
 			c.sim.Run(30 * second)
 			c.commandDelay = nil
 		}},
-		{"machines cut off beyond their lease and back", func(c *cluster) {
+		{"machines cut off for longer than their lease", func(c *cluster) {
 			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.fleet.Workers[id].Partitioned = i%2 == 0
 			}
@@ -93,21 +93,21 @@
 				worker.Partitioned = false
 			}
 		}},
-		{"machines whose reports don't arrive, but that are reached", func(c *cluster) {
+		{"machines whose heartbeats are lost, but that commands reach", func(c *cluster) {
 			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.mutedMachines[id] = i%2 == 0
 			}
 			c.sim.Run(16 * second)
 			clear(c.mutedMachines)
 		}},
-		{"machines whose reports arrive, but that nothing reaches", func(c *cluster) {
+		{"machines whose heartbeats arrive, but that nothing reaches", func(c *cluster) {
 			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.unreachableMachines[id] = i%2 == 0
 			}
 			c.sim.Run(40 * second)
 			clear(c.unreachableMachines)
 		}},
-		{"machines hang within their lease and resume", func(c *cluster) {
+		{"machines hang for less than their lease", func(c *cluster) {
 			for i, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.fleet.Workers[id].Paused = i%2 == 0
 			}
@@ -127,14 +127,14 @@
 		{"a machine on which every task fails", func(c *cluster) {
 			c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[0]].FailsTasks = true
 		}},
-		{"workers cut from their owner only", func(c *cluster) {
+		{"workers cut off from n-0 only", func(c *cluster) {
 			for _, id := range sortedmap.Keys(c.fleet.Workers) {
 				c.disconnectedPairs[id+"-n-0"] = true
 			}
 			c.sim.Run(30 * second)
 			clear(c.disconnectedPairs)
 		}},
-		{"peers cut from each other", func(c *cluster) {
+		{"controllers cut off from each other", func(c *cluster) {
 			for _, pair := range []string{"n-0-n-1", "n-1-n-2", "n-0-n-2"} {
 				c.disconnectedPairs[pair] = true
 			}
@@ -171,9 +171,9 @@
 	}
 }
 
-// TestImmediateRestartWithOldLeaseKeepsInvariants: controllers back within a fraction of a second, in the
-// middle of an election or of anything, with their old leases and incarnations still in the store and what
-// they had sent applied late.
+// TestImmediateRestartWithOldLeaseKeepsInvariants checks controllers that crash at random times, also during
+// an election, and restart within half a second. The leases and incarnations from before the crash are still
+// in the state service, and commits that the controllers sent before the crash are applied late.
 func TestImmediateRestartWithOldLeaseKeepsInvariants(t *testing.T) {
 	for seed := uint64(0); seed < 8; seed++ {
 		c := newCluster(t, 900+seed).startWithLeader()
@@ -198,7 +198,7 @@
 			c.kill(down...)
 			c.sim.Run(c.randomDuration(second / 2))
 			c.start(down...)
-			if i%3 == 0 { // and once more, before it has its records
+			if i%3 == 0 { // crashes again before it has loaded the records
 				c.sim.Run(c.randomDuration(second / 4))
 				c.kill(down...)
 				c.start(down...)
@@ -209,13 +209,13 @@
 		c.requireReplicas(service, 4, 60*second)
 		c.requireNoViolations()
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("seed %d: got a failure, want none", 900+seed)
 		}
 	}
 }
 
-// TestAcceptedJobsStayKnownOnAllControllers: when the faults are over every accepted job is answered on
-// every controller, one whose record this version can't read too.
+// TestAcceptedJobsStayKnownOnAllControllers checks that, once all faults have ended, every controller answers
+// requests about every accepted job, also about one whose record this version cannot decode.
 func TestAcceptedJobsStayKnownOnAllControllers(t *testing.T) {
 	c := newCluster(t, 35).startWithLeader()
 	var ids []string
@@ -247,17 +247,18 @@
 		for _, node := range c.nodeNames {
 			for _, id := range append(ids, odd) {
 				if code, _ := c.jobStatus(node, id); code != 200 {
-					t.Errorf("%s on %s: %d", id, node, code)
+					t.Errorf("job %s on %s: got status %d, want 200", id, node, code)
 				}
 			}
 		}
 	}
 }
 
-// TestBriefOutageLeavesMachinesInPlace: controllers that crash and are back in three seconds find their
-// machines where they were. The one that is left gets heartbeats of all of their workers while its peers'
-// last statuses are still fresh; to take the machines over then cost many commits that conflicted on the
-// same quota shares. An owner that runs but can't be reached by its workers loses them.
+// TestBriefOutageLeavesMachinesInPlace guards against a takeover of the machines of two controllers that
+// crash and restart within three seconds. The remaining controller gets heartbeats from all of their workers
+// while its peers' last statuses are still fresh. A takeover at that time cost many commits that conflicted
+// on the same quota shares. By contrast, an owner that runs but is unreachable for its workers must lose
+// them.
 func TestBriefOutageLeavesMachinesInPlace(t *testing.T) {
 	for _, crash := range []bool{true, false} {
 		c := newCluster(t, 61).startWithLeader()
@@ -307,10 +308,11 @@
 			}
 		}
 		if theirs < 3 || crash && changed > 0 || !crash && changed < theirs {
-			t.Errorf("crash %v: %d of %d machines have changed their owner", crash, changed, theirs)
+			t.Errorf("crash %v: got %d of the peers' %d machines with a new owner, "+
+				"want 0 of at least 3 after a crash, and otherwise all", crash, changed, theirs)
 		}
 		if n := c.store.ChangesByKind["!"+string(storage.KindPartition)] - conflicts; n > 12 {
-			t.Errorf("crash %v: %d conflicts about quota shares", crash, n)
+			t.Errorf("crash %v: got %d commit conflicts on quota shares, want at most 12", crash, n)
 		}
 		c.requireNoViolations()
 	}
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -12,8 +12,8 @@
 	"pipitgap/internal/storeclient"
 )
 
-// TestPagesMakeRoom: shards come less often while users wait for the store, here or at
-// a peer that said so lately.
+// TestShardWriteRateYieldsToWaitingUsers checks that a controller writes fewer shards a second while requests
+// of users wait for the state service, on this controller or on a peer that reported it recently.
 func TestShardWriteRateYieldsToWaitingUsers(t *testing.T) {
 	c := newCluster(t, 8).startWithLeader()
 	core := c.nodes["n-0"].controller
@@ -26,7 +26,7 @@
 		},
 	)
 	if got := core.store.ShardWritesPerSecond(); got != usual {
-		t.Errorf("a few users at a peer: %v, usually %v", got, usual)
+		t.Errorf("few requests wait at a peer: got %v shard writes a second, want %v", got, usual)
 	}
 	core.OnPeerStatus(
 		peers.Status{
@@ -36,20 +36,20 @@
 		},
 	)
 	if got := core.store.ShardWritesPerSecond(); got >= usual/2 {
-		t.Errorf("many users at a peer: %v, usually %v", got, usual)
+		t.Errorf("many requests wait at a peer: got %v shard writes a second, want under half of %v", got, usual)
 	}
 	c.sim.Run(3 * durations.SlowTickInterval)
 	if got := core.store.ShardWritesPerSecond(); got != usual {
-		t.Errorf("afterwards: %v, usually %v", got, usual)
+		t.Errorf("3 slow ticks after the peer's status: got %v shard writes a second, want %v", got, usual)
 	}
 	c.queueStoreCalls("n-0", ratelimit.PriorityUserRequest, storeclient.WaitingUserCallsThreshold+1)
 	if got := core.store.ShardWritesPerSecond(); got >= usual/4 {
-		t.Errorf("many users here: %v, usually %v", got, usual)
+		t.Errorf("many requests wait here: got %v shard writes a second, want under a quarter of %v", got, usual)
 	}
 }
 
-// queueStoreCalls has calls of a controller wait in its queue of a priority: the state service answers two
-// seconds late, and as many calls as may be in flight go first.
+// queueStoreCalls makes calls of a controller wait in its queue of a priority. The state service answers two
+// seconds late, so calls stay in the queue once the maximum number of calls is in flight.
 func (c *cluster) queueStoreCalls(node string, priority ratelimit.Priority, calls int) {
 	c.t.Helper()
 	store := c.nodes[node].controller.store
--- a/internal/coordination/course_recording_test.go
+++ b/internal/coordination/course_recording_test.go
@@ -19,7 +19,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// recorder hashes one course and counts its lines.
+// recorder hashes one course, see courses_test.go, and counts its lines.
 type recorder struct {
 	sum   hash.Hash
 	out   io.Writer
@@ -31,7 +31,7 @@
 	return &recorder{sum: sum, out: io.MultiWriter(sum, text)}
 }
 
-// watch records all that the controllers of a cluster send from now on.
+// watch records everything that the controllers of a cluster send from now on.
 func (r *recorder) watch(c *cluster) {
 	c.wire = func(node, kind, text string) {
 		r.calls++
@@ -39,9 +39,9 @@
 	}
 }
 
-// canonical renders MessagePack with the entries of each map sorted: records with Go maps are
-// encoded in the order in which these are walked, which means nothing to any reader. All else,
-// also how wide a number is, stays as it is on the wire.
+// canonical renders MessagePack with the entries of each map sorted, because Go maps are encoded in their
+// random iteration order, which has no meaning for the receiver. Everything else, such as the width of
+// numbers, is rendered as on the wire.
 func canonical(raw []byte) string {
 	sorted, rest, ok := sortMaps(raw)
 	if !ok || len(rest) > 0 {
@@ -50,7 +50,8 @@
 	return fmt.Sprintf("%q", sorted)
 }
 
-// sortMaps takes one value off the front of MessagePack bytes and sorts the maps in it.
+// sortMaps splits MessagePack bytes into the first value, in which it sorts all maps, and the remaining
+// bytes. ok is false if the bytes do not begin with a value.
 func sortMaps(raw []byte) (value, rest []byte, ok bool) {
 	dec := msgpack.NewDecoder(bytes.NewReader(raw))
 	code, err := dec.PeekCode()
@@ -99,7 +100,7 @@
 	return append(slices.Clone(raw[:head]), slices.Concat(entries...)...), rest, true
 }
 
-// wireStoreCall renders a call as protocol.CallStore sends it.
+// wireStoreCall renders a call to the state service as protocol.CallStore sends it.
 func wireStoreCall(c *protocol.StoreCall) string {
 	text := "unknown"
 	switch c.Op {
@@ -123,7 +124,7 @@
 	return fmt.Sprintf("%s within %d", text, int64(c.Timeout))
 }
 
-// wireCloudCall renders a call as protocol.CallCloud sends it.
+// wireCloudCall renders a call to the cloud as protocol.CallCloud sends it.
 func wireCloudCall(c *protocol.CloudCall) string {
 	text := "unknown"
 	switch c.Op {
@@ -141,7 +142,7 @@
 	return fmt.Sprintf("%s within %d", text, int64(c.Timeout))
 }
 
-// wireCommand renders a command batch, or a probe.
+// wireCommand renders a command batch, or a probe if req is nil.
 func wireCommand(endpoint string, req *protocol.CommandRequest, within monotime.Micros) string {
 	body := []byte("show")
 	if req != nil {
@@ -187,7 +188,7 @@
 	return b.String()
 }
 
-// wireAnswer renders the answer to a user or a worker.
+// wireAnswer renders the response to a request of a user or a worker.
 func wireAnswer(method, target string, response Response) string {
 	return fmt.Sprintf(
 		"%s %s %d retry %d %s",
--- a/internal/coordination/course_scenarios_test.go
+++ b/internal/coordination/course_scenarios_test.go
@@ -12,7 +12,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// playRandomFaults combines faults as TestRandomFaultsKeepInvariants does.
+// playRandomFaults simulates random combinations of faults like TestRandomFaultsKeepInvariants.
 func playRandomFaults(t *testing.T, seed uint64, r *recorder) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	s := newScenario(t, seed)
@@ -31,7 +31,8 @@
 	s.runFaults(randomFaults(rnd), scenarioLength)
 }
 
-// playCancelledWhileRefused has users cancel while the leader alone is refused, then an outage.
+// playCancelledWhileRefused simulates cancellations while the state service rejects only the leader, followed
+// by an outage for all. Each seed adds the next set of other faults.
 func playCancelledWhileRefused(t *testing.T, seed uint64, r *recorder) {
 	more := [][]fault{
 		nil,
@@ -46,7 +47,7 @@
 	s.runFaults(throttledThenStoreOutage(2*second, more[int(seed-1)%len(more)]...), 190*second)
 }
 
-// playShortLeases is a platform of short leases and large tasks, on which controllers restart slowly.
+// playShortLeases simulates a platform with short leases and large tasks, whose controllers restart slowly.
 func playShortLeases(t *testing.T, seed uint64, r *recorder) {
 	s := newShortLeaseScenario(t, 4000+seed)
 	r.watch(s.cluster)
@@ -65,7 +66,7 @@
 	s.runFaults(faults, 150*second)
 }
 
-// playSmallJobs has one team send many small jobs while machines and controllers fail.
+// playSmallJobs simulates one team that submits many small jobs while machines and controllers fail.
 func playSmallJobs(t *testing.T, seed uint64, r *recorder) {
 	c := newCluster(t, 2500+seed)
 	r.watch(c)
@@ -73,8 +74,8 @@
 	c.simulateSmallJobs(10 + 10*int(seed%3))
 }
 
-// simulateSmallJobs has one team send many small jobs a second for 40 seconds, beside arrays and services of
-// another, while machines and controllers fail.
+// simulateSmallJobs submits many small jobs of one team each second for 40 seconds, and arrays and services
+// of another team, while machines and controllers fail.
 func (c *cluster) simulateSmallJobs(jobsPerSecond int) {
 	var arrays []string
 	for s := range 40 {
@@ -103,7 +104,8 @@
 	c.requireNoViolations()
 }
 
-// playDrainFault drains a zone while something fails; each seed has the next of drainFaults.
+// playDrainFault simulates the drain of a zone and one fault. Each seed injects the next fault of
+// drainFaults.
 func playDrainFault(t *testing.T, seed uint64, r *recorder) {
 	s := newDrainScenario(t, 800+seed)
 	r.watch(s.cluster)
@@ -115,7 +117,7 @@
 	s.requireNoViolations()
 }
 
-// playDrainAbort ends a drain before it is complete, with permits that are written late.
+// playDrainAbort simulates the abort of a drain before it is complete, while commits of permits are delayed.
 func playDrainAbort(t *testing.T, seed uint64, r *recorder) {
 	s := newDrainScenario(t, 900+seed)
 	r.watch(s.cluster)
@@ -130,7 +132,7 @@
 	s.requireNoViolations()
 }
 
-// playLimits has teams at their limits and guarantees, with preemption and cancellations.
+// playLimits simulates teams at their limits and guarantees, with preemption and cancellations.
 func playLimits(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 5000+seed)
 	r.watch(s.cluster)
@@ -141,8 +143,8 @@
 	s.cloud.Capacity[fake.OfferKey("m8", "b", false)] = 2
 	s.addBorrowers()
 	faults := []fault{
-		{at: 50 * second, name: "owners", inject: (*scenario).addOwners},
-		{at: 70 * second, name: "services", inject: (*scenario).addUrgentServices},
+		{at: 50 * second, name: "jobs of team tight", inject: (*scenario).addOwners},
+		{at: 70 * second, name: "urgent services", inject: (*scenario).addUrgentServices},
 		cancelTeamJobs(85*second, "tight", 2, 6*second),
 		cancelRunningJobs(100*second, 2, 0),
 	}
@@ -158,7 +160,7 @@
 	s.runFaults(faults, 160*second)
 }
 
-// playCloudAndSpot has the cloud refuse, lose answers and take machines back.
+// playCloudAndSpot simulates a cloud that rejects calls, loses answers and reclaims spot machines.
 func playCloudAndSpot(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 6000+seed)
 	r.watch(s.cluster)
@@ -168,29 +170,29 @@
 	begin := func(at monotime.Micros, name string, f func(s *scenario)) fault { return fault{at, name, f} }
 	faults := []fault{
 		submitAtRate(45*second, 2*second, 60*second, submitSingleTask),
-		begin(45*second, "spot machines are taken back", (*scenario).takeSpotBack),
-		begin(55*second, "a machine is sick", func(s *scenario) {
+		begin(45*second, "spot machines are reclaimed", (*scenario).takeSpotBack),
+		begin(55*second, "every task fails on a machine", func(s *scenario) {
 			for _, worker := range s.pickMachines(1) {
 				worker.FailsTasks = true
 			}
 		}),
-		begin(60*second, "rentals lose answers", func(s *scenario) {
+		begin(60*second, "answers to rentals are lost", func(s *scenario) {
 			s.cloud.LoseRentReply = true
 			s.sim.After(5*second, func() { s.cloud.LoseRentReply = false })
 		}),
-		begin(62*second, "more work", (*scenario).addSpotJobs),
+		begin(62*second, "more jobs", (*scenario).addSpotJobs),
 		begin(75*second, "the cloud throttles", func(s *scenario) {
 			s.cloud.Throttling = true
 			s.sim.After(10*second, func() { s.cloud.Throttling = false })
 		}),
 		machinesVanish(76*second, 3),
-		begin(90*second, "cloud unavailable", func(s *scenario) {
+		begin(90*second, "the cloud is unavailable", func(s *scenario) {
 			s.cloud.Unavailable = true
 			s.sim.After(15*second, func() { s.cloud.Unavailable = false })
 		}),
-		begin(110*second, "no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
-		begin(112*second, "still more work", (*scenario).addSpotJobs),
-		begin(113*second, "spot machines are taken back", (*scenario).takeSpotBack),
+		begin(110*second, "the cloud has no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
+		begin(112*second, "more jobs again", (*scenario).addSpotJobs),
+		begin(113*second, "spot machines are reclaimed", (*scenario).takeSpotBack),
 		begin(
 			125*second,
 			"capacity is back",
@@ -208,7 +210,8 @@
 	s.runFaults(faults, 170*second)
 }
 
-// takeSpotBack announces the end of two spot machines in their reports, and ends them.
+// takeSpotBack makes the cloud reclaim two spot machines: their heartbeats carry an interruption notice of 10
+// seconds, after which the machines are removed.
 func (s *scenario) takeSpotBack() {
 	left := 2
 	for _, id := range sortedmap.Keys(s.fleet.Workers) {
@@ -225,18 +228,19 @@
 	}
 }
 
-// playPlacement has jobs of every form, and requests that are answered with an error.
+// playPlacement simulates jobs with every kind of placement rule, and requests that are answered with an
+// error.
 func playPlacement(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 7000+seed)
 	r.watch(s.cluster)
 	s.addVariedJobs()
 	faults := []fault{
-		{at: 45 * second, name: "requests with mistakes", inject: (*scenario).sendMistakes},
+		{at: 45 * second, name: "invalid requests", inject: (*scenario).sendMistakes},
 		machinesVanish(60*second, 2),
 		{at: 70 * second, name: "more jobs", inject: (*scenario).addVariedJobs},
 		cancelRunningJobs(90*second, 3, 0),
 		crashAllControllers(100*second, 2*second),
-		{at: 115 * second, name: "requests with mistakes", inject: (*scenario).sendMistakes},
+		{at: 115 * second, name: "invalid requests", inject: (*scenario).sendMistakes},
 	}
 	if seed%2 == 0 {
 		faults = append(
@@ -249,7 +253,8 @@
 	s.runFaults(faults, 160*second)
 }
 
-// sendMistakes sends every controller requests that it must reject or that name unknown jobs.
+// sendMistakes sends every controller a health check and requests that it must reject or that name unknown
+// jobs.
 func (s *scenario) sendMistakes() {
 	for _, node := range s.nodeNames {
 		send := func(method, target string, body []byte) {
@@ -266,7 +271,7 @@
 	}
 }
 
-// playLateShares has changes of the controllers' shares of a limit be carried out late.
+// playLateShares simulates delayed commits of the controllers' shares of team limits.
 func playLateShares(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 8000+seed)
 	r.watch(s.cluster)
@@ -286,7 +291,7 @@
 	s.runFaults(faults, 150*second)
 }
 
-// playFiveControllers has more controllers and machines, and settings of a grown fleet.
+// playFiveControllers simulates five controllers, more machines and the settings for a larger fleet.
 func playFiveControllers(t *testing.T, seed uint64, r *recorder) {
 	c := newGrownCluster(t, 9000+seed)
 	r.watch(c)
@@ -308,7 +313,7 @@
 	c.requireNoViolations()
 }
 
-// The jobs of the courses.
+// The methods below submit the jobs of the courses.
 
 func (c *cluster) sendSmallJobs(n int) {
 	for range n {
@@ -345,11 +350,14 @@
 	)
 }
 
+// addBorrowers submits jobs of team "free" that exceed its guarantee.
 func (s *scenario) addBorrowers() {
 	s.addUser(300*second, withTasks(16), withCPUs(2), withPriority(protocol.BestEffort))
 	s.addUser(250*second, withTasks(6), withCPUs(1))
 }
 
+// addOwners submits more jobs of team "tight", whose guaranteed CPUs team "free" borrows, than its limit
+// allows.
 func (s *scenario) addOwners() {
 	for range 4 {
 		s.addUser(60*second, withTeam("tight"), withTasks(6), withCPUs(2))
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -13,11 +13,11 @@
 	"testing"
 )
 
-// A course is everything that the controllers of a simulated cluster send: calls of the state
-// service and of the cloud, direct commands, peer statuses, and answers to users and workers, each with
-// its simulated time and its controller. It is written in wire form, so that it stays the same
-// when Go identifiers are renamed or functions are moved, and differs as soon as a decision, an
-// order or a random draw does. testdata/courses.txt holds one hash for each scenario and seed.
+// A course is the trace of everything that the controllers of a simulated cluster send: calls to the state
+// service and the cloud, direct commands, peer statuses, and responses to users and workers, each with its
+// simulated time and its controller. It is recorded in wire form. Therefore it stays the same when Go
+// identifiers are renamed or functions are moved, but changes with any decision, order of calls or random
+// draw. testdata/courses.txt holds one hash for each scenario and seed.
 
 const coursesFile = "testdata/courses.txt"
 
@@ -25,7 +25,7 @@
 	coursesQuick = flag.Bool(
 		"courses-quick",
 		false,
-		"play only the first seed of each scenario of TestCourses",
+		"simulate only the first seed of each scenario of TestCourses",
 	)
 	coursesRecord = flag.String(
 		"courses-record",
@@ -39,11 +39,11 @@
 	)
 )
 
-// courseScenario simulates one course for each of its seeds. play must have the recorder watch the
-// cluster before its controllers start.
+// courseScenario has one course for each of its seeds. play simulates a course; it must call recorder.watch
+// before the cluster's controllers start.
 type courseScenario struct {
 	name  string
-	seeds int // 1 to this
+	seeds int // the seeds are 1 to this number
 	play  func(t *testing.T, seed uint64, r *recorder)
 }
 
@@ -56,15 +56,15 @@
 	{"drain-abort", 4, playDrainAbort},
 	{"limits", 4, playLimits},
 	{"cloud-and-spot", 4, playCloudAndSpot},
-	// Seed 4 of this one is left out: its course differs from one run to the next, as the order in
-	// which a map of jobs is walked has a part in it. A course that can't be repeated has no hash.
+	// Seed 4 of "placement" is left out: its course differs between runs because it depends on the iteration
+	// order of a map of jobs. A course that is not reproducible has no hash to compare.
 	{"placement", 3, playPlacement},
 	{"late-shares", 3, playLateShares},
 	{"five-controllers", 2, playFiveControllers},
 }
 
-// TestCourses simulates every scenario and compares its course with the recorded one. A change of
-// behaviour that is meant needs the file written anew with -courses-record.
+// TestCourses simulates every scenario and compares its courses with the recorded ones. After an intended
+// change of behavior, the hashes must be recorded again with -courses-record.
 func TestCourses(t *testing.T) {
 	recorded := map[string]string{}
 	if *coursesRecord == "" {
@@ -90,17 +90,17 @@
 	switch {
 	case *coursesRecord != "":
 		if t.Failed() || *coursesQuick {
-			t.Fatal("nothing is recorded: a scenario failed, or not all were played")
+			t.Fatal("got a failed scenario or a part of the courses, want all courses; nothing is recorded")
 		}
 		if err := os.WriteFile(*coursesRecord, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	case !*coursesQuick && len(lines) != len(recorded):
-		t.Errorf("%d courses played, %d recorded", len(lines), len(recorded))
+		t.Errorf("got %d courses, want %d as recorded", len(lines), len(recorded))
 	}
 }
 
-// playCourse simulates one course, compares it and returns its line of the file.
+// playCourse simulates one course, compares its hash with the recorded one and returns its line for the file.
 func playCourse(t *testing.T, sc courseScenario, seed uint64, recorded map[string]string) string {
 	r := newRecorder(io.Discard)
 	if *coursesText != "" {
@@ -117,14 +117,14 @@
 	name := fmt.Sprintf("%s %d", sc.name, seed)
 	got := fmt.Sprintf("%d %s", r.calls, hex.EncodeToString(r.sum.Sum(nil)))
 	if *coursesRecord == "" && recorded[name] != got {
-		t.Errorf("scenario %s, seed %d: the course differs: calls and hash are %s, recorded are %q; "+
-			"-courses-text DIR writes the text, to be compared with that of the sources before",
+		t.Errorf("scenario %s, seed %d: the course differs: got line count and hash %q, want %q as recorded; "+
+			"-courses-text DIR writes the full text, to be compared with that of the previous sources",
 			sc.name, seed, got, recorded[name])
 	}
 	return name + " " + got
 }
 
-// readCourses reads calls and hash by scenario and seed.
+// readCourses returns the recorded line count and hash by scenario and seed.
 func readCourses(t *testing.T) map[string]string {
 	raw, err := os.ReadFile(coursesFile)
 	if err != nil {
@@ -134,7 +134,7 @@
 	for line := range strings.Lines(string(raw)) {
 		f := strings.Fields(line)
 		if len(f) != 4 {
-			t.Fatalf("%s: %q has not four fields", coursesFile, line)
+			t.Fatalf("%s: line %q: got %d fields, want 4", coursesFile, line, len(f))
 		}
 		out[f[0]+" "+f[1]] = f[2] + " " + f[3]
 	}
--- a/internal/coordination/determinism_test.go
+++ b/internal/coordination/determinism_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestSameSeedGivesSameCourse: the same seed gives the same calls in the same order. Decisions that depended
-// on the order in which a map is walked, or on the rounding of a sum in that order, had a test pass on one
-// machine and fail on the next.
+// TestSameSeedGivesSameCourse checks that the same seed gives the same calls in the same order. Decisions
+// that depended on the iteration order of a map, or on the rounding of a sum in that order, made a test pass
+// on one machine and fail on another.
 func TestSameSeedGivesSameCourse(t *testing.T) {
 	play := func() []string {
 		var course []string
@@ -22,10 +22,11 @@
 	a, b := play(), play()
 	for i := range min(len(a), len(b)) {
 		if a[i] != b[i] {
-			t.Fatalf("of %d and %d calls the %dth differs:\n%s\n%s", len(a), len(b), i, a[i], b[i])
+			t.Fatalf("runs of %d and %d calls with the same seed differ at index %d:\nfirst:  %s\nsecond: %s",
+				len(a), len(b), i, a[i], b[i])
 		}
 	}
 	if len(a) != len(b) || len(a) < 1000 {
-		t.Fatalf("%d and %d calls", len(a), len(b))
+		t.Fatalf("got %d and %d calls, want equal numbers of at least 1000", len(a), len(b))
 	}
 }
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -9,7 +9,7 @@
 	"pipitgap/internal/storage"
 )
 
-// updateDrain rewrites a drain's record as an operator's command does.
+// updateDrain changes a drain's record like an operator's command.
 func (s *drainScenario) updateDrain(name string, f func(*storage.Drain)) {
 	var d storage.Drain
 	s.store.Read(storage.Key(storage.KindDrain, name), &d)
@@ -34,7 +34,7 @@
 	return n
 }
 
-// blockages lists what drains wait for, as the records have it.
+// blockages returns what blocks the drains according to the leader's copy of the records.
 func (s *drainScenario) blockages() []drain.Blockage {
 	core := s.leaderNode().controller
 	return drain.NewPolicy(core.settings.Drains).Decide(
@@ -43,9 +43,9 @@
 	).Blocked
 }
 
-// TestAbortedDrainLeavesNoPermit: at any moment, also as the last replica stops, and with permits that are
-// written late, machines that weren't given back are open again, nothing more is stopped, and no
-// permit is left.
+// TestAbortedDrainLeavesNoPermit checks the abort of a drain at a random time, also while its last replica is
+// stopping, and with delayed commits of permits. The machines that have not been returned must be open again,
+// no more replicas may be stopped, and no permit may remain.
 func TestAbortedDrainLeavesNoPermit(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -56,7 +56,7 @@
 			s.drainZone("rack", "a")
 			s.sim.Run(2*second + s.randomDuration(30*second))
 			s.abortDrain("rack")
-			s.sim.Run(3 * second) // what was sent before may still be on its way
+			s.sim.Run(3 * second) // commands sent before the abort may still be in flight
 			stopped := s.stoppedReplicas
 			s.sim.Run(20 * second)
 			s.store.DelayCommit = nil
@@ -64,16 +64,18 @@
 				90*second,
 				func() bool { return s.storedPermits() == 0 && s.allReplicasRun() },
 			) {
-				t.Errorf("%d permits are left, running %v", s.storedPermits(), s.runningByTeam())
+				t.Errorf("after the abort: got %d permits and running replicas %v, want 0 and all replicas",
+					s.storedPermits(), s.runningByTeam())
 			}
 			if s.stoppedReplicas != stopped {
-				t.Errorf("%d replicas were stopped until the abort, %d in all", stopped, s.stoppedReplicas)
+				t.Errorf("%d replicas stopped up to 3 s after the abort; later: got %d in total, want no more",
+					stopped, s.stoppedReplicas)
 			}
 			for _, id := range s.machinesInZone("a") {
 				if machine := s.leaderNode().controller.mirror.Machines[id]; machine != nil &&
 					machine.Record != nil &&
 					machine.Record.State == storage.MachineCordoned {
-					t.Errorf("%s is still cordoned", id)
+					t.Errorf("machine %s: got state %v, want it open", id, machine.Record.State)
 				}
 			}
 			s.reportBudgetViolations()
@@ -81,7 +83,8 @@
 	}
 }
 
-// TestDrainBlockedByBudgetMovesNothing: a budget that leaves nothing to move is said, and nothing is moved.
+// TestDrainBlockedByBudgetMovesNothing checks that a drain whose budget allows no move names the budget as
+// the reason and moves nothing.
 func TestDrainBlockedByBudgetMovesNothing(t *testing.T) {
 	s := newDrainScenario(t, 31)
 	s.settings.Drains.Budgets = []config.DisruptionBudget{
@@ -99,19 +102,20 @@
 	s.sim.Run(60 * second)
 	blocked := s.blockages()
 	if len(blocked) != 1 || blocked[0].Kind != drain.BlockedByBudget || blocked[0].Task != id+"/0" {
-		t.Errorf("blocked: %+v", blocked)
+		t.Errorf("got blockages %+v, want only %s/0, blocked by %q", blocked, id, drain.BlockedByBudget)
 	}
 	s.reportBudgetViolations()
 }
 
-// TestDrainWithoutRoomStopsNothing: without replacement nothing is stopped before there is room.
+// TestDrainWithoutRoomStopsNothing checks that a drain without replacement stops no replica until another
+// machine has room for it.
 func TestDrainWithoutRoomStopsNothing(t *testing.T) {
 	s := newDrainScenario(t, 32).startServices()
-	s.sim.Run(60 * second) // the array that would be preempted is done
+	s.sim.Run(60 * second) // the array, which could be preempted, is done
 	for offer := range s.cloud.Capacity {
 		s.cloud.Capacity[offer] = 0
 	}
-	for _, id := range s.machinesInZone("b") { // what is free there is taken by a service of another team
+	for _, id := range s.machinesInZone("b") { // a service of another team takes the free CPUs
 		worker := s.fleet.Workers[id]
 		if free := int(worker.CPUs) - 2*len(worker.Attempts); free > 0 {
 			s.submitService("other", free, withCPUs(1), withZone("b"))
@@ -126,20 +130,20 @@
 	)
 	s.sim.Run(40 * second)
 	if again, _ := s.countMoves(); again != moved {
-		t.Errorf("%d moves without room", again-moved)
+		t.Errorf("got %d moves without room, want 0", again-moved)
 	}
 	kinds := map[drain.BlockKind]int{}
 	for _, b := range s.blockages() {
 		kinds[b.Kind]++
 	}
 	if kinds[drain.BlockedByCapacity] == 0 {
-		t.Errorf("blocked: %v", kinds)
+		t.Errorf("got blockages by kind %v, want at least 1 of kind %q", kinds, drain.BlockedByCapacity)
 	}
 	s.reportBudgetViolations()
 }
 
-// TestDrainPausesAtDeadlineAndResumes: a paused drain begins nothing, one past its deadline is paused; a
-// resumed one goes on to its end.
+// TestDrainPausesAtDeadlineAndResumes checks that a drain is paused when its deadline passes, that a paused
+// drain moves nothing, and that a resumed drain completes.
 func TestDrainPausesAtDeadlineAndResumes(t *testing.T) {
 	s := newDrainScenario(t, 33).startServices()
 	s.drainZone("rack", "a")
@@ -149,14 +153,14 @@
 	)
 	s.sim.Run(20 * second)
 	if got := s.drainState("rack"); got != storage.DrainPaused {
-		t.Fatalf("past its deadline the drain is %s", got)
+		t.Fatalf("drain past its deadline: got state %s, want %s", got, storage.DrainPaused)
 	}
 	moved, _ := s.countMoves()
 	left := len(s.machinesInZone("a"))
 	s.sim.Run(30 * second)
 	if again, _ := s.countMoves(); again != moved || len(s.machinesInZone("a")) != left || left == 0 {
 		t.Errorf(
-			"%d moves and %d of %d machines while it is paused",
+			"while the drain is paused: got %d moves and %d of %d machines left, want 0 and all of at least 1",
 			again-moved,
 			len(s.machinesInZone("a")),
 			left,
@@ -167,8 +171,8 @@
 	s.reportBudgetViolations()
 }
 
-// TestDrainRecordIgnoredWhenDisabled: without the settings a drain's record changes nothing, and nothing is
-// marked.
+// TestDrainRecordIgnoredWhenDisabled checks that a drain's record has no effect, and that no attempt is
+// marked as starting, if the settings do not enable drains.
 func TestDrainRecordIgnoredWhenDisabled(t *testing.T) {
 	s := newDrainScenario(t, 34)
 	s.settings.Drains = nil
@@ -177,24 +181,24 @@
 	before := s.machinesInZone("a")
 	s.sim.Run(60 * second)
 	if moved, _ := s.countMoves(); moved > 0 || s.storedPermits() > 0 {
-		t.Errorf("%d moves, %d permits", moved, s.storedPermits())
+		t.Errorf("got %d moves and %d permits, want 0 and 0", moved, s.storedPermits())
 	}
 	for _, shard := range s.leaderNode().controller.mirror.Shards {
 		for id, entry := range shard.Record.Jobs {
 			for _, held := range entry.Attempts {
 				if held.Starting {
-					t.Errorf("%s/%d is marked", id, held.Task)
+					t.Errorf("%s/%d: got it marked as starting, want no mark", id, held.Task)
 				}
 			}
 		}
 	}
 	if len(before) == 0 {
-		t.Error("no machines in the zone")
+		t.Error("got no machine in zone a, want at least 1")
 	}
 }
 
-// TestDrainWaitsForArrayTasksEndingSoon: array tasks that are about to end are waited for, others are
-// stopped.
+// TestDrainWaitsForArrayTasksEndingSoon checks that a drain waits for array tasks that are about to end, and
+// stops the others.
 func TestDrainWaitsForArrayTasksEndingSoon(t *testing.T) {
 	s := newDrainScenario(t, 35)
 	s.startWithLeader()
@@ -204,7 +208,7 @@
 		60*second,
 		func() bool { return s.fleet.Running(short) == 16 && s.fleet.Running(long) == 16 },
 	)
-	s.sim.Run(17 * second) // less is left of the short ones than they are waited for
+	s.sim.Run(17 * second) // the short tasks have less time left than ArrayWait
 	s.floors["other"] = 0
 	s.sample()
 	s.drainZone("rack", "a")
@@ -226,7 +230,8 @@
 		return n
 	}
 	if again(short) != 0 || again(long) == 0 {
-		t.Errorf("short tasks started again %d times, long ones %d", again(short), again(long))
+		t.Errorf("got %d restarts of short tasks and %d of long ones, want 0 and at least 1",
+			again(short), again(long))
 	}
 	s.requireNoViolations()
 }
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -15,11 +15,11 @@
 )
 
 var (
-	drainScenarioCount = flag.Int("drain-scenarios", 12, "random scenarios of drains to play")
-	drainScenarioSeed  = flag.Uint64("drain-seed", 1, "seed of the first")
+	drainScenarioCount = flag.Int("drain-scenarios", 12, "number of random drain scenarios to simulate")
+	drainScenarioSeed  = flag.Uint64("drain-seed", 1, "seed of the first random drain scenario")
 )
 
-// changesPermits tells whether a commit changes a team's permits.
+// changesPermits reports whether a transaction changes a team's permits.
 func changesPermits(txn *protocol.Transaction) bool {
 	for _, operation := range txn.Then {
 		if strings.HasPrefix(operation.Put, storage.Key(storage.KindPermits, "")) {
@@ -29,8 +29,8 @@
 	return false
 }
 
-// delayPermits has one in so many commits of permits, at random, get no answer and take effect late: after
-// the least delay and a random time below the spread.
+// delayPermits delays random commits of permits, on average one in oneIn. A delayed commit gets no answer and
+// takes effect after the least delay plus a random time below the spread.
 func (s *drainScenario) delayPermits(oneIn int, least, spread monotime.Micros) {
 	s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 		if changesPermits(txn) && s.sim.Rand.IntN(oneIn) == 0 {
@@ -40,17 +40,17 @@
 	}
 }
 
-// losePermitAnswers has one in so many commits of permits, at random, lose their answer.
+// losePermitAnswers loses the answers to random commits of permits, on average to one in oneIn.
 func (s *drainScenario) losePermitAnswers(oneIn int) {
 	s.store.LoseResponse = func(txn *protocol.Transaction) bool {
 		return changesPermits(txn) && s.sim.Rand.IntN(oneIn) == 0
 	}
 }
 
-// killMachine ends a machine with all that is on it, without notice.
+// killMachine removes a machine and everything that runs on it, without notice.
 func (s *drainScenario) killMachine(id string) { s.cloud.RemoveMachine(id) }
 
-// loadedMachine picks a machine of a zone that runs replicas.
+// loadedMachine picks a random machine of a zone that has tasks, or returns "" if there is none.
 func (s *drainScenario) loadedMachine(zone string) string {
 	var loaded []string
 	for _, id := range s.machinesInZone(zone) {
@@ -64,7 +64,7 @@
 	return loaded[s.sim.Rand.IntN(len(loaded))]
 }
 
-// killSomeMachine ends a machine of a zone that runs something.
+// killSomeMachine returns a fault that removes a random machine of a zone that has tasks.
 func killSomeMachine(zone string) func(s *drainScenario) {
 	return func(s *drainScenario) {
 		if id := s.loadedMachine(zone); id != "" {
@@ -73,8 +73,8 @@
 	}
 }
 
-// killDestination ends the machine that the first permit to be seen names as its new place,
-// once the replica runs there.
+// killDestination waits for a permit of team "intake" and removes the destination machine of the permit once
+// the replica runs there.
 func killDestination(s *drainScenario) {
 	var permits storage.Permits
 	s.store.Read(storage.Key(storage.KindPermits, "intake"), &permits)
@@ -91,15 +91,16 @@
 	}, 20*second, func() { s.killMachine(permit.To) })
 }
 
-// drainFault is something that happens during a drain of zone a.
+// drainFault is a fault during a drain of zone a.
 type drainFault struct {
 	name  string
 	begin func(s *drainScenario)
-	// leaseLoss says how the fault contributes to the loss of many leases at once: controllers that
-	// are down or new during an outage can't renew them.
+	// leaseLoss is what the fault contributes to the expiry of many leases at once: controllers that are
+	// down or have just started during an outage cannot renew leases.
 	leaseLoss leaseLossCause
 }
 
+// leaseLossCause is one of two conditions. Many leases may expire at once if both hold.
 type leaseLossCause int
 
 const (
@@ -109,11 +110,11 @@
 )
 
 var drainFaults = []drainFault{
-	{"a machine of the drain dies", killSomeMachine("a"), noLeaseLoss},
+	{"a drained machine dies", killSomeMachine("a"), noLeaseLoss},
 	{"a machine elsewhere dies", killSomeMachine("b"), noLeaseLoss},
-	{"the machine just moved to dies", killDestination, noLeaseLoss},
+	{"the destination of a move dies", killDestination, noLeaseLoss},
 	{
-		"the leader ends for good",
+		"the leader crashes and stays down",
 		func(s *drainScenario) { s.kill(s.leaderName()) },
 		leaseLossWithNewController,
 	},
@@ -123,12 +124,12 @@
 		leaseLossWithNewController,
 	},
 	{
-		"the leader is paused and resumes late",
+		"the leader is paused for 15 s",
 		func(s *drainScenario) { s.pause(s.leaderName(), 15*second) },
 		leaseLossWithNewController,
 	},
 	{
-		"another controller is paused",
+		"a random controller is paused for 6 s",
 		func(s *drainScenario) { s.pause(s.nodeNames[s.sim.Rand.IntN(3)], 6*second) },
 		leaseLossWithNewController,
 	},
@@ -142,11 +143,11 @@
 		func(s *drainScenario) { s.store.Outage(25 * second) },
 		leaseLossInOutage,
 	},
-	{"permits are written late", func(s *drainScenario) {
+	{"delayed commits of permits", func(s *drainScenario) {
 		s.delayPermits(2, second, 25*second)
 		s.sim.After(40*second, func() { s.store.DelayCommit = nil })
 	}, noLeaseLoss},
-	{"answers of permits are lost", func(s *drainScenario) {
+	{"lost answers to commits of permits", func(s *drainScenario) {
 		s.losePermitAnswers(2)
 		s.sim.After(40*second, func() { s.store.LoseResponse = nil })
 	}, noLeaseLoss},
@@ -166,7 +167,7 @@
 			}
 		})
 	}, noLeaseLoss},
-	{"everything fails on the next machine that comes up", func(s *drainScenario) {
+	{"all tasks fail on the next new machine", func(s *drainScenario) {
 		next := fmt.Sprintf("i-%06d", len(s.cloud.Machines)+1)
 		s.sim.AfterCondition(
 			func() bool { return s.fleet.Workers[next] != nil },
@@ -174,7 +175,7 @@
 			func() { s.fleet.Workers[next].FailsTasks = true },
 		)
 	}, noLeaseLoss},
-	{"a machine vanishes and returns", func(s *drainScenario) {
+	{"a drained machine is cut off for 8 s", func(s *drainScenario) {
 		if id := s.loadedMachine("a"); id != "" {
 			worker := s.fleet.Workers[id]
 			worker.Partitioned = true
@@ -211,13 +212,13 @@
 			},
 		)
 	}, noLeaseLoss},
-	{"a service of a higher priority comes", func(s *drainScenario) {
+	{"a service of the highest priority is submitted", func(s *drainScenario) {
 		s.sendService(s.nodeNames[0], "other", withTasks(6), withCPUs(6))
 	}, noLeaseLoss},
 }
 
-// TestSingleDrainFaultsKeepBudgets: each fault by itself, at a random time of a drain. No team falls below
-// its budget, and the drain still ends.
+// TestSingleDrainFaultsKeepBudgets checks that, with each fault alone at a random time of a drain, no team
+// falls below its budget and the drain still ends.
 func TestSingleDrainFaultsKeepBudgets(t *testing.T) {
 	for _, f := range drainFaults {
 		for seed := range uint64(3) {
@@ -234,8 +235,8 @@
 	}
 }
 
-// TestRandomDrainFaultsKeepBudgets combines two faults at random times of a drain. The reserve is two, as two
-// machines may be lost at once.
+// TestRandomDrainFaultsKeepBudgets checks the budgets under two faults at random times of a drain. The
+// reserve is two machines because the faults may remove two machines at once.
 func TestRandomDrainFaultsKeepBudgets(t *testing.T) {
 	for i := range uint64(*drainScenarioCount) {
 		seed := *drainScenarioSeed + i
@@ -272,7 +273,7 @@
 			if t.Failed() {
 				t.Logf("faults: %s", strings.Join(names, "; "))
 				t.Logf(
-					"again: go test ./internal/coordination -run %s -drain-scenarios 1 -drain-seed %d",
+					"to reproduce: go test ./internal/coordination -run %s -drain-scenarios 1 -drain-seed %d",
 					"TestRandomDrainFaultsKeepBudgets",
 					seed,
 				)
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -17,27 +17,28 @@
 var drainFleetSize = flag.Int(
 	"drain-fleet",
 	200,
-	"machines of the fleet an eighth of which is drained; 4000 in the long form",
+	"number of machines in the fleet, of which an eighth is drained; the long form of the test uses 4000",
 )
 
-// submissionIntervalPerMachine spaces the submissions: 12.5 a second for a thousand machines and a hundred
-// changes of the state service a second.
+// submissionIntervalPerMachine, in seconds and divided by the number of machines, is the interval between
+// submissions. A fleet of 1,000 machines gets 12.5 submissions a second, and its state service allows 100
+// changes a second.
 const submissionIntervalPerMachine = 80
 
-// drainCosts is what users and the state service notice of a drain.
+// drainCosts holds what users and the state service notice of a drain.
 type drainCosts struct {
-	accepted     int
-	p99Latency   monotime.Micros // of the submissions
+	accepted     int             // submissions
+	p99Latency   monotime.Micros // from a submission to its acceptance
 	meanLatency  monotime.Micros
-	changes      int
+	changes      int // of the state service
 	permitWrites int
-	moved        int
-	machinesLeft int // machines of the drain at the end
+	moved        int // restarts of replicas
+	machinesLeft int // drained machines that are not removed at the end
 	wallTime     time.Duration
 }
 
-// playDrainSize simulates two minutes of a full fleet with a steady rate of one-task jobs, with or without a
-// drain of an eighth of its machines.
+// playDrainSize simulates two minutes of a full fleet that gets one-task jobs at a constant rate, with or
+// without a drain of an eighth of its machines.
 func playDrainSize(t *testing.T, machines int, draining bool) *drainCosts {
 	c := newClusterOfSize(t, machines)
 	none := 0
@@ -84,7 +85,7 @@
 	}
 	submit()
 	ids := sortedmap.Keys(c.cloud.Machines)
-	through := ids[len(ids)/4] // of the zone's, half of all: an eighth of the fleet
+	through := ids[len(ids)/4] // zone a has half of the machines up to this one: an eighth of the fleet
 	before, begun := c.store.Changes, time.Now()
 	if draining {
 		rec := storage.Drain{
@@ -125,27 +126,30 @@
 	return got
 }
 
-// TestLargeDrainLeavesSubmissionsUnharmed: beside a drain of an eighth of a fleet users' submissions are
-// accepted as many and as fast as without it, and its writes stay within what drains may spend.
+// TestLargeDrainLeavesSubmissionsUnharmed checks that a drain of an eighth of a fleet neither reduces nor
+// delays accepted submissions, and that its permit writes stay within the limit for drains.
 func TestLargeDrainLeavesSubmissionsUnharmed(t *testing.T) {
 	without, with := playDrainSize(t, *drainFleetSize, false), playDrainSize(t, *drainFleetSize, true)
 	t.Logf("%d machines without a drain: %+v", *drainFleetSize, *without)
-	t.Logf("with one: %+v", *with)
+	t.Logf("with a drain: %+v", *with)
 	if with.accepted < without.accepted*95/100 || with.p99Latency > 2*without.p99Latency+second/2 {
 		t.Errorf(
-			"%d submissions, 99%% within %.3f s; without a drain %d, %.3f s",
+			"with a drain: got %d submissions accepted, 99%% of them within %.3f s; without: %d, %.3f s; "+
+				"want at least 95%% as many, within twice the time and 0.5 s",
 			with.accepted,
 			with.p99Latency.Seconds(),
 			without.accepted,
 			without.p99Latency.Seconds(),
 		)
 	}
-	// A tenth of the changes of all controllers together, and a fifth more for those that are uneven.
+	// Permits may use a tenth of the changes of all controllers together. A fifth is added because the
+	// controllers use them unevenly.
 	most := int(drainer.PermitWriteFraction * 1.2 * 100 * float64(*drainFleetSize) / 1000 * 120)
 	if with.permitWrites > most || with.permitWrites == 0 || without.permitWrites > 0 {
-		t.Errorf("%d writes of permits, at most %d", with.permitWrites, most)
+		t.Errorf("got %d permit writes with a drain and %d without, want 1 to %d and 0",
+			with.permitWrites, without.permitWrites, most)
 	}
 	if with.moved == 0 {
-		t.Error("nothing was moved")
+		t.Error("got no replica moved, want at least 1")
 	}
 }
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -13,8 +13,8 @@
 	"pipitgap/internal/storage"
 )
 
-// setIntakeMaxUnavailable sets the only budget, without a reserve: how many of intake's replicas may be
-// unavailable.
+// setIntakeMaxUnavailable replaces all budgets by one without a reserve: it allows a number of replicas of
+// team "intake" to be unavailable.
 func (s *drainScenario) setIntakeMaxUnavailable(replicas int) {
 	none := 0
 	s.settings.Drains.DefaultReserveMachines = &none
@@ -23,14 +23,15 @@
 	}
 }
 
-// exhaustCapacity has the cloud reject every rental from now on.
+// exhaustCapacity makes the cloud reject every rental from now on.
 func (s *drainScenario) exhaustCapacity() {
 	for offer := range s.cloud.Capacity {
 		s.cloud.Capacity[offer] = 0
 	}
 }
 
-// drainWithoutReplacement starts a drain of a zone's machines up to lastMachine ("": of all), 20 at a time.
+// drainWithoutReplacement starts a drain, without replacement, of a zone's machines up to lastMachine, or of
+// all its machines if lastMachine is empty. The drain empties up to 20 machines at a time.
 func (s *drainScenario) drainWithoutReplacement(name, zone, lastMachine string) {
 	s.t.Helper()
 	s.putDrain(name, storage.Drain{
@@ -41,7 +42,7 @@
 	})
 }
 
-// sendService submits a service of the highest priority and doesn't wait for the answer.
+// sendService submits a service of the highest priority and does not wait for the answer.
 func (s *drainScenario) sendService(node, team string, options ...jobOption) string {
 	production := jobWith(withService(true), withTeam(team), withPriority(protocol.Production))
 	id, body := s.newSubmission(production, jobWith(options...))
@@ -50,25 +51,27 @@
 	return id
 }
 
-// cancelJob sends the cancellation of a job.
+// cancelJob sends the cancellation of a job and no longer expects its replicas to run.
 func (s *drainScenario) cancelJob(id string) {
 	s.sendRequest(s.nodeNames[0], "POST", protocol.CancelPath(id), nil, func(Response) {})
 	delete(s.services, id)
 }
 
-// submitSpreadService submits a service whose replicas need nearly a machine each, so that they run on
+// submitSpreadService submits a service whose replicas each need most of a machine, so that they run on
 // machines of several controllers.
 func (s *drainScenario) submitSpreadService(team string, replicas int) {
 	s.t.Helper()
 	s.submitService(team, replicas, withCPUs(6), withTypes("m8"))
 	if !s.sim.RunUntil(90*second, s.allReplicasRun) {
-		s.t.Fatalf("running %v", s.runningByTeam())
+		s.t.Fatalf("after 90 s: got running replicas by team %v, want all of %v by service",
+			s.runningByTeam(), s.services)
 	}
 	s.sim.Run(10 * second)
 }
 
-// TestLastPermitIsNotGrantedTwice: controllers that each hold a replica, and see room for one stop, never
-// stop two, though the state service is slow and answers get lost.
+// TestLastPermitIsNotGrantedTwice guards against two controllers that use the same unit of a budget. Each
+// runs replicas and sees that the budget allows one stop, while the state service is slow and answers get
+// lost.
 func TestLastPermitIsNotGrantedTwice(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -98,15 +101,15 @@
 			)
 			s.sim.Run(120 * second)
 			if s.stoppedReplicas < 3 {
-				t.Errorf("only %d replicas were moved", s.stoppedReplicas)
+				t.Errorf("got %d replicas stopped, want at least 3", s.stoppedReplicas)
 			}
 			s.reportBudgetViolations()
 		})
 	}
 }
 
-// TestLatePermitIsNotUsedAfterLoss: a permit whose commit is carried out only after replicas have been lost,
-// and the loss been seen, is not used.
+// TestLatePermitIsNotUsedAfterLoss guards against the use of a permit whose commit takes effect only after
+// replicas have been lost and the controllers have seen the loss.
 func TestLatePermitIsNotUsedAfterLoss(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -119,7 +122,7 @@
 			s.sim.Run(5 * second)
 			s.exhaustCapacity()
 			s.cancelJob(spare)
-			s.sim.Run(4 * second) // there is room in zone b for what is drained now
+			s.sim.Run(4 * second) // zone b now has room for the drained replicas
 			s.floors["intake"] = 6
 			s.fleet.OnStop = s.checkStop
 			s.allowsLosses = true
@@ -131,19 +134,19 @@
 			}
 			s.drainWithoutReplacement("rack", "a", "")
 			s.sim.Run(2 * second)
-			for range 3 { // more than are replaced by what room there is
+			for range 3 { // more replicas than the remaining room can replace
 				if id := s.machineWith("intake", "b"); id != "" {
 					s.killMachine(id)
 				}
 			}
 			s.sim.Run(40 * second)
-			s.samples = 10
+			s.samples = 10 // nothing is sampled: only the stops are checked
 			s.reportBudgetViolations()
 		})
 	}
 }
 
-// machineWith finds a machine of a zone that runs a team's replica.
+// machineWith finds a machine of a zone that runs a team's replica, or returns "" if there is none.
 func (s *drainScenario) machineWith(team, zone string) string {
 	for _, id := range s.machinesInZone(zone) {
 		worker := s.fleet.Workers[id]
@@ -159,8 +162,8 @@
 	return ""
 }
 
-// TestAbortKeepsPermitWithStopInFlight: a permit whose stop may still be carried out stays when its drain is
-// aborted: nobody else gets its room.
+// TestAbortKeepsPermitWithStopInFlight checks that a permit whose stop command may still be executed survives
+// the abort of its drain, so that no other drain can use the same unit of the budget.
 func TestAbortKeepsPermitWithStopInFlight(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -181,7 +184,7 @@
 			}
 			s.sim.RunUntil(60*second, s.allReplicasRun)
 			s.sim.Run(10 * second)
-			for _, id := range spares { // what they leave is room for what is moved
+			for _, id := range spares { // the cancelled services leave room for the moved replicas
 				s.cancelJob(id)
 			}
 			s.sim.Run(2 * second)
@@ -189,13 +192,13 @@
 			s.fleet.OnStop = s.checkStop
 			s.drainWithoutReplacement("rack", "a", covered)
 			s.sim.RunUntil(40*second, func() bool { return s.storedPermits() > 0 })
-			for _, id := range s.machinesInZone("a") { // no command is carried out there for a while
+			for _, id := range s.machinesInZone("a") { // no machine of the zone executes commands for now
 				if worker := s.fleet.Workers[id]; worker != nil {
 					worker.Paused = true
 				}
 			}
 			if s.storedPermits() == 0 {
-				t.Fatal("no permit")
+				t.Fatal("got no permit after the start of the drain, want at least 1")
 			}
 			s.sim.Run(second)
 			s.abortDrain("rack")
@@ -207,14 +210,14 @@
 				}
 			}
 			s.sim.Run(60 * second)
-			s.samples = 10
+			s.samples = 10 // nothing is sampled: only the stops are checked
 			s.reportBudgetViolations()
 		})
 	}
 }
 
-// TestReservationOfMovedReplicaIsKept: a service that comes while a replica is being moved doesn't get its
-// room.
+// TestReservationOfMovedReplicaIsKept guards against a new service that takes the room reserved for a replica
+// that is being moved.
 func TestReservationOfMovedReplicaIsKept(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -236,12 +239,12 @@
 			s.sim.RunUntil(20*second, func() bool { return s.storedPermits() > 0 })
 			id := s.sendService(s.nodeNames[1], "other", withCPUs(6), withZone("b"))
 			if s.storedPermits() == 0 {
-				t.Fatal("no permit")
+				t.Fatal("got no permit after the start of the drain, want at least 1")
 			}
 			s.sim.Run(15 * second)
 			if s.fleet.RunningReplicas("intake") < 3 {
 				t.Errorf(
-					"intake runs %d of 3, the newcomer %d",
+					"got %d running replicas of intake, want 3; the new service runs %d",
 					s.fleet.RunningReplicas("intake"),
 					s.fleet.Running(id),
 				)
@@ -251,7 +254,8 @@
 	}
 }
 
-// TestBudgetedServiceIsNotPreempted: a service with a budget isn't stopped for one of a higher priority.
+// TestBudgetedServiceIsNotPreempted checks that a service with a budget is not preempted for a service of a
+// higher priority.
 func TestBudgetedServiceIsNotPreempted(t *testing.T) {
 	s := newDrainScenario(t, 40)
 	s.startWithLeader()
@@ -263,23 +267,23 @@
 	id := s.sendService(s.nodeNames[1], "payout", withTasks(8), withCPUs(6))
 	s.sim.Run(30 * second)
 	if n := s.fleet.RunningReplicas("intake"); n != 6 {
-		t.Errorf("%d of 6 replicas with a budget run", n)
+		t.Errorf("service with a budget: got %d running replicas, want 6", n)
 	}
 	if s.fleet.Running(id) == 0 {
-		t.Error("no replica of the other team was preempted: the test shows nothing")
+		t.Error("got no running replica of the new service, want at least 1 after a preemption")
 	}
 	s.requireNoViolations()
 }
 
-// TestPermitIsNotUsedInOutage: a permit that stands isn't used while the state service is away: what has
-// been lost since isn't known.
+// TestPermitIsNotUsedInOutage checks that no controller uses a permit during an outage of the state service,
+// because no controller knows which replicas have been lost since the outage began.
 func TestPermitIsNotUsedInOutage(t *testing.T) {
 	s := newDrainScenario(t, 41).startServices()
 	s.putDrain(
 		"idle",
 		storage.Drain{State: storage.DrainPaused, Selector: storage.Selector{Machines: []string{"i-none"}}},
 	)
-	s.sim.Run(10 * second) // with a drain there, the records come to say which replicas run
+	s.sim.Run(10 * second) // while a drain is unfinished, controllers record at once which replicas run
 	s.store.Outage(20 * second)
 	s.sim.Run(4 * second)
 	used := 0
@@ -326,6 +330,7 @@
 	}
 	s.sim.Run(8 * second)
 	if s.stoppedReplicas > 0 || used == 0 {
-		t.Errorf("%d replicas were stopped in the outage, %d permits", s.stoppedReplicas, used)
+		t.Errorf("got %d replicas stopped in the outage under %d permits, want 0 under at least 1",
+			s.stoppedReplicas, used)
 	}
 }
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -13,23 +13,23 @@
 	"pipitgap/internal/storage"
 )
 
-// drainScenario is a cluster whose services have disruption budgets. Every second each team's running
-// replicas are counted from what the workers run, and compared with the team's floor.
+// drainScenario is a cluster whose services have disruption budgets. Every second it counts each team's
+// running replicas on the workers and compares the number with the team's floor.
 type drainScenario struct {
 	*cluster
-	floors          map[string]int
+	floors          map[string]int // by team: replicas that must keep running
 	services        map[string]int // replicas by job
 	samples         int
-	floorViolations []string
-	stoppedReplicas int      // replicas stopped by command
-	stopsBelowFloor []string // stops by command that took a team below its floor
-	allowsLosses    bool     // more may be lost at once than the reserve: only the stops are checked
-	lowestRunning   map[string]int
+	floorViolations []string       // samples below a floor
+	stoppedReplicas int            // replicas stopped by command
+	stopsBelowFloor []string       // stops by command that left a team below its floor
+	allowsLosses    bool           // the faults may remove more than the reserve: only the stops are checked
+	lowestRunning   map[string]int // by team: the smallest sample
 }
 
 const sampleInterval = second
 
-// newDrainScenario starts a fleet with three teams' services; two have budgets.
+// newDrainScenario makes a scenario with three teams, of which two have budgets. startServices starts it.
 func newDrainScenario(t testing.TB, seed uint64) *drainScenario {
 	s := &drainScenario{
 		cluster:       newCluster(t, seed),
@@ -64,7 +64,7 @@
 		}}
 }
 
-// submitService has a service accepted and waits until all of its replicas run.
+// submitService submits a service and waits until it is accepted.
 func (s *drainScenario) submitService(team string, replicas int, options ...jobOption) string {
 	s.t.Helper()
 	usual := jobWith(
@@ -79,12 +79,13 @@
 	s.services[id] = replicas
 	response := s.requestAndWait(s.nodeNames[0], "POST", protocol.JobsPath, protocol.MustMarshal(body))
 	if response.Status != 201 {
-		s.t.Fatalf("service of %s: %d", team, response.Status)
+		s.t.Fatalf("service of team %s: got status %d, want 201", team, response.Status)
 	}
 	return id
 }
 
-// serviceInfo is what a worker knows of a service: it fetches an image and saves when it stops.
+// serviceInfo describes a service to the workers. Its tasks pull an image before they run, and save a
+// checkpoint when they are stopped.
 func serviceInfo(team string, cpus float64) fake.JobBehavior {
 	return fake.JobBehavior{
 		Team:           team,
@@ -95,7 +96,8 @@
 	}
 }
 
-// startServices starts everything and waits until all replicas run.
+// startServices starts the controllers, services and an array, and waits until all replicas run. From then on
+// it checks the floors.
 func (s *drainScenario) startServices() *drainScenario {
 	s.t.Helper()
 	s.startWithLeader()
@@ -107,18 +109,19 @@
 	s.submit(40*second, withTasks(30), withTeam("other"), withCPUs(1), withEstimateS(40),
 		withPriority(protocol.BestEffort))
 	if !s.sim.RunUntil(120*second, s.allReplicasRun) {
-		s.t.Fatalf("only %v of the services run", s.runningByTeam())
+		s.t.Fatalf("after 120 s: got running replicas by team %v, want all of %v by service",
+			s.runningByTeam(), s.services)
 	}
 	s.sim.Run(15 * second)
 	s.floors["intake"] = 15 // 70% of 21, rounded up
-	s.floors["payout"] = 9  // 15 but for 6
+	s.floors["payout"] = 9  // 15, of which 6 may be unavailable
 	s.sample()
 	s.fleet.OnStop = s.checkStop
 	return s
 }
 
-// checkStop checks every stop of a replica by a command: whatever was lost before, it must leave the team at
-// its floor.
+// checkStop checks the stop of a replica by a command: it must not leave the team below its floor, regardless
+// of which replicas have been lost before.
 func (s *drainScenario) checkStop(task string, worker *fake.Worker) {
 	ref, _ := mirror.ParseTaskID(task)
 	if s.fleet.Jobs[ref.Job].Service {
@@ -129,7 +132,7 @@
 		s.fleet.RunningReplicas(team) < floor {
 		s.stopsBelowFloor = append(
 			s.stopsBelowFloor,
-			fmt.Sprintf("%.1f s: %s is stopped on %s, %s runs %d, floor %d",
+			fmt.Sprintf("%.1f s: after the stop of %s on %s, team %s: got %d replicas, want at least %d",
 				s.sim.Now().Seconds(), task, worker.Machine.ID, team, s.fleet.RunningReplicas(team), floor),
 		)
 	}
@@ -152,7 +155,7 @@
 	return true
 }
 
-// sample counts every team's running replicas now and every sampleInterval from then on.
+// sample counts every team's running replicas now, and again after every sampleInterval.
 func (s *drainScenario) sample() {
 	s.samples++
 	for _, team := range sortedmap.Keys(s.floors) {
@@ -163,14 +166,15 @@
 		if n < s.floors[team] {
 			s.floorViolations = append(
 				s.floorViolations,
-				fmt.Sprintf("%.0f s: %s runs %d, floor %d", s.sim.Now().Seconds(), team, n, s.floors[team]),
+				fmt.Sprintf("%.0f s: team %s: got %d running replicas, want at least %d",
+					s.sim.Now().Seconds(), team, n, s.floors[team]),
 			)
 		}
 	}
 	s.sim.After(sampleInterval, s.sample)
 }
 
-// commit applies a transaction as an operator's command does.
+// commit sends a transaction to the state service like an operator's command and waits for the result.
 func (s *drainScenario) commit(txn protocol.Transaction) protocol.StoreResult {
 	var result *protocol.StoreResult
 	s.store.Call(
@@ -182,7 +186,7 @@
 	return *result
 }
 
-// putDrain writes a drain's record, whatever it was before.
+// putDrain writes a drain's record regardless of its previous value, and retries until the commit succeeds.
 func (s *drainScenario) putDrain(name string, d storage.Drain) {
 	s.t.Helper()
 	key := storage.Key(storage.KindDrain, name)
@@ -194,7 +198,7 @@
 		}
 		s.sim.Run(second)
 	}
-	s.t.Fatalf("drain %s can't be written", name)
+	s.t.Fatalf("record of drain %s: got no successful commit in 60 attempts, want one", name)
 }
 
 // drainZone starts a drain of a zone with replacement.
@@ -213,13 +217,14 @@
 	return d.State
 }
 
-// waitDrainEnds waits until a drain has ended and all replicas run.
+// waitDrainEnds waits until a drain is no longer active and all replicas run.
 func (s *drainScenario) waitDrainEnds(name string, within monotime.Micros) {
 	s.t.Helper()
 	ended := func() bool { return s.drainState(name) != storage.DrainActive && s.allReplicasRun() }
 	if !s.sim.RunUntil(within, ended) {
 		s.t.Errorf(
-			"drain %s is %s after %v s, running %v, in zone a %v",
+			"drain %s: got state %s after %v s, running replicas %v and machines in zone a %v; "+
+				"want the drain ended and all replicas running",
 			name,
 			s.drainState(name),
 			within.Seconds(),
@@ -229,13 +234,13 @@
 		for _, node := range s.nodeNames {
 			if core := s.nodes[node].controller; core != nil {
 				d := core.drains.Decide()
-				s.t.Errorf("%s: blocked %v", node, d.Blocked)
+				s.t.Errorf("%s: got blockages %v, want none", node, d.Blocked)
 			}
 		}
 	}
 }
 
-// newestMachine is the machine that was rented last.
+// newestMachine returns the machine that was rented last.
 func (s *drainScenario) newestMachine() string {
 	newest := ""
 	for id := range s.cloud.Machines {
@@ -244,7 +249,7 @@
 	return newest
 }
 
-// machinesInZone lists the machines of a zone that have not gone.
+// machinesInZone lists the machines of a zone that have not been removed.
 func (s *drainScenario) machinesInZone(zone string) []string {
 	var out []string
 	for _, id := range sortedmap.Keys(s.cloud.Machines) {
@@ -255,7 +260,8 @@
 	return out
 }
 
-// reportBudgetViolations checks that no sample was below a floor, and all invariants.
+// reportBudgetViolations fails the test for every stop and sample that was below a floor, and for every
+// violated invariant. With allowsLosses, samples may be below a floor.
 func (s *drainScenario) reportBudgetViolations() {
 	s.t.Helper()
 	for _, stop := range s.stopsBelowFloor {
@@ -267,35 +273,36 @@
 		}
 	}
 	if s.samples < 10 {
-		s.t.Errorf("only %d samples", s.samples)
+		s.t.Errorf("got %d samples, want at least 10", s.samples)
 	}
 	s.requireNoViolations()
 }
 
-// countMoves counts starts of replicas beyond the first.
+// countMoves counts the starts of replicas beyond each one's first: of all replicas, and the most of one
+// replica.
 func (s *drainScenario) countMoves() (moved, most int) { return s.fleet.Restarts(s.services) }
 
-// TestZoneDrainMovesEachReplicaOnce: a zone's machines are emptied and returned, each replica moves once, and
-// no team falls below its budget.
+// TestZoneDrainMovesEachReplicaOnce checks that a drain of a zone empties and returns all of its machines,
+// moves no replica more than once, and takes no team below its budget.
 func TestZoneDrainMovesEachReplicaOnce(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := newDrainScenario(t, 700+seed).startServices()
-			s.floors["other"] = 3 // no budget: one at a time
+			s.floors["other"] = 3 // no budget: at most one of 4 replicas is moved at a time
 			before := len(s.machinesInZone("a"))
 			changes, startedAt := s.store.Changes, s.sim.Now()
 			s.drainZone("rack", "a")
 			s.waitDrainEnds("rack", 300*second)
 			took := s.sim.Now() - startedAt
 			if got := s.drainState("rack"); got != storage.DrainDrained {
-				t.Errorf("the drain is %s", got)
+				t.Errorf("got drain state %s, want %s", got, storage.DrainDrained)
 			}
 			if left := s.machinesInZone("a"); len(left) > 0 || before == 0 {
-				t.Errorf("left of %d machines: %v", before, left)
+				t.Errorf("of %d machines in zone a: got %v left, want none of at least 1", before, left)
 			}
 			moved, most := s.countMoves()
 			if most > 1 || moved == 0 {
-				t.Errorf("%d moves, %d of one replica", moved, most)
+				t.Errorf("got %d moves and up to %d of one replica, want at least 1 and up to 1", moved, most)
 			}
 			t.Logf("%d machines, %d moves in %.0f s, %d changes of the state service; lowest %v, floors %v",
 				before, moved, took.Seconds(), s.store.Changes-changes, s.lowestRunning, s.floors)
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -9,17 +9,18 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// TestCrashLoopingJobsCostNoMachines: jobs that fail everywhere, beside good ones, cost a few trials, no
-// machine and no rental; a machine on which everything fails is still found and
-// replaced, and what failed there goes on elsewhere. Each job that failed used to
-// speak against its machines, and all of its tasks were tried again at every pause.
+// TestCrashLoopingJobsCostNoMachines guards against faulty jobs that cause the removal of good machines. Jobs
+// that fail everywhere, beside good jobs, may cost a few trial starts, but no machine and no rental. A
+// machine on which everything fails must still be found and replaced, and the tasks that failed there must
+// continue elsewhere. Earlier, each failed job counted as evidence against its machines, and all of its tasks
+// were tried again after every pause.
 func TestCrashLoopingJobsCostNoMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		mistakes int
 		sick     int
 	}{
-		{"mistaken jobs", 3, 0},
+		{"faulty jobs", 3, 0},
 		{"a faulty machine", 0, 1},
 		{"both", 3, 1},
 	} {
@@ -29,7 +30,7 @@
 			c.startWithLeader()
 			keep := c.submit(0, withService(true), withTasks(6), withCPUs(1)) // keeps machines up
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(keep) == 6 }) {
-				t.Fatal("the service isn't up")
+				t.Fatalf("service: got %d running replicas after 60 s, want 6", c.fleet.Running(keep))
 			}
 			var good, bad []string
 			for i := 0; i < 2; i++ {
@@ -65,20 +66,20 @@
 			c.sim.Run(30 * second)
 			for id := range sick {
 				if !c.cloud.Machines[id].Gone {
-					t.Errorf("%s, on which everything fails, is still there", id)
+					t.Errorf("machine %s, on which every task fails: got it still rented, want it removed", id)
 				}
 			}
-			again := 0 // replicas that had to start anew: their machine was given back
+			again := 0 // starts of replicas beyond the first: their machine was removed
 			for task, n := range c.fleet.Starts {
 				if jobIDOfTask(task) == keep {
 					again += n - 1
 				}
 			}
 			if again > moved {
-				t.Errorf("%d replicas started anew, %d stood on faulty machines", again, moved)
+				t.Errorf("got %d restarted replicas, want at most the %d on faulty machines", again, moved)
 			}
 			if n := c.cloud.MachineCount(); n > 4 {
-				t.Errorf("%d machines for six replicas and an occasional trial", n)
+				t.Errorf("got %d machines for six replicas and an occasional trial start, want at most 4", n)
 			}
 			starts, tasks := 0, 30*tc.mistakes
 			for task, n := range c.fleet.Starts {
@@ -89,22 +90,23 @@
 				}
 			}
 			if tasks > 0 && (starts < 3 || starts > 2*tasks) {
-				t.Errorf("%d starts of %d mistaken tasks", starts, tasks)
+				t.Errorf("got %d starts of %d tasks of faulty jobs, want 3 to %d", starts, tasks, 2*tasks)
 			}
 			for i, id := range bad {
 				response := c.requestAndWait(c.nodeNames[i%3], "POST", protocol.CancelPath(id), nil)
 				if response.Status != 200 {
-					t.Errorf("cancelling %s: %d", id, response.Status)
+					t.Errorf("cancellation of %s: got status %d, want 200", id, response.Status)
 				}
 				c.checker.CancellationConfirmed(id)
 			}
 			c.sim.Run(40 * second)
 			for _, id := range bad {
 				if c.fleet.Running(id) > 0 {
-					t.Errorf("%s still runs", id)
+					t.Errorf("job %s: got %d running tasks 40 s after its cancellation, want 0",
+						id, c.fleet.Running(id))
 				}
 				if c.nodes["n-0"].controller.mirror.Jobs[id] != nil {
-					t.Errorf("%s has left a record", id)
+					t.Errorf("job %s: got a record 40 s after its cancellation, want none", id)
 				}
 			}
 			c.requireNoViolations()
@@ -112,13 +114,13 @@
 	}
 }
 
-// TestCrashLoopEndsOnSuccess: a job that failed on several faulty machines goes on at once
-// when something of it completes, and soon when its machines turn out faulty.
+// TestCrashLoopEndsOnSuccess checks that a job that failed on several faulty machines continues at once when
+// one of its tasks completes, and soon when its machines turn out to be faulty.
 func TestCrashLoopEndsOnSuccess(t *testing.T) {
 	c := newCluster(t, 950).startWithLeader()
 	keep := c.submit(0, withService(true), withTasks(24), withCPUs(2))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(keep) == 24 }) {
-		t.Fatal("the service isn't up")
+		t.Fatalf("service: got %d running replicas after 60 s, want 24", c.fleet.Running(keep))
 	}
 	n := 0
 	for _, id := range sortedmap.Keys(c.fleet.Workers) {
@@ -137,8 +139,8 @@
 	c.requireNoViolations()
 }
 
-// TestCrashLoopingJobIsRetriedOnNewMachine: a job that failed on all machines there were is tried again
-// though none is left and nothing else would have any requested: it may have been the machines.
+// TestCrashLoopingJobIsRetriedOnNewMachine checks that a job that failed on all existing machines is tried
+// again although no machine is left and no other job requests one: the machines may have been at fault.
 func TestCrashLoopingJobIsRetriedOnNewMachine(t *testing.T) {
 	c := newCluster(t, 960)
 	c.settings.ScaleDownDelay, c.settings.ServiceHeadroom = config.Duration(5*second), 0.3
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -8,19 +8,20 @@
 	"pipitgap/internal/storage"
 )
 
-// fault is injected at a time of the scenario, counted from its start.
+// fault is injected into a scenario at a time that counts from the start of the scenario.
 type fault struct {
 	at     monotime.Micros
 	name   string
 	inject func(s *scenario)
 }
 
-// controllerPicker picks a controller when a fault begins.
+// controllerPicker picks a controller at the time when a fault is injected.
 type controllerPicker func(s *scenario) string
 
+// leaderController picks the leader.
 func leaderController(s *scenario) string { return s.leaderName() }
 
-// followerController picks a controller that doesn't lead.
+// followerController returns a picker of a controller that is not the leader: the first one from the n-th on.
 func followerController(n int) controllerPicker {
 	return func(s *scenario) string {
 		lead := leaderController(s)
@@ -33,23 +34,23 @@
 	}
 }
 
-// storeRejectsController has the state service reject the calls of one controller alone.
+// storeRejectsController makes the state service reject the calls of one controller only.
 func storeRejectsController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
-	return fault{at, "refusal", func(s *scenario) {
+	return fault{at, "store rejects controller", func(s *scenario) {
 		node := of(s)
 		s.store.RefusedCallers[node] = true
 		s.sim.After(duration, func() { delete(s.store.RefusedCallers, node) })
 	}}
 }
 
-// storeOutage has the state service reject all calls.
+// storeOutage makes the state service reject all calls.
 func storeOutage(at, duration monotime.Micros) fault {
-	return fault{at, "outage", func(s *scenario) { s.store.Outage(duration) }}
+	return fault{at, "store outage", func(s *scenario) { s.store.Outage(duration) }}
 }
 
-// crashController crashes a controller and restarts it after the duration.
+// crashController crashes a controller, unless it is down, and restarts it after the duration.
 func crashController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
-	return fault{at, "crash", func(s *scenario) {
+	return fault{at, "controller crash", func(s *scenario) {
 		node := of(s)
 		if s.nodes[node].controller == nil {
 			return
@@ -60,7 +61,7 @@
 
 // crashAllControllers crashes all controllers at once and restarts them after the duration.
 func crashAllControllers(at, duration monotime.Micros) fault {
-	return fault{at, "all crash", func(s *scenario) {
+	return fault{at, "all controllers crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
 			s.restart(node, duration)
 		}
@@ -69,7 +70,7 @@
 
 // peerPartition cuts a controller off from its peers.
 func peerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
-	return fault{at, "cut from peers", func(s *scenario) {
+	return fault{at, "controller cut off from peers", func(s *scenario) {
 		node := of(s)
 		for _, other := range s.nodeNames {
 			s.disconnectedPairs[node+"-"+other] = true
@@ -85,19 +86,19 @@
 // storeAndPeerPartition cuts a controller off from the state service and its peers, but neither from
 // its workers nor from its users.
 func storeAndPeerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
-	return fault{at, "cut from state and peers", func(s *scenario) {
+	return fault{at, "controller cut off from store and peers", func(s *scenario) {
 		node := of(s)
 		storeRejectsController(0, func(*scenario) string { return node }, duration).inject(s)
 		peerPartition(0, func(*scenario) string { return node }, duration).inject(s)
 	}}
 }
 
-// processPause suspends a controller's process while its clocks run on.
+// processPause suspends a controller's process while its clocks keep running.
 func processPause(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "process paused", func(s *scenario) { s.cluster.pause(of(s), duration) }}
 }
 
-// pickMachines picks up to n machines that are up, at random.
+// pickMachines picks up to n random machines that are up.
 func (s *scenario) pickMachines(n int) []*fake.Worker {
 	var up []*fake.Worker
 	for _, id := range sortedmap.Keys(s.fleet.Workers) {
@@ -109,7 +110,7 @@
 	return up[:min(n, len(up))]
 }
 
-// machinesHang suspends machines, which resume afterwards.
+// machinesHang suspends up to n random machines, which resume after the duration.
 func machinesHang(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines hang", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
@@ -118,7 +119,7 @@
 	}}
 }
 
-// machinesPartitioned cuts machines off from all controllers.
+// machinesPartitioned cuts off up to n random machines from all controllers.
 func machinesPartitioned(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines are cut off", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
@@ -128,7 +129,7 @@
 	}}
 }
 
-// machinesUnreachable lets heartbeats of machines through, but no command reaches them.
+// machinesUnreachable blocks commands and replies to up to n random machines, whose heartbeats still arrive.
 func machinesUnreachable(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "machines unreachable", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
@@ -138,7 +139,7 @@
 	}}
 }
 
-// machinesMuted lets commands reach machines, but loses their heartbeats.
+// machinesMuted drops the heartbeats of up to n random machines, which commands still reach.
 func machinesMuted(at monotime.Micros, n int, duration monotime.Micros) fault {
 	return fault{at, "heartbeats lost", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
@@ -148,9 +149,9 @@
 	}}
 }
 
-// delayedCommits has a fraction of the commits get no answer and take effect late.
+// delayedCommits delays a fraction of the commits by 2 to 12 s. A delayed commit gets no answer.
 func delayedCommits(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
-	return fault{at, "late writes", func(s *scenario) {
+	return fault{at, "delayed commits", func(s *scenario) {
 		s.store.DelayCommit = func(*protocol.Transaction) monotime.Micros {
 			if s.sim.Rand.Float64() < fraction {
 				return 2*second + s.randomDuration(10*second)
@@ -161,8 +162,8 @@
 	}}
 }
 
-// changesQuotaShares tells whether a commit changes, or drops, a controller's quota shares and
-// nothing else.
+// changesQuotaShares reports whether a transaction only puts a controller's quota shares or, if drops is
+// true, only deletes them.
 func changesQuotaShares(txn *protocol.Transaction, drops bool) bool {
 	if len(txn.Then) != 1 || (txn.Then[0].Delete != "") != drops {
 		return false
@@ -171,10 +172,10 @@
 	return kind == storage.KindPartition
 }
 
-// delayedQuotaWrites has every second change of quota shares, by itself, get no answer and be
-// committed late.
+// delayedQuotaWrites delays random commits that only put quota shares, on average every second one, by 3 to
+// 12 s. A delayed commit gets no answer.
 func delayedQuotaWrites(at, duration monotime.Micros) fault {
-	return fault{at, "late quota shares", func(s *scenario) {
+	return fault{at, "delayed quota share writes", func(s *scenario) {
 		s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 			if changesQuotaShares(txn, false) && s.sim.Rand.IntN(2) == 0 {
 				return 3*second + s.randomDuration(9*second)
@@ -185,17 +186,17 @@
 	}}
 }
 
-// lostCommitAnswers has a fraction of the commits take effect at once, their answers lost.
+// lostCommitAnswers loses the answers to a fraction of the commits, which take effect at once.
 func lostCommitAnswers(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
-	return fault{at, "lost answers", func(s *scenario) {
+	return fault{at, "lost commit answers", func(s *scenario) {
 		s.store.LoseResponse = func(*protocol.Transaction) bool { return s.sim.Rand.Float64() < fraction }
 		s.sim.After(duration, func() { s.store.LoseResponse = nil })
 	}}
 }
 
-// delayedCommands delays a fraction of the direct commands.
+// delayedCommands delays a fraction of the direct commands by 2 to 16 s.
 func delayedCommands(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
-	return fault{at, "late commands", func(s *scenario) {
+	return fault{at, "delayed commands", func(s *scenario) {
 		s.commandDelay = func(_ *fake.Worker, request *protocol.CommandRequest) monotime.Micros {
 			if request != nil && s.sim.Rand.Float64() < fraction {
 				return 2*second + s.randomDuration(14*second)
@@ -206,9 +207,9 @@
 	}}
 }
 
-// duplicateReports delivers copies of a fraction of the heartbeats again, later, to every controller.
+// duplicateReports delivers duplicates of a fraction of the heartbeats to every controller, 2 to 27 s later.
 func duplicateReports(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
-	return fault{at, "late reports", func(s *scenario) {
+	return fault{at, "late duplicate heartbeats", func(s *scenario) {
 		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
 			if s.sim.Rand.Float64() < fraction {
 				s.sim.After(2*second+s.randomDuration(25*second), func() { s.deliverDuplicateReport(body) })
@@ -218,10 +219,10 @@
 	}}
 }
 
-// duplicateReportsToNextLeader keeps copies of a fraction of the heartbeats until another controller
-// leads, and then delivers them to every controller.
+// duplicateReportsToNextLeader keeps duplicates of a fraction of the heartbeats until another controller
+// leads, or for the duration at most, and then delivers them to every controller.
 func duplicateReportsToNextLeader(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
-	return fault{at, "reports for the next leader", func(s *scenario) {
+	return fault{at, "duplicate heartbeats to the next leader", func(s *scenario) {
 		var kept [][]byte
 		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
 			if s.sim.Rand.Float64() < fraction {
@@ -238,7 +239,8 @@
 	}}
 }
 
-// cancelRunningJobs has the users of n running jobs cancel them; with hangFor a machine of each hangs.
+// cancelRunningJobs makes the users of n running jobs cancel them. If hangFor is positive, one machine of
+// each job hangs for that time.
 func cancelRunningJobs(at monotime.Micros, n int, hangFor monotime.Micros) fault {
 	return fault{at, "cancellations", func(s *scenario) {
 		left := n
@@ -254,7 +256,8 @@
 	}}
 }
 
-// cancelTeamJobs has users of a team cancel n running jobs; with hangFor all their machines hang.
+// cancelTeamJobs makes users of a team cancel n running jobs. If hangFor is positive, all machines of these
+// jobs hang for that time.
 func cancelTeamJobs(at monotime.Micros, team string, n int, hangFor monotime.Micros) fault {
 	return fault{at, "cancellations of " + team, func(s *scenario) {
 		left := n
@@ -273,7 +276,7 @@
 	}}
 }
 
-// machinesOf lists the machines that hold tasks of a job.
+// machinesOf lists the machines that have tasks of a job.
 func (s *scenario) machinesOf(job string) []*fake.Worker {
 	var out []*fake.Worker
 	for _, id := range sortedmap.Keys(s.fleet.Workers) {
@@ -289,6 +292,7 @@
 	return out
 }
 
+// hangMachineOf suspends the first machine of a job that is not suspended yet.
 func (s *scenario) hangMachineOf(job string, duration monotime.Micros) {
 	for _, worker := range s.machinesOf(job) {
 		if !worker.Paused {
@@ -298,17 +302,17 @@
 	}
 }
 
-// slowStoreReplies has the state service answer late, within the time that callers wait.
+// slowStoreReplies makes the state service answer late, within the time that callers wait.
 func slowStoreReplies(at monotime.Micros, most, duration monotime.Micros) fault {
-	return fault{at, "slow store", func(s *scenario) {
+	return fault{at, "slow store replies", func(s *scenario) {
 		s.store.DelayResponse = func() monotime.Micros { return s.randomDuration(most) }
 		s.sim.After(duration, func() { s.store.DelayResponse = nil })
 	}}
 }
 
-// zonePartition keeps the zones from reaching each other; each has controllers and workers.
+// zonePartition cuts off the zones from each other. Each zone has controllers and workers.
 func zonePartition(at, duration monotime.Micros) fault {
-	return fault{at, "zones cut", func(s *scenario) {
+	return fault{at, "zones partitioned", func(s *scenario) {
 		s.zonesPartitioned = true
 		s.sim.After(duration, func() {
 			s.zonesPartitioned = false
@@ -317,16 +321,16 @@
 	}}
 }
 
-// machinesVanish takes some machines away without notice.
+// machinesVanish removes up to n random machines without notice.
 func machinesVanish(at monotime.Micros, n int) fault {
-	return fault{at, "machines die", func(s *scenario) {
+	return fault{at, "machines vanish", func(s *scenario) {
 		for _, worker := range s.pickMachines(n) {
 			s.cloud.RemoveMachine(worker.Machine.ID)
 		}
 	}}
 }
 
-// submitAtRate has a job submitted at every interval for the duration.
+// submitAtRate calls submit at every interval for the duration.
 func submitAtRate(at monotime.Micros, interval, duration monotime.Micros, submit func(s *scenario)) fault {
 	return fault{at, "submissions", func(s *scenario) {
 		var next func(left monotime.Micros)
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -11,29 +11,29 @@
 	"pipitgap/internal/storage"
 )
 
-// sizeCosts is what a course at some size has cost.
+// sizeCosts holds the costs of a simulation with one fleet size.
 type sizeCosts struct {
 	machines, finished                                          int
-	commands, changes, requests                                 int
+	commands, changes, requests                                 int // changes and requests of the state service
 	machinesExamined, tasksPlaced                               int
-	largestValueBytes, largestReplyBytes, largestHeartbeatBytes int // the largest, bytes
+	largestValueBytes, largestReplyBytes, largestHeartbeatBytes int
 	shards, leasesEnded                                         int
-	running, services, unanswered                               int
+	running, services, unanswered                               int // unanswered: see unknownJobs
 }
 
-// perMachine are the counts that must not grow faster than the fleet.
+// perMachine returns, per machine, the counts that must not grow faster than the fleet.
 func (s *sizeCosts) perMachine() map[string]float64 {
 	n := float64(s.machines)
 	return map[string]float64{
-		"changes a machine":  float64(s.changes) / n,
-		"requests a machine": float64(s.requests) / n,
-		"shards a machine":   float64(s.shards) / n,
+		"changes per machine":  float64(s.changes) / n,
+		"requests per machine": float64(s.requests) / n,
+		"shards per machine":   float64(s.shards) / n,
 	}
 }
 
-// newClusterOfSize is a fleet of so many machines on a platform of that size: the state service, the
-// cloud and the controllers' sockets grow with it, the size of a value, a commit and a
-// message don't.
+// newClusterOfSize makes a cluster for a number of machines on a platform of that size. The limits of the
+// state service, the cloud and the controllers' sockets grow with the number, the maximum sizes of a value, a
+// commit and a message do not.
 func newClusterOfSize(t testing.TB, machines int) *cluster {
 	c := newLargeFleetCluster(t, uint64(machines))
 	scale := float64(machines) / 1000
@@ -58,7 +58,7 @@
 	return c
 }
 
-// submitLongArrays submits long arrays of as many CPUs as the machines have.
+// submitLongArrays submits long arrays that need, in total, all CPUs of the machines.
 func (c *cluster) submitLongArrays(machines int) {
 	for i := range machines / 10 {
 		c.submitWithRetry(
@@ -74,8 +74,8 @@
 	}
 }
 
-// measureSize simulates an opening load, a crash of a controller, an outage of the state service and a
-// restart of all controllers with so many machines.
+// measureSize simulates a fleet with a number of machines under an opening load, a crash of the leader, an
+// outage of the state service and a restart of all controllers.
 func measureSize(t *testing.T, machines int) *sizeCosts {
 	c := newClusterOfSize(t, machines)
 	got := &sizeCosts{}
@@ -131,7 +131,7 @@
 	return got
 }
 
-// unknownJobs counts jobs of which a controller picked at random doesn't know.
+// unknownJobs asks random controllers about one job in 20 and counts the jobs that they do not know.
 func (c *cluster) unknownJobs() int {
 	unknown := 0
 	for i, id := range sortedmap.Keys(c.fleet.Jobs) {
@@ -146,10 +146,10 @@
 	return unknown
 }
 
-// TestCostsPerMachineDoNotGrowWithFleet: what a machine costs in changes, requests and shards doesn't grow
-// with the fleet, nor does what a task costs in commands and machines looked at, and no message or value
-// does, up to 4,200 machines. With 4,200 a task had 270 machines looked at, when samples of full machines
-// were followed by a look at all of them, for each task.
+// TestCostsPerMachineDoNotGrowWithFleet checks, for up to 4,200 machines, that the changes, requests and
+// shards per machine do not grow with the fleet. Neither may the commands and the examined machines per task,
+// or the size of any message or value. Earlier, the scheduler searched all machines, for each task, after it
+// had found only full machines in a sample. With 4,200 machines, it then examined 270 machines per task.
 func TestCostsPerMachineDoNotGrowWithFleet(t *testing.T) {
 	sizes := []int{500, 1000, 2000, 4200}
 	var base map[string]float64
@@ -158,11 +158,11 @@
 			got := measureSize(t, machines)
 			t.Logf("%+v", *got)
 			if got.machines < machines*8/10 {
-				t.Errorf("only %d machines", got.machines)
+				t.Errorf("got %d machines, want at least %d", got.machines, machines*8/10)
 			}
 			if got.running < got.services*95/100 || got.unanswered > 0 {
 				t.Errorf(
-					"%d of %d services run, %d jobs are unknown",
+					"got %d of %d services running and %d unknown jobs, want at least 95%% and 0",
 					got.running,
 					got.services,
 					got.unanswered,
@@ -171,19 +171,22 @@
 			if got.largestValueBytes > 4096 || got.largestHeartbeatBytes > 64<<10 ||
 				got.largestReplyBytes > 64<<10 {
 				t.Errorf(
-					"largest value %d, report %d, response %d bytes",
+					"largest value, heartbeat and response: got %d, %d and %d bytes, want at most 4096, 65536, 65536",
 					got.largestValueBytes,
 					got.largestHeartbeatBytes,
 					got.largestReplyBytes,
 				)
 			}
 			if got.machinesExamined > 100*got.tasksPlaced {
-				t.Errorf("%d machines looked at for %d tasks", got.machinesExamined, got.tasksPlaced)
+				t.Errorf("got %d machines examined for %d placed tasks, want at most 100 per task",
+					got.machinesExamined, got.tasksPlaced)
 			}
-			// A task costs a command with others at best, one to itself and one when it has
-			// ended at worst: 0.75 of them in batches of a small fleet, 1.2 of a large one.
+			// At best, a task shares a command with other tasks. At worst, it needs a command to itself and
+			// another one when it has ended. A task costs 0.75 commands in the batches of a small fleet, and
+			// 1.2 in those of a large one.
 			if 2*got.commands > 3*got.tasksPlaced {
-				t.Errorf("%d commands for %d tasks", got.commands, got.tasksPlaced)
+				t.Errorf("got %d commands for %d placed tasks, want at most 1.5 per task",
+					got.commands, got.tasksPlaced)
 			}
 			per := got.perMachine()
 			if base == nil {
@@ -191,7 +194,8 @@
 			}
 			for _, what := range sortedmap.Keys(per) {
 				if per[what] > 1.5*base[what] {
-					t.Errorf("%s: %.1f, %.1f at %d machines", what, per[what], base[what], sizes[0])
+					t.Errorf("%s: got %.1f, want at most 1.5 times the %.1f with %d machines",
+						what, per[what], base[what], sizes[0])
 				}
 			}
 		})
