--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -15,23 +15,23 @@
 // task again after the task has completed and been reaped.
 func TestLateRunAfterReapStartsNothing(t *testing.T) {
 	c := newCluster(t, 7).startWithLeader()
-	var late []func()
+	var lateBatches []func()
 	c.commandDelay = func(worker *fake.Worker, req *protocol.CommandRequest) monotime.Micros {
 		if req == nil {
 			return 0
 		}
-		copied := *req
-		late = append(late, func() { worker.Execute(&copied) })
+		batch := *req
+		lateBatches = append(lateBatches, func() { worker.Execute(&batch) })
 		return 0
 	}
 	id := c.submit(2*second, withTasks(6))
 	c.requireFinished(id, 60*second)
 	c.sim.Run(5 * second)
-	if len(late) == 0 {
+	if len(lateBatches) == 0 {
 		t.Fatal("got no direct command, want at least 1")
 	}
-	for _, f := range late {
-		f()
+	for _, deliver := range lateBatches {
+		deliver()
 	}
 	c.sim.Run(second)
 	for task, n := range c.fleet.Starts {
@@ -42,23 +42,23 @@
 	c.requireNoViolations()
 }
 
-// TestOlderReportProvesNothing checks that controllers ignore a heartbeat with a lower sequence number than
+// TestStaleHeartbeatIsIgnored checks that controllers ignore a heartbeat with a lower sequence number than
 // one that they have applied. The heartbeat reports a running task as exited, which must not start it again.
-func TestOlderReportProvesNothing(t *testing.T) {
+func TestStaleHeartbeatIsIgnored(t *testing.T) {
 	c := newCluster(t, 10).startWithLeader()
 	id := c.submit(0, withService(true))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 1 }) {
 		t.Fatalf("service: got %d running tasks after 60 s, want 1", c.fleet.Running(id))
 	}
 	c.sim.Run(5 * second)
-	for _, wid := range sortedmap.Keys(c.fleet.Workers) {
-		worker := c.fleet.Workers[wid]
+	for _, machineID := range sortedmap.Keys(c.fleet.Workers) {
+		worker := c.fleet.Workers[machineID]
 		if len(worker.Attempts) == 0 {
 			continue
 		}
-		old := *worker.Heartbeat()
-		old.Sequence = 1
-		old.Tasks = []protocol.TaskStatus{
+		stale := *worker.Heartbeat()
+		stale.Sequence = 1
+		stale.Tasks = []protocol.TaskStatus{
 			{
 				Task:    id + "/0",
 				Attempt: worker.Attempts[id+"/0"].Number,
@@ -67,9 +67,9 @@
 			},
 		}
 		for _, node := range c.nodeNames {
-			if machine := c.nodes[node].controller.mirror.Machines[wid]; machine != nil &&
+			if machine := c.nodes[node].controller.mirror.Machines[machineID]; machine != nil &&
 				c.nodes[node].controller.agents.Of(machine) != nil {
-				c.requestAndWait(node, "POST", protocol.HeartbeatPath, protocol.MustMarshal(&old))
+				c.requestAndWait(node, "POST", protocol.HeartbeatPath, protocol.MustMarshal(&stale))
 			}
 		}
 	}
@@ -85,20 +85,20 @@
 // cancels a job. The controller must not keep the job's tasks alive. In an outage of the state service that
 // affects all controllers, it must keep them.
 func TestControllerCutOffWithWorkersStopsCancelledTasks(t *testing.T) {
-	for _, cloudToo := range []bool{false, true} {
+	for _, cloudUnavailable := range []bool{false, true} {
 		c := newCluster(t, 20).startWithLeader()
 		id := c.submit(0, withService(true), withTasks(4))
 		if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 4 }) {
 			t.Fatalf("service: got %d running tasks after 60 s, want 4", c.fleet.Running(id))
 		}
 		// First, all workers move to n-0. Then n-0 is cut off together with them.
-		for _, w := range sortedmap.Keys(c.fleet.Workers) {
-			c.disconnectedPairs[w+"-n-1"], c.disconnectedPairs[w+"-n-2"] = true, true
+		for _, machineID := range sortedmap.Keys(c.fleet.Workers) {
+			c.disconnectedPairs[machineID+"-n-1"], c.disconnectedPairs[machineID+"-n-2"] = true, true
 		}
 		c.sim.Run(12 * second)
 		c.disconnectedPairs["n-0-n-1"], c.disconnectedPairs["n-0-n-2"] = true, true
 		c.store.RefusedCallers["n-0"] = true
-		c.cloud.Unavailable = cloudToo
+		c.cloud.Unavailable = cloudUnavailable
 		c.sim.Run(second)
 		if response := c.requestAndWait("n-1", "POST", protocol.CancelPath(id), nil); response.Status != 200 {
 			t.Fatalf("cancellation of %s: got status %d, want 200", id, response.Status)
@@ -106,7 +106,7 @@
 		c.checker.CancellationConfirmed(id)
 		c.sim.Run(33 * second)
 		if n := c.fleet.Running(id); n > 0 {
-			t.Errorf("cloud unavailable %v: got %d running tasks, want 0", cloudToo, n)
+			t.Errorf("cloud unavailable %v: got %d running tasks, want 0", cloudUnavailable, n)
 		}
 		c.requireNoViolations()
 	}
@@ -116,16 +116,16 @@
 		t.Fatalf("service: got %d running tasks after 60 s, want 4", c.fleet.Running(id))
 	}
 	c.sim.Run(5 * second)
-	starts := len(c.fleet.Starts)
+	startedTasks := len(c.fleet.Starts)
 	c.store.Outage(60 * second)
 	c.sim.Run(75 * second)
-	total := 0
+	totalStarts := 0
 	for _, n := range c.fleet.Starts {
-		total += n
+		totalStarts += n
 	}
-	if c.fleet.Running(id) != 4 || total != starts {
+	if c.fleet.Running(id) != 4 || totalStarts != startedTasks {
 		t.Errorf("after an outage: got %d running tasks and %d starts, want 4 and %d",
-			c.fleet.Running(id), total, starts)
+			c.fleet.Running(id), totalStarts, startedTasks)
 	}
 }
 
@@ -133,13 +133,13 @@
 // never causes a claim or a commit, and never brings back a deleted machine, whenever it arrives and at
 // whichever controller.
 func TestDuplicateReportsHaveNoEffect(t *testing.T) {
-	type copied struct {
+	type sentHeartbeat struct {
 		node string
 		body []byte
 	}
 	cases := []struct {
-		name string
-		do   func(c *cluster, id string, worker *fake.Worker) // runs between the heartbeat and its duplicate
+		name      string
+		intervene func(c *cluster, id string, worker *fake.Worker) // runs between the heartbeat and its duplicate
 	}{
 		{"within the same incarnation", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(6 * second) }},
 		{"more than three leases later", func(c *cluster, _ string, _ *fake.Worker) { c.sim.Run(40 * second) }},
@@ -175,59 +175,59 @@
 			c := newCluster(t, uint64(700+i))
 			c.settings.ScaleDownDelay = 0
 			c.startWithLeader()
-			var copies []copied
+			var duplicates []sentHeartbeat
 			c.onReport = func(_ *fake.Worker, node string, body []byte) {
-				copies = append(copies, copied{node, body})
+				duplicates = append(duplicates, sentHeartbeat{node, body})
 			}
-			run := monotime.Micros(0)
+			runTime := monotime.Micros(0)
 			if tc.name == "after the machine was deleted" {
-				run = 3 * second
+				runTime = 3 * second
 			}
-			id := c.submit(run, withService(run == 0))
+			id := c.submit(runTime, withService(runTime == 0))
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 1 }) {
 				t.Fatalf("got %d running tasks after 60 s, want 1", c.fleet.Running(id))
 			}
 			c.sim.Run(2 * second)
 			machine := ""
-			for _, wid := range sortedmap.Keys(c.fleet.Workers) {
-				if len(c.fleet.Workers[wid].Attempts) > 0 {
-					machine = wid
+			for _, machineID := range sortedmap.Keys(c.fleet.Workers) {
+				if len(c.fleet.Workers[machineID].Attempts) > 0 {
+					machine = machineID
 				}
 			}
-			tc.do(c, machine, c.fleet.Workers[machine])
+			tc.intervene(c, machine, c.fleet.Workers[machine])
 			c.onReport = nil
 			c.sim.Run(10 * monotime.Millisecond)
 			state := func() string {
-				s := ""
+				out := ""
 				for _, node := range c.nodeNames {
-					core := c.nodes[node].controller
-					if m := core.mirror.Machines[machine]; m == nil {
-						s += node + " does not know the machine; "
-					} else if core.agents.Of(m) != nil {
-						s += fmt.Sprintf(
+					controller := c.nodes[node].controller
+					if m := controller.mirror.Machines[machine]; m == nil {
+						out += node + " does not know the machine; "
+					} else if controller.agents.Of(m) != nil {
+						out += fmt.Sprintf(
 							"%s owns it, claim %d, last reached at %d, last answered at %d, schedulable %v; ",
 							node,
 							m.Claim(),
-							core.agents.Of(m).LastReachedAt(),
-							core.agents.Of(m).LastAnsweredAt(),
-							core.scheduler.Schedulable(m, c.sim.Now()),
+							controller.agents.Of(m).LastReachedAt(),
+							controller.agents.Of(m).LastAnsweredAt(),
+							controller.scheduler.Schedulable(m, c.sim.Now()),
 						)
 					}
 				}
-				return s
+				return out
 			}
 			countChanges := func() int {
-				changes := c.store.ChangesByKind
-				return changes["+"+string(storage.KindShard)] + changes["+"+string(storage.KindScaleOut)]
+				byKind := c.store.ChangesByKind
+				return byKind["+"+string(storage.KindShard)] + byKind["+"+string(storage.KindScaleOut)]
 			}
-			before, changes := state(), countChanges()
+			stateBefore, changesBefore := state(), countChanges()
 			answered := 0
-			for _, r := range copies {
+			for _, duplicate := range duplicates {
 				var report protocol.Heartbeat
-				if protocol.Unmarshal(r.body, &report) != nil || report.Machine != machine {
+				if protocol.Unmarshal(duplicate.body, &report) != nil || report.Machine != machine {
 					continue
 				}
-				c.sendRequest(r.node, "POST", protocol.HeartbeatPath, r.body, func(response Response) {
+				c.sendRequest(duplicate.node, "POST", protocol.HeartbeatPath, duplicate.body, func(response Response) {
 					if response.Status == 200 {
 						answered++
 					}
@@ -238,25 +238,25 @@
 			if answered > 0 && tc.name != "after the owner restarted" {
 				t.Errorf("got %d answered duplicates, want 0", answered)
 			}
-			if after := state(); after != before && tc.name != "after the owner restarted" {
-				t.Errorf("controllers' state after the duplicates:\nwant: %s\ngot:  %s", before, after)
+			if stateAfter := state(); stateAfter != stateBefore && tc.name != "after the owner restarted" {
+				t.Errorf("controllers' state after the duplicates:\nwant: %s\ngot:  %s", stateBefore, stateAfter)
 			}
 			if tc.name == "after the owner restarted" {
 				for _, node := range c.nodeNames {
-					core := c.nodes[node].controller
-					m := core.mirror.Machines[machine]
-					if m == nil || core.agents.Of(m) == nil {
+					controller := c.nodes[node].controller
+					m := controller.mirror.Machines[machine]
+					if m == nil || controller.agents.Of(m) == nil {
 						continue
 					}
-					if core.agents.Of(m).ClaimAcknowledged() || core.scheduler.Schedulable(m, c.sim.Now()) {
+					if controller.agents.Of(m).ClaimAcknowledged() || controller.scheduler.Schedulable(m, c.sim.Now()) {
 						t.Errorf("%s: got machine %s acknowledged or schedulable, want neither", node, machine)
 					}
 				}
 			}
 			if tc.name == "after the machine was deleted" {
 				c.sim.Run(3 * second)
-				if n := countChanges(); n != changes {
-					t.Errorf("got %d changes of shards and scale-outs after the duplicates, want 0", n-changes)
+				if n := countChanges(); n != changesBefore {
+					t.Errorf("got %d changes of shards and scale-outs after the duplicates, want 0", n-changesBefore)
 				}
 			}
 			c.requireNoViolations()
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -24,26 +24,26 @@
 	c.t.Helper()
 	c.teams = []config.Team{{Name: "home", CPUs: 100, CPUsMax: 400}, {Name: "guest"}}
 	clear(c.cloud.Capacity)
-	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = 10
-		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = 10
+	for _, zone := range []string{"a", "b"} {
+		c.cloud.Capacity[fake.OfferKey("m16", zone, false)] = 10
+		c.cloud.Capacity[fake.OfferKey("m16", zone, true)] = 10
 	}
 	c.startWithLeader()
-	keep := c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(60),
+	service := c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(60),
 		withCPUs(3))
-	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(keep) == 60 }) {
-		c.t.Fatalf("service: got %d running replicas after 60 s, want 60", c.fleet.Running(keep))
+	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 60 }) {
+		c.t.Fatalf("service: got %d running replicas after 60 s, want 60", c.fleet.Running(service))
 	}
 	return c
 }
 
-// TestBurstLeavesOthersUnharmed guards against a burst of tiny jobs that delays other teams. One team submits
-// tiny jobs several times as fast as the state service can store them. Submissions of the other team must
-// not wait long, and its services must start once a machine is up. Submissions of the burst that are rejected
-// must be rejected at once, with a time to retry, and at least a hundred of its jobs must be accepted. Before
-// the calls for such a burst had their own priority class, the tiny jobs took most of the changes, and
-// machines that were up stayed unclaimed for seconds.
-func TestBurstLeavesOthersUnharmed(t *testing.T) {
+// TestBurstDoesNotDelayOtherTeams guards against a burst of tiny jobs that delays other teams. One team
+// submits tiny jobs several times as fast as the state service can store them. Submissions of the other team
+// must not wait long, and its services must start once a machine is up. Submissions of the burst that are
+// rejected must be rejected at once, with a time to retry, and at least a hundred of its jobs must be
+// accepted. Before the calls for such a burst had their own priority class, the tiny jobs took most of the
+// changes, and machines that were up stayed unclaimed for seconds.
+func TestBurstDoesNotDelayOtherTeams(t *testing.T) {
 	for seed := uint64(2000); seed < 2004; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runBurst(t, seed) })
 	}
@@ -51,26 +51,26 @@
 
 func runBurst(t *testing.T, seed uint64) {
 	c := newBurstCluster(t, seed, nil)
-	changes := c.store.Changes
+	changesBefore := c.store.Changes
 	accepted := map[string]monotime.Micros{}
 	c.onAccepted = func(id string) { accepted[id] = c.sim.Now() }
 	sentAt := map[string]monotime.Micros{}
 	var smallJobs, services []string
-	rejected, lateOrNoRetry, started := 0, 0, 0
+	rejected, lateOrWithoutRetry, runningServices := 0, 0, 0
 	// By machine: how long it has been up. The longest time that any machine has been up without a claim.
-	unclaimed, longest := map[string]monotime.Micros{}, monotime.Micros(0)
-	var look func()
-	look = func() {
+	upTime, longestUnclaimed := map[string]monotime.Micros{}, monotime.Micros(0)
+	var checkClaims func()
+	checkClaims = func() {
 		for id, worker := range c.fleet.Workers {
-			if unclaimed[id] += 250 * monotime.Millisecond; worker.FencingToken == 0 && !worker.Machine.Gone {
-				longest = max(longest, unclaimed[id])
+			if upTime[id] += 250 * monotime.Millisecond; worker.FencingToken == 0 && !worker.Machine.Gone {
+				longestUnclaimed = max(longestUnclaimed, upTime[id])
 			}
 		}
-		c.sim.After(250*monotime.Millisecond, look)
+		c.sim.After(250*monotime.Millisecond, checkClaims)
 	}
-	look()
-	const seconds = 40
-	for s := 0; s < seconds; s++ {
+	checkClaims()
+	const burstSeconds = 40
+	for s := 0; s < burstSeconds; s++ {
 		for i := 0; i < 30; i++ {
 			id := c.submitWithRetry(
 				2*second,
@@ -91,97 +91,97 @@
 			withCPUs(1),
 		)
 		services, sentAt[id] = append(services, id), c.sim.Now()
-		_, j := c.newSubmission(withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25))
+		_, submission := c.newSubmission(withTeam("guest"), withPriority(protocol.BestEffort), withCPUs(0.25))
 		startedAt := c.sim.Now()
 		c.sendRequest(
 			c.nodeNames[s%3],
 			"POST",
 			protocol.JobsPath,
-			protocol.MustMarshal(j),
+			protocol.MustMarshal(submission),
 			func(response Response) {
 				if response.Status == 429 {
 					rejected++
 					if response.RetryAfter == 0 || c.sim.Now() != startedAt {
-						lateOrNoRetry++
+						lateOrWithoutRetry++
 					}
 				}
 			},
 		)
-		c.sim.After(c.cloud.BootTime+8*second, func() { started += c.fleet.Running(id) })
+		c.sim.After(c.cloud.BootTime+8*second, func() { runningServices += c.fleet.Running(id) })
 		c.sim.Run(second)
 	}
 	c.sim.Run(c.cloud.BootTime + 8*second)
-	late := 0
+	lateServices := 0
 	for _, id := range services {
 		if at, ok := accepted[id]; !ok || at-sentAt[id] > 1500*monotime.Millisecond {
-			late++
+			lateServices++
 		}
 	}
-	served := 0
+	acceptedSmallJobs := 0
 	for _, id := range smallJobs {
 		if accepted[id] > 0 {
-			served++
+			acceptedSmallJobs++
 		}
 	}
 	t.Logf(
 		"%d services: %d accepted late, %d running; %d small jobs: %d accepted; %d submissions rejected; "+
 			"%d changes; longest wait of a machine for its claim %v s",
 		len(services),
-		late,
-		started,
+		lateServices,
+		runningServices,
 		len(smallJobs),
-		served,
+		acceptedSmallJobs,
 		rejected,
-		c.store.Changes-changes,
-		longest.Seconds(),
+		c.store.Changes-changesBefore,
+		longestUnclaimed.Seconds(),
 	)
-	if longest > 5*second {
-		t.Errorf("longest wait of a machine for its claim: got %v s, want at most 5 s", longest.Seconds())
+	if longestUnclaimed > 5*second {
+		t.Errorf("longest wait of a machine for its claim: got %v s, want at most 5 s", longestUnclaimed.Seconds())
 	}
-	if late > len(services)/10 || started < len(services)*9/10 {
+	if lateServices > len(services)/10 || runningServices < len(services)*9/10 {
 		t.Errorf("%d services: got %d accepted late and %d running, want at most %d and at least %d",
-			len(services), late, started, len(services)/10, len(services)*9/10)
+			len(services), lateServices, runningServices, len(services)/10, len(services)*9/10)
 	}
-	if served < 100 {
-		t.Errorf("got %d small jobs accepted, want at least 100", served)
+	if acceptedSmallJobs < 100 {
+		t.Errorf("got %d small jobs accepted, want at least 100", acceptedSmallJobs)
 	}
-	if rejected == 0 || lateOrNoRetry > 0 {
+	if rejected == 0 || lateOrWithoutRetry > 0 {
 		t.Errorf("got %d submissions rejected, %d late or without a time to retry, want at least 1 and 0",
-			rejected, lateOrNoRetry)
+			rejected, lateOrWithoutRetry)
 	}
-	if n := c.store.Changes - changes; n > (seconds+int(c.cloud.BootTime/second)+9)*50 {
+	if n := c.store.Changes - changesBefore; n > (burstSeconds+int(c.cloud.BootTime/second)+9)*50 {
 		t.Errorf("got %d changes, want at most 50 a second", n)
 	}
 	c.requireNoViolations()
 }
 
-// TestHugeArrayLeavesServicesUnharmed checks that an array of 25,000 tasks, which each use a quarter of a CPU
+// TestHugeArrayDoesNotDelayServices checks that an array of 25,000 tasks, which each use a quarter of a CPU
 // for 4 s, does not delay another team's services. It also bounds the changes per task and the size of the
 // largest value, heartbeat and response.
-func TestHugeArrayLeavesServicesUnharmed(t *testing.T) {
+func TestHugeArrayDoesNotDelayServices(t *testing.T) {
 	for _, tc := range []struct {
-		name        string
-		kb          float64
-		done, waits int
+		name                string
+		valueKB             float64
+		minDone, maxWaiting int
 	}{
 		{"4 KiB a value", 4, 8000, 4},
 		{"1 KiB a value: shards are short of bytes", 1, 4000, 4},
 	} {
-		t.Run(tc.name, func(t *testing.T) { runHugeArray(t, tc.kb, tc.done, tc.waits) })
+		t.Run(tc.name, func(t *testing.T) { runHugeArray(t, tc.valueKB, tc.minDone, tc.maxWaiting) })
 	}
 }
 
-func runHugeArray(t *testing.T, kb float64, least, most int) {
-	c := newBurstCluster(t, 2100, func(cfg *config.Config) { cfg.Facts.State.ValueKB = kb })
-	largest := 0
-	c.onReport = func(_ *fake.Worker, _ string, body []byte) { largest = max(largest, len(body)) }
-	sweep := c.submit(4*second, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(25000),
+func runHugeArray(t *testing.T, valueKB float64, minDone, maxWaiting int) {
+	c := newBurstCluster(t, 2100, func(cfg *config.Config) { cfg.Facts.State.ValueKB = valueKB })
+	largestHeartbeat := 0
+	c.onReport = func(_ *fake.Worker, _ string, body []byte) { largestHeartbeat = max(largestHeartbeat, len(body)) }
+	array := c.submit(4*second, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(25000),
 		withCPUs(0.25), withMemoryGB(0.45), withSpot(true), withEstimateS(4))
 	changes, requests := c.store.Changes, 0
 	for _, n := range c.store.Calls {
 		requests -= n
 	}
-	value, waits := 0, 0
+	largestValue, waitingServices := 0, 0
 	for s := 0; s < 100; s++ {
 		if s%5 == 0 {
 			id := c.submitWithRetry(
@@ -193,13 +193,13 @@
 			)
 			c.sim.After(4*second, func() {
 				if c.fleet.Running(id) == 0 {
-					waits++
+					waitingServices++
 				}
 			})
 		}
 		c.sim.Run(second)
-		for _, k := range c.store.Keys(storage.KeyPrefix) {
-			value = max(value, c.store.JSONSize(k))
+		for _, key := range c.store.Keys(storage.KeyPrefix) {
+			largestValue = max(largestValue, c.store.JSONSize(key))
 		}
 	}
 	for _, n := range c.store.Calls {
@@ -207,7 +207,7 @@
 	}
 	done := 0
 	for task := range c.fleet.Finished {
-		if jobIDOfTask(task) == sweep {
+		if jobIDOfTask(task) == array {
 			done++
 		}
 	}
@@ -218,36 +218,36 @@
 		done,
 		changes,
 		requests,
-		value,
-		largest,
+		largestValue,
+		largestHeartbeat,
 		c.largestResponse,
-		waits,
+		waitingServices,
 	)
 	got := map[string]int{
 		"tasks done":                     done,
 		"changes":                        changes,
 		"requests":                       requests,
-		"bytes of largest value":         value,
-		"bytes of largest heartbeat":     largest,
+		"bytes of largest value":         largestValue,
+		"bytes of largest heartbeat":     largestHeartbeat,
 		"bytes of largest response":      c.largestResponse,
-		"services not running after 4 s": waits,
+		"services not running after 4 s": waitingServices,
 	}
 	requireWithinBounds(t, got, []bound{
-		{"tasks done", least, 25000},
+		{"tasks done", minDone, 25000},
 		{"changes", 1, done / 2},
 		{"requests", 1, 100 * 150},
-		{"bytes of largest value", 1, int(kb * 1024)},
+		{"bytes of largest value", 1, int(valueKB * 1024)},
 		{"bytes of largest heartbeat", 1, 64 << 10},
 		{"bytes of largest response", 1, 64 << 10},
-		{"services not running after 4 s", 0, most},
+		{"services not running after 4 s", 0, maxWaiting},
 	})
-	response := c.requestAndWait("n-0", "POST", protocol.CancelPath(sweep), nil)
+	response := c.requestAndWait("n-0", "POST", protocol.CancelPath(array), nil)
 	if response.Status != 200 {
 		t.Errorf("cancellation of the array: got status %d, want 200", response.Status)
 	}
-	c.checker.CancellationConfirmed(sweep)
+	c.checker.CancellationConfirmed(array)
 	c.sim.Run(35 * second)
-	if n := c.fleet.Running(sweep); n > 0 {
+	if n := c.fleet.Running(array); n > 0 {
 		t.Errorf("array: got %d running tasks 35 s after its cancellation, want 0", n)
 	}
 	c.requireNoViolations()
@@ -259,22 +259,22 @@
 // leases must still be renewed.
 func TestPollStormIsBounded(t *testing.T) {
 	c := newBurstCluster(t, 2200, nil)
-	var open, over []string
+	var unfinished, finished []string
 	for i := 0; i < 10; i++ {
-		over = append(over, c.submit(second, withTeam("home"), withCPUs(0.5)))
-		open = append(open, c.submit(300*second, withTeam("home"), withCPUs(0.5)))
+		finished = append(finished, c.submit(second, withTeam("home"), withCPUs(0.5)))
+		unfinished = append(unfinished, c.submit(300*second, withTeam("home"), withCPUs(0.5)))
 	}
-	for _, id := range over {
+	for _, id := range finished {
 		c.requireFinished(id, 30*second)
 	}
 	c.refuseConnections = true
 	c.kill("n-2")
 	c.sim.Run(10 * second)
-	sessions := map[string]uint64{}
+	incarnations := map[string]uint64{}
 	for id, worker := range c.fleet.Workers {
-		sessions[id] = worker.Incarnation
+		incarnations[id] = worker.Incarnation
 	}
-	storm := func(ids []string) (requests, answered, late int) {
+	poll := func(ids []string) (requests, answered, late int) {
 		for _, n := range c.store.Calls {
 			requests -= n
 		}
@@ -308,39 +308,39 @@
 		}
 		return requests, answered, late
 	}
-	calm, _, _ := storm(over)
+	finishedJobRequests, _, _ := poll(finished)
 	id := c.submitWithRetry(second, withTeam("home"), withCPUs(0.5))
-	taken := monotime.Micros(0)
-	c.onAccepted = func(got string) {
-		if got == id {
-			taken = c.sim.Now()
+	acceptedAt := monotime.Micros(0)
+	c.onAccepted = func(accepted string) {
+		if accepted == id {
+			acceptedAt = c.sim.Now()
 		}
 	}
 	startedAt := c.sim.Now()
-	requests, answered, late := storm(open)
+	requests, answered, late := poll(unfinished)
 	t.Logf(
 		"%d polls: %d answered, %d late, %d requests to the store; %d requests for polls of finished jobs",
 		8000,
 		answered,
 		late,
 		requests,
-		calm,
+		finishedJobRequests,
 	)
 	if answered < 8000 || late > 0 {
 		t.Errorf("got %d polls answered, %d of them late, want 8000 and 0", answered, late)
 	}
-	if requests > calm+11*60 {
+	if requests > finishedJobRequests+11*60 {
 		t.Errorf("got %d requests to the store, want at most %d: %d for polls of finished jobs, and 660",
-			requests, calm+11*60, calm)
+			requests, finishedJobRequests+11*60, finishedJobRequests)
 	}
-	if taken == 0 || taken-startedAt > 3*second {
+	if acceptedAt == 0 || acceptedAt-startedAt > 3*second {
 		t.Errorf("submission: got it accepted after %v s (negative: not accepted), want at most 3 s",
-			(taken - startedAt).Seconds())
+			(acceptedAt - startedAt).Seconds())
 	}
 	for id, worker := range c.fleet.Workers {
-		if !worker.Machine.Gone && worker.Incarnation != sessions[id] {
+		if !worker.Machine.Gone && worker.Incarnation != incarnations[id] {
 			t.Errorf("%s: got incarnation %d, want %d: its lease has expired",
-				id, worker.Incarnation, sessions[id])
+				id, worker.Incarnation, incarnations[id])
 		}
 	}
 	c.requireNoViolations()
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -36,9 +36,9 @@
 // throttling or an outage: the known weakness of the source.
 func TestThrottledCloudQuarantinesNoOffer(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		do   func(c *cluster)
-		want bool
+		name            string
+		inject          func(c *cluster)
+		wantQuarantined bool
 	}{
 		{"throttled", func(c *cluster) { c.cloud.Throttling = true }, false},
 		{"unavailable", func(c *cluster) { c.cloud.Unavailable = true }, false},
@@ -46,13 +46,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 9).startWithLeader()
-			tc.do(c)
+			tc.inject(c)
 			c.submit(0, withTasks(4))
 			c.sim.Run(10 * second)
-			core := c.leaderNode().controller
-			if got := len(autoscaling.QuarantinedOffers(core.mirror)) > 0; got != tc.want {
+			leader := c.leaderNode().controller
+			if got := len(autoscaling.QuarantinedOffers(leader.mirror)) > 0; got != tc.wantQuarantined {
 				t.Errorf("quarantined offers: got %v, want any: %v",
-					autoscaling.QuarantinedOffers(core.mirror), tc.want)
+					autoscaling.QuarantinedOffers(leader.mirror), tc.wantQuarantined)
 			}
 		})
 	}
@@ -67,10 +67,10 @@
 		if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(id) == 1 }) {
 			t.Fatalf("service after %d leader changes: got %d running replicas, want 1", i, c.fleet.Running(id))
 		}
-		old := c.leaderNode().name
-		c.kill(old)
+		oldLeader := c.leaderNode().name
+		c.kill(oldLeader)
 		c.sim.Run(10 * second)
-		c.start(old)
+		c.start(oldLeader)
 		c.sim.Run(3 * second)
 	}
 	if c.cloud.RepeatedRents > 0 {
@@ -89,13 +89,13 @@
 	c.sim.Run(20 * second)
 	c.requireFinished(id, 60*second)
 	worker := c.fleet.Workers[sortedmap.Keys(c.fleet.Workers)[0]]
-	late := protocol.MustMarshal(worker.Heartbeat())
+	lateHeartbeat := protocol.MustMarshal(worker.Heartbeat())
 	if !c.sim.RunUntil(60*second, func() bool { return c.cloud.MachineCount() == 0 }) {
 		t.Fatalf("got %d machines after 60 s, want 0", c.cloud.MachineCount())
 	}
 	c.sim.Run(5 * second)
 	for _, node := range c.nodeNames {
-		if response := c.requestAndWait(node, "POST", protocol.HeartbeatPath, late); response.Status == 200 {
+		if response := c.requestAndWait(node, "POST", protocol.HeartbeatPath, lateHeartbeat); response.Status == 200 {
 			t.Errorf("%s: got status %d for the delayed heartbeat, want a rejection", node, response.Status)
 		}
 	}
@@ -108,9 +108,9 @@
 // the machine types from the state service. They must accept jobs and place them on the existing machines.
 func TestControllersStartDuringCloudOutage(t *testing.T) {
 	c := newCluster(t, 11).startWithLeader()
-	first := c.submit(0, withService(true))
-	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(first) == 1 }) {
-		t.Fatalf("service: got %d running replicas after 60 s, want 1", c.fleet.Running(first))
+	service := c.submit(0, withService(true))
+	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 1 }) {
+		t.Fatalf("service: got %d running replicas after 60 s, want 1", c.fleet.Running(service))
 	}
 	c.cloud.Unavailable = true
 	c.kill(c.nodeNames...)
@@ -126,10 +126,10 @@
 // controllers have restarted and no longer have the job in memory.
 func TestFinalResultSurvivesRestarts(t *testing.T) {
 	c := newCluster(t, 12).startWithLeader()
-	done := c.submit(second)
-	gone := c.submit(0, withService(true))
-	c.requireFinished(done, 60*second)
-	c.requestAndWait("n-0", "POST", protocol.CancelPath(gone), nil)
+	completed := c.submit(second)
+	cancelled := c.submit(0, withService(true))
+	c.requireFinished(completed, 60*second)
+	c.requestAndWait("n-0", "POST", protocol.CancelPath(cancelled), nil)
 	c.sim.Run(10 * second)
 	for round := 0; round < 3; round++ {
 		c.kill(c.nodeNames...)
@@ -137,22 +137,22 @@
 		c.start(c.nodeNames...)
 		c.sim.Run(3 * second)
 		for _, node := range c.nodeNames {
-			if code, jobStatus := c.jobStatus(node, done); code != 200 ||
+			if code, jobStatus := c.jobStatus(node, completed); code != 200 ||
 				jobStatus.Status != protocol.JobDone {
 				t.Errorf("%s: completed job: got status %d and %+v, want 200 and %s",
 					node, code, jobStatus, protocol.JobDone)
 			}
-			if code, jobStatus := c.jobStatus(node, gone); code != 200 ||
+			if code, jobStatus := c.jobStatus(node, cancelled); code != 200 ||
 				jobStatus.Status != protocol.JobCancelled {
 				t.Errorf("%s: cancelled job: got status %d and %+v, want 200 and %s",
 					node, code, jobStatus, protocol.JobCancelled)
 			}
-			response := c.requestAndWait(node, "POST", protocol.CancelPath(done), nil)
-			var a protocol.AcceptedReply
-			_ = protocol.Unmarshal(response.Body, &a)
-			if response.Status != 200 || a.Status != protocol.JobDone {
+			response := c.requestAndWait(node, "POST", protocol.CancelPath(completed), nil)
+			var reply protocol.AcceptedReply
+			_ = protocol.Unmarshal(response.Body, &reply)
+			if response.Status != 200 || reply.Status != protocol.JobDone {
 				t.Errorf("%s: cancellation of a completed job: got status %d and %+v, want 200 and %s",
-					node, response.Status, a, protocol.JobDone)
+					node, response.Status, reply, protocol.JobDone)
 			}
 		}
 	}
--- a/internal/coordination/controller_restart_test.go
+++ b/internal/coordination/controller_restart_test.go
@@ -39,8 +39,8 @@
 // TestSingleFaultsKeepInvariants checks that each fault alone, while jobs run, violates no invariant.
 func TestSingleFaultsKeepInvariants(t *testing.T) {
 	cases := []struct {
-		name string
-		do   func(c *cluster)
+		name   string
+		inject func(c *cluster)
 	}{
 		{"store outage", func(c *cluster) { c.store.Outage(20 * second); c.sim.Run(20 * second) }},
 		{"store outage during which all controllers restart", func(c *cluster) {
@@ -163,7 +163,7 @@
 					withTeam([]string{"free", "tight"}[k%2])))
 			}
 			c.sim.Run(18 * second)
-			tc.do(c)
+			tc.inject(c)
 			c.requireAllFinished(ids, 400*second)
 			c.requireReplicas(service, 4, 90*second)
 			c.requireNoViolations()
@@ -192,8 +192,8 @@
 		for i := 0; i < 12; i++ {
 			c.sim.Run(c.randomDuration(4 * second))
 			down := []string{c.nodeNames[c.sim.Rand.IntN(3)]}
-			if l := c.leaderNode(); l != nil && i%2 == 0 {
-				down = []string{l.name}
+			if leader := c.leaderNode(); leader != nil && i%2 == 0 {
+				down = []string{leader.name}
 			}
 			c.kill(down...)
 			c.sim.Run(c.randomDuration(second / 2))
@@ -222,7 +222,7 @@
 	for i := 0; i < 30; i++ {
 		ids = append(ids, c.submit(monotime.Micros(1+i%3)*40*second, withTasks(1+i%5)))
 	}
-	odd := "j-odd"
+	undecodable := "j-odd"
 	c.store.Outage(12 * second)
 	c.sim.Run(4 * second)
 	c.kill(c.nodeNames...)
@@ -236,7 +236,7 @@
 			Timeout: second,
 			Transaction: protocol.Transaction{Then: []protocol.Op{
 				{
-					Put:   storage.Key(storage.KindOpenJob, odd),
+					Put:   storage.Key(storage.KindOpenJob, undecodable),
 					Value: protocol.MustMarshal("another layout"),
 				}}},
 		},
@@ -245,7 +245,7 @@
 	for _, seconds := range []int{20, 60} {
 		c.sim.Run(monotime.Micros(seconds) * second)
 		for _, node := range c.nodeNames {
-			for _, id := range append(ids, odd) {
+			for _, id := range append(ids, undecodable) {
 				if code, _ := c.jobStatus(node, id); code != 200 {
 					t.Errorf("job %s on %s: got status %d, want 200", id, node, code)
 				}
@@ -254,12 +254,12 @@
 	}
 }
 
-// TestBriefOutageLeavesMachinesInPlace guards against a takeover of the machines of two controllers that
+// TestBriefCrashKeepsMachineOwners guards against a takeover of the machines of two controllers that
 // crash and restart within three seconds. The remaining controller gets heartbeats from all of their workers
 // while its peers' last statuses are still fresh. A takeover at that time cost many commits that conflicted
 // on the same quota shares. By contrast, an owner that runs but is unreachable for its workers must lose
 // them.
-func TestBriefOutageLeavesMachinesInPlace(t *testing.T) {
+func TestBriefCrashKeepsMachineOwners(t *testing.T) {
 	for _, crash := range []bool{true, false} {
 		c := newCluster(t, 61).startWithLeader()
 		c.refuseConnections = true
@@ -274,19 +274,19 @@
 		}
 		c.sim.Run(45 * second)
 		owners := func() map[string]string {
-			out := map[string]string{}
+			byMachine := map[string]string{}
 			for id, machine := range c.nodes["n-0"].controller.mirror.Machines {
 				if machine.Record != nil {
-					out[id] = machine.Owner()
+					byMachine[id] = machine.Owner()
 				}
 			}
-			return out
+			return byMachine
 		}
-		before := owners()
-		theirs := 0
-		for id, node := range before {
+		ownersBefore := owners()
+		peerMachines := 0
+		for id, node := range ownersBefore {
 			if node != "n-0" {
-				theirs++
+				peerMachines++
 				if !crash {
 					c.disconnectedPairs[id+"-"+node] = true
 				}
@@ -303,13 +303,13 @@
 		c.sim.Run(17 * second)
 		changed := 0
 		for id, node := range owners() {
-			if before[id] != "" && before[id] != node {
+			if ownersBefore[id] != "" && ownersBefore[id] != node {
 				changed++
 			}
 		}
-		if theirs < 3 || crash && changed > 0 || !crash && changed < theirs {
+		if peerMachines < 3 || crash && changed > 0 || !crash && changed < peerMachines {
 			t.Errorf("crash %v: got %d of the peers' %d machines with a new owner, "+
-				"want 0 of at least 3 after a crash, and otherwise all", crash, changed, theirs)
+				"want 0 of at least 3 after a crash, and otherwise all", crash, changed, peerMachines)
 		}
 		if n := c.store.ChangesByKind["!"+string(storage.KindPartition)] - conflicts; n > 12 {
 			t.Errorf("crash %v: got %d commit conflicts on quota shares, want at most 12", crash, n)
--- a/internal/coordination/controller_test.go
+++ b/internal/coordination/controller_test.go
@@ -16,35 +16,35 @@
 // of users wait for the state service, on this controller or on a peer that reported it recently.
 func TestShardWriteRateYieldsToWaitingUsers(t *testing.T) {
 	c := newCluster(t, 8).startWithLeader()
-	core := c.nodes["n-0"].controller
-	usual := core.store.ShardWritesPerSecond()
-	core.OnPeerStatus(
+	controller := c.nodes["n-0"].controller
+	normalRate := controller.store.ShardWritesPerSecond()
+	controller.OnPeerStatus(
 		peers.Status{
 			Node:                  "n-1",
 			StateServiceReachable: true,
 			WaitingUserRequests:   storeclient.WaitingUserCallsThreshold,
 		},
 	)
-	if got := core.store.ShardWritesPerSecond(); got != usual {
-		t.Errorf("few requests wait at a peer: got %v shard writes a second, want %v", got, usual)
+	if got := controller.store.ShardWritesPerSecond(); got != normalRate {
+		t.Errorf("few requests wait at a peer: got %v shard writes a second, want %v", got, normalRate)
 	}
-	core.OnPeerStatus(
+	controller.OnPeerStatus(
 		peers.Status{
 			Node:                  "n-1",
 			StateServiceReachable: true,
 			WaitingUserRequests:   storeclient.WaitingUserCallsThreshold + 1,
 		},
 	)
-	if got := core.store.ShardWritesPerSecond(); got >= usual/2 {
-		t.Errorf("many requests wait at a peer: got %v shard writes a second, want under half of %v", got, usual)
+	if got := controller.store.ShardWritesPerSecond(); got >= normalRate/2 {
+		t.Errorf("many requests wait at a peer: got %v shard writes a second, want under half of %v", got, normalRate)
 	}
 	c.sim.Run(3 * durations.SlowTickInterval)
-	if got := core.store.ShardWritesPerSecond(); got != usual {
-		t.Errorf("3 slow ticks after the peer's status: got %v shard writes a second, want %v", got, usual)
+	if got := controller.store.ShardWritesPerSecond(); got != normalRate {
+		t.Errorf("3 slow ticks after the peer's status: got %v shard writes a second, want %v", got, normalRate)
 	}
 	c.queueStoreCalls("n-0", ratelimit.PriorityUserRequest, storeclient.WaitingUserCallsThreshold+1)
-	if got := core.store.ShardWritesPerSecond(); got >= usual/4 {
-		t.Errorf("many requests wait here: got %v shard writes a second, want under a quarter of %v", got, usual)
+	if got := controller.store.ShardWritesPerSecond(); got >= normalRate/4 {
+		t.Errorf("many requests wait here: got %v shard writes a second, want under a quarter of %v", got, normalRate)
 	}
 }
 
--- a/internal/coordination/course_recording_test.go
+++ b/internal/coordination/course_recording_test.go
@@ -23,7 +23,7 @@
 type recorder struct {
 	sum   hash.Hash
 	out   io.Writer
-	calls int
+	lines int
 }
 
 func newRecorder(text io.Writer) *recorder {
@@ -31,10 +31,10 @@
 	return &recorder{sum: sum, out: io.MultiWriter(sum, text)}
 }
 
-// watch records everything that the controllers of a cluster send from now on.
-func (r *recorder) watch(c *cluster) {
+// record adds everything that the controllers of a cluster send from now on to the course.
+func (r *recorder) record(c *cluster) {
 	c.wire = func(node, kind, text string) {
-		r.calls++
+		r.lines++
 		fmt.Fprintf(r.out, "%d %s %s %s\n", int64(c.sim.Now()), node, kind, text)
 	}
 }
@@ -43,8 +43,8 @@
 // random iteration order, which has no meaning for the receiver. Everything else, such as the width of
 // numbers, is rendered as on the wire.
 func canonical(raw []byte) string {
-	sorted, rest, ok := sortMaps(raw)
-	if !ok || len(rest) > 0 {
+	sorted, remaining, ok := sortMaps(raw)
+	if !ok || len(remaining) > 0 {
 		return fmt.Sprintf("%q", raw) // not MessagePack
 	}
 	return fmt.Sprintf("%q", sorted)
@@ -52,7 +52,7 @@
 
 // sortMaps splits MessagePack bytes into the first value, in which it sorts all maps, and the remaining
 // bytes. ok is false if the bytes do not begin with a value.
-func sortMaps(raw []byte) (value, rest []byte, ok bool) {
+func sortMaps(raw []byte) (value, remaining []byte, ok bool) {
 	dec := msgpack.NewDecoder(bytes.NewReader(raw))
 	code, err := dec.PeekCode()
 	if err != nil {
@@ -61,8 +61,8 @@
 	isMap := msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 	isArray := msgpcode.IsFixedArray(code) || code == msgpcode.Array16 || code == msgpcode.Array32
 	if !isMap && !isArray {
-		one, err := dec.DecodeRaw()
-		return one, raw[len(one):], err == nil
+		scalar, err := dec.DecodeRaw()
+		return scalar, raw[len(scalar):], err == nil
 	}
 	count, err := 0, error(nil)
 	if isMap {
@@ -73,31 +73,31 @@
 	if err != nil {
 		return nil, nil, false
 	}
-	head := 1
+	headerSize := 1
 	switch code {
 	case msgpcode.Map16, msgpcode.Array16:
-		head = 3
+		headerSize = 3
 	case msgpcode.Map32, msgpcode.Array32:
-		head = 5
+		headerSize = 5
 	}
-	rest = raw[head:]
+	remaining = raw[headerSize:]
 	var entries [][]byte
 	for range count {
-		var entry, more []byte
-		if entry, rest, ok = sortMaps(rest); !ok {
+		var entry, mapValue []byte
+		if entry, remaining, ok = sortMaps(remaining); !ok {
 			return nil, nil, false
 		}
 		if isMap {
-			if more, rest, ok = sortMaps(rest); !ok {
+			if mapValue, remaining, ok = sortMaps(remaining); !ok {
 				return nil, nil, false
 			}
 		}
-		entries = append(entries, slices.Concat(entry, more))
+		entries = append(entries, slices.Concat(entry, mapValue))
 	}
 	if isMap {
 		slices.SortFunc(entries, bytes.Compare)
 	}
-	return append(slices.Clone(raw[:head]), slices.Concat(entries...)...), rest, true
+	return append(slices.Clone(raw[:headerSize]), slices.Concat(entries...)...), remaining, true
 }
 
 // wireStoreCall renders a call to the state service as protocol.CallStore sends it.
@@ -143,12 +143,12 @@
 }
 
 // wireCommand renders a command batch, or a probe if req is nil.
-func wireCommand(endpoint string, req *protocol.CommandRequest, within monotime.Micros) string {
+func wireCommand(endpoint string, req *protocol.CommandRequest, timeout monotime.Micros) string {
 	body := []byte("show")
 	if req != nil {
 		body = protocol.MustMarshal(req)
 	}
-	return fmt.Sprintf("%s %s within %d", endpoint, canonical(body), int64(within))
+	return fmt.Sprintf("%s %s within %d", endpoint, canonical(body), int64(timeout))
 }
 
 // wirePeerStatus renders a peer status, field by field.
@@ -169,21 +169,21 @@
 	for _, team := range status.TeamsShortOfQuota {
 		fmt.Fprintf(&b, " lacks %s", team)
 	}
-	m := &status.Cancellations
+	cancellations := &status.Cancellations
 	fmt.Fprintf(
 		&b,
 		" cancellations %d %d %d %d %d %t %d %d",
-		m.Incarnation,
-		int64(m.Clock),
-		m.EchoedIncarnation,
-		int64(m.EchoedClock),
-		m.MirrorRevision,
-		m.RecordsLoaded,
-		m.Round,
-		m.MessagesInRound,
+		cancellations.Incarnation,
+		int64(cancellations.Clock),
+		cancellations.EchoedIncarnation,
+		int64(cancellations.EchoedClock),
+		cancellations.MirrorRevision,
+		cancellations.RecordsLoaded,
+		cancellations.Round,
+		cancellations.MessagesInRound,
 	)
-	for _, c := range m.Committed {
-		fmt.Fprintf(&b, " %s:%d", c.Job, c.Revision)
+	for _, committed := range cancellations.Committed {
+		fmt.Fprintf(&b, " %s:%d", committed.Job, committed.Revision)
 	}
 	return b.String()
 }
--- a/internal/coordination/course_scenarios_test.go
+++ b/internal/coordination/course_scenarios_test.go
@@ -12,11 +12,11 @@
 	"pipitgap/internal/protocol"
 )
 
-// playRandomFaults simulates random combinations of faults like TestRandomFaultsKeepInvariants.
-func playRandomFaults(t *testing.T, seed uint64, r *recorder) {
+// runRandomFaults simulates random combinations of faults like TestRandomFaultsKeepInvariants.
+func runRandomFaults(t *testing.T, seed uint64, r *recorder) {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	s := newScenario(t, seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	leases := []leaseDurations{
 		defaultLeases,
 		{4 * second, 22 * second, 42 * second},
@@ -31,10 +31,10 @@
 	s.runFaults(randomFaults(rnd), scenarioLength)
 }
 
-// playCancelledWhileRefused simulates cancellations while the state service rejects only the leader, followed
-// by an outage for all. Each seed adds the next set of other faults.
-func playCancelledWhileRefused(t *testing.T, seed uint64, r *recorder) {
-	more := [][]fault{
+// runCancelledWhileLeaderRejected simulates cancellations while the state service rejects only the leader,
+// followed by an outage for all. Each seed adds the next set of other faults.
+func runCancelledWhileLeaderRejected(t *testing.T, seed uint64, r *recorder) {
+	otherFaults := [][]fault{
 		nil,
 		{crashController(64*second, leaderController, 3*second), cancelRunningJobs(71*second, 4, 10*second)},
 		{processPause(73*second, leaderController, 8*second), zonePartition(100*second, 20*second)},
@@ -43,14 +43,14 @@
 		{delayedCommits(60*second, 0.2, 60*second), crashAllControllers(140*second, 4*second)},
 	}
 	s := newScenario(t, 3000+seed)
-	r.watch(s.cluster)
-	s.runFaults(throttledThenStoreOutage(2*second, more[int(seed-1)%len(more)]...), 190*second)
+	r.record(s.cluster)
+	s.runFaults(throttledThenStoreOutage(2*second, otherFaults[int(seed-1)%len(otherFaults)]...), 190*second)
 }
 
-// playShortLeases simulates a platform with short leases and large tasks, whose controllers restart slowly.
-func playShortLeases(t *testing.T, seed uint64, r *recorder) {
+// runShortLeases simulates a platform with short leases and large tasks, whose controllers restart slowly.
+func runShortLeases(t *testing.T, seed uint64, r *recorder) {
 	s := newShortLeaseScenario(t, 4000+seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	s.submitWholeMachineJobs()
 	faults := []fault{
 		submitAtRate(50*second, second, 50*second, submitSmallUrgentArray),
@@ -66,10 +66,10 @@
 	s.runFaults(faults, 150*second)
 }
 
-// playSmallJobs simulates one team that submits many small jobs while machines and controllers fail.
-func playSmallJobs(t *testing.T, seed uint64, r *recorder) {
+// runSmallJobs simulates one team that submits many small jobs while machines and controllers fail.
+func runSmallJobs(t *testing.T, seed uint64, r *recorder) {
 	c := newCluster(t, 2500+seed)
-	r.watch(c)
+	r.record(c)
 	c.startBurst()
 	c.simulateSmallJobs(10 + 10*int(seed%3))
 }
@@ -104,23 +104,23 @@
 	c.requireNoViolations()
 }
 
-// playDrainFault simulates the drain of a zone and one fault. Each seed injects the next fault of
+// runDrainFault simulates the drain of a zone and one fault. Each seed injects the next fault of
 // drainFaults.
-func playDrainFault(t *testing.T, seed uint64, r *recorder) {
+func runDrainFault(t *testing.T, seed uint64, r *recorder) {
 	s := newDrainScenario(t, 800+seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	s.startServices()
 	s.drainZone("rack", "a")
 	s.sim.Run(s.randomDuration(35 * second))
-	drainFaults[int(seed-1)%len(drainFaults)].begin(s)
+	drainFaults[int(seed-1)%len(drainFaults)].inject(s)
 	s.sim.Run(120 * second)
 	s.requireNoViolations()
 }
 
-// playDrainAbort simulates the abort of a drain before it is complete, while commits of permits are delayed.
-func playDrainAbort(t *testing.T, seed uint64, r *recorder) {
+// runDrainAbort simulates the abort of a drain before it is complete, while commits of permits are delayed.
+func runDrainAbort(t *testing.T, seed uint64, r *recorder) {
 	s := newDrainScenario(t, 900+seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	s.startServices()
 	s.delayPermits(3, 0, 20*second)
 	s.drainZone("rack", "a")
@@ -132,18 +132,18 @@
 	s.requireNoViolations()
 }
 
-// playLimits simulates teams at their limits and guarantees, with preemption and cancellations.
-func playLimits(t *testing.T, seed uint64, r *recorder) {
+// runLimits simulates teams at their limits and guarantees, with preemption and cancellations.
+func runLimits(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 5000+seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	s.teams = []config.Team{{Name: "free", CPUs: 16}, {Name: "tight", CPUs: 16, CPUsMax: 24}}
 	s.checker.Limits["tight"] = 24
 	clear(s.cloud.Capacity)
 	s.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 3
 	s.cloud.Capacity[fake.OfferKey("m8", "b", false)] = 2
-	s.addBorrowers()
+	s.addBorrowingJobs()
 	faults := []fault{
-		{at: 50 * second, name: "jobs of team tight", inject: (*scenario).addOwners},
+		{at: 50 * second, name: "jobs of team tight", inject: (*scenario).addGuaranteedJobs},
 		{at: 70 * second, name: "urgent services", inject: (*scenario).addUrgentServices},
 		cancelTeamJobs(85*second, "tight", 2, 6*second),
 		cancelRunningJobs(100*second, 2, 0),
@@ -160,40 +160,40 @@
 	s.runFaults(faults, 160*second)
 }
 
-// playCloudAndSpot simulates a cloud that rejects calls, loses answers and reclaims spot machines.
-func playCloudAndSpot(t *testing.T, seed uint64, r *recorder) {
+// runCloudAndSpot simulates a cloud that rejects calls, loses answers and reclaims spot machines.
+func runCloudAndSpot(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 6000+seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	s.settings.ScaleDownDelay = config.Duration(8 * second)
 	s.cloud.NeverBoots["i-000003"] = true
 	s.addSpotJobs()
-	begin := func(at monotime.Micros, name string, f func(s *scenario)) fault { return fault{at, name, f} }
+	newFault := func(at monotime.Micros, name string, f func(s *scenario)) fault { return fault{at, name, f} }
 	faults := []fault{
 		submitAtRate(45*second, 2*second, 60*second, submitSingleTask),
-		begin(45*second, "spot machines are reclaimed", (*scenario).takeSpotBack),
-		begin(55*second, "every task fails on a machine", func(s *scenario) {
+		newFault(45*second, "spot machines are reclaimed", (*scenario).reclaimSpotMachines),
+		newFault(55*second, "every task fails on a machine", func(s *scenario) {
 			for _, worker := range s.pickMachines(1) {
 				worker.FailsTasks = true
 			}
 		}),
-		begin(60*second, "answers to rentals are lost", func(s *scenario) {
+		newFault(60*second, "answers to rentals are lost", func(s *scenario) {
 			s.cloud.LoseRentReply = true
 			s.sim.After(5*second, func() { s.cloud.LoseRentReply = false })
 		}),
-		begin(62*second, "more jobs", (*scenario).addSpotJobs),
-		begin(75*second, "the cloud throttles", func(s *scenario) {
+		newFault(62*second, "more jobs", (*scenario).addSpotJobs),
+		newFault(75*second, "the cloud throttles", func(s *scenario) {
 			s.cloud.Throttling = true
 			s.sim.After(10*second, func() { s.cloud.Throttling = false })
 		}),
 		machinesVanish(76*second, 3),
-		begin(90*second, "the cloud is unavailable", func(s *scenario) {
+		newFault(90*second, "the cloud is unavailable", func(s *scenario) {
 			s.cloud.Unavailable = true
 			s.sim.After(15*second, func() { s.cloud.Unavailable = false })
 		}),
-		begin(110*second, "the cloud has no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
-		begin(112*second, "more jobs again", (*scenario).addSpotJobs),
-		begin(113*second, "spot machines are reclaimed", (*scenario).takeSpotBack),
-		begin(
+		newFault(110*second, "the cloud has no capacity", func(s *scenario) { clear(s.cloud.Capacity) }),
+		newFault(112*second, "more jobs again", (*scenario).addSpotJobs),
+		newFault(113*second, "spot machines are reclaimed", (*scenario).reclaimSpotMachines),
+		newFault(
 			125*second,
 			"capacity is back",
 			func(s *scenario) { s.cloud.Capacity[fake.OfferKey("m16", "a", false)] = 12 },
@@ -210,16 +210,16 @@
 	s.runFaults(faults, 170*second)
 }
 
-// takeSpotBack makes the cloud reclaim two spot machines: their heartbeats carry an interruption notice of 10
-// seconds, after which the machines are removed.
-func (s *scenario) takeSpotBack() {
-	left := 2
+// reclaimSpotMachines makes the cloud reclaim two spot machines: their heartbeats carry an interruption
+// notice of 10 seconds, after which the machines are removed.
+func (s *scenario) reclaimSpotMachines() {
+	remaining := 2
 	for _, id := range sortedmap.Keys(s.fleet.Workers) {
 		worker := s.fleet.Workers[id]
-		if left == 0 || !worker.Machine.Spot || worker.Machine.Gone {
+		if remaining == 0 || !worker.Machine.Spot || worker.Machine.Gone {
 			continue
 		}
-		left--
+		remaining--
 		notice := 10.0
 		report := worker.Heartbeat()
 		report.InterruptionNoticeS = &notice
@@ -228,19 +228,19 @@
 	}
 }
 
-// playPlacement simulates jobs with every kind of placement rule, and requests that are answered with an
+// runPlacement simulates jobs with every kind of placement rule, and requests that are answered with an
 // error.
-func playPlacement(t *testing.T, seed uint64, r *recorder) {
+func runPlacement(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 7000+seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	s.addVariedJobs()
 	faults := []fault{
-		{at: 45 * second, name: "invalid requests", inject: (*scenario).sendMistakes},
+		{at: 45 * second, name: "invalid requests", inject: (*scenario).sendInvalidRequests},
 		machinesVanish(60*second, 2),
 		{at: 70 * second, name: "more jobs", inject: (*scenario).addVariedJobs},
 		cancelRunningJobs(90*second, 3, 0),
 		crashAllControllers(100*second, 2*second),
-		{at: 115 * second, name: "invalid requests", inject: (*scenario).sendMistakes},
+		{at: 115 * second, name: "invalid requests", inject: (*scenario).sendInvalidRequests},
 	}
 	if seed%2 == 0 {
 		faults = append(
@@ -253,9 +253,9 @@
 	s.runFaults(faults, 160*second)
 }
 
-// sendMistakes sends every controller a health check and requests that it must reject or that name unknown
-// jobs.
-func (s *scenario) sendMistakes() {
+// sendInvalidRequests sends every controller a health check and requests that it must reject or that name
+// unknown jobs.
+func (s *scenario) sendInvalidRequests() {
 	for _, node := range s.nodeNames {
 		send := func(method, target string, body []byte) {
 			s.sendRequest(node, method, target, body, func(Response) {})
@@ -271,10 +271,10 @@
 	}
 }
 
-// playLateShares simulates delayed commits of the controllers' shares of team limits.
-func playLateShares(t *testing.T, seed uint64, r *recorder) {
+// runDelayedQuotaShares simulates delayed commits of the controllers' shares of team limits.
+func runDelayedQuotaShares(t *testing.T, seed uint64, r *recorder) {
 	s := newScenario(t, 8000+seed)
-	r.watch(s.cluster)
+	r.record(s.cluster)
 	fillTeamLimits(s)
 	faults := []fault{
 		delayedQuotaWrites(45*second, 60*second),
@@ -291,10 +291,10 @@
 	s.runFaults(faults, 150*second)
 }
 
-// playFiveControllers simulates five controllers, more machines and the settings for a larger fleet.
-func playFiveControllers(t *testing.T, seed uint64, r *recorder) {
+// runFiveControllers simulates five controllers, more machines and the settings for a larger fleet.
+func runFiveControllers(t *testing.T, seed uint64, r *recorder) {
 	c := newGrownCluster(t, 9000+seed)
-	r.watch(c)
+	r.record(c)
 	c.startWithLeader()
 	for s := range 30 {
 		c.sendLargeArrays()
@@ -350,15 +350,15 @@
 	)
 }
 
-// addBorrowers submits jobs of team "free" that exceed its guarantee.
-func (s *scenario) addBorrowers() {
+// addBorrowingJobs submits jobs of team "free" that exceed its guarantee.
+func (s *scenario) addBorrowingJobs() {
 	s.addUser(300*second, withTasks(16), withCPUs(2), withPriority(protocol.BestEffort))
 	s.addUser(250*second, withTasks(6), withCPUs(1))
 }
 
-// addOwners submits more jobs of team "tight", whose guaranteed CPUs team "free" borrows, than its limit
-// allows.
-func (s *scenario) addOwners() {
+// addGuaranteedJobs submits more jobs of team "tight", whose guaranteed CPUs team "free" borrows, than its
+// limit allows.
+func (s *scenario) addGuaranteedJobs() {
 	for range 4 {
 		s.addUser(60*second, withTeam("tight"), withTasks(6), withCPUs(2))
 	}
@@ -387,8 +387,8 @@
 	s.addUser(15*second, withTasks(30), withDeadlineS(40), withCPUs(0.5), withEstimateS(15), withSpot(true))
 	s.addUser(30*second, withTasks(6), withMemoryGB(30), withCPUs(1), withImageGB(6), withImage("large"))
 	failing := s.addUser(5*second, withTasks(2))
-	info := s.fleet.Jobs[failing.id]
-	info.Fails = true
-	s.fleet.Jobs[failing.id] = info
+	behavior := s.fleet.Jobs[failing.id]
+	behavior.Fails = true
+	s.fleet.Jobs[failing.id] = behavior
 	s.sim.After(55*second, failing.cancel)
 }
--- a/internal/coordination/courses_test.go
+++ b/internal/coordination/courses_test.go
@@ -39,28 +39,28 @@
 	)
 )
 
-// courseScenario has one course for each of its seeds. play simulates a course; it must call recorder.watch
+// courseScenario has one course for each of its seeds. run simulates a course; it must call recorder.record
 // before the cluster's controllers start.
 type courseScenario struct {
 	name  string
 	seeds int // the seeds are 1 to this number
-	play  func(t *testing.T, seed uint64, r *recorder)
+	run   func(t *testing.T, seed uint64, r *recorder)
 }
 
 var courseScenarios = []courseScenario{
-	{"random-faults", 24, playRandomFaults},
-	{"cancelled-while-refused", 6, playCancelledWhileRefused},
-	{"short-leases", 4, playShortLeases},
-	{"small-jobs", 3, playSmallJobs},
-	{"drain-faults", 2 * len(drainFaults), playDrainFault},
-	{"drain-abort", 4, playDrainAbort},
-	{"limits", 4, playLimits},
-	{"cloud-and-spot", 4, playCloudAndSpot},
+	{"random-faults", 24, runRandomFaults},
+	{"cancelled-while-refused", 6, runCancelledWhileLeaderRejected},
+	{"short-leases", 4, runShortLeases},
+	{"small-jobs", 3, runSmallJobs},
+	{"drain-faults", 2 * len(drainFaults), runDrainFault},
+	{"drain-abort", 4, runDrainAbort},
+	{"limits", 4, runLimits},
+	{"cloud-and-spot", 4, runCloudAndSpot},
 	// Seed 4 of "placement" is left out: its course differs between runs because it depends on the iteration
 	// order of a map of jobs. A course that is not reproducible has no hash to compare.
-	{"placement", 3, playPlacement},
-	{"late-shares", 3, playLateShares},
-	{"five-controllers", 2, playFiveControllers},
+	{"placement", 3, runPlacement},
+	{"late-shares", 3, runDelayedQuotaShares},
+	{"five-controllers", 2, runFiveControllers},
 }
 
 // TestCourses simulates every scenario and compares its courses with the recorded ones. After an intended
@@ -70,23 +70,23 @@
 	if *coursesRecord == "" {
 		recorded = readCourses(t)
 	}
-	played := make([][]string, len(courseScenarios))
+	results := make([][]string, len(courseScenarios))
 	t.Run("play", func(t *testing.T) {
 		for i, sc := range courseScenarios {
 			seeds := sc.seeds
 			if *coursesQuick {
 				seeds = 1
 			}
-			played[i] = make([]string, seeds)
+			results[i] = make([]string, seeds)
 			for k := range seeds {
 				t.Run(fmt.Sprintf("%s/%d", sc.name, k+1), func(t *testing.T) {
 					t.Parallel()
-					played[i][k] = playCourse(t, sc, uint64(k+1), recorded)
+					results[i][k] = runCourse(t, sc, uint64(k+1), recorded)
 				})
 			}
 		}
 	})
-	lines := slices.Concat(played...)
+	lines := slices.Concat(results...)
 	switch {
 	case *coursesRecord != "":
 		if t.Failed() || *coursesQuick {
@@ -100,8 +100,8 @@
 	}
 }
 
-// playCourse simulates one course, compares its hash with the recorded one and returns its line for the file.
-func playCourse(t *testing.T, sc courseScenario, seed uint64, recorded map[string]string) string {
+// runCourse simulates one course, compares its hash with the recorded one and returns its line for the file.
+func runCourse(t *testing.T, sc courseScenario, seed uint64, recorded map[string]string) string {
 	r := newRecorder(io.Discard)
 	if *coursesText != "" {
 		file, err := os.Create(filepath.Join(*coursesText, fmt.Sprintf("%s-%d.txt", sc.name, seed)))
@@ -113,9 +113,9 @@
 		defer text.Flush()
 		r = newRecorder(text)
 	}
-	sc.play(t, seed, r)
+	sc.run(t, seed, r)
 	name := fmt.Sprintf("%s %d", sc.name, seed)
-	got := fmt.Sprintf("%d %s", r.calls, hex.EncodeToString(r.sum.Sum(nil)))
+	got := fmt.Sprintf("%d %s", r.lines, hex.EncodeToString(r.sum.Sum(nil)))
 	if *coursesRecord == "" && recorded[name] != got {
 		t.Errorf("scenario %s, seed %d: the course differs: got line count and hash %q, want %q as recorded; "+
 			"-courses-text DIR writes the full text, to be compared with that of the previous sources",
@@ -130,13 +130,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[string]string{}
+	recorded := map[string]string{}
 	for line := range strings.Lines(string(raw)) {
-		f := strings.Fields(line)
-		if len(f) != 4 {
-			t.Fatalf("%s: line %q: got %d fields, want 4", coursesFile, line, len(f))
+		fields := strings.Fields(line)
+		if len(fields) != 4 {
+			t.Fatalf("%s: line %q: got %d fields, want 4", coursesFile, line, len(fields))
 		}
-		out[f[0]+" "+f[1]] = f[2] + " " + f[3]
+		recorded[fields[0]+" "+fields[1]] = fields[2] + " " + fields[3]
 	}
-	return out
+	return recorded
 }
--- a/internal/coordination/determinism_test.go
+++ b/internal/coordination/determinism_test.go
@@ -9,7 +9,7 @@
 // that depended on the iteration order of a map, or on the rounding of a sum in that order, made a test pass
 // on one machine and fail on another.
 func TestSameSeedGivesSameCourse(t *testing.T) {
-	play := func() []string {
+	simulate := func() []string {
 		var course []string
 		c := newCluster(t, 2500)
 		c.onCall = func(call string) {
@@ -19,14 +19,14 @@
 		c.simulateSmallJobs(10)
 		return course
 	}
-	a, b := play(), play()
-	for i := range min(len(a), len(b)) {
-		if a[i] != b[i] {
+	firstRun, secondRun := simulate(), simulate()
+	for i := range min(len(firstRun), len(secondRun)) {
+		if firstRun[i] != secondRun[i] {
 			t.Fatalf("runs of %d and %d calls with the same seed differ at index %d:\nfirst:  %s\nsecond: %s",
-				len(a), len(b), i, a[i], b[i])
+				len(firstRun), len(secondRun), i, firstRun[i], secondRun[i])
 		}
 	}
-	if len(a) != len(b) || len(a) < 1000 {
-		t.Fatalf("got %d and %d calls, want equal numbers of at least 1000", len(a), len(b))
+	if len(firstRun) != len(secondRun) || len(firstRun) < 1000 {
+		t.Fatalf("got %d and %d calls, want equal numbers of at least 1000", len(firstRun), len(secondRun))
 	}
 }
--- a/internal/coordination/drain_commands_test.go
+++ b/internal/coordination/drain_commands_test.go
@@ -129,15 +129,15 @@
 		storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}, MaxParallel: 4},
 	)
 	s.sim.Run(40 * second)
-	if again, _ := s.countMoves(); again != moved {
-		t.Errorf("got %d moves without room, want 0", again-moved)
+	if movedLater, _ := s.countMoves(); movedLater != moved {
+		t.Errorf("got %d moves without room, want 0", movedLater-moved)
 	}
-	kinds := map[drain.BlockKind]int{}
+	blockedByKind := map[drain.BlockKind]int{}
 	for _, b := range s.blockages() {
-		kinds[b.Kind]++
+		blockedByKind[b.Kind]++
 	}
-	if kinds[drain.BlockedByCapacity] == 0 {
-		t.Errorf("got blockages by kind %v, want at least 1 of kind %q", kinds, drain.BlockedByCapacity)
+	if blockedByKind[drain.BlockedByCapacity] == 0 {
+		t.Errorf("got blockages by kind %v, want at least 1 of kind %q", blockedByKind, drain.BlockedByCapacity)
 	}
 	s.reportBudgetViolations()
 }
@@ -158,10 +158,10 @@
 	moved, _ := s.countMoves()
 	left := len(s.machinesInZone("a"))
 	s.sim.Run(30 * second)
-	if again, _ := s.countMoves(); again != moved || len(s.machinesInZone("a")) != left || left == 0 {
+	if movedLater, _ := s.countMoves(); movedLater != moved || len(s.machinesInZone("a")) != left || left == 0 {
 		t.Errorf(
 			"while the drain is paused: got %d moves and %d of %d machines left, want 0 and all of at least 1",
-			again-moved,
+			movedLater-moved,
 			len(s.machinesInZone("a")),
 			left,
 		)
@@ -185,9 +185,9 @@
 	}
 	for _, shard := range s.leaderNode().controller.mirror.Shards {
 		for id, entry := range shard.Record.Jobs {
-			for _, held := range entry.Attempts {
-				if held.Starting {
-					t.Errorf("%s/%d: got it marked as starting, want no mark", id, held.Task)
+			for _, attempt := range entry.Attempts {
+				if attempt.Starting {
+					t.Errorf("%s/%d: got it marked as starting, want no mark", id, attempt.Task)
 				}
 			}
 		}
@@ -202,11 +202,11 @@
 func TestDrainWaitsForArrayTasksEndingSoon(t *testing.T) {
 	s := newDrainScenario(t, 35)
 	s.startWithLeader()
-	short := s.submit(25*second, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(25))
-	long := s.submit(400*second, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(400))
+	shortArray := s.submit(25*second, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(25))
+	longArray := s.submit(400*second, withTasks(16), withTeam("other"), withCPUs(1), withEstimateS(400))
 	s.sim.RunUntil(
 		60*second,
-		func() bool { return s.fleet.Running(short) == 16 && s.fleet.Running(long) == 16 },
+		func() bool { return s.fleet.Running(shortArray) == 16 && s.fleet.Running(longArray) == 16 },
 	)
 	s.sim.Run(17 * second) // the short tasks have less time left than ArrayWait
 	s.floors["other"] = 0
@@ -222,16 +222,16 @@
 		},
 	)
 	s.sim.Run(60 * second)
-	again := func(id string) int {
+	restarts := func(id string) int {
 		n := 0
 		for i := range 16 {
 			n += s.fleet.Starts[fmt.Sprintf("%s/%d", id, i)] - 1
 		}
 		return n
 	}
-	if again(short) != 0 || again(long) == 0 {
+	if restarts(shortArray) != 0 || restarts(longArray) == 0 {
 		t.Errorf("got %d restarts of short tasks and %d of long ones, want 0 and at least 1",
-			again(short), again(long))
+			restarts(shortArray), restarts(longArray))
 	}
 	s.requireNoViolations()
 }
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -30,11 +30,11 @@
 }
 
 // delayPermits delays random commits of permits, on average one in oneIn. A delayed commit gets no answer and
-// takes effect after the least delay plus a random time below the spread.
-func (s *drainScenario) delayPermits(oneIn int, least, spread monotime.Micros) {
+// takes effect after minDelay plus a random time below spread.
+func (s *drainScenario) delayPermits(oneIn int, minDelay, spread monotime.Micros) {
 	s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 		if changesPermits(txn) && s.sim.Rand.IntN(oneIn) == 0 {
-			return least + s.randomDuration(spread)
+			return minDelay + s.randomDuration(spread)
 		}
 		return 0
 	}
@@ -50,8 +50,8 @@
 // killMachine removes a machine and everything that runs on it, without notice.
 func (s *drainScenario) killMachine(id string) { s.cloud.RemoveMachine(id) }
 
-// loadedMachine picks a random machine of a zone that has tasks, or returns "" if there is none.
-func (s *drainScenario) loadedMachine(zone string) string {
+// machineWithTasks picks a random machine of a zone that has tasks, or returns "" if there is none.
+func (s *drainScenario) machineWithTasks(zone string) string {
 	var loaded []string
 	for _, id := range s.machinesInZone(zone) {
 		if worker := s.fleet.Workers[id]; worker != nil && len(worker.Attempts) > 0 {
@@ -64,22 +64,22 @@
 	return loaded[s.sim.Rand.IntN(len(loaded))]
 }
 
-// killSomeMachine returns a fault that removes a random machine of a zone that has tasks.
-func killSomeMachine(zone string) func(s *drainScenario) {
+// killMachineWithTasks returns a fault that removes a random machine of a zone that has tasks.
+func killMachineWithTasks(zone string) func(s *drainScenario) {
 	return func(s *drainScenario) {
-		if id := s.loadedMachine(zone); id != "" {
+		if id := s.machineWithTasks(zone); id != "" {
 			s.killMachine(id)
 		}
 	}
 }
 
-// killDestination waits for a permit of team "intake" and removes the destination machine of the permit once
-// the replica runs there.
-func killDestination(s *drainScenario) {
+// killMoveDestination waits for a permit of team "intake" and removes the destination machine of the permit
+// once the replica runs there.
+func killMoveDestination(s *drainScenario) {
 	var permits storage.Permits
 	s.store.Read(storage.Key(storage.KindPermits, "intake"), &permits)
 	if len(permits.Permits) == 0 {
-		s.sim.After(second/5, func() { killDestination(s) })
+		s.sim.After(second/5, func() { killMoveDestination(s) })
 		return
 	}
 	permit := permits.Permits[0]
@@ -93,8 +93,8 @@
 
 // drainFault is a fault during a drain of zone a.
 type drainFault struct {
-	name  string
-	begin func(s *drainScenario)
+	name   string
+	inject func(s *drainScenario)
 	// leaseLoss is what the fault contributes to the expiry of many leases at once: controllers that are
 	// down or have just started during an outage cannot renew leases.
 	leaseLoss leaseLossCause
@@ -110,9 +110,9 @@
 )
 
 var drainFaults = []drainFault{
-	{"a drained machine dies", killSomeMachine("a"), noLeaseLoss},
-	{"a machine elsewhere dies", killSomeMachine("b"), noLeaseLoss},
-	{"the destination of a move dies", killDestination, noLeaseLoss},
+	{"a drained machine dies", killMachineWithTasks("a"), noLeaseLoss},
+	{"a machine elsewhere dies", killMachineWithTasks("b"), noLeaseLoss},
+	{"the destination of a move dies", killMoveDestination, noLeaseLoss},
 	{
 		"the leader crashes and stays down",
 		func(s *drainScenario) { s.kill(s.leaderName()) },
@@ -176,7 +176,7 @@
 		)
 	}, noLeaseLoss},
 	{"a drained machine is cut off for 8 s", func(s *drainScenario) {
-		if id := s.loadedMachine("a"); id != "" {
+		if id := s.machineWithTasks("a"); id != "" {
 			worker := s.fleet.Workers[id]
 			worker.Partitioned = true
 			s.sim.After(8*second, func() { worker.Partitioned = false })
@@ -226,7 +226,7 @@
 				s := newDrainScenario(t, 800+seed).startServices()
 				s.drainZone("rack", "a")
 				s.sim.Run(s.randomDuration(35 * second))
-				f.begin(s)
+				f.inject(s)
 				s.sim.Run(second)
 				s.waitDrainEnds("rack", 400*second)
 				s.reportBudgetViolations()
@@ -265,7 +265,7 @@
 				names = append(names, f.name)
 				causes[f.leaseLoss] = true
 				s.sim.Run(monotime.Micros(rnd.Int64N(int64(25 * second))))
-				f.begin(s)
+				f.inject(s)
 			}
 			s.allowsLosses = causes[leaseLossInOutage] && causes[leaseLossWithNewController]
 			s.waitDrainEnds("rack", 500*second)
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -20,10 +20,10 @@
 	"number of machines in the fleet, of which an eighth is drained; the long form of the test uses 4000",
 )
 
-// submissionIntervalPerMachine, in seconds and divided by the number of machines, is the interval between
-// submissions. A fleet of 1,000 machines gets 12.5 submissions a second, and its state service allows 100
-// changes a second.
-const submissionIntervalPerMachine = 80
+// machineSecondsPerSubmission, divided by the number of machines, is the interval between submissions in
+// seconds. A fleet of 1,000 machines gets 12.5 submissions a second, and its state service allows 100 changes
+// a second.
+const machineSecondsPerSubmission = 80
 
 // drainCosts holds what users and the state service notice of a drain.
 type drainCosts struct {
@@ -37,14 +37,14 @@
 	wallTime     time.Duration
 }
 
-// playDrainSize simulates two minutes of a full fleet that gets one-task jobs at a constant rate, with or
+// measureDrainCosts simulates two minutes of a full fleet that gets one-task jobs at a constant rate, with or
 // without a drain of an eighth of its machines.
-func playDrainSize(t *testing.T, machines int, draining bool) *drainCosts {
+func measureDrainCosts(t *testing.T, machines int, draining bool) *drainCosts {
 	c := newClusterOfSize(t, machines)
-	none := 0
+	noReserve := 0
 	c.settings.Drains = &config.DrainSettings{
 		DefaultMaxUnavailable:  1,
-		DefaultReserveMachines: &none,
+		DefaultReserveMachines: &noReserve,
 		MaxParallel:            machines / 16,
 		ArrayWait:              config.Duration(10 * second),
 		MinReady:               config.Duration(3 * second),
@@ -64,12 +64,12 @@
 	c.submitLongArrays(machines)
 	c.sim.Run(90 * second)
 
-	got := &drainCosts{}
+	costs := &drainCosts{}
 	sentAt := map[string]monotime.Micros{}
-	var waits []monotime.Micros
+	var latencies []monotime.Micros
 	c.onAccepted = func(id string) {
 		if at, ok := sentAt[id]; ok {
-			waits = append(waits, c.sim.Now()-at)
+			latencies = append(latencies, c.sim.Now()-at)
 		}
 	}
 	var submit func()
@@ -81,55 +81,55 @@
 			withEstimateS(10),
 		)
 		sentAt[id] = c.sim.Now()
-		c.sim.After(submissionIntervalPerMachine*second/monotime.Micros(machines), submit)
+		c.sim.After(machineSecondsPerSubmission*second/monotime.Micros(machines), submit)
 	}
 	submit()
 	ids := sortedmap.Keys(c.cloud.Machines)
-	through := ids[len(ids)/4] // zone a has half of the machines up to this one: an eighth of the fleet
-	before, begun := c.store.Changes, time.Now()
+	lastMachine := ids[len(ids)/4] // zone a has half of the machines up to this one: an eighth of the fleet
+	before, startedAt := c.store.Changes, time.Now()
 	if draining {
-		rec := storage.Drain{
+		record := storage.Drain{
 			State:        storage.DrainActive,
 			Selector:     storage.Selector{Zone: "a"},
-			LastMachine:  through,
+			LastMachine:  lastMachine,
 			Replace:      true,
 			RemoveAtOnce: true,
 			MaxParallel:  machines / 16,
 			StartedAt:    1,
 		}
 		s := &drainScenario{cluster: c}
-		s.putDrain("eighth", rec)
+		s.putDrain("eighth", record)
 	}
 	c.sim.Run(120 * second)
-	got.wallTime = time.Since(begun)
-	got.changes = c.store.Changes - before
-	got.accepted = len(waits)
-	for _, w := range waits {
-		got.meanLatency += w / monotime.Micros(len(waits))
+	costs.wallTime = time.Since(startedAt)
+	costs.changes = c.store.Changes - before
+	costs.accepted = len(latencies)
+	for _, latency := range latencies {
+		costs.meanLatency += latency / monotime.Micros(len(latencies))
 	}
-	slices.Sort(waits)
-	got.p99Latency = waits[len(waits)*99/100]
+	slices.Sort(latencies)
+	costs.p99Latency = latencies[len(latencies)*99/100]
 	for _, node := range c.nodeNames {
-		got.permitWrites += c.nodes[node].controller.counters.permitWrites
+		costs.permitWrites += c.nodes[node].controller.counters.permitWrites
 	}
 	for id, j := range c.fleet.Jobs {
 		if j.RunTime == 0 {
-			got.moved += c.fleet.Starts[id+"/0"] - 1
+			costs.moved += c.fleet.Starts[id+"/0"] - 1
 		}
 	}
 	for _, id := range ids {
-		if rented := c.cloud.Machines[id]; rented.Zone == "a" && id <= through && !rented.Gone {
-			got.machinesLeft++
+		if rented := c.cloud.Machines[id]; rented.Zone == "a" && id <= lastMachine && !rented.Gone {
+			costs.machinesLeft++
 		}
 	}
 	c.requireNoViolations()
-	return got
+	return costs
 }
 
-// TestLargeDrainLeavesSubmissionsUnharmed checks that a drain of an eighth of a fleet neither reduces nor
+// TestLargeDrainDoesNotDelaySubmissions checks that a drain of an eighth of a fleet neither reduces nor
 // delays accepted submissions, and that its permit writes stay within the limit for drains.
-func TestLargeDrainLeavesSubmissionsUnharmed(t *testing.T) {
-	without, with := playDrainSize(t, *drainFleetSize, false), playDrainSize(t, *drainFleetSize, true)
+func TestLargeDrainDoesNotDelaySubmissions(t *testing.T) {
+	without, with := measureDrainCosts(t, *drainFleetSize, false), measureDrainCosts(t, *drainFleetSize, true)
 	t.Logf("%d machines without a drain: %+v", *drainFleetSize, *without)
 	t.Logf("with a drain: %+v", *with)
 	if with.accepted < without.accepted*95/100 || with.p99Latency > 2*without.p99Latency+second/2 {
@@ -144,10 +144,10 @@
 	}
 	// Permits may use a tenth of the changes of all controllers together. A fifth is added because the
 	// controllers use them unevenly.
-	most := int(drainer.PermitWriteFraction * 1.2 * 100 * float64(*drainFleetSize) / 1000 * 120)
-	if with.permitWrites > most || with.permitWrites == 0 || without.permitWrites > 0 {
+	maxWrites := int(drainer.PermitWriteFraction * 1.2 * 100 * float64(*drainFleetSize) / 1000 * 120)
+	if with.permitWrites > maxWrites || with.permitWrites == 0 || without.permitWrites > 0 {
 		t.Errorf("got %d permit writes with a drain and %d without, want 1 to %d and 0",
-			with.permitWrites, without.permitWrites, most)
+			with.permitWrites, without.permitWrites, maxWrites)
 	}
 	if with.moved == 0 {
 		t.Error("got no replica moved, want at least 1")
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -16,8 +16,8 @@
 // setIntakeMaxUnavailable replaces all budgets by one without a reserve: it allows a number of replicas of
 // team "intake" to be unavailable.
 func (s *drainScenario) setIntakeMaxUnavailable(replicas int) {
-	none := 0
-	s.settings.Drains.DefaultReserveMachines = &none
+	noReserve := 0
+	s.settings.Drains.DefaultReserveMachines = &noReserve
 	s.settings.Drains.Budgets = []config.DisruptionBudget{
 		{Team: "intake", MaxUnavailable: &config.CountOrPercent{Value: replicas}},
 	}
@@ -117,11 +117,11 @@
 			s.setIntakeMaxUnavailable(2)
 			s.startWithLeader()
 			s.submitSpreadService("intake", 8)
-			spare := s.submitService("other", 4, withCPUs(6), withTypes("m8"), withZone("b"))
+			spareService := s.submitService("other", 4, withCPUs(6), withTypes("m8"), withZone("b"))
 			s.sim.RunUntil(60*second, s.allReplicasRun)
 			s.sim.Run(5 * second)
 			s.exhaustCapacity()
-			s.cancelJob(spare)
+			s.cancelJob(spareService)
 			s.sim.Run(4 * second) // zone b now has room for the drained replicas
 			s.floors["intake"] = 6
 			s.fleet.OnStop = s.checkStop
@@ -135,7 +135,7 @@
 			s.drainWithoutReplacement("rack", "a", "")
 			s.sim.Run(2 * second)
 			for range 3 { // more replicas than the remaining room can replace
-				if id := s.machineWith("intake", "b"); id != "" {
+				if id := s.machineWithTeam("intake", "b"); id != "" {
 					s.killMachine(id)
 				}
 			}
@@ -146,8 +146,8 @@
 	}
 }
 
-// machineWith finds a machine of a zone that runs a team's replica, or returns "" if there is none.
-func (s *drainScenario) machineWith(team, zone string) string {
+// machineWithTeam finds a machine of a zone that runs a team's replica, or returns "" if there is none.
+func (s *drainScenario) machineWithTeam(team, zone string) string {
 	for _, id := range s.machinesInZone(zone) {
 		worker := s.fleet.Workers[id]
 		if worker == nil {
@@ -174,23 +174,23 @@
 				s.submitService("intake", 4, withCPUs(6), withTypes("m8"), withZone(zone))
 			}
 			s.sim.RunUntil(60*second, s.allReplicasRun)
-			covered := s.newestMachine()
-			var spares []string
+			lastCovered := s.newestMachine()
+			var spareServices []string
 			for _, zone := range []string{"a", "b"} {
-				spares = append(
-					spares,
+				spareServices = append(
+					spareServices,
 					s.submitService("other", 2, withCPUs(6), withTypes("m8"), withZone(zone)),
 				)
 			}
 			s.sim.RunUntil(60*second, s.allReplicasRun)
 			s.sim.Run(10 * second)
-			for _, id := range spares { // the cancelled services leave room for the moved replicas
+			for _, id := range spareServices { // the cancelled services leave room for the moved replicas
 				s.cancelJob(id)
 			}
 			s.sim.Run(2 * second)
 			s.floors["intake"] = 7
 			s.fleet.OnStop = s.checkStop
-			s.drainWithoutReplacement("rack", "a", covered)
+			s.drainWithoutReplacement("rack", "a", lastCovered)
 			s.sim.RunUntil(40*second, func() bool { return s.storedPermits() > 0 })
 			for _, id := range s.machinesInZone("a") { // no machine of the zone executes commands for now
 				if worker := s.fleet.Workers[id]; worker != nil {
@@ -202,7 +202,7 @@
 			}
 			s.sim.Run(second)
 			s.abortDrain("rack")
-			s.drainWithoutReplacement("rack2", "b", covered)
+			s.drainWithoutReplacement("rack2", "b", lastCovered)
 			s.sim.Run(3 * second)
 			for _, id := range s.machinesInZone("a") {
 				if worker := s.fleet.Workers[id]; worker != nil {
@@ -229,15 +229,15 @@
 			s.submitService("intake", 3, withCPUs(6), withTypes("m8"))
 			s.sim.RunUntil(60*second, s.allReplicasRun)
 			s.cloud.Capacity[offerB] = 5
-			spare := s.submitService("other", 1, withCPUs(6), withTypes("m8"), withZone("b"))
+			spareService := s.submitService("other", 1, withCPUs(6), withTypes("m8"), withZone("b"))
 			s.sim.RunUntil(90*second, s.allReplicasRun)
 			s.sim.Run(10 * second)
 			s.exhaustCapacity()
-			s.cancelJob(spare)
+			s.cancelJob(spareService)
 			s.sim.Run(3 * second)
 			s.drainWithoutReplacement("rack", "a", "")
 			s.sim.RunUntil(20*second, func() bool { return s.storedPermits() > 0 })
-			id := s.sendService(s.nodeNames[1], "other", withCPUs(6), withZone("b"))
+			newService := s.sendService(s.nodeNames[1], "other", withCPUs(6), withZone("b"))
 			if s.storedPermits() == 0 {
 				t.Fatal("got no permit after the start of the drain, want at least 1")
 			}
@@ -246,7 +246,7 @@
 				t.Errorf(
 					"got %d running replicas of intake, want 3; the new service runs %d",
 					s.fleet.RunningReplicas("intake"),
-					s.fleet.Running(id),
+					s.fleet.Running(newService),
 				)
 			}
 			s.requireNoViolations()
@@ -286,26 +286,26 @@
 	s.sim.Run(10 * second) // while a drain is unfinished, controllers record at once which replicas run
 	s.store.Outage(20 * second)
 	s.sim.Run(4 * second)
-	used := 0
+	permitCount := 0
 	for _, node := range s.nodeNames {
-		core := s.nodes[node].controller
-		rec := storage.Drain{
+		controller := s.nodes[node].controller
+		record := storage.Drain{
 			State:       storage.DrainActive,
 			Selector:    storage.Selector{Zone: "a"},
 			MaxParallel: 9,
 		}
-		core.mirror.ApplyPut(
+		controller.mirror.ApplyPut(
 			storage.Key(storage.KindDrain, "rack"),
-			protocol.MustMarshal(&rec),
-			core.mirror.NewestRevision+1,
+			protocol.MustMarshal(&record),
+			controller.mirror.NewestRevision+1,
 		)
-		for _, id := range sortedmap.Keys(core.mirror.Machines) {
-			machine := core.mirror.Machines[id]
-			if core.agents.Of(machine) == nil || machine.Record.Zone != "a" {
+		for _, id := range sortedmap.Keys(controller.mirror.Machines) {
+			machine := controller.mirror.Machines[id]
+			if controller.agents.Of(machine) == nil || machine.Record.Zone != "a" {
 				continue
 			}
 			for _, task := range mirror.SortedTaskIDs(machine.Attempts) {
-				if job := core.mirror.Jobs[task.Job]; job.Record.Spec.Team == "payout" {
+				if job := controller.mirror.Jobs[task.Job]; job.Record.Spec.Team == "payout" {
 					permits := storage.Permits{
 						Permits: []storage.Permit{
 							{
@@ -318,19 +318,19 @@
 							},
 						},
 					}
-					core.mirror.ApplyPut(
+					controller.mirror.ApplyPut(
 						storage.Key(storage.KindPermits, "payout"),
 						protocol.MustMarshal(&permits),
-						core.mirror.NewestRevision+1,
+						controller.mirror.NewestRevision+1,
 					)
-					used++
+					permitCount++
 				}
 			}
 		}
 	}
 	s.sim.Run(8 * second)
-	if s.stoppedReplicas > 0 || used == 0 {
+	if s.stoppedReplicas > 0 || permitCount == 0 {
 		t.Errorf("got %d replicas stopped in the outage under %d permits, want 0 under at least 1",
-			s.stoppedReplicas, used)
+			s.stoppedReplicas, permitCount)
 	}
 }
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -67,14 +67,14 @@
 // submitService submits a service and waits until it is accepted.
 func (s *drainScenario) submitService(team string, replicas int, options ...jobOption) string {
 	s.t.Helper()
-	usual := jobWith(
+	defaults := jobWith(
 		withService(true),
 		withTasks(replicas),
 		withTeam(team),
 		withPriority(protocol.Production),
 		withCPUs(2),
 	)
-	id, body := s.newSubmission(usual, jobWith(options...))
+	id, body := s.newSubmission(defaults, jobWith(options...))
 	s.fleet.Jobs[id] = serviceInfo(team, body.CPUs)
 	s.services[id] = replicas
 	response := s.requestAndWait(s.nodeNames[0], "POST", protocol.JobsPath, protocol.MustMarshal(body))
@@ -160,7 +160,7 @@
 	s.samples++
 	for _, team := range sortedmap.Keys(s.floors) {
 		n := s.fleet.RunningReplicas(team)
-		if low, ok := s.lowestRunning[team]; !ok || n < low {
+		if lowest, ok := s.lowestRunning[team]; !ok || n < lowest {
 			s.lowestRunning[team] = n
 		}
 		if n < s.floors[team] {
@@ -232,9 +232,9 @@
 			s.machinesInZone("a"),
 		)
 		for _, node := range s.nodeNames {
-			if core := s.nodes[node].controller; core != nil {
-				d := core.drains.Decide()
-				s.t.Errorf("%s: got blockages %v, want none", node, d.Blocked)
+			if controller := s.nodes[node].controller; controller != nil {
+				decision := controller.drains.Decide()
+				s.t.Errorf("%s: got blockages %v, want none", node, decision.Blocked)
 			}
 		}
 	}
@@ -280,7 +280,7 @@
 
 // countMoves counts the starts of replicas beyond each one's first: of all replicas, and the most of one
 // replica.
-func (s *drainScenario) countMoves() (moved, most int) { return s.fleet.Restarts(s.services) }
+func (s *drainScenario) countMoves() (moved, maxPerReplica int) { return s.fleet.Restarts(s.services) }
 
 // TestZoneDrainMovesEachReplicaOnce checks that a drain of a zone empties and returns all of its machines,
 // moves no replica more than once, and takes no team below its budget.
@@ -300,9 +300,9 @@
 			if left := s.machinesInZone("a"); len(left) > 0 || before == 0 {
 				t.Errorf("of %d machines in zone a: got %v left, want none of at least 1", before, left)
 			}
-			moved, most := s.countMoves()
-			if most > 1 || moved == 0 {
-				t.Errorf("got %d moves and up to %d of one replica, want at least 1 and up to 1", moved, most)
+			moved, maxPerReplica := s.countMoves()
+			if maxPerReplica > 1 || moved == 0 {
+				t.Errorf("got %d moves and up to %d of one replica, want at least 1 and up to 1", moved, maxPerReplica)
 			}
 			t.Logf("%d machines, %d moves in %.0f s, %d changes of the state service; lowest %v, floors %v",
 				before, moved, took.Seconds(), s.store.Changes-changes, s.lowestRunning, s.floors)
--- a/internal/coordination/failure_attribution_test.go
+++ b/internal/coordination/failure_attribution_test.go
@@ -16,45 +16,45 @@
 // were tried again after every pause.
 func TestCrashLoopingJobsCostNoMachines(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		mistakes int
-		sick     int
+		name           string
+		faultyJobs     int
+		faultyMachines int
 	}{
 		{"faulty jobs", 3, 0},
 		{"a faulty machine", 0, 1},
 		{"both", 3, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCluster(t, uint64(900+tc.mistakes+tc.sick))
+			c := newCluster(t, uint64(900+tc.faultyJobs+tc.faultyMachines))
 			c.settings.ScaleDownDelay = config.Duration(8 * second)
 			c.startWithLeader()
-			keep := c.submit(0, withService(true), withTasks(6), withCPUs(1)) // keeps machines up
-			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(keep) == 6 }) {
-				t.Fatalf("service: got %d running replicas after 60 s, want 6", c.fleet.Running(keep))
+			service := c.submit(0, withService(true), withTasks(6), withCPUs(1)) // keeps machines up
+			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 6 }) {
+				t.Fatalf("service: got %d running replicas after 60 s, want 6", c.fleet.Running(service))
 			}
-			var good, bad []string
+			var good, faulty []string
 			for i := 0; i < 2; i++ {
 				good = append(good, c.submit(4*second, withTasks(12), withCPUs(1)))
 			}
 			c.sim.Run(2 * second)
-			sick, moved := map[string]bool{}, 0
+			faultyMachines, onFaultyMachines := map[string]bool{}, 0
 			for _, id := range sortedmap.Keys(c.fleet.Workers) {
-				if worker := c.fleet.Workers[id]; len(sick) < tc.sick && !worker.Machine.Gone &&
+				if worker := c.fleet.Workers[id]; len(faultyMachines) < tc.faultyMachines && !worker.Machine.Gone &&
 					len(worker.Attempts) < 4 {
-					worker.FailsTasks, sick[id] = true, true
+					worker.FailsTasks, faultyMachines[id] = true, true
 					for task := range worker.Attempts {
-						if jobIDOfTask(task) == keep {
-							moved++
+						if jobIDOfTask(task) == service {
+							onFaultyMachines++
 						}
 					}
 				}
 			}
-			for i := 0; i < tc.mistakes; i++ {
+			for i := 0; i < tc.faultyJobs; i++ {
 				id := c.submit(4*second, withTasks(30), withCPUs(4))
-				j := c.fleet.Jobs[id]
-				j.Fails = true
-				c.fleet.Jobs[id] = j
-				bad = append(bad, id)
+				behavior := c.fleet.Jobs[id]
+				behavior.Fails = true
+				c.fleet.Jobs[id] = behavior
+				faulty = append(faulty, id)
 			}
 			for i := 0; i < 4; i++ {
 				good = append(good, c.submit(4*second, withTasks(12), withCPUs(1)))
@@ -64,26 +64,26 @@
 				c.requireFinished(id, 60*second)
 			}
 			c.sim.Run(30 * second)
-			for id := range sick {
+			for id := range faultyMachines {
 				if !c.cloud.Machines[id].Gone {
 					t.Errorf("machine %s, on which every task fails: got it still rented, want it removed", id)
 				}
 			}
-			again := 0 // starts of replicas beyond the first: their machine was removed
+			restarted := 0 // starts of replicas beyond the first: their machine was removed
 			for task, n := range c.fleet.Starts {
-				if jobIDOfTask(task) == keep {
-					again += n - 1
+				if jobIDOfTask(task) == service {
+					restarted += n - 1
 				}
 			}
-			if again > moved {
-				t.Errorf("got %d restarted replicas, want at most the %d on faulty machines", again, moved)
+			if restarted > onFaultyMachines {
+				t.Errorf("got %d restarted replicas, want at most the %d on faulty machines", restarted, onFaultyMachines)
 			}
 			if n := c.cloud.MachineCount(); n > 4 {
 				t.Errorf("got %d machines for six replicas and an occasional trial start, want at most 4", n)
 			}
-			starts, tasks := 0, 30*tc.mistakes
+			starts, tasks := 0, 30*tc.faultyJobs
 			for task, n := range c.fleet.Starts {
-				for _, id := range bad {
+				for _, id := range faulty {
 					if jobIDOfTask(task) == id {
 						starts += n
 					}
@@ -92,7 +92,7 @@
 			if tasks > 0 && (starts < 3 || starts > 2*tasks) {
 				t.Errorf("got %d starts of %d tasks of faulty jobs, want 3 to %d", starts, tasks, 2*tasks)
 			}
-			for i, id := range bad {
+			for i, id := range faulty {
 				response := c.requestAndWait(c.nodeNames[i%3], "POST", protocol.CancelPath(id), nil)
 				if response.Status != 200 {
 					t.Errorf("cancellation of %s: got status %d, want 200", id, response.Status)
@@ -100,7 +100,7 @@
 				c.checker.CancellationConfirmed(id)
 			}
 			c.sim.Run(40 * second)
-			for _, id := range bad {
+			for _, id := range faulty {
 				if c.fleet.Running(id) > 0 {
 					t.Errorf("job %s: got %d running tasks 40 s after its cancellation, want 0",
 						id, c.fleet.Running(id))
@@ -118,15 +118,15 @@
 // one of its tasks completes, and soon when its machines turn out to be faulty.
 func TestCrashLoopEndsOnSuccess(t *testing.T) {
 	c := newCluster(t, 950).startWithLeader()
-	keep := c.submit(0, withService(true), withTasks(24), withCPUs(2))
-	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(keep) == 24 }) {
-		t.Fatalf("service: got %d running replicas after 60 s, want 24", c.fleet.Running(keep))
+	service := c.submit(0, withService(true), withTasks(24), withCPUs(2))
+	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 24 }) {
+		t.Fatalf("service: got %d running replicas after 60 s, want 24", c.fleet.Running(service))
 	}
-	n := 0
+	faulty := 0
 	for _, id := range sortedmap.Keys(c.fleet.Workers) {
-		if worker := c.fleet.Workers[id]; n < 3 && !worker.Machine.Gone {
+		if worker := c.fleet.Workers[id]; faulty < 3 && !worker.Machine.Gone {
 			worker.FailsTasks = true
-			n++
+			faulty++
 		}
 	}
 	ids := []string{
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -24,20 +24,20 @@
 // followerController returns a picker of a controller that is not the leader: the first one from the n-th on.
 func followerController(n int) controllerPicker {
 	return func(s *scenario) string {
-		lead := leaderController(s)
+		leader := leaderController(s)
 		for i := range s.nodeNames {
-			if name := s.nodeNames[(i+n)%len(s.nodeNames)]; name != lead {
+			if name := s.nodeNames[(i+n)%len(s.nodeNames)]; name != leader {
 				return name
 			}
 		}
-		return lead
+		return leader
 	}
 }
 
 // storeRejectsController makes the state service reject the calls of one controller only.
-func storeRejectsController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
+func storeRejectsController(at monotime.Micros, pick controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "store rejects controller", func(s *scenario) {
-		node := of(s)
+		node := pick(s)
 		s.store.RefusedCallers[node] = true
 		s.sim.After(duration, func() { delete(s.store.RefusedCallers, node) })
 	}}
@@ -49,9 +49,9 @@
 }
 
 // crashController crashes a controller, unless it is down, and restarts it after the duration.
-func crashController(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
+func crashController(at monotime.Micros, pick controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "controller crash", func(s *scenario) {
-		node := of(s)
+		node := pick(s)
 		if s.nodes[node].controller == nil {
 			return
 		}
@@ -69,9 +69,9 @@
 }
 
 // peerPartition cuts a controller off from its peers.
-func peerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
+func peerPartition(at monotime.Micros, pick controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "controller cut off from peers", func(s *scenario) {
-		node := of(s)
+		node := pick(s)
 		for _, other := range s.nodeNames {
 			s.disconnectedPairs[node+"-"+other] = true
 		}
@@ -85,17 +85,17 @@
 
 // storeAndPeerPartition cuts a controller off from the state service and its peers, but neither from
 // its workers nor from its users.
-func storeAndPeerPartition(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
+func storeAndPeerPartition(at monotime.Micros, pick controllerPicker, duration monotime.Micros) fault {
 	return fault{at, "controller cut off from store and peers", func(s *scenario) {
-		node := of(s)
+		node := pick(s)
 		storeRejectsController(0, func(*scenario) string { return node }, duration).inject(s)
 		peerPartition(0, func(*scenario) string { return node }, duration).inject(s)
 	}}
 }
 
 // processPause suspends a controller's process while its clocks keep running.
-func processPause(at monotime.Micros, of controllerPicker, duration monotime.Micros) fault {
-	return fault{at, "process paused", func(s *scenario) { s.cluster.pause(of(s), duration) }}
+func processPause(at monotime.Micros, pick controllerPicker, duration monotime.Micros) fault {
+	return fault{at, "process paused", func(s *scenario) { s.cluster.pause(pick(s), duration) }}
 }
 
 // pickMachines picks up to n random machines that are up.
@@ -162,10 +162,10 @@
 	}}
 }
 
-// changesQuotaShares reports whether a transaction only puts a controller's quota shares or, if drops is
+// changesQuotaShares reports whether a transaction only puts a controller's quota shares or, if deletes is
 // true, only deletes them.
-func changesQuotaShares(txn *protocol.Transaction, drops bool) bool {
-	if len(txn.Then) != 1 || (txn.Then[0].Delete != "") != drops {
+func changesQuotaShares(txn *protocol.Transaction, deletes bool) bool {
+	if len(txn.Then) != 1 || (txn.Then[0].Delete != "") != deletes {
 		return false
 	}
 	kind, _, _ := storage.SplitKey(txn.Then[0].Put + txn.Then[0].Delete)
@@ -223,19 +223,20 @@
 // leads, or for the duration at most, and then delivers them to every controller.
 func duplicateReportsToNextLeader(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "duplicate heartbeats to the next leader", func(s *scenario) {
-		var kept [][]byte
+		var duplicates [][]byte
 		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
 			if s.sim.Rand.Float64() < fraction {
-				kept = append(kept, body)
+				duplicates = append(duplicates, body)
 			}
 		}
-		before := leaderController(s)
-		s.pollFor(duration, func() bool { l := s.leaderNode(); return l != nil && l.name != before }, func() {
-			s.onReport = nil
-			for _, body := range kept {
-				s.deliverDuplicateReport(body)
-			}
-		})
+		previousLeader := leaderController(s)
+		s.pollFor(duration,
+			func() bool { leader := s.leaderNode(); return leader != nil && leader.name != previousLeader }, func() {
+				s.onReport = nil
+				for _, body := range duplicates {
+					s.deliverDuplicateReport(body)
+				}
+			})
 	}}
 }
 
@@ -281,11 +282,11 @@
 	var out []*fake.Worker
 	for _, id := range sortedmap.Keys(s.fleet.Workers) {
 		worker := s.fleet.Workers[id]
-		holds := false
+		hasTasks := false
 		for task := range worker.Attempts {
-			holds = holds || jobIDOfTask(task) == job
+			hasTasks = hasTasks || jobIDOfTask(task) == job
 		}
-		if holds && !worker.Machine.Gone {
+		if hasTasks && !worker.Machine.Gone {
 			out = append(out, worker)
 		}
 	}
@@ -303,9 +304,9 @@
 }
 
 // slowStoreReplies makes the state service answer late, within the time that callers wait.
-func slowStoreReplies(at monotime.Micros, most, duration monotime.Micros) fault {
+func slowStoreReplies(at monotime.Micros, maxDelay, duration monotime.Micros) fault {
 	return fault{at, "slow store replies", func(s *scenario) {
-		s.store.DelayResponse = func() monotime.Micros { return s.randomDuration(most) }
+		s.store.DelayResponse = func() monotime.Micros { return s.randomDuration(maxDelay) }
 		s.sim.After(duration, func() { s.store.DelayResponse = nil })
 	}}
 }
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -17,8 +17,8 @@
 	commands, changes, requests                                 int // changes and requests of the state service
 	machinesExamined, tasksPlaced                               int
 	largestValueBytes, largestReplyBytes, largestHeartbeatBytes int
-	shards, leasesEnded                                         int
-	running, services, unanswered                               int // unanswered: see unknownJobs
+	shards, leasesExpired                                       int
+	running, services, unknownJobCount                          int // unknownJobCount: see unknownJobs
 }
 
 // perMachine returns, per machine, the counts that must not grow faster than the fleet.
@@ -39,21 +39,21 @@
 	scale := float64(machines) / 1000
 	c.store = fake.NewStateStore(c.sim, 400*scale, 100*scale, c.store.MaxTransactionOps)
 	clear(c.cloud.Capacity)
-	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = machines / 4
-		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = machines / 4
+	for _, zone := range []string{"a", "b"} {
+		c.cloud.Capacity[fake.OfferKey("m16", zone, false)] = machines / 4
+		c.cloud.Capacity[fake.OfferKey("m16", zone, true)] = machines / 4
 	}
 	for i := range c.teams {
 		c.teams[i].CPUs, c.teams[i].CPUsMax = c.teams[i].CPUs*scale, c.teams[i].CPUsMax*scale
 		c.checker.Limits[c.teams[i].Name] = c.teams[i].CPUsMax
 	}
-	usual := c.adjustFacts
+	baseFacts := c.adjustFacts
 	c.adjustFacts = func(cfg *config.Config) {
-		usual(cfg)
-		f := &cfg.Facts
-		f.State.RPS, f.State.WriteRPS = 400*scale, 100*scale
-		f.Cloud.RPS = 9 * max(1, scale)
-		f.Quota.MaxConnections = max(500, int(2800*scale))
+		baseFacts(cfg)
+		facts := &cfg.Facts
+		facts.State.RPS, facts.State.WriteRPS = 400*scale, 100*scale
+		facts.Cloud.RPS = 9 * max(1, scale)
+		facts.Quota.MaxConnections = max(500, int(2800*scale))
 	}
 	return c
 }
@@ -74,13 +74,13 @@
 	}
 }
 
-// measureSize simulates a fleet with a number of machines under an opening load, a crash of the leader, an
-// outage of the state service and a restart of all controllers.
-func measureSize(t *testing.T, machines int) *sizeCosts {
+// measureSizeCosts simulates a fleet with a number of machines under an opening load, a crash of the leader,
+// an outage of the state service and a restart of all controllers.
+func measureSizeCosts(t *testing.T, machines int) *sizeCosts {
 	c := newClusterOfSize(t, machines)
-	got := &sizeCosts{}
+	costs := &sizeCosts{}
 	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
-		got.largestHeartbeatBytes = max(got.largestHeartbeatBytes, len(body))
+		costs.largestHeartbeatBytes = max(costs.largestHeartbeatBytes, len(body))
 	}
 	c.refuseConnections = true
 	c.start(c.nodeNames...)
@@ -89,17 +89,17 @@
 	c.submitLongArrays(machines)
 	c.sim.Run(50 * second)
 	for _, node := range c.nodeNames {
-		got.machinesExamined += c.nodes[node].controller.scheduler.Counters().MachinesExamined
-		got.tasksPlaced += c.nodes[node].controller.counters.tasksPlaced
+		costs.machinesExamined += c.nodes[node].controller.scheduler.Counters().MachinesExamined
+		costs.tasksPlaced += c.nodes[node].controller.counters.tasksPlaced
 	}
-	before := 0
+	incarnationsBefore := 0
 	for _, worker := range c.fleet.Workers {
-		before += int(worker.Incarnation)
+		incarnationsBefore += int(worker.Incarnation)
 	}
-	gone := c.leaderNode().name
-	c.kill(gone)
+	leader := c.leaderNode().name
+	c.kill(leader)
 	c.sim.Run(10 * second)
-	c.start(gone)
+	c.start(leader)
 	c.sim.Run(5 * second)
 	c.store.Outage(10 * second)
 	c.sim.Run(12 * second)
@@ -108,27 +108,27 @@
 	c.start(c.nodeNames...)
 	c.sim.Run(20 * second)
 	for _, worker := range c.fleet.Workers {
-		got.leasesEnded += int(worker.Incarnation)
+		costs.leasesExpired += int(worker.Incarnation)
 	}
-	got.leasesEnded -= before
-	got.machines, got.finished, got.commands = c.cloud.MachineCount(), len(c.fleet.Finished), c.commandCount
-	got.changes, got.largestReplyBytes = c.store.Changes, c.largestResponse
+	costs.leasesExpired -= incarnationsBefore
+	costs.machines, costs.finished, costs.commands = c.cloud.MachineCount(), len(c.fleet.Finished), c.commandCount
+	costs.changes, costs.largestReplyBytes = c.store.Changes, c.largestResponse
 	for _, n := range c.store.Calls {
-		got.requests += n
+		costs.requests += n
 	}
 	for _, key := range c.store.Keys(storage.KeyPrefix) {
-		got.largestValueBytes = max(got.largestValueBytes, c.store.JSONSize(key))
+		costs.largestValueBytes = max(costs.largestValueBytes, c.store.JSONSize(key))
 	}
-	got.shards = len(c.store.Keys(storage.Key(storage.KindShard, "")))
+	costs.shards = len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	for id, j := range c.fleet.Jobs {
 		if j.RunTime == 0 {
-			got.services++
-			got.running += c.fleet.Running(id)
+			costs.services++
+			costs.running += c.fleet.Running(id)
 		}
 	}
-	got.unanswered = c.unknownJobs()
+	costs.unknownJobCount = c.unknownJobs()
 	c.requireNoViolations()
-	return got
+	return costs
 }
 
 // unknownJobs asks random controllers about one job in 20 and counts the jobs that they do not know.
@@ -155,17 +155,17 @@
 	var base map[string]float64
 	for _, machines := range sizes {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			got := measureSize(t, machines)
+			got := measureSizeCosts(t, machines)
 			t.Logf("%+v", *got)
 			if got.machines < machines*8/10 {
 				t.Errorf("got %d machines, want at least %d", got.machines, machines*8/10)
 			}
-			if got.running < got.services*95/100 || got.unanswered > 0 {
+			if got.running < got.services*95/100 || got.unknownJobCount > 0 {
 				t.Errorf(
 					"got %d of %d services running and %d unknown jobs, want at least 95%% and 0",
 					got.running,
 					got.services,
-					got.unanswered,
+					got.unknownJobCount,
 				)
 			}
 			if got.largestValueBytes > 4096 || got.largestHeartbeatBytes > 64<<10 ||
@@ -188,14 +188,14 @@
 				t.Errorf("got %d commands for %d placed tasks, want at most 1.5 per task",
 					got.commands, got.tasksPlaced)
 			}
-			per := got.perMachine()
+			perMachine := got.perMachine()
 			if base == nil {
-				base = per
+				base = perMachine
 			}
-			for _, what := range sortedmap.Keys(per) {
-				if per[what] > 1.5*base[what] {
+			for _, name := range sortedmap.Keys(perMachine) {
+				if perMachine[name] > 1.5*base[name] {
 					t.Errorf("%s: got %.1f, want at most 1.5 times the %.1f with %d machines",
-						what, per[what], base[what], sizes[0])
+						name, perMachine[name], base[name], sizes[0])
 				}
 			}
 		})
