--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -63,8 +63,8 @@
 	s.t.Helper()
 	s.submitService(team, replicas, withCPUs(6), withTypes("m8"))
 	if !s.sim.RunUntil(90*second, s.allReplicasRun) {
-		s.t.Fatalf("after 90 s: got running replicas by team %v, want all of %v by service",
-			s.runningByTeam(), s.services)
+		s.t.Fatalf("team %s: got %d running replicas after 90 s, want %d",
+			team, s.fleet.RunningReplicas(team), replicas)
 	}
 	s.sim.Run(10 * second)
 }
--- a/internal/coordination/drains_test.go
+++ b/internal/coordination/drains_test.go
@@ -109,8 +109,10 @@
 	s.submit(40*second, withTasks(30), withTeam("other"), withCPUs(1), withEstimateS(40),
 		withPriority(protocol.BestEffort))
 	if !s.sim.RunUntil(120*second, s.allReplicasRun) {
-		s.t.Fatalf("after 120 s: got running replicas by team %v, want all of %v by service",
-			s.runningByTeam(), s.services)
+		s.t.Fatalf("after 120 s: got %d, %d and %d running replicas of intake, payout and other, want 21, 15 and 4",
+			s.fleet.RunningReplicas("intake"),
+			s.fleet.RunningReplicas("payout"),
+			s.fleet.RunningReplicas("other"))
 	}
 	s.sim.Run(15 * second)
 	s.floors["intake"] = 15 // 70% of 21, rounded up
