--- a/internal/protocol/cloud_calls.go
+++ b/internal/protocol/cloud_calls.go
@@ -8,16 +8,16 @@
 	"pipitgap/internal/transport"
 )
 
-// machinesPerPage bounds a page of a list of machines.
+// machinesPerPage is the maximum number of machines on a page of the machine list.
 const machinesPerPage = 500
 
-// NoCapacityReason is the cloud's reason for a request that an offer has no machines for.
+// NoCapacityReason is the cloud's reason for rejecting a request whose offer has no machines left.
 const NoCapacityReason = "no capacity"
 
-// CloudOp names a call of the cloud.
+// CloudOp is an operation of the cloud's API.
 type CloudOp int
 
-// Calls of the cloud.
+// Operations of the cloud's API.
 const (
 	CloudCatalog CloudOp = iota
 	CloudCreateMachines
@@ -25,25 +25,25 @@
 	CloudList
 )
 
-// CloudCall is one call of the cloud.
+// CloudCall is one call to the cloud.
 type CloudCall struct {
 	Op      CloudOp
 	Create  CreateMachinesRequest
-	Delete  []string // machines
-	After   string   // list: the machine after which it continues
+	Delete  []string // delete: machine IDs
+	After   string   // list: the page starts after this machine; "": with the first one
 	Timeout monotime.Micros
 }
 
-// CloudResult answers it.
+// CloudResult is the result of a CloudCall.
 type CloudResult struct {
 	Outcome Outcome
-	Types   []MachineType // of the catalog
-	Created []string      // machines
+	Types   []MachineType // catalog: all machine types
+	Created []string      // create: machine IDs
 	Listed  []ListedMachine
-	More    bool // further pages of the list follow
+	More    bool // list: more pages follow
 }
 
-// CallCloud performs a call of the cloud and waits for it.
+// CallCloud sends a call to the cloud and waits for the result.
 func CallCloud(client *transport.Client, call *CloudCall) CloudResult {
 	switch call.Op {
 	case CloudCatalog:
@@ -65,7 +65,8 @@
 	return CloudResult{}
 }
 
-// exchangeWithCloud sends a request to the cloud and decodes the body of an answer.
+// exchangeWithCloud sends a request to the cloud and decodes the body of an OK response. The outcome is
+// Unknown if the body can't be decoded.
 func exchangeWithCloud(client *transport.Client, request wireRequest, out any) Outcome {
 	message, outcome := send(client, request)
 	if outcome == OK && Unmarshal(message.Body, out) != nil {
@@ -74,7 +75,8 @@
 	return outcome
 }
 
-// resultUnlessUnknown leaves out what was decoded of an answer that can't be read as a whole.
+// resultUnlessUnknown returns an empty result if the outcome is Unknown, since a response that failed to
+// decode may have filled in some of the fields.
 func resultUnlessUnknown(result CloudResult) CloudResult {
 	if result.Outcome == Unknown {
 		return CloudResult{}
@@ -82,7 +84,7 @@
 	return result
 }
 
-// callCreateMachines requests machines of one offer.
+// callCreateMachines requests new machines of one offer.
 func callCreateMachines(client *transport.Client, call *CloudCall) CloudResult {
 	message, outcome := send(client, wireRequest{
 		method: "POST", target: MachinesPath, body: MustMarshal(&call.Create), timeout: call.Timeout,
@@ -95,8 +97,8 @@
 		}
 		return CloudResult{Outcome: OK, Created: reply.Machines}
 	case Unavailable:
-		// Only "no capacity" is an answer about the offer. Any other 503 is a failure of the cloud itself and
-		// says nothing about it.
+		// A 503 describes the offer only if its reason is "no capacity". Any other 503 is a failure of the
+		// cloud itself and says nothing about the offer.
 		var reason ErrorBody
 		if Unmarshal(message.Body, &reason) == nil && reason.Error == NoCapacityReason {
 			outcome = NoCapacity
@@ -105,7 +107,7 @@
 	return CloudResult{Outcome: outcome}
 }
 
-// callListMachines reads a page of the list of machines.
+// callListMachines reads one page of the machine list.
 func callListMachines(client *transport.Client, call *CloudCall) CloudResult {
 	target := fmt.Sprintf("%s?limit=%d", MachinesPath, machinesPerPage)
 	if call.After != "" {
--- a/internal/protocol/field_reader.go
+++ b/internal/protocol/field_reader.go
@@ -5,26 +5,26 @@
 	"math"
 )
 
-// Bounds of the fields of a submission.
+// Upper bounds of the text and number fields of a submission.
 const (
 	maxTextBytes = 200
 	maxAmount    = 1e12
 )
 
-// fieldReader reads a decoded map, remembering the first thing wrong.
+// fieldReader reads and validates the fields of a decoded map. It keeps the first error.
 type fieldReader struct {
 	values map[string]any
 	err    error
 }
 
-// fail notes a fault, unless there is one already.
+// fail records an error about a field, unless an earlier one is recorded.
 func (f *fieldReader) fail(name, what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", name, what)
 	}
 }
 
-// text reads a text that isn't empty; an optional one may be nil, and is empty then.
+// text reads a nonempty string. An optional field may be nil or absent, which returns "".
 func (f *fieldReader) text(name string, optional bool) string {
 	v := f.values[name]
 	if v == nil && optional {
@@ -38,7 +38,7 @@
 	return s
 }
 
-// nonNegative reads a number; an optional one may be nil, and is 0 then.
+// nonNegative reads a number of 0 or more. An optional field may be nil or absent, which returns 0.
 func (f *fieldReader) nonNegative(name string, optional bool) float64 {
 	v := f.values[name]
 	if v == nil && optional {
@@ -52,7 +52,7 @@
 	return x
 }
 
-// integer reads a whole number between two bounds.
+// integer reads an integer within the inclusive bounds.
 func (f *fieldReader) integer(name string, least, most int64) int {
 	n, ok := wholeNumber(f.values[name])
 	if !ok {
@@ -65,7 +65,7 @@
 	return int(n)
 }
 
-// boolean reads true or false.
+// boolean reads a required boolean.
 func (f *fieldReader) boolean(name string) bool {
 	v, ok := f.values[name].(bool)
 	if !ok {
@@ -74,7 +74,7 @@
 	return v
 }
 
-// number converts any number that MessagePack decodes to.
+// number converts any numeric type that the MessagePack decoder returns.
 func number(v any) (float64, bool) {
 	switch x := v.(type) {
 	case float64:
@@ -86,8 +86,8 @@
 	return float64(n), ok
 }
 
-// wholeNumber converts any whole number that MessagePack decodes to; one that is too large becomes the
-// largest, which is beyond every bound.
+// wholeNumber converts any integer type that the MessagePack decoder returns. A value above the int64 range
+// becomes the largest int64, which exceeds the bounds of every field.
 func wholeNumber(v any) (int64, bool) {
 	switch x := v.(type) {
 	case int8:
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -1,5 +1,5 @@
-// Package protocol holds the messages of the service's interfaces. Wire names
-// stand only here; the rest of the code uses the field's own terms.
+// Package protocol defines the messages that the controller exchanges with users, workers, the state service
+// and the cloud. Only this package contains the wire names; all other code uses standard terms.
 package protocol
 
 import (
@@ -13,7 +13,7 @@
 // Raw is an undecoded MessagePack value.
 type Raw = msgpack.RawMessage
 
-// Marshal encodes a message, integers in their short form.
+// Marshal encodes a message as MessagePack, each integer in its shortest form.
 func Marshal(v any) ([]byte, error) {
 	var b bytes.Buffer
 	enc := msgpack.NewEncoder(&b)
@@ -24,7 +24,8 @@
 	return b.Bytes(), nil
 }
 
-// MustMarshal is for values of the service's own types, whose encoding can't fail.
+// MustMarshal is like Marshal but panics on an error. It is for the program's own types, whose encoding can't
+// fail.
 func MustMarshal(v any) []byte {
 	b, err := Marshal(v)
 	if err != nil {
@@ -33,10 +34,11 @@
 	return b
 }
 
-// ErrMalformed says that bytes are not one bounded MessagePack value.
+// ErrMalformed means that the input is not exactly one MessagePack value of bounded nesting.
 var ErrMalformed = errors.New("not a MessagePack message")
 
-// Unmarshal checks the shape first: a hostile length or depth must cost nothing.
+// Unmarshal decodes a message. It calls CheckShape first, so that a hostile length or nesting depth is
+// rejected before the decoder allocates anything for it.
 func Unmarshal(b []byte, v any) error {
 	if err := CheckShape(b); err != nil {
 		return err
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// TaskState is the state of a task on a machine, as its worker reports it.
+// TaskState is the state of a task on a machine, as reported by the worker.
 type TaskState string
 
 // Task states.
@@ -58,10 +60,10 @@
 	StateExited   TaskState = "exited"
 )
 
-// ExitCause is why a task has exited, as its worker reports it.
+// ExitCause is the reason why a task exited, as reported by the worker.
 type ExitCause string
 
-// Causes of exits.
+// Exit causes.
 const (
 	CauseDone        ExitCause = "done"
 	CauseStopped     ExitCause = "stopped"
@@ -71,17 +73,17 @@
 	CauseUnknown     ExitCause = "unknown"
 )
 
-// CommandOp is what a command has a worker do with a task.
+// CommandOp is the operation that a command requests from a worker.
 type CommandOp string
 
-// Commands.
+// Command operations.
 const (
 	CmdRun  CommandOp = "run"
 	CmdKill CommandOp = "kill"
-	CmdReap CommandOp = "reap" // forget an attempt that has exited
+	CmdReap CommandOp = "reap" // discard the record of an exited attempt
 )
 
-// Statuses of jobs as users see them.
+// Job statuses in responses to users.
 const (
 	JobPending   = "pending"
 	JobRunning   = "running"
@@ -89,56 +91,56 @@
 	JobCancelled = "cancelled"
 )
 
-// JobStatusReply answers submissions, polls and cancellations.
+// JobStatusReply is the response to submissions, status requests and cancellations.
 type JobStatusReply struct {
 	ID      string `msgpack:"id"`
 	Status  string `msgpack:"status"`
-	Done    int    `msgpack:"done"`    // completed tasks
-	Running int    `msgpack:"running"` // tasks on machines
+	Done    int    `msgpack:"done"`    // number of completed tasks
+	Running int    `msgpack:"running"` // number of tasks on machines
 }
 
-// AcceptedReply answers a submission or a cancellation.
+// AcceptedReply is the response to a submission or a cancellation that returns no task counts.
 type AcceptedReply struct {
 	ID     string `msgpack:"id"`
 	Status string `msgpack:"status"`
 }
 
-// ErrorBody says what is wrong with a request.
+// ErrorBody is the body of an error response: the reason why the request failed.
 type ErrorBody struct {
 	Error string `msgpack:"error"`
 }
 
-// TaskStatus is one task in a worker's report.
+// TaskStatus is the entry of one task in a heartbeat.
 type TaskStatus struct {
-	Task            string    `msgpack:"pip"`    // the job, a slash and the index
-	Attempt         uint64    `msgpack:"try_no"` // number of the attempt
+	Task            string    `msgpack:"pip"`    // job ID, slash, task index
+	Attempt         uint64    `msgpack:"try_no"` // attempt number
 	State           TaskState `msgpack:"status"`
-	Cause           ExitCause `msgpack:"cause,omitempty"` // of an exited task
-	CheckpointSaved bool      `msgpack:"kept,omitempty"`  // the progress was saved
+	Cause           ExitCause `msgpack:"cause,omitempty"` // only of an exited task
+	CheckpointSaved bool      `msgpack:"kept,omitempty"`  // whether the task saved its progress
 }
 
-// Heartbeat is a worker's report.
+// Heartbeat is a worker's periodic report.
 type Heartbeat struct {
 	Machine             string       `msgpack:"tree"`
 	Endpoint            string       `msgpack:"endpoint"` // address and port of the worker
 	Type                string       `msgpack:"breed"`    // machine type
 	Zone                string       `msgpack:"grove"`
 	Spot                bool         `msgpack:"borrowed"`  // spot instance
-	Incarnation         uint64       `msgpack:"roost"`     // of the agent
-	Sequence            uint64       `msgpack:"chirp"`     // counts the heartbeats of an incarnation
-	FencingToken        uint64       `msgpack:"baton"`     // the highest that the agent has seen
-	InterruptionNoticeS *float64     `msgpack:"warning_s"` // nil: no interruption announced
+	Incarnation         uint64       `msgpack:"roost"`     // incarnation of the worker's agent
+	Sequence            uint64       `msgpack:"chirp"`     // sequence number within the incarnation
+	FencingToken        uint64       `msgpack:"baton"`     // highest fencing token that the agent has seen
+	InterruptionNoticeS *float64     `msgpack:"warning_s"` // seconds until the spot interruption, or nil
 	Tasks               []TaskStatus `msgpack:"pips"`
 }
 
-// Longest texts of a heartbeat that are accepted, in bytes.
+// Maximum lengths of a heartbeat's string fields, in bytes.
 const (
 	maxEndpointBytes = 64
 	maxTypeBytes     = 100
 	maxZoneBytes     = 100
 )
 
-// Valid reports whether a heartbeat can be acted upon.
+// Valid reports whether all fields that a controller needs are present and within their bounds.
 func (h *Heartbeat) Valid() bool {
 	if !ValidKeyPart(h.Machine) || h.Incarnation == 0 || !validEndpoint(h.Endpoint) ||
 		h.Type == "" || len(h.Type) > maxTypeBytes ||
@@ -153,8 +155,8 @@
 	return true
 }
 
-// validEndpoint reports whether an endpoint can be stored: the text form of a shard separates its columns by
-// spaces and its entries by semicolons.
+// validEndpoint reports whether an endpoint can be stored. Spaces and semicolons are not allowed: the text
+// encoding of a shard separates columns by spaces and entries by semicolons.
 func validEndpoint(endpoint string) bool {
 	if endpoint == "" || len(endpoint) > maxEndpointBytes {
 		return false
@@ -167,72 +169,73 @@
 	return true
 }
 
-// Command is an order to a worker.
+// Command tells a worker what to do with one task.
 type Command struct {
 	Op      CommandOp `msgpack:"call"`
-	Task    string    `msgpack:"pip"`                // the job, a slash and the index
-	Attempt uint64    `msgpack:"try_no"`             // number of the attempt
-	GraceS  *float64  `msgpack:"leeway_s,omitempty"` // seconds that a killed task has to save its progress
+	Task    string    `msgpack:"pip"`                // job ID, slash, task index
+	Attempt uint64    `msgpack:"try_no"`             // attempt number
+	GraceS  *float64  `msgpack:"leeway_s,omitempty"` // seconds that a killed task gets to save its progress
 }
 
-// HeartbeatReply answers a report.
+// HeartbeatReply is the response to a heartbeat.
 type HeartbeatReply struct {
-	FencingToken uint64    `msgpack:"baton"` // of the commands
+	FencingToken uint64    `msgpack:"baton"` // fencing token of the commands
 	Commands     []Command `msgpack:"calls"`
 }
 
-// Redirect goes with 421.
+// Redirect is the body of a 421 response.
 type Redirect struct {
-	Leader string `msgpack:"flock_lead,omitempty"` // the controller to turn to; "": any other
+	Leader string `msgpack:"flock_lead,omitempty"` // controller to contact instead; "": any other
 }
 
-// CommandRequest is a direct command batch.
+// CommandRequest is a batch of commands that a controller sends to a worker directly, not in a heartbeat
+// reply.
 type CommandRequest struct {
-	FencingToken uint64    `msgpack:"baton"` // of the commands
-	Incarnation  uint64    `msgpack:"roost"` // the agent that the commands are for
+	FencingToken uint64    `msgpack:"baton"` // fencing token of the commands
+	Incarnation  uint64    `msgpack:"roost"` // the agent incarnation that the commands are for
 	Commands     []Command `msgpack:"calls"`
 }
 
-// MachineType is an entry of the cloud's catalogue.
+// MachineType is an entry of the cloud's catalog.
 type MachineType struct {
 	Name          string   `msgpack:"name"`
-	CPUs          float64  `msgpack:"cores"`         // of a machine
-	GPUs          float64  `msgpack:"accelerators"`  // of a machine
-	MemoryGB      float64  `msgpack:"memory_gb"`     // of a machine
+	CPUs          float64  `msgpack:"cores"`         // per machine
+	GPUs          float64  `msgpack:"accelerators"`  // per machine
+	MemoryGB      float64  `msgpack:"memory_gb"`     // per machine
 	CacheGB       float64  `msgpack:"local_gb"`      // local storage
-	FetchGBPerS   float64  `msgpack:"pull_gb_per_s"` // rate at which images are fetched
+	FetchGBPerS   float64  `msgpack:"pull_gb_per_s"` // download rate of container images
 	OnDemandPrice float64  `msgpack:"rate"`
 	SpotPrice     float64  `msgpack:"low_price"`
-	BootS         float64  `msgpack:"ready_s"` // seconds from the request until a machine is up
+	BootS         float64  `msgpack:"ready_s"` // seconds from the request until the machine is up
 	Zones         []string `msgpack:"groves"`
 }
 
-// Catalog is the list of machine types.
+// Catalog is the cloud's list of machine types.
 type Catalog struct {
 	Types []MachineType `msgpack:"breeds"`
 }
 
-// CreateMachinesRequest requests machines of one offer. A request that is repeated under its name gets the
-// same machines.
+// CreateMachinesRequest requests new machines of one offer. It is idempotent: repeating a request with the
+// same name returns the same machines.
 type CreateMachinesRequest struct {
-	Name  string `msgpack:"ask"`   // identifies the request
+	Name  string `msgpack:"ask"`   // idempotency key
 	Type  string `msgpack:"breed"` // machine type
 	Zone  string `msgpack:"grove"`
 	Spot  bool   `msgpack:"borrowed"` // spot instances
-	Count int    `msgpack:"number"`   // machines
+	Count int    `msgpack:"number"`   // number of machines
 }
 
-// CreateMachinesReply names the machines that the cloud provides.
+// CreateMachinesReply lists the IDs of the machines that the cloud provides.
 type CreateMachinesReply struct {
 	Machines []string `msgpack:"trees"`
 }
 
-// DeleteMachinesRequest has the cloud delete machines.
+// DeleteMachinesRequest requests the deletion of machines, given by ID.
 type DeleteMachinesRequest struct {
 	Machines []string `msgpack:"trees"`
 }
 
-// ListedMachine is a machine in the cloud's list.
+// ListedMachine is an entry of the cloud's machine list.
 type ListedMachine struct {
 	ID       string  `msgpack:"id"`
 	Endpoint string  `msgpack:"endpoint"`
@@ -240,51 +243,54 @@
 	Zone     string  `msgpack:"grove"`
 	Spot     bool    `msgpack:"borrowed"`
 	State    string  `msgpack:"status"`
-	AgeS     float64 `msgpack:"held_s"` // seconds since it was created
+	AgeS     float64 `msgpack:"held_s"` // seconds since the machine's creation
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is one page of the cloud's machine list.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"trees"`
-	More     bool            `msgpack:"has_next"` // further pages follow
+	More     bool            `msgpack:"has_next"` // more pages follow
 }
 
-// KeyValue is a key of the state service.
+// KeyValue is a key of the state service with its value.
 type KeyValue struct {
 	Key     string `msgpack:"path"`
 	Value   Raw    `msgpack:"value"`
-	Version uint64 `msgpack:"stamp"`  // revision of the last change
-	Lease   uint64 `msgpack:"tenure"` // the record is deleted with it; 0: none
+	Version uint64 `msgpack:"stamp"`  // revision of the key's last change
+	Lease   uint64 `msgpack:"tenure"` // the key is deleted when this lease expires; 0: none
 }
 
-// KeyValueList is a page of keys.
+// KeyValueList is one page of a list of keys.
 type KeyValueList struct {
 	Items    []KeyValue `msgpack:"pairs"`
-	More     bool       `msgpack:"has_next"` // further pages follow
-	Revision uint64     `msgpack:"epoch"`    // at which the page was read
+	More     bool       `msgpack:"has_next"` // more pages follow
+	Revision uint64     `msgpack:"epoch"`    // revision at which the page was read
 }
 
-// Compare is a condition of a transaction; version 0: the key does not exist.
+// Compare is a condition of a transaction: the key has this version. Version 0 requires that the key doesn't
+// exist.
 type Compare struct {
 	Key     string `msgpack:"path"`
 	Version uint64 `msgpack:"stamp"`
 }
 
-// Op is a put (Put set) or a delete.
+// Op is a put, if Put is set, or a delete.
 type Op struct {
-	Put    string `msgpack:"write,omitempty"` // key
+	Put    string `msgpack:"write,omitempty"` // key to write
 	Value  Raw    `msgpack:"value,omitempty"`
-	Lease  uint64 `msgpack:"tenure,omitempty"` // that the put record is deleted with
-	Delete string `msgpack:"drop,omitempty"`   // key
+	Lease  uint64 `msgpack:"tenure,omitempty"` // the key is deleted when this lease expires; 0: none
+	Delete string `msgpack:"drop,omitempty"`   // key to delete
 }
 
-// Transaction is a transaction.
+// Transaction is a compare-and-swap: the state service applies all operations atomically if all conditions
+// hold.
 type Transaction struct {
-	If   []Compare `msgpack:"if"`              // all must hold
-	Then []Op      `msgpack:"apply,omitempty"` // made together
+	If   []Compare `msgpack:"if"`              // conditions, all of which must hold
+	Then []Op      `msgpack:"apply,omitempty"` // operations, applied atomically
 }
 
-// PutIfUnchanged writes a record on the condition that it still has the version; 0: that it doesn't exist.
+// PutIfUnchanged returns a transaction that writes a record if its version is unchanged. Version 0 requires
+// that the record doesn't exist.
 func PutIfUnchanged(key string, version uint64, record any) Transaction {
 	return Transaction{
 		If:   []Compare{{Key: key, Version: version}},
@@ -292,7 +298,7 @@
 	}
 }
 
-// DeleteIfUnchanged deletes a record on the condition that it still has the version.
+// DeleteIfUnchanged returns a transaction that deletes a record if its version is unchanged.
 func DeleteIfUnchanged(key string, version uint64) Transaction {
 	return Transaction{
 		If:   []Compare{{Key: key, Version: version}},
@@ -300,32 +306,32 @@
 	}
 }
 
-// TransactionReply answers a transaction.
+// TransactionReply is the response to a transaction.
 type TransactionReply struct {
-	Revision uint64   `msgpack:"epoch"`  // of the commit
+	Revision uint64   `msgpack:"epoch"`  // revision of the commit
 	Failed   []string `msgpack:"failed"` // keys whose conditions failed
 }
 
-// LeaseRequest opens a lease.
+// LeaseRequest requests a new lease.
 type LeaseRequest struct {
-	TTLMillis int64 `msgpack:"ttl_ms"` // milliseconds without a renewal until the lease ends
+	TTLMillis int64 `msgpack:"ttl_ms"` // milliseconds without a renewal until the lease expires
 }
 
-// LeaseReply names it.
+// LeaseReply contains the ID of a granted lease.
 type LeaseReply struct {
 	Lease uint64 `msgpack:"tenure"`
 }
 
-// Event is a change seen by a watch.
+// Event is a change of a key, reported by a watch.
 type Event struct {
-	Put     string `msgpack:"write"` // key
+	Put     string `msgpack:"write"` // written key
 	Value   Raw    `msgpack:"value"`
 	Version uint64 `msgpack:"stamp"` // revision of the change
-	Delete  string `msgpack:"drop"`  // key
+	Delete  string `msgpack:"drop"`  // deleted key
 }
 
-// WatchReply answers a watch.
+// WatchReply is the response to a watch.
 type WatchReply struct {
-	Revision uint64  `msgpack:"epoch"` // up to which the events are complete
+	Revision uint64  `msgpack:"epoch"` // the events are complete up to this revision
 	Events   []Event `msgpack:"log"`
 }
--- a/internal/protocol/outcomes.go
+++ b/internal/protocol/outcomes.go
@@ -5,16 +5,16 @@
 	"pipitgap/internal/transport"
 )
 
-// Outcome is what became of a call to the state service or the cloud.
+// Outcome is the outcome of a call to the state service or the cloud.
 type Outcome int
 
-// Outcomes. Unknown means that the call may have been executed or may yet be.
+// Outcomes. Unknown means that the called service may have executed the call or may still execute it.
 const (
 	Unknown     Outcome = iota
 	OK                  // 200
-	Conflict            // 409: nothing changed
+	Conflict            // 409: a condition failed and nothing changed
 	NotFound            // 404
-	Compacted           // 410: the watch has fallen behind
+	Compacted           // 410: the watch starts at a revision that is no longer available
 	Rejected            // 400
 	NoCapacity          // 503 with "no capacity"
 	Throttled           // 429: not executed
@@ -29,7 +29,8 @@
 	}[o]
 }
 
-// outcomeOf reads the outcome from a response, or from the error without one.
+// outcomeOf derives the outcome from a response. A call that failed without a response has the outcome
+// Unknown.
 func outcomeOf(message *transport.Message, err error) Outcome {
 	if err != nil {
 		return Unknown
@@ -53,14 +54,14 @@
 	return Unknown
 }
 
-// wireRequest is a request of another service, the body not encoded for those that have none.
+// wireRequest is an HTTP request to another service. A nil body means a request without a body.
 type wireRequest struct {
 	method, target string
 	body           []byte
 	timeout        monotime.Micros
 }
 
-// send sends a request and waits for the response, which is nil where there was none.
+// send sends a request and waits for the response. The response is nil if there was none.
 func send(client *transport.Client, request wireRequest) (*transport.Message, Outcome) {
 	message, err := client.Do(request.method, request.target, request.body, request.timeout)
 	return message, outcomeOf(message, err)
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// Paths of the service that users and workers send to.
+// Paths of the controller's own API for users and workers.
 const (
-	JobsPath      = "/v2/runs" // submissions
-	HeartbeatPath = "/checkin" // workers' reports
+	JobsPath      = "/v2/runs" // submits a job
+	HeartbeatPath = "/checkin" // receives the workers' heartbeats
 
 	cancelSuffix = "/abort"
 )
 
 // Paths of the state service.
 const (
-	KeysPath   = "/kv" // lists; KeyPath reads one key
+	KeysPath   = "/kv" // lists keys; KeyPath is the path of a single key
 	CommitPath = "/commit"
-	LeasesPath = "/leases" // grants; KeepAlivePath renews one
+	LeasesPath = "/leases" // grants leases; KeepAlivePath renews a lease
 	WatchPath  = "/watch"
 
 	keepAliveSuffix = "/touch"
@@ -26,23 +26,23 @@
 // Paths of the cloud.
 const (
 	CatalogPath        = "/catalog"
-	MachinesPath       = "/rentals" // lists (GET) and requests (POST) machines
+	MachinesPath       = "/rentals" // GET lists machines, POST creates machines
 	DeleteMachinesPath = "/rentals/delete"
 )
 
-// Paths of a worker.
+// Paths of a worker's API.
 const (
 	WorkerCommandsPath = "/do"
 	WorkerReportPath   = "/show"
 )
 
-// JobPath is the path of a job's status.
+// JobPath returns the path of a job's status.
 func JobPath(id string) string { return JobsPath + "/" + id }
 
-// CancelPath is the path of a job's cancellation.
+// CancelPath returns the path that cancels a job.
 func CancelPath(id string) string { return JobPath(id) + cancelSuffix }
 
-// ParseJobPath takes a path of JobPath or CancelPath apart; ok is false for any other path.
+// ParseJobPath parses a path of JobPath or CancelPath. ok is false for any other path.
 func ParseJobPath(path string) (id string, cancel, ok bool) {
 	rest, ok := strings.CutPrefix(path, JobsPath+"/")
 	if !ok {
@@ -52,18 +52,19 @@
 	return id, cancel, true
 }
 
-// KeyPath is the path of a key of the state service.
+// KeyPath returns the path of a key of the state service.
 func KeyPath(key string) string { return KeysPath + "/" + key }
 
-// ParseKeyPath takes a path of KeyPath apart.
+// ParseKeyPath parses a path of KeyPath. ok is false for any other path.
 func ParseKeyPath(path string) (key string, ok bool) { return strings.CutPrefix(path, KeysPath+"/") }
 
-// KeepAlivePath is the path that renews a lease of the state service.
+// KeepAlivePath returns the path that renews a lease of the state service.
 func KeepAlivePath(lease uint64) string {
 	return fmt.Sprintf("%s/%d%s", LeasesPath, lease, keepAliveSuffix)
 }
 
-// ParseKeepAlivePath takes a path of KeepAlivePath apart; the lease is returned as it stands there.
+// ParseKeepAlivePath parses a path of KeepAlivePath. The lease is returned as text and may not be a number.
+// ok is false for any other path.
 func ParseKeepAlivePath(path string) (lease string, ok bool) {
 	rest, ok := strings.CutPrefix(path, LeasesPath+"/")
 	if !ok {
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -25,26 +25,26 @@
 	}{
 		{"as documented", nil, true},
 		{"nulls", map[string]any{"breeds": nil, "due_s": nil, "grove": nil}, true},
-		{"whole amounts", map[string]any{"cores": 8, "guess_s": 0}, true},
-		{"most tasks", map[string]any{"pips": 100000}, true},
+		{"integers for float fields", map[string]any{"cores": 8, "guess_s": 0}, true},
+		{"maximum number of tasks", map[string]any{"pips": 100000}, true},
 		{"too many tasks", map[string]any{"pips": 100001}, false},
 		{"no tasks", map[string]any{"pips": 0}, false},
 		{"negative tasks", map[string]any{"pips": -1}, false},
-		{"tasks beyond 64 bits", map[string]any{"pips": uint64(math.MaxUint64)}, false},
-		{"tasks as an amount", map[string]any{"pips": 16.0}, false},
-		{"not a number", map[string]any{"cores": math.NaN()}, false},
-		{"infinite", map[string]any{"memory_gb": math.Inf(1)}, false},
-		{"negative", map[string]any{"pull_gb": -0.5}, false},
-		{"text for an amount", map[string]any{"cores": "8"}, false},
-		{"null for an amount", map[string]any{"cores": nil}, false},
-		{"number for a flag", map[string]any{"apart": 0}, false},
+		{"number of tasks above int64", map[string]any{"pips": uint64(math.MaxUint64)}, false},
+		{"number of tasks as a float", map[string]any{"pips": 16.0}, false},
+		{"NaN", map[string]any{"cores": math.NaN()}, false},
+		{"infinity", map[string]any{"memory_gb": math.Inf(1)}, false},
+		{"negative number", map[string]any{"pull_gb": -0.5}, false},
+		{"string for a number", map[string]any{"cores": "8"}, false},
+		{"null for a number", map[string]any{"cores": nil}, false},
+		{"number for a boolean", map[string]any{"apart": 0}, false},
 		{"unknown shape", map[string]any{"shape": "gang"}, false},
 		{"unknown rank", map[string]any{"rank": "low"}, false},
-		{"id of another form", map[string]any{"id": "000412"}, false},
+		{"id without prefix", map[string]any{"id": "000412"}, false},
 		{"id with a slash", map[string]any{"id": "j-1/2"}, false},
-		{"endless id", map[string]any{"id": "j-" + strings.Repeat("0", 200)}, false},
+		{"id too long", map[string]any{"id": "j-" + strings.Repeat("0", 200)}, false},
 		{"types not a list", map[string]any{"breeds": "g8"}, false},
-		{"types not names", map[string]any{"breeds": []any{8}}, false},
+		{"types not strings", map[string]any{"breeds": []any{8}}, false},
 	}
 	for _, tc := range cases {
 		values := validSubmission()
@@ -53,10 +53,10 @@
 		}
 		submission, err := ParseSubmission(MustMarshal(values))
 		if (err == nil) != tc.ok {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: got error %v, want accepted %v", tc.name, err, tc.ok)
 		}
 		if tc.ok && (submission.ID != "j-000412" || submission.Priority != High || submission.Service) {
-			t.Errorf("%s: %+v", tc.name, submission)
+			t.Errorf("%s: got %+v, want ID j-000412, priority %d and no service", tc.name, submission, High)
 		}
 	}
 	for k := range validSubmission() {
@@ -64,7 +64,7 @@
 		delete(values, k)
 		may := map[string]bool{"breeds": true, "grove": true, "due_s": true, "new_field": true}[k]
 		if _, err := ParseSubmission(MustMarshal(values)); (err == nil) != may {
-			t.Errorf("without %s: %v", k, err)
+			t.Errorf("field %s missing: got error %v, want accepted %v", k, err, may)
 		}
 	}
 }
@@ -75,26 +75,26 @@
 		in   []byte
 		ok   bool
 	}{
-		{"nothing", nil, false},
+		{"empty input", nil, false},
 		{"map", MustMarshal(validSubmission()), true},
 		{"two values", []byte{0xc0, 0xc0}, false},
-		{"list that claims four thousand million", []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, false},
-		{"map that claims too much", []byte{0xdf, 0x7f, 0xff, 0xff, 0xff, 0xc0}, false},
-		{"text cut off", []byte{0xa5, 'a'}, false},
-		{"nested too deep", []byte(strings.Repeat("\x91", 64) + "\xc0"), false},
+		{"list that announces 2^32-1 elements", []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, false},
+		{"map that announces too many entries", []byte{0xdf, 0x7f, 0xff, 0xff, 0xff, 0xc0}, false},
+		{"truncated string", []byte{0xa5, 'a'}, false},
+		{"nested too deeply", []byte(strings.Repeat("\x91", 64) + "\xc0"), false},
 		{"binary data", []byte{0xc4, 1, 0}, false},
 		{"extension", []byte{0xd4, 0, 0}, false},
-		{"number cut off", []byte{0xcb, 0, 0}, false},
+		{"truncated number", []byte{0xcb, 0, 0}, false},
 	}
 	for _, tc := range cases {
 		if err := CheckShape(tc.in); (err == nil) != tc.ok {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: got error %v, want accepted %v", tc.name, err, tc.ok)
 		}
 	}
 }
 
-// FuzzSubmission: whatever comes, the decoder answers without a crash, and what
-// it accepts is within the protocol's bounds.
+// FuzzSubmission checks for any input that the decoder doesn't panic and that an accepted submission or
+// heartbeat is within the protocol's bounds.
 func FuzzSubmission(f *testing.F) {
 	f.Add(MustMarshal(validSubmission()))
 	f.Add([]byte{0x81, 0xa2, 'i', 'd', 0x01})
@@ -103,17 +103,17 @@
 		submission, err := ParseSubmission(in)
 		if err == nil && (submission.Tasks < 1 || submission.Tasks > MaxTasks ||
 			submission.CPUs < 0 || math.IsNaN(submission.CPUs) || !ValidJobID(submission.ID)) {
-			t.Fatalf("accepted %+v", submission)
+			t.Fatalf("got accepted submission %+v, want a rejection", submission)
 		}
 		var r Heartbeat
 		if Unmarshal(in, &r) == nil && r.Valid() && r.Machine == "" {
-			t.Fatal("a report without a machine")
+			t.Fatal("got an accepted heartbeat without a machine, want a rejection")
 		}
 	})
 }
 
-// TestSubmissionEncoding: a submission is read back as it was written, with every field set and with none of
-// the optional ones, and its fields are just those that are documented.
+// TestSubmissionEncoding encodes a submission with all fields set and one without the optional fields.
+// Decoding must return the same submission, and the encoded fields must be exactly the documented ones.
 func TestSubmissionEncoding(t *testing.T) {
 	full := Submission{
 		ID: "j-000412", Class: "train", Team: "vision", Service: true, Priority: High, Tasks: 16, CPUs: 8, GPUs: 1,
@@ -126,16 +126,16 @@
 	for _, want := range []Submission{full, least} {
 		got, err := ParseSubmission(MustMarshal(&want))
 		if err != nil || !reflect.DeepEqual(*got, want) {
-			t.Errorf("%+v is read back as %+v, %v", want, got, err)
+			t.Errorf("got %+v, error %v after encoding and decoding, want %+v", got, err, want)
 		}
 		fields := want.Fields()
 		for name := range documented {
 			if _, ok := fields[name]; !ok {
-				t.Errorf("no field %s", name)
+				t.Errorf("got no field %s, want every documented field", name)
 			}
 		}
 		if len(fields) != len(documented) {
-			t.Errorf("%d fields, want %d", len(fields), len(documented))
+			t.Errorf("got %d fields, want %d", len(fields), len(documented))
 		}
 	}
 }
@@ -156,39 +156,42 @@
 	for _, tc := range cases {
 		id, cancel, ok := ParseJobPath(tc.path)
 		if id != tc.id || cancel != tc.cancel || ok != tc.ok {
-			t.Errorf("%s: %q %v %v", tc.path, id, cancel, ok)
+			t.Errorf("%s: got id %q, cancel %v, ok %v, want id %q, cancel %v, ok %v",
+				tc.path, id, cancel, ok, tc.id, tc.cancel, tc.ok)
 		}
 	}
 }
 
-// TestPaths: what the paths of the state service are made of is read back, and nothing else.
+// TestPaths checks that the parsers return the key and the lease that the state service's paths were built
+// from, and reject all other paths.
 func TestPaths(t *testing.T) {
 	if key, ok := ParseKeyPath(KeyPath("a/b")); !ok || key != "a/b" {
-		t.Errorf("key %q, %v", key, ok)
+		t.Errorf("got key %q, ok %v, want a/b, true", key, ok)
 	}
 	if lease, ok := ParseKeepAlivePath(KeepAlivePath(42)); !ok || lease != "42" {
-		t.Errorf("lease %q, %v", lease, ok)
+		t.Errorf("got lease %q, ok %v, want 42, true", lease, ok)
 	}
 	for _, path := range []string{"", KeysPath, LeasesPath, LeasesPath + "/42", CommitPath, WatchPath} {
 		if key, ok := ParseKeyPath(path); ok {
-			t.Errorf("%s is the path of the key %q", path, key)
+			t.Errorf("%s: got key %q, want a rejected path", path, key)
 		}
 		if lease, ok := ParseKeepAlivePath(path); ok {
-			t.Errorf("%s renews the lease %q", path, lease)
+			t.Errorf("%s: got lease %q, want a rejected path", path, lease)
 		}
 	}
 }
 
-// TestCheckShapeNesting: nesting up to the bound, and no deeper.
+// TestCheckShapeNesting checks that a message at the nesting limit is accepted and one level more is
+// rejected.
 func TestCheckShapeNesting(t *testing.T) {
 	nested := func(levels int) []byte {
-		message := bytes.Repeat([]byte{0x91}, levels) // lists of one value
+		message := bytes.Repeat([]byte{0x91}, levels) // lists of one element
 		return append(message, nilValue)
 	}
 	if err := CheckShape(nested(maxNesting - 1)); err != nil {
-		t.Errorf("at the bound: %v", err)
+		t.Errorf("nesting at the limit: got error %v, want none", err)
 	}
 	if err := CheckShape(nested(maxNesting)); err == nil {
-		t.Error("beyond the bound: no error")
+		t.Error("nesting above the limit: got no error, want one")
 	}
 }
--- a/internal/protocol/shape.go
+++ b/internal/protocol/shape.go
@@ -1,9 +1,11 @@
 package protocol
 
-// maxNesting bounds the levels of maps and lists in a message, the outermost value counted.
+// maxNesting bounds the nesting depth of maps and lists in a message. The outermost value counts as one
+// level.
 const maxNesting = 32
 
-// First bytes of a MessagePack value, and the ranges that they begin or end.
+// First bytes of MessagePack values: the bytes of single formats, and the first or last bytes of ranges of
+// formats.
 const (
 	lastPositiveFixint  = 0x7f
 	lastFixmap          = 0x8f
@@ -14,16 +16,17 @@
 	trueValue           = 0xc3
 	float32Value        = 0xca
 	float64Value        = 0xcb
-	firstUint, lastUint = 0xcc, 0xcf // of 1, 2, 4 and 8 bytes
-	firstInt, lastInt   = 0xd0, 0xd3 // likewise
-	firstStr, lastStr   = 0xd9, 0xdb // with a length of 1, 2 and 4 bytes
+	firstUint, lastUint = 0xcc, 0xcf // unsigned integers of 1, 2, 4 and 8 bytes
+	firstInt, lastInt   = 0xd0, 0xd3 // signed integers of 1, 2, 4 and 8 bytes
+	firstStr, lastStr   = 0xd9, 0xdb // strings with a length field of 1, 2 and 4 bytes
 	array16, array32    = 0xdc, 0xdd
 	map16, map32        = 0xde, 0xdf
 	firstNegativeFixint = 0xe0
 )
 
-// CheckShape walks one MessagePack value without building anything: every length must be covered by the bytes
-// that follow, and nesting is bounded. It returns ErrMalformed for any other bytes.
+// CheckShape checks that the input is exactly one well-formed MessagePack value, without decoding it. The
+// input must contain at least as many bytes as every length in it announces, and the nesting depth is bounded
+// by maxNesting. For any other input it returns ErrMalformed.
 func CheckShape(b []byte) error {
 	w := shapeWalker{bytes: b}
 	w.remaining[0] = 1
@@ -44,19 +47,20 @@
 	}
 }
 
-// shapeWalker is a walk over a value, from its first byte to its last.
+// shapeWalker is the position of CheckShape in its input.
 type shapeWalker struct {
 	bytes     []byte
 	at        int
 	level     int
-	remaining [maxNesting]int // values still to come, a level each
+	remaining [maxNesting]int // number of values not visited yet, per nesting level
 }
 
-// has reports that at least n bytes are left; n may be negative, as the result of a length that couldn't be
-// read.
+// has reports whether at least n bytes are left. It returns false for a negative n, which means that length
+// couldn't read a length.
 func (w *shapeWalker) has(n int) bool { return n >= 0 && len(w.bytes)-w.at >= n }
 
-// walkValue passes over a value without what it contains; false if it isn't well-formed.
+// walkValue moves past a scalar value, or past the header of a map or list, whose elements the next calls
+// visit. It returns false if the bytes are malformed.
 func (w *shapeWalker) walkValue() bool {
 	if !w.has(1) {
 		return false
@@ -91,7 +95,7 @@
 	return false // binary data and extensions are not part of the protocol
 }
 
-// length reads a big-endian length of so many bytes, -1 if they aren't there.
+// length reads a big-endian length field of size bytes. It returns -1 if fewer bytes are left.
 func (w *shapeWalker) length(size int) int {
 	if !w.has(size) {
 		return -1
@@ -104,7 +108,7 @@
 	return length
 }
 
-// skip passes over the n bytes of a value.
+// skip moves past the n remaining bytes of a value. It returns false if fewer bytes are left.
 func (w *shapeWalker) skip(n int) bool {
 	if !w.has(n) {
 		return false
@@ -113,7 +117,8 @@
 	return true
 }
 
-// enter goes down to the n values of a list, or to the keys and values of a map. Each takes a byte at least.
+// enter descends to the n elements of a list, or the n keys and values of a map. It returns false if the
+// nesting is too deep, or if fewer than n bytes are left, since each element takes at least one byte.
 func (w *shapeWalker) enter(n int) bool {
 	if !w.has(n) || w.level+1 >= maxNesting {
 		return false
--- a/internal/protocol/store_calls.go
+++ b/internal/protocol/store_calls.go
@@ -8,10 +8,10 @@
 	"pipitgap/internal/transport"
 )
 
-// StoreOp names a call of the state service.
+// StoreOp is an operation of the state service's API.
 type StoreOp int
 
-// Calls of the state service.
+// Operations of the state service's API.
 const (
 	StoreGet StoreOp = iota
 	StoreList
@@ -21,36 +21,36 @@
 	StoreWatch
 )
 
-// StoreCall is one call of the state service.
+// StoreCall is one call to the state service.
 type StoreCall struct {
 	Op           StoreOp
 	Key          string // get, list and watch: the key or prefix
-	After        string // list: the key after which it continues
-	Limit        int    // list: most records of a page
+	After        string // list: the page starts after this key; "": with the first one
+	Limit        int    // list: maximum number of keys per page
 	Transaction  Transaction
 	Lease        uint64          // keep-alive
-	TTL          monotime.Micros // grant of a lease
-	FromRevision uint64          // watch: changes after this one
-	MaxBlock     monotime.Micros // watch: how long to wait for a change
-	Timeout      monotime.Micros // deadline
+	TTL          monotime.Micros // grant: time to live of the lease
+	FromRevision uint64          // watch: return the changes after this revision
+	MaxBlock     monotime.Micros // watch: maximum time to wait for a change
+	Timeout      monotime.Micros // of the whole call
 }
 
-// Writes returns how many puts and deletes a call is counted for.
+// Writes returns the number of puts and deletes that the call uses of the write rate limit.
 func (c *StoreCall) Writes() int { return len(c.Transaction.Then) }
 
-// StoreResult answers it.
+// StoreResult is the result of a StoreCall.
 type StoreResult struct {
 	Outcome  Outcome
-	Item     KeyValue   // of a get
-	Items    []KeyValue // of a list
-	More     bool       // further pages follow
-	Revision uint64     // of the answer, or of the commit
-	Failed   []string   // keys whose conditions failed
-	Lease    uint64     // granted
-	Events   []Event    // of a watch
+	Item     KeyValue   // get: the key
+	Items    []KeyValue // list: the keys of the page
+	More     bool       // list: more pages follow
+	Revision uint64     // list, watch: revision of the response; commit: revision of the change
+	Failed   []string   // commit: keys whose conditions failed
+	Lease    uint64     // grant: the new lease
+	Events   []Event    // watch: the changes
 }
 
-// CallStore performs a call of the state service and waits for it.
+// CallStore sends a call to the state service and waits for the result.
 func CallStore(client *transport.Client, call *StoreCall) StoreResult {
 	switch call.Op {
 	case StoreGet:
@@ -72,8 +72,9 @@
 	return StoreResult{}
 }
 
-// exchange sends a request to the state service and decodes the body of a response that says whether the call
-// was executed. A body that can't be decoded proves nothing: the outcome is unknown.
+// exchange sends a request to the state service and decodes the body of an OK or Conflict response. The
+// outcome is Unknown if the body can't be decoded: such a response doesn't prove whether the call was
+// executed.
 func exchange(client *transport.Client, request wireRequest, out any) Outcome {
 	message, outcome := send(client, request)
 	if outcome != OK && outcome != Conflict {
@@ -85,7 +86,7 @@
 	return outcome
 }
 
-// callGet reads a key. An answer without a version is none.
+// callGet reads a key. An OK response without a version is treated as an unknown outcome.
 func callGet(client *transport.Client, call *StoreCall) StoreResult {
 	var item KeyValue
 	request := wireRequest{method: "GET", target: KeyPath(call.Key), timeout: call.Timeout}
@@ -96,7 +97,7 @@
 	return StoreResult{Outcome: outcome, Item: item}
 }
 
-// callList reads a page of the keys below a prefix.
+// callList reads one page of the keys with a prefix.
 func callList(client *transport.Client, call *StoreCall) StoreResult {
 	var list KeyValueList
 	target := KeysPath + "?under=" + call.Key + "&limit=" + strconv.Itoa(call.Limit)
@@ -110,25 +111,26 @@
 	return StoreResult{Outcome: outcome, Items: list.Items, More: list.More, Revision: list.Revision}
 }
 
-// callCommit makes a conditional change.
+// callCommit executes a transaction.
 func callCommit(client *transport.Client, call *StoreCall) StoreResult {
 	transaction := call.Transaction
 	if transaction.If == nil {
-		transaction.If = []Compare{} // the state service wants a list
+		transaction.If = []Compare{} // the state service requires a list
 	}
 	var reply TransactionReply
 	request := wireRequest{
 		method: "POST", target: CommitPath, body: MustMarshal(&transaction), timeout: call.Timeout,
 	}
 	outcome := exchange(client, request, &reply)
-	// There is nothing that a commit could fail to find: such an answer is none.
+	// A commit looks up nothing, so NotFound is not a valid response. It and an OK response without a
+	// revision are treated as an unknown outcome.
 	if outcome == Unknown || outcome == NotFound || outcome == OK && reply.Revision == 0 {
 		return StoreResult{}
 	}
 	return StoreResult{Outcome: outcome, Revision: reply.Revision, Failed: reply.Failed}
 }
 
-// callGrantLease has a lease granted. An answer without a lease is none.
+// callGrantLease requests a lease. An OK response without a lease is treated as an unknown outcome.
 func callGrantLease(client *transport.Client, call *StoreCall) StoreResult {
 	var grant LeaseReply
 	body := MustMarshal(&LeaseRequest{TTLMillis: call.TTL.Milliseconds()})
@@ -140,7 +142,7 @@
 	return StoreResult{Outcome: outcome, Lease: grant.Lease}
 }
 
-// callWatch waits for changes of the keys below a prefix.
+// callWatch waits for changes of the keys with a prefix.
 func callWatch(client *transport.Client, call *StoreCall) StoreResult {
 	var watch WatchReply
 	target := fmt.Sprintf("%s?under=%s&from=%d&block_ms=%d",
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Priority orders jobs; a higher one goes first.
+// Priority is the priority of a job. Jobs with a higher value are scheduled first.
 type Priority int
 
-// Priorities, lowest first.
+// Priorities, in ascending order.
 const (
 	BestEffort Priority = iota
 	Standard
@@ -16,37 +16,37 @@
 	Production
 )
 
-// priorities are the priorities by their names on the wire.
+// priorities maps the wire names of the priorities to their values.
 var priorities = map[string]Priority{
 	"prod": Production, "high": High, "standard": Standard, "best_effort": BestEffort,
 }
 
-// MaxTasks is the most tasks that one job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// Submission is a job as its user described it.
+// Submission is a job as described by the user who submits it.
 type Submission struct {
 	ID          string
 	Class, Team string // job class and owning team
-	Service     bool   // a service; otherwise an array
+	Service     bool   // true: a service; false: an array job
 	Priority    Priority
-	Tasks       int     // tasks of an array, replicas of a service
-	CPUs, GPUs  float64 // of each task
-	MemoryGB    float64 // of each task
+	Tasks       int     // number of array tasks or service replicas
+	CPUs, GPUs  float64 // per task
+	MemoryGB    float64 // per task
 	Image       string
 	ImageGB     float64  // size of the image
-	Types       []string // nil: any
-	Zone        string   // "": any
+	Types       []string // allowed machine types; nil: any
+	Zone        string   // required zone; "": any
 	OneZone     bool     // all tasks in one zone
 	Spread      bool     // at most half of the tasks in a zone
 	Spot        bool     // may run on spot machines
-	EstimateS   float64  // expected run of a task, in seconds
-	CheckpointS float64  // seconds between two saves of the progress; 0: it is never saved
-	SaveS       float64  // seconds that a save takes
-	DeadlineS   float64  // 0: none
+	EstimateS   float64  // expected run time of a task, in seconds
+	CheckpointS float64  // seconds between two checkpoints; 0: the task saves no checkpoints
+	SaveS       float64  // seconds that saving a checkpoint takes
+	DeadlineS   float64  // seconds after the submission; 0: no deadline
 }
 
-// jobIDPrefix begins the ids of jobs.
+// jobIDPrefix is the prefix of every job ID.
 const jobIDPrefix = "j-"
 
 // ValidJobID reports whether an id has the users' form: j- and then letters,
@@ -56,10 +56,11 @@
 	return ok && rest != "" && ValidKeyPart(id)
 }
 
-// maxKeyPartBytes is the longest name that is accepted as a part of a key.
+// maxKeyPartBytes is the maximum length of a name that is used as a part of a key.
 const maxKeyPartBytes = 100
 
-// ValidKeyPart reports whether a name can stand in a key of the state service.
+// ValidKeyPart reports whether a name can be a part of a state service key: 1 to 100 letters, digits, '-',
+// '_' or '.'.
 func ValidKeyPart(s string) bool {
 	if s == "" || len(s) > maxKeyPartBytes {
 		return false
@@ -75,9 +76,9 @@
 	return true
 }
 
-// ParseSubmission checks a submission completely; its error is the text of a
-// 400. The id is returned as soon as it is valid, even with an error, so that a
-// known job is recognised before its repeated submission is refused.
+// ParseSubmission decodes and validates a submission. The error is the reason of a 400 response. If the ID is
+// valid, the returned submission contains it even if there is an error, so that the caller can recognize the
+// repeated submission of a known job before it rejects the request.
 func ParseSubmission(body []byte) (*Submission, error) {
 	var values map[string]any
 	if err := Unmarshal(body, &values); err != nil {
@@ -97,8 +98,8 @@
 	return submission, f.err
 }
 
-// readInto reads all fields but the id. The first fault in the order of the calls is the one that is
-// reported.
+// readInto reads all fields except the ID. If several fields are invalid, the error is about the first one in
+// the order of these calls.
 func (f *fieldReader) readInto(submission *Submission) {
 	submission.Class = f.text(FieldClass, false)
 	submission.Team = f.text(FieldTeam, false)
@@ -121,7 +122,7 @@
 	submission.Types = f.machineTypes()
 }
 
-// service reads whether the job is a service rather than an array.
+// service reads whether the job is a service or an array.
 func (f *fieldReader) service() bool {
 	switch f.text(FieldShape, false) {
 	case ShapeArray:
@@ -142,7 +143,7 @@
 	return priority
 }
 
-// machineTypes reads the names of the types that the job may run on; nil is any.
+// machineTypes reads the names of the machine types that the job may run on; nil allows any type.
 func (f *fieldReader) machineTypes() []string {
 	const fault = "must be a list of names or null"
 	switch list := f.values[FieldTypes].(type) {
--- a/internal/protocol/submission_fields.go
+++ b/internal/protocol/submission_fields.go
@@ -2,7 +2,8 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Fields of a submission, for requests that Submission itself can't express.
+// Wire names of a submission's fields. Other packages need them for requests that a Submission can't
+// represent.
 const (
 	FieldID          = "id"
 	FieldClass       = "lane"
@@ -26,14 +27,14 @@
 	FieldDeadlineS   = "due_s"
 )
 
-// Shapes of a job.
+// Wire names of the two job kinds.
 const (
 	ShapeArray   = "sweep"
 	ShapeService = "daemon"
 )
 
-// Fields is the submission as a map of the wire's names and values. ParseSubmission reads it back from
-// its encoding.
+// Fields returns the submission as a map from wire names to values. ParseSubmission reads the encoded map
+// back.
 func (s *Submission) Fields() map[string]any {
 	values := map[string]any{
 		FieldID:          s.ID,
@@ -69,7 +70,7 @@
 	return values
 }
 
-// wireShape returns the wire's name of the submission's shape.
+// wireShape returns the wire name of the job kind.
 func (s *Submission) wireShape() string {
 	if s.Service {
 		return ShapeService
@@ -77,7 +78,7 @@
 	return ShapeArray
 }
 
-// wireName returns the wire's name of a priority, "" if it has none.
+// wireName returns the wire name of a priority, or "" for an undefined priority.
 func (p Priority) wireName() string {
 	for name, priority := range priorities {
 		if priority == p {
@@ -87,5 +88,5 @@
 	return ""
 }
 
-// EncodeMsgpack writes the submission in the form that users send.
+// EncodeMsgpack encodes the submission in the format that users send.
 func (s *Submission) EncodeMsgpack(enc *msgpack.Encoder) error { return enc.Encode(s.Fields()) }
--- a/internal/protocol/wire_names_test.go
+++ b/internal/protocol/wire_names_test.go
@@ -14,16 +14,16 @@
 	"testing"
 )
 
-// ordinary are the names of the protocol that are the field's own terms or everyday words. Other code uses
-// them in its own right, also as whole literals: in stored keys, settings, commands and their output, names
-// of test cases. A literal alone can't tell which is meant.
+// ordinary lists the wire names that are also standard terms or common words. Other code uses them as whole
+// literals with another meaning: in stored keys, settings, commands and their output, and names of test
+// cases. The test can't tell from a literal which meaning is intended, so it allows these names everywhere.
 var ordinary = wordSet(
 	"ask busy cancelled cause done error exited failed full id kill log name number path " +
 		"pending rate run running status stopped unknown value",
 )
 
-// inSentences are the names that other code uses as words of its messages and of its settings, never as a
-// literal of their own: these are refused only as a whole literal.
+// inSentences lists the wire names that other code uses as words within messages and settings, but never as a
+// whole literal. The test rejects them only as a whole literal.
 var inSentences = wordSet("accelerators apart calls cores kept rank shape write")
 
 func wordSet(words string) map[string]bool {
@@ -36,8 +36,8 @@
 
 var wireWord = regexp.MustCompile(`[A-Za-z0-9_]+`)
 
-// wireNames collects, from the sources of this package, the names in msgpack tags and the string constants:
-// words, and paths (which begin with a slash).
+// wireNames returns the wire names that this package defines in msgpack tags and string constants. Constants
+// that begin with a slash are paths, all other names are words.
 func wireNames(t *testing.T) (words map[string]bool, paths []string) {
 	t.Helper()
 	words = map[string]bool{}
@@ -76,24 +76,24 @@
 	return words, paths
 }
 
-// TestWireNames: the themed names of the protocol stand in string literals of this package only, so that
-// other code and its tests speak the terms of the field.
+// TestWireNames checks that only this package has string literals with the protocol's themed names. All other
+// code and its tests use standard terms.
 func TestWireNames(t *testing.T) {
 	words, paths := wireNames(t)
 	for _, known := range []string{
 		"crew", "pips", "plumage", "perch_s", "breeds", "grove", "borrowed", "lane", "sweep", "daemon",
 	} {
 		if !words[known] {
-			t.Errorf("%q isn't found among the names of the protocol", known)
+			t.Errorf("got wire names without %q, want it found in the package's sources", known)
 		}
 	}
 	if len(paths) < 3 {
-		t.Errorf("paths found: %q", paths)
+		t.Errorf("got %d paths %q, want at least 3", len(paths), paths)
 	}
 	for _, exceptions := range []map[string]bool{ordinary, inSentences} {
 		for word := range exceptions {
 			if !words[word] {
-				t.Errorf("%q is excepted but is no name of the protocol", word)
+				t.Errorf("got exception %q, which is not a wire name; want only wire names as exceptions", word)
 			}
 		}
 	}
@@ -121,11 +121,11 @@
 		}
 	}
 	if read < 50 {
-		t.Errorf("only %d files read", read)
+		t.Errorf("got %d files read, want at least 50", read)
 	}
 }
 
-// checkLiterals reports each string literal of a file with a name of the protocol in it.
+// checkLiterals reports an error for each string literal of a file that contains a wire name or wire path.
 func checkLiterals(t *testing.T, path string, words map[string]bool, paths []string) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -136,18 +136,18 @@
 		}
 		for _, word := range wireWord.FindAllString(text, -1) {
 			if words[word] && (word == text || !inSentences[word]) {
-				t.Errorf("%s: wire name %q in %s", files.Position(value.Pos()), word, value.Value)
+				t.Errorf("%s: got wire name %q in %s, want none", files.Position(value.Pos()), word, value.Value)
 			}
 		}
 		for _, wirePath := range paths {
 			if strings.Contains(text, wirePath) {
-				t.Errorf("%s: wire path %q in %s", files.Position(value.Pos()), wirePath, value.Value)
+				t.Errorf("%s: got wire path %q in %s, want none", files.Position(value.Pos()), wirePath, value.Value)
 			}
 		}
 	}
 }
 
-// isPackagePath tells whether a text is the path of a package of this module, such as internal/daemon.
+// isPackagePath reports whether a literal is the path of a package of this module, such as internal/daemon.
 func isPackagePath(text string) bool {
 	if !strings.HasPrefix(text, "internal/") {
 		return false
@@ -165,8 +165,8 @@
 	return parsed
 }
 
-// stringLiterals finds the string literals under a node, but for imports and struct tags: the tags of stored
-// records are names of their own.
+// stringLiterals returns the string literals below a node, except imports and struct tags. Struct tags are
+// exempt because the tags of stored records define their own names.
 func stringLiterals(root ast.Node) []*ast.BasicLit {
 	var found []*ast.BasicLit
 	ast.Inspect(root, func(node ast.Node) bool {
--- a/internal/protocol/worker_calls.go
+++ b/internal/protocol/worker_calls.go
@@ -5,18 +5,18 @@
 	"pipitgap/internal/transport"
 )
 
-// CommandResult answers a direct command batch. With Status 200 or 409 it carries
-// the worker's report; 0 means that there was no usable response.
+// CommandResult is the result of a CommandRequest. With status 200 or 409 it contains the worker's heartbeat.
+// Status 0 means that there was no usable response.
 type CommandResult struct {
-	Status    int // of the HTTP response
+	Status    int // HTTP status
 	Heartbeat Heartbeat
 }
 
-// OK reports whether the worker has carried the request out.
+// OK reports whether the worker executed the request.
 func (r *CommandResult) OK() bool { return r.Status == transport.StatusOK }
 
-// CallWorker sends a command batch to a worker; without one it only requests the
-// worker's report.
+// CallWorker sends a batch of commands to a worker and waits for the result. A nil request only polls the
+// worker for its heartbeat.
 func CallWorker(client *transport.Client, req *CommandRequest, within monotime.Micros) CommandResult {
 	request := wireRequest{method: "GET", target: WorkerReportPath, timeout: within}
 	if req != nil {
