--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -8,35 +8,35 @@
 	"pipitgap/internal/monotime"
 )
 
-// Client makes HTTP requests to one address over a bounded pool of kept
-// connections. evio can't dial, so outbound traffic uses net. The pool is a
-// channel: whoever holds a connection owns it.
+// Client makes HTTP requests to one address over a bounded pool of keep-alive connections. It uses the net
+// package because evio can't dial. The pool is a channel, so each connection is either in the pool or owned
+// by exactly one request.
 type Client struct {
 	addr      string
 	idleConns chan *clientConn
 	closed    chan struct{}
-	maxBody   int
+	maxBody   int // maximum size of a response body, in bytes; 0: MaxBody
 }
 
-// clientConn is a kept connection, with what is left of the response being read.
+// clientConn is a keep-alive connection with the parser of its responses.
 type clientConn struct {
 	conn   net.Conn
 	parser Parser
 }
 
-// NewClient keeps up to idle connections open.
+// NewClient returns a client for one address. The client keeps up to idle connections open between requests
+// and rejects response bodies of more than maxBody bytes.
 func NewClient(addr string, idle, maxBody int) *Client {
 	return &Client{
 		addr: addr, idleConns: make(chan *clientConn, idle), closed: make(chan struct{}), maxBody: maxBody,
 	}
 }
 
-// ErrNotSent marks failures that happened before any byte went out.
-var ErrNotSent = errors.New("not sent")
+// ErrNotSent marks an error that occurred before any byte of the request was sent.
+var ErrNotSent = errors.New("request not sent")
 
-// Do sends a request and waits for the whole response, at most timeout. After
-// an error other than ErrNotSent the request may have been executed, or may
-// yet be.
+// Do sends a request and waits up to timeout for the complete response. After an error other than ErrNotSent,
+// the server may have executed the request or may still execute it.
 func (c *Client) Do(method, target string, body []byte, timeout monotime.Micros) (*Message, error) {
 	deadline := time.Now().Add(timeout.Duration())
 	cc, err := c.connect(timeout)
@@ -52,7 +52,7 @@
 	return message, nil
 }
 
-// connect takes a kept connection or dials a new one.
+// connect takes an idle connection from the pool or dials a new one.
 func (c *Client) connect(timeout monotime.Micros) (*clientConn, error) {
 	select {
 	case cc := <-c.idleConns:
@@ -66,7 +66,8 @@
 	return &clientConn{conn: conn, parser: Parser{Response: true, MaxBody: c.maxBody}}, nil
 }
 
-// keep keeps a connection for the next request, unless enough are kept already or the client is closed.
+// keep returns a connection to the pool for the next request. It closes the connection if the pool is full or
+// the client is closed.
 func (c *Client) keep(cc *clientConn) {
 	select {
 	case c.idleConns <- cc:
@@ -74,20 +75,21 @@
 		_ = cc.conn.Close()
 	}
 	select {
-	case <-c.closed: // meanwhile: the kept connection would never be closed
+	case <-c.closed:
+		// Close may have emptied the pool before this connection was added. Nothing else would close it.
 		c.closeIdle()
 	default:
 	}
 }
 
-// Close drops the kept connections, and those of requests in flight as they end. It
-// is called once, by the client's owner.
+// Close closes the idle connections. Connections of requests in flight are closed when their requests end.
+// The owner of the client must call Close exactly once.
 func (c *Client) Close() {
 	close(c.closed)
 	c.closeIdle()
 }
 
-// closeIdle closes the connections that are kept now.
+// closeIdle closes all connections that are in the pool.
 func (c *Client) closeIdle() {
 	for {
 		select {
@@ -99,10 +101,10 @@
 	}
 }
 
-// readBufferSize is how many bytes of a response are read at a time.
+// readBufferSize is the maximum number of bytes per read of a response.
 const readBufferSize = 8 << 10
 
-// exchange writes a request and reads its response until the deadline.
+// exchange writes a request and reads its response. Both must end before the deadline.
 func (cc *clientConn) exchange(req []byte, deadline time.Time) (*Message, error) {
 	if err := cc.conn.SetDeadline(deadline); err != nil {
 		return nil, err
--- a/internal/transport/frames.go
+++ b/internal/transport/frames.go
@@ -7,25 +7,25 @@
 	"errors"
 )
 
-// Frames between controllers: a length and a body.
+// Sizes of the frames between controllers. A frame is a length field followed by a body.
 const (
-	maxFrame        = 256 << 10 // bytes of a body
-	frameLengthSize = 4         // bytes of the length, big-endian
+	maxFrame        = 256 << 10 // maximum size of a body, in bytes
+	frameLengthSize = 4         // size of the length field, in bytes; big-endian
 )
 
-// Errors of frames.
+// Errors about the size of a frame.
 var (
-	ErrFrameOutOfBounds = errors.New("peer frame out of bounds")
+	ErrFrameOutOfBounds = errors.New("peer frame length out of bounds")
 	ErrFrameTooLarge    = errors.New("peer frame too large")
 )
 
-// frameReader splits a byte stream into frames of a four-byte length and a body.
+// frameReader splits a byte stream into frames, each a four-byte length field and a body.
 type frameReader struct{ buf []byte }
 
-// buffered counts the bytes that wait for the rest of their frame.
+// buffered returns the number of bytes received of an incomplete frame.
 func (f *frameReader) buffered() int { return len(f.buf) }
 
-// feed adds bytes and calls back with each frame that is whole.
+// feed adds received bytes and calls each with the body of every complete frame.
 func (f *frameReader) feed(input []byte, each func([]byte)) error {
 	f.buf = append(f.buf, input...)
 	for len(f.buf) >= frameLengthSize {
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// EncodeFrame makes a frame of a gob value. Each frame is a gob stream of its
-// own, so a lost connection never leaves type information behind.
+// EncodeFrame encodes a value as a frame with a gob stream as its body. Every frame is a separate gob stream
+// that includes its type information, so a frame can be decoded even if earlier frames were lost with a
+// connection.
 func EncodeFrame(v any) ([]byte, error) {
 	var b bytes.Buffer
 	b.Write(make([]byte, frameLengthSize))
@@ -58,7 +59,7 @@
 	return out, nil
 }
 
-// DecodeFrame reads the gob value of a frame.
+// DecodeFrame decodes the gob value in the body of a frame.
 func DecodeFrame(frame []byte, v any) error {
 	return gob.NewDecoder(bytes.NewReader(frame)).Decode(v)
 }
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// maxLengthDigits bounds the digits of a content length, well below what overflows.
+// maxLengthDigits is the maximum number of digits of a content length. 12 digits are far below an int64
+// overflow.
 const maxLengthDigits = 12
 
-// messageHead is a message without its body.
+// messageHead is a parsed message whose body hasn't been read yet.
 type messageHead struct {
 	message    *Message
 	bodyLength int
 }
 
-// parseHead reads the lines of a head, the first one and the fields.
+// parseHead parses a head: the first line and the header fields.
 func (p *Parser) parseHead(text string) (*messageHead, error) {
 	line, fields, _ := strings.Cut(text, lineEnd)
 	message, version, err := p.parseFirstLine(line)
@@ -40,7 +41,7 @@
 	return &messageHead{message, length}, nil
 }
 
-// maxBody bounds the body of a message, in bytes.
+// maxBody returns the maximum size of a message body, in bytes.
 func (p *Parser) maxBody() int {
 	if p.MaxBody == 0 {
 		return MaxBody
@@ -48,7 +49,7 @@
 	return p.MaxBody
 }
 
-// parseFirstLine reads a request line or a status line.
+// parseFirstLine parses a request line or a status line.
 func (p *Parser) parseFirstLine(line string) (message *Message, version string, err error) {
 	if p.Response {
 		return parseStatusLine(line)
@@ -56,7 +57,7 @@
 	return parseRequestLine(line)
 }
 
-// parseStatusLine reads the first line of a response.
+// parseStatusLine parses the first line of a response.
 func parseStatusLine(line string) (message *Message, version string, err error) {
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) < 2 || len(parts[1]) != 3 {
@@ -69,7 +70,7 @@
 	return &Message{Status: status}, parts[0], nil
 }
 
-// parseRequestLine reads the first line of a request.
+// parseRequestLine parses the first line of a request.
 func parseRequestLine(line string) (message *Message, version string, err error) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
@@ -82,7 +83,8 @@
 	return &Message{Method: method, Target: target}, parts[2], nil
 }
 
-// parseFields reads the fields of a head into the message, and the length of the body; 0 without one.
+// parseFields parses the header fields into the message. It returns the length of the body, which is 0
+// without a Content-Length field.
 func parseFields(message *Message, fields string) (bodyLength int, err error) {
 	const unknown = -1
 	bodyLength = unknown
@@ -115,7 +117,7 @@
 	return max(0, bodyLength), nil
 }
 
-// parseLength reads a content length; it has digits only.
+// parseLength parses a content length, which may contain only digits.
 func parseLength(value string) (int, error) {
 	if value == "" || len(value) > maxLengthDigits || strings.Trim(value, "0123456789") != "" {
 		return 0, ErrMalformed
@@ -123,7 +125,7 @@
 	return strconv.Atoi(value)
 }
 
-// hasOption reports that a list of options, separated by commas, has one of them.
+// hasOption reports whether a comma-separated list contains an option, ignoring case.
 func hasOption(list, option string) bool {
 	for _, o := range strings.Split(list, ",") {
 		if strings.EqualFold(strings.TrimSpace(o), option) {
@@ -133,7 +135,7 @@
 	return false
 }
 
-// isToken reports that a text can be the name of a method or of a field.
+// isToken reports whether a text is an HTTP token, which is the syntax of method and field names.
 func isToken(s string) bool {
 	if s == "" {
 		return false
@@ -150,7 +152,7 @@
 	return true
 }
 
-// isPrintable reports that a text has printable ASCII characters only, without spaces.
+// isPrintable reports whether a text contains only printable ASCII characters and no spaces.
 func isPrintable(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] <= ' ' || s[i] >= 0x7f {
@@ -160,7 +162,7 @@
 	return true
 }
 
-// isVisible reports that a text has no control characters but tabs.
+// isVisible reports whether a text contains no control characters other than tabs.
 func isVisible(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
--- a/internal/transport/parser.go
+++ b/internal/transport/parser.go
@@ -1,5 +1,5 @@
-// Package transport moves bytes: the evio server with its HTTP parser, outbound
-// HTTP over pooled connections, and the gob frames between controllers.
+// Package transport contains the network code: the evio server with its HTTP parser, the HTTP client with its
+// connection pool, and the gob frames between controllers.
 package transport
 
 import (
@@ -7,19 +7,19 @@
 	"errors"
 )
 
-// Bounds of a message, in bytes.
+// Maximum sizes of a message's head and body, in bytes.
 const (
 	MaxHead = 8 << 10
 	MaxBody = 64 << 10
 )
 
-// lineEnd ends a line of the head; headEnd, an empty line, ends the head.
+// lineEnd terminates each line of a head. headEnd, a line end followed by an empty line, terminates the head.
 const (
 	lineEnd = "\r\n"
 	headEnd = lineEnd + lineEnd
 )
 
-// Parse errors. Each has a definite status, see StatusOf.
+// Parse errors. StatusOf maps each to the status of the response.
 var (
 	ErrMalformed                 = errors.New("malformed message")
 	ErrBodyTooLarge              = errors.New("body too large")
@@ -29,7 +29,7 @@
 	ErrUnsupportedVersion        = errors.New("http version not supported")
 )
 
-// StatusOf returns the answer to a parse error.
+// StatusOf returns the response status for a parse error.
 func StatusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrBodyTooLarge):
@@ -46,27 +46,27 @@
 	return StatusBadRequest
 }
 
-// Message is one request (Method, Target) or response (Status).
+// Message is a request, which has Method and Target, or a response, which has Status.
 type Message struct {
 	Method, Target string
 	Status         int
-	Close          bool // the sender closes after this message
-	RetryAfter     int  // seconds, responses only
+	Close          bool // the sender closes the connection after this message
+	RetryAfter     int  // seconds; only in responses
 	Body           []byte
 }
 
-// Parser is an incremental reader of HTTP/1.1 messages. It is strict: anything
-// two readers could frame differently is an error, never a guess.
+// Parser is an incremental parser of HTTP/1.1 messages. It is strict: it rejects every message whose end two
+// parsers could determine differently.
 type Parser struct {
-	Response bool // reads responses instead of requests
-	MaxBody  int  // 0: MaxBody
+	Response bool // parse responses instead of requests
+	MaxBody  int  // maximum size of a body, in bytes; 0: the constant MaxBody
 	buf      []byte
-	searched int          // bytes already searched for the end of the head
+	searched int          // number of bytes already searched for the end of the head
 	head     *messageHead // of the message whose body is being read
 }
 
-// Buffered returns how many bytes wait for the rest of their message; it is above 0 too where only the head
-// has come.
+// Buffered returns a number above 0 if the parser has received a part of an incomplete message. The number
+// counts the buffered bytes, plus 1 if the head is complete and the body isn't.
 func (p *Parser) Buffered() int {
 	if p.head != nil {
 		return len(p.buf) + 1
@@ -74,10 +74,10 @@
 	return len(p.buf)
 }
 
-// Feed adds bytes.
+// Feed adds received bytes.
 func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
 
-// Next returns the next whole message, or nil when more bytes are needed.
+// Next returns the next complete message, or nil if it needs more bytes.
 func (p *Parser) Next() (*Message, error) {
 	if p.head == nil {
 		if err := p.readHead(); err != nil || p.head == nil {
@@ -95,7 +95,7 @@
 	return message, nil
 }
 
-// readHead takes a head off the bytes once it is whole.
+// readHead parses the head and removes it from the buffer as soon as it is complete.
 func (p *Parser) readHead() error {
 	if len(p.buf) == 0 {
 		return nil
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// checkPartialHead refuses a head that can't become a valid one, and notes how much of it was searched.
+// checkPartialHead returns an error if an incomplete head can't become valid. It records how many bytes were
+// searched for the end of the head.
 func (p *Parser) checkPartialHead() error {
 	if len(p.buf) > MaxHead {
 		if !p.Response && bytes.IndexByte(p.buf, '\n') < 0 {
@@ -128,7 +129,7 @@
 		}
 		return ErrHeadTooLarge
 	}
-	// A lone line feed would end a line for a lenient reader only.
+	// A line feed without a carriage return would terminate the line for a lenient parser only.
 	if hasBareLF(p.buf) {
 		return ErrMalformed
 	}
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// hasBareLF reports a line feed without a carriage return before it.
+// hasBareLF reports whether the bytes contain a line feed without a preceding carriage return.
 func hasBareLF(b []byte) bool {
 	for off := 0; ; {
 		i := bytes.IndexByte(b[off:], '\n')
--- a/internal/transport/parser_test.go
+++ b/internal/transport/parser_test.go
@@ -12,7 +12,7 @@
 		name, in string
 		err      error
 		body     string
-		more     bool // the message isn't whole yet
+		more     bool // the message is incomplete
 		closing  bool
 	}{
 		{name: "get", in: "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"},
@@ -23,11 +23,11 @@
 			body: "abc",
 		},
 		{name: "close", in: "GET / HTTP/1.1\r\nConnection: keep, Close\r\n\r\n", closing: true},
-		{name: "old version", in: "GET / HTTP/1.0\r\n\r\n", closing: true},
-		{name: "half head", in: "GET / HT", more: true},
-		{name: "half body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", more: true},
+		{name: "HTTP/1.0", in: "GET / HTTP/1.0\r\n\r\n", closing: true},
+		{name: "incomplete head", in: "GET / HT", more: true},
+		{name: "incomplete body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", more: true},
 		{
-			name: "two lengths",
+			name: "conflicting lengths",
 			in:   "POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
 			err:  ErrMalformed,
 		},
@@ -36,7 +36,7 @@
 			in:   "POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\nabc",
 			err:  ErrMalformed,
 		},
-		{name: "no length", in: "POST / HTTP/1.1\r\nContent-Length:\r\n\r\n", err: ErrMalformed},
+		{name: "empty length", in: "POST / HTTP/1.1\r\nContent-Length:\r\n\r\n", err: ErrMalformed},
 		{
 			name: "length and coding",
 			in:   "POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc",
@@ -50,24 +50,24 @@
 		{name: "control character", in: "GET / HTTP/1.1\r\nA: \x00\r\n\r\n", err: ErrMalformed},
 		{name: "absolute target", in: "GET http://x/ HTTP/1.1\r\n\r\n", err: ErrMalformed},
 		{name: "two spaces", in: "GET  / HTTP/1.1\r\n\r\n", err: ErrMalformed},
-		{name: "version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrUnsupportedVersion},
-		{name: "no http", in: "hello\r\n\r\n", err: ErrMalformed},
+		{name: "unsupported version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrUnsupportedVersion},
+		{name: "not HTTP", in: "hello\r\n\r\n", err: ErrMalformed},
 		{
 			name: "body too large",
 			in:   "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n",
 			err:  ErrBodyTooLarge,
 		},
 		{
-			name: "absurd length",
+			name: "huge length",
 			in:   "POST / HTTP/1.1\r\nContent-Length: 999999999999\r\n\r\n",
 			err:  ErrBodyTooLarge,
 		},
 		{name: "request line too long", in: "GET /" + long + long, err: ErrURITooLong},
 		{name: "head too long", in: "GET / HTTP/1.1\r\nA: " + long + long, err: ErrHeadTooLarge},
-		{name: "whole head too long", in: "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", err: ErrHeadTooLarge},
+		{name: "complete head too long", in: "GET / HTTP/1.1\r\nA: " + long + "\r\n\r\n", err: ErrHeadTooLarge},
 	}
 	for _, tc := range cases {
-		// In one piece and byte by byte: framing must not depend on packets.
+		// Feed the input in one piece and byte by byte: the result must not depend on packet boundaries.
 		for _, step := range []int{len(tc.in), 1} {
 			p := &Parser{}
 			var message *Message
@@ -78,12 +78,13 @@
 			}
 			switch {
 			case err != tc.err:
-				t.Errorf("%s (step %d): error %v, want %v", tc.name, step, err, tc.err)
+				t.Errorf("%s (step %d): got error %v, want %v", tc.name, step, err, tc.err)
 			case tc.err != nil:
 			case tc.more != (message == nil):
-				t.Errorf("%s (step %d): whole is %v", tc.name, step, message != nil)
+				t.Errorf("%s (step %d): got complete message %v, want %v", tc.name, step, message != nil, !tc.more)
 			case message != nil && (string(message.Body) != tc.body || message.Close != tc.closing):
-				t.Errorf("%s (step %d): %+v", tc.name, step, message)
+				t.Errorf("%s (step %d): got message %+v, want body %q and close %v",
+					tc.name, step, message, tc.body, tc.closing)
 			}
 		}
 	}
@@ -95,7 +96,7 @@
 	message, err := p.Next()
 	if err != nil || message.Status != 503 || message.RetryAfter != 7 || !message.Close ||
 		string(message.Body) != "no" {
-		t.Fatalf("%+v %v", message, err)
+		t.Fatalf("got message %+v, error %v, want status 503, Retry-After 7, close and body no", message, err)
 	}
 }
 
@@ -129,7 +130,8 @@
 		a, badA := read(len(input) + 1)
 		b, badB := read(step)
 		if badA != badB || strings.Join(a, "|") != strings.Join(b, "|") {
-			t.Fatalf("whole: %q %v; in steps of %d: %q %v", a, badA, step, b, badB)
+			t.Fatalf("in one piece: got messages %q, error %v; in steps of %d: got messages %q, error %v; want the same",
+				a, badA, step, b, badB)
 		}
 	})
 }
@@ -154,11 +156,11 @@
 		}
 	}
 	if strings.Join(got, "") != "xy" {
-		t.Errorf("%q", got)
+		t.Errorf("got bodies %q, want x and y", got)
 	}
 	for _, bad := range [][]byte{{0, 0, 0, 0}, {0xff, 0, 0, 0}} {
 		if (&frameReader{}).feed(bad, func([]byte) {}) == nil {
-			t.Errorf("frame length %v taken", bad)
+			t.Errorf("frame length %v: got no error, want one", bad)
 		}
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -11,50 +11,51 @@
 	"pipitgap/internal/monotime"
 )
 
-// Response is an answer on its way to a connection.
+// Response is the response to a Request.
 type Response struct {
 	Status     int
-	RetryAfter int // seconds; 0: not named
+	RetryAfter int // value of the Retry-After header, in seconds; 0: no header
 	Body       []byte
 }
 
-// Request is a parsed request with its way back. Respond may be called once,
-// from any goroutine; a request whose connection has gone is simply dropped.
+// Request is a parsed request with the connection for its response. Respond may be called once, from any
+// goroutine. If the connection is closed by then, the response is dropped.
 type Request struct {
 	Message *Message
 	conn    *serverConn
 }
 
-// Server accepts users, workers and peers on evio's loop. The loop's goroutine owns all connections;
-// responses come to it as messages, carried by Wake.
+// Server serves users, workers and peers on evio's event loop. The goroutine of the loop owns all
+// connections. Other goroutines pass a response to the loop through the connection's channel and wake the
+// loop.
 type Server struct {
 	Now            func() monotime.Micros
-	MaxConns       int // connections beyond are closed at once
+	MaxConns       int // additional connections are closed immediately
 	OnRequest      func(*Request)
 	OnPeerFrame    func(frame []byte)
-	IdleTimeout    monotime.Micros // a connection without traffic is closed after this
-	RequestTimeout monotime.Micros // a request must be complete within this
+	IdleTimeout    monotime.Micros // a connection without traffic for this long is closed
+	RequestTimeout monotime.Micros // a message must be complete within this time of its first byte
 
 	conns map[evio.Conn]*serverConn
 }
 
-// serverConn is a connection of a user, a worker or a peer. It has one request at a time.
+// serverConn is a connection from a user, a worker or a peer. It processes one request at a time.
 type serverConn struct {
 	server             *Server
 	eventConn          evio.Conn
 	parser             Parser
 	frames             frameReader
-	lastTraffic        monotime.Micros // when bytes last went either way
-	partialSince       monotime.Micros // when the first byte of an incomplete message came
-	busy               bool            // a request is being worked on
+	lastTraffic        monotime.Micros // time of the last received or sent bytes
+	partialSince       monotime.Micros // time of the first byte of an incomplete message
+	busy               bool            // a request is in progress
 	closing            bool
-	closeAfterResponse bool // close after the answer under way
+	closeAfterResponse bool // close the connection after the response to the request in progress
 	responses          chan Response
 }
 
-// Respond sends the response.
+// Respond passes the response to the event loop, which writes it to the connection.
 func (r *Request) Respond(response Response) {
-	// The channel holds one answer and a request has only one, so this never blocks.
+	// The channel buffers one response and Respond is called once per request, so the send never blocks.
 	select {
 	case r.conn.responses <- response:
 		r.conn.eventConn.Wake()
@@ -62,18 +63,17 @@
 	}
 }
 
-// ErrLoopEnded says that the server's loop has ended by itself, as it does when a connection can't be
-// accepted.
-var ErrLoopEnded = errors.New("accept failed, the loop has ended")
+// ErrLoopEnded means that the event loop ended without an error of its own, as it does after a failed accept.
+var ErrLoopEnded = errors.New("event loop ended after a failed accept")
 
-// tickInterval is how often connections are checked for timeouts.
+// tickInterval is the interval between two checks of the connections for timeouts.
 const tickInterval = time.Second
 
-// Index of the peers' address among those served.
+// peerAddrIndex is the index of the peers' address among the addresses that Serve passes to evio.
 const peerAddrIndex = 1
 
-// Serve serves users and workers on one address and peers on the other. It runs until the loop ends; evio's
-// loop ends on an accept error, so its end is always an error.
+// Serve serves users and workers on the public address and peers on the peer address. It runs until evio's
+// event loop ends, which happens on an accept error. It therefore always returns an error.
 func (s *Server) Serve(public, peer string) error {
 	s.conns = map[evio.Conn]*serverConn{}
 	events := evio.Events{NumLoops: 1, Opened: s.opened, Closed: s.connClosed, Data: s.received, Tick: s.tick}
@@ -83,13 +83,14 @@
 	return ErrLoopEnded
 }
 
-// opened takes a new connection, or closes it where there are too many.
+// opened registers a new connection, or closes it if MaxConns is exceeded.
 func (s *Server) opened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
 	sc := &serverConn{server: s, eventConn: c, lastTraffic: s.Now(), responses: make(chan Response, 1)}
 	c.SetContext(sc)
 	s.conns[c] = sc
 	options := evio.Options{ReuseInputBuffer: true}
-	// Guards against the socket limit: an accept error would end evio's loop.
+	// Keeps the process below its socket limit: at the limit, accept fails, which would end evio's event
+	// loop.
 	if len(s.conns) > s.MaxConns {
 		sc.closing = true
 		return nil, options, evio.Close
@@ -97,13 +98,13 @@
 	return nil, options, evio.None
 }
 
-// connClosed forgets a connection.
+// connClosed removes a closed connection.
 func (s *Server) connClosed(c evio.Conn, _ error) evio.Action {
 	delete(s.conns, c)
 	return evio.None
 }
 
-// received passes bytes or a wake-up to their connection.
+// received passes received bytes or a wake-up to the connection's handler.
 func (s *Server) received(c evio.Conn, input []byte) ([]byte, evio.Action) {
 	sc, ok := c.Context().(*serverConn)
 	if !ok {
@@ -112,7 +113,7 @@
 	return sc.handleInput(input)
 }
 
-// tick has the connections closed that have timed out.
+// tick marks the connections that have timed out and wakes them, so that their handlers close them.
 func (s *Server) tick() (time.Duration, evio.Action) {
 	now := s.Now()
 	for c, sc := range s.conns {
@@ -124,8 +125,8 @@
 	return tickInterval, evio.None
 }
 
-// timedOut reports that the connection has been silent or in the middle of a message for too long (evio has
-// no timeouts of its own).
+// timedOut reports whether the connection has been idle for longer than IdleTimeout, or has an incomplete
+// message that is older than RequestTimeout. evio itself has no timeouts.
 func (sc *serverConn) timedOut(now monotime.Micros) bool {
 	if sc.busy {
 		return now-sc.lastTraffic > sc.server.IdleTimeout
@@ -137,7 +138,7 @@
 	return now-sc.lastTraffic > sc.server.IdleTimeout
 }
 
-// handleInput handles bytes of the connection, or a wake-up, which has none.
+// handleInput handles received bytes, or a wake-up, which has nil input.
 func (sc *serverConn) handleInput(input []byte) ([]byte, evio.Action) {
 	if sc.closing {
 		return nil, evio.Close
@@ -153,7 +154,7 @@
 	return sc.readRequest(input, now)
 }
 
-// writeResponse writes the response that has come for the request under way, if one has.
+// writeResponse writes the response to the request in progress, if there is one yet.
 func (sc *serverConn) writeResponse(now monotime.Micros) ([]byte, evio.Action) {
 	select {
 	case response := <-sc.responses:
@@ -169,7 +170,7 @@
 	}
 }
 
-// readFrames passes the frames of a peer on.
+// readFrames passes the complete frames of a peer to OnPeerFrame.
 func (sc *serverConn) readFrames(input []byte, now monotime.Micros) ([]byte, evio.Action) {
 	if sc.frames.buffered() == 0 {
 		sc.partialSince = now
@@ -181,12 +182,12 @@
 	return nil, evio.None
 }
 
-// readRequest passes a request on once it is whole.
+// readRequest passes a request to OnRequest once it is complete.
 func (sc *serverConn) readRequest(input []byte, now monotime.Micros) ([]byte, evio.Action) {
 	if sc.busy {
-		// Pipelining is not part of the protocol. The request under way is
-		// answered and the connection closed; what follows is not read, so a
-		// second answer can never overwrite the first in evio's one buffer.
+		// Pipelining is not part of the protocol. The server responds to the request in progress, closes the
+		// connection and discards the pipelined bytes. A second response could overwrite the first one in
+		// evio's single output buffer.
 		sc.closeAfterResponse = true
 		return nil, evio.None
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -11,8 +11,9 @@
 	"pipitgap/internal/monotime"
 )
 
-// TestServerAnswersDefinitely drives the evio server over loopback: definite answers for what is
-// wrong, one answer for pipelined requests, a bound on connections.
+// TestServerAnswersDefinitely runs the evio server on the loopback interface. It checks the responses to
+// malformed requests, that only the first of two pipelined requests gets a response, and that connections
+// above MaxConns are closed.
 func TestServerAnswersDefinitely(t *testing.T) {
 	free := func() string { return fixtures.FreeAddress(t) }
 	public, peer := free(), free()
@@ -35,7 +36,7 @@
 			if i == 200 {
 				t.Fatal(err)
 			}
-			time.Sleep(10 * time.Millisecond) // until the listener is there
+			time.Sleep(10 * time.Millisecond) // until the server listens
 		}
 	}
 	all := func(in string) string {
@@ -46,21 +47,22 @@
 		return string(b)
 	}
 	cases := []struct{ name, in, want string }{
-		{"answered and closed", "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", "200 OK"},
+		{"valid request", "GET /a HTTP/1.1\r\nConnection: close\r\n\r\n", "200 OK"},
 		{"malformed", "GET /a\r\n\r\n", "400 Bad"},
 		{"chunked", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "501 "},
-		{"half a request", "GET /a HT", ""},
+		{"incomplete request", "GET /a HT", ""},
 	}
 	for _, tc := range cases {
 		got := all(tc.in)
 		if tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
-			t.Errorf("%s: %q", tc.name, got)
+			t.Errorf("%s: got response %q, want %q in it (empty: no response)", tc.name, got, tc.want)
 		}
 	}
-	// Pipelining is no part of the protocol: the first is answered, then the end.
+	// Pipelining is not part of the protocol: the server responds to the first request and closes the
+	// connection.
 	if got := all("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n"); strings.Count(got, "HTTP/1.1 ") != 1 ||
 		!strings.HasSuffix(got, "/a") {
-		t.Errorf("pipelined: %q", got)
+		t.Errorf("pipelined requests: got %q, want one response, to /a", got)
 	}
 	var held []net.Conn
 	for i := 0; i < 4; i++ {
@@ -75,18 +77,19 @@
 		held = append(held, c)
 	}
 	if got := all("GET /a HTTP/1.1\r\n\r\n"); got != "" {
-		t.Errorf("over the bound: %q", got)
+		t.Errorf("connection above MaxConns: got response %q, want none", got)
 	}
 	if _, err := io.WriteString(held[0], "GET /still HTTP/1.1\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	b := make([]byte, 512)
 	if n, _ := held[0].Read(b); !strings.Contains(string(b[:n]), "/still") {
-		t.Errorf("a kept connection is not served: %q", b[:n])
+		t.Errorf("open connection at MaxConns: got %q, want a response to /still", b[:n])
 	}
 }
 
-// TestClientResponsesAndFailures: a response in pieces, a refused connection, a silent peer.
+// TestClientResponsesAndFailures checks a response that arrives byte by byte, a server that doesn't respond,
+// and a refused connection.
 func TestClientResponsesAndFailures(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -104,7 +107,7 @@
 				b := make([]byte, 4096)
 				n, _ := c.Read(b)
 				if strings.HasPrefix(string(b[:n]), "GET /silent") {
-					_, _ = c.Read(b) // until the other side gives up
+					_, _ = c.Read(b) // until the client times out
 					return
 				}
 				for _, x := range AppendResponse(nil, 200, 0, true, []byte("hello")) {
@@ -116,13 +119,13 @@
 	cl := NewClient(listener.Addr().String(), 1, 1024)
 	if message, err := cl.Do("GET", "/x", nil, 10*monotime.Second); err != nil ||
 		string(message.Body) != "hello" {
-		t.Errorf("%+v %v", message, err)
+		t.Errorf("response byte by byte: got message %+v, error %v, want body hello", message, err)
 	}
 	if _, err := cl.Do("GET", "/silent", nil, 200*monotime.Millisecond); err == nil {
-		t.Error("a silent peer has no answer")
+		t.Error("server that doesn't respond: got no error, want a timeout")
 	}
 	gone := NewClient("127.0.0.1:1", 1, 1024)
 	if _, err := gone.Do("GET", "/", nil, monotime.Second); err == nil {
-		t.Error("nobody listens there")
+		t.Error("refused connection: got no error, want one")
 	}
 }
--- a/internal/transport/status.go
+++ b/internal/transport/status.go
@@ -1,6 +1,6 @@
 package transport
 
-// Statuses of responses, of this service and of those that it calls.
+// HTTP statuses of responses, both of this service and of the services that it calls.
 const (
 	StatusOK                 = 200
 	StatusCreated            = 201
@@ -10,10 +10,10 @@
 	StatusMethodNotAllowed   = 405
 	StatusTimeout            = 408
 	StatusConflict           = 409
-	StatusGone               = 410 // of the state service: the requested revision is compacted
+	StatusGone               = 410 // from the state service: the requested revision is compacted
 	StatusContentTooLarge    = 413
 	StatusURITooLong         = 414
-	StatusRedirect           = 421 // another controller is to be called
+	StatusRedirect           = 421 // the client must contact another controller
 	StatusUnsatisfiable      = 422
 	StatusThrottled          = 429
 	StatusHeaderTooLarge     = 431
--- a/internal/transport/writer.go
+++ b/internal/transport/writer.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// reasonPhrases are the texts that follow the statuses on the status line.
+// reasonPhrases maps statuses to the reason phrases of the status line.
 var reasonPhrases = map[int]string{
 	StatusOK:                 "OK",
 	StatusCreated:            "Created",
@@ -22,7 +22,8 @@
 	StatusVersionUnsupported: "HTTP Version Not Supported",
 }
 
-// AppendResponse writes a response.
+// AppendResponse appends an encoded response to b. With closing set, the response announces that the server
+// closes the connection.
 func AppendResponse(b []byte, status, retryAfter int, closing bool, body []byte) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
@@ -41,7 +42,7 @@
 	return append(b, body...)
 }
 
-// AppendRequest writes a request.
+// AppendRequest appends an encoded request to b.
 func AppendRequest(b []byte, method, target, host string, body []byte) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
