--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -7,7 +7,7 @@
 	"net/netip"
 )
 
-// Least values of what the platform hands over.
+// Minimum values in the platform's configuration.
 const (
 	minTransactionOps  = 4
 	minValueKB         = 1
@@ -15,7 +15,8 @@
 	minReportsPerLease = 2
 )
 
-// check looks for settings with which a controller can't work. The error begins with the field.
+// check returns an error if a controller can't work with the configuration. The error text begins with the
+// name of the field.
 func (c *Config) check() error {
 	for _, check := range []func() error{
 		c.checkNames,
@@ -31,7 +32,8 @@
 	return nil
 }
 
-// checkNames looks for names that are missing or not unique among the controllers.
+// checkNames returns an error if a name or zone of this controller is missing, or if a controller's name is
+// missing or not unique.
 func (c *Config) checkNames() error {
 	if c.Node == "" {
 		return errors.New("node: missing")
@@ -42,14 +44,14 @@
 	seen := map[string]bool{c.Node: true}
 	for i, peer := range c.Peers {
 		if peer.Node == "" || seen[peer.Node] {
-			return fmt.Errorf("known[%d].node: missing or named twice", i)
+			return fmt.Errorf("known[%d].node: missing or not unique", i)
 		}
 		seen[peer.Node] = true
 	}
 	return nil
 }
 
-// checkAddresses looks for addresses that can't be listened on or dialled.
+// checkAddresses returns an error if an address is not an IP address with a port.
 func (c *Config) checkAddresses() error {
 	type address struct{ field, value string }
 	addresses := []address{
@@ -67,7 +69,8 @@
 	return nil
 }
 
-// checkZonesAndTeams looks for zones and teams that are missing, and for teams that contradict each other.
+// checkZonesAndTeams returns an error if there are no zones or no teams, if a team's name is missing or not
+// unique, or if an amount of a team is invalid.
 func (c *Config) checkZonesAndTeams() error {
 	if len(c.Facts.Zones) == 0 {
 		return errors.New("facts.zones: missing")
@@ -76,7 +79,7 @@
 	for i, team := range c.Facts.Teams {
 		field := fmt.Sprintf("facts.teams[%d]", i)
 		if team.Name == "" || names[team.Name] {
-			return fmt.Errorf("%s.name: missing or named twice", field)
+			return fmt.Errorf("%s.name: missing or not unique", field)
 		}
 		names[team.Name] = true
 		for _, amount := range []float64{team.CPUs, team.CPUsMax, team.GPUs, team.GPUsMax} {
@@ -91,7 +94,8 @@
 	return nil
 }
 
-// checkAmounts looks for amounts that are no amounts.
+// checkAmounts returns an error if an amount is not finite or is out of range: above 0 for most amounts, and
+// 0 or more for the list lag and the clock skew.
 func (c *Config) checkAmounts() error {
 	facts := &c.Facts
 	for _, amount := range []struct {
@@ -120,21 +124,21 @@
 	return nil
 }
 
-// checkMinimums looks for amounts that a controller can't do with.
+// checkMinimums returns an error if an amount is less than a controller needs.
 func (c *Config) checkMinimums() error {
 	facts := &c.Facts
 	switch {
 	case facts.State.TxnOps < minTransactionOps:
-		return errors.New("facts.state.txn_ops: at least 4 changes a transaction are needed")
+		return errors.New("facts.state.txn_ops: must be at least 4 operations per transaction")
 	case facts.State.ValueKB < minValueKB:
-		return errors.New("facts.state.value_kb: at least 1 KiB a value is needed")
+		return errors.New("facts.state.value_kb: must be at least 1 KiB per value")
 	case facts.Quota.MaxConnections < minConnections:
-		return errors.New("facts.quota.max_connections: at least 64 are needed")
+		return errors.New("facts.quota.max_connections: must be at least 64")
 	case facts.Workers.HeartbeatIntervalS*minReportsPerLease > facts.Workers.LeaseS:
-		return errors.New("facts.workers.lease_s: must be at least two reports long")
+		return errors.New("facts.workers.lease_s: must be at least twice facts.workers.report_s")
 	}
 	return nil
 }
 
-// isFinite reports that a value is a number, and not an infinite one.
+// isFinite reports whether a value is neither NaN nor infinite.
 func isFinite(v float64) bool { return !math.IsNaN(v) && !math.IsInf(v, 0) }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads and checks the platform's TOML and the operators' YAML.
+// Package config reads and validates the platform's configuration (TOML) and the operators' settings (YAML).
 package config
 
 import (
@@ -14,7 +14,7 @@
 	Addr string `toml:"addr"` // address and port for frames between controllers
 }
 
-// Team has a guarantee and a limit; 0 means none.
+// Team is a team with its guaranteed resources and its limits. 0 means no guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`     // guaranteed
@@ -23,42 +23,42 @@
 	GPUsMax float64 `toml:"gpus_max"` // limit
 }
 
-// ObjectiveKind says what an objective bounds.
+// ObjectiveKind is the kind of time that an objective limits.
 type ObjectiveKind string
 
-// Kinds of objectives. Others may be set and bind nothing here.
+// Kinds of objectives. Objectives of any other kind are ignored.
 const (
-	ObjectiveFinished ObjectiveKind = "finished" // jobs of the class are to have ended within a time
-	ObjectiveWait     ObjectiveKind = "wait"     // jobs of the class are to have started within a time
-	// they are to have ended within a multiple of their deadlines
+	ObjectiveFinished ObjectiveKind = "finished" // jobs of the class must end within a time
+	ObjectiveWait     ObjectiveKind = "wait"     // jobs of the class must start within a time
+	// jobs of the class must end within a multiple of their deadlines
 	ObjectiveDeadline ObjectiveKind = "deadline"
 )
 
-// Objective is a service-level objective of the users' for a class of jobs.
+// Objective is a service-level objective of the users for a job class.
 type Objective struct {
 	Kind    ObjectiveKind `toml:"kind"`
 	Class   string        `toml:"class"`    // job class
-	WithinS float64       `toml:"within_s"` // seconds
+	WithinS float64       `toml:"within_s"` // limit in seconds, for ObjectiveFinished and ObjectiveWait
 	AfterS  float64       `toml:"after_s"`
 	Share   float64       `toml:"share"`
-	Times   float64       `toml:"times"` // multiple of a job's deadline
+	Times   float64       `toml:"times"` // limit as a multiple of the job's deadline, for ObjectiveDeadline
 }
 
-// Workers are the durations of the workers' protocol.
+// Workers contains the durations of the worker protocol, in seconds.
 type Workers struct {
-	HeartbeatIntervalS float64 `toml:"report_s"` // between two reports
-	// without an answered report a worker ends its tasks after this
+	HeartbeatIntervalS float64 `toml:"report_s"` // interval between two heartbeats
+	// a worker ends its tasks if it gets no response to a heartbeat for this long
 	LeaseS        float64 `toml:"lease_s"`
-	CancelWithinS float64 `toml:"cancel_s"` // a cancelled job's tasks must be gone after this
+	CancelWithinS float64 `toml:"cancel_s"` // the tasks of a cancelled job must end within this time
 }
 
-// Config is what the platform hands over.
+// Config is the configuration that the platform passes to a controller.
 type Config struct {
 	Node       string `toml:"node"`        // this controller's name
 	Area       string `toml:"area"`        // this controller's zone
-	PublicAddr string `toml:"public_addr"` // for users and workers
-	PeerBind   string `toml:"peer_bind"`   // for the other controllers
-	Peers      []Peer `toml:"known"`
+	PublicAddr string `toml:"public_addr"` // address and port for users and workers
+	PeerBind   string `toml:"peer_bind"`   // address and port for the other controllers
+	Peers      []Peer `toml:"known"`       // the other controllers
 	External   struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
@@ -88,8 +88,8 @@
 	} `toml:"facts"`
 }
 
-// Load reads the platform's settings; unknown fields are ignored, as the
-// platform may add some.
+// Load reads and validates the platform's configuration. It ignores unknown fields, since the platform may
+// add new ones.
 func Load(path string) (*Config, error) {
 	var c Config
 	if _, err := toml.DecodeFile(path, &c); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -57,29 +57,29 @@
 
 func TestLoadNamesWrongField(t *testing.T) {
 	cases := []struct{ name, old, new, field string }{
-		{"good", "", "", ""},
+		{"valid", "", "", ""},
 		{"no node", `node = "n-0"`, "", "node"},
-		{"address by name", "10.0.0.1:8080", "localhost:8080", "public_addr"},
+		{"host name instead of an IP address", "10.0.0.1:8080", "localhost:8080", "public_addr"},
 		{"no port", "10.2.0.1:2379", "10.2.0.1", "external.state"},
-		{"peer like ourselves", `node = "n-1"`, `node = "n-0"`, "known[0].node"},
+		{"peer with this controller's name", `node = "n-1"`, `node = "n-0"`, "known[0].node"},
 		{"no rate", "write_rps = 50.0", "", "facts.state.write_rps"},
 		{"negative rate", "rps = 6.0", "rps = -6.0", "facts.cloud.rps"},
-		{"not a number", "lease_s = 12.0", "lease_s = nan", "facts.workers.lease_s"},
+		{"NaN", "lease_s = 12.0", "lease_s = nan", "facts.workers.lease_s"},
 		{"lease too short", "lease_s = 12.0", "lease_s = 3.0", "facts.workers.lease_s"},
 		{"team without a name", `name = "t"`, "", "facts.teams[0].name"},
 		{"negative limit", "cpus_max = 10.0", "cpus_max = -1.0", "facts.teams[0]"},
-		{"few changes", "txn_ops = 12", "txn_ops = 2", "facts.state.txn_ops"},
+		{"too few operations per transaction", "txn_ops = 12", "txn_ops = 2", "facts.state.txn_ops"},
 		{"no area", `area = "a"`, "", "area"},
 		{
-			"no connections to speak of",
+			"too few connections",
 			"max_connections = 500",
 			"max_connections = 63",
 			"facts.quota.max_connections",
 		},
-		{"tiny values", "value_kb = 4.0", "value_kb = 0.5", "facts.state.value_kb"},
-		{"a list that lags backwards", "list_lag_s = 3.0", "list_lag_s = -3.0", "facts.cloud.list_lag_s"},
+		{"maximum value size too small", "value_kb = 4.0", "value_kb = 0.5", "facts.state.value_kb"},
+		{"negative list lag", "list_lag_s = 3.0", "list_lag_s = -3.0", "facts.cloud.list_lag_s"},
 		{
-			"the first of two faults is named",
+			"two errors, the first one is reported",
 			"rps = 6.0\nlist_lag_s = 3.0",
 			"rps = 0.0\nlist_lag_s = -3.0",
 			"facts.cloud.rps",
@@ -91,7 +91,7 @@
 		_, err := Load(writeFile(t, strings.Replace(validConfig, tc.old, tc.new, 1)))
 		if tc.field == "" && err != nil ||
 			tc.field != "" && (err == nil || !strings.Contains(err.Error(), tc.field)) {
-			t.Errorf("%s: %v", tc.name, err)
+			t.Errorf("%s: got error %v, want %q in it (empty: no error)", tc.name, err, tc.field)
 		}
 	}
 }
@@ -102,26 +102,28 @@
 		ok         bool
 		delay      monotime.Micros
 	}{
-		{"nothing", "", true, 5 * monotime.Minute},
-		{"a delay", "scale_down_delay: 20s", true, 20 * monotime.Second},
+		{"empty file", "", true, 5 * monotime.Minute},
+		{"valid delay", "scale_down_delay: 20s", true, 20 * monotime.Second},
 		{"unknown key", "scale_down_dely: 20s", false, 0},
 		{"not a duration", "scale_down_delay: soon", false, 0},
 		{"no unit", "scale_down_delay: 20", false, 0},
 		{"too short", "pass_interval: 1ms", false, 0},
-		{"no tries", "removal_tries: 0", false, 0},
+		{"no attempts", "removal_tries: 0", false, 0},
 	}
 	for _, tc := range cases {
 		settings, err := LoadSettings(writeFile(t, tc.text))
 		if (err == nil) != tc.ok || tc.ok && settings.ScaleDownDelay.Micros() != tc.delay {
-			t.Errorf("%s: %+v %v", tc.name, settings, err)
+			t.Errorf("%s: got settings %+v, error %v, want accepted %v with scale_down_delay %d µs",
+				tc.name, settings, err, tc.ok, tc.delay)
 		}
 	}
 	if _, err := LoadSettings("/nowhere/at/all"); err == nil {
-		t.Error("a file that isn't there")
+		t.Error("missing file: got no error, want one")
 	}
 }
 
-// TestSettingsErrorsNameFileKeyAndReason: what is wrong is named by file, key and reason.
+// TestSettingsErrorsNameFileKeyAndReason checks that the error for an invalid settings file contains the
+// file, the key and the reason.
 func TestSettingsErrorsNameFileKeyAndReason(t *testing.T) {
 	cases := []struct {
 		name, text, key, reason string
@@ -130,39 +132,39 @@
 		{"out of range", "expected_room: 11", "expected_room", "maximum"},
 		{"unknown key in a section", "drains: {pace: 3}", "drains", "pace"},
 		{
-			"both bounds",
+			"both limits",
 			"drains: {budgets: [{team: t, min_available: 1, max_unavailable: 1}]}",
 			"drains.budgets.0",
 			"oneOf",
 		},
-		{"no bound", "drains: {budgets: [{team: t}]}", "drains.budgets.0", "missing"},
+		{"no limit", "drains: {budgets: [{team: t}]}", "drains.budgets.0", "missing"},
 		{"no team", "drains: {budgets: [{min_available: 1}]}", "drains.budgets.0", "team"},
 		{
-			"negative",
+			"negative limit",
 			"drains: {budgets: [{team: t, min_available: -1}]}",
 			"drains.budgets.0.min_available",
 			"minimum",
 		},
 		{
-			"too much",
+			"percentage above 100",
 			"drains: {budgets: [{team: t, min_available: 101%}]}",
 			"drains.budgets.0.min_available",
 			"pattern",
 		},
 		{
-			"unreachable",
+			"all replicas must stay available",
 			"drains: {budgets: [{team: t, min_available: 100%}]}",
 			"drains.budgets[0].min_available",
 			"no replica",
 		},
 		{
-			"nothing may move",
+			"no replica may be unavailable",
 			"drains: {budgets: [{team: t, max_unavailable: 0%}]}",
 			"drains.budgets[0].max_unavailable",
 			"no replica",
 		},
 		{
-			"twice",
+			"two budgets with the same scope",
 			"drains: {budgets: [{team: t, min_available: 1}, {team: t, max_unavailable: 1}]}",
 			"drains.budgets[1]",
 			"budgets[0]",
@@ -173,18 +175,19 @@
 		path := writeFile(t, tc.text)
 		_, err := LoadSettings(path)
 		if err == nil {
-			t.Errorf("%s: accepted", tc.name)
+			t.Errorf("%s: got no error, want one", tc.name)
 			continue
 		}
 		for _, part := range []string{path, tc.key, tc.reason} {
 			if !strings.Contains(err.Error(), part) {
-				t.Errorf("%s: %q doesn't say %q", tc.name, err, part)
+				t.Errorf("%s: got error %q, want %q in it", tc.name, err, part)
 			}
 		}
 	}
 }
 
-// TestLaterSettingsFilesOverride: later files replace what earlier ones set, and nothing else.
+// TestLaterSettingsFilesOverride checks that a later settings file overrides only the keys that it sets. It
+// also checks the team validation of the result.
 func TestLaterSettingsFilesOverride(t *testing.T) {
 	first := writeFile(
 		t,
@@ -196,29 +199,30 @@
 		t.Fatal(err)
 	}
 	if settings.ScaleDownDelay.Micros() != 20*monotime.Second || settings.ScaleInAttempts != 7 {
-		t.Errorf("settings %+v", settings)
+		t.Errorf("got settings %+v, want scale_down_delay 20s and removal_tries 7", settings)
 	}
 	d := settings.Drains
 	if d == nil || d.MaxParallel != 3 || d.ArrayWait.Micros() != monotime.Minute || len(d.Budgets) != 1 ||
 		*d.DefaultReserveMachines != 1 {
-		t.Fatalf("drains %+v", d)
+		t.Fatalf("got drains %+v, want max_parallel 3, array_wait 1m, 1 budget, 1 reserve machine", d)
 	}
 	if err := settings.CheckTeams([]Team{{Name: "t"}}); err != nil {
-		t.Error(err)
+		t.Errorf("known team: got error %v, want none", err)
 	}
 	if err := settings.CheckTeams([]Team{{Name: "u"}}); !errors.Is(err, ErrUnknownTeam) {
-		t.Errorf("unknown team: %v", err)
+		t.Errorf("unknown team: got error %v, want %v", err, ErrUnknownTeam)
 	}
 	if err := settings.CheckTeams([]Team{{Name: "t"}, {Name: "two words"}}); err == nil {
-		t.Error("a team whose name can't be kept")
+		t.Error("team name with a space: got no error, want one")
 	}
 	if settings, err := LoadSettings(); err != nil || settings.Drains != nil {
-		t.Errorf("without files: %+v %v", settings, err)
+		t.Errorf("without files: got settings %+v, error %v, want no error and no drains", settings, err)
 	}
 }
 
-// TestLoadSettingsWithoutWorkingDirectory: the working folder has gone, as under a service manager that
-// cleans up.
+// TestLoadSettingsWithoutWorkingDirectory guards against a schema URI that is resolved against the working
+// directory: loading would fail if the directory no longer exists, as under a service manager that removes
+// it.
 func TestLoadSettingsWithoutWorkingDirectory(t *testing.T) {
 	path := writeFile(t, "removal_tries: 7")
 	folder := filepath.Join(t.TempDir(), "gone")
@@ -230,11 +234,12 @@
 		t.Fatal(err)
 	}
 	if settings, err := LoadSettings(path); err != nil || settings.ScaleInAttempts != 7 {
-		t.Errorf("%+v %v", settings, err)
+		t.Errorf("got settings %+v, error %v, want removal_tries 7 and no error", settings, err)
 	}
 }
 
-// TestBudgetRoundsInFavorOfAvailability: percentages are rounded so that more replicas stay.
+// TestBudgetRoundsInFavorOfAvailability checks that percentages are rounded so that more replicas stay
+// available.
 func TestBudgetRoundsInFavorOfAvailability(t *testing.T) {
 	cases := []struct {
 		text            string
@@ -253,11 +258,11 @@
 	for _, tc := range cases {
 		settings, err := LoadSettings(writeFile(t, "drains: {budgets: [{team: t, "+tc.text+"}]}"))
 		if err != nil {
-			t.Errorf("%s: %v", tc.text, err)
+			t.Errorf("%s: got error %v, want none", tc.text, err)
 			continue
 		}
 		if got := settings.Drains.Budgets[0].MinAvailableOf(tc.replicas); got != tc.floor {
-			t.Errorf("%s of %d: %d, want %d", tc.text, tc.replicas, got, tc.floor)
+			t.Errorf("%s of %d replicas: got %d, want %d", tc.text, tc.replicas, got, tc.floor)
 		}
 	}
 }
--- a/internal/config/drain_settings.go
+++ b/internal/config/drain_settings.go
@@ -11,25 +11,25 @@
 	"pipitgap/internal/monotime"
 )
 
-// DrainSettings are the settings of stepwise drains.
+// DrainSettings are the settings for drains.
 type DrainSettings struct {
-	// DefaultMaxUnavailable is how many replicas of a team without a budget may be
-	// unavailable at a time before a drain stops another.
+	// DefaultMaxUnavailable is how many replicas of a team and class without a budget may be unavailable at a
+	// time. At this number a drain stops no further replica.
 	DefaultMaxUnavailable int `yaml:"default_max_unavailable"`
-	// DefaultReserveMachines is the reserve of budgets that state none. A pointer, since 0 is
-	// a choice.
+	// DefaultReserveMachines is the number of reserve machines of a budget that doesn't set one. It is a
+	// pointer to tell an explicit 0 from an unset value.
 	DefaultReserveMachines *int `yaml:"default_reserve_machines"`
-	// MaxParallel is how many machines of a drain are emptied at a time if the drain doesn't say.
+	// MaxParallel is how many machines are emptied at a time by a drain that doesn't set its own limit.
 	MaxParallel int `yaml:"max_parallel"`
-	// ArrayWait is how long an array task that is expected to end by then is waited for.
+	// ArrayWait is how long a drain waits for an array task that is expected to end within this time.
 	ArrayWait Duration `yaml:"array_wait"`
-	// MinReady is how long a replica must have been running to count as available.
+	// MinReady is how long a replica must run before it counts as available.
 	MinReady Duration `yaml:"min_ready"`
-	// Budgets say how much of a team's services must stay available.
+	// Budgets are the disruption budgets of teams' services.
 	Budgets []DisruptionBudget `yaml:"budgets"`
 }
 
-// Starting values of the settings of drains.
+// Default values of the drain settings.
 const (
 	defaultMaxUnavailable  = 1
 	defaultReserveMachines = 1
@@ -38,7 +38,7 @@
 	defaultMinReady        = Duration(5 * monotime.Second)
 )
 
-// setDefaults fills in what the operators left out.
+// setDefaults sets the default values of all unset settings.
 func (d *DrainSettings) setDefaults() {
 	if d.DefaultMaxUnavailable == 0 {
 		d.DefaultMaxUnavailable = defaultMaxUnavailable
@@ -58,10 +58,11 @@
 	}
 }
 
-// check looks for budgets that contradict each other or can never be kept.
+// check returns an error if a duration is too long, if two budgets have the same scope, or if a budget would
+// never permit a drain to move a replica.
 func (d *DrainSettings) check() error {
 	if d.ArrayWait > maxDuration || d.MinReady > maxDuration {
-		return fmt.Errorf("drains.array_wait, drains.min_ready: at most 24h")
+		return fmt.Errorf("drains.array_wait, drains.min_ready: must be at most 24h")
 	}
 	type scope struct{ team, class string }
 	seen := map[scope]int{}
@@ -69,7 +70,7 @@
 		budget := &d.Budgets[i]
 		of := scope{budget.Team, budget.Class}
 		if first, ok := seen[of]; ok {
-			return fmt.Errorf("drains.budgets[%d]: the same team and class as budgets[%d]", i, first)
+			return fmt.Errorf("drains.budgets[%d]: has the same team and class as budgets[%d]", i, first)
 		}
 		seen[of] = i
 		if reason := budget.unsatisfiable(); reason != "" {
@@ -79,8 +80,8 @@
 	return nil
 }
 
-// DisruptionBudget is a team's disruption budget, or that of one of its job classes. Either
-// MinAvailable or MaxUnavailable is set.
+// DisruptionBudget is the disruption budget of a team's services, or of a team's services of one job class.
+// Either MinAvailable or MaxUnavailable is set.
 type DisruptionBudget struct {
 	Team            string          `yaml:"team"`
 	Class           string          `yaml:"class"` // "": all of the team's services
@@ -89,19 +90,19 @@
 	ReserveMachines *int            `yaml:"reserve_machines"`
 }
 
-// unsatisfiable returns why a budget can never permit anything, whatever runs; "" if it can.
+// unsatisfiable returns the reason why a budget can never permit a drain to move a replica, or "" if it can.
 func (b *DisruptionBudget) unsatisfiable() string {
 	switch {
 	case b.MinAvailable != nil && *b.MinAvailable == CountOrPercent{Value: 100, Percent: true}:
-		return "min_available: 100% leaves no replica that could ever be moved"
+		return "min_available: with 100% no replica can ever be moved"
 	case b.MaxUnavailable != nil && b.MaxUnavailable.Value == 0:
-		return "max_unavailable: 0 leaves no replica that could ever be moved"
+		return "max_unavailable: with 0 no replica can ever be moved"
 	}
 	return ""
 }
 
-// MinAvailableOf is how many of so many replicas must stay available. Percentages are rounded so
-// that more stay: what must be available is rounded up, what may be unavailable down.
+// MinAvailableOf returns how many of the given number of replicas must stay available. Percentages are
+// rounded in favor of availability: MinAvailable is rounded up, MaxUnavailable down.
 func (b *DisruptionBudget) MinAvailableOf(replicas int) int {
 	if b.MinAvailable != nil {
 		return b.MinAvailable.roundedUp(replicas)
@@ -109,16 +110,16 @@
 	return replicas - b.MaxUnavailable.roundedDown(replicas)
 }
 
-// CountOrPercent is a number of replicas, or a percentage of them.
+// CountOrPercent is a number of replicas or a percentage of all replicas.
 type CountOrPercent struct {
-	Value   int // replicas, or percent of them
+	Value   int // number of replicas, or percentage
 	Percent bool
 }
 
-// wholePercent is all replicas, in percent.
+// wholePercent is the percentage that means all replicas.
 const wholePercent = 100
 
-// roundedUp returns the amount of a number of replicas, a part of one counted as one.
+// roundedUp returns the count, or the percentage of the given number of replicas rounded up.
 func (c CountOrPercent) roundedUp(replicas int) int {
 	if !c.Percent {
 		return c.Value
@@ -126,7 +127,7 @@
 	return int(math.Ceil(float64(c.Value*replicas) / wholePercent))
 }
 
-// roundedDown returns the amount of a number of replicas, a part of one left out.
+// roundedDown returns the count, or the percentage of the given number of replicas rounded down.
 func (c CountOrPercent) roundedDown(replicas int) int {
 	if !c.Percent {
 		return c.Value
@@ -134,7 +135,7 @@
 	return c.Value * replicas / wholePercent
 }
 
-// String returns the form of the settings.
+// String returns the value as it is written in the settings.
 func (c CountOrPercent) String() string {
 	if c.Percent {
 		return strconv.Itoa(c.Value) + "%"
@@ -142,7 +143,7 @@
 	return strconv.Itoa(c.Value)
 }
 
-// UnmarshalYAML reads a number or a percentage.
+// UnmarshalYAML decodes a number or a percentage.
 func (c *CountOrPercent) UnmarshalYAML(text []byte) error {
 	var value any
 	if err := yaml.Unmarshal(text, &value); err != nil {
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -9,10 +9,10 @@
 	"pipitgap/internal/monotime"
 )
 
-// Duration is a duration in a YAML file, written like 30s or 5m.
+// Duration is a duration in a YAML file, written in Go's format, such as 30s or 5m.
 type Duration monotime.Micros
 
-// UnmarshalYAML reads Go's duration form.
+// UnmarshalYAML decodes a duration in Go's format.
 func (d *Duration) UnmarshalYAML(text []byte) error {
 	var value string
 	if err := yaml.Unmarshal(text, &value); err != nil {
@@ -26,5 +26,5 @@
 	return nil
 }
 
-// Micros returns the span as a time.
+// Micros returns the duration in microseconds.
 func (d Duration) Micros() monotime.Micros { return monotime.Micros(d) }
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -17,12 +17,12 @@
 //go:embed settings.schema.json
 var settingsSchema []byte
 
-// settingsSchemaName is the name under which the schema refers to itself. It is absolute: a
-// relative one would be looked up from the working folder, which may have gone.
+// settingsSchemaName is the URI of the schema. It is absolute because a relative one would be resolved
+// against the working directory, which may no longer exist.
 const settingsSchemaName = "urn:pipitgap:settings"
 
-// validateSchema compares a settings file with the schema. The error names the key and the
-// reason. It tells as well whether the file holds nothing but comments.
+// validateSchema validates a settings file against the schema. The error contains the key and the reason.
+// empty reports whether the file is empty or contains only comments.
 func validateSchema(text []byte) (empty bool, err error) {
 	document, err := plainDocument(text)
 	if err != nil || document == nil {
@@ -31,7 +31,7 @@
 	return false, validate(document)
 }
 
-// validate compares a document with the schema.
+// validate validates a document against the schema.
 func validate(document any) error {
 	schema, err := compileSettingsSchema()
 	if err != nil {
@@ -45,7 +45,8 @@
 	return err
 }
 
-// plainDocument returns a YAML document in the form that JSON has, since the schema is one of JSON.
+// plainDocument converts a YAML document to the types of a decoded JSON document, since the schema is a JSON
+// schema.
 func plainDocument(text []byte) (any, error) {
 	var document any
 	if err := yaml.Unmarshal(text, &document); err != nil {
@@ -58,7 +59,7 @@
 	return jsonschema.UnmarshalJSON(bytes.NewReader(encoded))
 }
 
-// compileSettingsSchema reads the schema, which is part of the program.
+// compileSettingsSchema compiles the schema, which is embedded in the program.
 func compileSettingsSchema() (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(settingsSchema))
 	if err != nil {
@@ -71,7 +72,7 @@
 	return compiler.Compile(settingsSchemaName)
 }
 
-// schemaError names the first key that doesn't fit, the innermost where keys are nested.
+// schemaError returns an error with the first invalid key, at the deepest level of nesting, and the reason.
 func schemaError(invalid *jsonschema.ValidationError) error {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,39 +12,40 @@
 	"pipitgap/internal/monotime"
 )
 
-// Settings are the operators' own. The defaults are the design's starting values.
+// Settings are the operators' settings. Defaults returns their default values.
 type Settings struct {
-	AutoscalingInterval Duration `yaml:"pass_interval"`  // the leader's autoscaler pass
+	AutoscalingInterval Duration `yaml:"pass_interval"`  // interval between the leader's autoscaler passes
 	OfferQuarantine     Duration `yaml:"unmet_ttl"`      // how long an offer without capacity is quarantined
-	ReadinessTimeout    Duration `yaml:"readiness_wait"` // a machine not up by then is terminated
-	// ScaleDownDelay is the time from closing an empty machine to its removal.
+	ReadinessTimeout    Duration `yaml:"readiness_wait"` // a machine not up within this time is terminated
+	// ScaleDownDelay is the time between closing an empty machine to new tasks and removing it.
 	ScaleDownDelay Duration `yaml:"scale_down_delay"`
-	BackoffFirst   Duration `yaml:"backoff_first"`  // first pause of a job that no offer can take
-	BackoffMax     Duration `yaml:"backoff_most"`   // its ceiling
-	BackoffPasses  int      `yaml:"backoff_passes"` // passes without success before the first pause
-	// ScaleInAttempts is the number of quick tries before a scale-in request is flagged as failed.
+	BackoffFirst   Duration `yaml:"backoff_first"`  // first backoff delay of a job whose demand no offer can meet
+	BackoffMax     Duration `yaml:"backoff_most"`   // ceiling of the backoff delay
+	BackoffPasses  int      `yaml:"backoff_passes"` // unsuccessful passes before the first delay
+	// ScaleInAttempts is the number of attempts at short intervals before a scale-in request is marked as
+	// failed.
 	ScaleInAttempts      int      `yaml:"removal_tries"`
-	ScaleInRetryInterval Duration `yaml:"removal_pause"` // pause between tries of a flagged request
-	// ExpectedCapacity is the part of a type's boot time within which what running
-	// tasks will release counts as supply. The design counts none of it.
+	ScaleInRetryInterval Duration `yaml:"removal_pause"` // delay between attempts of a failed request
+	// ExpectedCapacity is a fraction of a machine type's boot time. Resources that running tasks are expected
+	// to release within it count as supply. The default 0 counts none of them.
 	ExpectedCapacity float64 `yaml:"expected_room"`
-	// ExpectedOnDemandCapacity is the same for on-demand machines that would be requested
-	// for tasks that may use spot machines; at least ExpectedCapacity.
+	// ExpectedOnDemandCapacity is used like ExpectedCapacity before on-demand machines are requested for
+	// tasks that may use spot machines. It should be at least ExpectedCapacity.
 	ExpectedOnDemandCapacity float64 `yaml:"expected_room_ordinary"`
-	// ServiceHeadroom is the part of what each class of services uses that is kept
-	// free, or in use by what a service may preempt, for services yet to come.
+	// ServiceHeadroom is the headroom for future services, as a fraction of what each class of services uses.
+	// The headroom is kept free or in use by tasks that a service may preempt.
 	ServiceHeadroom float64 `yaml:"service_headroom"`
-	// OverdueBootFactor is after how many boot times a machine that isn't up no longer
-	// counts as supply for services, and after half as many again for anything; 0:
-	// it counts until the readiness wait ends.
+	// OverdueBootFactor is a multiple of a machine type's boot time. A requested machine that isn't up after
+	// it no longer counts as supply for services. After 1.5 times as long it no longer counts as supply at
+	// all. With 0 it counts until ReadinessTimeout.
 	OverdueBootFactor float64 `yaml:"overdue_boot"`
-	MaxConnections    int     `yaml:"max_connections"` // lowers the platform's quota; 0: as the platform says
+	MaxConnections    int     `yaml:"max_connections"` // lowers the platform's quota; 0: doesn't lower it
 
-	// Drains turns on stepwise drains within disruption budgets; nil: off.
+	// Drains enables drains, which respect disruption budgets. With nil, drains are disabled.
 	Drains *DrainSettings `yaml:"drains"`
 }
 
-// Defaults are the starting values of the design.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		AutoscalingInterval:  Duration(2 * monotime.Second),
@@ -59,8 +60,8 @@
 	}
 }
 
-// LoadSettings reads the operators' YAML files; what a later one sets replaces what earlier
-// ones set. Unlike in the platform's file, an unknown key is an error: it is a typing mistake.
+// LoadSettings reads the operators' YAML files. A later file overrides the keys that it sets. Unlike in the
+// platform's configuration, an unknown key is an error, since it is a typing mistake.
 func LoadSettings(paths ...string) (Settings, error) {
 	settings := Defaults()
 	for _, path := range paths {
@@ -71,7 +72,7 @@
 	return settings, nil
 }
 
-// merge reads one file over what is set already.
+// merge reads one file and overrides the settings that it contains.
 func (s *Settings) merge(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,14 +90,14 @@
 	return s.check()
 }
 
-// Bounds of a duration in the settings.
+// Minimum and maximum of a duration in the settings.
 const (
 	minDuration = Duration(100 * monotime.Millisecond)
 	maxDuration = Duration(24 * 60 * monotime.Minute)
 )
 
-// check looks for what the schema can't express: durations out of range, and settings that
-// contradict each other.
+// check returns an error for invalid settings that the schema can't describe: durations out of range and
+// contradictory settings.
 func (s *Settings) check() error {
 	durations := []struct {
 		field string
@@ -121,8 +122,8 @@
 	return nil
 }
 
-// CheckTeams looks for teams that the settings name and the platform doesn't know, and for such
-// as can't have a record of their own.
+// CheckTeams validates the teams if drains are enabled. It returns an error if a budget is for a team that
+// the platform doesn't have, or if any team's name can't be part of a record key.
 func (s *Settings) CheckTeams(teams []Team) error {
 	if s.Drains == nil {
 		return nil
@@ -131,7 +132,7 @@
 	for _, team := range teams {
 		known[team.Name] = true
 		if strings.ContainsFunc(team.Name, unicode.IsSpace) || len(team.Name) > maxTeamNameLength {
-			return fmt.Errorf("facts.teams: drains need names without spaces, of %d characters at most: %q",
+			return fmt.Errorf("facts.teams: drains need team names without spaces, of at most %d bytes: %q",
 				maxTeamNameLength, team.Name)
 		}
 	}
@@ -144,8 +145,9 @@
 	return nil
 }
 
-// maxTeamNameLength keeps the key of a team's record within what the state service takes.
+// maxTeamNameLength is the maximum length of a team's name in bytes. It keeps the key of the team's record
+// within the limits of the state service.
 const maxTeamNameLength = 100
 
-// ErrUnknownTeam says that a budget names a team that the platform doesn't have.
+// ErrUnknownTeam means that a budget is for a team that the platform doesn't have.
 var ErrUnknownTeam = errors.New("no such team")
