--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon runs a controller as a process: the controller's goroutine with its mailbox and timers, the
-// server, and the clients of the other services.
+// Package daemon runs a controller as a process. It contains the controller's goroutine with its mailbox and
+// timers, the server, and the clients of the other services.
 package daemon
 
 import (
@@ -16,22 +16,23 @@
 )
 
 const (
-	// memoryFraction is the part of the process's memory quota that the heap may grow to before it is
-	// collected more often.
+	// memoryFraction is the fraction of the process's memory quota that is the soft memory limit of the Go
+	// runtime. Near this limit the garbage collector runs more often.
 	memoryFraction = 0.55
 	mebibyte       = 1 << 20
-	// idleTimeout is after how long without traffic a connection is closed.
+	// idleTimeout is the time without traffic after which a connection is closed.
 	idleTimeout = 60 * monotime.Second
-	// requestTimeout is within what time a request must be complete.
+	// requestTimeout is the time within which a request must be complete, from its first byte.
 	requestTimeout = 10 * monotime.Second
-	// summaryInterval is how often the log has a summary.
+	// summaryInterval is the interval between two summaries in the log.
 	summaryInterval = 30 * monotime.Second
-	// retryAfterFullMailbox is when a user is to retry a request that the mailbox had no room for, in
-	// seconds.
+	// retryAfterFullMailbox is the Retry-After value, in seconds, of the response to a request that is
+	// rejected because the mailbox is full.
 	retryAfterFullMailbox = 1
 )
 
-// Run serves until something ends it, which is always an error.
+// Run runs the controller until its server ends. The server ends only with an error, so Run always returns
+// one.
 func Run(cfg *config.Config, settings config.Settings, log *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.Facts.Quota.MemoryMB * memoryFraction * mebibyte))
@@ -42,15 +43,15 @@
 	controller := coordination.NewController(cfg, settings, e, log)
 	server := newServer(e, controller, limits)
 	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(cfg.PublicAddr, cfg.PeerBind) }() // ends with the process
+	go func() { ended <- server.Serve(cfg.PublicAddr, cfg.PeerBind) }() // runs until the process exits
 	log.Info("listening", "public_addr", cfg.PublicAddr, "peer_addr", cfg.PeerBind,
 		"max_connections", server.MaxConns)
 	controller.Start()
 	return fmt.Errorf("server on %s: %w", cfg.PublicAddr, e.loop(controller, ended, log))
 }
 
-// newServer makes the server, which passes requests and peers' statuses on to the controller. A full mailbox
-// is answered at once.
+// newServer returns the server, which passes requests and peer statuses to the controller. If the mailbox is
+// full, the server immediately rejects a request and drops a peer status.
 func newServer(e *environment, controller *coordination.Controller, limits socketLimits) *transport.Server {
 	return &transport.Server{
 		Now:            e.clock,
@@ -74,14 +75,14 @@
 			if err != nil {
 				return
 			}
-			// A status may be lost: the next one follows soon.
+			// If the mailbox is full, the status is dropped: the peer sends the next one soon.
 			e.tryDeliver(func() { controller.OnPeerStatus(status) })
 		},
 	}
 }
 
-// loop is the controller's goroutine: it runs what is in the mailbox and the timers that are due, until the
-// server ends.
+// loop is the main loop of the controller's goroutine. It runs the functions in the mailbox and the timers
+// that are due until the server ends, and returns the server's error.
 func (e *environment) loop(controller *coordination.Controller, ended <-chan error, log *slog.Logger) error {
 	lastSummary := e.clock()
 	timer := time.NewTimer(time.Hour)
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -15,9 +15,9 @@
 	"pipitgap/internal/transport"
 )
 
-// TestAnswersWithoutStateServiceAndCloud runs a whole controller on loopback whose state service and cloud
-// refuse every connection: it must answer everybody at once, keep within its
-// connections and stay up.
+// TestAnswersWithoutStateServiceAndCloud runs a controller on the loopback interface. Its state service and
+// cloud refuse every connection. It must still respond to every request without delay, keep its connection
+// limit and continue to run.
 func TestAnswersWithoutStateServiceAndCloud(t *testing.T) {
 	free := func() string { return fixtures.FreeAddress(t) }
 	cfg := &config.Config{Node: "n-0", Area: "a", PublicAddr: free(), PeerBind: free()}
@@ -38,7 +38,7 @@
 		_, err := client.Do("GET", "/healthz", nil, 5*monotime.Second)
 		up = err == nil
 		if !up {
-			time.Sleep(10 * time.Millisecond) // until the listener is there
+			time.Sleep(10 * time.Millisecond) // until the server listens
 		}
 	}
 	cases := []struct {
@@ -56,15 +56,15 @@
 	for _, tc := range cases {
 		m, err := client.Do(tc.method, tc.target, tc.body, 10*monotime.Second)
 		if err != nil || m.Status != tc.want {
-			t.Errorf("%s %s: %+v %v, want %d", tc.method, tc.target, m, err, tc.want)
+			t.Errorf("%s %s: got response %+v, error %v, want status %d", tc.method, tc.target, m, err, tc.want)
 			continue
 		}
 		if m.Status == 503 && m.RetryAfter < 1 {
-			t.Errorf("%s %s: no time to come back", tc.method, tc.target)
+			t.Errorf("%s %s: got Retry-After %d, want at least 1", tc.method, tc.target, m.RetryAfter)
 		}
 	}
-	// Twice as many connections as the quota allows, a request on each: what is
-	// over the bound is closed, the rest is answered, and it goes on serving.
+	// Opens twice as many connections as the quota allows, with one request on each. The server must close
+	// the connections above its limit, respond on the others and continue to serve.
 	answered := 0
 	for i := 0; i < 280; i++ {
 		c, err := net.Dial("tcp4", cfg.PublicAddr)
@@ -79,20 +79,20 @@
 		}
 	}
 	if most := 140*8/10 - 32; answered == 0 || answered > most {
-		t.Errorf("%d connections answered, at most %d are to be kept", answered, most)
+		t.Errorf("got a response on %d connections, want 1 to %d", answered, most)
 	}
 	if m, err := client.Do("GET", "/healthz", nil, 10*monotime.Second); err != nil || m.Status != 503 {
-		t.Errorf("after the flood: %+v %v", m, err)
+		t.Errorf("after 280 connections: got response %+v, error %v, want status 503", m, err)
 	}
 	select {
 	case err := <-ended:
-		t.Errorf("ended: %v", err)
+		t.Errorf("got a controller that ended with error %v, want it running", err)
 	default:
 	}
 }
 
-// TestTimersRunInOrderOfTime: in order of time, then of their making; what is added while they
-// run waits for the next time.
+// TestTimersRunInOrderOfTime checks that timers run in the order of their due times, and in the order of
+// scheduling if these are equal. A timer that a running timer adds must not run before the next call.
 func TestTimersRunInOrderOfTime(t *testing.T) {
 	var timers timerHeap
 	got := ""
@@ -102,14 +102,14 @@
 	add(10, "b")
 	timers.schedule(20, func() { got += "-"; add(20, "d") })
 	if w := timers.untilNext(4); w != 6 {
-		t.Errorf("waits %d", w)
+		t.Errorf("got a wait of %d µs, want 6", w)
 	}
 	timers.runDue(25)
 	if got != "ab-" {
-		t.Errorf("ran %q", got)
+		t.Errorf("got timers %q, want ab-", got)
 	}
 	timers.runDue(30)
 	if got != "ab-dc" || timers.untilNext(30) != monotime.Minute {
-		t.Errorf("ran %q", got)
+		t.Errorf("got timers %q and a wait of %d µs, want ab-dc and %d", got, timers.untilNext(30), monotime.Minute)
 	}
 }
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -11,33 +11,33 @@
 	"pipitgap/internal/transport"
 )
 
-// Bounds of the connections to other services.
+// Sizes of the mailbox and limits of the connections to other services.
 const (
-	mailboxSize      = 4096
-	storeConnections = 10 // that are kept open
-	cloudConnections = 2
-	maxStoreBody     = 8 << 20 // bytes; watches have no size limit of their own
-	maxCloudBody     = 2 << 20
+	mailboxSize      = 4096    // functions
+	storeConnections = 10      // idle connections kept open
+	cloudConnections = 2       // idle connections kept open
+	maxStoreBody     = 8 << 20 // bytes per response body; the protocol has no size limit for watch responses
+	maxCloudBody     = 2 << 20 // bytes per response body
 )
 
-// environment is the controller's environment in a running daemon. It belongs to the controller's goroutine;
-// only its mailbox is used from others. Each call of a service has a goroutine, which ends with the call's
-// timeout.
+// environment is the controller's environment in a running daemon. Only the controller's goroutine uses it,
+// except for the mailbox, which other goroutines use too. Each call to a service runs in its own goroutine,
+// which ends at the call's timeout at the latest.
 type environment struct {
 	clock               func() monotime.Micros
 	random              *rand.Rand
 	mailbox             chan func()
-	closed              chan struct{} // the mailbox is no longer read
+	closed              chan struct{} // closed when the mailbox is no longer read
 	store               *transport.Client
 	cloud               *transport.Client
 	peers               map[string]*transport.PeerLink
 	workers             workerPool
-	commandsInFlight    int // batches of commands that are sent to workers
+	commandsInFlight    int // number of command batches in flight to workers
 	maxCommandsInFlight int
 	timers              timerHeap
 }
 
-// newEnvironment makes the environment with its clients, which end with close.
+// newEnvironment returns an environment with its clients. The caller must call close to release them.
 func newEnvironment(cfg *config.Config, limits socketLimits) *environment {
 	e := &environment{
 		clock:               monotime.NewClock(),
@@ -56,7 +56,7 @@
 	return e
 }
 
-// close ends all connections; what is in flight ends as it would, and its result is dropped.
+// close closes all clients. Calls in flight continue to their end, and their results are dropped.
 func (e *environment) close() {
 	close(e.closed)
 	e.store.Close()
@@ -67,7 +67,7 @@
 	e.workers.close()
 }
 
-// deliver has a function called on the controller's goroutine.
+// deliver queues a function that the controller's goroutine calls. It blocks while the mailbox is full.
 func (e *environment) deliver(f func()) {
 	select {
 	case e.mailbox <- f:
@@ -75,7 +75,7 @@
 	}
 }
 
-// tryDeliver is deliver if the mailbox has room.
+// tryDeliver is like deliver, but returns false instead of blocking if the mailbox is full.
 func (e *environment) tryDeliver(f func()) bool {
 	select {
 	case e.mailbox <- f:
@@ -85,19 +85,19 @@
 	}
 }
 
-// Now reads the steady clock.
+// Now returns the time of the monotonic clock.
 func (e *environment) Now() monotime.Micros { return e.clock() }
 
-// WallClock reads the time of day, in microseconds.
+// WallClock returns the time of day in microseconds.
 func (e *environment) WallClock() int64 { return time.Now().UnixMicro() }
 
-// Rand is the source of randomness.
+// Rand returns the random number generator.
 func (e *environment) Rand() *rand.Rand { return e.random }
 
-// After has a function called after a delay.
+// After calls f on the controller's goroutine after a delay.
 func (e *environment) After(delay monotime.Micros, f func()) { e.timers.schedule(e.clock()+delay, f) }
 
-// CallStore calls the state service.
+// CallStore calls the state service. The callback receives the result on the controller's goroutine.
 func (e *environment) CallStore(call *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	go func() {
 		result := protocol.CallStore(e.store, call)
@@ -105,7 +105,7 @@
 	}()
 }
 
-// CallCloud calls the cloud.
+// CallCloud calls the cloud. The callback receives the result on the controller's goroutine.
 func (e *environment) CallCloud(call *protocol.CloudCall, callback func(protocol.CloudResult)) {
 	go func() {
 		result := protocol.CallCloud(e.cloud, call)
@@ -113,7 +113,8 @@
 	}()
 }
 
-// SendCommands sends commands to a worker, or requests its report where there are none.
+// SendCommands sends commands to a worker. A nil request only polls the worker for its heartbeat. The
+// callback receives the result on the controller's goroutine.
 func (e *environment) SendCommands(
 	endpoint string,
 	request *protocol.CommandRequest,
@@ -121,7 +122,8 @@
 	callback func(protocol.CommandResult),
 ) {
 	if e.commandsInFlight >= e.maxCommandsInFlight {
-		// Keeps within the socket limit; the answer to the worker's next heartbeat carries the commands.
+		// One more batch could exceed the socket limit. The reply to the worker's next heartbeat contains the
+		// commands instead.
 		e.After(monotime.Millisecond, func() { callback(protocol.CommandResult{}) })
 		return
 	}
@@ -133,7 +135,7 @@
 	}()
 }
 
-// SendPeerStatus sends a status to another controller; it may be lost.
+// SendPeerStatus sends a status to another controller. Delivery is not guaranteed.
 func (e *environment) SendPeerStatus(node string, status peers.Status) {
 	link := e.peers[node]
 	if link == nil {
--- a/internal/daemon/frame_size_test.go
+++ b/internal/daemon/frame_size_test.go
@@ -10,8 +10,9 @@
 	"pipitgap/internal/peers"
 )
 
-// TestPeerStatusFitsFrame: whatever has been cancelled, each status fits into a frame between
-// controllers. One that doesn't is dropped, and the receiver's leases would end for it.
+// TestPeerStatusFitsFrame checks that each status fits into a frame between controllers, however many jobs
+// were cancelled. A status that doesn't fit is dropped, and the worker leases of the receiver would expire as
+// a result.
 func TestPeerStatusFitsFrame(t *testing.T) {
 	relay := cancellation.NewRelay(1, []string{"n-1"})
 	failing := map[string]int{}
@@ -24,7 +25,7 @@
 	}
 	messages := relay.MessagesFor("n-1", monotime.Minute, 1, true)
 	if len(messages) < 5 {
-		t.Fatalf("%d messages", len(messages))
+		t.Fatalf("got %d messages, want at least 5", len(messages))
 	}
 	total := 0
 	for _, m := range messages {
@@ -41,6 +42,6 @@
 		total += len(back.Cancellations.Committed)
 	}
 	if total != 5000 {
-		t.Errorf("%d of 5000 cancellations arrive", total)
+		t.Errorf("got %d cancellations, want 5000", total)
 	}
 }
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/frames_test.go
@@ -9,11 +9,11 @@
 	"pipitgap/internal/peers"
 )
 
-// frameHead is the length that stands before a frame's gob stream.
+// frameHead is the size of a frame's length field in bytes.
 const frameHead = 4
 
-// TestPeerFrames: frames that a controller of an earlier version has sent read as the same values,
-// and are sent as the same bytes. Maps have one entry: gob sends them in any order.
+// TestPeerFrames checks that frames sent by an earlier version decode to the same values, and that these
+// values encode to the same bytes. Maps have only one entry, because gob encodes map entries in random order.
 func TestPeerFrames(t *testing.T) {
 	full := peers.Status{
 		Node: "n-0", Incarnation: 1 << 47, StateServiceReachable: true, WaitingUserRequests: 12,
@@ -45,7 +45,7 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded, status) {
-				t.Errorf("reads as %+v, want %+v", decoded, status)
+				t.Errorf("got %+v decoded, want %+v", decoded, status)
 			}
 			if file == "hint" {
 				fixtures.AllSet(t, file, decoded)
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -6,13 +6,13 @@
 	"pipitgap/internal/transport"
 )
 
-// encodePeerFrame returns the frame that sends a status to another controller.
+// encodePeerFrame encodes a status as a frame, including the frame's length field.
 func encodePeerFrame(status *peers.Status) ([]byte, error) {
 	frame := peers.Frame(status)
 	return transport.EncodeFrame(&frame)
 }
 
-// decodePeerFrame reads what encodePeerFrame has written, without the frame's length.
+// decodePeerFrame decodes a status from a frame of encodePeerFrame without its length field.
 func decodePeerFrame(encoded []byte) (peers.Status, error) {
 	var frame peerwire.Hint
 	if err := transport.DecodeFrame(encoded, &frame); err != nil {
--- a/internal/daemon/sockets_test.go
+++ b/internal/daemon/sockets_test.go
@@ -8,11 +8,11 @@
 		quota, setting int
 		want           socketLimits
 	}{
-		{"hardly any", 10, 0, socketLimits{server: 16, workers: 2, commands: 2}},
-		{"a few", 100, 0, socketLimits{server: 48, workers: 10, commands: 5}},
-		{"many", 10000, 0, socketLimits{server: 7968, workers: 1000, commands: 128}},
-		{"fewer by the settings", 10000, 100, socketLimits{server: 48, workers: 10, commands: 5}},
-		{"settings beyond the quota", 100, 10000, socketLimits{server: 48, workers: 10, commands: 5}},
+		{"quota 10", 10, 0, socketLimits{server: 16, workers: 2, commands: 2}},
+		{"quota 100", 100, 0, socketLimits{server: 48, workers: 10, commands: 5}},
+		{"quota 10000", 10000, 0, socketLimits{server: 7968, workers: 1000, commands: 128}},
+		{"setting below the quota", 10000, 100, socketLimits{server: 48, workers: 10, commands: 5}},
+		{"setting above the quota", 100, 10000, socketLimits{server: 48, workers: 10, commands: 5}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := newSocketLimits(tc.quota, tc.setting); got != tc.want {
--- a/internal/daemon/worker_pool.go
+++ b/internal/daemon/worker_pool.go
@@ -2,23 +2,24 @@
 
 import "pipitgap/internal/transport"
 
-// workerPool keeps a connection to each of the workers that were called last. It belongs to the controller's
-// goroutine. A controller that alone carries a fleet of thousands would hold more idle connections than it
-// has sockets to spare, and closing all of them at once would have all of them dialled again.
+// workerPool is a least recently used (LRU) cache of clients, each with one idle connection to a worker. Only
+// the controller's goroutine uses it. Without the limit, the only live controller of a fleet of thousands of
+// machines would hold more idle connections than it has spare sockets. Closing all connections at once would
+// force it to redial all of them, so the pool evicts one client at a time.
 type workerPool struct {
 	maxClients int
-	clock      uint64
+	clock      uint64 // counts the uses of the pool
 	clients    map[string]*pooledClient
 }
 
-// pooledClient is the client of one worker.
+// pooledClient is the client for one worker.
 type pooledClient struct {
 	client   *transport.Client
-	lastUsed uint64 // when, in turns of the pool
+	lastUsed uint64 // value of the pool's clock at the last use
 }
 
-// client returns the client of an endpoint; the one that was used longest ago makes
-// room for a new one. What it has in flight ends as usual.
+// client returns the client for an endpoint. If the pool is full and has no client for the endpoint, the
+// least recently used client is evicted. Requests that the evicted client has in flight continue.
 func (p *workerPool) client(endpoint string) *transport.Client {
 	if p.clients == nil {
 		p.clients = map[string]*pooledClient{}
@@ -43,7 +44,7 @@
 	return entry.client
 }
 
-// close drops all connections.
+// close closes all clients.
 func (p *workerPool) close() {
 	for _, entry := range p.clients {
 		entry.client.Close()
--- a/internal/daemon/worker_pool_test.go
+++ b/internal/daemon/worker_pool_test.go
@@ -11,9 +11,8 @@
 	"pipitgap/internal/transport"
 )
 
-// TestWorkerPoolEvictsLeastRecentlyUsed: a controller that speaks to more workers than it may keep
-// connections to drops the one used longest ago, and of a request that was in flight
-// meanwhile nothing is left open.
+// TestWorkerPoolEvictsLeastRecentlyUsed checks that a full pool evicts the least recently used client. It
+// also checks that a client that is closed during a request closes its connection after the response.
 func TestWorkerPoolEvictsLeastRecentlyUsed(t *testing.T) {
 	p := workerPool{maxClients: 3}
 	for i := 0; i < 3; i++ {
@@ -22,10 +21,11 @@
 	first := p.client("127.0.0.1:1")
 	if p.client("127.0.0.1:9"); p.clients["127.0.0.1:2"] != nil || p.clients["127.0.0.1:1"] == nil ||
 		len(p.clients) != 3 {
-		t.Errorf("kept %d, want all but the one used longest ago", len(p.clients))
+		t.Errorf("got %d clients, want 3 with 127.0.0.1:1 and without 127.0.0.1:2, the least recently used",
+			len(p.clients))
 	}
 	if p.client("127.0.0.1:1") != first {
-		t.Error("a kept client is made anew")
+		t.Error("127.0.0.1:1: got a new client, want the pooled one")
 	}
 
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 		asked <- true
 		<-answer
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-		_, _ = c.Read(buf) // until the other side closes
+		_, _ = c.Read(buf) // until the client closes the connection
 		open.Add(-1)
 		over <- true
 	}()
@@ -60,10 +60,10 @@
 	client.Close()
 	answer <- true
 	if err := <-done; err != nil {
-		t.Error(err)
+		t.Errorf("request during Close: got error %v, want none", err)
 	}
 	<-over
 	if n := open.Load(); n != 0 {
-		t.Errorf("%d connections are left open", n)
+		t.Errorf("got %d open connections, want 0", n)
 	}
 }
