--- a/internal/operator/doc.go
+++ b/internal/operator/doc.go
@@ -1,4 +1,4 @@
-// Package operator has the operators' commands on a running fleet. A command reads the state service at one
-// revision and acts by conditional commits. No controller takes part, so that commands work whichever
-// controllers are up, and what they print is never a mixture of two revisions.
+// Package operator implements the operators' commands for a running fleet. A command reads the records of the
+// state service at one revision and changes them by compare-and-swap. It contacts no controller, so it works
+// no matter which controllers are running. Its output never mixes two revisions.
 package operator
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -14,44 +14,44 @@
 	"pipitgap/internal/storage"
 )
 
-// Why a command is refused. Each has an exit status of its own kind, see cmd/pipitgap.
+// Errors of a rejected command. cmd/pipitgap maps each to an exit status.
 var (
 	ErrBadRequest      = errors.New("bad request")
 	ErrNotFound        = errors.New("unknown")
 	ErrNothingSelected = errors.New("nothing is selected")
 	ErrNameInUse       = errors.New("the name is in use")
-	ErrDrainsOverlap   = errors.New("another drain is about the same machines")
+	ErrDrainsOverlap   = errors.New("another drain selects the same machines")
 	ErrDrainEnded      = errors.New("the drain has ended")
-	ErrContention      = errors.New("others keep changing the same records; try again")
+	ErrContention      = errors.New("other writers keep changing the same records; try again")
 )
 
-// DrainOperator are the commands about drains.
+// DrainOperator implements the drain commands.
 type DrainOperator struct {
 	*Operator
 	Policy *drain.Policy
 }
 
-// StartRequest is the drain that an operator wants.
+// StartRequest describes the drain that an operator requests.
 type StartRequest struct {
 	Name         string
 	Selector     storage.Selector
 	Replace      bool            // request machines before their capacity is needed
-	AllowSimilar bool            // machines like the selected ones may be requested meanwhile
-	RemoveAtOnce bool            // remove empty machines without a delay
-	MaxParallel  int             // machines being emptied at a time
-	Deadline     monotime.Micros // no step begins so long after the start; 0: never
-	DryRun       bool            // show the plan and change nothing
+	AllowSimilar bool            // scale-out may request machines that match the selector
+	RemoveAtOnce bool            // remove empty machines immediately
+	MaxParallel  int             // maximum number of machines being emptied at a time
+	Deadline     monotime.Micros // no step begins later than this after the start; 0: no deadline
+	DryRun       bool            // only compute the plan
 }
 
-// StartResult answers a start.
+// StartResult is the result of a start.
 type StartResult struct {
 	Name           string      `json:"name"`
-	AlreadyStarted bool        `json:"repeated"` // it was started before, by the same request
-	Machines       []string    `json:"machines"`
-	Plan           *drain.Plan `json:"plan,omitempty"` // of a dry run
+	AlreadyStarted bool        `json:"repeated"`       // an identical request started the drain earlier
+	Machines       []string    `json:"machines"`       // IDs of the selected machines
+	Plan           *drain.Plan `json:"plan,omitempty"` // only of a dry run
 }
 
-// Start starts a drain, or with DryRun says what it would do.
+// Start starts a drain, or computes its plan if DryRun is set.
 func (d *DrainOperator) Start(request StartRequest) (*StartResult, error) {
 	if err := request.validate(); err != nil {
 		return nil, err
@@ -67,7 +67,8 @@
 	return result, nil
 }
 
-// decideStart decides on a reading what a start changes, nil for nothing, and fills in the result.
+// decideStart returns the transaction that starts the drain, given the records that were read. The
+// transaction is nil if there is nothing to change. It also sets the fields of the result.
 func (d *DrainOperator) decideStart(
 	request *StartRequest, reading *mirror.RecordSnapshot, wall int64, result *StartResult,
 ) (*protocol.Transaction, error) {
@@ -103,11 +104,11 @@
 	return d.startTransaction(reading, request.Name, existing, &record)
 }
 
-// validate looks for what makes no sense whatever the records hold.
+// validate returns an error if the request is invalid regardless of the records.
 func (r *StartRequest) validate() error {
 	switch {
 	case !protocol.ValidKeyPart(r.Name):
-		return fmt.Errorf("%w: a drain's name has 1 to 100 letters, digits, dots, dashes and underscores",
+		return fmt.Errorf("%w: the drain's name must be 1 to 100 letters, digits, dots, dashes or underscores",
 			ErrBadRequest)
 	case drain.SelectorEmpty(&r.Selector):
 		return fmt.Errorf("%w: select machines by name, zone, type or kind", ErrBadRequest)
@@ -117,12 +118,12 @@
 	case r.MaxParallel < 1:
 		return fmt.Errorf("%w: at least one machine must be emptied at a time", ErrBadRequest)
 	case r.Deadline < 0:
-		return fmt.Errorf("%w: the deadline must lie ahead", ErrBadRequest)
+		return fmt.Errorf("%w: the deadline must be in the future", ErrBadRequest)
 	}
 	return nil
 }
 
-// checkSelector looks for names of zones, types and machines that don't exist.
+// checkSelector returns an error if the selector contains an unknown zone, machine type or machine.
 func (d *DrainOperator) checkSelector(
 	selector *storage.Selector, reading *mirror.RecordSnapshot, fleet *drain.Snapshot,
 ) error {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// record is the drain of a request.
+// record returns the drain record of a request.
 func (r *StartRequest) record(reading *mirror.RecordSnapshot, wall int64) storage.Drain {
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
@@ -161,7 +162,7 @@
 	return record
 }
 
-// sameRequest reports that two drains came of the same request, whenever it was made.
+// sameRequest reports whether two drains have the same parameters, regardless of their start times.
 func sameRequest(a, b *storage.Drain) bool {
 	lasts := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
 	return reflect.DeepEqual(a.Selector, b.Selector) &&
@@ -171,7 +172,7 @@
 		lasts(a) == lasts(b)
 }
 
-// checkOverlap looks for another unfinished drain about the same machines.
+// checkOverlap returns an error if a machine could belong to both the drain and another unfinished drain.
 func checkOverlap(fleet *drain.Snapshot, name string, record *storage.Drain) error {
 	for _, other := range fleet.Drains() {
 		if other.Name != name && other.State.Unfinished() && fleet.Overlaps(record, &other.Drain) {
@@ -182,14 +183,15 @@
 	return nil
 }
 
-// startTransaction writes a drain, on the condition that no other was started since the reading.
+// startTransaction returns the transaction that writes a drain. It fails if the drain's record or the
+// registry of drains has changed since the records were read, so that no other drain can start in between.
 func (d *DrainOperator) startTransaction(
 	reading *mirror.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
 ) (*protocol.Transaction, error) {
 	value := protocol.MustMarshal(record)
 	if storage.StoredSize(value) > d.MaxValueBytes {
 		return nil, fmt.Errorf(
-			"%w: so many machines don't fit into a record; drain them in parts, or by zone and type",
+			"%w: the machine names don't fit into a record; drain the machines in parts, or by zone and type",
 			ErrBadRequest,
 		)
 	}
@@ -210,7 +212,7 @@
 	}, nil
 }
 
-// Status tells where a drain stands, at one revision.
+// Status returns the progress of a drain and the availability of all teams' services, at one revision.
 func (d *DrainOperator) Status(name string) (*drain.Progress, []drain.TeamStatus, error) {
 	reading, err := d.readRecords()
 	if err != nil {
@@ -224,7 +226,7 @@
 	return d.Policy.Progress(fleet, record, reading.IsMember), d.Policy.Teams(fleet), nil
 }
 
-// Budgets returns how all teams with services stand against their budgets, at one revision.
+// Budgets returns the availability of all teams' services and their budgets, at one revision.
 func (d *DrainOperator) Budgets() ([]drain.TeamStatus, error) {
 	reading, err := d.readRecords()
 	if err != nil {
@@ -233,16 +235,16 @@
 	return d.Policy.Teams(reading.DrainSnapshot(d.WallClock())), nil
 }
 
-// DrainSummary is a drain in a list.
+// DrainSummary is an entry of the list of drains.
 type DrainSummary struct {
 	Name         string             `json:"name"`
 	State        storage.DrainState `json:"state"`
 	Reason       string             `json:"reason,omitempty"`
-	Selection    string             `json:"selects"`       // what it selects, as text
-	MachinesLeft int                `json:"machines_left"` // 0 once it has ended
+	Selection    string             `json:"selects"`       // text form of the selector
+	MachinesLeft int                `json:"machines_left"` // 0 for a drain that has ended
 }
 
-// List lists all drains, also those that ended within the last day.
+// List returns all drains, including those that ended within the last day.
 func (d *DrainOperator) List() ([]DrainSummary, error) {
 	reading, err := d.readRecords()
 	if err != nil {
@@ -263,7 +265,7 @@
 	return drains, nil
 }
 
-// Pause has a drain begin no further step. What is under way ends.
+// Pause pauses a drain: it begins no further step. Moves in progress are completed.
 func (d *DrainOperator) Pause(name string) (changed bool, err error) {
 	return d.transition(name, func(record *storage.Drain) error {
 		switch record.State {
@@ -299,8 +301,8 @@
 	})
 }
 
-// Abort ends a drain: machines that aren't removed yet are opened, and offers that it closed may be
-// requested again.
+// Abort ends a drain. Its remaining machines accept tasks again, and scale-out may use the offers again that
+// the drain excluded.
 func (d *DrainOperator) Abort(name string) (changed bool, err error) {
 	wall := d.WallClock()
 	return d.transition(name, func(record *storage.Drain) error {
@@ -319,7 +321,8 @@
 	})
 }
 
-// transition changes the state of a drain; what changes nothing is no change.
+// transition applies a change to the record of a drain. changed is false if the record already has the new
+// values.
 func (d *DrainOperator) transition(name string, to func(*storage.Drain) error) (changed bool, err error) {
 	err = d.transact(func(reading *mirror.RecordSnapshot) (*protocol.Transaction, error) {
 		record, ok := reading.DrainSnapshot(d.WallClock()).Drain(name)
@@ -340,7 +343,7 @@
 	return changed, err
 }
 
-// describeSelector says what a selector selects, as the commands print it.
+// describeSelector returns the text form of a selector for the output of commands.
 func describeSelector(selector *storage.Selector) string {
 	if n := len(selector.Machines); n > 0 {
 		return fmt.Sprintf("%d machines by name", n)
--- a/internal/operator/drains_test.go
+++ b/internal/operator/drains_test.go
@@ -13,12 +13,12 @@
 	"pipitgap/internal/storage"
 )
 
-// fixture is a state service with a small fleet's records, and operators.
+// fixture is a simulated state service with the records of a small fleet.
 type fixture struct {
 	t          *testing.T
 	sim        *fake.SimClock
 	store      *fake.StateStore
-	beforeCall func(*protocol.StoreCall) // called before each call
+	beforeCall func(*protocol.StoreCall) // called before each call to the state service
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -85,7 +85,7 @@
 		},
 	)
 	if r.Outcome != protocol.OK {
-		b.t.Fatal(r.Outcome)
+		b.t.Fatalf("%s: got outcome %v, want %v", key, r.Outcome, protocol.OK)
 	}
 }
 
@@ -110,13 +110,13 @@
 	return StartRequest{Name: name, Selector: storage.Selector{Zone: zone}, MaxParallel: 2}
 }
 
-// isCommit tells whether a call writes a drain.
+// isCommit reports whether a call commits a change.
 func isCommit(c *protocol.StoreCall) bool {
 	return c.Op == protocol.StoreCommit && len(c.Transaction.Then) > 0
 }
 
-// TestConcurrentStartsOverlap: two operators who start drains of the same machines at one moment: one is
-// told of the other.
+// TestConcurrentStartsOverlap starts two drains of the same machines concurrently: the second one commits
+// between the read and the commit of the first one. The first one must fail.
 func TestConcurrentStartsOverlap(t *testing.T) {
 	b := newFixture(t)
 	other := b.drains()
@@ -126,35 +126,36 @@
 		if isCommit(c) && !raced {
 			raced = true
 			if _, err := other.Start(zoneRequest("theirs", "a")); err != nil {
-				t.Error(err)
+				t.Errorf("concurrent start: got error %v, want none", err)
 			}
 		}
 	}
 	if _, err := b.drains().Start(zoneRequest("ours", "a")); !raced || !errors.Is(err, ErrDrainsOverlap) {
-		t.Errorf("raced %v: %v", raced, err)
+		t.Errorf("got concurrent start %v and error %v, want true and %v", raced, err, ErrDrainsOverlap)
 	}
 }
 
-// TestStartIsIdempotentAfterLostAnswer: a start whose answer is lost is found to have been made, and isn't
-// made twice.
+// TestStartIsIdempotentAfterLostAnswer loses the response to the commit of a start. The start must recognize
+// its own record in the state service and must not write it again.
 func TestStartIsIdempotentAfterLostAnswer(t *testing.T) {
 	b := newFixture(t)
 	lost := 0
 	b.store.LoseResponse = func(*protocol.Transaction) bool { lost++; return lost == 1 }
 	started, err := b.drains().Start(zoneRequest("rack", "a"))
 	if err != nil || started.AlreadyStarted || len(started.Machines) != 3 {
-		t.Errorf("%+v %v", started, err)
+		t.Errorf("got result %+v, error %v, want a new drain of 3 machines", started, err)
 	}
 	again, err := b.drains().Start(zoneRequest("rack", "a"))
 	if err != nil || !again.AlreadyStarted {
-		t.Errorf("again: %+v %v", again, err)
+		t.Errorf("repeated start: got result %+v, error %v, want AlreadyStarted", again, err)
 	}
 	if b.store.ChangesByKind["+drain"] != 1 {
-		t.Errorf("written %d times", b.store.ChangesByKind["+drain"])
+		t.Errorf("got %d writes of the drain, want 1", b.store.ChangesByKind["+drain"])
 	}
 }
 
-// TestRefusedRequestsWriteNothing: what is refused, by its kind, and that nothing is written then.
+// TestRefusedRequestsWriteNothing checks the error of each kind of rejected request, and that a rejected
+// request writes nothing.
 func TestRefusedRequestsWriteNothing(t *testing.T) {
 	b := newFixture(t)
 	if _, err := b.drains().Start(zoneRequest("rack", "a")); err != nil {
@@ -174,12 +175,12 @@
 			ErrBadRequest,
 		},
 		{
-			"none at a time",
+			"no machine at a time",
 			with(zoneRequest("x", "b"), func(r *StartRequest) { r.MaxParallel = 0 }),
 			ErrBadRequest,
 		},
 		{
-			"a deadline that has passed",
+			"deadline in the past",
 			with(zoneRequest("x", "b"), func(r *StartRequest) { r.Deadline = -1 }),
 			ErrBadRequest,
 		},
@@ -195,7 +196,7 @@
 			ErrNotFound,
 		},
 		{
-			"no such machine in the zone",
+			"no on-demand machine in the zone",
 			with(
 				zoneRequest("x", "b"),
 				func(r *StartRequest) { r.Selector.CapacityType = storage.OnDemandCapacity },
@@ -212,7 +213,7 @@
 	revision := b.store.Revision
 	for _, tc := range cases {
 		if _, err := b.drains().Start(tc.request); !errors.Is(err, tc.want) {
-			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
+			t.Errorf("%s: got error %v, want %v", tc.name, err, tc.want)
 		}
 	}
 	for _, f := range []func() error{
@@ -221,19 +222,19 @@
 		func() error { _, _, err := b.drains().Status("nothing"); return err },
 	} {
 		if err := f(); !errors.Is(err, ErrNotFound) {
-			t.Errorf("of no drain: %v", err)
+			t.Errorf("unknown drain: got error %v, want %v", err, ErrNotFound)
 		}
 	}
 	if b.store.Revision != revision {
-		t.Error("something was written")
+		t.Errorf("after rejected requests: got revision %d, want %d", b.store.Revision, revision)
 	}
 	b.store.Down = true
 	if _, err := b.drains().List(); !errors.Is(err, mirror.ErrStoreUnavailable) {
-		t.Errorf("in an outage: %v", err)
+		t.Errorf("state service down: got error %v, want %v", err, mirror.ErrStoreUnavailable)
 	}
 }
 
-// TestDrainStateTransitions: the states that commands bring about.
+// TestDrainStateTransitions checks the state changes of a drain by commands.
 func TestDrainStateTransitions(t *testing.T) {
 	b := newFixture(t)
 	d := b.drains()
@@ -243,39 +244,40 @@
 		t.Fatal(err)
 	}
 	if changed, err := d.Pause("rack"); !changed || err != nil {
-		t.Error(changed, err)
+		t.Errorf("pause: got changed %v, error %v, want true, no error", changed, err)
 	}
 	b.sim.Run(10 * monotime.Second)
 	if _, err := d.Resume("rack", 0); !errors.Is(err, ErrBadRequest) {
-		t.Errorf("past the deadline: %v", err)
+		t.Errorf("resume after the deadline: got error %v, want %v", err, ErrBadRequest)
 	}
 	if changed, err := d.Resume("rack", 5*monotime.Second); !changed || err != nil {
-		t.Error(changed, err)
+		t.Errorf("resume with a new deadline: got changed %v, error %v, want true, no error", changed, err)
 	}
 	if changed, err := d.Resume("rack", 0); changed || err != nil {
-		t.Error("resumed twice", changed, err)
+		t.Errorf("second resume: got changed %v, error %v, want false, no error", changed, err)
 	}
 	if changed, err := d.Abort("rack"); !changed || err != nil {
-		t.Error(changed, err)
+		t.Errorf("abort: got changed %v, error %v, want true, no error", changed, err)
 	}
 	if _, err := d.Pause("rack"); !errors.Is(err, ErrDrainEnded) {
-		t.Errorf("paused after its end: %v", err)
+		t.Errorf("pause of an ended drain: got error %v, want %v", err, ErrDrainEnded)
 	}
 	if _, err := d.Start(zoneRequest("rack", "b")); err != nil {
-		t.Errorf("the name is free again: %v", err)
+		t.Errorf("start with the name of an ended drain: got error %v, want none", err)
 	}
 	progress, teams, err := d.Status("rack")
 	if err != nil || progress.State != storage.DrainActive || len(progress.Machines) != 1 || len(teams) != 0 {
-		t.Errorf("%+v %v %v", progress, teams, err)
+		t.Errorf("got progress %+v, teams %v, error %v, want an active drain of 1 machine and no teams",
+			progress, teams, err)
 	}
 	list, err := d.List()
 	if err != nil || len(list) != 1 || list[0].Selection != "zone b" || list[0].MachinesLeft != 1 {
-		t.Errorf("%+v %v", list, err)
+		t.Errorf("got drains %+v, error %v, want 1 drain of zone b with 1 machine left", list, err)
 	}
 }
 
-// TestListReadsOneConsistentRevision: what changes while the lists are read is in the answer, or nothing of
-// it.
+// TestListReadsOneConsistentRevision changes the records while the command reads its lists. The result must
+// contain each transaction completely or not at all.
 func TestListReadsOneConsistentRevision(t *testing.T) {
 	b := newFixture(t)
 	n := 0
@@ -283,7 +285,8 @@
 		if c.Op != protocol.StoreList {
 			return
 		}
-		// A drain changes its name between any two lists: the old one goes as the new one comes.
+		// Renames the drain before each list call: one transaction writes the new name and deletes the old
+		// one.
 		n++
 		old := storage.DrainKey(string(rune('a' + n - 1)))
 		next := storage.DrainKey(string(rune('a' + n)))
@@ -301,7 +304,7 @@
 		n = 0
 		list, err := b.drains().List()
 		if err != nil || len(list) != 1 {
-			t.Errorf("%+v %v", list, err)
+			t.Errorf("got drains %+v, error %v, want exactly 1 drain", list, err)
 		}
 	}
 }
--- a/internal/operator/transactions.go
+++ b/internal/operator/transactions.go
@@ -8,26 +8,26 @@
 	"pipitgap/internal/protocol"
 )
 
-// Operator carries out commands on one deployment's state service.
+// Operator reads and changes the records in the state service of one deployment.
 type Operator struct {
 	Call              mirror.StoreCaller
-	Sleep             func(monotime.Micros) // pauses before a call is repeated
-	WallClock         func() int64          // time of day, microseconds
-	MaxTransactionOps int                   // changes that a commit may hold
-	// MaxValueBytes is how large a value may be.
+	Sleep             func(monotime.Micros) // waits before a retry
+	WallClock         func() int64          // time of day in microseconds
+	MaxTransactionOps int                   // maximum number of operations per transaction
+	// MaxValueBytes is the maximum size of a value in the state service.
 	MaxValueBytes int
-	Zones         []string
+	Zones         []string // all zones of the deployment
 }
 
-// Bounds of how a command repeats its calls.
+// Limits of a command's retries.
 const (
 	maxAttempts   = 5
 	retryInterval = 400 * monotime.Millisecond
 	commitTimeout = 5 * monotime.Second
 )
 
-// readRecords reads all records at one revision. The reading is repeated a few times where the state service
-// is busy or changes faster than it is read.
+// readRecords reads all records at one revision. It makes up to maxAttempts attempts, because the state
+// service may be busy or may change faster than the records can be read.
 func (o *Operator) readRecords() (*mirror.RecordSnapshot, error) {
 	var err error
 	for try := range maxAttempts {
@@ -42,7 +42,8 @@
 	return nil, err
 }
 
-// call makes a call, again where the state service says that it was too much.
+// call calls the state service. It makes up to maxAttempts attempts while the service throttles
+// the call.
 func (o *Operator) call(c *protocol.StoreCall) protocol.StoreResult {
 	var result protocol.StoreResult
 	for try := range maxAttempts {
@@ -56,9 +57,10 @@
 	return result
 }
 
-// transact decides on a reading and commits what comes of it. Where another has changed the same records
-// meanwhile, or the outcome isn't known, the records are read and the decision is made anew: so decide must
-// recognise its own change in a reading and return no transaction then.
+// transact implements optimistic concurrency. It reads the records, calls decide and commits the transaction
+// that decide returns. If another writer has changed the same records in between, or the outcome is unknown,
+// it reads the records and calls decide again. decide must therefore recognize its own change in the records
+// and return no transaction in that case.
 func (o *Operator) transact(decide func(*mirror.RecordSnapshot) (*protocol.Transaction, error)) error {
 	var last protocol.Outcome
 	for try := range maxAttempts {
@@ -80,13 +82,13 @@
 			return nil
 		}
 		if result.Outcome == protocol.Rejected {
-			return fmt.Errorf("%w: it rejects the change", mirror.ErrStoreUnavailable)
+			return fmt.Errorf("%w: it rejected the transaction", mirror.ErrStoreUnavailable)
 		}
 		last = result.Outcome
 	}
 	if last == protocol.Conflict {
 		return ErrContention
 	}
-	return fmt.Errorf("%w: the change may or may not have been made (%v); repeating the command is safe",
+	return fmt.Errorf("%w: the change may or may not have been made (%v); it is safe to repeat the command",
 		mirror.ErrStoreUnavailable, last)
 }
