--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -17,7 +17,7 @@
 	"pipitgap/internal/storage"
 )
 
-// commandConfig is what the platform hands over, but for the state service's address.
+// commandConfig is the platform's configuration. The test fills in the address of the state service.
 const commandConfig = `
 node = "n-0"
 area = "rack-a"
@@ -55,8 +55,9 @@
     - {team: wren, class: high, min_available: 50%, reserve_machines: 1}
 `
 
-// commandRecords are the records that the commands find: unfinished and ended drains, machines in
-// all states, replicas that run, start and are being moved, and a controller that is gone.
+// commandRecords returns the initial records of the state service: unfinished and ended drains, machines in
+// all states, replicas that are running, starting or being moved, and the shard of a controller that is no
+// longer a member.
 func commandRecords() []protocol.Op {
 	const at = 1_764_687_600_123_456
 	put := func(kind storage.Kind, name string, record any) protocol.Op {
@@ -134,7 +135,7 @@
 	}
 }
 
-// commandScript are the commands in their order; each finds what the earlier ones have left.
+// commandScript lists the commands in order of execution. Each command sees the changes of the earlier ones.
 var commandScript = []string{
 	"list", "budgets", "status emptying", "status by-name", "status nothing-left", "status over",
 	"status unknown",
@@ -147,7 +148,7 @@
 	"abort nothing-left", "pause unknown", "list",
 }
 
-// run carries out one command line as main does, and returns what it prints and its exit status.
+// run runs one command line like main, and returns its output and exit status.
 func run(t *testing.T, words []string) (output string, status int) {
 	t.Helper()
 	var c commandLine
@@ -168,8 +169,8 @@
 	return output, status
 }
 
-// TestJSONOfCommands: every command about drains prints the same JSON as before and ends with the
-// same status, on the same records.
+// TestJSONOfCommands checks for each drain command, on fixed records, that the JSON output and the exit
+// status match the stored transcript.
 func TestJSONOfCommands(t *testing.T) {
 	const perSecond, txnOps = 1000, 50
 	sim := fake.NewSimClock(1)
@@ -182,7 +183,7 @@
 		func(r protocol.StoreResult) { written = r.Outcome },
 	)
 	if sim.Run(monotime.Second); written != protocol.OK {
-		t.Fatal(written)
+		t.Fatalf("initial records: got outcome %v, want %v", written, protocol.OK)
 	}
 	folder := t.TempDir()
 	file := func(name, text string) string {
--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -14,16 +14,16 @@
 	"pipitgap/internal/transport"
 )
 
-// Exit statuses of the operators' commands.
+// Exit statuses of the operator commands.
 const (
-	exitFailed      = 1 // the settings are wrong, or something unforeseen
-	exitBadRequest  = 2 // the request makes no sense
-	exitNotFound    = 3 // the drain, zone, type or machine isn't known, or nothing is selected
-	exitRefused     = 4 // the name is in use, drains overlap, the drain has ended, others interfere
-	exitUnreachable = 5 // the state service gives no answer
+	exitFailed      = 1 // the settings are invalid, or any other error
+	exitBadRequest  = 2 // the request is invalid
+	exitNotFound    = 3 // the drain, zone, type or machine is unknown, or nothing is selected
+	exitRefused     = 4 // the name is in use, drains overlap, the drain has ended, or other writers interfere
+	exitUnreachable = 5 // the state service doesn't answer
 )
 
-// exitStatus returns the status that tells scripts what kind of error it was.
+// exitStatus returns the exit status for an error. It tells scripts the kind of the error.
 func exitStatus(err error) int {
 	kinds := []struct {
 		status int
@@ -46,34 +46,35 @@
 	return exitFailed
 }
 
-// drainCmd has the commands about drains.
+// drainCmd groups the drain commands.
 type drainCmd struct {
 	Start   drainStartCmd   `cmd:"" help:"Start a drain: take machines out of service step by step."`
-	Status  drainStatusCmd  `cmd:"" help:"Show where a drain stands and what it waits for."`
-	List    drainListCmd    `cmd:"" help:"List the drains, also those that ended within the last day."`
-	Budgets drainBudgetsCmd `cmd:"" help:"Show how the teams stand against their disruption budgets."`
-	Pause   drainPauseCmd   `cmd:"" help:"Have a drain begin no further step."`
-	Resume  drainResumeCmd  `cmd:"" help:"Have a paused drain go on."`
-	Abort   drainAbortCmd   `cmd:"" help:"End a drain: machines that aren't deleted yet are opened."`
+	Status  drainStatusCmd  `cmd:"" help:"Show the progress of a drain and what it waits for."`
+	List    drainListCmd    `cmd:"" help:"List all drains, including those that ended within the last day."`
+	Budgets drainBudgetsCmd `cmd:"" help:"Show the availability of the teams' services and their disruption budgets."`
+	Pause   drainPauseCmd   `cmd:"" help:"Pause a drain: it begins no further step."`
+	Resume  drainResumeCmd  `cmd:"" help:"Resume a paused drain."`
+	Abort   drainAbortCmd   `cmd:"" help:"End a drain: its remaining machines accept tasks again."`
 }
 
-// operatorFlags are common to all commands.
+// operatorFlags are the flags of all operator commands.
 type operatorFlags struct {
 	settingsFiles `embed:""`
 	JSON          bool `help:"Print JSON." name:"json"`
 }
 
-// errDrainsOff says that the settings have no section for drains.
+// errDrainsOff means that the settings have no drains section, which disables drains.
 var errDrainsOff = errors.New(
-	"drains are off: none of the --settings files has a section drains, see deploy/drains.yaml")
+	"drains are disabled: no --settings file has a drains section, see deploy/drains.yaml")
 
-// Sizes of the command's connection to the state service.
+// Limits of a command's connections to the state service.
 const (
-	operatorConnections = 2
-	operatorBody        = 8 << 20
+	operatorConnections = 2       // idle connections kept open
+	operatorBody        = 8 << 20 // bytes per response body
 )
 
-// drainOperator opens the commands about drains.
+// drainOperator loads the settings and returns the drain operator with its client of the state service. It
+// also returns the defaults of flags that come from the settings.
 func (f *operatorFlags) drainOperator() (*operator.DrainOperator, *drainDefaults, error) {
 	cfg, settings, err := f.load()
 	if err != nil {
@@ -97,26 +98,26 @@
 		&drainDefaults{settings.Drains.MaxParallel}, nil
 }
 
-// drainDefaults is what the settings say where a command doesn't.
+// drainDefaults contains the settings that are the defaults of flags.
 type drainDefaults struct{ maxParallel int }
 
-// drainStartCmd starts a drain, or with DryRun shows its steps.
+// drainStartCmd starts a drain, or prints its plan if DryRun is set.
 type drainStartCmd struct {
 	operatorFlags `embed:""`
-	Name          string        `arg:"" help:"The drain's name."`
-	Machine       []string      `help:"A machine; may be given several times."`
-	Zone          string        `help:"All machines of a zone."`
-	Type          string        `help:"All machines of a type."`
-	Kind          string        `help:"All spot or all ordinary machines." enum:"spot,ordinary," default:""`
+	Name          string        `arg:"" help:"The name of the drain."`
+	Machine       []string      `help:"Select this machine; may be repeated."`
+	Zone          string        `help:"Select all machines of this zone."`
+	Type          string        `help:"Select all machines of this machine type."`
+	Kind          string        `help:"Select only spot machines, or only ordinary (on-demand) machines." enum:"spot,ordinary," default:""`
 	Replace       bool          `help:"Request machines before their capacity is needed."`
-	AllowSame     bool          `help:"Machines like the selected ones may be requested meanwhile; only present ones are drained."`
-	AtOnce        bool          `help:"Delete empty machines at once, not after the usual delay."`
-	MaxParallel   int           `help:"Machines that are emptied at a time (default: the setting max_parallel)."`
-	Deadline      time.Duration `help:"Begin no step so long after the start."`
-	DryRun        bool          `help:"Show the steps and their order, and change nothing."`
+	AllowSame     bool          `help:"Allow requests for machines that match the selection during the drain; only machines that exist now are drained."`
+	AtOnce        bool          `help:"Delete empty machines immediately, without the usual delay."`
+	MaxParallel   int           `help:"Maximum number of machines emptied at a time (default: the setting max_parallel)."`
+	Deadline      time.Duration `help:"Begin no step later than this after the start."`
+	DryRun        bool          `help:"Print the steps in order, and change nothing."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *drainStartCmd) Run() error {
 	drains, defaults, err := c.drainOperator()
 	if err != nil {
@@ -140,13 +141,13 @@
 	return c.print(started, func(w io.Writer) { printStarted(w, started) })
 }
 
-// drainStatusCmd shows where a drain stands.
+// drainStatusCmd prints the progress of a drain.
 type drainStatusCmd struct {
 	operatorFlags `embed:""`
-	Name          string `arg:"" help:"The drain's name."`
+	Name          string `arg:"" help:"The name of the drain."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *drainStatusCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -159,12 +160,12 @@
 	return c.print(statusOutput{progress, teams}, func(w io.Writer) { printStatus(w, progress, teams) })
 }
 
-// drainBudgetsCmd shows how the teams stand against their budgets.
+// drainBudgetsCmd prints the availability of the teams' services and their budgets.
 type drainBudgetsCmd struct {
 	operatorFlags `embed:""`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *drainBudgetsCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -177,12 +178,12 @@
 	return c.print(teams, func(w io.Writer) { printTeams(w, teams) })
 }
 
-// drainListCmd lists the drains.
+// drainListCmd prints the list of drains.
 type drainListCmd struct {
 	operatorFlags `embed:""`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *drainListCmd) Run() error {
 	drains, _, err := c.drainOperator()
 	if err != nil {
@@ -195,7 +196,7 @@
 	return c.print(list, func(w io.Writer) { printList(w, list) })
 }
 
-// changeState has a drain enter a state, and says whether it was in another one before.
+// changeState runs a change of a drain's state and prints whether the drain was in another state before.
 func (f *operatorFlags) changeState(
 	name, state string,
 	change func(*operator.DrainOperator) (changed bool, err error),
@@ -211,27 +212,27 @@
 	return f.printStateChange(stateChange{name, state, changed})
 }
 
-// drainPauseCmd has a drain begin no further step.
+// drainPauseCmd pauses a drain.
 type drainPauseCmd struct {
 	operatorFlags `embed:""`
-	Name          string `arg:"" help:"The drain's name."`
+	Name          string `arg:"" help:"The name of the drain."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *drainPauseCmd) Run() error {
 	return c.changeState(c.Name, "paused", func(drains *operator.DrainOperator) (changed bool, err error) {
 		return drains.Pause(c.Name)
 	})
 }
 
-// drainResumeCmd has a paused drain go on.
+// drainResumeCmd resumes a paused drain.
 type drainResumeCmd struct {
 	operatorFlags `embed:""`
-	Name          string        `arg:"" help:"The drain's name."`
-	Deadline      time.Duration `help:"Begin no step so long after now."`
+	Name          string        `arg:"" help:"The name of the drain."`
+	Deadline      time.Duration `help:"Begin no step later than this from now."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *drainResumeCmd) Run() error {
 	return c.changeState(c.Name, "active", func(drains *operator.DrainOperator) (changed bool, err error) {
 		return drains.Resume(c.Name, monotime.FromDuration(c.Deadline))
@@ -241,10 +242,10 @@
 // drainAbortCmd ends a drain.
 type drainAbortCmd struct {
 	operatorFlags `embed:""`
-	Name          string `arg:"" help:"The drain's name."`
+	Name          string `arg:"" help:"The name of the drain."`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (c *drainAbortCmd) Run() error {
 	return c.changeState(c.Name, "ended", func(drains *operator.DrainOperator) (changed bool, err error) {
 		return drains.Abort(c.Name)
--- a/cmd/pipitgap/json_test.go
+++ b/cmd/pipitgap/json_test.go
@@ -15,7 +15,7 @@
 	"pipitgap/internal/storage"
 )
 
-// printed returns what a function writes to the standard output.
+// printed returns the text that a function writes to the standard output.
 func printed(t *testing.T, write func() error) string {
 	t.Helper()
 	reader, writer, err := os.Pipe()
@@ -34,12 +34,13 @@
 	_ = writer.Close()
 	text := string(<-out)
 	if err != nil {
-		t.Fatalf("%v; printed %q", err, text)
+		t.Fatalf("got error %v and output %q, want no error", err, text)
 	}
 	return text
 }
 
-// answers are what the commands print, with every field set.
+// answers returns command results by the name of their JSON file. Results without a dash in the name have
+// every field set.
 func answers() map[string]any {
 	const at = 1_764_687_600_123_456
 	blocked := []drain.Blockage{{Drain: "rack-a-out", Machine: "i-000231", Task: "j-000017/5",
@@ -86,7 +87,8 @@
 	}
 }
 
-// TestJSONAnswers: the JSON form of all answers is as it was, and reads as the same values.
+// TestJSONAnswers checks that the JSON output of each result matches the stored file, and that the file
+// decodes to the same values.
 func TestJSONAnswers(t *testing.T) {
 	for file, answer := range answers() {
 		t.Run(file, func(t *testing.T) {
@@ -101,9 +103,9 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decoded.Elem().Interface(), answer) {
-				t.Errorf("reads as %+v, want %+v", decoded.Elem(), answer)
+				t.Errorf("got %+v decoded, want %+v", decoded.Elem(), answer)
 			}
-			if !strings.Contains(file, "-") { // the others have fields that are left out
+			if !strings.Contains(file, "-") { // the other results omit optional fields
 				fixtures.AllSet(t, file, answer)
 			}
 			again := printed(t, func() error { return flags.print(decoded.Elem().Interface(), nil) })
@@ -112,13 +114,14 @@
 	}
 }
 
-// TestJSONIsOneValue: scripts read one value, with a line feed after it.
+// TestJSONIsOneValue checks that the output is a single JSON value followed by a line feed, as scripts
+// expect.
 func TestJSONIsOneValue(t *testing.T) {
 	for file, answer := range answers() {
 		got := printed(t, func() error { return (&operatorFlags{JSON: true}).print(answer, nil) })
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, []byte(got)); err != nil || !strings.HasSuffix(got, "\n") {
-			t.Errorf("%s: %v in %q", file, err, got)
+			t.Errorf("%s: got error %v for output %q, want one JSON value and a line feed", file, err, got)
 		}
 	}
 }
--- a/cmd/pipitgap/main.go
+++ b/cmd/pipitgap/main.go
@@ -15,21 +15,21 @@
 // version is the product's version.
 const version = "0.2.0"
 
-// commandLine is the command line, as kong reads it.
+// commandLine defines the commands and flags for kong, the command line parser.
 type commandLine struct {
-	Serve   serveCmd   `cmd:"" default:"withargs" help:"Serve as a controller (the default command)."`
-	Check   checkCmd   `cmd:"" help:"Check the settings and say what is wrong, without serving."`
+	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller (the default command)."`
+	Check   checkCmd   `cmd:"" help:"Check the settings and print the first error, without running a controller."`
 	Drain   drainCmd   `cmd:"" help:"Take machines out of service step by step."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
-// settingsFiles are the flags that name the files with the settings.
+// settingsFiles are the flags that name the settings files.
 type settingsFiles struct {
-	Config   string   `help:"The platform's settings (TOML)." type:"path" required:""`
-	Settings []string `help:"The operators' own settings (YAML); may be given several times, later files over earlier ones." type:"path" optional:"" sep:"none"`
+	Config   string   `help:"The platform's configuration file (TOML)." type:"path" required:""`
+	Settings []string `help:"An operator settings file (YAML); may be repeated, later files override earlier ones." type:"path" optional:"" sep:"none"`
 }
 
-// load reads and checks the files.
+// load reads and validates the files.
 func (f *settingsFiles) load() (*config.Config, config.Settings, error) {
 	cfg, err := config.Load(f.Config)
 	if err != nil {
@@ -42,12 +42,12 @@
 	return cfg, settings, settings.CheckTeams(cfg.Facts.Teams)
 }
 
-// serveCmd serves as a controller.
+// serveCmd runs a controller.
 type serveCmd struct {
 	settingsFiles `embed:""`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (s *serveCmd) Run(log *slog.Logger) error {
 	cfg, settings, err := s.load()
 	if err != nil {
@@ -56,30 +56,30 @@
 	return daemon.Run(cfg, settings, log)
 }
 
-// checkCmd checks the settings without serving.
+// checkCmd checks the settings without running a controller.
 type checkCmd struct {
 	settingsFiles `embed:""`
 }
 
-// Run carries the command out.
+// Run executes the command.
 func (s *checkCmd) Run() error {
 	if _, _, err := s.load(); err != nil {
 		return err
 	}
-	fmt.Println("settings are good")
+	fmt.Println("settings are valid")
 	return nil
 }
 
 // versionCmd prints the version.
 type versionCmd struct{}
 
-// Run carries the command out.
+// Run executes the command.
 func (versionCmd) Run() error {
 	fmt.Println("pipitgap", version)
 	return nil
 }
 
-// logLevel reads LOG_LEVEL; anything unknown is info.
+// logLevel returns the log level for a value of LOG_LEVEL. An unknown or empty value means info.
 func logLevel(name string) slog.Level {
 	switch name {
 	case "error":
@@ -90,13 +90,13 @@
 	return slog.LevelInfo
 }
 
-// kongUsageStatus is the status with which the command line parser exits for wrong usage.
+// kongUsageStatus is the exit status of kong, the command line parser, for a usage error.
 const kongUsageStatus = 80
 
-// serveCommand is the command whose errors go to the log.
+// serveCommand is the name of the command whose errors are logged instead of printed.
 const serveCommand = "serve"
 
-// main runs the command that the command line names. It exits with 0, or with the status of the error.
+// main runs the command given on the command line. It exits with 0, or with the exit status of the error.
 func main() {
 	var c commandLine
 	parsed := kong.Parse(&c, kong.Name("pipitgap"),
