--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -108,7 +108,7 @@
 		raw, _ := s.Encode()
 		return protocol.Op{Put: storage.ShardKey(name), Value: raw}
 	}
-	drainOf := func(
+	drainRecord := func(
 		state storage.DrainState, reason string, selector storage.Selector, ended int64,
 	) *storage.Drain {
 		return &storage.Drain{State: state, Reason: reason, Selector: selector, Replace: true,
@@ -124,13 +124,13 @@
 		shard("own", own), shard("orphaned", orphaned),
 		put(storage.KindPermits, "wren", &storage.Permits{Permits: []storage.Permit{
 			{Drain: "emptying", Job: "web", Task: 0, Attempt: 11, From: "i-01", To: "i-03", GrantedAt: at}}}),
-		put(storage.KindDrain, "emptying", drainOf(storage.DrainActive, "",
+		put(storage.KindDrain, "emptying", drainRecord(storage.DrainActive, "",
 			storage.Selector{Zone: "rack-a"}, 0)),
-		put(storage.KindDrain, "by-name", drainOf(storage.DrainPaused, "paused by an operator",
+		put(storage.KindDrain, "by-name", drainRecord(storage.DrainPaused, "paused by an operator",
 			storage.Selector{Machines: []string{"i-04", "i-05", "i-06"}}, 0)),
-		put(storage.KindDrain, "nothing-left", drainOf(storage.DrainDrained, "nothing is left",
+		put(storage.KindDrain, "nothing-left", drainRecord(storage.DrainDrained, "nothing is left",
 			storage.Selector{Zone: "rack-b", Type: "m9", CapacityType: storage.SpotCapacity}, at+5)),
-		put(storage.KindDrain, "over", drainOf(storage.DrainDone, "",
+		put(storage.KindDrain, "over", drainRecord(storage.DrainDone, "",
 			storage.Selector{Zone: "rack-b"}, at+6)),
 	}
 }
@@ -149,18 +149,18 @@
 }
 
 // run runs one command line like main, and returns its output and exit status.
-func run(t *testing.T, words []string) (output string, status int) {
+func run(t *testing.T, args []string) (output string, status int) {
 	t.Helper()
 	var c commandLine
 	parser, err := kong.New(&c, kong.Name("pipitgap"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	parsed, err := parser.Parse(words)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		t.Fatal(err)
 	}
-	output = printed(t, func() error {
+	output = captureStdout(t, func() error {
 		if err := parsed.Run(); err != nil {
 			status = exitStatus(err)
 		}
@@ -175,15 +175,15 @@
 	const perSecond, txnOps = 1000, 50
 	sim := fake.NewSimClock(1)
 	store := fake.NewStateStore(sim, perSecond, perSecond, txnOps)
-	written := protocol.Outcome(0)
+	outcome := protocol.Outcome(0)
 	txn := protocol.Transaction{Then: commandRecords()}
 	store.Call(
 		"setup",
 		&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: txn},
-		func(r protocol.StoreResult) { written = r.Outcome },
+		func(r protocol.StoreResult) { outcome = r.Outcome },
 	)
-	if sim.Run(monotime.Second); written != protocol.OK {
-		t.Fatalf("initial records: got outcome %v, want %v", written, protocol.OK)
+	if sim.Run(monotime.Second); outcome != protocol.OK {
+		t.Fatalf("initial records: got outcome %v, want %v", outcome, protocol.OK)
 	}
 	folder := t.TempDir()
 	file := func(name, text string) string {
--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -27,7 +27,7 @@
 func exitStatus(err error) int {
 	kinds := []struct {
 		status int
-		of     []error
+		errs   []error
 	}{
 		{exitBadRequest, []error{operator.ErrBadRequest}},
 		{exitNotFound, []error{operator.ErrNotFound, operator.ErrNothingSelected}},
@@ -37,8 +37,8 @@
 		{exitUnreachable, []error{mirror.ErrStoreUnavailable}},
 	}
 	for _, kind := range kinds {
-		for _, of := range kind.of {
-			if errors.Is(err, of) {
+		for _, target := range kind.errs {
+			if errors.Is(err, target) {
 				return kind.status
 			}
 		}
@@ -70,7 +70,7 @@
 // Limits of a command's connections to the state service.
 const (
 	operatorConnections = 2       // idle connections kept open
-	operatorBody        = 8 << 20 // bytes per response body
+	operatorMaxBody     = 8 << 20 // bytes per response body
 )
 
 // drainOperator loads the settings and returns the drain operator with its client of the state service. It
@@ -83,7 +83,7 @@
 	if settings.Drains == nil {
 		return nil, nil, errDrainsOff
 	}
-	store := transport.NewClient(cfg.External.State, operatorConnections, operatorBody)
+	store := transport.NewClient(cfg.External.State, operatorConnections, operatorMaxBody)
 	op := &operator.Operator{
 		Call: func(call *protocol.StoreCall) protocol.StoreResult {
 			return protocol.CallStore(store, call)
--- a/cmd/pipitgap/json_test.go
+++ b/cmd/pipitgap/json_test.go
@@ -15,15 +15,15 @@
 	"pipitgap/internal/storage"
 )
 
-// printed returns the text that a function writes to the standard output.
-func printed(t *testing.T, write func() error) string {
+// captureStdout returns the text that a function writes to the standard output.
+func captureStdout(t *testing.T, write func() error) string {
 	t.Helper()
 	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	usual := os.Stdout
-	defer func() { os.Stdout = usual }()
+	stdout := os.Stdout
+	defer func() { os.Stdout = stdout }()
 	os.Stdout = writer
 	out := make(chan []byte)
 	go func() {
@@ -39,9 +39,9 @@
 	return text
 }
 
-// answers returns command results by the name of their JSON file. Results without a dash in the name have
-// every field set.
-func answers() map[string]any {
+// commandResults returns results of commands by the names of their JSON files. Results without a dash in the
+// name have every field set.
+func commandResults() map[string]any {
 	const at = 1_764_687_600_123_456
 	blocked := []drain.Blockage{{Drain: "rack-a-out", Machine: "i-000231", Task: "j-000017/5",
 		Kind: drain.BlockedByBudget, Reason: "team wren: 3 of 4 replicas are available, 3 must stay"}}
@@ -52,9 +52,9 @@
 		Stopped:  4, Emptied: []string{"i-000231"}}}}
 	kinds := []drain.BlockKind{drain.BlockedByBudget, drain.BlockedByCapacity, drain.BlockedByStarting,
 		drain.BlockedByCordon, drain.BlockedByPermits, drain.BlockedByController, drain.BlockedByDeadline}
-	waiting := make([]drain.Blockage, 0, len(kinds))
+	blockages := make([]drain.Blockage, 0, len(kinds))
 	for _, kind := range kinds {
-		waiting = append(waiting, drain.Blockage{Drain: "d-2", Machine: "i-000231", Kind: kind,
+		blockages = append(blockages, drain.Blockage{Drain: "d-2", Machine: "i-000231", Kind: kind,
 			Reason: "waits"})
 	}
 	teams := []drain.TeamStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5,
@@ -75,7 +75,7 @@
 		"status-ended": statusOutput{Drain: &drain.Progress{Name: "d-1", State: storage.DrainDone,
 			Revision: 40_002, Machines: []drain.MachineProgress{}, StartedAt: at}},
 		"status-blocked": statusOutput{Drain: &drain.Progress{Name: "d-2", State: storage.DrainActive,
-			Revision: 40_003, Machines: []drain.MachineProgress{}, Blocked: waiting, StartedAt: at}, Teams: teams},
+			Revision: 40_003, Machines: []drain.MachineProgress{}, Blocked: blockages, StartedAt: at}, Teams: teams},
 		"list": []operator.DrainSummary{{Name: "rack-a-out", State: storage.DrainPaused,
 			Reason: "paused by an operator", Selection: "zone rack-a", MachinesLeft: 3}},
 		"list-no-reason": []operator.DrainSummary{{Name: "d-1", State: storage.DrainDrained,
@@ -87,13 +87,13 @@
 	}
 }
 
-// TestJSONAnswers checks that the JSON output of each result matches the stored file, and that the file
+// TestJSONOutput checks that the JSON output of each result matches the stored file, and that the file
 // decodes to the same values.
-func TestJSONAnswers(t *testing.T) {
-	for file, answer := range answers() {
+func TestJSONOutput(t *testing.T) {
+	for file, answer := range commandResults() {
 		t.Run(file, func(t *testing.T) {
 			flags := &operatorFlags{JSON: true}
-			got := printed(t, func() error { return flags.print(answer, nil) })
+			got := captureStdout(t, func() error { return flags.print(answer, nil) })
 			want := fixtures.Text(t, "json/"+file+".json", got)
 			fixtures.Equal(t, file, []byte(want), []byte(got))
 			decoded := reflect.New(reflect.TypeOf(answer))
@@ -108,8 +108,8 @@
 			if !strings.Contains(file, "-") { // the other results omit optional fields
 				fixtures.AllSet(t, file, answer)
 			}
-			again := printed(t, func() error { return flags.print(decoded.Elem().Interface(), nil) })
-			fixtures.Equal(t, file, []byte(want), []byte(again))
+			reencoded := captureStdout(t, func() error { return flags.print(decoded.Elem().Interface(), nil) })
+			fixtures.Equal(t, file, []byte(want), []byte(reencoded))
 		})
 	}
 }
@@ -117,8 +117,8 @@
 // TestJSONIsOneValue checks that the output is a single JSON value followed by a line feed, as scripts
 // expect.
 func TestJSONIsOneValue(t *testing.T) {
-	for file, answer := range answers() {
-		got := printed(t, func() error { return (&operatorFlags{JSON: true}).print(answer, nil) })
+	for file, answer := range commandResults() {
+		got := captureStdout(t, func() error { return (&operatorFlags{JSON: true}).print(answer, nil) })
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, []byte(got)); err != nil || !strings.HasSuffix(got, "\n") {
 			t.Errorf("%s: got error %v for output %q, want one JSON value and a line feed", file, err, got)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -242,8 +242,8 @@
 // available.
 func TestBudgetRoundsInFavorOfAvailability(t *testing.T) {
 	cases := []struct {
-		text            string
-		replicas, floor int
+		text                   string
+		replicas, minAvailable int
 	}{
 		{"min_available: 3", 10, 3},
 		{"min_available: 3", 2, 3},
@@ -261,8 +261,8 @@
 			t.Errorf("%s: got error %v, want none", tc.text, err)
 			continue
 		}
-		if got := settings.Drains.Budgets[0].MinAvailableOf(tc.replicas); got != tc.floor {
-			t.Errorf("%s of %d replicas: got %d, want %d", tc.text, tc.replicas, got, tc.floor)
+		if got := settings.Drains.Budgets[0].MinAvailableOf(tc.replicas); got != tc.minAvailable {
+			t.Errorf("%s of %d replicas: got %d, want %d", tc.text, tc.replicas, got, tc.minAvailable)
 		}
 	}
 }
--- a/internal/config/drain_settings.go
+++ b/internal/config/drain_settings.go
@@ -68,11 +68,11 @@
 	seen := map[scope]int{}
 	for i := range d.Budgets {
 		budget := &d.Budgets[i]
-		of := scope{budget.Team, budget.Class}
-		if first, ok := seen[of]; ok {
+		budgetScope := scope{budget.Team, budget.Class}
+		if first, ok := seen[budgetScope]; ok {
 			return fmt.Errorf("drains.budgets[%d]: has the same team and class as budgets[%d]", i, first)
 		}
-		seen[of] = i
+		seen[budgetScope] = i
 		if reason := budget.unsatisfiable(); reason != "" {
 			return fmt.Errorf("drains.budgets[%d].%s", i, reason)
 		}
@@ -116,15 +116,15 @@
 	Percent bool
 }
 
-// wholePercent is the percentage that means all replicas.
-const wholePercent = 100
+// hundredPercent is the percentage that means all replicas.
+const hundredPercent = 100
 
 // roundedUp returns the count, or the percentage of the given number of replicas rounded up.
 func (c CountOrPercent) roundedUp(replicas int) int {
 	if !c.Percent {
 		return c.Value
 	}
-	return int(math.Ceil(float64(c.Value*replicas) / wholePercent))
+	return int(math.Ceil(float64(c.Value*replicas) / hundredPercent))
 }
 
 // roundedDown returns the count, or the percentage of the given number of replicas rounded down.
@@ -132,7 +132,7 @@
 	if !c.Percent {
 		return c.Value
 	}
-	return c.Value * replicas / wholePercent
+	return c.Value * replicas / hundredPercent
 }
 
 // String returns the value as it is written in the settings.
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -24,7 +24,7 @@
 // validateSchema validates a settings file against the schema. The error contains the key and the reason.
 // empty reports whether the file is empty or contains only comments.
 func validateSchema(text []byte) (empty bool, err error) {
-	document, err := plainDocument(text)
+	document, err := jsonDocument(text)
 	if err != nil || document == nil {
 		return document == nil, err
 	}
@@ -45,9 +45,9 @@
 	return err
 }
 
-// plainDocument converts a YAML document to the types of a decoded JSON document, since the schema is a JSON
+// jsonDocument converts a YAML document to the types of a decoded JSON document, since the schema is a JSON
 // schema.
-func plainDocument(text []byte) (any, error) {
+func jsonDocument(text []byte) (any, error) {
 	var document any
 	if err := yaml.Unmarshal(text, &document); err != nil {
 		return nil, err
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -19,10 +19,10 @@
 // cloud refuse every connection. It must still respond to every request without delay, keep its connection
 // limit and continue to run.
 func TestAnswersWithoutStateServiceAndCloud(t *testing.T) {
-	free := func() string { return fixtures.FreeAddress(t) }
-	cfg := &config.Config{Node: "n-0", Area: "a", PublicAddr: free(), PeerBind: free()}
-	cfg.External.State, cfg.External.Cloud = free(), free()
-	cfg.Peers = []config.Peer{{Node: "n-1", Area: "b", Addr: free()}}
+	freeAddress := func() string { return fixtures.FreeAddress(t) }
+	cfg := &config.Config{Node: "n-0", Area: "a", PublicAddr: freeAddress(), PeerBind: freeAddress()}
+	cfg.External.State, cfg.External.Cloud = freeAddress(), freeAddress()
+	cfg.Peers = []config.Peer{{Node: "n-1", Area: "b", Addr: freeAddress()}}
 	f := &cfg.Facts
 	f.Zones, f.Teams = []string{"a", "b"}, []config.Team{{Name: "t"}}
 	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 2, 12, 32
@@ -33,11 +33,11 @@
 	go func() { ended <- Run(cfg, config.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil))) }()
 
 	client := transport.NewClient(cfg.PublicAddr, 1, 1024)
-	up := false
-	for i := 0; i < 400 && !up; i++ {
+	listening := false
+	for i := 0; i < 400 && !listening; i++ {
 		_, err := client.Do("GET", "/healthz", nil, 5*monotime.Second)
-		up = err == nil
-		if !up {
+		listening = err == nil
+		if !listening {
 			time.Sleep(10 * time.Millisecond) // until the server listens
 		}
 	}
@@ -78,8 +78,8 @@
 			answered++
 		}
 	}
-	if most := 140*8/10 - 32; answered == 0 || answered > most {
-		t.Errorf("got a response on %d connections, want 1 to %d", answered, most)
+	if maxAnswered := 140*8/10 - 32; answered == 0 || answered > maxAnswered {
+		t.Errorf("got a response on %d connections, want 1 to %d", answered, maxAnswered)
 	}
 	if m, err := client.Do("GET", "/healthz", nil, 10*monotime.Second); err != nil || m.Status != 503 {
 		t.Errorf("after 280 connections: got response %+v, error %v, want status 503", m, err)
@@ -101,8 +101,8 @@
 	add(10, "a")
 	add(10, "b")
 	timers.schedule(20, func() { got += "-"; add(20, "d") })
-	if w := timers.untilNext(4); w != 6 {
-		t.Errorf("got a wait of %d µs, want 6", w)
+	if wait := timers.untilNext(4); wait != 6 {
+		t.Errorf("got a wait of %d µs, want 6", wait)
 	}
 	timers.runDue(25)
 	if got != "ab-" {
--- a/internal/daemon/environment.go
+++ b/internal/daemon/environment.go
@@ -118,7 +118,7 @@
 func (e *environment) SendCommands(
 	endpoint string,
 	request *protocol.CommandRequest,
-	within monotime.Micros,
+	timeout monotime.Micros,
 	callback func(protocol.CommandResult),
 ) {
 	if e.commandsInFlight >= e.maxCommandsInFlight {
@@ -130,7 +130,7 @@
 	client := e.workers.client(endpoint)
 	e.commandsInFlight++
 	go func() {
-		result := protocol.CallWorker(client, request, within)
+		result := protocol.CallWorker(client, request, timeout)
 		e.deliver(func() { e.commandsInFlight--; callback(result) })
 	}()
 }
--- a/internal/daemon/frame_size_test.go
+++ b/internal/daemon/frame_size_test.go
@@ -35,11 +35,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := decodePeerFrame(frame[frameHead:])
+		decoded, err := decodePeerFrame(frame[frameLengthSize:])
 		if err != nil {
 			t.Fatal(err)
 		}
-		total += len(back.Cancellations.Committed)
+		total += len(decoded.Cancellations.Committed)
 	}
 	if total != 5000 {
 		t.Errorf("got %d cancellations, want 5000", total)
--- a/internal/daemon/frames_test.go
+++ b/internal/daemon/frames_test.go
@@ -9,8 +9,8 @@
 	"pipitgap/internal/peers"
 )
 
-// frameHead is the size of a frame's length field in bytes.
-const frameHead = 4
+// frameLengthSize is the size of a frame's length field in bytes.
+const frameLengthSize = 4
 
 // TestPeerFrames checks that frames sent by an earlier version decode to the same values, and that these
 // values encode to the same bytes. Maps have only one entry, because gob encodes map entries in random order.
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			sent := fixtures.Bytes(t, "frames/"+file+".hex", encoded)
-			decoded, err := decodePeerFrame(sent[frameHead:])
+			decoded, err := decodePeerFrame(sent[frameLengthSize:])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -50,11 +50,11 @@
 			if file == "hint" {
 				fixtures.AllSet(t, file, decoded)
 			}
-			again, err := encodePeerFrame(&decoded)
+			reencoded, err := encodePeerFrame(&decoded)
 			if err != nil {
 				t.Fatal(err)
 			}
-			fixtures.Equal(t, file, sent, again)
+			fixtures.Equal(t, file, sent, reencoded)
 		})
 	}
 }
--- a/internal/daemon/sockets.go
+++ b/internal/daemon/sockets.go
@@ -4,7 +4,7 @@
 // fifth is for idle connections to workers, a quarter is for command batches in flight to workers, and the
 // rest is for other calls and for connections that the server's loop has accepted but not closed yet.
 const (
-	tenths              = 10
+	tenthsPerWhole      = 10
 	serverTenths        = 8  // tenths of the sockets for the server, minus reservedSockets
 	reservedSockets     = 32 // sockets subtracted from the server's part
 	minServerSockets    = 16
@@ -30,7 +30,7 @@
 		sockets = min(sockets, setting)
 	}
 	return socketLimits{
-		server:   max(minServerSockets, sockets*serverTenths/tenths-reservedSockets),
+		server:   max(minServerSockets, sockets*serverTenths/tenthsPerWhole-reservedSockets),
 		workers:  max(minWorkerSockets, sockets/workerDivisor),
 		commands: max(minCommandsInFlight, min(maxCommandsInFlight, sockets/commandDivisor)),
 	}
--- a/internal/daemon/worker_pool.go
+++ b/internal/daemon/worker_pool.go
@@ -30,14 +30,14 @@
 		return entry.client
 	}
 	if len(p.clients) >= p.maxClients {
-		oldest := ""
+		leastRecent := ""
 		for name, entry := range p.clients {
-			if oldest == "" || entry.lastUsed < p.clients[oldest].lastUsed {
-				oldest = name
+			if leastRecent == "" || entry.lastUsed < p.clients[leastRecent].lastUsed {
+				leastRecent = name
 			}
 		}
-		p.clients[oldest].client.Close()
-		delete(p.clients, oldest)
+		p.clients[leastRecent].client.Close()
+		delete(p.clients, leastRecent)
 	}
 	entry := &pooledClient{client: transport.NewClient(endpoint, 1, transport.MaxBody), lastUsed: p.clock}
 	p.clients[endpoint] = entry
--- a/internal/daemon/worker_pool_test.go
+++ b/internal/daemon/worker_pool_test.go
@@ -34,7 +34,7 @@
 	}
 	defer listener.Close()
 	var open atomic.Int32
-	asked, answer, over := make(chan bool), make(chan bool), make(chan bool)
+	requestReceived, sendResponse, connectionClosed := make(chan bool), make(chan bool), make(chan bool)
 	go func() {
 		c, err := listener.Accept()
 		if err != nil {
@@ -43,26 +43,26 @@
 		open.Add(1)
 		buf := make([]byte, 4096)
 		_, _ = c.Read(buf)
-		asked <- true
-		<-answer
+		requestReceived <- true
+		<-sendResponse
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		_, _ = c.Read(buf) // until the client closes the connection
 		open.Add(-1)
-		over <- true
+		connectionClosed <- true
 	}()
 	client := transport.NewClient(listener.Addr().String(), 1, 1024)
-	done := make(chan error)
+	requestDone := make(chan error)
 	go func() {
 		_, err := client.Do("GET", protocol.WorkerReportPath, nil, 20*monotime.Second)
-		done <- err
+		requestDone <- err
 	}()
-	<-asked
+	<-requestReceived
 	client.Close()
-	answer <- true
-	if err := <-done; err != nil {
+	sendResponse <- true
+	if err := <-requestDone; err != nil {
 		t.Errorf("request during Close: got error %v, want none", err)
 	}
-	<-over
+	<-connectionClosed
 	if n := open.Load(); n != 0 {
 		t.Errorf("got %d open connections, want 0", n)
 	}
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -57,9 +57,9 @@
 		return nil, err
 	}
 	result := &StartResult{Name: request.Name}
-	wall := d.WallClock()
-	err := d.transact(func(reading *mirror.RecordSnapshot) (*protocol.Transaction, error) {
-		return d.decideStart(&request, reading, wall, result)
+	wallNow := d.WallClock()
+	err := d.transact(func(records *mirror.RecordSnapshot) (*protocol.Transaction, error) {
+		return d.decideStart(&request, records, wallNow, result)
 	})
 	if err != nil {
 		return nil, err
@@ -70,13 +70,13 @@
 // decideStart returns the transaction that starts the drain, given the records that were read. The
 // transaction is nil if there is nothing to change. It also sets the fields of the result.
 func (d *DrainOperator) decideStart(
-	request *StartRequest, reading *mirror.RecordSnapshot, wall int64, result *StartResult,
+	request *StartRequest, records *mirror.RecordSnapshot, wallNow int64, result *StartResult,
 ) (*protocol.Transaction, error) {
-	fleet := reading.DrainSnapshot(wall)
-	if err := d.checkSelector(&request.Selector, reading, fleet); err != nil {
+	fleet := records.DrainSnapshot(wallNow)
+	if err := d.checkSelector(&request.Selector, records, fleet); err != nil {
 		return nil, err
 	}
-	record := request.record(reading, wall)
+	record := request.drainRecord(records, wallNow)
 	result.Machines = fleet.Selected(&record)
 	existing, exists := fleet.Drain(request.Name)
 	if exists && existing.State.Unfinished() {
@@ -101,7 +101,7 @@
 		result.Plan = d.Policy.Plan(fleet, request.Name, record)
 		return nil, nil
 	}
-	return d.startTransaction(reading, request.Name, existing, &record)
+	return d.startTransaction(records, request.Name, existing, &record)
 }
 
 // validate returns an error if the request is invalid regardless of the records.
@@ -125,12 +125,12 @@
 
 // checkSelector returns an error if the selector contains an unknown zone, machine type or machine.
 func (d *DrainOperator) checkSelector(
-	selector *storage.Selector, reading *mirror.RecordSnapshot, fleet *drain.Snapshot,
+	selector *storage.Selector, records *mirror.RecordSnapshot, fleet *drain.Snapshot,
 ) error {
 	if selector.Zone != "" && !slices.Contains(d.Zones, selector.Zone) {
 		return fmt.Errorf("%w: zone %q", ErrNotFound, selector.Zone)
 	}
-	if selector.Type != "" && !reading.HasMachineType(selector.Type) {
+	if selector.Type != "" && !records.HasMachineType(selector.Type) {
 		return fmt.Errorf("%w: machine type %q", ErrNotFound, selector.Type)
 	}
 	var unknown []string
@@ -145,31 +145,31 @@
 	return nil
 }
 
-// record returns the drain record of a request.
-func (r *StartRequest) record(reading *mirror.RecordSnapshot, wall int64) storage.Drain {
+// drainRecord returns the drain record of a request.
+func (r *StartRequest) drainRecord(records *mirror.RecordSnapshot, wallNow int64) storage.Drain {
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
 	record := storage.Drain{
 		State: storage.DrainActive, Selector: selector, Replace: r.Replace, RemoveAtOnce: r.RemoveAtOnce,
-		MaxParallel: r.MaxParallel, StartedAt: wall,
+		MaxParallel: r.MaxParallel, StartedAt: wallNow,
 	}
 	if r.AllowSimilar && len(selector.Machines) == 0 {
-		record.LastMachine = reading.NewestMachine()
+		record.LastMachine = records.NewestMachine()
 	}
 	if r.Deadline > 0 {
-		record.DeadlineAt = wall + int64(r.Deadline)
+		record.DeadlineAt = wallNow + int64(r.Deadline)
 	}
 	return record
 }
 
 // sameRequest reports whether two drains have the same parameters, regardless of their start times.
 func sameRequest(a, b *storage.Drain) bool {
-	lasts := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
+	timeLimit := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
 	return reflect.DeepEqual(a.Selector, b.Selector) &&
 		a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
 		a.MaxParallel == b.MaxParallel &&
 		(a.LastMachine == "") == (b.LastMachine == "") &&
-		lasts(a) == lasts(b)
+		timeLimit(a) == timeLimit(b)
 }
 
 // checkOverlap returns an error if a machine could belong to both the drain and another unfinished drain.
@@ -186,7 +186,7 @@
 // startTransaction returns the transaction that writes a drain. It fails if the drain's record or the
 // registry of drains has changed since the records were read, so that no other drain can start in between.
 func (d *DrainOperator) startTransaction(
-	reading *mirror.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
+	records *mirror.RecordSnapshot, name string, existing *drain.DrainRecord, record *storage.Drain,
 ) (*protocol.Transaction, error) {
 	value := protocol.MustMarshal(record)
 	if storage.StoredSize(value) > d.MaxValueBytes {
@@ -203,7 +203,7 @@
 	return &protocol.Transaction{
 		If: []protocol.Compare{
 			{Key: key, Version: version},
-			{Key: storage.DrainRegistryKey, Version: reading.DrainRegistryVersion},
+			{Key: storage.DrainRegistryKey, Version: records.DrainRegistryVersion},
 		},
 		Then: []protocol.Op{
 			{Put: key, Value: value},
@@ -214,25 +214,25 @@
 
 // Status returns the progress of a drain and the availability of all teams' services, at one revision.
 func (d *DrainOperator) Status(name string) (*drain.Progress, []drain.TeamStatus, error) {
-	reading, err := d.readRecords()
+	records, err := d.readRecords()
 	if err != nil {
 		return nil, nil, err
 	}
-	fleet := reading.DrainSnapshot(d.WallClock())
+	fleet := records.DrainSnapshot(d.WallClock())
 	record, ok := fleet.Drain(name)
 	if !ok {
 		return nil, nil, fmt.Errorf("%w: drain %q", ErrNotFound, name)
 	}
-	return d.Policy.Progress(fleet, record, reading.IsMember), d.Policy.Teams(fleet), nil
+	return d.Policy.Progress(fleet, record, records.IsMember), d.Policy.Teams(fleet), nil
 }
 
 // Budgets returns the availability of all teams' services and their budgets, at one revision.
 func (d *DrainOperator) Budgets() ([]drain.TeamStatus, error) {
-	reading, err := d.readRecords()
+	records, err := d.readRecords()
 	if err != nil {
 		return nil, err
 	}
-	return d.Policy.Teams(reading.DrainSnapshot(d.WallClock())), nil
+	return d.Policy.Teams(records.DrainSnapshot(d.WallClock())), nil
 }
 
 // DrainSummary is an entry of the list of drains.
@@ -246,21 +246,21 @@
 
 // List returns all drains, including those that ended within the last day.
 func (d *DrainOperator) List() ([]DrainSummary, error) {
-	reading, err := d.readRecords()
+	records, err := d.readRecords()
 	if err != nil {
 		return nil, err
 	}
-	fleet := reading.DrainSnapshot(d.WallClock())
+	fleet := records.DrainSnapshot(d.WallClock())
 	drains := []DrainSummary{}
 	for _, record := range fleet.Drains() {
-		listed := DrainSummary{
+		summary := DrainSummary{
 			Name: record.Name, State: record.State,
 			Reason: record.Reason, Selection: describeSelector(&record.Selector),
 		}
 		if record.State.Unfinished() {
-			listed.MachinesLeft = len(fleet.Selected(&record.Drain))
+			summary.MachinesLeft = len(fleet.Selected(&record.Drain))
 		}
-		drains = append(drains, listed)
+		drains = append(drains, summary)
 	}
 	return drains, nil
 }
@@ -281,7 +281,7 @@
 
 // Resume has a paused drain go on. One that was paused at its deadline needs a new one, or none.
 func (d *DrainOperator) Resume(name string, deadline monotime.Micros) (changed bool, err error) {
-	wall := d.WallClock()
+	wallNow := d.WallClock()
 	return d.transition(name, func(record *storage.Drain) error {
 		switch record.State {
 		case storage.DrainActive:
@@ -292,8 +292,8 @@
 		}
 		switch {
 		case deadline > 0:
-			record.DeadlineAt = wall + int64(deadline)
-		case record.DeadlineAt != 0 && record.DeadlineAt <= wall:
+			record.DeadlineAt = wallNow + int64(deadline)
+		case record.DeadlineAt != 0 && record.DeadlineAt <= wallNow:
 			return fmt.Errorf("%w: its deadline has passed; give a new one with --deadline", ErrBadRequest)
 		}
 		record.State, record.Reason = storage.DrainActive, ""
@@ -304,7 +304,7 @@
 // Abort ends a drain. Its remaining machines accept tasks again, and scale-out may use the offers again that
 // the drain excluded.
 func (d *DrainOperator) Abort(name string) (changed bool, err error) {
-	wall := d.WallClock()
+	wallNow := d.WallClock()
 	return d.transition(name, func(record *storage.Drain) error {
 		switch record.State {
 		case storage.DrainActive, storage.DrainPaused:
@@ -316,21 +316,21 @@
 		default:
 			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
 		}
-		record.EndedAt = wall
+		record.EndedAt = wallNow
 		return nil
 	})
 }
 
 // transition applies a change to the record of a drain. changed is false if the record already has the new
 // values.
-func (d *DrainOperator) transition(name string, to func(*storage.Drain) error) (changed bool, err error) {
-	err = d.transact(func(reading *mirror.RecordSnapshot) (*protocol.Transaction, error) {
-		record, ok := reading.DrainSnapshot(d.WallClock()).Drain(name)
+func (d *DrainOperator) transition(name string, change func(*storage.Drain) error) (changed bool, err error) {
+	err = d.transact(func(records *mirror.RecordSnapshot) (*protocol.Transaction, error) {
+		record, ok := records.DrainSnapshot(d.WallClock()).Drain(name)
 		if !ok {
 			return nil, fmt.Errorf("%w: drain %q", ErrNotFound, name)
 		}
 		next := record.Drain
-		if err := to(&next); err != nil {
+		if err := change(&next); err != nil {
 			return nil, fmt.Errorf("drain %q: %w", name, err)
 		}
 		if reflect.DeepEqual(next, record.Drain) {
--- a/internal/operator/drains_test.go
+++ b/internal/operator/drains_test.go
@@ -121,17 +121,17 @@
 	b := newFixture(t)
 	other := b.drains()
 	other.Call = b.callStore
-	raced := false
+	otherStarted := false
 	b.beforeCall = func(c *protocol.StoreCall) {
-		if isCommit(c) && !raced {
-			raced = true
+		if isCommit(c) && !otherStarted {
+			otherStarted = true
 			if _, err := other.Start(zoneRequest("theirs", "a")); err != nil {
 				t.Errorf("concurrent start: got error %v, want none", err)
 			}
 		}
 	}
-	if _, err := b.drains().Start(zoneRequest("ours", "a")); !raced || !errors.Is(err, ErrDrainsOverlap) {
-		t.Errorf("got concurrent start %v and error %v, want true and %v", raced, err, ErrDrainsOverlap)
+	if _, err := b.drains().Start(zoneRequest("ours", "a")); !otherStarted || !errors.Is(err, ErrDrainsOverlap) {
+		t.Errorf("got concurrent start %v and error %v, want true and %v", otherStarted, err, ErrDrainsOverlap)
 	}
 }
 
@@ -139,8 +139,8 @@
 // its own record in the state service and must not write it again.
 func TestStartIsIdempotentAfterLostAnswer(t *testing.T) {
 	b := newFixture(t)
-	lost := 0
-	b.store.LoseResponse = func(*protocol.Transaction) bool { lost++; return lost == 1 }
+	commits := 0
+	b.store.LoseResponse = func(*protocol.Transaction) bool { commits++; return commits == 1 }
 	started, err := b.drains().Start(zoneRequest("rack", "a"))
 	if err != nil || started.AlreadyStarted || len(started.Machines) != 3 {
 		t.Errorf("got result %+v, error %v, want a new drain of 3 machines", started, err)
@@ -161,7 +161,7 @@
 	if _, err := b.drains().Start(zoneRequest("rack", "a")); err != nil {
 		t.Fatal(err)
 	}
-	with := func(r StartRequest, change func(*StartRequest)) StartRequest { change(&r); return r }
+	modified := func(r StartRequest, change func(*StartRequest)) StartRequest { change(&r); return r }
 	cases := []struct {
 		name    string
 		request StartRequest
@@ -171,23 +171,23 @@
 		{"nothing selected", StartRequest{Name: "x", MaxParallel: 1}, ErrBadRequest},
 		{
 			"by name and zone",
-			with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Machines = []string{"i-4"} }),
+			modified(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Machines = []string{"i-4"} }),
 			ErrBadRequest,
 		},
 		{
 			"no machine at a time",
-			with(zoneRequest("x", "b"), func(r *StartRequest) { r.MaxParallel = 0 }),
+			modified(zoneRequest("x", "b"), func(r *StartRequest) { r.MaxParallel = 0 }),
 			ErrBadRequest,
 		},
 		{
 			"deadline in the past",
-			with(zoneRequest("x", "b"), func(r *StartRequest) { r.Deadline = -1 }),
+			modified(zoneRequest("x", "b"), func(r *StartRequest) { r.Deadline = -1 }),
 			ErrBadRequest,
 		},
 		{"unknown zone", zoneRequest("x", "c"), ErrNotFound},
 		{
 			"unknown type",
-			with(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Type = "m9" }),
+			modified(zoneRequest("x", "b"), func(r *StartRequest) { r.Selector.Type = "m9" }),
 			ErrNotFound,
 		},
 		{
@@ -197,7 +197,7 @@
 		},
 		{
 			"no on-demand machine in the zone",
-			with(
+			modified(
 				zoneRequest("x", "b"),
 				func(r *StartRequest) { r.Selector.CapacityType = storage.OnDemandCapacity },
 			),
@@ -280,28 +280,28 @@
 // contain each transaction completely or not at all.
 func TestListReadsOneConsistentRevision(t *testing.T) {
 	b := newFixture(t)
-	n := 0
+	renames := 0
 	b.beforeCall = func(c *protocol.StoreCall) {
 		if c.Op != protocol.StoreList {
 			return
 		}
 		// Renames the drain before each list call: one transaction writes the new name and deletes the old
 		// one.
-		n++
-		old := storage.DrainKey(string(rune('a' + n - 1)))
-		next := storage.DrainKey(string(rune('a' + n)))
+		renames++
+		old := storage.DrainKey(string(rune('a' + renames - 1)))
+		renamed := storage.DrainKey(string(rune('a' + renames)))
 		drain := storage.Drain{State: storage.DrainActive, Selector: storage.Selector{Zone: "a"}}
 		b.callStore(&protocol.StoreCall{
 			Op:      protocol.StoreCommit,
 			Timeout: monotime.Second,
 			Transaction: protocol.Transaction{Then: []protocol.Op{
-				{Put: next, Value: protocol.MustMarshal(&drain)},
+				{Put: renamed, Value: protocol.MustMarshal(&drain)},
 				{Delete: old},
 			}},
 		})
 	}
 	for range 3 {
-		n = 0
+		renames = 0
 		list, err := b.drains().List()
 		if err != nil || len(list) != 1 {
 			t.Errorf("got drains %+v, error %v, want exactly 1 drain", list, err)
--- a/internal/operator/transactions.go
+++ b/internal/operator/transactions.go
@@ -30,13 +30,13 @@
 // service may be busy or may change faster than the records can be read.
 func (o *Operator) readRecords() (*mirror.RecordSnapshot, error) {
 	var err error
-	for try := range maxAttempts {
-		if try > 0 {
+	for attempt := range maxAttempts {
+		if attempt > 0 {
 			o.Sleep(retryInterval)
 		}
-		var reading *mirror.RecordSnapshot
-		if reading, err = mirror.ReadRecords(o.call, o.MaxTransactionOps); err == nil {
-			return reading, nil
+		var records *mirror.RecordSnapshot
+		if records, err = mirror.ReadRecords(o.call, o.MaxTransactionOps); err == nil {
+			return records, nil
 		}
 	}
 	return nil, err
@@ -46,8 +46,8 @@
 // the call.
 func (o *Operator) call(c *protocol.StoreCall) protocol.StoreResult {
 	var result protocol.StoreResult
-	for try := range maxAttempts {
-		if try > 0 {
+	for attempt := range maxAttempts {
+		if attempt > 0 {
 			o.Sleep(retryInterval)
 		}
 		if result = o.Call(c); result.Outcome != protocol.Throttled {
@@ -62,16 +62,16 @@
 // it reads the records and calls decide again. decide must therefore recognize its own change in the records
 // and return no transaction in that case.
 func (o *Operator) transact(decide func(*mirror.RecordSnapshot) (*protocol.Transaction, error)) error {
-	var last protocol.Outcome
-	for try := range maxAttempts {
-		if try > 0 {
+	var lastOutcome protocol.Outcome
+	for attempt := range maxAttempts {
+		if attempt > 0 {
 			o.Sleep(retryInterval)
 		}
-		reading, err := o.readRecords()
+		records, err := o.readRecords()
 		if err != nil {
 			return err
 		}
-		txn, err := decide(reading)
+		txn, err := decide(records)
 		if err != nil || txn == nil {
 			return err
 		}
@@ -84,11 +84,11 @@
 		if result.Outcome == protocol.Rejected {
 			return fmt.Errorf("%w: it rejected the transaction", mirror.ErrStoreUnavailable)
 		}
-		last = result.Outcome
+		lastOutcome = result.Outcome
 	}
-	if last == protocol.Conflict {
+	if lastOutcome == protocol.Conflict {
 		return ErrContention
 	}
 	return fmt.Errorf("%w: the change may or may not have been made (%v); it is safe to repeat the command",
-		mirror.ErrStoreUnavailable, last)
+		mirror.ErrStoreUnavailable, lastOutcome)
 }
--- a/internal/protocol/field_reader.go
+++ b/internal/protocol/field_reader.go
@@ -18,9 +18,9 @@
 }
 
 // fail records an error about a field, unless an earlier one is recorded.
-func (f *fieldReader) fail(name, what string) {
+func (f *fieldReader) fail(name, reason string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s", name, what)
+		f.err = fmt.Errorf("%s: %s", name, reason)
 	}
 }
 
@@ -44,7 +44,7 @@
 	if v == nil && optional {
 		return 0
 	}
-	x, ok := number(v)
+	x, ok := toFloat64(v)
 	if !ok || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || x > maxAmount {
 		f.fail(name, "must be a finite amount of 0 or more")
 		return 0
@@ -53,14 +53,14 @@
 }
 
 // integer reads an integer within the inclusive bounds.
-func (f *fieldReader) integer(name string, least, most int64) int {
-	n, ok := wholeNumber(f.values[name])
+func (f *fieldReader) integer(name string, lowest, highest int64) int {
+	n, ok := toInt64(f.values[name])
 	if !ok {
 		f.fail(name, "must be an integer")
 		return 0
 	}
-	if n < least || n > most {
-		f.fail(name, fmt.Sprintf("must lie between %d and %d", least, most))
+	if n < lowest || n > highest {
+		f.fail(name, fmt.Sprintf("must lie between %d and %d", lowest, highest))
 	}
 	return int(n)
 }
@@ -74,21 +74,21 @@
 	return v
 }
 
-// number converts any numeric type that the MessagePack decoder returns.
-func number(v any) (float64, bool) {
+// toFloat64 converts any numeric type that the MessagePack decoder returns.
+func toFloat64(v any) (float64, bool) {
 	switch x := v.(type) {
 	case float64:
 		return x, true
 	case float32:
 		return float64(x), true
 	}
-	n, ok := wholeNumber(v)
+	n, ok := toInt64(v)
 	return float64(n), ok
 }
 
-// wholeNumber converts any integer type that the MessagePack decoder returns. A value above the int64 range
+// toInt64 converts any integer type that the MessagePack decoder returns. A value above the int64 range
 // becomes the largest int64, which exceeds the bounds of every field.
-func wholeNumber(v any) (int64, bool) {
+func toInt64(v any) (int64, bool) {
 	switch x := v.(type) {
 	case int8:
 		return int64(x), true
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -37,10 +37,10 @@
 // ErrMalformed means that the input is not exactly one MessagePack value of bounded nesting.
 var ErrMalformed = errors.New("not a MessagePack message")
 
-// Unmarshal decodes a message. It calls CheckShape first, so that a hostile length or nesting depth is
+// Unmarshal decodes a message. It calls CheckWellFormed first, so that a hostile length or nesting depth is
 // rejected before the decoder allocates anything for it.
 func Unmarshal(b []byte, v any) error {
-	if err := CheckShape(b); err != nil {
+	if err := CheckWellFormed(b); err != nil {
 		return err
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -44,11 +44,11 @@
 
 // ParseJobPath parses a path of JobPath or CancelPath. ok is false for any other path.
 func ParseJobPath(path string) (id string, cancel, ok bool) {
-	rest, ok := strings.CutPrefix(path, JobsPath+"/")
+	jobPath, ok := strings.CutPrefix(path, JobsPath+"/")
 	if !ok {
 		return "", false, false
 	}
-	id, cancel = strings.CutSuffix(rest, cancelSuffix)
+	id, cancel = strings.CutSuffix(jobPath, cancelSuffix)
 	return id, cancel, true
 }
 
@@ -66,9 +66,9 @@
 // ParseKeepAlivePath parses a path of KeepAlivePath. The lease is returned as text and may not be a number.
 // ok is false for any other path.
 func ParseKeepAlivePath(path string) (lease string, ok bool) {
-	rest, ok := strings.CutPrefix(path, LeasesPath+"/")
+	leasePath, ok := strings.CutPrefix(path, LeasesPath+"/")
 	if !ok {
 		return "", false
 	}
-	return strings.CutSuffix(rest, keepAliveSuffix)
+	return strings.CutSuffix(leasePath, keepAliveSuffix)
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -62,14 +62,14 @@
 	for k := range validSubmission() {
 		values := validSubmission()
 		delete(values, k)
-		may := map[string]bool{"breeds": true, "grove": true, "due_s": true, "new_field": true}[k]
-		if _, err := ParseSubmission(MustMarshal(values)); (err == nil) != may {
-			t.Errorf("field %s missing: got error %v, want accepted %v", k, err, may)
+		optional := map[string]bool{"breeds": true, "grove": true, "due_s": true, "new_field": true}[k]
+		if _, err := ParseSubmission(MustMarshal(values)); (err == nil) != optional {
+			t.Errorf("field %s missing: got error %v, want accepted %v", k, err, optional)
 		}
 	}
 }
 
-func TestCheckShapeRejectsMalformed(t *testing.T) {
+func TestCheckWellFormedRejectsMalformed(t *testing.T) {
 	cases := []struct {
 		name string
 		in   []byte
@@ -87,7 +87,7 @@
 		{"truncated number", []byte{0xcb, 0, 0}, false},
 	}
 	for _, tc := range cases {
-		if err := CheckShape(tc.in); (err == nil) != tc.ok {
+		if err := CheckWellFormed(tc.in); (err == nil) != tc.ok {
 			t.Errorf("%s: got error %v, want accepted %v", tc.name, err, tc.ok)
 		}
 	}
@@ -120,10 +120,10 @@
 		MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spread: true,
 		Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900,
 	}
-	least := Submission{ID: "j-1", Class: "train", Team: "vision", Tasks: 1, Image: "img-07"}
+	minimal := Submission{ID: "j-1", Class: "train", Team: "vision", Tasks: 1, Image: "img-07"}
 	documented := validSubmission()
 	delete(documented, "new_field")
-	for _, want := range []Submission{full, least} {
+	for _, want := range []Submission{full, minimal} {
 		got, err := ParseSubmission(MustMarshal(&want))
 		if err != nil || !reflect.DeepEqual(*got, want) {
 			t.Errorf("got %+v, error %v after encoding and decoding, want %+v", got, err, want)
@@ -162,9 +162,9 @@
 	}
 }
 
-// TestPaths checks that the parsers return the key and the lease that the state service's paths were built
-// from, and reject all other paths.
-func TestPaths(t *testing.T) {
+// TestStateServicePaths checks that the parsers return the key and the lease that the state service's paths
+// were built from, and reject all other paths.
+func TestStateServicePaths(t *testing.T) {
 	if key, ok := ParseKeyPath(KeyPath("a/b")); !ok || key != "a/b" {
 		t.Errorf("got key %q, ok %v, want a/b, true", key, ok)
 	}
@@ -181,17 +181,17 @@
 	}
 }
 
-// TestCheckShapeNesting checks that a message at the nesting limit is accepted and one level more is
+// TestCheckWellFormedNesting checks that a message at the nesting limit is accepted and one level more is
 // rejected.
-func TestCheckShapeNesting(t *testing.T) {
+func TestCheckWellFormedNesting(t *testing.T) {
 	nested := func(levels int) []byte {
 		message := bytes.Repeat([]byte{0x91}, levels) // lists of one element
 		return append(message, nilValue)
 	}
-	if err := CheckShape(nested(maxNesting - 1)); err != nil {
+	if err := CheckWellFormed(nested(maxNesting - 1)); err != nil {
 		t.Errorf("nesting at the limit: got error %v, want none", err)
 	}
-	if err := CheckShape(nested(maxNesting)); err == nil {
+	if err := CheckWellFormed(nested(maxNesting)); err == nil {
 		t.Error("nesting above the limit: got no error, want one")
 	}
 }
--- a/internal/protocol/shape.go
+++ b/internal/protocol/shape.go
@@ -24,49 +24,49 @@
 	firstNegativeFixint = 0xe0
 )
 
-// CheckShape checks that the input is exactly one well-formed MessagePack value, without decoding it. The
-// input must contain at least as many bytes as every length in it announces, and the nesting depth is bounded
-// by maxNesting. For any other input it returns ErrMalformed.
-func CheckShape(b []byte) error {
-	w := shapeWalker{bytes: b}
+// CheckWellFormed checks that the input is exactly one well-formed MessagePack value, without decoding it.
+// The input must contain at least as many bytes as every length in it announces, and the nesting depth is
+// bounded by maxNesting. For any other input it returns ErrMalformed.
+func CheckWellFormed(b []byte) error {
+	w := messageWalker{bytes: b}
 	w.remaining[0] = 1
 	for {
-		for w.remaining[w.level] == 0 {
-			if w.level == 0 {
-				if w.at != len(b) {
+		for w.remaining[w.depth] == 0 {
+			if w.depth == 0 {
+				if w.offset != len(b) {
 					return ErrMalformed
 				}
 				return nil
 			}
-			w.level--
+			w.depth--
 		}
-		w.remaining[w.level]--
+		w.remaining[w.depth]--
 		if !w.walkValue() {
 			return ErrMalformed
 		}
 	}
 }
 
-// shapeWalker is the position of CheckShape in its input.
-type shapeWalker struct {
+// messageWalker is the position of CheckWellFormed in its input.
+type messageWalker struct {
 	bytes     []byte
-	at        int
-	level     int
+	offset    int
+	depth     int
 	remaining [maxNesting]int // number of values not visited yet, per nesting level
 }
 
-// has reports whether at least n bytes are left. It returns false for a negative n, which means that length
-// couldn't read a length.
-func (w *shapeWalker) has(n int) bool { return n >= 0 && len(w.bytes)-w.at >= n }
+// hasBytes reports whether at least n bytes are left. It returns false for a negative n, which means that
+// readLength found too few bytes.
+func (w *messageWalker) hasBytes(n int) bool { return n >= 0 && len(w.bytes)-w.offset >= n }
 
 // walkValue moves past a scalar value, or past the header of a map or list, whose elements the next calls
 // visit. It returns false if the bytes are malformed.
-func (w *shapeWalker) walkValue() bool {
-	if !w.has(1) {
+func (w *messageWalker) walkValue() bool {
+	if !w.hasBytes(1) {
 		return false
 	}
-	first := w.bytes[w.at]
-	w.at++
+	first := w.bytes[w.offset]
+	w.offset++
 	switch {
 	case first <= lastPositiveFixint || first >= firstNegativeFixint,
 		first == nilValue, first == falseValue, first == trueValue:
@@ -86,44 +86,44 @@
 	case first >= firstInt && first <= lastInt:
 		return w.skip(1 << (first - firstInt))
 	case first >= firstStr && first <= lastStr:
-		return w.skip(w.length(1 << (first - firstStr)))
+		return w.skip(w.readLength(1 << (first - firstStr)))
 	case first == array16 || first == array32:
-		return w.enter(w.length(2 << (first - array16)))
+		return w.enter(w.readLength(2 << (first - array16)))
 	case first == map16 || first == map32:
-		return w.enter(2 * w.length(2<<(first-map16)))
+		return w.enter(2 * w.readLength(2<<(first-map16)))
 	}
 	return false // binary data and extensions are not part of the protocol
 }
 
-// length reads a big-endian length field of size bytes. It returns -1 if fewer bytes are left.
-func (w *shapeWalker) length(size int) int {
-	if !w.has(size) {
+// readLength reads a big-endian length field of size bytes. It returns -1 if fewer bytes are left.
+func (w *messageWalker) readLength(size int) int {
+	if !w.hasBytes(size) {
 		return -1
 	}
 	length := 0
-	for _, c := range w.bytes[w.at : w.at+size] {
+	for _, c := range w.bytes[w.offset : w.offset+size] {
 		length = length<<8 | int(c)
 	}
-	w.at += size
+	w.offset += size
 	return length
 }
 
 // skip moves past the n remaining bytes of a value. It returns false if fewer bytes are left.
-func (w *shapeWalker) skip(n int) bool {
-	if !w.has(n) {
+func (w *messageWalker) skip(n int) bool {
+	if !w.hasBytes(n) {
 		return false
 	}
-	w.at += n
+	w.offset += n
 	return true
 }
 
 // enter descends to the n elements of a list, or the n keys and values of a map. It returns false if the
 // nesting is too deep, or if fewer than n bytes are left, since each element takes at least one byte.
-func (w *shapeWalker) enter(n int) bool {
-	if !w.has(n) || w.level+1 >= maxNesting {
+func (w *messageWalker) enter(n int) bool {
+	if !w.hasBytes(n) || w.depth+1 >= maxNesting {
 		return false
 	}
-	w.level++
-	w.remaining[w.level] = n
+	w.depth++
+	w.remaining[w.depth] = n
 	return true
 }
--- a/internal/protocol/store_calls.go
+++ b/internal/protocol/store_calls.go
@@ -72,10 +72,10 @@
 	return StoreResult{}
 }
 
-// exchange sends a request to the state service and decodes the body of an OK or Conflict response. The
-// outcome is Unknown if the body can't be decoded: such a response doesn't prove whether the call was
+// exchangeWithStore sends a request to the state service and decodes the body of an OK or Conflict response.
+// The outcome is Unknown if the body can't be decoded: such a response doesn't prove whether the call was
 // executed.
-func exchange(client *transport.Client, request wireRequest, out any) Outcome {
+func exchangeWithStore(client *transport.Client, request wireRequest, out any) Outcome {
 	message, outcome := send(client, request)
 	if outcome != OK && outcome != Conflict {
 		return outcome
@@ -90,7 +90,7 @@
 func callGet(client *transport.Client, call *StoreCall) StoreResult {
 	var item KeyValue
 	request := wireRequest{method: "GET", target: KeyPath(call.Key), timeout: call.Timeout}
-	outcome := exchange(client, request, &item)
+	outcome := exchangeWithStore(client, request, &item)
 	if outcome == Unknown || outcome == OK && item.Version == 0 {
 		return StoreResult{}
 	}
@@ -104,7 +104,7 @@
 	if call.After != "" {
 		target += "&from=" + call.After
 	}
-	outcome := exchange(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &list)
+	outcome := exchangeWithStore(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &list)
 	if outcome == Unknown {
 		return StoreResult{}
 	}
@@ -121,7 +121,7 @@
 	request := wireRequest{
 		method: "POST", target: CommitPath, body: MustMarshal(&transaction), timeout: call.Timeout,
 	}
-	outcome := exchange(client, request, &reply)
+	outcome := exchangeWithStore(client, request, &reply)
 	// A commit looks up nothing, so NotFound is not a valid response. It and an OK response without a
 	// revision are treated as an unknown outcome.
 	if outcome == Unknown || outcome == NotFound || outcome == OK && reply.Revision == 0 {
@@ -135,7 +135,7 @@
 	var grant LeaseReply
 	body := MustMarshal(&LeaseRequest{TTLMillis: call.TTL.Milliseconds()})
 	request := wireRequest{method: "POST", target: LeasesPath, body: body, timeout: call.Timeout}
-	outcome := exchange(client, request, &grant)
+	outcome := exchangeWithStore(client, request, &grant)
 	if outcome == Unknown || outcome == OK && grant.Lease == 0 {
 		return StoreResult{}
 	}
@@ -147,7 +147,7 @@
 	var watch WatchReply
 	target := fmt.Sprintf("%s?under=%s&from=%d&block_ms=%d",
 		WatchPath, call.Key, call.FromRevision, call.MaxBlock.Milliseconds())
-	outcome := exchange(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &watch)
+	outcome := exchangeWithStore(client, wireRequest{method: "GET", target: target, timeout: call.Timeout}, &watch)
 	if outcome == Unknown {
 		return StoreResult{}
 	}
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -52,8 +52,8 @@
 // ValidJobID reports whether an id has the users' form: j- and then letters,
 // digits, '-' or '_'.
 func ValidJobID(id string) bool {
-	rest, ok := strings.CutPrefix(id, jobIDPrefix)
-	return ok && rest != "" && ValidKeyPart(id)
+	name, ok := strings.CutPrefix(id, jobIDPrefix)
+	return ok && name != "" && ValidKeyPart(id)
 }
 
 // maxKeyPartBytes is the maximum length of a name that is used as a part of a key.
@@ -145,7 +145,7 @@
 
 // machineTypes reads the names of the machine types that the job may run on; nil allows any type.
 func (f *fieldReader) machineTypes() []string {
-	const fault = "must be a list of names or null"
+	const reason = "must be a list of names or null"
 	switch list := f.values[FieldTypes].(type) {
 	case nil:
 		return nil
@@ -154,13 +154,13 @@
 		for _, v := range list {
 			name, ok := v.(string)
 			if !ok || name == "" {
-				f.fail(FieldTypes, fault)
+				f.fail(FieldTypes, reason)
 			}
 			names = append(names, name)
 		}
 		return names
 	default:
-		f.fail(FieldTypes, fault)
+		f.fail(FieldTypes, reason)
 		return nil
 	}
 }
--- a/internal/protocol/wire_names_test.go
+++ b/internal/protocol/wire_names_test.go
@@ -14,17 +14,17 @@
 	"testing"
 )
 
-// ordinary lists the wire names that are also standard terms or common words. Other code uses them as whole
-// literals with another meaning: in stored keys, settings, commands and their output, and names of test
+// commonWords lists the wire names that are also standard terms or common words. Other code uses them as
+// whole literals with another meaning: in stored keys, settings, commands and their output, and names of test
 // cases. The test can't tell from a literal which meaning is intended, so it allows these names everywhere.
-var ordinary = wordSet(
+var commonWords = wordSet(
 	"ask busy cancelled cause done error exited failed full id kill log name number path " +
 		"pending rate run running status stopped unknown value",
 )
 
-// inSentences lists the wire names that other code uses as words within messages and settings, but never as a
+// phraseWords lists the wire names that other code uses as words within messages and settings, but never as a
 // whole literal. The test rejects them only as a whole literal.
-var inSentences = wordSet("accelerators apart calls cores kept rank shape write")
+var phraseWords = wordSet("accelerators apart calls cores kept rank shape write")
 
 func wordSet(words string) map[string]bool {
 	set := map[string]bool{}
@@ -90,17 +90,17 @@
 	if len(paths) < 3 {
 		t.Errorf("got %d paths %q, want at least 3", len(paths), paths)
 	}
-	for _, exceptions := range []map[string]bool{ordinary, inSentences} {
+	for _, exceptions := range []map[string]bool{commonWords, phraseWords} {
 		for word := range exceptions {
 			if !words[word] {
 				t.Errorf("got exception %q, which is not a wire name; want only wire names as exceptions", word)
 			}
 		}
 	}
-	for word := range ordinary {
+	for word := range commonWords {
 		delete(words, word)
 	}
-	read := 0
+	filesRead := 0
 	for _, root := range []string{"../../internal", "../../cmd"} {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil {
@@ -112,7 +112,7 @@
 			if entry.IsDir() || !strings.HasSuffix(path, ".go") {
 				return nil
 			}
-			read++
+			filesRead++
 			checkLiterals(t, path, words, paths)
 			return nil
 		})
@@ -120,8 +120,8 @@
 			t.Fatal(err)
 		}
 	}
-	if read < 50 {
-		t.Errorf("got %d files read, want at least 50", read)
+	if filesRead < 50 {
+		t.Errorf("got %d files read, want at least 50", filesRead)
 	}
 }
 
@@ -135,7 +135,7 @@
 			continue
 		}
 		for _, word := range wireWord.FindAllString(text, -1) {
-			if words[word] && (word == text || !inSentences[word]) {
+			if words[word] && (word == text || !phraseWords[word]) {
 				t.Errorf("%s: got wire name %q in %s, want none", files.Position(value.Pos()), word, value.Value)
 			}
 		}
--- a/internal/protocol/worker_calls.go
+++ b/internal/protocol/worker_calls.go
@@ -17,11 +17,11 @@
 
 // CallWorker sends a batch of commands to a worker and waits for the result. A nil request only polls the
 // worker for its heartbeat.
-func CallWorker(client *transport.Client, req *CommandRequest, within monotime.Micros) CommandResult {
-	request := wireRequest{method: "GET", target: WorkerReportPath, timeout: within}
+func CallWorker(client *transport.Client, req *CommandRequest, timeout monotime.Micros) CommandResult {
+	request := wireRequest{method: "GET", target: WorkerReportPath, timeout: timeout}
 	if req != nil {
 		request = wireRequest{
-			method: "POST", target: WorkerCommandsPath, body: MustMarshal(req), timeout: within,
+			method: "POST", target: WorkerCommandsPath, body: MustMarshal(req), timeout: timeout,
 		}
 	}
 	message, outcome := send(client, request)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -48,7 +48,7 @@
 		_ = cc.conn.Close()
 		return message, err
 	}
-	c.keep(cc)
+	c.release(cc)
 	return message, nil
 }
 
@@ -66,9 +66,9 @@
 	return &clientConn{conn: conn, parser: Parser{Response: true, MaxBody: c.maxBody}}, nil
 }
 
-// keep returns a connection to the pool for the next request. It closes the connection if the pool is full or
-// the client is closed.
-func (c *Client) keep(cc *clientConn) {
+// release returns a connection to the pool for the next request. It closes the connection if the pool is full
+// or the client is closed.
+func (c *Client) release(cc *clientConn) {
 	select {
 	case c.idleConns <- cc:
 	default:
--- a/internal/transport/frames.go
+++ b/internal/transport/frames.go
@@ -26,7 +26,7 @@
 func (f *frameReader) buffered() int { return len(f.buf) }
 
 // feed adds received bytes and calls each with the body of every complete frame.
-func (f *frameReader) feed(input []byte, each func([]byte)) error {
+func (f *frameReader) feed(input []byte, onFrame func([]byte)) error {
 	f.buf = append(f.buf, input...)
 	for len(f.buf) >= frameLengthSize {
 		n := int(binary.BigEndian.Uint32(f.buf))
@@ -36,7 +36,7 @@
 		if len(f.buf) < frameLengthSize+n {
 			return nil
 		}
-		each(append([]byte(nil), f.buf[frameLengthSize:frameLengthSize+n]...))
+		onFrame(append([]byte(nil), f.buf[frameLengthSize:frameLengthSize+n]...))
 		f.buf = append([]byte(nil), f.buf[frameLengthSize+n:]...)
 	}
 	return nil
--- a/internal/transport/head.go
+++ b/internal/transport/head.go
@@ -96,7 +96,7 @@
 			return 0, ErrMalformed
 		}
 		value = strings.Trim(value, " \t")
-		if !isVisible(value) {
+		if !isFieldValue(value) {
 			return 0, ErrMalformed
 		}
 		switch strings.ToLower(name) {
@@ -162,8 +162,8 @@
 	return true
 }
 
-// isVisible reports whether a text contains no control characters other than tabs.
-func isVisible(s string) bool {
+// isFieldValue reports whether a text contains no control characters other than tabs.
+func isFieldValue(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if s[i] < ' ' && s[i] != '\t' || s[i] == 0x7f {
 			return false
--- a/internal/transport/parser_test.go
+++ b/internal/transport/parser_test.go
@@ -137,17 +137,17 @@
 }
 
 func TestFrameReaderReassemblesFrames(t *testing.T) {
-	type hint struct{ A string }
-	one, err := EncodeFrame(&hint{"x"})
+	type payload struct{ A string }
+	first, err := EncodeFrame(&payload{"x"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, _ := EncodeFrame(&hint{"y"})
+	second, _ := EncodeFrame(&payload{"y"})
 	var got []string
 	var f frameReader
-	for _, b := range bytes.Join([][]byte{one, two}, nil) {
+	for _, b := range bytes.Join([][]byte{first, second}, nil) {
 		if err := f.feed([]byte{b}, func(frame []byte) {
-			var h hint
+			var h payload
 			if DecodeFrame(frame, &h) == nil {
 				got = append(got, h.A)
 			}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -76,15 +76,15 @@
 // event loop ends, which happens on an accept error. It therefore always returns an error.
 func (s *Server) Serve(public, peer string) error {
 	s.conns = map[evio.Conn]*serverConn{}
-	events := evio.Events{NumLoops: 1, Opened: s.opened, Closed: s.connClosed, Data: s.received, Tick: s.tick}
+	events := evio.Events{NumLoops: 1, Opened: s.connOpened, Closed: s.connClosed, Data: s.dataReceived, Tick: s.tick}
 	if err := evio.Serve(events, "tcp://"+public, "tcp://"+peer); err != nil {
 		return fmt.Errorf("event loop: %w", err)
 	}
 	return ErrLoopEnded
 }
 
-// opened registers a new connection, or closes it if MaxConns is exceeded.
-func (s *Server) opened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
+// connOpened registers a new connection, or closes it if MaxConns is exceeded.
+func (s *Server) connOpened(c evio.Conn) ([]byte, evio.Options, evio.Action) {
 	sc := &serverConn{server: s, eventConn: c, lastTraffic: s.Now(), responses: make(chan Response, 1)}
 	c.SetContext(sc)
 	s.conns[c] = sc
@@ -104,8 +104,8 @@
 	return evio.None
 }
 
-// received passes received bytes or a wake-up to the connection's handler.
-func (s *Server) received(c evio.Conn, input []byte) ([]byte, evio.Action) {
+// dataReceived passes received bytes or a wake-up to the connection's handler.
+func (s *Server) dataReceived(c evio.Conn, input []byte) ([]byte, evio.Action) {
 	sc, ok := c.Context().(*serverConn)
 	if !ok {
 		return nil, evio.Close
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -11,12 +11,12 @@
 	"pipitgap/internal/monotime"
 )
 
-// TestServerAnswersDefinitely runs the evio server on the loopback interface. It checks the responses to
-// malformed requests, that only the first of two pipelined requests gets a response, and that connections
-// above MaxConns are closed.
-func TestServerAnswersDefinitely(t *testing.T) {
-	free := func() string { return fixtures.FreeAddress(t) }
-	public, peer := free(), free()
+// TestServerResponsesAndConnectionLimit runs the evio server on the loopback interface. It checks the
+// responses to malformed requests, that only the first of two pipelined requests gets a response, and that
+// connections above MaxConns are closed.
+func TestServerResponsesAndConnectionLimit(t *testing.T) {
+	freeAddress := func() string { return fixtures.FreeAddress(t) }
+	public, peer := freeAddress(), freeAddress()
 	s := &Server{
 		Now:            monotime.NewClock(),
 		MaxConns:       4,
@@ -39,7 +39,7 @@
 			time.Sleep(10 * time.Millisecond) // until the server listens
 		}
 	}
-	all := func(in string) string {
+	sendAndReadAll := func(in string) string {
 		c := dial()
 		defer c.Close()
 		_, _ = io.WriteString(c, in)
@@ -53,18 +53,18 @@
 		{"incomplete request", "GET /a HT", ""},
 	}
 	for _, tc := range cases {
-		got := all(tc.in)
+		got := sendAndReadAll(tc.in)
 		if tc.want == "" && got != "" || !strings.Contains(got, tc.want) {
 			t.Errorf("%s: got response %q, want %q in it (empty: no response)", tc.name, got, tc.want)
 		}
 	}
 	// Pipelining is not part of the protocol: the server responds to the first request and closes the
 	// connection.
-	if got := all("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n"); strings.Count(got, "HTTP/1.1 ") != 1 ||
+	if got := sendAndReadAll("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\n\r\n"); strings.Count(got, "HTTP/1.1 ") != 1 ||
 		!strings.HasSuffix(got, "/a") {
 		t.Errorf("pipelined requests: got %q, want one response, to /a", got)
 	}
-	var held []net.Conn
+	var openConns []net.Conn
 	for i := 0; i < 4; i++ {
 		c := dial()
 		defer c.Close()
@@ -74,16 +74,16 @@
 		if _, err := c.Read(make([]byte, 512)); err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c)
+		openConns = append(openConns, c)
 	}
-	if got := all("GET /a HTTP/1.1\r\n\r\n"); got != "" {
+	if got := sendAndReadAll("GET /a HTTP/1.1\r\n\r\n"); got != "" {
 		t.Errorf("connection above MaxConns: got response %q, want none", got)
 	}
-	if _, err := io.WriteString(held[0], "GET /still HTTP/1.1\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(openConns[0], "GET /still HTTP/1.1\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	b := make([]byte, 512)
-	if n, _ := held[0].Read(b); !strings.Contains(string(b[:n]), "/still") {
+	if n, _ := openConns[0].Read(b); !strings.Contains(string(b[:n]), "/still") {
 		t.Errorf("open connection at MaxConns: got %q, want a response to /still", b[:n])
 	}
 }
@@ -116,16 +116,16 @@
 			}()
 		}
 	}()
-	cl := NewClient(listener.Addr().String(), 1, 1024)
-	if message, err := cl.Do("GET", "/x", nil, 10*monotime.Second); err != nil ||
+	client := NewClient(listener.Addr().String(), 1, 1024)
+	if message, err := client.Do("GET", "/x", nil, 10*monotime.Second); err != nil ||
 		string(message.Body) != "hello" {
 		t.Errorf("response byte by byte: got message %+v, error %v, want body hello", message, err)
 	}
-	if _, err := cl.Do("GET", "/silent", nil, 200*monotime.Millisecond); err == nil {
+	if _, err := client.Do("GET", "/silent", nil, 200*monotime.Millisecond); err == nil {
 		t.Error("server that doesn't respond: got no error, want a timeout")
 	}
-	gone := NewClient("127.0.0.1:1", 1, 1024)
-	if _, err := gone.Do("GET", "/", nil, monotime.Second); err == nil {
+	refusedClient := NewClient("127.0.0.1:1", 1, 1024)
+	if _, err := refusedClient.Do("GET", "/", nil, monotime.Second); err == nil {
 		t.Error("refused connection: got no error, want one")
 	}
 }
