--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -273,13 +273,13 @@
 			record.State, record.Reason = storage.DrainPaused, "paused by an operator"
 		case storage.DrainPaused:
 		default:
-			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
+			return fmt.Errorf("%w: its state is %s", ErrDrainEnded, record.State)
 		}
 		return nil
 	})
 }
 
-// Resume has a paused drain go on. One that was paused at its deadline needs a new one, or none.
+// Resume resumes a paused drain. One that was paused at its deadline needs a new one, or none.
 func (d *DrainOperator) Resume(name string, deadline monotime.Micros) (changed bool, err error) {
 	wallNow := d.WallClock()
 	return d.transition(name, func(record *storage.Drain) error {
@@ -288,7 +288,7 @@
 			return nil
 		case storage.DrainPaused:
 		default:
-			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
+			return fmt.Errorf("%w: its state is %s", ErrDrainEnded, record.State)
 		}
 		switch {
 		case deadline > 0:
@@ -314,7 +314,7 @@
 		case storage.DrainAborted:
 			return nil
 		default:
-			return fmt.Errorf("%w: it is %s", ErrDrainEnded, record.State)
+			return fmt.Errorf("%w: its state is %s", ErrDrainEnded, record.State)
 		}
 		record.EndedAt = wallNow
 		return nil
--- a/internal/operator/transactions.go
+++ b/internal/operator/transactions.go
@@ -42,8 +42,8 @@
 	return nil, err
 }
 
-// call calls the state service. It makes up to maxAttempts attempts while the service throttles
-// the call.
+// call calls the state service. It makes up to maxAttempts attempts while the service throttles the
+// call.
 func (o *Operator) call(c *protocol.StoreCall) protocol.StoreResult {
 	var result protocol.StoreResult
 	for attempt := range maxAttempts {
--- a/internal/protocol/cloud_calls.go
+++ b/internal/protocol/cloud_calls.go
@@ -30,7 +30,7 @@
 	Op      CloudOp
 	Create  CreateMachinesRequest
 	Delete  []string // delete: machine IDs
-	After   string   // list: the page starts after this machine; "": with the first one
+	After   string   // list: the page starts after this machine; "": at the first machine
 	Timeout monotime.Micros
 }
 
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -129,7 +129,7 @@
 	Incarnation         uint64       `msgpack:"roost"`     // incarnation of the worker's agent
 	Sequence            uint64       `msgpack:"chirp"`     // sequence number within the incarnation
 	FencingToken        uint64       `msgpack:"baton"`     // highest fencing token that the agent has seen
-	InterruptionNoticeS *float64     `msgpack:"warning_s"` // seconds until the spot interruption, or nil
+	InterruptionNoticeS *float64     `msgpack:"warning_s"` // seconds until the spot interruption; nil: none
 	Tasks               []TaskStatus `msgpack:"pips"`
 }
 
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -7,7 +7,7 @@
 
 // Paths of the controller's own API for users and workers.
 const (
-	JobsPath      = "/v2/runs" // submits a job
+	JobsPath      = "/v2/runs" // POST submits a job; JobPath is the path of a single job
 	HeartbeatPath = "/checkin" // receives the workers' heartbeats
 
 	cancelSuffix = "/abort"
--- a/internal/protocol/store_calls.go
+++ b/internal/protocol/store_calls.go
@@ -25,17 +25,17 @@
 type StoreCall struct {
 	Op           StoreOp
 	Key          string // get, list and watch: the key or prefix
-	After        string // list: the page starts after this key; "": with the first one
+	After        string // list: the page starts after this key; "": at the first key
 	Limit        int    // list: maximum number of keys per page
 	Transaction  Transaction
 	Lease        uint64          // keep-alive
 	TTL          monotime.Micros // grant: time to live of the lease
 	FromRevision uint64          // watch: return the changes after this revision
 	MaxBlock     monotime.Micros // watch: maximum time to wait for a change
-	Timeout      monotime.Micros // of the whole call
+	Timeout      monotime.Micros // timeout of the whole call
 }
 
-// Writes returns the number of puts and deletes that the call uses of the write rate limit.
+// Writes returns the number of puts and deletes of the call, which count against the write rate limit.
 func (c *StoreCall) Writes() int { return len(c.Transaction.Then) }
 
 // StoreResult is the result of a StoreCall.
@@ -122,7 +122,7 @@
 		method: "POST", target: CommitPath, body: MustMarshal(&transaction), timeout: call.Timeout,
 	}
 	outcome := exchangeWithStore(client, request, &reply)
-	// A commit looks up nothing, so NotFound is not a valid response. It and an OK response without a
+	// A commit looks up no key, so NotFound is not a valid response. NotFound and an OK response without a
 	// revision are treated as an unknown outcome.
 	if outcome == Unknown || outcome == NotFound || outcome == OK && reply.Revision == 0 {
 		return StoreResult{}
--- a/internal/transport/frames.go
+++ b/internal/transport/frames.go
@@ -25,7 +25,7 @@
 // buffered returns the number of bytes received of an incomplete frame.
 func (f *frameReader) buffered() int { return len(f.buf) }
 
-// feed adds received bytes and calls each with the body of every complete frame.
+// feed adds received bytes and calls onFrame with the body of each complete frame.
 func (f *frameReader) feed(input []byte, onFrame func([]byte)) error {
 	f.buf = append(f.buf, input...)
 	for len(f.buf) >= frameLengthSize {
