--- a/cmd/pipitgap/commands_test.go
+++ b/cmd/pipitgap/commands_test.go
@@ -17,7 +17,7 @@
 	"pipitgap/internal/storage"
 )
 
-// commandConfig is what the platform hands over, but for the state service's address.
+// commandConfig is the platform's configuration. The test fills in the address of the state service.
 const commandConfig = `
 node = "n-0"
 area = "rack-a"
@@ -55,8 +55,9 @@
     - {team: wren, class: high, min_available: 50%, reserve_machines: 1}
 `
 
-// commandRecords are the records that the commands find: unfinished and ended drains, machines in
-// all states, replicas that run, start and are being moved, and a controller that is gone.
+// commandRecords returns the initial records of the state service: unfinished and ended drains, machines in
+// all states, replicas that are running, starting or being moved, and the shard of a controller that is no
+// longer a member.
 func commandRecords() []protocol.Op {
 	const at = 1_764_687_600_123_456
 	put := func(kind storage.Kind, name string, record any) protocol.Op {
@@ -107,7 +108,7 @@
 		raw, _ := s.Encode()
 		return protocol.Op{Put: storage.ShardKey(name), Value: raw}
 	}
-	drainOf := func(
+	drainRecord := func(
 		state storage.DrainState, reason string, selector storage.Selector, ended int64,
 	) *storage.Drain {
 		return &storage.Drain{State: state, Reason: reason, Selector: selector, Replace: true,
@@ -123,18 +124,18 @@
 		shard("own", own), shard("orphaned", orphaned),
 		put(storage.KindPermits, "wren", &storage.Permits{Permits: []storage.Permit{
 			{Drain: "emptying", Job: "web", Task: 0, Attempt: 11, From: "i-01", To: "i-03", GrantedAt: at}}}),
-		put(storage.KindDrain, "emptying", drainOf(storage.DrainActive, "",
+		put(storage.KindDrain, "emptying", drainRecord(storage.DrainActive, "",
 			storage.Selector{Zone: "rack-a"}, 0)),
-		put(storage.KindDrain, "by-name", drainOf(storage.DrainPaused, "paused by an operator",
+		put(storage.KindDrain, "by-name", drainRecord(storage.DrainPaused, "paused by an operator",
 			storage.Selector{Machines: []string{"i-04", "i-05", "i-06"}}, 0)),
-		put(storage.KindDrain, "nothing-left", drainOf(storage.DrainDrained, "nothing is left",
+		put(storage.KindDrain, "nothing-left", drainRecord(storage.DrainDrained, "nothing is left",
 			storage.Selector{Zone: "rack-b", Type: "m9", CapacityType: storage.SpotCapacity}, at+5)),
-		put(storage.KindDrain, "over", drainOf(storage.DrainDone, "",
+		put(storage.KindDrain, "over", drainRecord(storage.DrainDone, "",
 			storage.Selector{Zone: "rack-b"}, at+6)),
 	}
 }
 
-// commandScript are the commands in their order; each finds what the earlier ones have left.
+// commandScript lists the commands in order of execution. Each command sees the changes of the earlier ones.
 var commandScript = []string{
 	"list", "budgets", "status emptying", "status by-name", "status nothing-left", "status over",
 	"status unknown",
@@ -147,19 +148,19 @@
 	"abort nothing-left", "pause unknown", "list",
 }
 
-// run carries out one command line as main does, and returns what it prints and its exit status.
-func run(t *testing.T, words []string) (output string, status int) {
+// run runs one command line like main, and returns its output and exit status.
+func run(t *testing.T, args []string) (output string, status int) {
 	t.Helper()
 	var c commandLine
 	parser, err := kong.New(&c, kong.Name("pipitgap"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	parsed, err := parser.Parse(words)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		t.Fatal(err)
 	}
-	output = printed(t, func() error {
+	output = captureStdout(t, func() error {
 		if err := parsed.Run(); err != nil {
 			status = exitStatus(err)
 		}
@@ -168,21 +169,21 @@
 	return output, status
 }
 
-// TestJSONOfCommands: every command about drains prints the same JSON as before and ends with the
-// same status, on the same records.
+// TestJSONOfCommands checks for each drain command, on fixed records, that the JSON output and the exit
+// status match the stored transcript.
 func TestJSONOfCommands(t *testing.T) {
 	const perSecond, txnOps = 1000, 50
 	sim := fake.NewSimClock(1)
 	store := fake.NewStateStore(sim, perSecond, perSecond, txnOps)
-	written := protocol.Outcome(0)
+	outcome := protocol.Outcome(0)
 	txn := protocol.Transaction{Then: commandRecords()}
 	store.Call(
 		"setup",
 		&protocol.StoreCall{Op: protocol.StoreCommit, Timeout: monotime.Second, Transaction: txn},
-		func(r protocol.StoreResult) { written = r.Outcome },
+		func(r protocol.StoreResult) { outcome = r.Outcome },
 	)
-	if sim.Run(monotime.Second); written != protocol.OK {
-		t.Fatal(written)
+	if sim.Run(monotime.Second); outcome != protocol.OK {
+		t.Fatalf("initial records: got outcome %v, want %v", outcome, protocol.OK)
 	}
 	folder := t.TempDir()
 	file := func(name, text string) string {
--- a/internal/protocol/field_reader.go
+++ b/internal/protocol/field_reader.go
@@ -5,26 +5,26 @@
 	"math"
 )
 
-// Bounds of the fields of a submission.
+// Upper bounds of the text and number fields of a submission.
 const (
 	maxTextBytes = 200
 	maxAmount    = 1e12
 )
 
-// fieldReader reads a decoded map, remembering the first thing wrong.
+// fieldReader reads and validates the fields of a decoded map. It keeps the first error.
 type fieldReader struct {
 	values map[string]any
 	err    error
 }
 
-// fail notes a fault, unless there is one already.
-func (f *fieldReader) fail(name, what string) {
+// fail records an error about a field, unless an earlier one is recorded.
+func (f *fieldReader) fail(name, reason string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s", name, what)
+		f.err = fmt.Errorf("%s: %s", name, reason)
 	}
 }
 
-// text reads a text that isn't empty; an optional one may be nil, and is empty then.
+// text reads a nonempty string. An optional field may be nil or absent, which returns "".
 func (f *fieldReader) text(name string, optional bool) string {
 	v := f.values[name]
 	if v == nil && optional {
@@ -38,13 +38,13 @@
 	return s
 }
 
-// nonNegative reads a number; an optional one may be nil, and is 0 then.
+// nonNegative reads a number of 0 or more. An optional field may be nil or absent, which returns 0.
 func (f *fieldReader) nonNegative(name string, optional bool) float64 {
 	v := f.values[name]
 	if v == nil && optional {
 		return 0
 	}
-	x, ok := number(v)
+	x, ok := toFloat64(v)
 	if !ok || math.IsNaN(x) || math.IsInf(x, 0) || x < 0 || x > maxAmount {
 		f.fail(name, "must be a finite amount of 0 or more")
 		return 0
@@ -52,20 +52,20 @@
 	return x
 }
 
-// integer reads a whole number between two bounds.
-func (f *fieldReader) integer(name string, least, most int64) int {
-	n, ok := wholeNumber(f.values[name])
+// integer reads an integer within the inclusive bounds.
+func (f *fieldReader) integer(name string, lowest, highest int64) int {
+	n, ok := toInt64(f.values[name])
 	if !ok {
 		f.fail(name, "must be an integer")
 		return 0
 	}
-	if n < least || n > most {
-		f.fail(name, fmt.Sprintf("must lie between %d and %d", least, most))
+	if n < lowest || n > highest {
+		f.fail(name, fmt.Sprintf("must lie between %d and %d", lowest, highest))
 	}
 	return int(n)
 }
 
-// boolean reads true or false.
+// boolean reads a required boolean.
 func (f *fieldReader) boolean(name string) bool {
 	v, ok := f.values[name].(bool)
 	if !ok {
@@ -74,21 +74,21 @@
 	return v
 }
 
-// number converts any number that MessagePack decodes to.
-func number(v any) (float64, bool) {
+// toFloat64 converts any numeric type that the MessagePack decoder returns.
+func toFloat64(v any) (float64, bool) {
 	switch x := v.(type) {
 	case float64:
 		return x, true
 	case float32:
 		return float64(x), true
 	}
-	n, ok := wholeNumber(v)
+	n, ok := toInt64(v)
 	return float64(n), ok
 }
 
-// wholeNumber converts any whole number that MessagePack decodes to; one that is too large becomes the
-// largest, which is beyond every bound.
-func wholeNumber(v any) (int64, bool) {
+// toInt64 converts any integer type that the MessagePack decoder returns. A value above the int64 range
+// becomes the largest int64, which exceeds the bounds of every field.
+func toInt64(v any) (int64, bool) {
 	switch x := v.(type) {
 	case int8:
 		return int64(x), true
--- a/internal/protocol/shape.go
+++ b/internal/protocol/shape.go
@@ -1,9 +1,11 @@
 package protocol
 
-// maxNesting bounds the levels of maps and lists in a message, the outermost value counted.
+// maxNesting bounds the nesting depth of maps and lists in a message. The outermost value counts as one
+// level.
 const maxNesting = 32
 
-// First bytes of a MessagePack value, and the ranges that they begin or end.
+// First bytes of MessagePack values: the bytes of single formats, and the first or last bytes of ranges of
+// formats.
 const (
 	lastPositiveFixint  = 0x7f
 	lastFixmap          = 0x8f
@@ -14,55 +16,57 @@
 	trueValue           = 0xc3
 	float32Value        = 0xca
 	float64Value        = 0xcb
-	firstUint, lastUint = 0xcc, 0xcf // of 1, 2, 4 and 8 bytes
-	firstInt, lastInt   = 0xd0, 0xd3 // likewise
-	firstStr, lastStr   = 0xd9, 0xdb // with a length of 1, 2 and 4 bytes
+	firstUint, lastUint = 0xcc, 0xcf // unsigned integers of 1, 2, 4 and 8 bytes
+	firstInt, lastInt   = 0xd0, 0xd3 // signed integers of 1, 2, 4 and 8 bytes
+	firstStr, lastStr   = 0xd9, 0xdb // strings with a length field of 1, 2 and 4 bytes
 	array16, array32    = 0xdc, 0xdd
 	map16, map32        = 0xde, 0xdf
 	firstNegativeFixint = 0xe0
 )
 
-// CheckShape walks one MessagePack value without building anything: every length must be covered by the bytes
-// that follow, and nesting is bounded. It returns ErrMalformed for any other bytes.
-func CheckShape(b []byte) error {
-	w := shapeWalker{bytes: b}
+// CheckWellFormed checks that the input is exactly one well-formed MessagePack value, without decoding it.
+// The input must contain at least as many bytes as every length in it announces, and the nesting depth is
+// bounded by maxNesting. For any other input it returns ErrMalformed.
+func CheckWellFormed(b []byte) error {
+	w := messageWalker{bytes: b}
 	w.remaining[0] = 1
 	for {
-		for w.remaining[w.level] == 0 {
-			if w.level == 0 {
-				if w.at != len(b) {
+		for w.remaining[w.depth] == 0 {
+			if w.depth == 0 {
+				if w.offset != len(b) {
 					return ErrMalformed
 				}
 				return nil
 			}
-			w.level--
+			w.depth--
 		}
-		w.remaining[w.level]--
+		w.remaining[w.depth]--
 		if !w.walkValue() {
 			return ErrMalformed
 		}
 	}
 }
 
-// shapeWalker is a walk over a value, from its first byte to its last.
-type shapeWalker struct {
+// messageWalker is the position of CheckWellFormed in its input.
+type messageWalker struct {
 	bytes     []byte
-	at        int
-	level     int
-	remaining [maxNesting]int // values still to come, a level each
+	offset    int
+	depth     int
+	remaining [maxNesting]int // number of values not visited yet, per nesting level
 }
 
-// has reports that at least n bytes are left; n may be negative, as the result of a length that couldn't be
-// read.
-func (w *shapeWalker) has(n int) bool { return n >= 0 && len(w.bytes)-w.at >= n }
+// hasBytes reports whether at least n bytes are left. It returns false for a negative n, which means that
+// readLength found too few bytes.
+func (w *messageWalker) hasBytes(n int) bool { return n >= 0 && len(w.bytes)-w.offset >= n }
 
-// walkValue passes over a value without what it contains; false if it isn't well-formed.
-func (w *shapeWalker) walkValue() bool {
-	if !w.has(1) {
+// walkValue moves past a scalar value, or past the header of a map or list, whose elements the next calls
+// visit. It returns false if the bytes are malformed.
+func (w *messageWalker) walkValue() bool {
+	if !w.hasBytes(1) {
 		return false
 	}
-	first := w.bytes[w.at]
-	w.at++
+	first := w.bytes[w.offset]
+	w.offset++
 	switch {
 	case first <= lastPositiveFixint || first >= firstNegativeFixint,
 		first == nilValue, first == falseValue, first == trueValue:
@@ -82,43 +86,44 @@
 	case first >= firstInt && first <= lastInt:
 		return w.skip(1 << (first - firstInt))
 	case first >= firstStr && first <= lastStr:
-		return w.skip(w.length(1 << (first - firstStr)))
+		return w.skip(w.readLength(1 << (first - firstStr)))
 	case first == array16 || first == array32:
-		return w.enter(w.length(2 << (first - array16)))
+		return w.enter(w.readLength(2 << (first - array16)))
 	case first == map16 || first == map32:
-		return w.enter(2 * w.length(2<<(first-map16)))
+		return w.enter(2 * w.readLength(2<<(first-map16)))
 	}
 	return false // binary data and extensions are not part of the protocol
 }
 
-// length reads a big-endian length of so many bytes, -1 if they aren't there.
-func (w *shapeWalker) length(size int) int {
-	if !w.has(size) {
+// readLength reads a big-endian length field of size bytes. It returns -1 if fewer bytes are left.
+func (w *messageWalker) readLength(size int) int {
+	if !w.hasBytes(size) {
 		return -1
 	}
 	length := 0
-	for _, c := range w.bytes[w.at : w.at+size] {
+	for _, c := range w.bytes[w.offset : w.offset+size] {
 		length = length<<8 | int(c)
 	}
-	w.at += size
+	w.offset += size
 	return length
 }
 
-// skip passes over the n bytes of a value.
-func (w *shapeWalker) skip(n int) bool {
-	if !w.has(n) {
+// skip moves past the n remaining bytes of a value. It returns false if fewer bytes are left.
+func (w *messageWalker) skip(n int) bool {
+	if !w.hasBytes(n) {
 		return false
 	}
-	w.at += n
+	w.offset += n
 	return true
 }
 
-// enter goes down to the n values of a list, or to the keys and values of a map. Each takes a byte at least.
-func (w *shapeWalker) enter(n int) bool {
-	if !w.has(n) || w.level+1 >= maxNesting {
+// enter descends to the n elements of a list, or the n keys and values of a map. It returns false if the
+// nesting is too deep, or if fewer than n bytes are left, since each element takes at least one byte.
+func (w *messageWalker) enter(n int) bool {
+	if !w.hasBytes(n) || w.depth+1 >= maxNesting {
 		return false
 	}
-	w.level++
-	w.remaining[w.level] = n
+	w.depth++
+	w.remaining[w.depth] = n
 	return true
 }
