--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -28,21 +28,21 @@
 	c.settings.ExpectedCapacity, c.settings.ExpectedOnDemandCapacity = 0.2, 1.75
 	c.settings.OverdueBootFactor, c.settings.ServiceHeadroom = 0.75, 0.3
 	clear(c.cloud.Capacity)
-	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = 135
-		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = 135
+	for _, zone := range []string{"a", "b"} {
+		c.cloud.Capacity[fake.OfferKey("m16", zone, false)] = 135
+		c.cloud.Capacity[fake.OfferKey("m16", zone, true)] = 135
 	}
 	c.checker.Limits["tight"], c.checker.Limits["free"], c.checker.Limits["third"] = 2500, 3500, 3500
 	return c
 }
 
 // submitWithRetry submits a job at a random controller, and again as a user does until it is accepted.
-func (c *cluster) submitWithRetry(run monotime.Micros, options ...jobOption) string {
-	id, j := c.newSubmission(options...)
-	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
-	body := protocol.MustMarshal(j)
-	var try func()
-	try = func() {
+func (c *cluster) submitWithRetry(runTime monotime.Micros, options ...jobOption) string {
+	id, submission := c.newSubmission(options...)
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: submission.Team, CPUs: submission.CPUs, RunTime: runTime}
+	body := protocol.MustMarshal(submission)
+	var send func()
+	send = func() {
 		settled := false
 		c.sendRequest(
 			c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))],
@@ -55,7 +55,7 @@
 				}
 				settled = true
 				if response.Status != 200 && response.Status != 201 {
-					c.sim.After(second, try)
+					c.sim.After(second, send)
 				} else if c.onAccepted != nil {
 					c.onAccepted(id)
 				}
@@ -64,25 +64,25 @@
 		c.sim.After(5*second, func() {
 			if !settled {
 				settled = true
-				try()
+				send()
 			}
 		})
 	}
-	try()
+	send()
 	return id
 }
 
 // bound is the range that a count of a simulation must be in.
 type bound struct {
-	what        string
-	least, most int
+	metric   string
+	min, max int
 }
 
 func requireWithinBounds(t *testing.T, got map[string]int, bounds []bound) {
 	t.Helper()
 	for _, b := range bounds {
-		if n := got[b.what]; n < b.least || n > b.most {
-			t.Errorf("%s: %d, want %d to %d", b.what, n, b.least, b.most)
+		if value := got[b.metric]; value < b.min || value > b.max {
+			t.Errorf("%s: %d, want %d to %d", b.metric, value, b.min, b.max)
 		}
 	}
 }
@@ -112,19 +112,19 @@
 			withEstimateS(0),
 		)
 	}
-	arrays := func(n int) {
+	submitArrays := func(n int) {
 		for i := 0; i < n; i++ {
-			run := monotime.Micros(float64(12*second) * (0.5 + 1.2*c.sim.Rand.Float64()))
-			c.submitWithRetry(run, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
+			runTime := monotime.Micros(float64(12*second) * (0.5 + 1.2*c.sim.Rand.Float64()))
+			c.submitWithRetry(runTime, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
 				withMemoryGB(10),
 				withImage(fmt.Sprint("tr", c.sim.Rand.IntN(18))), withImageGB(0.7), withEstimateS(12),
 				withSpot(true), withDeadlineS(46))
 		}
 	}
-	arrays(23)
+	submitArrays(23)
 	for s := 0; s < 70; s++ {
 		if s%2 == 0 {
-			arrays(1)
+			submitArrays(1)
 		}
 		c.sim.Run(second)
 		for _, node := range c.nodeNames {
@@ -175,11 +175,11 @@
 	})
 	// After all controllers have crashed at once they read it all again and go on.
 	c.kill(c.nodeNames...)
-	before, finished := c.store.Calls[protocol.StoreList], len(c.fleet.Finished)
+	listCalls, finished := c.store.Calls[protocol.StoreList], len(c.fleet.Finished)
 	c.sim.Run(3 * second)
 	c.start(c.nodeNames...)
 	c.sim.Run(12 * second)
-	if n := c.store.Calls[protocol.StoreList] - before; n > 5*20 {
+	if n := c.store.Calls[protocol.StoreList] - listCalls; n > 5*20 {
 		t.Errorf("%d lists to read everything again", n)
 	}
 	if len(c.fleet.Finished) <= finished {
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -19,23 +19,23 @@
 	c.fleet.HeartbeatInterval, c.fleet.LeaseTime, c.checker.CancelWithin = 4*second, 22*second, 42*second
 	c.cloud.BootTime = 25 * second
 	clear(c.cloud.Capacity)
-	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = 375
-		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = 395
+	for _, zone := range []string{"a", "b"} {
+		c.cloud.Capacity[fake.OfferKey("m16", zone, false)] = 375
+		c.cloud.Capacity[fake.OfferKey("m16", zone, true)] = 395
 	}
 	c.teams = nil
-	for i, most := range []float64{7000, 5000, 10000, 5000, 6000, 7000} {
+	for i, limit := range []float64{7000, 5000, 10000, 5000, 6000, 7000} {
 		name := fmt.Sprint("team", i)
-		c.teams = append(c.teams, config.Team{Name: name, CPUs: most / 3, CPUsMax: most})
-		c.checker.Limits[name] = most
+		c.teams = append(c.teams, config.Team{Name: name, CPUs: limit / 3, CPUsMax: limit})
+		c.checker.Limits[name] = limit
 	}
 	c.adjustFacts = func(cfg *config.Config) {
-		f := &cfg.Facts
-		f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 4, 22, 42
-		f.State.RPS, f.State.WriteRPS = 400, 100
-		f.Cloud.RPS = 9
-		f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.55, 320, 2800
-		f.Objectives = []config.Objective{
+		facts := &cfg.Facts
+		facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelWithinS = 4, 22, 42
+		facts.State.RPS, facts.State.WriteRPS = 400, 100
+		facts.Cloud.RPS = 9
+		facts.Quota.Cores, facts.Quota.MemoryMB, facts.Quota.MaxConnections = 0.55, 320, 2800
+		facts.Objectives = []config.Objective{
 			{Kind: "deadline", Class: "wide", Times: 1},
 			{Kind: "deadline", Class: "wide", Times: 1.5},
 			{Kind: "deadline", Class: "deep", Times: 1},
@@ -46,38 +46,38 @@
 }
 
 // submitOpeningLoad submits services and arrays: what waits when the load begins, or comes in a second.
-func (c *cluster) submitOpeningLoad(services, deep, wide int) {
-	for i := 0; i < services; i++ {
+func (c *cluster) submitOpeningLoad(serviceCount, deepCount, wideCount int) {
+	for i := 0; i < serviceCount; i++ {
 		c.submitWithRetry(0, withClass("svc"), withTeam(fmt.Sprint("team", i%6)), withService(true),
 			withPriority(protocol.High), withCPUs(1), withMemoryGB(6.3),
 			withImage(fmt.Sprint("svc", i%16)), withImageGB(1.8), withEstimateS(0))
 	}
-	array := func(class string, team, tasks int, cores, mem, guess, due float64) {
-		run := monotime.Micros(guess * float64(second) * (0.5 + c.sim.Rand.Float64()))
+	submitArray := func(class string, team, tasks int, cpus, memoryGB, estimateS, deadlineS float64) {
+		runTime := monotime.Micros(estimateS * float64(second) * (0.5 + c.sim.Rand.Float64()))
 		c.submitWithRetry(
-			run,
+			runTime,
 			withClass(class),
 			withTeam(fmt.Sprint("team", team)),
 			withTasks(tasks),
-			withCPUs(cores),
-			withMemoryGB(mem),
+			withCPUs(cpus),
+			withMemoryGB(memoryGB),
 			withImage(fmt.Sprint(class, c.sim.Rand.IntN(12))),
 			withImageGB(0.7),
-			withEstimateS(guess),
+			withEstimateS(estimateS),
 			withSpot(true),
-			withDeadlineS(due),
+			withDeadlineS(deadlineS),
 		)
 	}
-	for i := 0; i < deep; i++ {
-		array("deep", 1, 5+c.sim.Rand.IntN(60), 4, 23, 20, 50)
+	for i := 0; i < deepCount; i++ {
+		submitArray("deep", 1, 5+c.sim.Rand.IntN(60), 4, 23, 20, 50)
 	}
-	for i := 0; i < wide; i++ {
-		array("wide", c.sim.Rand.IntN(3), 20+c.sim.Rand.IntN(300), 2, 10, 12, 46)
+	for i := 0; i < wideCount; i++ {
+		submitArray("wide", c.sim.Rand.IntN(3), 20+c.sim.Rand.IntN(300), 2, 10, 12, 46)
 	}
 }
 
 // pollUntilFinal polls a job's status like its user, from its acceptance to its end.
-func (c *cluster) pollUntilFinal(id string, answered map[int]int) {
+func (c *cluster) pollUntilFinal(id string, statusCounts map[int]int) {
 	final := false
 	c.sim.After(c.randomDuration(5*second), func() {
 		node := c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))]
@@ -85,7 +85,7 @@
 			node = c.nodeNames[0]
 		}
 		c.sendRequest(node, "GET", protocol.JobPath(id), nil, func(response Response) {
-			answered[response.Status]++
+			statusCounts[response.Status]++
 			var jobStatus protocol.JobStatusReply
 			final = protocol.Unmarshal(response.Body, &jobStatus) == nil &&
 				jobStatus.Status == protocol.JobDone
@@ -93,7 +93,7 @@
 	})
 	c.sim.After(5*second, func() {
 		if !final {
-			c.pollUntilFinal(id, answered)
+			c.pollUntilFinal(id, statusCounts)
 		}
 	})
 }
@@ -107,8 +107,8 @@
 	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
 		got["largest report"] = max(got["largest report"], len(body))
 	}
-	answered := map[int]int{}
-	c.onAccepted = func(id string) { c.pollUntilFinal(id, answered) }
+	statusCounts := map[int]int{}
+	c.onAccepted = func(id string) { c.pollUntilFinal(id, statusCounts) }
 	c.start(c.nodeNames...)
 	c.sim.Run(3 * second)
 	c.submitOpeningLoad(1100, 22, 65)
@@ -116,14 +116,14 @@
 		c.submitOpeningLoad(8, 1, 1+s%2)
 		c.sim.Run(second)
 	}
-	running := func() (services, of int) {
+	countServices := func() (services, total int) {
 		for id, j := range c.fleet.Jobs {
 			if j.RunTime == 0 {
-				of++
+				total++
 				services += c.fleet.Running(id)
 			}
 		}
-		return services, of
+		return services, total
 	}
 	for _, node := range c.nodeNames {
 		got["examined"] += c.nodes[node].controller.scheduler.Counters().MachinesExamined
@@ -139,39 +139,39 @@
 	}
 	got["finished"] = len(c.fleet.Finished)
 	got["throttled"] = c.store.Throttled
-	used, room := 0.0, 0.0
+	used, capacity := 0.0, 0.0
 	for _, machine := range c.nodes["n-0"].controller.mirror.Machines {
 		if machine.Record != nil && machine.Record.State == storage.MachineOpen {
-			used, room = used+machine.Used.CPUs, room+16
+			used, capacity = used+machine.Used.CPUs, capacity+16
 		}
 	}
-	got["used of 100"] = int(100 * used / room)
+	got["used of 100"] = int(100 * used / capacity)
 
 	// One controller is left, with some three hundred of the machines, and soon owns them all.
-	sessions := map[string]uint64{}
+	incarnations := map[string]uint64{}
 	for id, worker := range c.fleet.Workers {
-		sessions[id] = worker.Incarnation
+		incarnations[id] = worker.Incarnation
 	}
-	changes, before := c.store.Changes, len(c.fleet.Finished)
+	changesBefore, finishedBefore := c.store.Changes, len(c.fleet.Finished)
 	c.refuseConnections = true
 	c.kill(c.nodeNames[1:]...)
-	clear(answered)
+	clear(statusCounts)
 	c.sim.Run(25 * second)
-	got["changes, alone"] = c.store.Changes - changes
-	core := c.nodes["n-0"].controller
-	for _, shard := range core.mirror.Shards {
-		if !core.shards.Owns(shard) {
+	got["changes, alone"] = c.store.Changes - changesBefore
+	controller := c.nodes["n-0"].controller
+	for _, shard := range controller.mirror.Shards {
+		if !controller.shards.Owns(shard) {
 			got["shards of others"]++
 		}
 	}
 	for id, worker := range c.fleet.Workers {
-		if !worker.Machine.Gone && sessions[id] != 0 && worker.Incarnation > sessions[id] {
+		if !worker.Machine.Gone && incarnations[id] != 0 && worker.Incarnation > incarnations[id] {
 			got["leases lost"]++
 		}
 	}
-	got["finished, alone"] = len(c.fleet.Finished) - before
-	got["polls answered, alone"] = answered[200]
-	got["services"], got["services of"] = running()
+	got["finished, alone"] = len(c.fleet.Finished) - finishedBefore
+	got["polls answered, alone"] = statusCounts[200]
+	got["services"], got["services of"] = countServices()
 	got["commands"], got["largest response"] = c.commandCount, c.largestResponse
 	got["changes"] = c.store.Changes
 	for _, n := range c.store.Calls {
--- a/internal/coordination/membership_test.go
+++ b/internal/coordination/membership_test.go
@@ -8,18 +8,21 @@
 func TestRenewedLeaseNeedsFreshMirrorToLead(t *testing.T) {
 	for seed := range uint64(3) {
 		c := newCluster(t, 620+seed).startWithLeader()
-		was := c.leaderNode()
-		c.store.RefusedCallers[was.name] = true
+		formerLeader := c.leaderNode()
+		c.store.RefusedCallers[formerLeader.name] = true
 		c.sim.Run(20 * second)
-		now := c.leaderNode()
-		if now == nil || now == was {
+		newLeader := c.leaderNode()
+		if newLeader == nil || newLeader == formerLeader {
 			t.Fatal("no other leader")
 		}
-		delete(c.store.RefusedCallers, was.name)
-		if c.sim.RunUntil(10*second, func() bool { return was.controller.membership.IsLeader(c.sim.Now()) }) {
+		delete(c.store.RefusedCallers, formerLeader.name)
+		if c.sim.RunUntil(
+			10*second,
+			func() bool { return formerLeader.controller.membership.IsLeader(c.sim.Now()) },
+		) {
 			t.Errorf("seed %d: two controllers lead", seed)
 		}
-		if !now.controller.membership.IsLeader(c.sim.Now()) {
+		if !newLeader.controller.membership.IsLeader(c.sim.Now()) {
 			t.Errorf("seed %d: the lead has moved on", seed)
 		}
 	}
--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -31,8 +31,8 @@
 			}
 			for _, node := range nodes {
 				c.store.RefusedCallers[node] = true
-				for _, o := range c.nodeNames {
-					c.disconnectedPairs[node+"-"+o] = true
+				for _, other := range c.nodeNames {
+					c.disconnectedPairs[node+"-"+other] = true
 				}
 			}
 			c.sim.Run(5 * second)
@@ -40,24 +40,24 @@
 				if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 503 {
 					t.Errorf("%s says %d to health checks", node, response.Status)
 				}
-				_, j := c.newSubmission()
-				for _, q := range []struct {
+				_, submission := c.newSubmission()
+				for _, request := range []struct {
 					method, target string
 					body           []byte
 				}{
-					{"POST", protocol.JobsPath, protocol.MustMarshal(j)},
+					{"POST", protocol.JobsPath, protocol.MustMarshal(submission)},
 					{"GET", protocol.JobPath(service), nil},
 					{"POST", protocol.CancelPath(service), nil},
 				} {
 					startedAt := c.sim.Now()
-					response := c.requestAndWait(node, q.method, q.target, q.body)
+					response := c.requestAndWait(node, request.method, request.target, request.body)
 					if response.Status != 503 || response.RetryAfter < 1 ||
 						c.sim.Now()-startedAt > second/2 {
 						t.Errorf(
 							"%s answers %s %s with %d after %d us",
 							node,
-							q.method,
-							q.target,
+							request.method,
+							request.target,
 							response.Status,
 							c.sim.Now()-startedAt,
 						)
@@ -81,9 +81,9 @@
 // with its watch.
 func TestLongWatchGapReloadsMirror(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		jobs  int
-		again bool
+		name   string
+		jobs   int
+		reload bool
 	}{{"few changes", 3, false}, {"many changes", 60, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, 41)
@@ -91,24 +91,24 @@
 			c.startWithLeader()
 			c.store.RefusedCallers["n-2"] = true
 			for i := 0; i < tc.jobs; i++ {
-				_, j := c.newSubmission(withCPUs(0.1))
-				c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j))
+				_, submission := c.newSubmission(withCPUs(0.1))
+				c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(submission))
 			}
 			c.sim.Run(15 * second)
 			lists := c.store.Calls[protocol.StoreList]
 			c.store.LargestWatchReply = 0
 			c.store.RefusedCallers["n-2"] = false
 			c.sim.Run(5 * second)
-			core := c.nodes["n-2"].controller
-			most := core.replica.MaxWatchChanges()
-			if got := c.store.LargestWatchReply; got > most {
-				t.Errorf("a watch brought %d changes, want %d at most", got, most)
+			controller := c.nodes["n-2"].controller
+			maxChanges := controller.replica.MaxWatchChanges()
+			if got := c.store.LargestWatchReply; got > maxChanges {
+				t.Errorf("a watch brought %d changes, want %d at most", got, maxChanges)
 			}
-			if again := c.store.Calls[protocol.StoreList] > lists+3; again != tc.again {
-				t.Errorf("read again: %v, want %v", again, tc.again)
+			if reload := c.store.Calls[protocol.StoreList] > lists+3; reload != tc.reload {
+				t.Errorf("read again: %v, want %v", reload, tc.reload)
 			}
 			want := len(c.store.Keys(storage.Key(storage.KindOpenJob, "")))
-			if got := len(core.mirror.Jobs); got != want || want == 0 {
+			if got := len(controller.mirror.Jobs); got != want || want == 0 {
 				t.Errorf("the mirror has %d jobs, the store %d", got, want)
 			}
 		})
@@ -120,9 +120,9 @@
 // and afterwards it serves again at once. Single machines that can't be reached are replaced as usual.
 func TestUnreachableZoneKeepsMachines(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		cutOff func(rented *fake.Machine, i int) bool
-		kept   bool
+		name         string
+		isCutOff     func(rented *fake.Machine, i int) bool
+		machinesKept bool
 	}{
 		{"a zone", func(rented *fake.Machine, _ int) bool { return rented.Zone == "a" }, true},
 		{"two machines", func(_ *fake.Machine, i int) bool { return i < 2 }, false},
@@ -135,53 +135,60 @@
 			c.nodeNames = c.nodeNames[:2] // each with more than a few machines in the zone
 			c.fleet.Controllers = c.nodeNames
 			c.startWithLeader()
-			there := map[string]bool{}
+			jobInZoneA := map[string]bool{}
 			for i := 0; i < 8; i++ {
 				id := c.submitWithRetry(600*second, withTasks(8), withCPUs(4), withMemoryGB(8),
 					withZone([]string{"a", "b"}[i%2]))
-				there[id] = i%2 == 0
+				jobInZoneA[id] = i%2 == 0
 			}
 			c.sim.Run(40 * second)
-			var cut []*fake.Worker
+			var cutOff []*fake.Worker
 			for i, id := range sortedmap.Keys(c.fleet.Workers) {
-				if worker := c.fleet.Workers[id]; tc.cutOff(worker.Machine, i) {
-					cut = append(cut, worker)
+				if worker := c.fleet.Workers[id]; tc.isCutOff(worker.Machine, i) {
+					cutOff = append(cutOff, worker)
 					worker.Partitioned = true
 					for _, node := range c.nodeNames {
 						c.disconnectedPairs[id+"-"+node] = true
 					}
 				}
 			}
-			before := map[string]bool{}
+			machinesBefore := map[string]bool{}
 			for id := range c.cloud.Machines {
-				before[id] = true
+				machinesBefore[id] = true
 			}
 			c.sim.Run(16 * second)
 			for i := 0; i < 4; i++ {
 				c.submitWithRetry(5*second, withTasks(20), withCPUs(4), withMemoryGB(8))
 			}
 			c.sim.Run(14 * second)
-			gone, inA := 0, 0
-			for _, worker := range cut {
+			deleted, rentedInZoneA := 0, 0
+			for _, worker := range cutOff {
 				if worker.Machine.Gone {
-					gone++
+					deleted++
 				}
 			}
 			for id, rented := range c.cloud.Machines {
-				if !before[id] && rented.Zone == "a" {
-					inA++
+				if !machinesBefore[id] && rented.Zone == "a" {
+					rentedInZoneA++
 				}
 			}
-			if len(cut) < 2 || tc.kept && (gone > 0 || inA > 0) || !tc.kept && gone < len(cut) {
-				t.Errorf("of %d machines cut off %d were deleted; %d rented in the zone", len(cut), gone, inA)
-			}
-			for _, worker := range cut {
+			if len(cutOff) < 2 ||
+				tc.machinesKept && (deleted > 0 || rentedInZoneA > 0) ||
+				!tc.machinesKept && deleted < len(cutOff) {
+				t.Errorf(
+					"of %d machines cut off %d were deleted; %d rented in the zone",
+					len(cutOff),
+					deleted,
+					rentedInZoneA,
+				)
+			}
+			for _, worker := range cutOff {
 				worker.Partitioned = false
 			}
 			clear(c.disconnectedPairs)
 			c.sim.Run(15 * second)
-			for id, a := range there {
-				if n := c.fleet.Running(id); a && tc.kept && n != 8 {
+			for id, inZoneA := range jobInZoneA {
+				if n := c.fleet.Running(id); inZoneA && tc.machinesKept && n != 8 {
 					t.Errorf("%d tasks of %s run after the return", n, id)
 				}
 			}
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -14,9 +14,9 @@
 // from nothing else.
 func TestServicePreemptsLowerPriorityOnly(t *testing.T) {
 	cases := []struct {
-		name        string
-		array, serv protocol.Priority
-		want        bool
+		name           string
+		array, service protocol.Priority
+		want           bool
 	}{
 		{"prod over standard", protocol.Standard, protocol.Production, true},
 		{"standard over best effort", protocol.BestEffort, protocol.Standard, true},
@@ -33,8 +33,8 @@
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(array) == 8 }) {
 				t.Fatalf("array: %d run", c.fleet.Running(array))
 			}
-			serv := c.submit(0, withService(true), withCPUs(4), withPriority(tc.serv))
-			got := c.sim.RunUntil(5*second, func() bool { return c.fleet.Running(serv) == 1 })
+			service := c.submit(0, withService(true), withCPUs(4), withPriority(tc.service))
+			got := c.sim.RunUntil(5*second, func() bool { return c.fleet.Running(service) == 1 })
 			if got != tc.want {
 				t.Errorf("service runs: %v", got)
 			}
@@ -74,8 +74,8 @@
 // low priority begins within four minutes, and gets on.
 func TestLargeLowPriorityJobIsNotStarved(t *testing.T) {
 	for _, tc := range []struct {
-		name        string
-		large, rest jobOption
+		name          string
+		large, others jobOption
 	}{
 		{"of lower priority", jobWith(withPriority(protocol.BestEffort), withTasks(60)),
 			jobWith(withPriority(protocol.Standard))},
@@ -89,12 +89,12 @@
 			c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 4
 			c.startWithLeader()
 			for i := 0; i < 6; i++ {
-				c.submitWithRetry(8*second, tc.rest)
+				c.submitWithRetry(8*second, tc.others)
 			}
 			c.sim.Run(15 * second)
 			large := c.submit(8*second, tc.large)
-			startedAt := c.sim.Now()
-			started := func() (n int) {
+			submittedAt := c.sim.Now()
+			startedTasks := func() (n int) {
 				for task := range c.fleet.Starts {
 					if jobIDOfTask(task) == large {
 						n++
@@ -102,21 +102,21 @@
 				}
 				return n
 			}
-			firstContactAt := monotime.Micros(0)
-			for c.sim.Now()-startedAt < 480*second {
+			firstStartAfter := monotime.Micros(0)
+			for c.sim.Now()-submittedAt < 480*second {
 				// Twice what there is room for, all the time.
 				for i := 0; i < 4; i++ {
-					c.submitWithRetry(8*second, withTasks(8), tc.rest)
+					c.submitWithRetry(8*second, withTasks(8), tc.others)
 				}
 				c.sim.Run(4 * second)
-				if firstContactAt == 0 && started() > 0 {
-					firstContactAt = c.sim.Now() - startedAt
+				if firstStartAfter == 0 && startedTasks() > 0 {
+					firstStartAfter = c.sim.Now() - submittedAt
 				}
 			}
-			if firstContactAt == 0 || firstContactAt > 240*second {
-				t.Errorf("began after %v s", firstContactAt.Seconds())
+			if firstStartAfter == 0 || firstStartAfter > 240*second {
+				t.Errorf("began after %v s", firstStartAfter.Seconds())
 			}
-			if n := started(); n < newSubmission(tc.large).Tasks/2 {
+			if n := startedTasks(); n < newSubmission(tc.large).Tasks/2 {
 				t.Errorf("%d of its tasks begun in eight minutes", n)
 			}
 			c.requireNoViolations()
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -22,7 +22,7 @@
 // randomFaults combines two to five faults of all kinds at random times, many of them
 // within seconds of each other.
 func randomFaults(rnd *rand.Rand) []fault {
-	span := func(least, most monotime.Micros) monotime.Micros {
+	between := func(least, most monotime.Micros) monotime.Micros {
 		return least + monotime.Micros(rnd.Int64N(int64(most-least)))
 	}
 	controller := func() controllerPicker {
@@ -31,75 +31,79 @@
 		}
 		return followerController(rnd.IntN(3))
 	}
-	kinds := []func(at monotime.Micros) fault{
+	constructors := []func(at monotime.Micros) fault{
 		func(at monotime.Micros) fault {
-			return storeRejectsController(at, controller(), span(second, 40*second))
+			return storeRejectsController(at, controller(), between(second, 40*second))
 		},
-		func(at monotime.Micros) fault { return storeOutage(at, span(second, 45*second)) },
+		func(at monotime.Micros) fault { return storeOutage(at, between(second, 45*second)) },
 		func(at monotime.Micros) fault {
-			return crashController(at, controller(), span(second/10, 20*second))
+			return crashController(at, controller(), between(second/10, 20*second))
 		},
-		func(at monotime.Micros) fault { return crashAllControllers(at, span(second/2, 25*second)) },
-		func(at monotime.Micros) fault { return peerPartition(at, controller(), span(second, 40*second)) },
+		func(at monotime.Micros) fault { return crashAllControllers(at, between(second/2, 25*second)) },
+		func(at monotime.Micros) fault { return peerPartition(at, controller(), between(second, 40*second)) },
 		func(at monotime.Micros) fault {
-			return storeAndPeerPartition(at, controller(), span(second, 40*second))
+			return storeAndPeerPartition(at, controller(), between(second, 40*second))
 		},
-		func(at monotime.Micros) fault { return processPause(at, controller(), span(second, 25*second)) },
-		func(at monotime.Micros) fault { return machinesHang(at, 1+rnd.IntN(6), span(second, 30*second)) },
+		func(at monotime.Micros) fault { return processPause(at, controller(), between(second, 25*second)) },
+		func(at monotime.Micros) fault { return machinesHang(at, 1+rnd.IntN(6), between(second, 30*second)) },
 		func(at monotime.Micros) fault {
-			return machinesPartitioned(at, 1+rnd.IntN(8), span(second, 40*second))
+			return machinesPartitioned(at, 1+rnd.IntN(8), between(second, 40*second))
 		},
 		func(at monotime.Micros) fault {
-			return machinesUnreachable(at, 1+rnd.IntN(8), span(second, 40*second))
+			return machinesUnreachable(at, 1+rnd.IntN(8), between(second, 40*second))
 		},
-		func(at monotime.Micros) fault { return machinesMuted(at, 1+rnd.IntN(8), span(second, 40*second)) },
+		func(at monotime.Micros) fault { return machinesMuted(at, 1+rnd.IntN(8), between(second, 40*second)) },
 		func(at monotime.Micros) fault {
-			return delayedCommits(at, rnd.Float64()/3, span(5*second, 50*second))
+			return delayedCommits(at, rnd.Float64()/3, between(5*second, 50*second))
 		},
 		func(at monotime.Micros) fault {
-			return lostCommitAnswers(at, rnd.Float64()/2, span(5*second, 50*second))
+			return lostCommitAnswers(at, rnd.Float64()/2, between(5*second, 50*second))
 		},
 		func(at monotime.Micros) fault {
-			return delayedCommands(at, rnd.Float64(), span(5*second, 50*second))
+			return delayedCommands(at, rnd.Float64(), between(5*second, 50*second))
 		},
 		func(at monotime.Micros) fault {
-			return duplicateReports(at, rnd.Float64(), span(5*second, 50*second))
+			return duplicateReports(at, rnd.Float64(), between(5*second, 50*second))
 		},
 		func(at monotime.Micros) fault { return duplicateReportsToNextLeader(at, rnd.Float64(), 60*second) },
 		func(at monotime.Micros) fault {
-			return slowStoreReplies(at, span(second/10, 3*second), span(5*second, 50*second))
+			return slowStoreReplies(at, between(second/10, 3*second), between(5*second, 50*second))
 		},
-		func(at monotime.Micros) fault { return zonePartition(at, span(second, 45*second)) },
+		func(at monotime.Micros) fault { return zonePartition(at, between(second, 45*second)) },
 		func(at monotime.Micros) fault { return machinesVanish(at, 1+rnd.IntN(4)) },
 		func(at monotime.Micros) fault {
-			return submitAtRate(at, second, span(10*second, 50*second), submitSingleTask)
+			return submitAtRate(at, second, between(10*second, 50*second), submitSingleTask)
 		},
 	}
 	var faults []fault
-	at := span(warmUp, lastFaultAt)
+	at := between(firstFaultAt, lastFaultAt)
 	for range 2 + rnd.IntN(4) {
-		faults = append(faults, kinds[rnd.IntN(len(kinds))](at))
-		if at += span(0, 6*second); rnd.IntN(4) == 0 {
-			at = span(warmUp, lastFaultAt)
+		faults = append(faults, constructors[rnd.IntN(len(constructors))](at))
+		if at += between(0, 6*second); rnd.IntN(4) == 0 {
+			at = between(firstFaultAt, lastFaultAt)
 		}
 	}
 	if rnd.IntN(2) == 0 {
-		at := span(warmUp, lastFaultAt)
+		at := between(firstFaultAt, lastFaultAt)
 		faults = append(
 			faults,
-			cancelTeamJobs(at, "tight", 1+rnd.IntN(3), span(second, 20*second)),
-			crashController(at+span(0, 3*second), controller(), span(second/10, 5*second)),
+			cancelTeamJobs(at, "tight", 1+rnd.IntN(3), between(second, 20*second)),
+			crashController(at+between(0, 3*second), controller(), between(second/10, 5*second)),
 		)
 	}
 	for range 2 + rnd.IntN(3) {
-		near := faults[rnd.IntN(len(faults))].at
+		nearbyFaultAt := faults[rnd.IntN(len(faults))].at
 		hangFor := monotime.Micros(0)
 		if rnd.IntN(3) == 0 {
-			hangFor = span(second, 15*second)
+			hangFor = between(second, 15*second)
 		}
 		faults = append(
 			faults,
-			cancelRunningJobs(max(warmUp, near+span(-2*second, 5*second)), 1+rnd.IntN(4), hangFor),
+			cancelRunningJobs(
+				max(firstFaultAt, nearbyFaultAt+between(-2*second, 5*second)),
+				1+rnd.IntN(4),
+				hangFor,
+			),
 		)
 	}
 	return faults
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -17,8 +17,8 @@
 func newBusyCluster(t *testing.T, seed uint64) (c *cluster, service string) {
 	c = newCluster(t, seed)
 	clear(c.cloud.Capacity)
-	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[fake.OfferKey("m8", z, false)] = 12
+	for _, zone := range []string{"a", "b"} {
+		c.cloud.Capacity[fake.OfferKey("m8", zone, false)] = 12
 	}
 	c.startWithLeader()
 	service = c.submit(0, withService(true), withPriority(protocol.High), withTasks(24), withCPUs(6))
@@ -31,35 +31,35 @@
 
 // restartedTasks counts the starts of a job's tasks beyond their first.
 func (c *cluster) restartedTasks(id string) int {
-	n := 0
+	restarts := 0
 	for task, starts := range c.fleet.Starts {
 		if jobIDOfTask(task) == id {
-			n += starts - 1
+			restarts += starts - 1
 		}
 	}
-	return n
+	return restarts
 }
 
 // ownedMachines counts the machines that the store has with a controller.
 func (c *cluster) ownedMachines(node string) int {
-	n := 0
+	count := 0
 	for _, other := range c.nodeNames {
-		if core := c.nodes[other].controller; core != nil && other != node {
-			for _, machine := range core.mirror.Machines {
+		if controller := c.nodes[other].controller; controller != nil && other != node {
+			for _, machine := range controller.mirror.Machines {
 				if machine.Record != nil && machine.Owner() == node {
-					n++
+					count++
 				}
 			}
-			return n
+			return count
 		}
 	}
-	return n
+	return count
 }
 
 // controllerWithMachines names a controller that has machines, and the lead or not.
-func (c *cluster) controllerWithMachines(lead bool) string {
+func (c *cluster) controllerWithMachines(leading bool) string {
 	for _, node := range c.nodeNames {
-		if (c.leaderNode() == c.nodes[node]) == lead && c.ownedMachines(node) >= 3 {
+		if (c.leaderNode() == c.nodes[node]) == leading && c.ownedMachines(node) >= 3 {
 			return node
 		}
 	}
@@ -69,10 +69,10 @@
 
 // disconnect cuts a controller from all workers, or from the controllers, or both; it gives
 // the way back.
-func (c *cluster) disconnect(node string, workers, peers bool) (mend func()) {
-	old := map[string]bool{}
+func (c *cluster) disconnect(node string, workers, peers bool) (reconnect func()) {
+	previous := map[string]bool{}
 	for k, v := range c.disconnectedPairs {
-		old[k] = v
+		previous[k] = v
 	}
 	if workers {
 		for i := 1; i < 200; i++ {
@@ -84,7 +84,7 @@
 			c.disconnectedPairs[n+"-"+node] = true
 		}
 	}
-	return func() { c.disconnectedPairs = old }
+	return func() { c.disconnectedPairs = previous }
 }
 
 // TestPartiallyReachableControllerHandsOffMachines: a controller that loses its workers, the store, the
@@ -96,8 +96,8 @@
 	for i, tc := range []struct {
 		name                  string
 		workers, store, peers bool
-		lead                  bool
-		within                monotime.Micros // by when its machines are others'
+		leading               bool
+		handOffTime           monotime.Micros // by when its machines are others'
 	}{
 		{"workers", true, false, false, false, 9 * second},
 		{"workers, leading", true, false, false, true, 9 * second},
@@ -110,27 +110,27 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c, service := newBusyCluster(t, uint64(1000+i))
-			node := c.controllerWithMachines(tc.lead)
-			mend := c.disconnect(node, tc.workers, tc.peers)
+			node := c.controllerWithMachines(tc.leading)
+			reconnect := c.disconnect(node, tc.workers, tc.peers)
 			if tc.store {
 				c.store.RefusedCallers[node] = true
 			}
-			if tc.within > 0 {
-				c.sim.Run(tc.within)
+			if tc.handOffTime > 0 {
+				c.sim.Run(tc.handOffTime)
 				if n := c.ownedMachines(node); n > 0 {
 					t.Errorf("it still has %d machines", n)
 				}
-				unheard := 0
+				unacknowledged := 0
 				for _, n := range c.nodeNames {
 					for _, machine := range c.nodes[n].controller.mirror.Machines {
 						if n != node && c.nodes[n].controller.agents.Of(machine) != nil &&
 							!c.nodes[n].controller.agents.Of(machine).ClaimAcknowledged() {
-							unheard++
+							unacknowledged++
 						}
 					}
 				}
-				if unheard > 0 {
-					t.Errorf("%d machines have not come to their new owners", unheard)
+				if unacknowledged > 0 {
+					t.Errorf("%d machines have not come to their new owners", unacknowledged)
 				}
 			}
 			if tc.workers && !tc.peers {
@@ -145,10 +145,10 @@
 			if n := c.restartedTasks(service); n > 0 {
 				t.Errorf("%d replicas started anew", n)
 			}
-			if tc.workers && tc.within > 0 && c.ownedMachines(node) > 0 {
+			if tc.workers && tc.handOffTime > 0 && c.ownedMachines(node) > 0 {
 				t.Errorf("it has claimed %d machines that it doesn't reach", c.ownedMachines(node))
 			}
-			mend()
+			reconnect()
 			c.store.RefusedCallers[node] = false
 			c.sim.Run(15 * second)
 			if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 200 {
@@ -169,12 +169,12 @@
 // has gone, or can't use it, also what it had kept beyond what ran there; its return changes nothing of that,
 // and the limit holds.
 func TestQuotaOfAbsentControllerIsReleased(t *testing.T) {
-	for i, away := range []string{"gone", "cut off from its workers"} {
-		t.Run(away, func(t *testing.T) {
+	for i, failure := range []string{"gone", "cut off from its workers"} {
+		t.Run(failure, func(t *testing.T) {
 			c := newCluster(t, uint64(1070+i))
 			clear(c.cloud.Capacity)
-			for _, z := range []string{"a", "b"} {
-				c.cloud.Capacity[fake.OfferKey("m8", z, false)] = 12
+			for _, zone := range []string{"a", "b"} {
+				c.cloud.Capacity[fake.OfferKey("m8", zone, false)] = 12
 			}
 			c.teams = []config.Team{{Name: "free"}, {Name: "tight", CPUs: 8, CPUsMax: 90}}
 			c.checker.Limits["tight"] = 90
@@ -183,17 +183,17 @@
 			c.sim.Run(40 * second)
 			first := c.submit(15*second, withTeam("tight"), withTasks(60), withCPUs(1))
 			c.sim.Run(5 * second)
-			node, most := "", 0.0
+			node, largestShare := "", 0.0
 			for _, n := range c.nodeNames {
-				if a := c.nodes[n].controller.quota.ShareOf(n, "tight").CPUs; a > most &&
+				if share := c.nodes[n].controller.quota.ShareOf(n, "tight").CPUs; share > largestShare &&
 					c.ownedMachines(n) >= 3 {
-					node, most = n, a
+					node, largestShare = n, share
 				}
 			}
 			if node == "" {
 				t.Fatal("no controller has a share")
 			}
-			if away == "gone" {
+			if failure == "gone" {
 				c.kill(node)
 			} else {
 				c.disconnect(node, true, false)
@@ -203,18 +203,21 @@
 			if other == node {
 				other = c.nodeNames[1]
 			}
-			core := c.nodes[other].controller
-			if a := core.quota.ShareOf(node, "tight").CPUs; a > 0 {
-				t.Errorf("it still has %v CPUs", a)
+			controller := c.nodes[other].controller
+			if share := controller.quota.ShareOf(node, "tight").CPUs; share > 0 {
+				t.Errorf("it still has %v CPUs", share)
 			}
 			c.requireFinished(first, 60*second)
-			all := c.submit(20*second, withTeam("tight"), withTasks(90), withCPUs(1))
-			at := 0
-			c.sim.RunUntil(40*second, func() bool { at = max(at, c.fleet.Running(all)); return at >= 86 })
-			if at < 86 {
-				t.Errorf("%d of 90 run at once", at)
+			fullLimit := c.submit(20*second, withTeam("tight"), withTasks(90), withCPUs(1))
+			maxRunning := 0
+			c.sim.RunUntil(40*second, func() bool {
+				maxRunning = max(maxRunning, c.fleet.Running(fullLimit))
+				return maxRunning >= 86
+			})
+			if maxRunning < 86 {
+				t.Errorf("%d of 90 run at once", maxRunning)
 			}
-			if away == "gone" {
+			if failure == "gone" {
 				c.start(node)
 			}
 			c.sim.Run(20 * second)
@@ -255,17 +258,17 @@
 	c.refuseConnections = true
 	c.store.Outage(16 * second)
 	c.kill("n-1", "n-2")
-	mine := 0
+	ownReplicas := 0
 	for _, machine := range c.nodes[node].controller.mirror.Machines {
 		if c.nodes[node].controller.agents.Of(machine) != nil {
-			mine += len(machine.Attempts)
+			ownReplicas += len(machine.Attempts)
 		}
 	}
 	c.sim.Run(18 * second)
 	c.start("n-1", "n-2")
 	c.sim.Run(20 * second)
-	if n := c.restartedTasks(service); n > 24-mine {
-		t.Errorf("%d replicas started anew, only %d were others'", n, 24-mine)
+	if n := c.restartedTasks(service); n > 24-ownReplicas {
+		t.Errorf("%d replicas started anew, only %d were others'", n, 24-ownReplicas)
 	}
 	c.requireNoViolations()
 }
@@ -275,10 +278,10 @@
 // was itself that received nothing, and acts on none of its stale state.
 func TestPausedControllerTrustsNothingStale(t *testing.T) {
 	for i, tc := range []struct {
-		name string
-		lead bool
-		d    monotime.Micros
-		most int // replicas that start anew
+		name        string
+		leading     bool
+		pauseTime   monotime.Micros
+		maxRestarts int // replicas that start anew
 	}{
 		{"for a moment", false, 2 * second, 0},
 		{"for a moment, leading", true, 2 * second, 0},
@@ -291,14 +294,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c, service := newBusyCluster(t, uint64(1200+i))
-			node := c.controllerWithMachines(tc.lead)
+			node := c.controllerWithMachines(tc.leading)
 			machines := c.cloud.MachineCount()
 			array := c.submit(6*second, withTasks(24), withCPUs(1))
 			c.sim.Run(2 * second)
-			c.pause(node, tc.d)
-			c.sim.Run(tc.d + 30*second)
+			c.pause(node, tc.pauseTime)
+			c.sim.Run(tc.pauseTime + 30*second)
 			c.requireFinished(array, 40*second)
-			if n := c.restartedTasks(service); n > tc.most {
+			if n := c.restartedTasks(service); n > tc.maxRestarts {
 				t.Errorf("%d replicas started anew", n)
 			}
 			if n := c.cloud.MachineCount(); n < machines {
@@ -317,31 +320,31 @@
 // all that time; it is not answered before the mirror is fresh.
 func TestHeartbeatAfterPauseWaitsForFreshMirror(t *testing.T) {
 	c, _ := newBusyCluster(t, 1300)
-	core := c.nodes["n-0"].controller
+	controller := c.nodes["n-0"].controller
 	var machine *mirror.Machine
-	for _, id := range sortedmap.Keys(core.mirror.Machines) {
-		if o := core.mirror.Machines[id]; core.agents.Of(o) != nil {
-			machine = o
+	for _, id := range sortedmap.Keys(controller.mirror.Machines) {
+		if candidate := controller.mirror.Machines[id]; controller.agents.Of(candidate) != nil {
+			machine = candidate
 		}
 	}
 	worker := c.fleet.Workers[machine.ID]
 	body := protocol.MustMarshal(worker.Heartbeat())
-	alive := core.agents.Of(machine).LastReachedAt()
-	got := 0
-	c.pause(core.node, 5*second)
+	lastReachedAt := controller.agents.Of(machine).LastReachedAt()
+	status := 0
+	c.pause(controller.node, 5*second)
 	c.sendRequest(
-		core.node,
+		controller.node,
 		"POST",
 		protocol.HeartbeatPath,
 		body,
-		func(response Response) { got = response.Status },
+		func(response Response) { status = response.Status },
 	)
 	c.sim.Run(5 * second)
-	core.tick() // the first thing that it does
+	controller.tick() // the first thing that it does
 	c.sim.Run(monotime.Millisecond)
-	if got == 200 ||
-		core.agents.Of(machine) != nil && core.agents.Of(machine).LastReachedAt() > alive {
-		t.Errorf("answered %d", got)
+	if status == 200 ||
+		controller.agents.Of(machine) != nil && controller.agents.Of(machine).LastReachedAt() > lastReachedAt {
+		t.Errorf("answered %d", status)
 	}
 }
 
@@ -352,29 +355,29 @@
 	c := newBurstCluster(t, 1500, func(cfg *config.Config) { cfg.Facts.State.ValueKB = 0.5 })
 	c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(50), withCPUs(3))
 	c.sim.Run(20 * second)
-	node, most := "", 0
-	count := func(node string) (shards, mine int) {
+	node, mostShards := "", 0
+	countShards := func(node string) (shards, reclaimed int) {
 		for _, shard := range c.nodes["n-2"].controller.mirror.Shards {
 			if shard.Record.Owner == node {
 				shards++
-				if core := c.nodes[node].controller; core != nil &&
-					shard.Record.Incarnation == core.incarnation {
-					mine++
+				if controller := c.nodes[node].controller; controller != nil &&
+					shard.Record.Incarnation == controller.incarnation {
+					reclaimed++
 				}
 			}
 		}
-		return shards, mine
+		return shards, reclaimed
 	}
 	for _, n := range c.nodeNames[:2] {
-		if shards, _ := count(n); shards > most {
-			node, most = n, shards
+		if shards, _ := countShards(n); shards > mostShards {
+			node, mostShards = n, shards
 		}
 	}
-	if most < 3 {
-		t.Fatalf("%d shards", most)
+	if mostShards < 3 {
+		t.Fatalf("%d shards", mostShards)
 	}
-	var noise func()
-	noise = func() {
+	var writeRepeatedly func()
+	writeRepeatedly = func() {
 		call := &protocol.StoreCall{
 			Op:      protocol.StoreCommit,
 			Timeout: second,
@@ -383,15 +386,18 @@
 			},
 		}
 		c.store.Call("noise", call, func(protocol.StoreResult) {})
-		c.sim.After(15*monotime.Millisecond, noise)
+		c.sim.After(15*monotime.Millisecond, writeRepeatedly)
 	}
-	noise()
+	writeRepeatedly()
 	c.kill(node)
 	c.sim.Run(300 * monotime.Millisecond)
 	c.start(node)
-	if !c.sim.RunUntil(3*second, func() bool { shards, mine := count(node); return mine == shards }) {
-		shards, mine := count(node)
-		t.Errorf("after three seconds %d of %d shards are its own", mine, shards)
+	if !c.sim.RunUntil(3*second, func() bool {
+		shards, reclaimed := countShards(node)
+		return reclaimed == shards
+	}) {
+		shards, reclaimed := countShards(node)
+		t.Errorf("after three seconds %d of %d shards are its own", reclaimed, shards)
 	}
 	c.requireNoViolations()
 }
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -15,37 +15,38 @@
 // answer with a time to come back, and what waits stays bounded.
 func TestOverloadAnswersImmediately(t *testing.T) {
 	c := newCluster(t, 13).startWithLeader()
-	core := c.nodes["n-0"].controller
-	answers := map[int]int{}
+	controller := c.nodes["n-0"].controller
+	statusCounts := map[int]int{}
 	late := 0
 	for i := 0; i < 3000; i++ {
-		id, j := c.newSubmission()
-		startedAt := c.sim.Now()
-		back := func(response Response) {
-			answers[response.Status]++
+		id, submission := c.newSubmission()
+		sentAt := c.sim.Now()
+		callback := func(response Response) {
+			statusCounts[response.Status]++
 			if (response.Status == 429 || response.Status == 503) && response.RetryAfter < 1 {
 				t.Error("no time to come back")
 			}
-			if c.sim.Now()-startedAt > 3*second {
+			if c.sim.Now()-sentAt > 3*second {
 				late++
 			}
 		}
-		c.sendRequest("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j), back)
-		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, back)
-		if n := core.store.QueuedCalls(ratelimit.PriorityUserRequest); n > core.api.MaxQueuedUserCalls()+1 {
+		c.sendRequest("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(submission), callback)
+		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, callback)
+		if n := controller.store.QueuedCalls(ratelimit.PriorityUserRequest); n >
+			controller.api.MaxQueuedUserCalls()+1 {
 			t.Fatalf("%d calls wait", n)
 		}
-		if core.replica.PendingReads() > api.MaxWaitingReaders {
-			t.Fatalf("%d polls wait", core.replica.PendingReads())
+		if controller.replica.PendingReads() > api.MaxWaitingReaders {
+			t.Fatalf("%d polls wait", controller.replica.PendingReads())
 		}
 	}
 	c.sim.Run(10 * second)
 	total := 0
-	for _, n := range answers {
+	for _, n := range statusCounts {
 		total += n
 	}
-	if total != 6000 || answers[201] == 0 || answers[429] == 0 || late > 0 {
-		t.Errorf("answers %v, %d late", answers, late)
+	if total != 6000 || statusCounts[201] == 0 || statusCounts[429] == 0 || late > 0 {
+		t.Errorf("answers %v, %d late", statusCounts, late)
 	}
 }
 
@@ -53,8 +54,8 @@
 // outage leaves every node healthy, one that is refused alone says so.
 func TestStoreOutageIsReportedAtOnce(t *testing.T) {
 	c := newCluster(t, 14).startWithLeader()
-	_, j := c.newSubmission()
-	body := protocol.MustMarshal(j)
+	_, submission := c.newSubmission()
+	body := protocol.MustMarshal(submission)
 	c.store.Outage(20 * second)
 	c.sim.Run(5 * second)
 	for _, node := range c.nodeNames {
@@ -80,9 +81,9 @@
 // commit is applied late is one job.
 func TestLateCommitOfRepeatedSubmissionIsOneJob(t *testing.T) {
 	c := newCluster(t, 15).startWithLeader()
-	id, j := c.newSubmission()
+	id, submission := c.newSubmission()
 	c.fleet.Jobs[id] = fake.JobBehavior{Team: "free", CPUs: 2, RunTime: 2 * second}
-	body := protocol.MustMarshal(j)
+	body := protocol.MustMarshal(submission)
 	first := true
 	c.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 		for _, operation := range txn.Then {
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -20,10 +20,10 @@
 	c.adjustFacts = func(cfg *config.Config) {
 		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "survey", WithinS: 50, Share: 0.9}}
 	}
-	core := c.startWithLeader().nodes["n-0"].controller
-	core.mirror.UseByTeam["free"] = resources.Vector{CPUs: 32}
-	core.mirror.UseByTeam["other"] = resources.Vector{CPUs: 32}
-	saving := func(change func(*storage.JobSpec)) *mirror.Job {
+	controller := c.startWithLeader().nodes["n-0"].controller
+	controller.mirror.UseByTeam["free"] = resources.Vector{CPUs: 32}
+	controller.mirror.UseByTeam["other"] = resources.Vector{CPUs: 32}
+	jobWithCheckpoints := func(change func(*storage.JobSpec)) *mirror.Job {
 		job := &mirror.Job{ID: "j-1", TaskResources: resources.Vector{CPUs: 16}}
 		job.Record.Spec = storage.JobSpec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
 		change(&job.Record.Spec)
@@ -41,7 +41,7 @@
 		{"a service", func(spec *storage.JobSpec) { spec.Service = true }, false},
 		{"within its team's guarantee", func(spec *storage.JobSpec) { spec.Team = "other" }, false},
 	} {
-		if got := core.scheduler.IsPreemptible(saving(tc.change)); got != tc.want {
+		if got := controller.scheduler.IsPreemptible(jobWithCheckpoints(tc.change)); got != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
 		}
 	}
@@ -53,16 +53,16 @@
 // its machines, ordinary ones requested for it, while others waited for gaps.
 func TestScavengerWorkUsesSpareRoom(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		spot int
+		name         string
+		spotCapacity int
 	}{{"spot machines", 3}, {"ordinary ones only", 0}} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := newCluster(t, uint64(800+tc.spot))
+			c := newCluster(t, uint64(800+tc.spotCapacity))
 			c.teams = []config.Team{{Name: "free", CPUs: 40, CPUsMax: 200}, {Name: "guest"}}
 			c.settings.ScaleDownDelay = config.Duration(8 * second)
 			for _, typ := range testTypes {
-				for _, z := range typ.Zones {
-					c.cloud.Capacity[fake.OfferKey(typ.Name, z, true)] = tc.spot
+				for _, zone := range typ.Zones {
+					c.cloud.Capacity[fake.OfferKey(typ.Name, zone, true)] = tc.spotCapacity
 				}
 			}
 			c.startWithLeader()
@@ -78,17 +78,18 @@
 				withSaveS(1),
 			)
 			c.sim.Run(100 * second)
-			ordinary := 0
+			onDemandMachines := 0
 			for _, rented := range c.cloud.Machines {
 				if !rented.Spot && !rented.Gone {
-					ordinary++
+					onDemandMachines++
 				}
 			}
-			begun := c.fleet.Running(scavenger)
-			if tc.spot == 0 && (begun == 0 || ordinary > 1) || tc.spot > 0 && (begun < 30 || ordinary > 0) {
-				t.Fatalf("%d of its tasks run, %d ordinary machines", begun, ordinary)
+			running := c.fleet.Running(scavenger)
+			if tc.spotCapacity == 0 && (running == 0 || onDemandMachines > 1) ||
+				tc.spotCapacity > 0 && (running < 30 || onDemandMachines > 0) {
+				t.Fatalf("%d of its tasks run, %d ordinary machines", running, onDemandMachines)
 			}
-			if tc.spot == 0 {
+			if tc.spotCapacity == 0 {
 				return
 			}
 			id := c.submit(3*second, withTasks(20), withCPUs(4), withSpot(true), withEstimateS(3),
@@ -100,8 +101,8 @@
 				}
 			}
 			c.sim.Run(20 * second)
-			if n := c.fleet.Running(scavenger); n < begun*3/4 {
-				t.Errorf("%d of its tasks run again, %d before", n, begun)
+			if n := c.fleet.Running(scavenger); n < running*3/4 {
+				t.Errorf("%d of its tasks run again, %d before", n, running)
 			}
 			c.requireNoViolations()
 		})
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -18,25 +18,27 @@
 		c.submitLongArrays(machines)
 		c.submitOpeningLoad(machines/2, machines/100, machines/20)
 		c.sim.Run(45 * second)
-		core := c.leaderNode().controller
+		controller := c.leaderNode().controller
 		now := c.sim.Now()
-		var own []*mirror.Shard
-		for _, name := range sortedmap.Keys(core.mirror.Shards) {
-			if shard := core.mirror.Shards[name]; core.shards.Owns(shard) {
-				own = append(own, shard)
+		var ownShards []*mirror.Shard
+		for _, name := range sortedmap.Keys(controller.mirror.Shards) {
+			if shard := controller.mirror.Shards[name]; controller.shards.Owns(shard) {
+				ownShards = append(ownShards, shard)
 			}
 		}
 		for _, part := range []struct {
 			name string
 			run  func()
 		}{
-			{"order of jobs", func() { core.scheduler.OrderedQueue() }},
-			{"demand and room", func() { core.autoscaler.demandAndSupply(core.autoscaler.snapshot(now)) }},
-			{"offers", func() { core.autoscaler.snapshot(now).Offers(core.drains.ClosesOffer) }},
-			{"free capacity", func() { core.scheduler.CapacityByPartition() }},
-			{"shard updates", func() { core.shards.PrepareUpdates(now) }},
+			{"order of jobs", func() { controller.scheduler.OrderedQueue() }},
+			{"demand and room", func() {
+				controller.autoscaler.demandAndSupply(controller.autoscaler.snapshot(now))
+			}},
+			{"offers", func() { controller.autoscaler.snapshot(now).Offers(controller.drains.ClosesOffer) }},
+			{"free capacity", func() { controller.scheduler.CapacityByPartition() }},
+			{"shard updates", func() { controller.shards.PrepareUpdates(now) }},
 			{"encoding shards", func() {
-				for _, shard := range own {
+				for _, shard := range ownShards {
 					shard.Record.Encode()
 				}
 			}},
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -29,8 +29,8 @@
 	leases := s.adjustFacts
 	s.adjustFacts = func(cfg *config.Config) {
 		leases(cfg)
-		st := &cfg.Facts.State
-		st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps = 200, 40, 16, 32
+		state := &cfg.Facts.State
+		state.RPS, state.WriteRPS, state.ValueKB, state.TxnOps = 200, 40, 16, 32
 	}
 	s.store = fake.NewStateStore(s.sim, 200, 40, 32)
 	s.disconnectionSeen = map[string]bool{}
@@ -73,20 +73,20 @@
 
 // expiredLeases counts how often leases have ended on machines that are up.
 func (s *scenario) expiredLeases() int {
-	ended := 0
+	expired := 0
 	for _, worker := range s.fleet.Workers {
 		if !worker.Machine.Gone {
-			ended += int(worker.Incarnation) - 1
+			expired += int(worker.Incarnation) - 1
 		}
 	}
-	return ended
+	return expired
 }
 
 // crashAllExcept crashes all controllers but one, which then takes over all machines.
-func crashAllExcept(stays string, at, duration monotime.Micros) fault {
+func crashAllExcept(survivor string, at, duration monotime.Micros) fault {
 	return fault{at, "all but one crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
-			if node != stays {
+			if node != survivor {
 				crashController(0, func(*scenario) string { return node }, duration).inject(s)
 			}
 		}
@@ -99,9 +99,9 @@
 // leases may end before any is back, but nothing runs twice.
 func TestSlowRestartsExpireNoAdoptableLeases(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		faults    []fault
-		mostEnded float64 // fraction of the machines' leases that may end
+		name       string
+		faults     []fault
+		maxExpired float64 // fraction of the machines' leases that may end
 	}{
 		{"one", []fault{crashController(60*second, leaderController, slowRestartDelay)}, 0.05},
 		{"all but one", []fault{crashAllExcept("n-1", 60*second, slowRestartDelay)}, 0.05},
@@ -119,18 +119,18 @@
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range uint64(3) {
 				s := newShortLeaseScenario(t, 5400+seed)
-				s.refuseConnections, s.controllerDownSeen = false, map[string]bool{}
+				s.refuseConnections, s.connectionReset = false, map[string]bool{}
 				s.start(s.nodeNames...)
 				s.sim.Run(3 * second)
 				s.submitWholeMachineJobs()
 				s.scheduleFaults(tc.faults...)
 				s.scheduleFaults(submitAtRate(20*second, second, 100*second, submitSmallUrgentArray))
 				s.sim.Run(58*second - s.sim.Now())
-				before, machines := s.expiredLeases(), len(s.pickMachines(1000))
+				expiredBefore, machines := s.expiredLeases(), len(s.pickMachines(1000))
 				s.sim.Run(45 * second)
-				if ended := s.expiredLeases() - before; float64(ended) > tc.mostEnded*float64(machines) ||
-					machines < 20 {
-					t.Errorf("seed %d: %d leases of %d machines ended", seed, ended, machines)
+				if expired := s.expiredLeases() - expiredBefore; float64(expired) >
+					tc.maxExpired*float64(machines) || machines < 20 {
+					t.Errorf("seed %d: %d leases of %d machines ended", seed, expired, machines)
 				}
 				s.sim.Run(60 * second)
 				s.requireNoViolations()
@@ -141,11 +141,11 @@
 
 // maxMachinesOfOneController is how many machines the controller with most of them has.
 func (s *scenario) maxMachinesOfOneController() int {
-	most, count := 0, map[string]int{}
+	most, machinesByOwner := 0, map[string]int{}
 	for _, machine := range s.leaderNode().controller.mirror.Machines {
 		if machine.Record != nil {
-			count[machine.Owner()]++
-			most = max(most, count[machine.Owner()])
+			machinesByOwner[machine.Owner()]++
+			most = max(most, machinesByOwner[machine.Owner()])
 		}
 	}
 	return most
@@ -176,19 +176,19 @@
 					zonePartition(90*second, 20*second),
 				)
 				s.sim.Run(85*second - s.sim.Now())
-				if most := s.maxMachinesOfOneController(); len(tc.faults) > 0 &&
-					3*most < 2*len(s.pickMachines(1000)) {
+				if mostMachines := s.maxMachinesOfOneController(); len(tc.faults) > 0 &&
+					3*mostMachines < 2*len(s.pickMachines(1000)) {
 					t.Fatalf(
 						"seed %d: no controller has more than %d of %d machines",
 						seed,
-						most,
+						mostMachines,
 						len(s.pickMachines(1000)),
 					)
 				}
-				before, machines := s.expiredLeases(), len(s.pickMachines(1000))
+				expiredBefore, machines := s.expiredLeases(), len(s.pickMachines(1000))
 				s.sim.Run(40 * second)
-				if ended := s.expiredLeases() - before; ended > machines/20 || machines < 20 {
-					t.Errorf("seed %d: %d leases of %d machines ended", seed, ended, machines)
+				if expired := s.expiredLeases() - expiredBefore; expired > machines/20 || machines < 20 {
+					t.Errorf("seed %d: %d leases of %d machines ended", seed, expired, machines)
 				}
 				s.sim.Run(60 * second)
 				s.requireNoViolations()
@@ -224,8 +224,8 @@
 	}
 	busy := storage.Key(storage.KindShard, names[0])
 	s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
-		for _, cond := range txn.If {
-			if cond.Key == busy {
+		for _, compare := range txn.If {
+			if compare.Key == busy {
 				s.store.Rewrite(busy)
 			}
 		}
@@ -233,15 +233,15 @@
 	}
 	s.zonesPartitioned = true
 	s.sim.Run(9 * second)
-	left := map[string]int{}
+	remaining := map[string]int{}
 	for _, machine := range mirror.Machines {
 		if machine.Record != nil && machine.Owner() == "n-1" && machine.Record.Zone == "a" {
-			left[machine.Shard.Name]++
+			remaining[machine.Shard.Name]++
 		}
 	}
 	for _, name := range names[1:] {
-		if left[name] > 0 {
-			t.Errorf("%d of %d machines of %s have not been adopted", left[name], perShard[name], name)
+		if remaining[name] > 0 {
+			t.Errorf("%d of %d machines of %s have not been adopted", remaining[name], perShard[name], name)
 		}
 	}
 	s.requireNoViolations()
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -95,7 +95,7 @@
 			disconnectedPairs:   map[string]bool{},
 			unreachableMachines: map[string]bool{},
 			mutedMachines:       map[string]bool{},
-			pausedWork:          map[string]*[]func(){},
+			pausedControllers:   map[string]*[]func(){},
 		},
 	}
 	c.store = fake.NewStateStore(sim, 200, 50, 12)
@@ -131,33 +131,33 @@
 
 func (c *cluster) nodeConfig(node string) *config.Config {
 	cfg := &config.Config{Node: node, Area: "a", PublicAddr: "127.0.0.1:1", PeerBind: "127.0.0.1:2"}
-	for _, n := range c.nodeNames {
-		if n != node {
-			cfg.Peers = append(cfg.Peers, config.Peer{Node: n, Area: "b", Addr: "127.0.0.1:3"})
+	for _, peer := range c.nodeNames {
+		if peer != node {
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: peer, Area: "b", Addr: "127.0.0.1:3"})
 		}
 	}
-	f := &cfg.Facts
+	facts := &cfg.Facts
 	defer func() {
 		if c.adjustFacts != nil {
 			c.adjustFacts(cfg)
 		}
 	}()
-	f.Zones, f.Teams = []string{"a", "b"}, c.teams
-	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 2, 12, 32
-	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 200, 50, 4, 12
-	f.Cloud.RPS, f.Cloud.ListLagS = 6, 3
-	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.3, 100, 500
+	facts.Zones, facts.Teams = []string{"a", "b"}, c.teams
+	facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelWithinS = 2, 12, 32
+	facts.State.RPS, facts.State.WriteRPS, facts.State.ValueKB, facts.State.TxnOps = 200, 50, 4, 12
+	facts.Cloud.RPS, facts.Cloud.ListLagS = 6, 3
+	facts.Quota.Cores, facts.Quota.MemoryMB, facts.Quota.MaxConnections = 0.3, 100, 500
 	return cfg
 }
 
 func (c *cluster) start(nodes ...string) {
 	for _, name := range nodes {
-		controller := c.nodes[name]
-		controller.incarnation++
+		node := c.nodes[name]
+		node.incarnation++
 		env := &simEnv{
-			node:        controller,
-			incarnation: controller.incarnation,
-			random:      rand.New(rand.NewPCG(uint64(controller.incarnation), c.sim.Rand.Uint64())),
+			node:        node,
+			incarnation: node.incarnation,
+			random:      rand.New(rand.NewPCG(uint64(node.incarnation), c.sim.Rand.Uint64())),
 		}
 		out := io.Discard
 		if os.Getenv("PIPITGAP_TEST_LOG") != "" {
@@ -165,8 +165,8 @@
 		}
 		log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug})).
 			With("controller", name)
-		controller.controller = NewController(c.nodeConfig(name), c.settings, env, log)
-		controller.controller.Start()
+		node.controller = NewController(c.nodeConfig(name), c.settings, env, log)
+		node.controller.Start()
 	}
 }
 
@@ -184,9 +184,9 @@
 }
 
 // restart kills a controller and starts it again after a while.
-func (c *cluster) restart(node string, after monotime.Micros) {
+func (c *cluster) restart(node string, downtime monotime.Micros) {
 	c.kill(node)
-	c.sim.After(after, func() { c.startIfDown(node) })
+	c.sim.After(downtime, func() { c.startIfDown(node) })
 }
 
 // startWithLeader starts all controllers and waits for a leader.
@@ -198,7 +198,8 @@
 
 func (c *cluster) leaderNode() *simController {
 	for _, node := range c.nodeNames {
-		if core := c.nodes[node].controller; core != nil && core.membership.IsLeader(c.sim.Now()) {
+		if controller := c.nodes[node].controller; controller != nil &&
+			controller.membership.IsLeader(c.sim.Now()) {
 			return c.nodes[node]
 		}
 	}
@@ -214,27 +215,27 @@
 }
 
 // sendRequest sends a request on a new connection; a controller that is down doesn't answer.
-func (c *cluster) sendRequest(node, method, target string, body []byte, back func(Response)) {
-	controller := c.nodes[node]
-	if controller.controller == nil {
+func (c *cluster) sendRequest(node, method, target string, body []byte, callback func(Response)) {
+	receiver := c.nodes[node]
+	if receiver.controller == nil {
 		return
 	}
-	incarnation := controller.incarnation
+	incarnation := receiver.incarnation
 	pending := c.checker.UserRequest(method, target, body)
 	c.runWhenResumed(node, func() {
-		if controller.incarnation != incarnation || controller.controller == nil {
+		if receiver.incarnation != incarnation || receiver.controller == nil {
 			return
 		}
-		controller.controller.HandleRequest(method, target, body, func(response Response) {
+		receiver.controller.HandleRequest(method, target, body, func(response Response) {
 			c.largestResponse = max(c.largestResponse, len(response.Body))
 			if c.wire != nil {
 				c.wire(node, "answer", wireAnswer(method, target, response))
 			}
-			if controller.incarnation == incarnation && controller.controller != nil {
+			if receiver.incarnation == incarnation && receiver.controller != nil {
 				if pending != nil {
 					pending.Answered(response.Status, response.Body)
 				}
-				back(response)
+				callback(response)
 			}
 		})
 	})
@@ -242,10 +243,10 @@
 
 // requestAndWait sends a request and waits up to five seconds for its answer.
 func (c *cluster) requestAndWait(node, method, target string, body []byte) Response {
-	var rep Response
-	c.sendRequest(node, method, target, body, func(response Response) { rep = response })
-	c.sim.RunUntil(5*second, func() bool { return rep.Status != 0 })
-	return rep
+	var received Response
+	c.sendRequest(node, method, target, body, func(response Response) { received = response })
+	c.sim.RunUntil(5*second, func() bool { return received.Status != 0 })
+	return received
 }
 
 // newSubmission is a submission of the cluster's next job.
@@ -257,11 +258,11 @@
 }
 
 // submit submits a job until it is accepted, with retries as users make them, and returns its id.
-func (c *cluster) submit(run monotime.Micros, options ...jobOption) string {
+func (c *cluster) submit(runTime monotime.Micros, options ...jobOption) string {
 	c.t.Helper()
-	id, j := c.newSubmission(options...)
-	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
-	body := protocol.MustMarshal(j)
+	id, submission := c.newSubmission(options...)
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: submission.Team, CPUs: submission.CPUs, RunTime: runTime}
+	body := protocol.MustMarshal(submission)
 	for i := 0; i < 30; i++ {
 		response := c.requestAndWait(c.nodeNames[i%len(c.nodeNames)], "POST", protocol.JobsPath, body)
 		if response.Status == 201 || response.Status == 200 {
@@ -281,32 +282,32 @@
 }
 
 // requireFinished waits until a job's status is done, and fails the test if that takes too long.
-func (c *cluster) requireFinished(id string, within monotime.Micros) {
+func (c *cluster) requireFinished(id string, timeout monotime.Micros) {
 	c.t.Helper()
-	i := 0
-	ok := c.sim.RunUntil(within, func() bool {
-		i++
-		code, jobStatus := c.jobStatus(c.nodeNames[i%len(c.nodeNames)], id)
+	queries := 0
+	finished := c.sim.RunUntil(timeout, func() bool {
+		queries++
+		code, jobStatus := c.jobStatus(c.nodeNames[queries%len(c.nodeNames)], id)
 		return code == 200 && jobStatus.Status == protocol.JobDone
 	})
-	if !ok {
+	if !finished {
 		_, jobStatus := c.jobStatus(c.nodeNames[0], id)
-		c.t.Fatalf("job %s is not done after %v s: %+v", id, within.Seconds(), jobStatus)
+		c.t.Fatalf("job %s is not done after %v s: %+v", id, timeout.Seconds(), jobStatus)
 	}
 }
 
 // requireAllFinished waits for each of the jobs in turn like requireFinished.
-func (c *cluster) requireAllFinished(ids []string, within monotime.Micros) {
+func (c *cluster) requireAllFinished(ids []string, timeout monotime.Micros) {
 	c.t.Helper()
 	for _, id := range ids {
-		c.requireFinished(id, within)
+		c.requireFinished(id, timeout)
 	}
 }
 
 // requireReplicas waits until so many replicas of a service run.
-func (c *cluster) requireReplicas(service string, replicas int, within monotime.Micros) {
+func (c *cluster) requireReplicas(service string, replicas int, timeout monotime.Micros) {
 	c.t.Helper()
-	if !c.sim.RunUntil(within, func() bool { return c.fleet.Running(service) == replicas }) {
+	if !c.sim.RunUntil(timeout, func() bool { return c.fleet.Running(service) == replicas }) {
 		c.t.Errorf("service has %d replicas of %d", c.fleet.Running(service), replicas)
 	}
 }
@@ -319,6 +320,6 @@
 }
 
 // randomDuration draws a time below the given one.
-func (c *cluster) randomDuration(duration monotime.Micros) monotime.Micros {
-	return monotime.Micros(c.sim.Rand.Int64N(int64(duration)))
+func (c *cluster) randomDuration(limit monotime.Micros) monotime.Micros {
+	return monotime.Micros(c.sim.Rand.Int64N(int64(limit)))
 }
--- a/internal/coordination/simulated_environment_test.go
+++ b/internal/coordination/simulated_environment_test.go
@@ -30,10 +30,10 @@
 }
 
 // reportCall reports a call to the test.
-func (e *simEnv) reportCall(what string, v any) {
+func (e *simEnv) reportCall(target string, v any) {
 	if e.node.cluster.onCall != nil {
 		raw, _ := json.Marshal(v)
-		e.node.cluster.onCall(e.node.name + " " + what + " " + string(raw))
+		e.node.cluster.onCall(e.node.name + " " + target + " " + string(raw))
 	}
 }
 
@@ -64,25 +64,25 @@
 	)
 }
 
-func (e *simEnv) CallCloud(c *protocol.CloudCall, back func(protocol.CloudResult)) {
+func (e *simEnv) CallCloud(c *protocol.CloudCall, callback func(protocol.CloudResult)) {
 	e.reportCall("cloud", c)
 	e.record("cloud", func() string { return wireCloudCall(c) })
 	e.node.cluster.cloud.Call(
 		c,
-		func(result protocol.CloudResult) { e.whileAlive(func() { back(result) })() },
+		func(result protocol.CloudResult) { e.whileAlive(func() { callback(result) })() },
 	)
 }
 
 func (e *simEnv) SendCommands(
 	endpoint string,
-	req *protocol.CommandRequest,
-	within monotime.Micros,
+	request *protocol.CommandRequest,
+	timeout monotime.Micros,
 	callback func(protocol.CommandResult),
 ) {
 	c := e.node.cluster
 	c.commandCount++
-	e.reportCall(endpoint, req)
-	e.record("command", func() string { return wireCommand(endpoint, req, within) })
+	e.reportCall(endpoint, request)
+	e.record("command", func() string { return wireCommand(endpoint, request, timeout) })
 	answered := false
 	answer := func(result protocol.CommandResult) {
 		if !answered {
@@ -90,21 +90,21 @@
 			e.whileAlive(func() { callback(result) })()
 		}
 	}
-	c.sim.After(within, func() { answer(protocol.CommandResult{}) })
+	c.sim.After(timeout, func() { answer(protocol.CommandResult{}) })
 	worker := c.fleet.ByEndpoint[endpoint]
 	if worker == nil || worker.Machine.Gone {
 		return
 	}
 	delay := networkLatency
 	if c.commandDelay != nil {
-		delay += c.commandDelay(worker, req)
+		delay += c.commandDelay(worker, request)
 	}
 	execute := func() {
 		result := protocol.CommandResult{Status: 200}
-		if req == nil {
+		if request == nil {
 			result.Heartbeat = *worker.Heartbeat()
 		} else {
-			result = worker.Execute(req)
+			result = worker.Execute(request)
 		}
 		c.sim.After(networkLatency, func() { answer(result) })
 	}
@@ -128,10 +128,10 @@
 	}
 	frame := peers.Frame(&status)
 	c.sim.After(networkLatency, func() {
-		if controller := c.nodes[node]; controller.controller != nil {
+		if receiver := c.nodes[node]; receiver.controller != nil {
 			c.runWhenResumed(node, func() {
-				if controller.controller != nil {
-					controller.controller.OnPeerStatus(peers.FromFrame(&frame))
+				if receiver.controller != nil {
+					receiver.controller.OnPeerStatus(peers.FromFrame(&frame))
 				}
 			})
 		}
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -15,12 +15,12 @@
 	refuseConnections   bool            // controllers that are down refuse connections
 	// controllerDownSeen, if set, has the machines whose connection a controller that is down has reset:
 	// their next connections to it get no answer.
-	controllerDownSeen map[string]bool
+	connectionReset map[string]bool
 	// disconnectionSeen, if set, has the machines that got no answer through a cut: their next connections
 	// are refused.
 	disconnectionSeen map[string]bool
 	// pausedWork has the controllers whose process is paused, with what waits for them.
-	pausedWork map[string]*[]func()
+	pausedControllers map[string]*[]func()
 }
 
 // networkLatency is how long a message takes between workers and controllers.
@@ -28,10 +28,10 @@
 
 // sendHeartbeat carries a worker's heartbeat to a controller through the network faults. back gets status 0
 // at once when the connection is refused or reset, and nothing when there is no answer.
-func (c *cluster) sendHeartbeat(worker *fake.Worker, node string, body []byte, back func(int, []byte)) {
+func (c *cluster) sendHeartbeat(worker *fake.Worker, node string, body []byte, callback func(int, []byte)) {
 	machine := worker.Machine.ID
 	if c.cannotReach(worker, node) && c.disconnectionSeen[machine] {
-		c.sim.After(networkLatency, func() { back(0, nil) })
+		c.sim.After(networkLatency, func() { callback(0, nil) })
 		return
 	}
 	if c.cannotReach(worker, node) || c.mutedMachines[machine] {
@@ -45,7 +45,7 @@
 		c.onReport(worker, node, body)
 	}
 	if c.nodes[node].controller == nil && c.refusesConnection(machine) {
-		c.sim.After(networkLatency, func() { back(0, nil) })
+		c.sim.After(networkLatency, func() { callback(0, nil) })
 		return
 	}
 	c.sim.After(networkLatency, func() {
@@ -53,7 +53,7 @@
 			if c.unreachableMachines[machine] {
 				return
 			}
-			c.sim.After(networkLatency, func() { back(response.Status, response.Body) })
+			c.sim.After(networkLatency, func() { callback(response.Status, response.Body) })
 		})
 	})
 }
@@ -61,8 +61,8 @@
 // refusesConnection tells whether a controller that is down refuses or resets a machine's connection, rather
 // than not answer.
 func (c *cluster) refusesConnection(machine string) bool {
-	if c.controllerDownSeen != nil && !c.controllerDownSeen[machine] {
-		c.controllerDownSeen[machine] = true
+	if c.connectionReset != nil && !c.connectionReset[machine] {
+		c.connectionReset[machine] = true
 		return true
 	}
 	return c.refuseConnections
@@ -88,22 +88,22 @@
 }
 
 // runWhenResumed calls f now, or when the controller's process resumes if it is paused.
-func (c *cluster) runWhenResumed(node string, f func()) {
-	if waiting := c.pausedWork[node]; waiting != nil {
-		*waiting = append(*waiting, f)
+func (c *cluster) runWhenResumed(node string, callback func()) {
+	if deferred := c.pausedControllers[node]; deferred != nil {
+		*deferred = append(*deferred, callback)
 		return
 	}
-	f()
+	callback()
 }
 
 // pause suspends a controller's process for a while: its clocks run on, and all that comes to it waits.
 func (c *cluster) pause(node string, duration monotime.Micros) {
-	waiting := &[]func(){}
-	c.pausedWork[node] = waiting
+	deferred := &[]func(){}
+	c.pausedControllers[node] = deferred
 	c.sim.After(duration, func() {
-		delete(c.pausedWork, node)
-		for _, f := range *waiting {
-			f()
+		delete(c.pausedControllers, node)
+		for _, callback := range *deferred {
+			callback()
 		}
 	})
 }
--- a/internal/coordination/simulated_scenario_test.go
+++ b/internal/coordination/simulated_scenario_test.go
@@ -18,11 +18,11 @@
 }
 
 const (
-	// warmUp is when the first faults may begin: jobs run by then.
-	warmUp = 40 * second
-	// settlingTime is how long a scenario goes on after its last fault: longer than requests about an
+	// firstFaultAt is when the first faults may begin: jobs run by then.
+	firstFaultAt = 40 * second
+	// recoveryTime is how long a scenario goes on after its last fault: longer than requests about an
 	// accepted job may go unanswered, and than a task may wait beside room.
-	settlingTime = 150 * second
+	recoveryTime = 150 * second
 	// maxCompletions is how often a task may complete. A result is lost with its machine, which few
 	// faults cause twice for one task.
 	maxCompletions = 3
@@ -39,11 +39,11 @@
 }
 
 // addUser has a new user submit a job.
-func (s *scenario) addUser(run monotime.Micros, options ...jobOption) *simUser {
-	u := s.newUser(run, options...)
-	u.eagerQueries = s.eagerQueries
-	s.users = append(s.users, u)
-	return u
+func (s *scenario) addUser(runTime monotime.Micros, options ...jobOption) *simUser {
+	user := s.newUser(runTime, options...)
+	user.eagerQueries = s.eagerQueries
+	s.users = append(s.users, user)
+	return user
 }
 
 // submitUsualJobs submits services and arrays, long and short, of both teams.
@@ -58,12 +58,12 @@
 }
 
 // pollFor evaluates a condition every pollForInterval and calls then when it holds, or after a time at most.
-func (s *scenario) pollFor(most monotime.Micros, ok func() bool, then func()) {
-	if ok() || most <= 0 {
-		then()
+func (s *scenario) pollFor(timeout monotime.Micros, condition func() bool, onDone func()) {
+	if condition() || timeout <= 0 {
+		onDone()
 		return
 	}
-	s.sim.After(pollForInterval, func() { s.pollFor(most-pollForInterval, ok, then) })
+	s.sim.After(pollForInterval, func() { s.pollFor(timeout-pollForInterval, condition, onDone) })
 }
 
 // deliverDuplicateReport delivers a copy of an old heartbeat to every controller.
@@ -74,14 +74,14 @@
 }
 
 // runFaults injects the faults, ends them all after a time, and checks that the cluster recovers.
-func (s *scenario) runFaults(faults []fault, lasting monotime.Micros) {
+func (s *scenario) runFaults(faults []fault, duration monotime.Micros) {
 	s.start(s.nodeNames...)
 	s.sim.Run(3 * second)
 	s.submitUsualJobs()
 	s.scheduleFaults(faults...)
-	s.sim.Run(lasting - 3*second)
-	s.settleAndCheck()
-	s.sim.Run(settlingTime)
+	s.sim.Run(duration - 3*second)
+	s.endFaults()
+	s.sim.Run(recoveryTime)
 	s.checkAcceptedJobsKnown()
 	s.requireNoViolations()
 }
@@ -93,8 +93,8 @@
 	}
 }
 
-// settleAndCheck ends every fault and has the checker look for tasks that wait beside room from then on.
-func (s *scenario) settleAndCheck() {
+// endFaults ends every fault and has the checker look for tasks that wait beside room from then on.
+func (s *scenario) endFaults() {
 	s.store.DelayCommit, s.store.LoseResponse, s.store.DelayResponse = nil, nil, nil
 	s.commandDelay, s.onReport, s.zonesPartitioned = nil, nil, false
 	clear(s.store.RefusedCallers)
@@ -122,19 +122,19 @@
 // checkAcceptedJobsKnown checks that every job is accepted, that requests about it are answered, and that its
 // user knows when it is done.
 func (s *scenario) checkAcceptedJobsKnown() {
-	for _, u := range s.users {
-		if u.accepted && !u.finished && s.sim.Now()-u.answeredAt > fake.MaxUnanswered {
-			s.checker.ReportUnanswered(u.id)
+	for _, user := range s.users {
+		if user.accepted && !user.finished && s.sim.Now()-user.lastAnsweredAt > fake.MaxUnanswered {
+			s.checker.ReportUnanswered(user.id)
 		}
-		if !u.accepted {
-			s.t.Errorf("job %s is not accepted", u.id)
+		if !user.accepted {
+			s.t.Errorf("job %s is not accepted", user.id)
 		}
-		if n := s.checker.MaxCompletions(u.id); n > maxCompletions {
-			s.t.Errorf("job %s: a task has completed %d times", u.id, n)
+		if completions := s.checker.MaxCompletions(user.id); completions > maxCompletions {
+			s.t.Errorf("job %s: a task has completed %d times", user.id, completions)
 		}
-		if at, complete := s.checker.IsJobCompleted(u.id); complete && !u.finished &&
-			s.sim.Now()-at > fake.MaxUnanswered {
-			s.t.Errorf("job %s: completed at %.0f s, its user doesn't know", u.id, at.Seconds())
+		if completedAt, completed := s.checker.IsJobCompleted(user.id); completed && !user.finished &&
+			s.sim.Now()-completedAt > fake.MaxUnanswered {
+			s.t.Errorf("job %s: completed at %.0f s, its user doesn't know", user.id, completedAt.Seconds())
 		}
 	}
 }
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -17,40 +17,45 @@
 // simUser owns one job: it submits it until it is accepted, polls its status, and may cancel it. The checker
 // sees all answers.
 type simUser struct {
-	cluster      *cluster
-	id           string
-	body         []byte
-	eagerQueries bool // polls all controllers at once whenever something has changed
-	accepted     bool
-	finished     bool
-	answeredAt   monotime.Micros // when a request was last answered with 200
-	cancelling   bool
+	cluster        *cluster
+	id             string
+	body           []byte
+	eagerQueries   bool // polls all controllers at once whenever something has changed
+	accepted       bool
+	finished       bool
+	lastAnsweredAt monotime.Micros // when a request was last answered with 200
+	cancelling     bool
 }
 
 // newUser makes a user who submits a job whose tasks run for a time; 0: a service.
-func (c *cluster) newUser(run monotime.Micros, options ...jobOption) *simUser {
-	id, j := c.newSubmission(options...)
-	if run == 0 {
-		j.Service = true
+func (c *cluster) newUser(runTime monotime.Micros, options ...jobOption) *simUser {
+	id, submission := c.newSubmission(options...)
+	if runTime == 0 {
+		submission.Service = true
 	}
-	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, MemoryGB: j.MemoryGB, RunTime: run}
-	u := &simUser{cluster: c, id: id, body: protocol.MustMarshal(j)}
-	u.submit()
-	return u
+	c.fleet.Jobs[id] = fake.JobBehavior{
+		Team:     submission.Team,
+		CPUs:     submission.CPUs,
+		MemoryGB: submission.MemoryGB,
+		RunTime:  runTime,
+	}
+	user := &simUser{cluster: c, id: id, body: protocol.MustMarshal(submission)}
+	user.submit()
+	return user
 }
 
 // send sends a request to a controller and calls back once, with a status of 0 if no answer came in time.
 func (u *simUser) send(
 	node, method, target string,
 	body []byte,
-	within monotime.Micros,
-	back func(status int, state string),
+	timeout monotime.Micros,
+	callback func(status int, state string),
 ) {
 	answered := false
 	answer := func(status int, state string) {
 		if !answered {
 			answered = true
-			back(status, state)
+			callback(status, state)
 		}
 	}
 	u.cluster.sendRequest(node, method, target, body, func(response Response) {
@@ -58,7 +63,7 @@
 		_ = protocol.Unmarshal(response.Body, &reply)
 		answer(response.Status, reply.Status)
 	})
-	u.cluster.sim.After(within, func() { answer(0, "") })
+	u.cluster.sim.After(timeout, func() { answer(0, "") })
 }
 
 func (u *simUser) randomNode() string {
@@ -73,7 +78,7 @@
 			u.cluster.sim.After(retryAfter, u.submit)
 			return
 		}
-		u.accepted, u.answeredAt = true, u.cluster.sim.Now()
+		u.accepted, u.lastAnsweredAt = true, u.cluster.sim.Now()
 		u.queryAllNodes()
 		u.cluster.sim.After(u.cluster.randomDuration(pollInterval), u.poll)
 	})
@@ -115,7 +120,7 @@
 	if status != 200 {
 		return
 	}
-	u.answeredAt = u.cluster.sim.Now()
+	u.lastAnsweredAt = u.cluster.sim.Now()
 	final := state == protocol.JobDone || state == protocol.JobCancelled
 	if final && !u.finished {
 		u.finished = true
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -18,7 +18,7 @@
 		owner          string
 		incarnation    uint64 // 0: this controller's
 		inDoubtUpdates bool
-		left           float64
+		want           float64
 	}{
 		{"own shard", "n-0", 0, false, 6},
 		{"own shard, and a commit in doubt", "n-0", 0, true, 4},
@@ -30,24 +30,24 @@
 	for _, tc := range cases {
 		c := newCluster(t, 33)
 		c.start("n-0")
-		core := c.nodes["n-0"].controller
-		core.mirror.ApplyPut(
+		controller := c.nodes["n-0"].controller
+		controller.mirror.ApplyPut(
 			storage.Key(storage.KindPartition, "n-0"),
 			protocol.MustMarshal(&storage.Partition{
 				QuotaShares: map[string]storage.QuotaShare{"tight": {CPUs: 10}}}),
 			3,
 		)
-		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
+		controller.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
 			Spec: storage.JobSpec{
 				Team:  "tight",
 				Tasks: 4,
 				CPUs:  2,
 			}, TaskRanges: []storage.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
-		inc := tc.incarnation
-		if inc == 0 {
-			inc = core.incarnation
+		incarnation := tc.incarnation
+		if incarnation == 0 {
+			incarnation = controller.incarnation
 		}
-		shard := &storage.Shard{Owner: tc.owner, Incarnation: inc, Claim: 1,
+		shard := &storage.Shard{Owner: tc.owner, Incarnation: incarnation, Claim: 1,
 			Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
 		shard.AddMachine(
 			"i-1",
@@ -61,16 +61,20 @@
 		shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
 		shard.Assign("j-1", storage.Attempt{Task: 1, Machine: "i-1", Number: 1})
 		encoded, _ := shard.Encode()
-		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
+		controller.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
-			update := shards.NewUpdate("p", core.mirror.Shards["p"], shard)
-			update.Assign(core.mirror.Jobs["j-1"], storage.Attempt{Task: 2, Machine: "i-1", Number: 2}, false)
-			core.shards.Commit(update, core.now()) // its outcome comes later
+			update := shards.NewUpdate("p", controller.mirror.Shards["p"], shard)
+			update.Assign(
+				controller.mirror.Jobs["j-1"],
+				storage.Attempt{Task: 2, Machine: "i-1", Number: 2},
+				false,
+			)
+			controller.shards.Commit(update, controller.now()) // its outcome comes later
 		}
-		if got := core.quota.Left("tight").CPUs; got != tc.left {
-			t.Errorf("%s: %v left, want %v", tc.name, got, tc.left)
+		if got := controller.quota.Left("tight").CPUs; got != tc.want {
+			t.Errorf("%s: %v left, want %v", tc.name, got, tc.want)
 		}
-		if got := core.quota.Unallocated("tight").CPUs; got != 2 {
+		if got := controller.quota.Unallocated("tight").CPUs; got != 2 {
 			t.Errorf("%s: %v in the pool", tc.name, got)
 		}
 	}
@@ -90,10 +94,10 @@
 		}
 		for i := 0; i < 6; i++ {
 			c.sim.Run(2*second + c.randomDuration(6*second))
-			down := c.nodeNames[:1+c.sim.Rand.IntN(3)]
-			c.kill(down...)
+			stopped := c.nodeNames[:1+c.sim.Rand.IntN(3)]
+			c.kill(stopped...)
 			c.sim.Run(c.randomDuration(3 * second))
-			c.start(down...)
+			c.start(stopped...)
 		}
 		for _, id := range ids {
 			c.requireFinished(id, 300*second)
@@ -120,7 +124,7 @@
 			c.submit(0, withService(true), withPriority(protocol.Production), withCPUs(4)),
 		)
 	}
-	all := func() bool {
+	allRunning := func() bool {
 		for _, id := range services {
 			if c.fleet.Running(id) != 1 {
 				return false
@@ -128,11 +132,11 @@
 		}
 		return true
 	}
-	if !c.sim.RunUntil(20*second, all) {
+	if !c.sim.RunUntil(20*second, allRunning) {
 		t.Fatal("services not started")
 	}
 	// A controller goes, and the machines with those services that it placed.
-	hit := 0
+	lostServices := 0
 	for _, id := range services {
 		job := c.nodes["n-0"].controller.mirror.Jobs[id]
 		if job.Record.TaskRanges[0].Partition != "n-1" {
@@ -140,18 +144,18 @@
 		}
 		for _, worker := range c.fleet.Workers {
 			if worker.Attempts[id+"/0"] != nil {
-				hit++
+				lostServices++
 				worker.Partitioned = true
 				c.fleet.MachineDown(worker.Machine)
 			}
 		}
 	}
-	if hit == 0 {
+	if lostServices == 0 {
 		t.Fatal("no service was placed by n-1")
 	}
 	c.kill("n-1")
 	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = -100
-	if !c.sim.RunUntil(60*second, all) {
+	if !c.sim.RunUntil(60*second, allRunning) {
 		t.Error("a service of the partition that has gone is still down")
 	}
 	c.requireNoViolations()
@@ -168,41 +172,41 @@
 		cfg.Facts.Objectives = []config.Objective{{Kind: "deadline", Class: "batch", Times: 1}}
 	}
 	c.startWithLeader()
-	give := func(id string, partitions ...string) {
-		core := c.nodes["n-0"].controller
+	assignTo := func(id string, partitions ...string) {
+		controller := c.nodes["n-0"].controller
 		var ranges []storage.TaskRange
-		n := core.mirror.Jobs[id].Record.Spec.Tasks
-		for i, p := range partitions {
+		tasks := controller.mirror.Jobs[id].Record.Spec.Tasks
+		for i, partition := range partitions {
 			ranges = append(
 				ranges,
 				storage.TaskRange{
-					First:     n * i / len(partitions),
-					End:       n * (i + 1) / len(partitions),
-					Partition: p,
+					First:     tasks * i / len(partitions),
+					End:       tasks * (i + 1) / len(partitions),
+					Partition: partition,
 				},
 			)
 		}
 		if !c.sim.RunUntil(
 			5*second,
-			func() bool { return core.scheduler.ReassignTaskRanges(core.mirror.Jobs[id], ranges) },
+			func() bool { return controller.scheduler.ReassignTaskRanges(controller.mirror.Jobs[id], ranges) },
 		) {
 			t.Fatalf("%s can't be given to %v", id, partitions)
 		}
 		c.sim.Run(second / 10)
 	}
-	give(c.submit(400*second, withTasks(4), withDeadlineS(500), withEstimateS(400)), "n-2")
-	give(c.submit(6*second, withTasks(300), withDeadlineS(600)), "n-0", "n-1")
+	assignTo(c.submit(400*second, withTasks(4), withDeadlineS(500), withEstimateS(400)), "n-2")
+	assignTo(c.submit(6*second, withTasks(300), withDeadlineS(600)), "n-0", "n-1")
 	c.sim.Run(40 * second)
 	id := c.submit(6*second, withTasks(3), withCPUs(4), withDeadlineS(30))
-	give(id, "n-2")
-	at := c.sim.Now()
-	begun := func() bool {
+	assignTo(id, "n-2")
+	assignedAt := c.sim.Now()
+	allStarted := func() bool {
 		return c.fleet.Starts[id+"/0"] > 0 && c.fleet.Starts[id+"/1"] > 0 && c.fleet.Starts[id+"/2"] > 0
 	}
-	if !c.sim.RunUntil(9*second, begun) {
+	if !c.sim.RunUntil(9*second, allStarted) {
 		t.Error("not begun after 9 s") // 12 when only room left over went to others' tasks
 	}
-	t.Logf("begun after %.1f s", (c.sim.Now() - at).Seconds())
+	t.Logf("begun after %.1f s", (c.sim.Now() - assignedAt).Seconds())
 	c.requireNoViolations()
 }
 
@@ -210,10 +214,10 @@
 // once it has been back: it may have assigned tasks under its record by then, though it is
 // gone again when the drop is carried out.
 func TestLateQuotaReleaseFailsAfterReturn(t *testing.T) {
-	const late = 20 * second
+	const commitDelay = 20 * second
 	for _, tc := range []struct {
-		name        string
-		back, again bool // it comes back, and is gone again
+		name                 string
+		returns, leavesAgain bool // it comes back, and is gone again
 	}{{"away", false, false}, {"back", true, false}, {"back and gone again", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newScenario(t, 3300)
@@ -221,40 +225,40 @@
 			s.sim.Run(3 * second)
 			fillTeamLimits(s)
 			s.sim.Run(40 * second)
-			gone := followerController(1)(s)
-			key := storage.Key(storage.KindPartition, gone)
+			departed := followerController(1)(s)
+			key := storage.Key(storage.KindPartition, departed)
 			if len(s.store.Keys(key)) == 0 {
-				t.Fatalf("%s has no share", gone)
+				t.Fatalf("%s has no share", departed)
 			}
-			sent := 0
+			releases := 0
 			s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 				if !changesQuotaShares(txn, true) {
 					return 0
 				}
-				if sent++; sent > 1 {
+				if releases++; releases > 1 {
 					return 1000 * second // only the first is looked at
 				}
-				return late
+				return commitDelay
 			}
-			s.kill(gone)
-			if !s.sim.RunUntil(30*second, func() bool { return sent > 0 }) {
+			s.kill(departed)
+			if !s.sim.RunUntil(30*second, func() bool { return releases > 0 }) {
 				t.Fatal("nobody drops the shares of the one that has gone")
 			}
-			member := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.IsMember(gone) }
-			if tc.back {
-				s.start(gone)
-				s.sim.RunUntil(4*second, member)
+			isMember := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.IsMember(departed) }
+			if tc.returns {
+				s.start(departed)
+				s.sim.RunUntil(4*second, isMember)
 			}
-			if tc.again {
-				s.kill(gone)
-				s.sim.RunUntil(10*second, func() bool { return !member() })
+			if tc.leavesAgain {
+				s.kill(departed)
+				s.sim.RunUntil(10*second, func() bool { return !isMember() })
 			}
-			if member() != (tc.back && !tc.again) {
+			if isMember() != (tc.returns && !tc.leavesAgain) {
 				t.Fatal("membership is not as the case wants it")
 			}
-			s.sim.Run(late)
-			if left := len(s.store.Keys(key)) > 0; left != tc.back {
-				t.Errorf("its record is left: %v", left)
+			s.sim.Run(commitDelay)
+			if recordExists := len(s.store.Keys(key)) > 0; recordExists != tc.returns {
+				t.Errorf("its record is left: %v", recordExists)
 			}
 			s.requireNoViolations()
 		})
--- a/internal/coordination/throttled_cancellations_test.go
+++ b/internal/coordination/throttled_cancellations_test.go
@@ -9,13 +9,13 @@
 // throttledThenStoreOutage is the combination that broke most invariants: the state service rejects the
 // leader alone, users cancel through another controller, and then the service is down for all, for
 // longer than the tasks of a cancelled job may keep running.
-func throttledThenStoreOutage(sincePrevious monotime.Micros, more ...fault) []fault {
+func throttledThenStoreOutage(outageDelay monotime.Micros, additional ...fault) []fault {
 	return append([]fault{
 		storeRejectsController(70*second, leaderController, 14*second),
 		cancelRunningJobs(70*second+second/10, 4, 0),
-		cancelRunningJobs(70*second+sincePrevious*8/10, 4, 0),
-		storeOutage(70*second+sincePrevious, 54*second),
-	}, more...)
+		cancelRunningJobs(70*second+outageDelay*8/10, 4, 0),
+		storeOutage(70*second+outageDelay, 54*second),
+	}, additional...)
 }
 
 // TestCancellationReachesControllerThrottledAlone: the owner of the machines learns of cancellations from
@@ -143,13 +143,13 @@
 // requireCancelledTasks fails a scenario that ends with too few cancelled jobs to test cancellations.
 func (s *scenario) requireCancelledTasks(t *testing.T) {
 	t.Helper()
-	n := 0
-	for _, u := range s.users {
-		if u.cancelling && u.finished {
-			n++
+	cancelled := 0
+	for _, user := range s.users {
+		if user.cancelling && user.finished {
+			cancelled++
 		}
 	}
-	if n < 3 {
-		t.Errorf("only %d jobs were cancelled", n)
+	if cancelled < 3 {
+		t.Errorf("only %d jobs were cancelled", cancelled)
 	}
 }
--- a/internal/coordination/user_requests_test.go
+++ b/internal/coordination/user_requests_test.go
@@ -14,9 +14,9 @@
 // returned.
 func TestJobsRunToCompletion(t *testing.T) {
 	cases := []struct {
-		name string
-		job  jobOption
-		run  monotime.Micros
+		name    string
+		job     jobOption
+		runTime monotime.Micros
 	}{
 		{"one task", jobWith(), 3 * second},
 		{"more tasks than a row", jobWith(withTasks(70), withCPUs(1)), 3 * second},
@@ -32,7 +32,7 @@
 			c := newCluster(t, uint64(i))
 			c.settings.ScaleDownDelay = 0
 			c.startWithLeader()
-			id := c.submit(tc.run, tc.job)
+			id := c.submit(tc.runTime, tc.job)
 			c.requireFinished(id, 300*second)
 			c.requireNoViolations()
 			if !c.sim.RunUntil(120*second, func() bool { return c.cloud.MachineCount() == 0 }) {
@@ -75,14 +75,14 @@
 			return ""
 		}},
 		{"one zone", jobWith(withTasks(30), withOneZone(true)), func(c *cluster, id string) string {
-			if z := zonesOf(c, id); len(z) != 1 {
-				return fmt.Sprint(z)
+			if zones := zonesOf(c, id); len(zones) != 1 {
+				return fmt.Sprint(zones)
 			}
 			return ""
 		}},
 		{"spread", jobWith(withTasks(9), withSpread(true)), func(c *cluster, id string) string {
-			if z := zonesOf(c, id); z["a"] > 5 || z["b"] > 5 || z["a"]+z["b"] != 9 {
-				return fmt.Sprint(z)
+			if zones := zonesOf(c, id); zones["a"] > 5 || zones["b"] > 5 || zones["a"]+zones["b"] != 9 {
+				return fmt.Sprint(zones)
 			}
 			return ""
 		}},
@@ -108,8 +108,8 @@
 			if !c.sim.RunUntil(120*second, func() bool { return c.fleet.Running(id) == want }) {
 				t.Fatalf("%d of %d run", c.fleet.Running(id), want)
 			}
-			if what := tc.check(c, id); what != "" {
-				t.Error(what)
+			if violation := tc.check(c, id); violation != "" {
+				t.Error(violation)
 			}
 			c.requireNoViolations()
 		})
@@ -119,10 +119,10 @@
 // TestUserRequestStatusCodes: the answers of the users' interface.
 func TestUserRequestStatusCodes(t *testing.T) {
 	c := newCluster(t, 5).startWithLeader()
-	known := c.submit(0, withService(true))
-	_, good := c.newSubmission()
-	with := func(field string, value any) []byte {
-		fields := good.Fields()
+	knownID := c.submit(0, withService(true))
+	_, valid := c.newSubmission()
+	withField := func(field string, value any) []byte {
+		fields := valid.Fields()
 		fields[field] = value
 		return protocol.MustMarshal(fields)
 	}
@@ -139,18 +139,18 @@
 		{"abort of an unknown job", "POST", protocol.CancelPath("j-none"), nil, 404},
 		{"not MessagePack", "POST", protocol.JobsPath, []byte{0xc1}, 400},
 		{"not a map", "POST", protocol.JobsPath, protocol.MustMarshal([]int{1}), 400},
-		{"bad id", "POST", protocol.JobsPath, with(protocol.FieldID, "x 1"), 400},
-		{"no tasks", "POST", protocol.JobsPath, with(protocol.FieldTasks, 0), 400},
-		{"too many tasks", "POST", protocol.JobsPath, with(protocol.FieldTasks, 100001), 400},
-		{"tasks not whole", "POST", protocol.JobsPath, with(protocol.FieldTasks, 1.5), 400},
-		{"negative amount", "POST", protocol.JobsPath, with(protocol.FieldCPUs, -1.0), 400},
-		{"unknown shape", "POST", protocol.JobsPath, with(protocol.FieldShape, "ring"), 400},
-		{"unknown rank", "POST", protocol.JobsPath, with(protocol.FieldPriority, "top"), 400},
-		{"unknown team", "POST", protocol.JobsPath, with(protocol.FieldTeam, "nobody"), 422},
-		{"fits no machine", "POST", protocol.JobsPath, with(protocol.FieldCPUs, 17.0), 422},
-		{"type that isn't", "POST", protocol.JobsPath, with(protocol.FieldTypes, []any{"m99"}), 422},
-		{"zone that isn't", "POST", protocol.JobsPath, with(protocol.FieldZone, "z"), 422},
-		{"known id, invalid now", "POST", protocol.JobsPath, with(protocol.FieldID, known)[:0], 400},
+		{"bad id", "POST", protocol.JobsPath, withField(protocol.FieldID, "x 1"), 400},
+		{"no tasks", "POST", protocol.JobsPath, withField(protocol.FieldTasks, 0), 400},
+		{"too many tasks", "POST", protocol.JobsPath, withField(protocol.FieldTasks, 100001), 400},
+		{"tasks not whole", "POST", protocol.JobsPath, withField(protocol.FieldTasks, 1.5), 400},
+		{"negative amount", "POST", protocol.JobsPath, withField(protocol.FieldCPUs, -1.0), 400},
+		{"unknown shape", "POST", protocol.JobsPath, withField(protocol.FieldShape, "ring"), 400},
+		{"unknown rank", "POST", protocol.JobsPath, withField(protocol.FieldPriority, "top"), 400},
+		{"unknown team", "POST", protocol.JobsPath, withField(protocol.FieldTeam, "nobody"), 422},
+		{"fits no machine", "POST", protocol.JobsPath, withField(protocol.FieldCPUs, 17.0), 422},
+		{"type that isn't", "POST", protocol.JobsPath, withField(protocol.FieldTypes, []any{"m99"}), 422},
+		{"zone that isn't", "POST", protocol.JobsPath, withField(protocol.FieldZone, "z"), 422},
+		{"known id, invalid now", "POST", protocol.JobsPath, withField(protocol.FieldID, knownID)[:0], 400},
 		{"malformed heartbeat", "POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
@@ -160,9 +160,9 @@
 	}
 	// A known job is known whatever its repeated submission looks like, on any node.
 	for _, node := range c.nodeNames {
-		again := *good
-		again.ID, again.Team = known, "nobody"
-		response := c.requestAndWait(node, "POST", protocol.JobsPath, protocol.MustMarshal(&again))
+		repeated := *valid
+		repeated.ID, repeated.Team = knownID, "nobody"
+		response := c.requestAndWait(node, "POST", protocol.JobsPath, protocol.MustMarshal(&repeated))
 		if response.Status != 200 {
 			t.Errorf("repeated submission on %s: %d", node, response.Status)
 		}
@@ -173,8 +173,8 @@
 		tasks   int
 		want    int
 	}{{true, 7, 422}, {true, 6, 201}, {false, 7, 201}} {
-		_, j := c.newSubmission(withTeam("tight"), withService(tc.service), withTasks(tc.tasks))
-		response := c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(j))
+		_, submission := c.newSubmission(withTeam("tight"), withService(tc.service), withTasks(tc.tasks))
+		response := c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(submission))
 		if response.Status != tc.want {
 			t.Errorf("service %v of %d: %d, want %d", tc.service, tc.tasks, response.Status, tc.want)
 		}
@@ -184,9 +184,9 @@
 // TestCancelInEveryState: a job cancelled in any state is gone in time and never reported otherwise.
 func TestCancelInEveryState(t *testing.T) {
 	cases := []struct {
-		name string
-		wait monotime.Micros // before the abort
-		run  monotime.Micros
+		name    string
+		delay   monotime.Micros // before the abort
+		runTime monotime.Micros
 	}{
 		{"at once", 0, 0},
 		{"racing the start", 13 * second, 0},
@@ -196,22 +196,23 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(200+i)).startWithLeader()
-			id := c.submit(tc.run, withTasks(8))
-			c.sim.Run(tc.wait)
+			id := c.submit(tc.runTime, withTasks(8))
+			c.sim.Run(tc.delay)
 			response := c.requestAndWait("n-2", "POST", protocol.CancelPath(id), nil)
-			var a protocol.AcceptedReply
-			_ = protocol.Unmarshal(response.Body, &a)
-			if response.Status != 200 || a.Status != protocol.JobCancelled && a.Status != protocol.JobDone {
-				t.Fatalf("%d %+v", response.Status, a)
+			var reply protocol.AcceptedReply
+			_ = protocol.Unmarshal(response.Body, &reply)
+			if response.Status != 200 ||
+				reply.Status != protocol.JobCancelled && reply.Status != protocol.JobDone {
+				t.Fatalf("%d %+v", response.Status, reply)
 			}
-			if a.Status == protocol.JobCancelled {
+			if reply.Status == protocol.JobCancelled {
 				c.checker.CancellationConfirmed(id)
 			}
 			for k := 0; k < 12; k++ {
 				c.sim.Run(5 * second)
 				if code, jobStatus := c.jobStatus(c.nodeNames[k%3], id); code != 200 ||
-					jobStatus.Status != a.Status {
-					t.Fatalf("answered %s, then %d %s", a.Status, code, jobStatus.Status)
+					jobStatus.Status != reply.Status {
+					t.Fatalf("answered %s, then %d %s", reply.Status, code, jobStatus.Status)
 				}
 			}
 			if n := c.fleet.Running(id); n > 0 {
@@ -230,18 +231,18 @@
 func TestAbortDoesNotCancelDoneJob(t *testing.T) {
 	c := newCluster(t, 18).startWithLeader()
 	id := c.submit(second)
-	core := c.nodes["n-0"].controller
+	controller := c.nodes["n-0"].controller
 	c.requireFinished(id, 60*second)
-	core.api.CommitCancellation(id, func(response Response) {
-		var a protocol.AcceptedReply
-		_ = protocol.Unmarshal(response.Body, &a)
-		if a.Status != protocol.JobDone {
-			t.Errorf("answered %+v", a)
+	controller.api.CommitCancellation(id, func(response Response) {
+		var reply protocol.AcceptedReply
+		_ = protocol.Unmarshal(response.Body, &reply)
+		if reply.Status != protocol.JobDone {
+			t.Errorf("answered %+v", reply)
 		}
 	})
 	c.sim.Run(2 * second)
-	var kept storage.JobResult
-	if !c.store.Read(storage.Key(storage.KindJobResult, id), &kept) || kept.State != storage.JobDone {
-		t.Errorf("the store holds %+v", kept)
+	var result storage.JobResult
+	if !c.store.Read(storage.Key(storage.KindJobResult, id), &result) || result.State != storage.JobDone {
+		t.Errorf("the store holds %+v", result)
 	}
 }
