--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -16,7 +16,8 @@
 
 const second = monotime.Second
 
-// cluster is three controllers (or more) on fakes, under one simulated clock.
+// cluster simulates three or more controllers with fakes of the state service, the cloud and the workers. All
+// of them share one simulated clock.
 type cluster struct {
 	t              testing.TB
 	sim            *fake.SimClock
@@ -34,30 +35,32 @@
 	clusterCounters
 }
 
-// clusterHooks are functions of a test that are called if they are set.
+// clusterHooks holds optional functions that a test sets.
 type clusterHooks struct {
-	adjustFacts func(*config.Config) // changes the platform's facts as a controller knows them
-	onAccepted  func(id string)      // called for every accepted job of submitWithRetry
-	onCall      func(text string)    // called for every call of a controller, as JSON
-	// onReport is called for every heartbeat on its way.
+	adjustFacts func(*config.Config) // changes the facts about the platform in a controller's configuration
+	onAccepted  func(id string)      // called when a job of submitWithRetry is accepted
+	onCall      func(text string)    // called for every call and direct command of a controller, as JSON
+	// onReport is called for every heartbeat that is sent to a controller and not lost in the network.
 	onReport func(worker *fake.Worker, node string, body []byte)
-	// commandDelay gives the delay of a direct command.
+	// commandDelay returns the additional delay of a direct command.
 	commandDelay func(worker *fake.Worker, request *protocol.CommandRequest) monotime.Micros
-	// wire is called for every call, peer status and answer of a controller in wire form.
+	// wire is called for every call, direct command, peer status and answer that a controller sends, in wire
+	// form.
 	wire func(node, kind, text string)
 }
 
-// clusterCounters count what passes between controllers, workers and users.
+// clusterCounters measures the messages between controllers, workers and users.
 type clusterCounters struct {
-	commandCount    int // direct commands, and probes of workers
-	largestResponse int // bytes
+	commandCount    int // direct command requests and probes that controllers sent to workers
+	largestResponse int // size of the largest response body in bytes
 }
 
-// simController is one controller; its environment drops what belongs to an earlier incarnation.
+// simController is one simulated controller process, which may be restarted. Its environment drops the
+// callbacks of earlier incarnations.
 type simController struct {
 	cluster     *cluster
 	name        string
-	controller  *Controller // nil: it is down
+	controller  *Controller // nil while the process is down
 	incarnation int
 }
 
@@ -122,7 +125,7 @@
 	return c
 }
 
-// addControllers makes the controllers of nodeNames, which are not started.
+// addControllers adds a controller for each of nodeNames. It does not start them.
 func (c *cluster) addControllers() {
 	for _, node := range c.nodeNames {
 		c.nodes[node] = &simController{cluster: c, name: node}
@@ -176,20 +179,20 @@
 	}
 }
 
-// startIfDown starts a controller unless it runs.
+// startIfDown starts a controller if it is down.
 func (c *cluster) startIfDown(node string) {
 	if c.nodes[node].controller == nil {
 		c.start(node)
 	}
 }
 
-// restart kills a controller and starts it again after a while.
+// restart kills a controller and starts it again after the given downtime.
 func (c *cluster) restart(node string, downtime monotime.Micros) {
 	c.kill(node)
 	c.sim.After(downtime, func() { c.startIfDown(node) })
 }
 
-// startWithLeader starts all controllers and waits for a leader.
+// startWithLeader starts all controllers and runs for 3 s, within which they elect a leader.
 func (c *cluster) startWithLeader() *cluster {
 	c.start(c.nodeNames...)
 	c.sim.Run(3 * second)
@@ -206,7 +209,7 @@
 	return nil
 }
 
-// leaderName is the leader, or the first controller while there is none.
+// leaderName returns the name of the leader, or of the first controller if there is no leader.
 func (c *cluster) leaderName() string {
 	if leader := c.leaderNode(); leader != nil {
 		return leader.name
@@ -214,7 +217,8 @@
 	return c.nodeNames[0]
 }
 
-// sendRequest sends a request on a new connection; a controller that is down doesn't answer.
+// sendRequest sends a request to a controller on a new connection. A controller that is down does not answer,
+// and a controller that stops before it answers loses the request.
 func (c *cluster) sendRequest(node, method, target string, body []byte, callback func(Response)) {
 	receiver := c.nodes[node]
 	if receiver.controller == nil {
@@ -241,7 +245,8 @@
 	})
 }
 
-// requestAndWait sends a request and waits up to five seconds for its answer.
+// requestAndWait sends a request and waits up to 5 s for the response. It returns a response with status 0 if
+// there is none.
 func (c *cluster) requestAndWait(node, method, target string, body []byte) Response {
 	var received Response
 	c.sendRequest(node, method, target, body, func(response Response) { received = response })
@@ -249,7 +254,7 @@
 	return received
 }
 
-// newSubmission is a submission of the cluster's next job.
+// newSubmission returns a submission with the next unused job ID, and that ID.
 func (c *cluster) newSubmission(options ...jobOption) (string, *protocol.Submission) {
 	c.nextSubmission++
 	submission := newSubmission(options...)
@@ -257,7 +262,8 @@
 	return submission.ID, submission
 }
 
-// submit submits a job until it is accepted, with retries as users make them, and returns its id.
+// submit submits a job to the controllers in turn until one accepts it, and returns the job's ID. It pauses
+// for 1 s between attempts.
 func (c *cluster) submit(runTime monotime.Micros, options ...jobOption) string {
 	c.t.Helper()
 	id, submission := c.newSubmission(options...)
@@ -270,7 +276,7 @@
 		}
 		c.sim.Run(second)
 	}
-	c.t.Fatalf("job %s was not accepted", id)
+	c.t.Fatalf("job %s: not accepted after 30 attempts", id)
 	return id
 }
 
@@ -281,7 +287,8 @@
 	return response.Status, jobStatus
 }
 
-// requireFinished waits until a job's status is done, and fails the test if that takes too long.
+// requireFinished waits until a job's status is done, and stops the test if that takes longer than the
+// timeout.
 func (c *cluster) requireFinished(id string, timeout monotime.Micros) {
 	c.t.Helper()
 	queries := 0
@@ -292,11 +299,11 @@
 	})
 	if !finished {
 		_, jobStatus := c.jobStatus(c.nodeNames[0], id)
-		c.t.Fatalf("job %s is not done after %v s: %+v", id, timeout.Seconds(), jobStatus)
+		c.t.Fatalf("job %s: got status %+v after %v s, want done", id, jobStatus, timeout.Seconds())
 	}
 }
 
-// requireAllFinished waits for each of the jobs in turn like requireFinished.
+// requireAllFinished calls requireFinished for each of the jobs in turn.
 func (c *cluster) requireAllFinished(ids []string, timeout monotime.Micros) {
 	c.t.Helper()
 	for _, id := range ids {
@@ -304,11 +311,11 @@
 	}
 }
 
-// requireReplicas waits until so many replicas of a service run.
+// requireReplicas waits until exactly the given number of replicas of a service are running.
 func (c *cluster) requireReplicas(service string, replicas int, timeout monotime.Micros) {
 	c.t.Helper()
 	if !c.sim.RunUntil(timeout, func() bool { return c.fleet.Running(service) == replicas }) {
-		c.t.Errorf("service has %d replicas of %d", c.fleet.Running(service), replicas)
+		c.t.Errorf("service %s: got %d running replicas, want %d", service, c.fleet.Running(service), replicas)
 	}
 }
 
@@ -319,7 +326,7 @@
 	}
 }
 
-// randomDuration draws a time below the given one.
+// randomDuration returns a random duration that is shorter than limit.
 func (c *cluster) randomDuration(limit monotime.Micros) monotime.Micros {
 	return monotime.Micros(c.sim.Rand.Int64N(int64(limit)))
 }
--- a/internal/coordination/simulated_environment_test.go
+++ b/internal/coordination/simulated_environment_test.go
@@ -9,14 +9,18 @@
 	"pipitgap/internal/protocol"
 )
 
+// simEnv is the Environment of one incarnation of a simulated controller.
 type simEnv struct {
 	node        *simController
 	incarnation int
 	random      *rand.Rand
 }
 
+// alive reports whether this incarnation of the controller is running.
 func (e *simEnv) alive() bool { return e.node.incarnation == e.incarnation && e.node.controller != nil }
 
+// whileAlive wraps a callback so that it runs only while this incarnation is running. If the controller's
+// process is paused, the callback runs when the process resumes.
 func (e *simEnv) whileAlive(f func()) func() {
 	return func() {
 		if e.alive() {
@@ -29,7 +33,7 @@
 	}
 }
 
-// reportCall reports a call to the test.
+// reportCall passes a call to the test as JSON.
 func (e *simEnv) reportCall(target string, v any) {
 	if e.node.cluster.onCall != nil {
 		raw, _ := json.Marshal(v)
@@ -37,7 +41,7 @@
 	}
 }
 
-// record adds a call to the course that is recorded, if one is, see courses_test.go.
+// record passes a call to the recorder of a course, if a course is being recorded. See courses_test.go.
 func (e *simEnv) record(kind string, text func() string) {
 	if e.node.cluster.wire != nil {
 		e.node.cluster.wire(e.node.name, kind, text())
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -6,28 +6,31 @@
 	"pipitgap/internal/protocol"
 )
 
-// networkFaults are the faults between machines, controllers and users that a test injects.
+// networkFaults holds the faults that a test injects into the network and into controller processes.
 type networkFaults struct {
-	disconnectedPairs   map[string]bool // "machine-node" or "node-node" pairs that can't reach each other
-	unreachableMachines map[string]bool // machines whose heartbeats arrive, but nothing reaches them
-	mutedMachines       map[string]bool // machines that are reached, but whose heartbeats don't arrive
-	zonesPartitioned    bool            // the zones can't reach each other
-	refuseConnections   bool            // controllers that are down refuse connections
-	// controllerDownSeen, if set, has the machines whose connection a controller that is down has reset:
-	// their next connections to it get no answer.
+	disconnectedPairs   map[string]bool // keys "machine-node" and "node-node": neither side reaches the other
+	unreachableMachines map[string]bool // machines that send heartbeats, but receive no answers or commands
+	mutedMachines       map[string]bool // machines that receive commands, but whose heartbeats are lost
+	zonesPartitioned    bool            // no messages pass between machines or controllers of different zones
+	refuseConnections   bool            // controllers that are down refuse connections instead of not answering
+	// connectionReset, if not nil, contains the machines for which a controller that is down has already
+	// reset a connection. It resets only the first connection of each machine. Later ones get no answer,
+	// unless refuseConnections is set.
 	connectionReset map[string]bool
-	// disconnectionSeen, if set, has the machines that got no answer through a cut: their next connections
-	// are refused.
+	// disconnectionSeen, if not nil, contains the machines of which a network fault has already dropped a
+	// heartbeat. Their later connections to a controller that they can't reach are refused.
 	disconnectionSeen map[string]bool
-	// pausedWork has the controllers whose process is paused, with what waits for them.
+	// pausedControllers contains the callbacks that each paused controller process runs when it resumes.
 	pausedControllers map[string]*[]func()
 }
 
-// networkLatency is how long a message takes between workers and controllers.
+// networkLatency is the time that a message takes between a worker and a controller, or between two
+// controllers.
 const networkLatency = 2 * monotime.Millisecond
 
-// sendHeartbeat carries a worker's heartbeat to a controller through the network faults. back gets status 0
-// at once when the connection is refused or reset, and nothing when there is no answer.
+// sendHeartbeat delivers a worker's heartbeat to a controller, subject to the network faults. If the
+// connection is refused or reset, the callback gets status 0 after networkLatency. If there is no answer, it
+// is not called.
 func (c *cluster) sendHeartbeat(worker *fake.Worker, node string, body []byte, callback func(int, []byte)) {
 	machine := worker.Machine.ID
 	if c.cannotReach(worker, node) && c.disconnectionSeen[machine] {
@@ -36,7 +39,7 @@
 	}
 	if c.cannotReach(worker, node) || c.mutedMachines[machine] {
 		if c.disconnectionSeen != nil {
-			// The open connection brings no answer, new ones are refused.
+			// The open connection gets no answer. New connections are refused.
 			c.disconnectionSeen[machine] = true
 		}
 		return
@@ -58,8 +61,8 @@
 	})
 }
 
-// refusesConnection tells whether a controller that is down refuses or resets a machine's connection, rather
-// than not answer.
+// refusesConnection reports whether a controller that is down refuses or resets a machine's connection
+// instead of not answering. It records the reset.
 func (c *cluster) refusesConnection(machine string) bool {
 	if c.connectionReset != nil && !c.connectionReset[machine] {
 		c.connectionReset[machine] = true
@@ -68,12 +71,12 @@
 	return c.refuseConnections
 }
 
-// commandIsLost tells whether a fault keeps a controller's commands from a worker.
+// commandIsLost reports whether a fault prevents a controller's commands from reaching a worker.
 func (c *cluster) commandIsLost(worker *fake.Worker, node string) bool {
 	return worker.Partitioned || c.cannotReach(worker, node) || c.unreachableMachines[worker.Machine.ID]
 }
 
-// zoneOfController is the zone of a controller.
+// zoneOfController returns the zone of a controller.
 func zoneOfController(node string) string {
 	if node == "n-0" {
 		return "a"
@@ -81,13 +84,13 @@
 	return "b"
 }
 
-// cannotReach tells whether a machine and a controller can't reach each other.
+// cannotReach reports whether a fault separates a machine and a controller from each other.
 func (c *cluster) cannotReach(worker *fake.Worker, node string) bool {
 	return c.disconnectedPairs[worker.Machine.ID+"-"+node] ||
 		c.zonesPartitioned && worker.Machine.Zone != zoneOfController(node)
 }
 
-// runWhenResumed calls f now, or when the controller's process resumes if it is paused.
+// runWhenResumed runs a callback immediately, or when the controller's process resumes if it is paused.
 func (c *cluster) runWhenResumed(node string, callback func()) {
 	if deferred := c.pausedControllers[node]; deferred != nil {
 		*deferred = append(*deferred, callback)
@@ -96,7 +99,8 @@
 	callback()
 }
 
-// pause suspends a controller's process for a while: its clocks run on, and all that comes to it waits.
+// pause suspends a controller's process for the given duration. The clocks keep running. Messages, answers
+// and timers wait until the process resumes.
 func (c *cluster) pause(node string, duration monotime.Micros) {
 	deferred := &[]func(){}
 	c.pausedControllers[node] = deferred
--- a/internal/coordination/simulated_scenario_test.go
+++ b/internal/coordination/simulated_scenario_test.go
@@ -10,23 +10,23 @@
 	"pipitgap/internal/protocol"
 )
 
-// scenario simulates users, jobs and faults on a cluster; the checker watches every step.
+// scenario simulates users, jobs and faults on a cluster. The checker verifies the invariants throughout.
 type scenario struct {
 	*cluster
 	users        []*simUser
-	eagerQueries bool
+	eagerQueries bool // simUser.eagerQueries for users added from now on
 }
 
 const (
-	// firstFaultAt is when the first faults may begin: jobs run by then.
+	// firstFaultAt is the earliest time of a random fault. Jobs are running by then.
 	firstFaultAt = 40 * second
-	// recoveryTime is how long a scenario goes on after its last fault: longer than requests about an
-	// accepted job may go unanswered, and than a task may wait beside room.
+	// recoveryTime is how long a scenario continues after its last fault has ended. It is longer than
+	// fake.MaxUnanswered and fake.MaxWaitBesideRoom, so that violations of these limits are detected.
 	recoveryTime = 150 * second
-	// maxCompletions is how often a task may complete. A result is lost with its machine, which few
-	// faults cause twice for one task.
+	// maxCompletions is how often a task may complete. A task runs again if its machine is lost with the
+	// result, and few faults cause that twice for one task.
 	maxCompletions = 3
-	// pollForInterval is how often pollFor evaluates its condition.
+	// pollForInterval is the interval at which pollFor evaluates its condition.
 	pollForInterval = 20 * monotime.Millisecond
 )
 
@@ -38,7 +38,7 @@
 	return s
 }
 
-// addUser has a new user submit a job.
+// addUser adds a user, who submits a job.
 func (s *scenario) addUser(runTime monotime.Micros, options ...jobOption) *simUser {
 	user := s.newUser(runTime, options...)
 	user.eagerQueries = s.eagerQueries
@@ -46,7 +46,7 @@
 	return user
 }
 
-// submitUsualJobs submits services and arrays, long and short, of both teams.
+// submitUsualJobs submits services, and long and short arrays, for both teams.
 func (s *scenario) submitUsualJobs() {
 	for i := range 3 {
 		s.addUser(0, withTasks(2+i), withPriority(protocol.Production), withCPUs(2))
@@ -57,7 +57,8 @@
 	s.addUser(250*second, withTasks(3), withCPUs(2), withOneZone(true))
 }
 
-// pollFor evaluates a condition every pollForInterval and calls then when it holds, or after a time at most.
+// pollFor evaluates a condition every pollForInterval. It calls onDone when the condition holds or at the
+// timeout.
 func (s *scenario) pollFor(timeout monotime.Micros, condition func() bool, onDone func()) {
 	if condition() || timeout <= 0 {
 		onDone()
@@ -66,14 +67,14 @@
 	s.sim.After(pollForInterval, func() { s.pollFor(timeout-pollForInterval, condition, onDone) })
 }
 
-// deliverDuplicateReport delivers a copy of an old heartbeat to every controller.
+// deliverDuplicateReport sends a copy of an old heartbeat to every controller.
 func (s *scenario) deliverDuplicateReport(body []byte) {
 	for _, node := range s.nodeNames {
 		s.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(Response) {})
 	}
 }
 
-// runFaults injects the faults, ends them all after a time, and checks that the cluster recovers.
+// runFaults injects the faults, ends them all after the duration, and checks that the cluster recovers.
 func (s *scenario) runFaults(faults []fault, duration monotime.Micros) {
 	s.start(s.nodeNames...)
 	s.sim.Run(3 * second)
@@ -86,14 +87,15 @@
 	s.requireNoViolations()
 }
 
-// scheduleFaults injects faults at their times.
+// scheduleFaults schedules faults for their times.
 func (s *scenario) scheduleFaults(faults ...fault) {
 	for _, f := range faults {
 		s.sim.After(f.at-s.sim.Now(), func() { f.inject(s) })
 	}
 }
 
-// endFaults ends every fault and has the checker look for tasks that wait beside room from then on.
+// endFaults ends all faults. From then on the checker reports tasks that wait although a machine has room for
+// them.
 func (s *scenario) endFaults() {
 	s.store.DelayCommit, s.store.LoseResponse, s.store.DelayResponse = nil, nil, nil
 	s.commandDelay, s.onReport, s.zonesPartitioned = nil, nil, false
@@ -110,6 +112,7 @@
 	s.checker.WatchWaiting(func() []fake.FreeMachine { return s.fleet.FreeMachines(machineMemoryGB) })
 }
 
+// machineMemoryGB returns the memory of a machine type, or 0 if the type is unknown.
 func machineMemoryGB(machineType string) float64 {
 	for _, t := range testTypes {
 		if t.Name == machineType {
@@ -120,25 +123,31 @@
 }
 
 // checkAcceptedJobsKnown checks that every job is accepted, that requests about it are answered, and that its
-// user knows when it is done.
+// user learns of its completion.
 func (s *scenario) checkAcceptedJobsKnown() {
 	for _, user := range s.users {
 		if user.accepted && !user.finished && s.sim.Now()-user.lastAnsweredAt > fake.MaxUnanswered {
 			s.checker.ReportUnanswered(user.id)
 		}
 		if !user.accepted {
-			s.t.Errorf("job %s is not accepted", user.id)
+			s.t.Errorf("job %s: not accepted", user.id)
 		}
 		if completions := s.checker.MaxCompletions(user.id); completions > maxCompletions {
-			s.t.Errorf("job %s: a task has completed %d times", user.id, completions)
+			s.t.Errorf(
+				"job %s: a task completed %d times, want at most %d",
+				user.id,
+				completions,
+				maxCompletions,
+			)
 		}
 		if completedAt, completed := s.checker.IsJobCompleted(user.id); completed && !user.finished &&
 			s.sim.Now()-completedAt > fake.MaxUnanswered {
-			s.t.Errorf("job %s: completed at %.0f s, its user doesn't know", user.id, completedAt.Seconds())
+			s.t.Errorf("job %s: completed at %.0f s, not reported to its user", user.id, completedAt.Seconds())
 		}
 	}
 }
 
+// describeFaults lists faults with their times in seconds.
 func describeFaults(faults []fault) string {
 	var out []string
 	for _, f := range faults {
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -6,7 +6,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// How long users wait for answers, and how often they poll, by the protocol.
+// Timeouts, polling interval and retry delay of users. The protocol specifies them.
 const (
 	submitTimeout = 5 * second
 	pollTimeout   = 2 * second
@@ -14,20 +14,20 @@
 	retryAfter    = second
 )
 
-// simUser owns one job: it submits it until it is accepted, polls its status, and may cancel it. The checker
-// sees all answers.
+// simUser is the user of one job. The user submits the job until it is accepted, polls its status, and may
+// cancel it. The checker inspects all answers.
 type simUser struct {
 	cluster        *cluster
 	id             string
 	body           []byte
-	eagerQueries   bool // polls all controllers at once whenever something has changed
+	eagerQueries   bool // queries all controllers when the job is accepted and when it ends, see queryAllNodes
 	accepted       bool
 	finished       bool
-	lastAnsweredAt monotime.Micros // when a request was last answered with 200
+	lastAnsweredAt monotime.Micros // when the submission or a later request last succeeded
 	cancelling     bool
 }
 
-// newUser makes a user who submits a job whose tasks run for a time; 0: a service.
+// newUser adds a user, who submits a job. Its tasks run for runTime. A runTime of 0 makes the job a service.
 func (c *cluster) newUser(runTime monotime.Micros, options ...jobOption) *simUser {
 	id, submission := c.newSubmission(options...)
 	if runTime == 0 {
@@ -44,7 +44,8 @@
 	return user
 }
 
-// send sends a request to a controller and calls back once, with a status of 0 if no answer came in time.
+// send sends a request to a controller. It calls back exactly once, with status 0 if no answer arrives in
+// time.
 func (u *simUser) send(
 	node, method, target string,
 	body []byte,
@@ -94,7 +95,7 @@
 	})
 }
 
-// cancel repeats the request until it is answered.
+// cancel requests the cancellation of the job, and repeats the request until one is answered with 200.
 func (u *simUser) cancel() {
 	if u.finished {
 		return
@@ -115,7 +116,7 @@
 	)
 }
 
-// recordAnswer notes an answer about the job.
+// recordAnswer processes an answer about the job. It ignores answers other than 200.
 func (u *simUser) recordAnswer(status int, state string) {
 	if status != 200 {
 		return
@@ -128,7 +129,8 @@
 	}
 }
 
-// queryAllNodes polls all controllers several times within milliseconds, and repeats the submission there.
+// queryAllNodes polls the job's status on all controllers four times within 10 ms, and repeats the submission
+// each time. It also cancels the job each time if the job has ended. It does nothing without eagerQueries.
 func (u *simUser) queryAllNodes() {
 	if !u.eagerQueries {
 		return
--- a/internal/coordination/submissions_test.go
+++ b/internal/coordination/submissions_test.go
@@ -2,10 +2,11 @@
 
 import "pipitgap/internal/protocol"
 
-// jobOption changes one thing, or a few, of a submission that is otherwise newSubmission's.
+// jobOption changes fields of a submission. The other fields keep the defaults of newSubmission.
 type jobOption func(*protocol.Submission)
 
-// newSubmission is one small task of a job array without an id, with the options applied in their order.
+// newSubmission returns a submission of a job array with one small task and without an ID. It applies the
+// options in order.
 func newSubmission(options ...jobOption) *protocol.Submission {
 	s := &protocol.Submission{
 		Class: "batch", Team: "free", Priority: protocol.Standard, Tasks: 1,
@@ -15,7 +16,7 @@
 	return s
 }
 
-// jobWith makes one option of several.
+// jobWith combines several options into one.
 func jobWith(options ...jobOption) jobOption {
 	return func(s *protocol.Submission) {
 		for _, option := range options {
