--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -12,8 +12,9 @@
 	"pipitgap/internal/storage"
 )
 
-// newGrownCluster is five controllers with room for some five hundred machines, on a
-// state service and a cloud no larger than those of three with forty.
+// newGrownCluster returns a cluster of five controllers with capacity for about 500 machines. The limits of
+// its state service and its cloud are those of newCluster, which is a cluster of three controllers with about
+// 40 machines.
 func newGrownCluster(t testing.TB, seed uint64) *cluster {
 	c := newCluster(t, seed)
 	c.nodeNames = []string{"n-0", "n-1", "n-2", "n-3", "n-4"}
@@ -36,7 +37,8 @@
 	return c
 }
 
-// submitWithRetry submits a job at a random controller, and again as a user does until it is accepted.
+// submitWithRetry submits a job to a random controller. Until the job is accepted, it retries 1 s after a
+// rejection, or immediately if there is no answer within 5 s.
 func (c *cluster) submitWithRetry(runTime monotime.Micros, options ...jobOption) string {
 	id, submission := c.newSubmission(options...)
 	c.fleet.Jobs[id] = fake.JobBehavior{Team: submission.Team, CPUs: submission.CPUs, RunTime: runTime}
@@ -72,24 +74,25 @@
 	return id
 }
 
-// bound is the range that a count of a simulation must be in.
+// bound is the range that a metric of a simulation must be in.
 type bound struct {
 	metric   string
 	min, max int
 }
 
+// requireWithinBounds reports every metric that is outside its bounds.
 func requireWithinBounds(t *testing.T, got map[string]int, bounds []bound) {
 	t.Helper()
 	for _, b := range bounds {
 		if value := got[b.metric]; value < b.min || value > b.max {
-			t.Errorf("%s: %d, want %d to %d", b.metric, value, b.min, b.max)
+			t.Errorf("%s: got %d, want %d to %d", b.metric, value, b.min, b.max)
 		}
 	}
 }
 
-// TestGrownClusterOpeningLoadStaysWithinBounds simulates an opening load twelve times as large as that of
-// three controllers: what it costs in changes, requests and bytes, and what gets done for that. Before
-// machines were stored in shards, 4,500 changes completed 137 tasks in the same time.
+// TestGrownClusterOpeningLoadStaysWithinBounds simulates an initial load that is twelve times as large as
+// that of three controllers. It checks the number of changes, requests and bytes, and the number of completed
+// tasks. Before machines were stored in shards, 4,500 changes completed only 137 tasks in the same time.
 func TestGrownClusterOpeningLoadStaysWithinBounds(t *testing.T) {
 	c := newGrownCluster(t, 1)
 	largest := map[string]int{}
@@ -129,7 +132,7 @@
 		c.sim.Run(second)
 		for _, node := range c.nodeNames {
 			if got := c.nodes[node].controller.replica.PendingReads(); got > api.MaxWaitingReaders {
-				t.Fatalf("%d polls wait", got)
+				t.Fatalf("%s: got %d waiting readers, want at most %d", node, got, api.MaxWaitingReaders)
 			}
 		}
 	}
@@ -162,7 +165,7 @@
 	}
 	t.Log(got)
 	requireWithinBounds(t, got, []bound{
-		{"changes", 0, 70 * 45}, // of 50 a second
+		{"changes", 0, 70 * 45}, // 45 per second; the state service allows 50
 		{"requests", 0, 70 * 150},
 		{"conflicts", 0, 400},
 		{"throttled", 0, 400},
@@ -173,17 +176,21 @@
 		{"largest value", 0, 4096},
 		{"largest report", 0, 64 << 10},
 	})
-	// After all controllers have crashed at once they read it all again and go on.
+	// After a simultaneous crash of all controllers, they reload all records and tasks complete again.
 	c.kill(c.nodeNames...)
 	listCalls, finished := c.store.Calls[protocol.StoreList], len(c.fleet.Finished)
 	c.sim.Run(3 * second)
 	c.start(c.nodeNames...)
 	c.sim.Run(12 * second)
 	if n := c.store.Calls[protocol.StoreList] - listCalls; n > 5*20 {
-		t.Errorf("%d lists to read everything again", n)
+		t.Errorf("restart of all controllers: got %d list calls for the reload, want at most %d", n, 5*20)
 	}
 	if len(c.fleet.Finished) <= finished {
-		t.Error("nothing gets done after a restart of all")
+		t.Errorf(
+			"restart of all controllers: got %d finished tasks, want more than the %d before it",
+			len(c.fleet.Finished),
+			finished,
+		)
 	}
 	c.requireNoViolations()
 }
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -11,8 +11,9 @@
 	"pipitgap/internal/storage"
 )
 
-// newLargeFleetCluster is five controllers with room for some fifteen hundred machines, on a
-// state service and a cloud that are but twice those of three with forty.
+// newLargeFleetCluster returns a cluster of five controllers with capacity for about 1,500 machines. The
+// limits of its state service are only twice those of newCluster, which is a cluster of three controllers
+// with about 40 machines. Its cloud allows 9 calls per second instead of 6.
 func newLargeFleetCluster(t testing.TB, seed uint64) *cluster {
 	c := newGrownCluster(t, seed)
 	c.store.RPS, c.store.WriteRPS = 400, 100
@@ -45,7 +46,8 @@
 	return c
 }
 
-// submitOpeningLoad submits services and arrays: what waits when the load begins, or comes in a second.
+// submitOpeningLoad submits services, arrays of class deep (few tasks of 4 CPUs) and arrays of class wide
+// (many tasks of 2 CPUs). Tests call it for the initial load, and for the load that arrives in each second.
 func (c *cluster) submitOpeningLoad(serviceCount, deepCount, wideCount int) {
 	for i := 0; i < serviceCount; i++ {
 		c.submitWithRetry(0, withClass("svc"), withTeam(fmt.Sprint("team", i%6)), withService(true),
@@ -76,7 +78,8 @@
 	}
 }
 
-// pollUntilFinal polls a job's status like its user, from its acceptance to its end.
+// pollUntilFinal polls a job's status every 5 s from its acceptance until it is done, as its user does. It
+// counts the status codes of the answers.
 func (c *cluster) pollUntilFinal(id string, statusCounts map[int]int) {
 	final := false
 	c.sim.After(c.randomDuration(5*second), func() {
@@ -98,9 +101,9 @@
 	})
 }
 
-// TestLargeFleetOpeningLoadStaysWithinBounds simulates the opening load of some fifteen hundred machines, and
-// a crash of all controllers but one in the midst of it: what is served, and what it costs in changes,
-// requests, commands and machines examined.
+// TestLargeFleetOpeningLoadStaysWithinBounds simulates the initial load of about 1,500 machines, and a crash
+// of all controllers except one during it. It checks the services and tasks that run, and the number of
+// changes, requests, commands and examined machines.
 func TestLargeFleetOpeningLoadStaysWithinBounds(t *testing.T) {
 	c := newLargeFleetCluster(t, 1)
 	got := map[string]int{}
@@ -134,7 +137,11 @@
 	}
 	got["shards"] = len(c.store.Keys(storage.Key(storage.KindShard, "")))
 	got["machines"] = c.cloud.MachineCount()
-	for _, op := range []protocol.CloudOp{protocol.CloudCreateMachines, protocol.CloudList, protocol.CloudDelete} {
+	for _, op := range []protocol.CloudOp{
+		protocol.CloudCreateMachines,
+		protocol.CloudList,
+		protocol.CloudDelete,
+	} {
 		got["cloud calls"] += c.cloud.Calls[op]
 	}
 	got["finished"] = len(c.fleet.Finished)
@@ -145,9 +152,9 @@
 			used, capacity = used+machine.Used.CPUs, capacity+16
 		}
 	}
-	got["used of 100"] = int(100 * used / capacity)
+	got["CPUs in use, percent"] = int(100 * used / capacity)
 
-	// One controller is left, with some three hundred of the machines, and soon owns them all.
+	// One controller remains. It owns about 300 of the machines, and claims all others within seconds.
 	incarnations := map[string]uint64{}
 	for id, worker := range c.fleet.Workers {
 		incarnations[id] = worker.Incarnation
@@ -166,12 +173,12 @@
 	}
 	for id, worker := range c.fleet.Workers {
 		if !worker.Machine.Gone && incarnations[id] != 0 && worker.Incarnation > incarnations[id] {
-			got["leases lost"]++
+			got["leases expired"]++
 		}
 	}
 	got["finished, alone"] = len(c.fleet.Finished) - finishedBefore
 	got["polls answered, alone"] = statusCounts[200]
-	got["services"], got["services of"] = countServices()
+	got["services"], got["services submitted"] = countServices()
 	got["commands"], got["largest response"] = c.commandCount, c.largestResponse
 	got["changes"] = c.store.Changes
 	for _, n := range c.store.Calls {
@@ -181,13 +188,13 @@
 	c.requireNoViolations()
 	requireWithinBounds(t, got, []bound{
 		{"machines", 1400, 1540},
-		{"used of 100", 80, 100},
+		{"CPUs in use, percent", 80, 100},
 		{"finished", 2000, 1 << 30},
 		{"finished, alone", 3000, 1 << 30},
-		{"services", got["services of"] * 97 / 100, got["services of"]},
+		{"services", got["services submitted"] * 97 / 100, got["services submitted"]},
 		{"polls answered, alone", 5000, 1 << 30},
 		{"shards of others", 0, 0},
-		{"leases lost", 0, 30},
+		{"leases expired", 0, 30},
 		{"shards", 60, 110},
 		{"largest value", 0, 4096},
 		{"largest report", 0, 64 << 10},
@@ -198,6 +205,7 @@
 		{"throttled", 0, 800},
 		{"commands", 0, 60000},
 		{"cloud calls", 5, 83 * 9},
-		{"examined", 0, 100 * got["placed"]}, // 430 before like tasks shared a search
+		// Each placed task cost 430 examined machines before tasks of the same shape shared a search.
+		{"examined", 0, 100 * got["placed"]},
 	})
 }
--- a/internal/coordination/lease_durations_test.go
+++ b/internal/coordination/lease_durations_test.go
@@ -7,11 +7,12 @@
 	"pipitgap/internal/monotime"
 )
 
-// leaseDurations are how long leases and cancellations last on a platform.
+// leaseDurations holds a platform's heartbeat interval, worker lease and cancellation deadline.
 type leaseDurations struct{ heartbeatInterval, leaseTime, cancelTime monotime.Micros }
 
 var defaultLeases = leaseDurations{2 * second, 12 * second, 32 * second}
 
+// apply sets the durations for the workers, the checker and the controllers of a scenario.
 func (l leaseDurations) apply(s *scenario) {
 	s.fleet.HeartbeatInterval, s.fleet.LeaseTime = l.heartbeatInterval, l.leaseTime
 	s.checker.CancelWithin = l.cancelTime
@@ -23,18 +24,18 @@
 	}
 }
 
-// TestLeasesLongerThanCancellationsAreRenewed: on a platform whose leases outlast the time that a
-// cancellation may take, heartbeats are answered all the same: no lease expires without a fault.
+// TestLeasesLongerThanCancellationsAreRenewed: controllers answer heartbeats even if the worker lease is
+// longer than the cancellation deadline, so that no lease expires without a fault.
 func TestLeasesLongerThanCancellationsAreRenewed(t *testing.T) {
 	s := newScenario(t, 3200)
 	leaseDurations{2 * second, 30 * second, 20 * second}.apply(s)
 	s.runFaults(nil, 80*second)
 	if len(s.fleet.Starts) < 10 {
-		t.Errorf("only %d tasks were started", len(s.fleet.Starts))
+		t.Errorf("got %d started tasks, want at least 10", len(s.fleet.Starts))
 	}
 	for id, worker := range s.fleet.Workers {
 		if worker.Incarnation > 1 {
-			t.Errorf("the lease of %s has expired", id)
+			t.Errorf("machine %s: got incarnation %d, want 1: its lease expired", id, worker.Incarnation)
 		}
 	}
 }
--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -11,9 +11,10 @@
 	"pipitgap/internal/storage"
 )
 
-// TestIsolatedControllersAnswerUsersAndDiscardState: controllers that are cut off from the store and their
-// peers, but not from their workers, answer users at once, keep services for a while, and on their return
-// apply nothing that they held. The leader may be among them.
+// TestIsolatedControllersAnswerUsersAndDiscardState: controllers that are cut off from the state service and
+// their peers, but not from their workers, reject user requests immediately with a time to retry, and keep
+// their services running for a while. After they reconnect, they apply nothing from their outdated state. The
+// leader may be one of them.
 func TestIsolatedControllersAnswerUsersAndDiscardState(t *testing.T) {
 	for i, nodes := range [][]string{{"n-0"}, {"n-1"}, {"n-2"}, {"n-0", "n-1"}, {"n-1", "n-2"}} {
 		t.Run(fmt.Sprint(nodes), func(t *testing.T) {
@@ -27,7 +28,7 @@
 			)
 			array := c.submit(10*second, withTasks(40), withSpot(true))
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 6 }) {
-				t.Fatal("not started")
+				t.Fatalf("got %d running replicas of the service after 60 s, want 6", c.fleet.Running(service))
 			}
 			for _, node := range nodes {
 				c.store.RefusedCallers[node] = true
@@ -38,7 +39,7 @@
 			c.sim.Run(5 * second)
 			for _, node := range nodes {
 				if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 503 {
-					t.Errorf("%s says %d to health checks", node, response.Status)
+					t.Errorf("%s: got status %d for a health check, want 503", node, response.Status)
 				}
 				_, submission := c.newSubmission()
 				for _, request := range []struct {
@@ -54,12 +55,15 @@
 					if response.Status != 503 || response.RetryAfter < 1 ||
 						c.sim.Now()-startedAt > second/2 {
 						t.Errorf(
-							"%s answers %s %s with %d after %d us",
+							"%s: %s %s: got status %d, Retry-After %d, after %d µs, "+
+								"want status 503, Retry-After of at least 1, within %d µs",
 							node,
 							request.method,
 							request.target,
 							response.Status,
+							response.RetryAfter,
 							c.sim.Now()-startedAt,
+							second/2,
 						)
 					}
 				}
@@ -69,16 +73,16 @@
 			clear(c.disconnectedPairs)
 			c.requireFinished(array, 200*second)
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 6 }) {
-				t.Errorf("%d replicas after the return", c.fleet.Running(service))
+				t.Errorf("after the reconnection: got %d running replicas, want 6", c.fleet.Running(service))
 			}
 			c.requireNoViolations()
 		})
 	}
 }
 
-// TestLongWatchGapReloadsMirror: a controller that reaches the store again after many changes reads the
-// records again, rather than all missed changes in one answer without a bound; one that missed few goes on
-// with its watch.
+// TestLongWatchGapReloadsMirror: a controller that reaches the state service again after many changes reloads
+// all records in bounded responses. It does not request all missed changes in one watch response, which has
+// no size limit. A controller that missed few changes continues its watch.
 func TestLongWatchGapReloadsMirror(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -102,22 +106,23 @@
 			controller := c.nodes["n-2"].controller
 			maxChanges := controller.replica.MaxWatchChanges()
 			if got := c.store.LargestWatchReply; got > maxChanges {
-				t.Errorf("a watch brought %d changes, want %d at most", got, maxChanges)
+				t.Errorf("largest watch response: got %d changes, want at most %d", got, maxChanges)
 			}
 			if reload := c.store.Calls[protocol.StoreList] > lists+3; reload != tc.reload {
-				t.Errorf("read again: %v, want %v", reload, tc.reload)
+				t.Errorf("mirror reloaded: got %v, want %v", reload, tc.reload)
 			}
 			want := len(c.store.Keys(storage.Key(storage.KindOpenJob, "")))
 			if got := len(controller.mirror.Jobs); got != want || want == 0 {
-				t.Errorf("the mirror has %d jobs, the store %d", got, want)
+				t.Errorf("got %d jobs in the mirror, want %d as in the state service (not 0)", got, want)
 			}
 		})
 	}
 }
 
-// TestUnreachableZoneKeepsMachines: a zone that can't be reached keeps its machines for as long as it may
-// come back with them, but for those whose services must be proven gone; nothing is rented there meanwhile,
-// and afterwards it serves again at once. Single machines that can't be reached are replaced as usual.
+// TestUnreachableZoneKeepsMachines: the controllers keep the machines of an unreachable zone, because the
+// zone may be reachable again within their leases. Machines with services are an exception: they are deleted,
+// which proves that the services have ended. No machines are rented in the zone during that time, and its
+// tasks continue when it is reachable again. Single unreachable machines are replaced as usual.
 func TestUnreachableZoneKeepsMachines(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -132,7 +137,8 @@
 			for k := range c.cloud.Capacity {
 				c.cloud.Capacity[k] = 12
 			}
-			c.nodeNames = c.nodeNames[:2] // each with more than a few machines in the zone
+			// With two controllers, each owns enough machines in the zone to judge the zone unreachable.
+			c.nodeNames = c.nodeNames[:2]
 			c.fleet.Controllers = c.nodeNames
 			c.startWithLeader()
 			jobInZoneA := map[string]bool{}
@@ -176,10 +182,13 @@
 				tc.machinesKept && (deleted > 0 || rentedInZoneA > 0) ||
 				!tc.machinesKept && deleted < len(cutOff) {
 				t.Errorf(
-					"of %d machines cut off %d were deleted; %d rented in the zone",
+					"got %d machines cut off, %d of them deleted, %d machines rented in zone a; "+
+						"want at least 2 cut off, and with machines kept (%v): none deleted, none rented, "+
+						"else all deleted",
 					len(cutOff),
 					deleted,
 					rentedInZoneA,
+					tc.machinesKept,
 				)
 			}
 			for _, worker := range cutOff {
@@ -189,7 +198,7 @@
 			c.sim.Run(15 * second)
 			for id, inZoneA := range jobInZoneA {
 				if n := c.fleet.Running(id); inZoneA && tc.machinesKept && n != 8 {
-					t.Errorf("%d tasks of %s run after the return", n, id)
+					t.Errorf("job %s: got %d running tasks after the reconnection, want 8", id, n)
 				}
 			}
 			c.requireNoViolations()
--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -10,8 +10,8 @@
 	"pipitgap/internal/protocol"
 )
 
-// TestServicePreemptsLowerPriorityOnly: a service gets room at once from work of lower priority, and
-// from nothing else.
+// TestServicePreemptsLowerPriorityOnly: a service preempts tasks of lower priority immediately if no machine
+// has room, and never tasks of the same or a higher priority.
 func TestServicePreemptsLowerPriorityOnly(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -20,8 +20,8 @@
 	}{
 		{"prod over standard", protocol.Standard, protocol.Production, true},
 		{"standard over best effort", protocol.BestEffort, protocol.Standard, true},
-		{"not over its like", protocol.High, protocol.High, false},
-		{"not over higher", protocol.Production, protocol.High, false},
+		{"not over the same priority", protocol.High, protocol.High, false},
+		{"not over a higher priority", protocol.Production, protocol.High, false},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -31,23 +31,23 @@
 			c.startWithLeader()
 			array := c.submit(200*second, withTasks(8), withPriority(tc.array))
 			if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(array) == 8 }) {
-				t.Fatalf("array: %d run", c.fleet.Running(array))
+				t.Fatalf("array: got %d running tasks after 60 s, want 8", c.fleet.Running(array))
 			}
 			service := c.submit(0, withService(true), withCPUs(4), withPriority(tc.service))
 			got := c.sim.RunUntil(5*second, func() bool { return c.fleet.Running(service) == 1 })
 			if got != tc.want {
-				t.Errorf("service runs: %v", got)
+				t.Errorf("service running after 5 s: got %v, want %v", got, tc.want)
 			}
 			if n := c.fleet.Running(array); tc.want && n != 6 || !tc.want && n != 8 {
-				t.Errorf("%d tasks of the array left", n)
+				t.Errorf("array: got %d running tasks, want 6 if the service preempts (%v), else 8", n, tc.want)
 			}
 			c.requireNoViolations()
 		})
 	}
 }
 
-// TestGuaranteeIsReclaimed: what a team runs beyond its guarantee is given back when another
-// team has work within its own; nothing more than that.
+// TestGuaranteeIsReclaimed: a team that uses more than its guarantee loses the excess to a team that has
+// waiting tasks within its own guarantee. Preemption stops when both teams run at their guarantees.
 func TestGuaranteeIsReclaimed(t *testing.T) {
 	c := newCluster(t, 22)
 	c.teams = []config.Team{{Name: "free", CPUs: 8}, {Name: "tight", CPUs: 8}}
@@ -57,21 +57,22 @@
 	c.startWithLeader()
 	borrower := c.submit(300*second, withTasks(8))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(borrower) == 8 }) {
-		t.Fatalf("borrower: %d run", c.fleet.Running(borrower))
+		t.Fatalf("borrower: got %d running tasks after 60 s, want 8", c.fleet.Running(borrower))
 	}
 	owner := c.submit(300*second, withTasks(8), withTeam("tight"))
 	if !c.sim.RunUntil(30*second, func() bool { return c.fleet.Running(owner) == 4 }) {
-		t.Errorf("%d tasks run within the guarantee", c.fleet.Running(owner))
+		t.Errorf("owner: got %d running tasks after 30 s, want the 4 of its guarantee", c.fleet.Running(owner))
 	}
 	c.sim.Run(30 * second)
 	if a, b := c.fleet.Running(borrower), c.fleet.Running(owner); a != 4 || b != 4 {
-		t.Errorf("borrower %d, owner %d tasks; each has a guarantee of 4", a, b)
+		t.Errorf("got %d running tasks of the borrower and %d of the owner, want 4 each", a, b)
 	}
 	c.requireNoViolations()
 }
 
-// TestLargeLowPriorityJobIsNotStarved: under lasting load of jobs that are preferred, a large one of
-// low priority begins within four minutes, and gets on.
+// TestLargeLowPriorityJobIsNotStarved: a large job starts within 4 minutes and makes progress even if jobs
+// that the queue order prefers, or whose tasks fit into smaller gaps, arrive at twice the cluster's capacity
+// all the time.
 func TestLargeLowPriorityJobIsNotStarved(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -79,7 +80,7 @@
 	}{
 		{"of lower priority", jobWith(withPriority(protocol.BestEffort), withTasks(60)),
 			jobWith(withPriority(protocol.Standard))},
-		{"late before the others came", jobWith(withTasks(60), withDeadlineS(20)),
+		{"deadline missed before the others are submitted", jobWith(withTasks(60), withDeadlineS(20)),
 			jobWith(withDeadlineS(60))},
 		{"tasks larger than the gaps", jobWith(withTasks(20), withCPUs(8)), jobWith(withCPUs(1))},
 	} {
@@ -104,7 +105,7 @@
 			}
 			firstStartAfter := monotime.Micros(0)
 			for c.sim.Now()-submittedAt < 480*second {
-				// Twice what there is room for, all the time.
+				// Twice the capacity of the cluster.
 				for i := 0; i < 4; i++ {
 					c.submitWithRetry(8*second, withTasks(8), tc.others)
 				}
@@ -114,16 +115,21 @@
 				}
 			}
 			if firstStartAfter == 0 || firstStartAfter > 240*second {
-				t.Errorf("began after %v s", firstStartAfter.Seconds())
+				t.Errorf("first start after %v s (0: never), want within 240 s", firstStartAfter.Seconds())
 			}
 			if n := startedTasks(); n < newSubmission(tc.large).Tasks/2 {
-				t.Errorf("%d of its tasks begun in eight minutes", n)
+				t.Errorf(
+					"large job: got %d started tasks after 480 s, want at least %d",
+					n,
+					newSubmission(tc.large).Tasks/2,
+				)
 			}
 			c.requireNoViolations()
 		})
 	}
 }
 
+// jobIDOfTask returns the job ID in a task ID.
 func jobIDOfTask(task string) string {
 	ref, _ := mirror.ParseTaskID(task)
 	return ref.Job
--- a/internal/coordination/random_faults_test.go
+++ b/internal/coordination/random_faults_test.go
@@ -10,17 +10,18 @@
 )
 
 var (
-	scenarioCount = flag.Int("scenarios", 40, "random scenarios to play")
+	scenarioCount = flag.Int("scenarios", 40, "number of random scenarios to simulate")
 	scenarioSeed  = flag.Uint64("scenario-seed", 1, "seed of the first random scenario")
 )
 
 const (
-	lastFaultAt    = 130 * second
-	scenarioLength = 185 * second
+	lastFaultAt    = 130 * second // random times are earlier; a fault that follows another within seconds may start later
+	scenarioLength = 185 * second // all faults have ended by this time
 )
 
-// randomFaults combines two to five faults of all kinds at random times, many of them
-// within seconds of each other.
+// randomFaults returns a random combination of faults: two to five faults of any kind, many of them within
+// seconds of each other; in half of the calls a cancellation of a team's jobs that is followed by a crash;
+// and two to four cancellations of running jobs within seconds of the other faults.
 func randomFaults(rnd *rand.Rand) []fault {
 	between := func(least, most monotime.Micros) monotime.Micros {
 		return least + monotime.Micros(rnd.Int64N(int64(most-least)))
@@ -109,8 +110,8 @@
 	return faults
 }
 
-// TestRandomFaultsKeepInvariants simulates random combinations of faults. A failing seed is run again with
-// -run TestRandomFaultsKeepInvariants -scenarios 1 -scenario-seed SEED.
+// TestRandomFaultsKeepInvariants simulates random combinations of faults. To repeat a failing seed, run it
+// with -run TestRandomFaultsKeepInvariants -scenarios 1 -scenario-seed SEED.
 func TestRandomFaultsKeepInvariants(t *testing.T) {
 	leases := []leaseDurations{
 		defaultLeases,
@@ -133,7 +134,7 @@
 			if t.Failed() {
 				t.Logf("faults: %s", describeFaults(faults))
 				t.Logf(
-					"again: go test ./internal/coordination -run %s -scenarios 1 -scenario-seed %d",
+					"to repeat: go test ./internal/coordination -run %s -scenarios 1 -scenario-seed %d",
 					"TestRandomFaultsKeepInvariants",
 					seed,
 				)
--- a/internal/coordination/summary_test.go
+++ b/internal/coordination/summary_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// playFullTeam has a team at its limit of 12 CPUs wait beside a machine with room, and gives n-0's lines of
-// the log about that.
+// playFullTeam simulates a team that waits because it has reached its limit of 12 CPUs, although a machine
+// has room. It returns n-0's log line about the head of the queue and its summary.
 func playFullTeam(t *testing.T) (queueHead, summary string) {
 	t.Helper()
 	c := newCluster(t, 51).startWithLeader()
@@ -25,22 +25,22 @@
 	return log.String(), controller.Summary()
 }
 
-// TestQueueHeadShowsTeamAtItsLimit: whoever is on call sees from two lines that a job waits for its team's
-// limit.
+// TestQueueHeadShowsTeamAtItsLimit: the queue head and the summary in the log show an operator that a job
+// waits because its team has reached its limit.
 func TestQueueHeadShowsTeamAtItsLimit(t *testing.T) {
 	queueHead, summary := playFullTeam(t)
 	for _, want := range []string{`msg="queue head"`, " j-000001(", " tight ", "tight share ", "unassigned 0"} {
 		if !strings.Contains(queueHead, want) {
-			t.Errorf("no %q in %s", want, queueHead)
+			t.Errorf("queue head: got %s, want it to contain %q", queueHead, want)
 		}
 	}
 	if want := " tight 12/12"; !strings.Contains(summary, want) {
-		t.Errorf("no %q in %s", want, summary)
+		t.Errorf("summary: got %s, want it to contain %q", summary, want)
 	}
 }
 
-// TestReadmeExplainsFieldsOfTheLog: each field within the texts of summary and queue head stands in README's
-// table of them.
+// TestReadmeExplainsFieldsOfTheLog: the table in README.md explains every field in the texts of the summary
+// and the queue head.
 func TestReadmeExplainsFieldsOfTheLog(t *testing.T) {
 	readme, err := os.ReadFile(filepath.Join("..", "..", "README.md"))
 	if err != nil {
@@ -49,10 +49,10 @@
 	_, section, found := strings.Cut(string(readme), "Fields within the texts:")
 	section, _, _ = strings.Cut(section, "For a search in older logs:")
 	if !found {
-		t.Fatal("README has no table of fields")
+		t.Fatal("README.md: no section \"Fields within the texts:\"")
 	}
 	queueHead, summary := playFullTeam(t)
-	// A field is a name followed by its value.
+	// A field is a name followed by its value. A team and its use also match.
 	fields := regexp.MustCompile(`([a-z_]+) (?:[0-9]+|true|false|-[0-9]+)\b`)
 	names := map[string]bool{}
 	for _, match := range fields.FindAllStringSubmatch(summary+queueHead, -1) {
@@ -60,11 +60,18 @@
 	}
 	const expectedFields = 20
 	if len(names) < expectedFields {
-		t.Fatalf("only the fields %v in %s %s", names, summary, queueHead)
+		t.Fatalf(
+			"got %d fields %v in %s %s, want at least %d",
+			len(names),
+			names,
+			summary,
+			queueHead,
+			expectedFields,
+		)
 	}
 	for name := range names {
 		if name != "tight" && !strings.Contains(section, "`"+name+"`") {
-			t.Errorf("README doesn't explain %q", name)
+			t.Errorf("README.md: field %q is not explained", name)
 		}
 	}
 }
