--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -13,7 +13,7 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// newBusyCluster is a cluster with services and arrays running on all three parts.
+// newBusyCluster returns a cluster with a service of 24 replicas that are all running, and that service.
 func newBusyCluster(t *testing.T, seed uint64) (c *cluster, service string) {
 	c = newCluster(t, seed)
 	clear(c.cloud.Capacity)
@@ -23,13 +23,13 @@
 	c.startWithLeader()
 	service = c.submit(0, withService(true), withPriority(protocol.High), withTasks(24), withCPUs(6))
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(service) == 24 }) {
-		t.Fatal("the service isn't up")
+		t.Fatalf("got %d running replicas of the service after 60 s, want 24", c.fleet.Running(service))
 	}
-	c.sim.Run(20 * second) // their owners have held them for longer than a lease
+	c.sim.Run(20 * second) // until the controllers have owned their machines for longer than a worker lease
 	return c, service
 }
 
-// restartedTasks counts the starts of a job's tasks beyond their first.
+// restartedTasks counts the starts of a job's tasks beyond the first start of each task.
 func (c *cluster) restartedTasks(id string) int {
 	restarts := 0
 	for task, starts := range c.fleet.Starts {
@@ -40,7 +40,8 @@
 	return restarts
 }
 
-// ownedMachines counts the machines that the store has with a controller.
+// ownedMachines counts the machines that a controller owns according to the mirror of another running
+// controller.
 func (c *cluster) ownedMachines(node string) int {
 	count := 0
 	for _, other := range c.nodeNames {
@@ -56,19 +57,20 @@
 	return count
 }
 
-// controllerWithMachines names a controller that has machines, and the lead or not.
+// controllerWithMachines returns the name of a controller that owns at least three machines. It is the leader
+// if leading is true, and otherwise a follower.
 func (c *cluster) controllerWithMachines(leading bool) string {
 	for _, node := range c.nodeNames {
 		if (c.leaderNode() == c.nodes[node]) == leading && c.ownedMachines(node) >= 3 {
 			return node
 		}
 	}
-	c.t.Fatal("no such controller")
+	c.t.Fatalf("no controller with at least 3 machines and leading = %v", leading)
 	return ""
 }
 
-// disconnect cuts a controller from all workers, or from the controllers, or both; it gives
-// the way back.
+// disconnect cuts a controller off from all workers, from all peers, or from both. It returns a function that
+// reconnects the controller.
 func (c *cluster) disconnect(node string, workers, peers bool) (reconnect func()) {
 	previous := map[string]bool{}
 	for k, v := range c.disconnectedPairs {
@@ -87,26 +89,27 @@
 	return func() { c.disconnectedPairs = previous }
 }
 
-// TestPartiallyReachableControllerHandsOffMachines: a controller that loses its workers, the store, the
-// others, or several of these at once, with and without the lead, loses no replica: its machines are others'
-// before their leases end, new ones are claimed by others, what waits there goes on elsewhere; and when it is
-// back it takes part again. Its workers used to be taken over one by one, against its own writes, and most of
-// their leases ended; cut off with its workers it kept them for as long as cancellations allow.
+// TestPartiallyReachableControllerHandsOffMachines: no replica is lost if a controller, leading or not, is
+// cut off from its workers, the state service, its peers, or several of these. Other controllers take over
+// its machines before the worker leases expire, claim new machines, and run its waiting tasks. After it
+// reconnects, it participates again. Earlier versions failed in two ways. Other controllers took over the
+// workers one by one, in competition with the owner's own writes, and most leases expired. A controller that
+// was cut off together with its workers kept them for as long as the cancellation deadline allows.
 func TestPartiallyReachableControllerHandsOffMachines(t *testing.T) {
 	for i, tc := range []struct {
 		name                  string
 		workers, store, peers bool
 		leading               bool
-		handOffTime           monotime.Micros // by when its machines are others'
+		handOffTime           monotime.Micros // by then other controllers own its machines; 0: not checked
 	}{
 		{"workers", true, false, false, false, 9 * second},
 		{"workers, leading", true, false, false, true, 9 * second},
 		{"store", false, true, false, false, 12 * second},
 		{"store, leading", false, true, false, true, 12 * second},
-		{"store and controllers, not its workers", false, true, true, false, 16 * second},
-		{"store and controllers, not its workers, leading", false, true, true, true, 16 * second},
-		{"controllers", false, false, true, false, 0},
-		{"workers and controllers", true, false, true, false, 0},
+		{"store and peers", false, true, true, false, 16 * second},
+		{"store and peers, leading", false, true, true, true, 16 * second},
+		{"peers", false, false, true, false, 0},
+		{"workers and peers", true, false, true, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c, service := newBusyCluster(t, uint64(1000+i))
@@ -118,7 +121,7 @@
 			if tc.handOffTime > 0 {
 				c.sim.Run(tc.handOffTime)
 				if n := c.ownedMachines(node); n > 0 {
-					t.Errorf("it still has %d machines", n)
+					t.Errorf("%s: got %d owned machines after %v s, want 0", node, n, tc.handOffTime.Seconds())
 				}
 				unacknowledged := 0
 				for _, n := range c.nodeNames {
@@ -130,46 +133,46 @@
 					}
 				}
 				if unacknowledged > 0 {
-					t.Errorf("%d machines have not come to their new owners", unacknowledged)
+					t.Errorf("got %d machines that have not acknowledged their new owner, want 0", unacknowledged)
 				}
 			}
 			if tc.workers && !tc.peers {
 				for _, n := range c.nodeNames {
 					if slices.Contains(c.nodes[n].controller.reachability.ConnectedControllers(), node) {
-						t.Errorf("%s would give it machines and tasks", n)
+						t.Errorf("%s: ConnectedControllers contains %s, which is cut off from its workers", n, node)
 					}
 				}
 			}
 			array := c.submit(3*second, withTasks(30), withCPUs(2))
 			c.requireFinished(array, 60*second)
 			if n := c.restartedTasks(service); n > 0 {
-				t.Errorf("%d replicas started anew", n)
+				t.Errorf("got %d restarted replicas, want 0", n)
 			}
 			if tc.workers && tc.handOffTime > 0 && c.ownedMachines(node) > 0 {
-				t.Errorf("it has claimed %d machines that it doesn't reach", c.ownedMachines(node))
+				t.Errorf("%s: got %d owned machines that it can't reach, want 0", node, c.ownedMachines(node))
 			}
 			reconnect()
 			c.store.RefusedCallers[node] = false
 			c.sim.Run(15 * second)
 			if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 200 {
-				t.Errorf("not healthy after its return: %d", response.Status)
+				t.Errorf("%s: got status %d for a health check after reconnecting, want 200", node, response.Status)
 			}
 			if c.nodes[node].controller.reachability.WorkersUnreachable() {
-				t.Error("it doesn't know that it reaches workers again")
+				t.Errorf("%s: still considers its workers unreachable after reconnecting", node)
 			}
 			if n := c.restartedTasks(service); n > 0 {
-				t.Errorf("%d replicas started anew after its return", n)
+				t.Errorf("got %d restarted replicas after the reconnection, want 0", n)
 			}
 			c.requireNoViolations()
 		})
 	}
 }
 
-// TestQuotaOfAbsentControllerIsReleased: a controller's share of a team's limit goes to the others when it
-// has gone, or can't use it, also what it had kept beyond what ran there; its return changes nothing of that,
-// and the limit holds.
+// TestQuotaOfAbsentControllerIsReleased: if a controller is down or cut off from its workers, the other
+// controllers get its share of a team's limit, including the unused part. The return of the controller does
+// not undo that, and the team never exceeds its limit.
 func TestQuotaOfAbsentControllerIsReleased(t *testing.T) {
-	for i, failure := range []string{"gone", "cut off from its workers"} {
+	for i, failure := range []string{"down", "cut off from its workers"} {
 		t.Run(failure, func(t *testing.T) {
 			c := newCluster(t, uint64(1070+i))
 			clear(c.cloud.Capacity)
@@ -191,9 +194,9 @@
 				}
 			}
 			if node == "" {
-				t.Fatal("no controller has a share")
+				t.Fatal("no controller with at least 3 machines has a share")
 			}
-			if failure == "gone" {
+			if failure == "down" {
 				c.kill(node)
 			} else {
 				c.disconnect(node, true, false)
@@ -205,7 +208,7 @@
 			}
 			controller := c.nodes[other].controller
 			if share := controller.quota.ShareOf(node, "tight").CPUs; share > 0 {
-				t.Errorf("it still has %v CPUs", share)
+				t.Errorf("%s: got a share of %v CPUs after 15 s, want 0", node, share)
 			}
 			c.requireFinished(first, 60*second)
 			fullLimit := c.submit(20*second, withTeam("tight"), withTasks(90), withCPUs(1))
@@ -215,9 +218,9 @@
 				return maxRunning >= 86
 			})
 			if maxRunning < 86 {
-				t.Errorf("%d of 90 run at once", maxRunning)
+				t.Errorf("got at most %d of 90 tasks running at once, want at least 86", maxRunning)
 			}
-			if failure == "gone" {
+			if failure == "down" {
 				c.start(node)
 			}
 			c.sim.Run(20 * second)
@@ -226,32 +229,33 @@
 	}
 }
 
-// TestSearchingWorkersCauseNoHandOff: machines whose workers send no heartbeats because they still look for
-// their controller are not handed off: they answer probes.
+// TestSearchingWorkersCauseNoHandOff: a controller does not hand off machines that are silent only because
+// their workers still try other controllers. It detects that from their answers to probes.
 func TestSearchingWorkersCauseNoHandOff(t *testing.T) {
 	c, service := newBusyCluster(t, 1050)
 	before := c.ownedMachines("n-0") + c.ownedMachines("n-1")
 	c.kill("n-0", "n-1")
 	for id, machine := range c.nodes["n-2"].controller.mirror.Machines {
 		if machine.Record != nil && machine.Owner() != "n-2" {
-			c.mutedMachines[id] = true // at ones that hang
+			c.mutedMachines[id] = true // as if their workers were waiting for controllers that do not answer
 		}
 	}
 	c.start("n-0", "n-1")
 	c.sim.Run(9 * second)
 	if n := c.ownedMachines("n-0") + c.ownedMachines("n-1"); n < before {
-		t.Errorf("they have %d machines of %d", n, before)
+		t.Errorf("n-0 and n-1: got %d owned machines, want at least the %d from before the restart", n, before)
 	}
 	clear(c.mutedMachines)
 	c.sim.Run(20 * second)
 	if n := c.fleet.Running(service); n != 24 {
-		t.Errorf("%d replicas run", n)
+		t.Errorf("got %d running replicas, want 24", n)
 	}
 	c.requireNoViolations()
 }
 
-// TestLastReachableControllerKeepsWorkers: a controller that reaches neither store nor controllers sends its
-// workers away, but one that comes back has found nobody else and is kept.
+// TestLastReachableControllerKeepsWorkers: a controller that reaches neither the state service nor its peers
+// sends its workers to other controllers. A worker that returns has found no other controller, so this
+// controller answers it again.
 func TestLastReachableControllerKeepsWorkers(t *testing.T) {
 	c, service := newBusyCluster(t, 1100)
 	node := "n-0"
@@ -268,29 +272,34 @@
 	c.start("n-1", "n-2")
 	c.sim.Run(20 * second)
 	if n := c.restartedTasks(service); n > 24-ownReplicas {
-		t.Errorf("%d replicas started anew, only %d were others'", n, 24-ownReplicas)
+		t.Errorf(
+			"got %d restarted replicas, want at most the %d on machines of the other controllers",
+			n,
+			24-ownReplicas,
+		)
 	}
 	c.requireNoViolations()
 }
 
-// TestPausedControllerTrustsNothingStale: a controller that is paused while its clocks run on, leading or
-// not, past its store lease or its workers', takes no peer or worker for dead when it resumes, as it
-// was itself that received nothing, and acts on none of its stale state.
+// TestPausedControllerTrustsNothingStale: a controller, leading or not, whose process was paused while the
+// clocks kept running does not consider peers or workers dead when it resumes, because it was the one that
+// received nothing. It also does not act on its outdated state, even if its membership lease or its workers'
+// leases expired during the pause.
 func TestPausedControllerTrustsNothingStale(t *testing.T) {
 	for i, tc := range []struct {
 		name        string
 		leading     bool
 		pauseTime   monotime.Micros
-		maxRestarts int // replicas that start anew
+		maxRestarts int // replicas that may restart
 	}{
-		{"for a moment", false, 2 * second, 0},
-		{"for a moment, leading", true, 2 * second, 0},
-		{"within its lease and its workers'", false, 5 * second, 0},
+		{"2 s", false, 2 * second, 0},
+		{"2 s, leading", true, 2 * second, 0},
+		{"within its lease and its workers' leases", false, 5 * second, 0},
 		{"past its lease", false, 8 * second, 0},
 		{"past its lease, leading", true, 8 * second, 0},
 		{"past its workers' leases", false, 25 * second, 0},
 		{"past its workers' leases, leading", true, 25 * second, 0},
-		{"for a minute", true, 60 * second, 0},
+		{"60 s, leading", true, 60 * second, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c, service := newBusyCluster(t, uint64(1200+i))
@@ -302,22 +311,22 @@
 			c.sim.Run(tc.pauseTime + 30*second)
 			c.requireFinished(array, 40*second)
 			if n := c.restartedTasks(service); n > tc.maxRestarts {
-				t.Errorf("%d replicas started anew", n)
+				t.Errorf("got %d restarted replicas, want at most %d", n, tc.maxRestarts)
 			}
 			if n := c.cloud.MachineCount(); n < machines {
-				t.Errorf("%d machines left of %d", n, machines)
+				t.Errorf("got %d machines, want at least %d as before the pause", n, machines)
 			}
 			if c.nodes[node].controller.reachability.WorkersUnreachable() ||
 				c.nodes[node].controller.mirror.Members[node].Version == 0 {
-				t.Error("it doesn't take part again")
+				t.Errorf("%s: no member, or considers its workers unreachable, after the pause", node)
 			}
 			c.requireNoViolations()
 		})
 	}
 }
 
-// TestHeartbeatAfterPauseWaitsForFreshMirror: a heartbeat that is handled just after a pause may have waited
-// all that time; it is not answered before the mirror is fresh.
+// TestHeartbeatAfterPauseWaitsForFreshMirror: a heartbeat that a controller handles just after a pause may
+// have been queued for the whole pause. The controller does not answer it before the mirror is up to date.
 func TestHeartbeatAfterPauseWaitsForFreshMirror(t *testing.T) {
 	c, _ := newBusyCluster(t, 1300)
 	controller := c.nodes["n-0"].controller
@@ -340,17 +349,21 @@
 		func(response Response) { status = response.Status },
 	)
 	c.sim.Run(5 * second)
-	controller.tick() // the first thing that it does
+	controller.tick() // the first action after the pause; it detects the pause
 	c.sim.Run(monotime.Millisecond)
 	if status == 200 ||
 		controller.agents.Of(machine) != nil && controller.agents.Of(machine).LastReachedAt() > lastReachedAt {
-		t.Errorf("answered %d", status)
+		t.Errorf(
+			"got status %d for the heartbeat, want no 200 and no proof of contact from the queued heartbeat",
+			status,
+		)
 	}
 }
 
-// TestReturnedControllerReclaimsUnderWriteThrottling: a controller that is back has its shards again soon,
-// though the others use up all changes that the store takes: commits of many changes
-// were refused for seconds, as each of a few took what was left before.
+// TestReturnedControllerReclaimsUnderWriteThrottling: a restarted controller claims its shards again within
+// three seconds, although other clients use up the write rate limit of the state service. Such a claim is a
+// commit with many writes. The service once rejected it for seconds, because commits with few writes took the
+// remaining tokens first.
 func TestReturnedControllerReclaimsUnderWriteThrottling(t *testing.T) {
 	c := newBurstCluster(t, 1500, func(cfg *config.Config) { cfg.Facts.State.ValueKB = 0.5 })
 	c.submit(0, withTeam("home"), withService(true), withPriority(protocol.High), withTasks(50), withCPUs(3))
@@ -374,7 +387,7 @@
 		}
 	}
 	if mostShards < 3 {
-		t.Fatalf("%d shards", mostShards)
+		t.Fatalf("%s: got %d shards, want at least 3", node, mostShards)
 	}
 	var writeRepeatedly func()
 	writeRepeatedly = func() {
@@ -397,7 +410,7 @@
 		return reclaimed == shards
 	}) {
 		shards, reclaimed := countShards(node)
-		t.Errorf("after three seconds %d of %d shards are its own", reclaimed, shards)
+		t.Errorf("%s: got %d of %d shards claimed again after 3 s, want all", node, reclaimed, shards)
 	}
 	c.requireNoViolations()
 }
--- a/internal/coordination/request_admission_test.go
+++ b/internal/coordination/request_admission_test.go
@@ -11,8 +11,9 @@
 	"pipitgap/internal/storage"
 )
 
-// TestOverloadAnswersImmediately: past what the store lets through, every request has an immediate
-// answer with a time to come back, and what waits stays bounded.
+// TestOverloadAnswersImmediately: if users send more requests than the rate limits of the state service
+// allow, each request gets an answer within 3 s, and each rejection contains a time to retry. The number of
+// waiting calls and readers remains bounded.
 func TestOverloadAnswersImmediately(t *testing.T) {
 	c := newCluster(t, 13).startWithLeader()
 	controller := c.nodes["n-0"].controller
@@ -24,7 +25,12 @@
 		callback := func(response Response) {
 			statusCounts[response.Status]++
 			if (response.Status == 429 || response.Status == 503) && response.RetryAfter < 1 {
-				t.Error("no time to come back")
+				t.Errorf(
+					"job %s: got status %d with Retry-After %d, want at least 1",
+					id,
+					response.Status,
+					response.RetryAfter,
+				)
 			}
 			if c.sim.Now()-sentAt > 3*second {
 				late++
@@ -34,10 +40,18 @@
 		c.sendRequest("n-0", "GET", protocol.JobPath(id), nil, callback)
 		if n := controller.store.QueuedCalls(ratelimit.PriorityUserRequest); n >
 			controller.api.MaxQueuedUserCalls()+1 {
-			t.Fatalf("%d calls wait", n)
+			t.Fatalf(
+				"got %d queued user calls, want at most %d",
+				n,
+				controller.api.MaxQueuedUserCalls()+1,
+			)
 		}
 		if controller.replica.PendingReads() > api.MaxWaitingReaders {
-			t.Fatalf("%d polls wait", controller.replica.PendingReads())
+			t.Fatalf(
+				"got %d waiting readers, want at most %d",
+				controller.replica.PendingReads(),
+				api.MaxWaitingReaders,
+			)
 		}
 	}
 	c.sim.Run(10 * second)
@@ -46,12 +60,18 @@
 		total += n
 	}
 	if total != 6000 || statusCounts[201] == 0 || statusCounts[429] == 0 || late > 0 {
-		t.Errorf("answers %v, %d late", statusCounts, late)
+		t.Errorf(
+			"got answers by status %v, %d of them after more than 3 s; "+
+				"want 6000 in total, some 201 and 429, none late",
+			statusCounts,
+			late,
+		)
 	}
 }
 
-// TestStoreOutageIsReportedAtOnce: in an outage of the store users are answered at once, a common
-// outage leaves every node healthy, one that is refused alone says so.
+// TestStoreOutageIsReportedAtOnce: during an outage of the state service users get an immediate answer. All
+// controllers remain healthy, because the outage affects all of them. A controller is unhealthy if the state
+// service rejects only its calls.
 func TestStoreOutageIsReportedAtOnce(t *testing.T) {
 	c := newCluster(t, 14).startWithLeader()
 	_, submission := c.newSubmission()
@@ -61,10 +81,14 @@
 	for _, node := range c.nodeNames {
 		if response := c.requestAndWait(node, "POST", protocol.JobsPath, body); response.Status != 503 ||
 			response.RetryAfter < 1 {
-			t.Errorf("submission to %s in an outage: %+v", node, response)
+			t.Errorf(
+				"submission to %s during an outage: got %+v, want status 503 and Retry-After of at least 1",
+				node,
+				response,
+			)
 		}
 		if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != 200 {
-			t.Errorf("%s is unhealthy in a common outage", node)
+			t.Errorf("%s: got status %d for a health check in a general outage, want 200", node, response.Status)
 		}
 	}
 	c.sim.Run(20 * second)
@@ -72,13 +96,13 @@
 	c.sim.Run(6 * second)
 	for node, want := range map[string]int{"n-0": 200, "n-1": 503, "n-2": 200} {
 		if response := c.requestAndWait(node, "GET", "/healthz", nil); response.Status != want {
-			t.Errorf("%s: %d, want %d", node, response.Status, want)
+			t.Errorf("%s: got status %d for a health check, want %d", node, response.Status, want)
 		}
 	}
 }
 
-// TestLateCommitOfRepeatedSubmissionIsOneJob: a submission repeated on another node while the first one's
-// commit is applied late is one job.
+// TestLateCommitOfRepeatedSubmissionIsOneJob: a submission whose commit is delayed and gets no answer, and
+// its repetition at another controller, result in one job.
 func TestLateCommitOfRepeatedSubmissionIsOneJob(t *testing.T) {
 	c := newCluster(t, 15).startWithLeader()
 	id, submission := c.newSubmission()
@@ -95,15 +119,15 @@
 		return 0
 	}
 	if response := c.requestAndWait("n-0", "POST", protocol.JobsPath, body); response.Status != 503 {
-		t.Errorf("a commit without an answer is answered %d", response.Status)
+		t.Errorf("submission whose commit gets no answer: got status %d, want 503", response.Status)
 	}
 	if response := c.requestAndWait("n-1", "POST", protocol.JobsPath, body); response.Status != 201 {
-		t.Errorf("the retry: %d", response.Status)
+		t.Errorf("repeated submission: got status %d, want 201", response.Status)
 	}
 	c.sim.Run(8 * second)
 	c.requireFinished(id, 60*second)
 	if n := c.fleet.Starts[id+"/0"]; n != 1 {
-		t.Errorf("started %d times", n)
+		t.Errorf("task %s/0: got %d starts, want 1", id, n)
 	}
 	c.requireNoViolations()
 }
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -11,9 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestOnlyWorkWithoutObjectiveIsPreemptible: only work without an objective is preempted for arrays.
-// Otherwise small urgent tasks stop tasks of whole machines that have an objective of their own, again and
-// again.
+// TestOnlyWorkWithoutObjectiveIsPreemptible: arrays preempt only jobs without an objective. Otherwise small
+// urgent tasks repeatedly preempt tasks that fill a whole machine and have an objective themselves.
 func TestOnlyWorkWithoutObjectiveIsPreemptible(t *testing.T) {
 	c := newCluster(t, 790)
 	c.teams = []config.Team{{Name: "free", CPUs: 4, CPUsMax: 200}, {Name: "other", CPUs: 100, CPUsMax: 200}}
@@ -35,27 +34,27 @@
 		want   bool
 	}{
 		{"without an objective", func(*storage.JobSpec) {}, true},
-		{"an objective of its class", func(spec *storage.JobSpec) { spec.Class = "survey" }, false},
+		{"an objective for its class", func(spec *storage.JobSpec) { spec.Class = "survey" }, false},
 		{"a deadline", func(spec *storage.JobSpec) { spec.DeadlineS = 100 }, false},
-		{"it saves nothing", func(spec *storage.JobSpec) { spec.CheckpointS = 0 }, false},
+		{"without checkpoints", func(spec *storage.JobSpec) { spec.CheckpointS = 0 }, false},
 		{"a service", func(spec *storage.JobSpec) { spec.Service = true }, false},
 		{"within its team's guarantee", func(spec *storage.JobSpec) { spec.Team = "other" }, false},
 	} {
 		if got := controller.scheduler.IsPreemptible(jobWithCheckpoints(tc.change)); got != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: got preemptible %v, want %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestScavengerWorkUsesSpareRoom: work without an objective takes what room there is and spot
-// machines, begins also where there are neither, and is out of the way within
-// seconds when others come; what it did is saved. Without that an array of hours held
-// its machines, ordinary ones requested for it, while others waited for gaps.
+// TestScavengerWorkUsesSpareRoom: work without an objective uses free room and spot machines, and starts on
+// one on-demand machine if there are neither. It saves its progress and is preempted within seconds when
+// other jobs need the room. Otherwise an array of several hours holds its machines, including on-demand
+// machines that were requested for it, while other jobs wait for gaps.
 func TestScavengerWorkUsesSpareRoom(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		spotCapacity int
-	}{{"spot machines", 3}, {"ordinary ones only", 0}} {
+	}{{"spot machines", 3}, {"on-demand machines only", 0}} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(800+tc.spotCapacity))
 			c.teams = []config.Team{{Name: "free", CPUs: 40, CPUsMax: 200}, {Name: "guest"}}
@@ -87,7 +86,12 @@
 			running := c.fleet.Running(scavenger)
 			if tc.spotCapacity == 0 && (running == 0 || onDemandMachines > 1) ||
 				tc.spotCapacity > 0 && (running < 30 || onDemandMachines > 0) {
-				t.Fatalf("%d of its tasks run, %d ordinary machines", running, onDemandMachines)
+				t.Fatalf(
+					"got %d running scavenger tasks and %d on-demand machines; "+
+						"want some and at most 1 without spot machines, at least 30 and 0 with them",
+					running,
+					onDemandMachines,
+				)
 			}
 			if tc.spotCapacity == 0 {
 				return
@@ -97,12 +101,12 @@
 			c.requireFinished(id, 25*second)
 			for _, rented := range c.cloud.Machines {
 				if !rented.Spot {
-					t.Error("an ordinary machine was rented")
+					t.Errorf("machine %s: got an on-demand machine, want spot machines only", rented.ID)
 				}
 			}
 			c.sim.Run(20 * second)
 			if n := c.fleet.Running(scavenger); n < running*3/4 {
-				t.Errorf("%d of its tasks run again, %d before", n, running)
+				t.Errorf("got %d running scavenger tasks after the preemption, want at least 3/4 of %d", n, running)
 			}
 			c.requireNoViolations()
 		})
--- a/internal/coordination/scheduling_bench_test.go
+++ b/internal/coordination/scheduling_bench_test.go
@@ -8,8 +8,8 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// BenchmarkSchedulingPasses measures the parts of the passes that grow with the fleet, in a full
-// fleet with jobs that wait.
+// BenchmarkSchedulingPasses measures the parts of scheduling and autoscaling passes whose cost grows with the
+// fleet. All machines of the fleet are full, and jobs are waiting.
 func BenchmarkSchedulingPasses(b *testing.B) {
 	for _, machines := range []int{1000, 4200} {
 		c := newClusterOfSize(b, machines)
@@ -30,8 +30,8 @@
 			name string
 			run  func()
 		}{
-			{"order of jobs", func() { controller.scheduler.OrderedQueue() }},
-			{"demand and room", func() {
+			{"job queue order", func() { controller.scheduler.OrderedQueue() }},
+			{"demand and supply", func() {
 				controller.autoscaler.demandAndSupply(controller.autoscaler.snapshot(now))
 			}},
 			{"offers", func() { controller.autoscaler.snapshot(now).Offers(controller.drains.ClosesOffer) }},
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -11,18 +11,20 @@
 	"pipitgap/internal/storage"
 )
 
-// shortLeases are those of a platform with frequent heartbeats, whose controllers take nearly as long to
-// restart as a lease lasts.
+// shortLeases are the durations of a platform with frequent heartbeats. Its controllers take nearly as long
+// to restart as a worker lease lasts, see slowRestartDelay.
 var shortLeases = leaseDurations{
 	heartbeatInterval: 8 * second / 10,
 	leaseTime:         10 * second,
 	cancelTime:        30 * second,
 }
 
+// slowRestartDelay is the time from a controller's crash to its restart. It is slightly shorter than the
+// worker lease of shortLeases.
 const slowRestartDelay = 8 * second
 
-// newShortLeaseScenario is a cluster of two zones and three controllers with short leases
-// and few changes a second.
+// newShortLeaseScenario returns a scenario with two zones, three controllers, short leases and a state
+// service that allows only 40 changes per second.
 func newShortLeaseScenario(t testing.TB, seed uint64) *scenario {
 	s := newScenario(t, seed)
 	shortLeases.apply(s)
@@ -41,7 +43,7 @@
 	return s
 }
 
-// submitWholeMachineJobs are arrays of tasks that fill a machine each, beside many small ones.
+// submitWholeMachineJobs submits four arrays whose tasks each fill a whole m16 machine.
 func (s *scenario) submitWholeMachineJobs() {
 	for range 4 {
 		s.addUser(
@@ -57,8 +59,8 @@
 	}
 }
 
-// submitSmallUrgentArray is an urgent array of small tasks: with a few of them a second every shard is
-// written in every pass.
+// submitSmallUrgentArray submits an urgent array of small tasks. If a few of these arrive per second, every
+// scheduling pass writes every shard.
 func submitSmallUrgentArray(s *scenario) {
 	s.addUser(
 		4*second+s.randomDuration(8*second),
@@ -71,7 +73,7 @@
 	)
 }
 
-// expiredLeases counts how often leases have ended on machines that are up.
+// expiredLeases counts the worker leases that have expired on the machines that are up.
 func (s *scenario) expiredLeases() int {
 	expired := 0
 	for _, worker := range s.fleet.Workers {
@@ -82,7 +84,7 @@
 	return expired
 }
 
-// crashAllExcept crashes all controllers but one, which then takes over all machines.
+// crashAllExcept returns a fault that crashes all controllers except one, which then takes over all machines.
 func crashAllExcept(survivor string, at, duration monotime.Micros) fault {
 	return fault{at, "all but one crash", func(s *scenario) {
 		for _, node := range s.nodeNames {
@@ -93,15 +95,16 @@
 	}}
 }
 
-// TestSlowRestartsExpireNoAdoptableLeases: controllers crash and are back only when their workers' leases are
-// about to end. The workers reach a controller that is left once, and not again in time: it waited until the
-// memberships of the others had ended, and most leases ended with them. Where all controllers have crashed,
-// leases may end before any is back, but nothing runs twice.
+// TestSlowRestartsExpireNoAdoptableLeases: controllers crash and restart only shortly before their workers'
+// leases expire. The workers contact a remaining controller once, and have no time for a second attempt. A
+// controller that adopted them only after the memberships of the crashed controllers had ended let most
+// leases expire. If all controllers crash, leases may expire before one of them is back, but no task runs
+// twice.
 func TestSlowRestartsExpireNoAdoptableLeases(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		faults     []fault
-		maxExpired float64 // fraction of the machines' leases that may end
+		maxExpired float64 // maximum number of expired leases per machine
 	}{
 		{"one", []fault{crashController(60*second, leaderController, slowRestartDelay)}, 0.05},
 		{"all but one", []fault{crashAllExcept("n-1", 60*second, slowRestartDelay)}, 0.05},
@@ -111,7 +114,7 @@
 			crashController(80*second, followerController(1), slowRestartDelay),
 		}, 0.05},
 		{"all", []fault{crashAllControllers(60*second, slowRestartDelay)}, 1},
-		{"all, in an outage", []fault{
+		{"all, during an outage", []fault{
 			storeOutage(55*second, 15*second),
 			crashAllControllers(60*second, slowRestartDelay),
 		}, 1},
@@ -130,7 +133,13 @@
 				s.sim.Run(45 * second)
 				if expired := s.expiredLeases() - expiredBefore; float64(expired) >
 					tc.maxExpired*float64(machines) || machines < 20 {
-					t.Errorf("seed %d: %d leases of %d machines ended", seed, expired, machines)
+					t.Errorf(
+						"seed %d: got %d expired leases on %d machines, want at most %.2f per machine on at least 20",
+						seed,
+						expired,
+						machines,
+						tc.maxExpired,
+					)
 				}
 				s.sim.Run(60 * second)
 				s.requireNoViolations()
@@ -139,7 +148,7 @@
 	}
 }
 
-// maxMachinesOfOneController is how many machines the controller with most of them has.
+// maxMachinesOfOneController returns the largest number of machines that any controller owns.
 func (s *scenario) maxMachinesOfOneController() int {
 	most, machinesByOwner := 0, map[string]int{}
 	for _, machine := range s.leaderNode().controller.mirror.Machines {
@@ -151,18 +160,19 @@
 	return most
 }
 
-// TestZonePartitionExpiresNoLeases: a partition between the zones ends no lease, whichever controller owns
-// the machines. After a crash of the others one controller owned them all; workers in the other zone reported
-// to a controller there 5 s after the partition, which waited for a second heartbeat that would have come
-// after the lease, and then tried to take them all over in one commit, which conflicted with the owner's
+// TestZonePartitionExpiresNoLeases: a network partition between the zones lets no worker lease expire,
+// whichever controller owns the machines. Leases once expired when one controller owned all machines after a
+// crash of the others. The workers in the other zone sent heartbeats to a controller there 5 s after the
+// start of the partition. That controller waited for a second heartbeat, which would have arrived after the
+// lease expired. Then it tried to take over all machines in one commit, which conflicted with the owner's
 // writes.
 func TestZonePartitionExpiresNoLeases(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		faults []fault
 	}{
-		{"machines at all controllers", nil},
-		{"machines at one controller", []fault{crashAllExcept("n-1", 60*second, slowRestartDelay)}},
+		{"machines of all controllers", nil},
+		{"machines of one controller", []fault{crashAllExcept("n-1", 60*second, slowRestartDelay)}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range uint64(3) {
@@ -179,7 +189,7 @@
 				if mostMachines := s.maxMachinesOfOneController(); len(tc.faults) > 0 &&
 					3*mostMachines < 2*len(s.pickMachines(1000)) {
 					t.Fatalf(
-						"seed %d: no controller has more than %d of %d machines",
+						"seed %d: the controller with the most machines owns %d of %d, want at least two thirds",
 						seed,
 						mostMachines,
 						len(s.pickMachines(1000)),
@@ -188,7 +198,13 @@
 				expiredBefore, machines := s.expiredLeases(), len(s.pickMachines(1000))
 				s.sim.Run(40 * second)
 				if expired := s.expiredLeases() - expiredBefore; expired > machines/20 || machines < 20 {
-					t.Errorf("seed %d: %d leases of %d machines ended", seed, expired, machines)
+					t.Errorf(
+						"seed %d: got %d expired leases on %d machines, want at most %d on at least 20",
+						seed,
+						expired,
+						machines,
+						machines/20,
+					)
 				}
 				s.sim.Run(60 * second)
 				s.requireNoViolations()
@@ -197,21 +213,22 @@
 	}
 }
 
-// TestTakeoverSucceedsBesideBusyShard: machines whose owner is cut off from them are taken over from its
-// other shards though it writes one of them all the time. A commit that takes over from several shards at
-// once conflicted on the busy one until the leases had ended.
+// TestTakeoverSucceedsBesideBusyShard: a controller takes over machines whose owner is cut off from them,
+// even if the owner constantly writes one of its shards: the machines of its other shards are taken over. A
+// commit that took over machines from several shards conflicted on the busy shard until the leases had
+// expired.
 func TestTakeoverSucceedsBesideBusyShard(t *testing.T) {
 	s := newShortLeaseScenario(t, 5200)
 	leases := s.adjustFacts
 	s.adjustFacts = func(cfg *config.Config) {
 		leases(cfg)
-		cfg.Facts.State.ValueKB = 1 // a few machines a shard
+		cfg.Facts.State.ValueKB = 1 // so that a shard holds only a few machines
 	}
 	s.start(s.nodeNames...)
 	s.sim.Run(3 * second)
 	s.submitWholeMachineJobs()
 	s.sim.Run(50 * second)
-	perShard := map[string]int{} // machines of n-1 in the zone that it will lose
+	perShard := map[string]int{} // machines of n-1 in zone a, from which the partition separates it
 	mirror := s.nodes["n-0"].controller.mirror
 	for _, machine := range mirror.Machines {
 		if machine.Record != nil && machine.Owner() == "n-1" && machine.Record.Zone == "a" {
@@ -220,7 +237,7 @@
 	}
 	names := sortedmap.Keys(perShard)
 	if len(names) < 2 {
-		t.Fatalf("the machines of n-1 in the zone stand in %d shards", len(names))
+		t.Fatalf("got %d shards with machines of n-1 in zone a, want at least 2", len(names))
 	}
 	busy := storage.Key(storage.KindShard, names[0])
 	s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
@@ -241,7 +258,7 @@
 	}
 	for _, name := range names[1:] {
 		if remaining[name] > 0 {
-			t.Errorf("%d of %d machines of %s have not been adopted", remaining[name], perShard[name], name)
+			t.Errorf("shard %s: got %d of %d machines not taken over, want 0", name, remaining[name], perShard[name])
 		}
 	}
 	s.requireNoViolations()
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -11,19 +11,20 @@
 	"pipitgap/internal/storage"
 )
 
-// TestQuotaLeft: what a partition may still assign within a team's limit.
+// TestQuotaLeft: the CPUs that a partition may still assign to a team's tasks within its share of the team's
+// limit.
 func TestQuotaLeft(t *testing.T) {
 	cases := []struct {
 		name           string
 		owner          string
-		incarnation    uint64 // 0: this controller's
+		incarnation    uint64 // of the shard's owner; 0: the current one of n-0
 		inDoubtUpdates bool
 		want           float64
 	}{
 		{"own shard", "n-0", 0, false, 6},
-		{"own shard, and a commit in doubt", "n-0", 0, true, 4},
-		// Once counted as free: after a restart of four controllers a team ran more
-		// than its limit allows.
+		{"own shard, and a commit in flight", "n-0", 0, true, 4},
+		// When such a shard's tasks did not count as use, a team exceeded its limit after a restart of four
+		// controllers.
 		{"a shard of an earlier incarnation, not claimed yet", "n-0", 7, false, 6},
 		{"another partition's shard", "n-1", 7, false, 10},
 	}
@@ -69,19 +70,19 @@
 				storage.Attempt{Task: 2, Machine: "i-1", Number: 2},
 				false,
 			)
-			controller.shards.Commit(update, controller.now()) // its outcome comes later
+			controller.shards.Commit(update, controller.now()) // the outcome is not known yet
 		}
 		if got := controller.quota.Left("tight").CPUs; got != tc.want {
-			t.Errorf("%s: %v left, want %v", tc.name, got, tc.want)
+			t.Errorf("%s: got %v CPUs left, want %v", tc.name, got, tc.want)
 		}
 		if got := controller.quota.Unallocated("tight").CPUs; got != 2 {
-			t.Errorf("%s: %v in the pool", tc.name, got)
+			t.Errorf("%s: got %v unallocated CPUs, want 2", tc.name, got)
 		}
 	}
 }
 
-// TestTeamLimitHoldsThroughRestarts: a team at its limit, controllers killed at any moment:
-// never more than the limit runs, and what is left of it is found again.
+// TestTeamLimitHoldsThroughRestarts: a team that has reached its limit never exceeds it when controllers
+// crash at random times, and all of its jobs finish, so that no part of the limit is lost.
 func TestTeamLimitHoldsThroughRestarts(t *testing.T) {
 	for seed := uint64(0); seed < 6; seed++ {
 		c := newCluster(t, 600+seed).startWithLeader()
@@ -106,16 +107,17 @@
 	}
 }
 
-// TestOrphanedServicePreemptsLowerPriority: a service whose partition's controller has gone gets room by
-// stopping lesser work, though no partition has any free. Left to whoever has room, it would wait.
+// TestOrphanedServicePreemptsLowerPriority: a service whose partition has lost its controller preempts tasks
+// of lower priority if no partition has free room. The service would wait if only a partition with free room
+// could take it over.
 func TestOrphanedServicePreemptsLowerPriority(t *testing.T) {
 	c := newCluster(t, 34)
 	clear(c.cloud.Capacity)
 	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 6
 	c.startWithLeader()
-	array := c.submit(400*second, withTasks(90)) // more than fits: no room stays free
+	array := c.submit(400*second, withTasks(90)) // more than fit, so that no room remains free
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(array) == 24 }) {
-		t.Fatalf("array: %d run", c.fleet.Running(array))
+		t.Fatalf("array: got %d running tasks after 60 s, want 24", c.fleet.Running(array))
 	}
 	var services []string
 	for i := 0; i < 3; i++ {
@@ -133,9 +135,9 @@
 		return true
 	}
 	if !c.sim.RunUntil(20*second, allRunning) {
-		t.Fatal("services not started")
+		t.Fatal("not all 3 services are running after 20 s")
 	}
-	// A controller goes, and the machines with those services that it placed.
+	// A controller crashes, and the machines with the services that it placed fail.
 	lostServices := 0
 	for _, id := range services {
 		job := c.nodes["n-0"].controller.mirror.Jobs[id]
@@ -156,14 +158,14 @@
 	c.kill("n-1")
 	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = -100
 	if !c.sim.RunUntil(60*second, allRunning) {
-		t.Error("a service of the partition that has gone is still down")
+		t.Errorf("not all 3 services are running 60 s after the crash of n-1, which had placed %d", lostServices)
 	}
 	c.requireNoViolations()
 }
 
-// TestUrgentJobIsStolenFirst: a small job of large tasks begins soon though nothing ends on
-// the machines of the partition that it was given to, while the others' gaps would go to
-// tasks that have more time: the most urgent of all goes first, wherever it waits.
+// TestUrgentJobIsStolenFirst: a small job of large tasks starts soon even if no task ends on the machines of
+// the partition that it is assigned to. The other partitions steal its tasks: their free room goes to the
+// most urgent job of all partitions, and not to their own tasks, which have more time.
 func TestUrgentJobIsStolenFirst(t *testing.T) {
 	c := newCluster(t, 300)
 	clear(c.cloud.Capacity)
@@ -190,7 +192,7 @@
 			5*second,
 			func() bool { return controller.scheduler.ReassignTaskRanges(controller.mirror.Jobs[id], ranges) },
 		) {
-			t.Fatalf("%s can't be given to %v", id, partitions)
+			t.Fatalf("job %s: task ranges not reassigned to %v within 5 s", id, partitions)
 		}
 		c.sim.Run(second / 10)
 	}
@@ -204,21 +206,22 @@
 		return c.fleet.Starts[id+"/0"] > 0 && c.fleet.Starts[id+"/1"] > 0 && c.fleet.Starts[id+"/2"] > 0
 	}
 	if !c.sim.RunUntil(9*second, allStarted) {
-		t.Error("not begun after 9 s") // 12 when only room left over went to others' tasks
+		// It took 12 s when partitions gave only leftover room to tasks of other partitions.
+		t.Error("urgent job: not all 3 tasks have started after 9 s")
 	}
-	t.Logf("begun after %.1f s", (c.sim.Now() - assignedAt).Seconds())
+	t.Logf("started after %.1f s", (c.sim.Now() - assignedAt).Seconds())
 	c.requireNoViolations()
 }
 
-// TestLateQuotaReleaseFailsAfterReturn: what an absent controller has of the limits is dropped, but not
-// once it has been back: it may have assigned tasks under its record by then, though it is
-// gone again when the drop is carried out.
+// TestLateQuotaReleaseFailsAfterReturn: a delayed commit that deletes the quota shares of a departed
+// controller fails if the controller has returned in the meantime, even if it has left again. After its
+// return it may have assigned tasks based on these shares.
 func TestLateQuotaReleaseFailsAfterReturn(t *testing.T) {
 	const commitDelay = 20 * second
 	for _, tc := range []struct {
 		name                 string
-		returns, leavesAgain bool // it comes back, and is gone again
-	}{{"away", false, false}, {"back", true, false}, {"back and gone again", true, true}} {
+		returns, leavesAgain bool // the controller returns before the commit, and leaves again
+	}{{"absent", false, false}, {"returned", true, false}, {"returned and left again", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newScenario(t, 3300)
 			s.start(s.nodeNames...)
@@ -228,7 +231,7 @@
 			departed := followerController(1)(s)
 			key := storage.Key(storage.KindPartition, departed)
 			if len(s.store.Keys(key)) == 0 {
-				t.Fatalf("%s has no share", departed)
+				t.Fatalf("%s: no record of quota shares", departed)
 			}
 			releases := 0
 			s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
@@ -236,13 +239,13 @@
 					return 0
 				}
 				if releases++; releases > 1 {
-					return 1000 * second // only the first is looked at
+					return 1000 * second // after the end of the test, so that only the first one matters
 				}
 				return commitDelay
 			}
 			s.kill(departed)
 			if !s.sim.RunUntil(30*second, func() bool { return releases > 0 }) {
-				t.Fatal("nobody drops the shares of the one that has gone")
+				t.Fatalf("%s: no release of its quota shares within 30 s", departed)
 			}
 			isMember := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.IsMember(departed) }
 			if tc.returns {
@@ -254,11 +257,11 @@
 				s.sim.RunUntil(10*second, func() bool { return !isMember() })
 			}
 			if isMember() != (tc.returns && !tc.leavesAgain) {
-				t.Fatal("membership is not as the case wants it")
+				t.Fatalf("%s: got member %v, want %v", departed, isMember(), tc.returns && !tc.leavesAgain)
 			}
 			s.sim.Run(commitDelay)
 			if recordExists := len(s.store.Keys(key)) > 0; recordExists != tc.returns {
-				t.Errorf("its record is left: %v", recordExists)
+				t.Errorf("%s: record of quota shares exists: got %v, want %v", departed, recordExists, tc.returns)
 			}
 			s.requireNoViolations()
 		})
--- a/internal/coordination/throttled_cancellations_test.go
+++ b/internal/coordination/throttled_cancellations_test.go
@@ -6,9 +6,10 @@
 	"pipitgap/internal/monotime"
 )
 
-// throttledThenStoreOutage is the combination that broke most invariants: the state service rejects the
-// leader alone, users cancel through another controller, and then the service is down for all, for
-// longer than the tasks of a cancelled job may keep running.
+// throttledThenStoreOutage returns the combination of faults that violated the most invariants. The state
+// service first rejects only the leader's calls, and users cancel jobs through other controllers. After
+// outageDelay an outage for all controllers starts, which lasts longer than the tasks of a cancelled job may
+// keep running. The additional faults are appended.
 func throttledThenStoreOutage(outageDelay monotime.Micros, additional ...fault) []fault {
 	return append([]fault{
 		storeRejectsController(70*second, leaderController, 14*second),
@@ -18,28 +19,29 @@
 	}, additional...)
 }
 
-// TestCancellationReachesControllerThrottledAlone: the owner of the machines learns of cancellations from
-// its peers, or lets the leases expire in time. The workers report to the old leader all the while.
+// TestCancellationReachesControllerThrottledAlone: a controller whose calls alone the state service rejects
+// learns of cancellations from its peers, or lets the leases of its workers expire before the cancellation
+// deadline. The workers report to the old leader throughout.
 func TestCancellationReachesControllerThrottledAlone(t *testing.T) {
 	cases := []struct {
 		name   string
 		leases leaseDurations
 		faults []fault
 	}{
-		{"alone", defaultLeases, throttledThenStoreOutage(2 * second)},
-		{"a second apart", defaultLeases, throttledThenStoreOutage(second)},
+		{"outage 2 s later", defaultLeases, throttledThenStoreOutage(2 * second)},
+		{"outage 1 s later", defaultLeases, throttledThenStoreOutage(second)},
 		{
 			"longer leases",
 			leaseDurations{4 * second, 22 * second, 42 * second},
 			throttledThenStoreOutage(2 * second),
 		},
 		{
-			"still longer leases",
+			"longest leases",
 			leaseDurations{5 * second, 28 * second, 53 * second},
 			throttledThenStoreOutage(2 * second),
 		},
 		{
-			"short leases and many reports",
+			"short leases and frequent heartbeats",
 			leaseDurations{8 * second / 10, 10 * second, 30 * second},
 			throttledThenStoreOutage(2 * second),
 		},
@@ -49,7 +51,7 @@
 			throttledThenStoreOutage(2*second, crashController(64*second, leaderController, 3*second)),
 		},
 		{
-			"in an election",
+			"during an election",
 			defaultLeases,
 			throttledThenStoreOutage(2*second, crashController(69*second, leaderController, second/2)),
 		},
@@ -86,7 +88,7 @@
 			throttledThenStoreOutage(2*second, peerPartition(71*second, followerController(1), 60*second)),
 		},
 		{
-			"the owner is cut off from its peers before the outage only",
+			"the owner is cut off from its peers only before the outage and at its start",
 			defaultLeases,
 			throttledThenStoreOutage(2*second, peerPartition(70*second, leaderController, 10*second)),
 		},
@@ -133,14 +135,15 @@
 				s.runFaults(tc.faults, 215*second)
 				s.requireCancelledTasks(t)
 				if t.Failed() {
-					t.Fatalf("seed %d", seed)
+					t.Fatalf("seed %d failed", seed)
 				}
 			}
 		})
 	}
 }
 
-// requireCancelledTasks fails a scenario that ends with too few cancelled jobs to test cancellations.
+// requireCancelledTasks fails the test if fewer than three jobs were cancelled, which is too few to test
+// cancellations.
 func (s *scenario) requireCancelledTasks(t *testing.T) {
 	t.Helper()
 	cancelled := 0
@@ -150,6 +153,6 @@
 		}
 	}
 	if cancelled < 3 {
-		t.Errorf("only %d jobs were cancelled", cancelled)
+		t.Errorf("got %d cancelled jobs, want at least 3", cancelled)
 	}
 }
--- a/internal/coordination/user_requests_test.go
+++ b/internal/coordination/user_requests_test.go
@@ -10,8 +10,8 @@
 	"pipitgap/internal/storage"
 )
 
-// TestJobsRunToCompletion: jobs are accepted, machines rented, tasks run, jobs reported done, machines
-// returned.
+// TestJobsRunToCompletion: accepted jobs run on rented machines and are reported done. Afterwards all
+// machines are deleted, and no records of open jobs, shards and scale-out requests remain.
 func TestJobsRunToCompletion(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -24,8 +24,8 @@
 			withSpot(true)), second},
 		{"one zone", jobWith(withTasks(12), withOneZone(true)), 5 * second},
 		{"spread", jobWith(withTasks(9), withSpread(true)), 5 * second},
-		{"a team's limit", jobWith(withTasks(20), withTeam("tight")), 2 * second},
-		{"a type", jobWith(withTasks(3), withTypes("m16"), withZone("b")), 2 * second},
+		{"more tasks than the team's limit allows at once", jobWith(withTasks(20), withTeam("tight")), 2 * second},
+		{"machine type and zone", jobWith(withTasks(3), withTypes("m16"), withZone("b")), 2 * second},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -36,19 +36,19 @@
 			c.requireFinished(id, 300*second)
 			c.requireNoViolations()
 			if !c.sim.RunUntil(120*second, func() bool { return c.cloud.MachineCount() == 0 }) {
-				t.Errorf("%d machines were not given back", c.cloud.MachineCount())
+				t.Errorf("got %d machines 120 s after the end of the job, want 0", c.cloud.MachineCount())
 			}
 			c.sim.Run(60 * second)
 			for _, kind := range []storage.Kind{storage.KindOpenJob, storage.KindShard, storage.KindScaleOut} {
 				if keys := c.store.Keys(storage.KeyPrefix + string(kind)); len(keys) > 0 {
-					t.Errorf("records left behind: %v", keys)
+					t.Errorf("got remaining records %v, want none", keys)
 				}
 			}
 		})
 	}
 }
 
-// TestPlacementRespectsConstraints: starts only where the job allows.
+// TestPlacementRespectsConstraints: tasks start only on machines that the job's constraints allow.
 func TestPlacementRespectsConstraints(t *testing.T) {
 	zonesOf := func(c *cluster, id string) map[string]int {
 		zones := map[string]int{}
@@ -66,7 +66,7 @@
 		job   jobOption
 		check func(c *cluster, id string) string
 	}{
-		{"spot only by permission", jobWith(withTasks(6)), func(c *cluster, id string) string {
+		{"no spot machines without permission", jobWith(withTasks(6)), func(c *cluster, id string) string {
 			for _, worker := range c.fleet.Workers {
 				if worker.Machine.Spot && len(worker.Attempts) > 0 {
 					return "a task runs on a spot machine"
@@ -90,7 +90,7 @@
 			withTypes("m16")), func(c *cluster, id string) string {
 			for _, worker := range c.fleet.Workers {
 				if len(worker.Attempts) > 0 && (worker.Machine.Zone != "b" || worker.Machine.Type != "m16") {
-					return "on " + worker.Machine.Type + " in " + worker.Machine.Zone
+					return "a task runs on type " + worker.Machine.Type + " in zone " + worker.Machine.Zone
 				}
 			}
 			return ""
@@ -99,24 +99,24 @@
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newCluster(t, uint64(100+i)).startWithLeader()
-			for k := 0; k < 4; k++ { // what is there needn't be what is allowed
+			for k := 0; k < 4; k++ { // some of these machines violate the constraints
 				c.cloud.AddMachine("m8", []string{"a", "b"}[k%2], k < 2)
 			}
 			c.sim.Run(15 * second)
 			id := c.submit(0, tc.job)
 			want := newSubmission(tc.job).Tasks
 			if !c.sim.RunUntil(120*second, func() bool { return c.fleet.Running(id) == want }) {
-				t.Fatalf("%d of %d run", c.fleet.Running(id), want)
+				t.Fatalf("got %d running tasks after 120 s, want %d", c.fleet.Running(id), want)
 			}
 			if violation := tc.check(c, id); violation != "" {
-				t.Error(violation)
+				t.Errorf("constraint violated: %s", violation)
 			}
 			c.requireNoViolations()
 		})
 	}
 }
 
-// TestUserRequestStatusCodes: the answers of the users' interface.
+// TestUserRequestStatusCodes: the status codes of the answers to valid and invalid user requests.
 func TestUserRequestStatusCodes(t *testing.T) {
 	c := newCluster(t, 5).startWithLeader()
 	knownID := c.submit(0, withService(true))
@@ -136,38 +136,39 @@
 		{"wrong method", "GET", protocol.JobsPath, nil, 405},
 		{"wrong method on a job", "POST", protocol.JobPath("j-1"), nil, 405},
 		{"unknown job", "GET", protocol.JobPath("j-none"), nil, 404},
-		{"abort of an unknown job", "POST", protocol.CancelPath("j-none"), nil, 404},
+		{"cancellation of an unknown job", "POST", protocol.CancelPath("j-none"), nil, 404},
 		{"not MessagePack", "POST", protocol.JobsPath, []byte{0xc1}, 400},
 		{"not a map", "POST", protocol.JobsPath, protocol.MustMarshal([]int{1}), 400},
 		{"bad id", "POST", protocol.JobsPath, withField(protocol.FieldID, "x 1"), 400},
 		{"no tasks", "POST", protocol.JobsPath, withField(protocol.FieldTasks, 0), 400},
 		{"too many tasks", "POST", protocol.JobsPath, withField(protocol.FieldTasks, 100001), 400},
-		{"tasks not whole", "POST", protocol.JobsPath, withField(protocol.FieldTasks, 1.5), 400},
+		{"number of tasks not an integer", "POST", protocol.JobsPath, withField(protocol.FieldTasks, 1.5), 400},
 		{"negative amount", "POST", protocol.JobsPath, withField(protocol.FieldCPUs, -1.0), 400},
 		{"unknown shape", "POST", protocol.JobsPath, withField(protocol.FieldShape, "ring"), 400},
-		{"unknown rank", "POST", protocol.JobsPath, withField(protocol.FieldPriority, "top"), 400},
+		{"unknown priority", "POST", protocol.JobsPath, withField(protocol.FieldPriority, "top"), 400},
 		{"unknown team", "POST", protocol.JobsPath, withField(protocol.FieldTeam, "nobody"), 422},
 		{"fits no machine", "POST", protocol.JobsPath, withField(protocol.FieldCPUs, 17.0), 422},
-		{"type that isn't", "POST", protocol.JobsPath, withField(protocol.FieldTypes, []any{"m99"}), 422},
-		{"zone that isn't", "POST", protocol.JobsPath, withField(protocol.FieldZone, "z"), 422},
-		{"known id, invalid now", "POST", protocol.JobsPath, withField(protocol.FieldID, knownID)[:0], 400},
+		{"unknown machine type", "POST", protocol.JobsPath, withField(protocol.FieldTypes, []any{"m99"}), 422},
+		{"unknown zone", "POST", protocol.JobsPath, withField(protocol.FieldZone, "z"), 422},
+		{"empty body", "POST", protocol.JobsPath, withField(protocol.FieldID, knownID)[:0], 400},
 		{"malformed heartbeat", "POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
 		if response := c.requestAndWait("n-1", tc.method, tc.target, tc.body); response.Status != tc.want {
-			t.Errorf("%s: %d, want %d: %s", tc.name, response.Status, tc.want, response.Body)
+			t.Errorf("%s: got status %d, want %d; body %s", tc.name, response.Status, tc.want, response.Body)
 		}
 	}
-	// A known job is known whatever its repeated submission looks like, on any node.
+	// Every controller accepts a repeated submission with a known job ID, even if its other fields are
+	// invalid.
 	for _, node := range c.nodeNames {
 		repeated := *valid
 		repeated.ID, repeated.Team = knownID, "nobody"
 		response := c.requestAndWait(node, "POST", protocol.JobsPath, protocol.MustMarshal(&repeated))
 		if response.Status != 200 {
-			t.Errorf("repeated submission on %s: %d", node, response.Status)
+			t.Errorf("repeated submission to %s: got status %d, want 200", node, response.Status)
 		}
 	}
-	// A team's limit: all replicas of a service, one task of an array.
+	// A team's limit must allow all replicas of a service, but only one task of an array.
 	for _, tc := range []struct {
 		service bool
 		tasks   int
@@ -176,22 +177,29 @@
 		_, submission := c.newSubmission(withTeam("tight"), withService(tc.service), withTasks(tc.tasks))
 		response := c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(submission))
 		if response.Status != tc.want {
-			t.Errorf("service %v of %d: %d, want %d", tc.service, tc.tasks, response.Status, tc.want)
+			t.Errorf(
+				"service %v with %d tasks: got status %d, want %d",
+				tc.service,
+				tc.tasks,
+				response.Status,
+				tc.want,
+			)
 		}
 	}
 }
 
-// TestCancelInEveryState: a job cancelled in any state is gone in time and never reported otherwise.
+// TestCancelInEveryState: a job may be cancelled in any state. Its tasks end before the cancellation
+// deadline, and later answers always contain the same final status as the answer to the cancellation.
 func TestCancelInEveryState(t *testing.T) {
 	cases := []struct {
 		name    string
-		delay   monotime.Micros // before the abort
+		delay   monotime.Micros // from the submission to the cancellation
 		runTime monotime.Micros
 	}{
-		{"at once", 0, 0},
-		{"racing the start", 13 * second, 0},
+		{"immediately", 0, 0},
+		{"at about the start", 13 * second, 0},
 		{"running", 30 * second, 0},
-		{"racing done", 14500 * monotime.Millisecond, second},
+		{"at about the completion", 14500 * monotime.Millisecond, second},
 	}
 	for i, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -203,7 +211,7 @@
 			_ = protocol.Unmarshal(response.Body, &reply)
 			if response.Status != 200 ||
 				reply.Status != protocol.JobCancelled && reply.Status != protocol.JobDone {
-				t.Fatalf("%d %+v", response.Status, reply)
+				t.Fatalf("got status %d and %+v, want 200 and cancelled or done", response.Status, reply)
 			}
 			if reply.Status == protocol.JobCancelled {
 				c.checker.CancellationConfirmed(id)
@@ -212,22 +220,22 @@
 				c.sim.Run(5 * second)
 				if code, jobStatus := c.jobStatus(c.nodeNames[k%3], id); code != 200 ||
 					jobStatus.Status != reply.Status {
-					t.Fatalf("answered %s, then %d %s", reply.Status, code, jobStatus.Status)
+					t.Fatalf("got status %d and %s, want 200 and %s", code, jobStatus.Status, reply.Status)
 				}
 			}
 			if n := c.fleet.Running(id); n > 0 {
-				t.Errorf("%d tasks of a job that is over", n)
+				t.Errorf("got %d running tasks of the ended job, want 0", n)
 			}
 			if keys := c.store.Keys(storage.KeyPrefix + string(storage.KindOpenJob)); len(keys) > 0 {
-				t.Errorf("left behind: %v", keys)
+				t.Errorf("got remaining records %v, want none", keys)
 			}
 			c.requireNoViolations()
 		})
 	}
 }
 
-// TestAbortDoesNotCancelDoneJob: an abort decided on an outdated mirror must not cancel a job
-// that has been called done.
+// TestAbortDoesNotCancelDoneJob: a cancellation that a controller commits based on an outdated mirror must
+// not cancel a job that has been reported done. The commit conflicts with the job's result.
 func TestAbortDoesNotCancelDoneJob(t *testing.T) {
 	c := newCluster(t, 18).startWithLeader()
 	id := c.submit(second)
@@ -237,12 +245,12 @@
 		var reply protocol.AcceptedReply
 		_ = protocol.Unmarshal(response.Body, &reply)
 		if reply.Status != protocol.JobDone {
-			t.Errorf("answered %+v", reply)
+			t.Errorf("got answer %+v, want status done", reply)
 		}
 	})
 	c.sim.Run(2 * second)
 	var result storage.JobResult
 	if !c.store.Read(storage.Key(storage.KindJobResult, id), &result) || result.State != storage.JobDone {
-		t.Errorf("the store holds %+v", result)
+		t.Errorf("got stored result %+v, want done", result)
 	}
 }
