--- a/internal/coordination/network_partition_test.go
+++ b/internal/coordination/network_partition_test.go
@@ -99,7 +99,7 @@
 				c.requestAndWait("n-0", "POST", protocol.JobsPath, protocol.MustMarshal(submission))
 			}
 			c.sim.Run(15 * second)
-			lists := c.store.Calls[protocol.StoreList]
+			listsBefore := c.store.Calls[protocol.StoreList]
 			c.store.LargestWatchReply = 0
 			c.store.RefusedCallers["n-2"] = false
 			c.sim.Run(5 * second)
@@ -108,7 +108,7 @@
 			if got := c.store.LargestWatchReply; got > maxChanges {
 				t.Errorf("largest watch response: got %d changes, want at most %d", got, maxChanges)
 			}
-			if reload := c.store.Calls[protocol.StoreList] > lists+3; reload != tc.reload {
+			if reload := c.store.Calls[protocol.StoreList] > listsBefore+3; reload != tc.reload {
 				t.Errorf("mirror reloaded: got %v, want %v", reload, tc.reload)
 			}
 			want := len(c.store.Keys(storage.Key(storage.KindOpenJob, "")))
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -184,7 +184,7 @@
 			c.startWithLeader()
 			c.submit(0, withService(true), withPriority(protocol.High), withTasks(24), withCPUs(2))
 			c.sim.Run(40 * second)
-			first := c.submit(15*second, withTeam("tight"), withTasks(60), withCPUs(1))
+			firstJob := c.submit(15*second, withTeam("tight"), withTasks(60), withCPUs(1))
 			c.sim.Run(5 * second)
 			node, largestShare := "", 0.0
 			for _, n := range c.nodeNames {
@@ -210,11 +210,11 @@
 			if share := controller.quota.ShareOf(node, "tight").CPUs; share > 0 {
 				t.Errorf("%s: got a share of %v CPUs after 15 s, want 0", node, share)
 			}
-			c.requireFinished(first, 60*second)
-			fullLimit := c.submit(20*second, withTeam("tight"), withTasks(90), withCPUs(1))
+			c.requireFinished(firstJob, 60*second)
+			secondJob := c.submit(20*second, withTeam("tight"), withTasks(90), withCPUs(1))
 			maxRunning := 0
 			c.sim.RunUntil(40*second, func() bool {
-				maxRunning = max(maxRunning, c.fleet.Running(fullLimit))
+				maxRunning = max(maxRunning, c.fleet.Running(secondJob))
 				return maxRunning >= 86
 			})
 			if maxRunning < 86 {
@@ -233,7 +233,7 @@
 // their workers still try other controllers. It detects that from their answers to probes.
 func TestSearchingWorkersCauseNoHandOff(t *testing.T) {
 	c, service := newBusyCluster(t, 1050)
-	before := c.ownedMachines("n-0") + c.ownedMachines("n-1")
+	ownedBefore := c.ownedMachines("n-0") + c.ownedMachines("n-1")
 	c.kill("n-0", "n-1")
 	for id, machine := range c.nodes["n-2"].controller.mirror.Machines {
 		if machine.Record != nil && machine.Owner() != "n-2" {
@@ -242,8 +242,8 @@
 	}
 	c.start("n-0", "n-1")
 	c.sim.Run(9 * second)
-	if n := c.ownedMachines("n-0") + c.ownedMachines("n-1"); n < before {
-		t.Errorf("n-0 and n-1: got %d owned machines, want at least the %d from before the restart", n, before)
+	if n := c.ownedMachines("n-0") + c.ownedMachines("n-1"); n < ownedBefore {
+		t.Errorf("n-0 and n-1: got %d owned machines, want at least the %d from before the restart", n, ownedBefore)
 	}
 	clear(c.mutedMachines)
 	c.sim.Run(20 * second)
@@ -281,11 +281,11 @@
 	c.requireNoViolations()
 }
 
-// TestPausedControllerTrustsNothingStale: a controller, leading or not, whose process was paused while the
+// TestPausedControllerDistrustsStaleState: a controller, leading or not, whose process was paused while the
 // clocks kept running does not consider peers or workers dead when it resumes, because it was the one that
 // received nothing. It also does not act on its outdated state, even if its membership lease or its workers'
 // leases expired during the pause.
-func TestPausedControllerTrustsNothingStale(t *testing.T) {
+func TestPausedControllerDistrustsStaleState(t *testing.T) {
 	for i, tc := range []struct {
 		name        string
 		leading     bool
@@ -304,7 +304,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c, service := newBusyCluster(t, uint64(1200+i))
 			node := c.controllerWithMachines(tc.leading)
-			machines := c.cloud.MachineCount()
+			machinesBefore := c.cloud.MachineCount()
 			array := c.submit(6*second, withTasks(24), withCPUs(1))
 			c.sim.Run(2 * second)
 			c.pause(node, tc.pauseTime)
@@ -313,8 +313,8 @@
 			if n := c.restartedTasks(service); n > tc.maxRestarts {
 				t.Errorf("got %d restarted replicas, want at most %d", n, tc.maxRestarts)
 			}
-			if n := c.cloud.MachineCount(); n < machines {
-				t.Errorf("got %d machines, want at least %d as before the pause", n, machines)
+			if n := c.cloud.MachineCount(); n < machinesBefore {
+				t.Errorf("got %d machines, want at least %d as before the pause", n, machinesBefore)
 			}
 			if c.nodes[node].controller.reachability.WorkersUnreachable() ||
 				c.nodes[node].controller.mirror.Members[node].Version == 0 {
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -213,11 +213,11 @@
 	}
 }
 
-// TestTakeoverSucceedsBesideBusyShard: a controller takes over machines whose owner is cut off from them,
+// TestTakeoverSucceedsDespiteBusyShard: a controller takes over machines whose owner is cut off from them,
 // even if the owner constantly writes one of its shards: the machines of its other shards are taken over. A
 // commit that took over machines from several shards conflicted on the busy shard until the leases had
 // expired.
-func TestTakeoverSucceedsBesideBusyShard(t *testing.T) {
+func TestTakeoverSucceedsDespiteBusyShard(t *testing.T) {
 	s := newShortLeaseScenario(t, 5200)
 	leases := s.adjustFacts
 	s.adjustFacts = func(cfg *config.Config) {
@@ -239,11 +239,11 @@
 	if len(names) < 2 {
 		t.Fatalf("got %d shards with machines of n-1 in zone a, want at least 2", len(names))
 	}
-	busy := storage.Key(storage.KindShard, names[0])
+	busyShardKey := storage.Key(storage.KindShard, names[0])
 	s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 		for _, compare := range txn.If {
-			if compare.Key == busy {
-				s.store.Rewrite(busy)
+			if compare.Key == busyShardKey {
+				s.store.Rewrite(busyShardKey)
 			}
 		}
 		return 0
--- a/internal/coordination/summary_test.go
+++ b/internal/coordination/summary_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-// playFullTeam simulates a team that waits because it has reached its limit of 12 CPUs, although a machine
-// has room. It returns n-0's log line about the head of the queue and its summary.
-func playFullTeam(t *testing.T) (queueHead, summary string) {
+// simulateTeamAtLimit simulates a team that waits because it has reached its limit of 12 CPUs, although a
+// machine has room. It returns n-0's log line about the head of the queue and its summary.
+func simulateTeamAtLimit(t *testing.T) (queueHead, summary string) {
 	t.Helper()
 	c := newCluster(t, 51).startWithLeader()
 	c.submit(600*second, withTasks(40), withTeam("tight"))
@@ -28,7 +28,7 @@
 // TestQueueHeadShowsTeamAtItsLimit: the queue head and the summary in the log show an operator that a job
 // waits because its team has reached its limit.
 func TestQueueHeadShowsTeamAtItsLimit(t *testing.T) {
-	queueHead, summary := playFullTeam(t)
+	queueHead, summary := simulateTeamAtLimit(t)
 	for _, want := range []string{`msg="queue head"`, " j-000001(", " tight ", "tight share ", "unassigned 0"} {
 		if !strings.Contains(queueHead, want) {
 			t.Errorf("queue head: got %s, want it to contain %q", queueHead, want)
@@ -51,7 +51,7 @@
 	if !found {
 		t.Fatal("README.md: no section \"Fields within the texts:\"")
 	}
-	queueHead, summary := playFullTeam(t)
+	queueHead, summary := simulateTeamAtLimit(t)
 	// A field is a name followed by its value. A team and its use also match.
 	fields := regexp.MustCompile(`([a-z_]+) (?:[0-9]+|true|false|-[0-9]+)\b`)
 	names := map[string]bool{}
