--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -11,9 +11,8 @@
 	"pipitgap/internal/storage"
 )
 
-// newLargeFleetCluster returns a cluster of five controllers with capacity for about 1,500 machines. The
-// limits of its state service are only twice those of newCluster, which is a cluster of three controllers
-// with about 40 machines. Its cloud allows 9 calls per second instead of 6.
+// newLargeFleetCluster is five controllers with room for some fifteen hundred machines, on a
+// state service and a cloud that are but twice those of three with forty.
 func newLargeFleetCluster(t testing.TB, seed uint64) *cluster {
 	c := newGrownCluster(t, seed)
 	c.store.RPS, c.store.WriteRPS = 400, 100
@@ -79,7 +78,7 @@
 }
 
 // pollUntilFinal polls a job's status every 5 s from its acceptance until it is done, as its user does. It
-// counts the status codes of the answers.
+// counts the status codes of the answers in statusCounts.
 func (c *cluster) pollUntilFinal(id string, statusCounts map[int]int) {
 	final := false
 	c.sim.After(c.randomDuration(5*second), func() {
@@ -154,7 +153,7 @@
 	}
 	got["CPUs in use, percent"] = int(100 * used / capacity)
 
-	// One controller remains. It owns about 300 of the machines, and claims all others within seconds.
+	// One controller remains. It owns about 300 of the machines, and soon claims all others.
 	incarnations := map[string]uint64{}
 	for id, worker := range c.fleet.Workers {
 		incarnations[id] = worker.Incarnation
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -13,7 +13,7 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// newBusyCluster returns a cluster with a service of 24 replicas that are all running, and that service.
+// newBusyCluster is a cluster with services and arrays running on all three parts.
 func newBusyCluster(t *testing.T, seed uint64) (c *cluster, service string) {
 	c = newCluster(t, seed)
 	clear(c.cloud.Capacity)
@@ -318,7 +318,12 @@
 			}
 			if c.nodes[node].controller.reachability.WorkersUnreachable() ||
 				c.nodes[node].controller.mirror.Members[node].Version == 0 {
-				t.Errorf("%s: no member, or considers its workers unreachable, after the pause", node)
+				t.Errorf(
+					"%s: got workers unreachable %v, member version %d after the pause, want false and not 0",
+					node,
+					c.nodes[node].controller.reachability.WorkersUnreachable(),
+					c.nodes[node].controller.mirror.Members[node].Version,
+				)
 			}
 			c.requireNoViolations()
 		})
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -43,7 +43,8 @@
 	return s
 }
 
-// submitWholeMachineJobs submits four arrays whose tasks each fill a whole m16 machine.
+// submitWholeMachineJobs submits four arrays whose tasks each fill a whole m16 machine. Most tests run them
+// beside the many small tasks of submitSmallUrgentArray.
 func (s *scenario) submitWholeMachineJobs() {
 	for range 4 {
 		s.addUser(
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -254,7 +254,7 @@
 	return received
 }
 
-// newSubmission returns a submission with the next unused job ID, and that ID.
+// newSubmission returns the next unused job ID and a submission with that ID.
 func (c *cluster) newSubmission(options ...jobOption) (string, *protocol.Submission) {
 	c.nextSubmission++
 	submission := newSubmission(options...)
@@ -263,7 +263,7 @@
 }
 
 // submit submits a job to the controllers in turn until one accepts it, and returns the job's ID. It pauses
-// for 1 s between attempts.
+// for 1 s between attempts, as users do.
 func (c *cluster) submit(runTime monotime.Micros, options ...jobOption) string {
 	c.t.Helper()
 	id, submission := c.newSubmission(options...)
--- a/internal/coordination/user_requests_test.go
+++ b/internal/coordination/user_requests_test.go
@@ -150,7 +150,7 @@
 		{"fits no machine", "POST", protocol.JobsPath, withField(protocol.FieldCPUs, 17.0), 422},
 		{"unknown machine type", "POST", protocol.JobsPath, withField(protocol.FieldTypes, []any{"m99"}), 422},
 		{"unknown zone", "POST", protocol.JobsPath, withField(protocol.FieldZone, "z"), 422},
-		{"empty body", "POST", protocol.JobsPath, withField(protocol.FieldID, knownID)[:0], 400},
+		{"known id, invalid now", "POST", protocol.JobsPath, withField(protocol.FieldID, knownID)[:0], 400},
 		{"malformed heartbeat", "POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
