--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -12,8 +12,9 @@
 	"pipitgap/internal/storage"
 )
 
-// newGrownCluster is five controllers with room for some five hundred machines, on a
-// state service and a cloud no larger than those of three with forty.
+// newGrownCluster returns a cluster of five controllers with capacity for about 500 machines. The limits of
+// its state service and its cloud are those of newCluster, which is a cluster of three controllers with about
+// 40 machines.
 func newGrownCluster(t testing.TB, seed uint64) *cluster {
 	c := newCluster(t, seed)
 	c.nodeNames = []string{"n-0", "n-1", "n-2", "n-3", "n-4"}
@@ -28,21 +29,22 @@
 	c.settings.ExpectedCapacity, c.settings.ExpectedOnDemandCapacity = 0.2, 1.75
 	c.settings.OverdueBootFactor, c.settings.ServiceHeadroom = 0.75, 0.3
 	clear(c.cloud.Capacity)
-	for _, z := range []string{"a", "b"} {
-		c.cloud.Capacity[fake.OfferKey("m16", z, false)] = 135
-		c.cloud.Capacity[fake.OfferKey("m16", z, true)] = 135
+	for _, zone := range []string{"a", "b"} {
+		c.cloud.Capacity[fake.OfferKey("m16", zone, false)] = 135
+		c.cloud.Capacity[fake.OfferKey("m16", zone, true)] = 135
 	}
 	c.checker.Limits["tight"], c.checker.Limits["free"], c.checker.Limits["third"] = 2500, 3500, 3500
 	return c
 }
 
-// submitWithRetry submits a job at a random controller, and again as a user does until it is accepted.
-func (c *cluster) submitWithRetry(run monotime.Micros, options ...jobOption) string {
-	id, j := c.newSubmission(options...)
-	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
-	body := protocol.MustMarshal(j)
-	var try func()
-	try = func() {
+// submitWithRetry submits a job to a random controller. Until the job is accepted, it retries 1 s after a
+// rejection, or immediately if there is no answer within 5 s.
+func (c *cluster) submitWithRetry(runTime monotime.Micros, options ...jobOption) string {
+	id, submission := c.newSubmission(options...)
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: submission.Team, CPUs: submission.CPUs, RunTime: runTime}
+	body := protocol.MustMarshal(submission)
+	var send func()
+	send = func() {
 		settled := false
 		c.sendRequest(
 			c.nodeNames[c.sim.Rand.IntN(len(c.nodeNames))],
@@ -55,7 +57,7 @@
 				}
 				settled = true
 				if response.Status != 200 && response.Status != 201 {
-					c.sim.After(second, try)
+					c.sim.After(second, send)
 				} else if c.onAccepted != nil {
 					c.onAccepted(id)
 				}
@@ -64,32 +66,33 @@
 		c.sim.After(5*second, func() {
 			if !settled {
 				settled = true
-				try()
+				send()
 			}
 		})
 	}
-	try()
+	send()
 	return id
 }
 
-// bound is the range that a count of a simulation must be in.
+// bound is the range that a metric of a simulation must be in.
 type bound struct {
-	what        string
-	least, most int
+	metric   string
+	min, max int
 }
 
+// requireWithinBounds reports every metric that is outside its bounds.
 func requireWithinBounds(t *testing.T, got map[string]int, bounds []bound) {
 	t.Helper()
 	for _, b := range bounds {
-		if n := got[b.what]; n < b.least || n > b.most {
-			t.Errorf("%s: %d, want %d to %d", b.what, n, b.least, b.most)
+		if value := got[b.metric]; value < b.min || value > b.max {
+			t.Errorf("%s: got %d, want %d to %d", b.metric, value, b.min, b.max)
 		}
 	}
 }
 
-// TestGrownClusterOpeningLoadStaysWithinBounds simulates an opening load twelve times as large as that of
-// three controllers: what it costs in changes, requests and bytes, and what gets done for that. Before
-// machines were stored in shards, 4,500 changes completed 137 tasks in the same time.
+// TestGrownClusterOpeningLoadStaysWithinBounds simulates an initial load that is twelve times as large as
+// that of three controllers. It checks the number of changes, requests and bytes, and the number of completed
+// tasks. Before machines were stored in shards, 4,500 changes completed only 137 tasks in the same time.
 func TestGrownClusterOpeningLoadStaysWithinBounds(t *testing.T) {
 	c := newGrownCluster(t, 1)
 	largest := map[string]int{}
@@ -112,24 +115,24 @@
 			withEstimateS(0),
 		)
 	}
-	arrays := func(n int) {
+	submitArrays := func(n int) {
 		for i := 0; i < n; i++ {
-			run := monotime.Micros(float64(12*second) * (0.5 + 1.2*c.sim.Rand.Float64()))
-			c.submitWithRetry(run, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
+			runTime := monotime.Micros(float64(12*second) * (0.5 + 1.2*c.sim.Rand.Float64()))
+			c.submitWithRetry(runTime, withTeam(teams[c.sim.Rand.IntN(3)]), withTasks(20+c.sim.Rand.IntN(260)),
 				withMemoryGB(10),
 				withImage(fmt.Sprint("tr", c.sim.Rand.IntN(18))), withImageGB(0.7), withEstimateS(12),
 				withSpot(true), withDeadlineS(46))
 		}
 	}
-	arrays(23)
+	submitArrays(23)
 	for s := 0; s < 70; s++ {
 		if s%2 == 0 {
-			arrays(1)
+			submitArrays(1)
 		}
 		c.sim.Run(second)
 		for _, node := range c.nodeNames {
 			if got := c.nodes[node].controller.replica.PendingReads(); got > api.MaxWaitingReaders {
-				t.Fatalf("%d polls wait", got)
+				t.Fatalf("%s: got %d waiting readers, want at most %d", node, got, api.MaxWaitingReaders)
 			}
 		}
 	}
@@ -162,7 +165,7 @@
 	}
 	t.Log(got)
 	requireWithinBounds(t, got, []bound{
-		{"changes", 0, 70 * 45}, // of 50 a second
+		{"changes", 0, 70 * 45}, // 45 per second; the state service allows 50
 		{"requests", 0, 70 * 150},
 		{"conflicts", 0, 400},
 		{"throttled", 0, 400},
@@ -173,17 +176,21 @@
 		{"largest value", 0, 4096},
 		{"largest report", 0, 64 << 10},
 	})
-	// After all controllers have crashed at once they read it all again and go on.
+	// After a simultaneous crash of all controllers, they reload all records and tasks complete again.
 	c.kill(c.nodeNames...)
-	before, finished := c.store.Calls[protocol.StoreList], len(c.fleet.Finished)
+	listCalls, finished := c.store.Calls[protocol.StoreList], len(c.fleet.Finished)
 	c.sim.Run(3 * second)
 	c.start(c.nodeNames...)
 	c.sim.Run(12 * second)
-	if n := c.store.Calls[protocol.StoreList] - before; n > 5*20 {
-		t.Errorf("%d lists to read everything again", n)
+	if n := c.store.Calls[protocol.StoreList] - listCalls; n > 5*20 {
+		t.Errorf("restart of all controllers: got %d list calls for the reload, want at most %d", n, 5*20)
 	}
 	if len(c.fleet.Finished) <= finished {
-		t.Error("nothing gets done after a restart of all")
+		t.Errorf(
+			"restart of all controllers: got %d finished tasks, want more than the %d before it",
+			len(c.fleet.Finished),
+			finished,
+		)
 	}
 	c.requireNoViolations()
 }
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -16,7 +16,8 @@
 
 const second = monotime.Second
 
-// cluster is three controllers (or more) on fakes, under one simulated clock.
+// cluster simulates three or more controllers with fakes of the state service, the cloud and the workers. All
+// of them share one simulated clock.
 type cluster struct {
 	t              testing.TB
 	sim            *fake.SimClock
@@ -34,30 +35,32 @@
 	clusterCounters
 }
 
-// clusterHooks are functions of a test that are called if they are set.
+// clusterHooks holds optional functions that a test sets.
 type clusterHooks struct {
-	adjustFacts func(*config.Config) // changes the platform's facts as a controller knows them
-	onAccepted  func(id string)      // called for every accepted job of submitWithRetry
-	onCall      func(text string)    // called for every call of a controller, as JSON
-	// onReport is called for every heartbeat on its way.
+	adjustFacts func(*config.Config) // changes the facts about the platform in a controller's configuration
+	onAccepted  func(id string)      // called when a job of submitWithRetry is accepted
+	onCall      func(text string)    // called for every call and direct command of a controller, as JSON
+	// onReport is called for every heartbeat that is sent to a controller and not lost in the network.
 	onReport func(worker *fake.Worker, node string, body []byte)
-	// commandDelay gives the delay of a direct command.
+	// commandDelay returns the additional delay of a direct command.
 	commandDelay func(worker *fake.Worker, request *protocol.CommandRequest) monotime.Micros
-	// wire is called for every call, peer status and answer of a controller in wire form.
+	// wire is called for every call, direct command, peer status and answer that a controller sends, in wire
+	// form.
 	wire func(node, kind, text string)
 }
 
-// clusterCounters count what passes between controllers, workers and users.
+// clusterCounters measures the messages between controllers, workers and users.
 type clusterCounters struct {
-	commandCount    int // direct commands, and probes of workers
-	largestResponse int // bytes
+	commandCount    int // direct command requests and probes that controllers sent to workers
+	largestResponse int // size of the largest response body in bytes
 }
 
-// simController is one controller; its environment drops what belongs to an earlier incarnation.
+// simController is one simulated controller process, which may be restarted. Its environment drops the
+// callbacks of earlier incarnations.
 type simController struct {
 	cluster     *cluster
 	name        string
-	controller  *Controller // nil: it is down
+	controller  *Controller // nil while the process is down
 	incarnation int
 }
 
@@ -95,7 +98,7 @@
 			disconnectedPairs:   map[string]bool{},
 			unreachableMachines: map[string]bool{},
 			mutedMachines:       map[string]bool{},
-			pausedWork:          map[string]*[]func(){},
+			pausedControllers:   map[string]*[]func(){},
 		},
 	}
 	c.store = fake.NewStateStore(sim, 200, 50, 12)
@@ -122,7 +125,7 @@
 	return c
 }
 
-// addControllers makes the controllers of nodeNames, which are not started.
+// addControllers adds a controller for each of nodeNames. It does not start them.
 func (c *cluster) addControllers() {
 	for _, node := range c.nodeNames {
 		c.nodes[node] = &simController{cluster: c, name: node}
@@ -131,33 +134,33 @@
 
 func (c *cluster) nodeConfig(node string) *config.Config {
 	cfg := &config.Config{Node: node, Area: "a", PublicAddr: "127.0.0.1:1", PeerBind: "127.0.0.1:2"}
-	for _, n := range c.nodeNames {
-		if n != node {
-			cfg.Peers = append(cfg.Peers, config.Peer{Node: n, Area: "b", Addr: "127.0.0.1:3"})
+	for _, peer := range c.nodeNames {
+		if peer != node {
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: peer, Area: "b", Addr: "127.0.0.1:3"})
 		}
 	}
-	f := &cfg.Facts
+	facts := &cfg.Facts
 	defer func() {
 		if c.adjustFacts != nil {
 			c.adjustFacts(cfg)
 		}
 	}()
-	f.Zones, f.Teams = []string{"a", "b"}, c.teams
-	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 2, 12, 32
-	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 200, 50, 4, 12
-	f.Cloud.RPS, f.Cloud.ListLagS = 6, 3
-	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.3, 100, 500
+	facts.Zones, facts.Teams = []string{"a", "b"}, c.teams
+	facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelWithinS = 2, 12, 32
+	facts.State.RPS, facts.State.WriteRPS, facts.State.ValueKB, facts.State.TxnOps = 200, 50, 4, 12
+	facts.Cloud.RPS, facts.Cloud.ListLagS = 6, 3
+	facts.Quota.Cores, facts.Quota.MemoryMB, facts.Quota.MaxConnections = 0.3, 100, 500
 	return cfg
 }
 
 func (c *cluster) start(nodes ...string) {
 	for _, name := range nodes {
-		controller := c.nodes[name]
-		controller.incarnation++
+		node := c.nodes[name]
+		node.incarnation++
 		env := &simEnv{
-			node:        controller,
-			incarnation: controller.incarnation,
-			random:      rand.New(rand.NewPCG(uint64(controller.incarnation), c.sim.Rand.Uint64())),
+			node:        node,
+			incarnation: node.incarnation,
+			random:      rand.New(rand.NewPCG(uint64(node.incarnation), c.sim.Rand.Uint64())),
 		}
 		out := io.Discard
 		if os.Getenv("PIPITGAP_TEST_LOG") != "" {
@@ -165,8 +168,8 @@
 		}
 		log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug})).
 			With("controller", name)
-		controller.controller = NewController(c.nodeConfig(name), c.settings, env, log)
-		controller.controller.Start()
+		node.controller = NewController(c.nodeConfig(name), c.settings, env, log)
+		node.controller.Start()
 	}
 }
 
@@ -176,20 +179,20 @@
 	}
 }
 
-// startIfDown starts a controller unless it runs.
+// startIfDown starts a controller if it is down.
 func (c *cluster) startIfDown(node string) {
 	if c.nodes[node].controller == nil {
 		c.start(node)
 	}
 }
 
-// restart kills a controller and starts it again after a while.
-func (c *cluster) restart(node string, after monotime.Micros) {
+// restart kills a controller and starts it again after the given downtime.
+func (c *cluster) restart(node string, downtime monotime.Micros) {
 	c.kill(node)
-	c.sim.After(after, func() { c.startIfDown(node) })
+	c.sim.After(downtime, func() { c.startIfDown(node) })
 }
 
-// startWithLeader starts all controllers and waits for a leader.
+// startWithLeader starts all controllers and runs for 3 s, within which they elect a leader.
 func (c *cluster) startWithLeader() *cluster {
 	c.start(c.nodeNames...)
 	c.sim.Run(3 * second)
@@ -198,14 +201,15 @@
 
 func (c *cluster) leaderNode() *simController {
 	for _, node := range c.nodeNames {
-		if core := c.nodes[node].controller; core != nil && core.membership.IsLeader(c.sim.Now()) {
+		if controller := c.nodes[node].controller; controller != nil &&
+			controller.membership.IsLeader(c.sim.Now()) {
 			return c.nodes[node]
 		}
 	}
 	return nil
 }
 
-// leaderName is the leader, or the first controller while there is none.
+// leaderName returns the name of the leader, or of the first controller if there is no leader.
 func (c *cluster) leaderName() string {
 	if leader := c.leaderNode(); leader != nil {
 		return leader.name
@@ -213,42 +217,44 @@
 	return c.nodeNames[0]
 }
 
-// sendRequest sends a request on a new connection; a controller that is down doesn't answer.
-func (c *cluster) sendRequest(node, method, target string, body []byte, back func(Response)) {
-	controller := c.nodes[node]
-	if controller.controller == nil {
+// sendRequest sends a request to a controller on a new connection. A controller that is down does not answer,
+// and a controller that stops before it answers loses the request.
+func (c *cluster) sendRequest(node, method, target string, body []byte, callback func(Response)) {
+	receiver := c.nodes[node]
+	if receiver.controller == nil {
 		return
 	}
-	incarnation := controller.incarnation
+	incarnation := receiver.incarnation
 	pending := c.checker.UserRequest(method, target, body)
 	c.runWhenResumed(node, func() {
-		if controller.incarnation != incarnation || controller.controller == nil {
+		if receiver.incarnation != incarnation || receiver.controller == nil {
 			return
 		}
-		controller.controller.HandleRequest(method, target, body, func(response Response) {
+		receiver.controller.HandleRequest(method, target, body, func(response Response) {
 			c.largestResponse = max(c.largestResponse, len(response.Body))
 			if c.wire != nil {
 				c.wire(node, "answer", wireAnswer(method, target, response))
 			}
-			if controller.incarnation == incarnation && controller.controller != nil {
+			if receiver.incarnation == incarnation && receiver.controller != nil {
 				if pending != nil {
 					pending.Answered(response.Status, response.Body)
 				}
-				back(response)
+				callback(response)
 			}
 		})
 	})
 }
 
-// requestAndWait sends a request and waits up to five seconds for its answer.
+// requestAndWait sends a request and waits up to 5 s for the response. It returns a response with status 0 if
+// there is none.
 func (c *cluster) requestAndWait(node, method, target string, body []byte) Response {
-	var rep Response
-	c.sendRequest(node, method, target, body, func(response Response) { rep = response })
-	c.sim.RunUntil(5*second, func() bool { return rep.Status != 0 })
-	return rep
+	var received Response
+	c.sendRequest(node, method, target, body, func(response Response) { received = response })
+	c.sim.RunUntil(5*second, func() bool { return received.Status != 0 })
+	return received
 }
 
-// newSubmission is a submission of the cluster's next job.
+// newSubmission returns the next unused job ID and a submission with that ID.
 func (c *cluster) newSubmission(options ...jobOption) (string, *protocol.Submission) {
 	c.nextSubmission++
 	submission := newSubmission(options...)
@@ -256,12 +262,13 @@
 	return submission.ID, submission
 }
 
-// submit submits a job until it is accepted, with retries as users make them, and returns its id.
-func (c *cluster) submit(run monotime.Micros, options ...jobOption) string {
+// submit submits a job to the controllers in turn until one accepts it, and returns the job's ID. It pauses
+// for 1 s between attempts, as users do.
+func (c *cluster) submit(runTime monotime.Micros, options ...jobOption) string {
 	c.t.Helper()
-	id, j := c.newSubmission(options...)
-	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, RunTime: run}
-	body := protocol.MustMarshal(j)
+	id, submission := c.newSubmission(options...)
+	c.fleet.Jobs[id] = fake.JobBehavior{Team: submission.Team, CPUs: submission.CPUs, RunTime: runTime}
+	body := protocol.MustMarshal(submission)
 	for i := 0; i < 30; i++ {
 		response := c.requestAndWait(c.nodeNames[i%len(c.nodeNames)], "POST", protocol.JobsPath, body)
 		if response.Status == 201 || response.Status == 200 {
@@ -269,7 +276,7 @@
 		}
 		c.sim.Run(second)
 	}
-	c.t.Fatalf("job %s was not accepted", id)
+	c.t.Fatalf("job %s: not accepted after 30 attempts", id)
 	return id
 }
 
@@ -280,34 +287,35 @@
 	return response.Status, jobStatus
 }
 
-// requireFinished waits until a job's status is done, and fails the test if that takes too long.
-func (c *cluster) requireFinished(id string, within monotime.Micros) {
+// requireFinished waits until a job's status is done, and stops the test if that takes longer than the
+// timeout.
+func (c *cluster) requireFinished(id string, timeout monotime.Micros) {
 	c.t.Helper()
-	i := 0
-	ok := c.sim.RunUntil(within, func() bool {
-		i++
-		code, jobStatus := c.jobStatus(c.nodeNames[i%len(c.nodeNames)], id)
+	queries := 0
+	finished := c.sim.RunUntil(timeout, func() bool {
+		queries++
+		code, jobStatus := c.jobStatus(c.nodeNames[queries%len(c.nodeNames)], id)
 		return code == 200 && jobStatus.Status == protocol.JobDone
 	})
-	if !ok {
+	if !finished {
 		_, jobStatus := c.jobStatus(c.nodeNames[0], id)
-		c.t.Fatalf("job %s is not done after %v s: %+v", id, within.Seconds(), jobStatus)
+		c.t.Fatalf("job %s: got status %+v after %v s, want done", id, jobStatus, timeout.Seconds())
 	}
 }
 
-// requireAllFinished waits for each of the jobs in turn like requireFinished.
-func (c *cluster) requireAllFinished(ids []string, within monotime.Micros) {
+// requireAllFinished calls requireFinished for each of the jobs in turn.
+func (c *cluster) requireAllFinished(ids []string, timeout monotime.Micros) {
 	c.t.Helper()
 	for _, id := range ids {
-		c.requireFinished(id, within)
+		c.requireFinished(id, timeout)
 	}
 }
 
-// requireReplicas waits until so many replicas of a service run.
-func (c *cluster) requireReplicas(service string, replicas int, within monotime.Micros) {
+// requireReplicas waits until exactly the given number of replicas of a service are running.
+func (c *cluster) requireReplicas(service string, replicas int, timeout monotime.Micros) {
 	c.t.Helper()
-	if !c.sim.RunUntil(within, func() bool { return c.fleet.Running(service) == replicas }) {
-		c.t.Errorf("service has %d replicas of %d", c.fleet.Running(service), replicas)
+	if !c.sim.RunUntil(timeout, func() bool { return c.fleet.Running(service) == replicas }) {
+		c.t.Errorf("service %s: got %d running replicas, want %d", service, c.fleet.Running(service), replicas)
 	}
 }
 
@@ -318,7 +326,7 @@
 	}
 }
 
-// randomDuration draws a time below the given one.
-func (c *cluster) randomDuration(duration monotime.Micros) monotime.Micros {
-	return monotime.Micros(c.sim.Rand.Int64N(int64(duration)))
+// randomDuration returns a random duration that is shorter than limit.
+func (c *cluster) randomDuration(limit monotime.Micros) monotime.Micros {
+	return monotime.Micros(c.sim.Rand.Int64N(int64(limit)))
 }
--- a/internal/coordination/simulated_users_test.go
+++ b/internal/coordination/simulated_users_test.go
@@ -6,7 +6,7 @@
 	"pipitgap/internal/protocol"
 )
 
-// How long users wait for answers, and how often they poll, by the protocol.
+// Timeouts, polling interval and retry delay of users. The protocol specifies them.
 const (
 	submitTimeout = 5 * second
 	pollTimeout   = 2 * second
@@ -14,43 +14,49 @@
 	retryAfter    = second
 )
 
-// simUser owns one job: it submits it until it is accepted, polls its status, and may cancel it. The checker
-// sees all answers.
+// simUser is the user of one job. The user submits the job until it is accepted, polls its status, and may
+// cancel it. The checker inspects all answers.
 type simUser struct {
-	cluster      *cluster
-	id           string
-	body         []byte
-	eagerQueries bool // polls all controllers at once whenever something has changed
-	accepted     bool
-	finished     bool
-	answeredAt   monotime.Micros // when a request was last answered with 200
-	cancelling   bool
+	cluster        *cluster
+	id             string
+	body           []byte
+	eagerQueries   bool // queries all controllers when the job is accepted and when it ends, see queryAllNodes
+	accepted       bool
+	finished       bool
+	lastAnsweredAt monotime.Micros // when the submission or a later request last succeeded
+	cancelling     bool
 }
 
-// newUser makes a user who submits a job whose tasks run for a time; 0: a service.
-func (c *cluster) newUser(run monotime.Micros, options ...jobOption) *simUser {
-	id, j := c.newSubmission(options...)
-	if run == 0 {
-		j.Service = true
+// newUser adds a user, who submits a job. Its tasks run for runTime. A runTime of 0 makes the job a service.
+func (c *cluster) newUser(runTime monotime.Micros, options ...jobOption) *simUser {
+	id, submission := c.newSubmission(options...)
+	if runTime == 0 {
+		submission.Service = true
 	}
-	c.fleet.Jobs[id] = fake.JobBehavior{Team: j.Team, CPUs: j.CPUs, MemoryGB: j.MemoryGB, RunTime: run}
-	u := &simUser{cluster: c, id: id, body: protocol.MustMarshal(j)}
-	u.submit()
-	return u
+	c.fleet.Jobs[id] = fake.JobBehavior{
+		Team:     submission.Team,
+		CPUs:     submission.CPUs,
+		MemoryGB: submission.MemoryGB,
+		RunTime:  runTime,
+	}
+	user := &simUser{cluster: c, id: id, body: protocol.MustMarshal(submission)}
+	user.submit()
+	return user
 }
 
-// send sends a request to a controller and calls back once, with a status of 0 if no answer came in time.
+// send sends a request to a controller. It calls back exactly once, with status 0 if no answer arrives in
+// time.
 func (u *simUser) send(
 	node, method, target string,
 	body []byte,
-	within monotime.Micros,
-	back func(status int, state string),
+	timeout monotime.Micros,
+	callback func(status int, state string),
 ) {
 	answered := false
 	answer := func(status int, state string) {
 		if !answered {
 			answered = true
-			back(status, state)
+			callback(status, state)
 		}
 	}
 	u.cluster.sendRequest(node, method, target, body, func(response Response) {
@@ -58,7 +64,7 @@
 		_ = protocol.Unmarshal(response.Body, &reply)
 		answer(response.Status, reply.Status)
 	})
-	u.cluster.sim.After(within, func() { answer(0, "") })
+	u.cluster.sim.After(timeout, func() { answer(0, "") })
 }
 
 func (u *simUser) randomNode() string {
@@ -73,7 +79,7 @@
 			u.cluster.sim.After(retryAfter, u.submit)
 			return
 		}
-		u.accepted, u.answeredAt = true, u.cluster.sim.Now()
+		u.accepted, u.lastAnsweredAt = true, u.cluster.sim.Now()
 		u.queryAllNodes()
 		u.cluster.sim.After(u.cluster.randomDuration(pollInterval), u.poll)
 	})
@@ -89,7 +95,7 @@
 	})
 }
 
-// cancel repeats the request until it is answered.
+// cancel requests the cancellation of the job, and repeats the request until one is answered with 200.
 func (u *simUser) cancel() {
 	if u.finished {
 		return
@@ -110,12 +116,12 @@
 	)
 }
 
-// recordAnswer notes an answer about the job.
+// recordAnswer processes an answer about the job. It ignores answers other than 200.
 func (u *simUser) recordAnswer(status int, state string) {
 	if status != 200 {
 		return
 	}
-	u.answeredAt = u.cluster.sim.Now()
+	u.lastAnsweredAt = u.cluster.sim.Now()
 	final := state == protocol.JobDone || state == protocol.JobCancelled
 	if final && !u.finished {
 		u.finished = true
@@ -123,7 +129,8 @@
 	}
 }
 
-// queryAllNodes polls all controllers several times within milliseconds, and repeats the submission there.
+// queryAllNodes polls the job's status on all controllers four times within 10 ms, and repeats the submission
+// each time. It also cancels the job each time if the job has ended. It does nothing without eagerQueries.
 func (u *simUser) queryAllNodes() {
 	if !u.eagerQueries {
 		return
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -11,43 +11,44 @@
 	"pipitgap/internal/storage"
 )
 
-// TestQuotaLeft: what a partition may still assign within a team's limit.
+// TestQuotaLeft: the CPUs that a partition may still assign to a team's tasks within its share of the team's
+// limit.
 func TestQuotaLeft(t *testing.T) {
 	cases := []struct {
 		name           string
 		owner          string
-		incarnation    uint64 // 0: this controller's
+		incarnation    uint64 // of the shard's owner; 0: the current one of n-0
 		inDoubtUpdates bool
-		left           float64
+		want           float64
 	}{
 		{"own shard", "n-0", 0, false, 6},
-		{"own shard, and a commit in doubt", "n-0", 0, true, 4},
-		// Once counted as free: after a restart of four controllers a team ran more
-		// than its limit allows.
+		{"own shard, and a commit in flight", "n-0", 0, true, 4},
+		// When such a shard's tasks did not count as use, a team exceeded its limit after a restart of four
+		// controllers.
 		{"a shard of an earlier incarnation, not claimed yet", "n-0", 7, false, 6},
 		{"another partition's shard", "n-1", 7, false, 10},
 	}
 	for _, tc := range cases {
 		c := newCluster(t, 33)
 		c.start("n-0")
-		core := c.nodes["n-0"].controller
-		core.mirror.ApplyPut(
+		controller := c.nodes["n-0"].controller
+		controller.mirror.ApplyPut(
 			storage.Key(storage.KindPartition, "n-0"),
 			protocol.MustMarshal(&storage.Partition{
 				QuotaShares: map[string]storage.QuotaShare{"tight": {CPUs: 10}}}),
 			3,
 		)
-		core.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
+		controller.mirror.ApplyPut(storage.Key(storage.KindOpenJob, "j-1"), protocol.MustMarshal(&storage.OpenJob{
 			Spec: storage.JobSpec{
 				Team:  "tight",
 				Tasks: 4,
 				CPUs:  2,
 			}, TaskRanges: []storage.TaskRange{{First: 0, End: 4, Partition: "n-0"}}}), 4)
-		inc := tc.incarnation
-		if inc == 0 {
-			inc = core.incarnation
+		incarnation := tc.incarnation
+		if incarnation == 0 {
+			incarnation = controller.incarnation
 		}
-		shard := &storage.Shard{Owner: tc.owner, Incarnation: inc, Claim: 1,
+		shard := &storage.Shard{Owner: tc.owner, Incarnation: incarnation, Claim: 1,
 			Machines: map[string]*storage.ShardMachine{}, Jobs: map[string]*storage.ShardJob{}}
 		shard.AddMachine(
 			"i-1",
@@ -61,23 +62,27 @@
 		shard.Assign("j-1", storage.Attempt{Task: 0, Machine: "i-1", Number: 1})
 		shard.Assign("j-1", storage.Attempt{Task: 1, Machine: "i-1", Number: 1})
 		encoded, _ := shard.Encode()
-		core.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
+		controller.mirror.ApplyPut(storage.Key(storage.KindShard, "p"), encoded, 5)
 		if tc.inDoubtUpdates {
-			update := shards.NewUpdate("p", core.mirror.Shards["p"], shard)
-			update.Assign(core.mirror.Jobs["j-1"], storage.Attempt{Task: 2, Machine: "i-1", Number: 2}, false)
-			core.shards.Commit(update, core.now()) // its outcome comes later
+			update := shards.NewUpdate("p", controller.mirror.Shards["p"], shard)
+			update.Assign(
+				controller.mirror.Jobs["j-1"],
+				storage.Attempt{Task: 2, Machine: "i-1", Number: 2},
+				false,
+			)
+			controller.shards.Commit(update, controller.now()) // the outcome is not known yet
 		}
-		if got := core.quota.Left("tight").CPUs; got != tc.left {
-			t.Errorf("%s: %v left, want %v", tc.name, got, tc.left)
+		if got := controller.quota.Left("tight").CPUs; got != tc.want {
+			t.Errorf("%s: got %v CPUs left, want %v", tc.name, got, tc.want)
 		}
-		if got := core.quota.Unallocated("tight").CPUs; got != 2 {
-			t.Errorf("%s: %v in the pool", tc.name, got)
+		if got := controller.quota.Unallocated("tight").CPUs; got != 2 {
+			t.Errorf("%s: got %v unallocated CPUs, want 2", tc.name, got)
 		}
 	}
 }
 
-// TestTeamLimitHoldsThroughRestarts: a team at its limit, controllers killed at any moment:
-// never more than the limit runs, and what is left of it is found again.
+// TestTeamLimitHoldsThroughRestarts: a team that has reached its limit never exceeds it when controllers
+// crash at random times, and all of its jobs finish, so that no part of the limit is lost.
 func TestTeamLimitHoldsThroughRestarts(t *testing.T) {
 	for seed := uint64(0); seed < 6; seed++ {
 		c := newCluster(t, 600+seed).startWithLeader()
@@ -90,10 +95,10 @@
 		}
 		for i := 0; i < 6; i++ {
 			c.sim.Run(2*second + c.randomDuration(6*second))
-			down := c.nodeNames[:1+c.sim.Rand.IntN(3)]
-			c.kill(down...)
+			stopped := c.nodeNames[:1+c.sim.Rand.IntN(3)]
+			c.kill(stopped...)
 			c.sim.Run(c.randomDuration(3 * second))
-			c.start(down...)
+			c.start(stopped...)
 		}
 		for _, id := range ids {
 			c.requireFinished(id, 300*second)
@@ -102,16 +107,17 @@
 	}
 }
 
-// TestOrphanedServicePreemptsLowerPriority: a service whose partition's controller has gone gets room by
-// stopping lesser work, though no partition has any free. Left to whoever has room, it would wait.
+// TestOrphanedServicePreemptsLowerPriority: a service whose partition has lost its controller preempts tasks
+// of lower priority if no partition has free room. The service would wait if only a partition with free room
+// could take it over.
 func TestOrphanedServicePreemptsLowerPriority(t *testing.T) {
 	c := newCluster(t, 34)
 	clear(c.cloud.Capacity)
 	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 6
 	c.startWithLeader()
-	array := c.submit(400*second, withTasks(90)) // more than fits: no room stays free
+	array := c.submit(400*second, withTasks(90)) // more than fit, so that no room remains free
 	if !c.sim.RunUntil(60*second, func() bool { return c.fleet.Running(array) == 24 }) {
-		t.Fatalf("array: %d run", c.fleet.Running(array))
+		t.Fatalf("array: got %d running tasks after 60 s, want 24", c.fleet.Running(array))
 	}
 	var services []string
 	for i := 0; i < 3; i++ {
@@ -120,7 +126,7 @@
 			c.submit(0, withService(true), withPriority(protocol.Production), withCPUs(4)),
 		)
 	}
-	all := func() bool {
+	allRunning := func() bool {
 		for _, id := range services {
 			if c.fleet.Running(id) != 1 {
 				return false
@@ -128,11 +134,11 @@
 		}
 		return true
 	}
-	if !c.sim.RunUntil(20*second, all) {
-		t.Fatal("services not started")
+	if !c.sim.RunUntil(20*second, allRunning) {
+		t.Fatal("not all 3 services are running after 20 s")
 	}
-	// A controller goes, and the machines with those services that it placed.
-	hit := 0
+	// A controller crashes, and the machines with the services that it placed fail.
+	lostServices := 0
 	for _, id := range services {
 		job := c.nodes["n-0"].controller.mirror.Jobs[id]
 		if job.Record.TaskRanges[0].Partition != "n-1" {
@@ -140,26 +146,26 @@
 		}
 		for _, worker := range c.fleet.Workers {
 			if worker.Attempts[id+"/0"] != nil {
-				hit++
+				lostServices++
 				worker.Partitioned = true
 				c.fleet.MachineDown(worker.Machine)
 			}
 		}
 	}
-	if hit == 0 {
+	if lostServices == 0 {
 		t.Fatal("no service was placed by n-1")
 	}
 	c.kill("n-1")
 	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = -100
-	if !c.sim.RunUntil(60*second, all) {
-		t.Error("a service of the partition that has gone is still down")
+	if !c.sim.RunUntil(60*second, allRunning) {
+		t.Errorf("not all 3 services are running 60 s after the crash of n-1, which had placed %d", lostServices)
 	}
 	c.requireNoViolations()
 }
 
-// TestUrgentJobIsStolenFirst: a small job of large tasks begins soon though nothing ends on
-// the machines of the partition that it was given to, while the others' gaps would go to
-// tasks that have more time: the most urgent of all goes first, wherever it waits.
+// TestUrgentJobIsStolenFirst: a small job of large tasks starts soon even if no task ends on the machines of
+// the partition that it is assigned to. The other partitions steal its tasks: their free room goes to the
+// most urgent job of all partitions, and not to their own tasks, which have more time.
 func TestUrgentJobIsStolenFirst(t *testing.T) {
 	c := newCluster(t, 300)
 	clear(c.cloud.Capacity)
@@ -168,93 +174,94 @@
 		cfg.Facts.Objectives = []config.Objective{{Kind: "deadline", Class: "batch", Times: 1}}
 	}
 	c.startWithLeader()
-	give := func(id string, partitions ...string) {
-		core := c.nodes["n-0"].controller
+	assignTo := func(id string, partitions ...string) {
+		controller := c.nodes["n-0"].controller
 		var ranges []storage.TaskRange
-		n := core.mirror.Jobs[id].Record.Spec.Tasks
-		for i, p := range partitions {
+		tasks := controller.mirror.Jobs[id].Record.Spec.Tasks
+		for i, partition := range partitions {
 			ranges = append(
 				ranges,
 				storage.TaskRange{
-					First:     n * i / len(partitions),
-					End:       n * (i + 1) / len(partitions),
-					Partition: p,
+					First:     tasks * i / len(partitions),
+					End:       tasks * (i + 1) / len(partitions),
+					Partition: partition,
 				},
 			)
 		}
 		if !c.sim.RunUntil(
 			5*second,
-			func() bool { return core.scheduler.ReassignTaskRanges(core.mirror.Jobs[id], ranges) },
+			func() bool { return controller.scheduler.ReassignTaskRanges(controller.mirror.Jobs[id], ranges) },
 		) {
-			t.Fatalf("%s can't be given to %v", id, partitions)
+			t.Fatalf("job %s: task ranges not reassigned to %v within 5 s", id, partitions)
 		}
 		c.sim.Run(second / 10)
 	}
-	give(c.submit(400*second, withTasks(4), withDeadlineS(500), withEstimateS(400)), "n-2")
-	give(c.submit(6*second, withTasks(300), withDeadlineS(600)), "n-0", "n-1")
+	assignTo(c.submit(400*second, withTasks(4), withDeadlineS(500), withEstimateS(400)), "n-2")
+	assignTo(c.submit(6*second, withTasks(300), withDeadlineS(600)), "n-0", "n-1")
 	c.sim.Run(40 * second)
 	id := c.submit(6*second, withTasks(3), withCPUs(4), withDeadlineS(30))
-	give(id, "n-2")
-	at := c.sim.Now()
-	begun := func() bool {
+	assignTo(id, "n-2")
+	assignedAt := c.sim.Now()
+	allStarted := func() bool {
 		return c.fleet.Starts[id+"/0"] > 0 && c.fleet.Starts[id+"/1"] > 0 && c.fleet.Starts[id+"/2"] > 0
 	}
-	if !c.sim.RunUntil(9*second, begun) {
-		t.Error("not begun after 9 s") // 12 when only room left over went to others' tasks
+	if !c.sim.RunUntil(9*second, allStarted) {
+		// It took 12 s when partitions gave only leftover room to tasks of other partitions.
+		t.Error("urgent job: not all 3 tasks have started after 9 s")
 	}
-	t.Logf("begun after %.1f s", (c.sim.Now() - at).Seconds())
+	t.Logf("started after %.1f s", (c.sim.Now() - assignedAt).Seconds())
 	c.requireNoViolations()
 }
 
-// TestLateQuotaReleaseFailsAfterReturn: what an absent controller has of the limits is dropped, but not
-// once it has been back: it may have assigned tasks under its record by then, though it is
-// gone again when the drop is carried out.
+// TestLateQuotaReleaseFailsAfterReturn: a delayed commit that deletes the quota shares of a departed
+// controller fails if the controller has returned in the meantime, even if it has left again. After its
+// return it may have assigned tasks based on these shares.
 func TestLateQuotaReleaseFailsAfterReturn(t *testing.T) {
-	const late = 20 * second
+	const commitDelay = 20 * second
 	for _, tc := range []struct {
-		name        string
-		back, again bool // it comes back, and is gone again
-	}{{"away", false, false}, {"back", true, false}, {"back and gone again", true, true}} {
+		name                 string
+		returns, leavesAgain bool // the controller returns before the commit, and leaves again
+	}{{"absent", false, false}, {"returned", true, false}, {"returned and left again", true, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newScenario(t, 3300)
 			s.start(s.nodeNames...)
 			s.sim.Run(3 * second)
 			fillTeamLimits(s)
 			s.sim.Run(40 * second)
-			gone := followerController(1)(s)
-			key := storage.Key(storage.KindPartition, gone)
+			departed := followerController(1)(s)
+			key := storage.Key(storage.KindPartition, departed)
 			if len(s.store.Keys(key)) == 0 {
-				t.Fatalf("%s has no share", gone)
+				t.Fatalf("%s: no record of quota shares", departed)
 			}
-			sent := 0
+			releases := 0
 			s.store.DelayCommit = func(txn *protocol.Transaction) monotime.Micros {
 				if !changesQuotaShares(txn, true) {
 					return 0
 				}
-				if sent++; sent > 1 {
-					return 1000 * second // only the first is looked at
+				if releases++; releases > 1 {
+					return 1000 * second // after the end of the test, so that only the first one matters
 				}
-				return late
+				return commitDelay
 			}
-			s.kill(gone)
-			if !s.sim.RunUntil(30*second, func() bool { return sent > 0 }) {
-				t.Fatal("nobody drops the shares of the one that has gone")
+			s.kill(departed)
+			if !s.sim.RunUntil(30*second, func() bool { return releases > 0 }) {
+				t.Fatalf("%s: no release of its quota shares within 30 s", departed)
 			}
-			member := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.IsMember(gone) }
-			if tc.back {
-				s.start(gone)
-				s.sim.RunUntil(4*second, member)
+			isMember := func() bool { return s.nodes[s.nodeNames[0]].controller.membership.IsMember(departed) }
+			if tc.returns {
+				s.start(departed)
+				s.sim.RunUntil(4*second, isMember)
 			}
-			if tc.again {
-				s.kill(gone)
-				s.sim.RunUntil(10*second, func() bool { return !member() })
+			if tc.leavesAgain {
+				s.kill(departed)
+				s.sim.RunUntil(10*second, func() bool { return !isMember() })
 			}
-			if member() != (tc.back && !tc.again) {
-				t.Fatal("membership is not as the case wants it")
+			if isMember() != (tc.returns && !tc.leavesAgain) {
+				t.Fatalf("%s: got member %v, want %v", departed, isMember(), tc.returns && !tc.leavesAgain)
 			}
-			s.sim.Run(late)
-			if left := len(s.store.Keys(key)) > 0; left != tc.back {
-				t.Errorf("its record is left: %v", left)
+			s.sim.Run(commitDelay)
+			if recordExists := len(s.store.Keys(key)) > 0; recordExists != tc.returns {
+				t.Errorf("%s: record of quota shares exists: got %v, want %v", departed, recordExists, tc.returns)
 			}
 			s.requireNoViolations()
 		})
