--- a/cmd/pipitgap/drain.go
+++ b/cmd/pipitgap/drain.go
@@ -128,7 +128,7 @@
 		Selector: storage.Selector{
 			Machines: c.Machine, Zone: c.Zone, Type: c.Type, CapacityType: storage.CapacityType(c.Kind),
 		},
-		Replace: c.Replace, AllowSimilar: c.AllowSame, RemoveAtOnce: c.AtOnce, MaxParallel: c.MaxParallel,
+		Replace: c.Replace, AllowSimilar: c.AllowSame, DeleteImmediately: c.AtOnce, MaxParallel: c.MaxParallel,
 		Deadline: monotime.FromDuration(c.Deadline), DryRun: c.DryRun,
 	}
 	if c.MaxParallel == 0 {
--- a/cmd/pipitgap/drain_output.go
+++ b/cmd/pipitgap/drain_output.go
@@ -68,12 +68,12 @@
 
 // statusOutput is the JSON output of the status command.
 type statusOutput struct {
-	Drain *drain.Progress    `json:"drain"`
-	Teams []drain.TeamStatus `json:"teams"`
+	Drain *drain.Progress     `json:"drain"`
+	Teams []drain.ScopeStatus `json:"teams"`
 }
 
 // printTeams prints the availability of the teams' services and their budgets.
-func printTeams(w io.Writer, teams []drain.TeamStatus) {
+func printTeams(w io.Writer, teams []drain.ScopeStatus) {
 	for _, t := range teams {
 		fmt.Fprintf(
 			w,
@@ -110,7 +110,7 @@
 }
 
 // printStatus prints the progress of a drain and the availability of the teams' services.
-func printStatus(w io.Writer, progress *drain.Progress, teams []drain.TeamStatus) {
+func printStatus(w io.Writer, progress *drain.Progress, teams []drain.ScopeStatus) {
 	fmt.Fprintf(w, "drain %s is %s", progress.Name, progress.State)
 	if progress.Reason != "" {
 		fmt.Fprintf(w, " (%s)", progress.Reason)
--- a/cmd/pipitgap/json_test.go
+++ b/cmd/pipitgap/json_test.go
@@ -57,7 +57,7 @@
 		blockages = append(blockages, drain.Blockage{Drain: "d-2", Machine: "i-000231", Kind: kind,
 			Reason: "waits"})
 	}
-	teams := []drain.TeamStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5,
+	teams := []drain.ScopeStatus{{Team: "wren", Class: "web", Budgeted: true, Desired: 6, Available: 5,
 		MinAvailable: 4, ReserveMachines: 1, WorstLoss: 2}}
 	return map[string]any{
 		"start": operator.StartResult{
@@ -82,7 +82,7 @@
 			Selection: "2 machines by name"}},
 		"list-empty":    []operator.DrainSummary{},
 		"budgets":       teams,
-		"budgets-empty": []drain.TeamStatus(nil),
+		"budgets-empty": []drain.ScopeStatus(nil),
 		"moved":         stateChange{Name: "rack-a-out", State: "paused", Changed: true},
 	}
 }
--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -129,8 +129,8 @@
 // InterruptionNoticed reports whether the cloud has announced that it will reclaim the machine.
 func (a *Agent) InterruptionNoticed() bool { return a.interruptionNoticed }
 
-// Suspect reports whether the machine was silent or faulty at its last check.
-func (a *Agent) Suspect() bool { return a.suspect }
+// IsSuspect reports whether the machine was silent or faulty at its last check.
+func (a *Agent) IsSuspect() bool { return a.suspect }
 
 // SetSuspect records whether the machine is silent or faulty, and reports whether that is a change.
 func (a *Agent) SetSuspect(suspect bool) (changed bool) {
@@ -216,10 +216,10 @@
 	return ok
 }
 
-// EachEndedAttempt calls release for each attempt with an outcome that the records still assign to the
+// ForEachEndedAttempt calls release for each attempt with an outcome that the records still assign to the
 // machine, in no defined order. It drops the other outcomes: the records already contain them or never
 // contained their attempts.
-func (a *Agent) EachEndedAttempt(
+func (a *Agent) ForEachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
 ) {
--- a/internal/agents/agent_test.go
+++ b/internal/agents/agent_test.go
@@ -45,7 +45,7 @@
 	agent.RecordOutcome(testAttempt, OutcomeCompleted)
 	agent.RecordOutcome(testAttempt, OutcomeRetry)
 	ended := func() (tasks, completed int) {
-		agent.EachEndedAttempt(machine, func(_ mirror.TaskID, done bool) {
+		agent.ForEachEndedAttempt(machine, func(_ mirror.TaskID, done bool) {
 			tasks++
 			if done {
 				completed++
--- a/internal/agents/cancellations.go
+++ b/internal/agents/cancellations.go
@@ -99,7 +99,7 @@
 		job := cs.mirror.Jobs[id]
 		return job != nil && !job.IsOpen()
 	})
-	for _, cancelled := range cs.relay.Since(cs.mirror.WatchedRevision) {
+	for _, cancelled := range cs.relay.CommittedAfter(cs.mirror.WatchedRevision) {
 		cs.apply(cancelled)
 	}
 }
--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -25,7 +25,7 @@
 	Store         Store
 	Replica       Replica
 	RecordWrites  RecordWrites
-	Pauses        Pauses
+	Pauses        PauseDetector
 	Membership    Membership
 	Reachability  Reachability
 	Peers         Peers
@@ -82,13 +82,13 @@
 	End(key string)
 }
 
-// Pauses detects pauses of the process during which its clocks kept running.
-type Pauses interface {
+// PauseDetector detects pauses of the process during which its clocks kept running.
+type PauseDetector interface {
 	// IsStale reports whether data that was up to date at freshAt must not be trusted because the process has
 	// been paused since.
 	IsStale(freshAt, now monotime.Micros) bool
-	// ResumedFromPauseAt returns when the last pause ended; 0: there was none.
-	ResumedFromPauseAt() monotime.Micros
+	// LastPauseEndedAt returns when the last pause ended; 0: there was none.
+	LastPauseEndedAt() monotime.Micros
 }
 
 // Membership knows which controllers are members of the cluster.
@@ -115,10 +115,10 @@
 
 // Peers holds the last status received from each other controller.
 type Peers interface {
-	// HeardRecently reports whether a controller's status has been received recently.
-	HeardRecently(node string, now monotime.Micros) bool
-	// LastHeardAt returns when the last status of a controller was received; 0: never.
-	LastHeardAt(node string) monotime.Micros
+	// HasRecentStatus reports whether a controller's status has been received recently.
+	HasRecentStatus(node string, now monotime.Micros) bool
+	// LastStatusAt returns when the last status of a controller was received; 0: never.
+	LastStatusAt(node string) monotime.Micros
 }
 
 // Shards manages the claims on machines.
@@ -145,11 +145,11 @@
 	RecordExit(machine *mirror.Machine, job *mirror.Job, exit Exit)
 	// MachineFault judges from the failures on a machine whether the machine is faulty or failure-prone.
 	MachineFault(agent *Agent) (faulty, failureProne bool)
-	// ClearFailuresOn withdraws the failures on a faulty machine as evidence against the jobs that failed
+	// WithdrawFailuresOn withdraws the failures on a faulty machine as evidence against the jobs that failed
 	// there.
-	ClearFailuresOn(machine *mirror.Machine)
-	// FinalSeenAt returns when this controller observed the final result of a job; 0: it did not observe it.
-	FinalSeenAt(job string) monotime.Micros
+	WithdrawFailuresOn(machine *mirror.Machine)
+	// FinalResultSeenAt returns when this controller observed the final result of a job; 0: it did not observe it.
+	FinalResultSeenAt(job string) monotime.Micros
 }
 
 // LeasePolicy decides whether worker leases may be renewed.
--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -79,7 +79,7 @@
 		m.claimWithShard(report, respond, now)
 	case member.Record.Incarnation != machine.Shard.Record.Incarnation:
 		respond(redirectResponse(owner)) // the owner has just restarted and is claiming its shards
-	case m.peers.HeardRecently(owner, now):
+	case m.peers.HasRecentStatus(owner, now):
 		if m.hasLostLiveOwner(machine, report, firstContactAt, now) {
 			m.takeOverAfterOwnerStatus(machine, report, respond, now)
 			return
@@ -133,7 +133,7 @@
 ) {
 	owner, claimNumber := machine.Owner(), machine.Claim()
 	m.env.After(ownerStatusWait, func() {
-		silent := m.peers.LastHeardAt(owner) <= now
+		silent := m.peers.LastStatusAt(owner) <= now
 		machine := m.mirror.Machines[report.Machine]
 		if silent && !m.mustAdoptBeforeLeaseEnds(owner, m.env.Now()) ||
 			machine == nil || machine.Record == nil || m.Has(machine) ||
@@ -153,11 +153,11 @@
 	fullRetryTime := durations.WorkerRetryPause
 	for _, peer := range m.peerNames {
 		fullRetryTime += durations.WorkerRetryPause
-		if !m.peers.HeardRecently(peer, now) {
-			fullRetryTime += durations.WorkerAnswerTimeout
+		if !m.peers.HasRecentStatus(peer, now) {
+			fullRetryTime += durations.WorkerResponseTimeout
 		}
 	}
-	silence := now - m.peers.LastHeardAt(owner)
+	silence := now - m.peers.LastStatusAt(owner)
 	return silence > m.durations.MembershipTTL ||
 		silence+fullRetryTime > m.durations.WorkerLease-m.durations.HeartbeatInterval
 }
--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -195,13 +195,13 @@
 		t.Errorf("new claim: got an Agent of claim %d, same as before: %v; want a new one of claim %d",
 			agent.ClaimNumber(), agent == before, testClaim+1)
 	}
-	f.KeepOnly(f.replica)
+	f.RetainMachinesOf(f.replica)
 	if !f.Has(f.machine) {
-		t.Error("KeepOnly with the machine in the mirror: got its Agent deleted, want it kept")
+		t.Error("RetainMachinesOf with the machine in the mirror: got its Agent deleted, want it kept")
 	}
-	f.KeepOnly(mirror.New())
+	f.RetainMachinesOf(mirror.New())
 	if f.Has(f.machine) {
-		t.Error("KeepOnly without the machine in the mirror: got its Agent kept, want it deleted")
+		t.Error("RetainMachinesOf without the machine in the mirror: got its Agent kept, want it deleted")
 	}
 }
 
--- a/internal/agents/health.go
+++ b/internal/agents/health.go
@@ -60,7 +60,7 @@
 // silenceOf returns how long the agent has not proved that answers reach it. The time of a process pause does
 // not count, because no agent can prove it then.
 func (m *Manager) silenceOf(agent *Agent, now monotime.Micros) monotime.Micros {
-	return now - max(agent.LastReachedAt(), m.pauses.ResumedFromPauseAt())
+	return now - max(agent.LastReachedAt(), m.pauses.LastPauseEndedAt())
 }
 
 // countSilentMachines counts the silent machines, in total and by zone, and determines from the counts
@@ -86,7 +86,7 @@
 		zone.Add(silent, !agent.HasReported())
 		overall.Add(silent, !agent.HasReported())
 	}
-	resumedAt := m.pauses.ResumedFromPauseAt()
+	resumedAt := m.pauses.LastPauseEndedAt()
 	if check.now-resumedAt > m.durations.SuspicionTimeout || resumedAt == 0 {
 		m.reachability.UpdateReachability(overall, check.now)
 	}
@@ -101,7 +101,7 @@
 // checkMachine checks one machine; see CheckMachines.
 func (m *Manager) checkMachine(machine *mirror.Machine, check *healthCheck) {
 	agent := m.Of(machine)
-	if agent.LeaseNewlyExpired(check.now, m.durations.LeaseExpiryProof) {
+	if agent.LeaseNewlyExpired(check.now, m.durations.LeaseExpiryBound) {
 		check.leasesExpired++
 		check.tasksLost += len(machine.Attempts)
 		agent.ExpireLease(machine)
@@ -120,7 +120,7 @@
 	case reason != "":
 		m.RequestRemoval(machine, reason)
 	case faulty:
-		m.scheduler.ClearFailuresOn(machine)
+		m.scheduler.WithdrawFailuresOn(machine)
 		m.RequestRemoval(machine, removalFaulty)
 	case agent.InterruptionNoticed() && machine.Record.State != storage.MachineDraining &&
 		!agent.IsStoppingAny():
@@ -137,10 +137,10 @@
 	// The tasks of a cancelled job must end before the cancellation deadline, if necessary by the deletion of
 	// their machine. A deletion also ends all other tasks on the machine, so it is delayed: the lease may
 	// expire first, or another controller may reach the machine.
-	unreachableTimeout := m.durations.LeaseExpiryProof + 2*m.durations.HeartbeatInterval
+	unreachableTimeout := m.durations.LeaseExpiryBound + 2*m.durations.HeartbeatInterval
 	cancelledTimeout := m.durations.CancellationDeadline / 2
 	if keepForZone {
-		unreachableTimeout, cancelledTimeout = 3*m.durations.LeaseExpiryProof, 3*m.durations.CancellationDeadline/4
+		unreachableTimeout, cancelledTimeout = 3*m.durations.LeaseExpiryBound, 3*m.durations.CancellationDeadline/4
 	}
 	fewSilent := 3*check.silent <= check.owned
 	switch {
@@ -183,7 +183,7 @@
 func (m *Manager) holdsCancelled(machine *mirror.Machine, minAge monotime.Micros) bool {
 	for task := range machine.Attempts {
 		if job := m.mirror.Jobs[task.Job]; job != nil && !job.IsOpen() &&
-			m.env.Now()-m.scheduler.FinalSeenAt(task.Job) >= minAge {
+			m.env.Now()-m.scheduler.FinalResultSeenAt(task.Job) >= minAge {
 			return true
 		}
 	}
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -202,10 +202,10 @@
 			return
 		}
 		record := request.Record
-		record.Own = map[string]string{report.Machine: m.node}
-		for machine, controller := range request.Record.Own {
+		record.DesignatedControllers = map[string]string{report.Machine: m.node}
+		for machine, controller := range request.Record.DesignatedControllers {
 			if machine != report.Machine {
-				record.Own[machine] = controller
+				record.DesignatedControllers[machine] = controller
 			}
 		}
 		txn := protocol.PutIfUnchanged(key, request.Version, &record)
--- a/internal/agents/heartbeats_test.go
+++ b/internal/agents/heartbeats_test.go
@@ -187,14 +187,14 @@
 		f := newFixture(t)
 		f.members["n-1"] = tc.member
 		request := storage.ScaleOutRequest{
-			MachineType: "m8",
-			Zone:        "a",
-			Count:       1,
-			Machines:    []string{"i-2"},
-			Live:        []string{tc.live},
+			MachineType:     "m8",
+			Zone:            "a",
+			Count:           1,
+			Machines:        []string{"i-2"},
+			LiveControllers: []string{tc.live},
 		}
 		if tc.designated != "" {
-			request.Own = map[string]string{"i-2": tc.designated}
+			request.DesignatedControllers = map[string]string{"i-2": tc.designated}
 		}
 		f.replica.ApplyPut(storage.ScaleOutKey("r-1"), protocol.MustMarshal(&request), 9)
 		f.replica.WatchedRevision = 9
--- a/internal/agents/manager.go
+++ b/internal/agents/manager.go
@@ -27,7 +27,7 @@
 	store         Store
 	replica       Replica
 	recordWrites  RecordWrites
-	pauses        Pauses
+	pauses        PauseDetector
 	membership    Membership
 	reachability  Reachability
 	peers         Peers
@@ -92,11 +92,11 @@
 	}
 }
 
-// Release deletes the Agent of a machine that no longer belongs to a shard.
-func (m *Manager) Release(machine string) { delete(m.byMachine, machine) }
+// RemoveAgent deletes the Agent of a machine that no longer belongs to a shard.
+func (m *Manager) RemoveAgent(machine string) { delete(m.byMachine, machine) }
 
-// KeepOnly deletes the Agents of machines that a newly loaded mirror does not contain.
-func (m *Manager) KeepOnly(loaded *mirror.Mirror) {
+// RetainMachinesOf deletes the Agents of machines that a newly loaded mirror does not contain.
+func (m *Manager) RetainMachinesOf(loaded *mirror.Mirror) {
 	for id := range m.byMachine {
 		if loaded.Machines[id] == nil {
 			delete(m.byMachine, id)
@@ -104,21 +104,21 @@
 	}
 }
 
-// EachEndedAttempt calls release for each task whose attempt on a machine of this controller has ended. It
+// ForEachEndedAttempt calls release for each task whose attempt on a machine of this controller has ended. It
 // drops outcomes of attempts that the machine's shard does not contain.
-func (m *Manager) EachEndedAttempt(
+func (m *Manager) ForEachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
 ) {
-	m.Of(machine).EachEndedAttempt(machine, release)
+	m.Of(machine).ForEachEndedAttempt(machine, release)
 }
 
 // DesignatedController returns the controller that may claim a machine of a scale-out request.
 func (m *Manager) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
-	if designated := request.Record.Own[machine]; designated != "" {
+	if designated := request.Record.DesignatedControllers[machine]; designated != "" {
 		return designated
 	}
-	return membership.RendezvousOwner(machine, request.Record.Live)
+	return membership.RendezvousOwner(machine, request.Record.LiveControllers)
 }
 
 // applyReport applies a worker's report that is newer than the last applied one.
@@ -216,7 +216,7 @@
 		return storage.MachineRemoving
 	case machine.Record.State == storage.MachineDraining || agent.InterruptionNoticed():
 		return storage.MachineDraining
-	case agent.Suspect():
+	case agent.IsSuspect():
 		return storage.MachineUnreachable
 	case m.isCordoned(machine):
 		return storage.MachineCordoned
--- a/internal/agents/manager_test.go
+++ b/internal/agents/manager_test.go
@@ -103,12 +103,12 @@
 func (s *stubs) IsMember(node string) bool                                     { return s.members[node] }
 func (s *stubs) ConnectedControllers() []string                                { return s.connected }
 func (s *stubs) IsCutOffFromWorkers(string, monotime.Micros) bool              { return false }
-func (s *stubs) LastHeardAt(node string) monotime.Micros                       { return s.lastHeardAt[node] }
+func (s *stubs) LastStatusAt(node string) monotime.Micros                      { return s.lastHeardAt[node] }
 func (s *stubs) IsSuperseded(monotime.Micros) bool                             { return s.superseded }
-func (s *stubs) ResumedFromPauseAt() monotime.Micros                           { return 0 }
+func (s *stubs) LastPauseEndedAt() monotime.Micros                             { return 0 }
 func (s *stubs) UpdateReachability(reachability.SilenceCount, monotime.Micros) {}
 
-func (s *stubs) HeardRecently(node string, now monotime.Micros) bool {
+func (s *stubs) HasRecentStatus(node string, now monotime.Micros) bool {
 	return s.lastHeardAt[node] != 0 && now-s.lastHeardAt[node] < 3*durations.SlowTickInterval
 }
 
@@ -132,8 +132,8 @@
 }
 
 func (s *stubs) MachineFault(*Agent) (faulty, failureProne bool) { return false, false }
-func (s *stubs) ClearFailuresOn(*mirror.Machine)                 {}
-func (s *stubs) FinalSeenAt(string) monotime.Micros              { return 0 }
+func (s *stubs) WithdrawFailuresOn(*mirror.Machine)              {}
+func (s *stubs) FinalResultSeenAt(string) monotime.Micros        { return 0 }
 func (s *stubs) SuspendsLeaseRenewal(monotime.Micros) bool       { return s.suspended }
 
 // testWorkers are the platform's durations in these tests.
--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -9,10 +9,10 @@
 
 // Exit is an attempt that a report lists as exited for the first time.
 type Exit struct {
-	Task    mirror.TaskID
-	Status  protocol.TaskStatus
-	Started bool            // an earlier report listed it as running
-	Since   monotime.Micros // when a report first listed it as running
+	Task         mirror.TaskID
+	Status       protocol.TaskStatus
+	Started      bool            // an earlier report listed it as running
+	RunningSince monotime.Micros // when a report first listed it as running
 }
 
 // ReportResult holds the consequences of a report outside the Agent.
@@ -47,7 +47,7 @@
 	result.LeaseRegained = a.acknowledgeClaim(now)
 	// A new incarnation although the last heartbeats were answered in time shows that the answers do not
 	// reach the agent. It is better to run its tasks elsewhere.
-	answersLost := restarted && now-a.heartbeats.lastAnsweredAt < workerLease-durations.WorkerAnswerTimeout
+	answersLost := restarted && now-a.heartbeats.lastAnsweredAt < workerLease-durations.WorkerResponseTimeout
 	exited := a.recordAbsentAttempts(machine, jobs, report, absenceEvidence{restarted, answersLost})
 	result.Exits = a.recordExits(exited, jobs)
 	result.HasPendingOutcomes = len(a.pendingOutcomes) > 0
@@ -152,7 +152,7 @@
 			outcome = OutcomeCompleted
 		}
 		since, started := a.runningSince[key]
-		exits = append(exits, Exit{Task: key.Task, Status: status, Started: started, Since: since})
+		exits = append(exits, Exit{Task: key.Task, Status: status, Started: started, RunningSince: since})
 		a.RecordOutcome(key, outcome)
 	}
 	return exits
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -112,14 +112,14 @@
 		}
 		key := r.newScaleOutKey()
 		record := storage.ScaleOutRequest{
-			Phase:       storage.ScaleOutProvisioning,
-			MachineType: listed.Type,
-			Zone:        listed.Zone,
-			Spot:        listed.Spot,
-			Count:       1,
-			Machines:    []string{id},
-			Live:        r.deps.Controllers.Connected(),
-			PhaseSince:  r.deps.Environment.WallClock(),
+			Phase:           storage.ScaleOutProvisioning,
+			MachineType:     listed.Type,
+			Zone:            listed.Zone,
+			Spot:            listed.Spot,
+			Count:           1,
+			Machines:        []string{id},
+			LiveControllers: r.deps.Controllers.Connected(),
+			PhaseSince:      r.deps.Environment.WallClock(),
 		}
 		r.deps.Log.Info("unrequested machine found",
 			"machine", id, "machine_type", listed.Type, "zone", listed.Zone)
--- a/internal/autoscaling/fleet/pass.go
+++ b/internal/autoscaling/fleet/pass.go
@@ -40,7 +40,7 @@
 	demands, bins := r.deps.Workload.DemandAndSupply(snapshot)
 	for _, demand := range demands {
 		if demand.CrashLoopTrial {
-			r.deps.Workload.NoteTrialDemand(demand.JobID, snapshot.Now)
+			r.deps.Workload.RecordTrialDemand(demand.JobID, snapshot.Now)
 		}
 	}
 	return &autoscaling.Plan{
@@ -56,14 +56,14 @@
 // availableOffers lists the offers that may be requested now. It excludes zones that are unreachable as a
 // whole: a machine requested there would wait, at a cost, until the zone is reachable again.
 func (r *Reconciler) availableOffers(snapshot *autoscaling.Snapshot) []*autoscaling.PricedOffer {
-	r.updateUnreachableZones(r.deps.Workload.ZoneContacts())
+	r.updateUnreachableZones(r.deps.Workload.ZoneReachabilities())
 	return snapshot.Offers(func(offer autoscaling.Offer) bool {
 		return r.term.unreachableZones[offer.Zone] || r.deps.Workload.IsClosedByDrain(offer)
 	})
 }
 
 // updateUnreachableZones tracks and logs which zones are unreachable as a whole.
-func (r *Reconciler) updateUnreachableZones(zones map[string]ZoneContact) {
+func (r *Reconciler) updateUnreachableZones(zones map[string]ZoneReachability) {
 	for zone := range r.term.unreachableZones {
 		if !zones[zone].Unreachable {
 			delete(r.term.unreachableZones, zone)
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -58,8 +58,8 @@
 type Controllers interface {
 	// Connected lists the live controllers that aren't known to be cut off from their workers.
 	Connected() []string
-	// Designated returns the controller that may claim a machine of a scale-out request.
-	Designated(request *mirror.ScaleOutEntry, machineID string) string
+	// DesignatedController returns the controller that may claim a machine of a scale-out request.
+	DesignatedController(request *mirror.ScaleOutEntry, machineID string) string
 }
 
 // Workload provides the demand and supply of an autoscaler pass.
@@ -68,17 +68,17 @@
 	Snapshot(now monotime.Micros) *autoscaling.Snapshot
 	// DemandAndSupply lists the unplaced tasks within their teams' quotas, and the machines up or requested.
 	DemandAndSupply(*autoscaling.Snapshot) ([]*autoscaling.Demand, []*autoscaling.Bin)
-	// NoteTrialDemand records that a pass plans for a trial task of a crash-looping job, see
+	// RecordTrialDemand records that a pass plans for a trial task of a crash-looping job, see
 	// autoscaling.Demand.CrashLoopTrial.
-	NoteTrialDemand(jobID string, now monotime.Micros)
+	RecordTrialDemand(jobID string, now monotime.Micros)
 	// IsClosedByDrain reports whether a drain forbids requesting an offer.
 	IsClosedByDrain(autoscaling.Offer) bool
-	// ZoneContacts returns the reachability of every zone that has machines, by zone.
-	ZoneContacts() map[string]ZoneContact
+	// ZoneReachabilities returns the reachability of every zone that has machines, by zone.
+	ZoneReachabilities() map[string]ZoneReachability
 }
 
-// ZoneContact is the reachability of a zone's machines.
-type ZoneContact struct {
+// ZoneReachability is the reachability of a zone's machines.
+type ZoneReachability struct {
 	Machines, UnreachableMachines int
 	Unreachable                   bool // the zone counts as unreachable as a whole
 }
--- a/internal/autoscaling/fleet/reconciler_test.go
+++ b/internal/autoscaling/fleet/reconciler_test.go
@@ -37,7 +37,7 @@
 	calls      []cloudCall
 	connected  []string
 	demand     func() []*autoscaling.Demand
-	zones      map[string]ZoneContact
+	zones      map[string]ZoneReachability
 }
 
 func newControllerStub(t *testing.T) *controllerStub {
@@ -57,20 +57,20 @@
 	return s
 }
 
-func (s *controllerStub) Now() monotime.Micros                    { return s.now }
-func (s *controllerStub) WallClock() int64                        { return int64(s.now) }
-func (s *controllerStub) After(_ monotime.Micros, f func())       { f() }
-func (s *controllerStub) IsLeader(monotime.Micros) bool           { return s.leader }
-func (s *controllerStub) LeadershipCompare() protocol.Compare     { return protocol.Compare{Key: "leader"} }
-func (s *controllerStub) Unavailable() bool                       { return false }
-func (s *controllerStub) IsFetched() bool                         { return false }
-func (s *controllerStub) Connected() []string                     { return s.connected }
-func (s *controllerStub) ZoneContacts() map[string]ZoneContact    { return s.zones }
-func (s *controllerStub) NoteTrialDemand(string, monotime.Micros) {}
-func (s *controllerStub) IsClosedByDrain(autoscaling.Offer) bool  { return false }
+func (s *controllerStub) Now() monotime.Micros                            { return s.now }
+func (s *controllerStub) WallClock() int64                                { return int64(s.now) }
+func (s *controllerStub) After(_ monotime.Micros, f func())               { f() }
+func (s *controllerStub) IsLeader(monotime.Micros) bool                   { return s.leader }
+func (s *controllerStub) LeadershipCompare() protocol.Compare             { return protocol.Compare{Key: "leader"} }
+func (s *controllerStub) Unavailable() bool                               { return false }
+func (s *controllerStub) IsFetched() bool                                 { return false }
+func (s *controllerStub) Connected() []string                             { return s.connected }
+func (s *controllerStub) ZoneReachabilities() map[string]ZoneReachability { return s.zones }
+func (s *controllerStub) RecordTrialDemand(string, monotime.Micros)       {}
+func (s *controllerStub) IsClosedByDrain(autoscaling.Offer) bool          { return false }
 
-func (s *controllerStub) Designated(request *mirror.ScaleOutEntry, _ string) string {
-	return request.Record.Live[0]
+func (s *controllerStub) DesignatedController(request *mirror.ScaleOutEntry, _ string) string {
+	return request.Record.LiveControllers[0]
 }
 
 func (s *controllerStub) MachineTypes() map[string]protocol.MachineType {
@@ -287,7 +287,7 @@
 			s.rebuildInventory()
 			s.addScaleOut("r", storage.ScaleOutRequest{
 				Phase: storage.ScaleOutProvisioning, Count: 2, Machines: []string{"i-1", "i-2"},
-				Live: []string{tc.designated}, PhaseSince: int64(s.now),
+				LiveControllers: []string{tc.designated}, PhaseSince: int64(s.now),
 			})
 			s.records.WatchedRevision = 1
 			for _, id := range tc.upMachines {
@@ -298,8 +298,8 @@
 			if (request != nil) != (tc.wantLive != nil) {
 				t.Fatalf("got request %+v, want kept %v", request, tc.wantLive != nil)
 			}
-			if request != nil && !slices.Equal(request.Record.Live, tc.wantLive) {
-				t.Errorf("got controllers %v, want %v", request.Record.Live, tc.wantLive)
+			if request != nil && !slices.Equal(request.Record.LiveControllers, tc.wantLive) {
+				t.Errorf("got controllers %v, want %v", request.Record.LiveControllers, tc.wantLive)
 			}
 			for _, id := range tc.wantRemoved {
 				if s.records.ScaleInOfMachine[id] == "" {
@@ -339,7 +339,7 @@
 			t.Fatalf("got deletion of %v, want i-1", call.Delete)
 		}
 		call.answer(protocol.CloudResult{Outcome: step.outcome})
-		if got := record(); got.Attempts != step.wantAttempts || got.Failed != step.wantFailed || got.Deleted {
+		if got := record(); got.FailedCalls != step.wantAttempts || got.Failed != step.wantFailed || got.Deleted {
 			t.Errorf("after %s: got %+v, want %d attempts, failed %v, not deleted",
 				step.outcome, got, step.wantAttempts, step.wantFailed)
 		}
@@ -367,7 +367,7 @@
 			{ID: "i-failed", Type: "m8", Zone: "a", State: "failed"},
 		}})
 	if got := s.scaleOut(); got.Phase != storage.ScaleOutProvisioning ||
-		!slices.Equal(got.Machines, []string{"i-old"}) || !slices.Equal(got.Live, []string{"n-0"}) {
+		!slices.Equal(got.Machines, []string{"i-old"}) || !slices.Equal(got.LiveControllers, []string{"n-0"}) {
 		t.Errorf("got request %+v, want a provisioning one for i-old, to be claimed by n-0", got)
 	}
 	s.reconcile(scaleInInterval)
@@ -380,7 +380,7 @@
 func TestNoScaleOutInUnreachableZones(t *testing.T) {
 	s := newControllerStub(t)
 	s.demand = serviceDemand(8, 1)
-	s.zones = map[string]ZoneContact{"a": {Machines: 3, UnreachableMachines: 3, Unreachable: true}}
+	s.zones = map[string]ZoneReachability{"a": {Machines: 3, UnreachableMachines: 3, Unreachable: true}}
 	s.rebuildInventory()
 	s.reconcile(monotime.Second)
 	if got := s.scaleOut(); got.Zone != "b" {
--- a/internal/autoscaling/fleet/scale_in.go
+++ b/internal/autoscaling/fleet/scale_in.go
@@ -128,14 +128,14 @@
 	record *storage.ScaleInRequest,
 	outcome protocol.Outcome,
 ) {
-	record.Attempts++
-	if record.Attempts < r.cfg.Settings.ScaleInAttempts {
+	record.FailedCalls++
+	if record.FailedCalls < r.cfg.Settings.ScaleInAttempts {
 		return
 	}
 	record.Failed = true
 	r.term.scaleInRetryAt[name] = r.now() + r.cfg.Settings.ScaleInRetryInterval.Micros()
 	r.deps.Log.Error("machine deletion failed", "scale_in", name, "machines", len(record.Machines),
-		"tries", record.Attempts, "outcome", outcome.String())
+		"tries", record.FailedCalls, "outcome", outcome.String())
 }
 
 // deleteExpiredScaleIn deletes the record of terminated machines once no shard holds them and their late
--- a/internal/autoscaling/fleet/scale_out.go
+++ b/internal/autoscaling/fleet/scale_out.go
@@ -60,7 +60,7 @@
 	missing := autoscaling.MissingMachines(r.deps.Mirror, request)
 	connected := r.deps.Controllers.Connected()
 	unclaimable := slices.ContainsFunc(missing, func(id string) bool {
-		return !slices.Contains(connected, r.deps.Controllers.Designated(request, id))
+		return !slices.Contains(connected, r.deps.Controllers.DesignatedController(request, id))
 	})
 	switch {
 	case len(missing) == 0 && r.deps.Mirror.WatchedRevision >= request.Version:
@@ -69,7 +69,7 @@
 		r.removeMissing(name, request, missing)
 	case unclaimable && len(connected) > 0:
 		record := request.Record
-		record.Live, record.Own = connected, nil
+		record.LiveControllers, record.DesignatedControllers = connected, nil
 		txn := protocol.PutIfUnchanged(key, request.Version, &record)
 		r.Commit(ratelimit.PriorityShardUpdate, key, txn, nil)
 	}
@@ -120,7 +120,7 @@
 	switch {
 	case result.Outcome == protocol.OK && len(result.Created) > 0:
 		record.Phase, record.Machines = storage.ScaleOutProvisioning, result.Created
-		record.Live = r.deps.Controllers.Connected()
+		record.LiveControllers = r.deps.Controllers.Connected()
 		r.deps.Log.Info("scale-out completed", "scale_out", name,
 			"machine_type", record.MachineType, "zone", record.Zone, "spot", record.Spot,
 			"requested", record.Count, "machines", len(result.Created))
--- a/internal/cancellation/relay.go
+++ b/internal/cancellation/relay.go
@@ -64,8 +64,8 @@
 // Forget removes the cancellation of a job that has no tasks left on any machine.
 func (r *Relay) Forget(job string) { delete(r.commitRevisions, job) }
 
-// Since lists the known cancellations with a commit revision above the given one, in commit order.
-func (r *Relay) Since(revision uint64) []Committed {
+// CommittedAfter lists the known cancellations with a commit revision above the given one, in commit order.
+func (r *Relay) CommittedAfter(revision uint64) []Committed {
 	var cancellations []Committed
 	for job, commitRevision := range r.commitRevisions {
 		if commitRevision > revision {
@@ -99,7 +99,7 @@
 		return nil
 	}
 	r.round++
-	cancellations := r.Since(peer.mirrorRevision)
+	cancellations := r.CommittedAfter(peer.mirrorRevision)
 	messageCount := max(1, (len(cancellations)+maxCommittedPerMessage-1)/maxCommittedPerMessage)
 	messages := make([]RoundMessage, 0, messageCount)
 	for i := range messageCount {
--- a/internal/cancellation/relay_test.go
+++ b/internal/cancellation/relay_test.go
@@ -166,11 +166,11 @@
 		t.Errorf("relayed %+v, want one message with the cancellation of j-1", messages)
 	}
 	third.Prune(59, func(string) bool { return false })
-	if len(third.Since(0)) != 1 {
-		t.Errorf("after Prune up to revision 59: cancellations %+v, want the one of revision 60", third.Since(0))
+	if len(third.CommittedAfter(0)) != 1 {
+		t.Errorf("after Prune up to revision 59: cancellations %+v, want the one of revision 60", third.CommittedAfter(0))
 	}
 	third.Prune(60, func(string) bool { return false })
-	if len(third.Since(0)) != 0 {
-		t.Errorf("after Prune up to revision 60: cancellations %+v, want none", third.Since(0))
+	if len(third.CommittedAfter(0)) != 0 {
+		t.Errorf("after Prune up to revision 60: cancellations %+v, want none", third.CommittedAfter(0))
 	}
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -64,9 +64,9 @@
 // CloudCalls returns the token bucket that all of this controller's calls to the cloud's API share.
 func (c *Catalog) CloudCalls() *ratelimit.TokenBucket { return &c.cloudCalls }
 
-// UseStored sets the machine types from the records if the catalog has none. Stored types remain valid while
+// SetStoredTypes sets the machine types from the records if the catalog has none. Stored types remain valid while
 // the cloud is unavailable.
-func (c *Catalog) UseStored(machineTypes map[string]protocol.MachineType) {
+func (c *Catalog) SetStoredTypes(machineTypes map[string]protocol.MachineType) {
 	if c.machineTypes == nil && len(machineTypes) > 0 {
 		c.machineTypes = machineTypes
 	}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -60,7 +60,7 @@
 			env := &testEnvironment{now: monotime.Second}
 			changes := 0
 			c := New(Options{Environment: env, RequestsPerSecond: 5, Changed: func() { changes++ }})
-			c.UseStored(map[string]protocol.MachineType{"old": {Name: "old"}})
+			c.SetStoredTypes(map[string]protocol.MachineType{"old": {Name: "old"}})
 			c.Fetch()
 			env.answer(tc.result)
 			want := "old"
@@ -82,14 +82,14 @@
 // empty set of records doesn't count as known types.
 func TestUseStored(t *testing.T) {
 	c := New(Options{Environment: &testEnvironment{}, RequestsPerSecond: 5, Changed: func() {}})
-	c.UseStored(map[string]protocol.MachineType{})
+	c.SetStoredTypes(map[string]protocol.MachineType{})
 	if c.MachineTypes() != nil {
-		t.Errorf("after UseStored without types: got types %v, want nil", c.MachineTypes())
+		t.Errorf("after SetStoredTypes without types: got types %v, want nil", c.MachineTypes())
 	}
-	c.UseStored(map[string]protocol.MachineType{"a": {}})
-	c.UseStored(map[string]protocol.MachineType{"b": {}})
+	c.SetStoredTypes(map[string]protocol.MachineType{"a": {}})
+	c.SetStoredTypes(map[string]protocol.MachineType{"b": {}})
 	if _, ok := c.MachineTypes()["a"]; !ok {
-		t.Errorf("after UseStored with a, then b: got types %v, want a", c.MachineTypes())
+		t.Errorf("after SetStoredTypes with a, then b: got types %v, want a", c.MachineTypes())
 	}
 }
 
--- a/internal/coordination/cloud_requests_test.go
+++ b/internal/coordination/cloud_requests_test.go
@@ -14,15 +14,15 @@
 // leader must repeat the request under the same name, so that the cloud rents nothing more.
 func TestNewLeaderRepeatsScaleOutIdempotently(t *testing.T) {
 	c := newCluster(t, 8).startWithLeader()
-	c.cloud.LoseRentReply = true
+	c.cloud.LoseCreateReply = true
 	c.submit(0, withService(true), withTasks(4), withCPUs(8))
-	if !c.sim.RunUntil(10*second, func() bool { return len(c.cloud.RentedByName) > 0 }) {
+	if !c.sim.RunUntil(10*second, func() bool { return len(c.cloud.CreatedByRequest) > 0 }) {
 		t.Fatal("got no rented machine after 10 s, want at least 1")
 	}
 	rented := c.cloud.MachineCount()
 	leader := c.leaderNode()
 	c.kill(leader.name)
-	c.cloud.LoseRentReply = false
+	c.cloud.LoseCreateReply = false
 	c.sim.Run(30 * second)
 	if c.leaderNode() == nil || c.leaderNode() == leader {
 		t.Fatal("got no new leader 30 s after the crash, want one")
@@ -73,8 +73,8 @@
 		c.start(oldLeader)
 		c.sim.Run(3 * second)
 	}
-	if c.cloud.RepeatedRents > 0 {
-		t.Errorf("got %d requests under a name that was answered before, want 0", c.cloud.RepeatedRents)
+	if c.cloud.RepeatedCreateRequests > 0 {
+		t.Errorf("got %d requests under a name that was answered before, want 0", c.cloud.RepeatedCreateRequests)
 	}
 	c.requireNoViolations()
 }
--- a/internal/coordination/controller.go
+++ b/internal/coordination/controller.go
@@ -114,7 +114,7 @@
 	c.catalog = newCatalog(c)
 	c.cancellations = newCancellations(c)
 	c.agents = newAgentManager(c)
-	c.mirror.Observe(c.onMirrorChange, c.agents.Release)
+	c.mirror.Observe(c.onMirrorChange, c.agents.RemoveAgent)
 	c.quota = newQuotaManager(c)
 	c.api = newRequestHandler(c)
 	c.jobs = newJobFinisher(c)
@@ -225,11 +225,11 @@
 			c.cancellations.Forget(name)
 			return
 		}
-		c.scheduler.NoteRecordChange(name)
+		c.scheduler.RecordJobChange(name)
 	case storage.KindJobResult:
 		c.cancellations.Record(c.mirror.Jobs[name])
 		if job := c.mirror.Jobs[name]; job != nil && job.AssignedTasks > 0 {
-			c.scheduler.NoteFinalSeen(name)
+			c.scheduler.RecordFinalResultSeen(name)
 			c.agents.SyncCommandsOfJob(job) // sends a cancellation to the workers immediately
 		}
 	case storage.KindShard:
--- a/internal/coordination/course_scenarios_test.go
+++ b/internal/coordination/course_scenarios_test.go
@@ -177,8 +177,8 @@
 			}
 		}),
 		newFault(60*second, "answers to rentals are lost", func(s *scenario) {
-			s.cloud.LoseRentReply = true
-			s.sim.After(5*second, func() { s.cloud.LoseRentReply = false })
+			s.cloud.LoseCreateReply = true
+			s.sim.After(5*second, func() { s.cloud.LoseCreateReply = false })
 		}),
 		newFault(62*second, "more jobs", (*scenario).addSpotJobs),
 		newFault(75*second, "the cloud throttles", func(s *scenario) {
--- a/internal/coordination/drain_faults_test.go
+++ b/internal/coordination/drain_faults_test.go
@@ -202,13 +202,13 @@
 		s.putDrain(
 			"types",
 			storage.Drain{
-				State:        storage.DrainActive,
-				Replace:      true,
-				RemoveAtOnce: true,
-				MaxParallel:  3,
-				LastMachine:  s.newestMachine(),
-				Selector:     storage.Selector{Zone: "b", Type: "m16"},
-				StartedAt:    int64(s.sim.Now()),
+				State:             storage.DrainActive,
+				Replace:           true,
+				DeleteImmediately: true,
+				MaxParallel:       3,
+				LastMachine:       s.newestMachine(),
+				Selector:          storage.Selector{Zone: "b", Type: "m16"},
+				StartedAt:         int64(s.sim.Now()),
 			},
 		)
 	}, noLeaseLoss},
--- a/internal/coordination/drain_load_test.go
+++ b/internal/coordination/drain_load_test.go
@@ -89,13 +89,13 @@
 	before, startedAt := c.store.Changes, time.Now()
 	if draining {
 		record := storage.Drain{
-			State:        storage.DrainActive,
-			Selector:     storage.Selector{Zone: "a"},
-			LastMachine:  lastMachine,
-			Replace:      true,
-			RemoveAtOnce: true,
-			MaxParallel:  machines / 16,
-			StartedAt:    1,
+			State:             storage.DrainActive,
+			Selector:          storage.Selector{Zone: "a"},
+			LastMachine:       lastMachine,
+			Replace:           true,
+			DeleteImmediately: true,
+			MaxParallel:       machines / 16,
+			StartedAt:         1,
 		}
 		s := &drainScenario{cluster: c}
 		s.putDrain("eighth", record)
--- a/internal/coordination/drain_permits_test.go
+++ b/internal/coordination/drain_permits_test.go
@@ -90,13 +90,13 @@
 			s.putDrain(
 				"all",
 				storage.Drain{
-					State:        storage.DrainActive,
-					Selector:     storage.Selector{Type: "m8"},
-					Replace:      true,
-					RemoveAtOnce: true,
-					MaxParallel:  20,
-					LastMachine:  s.newestMachine(),
-					StartedAt:    1,
+					State:             storage.DrainActive,
+					Selector:          storage.Selector{Type: "m8"},
+					Replace:           true,
+					DeleteImmediately: true,
+					MaxParallel:       20,
+					LastMachine:       s.newestMachine(),
+					StartedAt:         1,
 				},
 			)
 			s.sim.Run(120 * second)
--- a/internal/coordination/peer_exchange.go
+++ b/internal/coordination/peer_exchange.go
@@ -20,7 +20,7 @@
 		WaitingUserRequests:   c.store.QueuedCalls(ratelimit.PriorityUserRequest),
 		WorkerReach:           c.reachability.WorkerReach(),
 		FailingJobs:           c.scheduler.FailingJobs(),
-		TeamsShortOfQuota:     c.quota.TeamsLacking(now),
+		TeamsShortOfQuota:     c.quota.TeamsShortOfQuota(now),
 	}
 	for _, peer := range c.cfg.Peers {
 		for _, message := range c.cancellations.MessagesFor(peer.Node, now, c.replica.Loaded()) {
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -20,8 +20,8 @@
 		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "survey", WithinS: 50, Share: 0.9}}
 	}
 	controller := c.startWithLeader().nodes["n-0"].controller
-	controller.mirror.UseByTeam["free"] = resources.Vector{CPUs: 32}
-	controller.mirror.UseByTeam["other"] = resources.Vector{CPUs: 32}
+	controller.mirror.UsageByTeam["free"] = resources.Vector{CPUs: 32}
+	controller.mirror.UsageByTeam["other"] = resources.Vector{CPUs: 32}
 	jobWithCheckpoints := func(change func(*storage.JobSpec)) *mirror.Job {
 		job := &mirror.Job{ID: "j-1", TaskResources: resources.Vector{CPUs: 16}}
 		job.Record.Spec = storage.JobSpec{Class: "archive", Team: "free", Tasks: 4, CPUs: 16, CheckpointS: 15}
--- a/internal/coordination/simulated_environment_test.go
+++ b/internal/coordination/simulated_environment_test.go
@@ -116,7 +116,7 @@
 		switch {
 		case worker.Machine.Gone || c.commandIsLost(worker, e.node.name):
 		case worker.Paused:
-			worker.Defer(execute)
+			worker.DeferCommand(execute)
 		default:
 			execute()
 		}
@@ -130,12 +130,12 @@
 		c.zonesPartitioned && zoneOfController(e.node.name) != zoneOfController(node) {
 		return
 	}
-	frame := peers.Frame(&status)
+	frame := peers.ToFrame(&status)
 	c.sim.After(networkLatency, func() {
 		if receiver := c.nodes[node]; receiver.controller != nil {
 			c.runWhenResumed(node, func() {
 				if receiver.controller != nil {
-					receiver.controller.OnPeerStatus(peers.FromFrame(&frame))
+					receiver.controller.OnPeerStatus(peers.StatusFromFrame(&frame))
 				}
 			})
 		}
--- a/internal/coordination/simulated_scenario_test.go
+++ b/internal/coordination/simulated_scenario_test.go
@@ -109,7 +109,7 @@
 	for _, worker := range s.fleet.Workers {
 		worker.Partitioned = false
 	}
-	s.checker.WatchWaiting(func() []fake.FreeMachine { return s.fleet.FreeMachines(machineMemoryGB) })
+	s.checker.WatchStarvation(func() []fake.FreeMachine { return s.fleet.FreeMachines(machineMemoryGB) })
 }
 
 // machineMemoryGB returns the memory of a machine type, or 0 if the type is unknown.
--- a/internal/coordination/summary.go
+++ b/internal/coordination/summary.go
@@ -39,7 +39,7 @@
 				" %s share %.0f unused %.0f unassigned %.0f",
 				team,
 				c.quota.ShareOf(c.node, team).CPUs,
-				c.quota.Left(team).CPUs,
+				c.quota.RemainingQuota(team).CPUs,
 				c.quota.Unallocated(team).CPUs,
 			)
 		}
@@ -95,7 +95,7 @@
 	for i := range c.cfg.Facts.Teams {
 		if team := &c.cfg.Facts.Teams[i]; team.CPUsMax > 0 {
 			summary += fmt.Sprintf(
-				" %s %.0f/%.0f", team.Name, c.mirror.UseByTeam[team.Name].CPUs, team.CPUsMax,
+				" %s %.0f/%.0f", team.Name, c.mirror.UsageByTeam[team.Name].CPUs, team.CPUsMax,
 			)
 		}
 	}
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -72,7 +72,7 @@
 			)
 			controller.shards.Commit(update, controller.now()) // the outcome is not known yet
 		}
-		if got := controller.quota.Left("tight").CPUs; got != tc.want {
+		if got := controller.quota.RemainingQuota("tight").CPUs; got != tc.want {
 			t.Errorf("%s: got %v CPUs left, want %v", tc.name, got, tc.want)
 		}
 		if got := controller.quota.Unallocated("tight").CPUs; got != 2 {
--- a/internal/coordination/wiring_agents.go
+++ b/internal/coordination/wiring_agents.go
@@ -79,13 +79,13 @@
 
 func (s agentScheduler) MachineFault(agent *agents.Agent) (faulty, failureProne bool) {
 	fault := s.c.scheduler.MachineFault(agent)
-	return fault.Faulty, fault.Doubtful
+	return fault.Faulty, fault.FailureProne
 }
 
-func (s agentScheduler) ClearFailuresOn(machine *mirror.Machine) {
-	s.c.scheduler.ClearFailuresOn(machine)
+func (s agentScheduler) WithdrawFailuresOn(machine *mirror.Machine) {
+	s.c.scheduler.WithdrawFailuresOn(machine)
 }
 
-func (s agentScheduler) FinalSeenAt(job string) monotime.Micros {
-	return s.c.scheduler.FinalSeenAt(job)
+func (s agentScheduler) FinalResultSeenAt(job string) monotime.Micros {
+	return s.c.scheduler.FinalResultSeenAt(job)
 }
--- a/internal/coordination/wiring_autoscaling.go
+++ b/internal/coordination/wiring_autoscaling.go
@@ -42,7 +42,7 @@
 
 func (p jobPolicy) RemainingQuota(team string) resources.Vector {
 	limits, _ := p.c.quota.Limits(team)
-	return limits.Remaining(p.c.mirror.UseByTeam[team])
+	return limits.Remaining(p.c.mirror.UsageByTeam[team])
 }
 
 func (p jobPolicy) Zones(job *mirror.Job) autoscaling.ZoneConstraint {
@@ -89,7 +89,7 @@
 
 func (f fleetControllers) Connected() []string { return f.c.reachability.ConnectedControllers() }
 
-func (f fleetControllers) Designated(request *mirror.ScaleOutEntry, machineID string) string {
+func (f fleetControllers) DesignatedController(request *mirror.ScaleOutEntry, machineID string) string {
 	return f.c.agents.DesignatedController(request, machineID)
 }
 
@@ -106,7 +106,7 @@
 	return w.autoscaler.demandAndSupply(snapshot)
 }
 
-func (w fleetWorkload) NoteTrialDemand(jobID string, now monotime.Micros) {
+func (w fleetWorkload) RecordTrialDemand(jobID string, now monotime.Micros) {
 	w.autoscaler.c.scheduler.RecordTrialDemand(jobID, now)
 }
 
@@ -114,9 +114,9 @@
 	return w.autoscaler.c.drains.ClosesOffer(offer)
 }
 
-// ZoneContacts returns, for each zone, the number of machines and how many of them are unreachable from the
+// ZoneReachabilities returns, for each zone, the number of machines and how many of them are unreachable from the
 // controllers that own them. Only machines in the states open and unreachable are counted.
-func (w fleetWorkload) ZoneContacts() map[string]fleet.ZoneContact {
+func (w fleetWorkload) ZoneReachabilities() map[string]fleet.ZoneReachability {
 	counts := map[string]*reachability.SilenceCount{}
 	for _, machine := range w.autoscaler.c.mirror.Machines {
 		if machine.Record == nil {
@@ -125,9 +125,9 @@
 		zone, state := machine.Record.Zone, machine.Record.State
 		mapentry.GetOrNew(counts, zone).Add(state == storage.MachineUnreachable, state != storage.MachineOpen)
 	}
-	contacts := map[string]fleet.ZoneContact{}
+	contacts := map[string]fleet.ZoneReachability{}
 	for zone, count := range counts {
-		contacts[zone] = fleet.ZoneContact{
+		contacts[zone] = fleet.ZoneReachability{
 			Machines:            count.Machines,
 			UnreachableMachines: count.Silent,
 			Unreachable:         count.IsUnreachable(),
--- a/internal/coordination/wiring_quota.go
+++ b/internal/coordination/wiring_quota.go
@@ -40,8 +40,8 @@
 	return d.c.shards.UseInDoubt(team)
 }
 
-func (d quotaDependencies) QuotaLackReportedAt(team string) (at monotime.Micros, ok bool) {
-	return d.c.peerStatuses.QuotaLackReportedAt(team)
+func (d quotaDependencies) QuotaShortageReportedAt(team string) (at monotime.Micros, ok bool) {
+	return d.c.peerStatuses.QuotaShortageReportedAt(team)
 }
 
 func (d quotaDependencies) WorkersUnreachable() bool {
--- a/internal/coordination/wiring_shards.go
+++ b/internal/coordination/wiring_shards.go
@@ -43,8 +43,8 @@
 	return d.c.reachability.ConnectedControllers()
 }
 
-func (d shardDependencies) HeardFromRecently(node string, now monotime.Micros) bool {
-	return d.c.peerStatuses.HeardRecently(node, now)
+func (d shardDependencies) HasRecentStatus(node string, now monotime.Micros) bool {
+	return d.c.peerStatuses.HasRecentStatus(node, now)
 }
 
 func (d shardDependencies) ReachesWorkers(node string) bool {
--- a/internal/coordination/wiring_store.go
+++ b/internal/coordination/wiring_store.go
@@ -51,7 +51,7 @@
 // state.
 type replicaObserver struct{ c *Controller }
 
-func (o replicaObserver) BeforeReplace(loaded *mirror.Mirror) { o.c.agents.KeepOnly(loaded) }
+func (o replicaObserver) BeforeReplace(loaded *mirror.Mirror) { o.c.agents.RetainMachinesOf(loaded) }
 
 func (o replicaObserver) Replaced() {
 	o.c.cancellations.Reconcile()
@@ -61,7 +61,7 @@
 }
 
 func (o replicaObserver) Ready() {
-	o.c.catalog.UseStored(o.c.mirror.Catalog())
+	o.c.catalog.SetStoredTypes(o.c.mirror.Catalog())
 	o.c.scheduler.RequestPass()
 	o.c.nextSlowTickAt = 0
 }
--- a/internal/daemon/peers.go
+++ b/internal/daemon/peers.go
@@ -8,7 +8,7 @@
 
 // encodePeerFrame encodes a status as a frame, including the frame's length field.
 func encodePeerFrame(status *peers.Status) ([]byte, error) {
-	frame := peers.Frame(status)
+	frame := peers.ToFrame(status)
 	return transport.EncodeFrame(&frame)
 }
 
@@ -18,5 +18,5 @@
 	if err := transport.DecodeFrame(encoded, &frame); err != nil {
 		return peers.Status{}, err
 	}
-	return peers.FromFrame(&frame), nil
+	return peers.StatusFromFrame(&frame), nil
 }
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -170,7 +170,7 @@
 
 // deadlinePassed reports whether a drain has a deadline that has passed.
 func (s *Snapshot) deadlinePassed(record *DrainRecord) bool {
-	return record.DeadlineAt != 0 && s.Wall >= record.DeadlineAt
+	return record.DeadlineAt != 0 && s.WallMicros >= record.DeadlineAt
 }
 
 // NextState returns the next state that a drain takes without an operator's command. An active drain ends
@@ -185,14 +185,14 @@
 	updated := record.Drain
 	switch updated.State {
 	case storage.DrainDone, storage.DrainAborted:
-		return nil, s.Wall-updated.EndedAt > retention
+		return nil, s.WallMicros-updated.EndedAt > retention
 	case storage.DrainActive:
 	default:
 		return nil, false
 	}
 	switch {
 	case !expectsMachines && len(s.Selected(&updated)) == 0:
-		updated.State, updated.Reason, updated.EndedAt = storage.DrainDone, "", s.Wall
+		updated.State, updated.Reason, updated.EndedAt = storage.DrainDone, "", s.WallMicros
 		if updated.ClosesOffers() {
 			updated.State = storage.DrainDrained
 			updated.Reason = "nothing is left; nothing is rented there until the drain is aborted"
@@ -325,7 +325,7 @@
 	}
 	permit := storage.Permit{
 		Drain: record.Name, Job: replica.Job, Task: replica.Task, Attempt: replica.Attempt,
-		From: machine.ID, To: to.ID, GrantedAt: d.snapshot.Wall,
+		From: machine.ID, To: to.ID, GrantedAt: d.snapshot.WallMicros,
 	}
 	if d.recordBytes[job.Team]+permitBytes(&permit) > d.controller.MaxRecordBytes {
 		return possibleMove{
--- a/internal/drain/drainer/coverage.go
+++ b/internal/drain/drainer/coverage.go
@@ -49,7 +49,7 @@
 	if !covered || record.State == storage.DrainPaused {
 		return false
 	}
-	return record.RemoveAtOnce || emptyFor >= d.deps.Machines.ScaleInDelay(machine.Record)
+	return record.DeleteImmediately || emptyFor >= d.deps.Machines.ScaleInDelay(machine.Record)
 }
 
 // ProtectsFromPreemption reports whether a job's tasks must not be preempted, because it is a service with a
--- a/internal/drain/drainer/drainer_test.go
+++ b/internal/drain/drainer/drainer_test.go
@@ -210,17 +210,17 @@
 	}
 	s.nextWriteAt = s.now + 1
 	s.drainer.writePermits(decision, s.now)
-	if got := s.permits(); s.Made != 1 || !slices.Equal(got, []storage.Permit{granted}) {
-		t.Errorf("got %d commits and permits %+v, want 1 commit and the granted permit only", s.Made, got)
+	if got := s.permits(); s.Count != 1 || !slices.Equal(got, []storage.Permit{granted}) {
+		t.Errorf("got %d commits and permits %+v, want 1 commit and the granted permit only", s.Count, got)
 	}
 	s.drainer.writePermits(&drain.Decision{Granted: map[string][]storage.Permit{"zebra": {granted}}}, s.now)
-	if s.Made != 1 {
-		t.Errorf("before the next write is allowed: got %d commits, want 1", s.Made)
+	if s.Count != 1 {
+		t.Errorf("before the next write is allowed: got %d commits, want 1", s.Count)
 	}
 	s.drainer.writePermits(&drain.Decision{Completed: map[string][]storage.Permit{team: {granted}}}, s.now+1)
-	if entry, ok := s.records.PermitsByTeam[team]; !ok || len(entry.Record.Permits) != 0 || s.Made != 2 {
+	if entry, ok := s.records.PermitsByTeam[team]; !ok || len(entry.Record.Permits) != 0 || s.Count != 2 {
 		t.Errorf("after the last permit ended: got record %+v (exists: %v), %d commits; want an empty one, 2 commits",
-			entry, ok, s.Made)
+			entry, ok, s.Count)
 	}
 }
 
@@ -364,7 +364,7 @@
 }
 
 // TestMayScaleIn: an empty machine of a drain may be removed after the scale-in delay, or at once with
-// RemoveAtOnce, but not while the drain is paused or after it was aborted.
+// DeleteImmediately, but not while the drain is paused or after it was aborted.
 func TestMayScaleIn(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -374,9 +374,9 @@
 	}{
 		{"before the delay", storage.Drain{State: storage.DrainActive}, 19 * monotime.Second, false},
 		{"after the delay", storage.Drain{State: storage.DrainActive}, 20 * monotime.Second, true},
-		{"at once", storage.Drain{State: storage.DrainActive, RemoveAtOnce: true}, 0, true},
-		{"paused drain", storage.Drain{State: storage.DrainPaused, RemoveAtOnce: true}, monotime.Minute, false},
-		{"aborted drain", storage.Drain{State: storage.DrainAborted, RemoveAtOnce: true}, monotime.Minute, false},
+		{"at once", storage.Drain{State: storage.DrainActive, DeleteImmediately: true}, 0, true},
+		{"paused drain", storage.Drain{State: storage.DrainPaused, DeleteImmediately: true}, monotime.Minute, false},
+		{"aborted drain", storage.Drain{State: storage.DrainAborted, DeleteImmediately: true}, monotime.Minute, false},
 	} {
 		s := newControllerStub()
 		record := tc.drain
--- a/internal/drain/drainer/snapshot.go
+++ b/internal/drain/drainer/snapshot.go
@@ -37,7 +37,7 @@
 		entry.State = storage.MachineRemoving
 	case agent.InterruptionNoticed():
 		entry.State = storage.MachineDraining
-	case agent.Suspect():
+	case agent.IsSuspect():
 		entry.State = storage.MachineUnreachable
 	}
 }
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -100,14 +100,14 @@
 // Snapshot is the state of the fleet at one revision of the state service. It is immutable: simulating a
 // change returns a new snapshot, which shares nearly all data with the old one.
 type Snapshot struct {
-	Revision  uint64 // of the state service
-	Wall      int64  // wall clock, microseconds
-	machines  *immutable.SortedMap[string, *Machine]
-	jobs      map[string]*Job
-	types     map[string]TypeCapacity
-	drains    []DrainRecord // sorted by name
-	permits   map[string]TeamPermits
-	machineOf map[replicaKey]string // the machine that each replica is on
+	Revision   uint64 // of the state service
+	WallMicros int64  // wall clock, microseconds
+	machines   *immutable.SortedMap[string, *Machine]
+	jobs       map[string]*Job
+	types      map[string]TypeCapacity
+	drains     []DrainRecord // sorted by name
+	permits    map[string]TeamPermits
+	machineOf  map[replicaKey]string // the machine that each replica is on
 }
 
 // Machine returns a machine by its id.
@@ -212,7 +212,7 @@
 func NewBuilder(revision uint64, wall int64) *Builder {
 	return &Builder{
 		snapshot: Snapshot{
-			Revision: revision, Wall: wall, jobs: map[string]*Job{},
+			Revision: revision, WallMicros: wall, jobs: map[string]*Job{},
 			types:   map[string]TypeCapacity{},
 			permits: map[string]TeamPermits{}, machineOf: map[replicaKey]string{}},
 		machines: immutable.NewSortedMapBuilder[string, *Machine](nil),
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -104,8 +104,8 @@
 	return count
 }
 
-// TeamStatus compares the available replicas of a scope with its budget, for operators.
-type TeamStatus struct {
+// ScopeStatus compares the available replicas of a scope with its budget, for operators.
+type ScopeStatus struct {
 	Team            string `json:"team"`
 	Class           string `json:"class,omitempty"`
 	Budgeted        bool   `json:"budgeted"`          // false: the default budget applies
@@ -116,17 +116,17 @@
 	WorstLoss       int    `json:"lost_with_reserve"` // replicas on the ReserveMachines machines that hold most
 }
 
-// Teams returns the status of every scope that has services, sorted by the scope's name.
-func (p *Policy) Teams(s *Snapshot) []TeamStatus {
+// ScopeStatuses returns the status of every scope that has services, sorted by the scope's name.
+func (p *Policy) ScopeStatuses(s *Snapshot) []ScopeStatus {
 	byScope := p.availabilityByScope(s)
 	byName := map[string]*Availability{}
 	for scope, availability := range byScope {
 		byName[scope.String()] = availability
 	}
-	var statuses []TeamStatus
+	var statuses []ScopeStatus
 	for _, name := range sortedmap.Keys(byName) {
 		availability := byName[name]
-		statuses = append(statuses, TeamStatus{
+		statuses = append(statuses, ScopeStatus{
 			Team:            availability.Scope.Team,
 			Class:           availability.Scope.Class,
 			Budgeted:        availability.Budgeted,
--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -22,9 +22,9 @@
 
 // Durations that the worker protocol fixes.
 const (
-	// WorkerAnswerTimeout is how long a worker waits for the response to a heartbeat before it gives up on
+	// WorkerResponseTimeout is how long a worker waits for the response to a heartbeat before it gives up on
 	// the controller and selects the next one.
-	WorkerAnswerTimeout = 4 * monotime.Second
+	WorkerResponseTimeout = 4 * monotime.Second
 	// WorkerRetryPause is how long a worker waits after that timeout, or after a redirect, before it sends
 	// the heartbeat to the next controller.
 	WorkerRetryPause = monotime.Second
@@ -68,9 +68,9 @@
 	// PlacementSilenceLimit is the longest silence at which a machine is still assigned new tasks: two
 	// heartbeat intervals plus one second.
 	PlacementSilenceLimit monotime.Micros
-	// LeaseExpiryProof is the time without a response to a worker's heartbeat after which its lease has
+	// LeaseExpiryBound is the time without a response to a worker's heartbeat after which its lease has
 	// certainly expired, allowing for clock drift.
-	LeaseExpiryProof monotime.Micros
+	LeaseExpiryBound monotime.Micros
 	// RenewalWindow bounds how outdated a controller's knowledge of committed cancellations may be while it
 	// renews worker leases. Once the knowledge is older, the controller rejects heartbeats.
 	RenewalWindow monotime.Micros
@@ -89,7 +89,7 @@
 	p.MembershipTTL = min(max(p.WorkerLease/2, minMembershipTTL), maxMembershipTTL)
 	p.SuspicionTimeout = 3*p.HeartbeatInterval + monotime.Second/2
 	p.PlacementSilenceLimit = 2*p.HeartbeatInterval + monotime.Second
-	p.LeaseExpiryProof = p.WorkerLease + p.WorkerLease/clockDriftDivisor + monotime.Second
+	p.LeaseExpiryBound = p.WorkerLease + p.WorkerLease/clockDriftDivisor + monotime.Second
 	p.RenewalWindow = max(minRenewalWindow, p.CancellationDeadline-p.WorkerLease-leaseExpiryMargin)
 	p.AdoptionDelay = p.WorkerLease / 3
 	return p
@@ -108,7 +108,7 @@
 		out = append(out, Warning{"facts.workers.lease_s",
 			"worker leases expire before the failover of a crashed controller ends: tasks are lost"})
 	}
-	if p.WorkerLease < p.HeartbeatInterval+WorkerAnswerTimeout+WorkerRetryPause {
+	if p.WorkerLease < p.HeartbeatInterval+WorkerResponseTimeout+WorkerRetryPause {
 		out = append(out, Warning{"facts.workers.lease_s",
 			"a worker whose controller doesn't answer reaches no other before lease expiry: " +
 				"its tasks are lost"})
--- a/internal/fake/checker_starvation.go
+++ b/internal/fake/checker_starvation.go
@@ -12,14 +12,14 @@
 	CPUs, MemoryGB float64
 }
 
-// WatchWaiting starts to check periodically for starved tasks: those that wait for longer than
+// WatchStarvation starts to check periodically for starved tasks: those that wait for longer than
 // MaxTaskStarvation although a machine has capacity for them. Call it only when no faults are active.
-func (k *Checker) WatchWaiting(freeMachines func() []FreeMachine) {
+func (k *Checker) WatchStarvation(freeMachines func() []FreeMachine) {
 	free := freeMachines()
 	for _, id := range k.Accepted() {
 		k.checkStarvation(k.jobs[id], free)
 	}
-	k.Clock.After(starvationCheckInterval, func() { k.WatchWaiting(freeMachines) })
+	k.Clock.After(starvationCheckInterval, func() { k.WatchStarvation(freeMachines) })
 }
 
 // checkStarvation tracks since when the tasks of a job have been starved, and records a violation for each
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -226,6 +226,6 @@
 
 // waitBesideFreeMachine keeps both tasks waiting for two minutes while a machine has free resources.
 func (d *checkerScenario) waitBesideFreeMachine(free FreeMachine) {
-	d.WatchWaiting(func() []FreeMachine { return []FreeMachine{free} })
+	d.WatchStarvation(func() []FreeMachine { return []FreeMachine{free} })
 	d.sim.Run(120 * second)
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -28,17 +28,17 @@
 
 // CloudFaults are the faults that a test injects into a Cloud.
 type CloudFaults struct {
-	Unavailable   bool            // the cloud answers all calls with 503
-	Throttling    bool            // the cloud answers all calls with 429
-	LoseRentReply bool            // the cloud creates the requested machines, but the response is lost
-	NeverBoots    map[string]bool // machines that never boot, by ID
+	Unavailable     bool            // the cloud answers all calls with 503
+	Throttling      bool            // the cloud answers all calls with 429
+	LoseCreateReply bool            // the cloud creates the requested machines, but the response is lost
+	NeverBoots      map[string]bool // machines that never boot, by ID
 }
 
 // CloudCounters record the calls that a Cloud has received.
 type CloudCounters struct {
-	Calls         map[protocol.CloudOp]int
-	RentedByName  map[string][]string // IDs of the machines created, by the name of the request
-	RepeatedRents int                 // requests with the name of an earlier request that created machines
+	Calls                  map[protocol.CloudOp]int
+	CreatedByRequest       map[string][]string // IDs of the machines created, by the name of the request
+	RepeatedCreateRequests int                 // requests with the name of an earlier request that created machines
 }
 
 // Machine is a machine of the fake cloud.
@@ -64,8 +64,8 @@
 		Machines:    map[string]*Machine{},
 		CloudFaults: CloudFaults{NeverBoots: map[string]bool{}},
 		CloudCounters: CloudCounters{
-			Calls:        map[protocol.CloudOp]int{},
-			RentedByName: map[string][]string{},
+			Calls:            map[protocol.CloudOp]int{},
+			CreatedByRequest: map[string][]string{},
 		},
 	}
 }
@@ -113,8 +113,8 @@
 // createMachines creates the requested machines, limited by the capacity of the offer. It is idempotent: a
 // request with the name of an earlier one returns the machines of the earlier one.
 func (c *Cloud) createMachines(request *protocol.CreateMachinesRequest) (result protocol.CloudResult, lost bool) {
-	if ids, ok := c.RentedByName[request.Name]; ok {
-		c.RepeatedRents++
+	if ids, ok := c.CreatedByRequest[request.Name]; ok {
+		c.RepeatedCreateRequests++
 		return protocol.CloudResult{Outcome: protocol.OK, Created: ids}, false
 	}
 	offer := OfferKey(request.Type, request.Zone, request.Spot)
@@ -126,9 +126,9 @@
 	for range count {
 		result.Created = append(result.Created, c.AddMachine(request.Type, request.Zone, request.Spot).ID)
 	}
-	c.RentedByName[request.Name] = result.Created
+	c.CreatedByRequest[request.Name] = result.Created
 	result.Outcome = protocol.OK
-	return result, c.LoseRentReply
+	return result, c.LoseCreateReply
 }
 
 // list returns the machines that existed ListLag ago, in order of their IDs. Their states are the current
--- a/internal/fake/loopback/drain_test.go
+++ b/internal/fake/loopback/drain_test.go
@@ -314,7 +314,7 @@
 // availability returns the number of available replicas of a team as the budgets command reports it.
 func (d *drainScenario) availability(team string) int {
 	d.t.Helper()
-	var teams []drain.TeamStatus
+	var teams []drain.ScopeStatus
 	if err := json.Unmarshal([]byte(d.mustRun(0, "budgets", "--json")), &teams); err != nil {
 		d.t.Fatal(err)
 	}
--- a/internal/fake/loopback/workers.go
+++ b/internal/fake/loopback/workers.go
@@ -36,7 +36,7 @@
 		}
 		execute := func() { answered <- executeRequest(worker, request) }
 		if worker.Paused {
-			worker.Defer(execute)
+			worker.DeferCommand(execute)
 		} else {
 			execute()
 		}
--- a/internal/fake/stubs/commits.go
+++ b/internal/fake/stubs/commits.go
@@ -42,9 +42,9 @@
 	return oldest
 }
 
-// Only returns the single commit in the queue if wantCommit is set, and otherwise no commit. It fails the
+// SingleCommit returns the single commit in the queue if wantCommit is set, and otherwise no commit. It fails the
 // test if the queue does not hold exactly one commit or none, respectively.
-func (h *HeldCommits) Only(t testing.TB, wantCommit bool) (commit Commit, ok bool) {
+func (h *HeldCommits) SingleCommit(t testing.TB, wantCommit bool) (commit Commit, ok bool) {
 	t.Helper()
 	if held := len(h.Commits); held > 1 || (held == 1) != wantCommit {
 		t.Fatalf("got %d commits, want exactly one: %t; commits: %+v", held, wantCommit, h.Commits)
@@ -59,7 +59,7 @@
 type AppliedCommits struct {
 	Mirror   *mirror.Mirror
 	Revision uint64 // of the last commit
-	Made     int    // number of commits so far
+	Count    int    // number of commits so far
 }
 
 // Commit applies a transaction without checking its comparisons.
@@ -69,7 +69,7 @@
 	callback func(protocol.StoreResult),
 ) {
 	a.Revision++
-	a.Made++
+	a.Count++
 	for _, operation := range transaction.Then {
 		if operation.Delete != "" {
 			a.Mirror.ApplyDelete(operation.Delete, a.Revision, false)
--- a/internal/fake/stubs/commits_test.go
+++ b/internal/fake/stubs/commits_test.go
@@ -13,7 +13,7 @@
 	var held HeldCommits
 	var answered []uint64
 	answer := func(result protocol.StoreResult) { answered = append(answered, result.Revision) }
-	if _, ok := held.Only(t, false); ok {
+	if _, ok := held.SingleCommit(t, false); ok {
 		t.Error("empty queue: got a commit, want none")
 	}
 	for _, priority := range []ratelimit.Priority{ratelimit.PriorityLease, ratelimit.PriorityBackground} {
@@ -24,7 +24,7 @@
 		t.Errorf("TakeOldest: got %+v, want the earlier commit", oldest)
 	}
 	oldest.Callback(protocol.StoreResult{Revision: 1})
-	last, ok := held.Only(t, true)
+	last, ok := held.SingleCommit(t, true)
 	if !ok || last.Priority != ratelimit.PriorityBackground {
 		t.Errorf("Only: got %+v, ok %t, want the later commit", last, ok)
 	}
@@ -53,8 +53,8 @@
 	if version := applied.Mirror.VersionOf(key); version != 0 {
 		t.Errorf("after the delete: got version %d, want 0 (absent)", version)
 	}
-	if outcomes != 2 || applied.Made != 2 || applied.Revision != 9 {
+	if outcomes != 2 || applied.Count != 2 || applied.Revision != 9 {
 		t.Errorf("got %d successful outcomes, %d commits, revision %d, want 2, 2, 9",
-			outcomes, applied.Made, applied.Revision)
+			outcomes, applied.Count, applied.Revision)
 	}
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -62,5 +62,5 @@
 	})
 }
 
-// Defer queues a command to be executed when the paused machine resumes.
-func (w *Worker) Defer(execute func()) { w.deferred = append(w.deferred, execute) }
+// DeferCommand queues a command to be executed when the paused machine resumes.
+func (w *Worker) DeferCommand(execute func()) { w.deferred = append(w.deferred, execute) }
--- a/internal/membership/leader_test.go
+++ b/internal/membership/leader_test.go
@@ -71,7 +71,7 @@
 			tc.arrange(h)
 			h.membership.Campaign(h.now)
 			h.membership.Campaign(h.now)
-			election, ok := h.Only(t, tc.want)
+			election, ok := h.SingleCommit(t, tc.want)
 			if !ok {
 				return
 			}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -36,7 +36,7 @@
 			tc.arrange(h)
 			h.grantLease(5) // a granted lease triggers EnsureMemberRecord
 			h.membership.EnsureMemberRecord()
-			write, ok := h.Only(t, tc.writes)
+			write, ok := h.SingleCommit(t, tc.writes)
 			if !ok {
 				return
 			}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -18,7 +18,7 @@
 	Jobs              map[string]*Job             // jobs with an open record, by id
 	Shards            map[string]*Shard           // by name
 	Machines          map[string]*Machine         // by id
-	UseByTeam         map[string]resources.Vector // resources of all attempts, by team
+	UsageByTeam       map[string]resources.Vector // resources of all attempts, by team
 	Partitions        map[string]*PartitionEntry  // by controller
 	ScaleOuts         map[string]*ScaleOutEntry   // by name
 	ScaleOutOfMachine map[string]string           // by machine: the scale-out request that names it
@@ -52,7 +52,7 @@
 		Jobs:              map[string]*Job{},
 		Shards:            map[string]*Shard{},
 		Machines:          map[string]*Machine{},
-		UseByTeam:         map[string]resources.Vector{},
+		UsageByTeam:       map[string]resources.Vector{},
 		Partitions:        map[string]*PartitionEntry{},
 		ScaleOuts:         map[string]*ScaleOutEntry{},
 		ScaleOutOfMachine: map[string]string{},
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -111,7 +111,7 @@
 		if job := mr.Jobs["j-1"]; job != nil {
 			assigned, done = job.AssignedTasks, job.DoneTasks
 		}
-		if cpus := float64(2 * tc.assigned); mr.UseByTeam["t"].CPUs != cpus || machineCPUs != cpus ||
+		if cpus := float64(2 * tc.assigned); mr.UsageByTeam["t"].CPUs != cpus || machineCPUs != cpus ||
 			assigned != tc.assigned ||
 			assigned > 0 && done != 2 ||
 			mr.Machines["i-2"] != nil {
@@ -120,7 +120,7 @@
 					"got %d assigned tasks, want %d; got %d done tasks, want 2 with assigned ones; "+
 					"got machine i-2 present %v, want false",
 				tc.order,
-				mr.UseByTeam["t"],
+				mr.UsageByTeam["t"],
 				cpus,
 				machineCPUs,
 				cpus,
--- a/internal/mirror/replica.go
+++ b/internal/mirror/replica.go
@@ -13,9 +13,9 @@
 type Store interface {
 	// Call queues a call at a priority. It calls callback once, with the result.
 	Call(priority ratelimit.Priority, call *protocol.StoreCall, callback func(protocol.StoreResult))
-	// CallAtOnce bypasses the queue. It doesn't record the outcome, see RecordOutcome.
-	CallAtOnce(call *protocol.StoreCall, callback func(protocol.StoreResult))
-	// RecordOutcome uses the outcome of a CallAtOnce to judge whether the service is available.
+	// CallUnqueued bypasses the queue. It doesn't record the outcome, see RecordOutcome.
+	CallUnqueued(call *protocol.StoreCall, callback func(protocol.StoreResult))
+	// RecordOutcome uses the outcome of a CallUnqueued to judge whether the service is available.
 	RecordOutcome(outcome protocol.Outcome)
 	// WatchInterval returns the minimum interval between two watches.
 	WatchInterval() monotime.Micros
@@ -48,8 +48,8 @@
 type PauseDetector interface {
 	// DetectPause records activity at time now. A Replica calls it before it uses the response of a watch.
 	DetectPause(now monotime.Micros)
-	// ResumedFromPauseAt returns when the last pause ended; 0 if there was none.
-	ResumedFromPauseAt() monotime.Micros
+	// LastPauseEndedAt returns when the last pause ended; 0 if there was none.
+	LastPauseEndedAt() monotime.Micros
 }
 
 // ReplicaOptions configures a Replica.
--- a/internal/mirror/replica_helpers_test.go
+++ b/internal/mirror/replica_helpers_test.go
@@ -53,13 +53,13 @@
 func (rt *replicaTest) RecordOutcome(outcome protocol.Outcome) {
 	rt.recordedOutcomes = append(rt.recordedOutcomes, outcome)
 }
-func (rt *replicaTest) WatchInterval() monotime.Micros      { return testWatchInterval }
-func (rt *replicaTest) BeforeReplace(*Mirror)               { rt.events = append(rt.events, "before") }
-func (rt *replicaTest) Replaced()                           { rt.events = append(rt.events, "replaced") }
-func (rt *replicaTest) Changed()                            { rt.events = append(rt.events, "changed") }
-func (rt *replicaTest) DetectPause(monotime.Micros)         {}
-func (rt *replicaTest) ResumedFromPauseAt() monotime.Micros { return rt.resumedAt }
-func (rt *replicaTest) CallAtOnce(call *protocol.StoreCall, f func(protocol.StoreResult)) {
+func (rt *replicaTest) WatchInterval() monotime.Micros    { return testWatchInterval }
+func (rt *replicaTest) BeforeReplace(*Mirror)             { rt.events = append(rt.events, "before") }
+func (rt *replicaTest) Replaced()                         { rt.events = append(rt.events, "replaced") }
+func (rt *replicaTest) Changed()                          { rt.events = append(rt.events, "changed") }
+func (rt *replicaTest) DetectPause(monotime.Micros)       {}
+func (rt *replicaTest) LastPauseEndedAt() monotime.Micros { return rt.resumedAt }
+func (rt *replicaTest) CallUnqueued(call *protocol.StoreCall, f func(protocol.StoreResult)) {
 	rt.calls = append(rt.calls, pendingCall{call, f, true})
 }
 
--- a/internal/mirror/shard_sums.go
+++ b/internal/mirror/shard_sums.go
@@ -9,10 +9,10 @@
 
 // Shard is a shard in the mirror.
 type Shard struct {
-	Name      string
-	Record    *storage.Shard
-	Version   uint64                      // of the record
-	UseByTeam map[string]resources.Vector // resources of the shard's attempts, by team
+	Name        string
+	Record      *storage.Shard
+	Version     uint64                      // of the record
+	UsageByTeam map[string]resources.Vector // resources of the shard's attempts, by team
 }
 
 // Machine is a machine in the mirror that a shard or an attempt names, with the resources that its tasks use.
@@ -29,7 +29,7 @@
 func (m *Machine) Owner() string { return m.Shard.Record.Owner }
 
 // Claim returns the number of the claim that holds the machine; it is the high part of fencing tokens.
-func (m *Machine) Claim() uint64 { return m.Shard.Record.ClaimOf(m.Record) }
+func (m *Machine) Claim() uint64 { return m.Shard.Record.ClaimNumberOf(m.Record) }
 
 // removeShard subtracts from the aggregates what previous, the current version of a shard, holds and next
 // doesn't. previous is nil if the shard is new, next is nil if it is deleted.
@@ -56,9 +56,9 @@
 // is nil if the shard is new.
 func (m *Mirror) addShard(previous, next *Shard) {
 	if previous != nil {
-		next.UseByTeam = previous.UseByTeam
+		next.UsageByTeam = previous.UsageByTeam
 	} else {
-		next.UseByTeam = map[string]resources.Vector{}
+		next.UsageByTeam = map[string]resources.Vector{}
 	}
 	m.Shards[next.Name] = next
 	for id, record := range next.Record.Machines {
@@ -106,8 +106,8 @@
 	if len(machine.Attempts) == 0 {
 		machine.Used = resources.Vector{} // discards accumulated rounding errors
 	}
-	AddUse(shard.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
-	AddUse(m.UseByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+	AddUsage(shard.UsageByTeam, job.Record.Spec.Team, job.TaskResources, sign)
+	AddUsage(m.UsageByTeam, job.Record.Spec.Team, job.TaskResources, sign)
 	m.removeMachineIfUnused(machine)
 }
 
@@ -123,9 +123,9 @@
 	return false
 }
 
-// AddUse adds (sign 1) or subtracts (sign -1) the resources of a task in a team's total. It removes a team
+// AddUsage adds (sign 1) or subtracts (sign -1) the resources of a task in a team's total. It removes a team
 // whose total is zero within resources.Tolerance.
-func AddUse(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
+func AddUsage(useByTeam map[string]resources.Vector, team string, taskResources resources.Vector, sign int) {
 	total := useByTeam[team].AddScaled(taskResources, float64(sign))
 	if total.CPUs < resources.Tolerance && total.GPUs < resources.Tolerance &&
 		total.MemoryGB < resources.Tolerance {
--- a/internal/mirror/watch.go
+++ b/internal/mirror/watch.go
@@ -117,7 +117,7 @@
 		MaxBlock:     longPoll,
 		Timeout:      longPoll + watchTimeoutMargin,
 	}
-	r.store.CallAtOnce(call, func(result protocol.StoreResult) {
+	r.store.CallUnqueued(call, func(result protocol.StoreResult) {
 		ended()
 		r.pauses.DetectPause(r.env.Now())
 		if generation != r.mirror.Generation() {
@@ -152,7 +152,7 @@
 // applyWatch applies the changes of a successful watch to the mirror and completes the reads that it serves.
 func (r *Replica) applyWatch(sentAt monotime.Micros, result protocol.StoreResult) {
 	r.watch.freshAt, r.watch.lastSuccessAt = max(r.watch.freshAt, sentAt), r.env.Now()
-	if sentAt < r.pauses.ResumedFromPauseAt() {
+	if sentAt < r.pauses.LastPauseEndedAt() {
 		r.watch.lastSuccessAt = sentAt // the response may have arrived long ago, while the process was paused
 	}
 	r.mirror.ApplyEvents(result.Events, result.Revision)
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -33,14 +33,14 @@
 
 // StartRequest describes the drain that an operator requests.
 type StartRequest struct {
-	Name         string
-	Selector     storage.Selector
-	Replace      bool            // request machines before their capacity is needed
-	AllowSimilar bool            // scale-out may request machines that match the selector
-	RemoveAtOnce bool            // remove empty machines immediately
-	MaxParallel  int             // maximum number of machines being emptied at a time
-	Deadline     monotime.Micros // no step begins later than this after the start; 0: no deadline
-	DryRun       bool            // only compute the plan
+	Name              string
+	Selector          storage.Selector
+	Replace           bool            // request machines before their capacity is needed
+	AllowSimilar      bool            // scale-out may request machines that match the selector
+	DeleteImmediately bool            // remove empty machines immediately
+	MaxParallel       int             // maximum number of machines being emptied at a time
+	Deadline          monotime.Micros // no step begins later than this after the start; 0: no deadline
+	DryRun            bool            // only compute the plan
 }
 
 // StartResult is the result of a start.
@@ -150,7 +150,7 @@
 	selector := r.Selector
 	selector.Machines = slices.Compact(slices.Sorted(slices.Values(r.Selector.Machines)))
 	record := storage.Drain{
-		State: storage.DrainActive, Selector: selector, Replace: r.Replace, RemoveAtOnce: r.RemoveAtOnce,
+		State: storage.DrainActive, Selector: selector, Replace: r.Replace, DeleteImmediately: r.DeleteImmediately,
 		MaxParallel: r.MaxParallel, StartedAt: wallNow,
 	}
 	if r.AllowSimilar && len(selector.Machines) == 0 {
@@ -166,7 +166,7 @@
 func sameRequest(a, b *storage.Drain) bool {
 	timeLimit := func(d *storage.Drain) int64 { return max(0, d.DeadlineAt-d.StartedAt) }
 	return reflect.DeepEqual(a.Selector, b.Selector) &&
-		a.Replace == b.Replace && a.RemoveAtOnce == b.RemoveAtOnce &&
+		a.Replace == b.Replace && a.DeleteImmediately == b.DeleteImmediately &&
 		a.MaxParallel == b.MaxParallel &&
 		(a.LastMachine == "") == (b.LastMachine == "") &&
 		timeLimit(a) == timeLimit(b)
@@ -213,7 +213,7 @@
 }
 
 // Status returns the progress of a drain and the availability of all teams' services, at one revision.
-func (d *DrainOperator) Status(name string) (*drain.Progress, []drain.TeamStatus, error) {
+func (d *DrainOperator) Status(name string) (*drain.Progress, []drain.ScopeStatus, error) {
 	records, err := d.readRecords()
 	if err != nil {
 		return nil, nil, err
@@ -223,16 +223,16 @@
 	if !ok {
 		return nil, nil, fmt.Errorf("%w: drain %q", ErrNotFound, name)
 	}
-	return d.Policy.Progress(fleet, record, records.IsMember), d.Policy.Teams(fleet), nil
+	return d.Policy.Progress(fleet, record, records.IsMember), d.Policy.ScopeStatuses(fleet), nil
 }
 
 // Budgets returns the availability of all teams' services and their budgets, at one revision.
-func (d *DrainOperator) Budgets() ([]drain.TeamStatus, error) {
+func (d *DrainOperator) Budgets() ([]drain.ScopeStatus, error) {
 	records, err := d.readRecords()
 	if err != nil {
 		return nil, err
 	}
-	return d.Policy.Teams(records.DrainSnapshot(d.WallClock())), nil
+	return d.Policy.ScopeStatuses(records.DrainSnapshot(d.WallClock())), nil
 }
 
 // DrainSummary is an entry of the list of drains.
--- a/internal/peers/frames.go
+++ b/internal/peers/frames.go
@@ -7,8 +7,8 @@
 	wirecancellation "pipitgap/internal/peerwire/cancellation"
 )
 
-// Frame converts a status to its wire form. The frame shares the map and the slice of teams with the status.
-func Frame(status *Status) peerwire.Hint {
+// ToFrame converts a status to its wire form. The frame shares the map and the slice of teams with the status.
+func ToFrame(status *Status) peerwire.Hint {
 	return peerwire.Hint{
 		Node:          status.Node,
 		Incarnation:   status.Incarnation,
@@ -21,8 +21,8 @@
 	}
 }
 
-// FromFrame converts a received frame to a status. It is the inverse of Frame.
-func FromFrame(frame *peerwire.Hint) Status {
+// StatusFromFrame converts a received frame to a status. It is the inverse of ToFrame.
+func StatusFromFrame(frame *peerwire.Hint) Status {
 	return Status{
 		Node:                  frame.Node,
 		Incarnation:           frame.Incarnation,
--- a/internal/peers/frames_test.go
+++ b/internal/peers/frames_test.go
@@ -14,18 +14,18 @@
 	var status Status
 	fixtures.Fill(&status)
 	fixtures.AllSet(t, "status", status)
-	frame := Frame(&status)
+	frame := ToFrame(&status)
 	fixtures.AllSet(t, "frame of the status", frame)
-	if back := FromFrame(&frame); !reflect.DeepEqual(back, status) {
+	if back := StatusFromFrame(&frame); !reflect.DeepEqual(back, status) {
 		t.Errorf("status after conversion to a frame and back: got %+v, want %+v", back, status)
 	}
 
 	var received peerwire.Hint
 	fixtures.Fill(&received)
 	fixtures.AllSet(t, "received frame", received)
-	status = FromFrame(&received)
+	status = StatusFromFrame(&received)
 	fixtures.AllSet(t, "status of the received frame", status)
-	if again := Frame(&status); !reflect.DeepEqual(again, received) {
+	if again := ToFrame(&status); !reflect.DeepEqual(again, received) {
 		t.Errorf("frame after conversion to a status and back: got %+v, want %+v", again, received)
 	}
 }
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -17,7 +17,7 @@
 
 // Status is a controller's report about itself to the other controllers. Status messages are hints: the
 // records in the state service decide. A status speeds up reactions, and distinguishes an outage of the state
-// service from the sender's own isolation. See Frame for the wire form.
+// service from the sender's own isolation. See ToFrame for the wire form.
 type Status struct {
 	Node        string // name of the sender
 	Incarnation uint64 // incarnation of the sender
--- a/internal/peers/table.go
+++ b/internal/peers/table.go
@@ -69,21 +69,21 @@
 	return peerState{}
 }
 
-// HeardRecently reports whether a status of a peer was received within statusValidity.
-func (t *Table) HeardRecently(node string, now monotime.Micros) bool {
+// HasRecentStatus reports whether a status of a peer was received within statusValidity.
+func (t *Table) HasRecentStatus(node string, now monotime.Micros) bool {
 	peer := t.state(node)
 	return peer.statusReceived && now-peer.lastStatusAt < statusValidity
 }
 
-// LastHeardAt returns the receive time of a peer's last status, or 0 if none was received.
-func (t *Table) LastHeardAt(node string) monotime.Micros { return t.state(node).lastStatusAt }
+// LastStatusAt returns the receive time of a peer's last status, or 0 if none was received.
+func (t *Table) LastStatusAt(node string) monotime.Micros { return t.state(node).lastStatusAt }
 
 // WorkerReach returns a peer's last report whether it reaches its workers.
 func (t *Table) WorkerReach(node string) WorkerReach { return t.state(node).workerReach }
 
-// FirstReachingStore returns the first peer by name that reported, after the given time and within
+// FirstReachingStateService returns the first peer by name that reported, after the given time and within
 // storeReportValidity, that it reaches the state service.
-func (t *Table) FirstReachingStore(after, now monotime.Micros) (node string, ok bool) {
+func (t *Table) FirstReachingStateService(after, now monotime.Micros) (node string, ok bool) {
 	for _, node := range sortedmap.Keys(t.statuses) {
 		at := t.statuses[node].storeReachableAt
 		if at != 0 && now-at < storeReportValidity && at > after {
@@ -114,9 +114,9 @@
 	return n
 }
 
-// QuotaLackReportedAt returns when a peer last reported that it lacks quota of a team. ok is false if no peer
+// QuotaShortageReportedAt returns when a peer last reported that it lacks quota of a team. ok is false if no peer
 // has reported it.
-func (t *Table) QuotaLackReportedAt(team string) (at monotime.Micros, ok bool) {
+func (t *Table) QuotaShortageReportedAt(team string) (at monotime.Micros, ok bool) {
 	at, ok = t.quotaShortageReports[team]
 	return at, ok
 }
--- a/internal/peers/table_test.go
+++ b/internal/peers/table_test.go
@@ -15,7 +15,7 @@
 // status doesn't count as heard, even at time 0.
 func TestHeardRecently(t *testing.T) {
 	table := NewTable(testThreshold)
-	if table.HeardRecently("n-1", 0) {
+	if table.HasRecentStatus("n-1", 0) {
 		t.Error("peer without any status at time 0: got heard true, want false")
 	}
 	table.Update(&Status{Node: "n-1"}, testNow)
@@ -31,14 +31,14 @@
 		{"another peer", "n-2", testNow, false},
 	}
 	for _, tc := range cases {
-		if got := table.HeardRecently(tc.node, tc.at); got != tc.want {
+		if got := table.HasRecentStatus(tc.node, tc.at); got != tc.want {
 			t.Errorf("%s: got heard %t, want %t", tc.name, got, tc.want)
 		}
 	}
-	if at := table.LastHeardAt("n-1"); at != testNow {
+	if at := table.LastStatusAt("n-1"); at != testNow {
 		t.Errorf("last status of n-1: got time %d, want %d", at, testNow)
 	}
-	if at := table.LastHeardAt("n-2"); at != 0 {
+	if at := table.LastStatusAt("n-2"); at != 0 {
 		t.Errorf("last status of n-2, which sent none: got time %d, want 0", at)
 	}
 }
@@ -62,7 +62,7 @@
 		{"report expired", testNow - 1, testNow + storeReportValidity, ""},
 	}
 	for _, tc := range cases {
-		if got, ok := table.FirstReachingStore(tc.after, tc.now); got != tc.want || ok != (tc.want != "") {
+		if got, ok := table.FirstReachingStateService(tc.after, tc.now); got != tc.want || ok != (tc.want != "") {
 			t.Errorf("%s: got %q, %t; want %q, %t", tc.name, got, ok, tc.want, tc.want != "")
 		}
 	}
@@ -113,10 +113,10 @@
 		t.Errorf("worker reach of n-1, n-2, n-3: got %v, want %v",
 			reach, [3]WorkerReach{WorkersReachable, WorkersUnknown, WorkersUnknown})
 	}
-	if at, ok := table.QuotaLackReportedAt("red"); !ok || at != testNow {
+	if at, ok := table.QuotaShortageReportedAt("red"); !ok || at != testNow {
 		t.Errorf("quota shortage of team red: got time %d, reported %t; want %d, true", at, ok, testNow)
 	}
-	if _, ok := table.QuotaLackReportedAt("blue"); ok {
+	if _, ok := table.QuotaShortageReportedAt("blue"); ok {
 		t.Error("quota shortage of team blue: got reported true, want false")
 	}
 }
--- a/internal/peerwire/frames.go
+++ b/internal/peerwire/frames.go
@@ -4,7 +4,7 @@
 // Controllers of different versions run side by side during an update, so every name in this package is
 // frozen. A field may be added, but no field may be renamed, removed or changed in type. The fixtures in
 // internal/daemon/testdata/frames contain the encoded bytes. The rest of the code uses separate types, which
-// may be renamed freely. Package peers converts between both, see peers.Frame.
+// may be renamed freely. Package peers converts between both, see peers.ToFrame.
 package peerwire
 
 import "pipitgap/internal/peerwire/cancellation"
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -34,7 +34,7 @@
 func (sc *Scheduler) Schedulable(machine *mirror.Machine, now monotime.Micros) bool {
 	agent := sc.deps.Agents.Of(machine)
 	return agent != nil && agent.AcceptsTasks(now, sc.config.PlacementSilenceLimit) &&
-		!sc.MachineFault(agent).Doubtful
+		!sc.MachineFault(agent).FailureProne
 }
 
 // candidateMachines returns the machines of the updates that may get tasks.
@@ -52,7 +52,7 @@
 				continue
 			}
 			free := mirror.MachineCapacity(&machineType).AddScaled(machine.Used, -1)
-			candidate := newCandidateMachine(machine, record, update.FreeAfter(id, free), update)
+			candidate := newCandidateMachine(machine, record, update.FreeResourcesAfter(id, free), update)
 			candidate.TypeCPUs = machineType.CPUs
 			candidate.ServiceCPUs = sc.serviceCPUs(machine)
 			candidate.Closing = sc.deps.ScaleIn.IsClosed(id)
--- a/internal/placement/dependencies.go
+++ b/internal/placement/dependencies.go
@@ -67,11 +67,11 @@
 type Quota interface {
 	// Limits returns a team's limits; ok is false for a team that isn't configured.
 	Limits(team string) (limits quota.Limits, ok bool)
-	// Left returns what this controller's share of a team's limit still allows for the team's tasks; infinite
+	// RemainingQuota returns what this controller's share of a team's limit still allows for the team's tasks; infinite
 	// for a resource without a limit.
-	Left(team string) resources.Vector
-	// NoteShortage records that tasks wait because this controller's share of the team's limit is too small.
-	NoteShortage(team string, unmet quota.UnmetDemand)
+	RemainingQuota(team string) resources.Vector
+	// RecordShortage records that tasks wait because this controller's share of the team's limit is too small.
+	RecordShortage(team string, unmet quota.UnmetDemand)
 	// WriteInFlight reports whether a commit that changes this controller's shares is in flight.
 	WriteInFlight() bool
 }
@@ -86,8 +86,8 @@
 
 // Shards prepares and commits the updates of this controller's shards.
 type Shards interface {
-	// AwaitsCommit reports whether the next pass should wait for a commit in flight.
-	AwaitsCommit(now monotime.Micros) bool
+	// ShouldAwaitCommit reports whether the next pass should wait for a commit in flight.
+	ShouldAwaitCommit(now monotime.Micros) bool
 	// PrepareUpdates prepares the next versions of this controller's shards that have no commit in flight.
 	PrepareUpdates(now monotime.Micros) []*shards.Update
 	// AdmitClaimRequests adds machines with pending claims to the updates. It returns the updates, including
--- a/internal/placement/failure_attribution.go
+++ b/internal/placement/failure_attribution.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// ClearFailuresOn withdraws the failures on a faulty machine from the failures of the jobs that failed there.
-func (sc *Scheduler) ClearFailuresOn(machine *mirror.Machine) {
+// WithdrawFailuresOn withdraws the failures on a faulty machine from the failures of the jobs that failed there.
+func (sc *Scheduler) WithdrawFailuresOn(machine *mirror.Machine) {
 	for id := range sc.deps.Agents.Of(machine).Failures().ByJob() {
 		if tracking := sc.trackingByJob[id]; tracking != nil {
 			tracking.failures.Withdraw(machine.ID)
--- a/internal/placement/failure_attribution_test.go
+++ b/internal/placement/failure_attribution_test.go
@@ -51,7 +51,7 @@
 			}
 		}
 		fault := c.scheduler.MachineFault(agent)
-		if want := (scheduling.MachineFault{Faulty: tc.faulty, Doubtful: tc.doubtful}); fault != want {
+		if want := (scheduling.MachineFault{Faulty: tc.faulty, FailureProne: tc.doubtful}); fault != want {
 			t.Errorf("%s: got fault %+v, want %+v", tc.name, fault, want)
 		}
 	}
--- a/internal/placement/job_placement.go
+++ b/internal/placement/job_placement.go
@@ -64,7 +64,7 @@
 		return nil
 	}
 	if sc.isStarved(job, p.now) {
-		jobPlan.assignableTasks = jobPlan.tracking.progress.Missing(job.DoneTasks + job.AssignedTasks)
+		jobPlan.assignableTasks = jobPlan.tracking.progress.TasksToCatchUp(job.DoneTasks + job.AssignedTasks)
 	}
 	if jobPlan.crashLooping {
 		jobPlan.assignableTasks = trials
@@ -104,7 +104,7 @@
 	p.limits, _ = p.scheduler.deps.Quota.Limits(p.spec.Team)
 	left, known := p.quotaLeft[p.spec.Team]
 	if !known {
-		left = p.scheduler.deps.Quota.Left(p.spec.Team)
+		left = p.scheduler.deps.Quota.RemainingQuota(p.spec.Team)
 	}
 	p.remainingQuota = left
 }
--- a/internal/placement/job_shortages.go
+++ b/internal/placement/job_shortages.go
@@ -15,10 +15,10 @@
 	if _, known := p.hasRoomFor[p.shape]; !known {
 		p.hasRoomFor[p.shape] = tasksThatFit(p.job, p.candidates) > 0
 	}
-	p.scheduler.deps.Quota.NoteShortage(p.spec.Team, quota.UnmetDemand{
+	p.scheduler.deps.Quota.RecordShortage(p.spec.Team, quota.UnmetDemand{
 		TaskResources:  p.job.TaskResources,
 		Tasks:          p.pendingTasks,
-		ShareLeft:      p.remainingQuota,
+		RemainingShare: p.remainingQuota,
 		HasMachineRoom: p.hasRoomFor[p.shape],
 	})
 }
--- a/internal/placement/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -39,20 +39,22 @@
 // placed before the watch reaches that revision, because no other controller can have placed any of them.
 func (sc *Scheduler) JobAccepted(id string, revision uint64) { sc.acceptedRevisions[id] = revision }
 
-// NoteRecordChange records that a job's record has changed.
-func (sc *Scheduler) NoteRecordChange(id string) {
+// RecordJobChange records that a job's record has changed.
+func (sc *Scheduler) RecordJobChange(id string) {
 	sc.trackingOf(id).reassignment.recordChangedAt = sc.deps.Environment.Now()
 }
 
-// NoteFinalSeen records when this controller first sees a job's final result.
-func (sc *Scheduler) NoteFinalSeen(id string) {
+// RecordFinalResultSeen records when this controller first sees a job's final result.
+func (sc *Scheduler) RecordFinalResultSeen(id string) {
 	if tracking := sc.trackingOf(id); tracking.finalSeenAt == 0 {
 		tracking.finalSeenAt = sc.deps.Environment.Now()
 	}
 }
 
-// FinalSeenAt returns when this controller first saw a job's final result, or 0 if it has not.
-func (sc *Scheduler) FinalSeenAt(id string) monotime.Micros { return sc.trackingOf(id).finalSeenAt }
+// FinalResultSeenAt returns when this controller first saw a job's final result, or 0 if it has not.
+func (sc *Scheduler) FinalResultSeenAt(id string) monotime.Micros {
+	return sc.trackingOf(id).finalSeenAt
+}
 
 // delayPlacement prevents the placement of a job's tasks before the given time.
 func (sc *Scheduler) delayPlacement(id string, until monotime.Micros) {
--- a/internal/placement/partition_capacity.go
+++ b/internal/placement/partition_capacity.go
@@ -67,11 +67,11 @@
 		return scheduling.BestPartition(partitions, sc.config.Node, tasksFitting)
 	}
 	fitWithImage := fit
-	fitWithImage.BesideImage = true
+	fitWithImage.RequireCachedImage = true
 	return scheduling.BestPartition(
 		partitions,
 		sc.config.Node,
-		func(partition string) int { return capacity.TasksFittingBesideImage(spec, need, partition) },
+		func(partition string) int { return capacity.TasksFittingWithCachedImage(spec, need, partition) },
 		func(partition string) int { return capacity.MachinesAfterPreemption(partition, fitWithImage) },
 		tasksFitting,
 		func(partition string) int { return capacity.MachinesAfterPreemption(partition, fit) },
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -236,6 +236,6 @@
 // which its tasks are about to release, are subtracted.
 func (sc *Scheduler) exceedsGuarantee(team string, stopping resources.Vector) bool {
 	limits, _ := sc.deps.Quota.Limits(team)
-	use := sc.deps.Mirror.UseByTeam[team].AddScaled(stopping, -1)
+	use := sc.deps.Mirror.UsageByTeam[team].AddScaled(stopping, -1)
 	return !limits.GuaranteeCovers(use)
 }
--- a/internal/placement/queue_order.go
+++ b/internal/placement/queue_order.go
@@ -49,7 +49,7 @@
 		Starved:           sc.isStarved(job, now),
 	}
 	if sc.IsCrashLooping(job) {
-		entry.LeaveForTrials()
+		entry.DemoteToTrials()
 	}
 	return entry
 }
@@ -101,7 +101,7 @@
 // withinGuarantee reports whether one more task of a job lies within its team's guarantee.
 func (sc *Scheduler) withinGuarantee(job *mirror.Job) bool {
 	limits, _ := sc.deps.Quota.Limits(job.Record.Spec.Team)
-	use := sc.deps.Mirror.UseByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
+	use := sc.deps.Mirror.UsageByTeam[job.Record.Spec.Team].AddScaled(job.TaskResources, 1)
 	return limits.GuaranteeCovers(use)
 }
 
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -21,7 +21,7 @@
 	if sc.deps.Store.Unavailable() || !sc.deps.Membership.HoldsLease(now) || sc.deps.Quota.WriteInFlight() {
 		return // assignments depend on the quota shares that are being written
 	}
-	if sc.deps.Shards.AwaitsCommit(now) {
+	if sc.deps.Shards.ShouldAwaitCommit(now) {
 		return
 	}
 	sc.passNeeded = false
--- a/internal/placement/stubs_test.go
+++ b/internal/placement/stubs_test.go
@@ -103,9 +103,9 @@
 	limits, ok := q.c.limits[team]
 	return limits, ok
 }
-func (testQuota) Left(string) resources.Vector           { return quota.Unlimited() }
-func (testQuota) NoteShortage(string, quota.UnmetDemand) {}
-func (q testQuota) WriteInFlight() bool                  { return q.c.quotaWriteInFlight }
+func (testQuota) RemainingQuota(string) resources.Vector   { return quota.Unlimited() }
+func (testQuota) RecordShortage(string, quota.UnmetDemand) {}
+func (q testQuota) WriteInFlight() bool                    { return q.c.quotaWriteInFlight }
 
 type testAgents struct{}
 
@@ -114,7 +114,7 @@
 
 type testShards struct{ c *testController }
 
-func (s testShards) AwaitsCommit(monotime.Micros) bool { return s.c.commitAwaited }
+func (s testShards) ShouldAwaitCommit(monotime.Micros) bool { return s.c.commitAwaited }
 func (s testShards) PrepareUpdates(monotime.Micros) []*shards.Update {
 	s.c.passes++
 	return nil
--- a/internal/placement/task_exits.go
+++ b/internal/placement/task_exits.go
@@ -35,7 +35,7 @@
 func (sc *Scheduler) recordCompletion(machine *mirror.Machine, job *mirror.Job, exit agents.Exit) {
 	spec, machineFailures := &job.Record.Spec, sc.deps.Agents.Of(machine).Failures()
 	if exit.Started && !spec.Service {
-		ranSeconds := (sc.deps.Environment.Now() - exit.Since).Seconds()
+		ranSeconds := (sc.deps.Environment.Now() - exit.RunningSince).Seconds()
 		machineFailures.RecordSpeed(ranSeconds, sc.ExpectedRunSeconds(spec))
 		sc.estimates.Observe(spec, ranSeconds)
 	}
--- a/internal/placement/task_ranges_test.go
+++ b/internal/placement/task_ranges_test.go
@@ -36,9 +36,9 @@
 	}
 	c.scheduler.JobAccepted(id, 1)
 	other := &mirror.Shard{
-		Name:      "n-1.1",
-		Record:    &storage.Shard{Owner: "n-1"},
-		UseByTeam: map[string]resources.Vector{},
+		Name:        "n-1.1",
+		Record:      &storage.Shard{Owner: "n-1"},
+		UsageByTeam: map[string]resources.Vector{},
 	}
 	c.mirror.Machines["i-9"] = &mirror.Machine{
 		ID:       "i-9",
--- a/internal/placement/work_stealing.go
+++ b/internal/placement/work_stealing.go
@@ -139,17 +139,17 @@
 	team := job.Record.Spec.Team
 	shareLeft, ok := work.quotaLeftByTeam[team]
 	if !ok {
-		shareLeft = sc.deps.Quota.Left(team)
+		shareLeft = sc.deps.Quota.RemainingQuota(team)
 		work.quotaLeftByTeam[team] = shareLeft
 	}
 	tasksInShare := job.TaskResources.CountIn(shareLeft)
 	if tasksInShare >= room {
 		return room
 	}
-	sc.deps.Quota.NoteShortage(team, quota.UnmetDemand{
+	sc.deps.Quota.RecordShortage(team, quota.UnmetDemand{
 		TaskResources:  job.TaskResources,
 		Tasks:          min(room-tasksInShare, job.UnassignedTasks()),
-		ShareLeft:      shareLeft,
+		RemainingShare: shareLeft,
 		HasMachineRoom: true,
 	})
 	return tasksInShare
--- a/internal/quota/quotashares/adjust.go
+++ b/internal/quota/quotashares/adjust.go
@@ -98,7 +98,7 @@
 	current storage.QuotaShare,
 	now monotime.Micros,
 ) quota.ShareInputs {
-	reportedAt, reported := m.deps.Peers.QuotaLackReportedAt(team)
+	reportedAt, reported := m.deps.Peers.QuotaShortageReportedAt(team)
 	return quota.ShareInputs{
 		Limits:             limits,
 		Current:            current,
@@ -107,7 +107,7 @@
 		Shortage:           m.shortages[team],
 		PeerShortage:       reported && now-reportedAt < shortageReportIntervals*m.cfg.PeerStatusInterval,
 		WorkersUnreachable: m.deps.Peers.WorkersUnreachable(),
-		Controllers:        m.deps.Store.BudgetSharers(),
+		Controllers:        m.deps.Store.LiveControllerCount(),
 	}
 }
 
--- a/internal/quota/quotashares/manager.go
+++ b/internal/quota/quotashares/manager.go
@@ -38,8 +38,8 @@
 type Store interface {
 	// Unavailable reports whether the state service recently failed to respond.
 	Unavailable() bool
-	// BudgetSharers returns the number of live controllers, at least 1.
-	BudgetSharers() int
+	// LiveControllerCount returns the number of live controllers, at least 1.
+	LiveControllerCount() int
 	// Commit submits a transaction. It applies a successful one to the mirror before it calls the callback.
 	Commit(ratelimit.Priority, protocol.Transaction, func(protocol.StoreResult))
 }
@@ -55,9 +55,9 @@
 
 // Peers provides the other controllers' reports and the assignment of successors to departed controllers.
 type Peers interface {
-	// QuotaLackReportedAt returns when a peer last reported a shortage of a team's limit. ok is false if no
+	// QuotaShortageReportedAt returns when a peer last reported a shortage of a team's limit. ok is false if no
 	// peer did.
-	QuotaLackReportedAt(team string) (at monotime.Micros, ok bool)
+	QuotaShortageReportedAt(team string) (at monotime.Micros, ok bool)
 	// WorkersUnreachable reports whether this controller has lost contact with its workers.
 	WorkersUnreachable() bool
 	// SuccessorOf returns the controller that takes over from the given controller after its departure.
@@ -93,7 +93,7 @@
 	releasesInFlight  map[string]bool            // departed controllers whose record is being deleted
 	shortages         map[string]*quota.Shortage // by team, since the last adjustment
 	commitsInDoubt    []commitInDoubt
-	shortOfQuotaSince map[string]monotime.Micros // by team, see TeamsLacking
+	shortOfQuotaSince map[string]monotime.Micros // by team, see TeamsShortOfQuota
 }
 
 // commitInDoubt is a commit of this controller's record with an unknown outcome. It is conditional on a
@@ -120,9 +120,9 @@
 	return quota.LimitsOf(m.cfg.Teams, team)
 }
 
-// NoteShortage records, for the next adjustment, that tasks wait because the share of a team's limit is too
+// RecordShortage records, for the next adjustment, that tasks wait because the share of a team's limit is too
 // small.
-func (m *Manager) NoteShortage(team string, demand quota.UnmetDemand) {
+func (m *Manager) RecordShortage(team string, demand quota.UnmetDemand) {
 	m.shortages[team] = quota.AddDemand(m.shortages[team], demand)
 }
 
@@ -173,15 +173,15 @@
 	use := resources.Vector{}
 	for _, shard := range m.deps.Mirror.Shards {
 		if shard.Record.Owner == m.cfg.Node {
-			use = use.Plus(shard.UseByTeam[team])
+			use = use.Plus(shard.UsageByTeam[team])
 		}
 	}
 	return use.Plus(m.deps.Shards.UseInDoubt(team))
 }
 
-// Left returns the resources that this controller may still assign to a team's tasks. They are infinite
+// RemainingQuota returns the resources that this controller may still assign to a team's tasks. They are infinite
 // without a limit.
-func (m *Manager) Left(team string) resources.Vector {
+func (m *Manager) RemainingQuota(team string) resources.Vector {
 	limits, _ := m.Limits(team)
 	if !limits.Limited() {
 		return quota.Unlimited()
@@ -200,10 +200,10 @@
 	return unallocated
 }
 
-// TeamsLacking lists the teams whose limit has had too little unallocated for a single waiting task for at
+// TeamsShortOfQuota lists the teams whose limit has had too little unallocated for a single waiting task for at
 // least shortageReportDelay although a machine has room for the task. The other controllers should lower
 // their unused shares of these limits.
-func (m *Manager) TeamsLacking(now monotime.Micros) []string {
+func (m *Manager) TeamsShortOfQuota(now monotime.Micros) []string {
 	var teams []string
 	for _, team := range sortedmap.Keys(m.shortOfQuotaSince) {
 		if now-m.shortOfQuotaSince[team] >= shortageReportDelay {
--- a/internal/quota/quotashares/manager_test.go
+++ b/internal/quota/quotashares/manager_test.go
@@ -39,13 +39,13 @@
 
 func (s *controllerStub) Unavailable() bool { return s.unavailable }
 
-func (s *controllerStub) BudgetSharers() int { return 2 }
+func (s *controllerStub) LiveControllerCount() int { return 2 }
 
 func (s *controllerStub) CommitInFlight() bool { return s.commitInFlight }
 
 func (s *controllerStub) UseInDoubt(string) resources.Vector { return s.useInDoubt }
 
-func (s *controllerStub) QuotaLackReportedAt(team string) (monotime.Micros, bool) {
+func (s *controllerStub) QuotaShortageReportedAt(team string) (monotime.Micros, bool) {
 	at, ok := s.shortageReportedAt[team]
 	return at, ok
 }
@@ -131,7 +131,7 @@
 	return quota.UnmetDemand{
 		TaskResources:  resources.Vector{CPUs: cpus},
 		Tasks:          1,
-		ShareLeft:      resources.Vector{},
+		RemainingShare: resources.Vector{},
 		HasMachineRoom: true,
 	}
 }
@@ -165,13 +165,13 @@
 			stub.putShares("n-1", 8)
 			stub.putShard(t, c.owner, 2)
 			stub.useInDoubt = resources.Vector{CPUs: c.useInDoubt}
-			if got := m.Left("tight").CPUs; got != c.left {
+			if got := m.RemainingQuota("tight").CPUs; got != c.left {
 				t.Errorf("got %v CPUs left, want %v", got, c.left)
 			}
 			if got := m.Unallocated("tight").CPUs; got != 2 {
 				t.Errorf("got %v CPUs unallocated, want 2", got)
 			}
-			if got := m.Left("free"); got != quota.Unlimited() {
+			if got := m.RemainingQuota("free"); got != quota.Unlimited() {
 				t.Errorf("team without a limit: got %+v left, want an unlimited amount", got)
 			}
 		})
@@ -185,7 +185,7 @@
 	m, stub := newManager()
 	stub.putShares("n-1", 4)
 	stub.putShares("decommissioned", 1)
-	m.NoteShortage("tight", unmetDemand(4))
+	m.RecordShortage("tight", unmetDemand(4))
 	m.Adjust(0)
 	if !m.WriteInFlight() {
 		t.Fatal("after a shortage: no write in flight, want one")
@@ -237,7 +237,7 @@
 	for name, block := range cases {
 		t.Run(name, func(t *testing.T) {
 			m, stub := newManager()
-			m.NoteShortage("tight", unmetDemand(4))
+			m.RecordShortage("tight", unmetDemand(4))
 			block(stub, m)
 			m.Adjust(0)
 			if len(stub.Commits) > 0 {
@@ -255,13 +255,13 @@
 	stub.shortageReportedAt["tight"] = 0
 	m.Adjust(0) // lowers the share to 0
 	stub.answer(t, protocol.Unknown)
-	if got := m.Left("tight").CPUs; got != 0 {
+	if got := m.RemainingQuota("tight").CPUs; got != 0 {
 		t.Errorf("got %v CPUs left while the lowering is in doubt, want 0", got)
 	}
 	delete(stub.shortageReportedAt, "tight")
 	m.Adjust(monotime.Second) // changes no share, but writes the record to resolve the commit in doubt
 	stub.answer(t, protocol.OK)
-	if got := m.Left("tight").CPUs; got != 8 {
+	if got := m.RemainingQuota("tight").CPUs; got != 8 {
 		t.Errorf("got %v CPUs left after the record was written again, want 8", got)
 	}
 	m.Adjust(2 * monotime.Second)
@@ -286,10 +286,10 @@
 		{2*monotime.Second + shortageReportDelay, false, nil},
 	} {
 		if step.shortOfQuota {
-			m.NoteShortage("tight", unmetDemand(1))
+			m.RecordShortage("tight", unmetDemand(1))
 		}
 		m.Adjust(step.at)
-		if got := m.TeamsLacking(step.at); !slices.Equal(got, step.want) {
+		if got := m.TeamsShortOfQuota(step.at); !slices.Equal(got, step.want) {
 			t.Errorf("at %v: got teams %v, want %v", step.at, got, step.want)
 		}
 	}
@@ -378,7 +378,7 @@
 			c.prepare(t, stub)
 			m.ReleaseDeparted(c.now)
 			m.ReleaseDeparted(c.now)
-			if _, ok := stub.Only(t, c.want); !ok {
+			if _, ok := stub.SingleCommit(t, c.want); !ok {
 				return
 			}
 			versions := comparedVersions(stub.answer(t, protocol.OK))
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -23,7 +23,7 @@
 type UnmetDemand struct {
 	TaskResources  resources.Vector // resources of each task
 	Tasks          int              // number of waiting tasks
-	ShareLeft      resources.Vector // unused part of the controller's share
+	RemainingShare resources.Vector // unused part of the controller's share
 	HasMachineRoom bool             // whether some machine has room for one of the tasks
 }
 
@@ -31,11 +31,11 @@
 // share.
 func (u UnmetDemand) shortfallPerTask() resources.Vector {
 	shortfall := resources.Vector{}
-	if !math.IsInf(u.ShareLeft.CPUs, 1) {
-		shortfall.CPUs = max(0, u.TaskResources.CPUs-u.ShareLeft.CPUs)
+	if !math.IsInf(u.RemainingShare.CPUs, 1) {
+		shortfall.CPUs = max(0, u.TaskResources.CPUs-u.RemainingShare.CPUs)
 	}
-	if !math.IsInf(u.ShareLeft.GPUs, 1) {
-		shortfall.GPUs = max(0, u.TaskResources.GPUs-u.ShareLeft.GPUs)
+	if !math.IsInf(u.RemainingShare.GPUs, 1) {
+		shortfall.GPUs = max(0, u.TaskResources.GPUs-u.RemainingShare.GPUs)
 	}
 	return shortfall
 }
--- a/internal/reachability/controllers.go
+++ b/internal/reachability/controllers.go
@@ -24,7 +24,7 @@
 	if !r.storeSilent(now) {
 		return "", false
 	}
-	return r.peerStatuses.FirstReachingStore(r.store.LastSuccessAt()+peerReportLead, now)
+	return r.peerStatuses.FirstReachingStateService(r.store.LastSuccessAt()+peerReportLead, now)
 }
 
 // IsIsolated reports whether this controller reaches neither the state service nor any other controller. In
@@ -35,7 +35,7 @@
 		return false
 	}
 	for _, peer := range r.options.Peers {
-		if r.peerStatuses.HeardRecently(peer, now) {
+		if r.peerStatuses.HasRecentStatus(peer, now) {
 			return false
 		}
 	}
@@ -61,7 +61,7 @@
 	if node == r.node {
 		return r.WorkersUnreachable()
 	}
-	return r.peerStatuses.HeardRecently(node, now) &&
+	return r.peerStatuses.HasRecentStatus(node, now) &&
 		r.peerStatuses.WorkerReach(node) == peers.WorkersUnreachable
 }
 
--- a/internal/reachability/pause.go
+++ b/internal/reachability/pause.go
@@ -37,8 +37,8 @@
 	d.lastActivityAt = now
 }
 
-// ResumedFromPauseAt returns when the last pause ended, or 0 if there was no pause.
-func (d *PauseDetector) ResumedFromPauseAt() monotime.Micros { return d.resumedAt }
+// LastPauseEndedAt returns when the last pause ended, or 0 if there was no pause.
+func (d *PauseDetector) LastPauseEndedAt() monotime.Micros { return d.resumedAt }
 
 // IsStale reports whether data that was last known to be current at freshAt must not be trusted: a pause
 // ended after freshAt, and less than staleAfterPause ago.
--- a/internal/reachability/pause_test.go
+++ b/internal/reachability/pause_test.go
@@ -29,7 +29,7 @@
 		for _, at := range tc.activities {
 			detector.DetectPause(at)
 		}
-		if got := detector.ResumedFromPauseAt(); got != tc.want {
+		if got := detector.LastPauseEndedAt(); got != tc.want {
 			t.Errorf("%s: resumed at %d, want %d", tc.name, got, tc.want)
 		}
 	}
--- a/internal/scheduling/failure_attribution.go
+++ b/internal/scheduling/failure_attribution.go
@@ -74,14 +74,14 @@
 
 // MachineFault is the result of AttributeToMachine.
 type MachineFault struct {
-	Faulty   bool // jobs that run elsewhere fail on the machine, or it is far too slow
-	Doubtful bool // the machine may be faulty and gets no more tasks until this is known
+	Faulty       bool // jobs that run elsewhere fail on the machine, or it is far too slow
+	FailureProne bool // the machine may be faulty and gets no more tasks until this is known
 }
 
 // AttributeToMachine decides whether a machine is faulty from the attribution of each job's failures.
 func AttributeToMachine(machine MachineEvidence, attribution func(job string) Attribution) MachineFault {
 	if machine.Slow {
-		return MachineFault{Faulty: true, Doubtful: true}
+		return MachineFault{Faulty: true, FailureProne: true}
 	}
 	machineFailures, unknownFailures := 0, 0
 	for job, failures := range machine.FailuresByJob {
@@ -93,7 +93,7 @@
 		}
 	}
 	return MachineFault{
-		Faulty:   machineFailures >= machineFaultMinFailures,
-		Doubtful: machineFailures+unknownFailures >= machineFaultMinFailures,
+		Faulty:       machineFailures >= machineFaultMinFailures,
+		FailureProne: machineFailures+unknownFailures >= machineFaultMinFailures,
 	}
 }
--- a/internal/scheduling/failures_test.go
+++ b/internal/scheduling/failures_test.go
@@ -64,18 +64,18 @@
 		{
 			"two failures of a job that runs elsewhere",
 			MachineEvidence{FailuresByJob: map[string]int{"runs": 2}},
-			MachineFault{Faulty: true, Doubtful: true},
+			MachineFault{Faulty: true, FailureProne: true},
 		},
 		{"two failures of a new job",
-			MachineEvidence{FailuresByJob: map[string]int{"new": 2}}, MachineFault{Doubtful: true}},
+			MachineEvidence{FailuresByJob: map[string]int{"new": 2}}, MachineFault{FailureProne: true}},
 		{
 			"one failure of each of a new job and a job that runs elsewhere",
 			MachineEvidence{FailuresByJob: map[string]int{"new": 1, "runs": 1}},
-			MachineFault{Doubtful: true},
+			MachineFault{FailureProne: true},
 		},
 		{"many failures of a broken job",
 			MachineEvidence{FailuresByJob: map[string]int{"broken": 9}}, MachineFault{}},
-		{"slow machine", MachineEvidence{Slow: true}, MachineFault{Faulty: true, Doubtful: true}},
+		{"slow machine", MachineEvidence{Slow: true}, MachineFault{Faulty: true, FailureProne: true}},
 	} {
 		got := AttributeToMachine(tc.machine, func(job string) Attribution { return attributions[job] })
 		if got != tc.want {
--- a/internal/scheduling/partition_capacity.go
+++ b/internal/scheduling/partition_capacity.go
@@ -38,8 +38,8 @@
 	return p.countTasks(spec, need, partition, anyMachine)
 }
 
-// TasksFittingBesideImage is like TasksFitting but counts only machines that have the job's image.
-func (p *PartitionCapacity) TasksFittingBesideImage(
+// TasksFittingWithCachedImage is like TasksFitting but counts only machines that have the job's image.
+func (p *PartitionCapacity) TasksFittingWithCachedImage(
 	spec *storage.JobSpec,
 	need resources.Vector,
 	partition string,
@@ -72,9 +72,9 @@
 
 // PreemptionFit describes a task that may preempt other tasks to get room.
 type PreemptionFit struct {
-	Spec        *storage.JobSpec
-	Need        resources.Vector
-	BesideImage bool // only consider machines that have the task's image
+	Spec               *storage.JobSpec
+	Need               resources.Vector
+	RequireCachedImage bool // only consider machines that have the task's image
 	// Freed returns the resources of those tasks on a machine that may be stopped for the task.
 	Freed func(machine string) resources.Vector
 }
@@ -86,7 +86,7 @@
 	for i := range p.machines[partition] {
 		machine := &p.machines[partition][i]
 		if !MachineAllowed(fit.Spec, machine.Record) ||
-			fit.BesideImage && !machine.hasImage(fit.Spec.Image) {
+			fit.RequireCachedImage && !machine.hasImage(fit.Spec.Image) {
 			continue
 		}
 		if fit.Need.FitsIn(machine.Free.Plus(fit.Freed(machine.MachineID))) {
--- a/internal/scheduling/partition_capacity_test.go
+++ b/internal/scheduling/partition_capacity_test.go
@@ -41,10 +41,10 @@
 			Freed: func(string) resources.Vector { return resources.Vector{CPUs: 1} },
 		}
 		withImage := fit
-		withImage.BesideImage = true
+		withImage.RequireCachedImage = true
 		got := [4]int{
 			capacity.TasksFitting(&tc.spec, need, tc.partition),
-			capacity.TasksFittingBesideImage(&tc.spec, need, tc.partition),
+			capacity.TasksFittingWithCachedImage(&tc.spec, need, tc.partition),
 			capacity.MachinesAfterPreemption(tc.partition, fit),
 			capacity.MachinesAfterPreemption(tc.partition, withImage),
 		}
--- a/internal/scheduling/queue_order.go
+++ b/internal/scheduling/queue_order.go
@@ -40,8 +40,8 @@
 	return slack.IsLate() && slack.Seconds >= 0 && slack.Seconds < deadlineBoostWindowSeconds
 }
 
-// LeaveForTrials marks the job as crash-looping and removes its boost and its other precedence.
-func (e *QueueEntry) LeaveForTrials() {
+// DemoteToTrials marks the job as crash-looping and removes its boost and its other precedence.
+func (e *QueueEntry) DemoteToTrials() {
 	e.CrashLooping = true
 	e.DeadlineBoost, e.WithinGuarantee, e.Starved = false, false, false
 }
--- a/internal/scheduling/start_progress.go
+++ b/internal/scheduling/start_progress.go
@@ -72,5 +72,5 @@
 	return true
 }
 
-// Missing returns the number of tasks that a starved array needs to reach its catch-up target, at least 1.
-func (p *StartProgress) Missing(started int) int { return max(1, p.catchUpTarget-started) }
+// TasksToCatchUp returns the number of tasks that a starved array needs to reach its catch-up target, at least 1.
+func (p *StartProgress) TasksToCatchUp(started int) int { return max(1, p.catchUpTarget-started) }
--- a/internal/shards/admission.go
+++ b/internal/shards/admission.go
@@ -203,7 +203,7 @@
 			Starting: previous.Starting,
 		})
 		if job := m.mirror.Jobs[task.Job]; job != nil {
-			mirror.AddUse(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
+			mirror.AddUsage(useByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 		}
 	}
 	update.putSourceRecord(source, remaining)
--- a/internal/shards/admission_test.go
+++ b/internal/shards/admission_test.go
@@ -27,7 +27,7 @@
 		{"designated", func(*harness) {}, true},
 		{"designated to another controller", func(h *harness) {
 			h.putScaleOut("r", &storage.ScaleOutRequest{
-				Machines: []string{"i-1"}, Own: map[string]string{"i-1": "n-1"},
+				Machines: []string{"i-1"}, DesignatedControllers: map[string]string{"i-1": "n-1"},
 			})
 		}, false},
 		{"without scale-out request", func(h *harness) {
@@ -46,7 +46,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newHarness(t)
 			h.putScaleOut("r", &storage.ScaleOutRequest{
-				Machines: []string{"i-1"}, Own: map[string]string{"i-1": ownNode},
+				Machines: []string{"i-1"}, DesignatedControllers: map[string]string{"i-1": ownNode},
 			})
 			var claimResults []bool
 			h.requestClaim("i-1", nil, &claimResults)
@@ -89,12 +89,12 @@
 // New machines fill a shard up to its planned size. A pass creates another shard for the next machine.
 func TestAdmissionOpensShards(t *testing.T) {
 	h := newHarness(t)
-	scaleOut := &storage.ScaleOutRequest{Own: map[string]string{}}
+	scaleOut := &storage.ScaleOutRequest{DesignatedControllers: map[string]string{}}
 	var claimResults []bool
 	perShard := FillBytes(h.m.cfg.MaxValueBytes) / h.m.bytesForMachine("m8")
 	for i := 0; i <= perShard; i++ {
 		id := fmt.Sprintf("i-%06d", i)
-		scaleOut.Machines, scaleOut.Own[id] = append(scaleOut.Machines, id), ownNode
+		scaleOut.Machines, scaleOut.DesignatedControllers[id] = append(scaleOut.Machines, id), ownNode
 		h.requestClaim(id, nil, &claimResults)
 	}
 	h.putScaleOut("r", scaleOut)
@@ -126,7 +126,7 @@
 				h.putShard(fmt.Sprint("p", i), ownNode, ownIncarnation, machines...)
 			}
 			h.putScaleOut("r", &storage.ScaleOutRequest{
-				Machines: []string{"i-9"}, Own: map[string]string{"i-9": ownNode},
+				Machines: []string{"i-9"}, DesignatedControllers: map[string]string{"i-9": ownNode},
 			})
 			var claimResults []bool
 			h.requestClaim("i-9", nil, &claimResults)
--- a/internal/shards/dependencies.go
+++ b/internal/shards/dependencies.go
@@ -66,8 +66,8 @@
 	// ConnectedControllers lists the live controllers, without those known to be cut off from their workers. It
 	// lists all live controllers if every one is cut off.
 	ConnectedControllers() []string
-	// HeardFromRecently reports whether a recent status message of a controller has arrived.
-	HeardFromRecently(node string, now monotime.Micros) bool
+	// HasRecentStatus reports whether a recent status message of a controller has arrived.
+	HasRecentStatus(node string, now monotime.Micros) bool
 	// ReachesWorkers reports whether a controller has reported that it reaches its workers.
 	ReachesWorkers(node string) bool
 }
@@ -95,9 +95,9 @@
 type Agents interface {
 	// Has reports whether the controller owns a machine and has an agent for it.
 	Has(machine *mirror.Machine) bool
-	// EachEndedAttempt calls release for each task whose attempt on an own machine has ended. It drops the
+	// ForEachEndedAttempt calls release for each task whose attempt on an own machine has ended. It drops the
 	// outcomes of attempts that the machine's shard doesn't contain.
-	EachEndedAttempt(machine *mirror.Machine, release func(task mirror.TaskID, completed bool))
+	ForEachEndedAttempt(machine *mirror.Machine, release func(task mirror.TaskID, completed bool))
 	// DesiredState returns the state that the record of an own machine should have.
 	DesiredState(machine *mirror.Machine) storage.MachineState
 	// UpdateOwnership creates or drops the agent of a machine after a change of the machine's shard.
--- a/internal/shards/failover.go
+++ b/internal/shards/failover.go
@@ -136,7 +136,7 @@
 			continue
 		}
 		others = append(others, node)
-		if m.peers.HeardFromRecently(node, now) {
+		if m.peers.HasRecentStatus(node, now) {
 			isolated = false
 			if m.peers.ReachesWorkers(node) {
 				connected = append(connected, node)
--- a/internal/shards/failover_test.go
+++ b/internal/shards/failover_test.go
@@ -196,7 +196,7 @@
 			h.putShard("p3", "n-2", 1, "i-3")
 			tc.prepare(h)
 			h.m.HandOff(h.clock)
-			commit, ok := h.Only(t, tc.want > 0)
+			commit, ok := h.SingleCommit(t, tc.want > 0)
 			if !ok {
 				return
 			}
--- a/internal/shards/fakes_test.go
+++ b/internal/shards/fakes_test.go
@@ -150,8 +150,8 @@
 func (h *harness) LiveControllers() []string      { return h.liveControllers }
 func (h *harness) ConnectedControllers() []string { return h.liveControllers }
 
-func (h *harness) HeardFromRecently(node string, _ monotime.Micros) bool { return h.recentPeers[node] }
-func (h *harness) ReachesWorkers(node string) bool                       { return h.reachWorkers[node] }
+func (h *harness) HasRecentStatus(node string, _ monotime.Micros) bool { return h.recentPeers[node] }
+func (h *harness) ReachesWorkers(node string) bool                     { return h.reachWorkers[node] }
 
 func (h *harness) WriteInFlight() bool { return h.quotaInFlight }
 func (h *harness) BeginWrite()         { h.quotaInFlight = true }
@@ -168,7 +168,7 @@
 
 func (h *harness) Has(machine *mirror.Machine) bool { return h.ownMachines[machine.ID] }
 
-func (h *harness) EachEndedAttempt(
+func (h *harness) ForEachEndedAttempt(
 	machine *mirror.Machine,
 	release func(task mirror.TaskID, completed bool),
 ) {
@@ -195,7 +195,7 @@
 func (h *harness) Probe(machine *mirror.Machine, _ bool) { h.probed = append(h.probed, machine.ID) }
 
 func (h *harness) DesignatedController(request *mirror.ScaleOutEntry, machine string) string {
-	return request.Record.Own[machine]
+	return request.Record.DesignatedControllers[machine]
 }
 
 func (h *harness) HasWork() bool { return h.drainsHaveWork }
--- a/internal/shards/prepare.go
+++ b/internal/shards/prepare.go
@@ -107,7 +107,7 @@
 // refreshMachine releases the ended attempts of a machine, and corrects its state and the start marks of its
 // replicas. It reports whether a start mark changed.
 func (m *Manager) refreshMachine(update *Update, machine *mirror.Machine, now monotime.Micros) bool {
-	m.agents.EachEndedAttempt(machine, func(task mirror.TaskID, completed bool) {
+	m.agents.ForEachEndedAttempt(machine, func(task mirror.TaskID, completed bool) {
 		m.release(update, machine, task, completed)
 	})
 	if desired := m.agents.DesiredState(machine); desired != machine.Record.State {
--- a/internal/shards/tracker.go
+++ b/internal/shards/tracker.go
@@ -90,10 +90,10 @@
 	return false
 }
 
-// AwaitsCommit reports whether the next pass should wait for a commit that has been in flight for less than
+// ShouldAwaitCommit reports whether the next pass should wait for a commit that has been in flight for less than
 // maxInFlightCommitWait. A pass skips shards with a commit in flight, so it cannot use the free resources of
 // their machines.
-func (m *Manager) AwaitsCommit(now monotime.Micros) bool {
+func (m *Manager) ShouldAwaitCommit(now monotime.Micros) bool {
 	for _, t := range m.trackers {
 		if t.commitInFlightSince != 0 && now-t.commitInFlightSince < maxInFlightCommitWait {
 			return true
--- a/internal/shards/transfer.go
+++ b/internal/shards/transfer.go
@@ -50,8 +50,8 @@
 		t.shards = append(t.shards, shard)
 		t.txn.If = append(t.txn.If, protocol.Compare{Key: key, Version: shard.Version})
 		t.txn.Then = append(t.txn.Then, protocol.Op{Put: key, Value: encoded})
-		for team, use := range shard.UseByTeam {
-			mirror.AddUse(useByTeam, team, use, 1)
+		for team, use := range shard.UsageByTeam {
+			mirror.AddUsage(useByTeam, team, use, 1)
 		}
 	}
 	if from != to {
--- a/internal/shards/update.go
+++ b/internal/shards/update.go
@@ -89,8 +89,8 @@
 // ReserveBytes adds bytes to the upper bound of the encoded size.
 func (u *Update) ReserveBytes(bytes int) { u.maxBytes += bytes }
 
-// FreeAfter returns the free resources of a machine after the update, given those before the update.
-func (u *Update) FreeAfter(machine string, free resources.Vector) resources.Vector {
+// FreeResourcesAfter returns the free resources of a machine after the update, given those before the update.
+func (u *Update) FreeResourcesAfter(machine string, free resources.Vector) resources.Vector {
 	return free.AddScaled(u.freedByMachine[machine], 1).AddScaled(u.assignedByMachine[machine], -1)
 }
 
@@ -155,7 +155,7 @@
 	u.assignedTasks[mirror.TaskID{Job: job.ID, Index: attempt.Task}] = true
 	assigned := u.assignedByMachine[attempt.Machine]
 	u.assignedByMachine[attempt.Machine] = assigned.AddScaled(job.TaskResources, 1)
-	mirror.AddUse(u.assignedByTeam, job.Record.Spec.Team, job.TaskResources, 1)
+	mirror.AddUsage(u.assignedByTeam, job.Record.Spec.Team, job.TaskResources, 1)
 	u.machinesToSync[attempt.Machine] = true
 }
 
--- a/internal/shards/updates_test.go
+++ b/internal/shards/updates_test.go
@@ -33,9 +33,9 @@
 			update := h.m.PrepareUpdates(h.clock)[0]
 			update.Assign(job, storage.Attempt{Task: task.Index, Machine: "i-1", Number: 2}, false)
 			h.m.Commit(update, h.clock)
-			if !h.m.TasksInDoubt()[task] || h.m.UseInDoubt("team").CPUs != 2 || !h.m.AwaitsCommit(h.clock) {
+			if !h.m.TasksInDoubt()[task] || h.m.UseInDoubt("team").CPUs != 2 || !h.m.ShouldAwaitCommit(h.clock) {
 				t.Fatalf("commit in flight: got tasks %v and %v CPUs in doubt, awaits commit %v; want %v, 2, true",
-					h.m.TasksInDoubt(), h.m.UseInDoubt("team").CPUs, h.m.AwaitsCommit(h.clock), task)
+					h.m.TasksInDoubt(), h.m.UseInDoubt("team").CPUs, h.m.ShouldAwaitCommit(h.clock), task)
 			}
 			if len(h.m.PrepareUpdates(h.clock)) > 0 {
 				t.Error("a second update of the shard was prepared while its commit is in flight, want none")
@@ -86,7 +86,7 @@
 		after monotime.Micros
 		want  bool
 	}{{0, true}, {maxInFlightCommitWait - 1, true}, {maxInFlightCommitWait, false}} {
-		if got := h.m.AwaitsCommit(h.clock + tc.after); got != tc.want {
+		if got := h.m.ShouldAwaitCommit(h.clock + tc.after); got != tc.want {
 			t.Errorf("after %v s: got awaits commit %v, want %v", tc.after.Seconds(), got, tc.want)
 		}
 	}
@@ -110,7 +110,7 @@
 			changed: true,
 			check: func(u *Update) bool {
 				return u.completedTaskJobs["j-1"] && u.FreedQuota("team").CPUs == 2 &&
-					u.FreeAfter("i-1", resources.Vector{}).CPUs == 2
+					u.FreeResourcesAfter("i-1", resources.Vector{}).CPUs == 2
 			},
 		},
 		{
--- a/internal/storage/drains.go
+++ b/internal/storage/drains.go
@@ -31,13 +31,13 @@
 	// LastMachine, if set, is the id of the newest machine that belongs to the drain. Machines that are
 	// created later do not belong to it, even if the selector matches them. Without LastMachine, the offers
 	// that a selector without listed machines matches are not used to scale out.
-	LastMachine  string `msgpack:"t,omitempty"`
-	Replace      bool   `msgpack:"p,omitempty"` // add replacement capacity before emptying machines
-	RemoveAtOnce bool   `msgpack:"o,omitempty"` // delete empty machines without the scale-in delay
-	MaxParallel  int    `msgpack:"n"`           // maximum number of machines being emptied at a time
-	StartedAt    int64  `msgpack:"b"`           // time of day, microseconds
-	DeadlineAt   int64  `msgpack:"d,omitempty"` // time of day, microseconds: no step begins later; 0: none
-	EndedAt      int64  `msgpack:"e,omitempty"` // time of day, microseconds; 0: the drain has not ended
+	LastMachine       string `msgpack:"t,omitempty"`
+	Replace           bool   `msgpack:"p,omitempty"` // add replacement capacity before emptying machines
+	DeleteImmediately bool   `msgpack:"o,omitempty"` // delete empty machines without the scale-in delay
+	MaxParallel       int    `msgpack:"n"`           // maximum number of machines being emptied at a time
+	StartedAt         int64  `msgpack:"b"`           // time of day, microseconds
+	DeadlineAt        int64  `msgpack:"d,omitempty"` // time of day, microseconds: no step begins later; 0: none
+	EndedAt           int64  `msgpack:"e,omitempty"` // time of day, microseconds; 0: the drain has not ended
 }
 
 // ClosesOffers reports whether an unfinished drain prevents scale-out with the offers that its selector
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -146,18 +146,18 @@
 )
 
 // ScaleOutRequest is the record of KindScaleOut. While the machines start, it determines which controller may
-// claim each machine: the controller named in Own, or else the machine's rendezvous-hash owner among the
-// controllers in Live. A claim is conditional on the record's version.
+// claim each machine: the controller named in DesignatedControllers, or else the machine's rendezvous-hash
+// owner among the controllers in LiveControllers. A claim is conditional on the record's version.
 type ScaleOutRequest struct {
-	Phase       ScaleOutPhase     `msgpack:"p"`
-	MachineType string            `msgpack:"y"`
-	Zone        string            `msgpack:"z"`
-	Spot        bool              `msgpack:"b,omitempty"` // spot instances
-	Count       int               `msgpack:"n"`           // machines requested
-	Machines    []string          `msgpack:"m,omitempty"` // ids of the machines that the cloud created
-	Live        []string          `msgpack:"l,omitempty"` // controllers at the time when the record was written
-	Own         map[string]string `msgpack:"w,omitempty"` // by machine: the controller that may claim it
-	PhaseSince  int64             `msgpack:"t"`           // start of the phase: time of day, microseconds
+	Phase                 ScaleOutPhase     `msgpack:"p"`
+	MachineType           string            `msgpack:"y"`
+	Zone                  string            `msgpack:"z"`
+	Spot                  bool              `msgpack:"b,omitempty"` // spot instances
+	Count                 int               `msgpack:"n"`           // machines requested
+	Machines              []string          `msgpack:"m,omitempty"` // ids of the machines that the cloud created
+	LiveControllers       []string          `msgpack:"l,omitempty"` // controllers when the record was written
+	DesignatedControllers map[string]string `msgpack:"w,omitempty"` // by machine: the controller that may claim it
+	PhaseSince            int64             `msgpack:"t"`           // start of the phase: time of day, microseconds
 }
 
 // ScaleInRequest is the record of KindScaleIn: machines that one cloud call deletes together. The leader
@@ -165,11 +165,11 @@
 // attempts on them no longer exist. The record then stays for a while, so that controllers reject late
 // heartbeats from these machines.
 type ScaleInRequest struct {
-	Machines   []string `msgpack:"m"`
-	StateSince int64    `msgpack:"t"`           // creation, or confirmed deletion: time of day, microseconds
-	Attempts   int      `msgpack:"n,omitempty"` // number of failed cloud calls
-	Failed     bool     `msgpack:"f,omitempty"` // several calls failed; the call is retried at long intervals
-	Deleted    bool     `msgpack:"g,omitempty"` // the cloud has confirmed the deletion
+	Machines    []string `msgpack:"m"`
+	StateSince  int64    `msgpack:"t"`           // creation, or confirmed deletion: time of day, microseconds
+	FailedCalls int      `msgpack:"n,omitempty"` // number of failed cloud calls
+	Failed      bool     `msgpack:"f,omitempty"` // several calls failed; the call is retried at long intervals
+	Deleted     bool     `msgpack:"g,omitempty"` // the cloud has confirmed the deletion
 }
 
 // MachineType is the record of KindMachineType: a machine type as listed in the cloud's catalog.
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -44,7 +44,7 @@
 	Spot     bool   // spot instance
 	Endpoint string // address and port of the machine's worker
 	State    MachineState
-	Claim    uint64 // if greater than the shard's: the machine came from another partition's shard; see ClaimOf
+	Claim    uint64 // if greater than the shard's: the machine came from another partition's shard; see ClaimNumberOf
 }
 
 // ShardJob is a job's entry in a shard: the tasks that were completed in the shard and the current attempts.
@@ -69,9 +69,9 @@
 	return a.Task == other.Task && a.Machine == other.Machine && a.Number == other.Number
 }
 
-// ClaimOf returns the claim number that applies to a machine of the shard: the greater of the shard's and the
+// ClaimNumberOf returns the claim number that applies to a machine of the shard: the greater of the shard's and the
 // machine's.
-func (s *Shard) ClaimOf(machine *ShardMachine) uint64 { return max(s.Claim, machine.Claim) }
+func (s *Shard) ClaimNumberOf(machine *ShardMachine) uint64 { return max(s.Claim, machine.Claim) }
 
 // Clone returns a copy of the shard on which a change can be prepared. The copy shares its entries with the
 // original, so a change must replace an entry instead of modifying it.
--- a/internal/storage/stored_test.go
+++ b/internal/storage/stored_test.go
@@ -52,7 +52,7 @@
 			key:  Key(KindScaleOut, "a-1-4"),
 			value: &ScaleOutRequest{Phase: ScaleOutProvisioning, MachineType: "m8",
 				Zone: "rack-a", Spot: true, Count: 2, Machines: []string{"i-000231", "i-000232"},
-				Live: []string{"n-0", "n-1"}, Own: map[string]string{"i-000231": "n-1"}, PhaseSince: timestamp},
+				LiveControllers: []string{"n-0", "n-1"}, DesignatedControllers: map[string]string{"i-000231": "n-1"}, PhaseSince: timestamp},
 		},
 		{file: "rental-pending", key: Key(KindScaleOut, "a-1-5"), sparse: true,
 			value: &ScaleOutRequest{
@@ -74,7 +74,7 @@
 			file: "removal",
 			key:  Key(KindScaleIn, "d-1-2"),
 			value: &ScaleInRequest{Machines: []string{"i-000231"},
-				StateSince: timestamp, Attempts: 3, Failed: true, Deleted: true},
+				StateSince: timestamp, FailedCalls: 3, Failed: true, Deleted: true},
 		},
 		{file: "removal-sparse", key: Key(KindScaleIn, "d-1-3"), sparse: true,
 			value: &ScaleInRequest{Machines: []string{"i-000232"}, StateSince: timestamp}},
@@ -88,7 +88,7 @@
 				Type:         "m8",
 				CapacityType: SpotCapacity,
 			},
-			LastMachine: "i-000300", Replace: true, RemoveAtOnce: true, MaxParallel: 3, StartedAt: timestamp,
+			LastMachine: "i-000300", Replace: true, DeleteImmediately: true, MaxParallel: 3, StartedAt: timestamp,
 			DeadlineAt: timestamp + 60, EndedAt: timestamp + 120}},
 		{file: "drain-active", key: Key(KindDrain, "d-1"), sparse: true,
 			value: &Drain{
--- a/internal/storeclient/budget.go
+++ b/internal/storeclient/budget.go
@@ -102,9 +102,9 @@
 		c.queue.Len(ratelimit.PriorityJobResult)
 }
 
-// BudgetSharers returns the number of live controllers that shared the service's limits at the last
+// LiveControllerCount returns the number of live controllers that shared the service's limits at the last
 // UpdateBudget.
-func (c *Client) BudgetSharers() int { return c.budget.sharers }
+func (c *Client) LiveControllerCount() int { return c.budget.sharers }
 
 // WritesPerSecond returns this controller's write budget.
 func (c *Client) WritesPerSecond() float64 { return c.queue.WritesPerSecond() }
--- a/internal/storeclient/client.go
+++ b/internal/storeclient/client.go
@@ -98,10 +98,10 @@
 	c.dispatch()
 }
 
-// CallAtOnce makes a call immediately and bypasses the queue. The call takes one token from the read budget,
+// CallUnqueued makes a call immediately and bypasses the queue. The call takes one token from the read budget,
 // which may go negative. The caller decides whether the outcome counts for the availability of the service,
 // see RecordOutcome.
-func (c *Client) CallAtOnce(call *protocol.StoreCall, callback func(protocol.StoreResult)) {
+func (c *Client) CallUnqueued(call *protocol.StoreCall, callback func(protocol.StoreResult)) {
 	c.queue.TakeRead()
 	c.env.CallStore(call, callback)
 }
--- a/internal/storeclient/client_test.go
+++ b/internal/storeclient/client_test.go
@@ -113,7 +113,7 @@
 }
 
 // TestCallsInFlight checks that at most maxCallsInFlight queued calls are in flight at a time. Lease calls
-// and CallAtOnce ignore this limit, but a lease call in flight counts against it.
+// and CallUnqueued ignore this limit, but a lease call in flight counts against it.
 func TestCallsInFlight(t *testing.T) {
 	f := newFixture()
 	f.queueCalls(ratelimit.PriorityUserRequest, 2)
@@ -121,7 +121,7 @@
 		t.Fatalf("user calls: got %d calls in flight, want %d", got, maxCallsInFlight)
 	}
 	f.queueRead(ratelimit.PriorityLease)
-	f.CallAtOnce(&protocol.StoreCall{}, func(protocol.StoreResult) {})
+	f.CallUnqueued(&protocol.StoreCall{}, func(protocol.StoreResult) {})
 	if got := len(f.env.calls); got != maxCallsInFlight+2 {
 		t.Errorf("with a lease request and one made at once: got %d calls in flight, want %d",
 			got, maxCallsInFlight+2)
@@ -203,7 +203,7 @@
 		t.Errorf("one live controller: got %v writes/s, want 100", got)
 	}
 	f.UpdateBudget(9)
-	if got := f.BudgetSharers(); got != 3 {
+	if got := f.LiveControllerCount(); got != 3 {
 		t.Errorf("nine live controllers in a deployment of three: got %d sharers, want 3", got)
 	}
 	f.queueCalls(ratelimit.PriorityUserRequest, waitingCallsForGrowth)
