--- a/internal/coordination/preemption_test.go
+++ b/internal/coordination/preemption_test.go
@@ -39,7 +39,7 @@
 				t.Errorf("service running after 5 s: got %v, want %v", got, tc.want)
 			}
 			if n := c.fleet.Running(array); tc.want && n != 6 || !tc.want && n != 8 {
-				t.Errorf("array: got %d running tasks, want 6 if the service preempts (%v), else 8", n, tc.want)
+				t.Errorf("array: got %d running tasks, want 6 when the service preempts (%v), else 8", n, tc.want)
 			}
 			c.requireNoViolations()
 		})
