--- a/internal/agents/failover_test.go
+++ b/internal/agents/failover_test.go
@@ -73,7 +73,7 @@
 		f := newFixture(t)
 		f.now = 100 * second
 		if tc.lease != 0 {
-			f.durations = durations.Derive(config.Workers{HeartbeatIntervalS: 2, LeaseS: tc.lease, CancelWithinS: 90})
+			f.durations = durations.Derive(config.Workers{HeartbeatIntervalS: 2, LeaseS: tc.lease, CancelTimeoutS: 90})
 		}
 		f.replica.Shards["p"].Record.Owner = tc.owner
 		f.ownedBy = "none"
--- a/internal/agents/heartbeats.go
+++ b/internal/agents/heartbeats.go
@@ -19,7 +19,7 @@
 // redirectResponse redirects a worker to a controller, or to any other controller if the name is empty.
 func redirectResponse(controller string) transport.Response {
 	return transport.Response{
-		Status: transport.StatusRedirect,
+		Status: transport.StatusMisdirected,
 		Body:   protocol.MustMarshal(&protocol.Redirect{Leader: controller}),
 	}
 }
--- a/internal/agents/manager_test.go
+++ b/internal/agents/manager_test.go
@@ -137,7 +137,7 @@
 func (s *stubs) SuspendsLeaseRenewal(monotime.Micros) bool       { return s.suspended }
 
 // testWorkers are the platform's durations in these tests.
-var testWorkers = config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32}
+var testWorkers = config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelTimeoutS: 32}
 
 // fixture is the Manager of the controller n-0 with stubs for its dependencies.
 type fixture struct {
--- a/internal/api/admission.go
+++ b/internal/api/admission.go
@@ -48,7 +48,7 @@
 		return rejection
 	}
 	if h.userQueueFull() {
-		return h.deferRequest(transport.StatusThrottled, reasonTooManyRequests)
+		return h.deferRequest(transport.StatusTooManyRequests, reasonTooManyRequests)
 	}
 	return nil
 }
--- a/internal/api/lookup.go
+++ b/internal/api/lookup.go
@@ -76,7 +76,7 @@
 // cache. A job that is in neither has ended or was never accepted; lookUp then reads the state service.
 func (h *Handler) lookUp(id string, callback func(lookup)) {
 	if h.replica.PendingReads() >= MaxWaitingReaders {
-		callback(failedLookup(id, h.deferRequest(transport.StatusThrottled, reasonTooManyRequests)))
+		callback(failedLookup(id, h.deferRequest(transport.StatusTooManyRequests, reasonTooManyRequests)))
 		return
 	}
 	h.replica.WhenCurrent(func(ok bool) {
@@ -93,7 +93,7 @@
 			return
 		}
 		if h.userQueueFull() {
-			callback(failedLookup(id, h.deferRequest(transport.StatusThrottled, reasonTooManyRequests)))
+			callback(failedLookup(id, h.deferRequest(transport.StatusTooManyRequests, reasonTooManyRequests)))
 			return
 		}
 		h.readJob(id, callback)
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -84,7 +84,7 @@
 // validate returns a rejection if the job can never run.
 func (h *Handler) validate(spec *storage.JobSpec) *Rejection {
 	unsatisfiable := func(reason string) *Rejection {
-		return &Rejection{Status: transport.StatusUnsatisfiable, Reason: reason}
+		return &Rejection{Status: transport.StatusUnprocessable, Reason: reason}
 	}
 	limits, ok := h.quota.Limits(spec.Team)
 	if !ok {
@@ -131,12 +131,12 @@
 // burst calls wait. Unless there are too many open jobs, it counts the submission for the burst limit.
 func (h *Handler) admit(spec *storage.JobSpec) *Rejection {
 	if len(h.mirror.Jobs) >= mirror.MaxOpenJobs {
-		return h.deferRequest(transport.StatusThrottled, "too many unfinished jobs")
+		return h.deferRequest(transport.StatusTooManyRequests, "too many unfinished jobs")
 	}
 	h.bursts.countSubmission(spec)
 	if h.bursts.isLimited(spec) &&
 		h.store.QueuedCalls(ratelimit.PriorityBurst) >= h.maxQueuedBurstCalls() {
-		rejection := h.deferRequest(transport.StatusThrottled, "too many jobs of this team")
+		rejection := h.deferRequest(transport.StatusTooManyRequests, "too many jobs of this team")
 		rejection.RetryAfter += minRetryAfter + h.jitterSeconds()
 		return rejection
 	}
--- a/internal/autoscaling/fleet/catalog.go
+++ b/internal/autoscaling/fleet/catalog.go
@@ -35,7 +35,7 @@
 		CPUs:          machineType.CPUs,
 		GPUs:          machineType.GPUs,
 		MemoryGB:      machineType.MemoryGB,
-		CacheGB:       machineType.CacheGB,
+		CacheGB:       machineType.LocalStorageGB,
 		FetchGBPerS:   machineType.FetchGBPerS,
 		OnDemandPrice: machineType.OnDemandPrice,
 		SpotPrice:     machineType.SpotPrice,
--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -38,7 +38,7 @@
 	if c.Node == "" {
 		return errors.New("node: missing")
 	}
-	if c.Area == "" {
+	if c.Zone == "" {
 		return errors.New("area: missing")
 	}
 	seen := map[string]bool{c.Node: true}
@@ -104,7 +104,7 @@
 	}{
 		{"facts.workers.report_s", facts.Workers.HeartbeatIntervalS},
 		{"facts.workers.lease_s", facts.Workers.LeaseS},
-		{"facts.workers.cancel_s", facts.Workers.CancelWithinS},
+		{"facts.workers.cancel_s", facts.Workers.CancelTimeoutS},
 		{"facts.state.rps", facts.State.RPS},
 		{"facts.state.write_rps", facts.State.WriteRPS},
 		{"facts.state.value_kb", facts.State.ValueKB},
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,7 +10,7 @@
 // Peer is another controller.
 type Peer struct {
 	Node string `toml:"node"` // name
-	Area string `toml:"area"` // zone
+	Zone string `toml:"area"` // zone
 	Addr string `toml:"addr"` // address and port for frames between controllers
 }
 
@@ -36,26 +36,26 @@
 
 // Objective is a service-level objective of the users for a job class.
 type Objective struct {
-	Kind    ObjectiveKind `toml:"kind"`
-	Class   string        `toml:"class"`    // job class
-	WithinS float64       `toml:"within_s"` // limit in seconds, for ObjectiveFinished and ObjectiveWait
-	AfterS  float64       `toml:"after_s"`
-	Share   float64       `toml:"share"`
-	Times   float64       `toml:"times"` // limit as a multiple of the job's deadline, for ObjectiveDeadline
+	Kind             ObjectiveKind `toml:"kind"`
+	Class            string        `toml:"class"`    // job class
+	LimitS           float64       `toml:"within_s"` // limit in seconds, for ObjectiveFinished and ObjectiveWait
+	AfterS           float64       `toml:"after_s"`
+	Share            float64       `toml:"share"`
+	DeadlineMultiple float64       `toml:"times"` // limit as a multiple of the job's deadline, for ObjectiveDeadline
 }
 
 // Workers contains the durations of the worker protocol, in seconds.
 type Workers struct {
 	HeartbeatIntervalS float64 `toml:"report_s"` // interval between two heartbeats
 	// a worker ends its tasks if it gets no response to a heartbeat for this long
-	LeaseS        float64 `toml:"lease_s"`
-	CancelWithinS float64 `toml:"cancel_s"` // the tasks of a cancelled job must end within this time
+	LeaseS         float64 `toml:"lease_s"`
+	CancelTimeoutS float64 `toml:"cancel_s"` // the tasks of a cancelled job must end within this time
 }
 
 // Config is the configuration that the platform passes to a controller.
 type Config struct {
 	Node       string `toml:"node"`        // this controller's name
-	Area       string `toml:"area"`        // this controller's zone
+	Zone       string `toml:"area"`        // this controller's zone
 	PublicAddr string `toml:"public_addr"` // address and port for users and workers
 	PeerBind   string `toml:"peer_bind"`   // address and port for the other controllers
 	Peers      []Peer `toml:"known"`       // the other controllers
--- a/internal/coordination/attempt_proof_test.go
+++ b/internal/coordination/attempt_proof_test.go
@@ -176,7 +176,7 @@
 			c.settings.ScaleDownDelay = 0
 			c.startWithLeader()
 			var duplicates []sentHeartbeat
-			c.onReport = func(_ *fake.Worker, node string, body []byte) {
+			c.onHeartbeat = func(_ *fake.Worker, node string, body []byte) {
 				duplicates = append(duplicates, sentHeartbeat{node, body})
 			}
 			runTime := monotime.Micros(0)
@@ -195,7 +195,7 @@
 				}
 			}
 			tc.intervene(c, machine, c.fleet.Workers[machine])
-			c.onReport = nil
+			c.onHeartbeat = nil
 			c.sim.Run(10 * monotime.Millisecond)
 			state := func() string {
 				out := ""
--- a/internal/coordination/burst_limit_test.go
+++ b/internal/coordination/burst_limit_test.go
@@ -174,7 +174,7 @@
 func runHugeArray(t *testing.T, valueKB float64, minDone, maxWaiting int) {
 	c := newBurstCluster(t, 2100, func(cfg *config.Config) { cfg.Facts.State.ValueKB = valueKB })
 	largestHeartbeat := 0
-	c.onReport = func(_ *fake.Worker, _ string, body []byte) { largestHeartbeat = max(largestHeartbeat, len(body)) }
+	c.onHeartbeat = func(_ *fake.Worker, _ string, body []byte) { largestHeartbeat = max(largestHeartbeat, len(body)) }
 	array := c.submit(4*second, withTeam("guest"), withPriority(protocol.BestEffort), withTasks(25000),
 		withCPUs(0.25), withMemoryGB(0.45), withSpot(true), withEstimateS(4))
 	changes, requests := c.store.Changes, 0
--- a/internal/coordination/course_scenarios_test.go
+++ b/internal/coordination/course_scenarios_test.go
@@ -44,7 +44,7 @@
 	}
 	s := newScenario(t, 3000+seed)
 	r.record(s.cluster)
-	s.runFaults(throttledThenStoreOutage(2*second, otherFaults[int(seed-1)%len(otherFaults)]...), 190*second)
+	s.runFaults(rejectedLeaderThenStoreOutage(2*second, otherFaults[int(seed-1)%len(otherFaults)]...), 190*second)
 }
 
 // runShortLeases simulates a platform with short leases and large tasks, whose controllers restart slowly.
@@ -54,7 +54,7 @@
 	s.submitWholeMachineJobs()
 	faults := []fault{
 		submitAtRate(50*second, second, 50*second, submitSmallUrgentArray),
-		crashAllExcept(s.nodeNames[seed%3], 80*second, slowRestartDelay),
+		crashAllExcept(s.nodeNames[seed%3], 80*second, slowRestartDowntime),
 	}
 	if seed%2 == 0 {
 		faults = append(
@@ -223,7 +223,7 @@
 		notice := 10.0
 		report := worker.Heartbeat()
 		report.InterruptionNoticeS = &notice
-		s.deliverDuplicateReport(protocol.MustMarshal(report))
+		s.deliverDuplicateHeartbeat(protocol.MustMarshal(report))
 		s.sim.After(10*second, func() { s.cloud.RemoveMachine(id) })
 	}
 }
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -210,12 +210,12 @@
 // duplicateReports delivers duplicates of a fraction of the heartbeats to every controller, 2 to 27 s later.
 func duplicateReports(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "late duplicate heartbeats", func(s *scenario) {
-		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
+		s.onHeartbeat = func(_ *fake.Worker, _ string, body []byte) {
 			if s.sim.Rand.Float64() < fraction {
-				s.sim.After(2*second+s.randomDuration(25*second), func() { s.deliverDuplicateReport(body) })
+				s.sim.After(2*second+s.randomDuration(25*second), func() { s.deliverDuplicateHeartbeat(body) })
 			}
 		}
-		s.sim.After(duration, func() { s.onReport = nil })
+		s.sim.After(duration, func() { s.onHeartbeat = nil })
 	}}
 }
 
@@ -224,7 +224,7 @@
 func duplicateReportsToNextLeader(at monotime.Micros, fraction float64, duration monotime.Micros) fault {
 	return fault{at, "duplicate heartbeats to the next leader", func(s *scenario) {
 		var duplicates [][]byte
-		s.onReport = func(_ *fake.Worker, _ string, body []byte) {
+		s.onHeartbeat = func(_ *fake.Worker, _ string, body []byte) {
 			if s.sim.Rand.Float64() < fraction {
 				duplicates = append(duplicates, body)
 			}
@@ -232,9 +232,9 @@
 		previousLeader := leaderController(s)
 		s.pollFor(duration,
 			func() bool { leader := s.leaderNode(); return leader != nil && leader.name != previousLeader }, func() {
-				s.onReport = nil
+				s.onHeartbeat = nil
 				for _, body := range duplicates {
-					s.deliverDuplicateReport(body)
+					s.deliverDuplicateHeartbeat(body)
 				}
 			})
 	}}
--- a/internal/coordination/fleet_size_test.go
+++ b/internal/coordination/fleet_size_test.go
@@ -79,7 +79,7 @@
 func measureSizeCosts(t *testing.T, machines int) *sizeCosts {
 	c := newClusterOfSize(t, machines)
 	costs := &sizeCosts{}
-	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
+	c.onHeartbeat = func(_ *fake.Worker, _ string, body []byte) {
 		costs.largestHeartbeatBytes = max(costs.largestHeartbeatBytes, len(body))
 	}
 	c.refuseConnections = true
--- a/internal/coordination/grown_cluster_test.go
+++ b/internal/coordination/grown_cluster_test.go
@@ -96,7 +96,7 @@
 func TestGrownClusterOpeningLoadStaysWithinBounds(t *testing.T) {
 	c := newGrownCluster(t, 1)
 	largest := map[string]int{}
-	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
+	c.onHeartbeat = func(_ *fake.Worker, _ string, body []byte) {
 		largest["report"] = max(largest["report"], len(body))
 	}
 	c.start(c.nodeNames...)
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -31,15 +31,15 @@
 	}
 	c.adjustFacts = func(cfg *config.Config) {
 		facts := &cfg.Facts
-		facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelWithinS = 4, 22, 42
+		facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelTimeoutS = 4, 22, 42
 		facts.State.RPS, facts.State.WriteRPS = 400, 100
 		facts.Cloud.RPS = 9
 		facts.Quota.Cores, facts.Quota.MemoryMB, facts.Quota.MaxConnections = 0.55, 320, 2800
 		facts.Objectives = []config.Objective{
-			{Kind: "deadline", Class: "wide", Times: 1},
-			{Kind: "deadline", Class: "wide", Times: 1.5},
-			{Kind: "deadline", Class: "deep", Times: 1},
-			{Kind: "deadline", Class: "deep", Times: 1.5},
+			{Kind: "deadline", Class: "wide", DeadlineMultiple: 1},
+			{Kind: "deadline", Class: "wide", DeadlineMultiple: 1.5},
+			{Kind: "deadline", Class: "deep", DeadlineMultiple: 1},
+			{Kind: "deadline", Class: "deep", DeadlineMultiple: 1.5},
 		}
 	}
 	return c
@@ -106,7 +106,7 @@
 func TestLargeFleetOpeningLoadStaysWithinBounds(t *testing.T) {
 	c := newLargeFleetCluster(t, 1)
 	got := map[string]int{}
-	c.onReport = func(_ *fake.Worker, _ string, body []byte) {
+	c.onHeartbeat = func(_ *fake.Worker, _ string, body []byte) {
 		got["largest report"] = max(got["largest report"], len(body))
 	}
 	statusCounts := map[int]int{}
--- a/internal/coordination/lease_durations_test.go
+++ b/internal/coordination/lease_durations_test.go
@@ -20,7 +20,7 @@
 		w := &cfg.Facts.Workers
 		w.HeartbeatIntervalS = l.heartbeatInterval.Seconds()
 		w.LeaseS = l.leaseTime.Seconds()
-		w.CancelWithinS = l.cancelTime.Seconds()
+		w.CancelTimeoutS = l.cancelTime.Seconds()
 	}
 }
 
--- a/internal/coordination/scavenger_test.go
+++ b/internal/coordination/scavenger_test.go
@@ -17,7 +17,7 @@
 	c := newCluster(t, 790)
 	c.teams = []config.Team{{Name: "free", CPUs: 4, CPUsMax: 200}, {Name: "other", CPUs: 100, CPUsMax: 200}}
 	c.adjustFacts = func(cfg *config.Config) {
-		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "survey", WithinS: 50, Share: 0.9}}
+		cfg.Facts.Objectives = []config.Objective{{Kind: "wait", Class: "survey", LimitS: 50, Share: 0.9}}
 	}
 	controller := c.startWithLeader().nodes["n-0"].controller
 	controller.mirror.UsageByTeam["free"] = resources.Vector{CPUs: 32}
--- a/internal/coordination/short_leases_test.go
+++ b/internal/coordination/short_leases_test.go
@@ -12,16 +12,16 @@
 )
 
 // shortLeases are the durations of a platform with frequent heartbeats. Its controllers take nearly as long
-// to restart as a worker lease lasts, see slowRestartDelay.
+// to restart as a worker lease lasts, see slowRestartDowntime.
 var shortLeases = leaseDurations{
 	heartbeatInterval: 8 * second / 10,
 	leaseTime:         10 * second,
 	cancelTime:        30 * second,
 }
 
-// slowRestartDelay is the time from a controller's crash to its restart. It is slightly shorter than the
+// slowRestartDowntime is the time from a controller's crash to its restart. It is slightly shorter than the
 // worker lease of shortLeases.
-const slowRestartDelay = 8 * second
+const slowRestartDowntime = 8 * second
 
 // newShortLeaseScenario returns a scenario with two zones, three controllers, short leases and a state
 // service that allows only 40 changes per second.
@@ -107,17 +107,17 @@
 		faults     []fault
 		maxExpired float64 // maximum number of expired leases per machine
 	}{
-		{"one", []fault{crashController(60*second, leaderController, slowRestartDelay)}, 0.05},
-		{"all but one", []fault{crashAllExcept("n-1", 60*second, slowRestartDelay)}, 0.05},
+		{"one", []fault{crashController(60*second, leaderController, slowRestartDowntime)}, 0.05},
+		{"all but one", []fault{crashAllExcept("n-1", 60*second, slowRestartDowntime)}, 0.05},
 		{"one after the other", []fault{
-			crashController(60*second, followerController(1), slowRestartDelay),
-			crashController(70*second, leaderController, slowRestartDelay),
-			crashController(80*second, followerController(1), slowRestartDelay),
+			crashController(60*second, followerController(1), slowRestartDowntime),
+			crashController(70*second, leaderController, slowRestartDowntime),
+			crashController(80*second, followerController(1), slowRestartDowntime),
 		}, 0.05},
-		{"all", []fault{crashAllControllers(60*second, slowRestartDelay)}, 1},
+		{"all", []fault{crashAllControllers(60*second, slowRestartDowntime)}, 1},
 		{"all, during an outage", []fault{
 			storeOutage(55*second, 15*second),
-			crashAllControllers(60*second, slowRestartDelay),
+			crashAllControllers(60*second, slowRestartDowntime),
 		}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -173,7 +173,7 @@
 		faults []fault
 	}{
 		{"machines of all controllers", nil},
-		{"machines of one controller", []fault{crashAllExcept("n-1", 60*second, slowRestartDelay)}},
+		{"machines of one controller", []fault{crashAllExcept("n-1", 60*second, slowRestartDowntime)}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range uint64(3) {
--- a/internal/coordination/simulated_cluster_test.go
+++ b/internal/coordination/simulated_cluster_test.go
@@ -40,8 +40,8 @@
 	adjustFacts func(*config.Config) // changes the facts about the platform in a controller's configuration
 	onAccepted  func(id string)      // called when a job of submitWithRetry is accepted
 	onCall      func(text string)    // called for every call and direct command of a controller, as JSON
-	// onReport is called for every heartbeat that is sent to a controller and not lost in the network.
-	onReport func(worker *fake.Worker, node string, body []byte)
+	// onHeartbeat is called for every heartbeat that is sent to a controller and not lost in the network.
+	onHeartbeat func(worker *fake.Worker, node string, body []byte)
 	// commandDelay returns the additional delay of a direct command.
 	commandDelay func(worker *fake.Worker, request *protocol.CommandRequest) monotime.Micros
 	// wire is called for every call, direct command, peer status and answer that a controller sends, in wire
@@ -133,10 +133,10 @@
 }
 
 func (c *cluster) nodeConfig(node string) *config.Config {
-	cfg := &config.Config{Node: node, Area: "a", PublicAddr: "127.0.0.1:1", PeerBind: "127.0.0.1:2"}
+	cfg := &config.Config{Node: node, Zone: "a", PublicAddr: "127.0.0.1:1", PeerBind: "127.0.0.1:2"}
 	for _, peer := range c.nodeNames {
 		if peer != node {
-			cfg.Peers = append(cfg.Peers, config.Peer{Node: peer, Area: "b", Addr: "127.0.0.1:3"})
+			cfg.Peers = append(cfg.Peers, config.Peer{Node: peer, Zone: "b", Addr: "127.0.0.1:3"})
 		}
 	}
 	facts := &cfg.Facts
@@ -146,7 +146,7 @@
 		}
 	}()
 	facts.Zones, facts.Teams = []string{"a", "b"}, c.teams
-	facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelWithinS = 2, 12, 32
+	facts.Workers.HeartbeatIntervalS, facts.Workers.LeaseS, facts.Workers.CancelTimeoutS = 2, 12, 32
 	facts.State.RPS, facts.State.WriteRPS, facts.State.ValueKB, facts.State.TxnOps = 200, 50, 4, 12
 	facts.Cloud.RPS, facts.Cloud.ListLagS = 6, 3
 	facts.Quota.Cores, facts.Quota.MemoryMB, facts.Quota.MaxConnections = 0.3, 100, 500
--- a/internal/coordination/simulated_network_test.go
+++ b/internal/coordination/simulated_network_test.go
@@ -44,8 +44,8 @@
 		}
 		return
 	}
-	if c.onReport != nil {
-		c.onReport(worker, node, body)
+	if c.onHeartbeat != nil {
+		c.onHeartbeat(worker, node, body)
 	}
 	if c.nodes[node].controller == nil && c.refusesConnection(machine) {
 		c.sim.After(networkLatency, func() { callback(0, nil) })
--- a/internal/coordination/simulated_scenario_test.go
+++ b/internal/coordination/simulated_scenario_test.go
@@ -67,8 +67,8 @@
 	s.sim.After(pollForInterval, func() { s.pollFor(timeout-pollForInterval, condition, onDone) })
 }
 
-// deliverDuplicateReport sends a copy of an old heartbeat to every controller.
-func (s *scenario) deliverDuplicateReport(body []byte) {
+// deliverDuplicateHeartbeat sends a copy of an old heartbeat to every controller.
+func (s *scenario) deliverDuplicateHeartbeat(body []byte) {
 	for _, node := range s.nodeNames {
 		s.sendRequest(node, "POST", protocol.HeartbeatPath, body, func(Response) {})
 	}
@@ -98,7 +98,7 @@
 // them.
 func (s *scenario) endFaults() {
 	s.store.DelayCommit, s.store.LoseResponse, s.store.DelayResponse = nil, nil, nil
-	s.commandDelay, s.onReport, s.zonesPartitioned = nil, nil, false
+	s.commandDelay, s.onHeartbeat, s.zonesPartitioned = nil, nil, false
 	clear(s.store.RefusedCallers)
 	clear(s.disconnectedPairs)
 	clear(s.unreachableMachines)
--- a/internal/coordination/task_ranges_test.go
+++ b/internal/coordination/task_ranges_test.go
@@ -171,7 +171,7 @@
 	clear(c.cloud.Capacity)
 	c.cloud.Capacity[fake.OfferKey("m8", "a", false)] = 9
 	c.adjustFacts = func(cfg *config.Config) {
-		cfg.Facts.Objectives = []config.Objective{{Kind: "deadline", Class: "batch", Times: 1}}
+		cfg.Facts.Objectives = []config.Objective{{Kind: "deadline", Class: "batch", DeadlineMultiple: 1}}
 	}
 	c.startWithLeader()
 	assignTo := func(id string, partitions ...string) {
--- a/internal/coordination/throttled_cancellations_test.go
+++ b/internal/coordination/throttled_cancellations_test.go
@@ -6,11 +6,11 @@
 	"pipitgap/internal/monotime"
 )
 
-// throttledThenStoreOutage returns the combination of faults that violated the most invariants. The state
+// rejectedLeaderThenStoreOutage returns the combination of faults that violated the most invariants. The state
 // service first rejects only the leader's calls, and users cancel jobs through other controllers. After
 // outageDelay an outage for all controllers starts, which lasts longer than the tasks of a cancelled job may
 // keep running. The additional faults are appended.
-func throttledThenStoreOutage(outageDelay monotime.Micros, additional ...fault) []fault {
+func rejectedLeaderThenStoreOutage(outageDelay monotime.Micros, additional ...fault) []fault {
 	return append([]fault{
 		storeRejectsController(70*second, leaderController, 14*second),
 		cancelRunningJobs(70*second+second/10, 4, 0),
@@ -28,37 +28,37 @@
 		leases leaseDurations
 		faults []fault
 	}{
-		{"outage 2 s later", defaultLeases, throttledThenStoreOutage(2 * second)},
-		{"outage 1 s later", defaultLeases, throttledThenStoreOutage(second)},
+		{"outage 2 s later", defaultLeases, rejectedLeaderThenStoreOutage(2 * second)},
+		{"outage 1 s later", defaultLeases, rejectedLeaderThenStoreOutage(second)},
 		{
 			"longer leases",
 			leaseDurations{4 * second, 22 * second, 42 * second},
-			throttledThenStoreOutage(2 * second),
+			rejectedLeaderThenStoreOutage(2 * second),
 		},
 		{
 			"longest leases",
 			leaseDurations{5 * second, 28 * second, 53 * second},
-			throttledThenStoreOutage(2 * second),
+			rejectedLeaderThenStoreOutage(2 * second),
 		},
 		{
 			"short leases and frequent heartbeats",
 			leaseDurations{8 * second / 10, 10 * second, 30 * second},
-			throttledThenStoreOutage(2 * second),
+			rejectedLeaderThenStoreOutage(2 * second),
 		},
 		{
 			"just after an election",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, crashController(64*second, leaderController, 3*second)),
+			rejectedLeaderThenStoreOutage(2*second, crashController(64*second, leaderController, 3*second)),
 		},
 		{
 			"during an election",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, crashController(69*second, leaderController, second/2)),
+			rejectedLeaderThenStoreOutage(2*second, crashController(69*second, leaderController, second/2)),
 		},
 		{
 			"the store rejects two controllers",
 			defaultLeases,
-			throttledThenStoreOutage(
+			rejectedLeaderThenStoreOutage(
 				2*second,
 				storeRejectsController(70*second, followerController(1), 14*second),
 			),
@@ -66,7 +66,7 @@
 		{
 			"the other controllers restart as the outage begins",
 			defaultLeases,
-			throttledThenStoreOutage(
+			rejectedLeaderThenStoreOutage(
 				2*second,
 				crashController(72*second, followerController(1), 3*second),
 				crashController(72*second, followerController(2), 3*second),
@@ -75,32 +75,32 @@
 		{
 			"a controller restarts before all peers know the cancellations",
 			defaultLeases,
-			throttledThenStoreOutage(second, crashController(71*second, followerController(1), second/2)),
+			rejectedLeaderThenStoreOutage(second, crashController(71*second, followerController(1), second/2)),
 		},
 		{
 			"the owner is cut off from its peers",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, peerPartition(71*second, leaderController, 60*second)),
+			rejectedLeaderThenStoreOutage(2*second, peerPartition(71*second, leaderController, 60*second)),
 		},
 		{
 			"another controller is cut off from its peers",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, peerPartition(71*second, followerController(1), 60*second)),
+			rejectedLeaderThenStoreOutage(2*second, peerPartition(71*second, followerController(1), 60*second)),
 		},
 		{
 			"the owner is cut off from its peers only before the outage and at its start",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, peerPartition(70*second, leaderController, 10*second)),
+			rejectedLeaderThenStoreOutage(2*second, peerPartition(70*second, leaderController, 10*second)),
 		},
 		{
 			"machines hang",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, cancelRunningJobs(71*second, 4, 10*second)),
+			rejectedLeaderThenStoreOutage(2*second, cancelRunningJobs(71*second, 4, 10*second)),
 		},
 		{
 			"machines change owners",
 			defaultLeases,
-			throttledThenStoreOutage(
+			rejectedLeaderThenStoreOutage(
 				2*second,
 				storeRejectsController(60*second, followerController(1), 9*second),
 				crashController(66*second, followerController(2), 20*second),
@@ -109,17 +109,17 @@
 		{
 			"late commands",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, delayedCommands(60*second, 0.5, 60*second)),
+			rejectedLeaderThenStoreOutage(2*second, delayedCommands(60*second, 0.5, 60*second)),
 		},
 		{
 			"the owner's process is paused",
 			defaultLeases,
-			throttledThenStoreOutage(2*second, processPause(73*second, leaderController, 8*second)),
+			rejectedLeaderThenStoreOutage(2*second, processPause(73*second, leaderController, 8*second)),
 		},
 		{
 			"twice",
 			defaultLeases,
-			throttledThenStoreOutage(
+			rejectedLeaderThenStoreOutage(
 				2*second,
 				storeRejectsController(147*second, leaderController, 14*second),
 				cancelRunningJobs(147*second+second/2, 6, 0),
--- a/internal/coordination/wiring_membership.go
+++ b/internal/coordination/wiring_membership.go
@@ -12,7 +12,7 @@
 	return membership.New(membership.Options{
 		Node:        c.node,
 		Incarnation: c.incarnation,
-		Zone:        c.cfg.Area,
+		Zone:        c.cfg.Zone,
 		Controllers: c.controllers,
 		TTL:         c.durations.MembershipTTL,
 		Mirror:      c.mirror,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -20,12 +20,12 @@
 // limit and continue to run.
 func TestAnswersWithoutStateServiceAndCloud(t *testing.T) {
 	freeAddress := func() string { return fixtures.FreeAddress(t) }
-	cfg := &config.Config{Node: "n-0", Area: "a", PublicAddr: freeAddress(), PeerBind: freeAddress()}
+	cfg := &config.Config{Node: "n-0", Zone: "a", PublicAddr: freeAddress(), PeerBind: freeAddress()}
 	cfg.External.State, cfg.External.Cloud = freeAddress(), freeAddress()
-	cfg.Peers = []config.Peer{{Node: "n-1", Area: "b", Addr: freeAddress()}}
+	cfg.Peers = []config.Peer{{Node: "n-1", Zone: "b", Addr: freeAddress()}}
 	f := &cfg.Facts
 	f.Zones, f.Teams = []string{"a", "b"}, []config.Team{{Name: "t"}}
-	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelWithinS = 2, 12, 32
+	f.Workers.HeartbeatIntervalS, f.Workers.LeaseS, f.Workers.CancelTimeoutS = 2, 12, 32
 	f.State.RPS, f.State.WriteRPS, f.State.ValueKB, f.State.TxnOps = 200, 50, 4, 12
 	f.Cloud.RPS = 6
 	f.Quota.Cores, f.Quota.MemoryMB, f.Quota.MaxConnections = 0.3, 100, 140
--- a/internal/durations/durations.go
+++ b/internal/durations/durations.go
@@ -84,7 +84,7 @@
 	p := Platform{
 		HeartbeatInterval:    monotime.FromSeconds(workers.HeartbeatIntervalS),
 		WorkerLease:          monotime.FromSeconds(workers.LeaseS),
-		CancellationDeadline: monotime.FromSeconds(workers.CancelWithinS),
+		CancellationDeadline: monotime.FromSeconds(workers.CancelTimeoutS),
 	}
 	p.MembershipTTL = min(max(p.WorkerLease/2, minMembershipTTL), maxMembershipTTL)
 	p.SuspicionTimeout = 3*p.HeartbeatInterval + monotime.Second/2
--- a/internal/durations/durations_test.go
+++ b/internal/durations/durations_test.go
@@ -24,29 +24,29 @@
 		warned     []string
 	}{
 		{
-			"short leases", config.Workers{HeartbeatIntervalS: 0.8, LeaseS: 10, CancelWithinS: 30},
+			"short leases", config.Workers{HeartbeatIntervalS: 0.8, LeaseS: 10, CancelTimeoutS: 30},
 			5, 19, nil,
 		},
 		{
-			"usual leases", config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32},
+			"usual leases", config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelTimeoutS: 32},
 			6, 19, nil,
 		},
 		{
-			"long leases", config.Workers{HeartbeatIntervalS: 5, LeaseS: 28, CancelWithinS: 53},
+			"long leases", config.Workers{HeartbeatIntervalS: 5, LeaseS: 28, CancelTimeoutS: 53},
 			8, 24, nil,
 		},
 		{
 			"lease ends before a successor takes over",
-			config.Workers{HeartbeatIntervalS: 1, LeaseS: 6.5, CancelWithinS: 30},
+			config.Workers{HeartbeatIntervalS: 1, LeaseS: 6.5, CancelTimeoutS: 30},
 			4, 22.5, []string{leaseSetting},
 		},
 		{
 			"lease ends before the worker tries another controller too",
-			config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelWithinS: 30},
+			config.Workers{HeartbeatIntervalS: 1, LeaseS: 5, CancelTimeoutS: 30},
 			4, 24, []string{leaseSetting, leaseSetting},
 		},
 		{
-			"leases outlast cancellations", config.Workers{HeartbeatIntervalS: 2, LeaseS: 30, CancelWithinS: 20},
+			"leases outlast cancellations", config.Workers{HeartbeatIntervalS: 2, LeaseS: 30, CancelTimeoutS: 20},
 			8, 3, []string{cancelSetting},
 		},
 	} {
--- a/internal/fake/loopback/deployment_config.go
+++ b/internal/fake/loopback/deployment_config.go
@@ -36,7 +36,7 @@
 func (d *Deployment) writeConfig(caller string) string {
 	cfg := config.Config{
 		Node:       caller,
-		Area:       d.options.Zones[0],
+		Zone:       d.options.Zones[0],
 		PublicAddr: d.publicAddrs[caller],
 		PeerBind:   d.peerAddrs[caller],
 	}
@@ -46,7 +46,7 @@
 	for i, node := range d.Controllers {
 		if node != caller {
 			cfg.Peers = append(cfg.Peers, config.Peer{
-				Node: node, Area: d.options.Zones[i%len(d.options.Zones)], Addr: d.peerAddrs[node],
+				Node: node, Zone: d.options.Zones[i%len(d.options.Zones)], Addr: d.peerAddrs[node],
 			})
 		}
 	}
@@ -56,7 +56,7 @@
 	f.Workers = config.Workers{
 		HeartbeatIntervalS: d.options.HeartbeatInterval.Seconds(),
 		LeaseS:             d.options.LeaseTime.Seconds(),
-		CancelWithinS:      d.options.CancelWithin.Seconds(),
+		CancelTimeoutS:     d.options.CancelWithin.Seconds(),
 	}
 	f.State.RPS, f.State.WriteRPS = d.options.StateRPS, d.options.StateWriteRPS
 	f.State.ValueKB, f.State.TxnOps = maxValueKB, maxTransactionOps
--- a/internal/mirror/records.go
+++ b/internal/mirror/records.go
@@ -260,16 +260,16 @@
 	for name, entry := range m.MachineTypes {
 		r := entry.Record
 		types[name] = protocol.MachineType{
-			Name:          name,
-			CPUs:          r.CPUs,
-			GPUs:          r.GPUs,
-			MemoryGB:      r.MemoryGB,
-			CacheGB:       r.CacheGB,
-			FetchGBPerS:   r.FetchGBPerS,
-			OnDemandPrice: r.OnDemandPrice,
-			SpotPrice:     r.SpotPrice,
-			BootS:         r.BootS,
-			Zones:         r.Zones,
+			Name:           name,
+			CPUs:           r.CPUs,
+			GPUs:           r.GPUs,
+			MemoryGB:       r.MemoryGB,
+			LocalStorageGB: r.CacheGB,
+			FetchGBPerS:    r.FetchGBPerS,
+			OnDemandPrice:  r.OnDemandPrice,
+			SpotPrice:      r.SpotPrice,
+			BootS:          r.BootS,
+			Zones:          r.Zones,
 		}
 	}
 	return types
--- a/internal/placement/queue_order_test.go
+++ b/internal/placement/queue_order_test.go
@@ -20,10 +20,10 @@
 	c := newTestController()
 	c.limits = map[string]quota.Limits{"tight": {MaxCPUs: 12}}
 	c.scheduler.config.Objectives = []config.Objective{
-		{Kind: "deadline", Class: "x", Times: 1},
-		{Kind: "deadline", Class: "x", Times: 1.5},
-		{Kind: "wait", Class: "x", WithinS: 150},
-		{Kind: "finished", Class: "x", WithinS: 250},
+		{Kind: "deadline", Class: "x", DeadlineMultiple: 1},
+		{Kind: "deadline", Class: "x", DeadlineMultiple: 1.5},
+		{Kind: "wait", Class: "x", LimitS: 150},
+		{Kind: "finished", Class: "x", LimitS: 250},
 	}
 	c.machineTypes = map[string]protocol.MachineType{"m16": {Name: "m16", CPUs: 16}}
 	c.mirror.Machines["i-1"] = &mirror.Machine{
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -198,16 +198,16 @@
 
 // MachineType is an entry of the cloud's catalog.
 type MachineType struct {
-	Name          string   `msgpack:"name"`
-	CPUs          float64  `msgpack:"cores"`         // per machine
-	GPUs          float64  `msgpack:"accelerators"`  // per machine
-	MemoryGB      float64  `msgpack:"memory_gb"`     // per machine
-	CacheGB       float64  `msgpack:"local_gb"`      // local storage
-	FetchGBPerS   float64  `msgpack:"pull_gb_per_s"` // download rate of container images
-	OnDemandPrice float64  `msgpack:"rate"`
-	SpotPrice     float64  `msgpack:"low_price"`
-	BootS         float64  `msgpack:"ready_s"` // seconds from the request until the machine is up
-	Zones         []string `msgpack:"groves"`
+	Name           string   `msgpack:"name"`
+	CPUs           float64  `msgpack:"cores"`         // per machine
+	GPUs           float64  `msgpack:"accelerators"`  // per machine
+	MemoryGB       float64  `msgpack:"memory_gb"`     // per machine
+	LocalStorageGB float64  `msgpack:"local_gb"`      // local storage
+	FetchGBPerS    float64  `msgpack:"pull_gb_per_s"` // download rate of container images
+	OnDemandPrice  float64  `msgpack:"rate"`
+	SpotPrice      float64  `msgpack:"low_price"`
+	BootS          float64  `msgpack:"ready_s"` // seconds from the request until the machine is up
+	Zones          []string `msgpack:"groves"`
 }
 
 // Catalog is the cloud's list of machine types.
--- a/internal/protocol/outcomes.go
+++ b/internal/protocol/outcomes.go
@@ -46,7 +46,7 @@
 		return Conflict
 	case transport.StatusGone:
 		return Compacted
-	case transport.StatusThrottled:
+	case transport.StatusTooManyRequests:
 		return Throttled
 	case transport.StatusUnavailable:
 		return Unavailable
--- a/internal/reachability/stubs_test.go
+++ b/internal/reachability/stubs_test.go
@@ -51,7 +51,7 @@
 	h := &harness{
 		now: testStart, random: rand.New(rand.NewPCG(1, 2)), live: []string{"n-0", testNode, "n-2"},
 		lastSuccessAt: testStart, leaseRenewedAt: testStart,
-		durations: durations.Derive(config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelWithinS: 32}),
+		durations: durations.Derive(config.Workers{HeartbeatIntervalS: 2, LeaseS: 12, CancelTimeoutS: 32}),
 		mirror:    mirror.New(), peerStatuses: peers.NewTable(2),
 	}
 	for i := range machines {
--- a/internal/scheduling/objectives.go
+++ b/internal/scheduling/objectives.go
@@ -19,11 +19,11 @@
 		switch {
 		case objective.Class != spec.Class || spec.Service:
 		case objective.Kind == config.ObjectiveFinished:
-			starts = append(starts, objective.WithinS-runSeconds)
+			starts = append(starts, objective.LimitS-runSeconds)
 		case objective.Kind == config.ObjectiveWait:
-			starts = append(starts, objective.WithinS)
-		case objective.Kind == config.ObjectiveDeadline && spec.DeadlineS > 0 && objective.Times > 0:
-			starts = append(starts, objective.Times*spec.DeadlineS-runSeconds)
+			starts = append(starts, objective.LimitS)
+		case objective.Kind == config.ObjectiveDeadline && spec.DeadlineS > 0 && objective.DeadlineMultiple > 0:
+			starts = append(starts, objective.DeadlineMultiple*spec.DeadlineS-runSeconds)
 			hasDeadlineObjective = true
 		}
 	}
--- a/internal/scheduling/objectives_test.go
+++ b/internal/scheduling/objectives_test.go
@@ -11,10 +11,10 @@
 
 func TestLatestStarts(t *testing.T) {
 	objectives := []config.Objective{
-		{Kind: "finished", Class: "x", WithinS: 100},
-		{Kind: "wait", Class: "x", WithinS: 20},
-		{Kind: "deadline", Class: "x", Times: 1.5},
-		{Kind: "wait", Class: "y", WithinS: 5},
+		{Kind: "finished", Class: "x", LimitS: 100},
+		{Kind: "wait", Class: "x", LimitS: 20},
+		{Kind: "deadline", Class: "x", DeadlineMultiple: 1.5},
+		{Kind: "wait", Class: "y", LimitS: 5},
 	}
 	for _, tc := range []struct {
 		name string
--- a/internal/transport/status.go
+++ b/internal/transport/status.go
@@ -13,9 +13,9 @@
 	StatusGone               = 410 // from the state service: the requested revision is compacted
 	StatusContentTooLarge    = 413
 	StatusURITooLong         = 414
-	StatusRedirect           = 421 // the client must contact another controller
-	StatusUnsatisfiable      = 422
-	StatusThrottled          = 429
+	StatusMisdirected        = 421 // the client must contact another controller
+	StatusUnprocessable      = 422
+	StatusTooManyRequests    = 429
 	StatusHeaderTooLarge     = 431
 	StatusInternalError      = 500
 	StatusNotImplemented     = 501
