--- a/internal/agents/agent.go
+++ b/internal/agents/agent.go
@@ -13,7 +13,7 @@
 // AttemptID identifies one attempt to run a task.
 type AttemptID struct {
 	Task    mirror.TaskID
-	Attempt uint64 // sequence number of the attempt among the attempts of its task
+	Attempt uint64 // see Number of storage.Attempt
 }
 
 // Outcome is the final result of an attempt.
@@ -242,7 +242,8 @@
 }
 
 // ExpireLease records that the lease has expired, and that all attempts on the machine must be retried.
-// Until the agent acknowledges a token of this claim again, nothing is sent to it.
+// Until a report of the agent shows that it is reachable again, it gets no direct commands and no runs. Answers
+// to its heartbeats can still contain kills and reaps, see NextCommands.
 func (a *Agent) ExpireLease(machine *mirror.Machine) {
 	a.leaseExpired, a.tokens.claimAcknowledged = true, false
 	for task, attempt := range machine.Attempts {
--- a/internal/agents/dependencies.go
+++ b/internal/agents/dependencies.go
@@ -148,7 +148,8 @@
 	// WithdrawFailuresOn withdraws the failures on a faulty machine as evidence against the jobs that failed
 	// there.
 	WithdrawFailuresOn(machine *mirror.Machine)
-	// FinalResultSeenAt returns when this controller observed the final result of a job; 0: it did not observe it.
+	// FinalResultSeenAt returns when this controller first observed the final result of a job that had assigned
+	// tasks at that time; 0: it did not. Results that a load of the records contains don't count as observed.
 	FinalResultSeenAt(job string) monotime.Micros
 }
 
--- a/internal/agents/replies.go
+++ b/internal/agents/replies.go
@@ -6,7 +6,8 @@
 	"pipitgap/internal/protocol"
 )
 
-// maxUnacknowledged is how many consecutive heartbeats may lack the token of the previous answer.
+// maxUnacknowledged is the number of consecutive heartbeats without the token of the previous answer at which
+// the agent must prove again that answers reach it.
 const maxUnacknowledged = 2
 
 // ReceivedHeartbeat is a heartbeat that must be answered.
--- a/internal/agents/reports.go
+++ b/internal/agents/reports.go
@@ -28,8 +28,9 @@
 		report.Incarnation == a.incarnation && report.Sequence > a.sequence
 }
 
-// ApplyReport applies a report that is newer than the previous one. jobs are the unfinished jobs;
-// workerLease is the length of an agent's lease.
+// ApplyReport applies a report that is newer than the previous one. jobs are the jobs of the mirror by id,
+// including those that have a result already, whose attempts must end. workerLease is the length of an agent's
+// lease.
 func (a *Agent) ApplyReport(
 	machine *mirror.Machine,
 	jobs map[string]*mirror.Job,
--- a/internal/autoscaling/bin.go
+++ b/internal/autoscaling/bin.go
@@ -36,7 +36,7 @@
 	PreemptibleByPriority map[int]resources.Vector
 }
 
-// RunningTask is a running task that will end by itself, or several such tasks.
+// RunningTask is a running task of an array job that will end by itself and isn't preemptible.
 type RunningTask struct {
 	CPUs            float64
 	ExpectedSeconds float64 // total expected run time; how long it has run already is unknown
--- a/internal/autoscaling/fleet/reconciler.go
+++ b/internal/autoscaling/fleet/reconciler.go
@@ -50,7 +50,8 @@
 type Catalog interface {
 	// MachineTypes returns the machine types by name, or nil until they are known.
 	MachineTypes() map[string]protocol.MachineType
-	// IsFetched reports whether the machine types come from the cloud itself, not from the records.
+	// IsFetched reports whether the cloud has returned machine types. If none of those was usable, MachineTypes
+	// still returns the previous types, which may be from the records.
 	IsFetched() bool
 }
 
--- a/internal/autoscaling/packing.go
+++ b/internal/autoscaling/packing.go
@@ -51,15 +51,16 @@
 func reserveHeadroom(demands []*Demand, bins []*Bin) map[string]bool {
 	needed := map[string]bool{}
 	for _, demand := range demands {
-		for _, empty := range []bool{false, true} { // machines in use first
+		for _, empty := range []bool{false, true} { // empty bins last
 			reserveOnBins(demand, bins, empty, needed)
 		}
 	}
 	return needed
 }
 
-// reserveOnBins reserves one headroom demand on the empty bins, or on those in use, and adds the machines on
-// which it reserves any to needed.
+// reserveOnBins reserves one headroom demand either on the empty bins or on the others, and adds the machines on
+// which it reserves any to needed. A bin is empty if its whole capacity is free or held by tasks that services
+// may preempt: it has no services, and no headroom is reserved on it.
 func reserveOnBins(demand *Demand, bins []*Bin, empty bool, needed map[string]bool) {
 	for _, bin := range bins {
 		if demand.Tasks == 0 {
--- a/internal/autoscaling/snapshot.go
+++ b/internal/autoscaling/snapshot.go
@@ -36,7 +36,8 @@
 	// MayScaleOutForTrial reports whether a machine may be requested for the trial task of a crash-looping
 	// job.
 	MayScaleOutForTrial(job *mirror.Job, now monotime.Micros) bool
-	// IsScavenger reports whether a job runs in its team's idle time only.
+	// IsScavenger reports whether a job is of the scavenger class: a low-priority array without an objective
+	// that uses spare room and cost-effective spot machines.
 	IsScavenger(job *mirror.Job) bool
 	// IsSpotOnly reports whether no on-demand machine may be requested for a job.
 	IsSpotOnly(job *mirror.Job) bool
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -58,7 +58,8 @@
 // returned map.
 func (c *Catalog) MachineTypes() map[string]protocol.MachineType { return c.machineTypes }
 
-// IsFetched reports whether the types are from the cloud itself, not from the records.
+// IsFetched reports whether a fetch has returned machine types. If none of those was usable, MachineTypes still
+// returns the previous types, which may be from the records.
 func (c *Catalog) IsFetched() bool { return c.fetchedAt != 0 }
 
 // CloudCalls returns the token bucket that all of this controller's calls to the cloud's API share.
--- a/internal/coordination/fault_injection_test.go
+++ b/internal/coordination/fault_injection_test.go
@@ -303,7 +303,8 @@
 	}
 }
 
-// slowStoreReplies makes the state service answer late, within the time that callers wait.
+// slowStoreReplies delays each response of the state service by a random time shorter than maxDelay. A call
+// whose timeout passes first gets no response.
 func slowStoreReplies(at monotime.Micros, maxDelay, duration monotime.Micros) fault {
 	return fault{at, "slow store replies", func(s *scenario) {
 		s.store.DelayResponse = func() monotime.Micros { return s.randomDuration(maxDelay) }
--- a/internal/coordination/large_fleet_test.go
+++ b/internal/coordination/large_fleet_test.go
@@ -11,8 +11,9 @@
 	"pipitgap/internal/storage"
 )
 
-// newLargeFleetCluster is five controllers with room for some fifteen hundred machines, on a
-// state service and a cloud that are but twice those of three with forty.
+// newLargeFleetCluster returns a cluster of five controllers with capacity for about 1500 machines. The rate
+// limits of its state service are twice those of newCluster, which is a cluster of three controllers with about
+// 40 machines; the configured rate limit of the cloud's API is 1.5 times that of newCluster.
 func newLargeFleetCluster(t testing.TB, seed uint64) *cluster {
 	c := newGrownCluster(t, seed)
 	c.store.RPS, c.store.WriteRPS = 400, 100
--- a/internal/coordination/reachability_test.go
+++ b/internal/coordination/reachability_test.go
@@ -13,7 +13,8 @@
 	"pipitgap/internal/sortedmap"
 )
 
-// newBusyCluster is a cluster with services and arrays running on all three parts.
+// newBusyCluster returns a cluster with a service whose 24 replicas run, each on its own machine. The
+// controllers have owned the machines for longer than a worker lease.
 func newBusyCluster(t *testing.T, seed uint64) (c *cluster, service string) {
 	c = newCluster(t, seed)
 	clear(c.cloud.Capacity)
--- a/internal/coordination/requests.go
+++ b/internal/coordination/requests.go
@@ -19,8 +19,9 @@
 	handle func(body []byte, respond func(Response))
 }
 
-// HandleRequest answers a request of a user or a worker. The answer may come later, but never because it is
-// held back: only as long as the state service takes.
+// HandleRequest answers a request of a user or a worker. respond may be called after HandleRequest has returned:
+// a user's request can wait for the state service, and a heartbeat also for the claim of the machine and for the
+// checks before that claim.
 func (c *Controller) HandleRequest(method, target string, body []byte, respond func(Response)) {
 	c.pauses.DetectPause(c.now())
 	path, query, _ := strings.Cut(target, "?")
--- a/internal/coordination/user_requests_test.go
+++ b/internal/coordination/user_requests_test.go
@@ -19,8 +19,8 @@
 		runTime monotime.Micros
 	}{
 		{"one task", jobWith(), 3 * second},
-		{"more tasks than a row", jobWith(withTasks(70), withCPUs(1)), 3 * second},
-		{"more rows than a commit drops", jobWith(withTasks(420), withCPUs(1), withMemoryGB(1),
+		{"70 tasks", jobWith(withTasks(70), withCPUs(1)), 3 * second},
+		{"420 tasks that may use spot machines", jobWith(withTasks(420), withCPUs(1), withMemoryGB(1),
 			withSpot(true)), second},
 		{"one zone", jobWith(withTasks(12), withOneZone(true)), 5 * second},
 		{"spread", jobWith(withTasks(9), withSpread(true)), 5 * second},
@@ -150,7 +150,7 @@
 		{"fits no machine", "POST", protocol.JobsPath, withField(protocol.FieldCPUs, 17.0), 422},
 		{"unknown machine type", "POST", protocol.JobsPath, withField(protocol.FieldTypes, []any{"m99"}), 422},
 		{"unknown zone", "POST", protocol.JobsPath, withField(protocol.FieldZone, "z"), 422},
-		{"known id, invalid now", "POST", protocol.JobsPath, withField(protocol.FieldID, knownID)[:0], 400},
+		{"empty body", "POST", protocol.JobsPath, withField(protocol.FieldID, knownID)[:0], 400},
 		{"malformed heartbeat", "POST", protocol.HeartbeatPath, []byte{0x80}, 400},
 	}
 	for _, tc := range cases {
--- a/internal/drain/decide.go
+++ b/internal/drain/decide.go
@@ -80,7 +80,9 @@
 	decision     *Decision
 }
 
-// placementKey is what decides whether any machine can take a replica, but for rules on zones.
+// placementKey contains what determines whether any machine can take a replica, except two properties of its
+// job: zone rules, with which nothing is cached, and the priority, which determines the room that preemption can
+// provide. Replicas with the same key and different priorities share a result.
 type placementKey struct {
 	need  resources.Vector
 	types string
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -412,8 +412,8 @@
 	}
 }
 
-// TestRandomGrantsKeepFloors: whatever the fleet, all permits of several controllers that decide one after
-// the other keep every budget, also with the loss of any machine.
+// TestRandomGrantsKeepFloors: in random fleets, the permits that one decision grants leave at least the minimum
+// number of replicas that the budget requires, also after the loss of any machine.
 func TestRandomGrantsKeepFloors(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 3))
--- a/internal/drain/drainer/drainer.go
+++ b/internal/drain/drainer/drainer.go
@@ -85,8 +85,8 @@
 	ExpectedRunSeconds(*storage.JobSpec) float64
 	// ZoneConstraint returns a job's zone rule, given where its tasks are now. Each call returns a new value.
 	ZoneConstraint(*mirror.Job) autoscaling.ZoneConstraint
-	// AssignmentShardBytes returns the size up to which assignments may fill a shard. It is also the maximum
-	// size of a record of permits.
+	// AssignmentShardBytes returns the limit in bytes up to which assignments may fill a shard. It is also the
+	// maximum size of a record of permits.
 	AssignmentShardBytes() int
 }
 
--- a/internal/drain/drainer/evictions.go
+++ b/internal/drain/drainer/evictions.go
@@ -6,9 +6,9 @@
 	"pipitgap/internal/monotime"
 )
 
-// evictWithoutPermits stops the tasks that need no permit on machines whose replicas have all been moved:
-// those of arrays, and of services that fail wherever they run. An array task that is expected to end soon is
-// not stopped.
+// evictWithoutPermits stops the tasks that need no permit on machines none of whose replicas is blocked: those
+// of arrays, and of services that fail wherever they run. An array task that is expected to end soon is not
+// stopped.
 func (d *Drainer) evictWithoutPermits(machines []string, now monotime.Micros) {
 	startedByMachine := map[string]monotime.Micros{}
 	for _, id := range machines {
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -11,7 +11,8 @@
 )
 
 // Mirror is the replica of the records, with the aggregates that decisions need. See the package comment for
-// the order of changes. Other packages only read its fields.
+// the order of changes. Other packages only read its fields, except that package placement adds the images of
+// tasks that it assigns to Machine.CachedImages.
 type Mirror struct {
 	WatchedRevision   uint64                      // all changes up to this revision are applied
 	NewestRevision    uint64                      // the newest revision seen in a load, watch or own commit
--- a/internal/operator/drains.go
+++ b/internal/operator/drains.go
@@ -279,7 +279,8 @@
 	})
 }
 
-// Resume resumes a paused drain. One that was paused at its deadline needs a new one, or none.
+// Resume resumes a paused drain. deadline is the time until its new deadline, or 0 to keep the present deadline.
+// A drain whose deadline has passed needs a new one.
 func (d *DrainOperator) Resume(name string, deadline monotime.Micros) (changed bool, err error) {
 	wallNow := d.WallClock()
 	return d.transition(name, func(record *storage.Drain) error {
--- a/internal/peers/status.go
+++ b/internal/peers/status.go
@@ -10,9 +10,9 @@
 
 // Values of WorkerReach.
 const (
-	WorkersUnknown     WorkerReach = iota // it has no workers that could show it
-	WorkersReachable                      // it hears from most of its workers
-	WorkersUnreachable                    // all or nearly all of its workers are silent
+	WorkersUnknown     WorkerReach = iota // neither of the others, for example because it has no workers
+	WorkersReachable                      // more than half of its workers aren't silent
+	WorkersUnreachable                    // most of its workers were silent, and none that it probed responded
 )
 
 // Status is a controller's report about itself to the other controllers. Status messages are hints: the
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// AssignmentShardBytes returns the size in bytes up to which assignments may fill a shard.
+// AssignmentShardBytes returns the limit in bytes up to which assignments may fill a shard.
 func (sc *Scheduler) AssignmentShardBytes() int {
 	return shards.FillBytes(sc.config.MaxValueBytes)
 }
--- a/internal/placement/job_tracking.go
+++ b/internal/placement/job_tracking.go
@@ -12,7 +12,7 @@
 	progress       scheduling.StartProgress
 	reassignment   reassignmentTracking
 	placeNotBefore monotime.Micros
-	finalSeenAt    monotime.Micros // when this controller first saw its final result; 0: not yet
+	finalSeenAt    monotime.Micros // see FinalResultSeenAt
 }
 
 // reassignmentTracking is when and how a job's tasks last moved between partitions.
@@ -44,14 +44,16 @@
 	sc.trackingOf(id).reassignment.recordChangedAt = sc.deps.Environment.Now()
 }
 
-// RecordFinalResultSeen records when this controller first sees a job's final result.
+// RecordFinalResultSeen records that this controller sees the final result of a job with assigned tasks. Only
+// the first call for a job has an effect.
 func (sc *Scheduler) RecordFinalResultSeen(id string) {
 	if tracking := sc.trackingOf(id); tracking.finalSeenAt == 0 {
 		tracking.finalSeenAt = sc.deps.Environment.Now()
 	}
 }
 
-// FinalResultSeenAt returns when this controller first saw a job's final result, or 0 if it has not.
+// FinalResultSeenAt returns when this controller first saw the final result of a job that had assigned tasks at
+// that time; 0: it has not. Results that a load of the records contains don't count as seen.
 func (sc *Scheduler) FinalResultSeenAt(id string) monotime.Micros {
 	return sc.trackingOf(id).finalSeenAt
 }
--- a/internal/protocol/paths.go
+++ b/internal/protocol/paths.go
@@ -23,7 +23,7 @@
 	keepAliveSuffix = "/touch"
 )
 
-// Paths of the cloud.
+// Paths of the cloud's API.
 const (
 	CatalogPath        = "/catalog"
 	MachinesPath       = "/rentals" // GET lists machines, POST creates machines
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -49,8 +49,8 @@
 // jobIDPrefix is the prefix of every job ID.
 const jobIDPrefix = "j-"
 
-// ValidJobID reports whether an id has the users' form: j- and then letters,
-// digits, '-' or '_'.
+// ValidJobID reports whether an id has the users' form: j- and then letters, digits, '-', '_' or '.', in total
+// at most maxKeyPartBytes bytes.
 func ValidJobID(id string) bool {
 	name, ok := strings.CutPrefix(id, jobIDPrefix)
 	return ok && name != "" && ValidKeyPart(id)
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -40,10 +40,11 @@
 	return shortfall
 }
 
-// Shortage is what a controller's share of a team's limit lacked since the share was last adjusted.
+// Shortage is the demand that a controller's share of a team's limit could not satisfy since the share was last
+// adjusted.
 type Shortage struct {
 	PerTask        resources.Vector // smallest shortfall of any single task
-	Total          resources.Vector // for all tasks
+	Total          resources.Vector // of all waiting tasks; the unused part of the share isn't subtracted
 	HasMachineRoom bool             // whether some machine has room for one of the tasks
 }
 
--- a/internal/ratelimit/queue_test.go
+++ b/internal/ratelimit/queue_test.go
@@ -51,7 +51,7 @@
 func repeat(n int, priorities ...Priority) []Priority { return slices.Repeat(priorities, n) }
 
 // TestQueueOrdersByPriority checks that the call with the highest priority goes first, whatever the order of
-// queuing. A lease goes into debt, so that other writes wait for it.
+// queuing. The lease call takes one of the two tokens for writes, so the next call, which needs both, must wait.
 func TestQueueOrdersByPriority(t *testing.T) {
 	q := newTestQueue(t)
 	q.add(0, 0, PriorityBackground)
--- a/internal/scheduling/machine_choice.go
+++ b/internal/scheduling/machine_choice.go
@@ -20,8 +20,8 @@
 	// ordinary machine with services only if a tighter fit or a cached image outweighs this penalty. The
 	// ordinary machine stays in any case, and filling it first lets spot machines become empty.
 	spotInsteadOfServicesPenalty = 50
-	// serviceImageFetchPenalty is added where a service's image is missing: it counts as started only once
-	// the image is there, and it stays, so it pays to wait for nothing else.
+	// serviceImageFetchPenalty is added where a service's image is missing. A service counts as started only
+	// once the image is fetched, and it then stays on the machine, so a tighter fit isn't worth the fetch.
 	serviceImageFetchPenalty = 1000
 	imageFetchPenaltyPerGB   = 4
 	// servicePackingWeight is the score change for a service per CPU that services already hold on a machine:
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -138,7 +138,9 @@
 // ScaleOutPhase is the phase of a scale-out request.
 type ScaleOutPhase string
 
-// Phases of a scale-out request. The records of fulfilled and rejected requests are deleted.
+// Phases of a scale-out request. Its record is deleted once all its machines are up, or the removal of those
+// that aren't up in time is requested, or in phase ScaleOutNoCapacity the quarantine of the offer ends. A
+// request that the cloud rejects gets that phase too.
 const (
 	ScaleOutPending      ScaleOutPhase = "pending"
 	ScaleOutProvisioning ScaleOutPhase = "provisioning"
--- a/internal/storage/shard.go
+++ b/internal/storage/shard.go
@@ -9,8 +9,8 @@
 // MachineState is the state of a machine as stored in a shard.
 type MachineState string
 
-// States of a machine. That a machine is about to be drained is known to its shard's owner only and not
-// stored.
+// States of a machine. That an empty machine only takes tasks that fit nowhere else, because it is about to be
+// removed, is known to its shard's owner and not stored.
 const (
 	MachineOpen        MachineState = "o"
 	MachineUnreachable MachineState = "q" // unreachable at present: receives no tasks and does not count as capacity
@@ -44,7 +44,7 @@
 	Spot     bool   // spot instance
 	Endpoint string // address and port of the machine's worker
 	State    MachineState
-	Claim    uint64 // if greater than the shard's: the machine came from another partition's shard; see ClaimNumberOf
+	Claim    uint64 // number of the claim that took it from another controller's shard, or 0; see ClaimNumberOf
 }
 
 // ShardJob is a job's entry in a shard: the tasks that were completed in the shard and the current attempts.
@@ -58,7 +58,9 @@
 type Attempt struct {
 	Task    int // index of the task in its job
 	Machine string
-	Number  uint64 // number of the attempt among the attempts of the task
+	// Number identifies the attempt among those of the task. It is the newest revision of the state service that
+	// the controller knew when it assigned the task, so a later attempt has a greater number.
+	Number uint64
 	// Starting means that the attempt isn't known to be running yet. It is stored only for replicas whose
 	// availability package drain protects.
 	Starting bool
--- a/internal/transport/parser_test.go
+++ b/internal/transport/parser_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// FuzzParser: any bytes, in any pieces, give the same messages and never more
-// memory than a bounded head and body.
+// FuzzParser checks that any bytes give the same messages, and an error or none, whether the parser gets them in
+// one piece or in pieces of a fixed size.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nContent-Length: 1\r\n\r\nx"), 3)
 	f.Add([]byte("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"), 1)
