--- a/internal/coordination/controller_restart_test.go
+++ b/internal/coordination/controller_restart_test.go
@@ -284,11 +284,11 @@
 		}
 		ownersBefore := owners()
 		peerMachines := 0
-		for id, node := range ownersBefore {
-			if node != "n-0" {
+		for machineID, owner := range ownersBefore {
+			if owner != "n-0" {
 				peerMachines++
 				if !crash {
-					c.disconnectedPairs[id+"-"+node] = true
+					c.disconnectedPairs[machineID+"-"+owner] = true
 				}
 			}
 		}
@@ -302,8 +302,8 @@
 		}
 		c.sim.Run(17 * second)
 		changed := 0
-		for id, node := range owners() {
-			if ownersBefore[id] != "" && ownersBefore[id] != node {
+		for machineID, owner := range owners() {
+			if ownersBefore[machineID] != "" && ownersBefore[machineID] != owner {
 				changed++
 			}
 		}
--- a/internal/drain/snapshot.go
+++ b/internal/drain/snapshot.go
@@ -189,9 +189,9 @@
 	}
 	job, known := s.jobs[permit.Job]
 	if to, ok := next.Machine(permit.To); ok && known {
-		reserved := *to
-		reserved.Free = to.Free.Minus(job.PerTask)
-		next = next.withMachine(&reserved)
+		destination := *to
+		destination.Free = to.Free.Minus(job.PerTask)
+		next = next.withMachine(&destination)
 	}
 	return next
 }
@@ -249,14 +249,14 @@
 	s := b.snapshot
 	s.machines = b.machines.Map()
 	slices.SortFunc(s.drains, func(x, y DrainRecord) int { return cmp.Compare(x.Name, y.Name) })
-	next := &s
+	snapshot := &s
 	for _, team := range sortedmap.Keys(s.permits) {
 		for _, permit := range s.permits[team].Permits {
-			_, replica, found := next.replicaOf(permit.Job, permit.Task)
+			_, replica, found := snapshot.replicaOf(permit.Job, permit.Task)
 			if !found || replica.Attempt == permit.Attempt {
-				next = next.withPermit(permit)
+				snapshot = snapshot.withPermit(permit)
 			}
 		}
 	}
-	return next
+	return snapshot
 }
