--- a/internal/agents/failover.go
+++ b/internal/agents/failover.go
@@ -22,7 +22,9 @@
 	ownerStatusWait = durations.SlowTickInterval + 2*durations.FastTickInterval
 )
 
-// orphanContact is a series of heartbeats from a worker whose machine another controller owns or may claim.
+// orphanContact is a series of heartbeats that a worker sends to this controller because the owner of its
+// machine does not seem to answer. If the machine is unclaimed, it is a series of heartbeats from a worker
+// whose machine another controller is designated to claim.
 type orphanContact struct {
 	firstAt, lastAt monotime.Micros
 	claimNumber     uint64 // claim under which the owner held the machine; 0: unclaimed
--- a/internal/architecture/pages_test.go
+++ b/internal/architecture/pages_test.go
@@ -96,7 +96,7 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(unknownMessages(literals, c.page), "; "); got != c.want {
-			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page text %s: got unknown messages %q, want %q", c.page, got, c.want)
 		}
 	}
 }
@@ -145,7 +145,7 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(unknownRows(literals, c.page), "; "); got != c.want {
-			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page text %s: got unknown rows %q, want %q", c.page, got, c.want)
 		}
 	}
 }
@@ -359,7 +359,7 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(unknownNames(declared, c.page), " "); got != c.want {
-			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page text %s: got undeclared names %q, want %q", c.page, got, c.want)
 		}
 	}
 }
@@ -374,7 +374,7 @@
 	}
 	for _, c := range cases {
 		if got := strings.Join(namedPaths(c.page, c.folder), " "); got != c.want {
-			t.Errorf("page %s: got %q, want %q", c.page, got, c.want)
+			t.Errorf("page text %s: got paths %q, want %q", c.page, got, c.want)
 		}
 	}
 }
--- a/internal/autoscaling/fleet/inventory.go
+++ b/internal/autoscaling/fleet/inventory.go
@@ -11,8 +11,9 @@
 // Intervals of reading the cloud's machine list.
 const (
 	listInterval = 10 * monotime.Second
-	// unknownMachineMargin plus twice the list's lag is the age above which the leader adopts an unknown
-	// machine.
+	// unknownMachineMargin is a safety margin on the age at which the leader adopts a machine that no record
+	// names: the machine must be older than twice the list's lag plus this margin. A younger machine may
+	// have been created for a scale-out request whose record doesn't name its machines yet.
 	unknownMachineMargin = 5 * monotime.Second
 )
 
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -147,8 +147,8 @@
 func endedWithoutAttempts(job *mirror.Job) bool { return !job.IsOpen() && job.AssignedTasks == 0 }
 
 // needsPurge reports whether a job has a result and no attempts, in a mirror that includes all changes up to
-// the revision of the result. A result that this controller learned from another one before it read the
-// record has no revision until the mirror contains the record.
+// the revision of the result. While the mirror knows the result only from its cache of results, which stores
+// no revisions, FinalRevision is 0 and the job isn't purged.
 func (f *Finisher) needsPurge(job *mirror.Job) bool {
 	return endedWithoutAttempts(job) && job.FinalRevision != 0 && f.mirror.WatchedRevision >= job.FinalRevision
 }
--- a/internal/mirror/replica_test.go
+++ b/internal/mirror/replica_test.go
@@ -101,7 +101,7 @@
 	for _, outcome := range []protocol.Outcome{protocol.Unavailable, protocol.OK} {
 		compareCall := rt.nextCall(protocol.StoreCommit)
 		if n := len(compareCall.call.Transaction.If); n != comparesPerOp*2 {
-			t.Fatalf("get outcome %v: got %d keys in the first batch, want %d", outcome, n, comparesPerOp*2)
+			t.Fatalf("result read %v: got %d keys in the first batch, want %d", outcome, n, comparesPerOp*2)
 		}
 		compareCall.callback(protocol.StoreResult{Outcome: protocol.Conflict, Failed: []string{key}})
 		value, err := protocol.Marshal(&storage.JobResult{State: storage.JobCancelled})
@@ -112,7 +112,7 @@
 			Outcome: outcome, Item: protocol.KeyValue{Key: key, Value: value, Version: 4},
 		})
 		if rt.Loaded() {
-			t.Fatalf("get outcome %v: got loaded before the last batch, want not loaded", outcome)
+			t.Fatalf("result read %v: got loaded before the last batch, want not loaded", outcome)
 		}
 		rt.clock.Run(loadRetryDelay + loadRetrySpread)
 	}
--- a/internal/scheduling/job_rules.go
+++ b/internal/scheduling/job_rules.go
@@ -34,8 +34,9 @@
 	zone, allowedTypes, team string
 }
 
-// ShapeOf returns the shape of a job's tasks. need is the resources of each task. An empty team ignores
-// limits.
+// ShapeOf collects the properties that determine which machines a job's tasks may run on and whether a task
+// fits there. need is the resources of each task. If team is empty, the limits of teams are ignored, and jobs
+// of different teams may have the same shape.
 func ShapeOf(spec *storage.JobSpec, need resources.Vector, team string) TaskShape {
 	types := ""
 	if spec.MachineTypes != nil {
